--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -2,7 +2,7 @@
 //! limit takes a stream of arrivals from 1,000 to 100,000 clients, each ended in turn. Run with
 //! `cargo bench --bench admission`.
 
-use calicobeam::admission::fair::{AdmissionBounds, Arrival, Ending, FairQueue, Limit, Verdict};
+use edge_proxy::admission::fair::{AdmissionBounds, Arrival, Ending, FairQueue, Limit, Verdict};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Instant;
--- a/examples/admission_heavy.rs
+++ b/examples/admission_heavy.rs
@@ -52,13 +52,13 @@
 fn main() {
     let seconds: f64 = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or(4.0);
     let program =
-        PathBuf::from(std::env::var("CALICOBEAM").unwrap_or_else(|_| "target/release/calicobeam".into()));
+        PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, run(program, seconds));
 }
 
 async fn run(program: PathBuf, seconds: f64) {
-    let dir = std::env::temp_dir().join(format!("calicobeam-door-heavy-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("edge-proxy-door-heavy-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let fleet = SlowFleet::start(74, 4, 8, 20).await;
     println!("| door | heavy client | others p50 ms | others p99 ms | others served | heavy served | heavy refused |");
--- a/examples/grpc_load.rs
+++ b/examples/grpc_load.rs
@@ -147,7 +147,7 @@
 fn main() {
     let rounds: usize = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or(3);
     let program =
-        PathBuf::from(std::env::var("CALICOBEAM").unwrap_or_else(|_| "target/release/calicobeam".into()));
+        PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
     // The stand-in server has a thread of its own.
     let (tell, told) = mpsc::channel();
     std::thread::spawn(move || {
@@ -161,7 +161,7 @@
         });
     });
     let server: SocketAddr = told.recv().unwrap();
-    let dir = std::env::temp_dir().join(format!("calicobeam-grpc-load-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("edge-proxy-grpc-load-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let free = || std::net::TcpListener::bind("127.0.93.9:0").unwrap().local_addr().unwrap();
     let (listen, edge) = (free(), free());
--- a/examples/poor_links.rs
+++ b/examples/poor_links.rs
@@ -9,10 +9,10 @@
 #[path = "../tests/stand_ins/slow_box.rs"]
 mod slow_box;
 
-use calicobeam::memory::requests::Final;
-use calicobeam::poor::config::PoorConfig;
-use calicobeam::poor::shelf::{Claim, Shelf, ShelfBounds};
 use device::{certify, Device, Impaired};
+use edge_proxy::memory::requests::Final;
+use edge_proxy::poor::config::PoorConfig;
+use edge_proxy::poor::shelf::{Claim, Shelf, ShelfBounds};
 use hdrhistogram::Histogram;
 use slow_box::SlowFleet;
 use std::cell::RefCell;
@@ -46,7 +46,7 @@
 
 fn program(dir: &Path, fleet: &SlowFleet, at: std::net::SocketAddr, path: &str) -> (Running, PoorConfig) {
     let program =
-        PathBuf::from(std::env::var("CALICOBEAM").unwrap_or_else(|_| "target/release/calicobeam".into()));
+        PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
     let listen = std::net::TcpListener::bind("127.0.120.9:0").unwrap().local_addr().unwrap();
     let mut node =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
@@ -165,7 +165,7 @@
 
 fn main() {
     let requests: u64 = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or(24);
-    let dir = std::env::temp_dir().join(format!("calicobeam-poor-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("edge-proxy-poor-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     certify(&dir);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
--- a/examples/purge_fleet.rs
+++ b/examples/purge_fleet.rs
@@ -11,8 +11,8 @@
 #[path = "../tests/stand_ins/purge_box.rs"]
 mod purge_box;
 
-use calicobeam::purge::selector::{copy_name, Copy, Selector, Tag};
-use calicobeam::purge::wire::{call, from_json, Submitted};
+use edge_proxy::purge::selector::{copy_name, Copy, Selector, Tag};
+use edge_proxy::purge::wire::{call, from_json, Submitted};
 use purge_box::{now_ms, Origin, PurgeBox};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -99,13 +99,13 @@
 fn main() {
     let seconds: u64 = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or(20);
     let program =
-        PathBuf::from(std::env::var("CALICOBEAM").unwrap_or_else(|_| "target/release/calicobeam".into()));
+        PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, run(program, seconds));
 }
 
 async fn run(program: PathBuf, seconds: u64) {
-    let dir = std::env::temp_dir().join(format!("calicobeam-purge-fleet-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("edge-proxy-purge-fleet-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let mut rng = SmallRng::seed_from_u64(11);
     let origin = Rc::new(Origin::default());
--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -11,12 +11,12 @@
 #[path = "../tests/stand_ins/slow_box.rs"]
 mod slow_box;
 
-use calicobeam::clock::Clock;
-use calicobeam::engine::executor::Executor;
-use calicobeam::lifecycle::config::Config;
-use calicobeam::registry::config::RegistryConfig;
-use calicobeam::registry::driver::{keep, Link};
-use calicobeam::wire::cache::CacheDriver;
+use edge_proxy::clock::Clock;
+use edge_proxy::engine::executor::Executor;
+use edge_proxy::lifecycle::config::Config;
+use edge_proxy::registry::config::RegistryConfig;
+use edge_proxy::registry::driver::{keep, Link};
+use edge_proxy::wire::cache::CacheDriver;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use registry::Registry;
@@ -61,7 +61,7 @@
 fn main() {
     let drains: usize = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or(60);
     let program =
-        PathBuf::from(std::env::var("CALICOBEAM").unwrap_or_else(|_| "target/release/calicobeam".into()));
+        PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         one_proxy(program, drains).await;
@@ -90,13 +90,13 @@
 
 async fn state(mgmt: SocketAddr) -> Option<simd_json::OwnedValue> {
     let answer =
-        calicobeam::purge::wire::call(mgmt, "GET", "/registry", b"", Duration::from_secs(1)).await.ok()?;
+        edge_proxy::purge::wire::call(mgmt, "GET", "/registry", b"", Duration::from_secs(1)).await.ok()?;
     let mut body = answer.body;
     simd_json::to_owned_value(&mut body).ok()
 }
 
 async fn one_proxy(program: PathBuf, drains: usize) {
-    let dir = std::env::temp_dir().join(format!("calicobeam-registry-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("edge-proxy-registry-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let fleet = SlowFleet::start(82, 4, 64, 2).await;
     let registry = Registry::start("127.0.82.100").await;
@@ -193,7 +193,7 @@
 }
 
 async fn many_proxies(proxies: usize, seconds: u64) {
-    let dir = std::env::temp_dir().join(format!("calicobeam-registry-many-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("edge-proxy-registry-many-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let registry = Registry::start("127.0.83.100").await;
     for (k, member) in MEMBERS.iter().enumerate() {
@@ -205,7 +205,7 @@
     let mut links = Vec::new();
     for n in 0..proxies {
         let clock = Clock::system();
-        let (engine, _) = calicobeam::lifecycle::serve::engine(&config, &clock, 0).unwrap();
+        let (engine, _) = edge_proxy::lifecycle::serve::engine(&config, &clock, 0).unwrap();
         let host = Executor::new(clock, engine, CacheDriver);
         host.with(|engine| engine.take_roster_from_registry());
         let link = Rc::new(RefCell::new(Link::default()));
--- a/examples/rules_load.rs
+++ b/examples/rules_load.rs
@@ -7,9 +7,9 @@
 #[path = "../tests/stand_ins/slow_box.rs"]
 mod slow_box;
 
-use calicobeam::rules::config::RulesConfig;
-use calicobeam::wire::http::HttpRequest;
-use calicobeam::wire::platform::Platform;
+use edge_proxy::rules::config::RulesConfig;
+use edge_proxy::wire::http::HttpRequest;
+use edge_proxy::wire::platform::Platform;
 use hdrhistogram::Histogram;
 use slow_box::SlowFleet;
 use std::cell::RefCell;
@@ -109,8 +109,8 @@
     evaluations();
     let requests: u64 = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or(60_000);
     let program =
-        PathBuf::from(std::env::var("CALICOBEAM").unwrap_or_else(|_| "target/release/calicobeam".into()));
-    let dir = std::env::temp_dir().join(format!("calicobeam-rules-{}", std::process::id()));
+        PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
+    let dir = std::env::temp_dir().join(format!("edge-proxy-rules-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
--- a/examples/vrrp_takeover.rs
+++ b/examples/vrrp_takeover.rs
@@ -68,7 +68,7 @@
 
 async fn state(proxy: &Proxy) -> Option<String> {
     let within = Duration::from_secs(1);
-    let mut body = calicobeam::purge::wire::call(proxy.mgmt, "GET", "/vrrp", b"", within).await.ok()?.body;
+    let mut body = edge_proxy::purge::wire::call(proxy.mgmt, "GET", "/vrrp", b"", within).await.ok()?.body;
     let told = simd_json::to_owned_value(&mut body).ok()?;
     told["state"].as_str().map(String::from)
 }
@@ -88,10 +88,10 @@
 fn main() {
     let kills: usize = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or(20);
     let program =
-        PathBuf::from(std::env::var("CALICOBEAM").unwrap_or_else(|_| "target/release/calicobeam".into()));
+        PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let dir = std::env::temp_dir().join(format!("calicobeam-takeover-{}", std::process::id()));
+        let dir = std::env::temp_dir().join(format!("edge-proxy-takeover-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
         let fleet = SlowFleet::start(102, 4, 512, 4).await;
         let virt = free("127.1.102.1");
--- a/src/bin/calicobeam-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,4 +1,4 @@
-//! The adapter between the bench's wire and [`calicobeam::Router`]: it translates, and decides nothing.
+//! The adapter between the bench's wire and [`edge_proxy::Router`]: it translates, and decides nothing.
 //!
 //! One process hosts many routers, which share nothing. A line that is not legal ends the process with a
 //! message on standard error and exit code 1; the end of input ends it with 0.
@@ -9,8 +9,8 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-use calicobeam::settings::{Env, Row};
-use calicobeam::{Action, Event, Router};
+use edge_proxy::settings::{Env, Row};
+use edge_proxy::{Action, Event, Router};
 use wire::{Line, Reply};
 
 /// One hosted router with what is needed to translate for it.
@@ -133,7 +133,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("calicobeam-adapter: {message}");
+            eprintln!("simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/src/bin/calicobeam-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -1,8 +1,8 @@
 //! The wire's messages, typed, and their translation.
 
-use calicobeam::settings::{lenient, Env, Row};
-use calicobeam::wire::path_note::PathNote;
-use calicobeam::{Action, Event, Verdict};
+use edge_proxy::settings::{lenient, Env, Row};
+use edge_proxy::wire::path_note::PathNote;
+use edge_proxy::{Action, Event, Verdict};
 use serde::{Deserialize, Serialize};
 
 /// The messages that are read; all others are skipped.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,7 +11,7 @@
 //! with `closed` set or by [`Event::Left`].
 //!
 //! ```
-//! use calicobeam::*;
+//! use edge_proxy::*;
 //! # fn settings() -> Settings {
 //! #     let cold = ColdStart { floor: 0.2, ramp: 15_000_000, multiple: 3.0, window: 2_000_000 };
 //! #     Settings {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,22 +1,22 @@
 //! The edge proxy's command line.
 
 use argh::FromArgs;
-use calicobeam::admission::config::AdmissionConfig;
-use calicobeam::duties::config::DutiesConfig;
-use calicobeam::grpc::config::GrpcConfig;
-use calicobeam::lifecycle::config::Config;
-use calicobeam::lifecycle::front::FrontConfig;
-use calicobeam::lifecycle::serve::{self, Extras};
-use calicobeam::poor::config::PoorConfig;
-use calicobeam::purge::config::PurgeConfig;
-use calicobeam::purge::log::{decode, MAGIC};
-use calicobeam::purge::selector::Selector;
-use calicobeam::purge::wire::{call, from_json, Fault, Submit};
-use calicobeam::registry::config::RegistryConfig;
-use calicobeam::rules::config::RulesConfig;
-use calicobeam::rules::table::{Rules, Said};
-use calicobeam::vrrp::config::VrrpConfig;
-use calicobeam::wire::http::HttpRequest;
+use edge_proxy::admission::config::AdmissionConfig;
+use edge_proxy::duties::config::DutiesConfig;
+use edge_proxy::grpc::config::GrpcConfig;
+use edge_proxy::lifecycle::config::Config;
+use edge_proxy::lifecycle::front::FrontConfig;
+use edge_proxy::lifecycle::serve::{self, Extras};
+use edge_proxy::poor::config::PoorConfig;
+use edge_proxy::purge::config::PurgeConfig;
+use edge_proxy::purge::log::{decode, MAGIC};
+use edge_proxy::purge::selector::Selector;
+use edge_proxy::purge::wire::{call, from_json, Fault, Submit};
+use edge_proxy::registry::config::RegistryConfig;
+use edge_proxy::rules::config::RulesConfig;
+use edge_proxy::rules::table::{Rules, Said};
+use edge_proxy::vrrp::config::VrrpConfig;
+use edge_proxy::wire::http::HttpRequest;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -298,7 +298,7 @@
         PurgeCommand::Submit(submit) => {
             // Checked here first, so that a bad selector changes nothing anywhere and says why at once.
             let sel: Selector = submit.selector.parse().map_err(|e| format!("{e}"))?;
-            let body = calicobeam::purge::wire::to_json(&Submit { sel });
+            let body = edge_proxy::purge::wire::to_json(&Submit { sel });
             println!("{}", ask(submit.at, "POST", "/purges", &body)?);
         }
         PurgeCommand::Status(status) => println!("{}", ask(status.at, "GET", "/purges", b"")?),
@@ -346,7 +346,7 @@
 
 fn run() -> Result<(), String> {
     match argh::from_env::<Arguments>().command {
-        Command::Version(_) => println!("calicobeam {}", env!("CARGO_PKG_VERSION")),
+        Command::Version(_) => println!("edge-proxy {}", env!("CARGO_PKG_VERSION")),
         Command::Check(check) => {
             let config = read(check.config)?;
             read_front(check.front, &config)?;
@@ -358,9 +358,9 @@
             read_poor(check.poor)?;
             read_duties(check.duties)?;
             if let Some((_, rules)) = read_rules(check.rules)? {
-                println!("calicobeam: {} rules, at most {} steps a request", rules.0.len(), rules.cost());
+                println!("edge-proxy: {} rules, at most {} steps a request", rules.0.len(), rules.cost());
             }
-            println!("calicobeam: the configuration of {:?} is in order", config.name);
+            println!("edge-proxy: the configuration of {:?} is in order", config.name);
         }
         Command::Serve(arguments) => {
             let config = read(arguments.config)?;
@@ -444,7 +444,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("calicobeam: {message}");
+            eprintln!("edge-proxy: {message}");
             ExitCode::FAILURE
         }
     }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -5,7 +5,7 @@
 
 /// Runs the adapter on a transcript.
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_calicobeam-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,7 +1,7 @@
 //! The door's decisions, on a clock that the test sets: shares, bounds, come-back times that hold, and what a
 //! client that leaves leaves behind.
 
-use calicobeam::admission::fair::{AdmissionBounds, Arrival, Ending, FairQueue, Limit, Refusal, Verdict};
+use edge_proxy::admission::fair::{AdmissionBounds, Arrival, Ending, FairQueue, Limit, Refusal, Verdict};
 use std::collections::HashMap;
 
 fn bounds() -> AdmissionBounds {
--- a/tests/admission_loopback.rs
+++ b/tests/admission_loopback.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpSocket;
 use tokio::task::spawn_local;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_calicobeam");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-proxy");
 
 /// What a client got: the status, the come-back time where one was told, and how long it took.
 #[derive(Clone, Copy, Debug)]
@@ -248,7 +248,7 @@
         // Each abandoned request was sent on before its client left, called off in the engine, or freed at the
         // door; whichever it was, it holds no place any more.
         let figures =
-            calicobeam::purge::wire::call(mgmt, "GET", "/stats", b"", Duration::from_secs(2)).await.unwrap();
+            edge_proxy::purge::wire::call(mgmt, "GET", "/stats", b"", Duration::from_secs(2)).await.unwrap();
         let figures = String::from_utf8_lossy(&figures.body).to_string();
         let figure = |name: &str| -> Option<u64> {
             figures.lines().find_map(|l| l.strip_prefix(name)?.trim().parse().ok())
@@ -268,7 +268,7 @@
         let door = r#"{"limit":{"first":1,"least":1,"most":1},"reserve_share":0}"#;
         let (_proxy, listen, mgmt) = proxy(&fleet, 78, "door-left", door).await;
         let figure = |name: &'static str| async move {
-            let got = calicobeam::purge::wire::call(mgmt, "GET", "/stats", b"", Duration::from_secs(2)).await;
+            let got = edge_proxy::purge::wire::call(mgmt, "GET", "/stats", b"", Duration::from_secs(2)).await;
             let text = String::from_utf8_lossy(&got.unwrap().body).to_string();
             text.lines().find_map(|l| l.strip_prefix(name)?.trim().parse::<u64>().ok()).unwrap_or(0)
         };
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -3,12 +3,12 @@
 
 mod stand_ins;
 
-use calicobeam::clock::Clock;
-use calicobeam::memory::requests::Ask;
-use calicobeam::wire::client::{Front, Limits};
-use calicobeam::wire::http::HttpCodec;
-use calicobeam::wire::link::{Link, AHEAD_MOST};
-use calicobeam::wire::platform::{limits, Platform};
+use edge_proxy::clock::Clock;
+use edge_proxy::memory::requests::Ask;
+use edge_proxy::wire::client::{Front, Limits};
+use edge_proxy::wire::http::HttpCodec;
+use edge_proxy::wire::link::{Link, AHEAD_MOST};
+use edge_proxy::wire::platform::{limits, Platform};
 use socket2::SockRef;
 use stand_ins::*;
 use std::io::{Read, Write};
--- a/tests/cold_members.rs
+++ b/tests/cold_members.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use calicobeam::*;
 use common::*;
+use edge_proxy::*;
 
 /// The member that starts anew, and the size of all requests: 100 ms of sending.
 const COLD: MemberId = 12;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the policy tests share: settings, a small fleet and a driver of event scripts.
 #![allow(dead_code)]
 
-use calicobeam::*;
+use edge_proxy::*;
 
 /// A second.
 pub const S: Micros = 1_000_000;
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -4,8 +4,8 @@
 mod stand_ins;
 
 use base64::Engine as _;
-use calicobeam::duties::config::DutiesConfig;
-use calicobeam::duties::slots::slot_at;
+use edge_proxy::duties::config::DutiesConfig;
+use edge_proxy::duties::slots::slot_at;
 use simd_json::prelude::*;
 use stand_ins::probed::Probed;
 use stand_ins::slow_box::{unix_ms, SlowFleet};
@@ -28,7 +28,7 @@
 impl Instance {
     async fn call(&self, path: &str) -> Option<String> {
         let within = Duration::from_secs(1);
-        let answer = calicobeam::purge::wire::call(self.mgmt, "GET", path, b"", within).await.ok()?;
+        let answer = edge_proxy::purge::wire::call(self.mgmt, "GET", path, b"", within).await.ok()?;
         Some(String::from_utf8_lossy(&answer.body).to_string())
     }
 
@@ -89,7 +89,7 @@
         let (config, own) = (dir.join("config.json"), dir.join("duties.json"));
         let args = ["serve", "--config", config.to_str().unwrap(), "--duties", own.to_str().unwrap()];
         let child =
-            Command::new(env!("CARGO_BIN_EXE_calicobeam")).args(args).stderr(Stdio::from(log)).spawn();
+            Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(Stdio::from(log)).spawn();
         Instance { process: Killed(child.unwrap()), mgmt }
     });
     let instances: Vec<Instance> = instances.collect();
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -2,14 +2,14 @@
 
 mod members;
 
-use calicobeam::clock::Clock;
-use calicobeam::engine::{Effect, Engine, EngineBounds, Next};
-use calicobeam::memory::connections::{Bounds, ConnId};
-use calicobeam::memory::requests::{Ask, Final};
-use calicobeam::settings::Env;
-use calicobeam::wire::cache_protocol::{Command, Get, Reply, Word};
-use calicobeam::wire::frames::{News, Numbered};
-use calicobeam::wire::path_note::PathNote;
+use edge_proxy::clock::Clock;
+use edge_proxy::engine::{Effect, Engine, EngineBounds, Next};
+use edge_proxy::memory::connections::{Bounds, ConnId};
+use edge_proxy::memory::requests::{Ask, Final};
+use edge_proxy::settings::Env;
+use edge_proxy::wire::cache_protocol::{Command, Get, Reply, Word};
+use edge_proxy::wire::frames::{News, Numbered};
+use edge_proxy::wire::path_note::PathNote;
 use members::{target, PARENT};
 use std::rc::Rc;
 
--- a/tests/fleet_model/mod.rs
+++ b/tests/fleet_model/mod.rs
@@ -4,7 +4,7 @@
 //! is one queue. Clients ask by a skewed choice of objects, write now and then, and try again when they are refused.
 
 use crate::common::{draw, member, settings, MS, S};
-use calicobeam::*;
+use edge_proxy::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -3,14 +3,14 @@
 
 mod stand_ins;
 
-use calicobeam::clock::Clock;
-use calicobeam::engine::executor::Executor;
-use calicobeam::grpc::config::GrpcConfig;
-use calicobeam::grpc::server::{accept, cut_at_stop, keep, GrpcFront};
-use calicobeam::lifecycle::config::Config;
-use calicobeam::lifecycle::serve::engine;
-use calicobeam::wire::cache::CacheDriver;
-use calicobeam::wire::client::Stop;
+use edge_proxy::clock::Clock;
+use edge_proxy::engine::executor::Executor;
+use edge_proxy::grpc::config::GrpcConfig;
+use edge_proxy::grpc::server::{accept, cut_at_stop, keep, GrpcFront};
+use edge_proxy::lifecycle::config::Config;
+use edge_proxy::lifecycle::serve::engine;
+use edge_proxy::wire::cache::CacheDriver;
+use edge_proxy::wire::client::Stop;
 use stand_ins::grpc::{finish, msg, Caller, GrpcBox};
 use stand_ins::{folder, run, START_MS};
 use std::net::SocketAddr;
@@ -136,7 +136,7 @@
         assert_eq!((seen.path.as_str(), &seen.body, seen.whole), ("/t.Safe/Get", &msg(10), true));
         assert_eq!((seen.header("x-bin"), seen.header("te")), (Some("AAEC"), Some("trailers")));
         assert_eq!(seen.header("content-type"), Some("application/grpc+proto"));
-        let left = calicobeam::grpc::timeout::parse(seen.header("grpc-timeout").unwrap()).unwrap();
+        let left = edge_proxy::grpc::timeout::parse(seen.header("grpc-timeout").unwrap()).unwrap();
         assert!(left <= 1_460.0 && left > 100.0, "no longer than the client's less the way back: {left}");
 
         // Server streaming, beyond every window; then client and bidirectional streaming.
@@ -287,7 +287,7 @@
         let calls: Vec<_> = edge.boxes.iter().flat_map(|b| b.calls.borrow().clone()).collect();
         assert!(calls.len() > 2, "second attempts were made within the time");
         for call in &calls {
-            let told = calicobeam::grpc::timeout::parse(call.header("grpc-timeout").unwrap()).unwrap();
+            let told = edge_proxy::grpc::timeout::parse(call.header("grpc-timeout").unwrap()).unwrap();
             assert!(told <= 360.0, "an attempt was told {told} ms");
         }
         edge.boxes.iter().for_each(|b| b.does("read head msg:4 hang", u32::MAX));
@@ -549,7 +549,7 @@
             let text = format!(
                 r#"{{"uid":"s-{uid:08x}","endpoint":"{ip}:7001","az":"town","model":"box","state":"{state}"}}"#
             );
-            calicobeam::wire::frames::Line::parse(text.as_bytes()).unwrap()
+            edge_proxy::wire::frames::Line::parse(text.as_bytes()).unwrap()
         };
         host.with(|engine| engine.hear_roster(true, vec![line(0xc1, "Ready"), line(0xc2, "Ready")]));
         edge.front.retune(GrpcConfig::read(&edge.dir.join("grpc.json")).unwrap()).unwrap();
@@ -658,7 +658,7 @@
         let (config, own) = (dir.join("config.json"), dir.join("grpc.json"));
         let args = ["serve", "--config", config.to_str().unwrap(), "--grpc", own.to_str().unwrap()];
         let program =
-            std::process::Command::new(env!("CARGO_BIN_EXE_calicobeam")).args(args).stderr(log).spawn();
+            std::process::Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(log).spawn();
         let mut program = stand_ins::Killed(program.unwrap());
         while TcpStream::connect(grpc).await.is_err() {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -681,7 +681,7 @@
         assert_eq!(one.count(), before, "the file before stays");
         let ask = |path: &'static str| async move {
             let answer =
-                calicobeam::purge::wire::call(mgmt, "GET", path, b"", Duration::from_secs(2)).await.unwrap();
+                edge_proxy::purge::wire::call(mgmt, "GET", path, b"", Duration::from_secs(2)).await.unwrap();
             String::from_utf8_lossy(&answer.body).to_string()
         };
         let figures = ask("/stats").await;
--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -1,11 +1,11 @@
 //! The decisions of gRPC pass-through without a socket: random calls, ends, lists and departures by fixed seeds, and
 //! what must hold whatever comes.
 
-use calicobeam::grpc::calls::{Backend, Bounds, CallId, Calls, Directive, NewCall, Outcome, Start};
-use calicobeam::grpc::config::GrpcConfig;
-use calicobeam::grpc::routes::{Kind, Route};
-use calicobeam::grpc::status::{Code, End, Pushback};
-use calicobeam::Repeat;
+use edge_proxy::grpc::calls::{Backend, Bounds, CallId, Calls, Directive, NewCall, Outcome, Start};
+use edge_proxy::grpc::config::GrpcConfig;
+use edge_proxy::grpc::routes::{Kind, Route};
+use edge_proxy::grpc::status::{Code, End, Pushback};
+use edge_proxy::Repeat;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::HashMap;
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use calicobeam::*;
 use common::*;
+use edge_proxy::*;
 
 /// Routers of a fleet, each with its own seed, all told of the same members.
 fn routers(set: &Settings, entries: &[Listing], count: u64) -> Vec<Bench> {
--- a/tests/manage.rs
+++ b/tests/manage.rs
@@ -2,10 +2,10 @@
 
 mod stand_ins;
 
-use calicobeam::lifecycle::maintenance::Store;
-use calicobeam::wire::client::Front;
-use calicobeam::wire::manage::Manage;
-use calicobeam::wire::platform::{limits, Platform};
+use edge_proxy::lifecycle::maintenance::Store;
+use edge_proxy::wire::client::Front;
+use edge_proxy::wire::manage::Manage;
+use edge_proxy::wire::platform::{limits, Platform};
 use stand_ins::*;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -103,7 +103,7 @@
         }
         let (before, later) = (site.asked(first), site.asked(CACHES[1]));
         // The list names it as ready once more.
-        let line = calicobeam::settings::Row {
+        let line = edge_proxy::settings::Row {
             zone: "town".into(),
             model: "box".into(),
             lifecycle: "live".into(),
@@ -113,9 +113,9 @@
             cohort: 0,
         };
         let SocketAddr::V4(address) = site.members[&first].address else { panic!() };
-        let targets = vec![calicobeam::wire::frames::Target { row: line, address }];
-        let news = calicobeam::wire::frames::News::Roster { full: false, targets };
-        site.host.with(|engine| engine.news(calicobeam::wire::frames::Numbered { no: 99, news }));
+        let targets = vec![edge_proxy::wire::frames::Target { row: line, address }];
+        let news = edge_proxy::wire::frames::News::Roster { full: false, targets };
+        site.host.with(|engine| engine.news(edge_proxy::wire::frames::Numbered { no: 99, news }));
         clips(at, 100..120).await;
         assert_eq!(site.asked(first), before);
         let asked = site.members[&CACHES[1]].asked.borrow()[later..].to_vec();
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -3,14 +3,14 @@
 mod members;
 
 use bytes::BytesMut;
-use calicobeam::clock::Clock;
-use calicobeam::engine::{Effect, Engine, EngineBounds, Next};
-use calicobeam::memory::connections::{Bounds, ConnId};
-use calicobeam::memory::requests::{Ask, Final};
-use calicobeam::settings::Env;
-use calicobeam::wire::cache_protocol::{Command, LineCodec, Reply, Word, LINE_MOST};
-use calicobeam::wire::frames::{FrameCodec, News, Numbered, FRAME_MOST};
-use calicobeam::wire::http::{HttpCodec, Phase};
+use edge_proxy::clock::Clock;
+use edge_proxy::engine::{Effect, Engine, EngineBounds, Next};
+use edge_proxy::memory::connections::{Bounds, ConnId};
+use edge_proxy::memory::requests::{Ask, Final};
+use edge_proxy::settings::Env;
+use edge_proxy::wire::cache_protocol::{Command, LineCodec, Reply, Word, LINE_MOST};
+use edge_proxy::wire::frames::{FrameCodec, News, Numbered, FRAME_MOST};
+use edge_proxy::wire::http::{HttpCodec, Phase};
 use members::target;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -2,9 +2,9 @@
 
 mod stand_ins;
 
-use calicobeam::lifecycle::serve::read_again;
-use calicobeam::wire::client::{Front, Limits};
-use calicobeam::wire::platform::{limits, Platform};
+use edge_proxy::lifecycle::serve::read_again;
+use edge_proxy::wire::client::{Front, Limits};
+use edge_proxy::wire::platform::{limits, Platform};
 use stand_ins::*;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use calicobeam::*;
 use common::*;
+use edge_proxy::*;
 use std::collections::BTreeMap;
 
 /// How a request's attempts go, told by its first path.
--- a/tests/poor_links.rs
+++ b/tests/poor_links.rs
@@ -3,17 +3,17 @@
 
 mod stand_ins;
 
-use calicobeam::clock::Clock;
-use calicobeam::engine::executor::Executor;
-use calicobeam::lifecycle::config::Config;
-use calicobeam::lifecycle::serve::engine;
-use calicobeam::poor::config::PoorConfig;
-use calicobeam::poor::front::PoorFront;
-use calicobeam::poor::h3::{self, Driver};
-use calicobeam::poor::keeper::Keeper;
-use calicobeam::wire::cache::CacheDriver;
-use calicobeam::wire::client::{accept, Front, Limits, Stop};
-use calicobeam::wire::platform::{self, Platform};
+use edge_proxy::clock::Clock;
+use edge_proxy::engine::executor::Executor;
+use edge_proxy::lifecycle::config::Config;
+use edge_proxy::lifecycle::serve::engine;
+use edge_proxy::poor::config::PoorConfig;
+use edge_proxy::poor::front::PoorFront;
+use edge_proxy::poor::h3::{self, Driver};
+use edge_proxy::poor::keeper::Keeper;
+use edge_proxy::wire::cache::CacheDriver;
+use edge_proxy::wire::client::{accept, Front, Limits, Stop};
+use edge_proxy::wire::platform::{self, Platform};
 use stand_ins::device::{certify, Device, Impaired};
 use stand_ins::slow_box::SlowFleet;
 use stand_ins::{folder, run, Killed};
@@ -446,7 +446,7 @@
         let node = dir.join("config.json");
         let args = ["serve", "--config", node.to_str().unwrap(), "--poor", file.to_str().unwrap()];
         let child =
-            std::process::Command::new(env!("CARGO_BIN_EXE_calicobeam")).args(args).stderr(log).spawn();
+            std::process::Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(log).spawn();
         let mut program = Killed(child.unwrap());
         while TcpStream::connect(listen).await.is_err() {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -465,7 +465,7 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
         assert!(Device::connect(at, &config, None).await.is_some(), "the one before stays");
         let within = Duration::from_secs(2);
-        let stats = calicobeam::purge::wire::call(mgmt, "GET", "/stats", b"", within).await.unwrap();
+        let stats = edge_proxy::purge::wire::call(mgmt, "GET", "/stats", b"", within).await.unwrap();
         assert!(String::from_utf8_lossy(&stats.body).contains("poor_requests_total 2"));
         fleet.work_ms.set(900);
         let slow = spawn_local({
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use calicobeam::*;
 use common::*;
+use edge_proxy::*;
 use std::collections::BTreeMap;
 
 /// A small generator, so that the verdict is the same every time.
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -3,12 +3,12 @@
 
 mod stand_ins;
 
-use calicobeam::purge::book::Book;
-use calicobeam::purge::config::PurgeConfig;
-use calicobeam::purge::driver::CALLS_MOST;
-use calicobeam::purge::ledger::{Applied, Ledger, LedgerBounds};
-use calicobeam::purge::selector::Tag;
-use calicobeam::purge::wire::{call, from_json, to_json, Batch, Submitted};
+use edge_proxy::purge::book::Book;
+use edge_proxy::purge::config::PurgeConfig;
+use edge_proxy::purge::driver::CALLS_MOST;
+use edge_proxy::purge::ledger::{Applied, Ledger, LedgerBounds};
+use edge_proxy::purge::selector::Tag;
+use edge_proxy::purge::wire::{call, from_json, to_json, Batch, Submitted};
 use simd_json::prelude::*;
 use stand_ins::purge_box::{now_ms, Origin, PurgeBox};
 use stand_ins::{folder, run};
@@ -20,7 +20,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_calicobeam");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-proxy");
 
 /// Waits, up to a bound, for something that must come to be.
 async fn within(seconds: u64, what: &str, test: impl Fn() -> bool) {
@@ -259,7 +259,7 @@
             from: 2,
             done: 0,
             floor: None,
-            entries: vec![calicobeam::purge::ledger::Purge {
+            entries: vec![edge_proxy::purge::ledger::Purge {
                 seq: 2,
                 issued_ms: now_ms(),
                 sel: "tag:x".parse().unwrap(),
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -16,7 +16,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::spawn_local;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_calicobeam");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-proxy");
 const PREFIX: &str = "/calicobeam/members/";
 const MEMBERS: [(&str, &str, &str); 4] = [
     ("s-000000c1", "town", "box"),
@@ -72,7 +72,7 @@
 /// The link's state as the proxy tells it.
 async fn link(mgmt: SocketAddr) -> Option<simd_json::OwnedValue> {
     let answer =
-        calicobeam::purge::wire::call(mgmt, "GET", "/registry", b"", Duration::from_secs(1)).await.ok()?;
+        edge_proxy::purge::wire::call(mgmt, "GET", "/registry", b"", Duration::from_secs(1)).await.ok()?;
     let mut body = answer.body;
     simd_json::to_owned_value(&mut body).ok()
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use calicobeam::*;
 use common::*;
+use edge_proxy::*;
 
 // ---- no request is lost ----
 
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -3,10 +3,10 @@
 
 mod stand_ins;
 
-use calicobeam::rules::config::RulesConfig;
-use calicobeam::rules::table::{Rules, Said};
-use calicobeam::wire::http::HttpRequest;
-use calicobeam::wire::platform::Platform;
+use edge_proxy::rules::config::RulesConfig;
+use edge_proxy::rules::table::{Rules, Said};
+use edge_proxy::wire::http::HttpRequest;
+use edge_proxy::wire::platform::Platform;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use stand_ins::slow_box::SlowFleet;
@@ -136,7 +136,7 @@
         let (config, file) = (dir.join("config.json"), dir.join("rules.json"));
         let args = ["serve", "--config", config.to_str().unwrap(), "--rules", file.to_str().unwrap()];
         let child =
-            std::process::Command::new(env!("CARGO_BIN_EXE_calicobeam")).args(args).stderr(log).spawn();
+            std::process::Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(log).spawn();
         let program = Killed(child.unwrap());
         while TcpStream::connect(listen).await.is_err() {
             tokio::time::sleep(Duration::from_millis(10)).await;
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -2,8 +2,8 @@
 
 mod stand_ins;
 
-use calicobeam::lifecycle::front::{keep_keys, FrontConfig};
-use calicobeam::wire::signed::SignedUrls;
+use edge_proxy::lifecycle::front::{keep_keys, FrontConfig};
+use edge_proxy::wire::signed::SignedUrls;
 use jsonwebtoken::{encode, Algorithm, EncodingKey, Header};
 use p256::pkcs8::EncodePrivateKey;
 use serde_json::{json, Value};
@@ -409,8 +409,8 @@
             assert!(f.site.clock.now() - began < most, "not in the client's time");
         }
         // A failed end, as the front words it: the module refuses what may be repeated, so none comes by itself.
-        use calicobeam::memory::requests::Final;
-        use calicobeam::wire::client::{Context, Front};
+        use edge_proxy::memory::requests::Final;
+        use edge_proxy::wire::client::{Context, Front};
         let word = |end| f.front.word(&Context::default(), end).status;
         assert_eq!(word(Final::Failed { overdue: false }), 502);
         assert_eq!(word(Final::Failed { overdue: true }), 504);
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -3,8 +3,8 @@
 
 mod stand_ins;
 
-use calicobeam::duties::config::DutiesConfig;
-use calicobeam::vrrp::config::VrrpConfig;
+use edge_proxy::duties::config::DutiesConfig;
+use edge_proxy::vrrp::config::VrrpConfig;
 use stand_ins::running::Running;
 use stand_ins::threads::*;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/tests/stand_ins/grpc.rs
+++ b/tests/stand_ins/grpc.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use calicobeam::clock::Clock;
+use edge_proxy::clock::Clock;
 use h2::client::SendRequest;
 use h2::server::SendResponse;
 use h2::{Reason, RecvStream, SendStream};
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -2,15 +2,15 @@
 //! runs in the test's own thread, on a clock that the test sets.
 #![allow(dead_code)]
 
-use calicobeam::clock::Clock;
-use calicobeam::engine::executor::Executor;
-use calicobeam::engine::Engine;
-use calicobeam::lifecycle::config::Config;
-use calicobeam::lifecycle::serve::engine;
-use calicobeam::settings::Env;
-use calicobeam::wire::bulletin;
-use calicobeam::wire::cache::CacheDriver;
-use calicobeam::wire::client::{accept, Front, Stop};
+use edge_proxy::clock::Clock;
+use edge_proxy::engine::executor::Executor;
+use edge_proxy::engine::Engine;
+use edge_proxy::lifecycle::config::Config;
+use edge_proxy::lifecycle::serve::engine;
+use edge_proxy::settings::Env;
+use edge_proxy::wire::bulletin;
+use edge_proxy::wire::cache::CacheDriver;
+use edge_proxy::wire::client::{accept, Front, Stop};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
--- a/tests/stand_ins/purge_box.rs
+++ b/tests/stand_ins/purge_box.rs
@@ -5,9 +5,9 @@
 //! which copy they are, so that a client can check each answer's age.
 #![allow(dead_code)]
 
-use calicobeam::purge::ledger::{Ledger, LedgerBounds};
-use calicobeam::purge::selector::{copy_name, Copy, Tag};
-use calicobeam::purge::wire::{from_json, to_json, Ack, Batch};
+use edge_proxy::purge::ledger::{Ledger, LedgerBounds};
+use edge_proxy::purge::selector::{copy_name, Copy, Tag};
+use edge_proxy::purge::wire::{from_json, to_json, Ack, Batch};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -199,7 +199,7 @@
             }
             for purge in &batch.entries {
                 *seen.received.borrow_mut().entry(purge.seq).or_default() += 1;
-                if ledger.apply(purge) == calicobeam::purge::ledger::Applied::New {
+                if ledger.apply(purge) == edge_proxy::purge::ledger::Applied::New {
                     seen.applied.borrow_mut().push(purge.seq);
                 }
             }
--- a/tests/stand_ins/running.rs
+++ b/tests/stand_ins/running.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 
 /// The program under test.
-pub const PROGRAM: &str = env!("CARGO_BIN_EXE_calicobeam");
+pub const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-proxy");
 
 /// The example's configuration.
 pub fn example() -> String {
--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -1,7 +1,7 @@
 //! VRRP: its messages, and its state machine against a model.
 
-use calicobeam::vrrp::machine::{Machine, Settings, State};
-use calicobeam::vrrp::message::{Advertisement, BadMessage, OWNER};
+use edge_proxy::vrrp::machine::{Machine, Settings, State};
+use edge_proxy::vrrp::message::{Advertisement, BadMessage, OWNER};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/tests/vrrp_service.rs
+++ b/tests/vrrp_service.rs
@@ -5,10 +5,10 @@
 mod stand_ins;
 
 use base64::Engine as _;
-use calicobeam::mac::Keys;
-use calicobeam::vrrp::auth::Seals;
-use calicobeam::vrrp::machine::{Machine, Settings, State};
-use calicobeam::vrrp::message::Advertisement;
+use edge_proxy::mac::Keys;
+use edge_proxy::vrrp::auth::Seals;
+use edge_proxy::vrrp::machine::{Machine, Settings, State};
+use edge_proxy::vrrp::message::Advertisement;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use simd_json::prelude::*;
@@ -61,7 +61,7 @@
     let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
     let (config, file) = (dir.join("config.json"), dir.join("vrrp.json"));
     let args = ["serve", "--config", config.to_str().unwrap(), "--vrrp", file.to_str().unwrap()];
-    let child = Command::new(env!("CARGO_BIN_EXE_calicobeam")).args(args).stderr(Stdio::from(log)).spawn();
+    let child = Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(Stdio::from(log)).spawn();
     Proxy { process: Killed(child.unwrap()), mgmt, dir }
 }
 
@@ -77,7 +77,7 @@
 impl Proxy {
     async fn call(&self, method: &str, path: &str) -> Option<simd_json::OwnedValue> {
         let within = Duration::from_secs(1);
-        let mut body = calicobeam::purge::wire::call(self.mgmt, method, path, b"", within).await.ok()?.body;
+        let mut body = edge_proxy::purge::wire::call(self.mgmt, method, path, b"", within).await.ok()?.body;
         simd_json::to_owned_value(&mut body).ok()
     }
 
@@ -198,7 +198,7 @@
         for proxy in &proxies {
             let within = Duration::from_secs(1);
             let stats =
-                calicobeam::purge::wire::call(proxy.mgmt, "GET", "/stats", b"", within).await.unwrap();
+                edge_proxy::purge::wire::call(proxy.mgmt, "GET", "/stats", b"", within).await.unwrap();
             let text = String::from_utf8_lossy(&stats.body).to_string();
             let ok = text
                 .lines()
@@ -435,7 +435,7 @@
             let within = Duration::from_secs(1);
             let path = format!("/pop-caches/{cache}/maint");
             let answer =
-                calicobeam::purge::wire::call(proxies[0].mgmt, "POST", &path, b"", within).await.unwrap();
+                edge_proxy::purge::wire::call(proxies[0].mgmt, "POST", &path, b"", within).await.unwrap();
             assert_eq!(answer.status, 200);
         }
         proxies[1].until("active", true).await;
@@ -448,7 +448,7 @@
         for cache in ["s-000000c1", "s-000000c2"] {
             let within = Duration::from_secs(1);
             let path = format!("/pop-caches/{cache}/ready");
-            calicobeam::purge::wire::call(proxies[0].mgmt, "POST", &path, b"", within).await.unwrap();
+            edge_proxy::purge::wire::call(proxies[0].mgmt, "POST", &path, b"", within).await.unwrap();
         }
         proxies[0].until("active", true).await;
         proxies[1].until("backup", true).await;
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -212,8 +212,8 @@
         drop(gone);
         site.moves.send(at).unwrap();
         until(|| site.host.with(|e| e.counters.bulletin_faults) >= 4).await;
-        let front: Rc<dyn calicobeam::wire::client::Front> =
-            Rc::new(calicobeam::wire::platform::Platform::new(calicobeam::wire::platform::limits(400)));
+        let front: Rc<dyn edge_proxy::wire::client::Front> =
+            Rc::new(edge_proxy::wire::platform::Platform::new(edge_proxy::wire::platform::limits(400)));
         let listen = site.open(front).await;
         let headers =
             "X-Call-Id: 0000000000000001\r\nX-Patience-Ms: 1500\r\nX-Set: 17\r\nX-Heap-Kb: 412.5\r\n";
