--- a/benches/purge_lookup.rs
+++ b/benches/purge_lookup.rs
@@ -1,7 +1,7 @@
 //! What the purge check costs a request, against the number of purges that bind: nanoseconds per lookup and the
 //! ledger's bytes, for 100 to 100,000 purges of every kind. Run with `cargo bench --bench purge_lookup`.
 
-use edge_proxy::purge::ledger::{Ledger, LedgerBounds, Purge};
+use edge_proxy::purge::active_purges::{Ledger, LedgerBounds, Purge};
 use edge_proxy::purge::selector::{copy_name, Copy, Selector, Tag};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
--- a/examples/duties_shared.rs
+++ b/examples/health_checks_shared.rs
@@ -4,8 +4,8 @@
 //!
 //!     cargo run --release --example duties_shared -- [KILLS]
 
-use edge_proxy::duties::plan::{Act, Message, Plan, Times};
-use edge_proxy::duties::slots::{due_ms, DutyId, InstanceId, Slot};
+use edge_proxy::health_check::lease::{due_ms, DutyId, InstanceId, Slot};
+use edge_proxy::health_check::scheduler::{Act, Message, Plan, Times};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
--- a/examples/poor_links.rs
+++ b/examples/http3_links.rs
@@ -10,9 +10,9 @@
 mod slow_box;
 
 use device::{certify, Device, Impaired};
-use edge_proxy::memory::requests::Final;
-use edge_proxy::poor::config::PoorConfig;
-use edge_proxy::poor::shelf::{Claim, Shelf, ShelfBounds};
+use edge_proxy::http3::config::PoorConfig;
+use edge_proxy::http3::response_store::{Claim, Shelf, ShelfBounds};
+use edge_proxy::state::requests::Final;
 use hdrhistogram::Histogram;
 use slow_box::SlowFleet;
 use std::cell::RefCell;
--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -16,7 +16,7 @@
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::registry::config::RegistryConfig;
 use edge_proxy::registry::driver::{keep, Link};
-use edge_proxy::wire::cache::CacheDriver;
+use edge_proxy::wire::cache_connection::CacheDriver;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use registry::Registry;
--- a/src/admission/control.rs
+++ b/src/admission/control.rs
@@ -3,7 +3,7 @@
 
 use super::config::{AdmissionConfig, Exempt};
 use super::fair::{AdmissionFigures, Arrival, Ending, FairQueue, Refusal, Verdict};
-use crate::memory::requests::{Ask, Final};
+use crate::state::requests::{Ask, Final};
 use crate::RequestId;
 use ahash::AHashMap;
 use prometheus_client::encoding::text::encode;
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's messages, typed, and their translation.
 
 use edge_proxy::settings::{lenient, Env, Row};
-use edge_proxy::wire::path_note::PathNote;
+use edge_proxy::wire::response_path::PathNote;
 use edge_proxy::{Action, Event, Verdict};
 use serde::{Deserialize, Serialize};
 
--- a/src/engine/answers.rs
+++ b/src/engine/answers.rs
@@ -1,9 +1,9 @@
 //! Answers: what a member's answer means for its attempt, and the one final answer of a request.
 
 use super::{Effect, Engine};
-use crate::memory::connections::ConnId;
-use crate::memory::requests::{Ask, Final};
-use crate::wire::cache_protocol::{Reply, Word};
+use crate::state::connections::ConnId;
+use crate::state::requests::{Ask, Final};
+use crate::wire::cache_codec::{Reply, Word};
 use crate::{RequestId, Verdict};
 
 /// With less than this left of its time, in milliseconds, a request that ends has ended for want of it: the module
--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -2,10 +2,10 @@
 
 use super::{Effect, Engine};
 use crate::clock::micros;
-use crate::memory::attempts::{Attempt, AttemptId, Stage};
-use crate::memory::connections::{ConnId, Place};
-use crate::memory::requests::Ask;
-use crate::wire::cache_protocol::Get;
+use crate::state::attempts::{Attempt, AttemptId, Stage};
+use crate::state::connections::{ConnId, Place};
+use crate::state::requests::Ask;
+use crate::wire::cache_codec::Get;
 use crate::{Event, MemberId, Note, RequestId, Verdict};
 
 /// Silence on a connection, in milliseconds, after which an attempt that timed out there says that the path is
--- a/src/engine/effects.rs
+++ b/src/engine/effects.rs
@@ -1,8 +1,8 @@
 //! What an engine wants done on sockets.
 
-use crate::memory::connections::ConnId;
-use crate::memory::requests::Final;
-use crate::wire::cache_protocol::Command;
+use crate::state::connections::ConnId;
+use crate::state::requests::Final;
+use crate::wire::cache_codec::Command;
 use crate::RequestId;
 use std::net::SocketAddrV4;
 
--- a/src/engine/figures.rs
+++ b/src/engine/figures.rs
@@ -2,7 +2,7 @@
 
 use super::Engine;
 use crate::clock::micros;
-use crate::wire::frames::Target;
+use crate::wire::discovery_codec::Target;
 use crate::MemberId;
 
 impl Engine {
--- a/src/engine/intake.rs
+++ b/src/engine/intake.rs
@@ -2,7 +2,7 @@
 
 use super::Engine;
 use crate::clock::micros;
-use crate::memory::requests::{Ask, NotTaken};
+use crate::state::requests::{Ask, NotTaken};
 use crate::{Event, RequestId};
 
 impl Engine {
--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -2,11 +2,11 @@
 
 use super::{Effect, Engine};
 use crate::clock::micros;
-use crate::memory::maintenance::{Maintenance, Mark};
-use crate::memory::requests::Ask;
 use crate::purge::fanout::Standing;
-use crate::wire::cache_protocol::member_text;
-use crate::wire::frames::{News, Numbered, Target};
+use crate::state::maintenance::{Maintenance, Mark};
+use crate::state::requests::Ask;
+use crate::wire::cache_codec::member_text;
+use crate::wire::discovery_codec::{News, Numbered, Target};
 use crate::{Event, MemberId, Verdict};
 use std::net::{SocketAddr, SocketAddrV4};
 
--- a/src/engine/upstream.rs
+++ b/src/engine/upstream.rs
@@ -1,9 +1,9 @@
 //! Connections to members: how they come up, what is written to them next, and how they end.
 
 use super::{Effect, Engine, Next};
-use crate::memory::attempts::{Attempt, AttemptId};
-use crate::memory::connections::ConnId;
-use crate::wire::cache_protocol::Command;
+use crate::state::attempts::{Attempt, AttemptId};
+use crate::state::connections::ConnId;
+use crate::wire::cache_codec::Command;
 use crate::Verdict;
 use std::collections::VecDeque;
 
--- a/src/grpc/admission.rs
+++ b/src/grpc/admission.rs
@@ -5,7 +5,7 @@
 use super::calls::Outcome;
 use crate::admission::control::AdmissionControl;
 use crate::admission::fair::Verdict;
-use crate::memory::requests::{Ask, Final};
+use crate::state::requests::{Ask, Final};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::IpAddr;
--- a/src/grpc/config.rs
+++ b/src/grpc/config.rs
@@ -6,7 +6,7 @@
 use crate::admission::config::AdmissionConfig;
 use crate::interface::{Class, ColdStart, KeyScope, Repeat, Settings};
 use crate::lifecycle::config::{address, read_json, ConfigError};
-use crate::memory::connections;
+use crate::state::connections;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -3,8 +3,8 @@
 
 use super::config::Limits;
 use crate::clock::{span, Clock};
-use crate::memory::connections::{Bounds, ConnId, Connections, Place};
-use crate::wire::cache::is_local;
+use crate::state::connections::{Bounds, ConnId, Connections, Place};
+use crate::wire::cache_connection::is_local;
 use crate::MemberId;
 use bytes::Bytes;
 use h2::client::SendRequest;
--- a/src/duties/config.rs
+++ b/src/health_check/config.rs
@@ -1,10 +1,10 @@
 //! The operator file of shared duties, `serve --duties FILE`. Without it nothing is probed.
 
-use super::board::Turns;
-use super::plan::{Times, LAST_PLACE};
-use super::slots::InstanceId;
+use super::health_status::Turns;
+use super::lease::InstanceId;
+use super::scheduler::{Times, LAST_PLACE};
 use crate::lifecycle::config::{address, keys_beside, read_json, ConfigError};
-use crate::mac::Keys;
+use crate::message_auth::Keys;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/src/duties/driver.rs
+++ b/src/health_check/driver.rs
@@ -1,14 +1,14 @@
 //! The duties' task: the other instances' datagrams, the plan's acts, the probes themselves, and what the engine is
 //! told of members that turned.
 
-use super::board::{Board, Standing};
 use super::config::{DutiesConfig, Probe};
-use super::plan::{Act, Message, Plan, PlanFigures};
-use super::slots::{DutyId, InstanceId, Slot};
+use super::health_status::{Board, Standing};
+use super::lease::{DutyId, InstanceId, Slot};
+use super::scheduler::{Act, Message, Plan, PlanFigures};
 use crate::clock::span;
 use crate::engine::executor::Executor;
 use crate::vrrp::auth::Seals;
-use crate::wire::cache_protocol::member_text;
+use crate::wire::cache_codec::member_text;
 use crate::wire::http::{HttpAnswer, HttpRequest};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/src/duties/board.rs
+++ b/src/health_check/health_status.rs
@@ -1,7 +1,7 @@
 //! What probes say of each server: down after some failures in a row, up after some answers. Results come from whatever
 //! instance did the probe, each slot once. No I/O.
 
-use super::slots::{DutyId, Slot};
+use super::lease::{DutyId, Slot};
 use std::collections::BTreeMap;
 
 /// How many results in a row turn a server.
--- a/src/duties/votes.rs
+++ b/src/health_check/quorum.rs
@@ -3,7 +3,7 @@
 //! them thinks that it is theirs, and the lesser part of a split does none. One that has just started forgot what it
 //! granted, and grants nothing for a while. No I/O.
 
-use super::slots::{DutyId, InstanceId, Slot};
+use super::lease::{DutyId, InstanceId, Slot};
 use std::collections::BTreeMap;
 
 /// Slots of a duty that are remembered: the one that is due and those near it, for clocks that differ.
--- a/src/duties/plan.rs
+++ b/src/health_check/scheduler.rs
@@ -5,8 +5,8 @@
 //! has died, the second does the duty in that very slot, before anybody knows of the death. Those that are known to
 //! be silent are left out of the order, so that the next slots are on time again.
 
-use super::slots::{due_ms, place, slot_at, DutyId, InstanceId, Slot};
-use super::votes::Votes;
+use super::lease::{due_ms, place, slot_at, DutyId, InstanceId, Slot};
+use super::quorum::Votes;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/poor/keeper.rs
+++ b/src/http3/call_registry.rs
@@ -1,10 +1,10 @@
 //! The shelf between the fronts' drivers and the engine: a call that is new goes to the engine, and its answer to all
 //! that wait for it, on whatever connection they came.
 
-use super::shelf::{Claim, Key, SessionId, Shelf, ShelfBounds, ShelfFigures};
+use super::response_store::{Claim, Key, SessionId, Shelf, ShelfBounds, ShelfFigures};
 use crate::clock::span;
 use crate::engine::executor::Executor;
-use crate::memory::requests::{Ask, Final, NotTaken};
+use crate::state::requests::{Ask, Final, NotTaken};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/src/poor/config.rs
+++ b/src/http3/config.rs
@@ -1,9 +1,9 @@
 //! The operator file of the edge for poor links, `serve --poor FILE`. Without it there is no such front.
 
+use super::response_store::ShelfBounds;
 use super::session::Sessions;
-use super::shelf::ShelfBounds;
 use crate::lifecycle::config::{address, beside, keys_beside, read_json, ConfigError};
-use crate::mac::Keys;
+use crate::message_auth::Keys;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -162,7 +162,7 @@
             address(tcp).map_err(|why| ("tcp", why))?;
         }
         self.sessions().map_err(|why| ("session_keys", why))?;
-        super::h3::server_config(self).map_err(|why| ("certificate", why))?;
+        super::server::server_config(self).map_err(|why| ("certificate", why))?;
         let (l, s, p) = (&self.limits, &self.shelf, &self.path);
         let checks: [(&'static str, f64, f64, f64); 20] = [
             ("connections", l.connections as f64, 1.0, 65_536.0),
--- a/src/poor/front.rs
+++ b/src/http3/front.rs
@@ -1,13 +1,13 @@
 //! The front of the edge for poor links: another front's requests and answers, with a session by which a device's
 //! calls outlive its connections, and with ranges, so that a clip that stopped halfway goes on from there.
 
-use super::keeper::Keeper;
+use super::call_registry::Keeper;
+use super::response_store::SessionId;
 use super::session::Sessions;
-use super::shelf::SessionId;
 use crate::engine::executor::Executor;
-use crate::memory::requests::{Final, NotTaken};
-use crate::wire::client::{Context, Front, Intake, Limits};
+use crate::state::requests::{Final, NotTaken};
 use crate::wire::http::{HttpAnswer, HttpRequest};
+use crate::wire::listener::{Context, Front, Intake, Limits};
 use crate::wire::signed::{range, Range};
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/src/poor/mod.rs
+++ b/src/http3/mod.rs
@@ -4,22 +4,22 @@
 //!
 //! | part | what it does | I/O |
 //! | --- | --- | --- |
-//! | [`shelf`] | calls and answers that outlive their connection, bounded | none |
+//! | [`response_store`] | calls and answers that outlive their connection, bounded | none |
 //! | [`session`] | the tokens by which a device shows that a call is its own | none |
-//! | [`link`] | what a link is like, and how much earlier an answer must be on its way | none |
-//! | [`turns`] | whose body goes next on a connection (RFC 9218) | none |
+//! | [`path_estimate`] | what a link is like, and how much earlier an answer must be on its way | none |
+//! | [`send_scheduler`] | whose body goes next on a connection (RFC 9218) | none |
 //! | [`config`] | the operator file | files |
 //! | [`front`] | the front: another front's requests, with sessions and ranges | none |
-//! | [`keeper`] | the shelf between the fronts' drivers and the engine | none |
-//! | [`h3`] | the HTTP/3 driver | sockets |
+//! | [`call_registry`] | the shelf between the fronts' drivers and the engine | none |
+//! | [`server`] | the HTTP/3 driver | sockets |
 //!
-//! The design note is `docs/design-poor-links.md`; operators read `docs/poor-links.md`.
+//! The design note is `docs/design-http3.md`; operators read `docs/http3.md`.
 
+pub mod call_registry;
 pub mod config;
 pub mod front;
-pub mod h3;
-pub mod keeper;
-pub mod link;
+pub mod path_estimate;
+pub mod response_store;
+pub mod send_scheduler;
+pub mod server;
 pub mod session;
-pub mod shelf;
-pub mod turns;
--- a/src/poor/shelf.rs
+++ b/src/http3/response_store.rs
@@ -5,7 +5,7 @@
 //! taken is never taken again for being asked again. A read whose client is gone runs on for a while only; a write
 //! always runs to its end. What is held is bounded in number, by session and in bytes.
 
-use crate::memory::requests::Final;
+use crate::state::requests::Final;
 use std::collections::{BTreeSet, HashMap};
 
 /// A session's number.
--- a/src/poor/h3.rs
+++ b/src/http3/server.rs
@@ -2,16 +2,16 @@
 //! connection that ends by its client's word calls its reads off; one that is lost leaves its calls to the shelf.
 //! There is no early data (0-RTT), so no request is replayed by the transport (RFC 8470).
 
+use super::call_registry::{Keeper, Kept};
 use super::config::{Congestion, Limits, PoorConfig};
 use super::front::PoorFront;
-use super::keeper::{Keeper, Kept};
-use super::link::{Link, Sample};
-use super::turns::{Priority, Turns};
+use super::path_estimate::{Link, Sample};
+use super::send_scheduler::{Priority, Turns};
 use crate::clock::span;
 use crate::engine::executor::Executor;
-use crate::memory::requests::Final;
-use crate::wire::client::{Front, Intake, Open, Stop};
+use crate::state::requests::Final;
 use crate::wire::http::{HttpAnswer, HttpRequest};
+use crate::wire::listener::{Front, Intake, Open, Stop};
 use bytes::{Buf, Bytes, BytesMut};
 use h3::server::RequestStream;
 use h3_quinn::BidiStream;
--- a/src/poor/session.rs
+++ b/src/http3/session.rs
@@ -2,8 +2,8 @@
 //! tag (HMAC-SHA256, its first 16 bytes), in URL-safe base64; nothing is held for it here, and any proxy with the same
 //! keys takes it. No I/O.
 
-use super::shelf::SessionId;
-use crate::mac::Keys;
+use super::response_store::SessionId;
+use crate::message_auth::Keys;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine as _;
 use thiserror::Error;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -58,19 +58,19 @@
 
 pub mod admission;
 pub mod clock;
-pub mod duties;
 pub mod engine;
 pub mod grpc;
+pub mod health_check;
+pub mod http3;
 mod interface;
 pub mod lifecycle;
-pub mod mac;
-pub mod memory;
+pub mod message_auth;
 mod policy;
-pub mod poor;
 pub mod purge;
 pub mod registry;
 pub mod rules;
 pub mod settings;
+pub mod state;
 mod stats;
 pub mod vrrp;
 pub mod wire;
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -1,8 +1,8 @@
 //! The configuration of one proxy, as the platform hands it over.
 
-use crate::mac::Keys;
+use crate::message_auth::Keys;
 use crate::settings::Env;
-use crate::wire::frames::Known;
+use crate::wire::discovery_codec::Known;
 use serde::Deserialize;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
--- a/src/lifecycle/descriptors.rs
+++ b/src/lifecycle/descriptors.rs
@@ -1,7 +1,7 @@
 //! How the file descriptors that a process may hold are shared: each kind of connection has its own, so that idle clients
 //! can't take those of the membership watch, the dials to members or the second address.
 
-use crate::wire::manage::CALLERS;
+use crate::wire::admin::CALLERS;
 use rlimit::Resource;
 
 /// Descriptors that a serving process opens besides connections that are counted here: listeners, the membership watch
--- a/src/lifecycle/front.rs
+++ b/src/lifecycle/front.rs
@@ -2,8 +2,8 @@
 
 use super::config::{address, read_json, ConfigError};
 use crate::engine::executor::Executor;
-use crate::wire::client::Limits;
 use crate::wire::keys::{self, Key, KeyRing};
+use crate::wire::listener::Limits;
 use crate::wire::signed::{SignedUrls, Verifier};
 use serde::Deserialize;
 use std::collections::HashMap;
--- a/src/lifecycle/maintenance.rs
+++ b/src/lifecycle/maintenance.rs
@@ -4,8 +4,8 @@
 use super::config::read_json;
 use crate::clock::span;
 use crate::engine::executor::Executor;
-use crate::memory::maintenance::Mark;
-use crate::wire::cache_protocol::{member_id, member_text};
+use crate::state::maintenance::Mark;
+use crate::wire::cache_codec::{member_id, member_text};
 use crate::MemberId;
 use serde::Deserialize;
 use std::path::PathBuf;
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -8,30 +8,30 @@
 use crate::admission::config::AdmissionConfig;
 use crate::admission::control::AdmissionControl;
 use crate::clock::{span, Clock};
-use crate::duties::config::DutiesConfig;
-use crate::duties::driver::{self as duties_driver, Duties};
 use crate::engine::executor::Executor;
 use crate::engine::{Engine, EngineBounds};
 use crate::grpc::config::GrpcConfig;
 use crate::grpc::server::{self as grpc, GrpcFront};
-use crate::memory::connections::Bounds;
-use crate::poor::config::PoorConfig;
-use crate::poor::front::PoorFront;
-use crate::poor::h3;
-use crate::poor::keeper::Keeper;
+use crate::health_check::config::DutiesConfig;
+use crate::health_check::driver::{self as duties_driver, Duties};
+use crate::http3::call_registry::Keeper;
+use crate::http3::config::PoorConfig;
+use crate::http3::front::PoorFront;
+use crate::http3::server;
 use crate::purge::config::PurgeConfig;
 use crate::purge::{driver, wire::CALL_MOST};
 use crate::registry::config::RegistryConfig;
 use crate::registry::driver::{self as registry_driver, Link};
 use crate::rules::config::RulesConfig;
 use crate::rules::table::Rules;
+use crate::state::connections::Bounds;
 use crate::vrrp::config::{FrontKind, VrrpConfig};
 use crate::vrrp::driver::{self as vrrp, host_value};
 use crate::vrrp::track::{Rate, What};
-use crate::wire::bulletin;
-use crate::wire::cache::CacheDriver;
-use crate::wire::client::{accept, Front, Limits, Stop};
-use crate::wire::manage::Manage;
+use crate::wire::admin::Manage;
+use crate::wire::cache_connection::CacheDriver;
+use crate::wire::discovery;
+use crate::wire::listener::{accept, Front, Limits, Stop};
 use crate::wire::platform::{self, Platform};
 use std::cell::RefCell;
 use std::future::Future;
@@ -359,7 +359,7 @@
     });
     always(&host, "the bulletin", {
         let host = host.clone();
-        move || bulletin::keep(host.clone(), moves.clone())
+        move || discovery::keep(host.clone(), moves.clone())
     });
     let router_stop = Rc::new(Notify::new());
     if let Some((router, set)) = &router {
@@ -458,7 +458,7 @@
 impl PoorEdge {
     /// Takes certificates and session keys as their files stand by now.
     fn reload(&self, config: &PoorConfig) -> Result<(), String> {
-        let server = h3::server_config(config)?;
+        let server = server::server_config(config)?;
         if config.session_keys.is_some() {
             self.front.rekey(config.sessions()?);
         }
@@ -482,14 +482,14 @@
         Limits { idle_ms: l.idle_ms, body_bytes: l.body_bytes, ..platform::limits(l.tcp_connections) };
     let front = Rc::new(PoorFront::new(inner, limits, sessions, keeper.clone()));
     let listen = config.at();
-    let server = h3::server_config(config).map_err(field("certificate"))?;
+    let server = server::server_config(config).map_err(field("certificate"))?;
     let open = || std::future::ready(quinn::Endpoint::server(server.clone(), listen));
     let endpoint = while_in_use(listen, open).await?;
-    let driver = h3::Driver::new(host.clone(), front.clone(), keeper.clone(), l.clone());
+    let driver = server::Driver::new(host.clone(), front.clone(), keeper.clone(), l.clone());
     let figures = driver.clone();
     host.add_figures(Box::new(move || figures.metrics()));
     let closing = [Rc::new(Notify::new()), Rc::new(Notify::new())];
-    host.spawn("accepting", h3::accept(driver, endpoint.clone(), stop.clone(), closing[0].clone()));
+    host.spawn("accepting", server::accept(driver, endpoint.clone(), stop.clone(), closing[0].clone()));
     always(host, "the shelf", move || keeper.clone().keep());
     if let Some(tcp) = config.tcp_at() {
         let listener = bind(tcp).await?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,12 +2,12 @@
 
 use argh::FromArgs;
 use edge_proxy::admission::config::AdmissionConfig;
-use edge_proxy::duties::config::DutiesConfig;
 use edge_proxy::grpc::config::GrpcConfig;
+use edge_proxy::health_check::config::DutiesConfig;
+use edge_proxy::http3::config::PoorConfig;
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::lifecycle::front::FrontConfig;
 use edge_proxy::lifecycle::serve::{self, Extras};
-use edge_proxy::poor::config::PoorConfig;
 use edge_proxy::purge::config::PurgeConfig;
 use edge_proxy::purge::log::{decode, MAGIC};
 use edge_proxy::purge::selector::Selector;
--- a/src/purge/guard.rs
+++ b/src/purge/age_limit.rs
@@ -7,7 +7,7 @@
 //! attempt counts as one whose answer can't be used. The module then tries again, and that attempt's age bound
 //! knows the tags.
 
-use super::ledger::{Ledger, LedgerBounds, Mark};
+use super::active_purges::{Ledger, LedgerBounds, Mark};
 use super::selector::{copy_name, Copy, Tag};
 use crate::ObjectId;
 use lru::LruCache;
--- a/src/purge/guard/tests.rs
+++ b/src/purge/age_limit/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::purge::ledger::Purge;
+use crate::purge::active_purges::Purge;
 
 #[test]
 fn a_tag_learned_from_one_answer_bounds_the_next_attempt() {
--- a/src/purge/book.rs
+++ b/src/purge/book.rs
@@ -10,9 +10,9 @@
 //!
 //! The only I/O here is the log's file; the sockets are the driver's.
 
+use super::active_purges::{Applied, Ledger, Mark, Purge};
 use super::config::{PurgeConfig, Role};
 use super::fanout::{Backoff, FanOut, Heard, Standing};
-use super::ledger::{Applied, Ledger, Mark, Purge};
 use super::log::{LogError, PurgeLog, Record, Snapshot, TailFault, PURGE_RECORD_LEAST};
 use super::selector::Selector;
 use super::wire::{Batch, Listing, Submitted};
--- a/src/purge/config.rs
+++ b/src/purge/config.rs
@@ -1,8 +1,8 @@
 //! The operator file of fleet purges, `serve --purges FILE`. Without it a proxy takes the platform's purges from
 //! the bulletin alone and none of this runs.
 
+use super::active_purges::LedgerBounds;
 use super::fanout::{Backoff, FanOutBounds};
-use super::ledger::LedgerBounds;
 use crate::lifecycle::config::{address, read_json, ConfigError};
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/src/purge/driver.rs
+++ b/src/purge/driver.rs
@@ -1,9 +1,9 @@
 //! The thin driver of fleet purges: the calls at the second address, and the leader's task that sends each
 //! target its batches. What to send, when, and what an answer means is the book's and the fan-out's.
 
+use super::age_limit::Guard;
 use super::book::{Book, Outgoing, ReceiveError, SubmitError};
 use super::config::{PurgeConfig, Role};
-use super::guard::Guard;
 use super::log::LogError;
 use super::wire::{call, from_json, to_json, Ack, Batch, Fault, Submit};
 use crate::clock::span;
--- a/src/purge/log.rs
+++ b/src/purge/log.rs
@@ -15,7 +15,7 @@
 //! When the file grows past its bound it is written anew, in a file beside it that then takes its name: the
 //! rename is atomic, so a crash leaves the old file or the new one, whole.
 
-use super::ledger::{Mark, Purge};
+use super::active_purges::{Mark, Purge};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
--- a/src/purge/wire.rs
+++ b/src/purge/wire.rs
@@ -11,7 +11,7 @@
 //! address that the operator file gives. A target applies the purges that follow what it has, in order, skips
 //! those it has, and answers with the highest number that it has applied; it takes nothing after a gap.
 
-use super::ledger::{Mark, Purge};
+use super::active_purges::{Mark, Purge};
 use super::selector::Selector;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -38,7 +38,7 @@
         tracing::error!(key, why, "registry: a member's value can't be read; it stays as it was");
     }
     for id in &update.drains {
-        tracing::info!(member = %crate::wire::cache_protocol::member_text(*id), "registry: a member drains");
+        tracing::info!(member = %crate::wire::cache_codec::member_text(*id), "registry: a member drains");
     }
     let now = host.clock.now();
     if !update.is_empty() {
--- a/src/registry/view.rs
+++ b/src/registry/view.rs
@@ -9,7 +9,7 @@
 //! that tells of a revision below the view's (restored from an older copy, say) has begun a new history: a watch
 //! there would wait for revisions that may be years away, so the next step is a full read as well.
 
-use crate::wire::frames::{Line, Target};
+use crate::wire::discovery_codec::{Line, Target};
 use std::collections::BTreeMap;
 
 /// A key's value at a revision, as a read gives it.
--- a/src/rules/config.rs
+++ b/src/rules/config.rs
@@ -1,7 +1,7 @@
 //! The operator file of rules, `serve --rules FILE`. Without it the platform's own spelling of targets counts.
 
-use super::check::{BadExpression, Definitions, Type};
 use super::table::{Rule, Rules};
+use super::type_check::{BadExpression, Definitions, Type};
 use crate::lifecycle::config::{read_json, ConfigError};
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
--- a/src/rules/eval.rs
+++ b/src/rules/evaluator.rs
@@ -1,7 +1,7 @@
 //! A program on a request. No I/O. It can only end: a program is a tree without loops, and each node is looked at once.
 
-use super::check::{Function, Input, Node, Program};
-use super::syntax::Op;
+use super::parser::Op;
+use super::type_check::{Function, Input, Node, Program};
 use crate::wire::http::HttpRequest;
 use sha2::{Digest, Sha256};
 use std::borrow::Cow;
@@ -191,7 +191,7 @@
                 let plain = (1..=9).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_digit());
                 Value::Int(is(plain.then(|| text.parse().ok()).flatten())?)
             }
-            Function::Hex => Value::Key(is(crate::wire::cache_protocol::hex16(&text))?),
+            Function::Hex => Value::Key(is(crate::wire::cache_codec::hex16(&text))?),
             Function::Hash => {
                 let digest = Sha256::digest(text.as_bytes());
                 Value::Key(u64::from_be_bytes(digest[..8].try_into().expect("32 bytes")))
--- a/src/rules/eval/tests.rs
+++ b/src/rules/evaluator/tests.rs
@@ -1,4 +1,4 @@
-use super::super::check::{Definitions, Type, LENGTH_MOST};
+use super::super::type_check::{Definitions, Type, LENGTH_MOST};
 use super::*;
 use proptest::prelude::*;
 
--- a/src/rules/table.rs
+++ b/src/rules/table.rs
@@ -1,8 +1,8 @@
 //! The rules of an operator file: the first whose condition holds says which class a request is of, and what its keys
 //! are. No I/O.
 
-use super::check::Program;
-use super::eval::{run, Failed, Value};
+use super::evaluator::{run, Failed, Value};
+use super::type_check::Program;
 use crate::wire::http::HttpRequest;
 
 /// A rule.
--- a/src/rules/check.rs
+++ b/src/rules/type_check.rs
@@ -6,7 +6,7 @@
 //! greatest cost in steps, about one for a byte that is looked at. What exceeds [`LENGTH_MOST`], [`NODES_MOST`] or the
 //! cost that is allowed is refused.
 
-use super::syntax::{parse, BadSyntax, Kind, Op, Tree};
+use super::parser::{parse, BadSyntax, Kind, Op, Tree};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,8 +2,8 @@
 //!
 //! Unknown keys are skipped; what may be absent reads as its type's default.
 
-use crate::wire::cache_protocol::is_value;
-use crate::wire::frames::{News, Numbered};
+use crate::wire::cache_codec::is_value;
+use crate::wire::discovery_codec::{News, Numbered};
 use crate::{Class, ColdStart, KeyScope, Life, Listing, Repeat, Role, Settings};
 use serde::{Deserialize, Deserializer};
 
--- a/src/memory/roster.rs
+++ b/src/state/membership.rs
@@ -1,6 +1,6 @@
 //! The members by id, with their addresses and when this proxy was told that they drain or are gone.
 
-use crate::wire::frames::Target;
+use crate::wire::discovery_codec::Target;
 use crate::MemberId;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
--- a/src/memory/mod.rs
+++ b/src/state/mod.rs
@@ -2,10 +2,10 @@
 //! places of clients, the roster and the counters.
 
 pub mod attempts;
+pub mod client_slots;
 pub mod connections;
 pub mod counters;
 pub mod deadlines;
 pub mod maintenance;
-pub mod places;
+pub mod membership;
 pub mod requests;
-pub mod roster;
--- a/src/vrrp/auth.rs
+++ b/src/vrrp/auth.rs
@@ -2,7 +2,7 @@
 //! hosts that others share, each datagram carries a trailer: a number that only grows (Unix microseconds at the
 //! sender, 8 bytes) and an HMAC-SHA256 (RFC 2104) over a label, the message and the number. No I/O.
 
-use crate::mac::{Keys, TAG};
+use crate::message_auth::{Keys, TAG};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use thiserror::Error;
--- a/src/vrrp/config.rs
+++ b/src/vrrp/config.rs
@@ -4,7 +4,7 @@
 use super::message::OWNER;
 use super::track::{TrackSpec, What};
 use crate::lifecycle::config::{address, keys_beside, read_json, ConfigError};
-use crate::mac::Keys;
+use crate::message_auth::Keys;
 use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
--- a/src/wire/manage.rs
+++ b/src/wire/admin.rs
@@ -1,10 +1,10 @@
 //! The second address, for the platform and its staff: one call on a connection, and a 2xx means yes.
 
-use super::cache_protocol::member_id;
-use super::client::{Context, Front, Intake, Limits};
+use super::cache_codec::member_id;
 use super::http::{HttpAnswer, HttpRequest};
+use super::listener::{Context, Front, Intake, Limits};
 use crate::engine::executor::Executor;
-use crate::memory::requests::{Final, NotTaken};
+use crate::state::requests::{Final, NotTaken};
 use std::rc::Rc;
 
 /// Connections at once. At the cap a caller that says nothing gives its place to the next.
--- a/src/wire/cache_protocol.rs
+++ b/src/wire/cache_codec.rs
@@ -1,6 +1,6 @@
 //! The pop caches' protocol: lines of words that end in CR LF, with bodies of a stated length.
 
-use super::path_note::PathNote;
+use super::response_path::PathNote;
 use super::WireError;
 use crate::purge::selector::Tag;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
--- a/src/wire/cache.rs
+++ b/src/wire/cache_connection.rs
@@ -1,11 +1,11 @@
 //! The driver of a connection to a pop cache.
 
-use super::cache_protocol::{hex16, Command, LineCodec};
+use super::cache_codec::{hex16, Command, LineCodec};
 use super::WireError;
 use crate::clock::span;
 use crate::engine::executor::{ConnectionDriver, Dial, Executor};
 use crate::engine::Next;
-use crate::memory::connections::ConnId;
+use crate::state::connections::ConnId;
 use bytes::BytesMut;
 use futures_util::future::LocalBoxFuture;
 use futures_util::StreamExt;
--- a/src/wire/bulletin.rs
+++ b/src/wire/discovery.rs
@@ -1,6 +1,6 @@
 //! The driver of the link to the bulletin.
 
-use super::frames::FrameCodec;
+use super::discovery_codec::FrameCodec;
 use super::WireError;
 use crate::clock::span;
 use crate::engine::executor::Executor;
--- a/src/wire/frames.rs
+++ b/src/wire/discovery_codec.rs
@@ -1,6 +1,6 @@
 //! The bulletin's frames, and the same events as JSON in the configuration.
 
-use super::cache_protocol::{hex16, member_id};
+use super::cache_codec::{hex16, member_id};
 use super::WireError;
 use crate::settings::{Env, Row};
 use bytes::{Buf, BufMut, BytesMut};
--- a/src/wire/client.rs
+++ b/src/wire/listener.rs
@@ -1,14 +1,14 @@
 //! The driver of a client's connection, for both fronts: reads requests, lets the front say what they mean,
 //! and writes the one answer that each gets.
 
+use super::client_connection::{Link, Read};
 use super::http::{BadRequest, HttpAnswer, HttpCodec, HttpRequest, Phase};
-use super::link::{Link, Read};
 use crate::clock::span;
 use crate::engine::executor::Executor;
-use crate::memory::places::{PlaceId, Places};
-use crate::memory::requests::{Ask, Final, NotTaken};
-use crate::poor::keeper::{Keeper, Kept};
-use crate::poor::shelf::SessionId;
+use crate::http3::call_registry::{Keeper, Kept};
+use crate::http3::response_store::SessionId;
+use crate::state::client_slots::{PlaceId, Places};
+use crate::state::requests::{Ask, Final, NotTaken};
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,17 +1,17 @@
 //! What is spoken: each protocol a state machine that is fed bytes and knows no socket, a codec round it,
 //! and a thin driver that reads and writes.
 
-pub mod bulletin;
-pub mod cache;
-pub mod cache_protocol;
-pub mod client;
-pub mod frames;
+pub mod admin;
+pub mod cache_codec;
+pub mod cache_connection;
+pub mod client_connection;
+pub mod discovery;
+pub mod discovery_codec;
 pub mod http;
 pub mod keys;
-pub mod link;
-pub mod manage;
-pub mod path_note;
+pub mod listener;
 pub mod platform;
+pub mod response_path;
 pub mod signed;
 
 use thiserror::Error;
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -1,12 +1,12 @@
 //! The platform's front: what its clients' requests mean, and how its answers are worded.
 
-use super::cache_protocol::{hex16, is_value};
-use super::client::{Context, Front, Intake, Limits};
+use super::cache_codec::{hex16, is_value};
 use super::http::{HttpAnswer, HttpRequest};
+use super::listener::{Context, Front, Intake, Limits};
 use crate::engine::executor::Executor;
-use crate::memory::requests::{Ask, Final, NotTaken};
 use crate::rules::table::{Rules, Said, Target};
 use crate::settings::Env;
+use crate::state::requests::{Ask, Final, NotTaken};
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/src/wire/signed.rs
+++ b/src/wire/signed.rs
@@ -4,14 +4,14 @@
 //! parameter, `URISigningPackage`, with a signed JWT. Nothing else of a request says what is fetched. A path
 //! has one spelling only, so that a signature for one object can't be stretched to another.
 
-use super::cache_protocol::hex16;
-use super::client::{Context, Front, Intake, Limits};
+use super::cache_codec::hex16;
 use super::http::{HttpAnswer, HttpRequest};
 use super::keys::{Key, KeyRing};
+use super::listener::{Context, Front, Intake, Limits};
 use super::platform::bare_tag;
 use crate::engine::executor::Executor;
-use crate::memory::requests::{Ask, Final, NotTaken};
 use crate::settings::Env;
+use crate::state::requests::{Ask, Final, NotTaken};
 use jsonwebtoken::{decode, decode_header, encode, Header, Validation};
 use regex::RegexBuilder;
 use serde::Deserialize;
--- a/tests/manage.rs
+++ b/tests/admin_calls.rs
@@ -3,8 +3,8 @@
 mod stand_ins;
 
 use edge_proxy::lifecycle::maintenance::Store;
-use edge_proxy::wire::client::Front;
-use edge_proxy::wire::manage::Manage;
+use edge_proxy::wire::admin::Manage;
+use edge_proxy::wire::listener::Front;
 use edge_proxy::wire::platform::{limits, Platform};
 use stand_ins::*;
 use std::net::SocketAddr;
@@ -113,9 +113,9 @@
             cohort: 0,
         };
         let SocketAddr::V4(address) = site.members[&first].address else { panic!() };
-        let targets = vec![edge_proxy::wire::frames::Target { row: line, address }];
-        let news = edge_proxy::wire::frames::News::Roster { full: false, targets };
-        site.host.with(|engine| engine.news(edge_proxy::wire::frames::Numbered { no: 99, news }));
+        let targets = vec![edge_proxy::wire::discovery_codec::Target { row: line, address }];
+        let news = edge_proxy::wire::discovery_codec::News::Roster { full: false, targets };
+        site.host.with(|engine| engine.news(edge_proxy::wire::discovery_codec::Numbered { no: 99, news }));
         clips(at, 100..120).await;
         assert_eq!(site.asked(first), before);
         let asked = site.members[&CACHES[1]].asked.borrow()[later..].to_vec();
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -4,10 +4,10 @@
 mod stand_ins;
 
 use edge_proxy::clock::Clock;
-use edge_proxy::memory::requests::Ask;
-use edge_proxy::wire::client::{Front, Limits};
+use edge_proxy::state::requests::Ask;
+use edge_proxy::wire::client_connection::{Link, AHEAD_MOST};
 use edge_proxy::wire::http::HttpCodec;
-use edge_proxy::wire::link::{Link, AHEAD_MOST};
+use edge_proxy::wire::listener::{Front, Limits};
 use edge_proxy::wire::platform::{limits, Platform};
 use socket2::SockRef;
 use stand_ins::*;
--- a/tests/members/mod.rs
+++ b/tests/endpoints/mod.rs
@@ -1,7 +1,7 @@
 //! The members that the engine's tests know: caches 1 to 6, parents 7 and 8, the origin 9.
 
 use edge_proxy::settings::Row;
-use edge_proxy::wire::frames::Target;
+use edge_proxy::wire::discovery_codec::Target;
 use std::net::SocketAddrV4;
 
 /// The parent that both tests use.
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -1,16 +1,16 @@
 //! The engine by itself, on a clock that the test sets: what it guards against between the module and a socket.
 
-mod members;
+mod endpoints;
 
 use edge_proxy::clock::Clock;
 use edge_proxy::engine::{Effect, Engine, EngineBounds, Next};
-use edge_proxy::memory::connections::{Bounds, ConnId};
-use edge_proxy::memory::requests::{Ask, Final};
 use edge_proxy::settings::Env;
-use edge_proxy::wire::cache_protocol::{Command, Get, Reply, Word};
-use edge_proxy::wire::frames::{News, Numbered};
-use edge_proxy::wire::path_note::PathNote;
-use members::{target, PARENT};
+use edge_proxy::state::connections::{Bounds, ConnId};
+use edge_proxy::state::requests::{Ask, Final};
+use edge_proxy::wire::cache_codec::{Command, Get, Reply, Word};
+use edge_proxy::wire::discovery_codec::{News, Numbered};
+use edge_proxy::wire::response_path::PathNote;
+use endpoints::{target, PARENT};
 use std::rc::Rc;
 
 const START: f64 = 1_764_576_000_000.0;
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -9,8 +9,8 @@
 use edge_proxy::grpc::server::{accept, cut_at_stop, keep, GrpcFront};
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::lifecycle::serve::engine;
-use edge_proxy::wire::cache::CacheDriver;
-use edge_proxy::wire::client::Stop;
+use edge_proxy::wire::cache_connection::CacheDriver;
+use edge_proxy::wire::listener::Stop;
 use stand_ins::grpc::{finish, msg, Caller, GrpcBox};
 use stand_ins::{folder, run, START_MS};
 use std::net::SocketAddr;
@@ -549,7 +549,7 @@
             let text = format!(
                 r#"{{"uid":"s-{uid:08x}","endpoint":"{ip}:7001","az":"town","model":"box","state":"{state}"}}"#
             );
-            edge_proxy::wire::frames::Line::parse(text.as_bytes()).unwrap()
+            edge_proxy::wire::discovery_codec::Line::parse(text.as_bytes()).unwrap()
         };
         host.with(|engine| engine.hear_roster(true, vec![line(0xc1, "Ready"), line(0xc2, "Ready")]));
         edge.front.retune(GrpcConfig::read(&edge.dir.join("grpc.json")).unwrap()).unwrap();
--- a/tests/duties.rs
+++ b/tests/health_checks.rs
@@ -4,8 +4,8 @@
 mod stand_ins;
 
 use base64::Engine as _;
-use edge_proxy::duties::config::DutiesConfig;
-use edge_proxy::duties::slots::slot_at;
+use edge_proxy::health_check::config::DutiesConfig;
+use edge_proxy::health_check::lease::slot_at;
 use simd_json::prelude::*;
 use stand_ins::probed::Probed;
 use stand_ins::slow_box::{unix_ms, SlowFleet};
--- a/tests/poor_links.rs
+++ b/tests/http3.rs
@@ -5,14 +5,14 @@
 
 use edge_proxy::clock::Clock;
 use edge_proxy::engine::executor::Executor;
+use edge_proxy::http3::call_registry::Keeper;
+use edge_proxy::http3::config::PoorConfig;
+use edge_proxy::http3::front::PoorFront;
+use edge_proxy::http3::server::{self, Driver};
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::lifecycle::serve::engine;
-use edge_proxy::poor::config::PoorConfig;
-use edge_proxy::poor::front::PoorFront;
-use edge_proxy::poor::h3::{self, Driver};
-use edge_proxy::poor::keeper::Keeper;
-use edge_proxy::wire::cache::CacheDriver;
-use edge_proxy::wire::client::{accept, Front, Limits, Stop};
+use edge_proxy::wire::cache_connection::CacheDriver;
+use edge_proxy::wire::listener::{accept, Front, Limits, Stop};
 use edge_proxy::wire::platform::{self, Platform};
 use stand_ins::device::{certify, Device, Impaired};
 use stand_ins::slow_box::SlowFleet;
@@ -67,7 +67,7 @@
         spawn_local(host.clone().keep_time());
         let file = poor_file(&dir, format!("127.0.{net}.9:1").parse().unwrap(), more);
         let config = PoorConfig::read(&file).unwrap();
-        let server = h3::server_config(&config).unwrap();
+        let server = server::server_config(&config).unwrap();
         let endpoint = quinn::Endpoint::server(server, format!("127.0.{net}.9:0").parse().unwrap()).unwrap();
         let at = endpoint.local_addr().unwrap();
         let keeper = Keeper::new(host.clone(), config.shelf());
@@ -76,7 +76,7 @@
         let front = Rc::new(PoorFront::new(inner, limits, config.sessions().unwrap(), keeper.clone()));
         let driver = Driver::new(host.clone(), front.clone(), keeper.clone(), config.limits.clone());
         let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
-        spawn_local(h3::accept(driver.clone(), endpoint, stop.clone(), closing.clone()));
+        spawn_local(server::accept(driver.clone(), endpoint, stop.clone(), closing.clone()));
         spawn_local(keeper.clone().keep());
         let listener = TcpListener::bind(format!("127.0.{net}.9:0")).await.unwrap();
         let tcp = listener.local_addr().unwrap();
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -1,17 +1,17 @@
 //! The engine and its connections against a model, by random steps on a clock that the test sets.
 
-mod members;
+mod endpoints;
 
 use bytes::BytesMut;
 use edge_proxy::clock::Clock;
 use edge_proxy::engine::{Effect, Engine, EngineBounds, Next};
-use edge_proxy::memory::connections::{Bounds, ConnId};
-use edge_proxy::memory::requests::{Ask, Final};
 use edge_proxy::settings::Env;
-use edge_proxy::wire::cache_protocol::{Command, LineCodec, Reply, Word, LINE_MOST};
-use edge_proxy::wire::frames::{FrameCodec, News, Numbered, FRAME_MOST};
+use edge_proxy::state::connections::{Bounds, ConnId};
+use edge_proxy::state::requests::{Ask, Final};
+use edge_proxy::wire::cache_codec::{Command, LineCodec, Reply, Word, LINE_MOST};
+use edge_proxy::wire::discovery_codec::{FrameCodec, News, Numbered, FRAME_MOST};
 use edge_proxy::wire::http::{HttpCodec, Phase};
-use members::target;
+use endpoints::target;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -3,7 +3,7 @@
 mod stand_ins;
 
 use edge_proxy::lifecycle::serve::read_again;
-use edge_proxy::wire::client::{Front, Limits};
+use edge_proxy::wire::listener::{Front, Limits};
 use edge_proxy::wire::platform::{limits, Platform};
 use stand_ins::*;
 use std::net::SocketAddr;
--- a/tests/purge_model.rs
+++ b/tests/purge_model.rs
@@ -1,7 +1,7 @@
 //! The purge ledger against the plainest model of what it must decide: a list of every purge held, each checked.
 //! Random steps with a fixed seed, so that the verdict is the same every time.
 
-use edge_proxy::purge::ledger::{Applied, Ledger, LedgerBounds, Purge};
+use edge_proxy::purge::active_purges::{Applied, Ledger, LedgerBounds, Purge};
 use edge_proxy::purge::selector::{copy_name, Copy, Selector, Tag};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -3,10 +3,10 @@
 
 mod stand_ins;
 
+use edge_proxy::purge::active_purges::{Applied, Ledger, LedgerBounds};
 use edge_proxy::purge::book::Book;
 use edge_proxy::purge::config::PurgeConfig;
 use edge_proxy::purge::driver::CALLS_MOST;
-use edge_proxy::purge::ledger::{Applied, Ledger, LedgerBounds};
 use edge_proxy::purge::selector::Tag;
 use edge_proxy::purge::wire::{call, from_json, to_json, Batch, Submitted};
 use simd_json::prelude::*;
@@ -259,7 +259,7 @@
             from: 2,
             done: 0,
             floor: None,
-            entries: vec![edge_proxy::purge::ledger::Purge {
+            entries: vec![edge_proxy::purge::active_purges::Purge {
                 seq: 2,
                 issued_ms: now_ms(),
                 sel: "tag:x".parse().unwrap(),
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -409,8 +409,8 @@
             assert!(f.site.clock.now() - began < most, "not in the client's time");
         }
         // A failed end, as the front words it: the module refuses what may be repeated, so none comes by itself.
-        use edge_proxy::memory::requests::Final;
-        use edge_proxy::wire::client::{Context, Front};
+        use edge_proxy::state::requests::Final;
+        use edge_proxy::wire::listener::{Context, Front};
         let word = |end| f.front.word(&Context::default(), end).status;
         assert_eq!(word(Final::Failed { overdue: false }), 502);
         assert_eq!(word(Final::Failed { overdue: true }), 504);
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -3,7 +3,7 @@
 
 mod stand_ins;
 
-use edge_proxy::duties::config::DutiesConfig;
+use edge_proxy::health_check::config::DutiesConfig;
 use edge_proxy::vrrp::config::VrrpConfig;
 use stand_ins::running::Running;
 use stand_ins::threads::*;
--- a/tests/stand_ins/device.rs
+++ b/tests/stand_ins/device.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code)]
 
 use bytes::{Buf, Bytes};
-use edge_proxy::poor::config::PoorConfig;
-use edge_proxy::poor::h3::transport;
+use edge_proxy::http3::config::PoorConfig;
+use edge_proxy::http3::server::transport;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rustls::pki_types::pem::PemObject;
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -8,9 +8,9 @@
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::lifecycle::serve::engine;
 use edge_proxy::settings::Env;
-use edge_proxy::wire::bulletin;
-use edge_proxy::wire::cache::CacheDriver;
-use edge_proxy::wire::client::{accept, Front, Stop};
+use edge_proxy::wire::cache_connection::CacheDriver;
+use edge_proxy::wire::discovery;
+use edge_proxy::wire::listener::{accept, Front, Stop};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
@@ -325,7 +325,7 @@
         let host = Executor::new(clock.clone(), engine, CacheDriver);
         spawn_local(host.clone().keep_time());
         let (moves, told) = watch::channel(config.bulletin().unwrap());
-        spawn_local(bulletin::keep(host.clone(), told));
+        spawn_local(discovery::keep(host.clone(), told));
         let (stop, closing) = Default::default();
         Self { clock, host, env, members, bulletin, config, moves, stop, closing }
     }
--- a/tests/stand_ins/purge_box.rs
+++ b/tests/stand_ins/purge_box.rs
@@ -5,7 +5,7 @@
 //! which copy they are, so that a client can check each answer's age.
 #![allow(dead_code)]
 
-use edge_proxy::purge::ledger::{Ledger, LedgerBounds};
+use edge_proxy::purge::active_purges::{Ledger, LedgerBounds};
 use edge_proxy::purge::selector::{copy_name, Copy, Tag};
 use edge_proxy::purge::wire::{from_json, to_json, Ack, Batch};
 use std::cell::{Cell, RefCell};
@@ -199,7 +199,7 @@
             }
             for purge in &batch.entries {
                 *seen.received.borrow_mut().entry(purge.seq).or_default() += 1;
-                if ledger.apply(purge) == edge_proxy::purge::ledger::Applied::New {
+                if ledger.apply(purge) == edge_proxy::purge::active_purges::Applied::New {
                     seen.applied.borrow_mut().push(purge.seq);
                 }
             }
--- a/tests/vrrp_service.rs
+++ b/tests/vrrp_service.rs
@@ -5,7 +5,7 @@
 mod stand_ins;
 
 use base64::Engine as _;
-use edge_proxy::mac::Keys;
+use edge_proxy::message_auth::Keys;
 use edge_proxy::vrrp::auth::Seals;
 use edge_proxy::vrrp::machine::{Machine, Settings, State};
 use edge_proxy::vrrp::message::Advertisement;
