--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -12,7 +12,7 @@
 use device::{certify, Device, Impaired};
 use edge_proxy::http3::config::PoorConfig;
 use edge_proxy::http3::response_store::{Claim, Shelf, ShelfBounds};
-use edge_proxy::state::requests::Final;
+use edge_proxy::state::requests::FinalResponse;
 use hdrhistogram::Histogram;
 use slow_box::SlowFleet;
 use std::cell::RefCell;
@@ -150,7 +150,7 @@
         keep_write_ms: 60_000.0,
     };
     let (mut shelf, calls) = (Shelf::new(bounds), 400_000u64);
-    let answer = Final::Served { tag: None, body: vec![1u8; 600].into() };
+    let answer = FinalResponse::Served { tag: None, body: vec![1u8; 600].into() };
     let (start, mut most) = (Instant::now(), 0);
     for n in 0..calls {
         let (now, key) = (n as f64 / 4.0, (u128::from(n % 2_000), n));
--- a/src/admission/control.rs
+++ b/src/admission/control.rs
@@ -3,7 +3,7 @@
 
 use super::config::{AdmissionConfig, Exempt};
 use super::fair::{AdmissionFigures, Arrival, Ending, FairQueue, Refusal, Verdict};
-use crate::state::requests::{Ask, Final};
+use crate::state::requests::{FinalResponse, IncomingRequest};
 use crate::RequestId;
 use ahash::AHashMap;
 use prometheus_client::encoding::text::encode;
@@ -80,7 +80,7 @@
     queue: FairQueue,
     config: AdmissionConfig,
     exempt: Exempt,
-    waiting: AHashMap<RequestId, Ask>,
+    waiting: AHashMap<RequestId, IncomingRequest>,
     metrics: Metrics,
 }
 
@@ -111,7 +111,7 @@
     }
 
     /// A request comes to the door. One that is queued is held here until it is let in or refused.
-    pub fn arrive(&mut self, now_ms: f64, ask: Ask) -> (Verdict, Option<Ask>) {
+    pub fn arrive(&mut self, now_ms: f64, ask: IncomingRequest) -> (Verdict, Option<IncomingRequest>) {
         let exempt = ask.client.is_none_or(|ip| self.exempt.covers(ip));
         if exempt {
             return (Verdict::Admit, Some(ask));
@@ -130,10 +130,17 @@
     }
 
     /// An admitted request ended with this answer; returns those that go to the engine now.
-    pub fn ended(&mut self, now_ms: f64, id: RequestId, answer: Option<&Final>) -> Vec<Ask> {
+    pub fn ended(
+        &mut self,
+        now_ms: f64,
+        id: RequestId,
+        answer: Option<&FinalResponse>,
+    ) -> Vec<IncomingRequest> {
         let ending = match answer {
-            Some(Final::Served { .. } | Final::Same { .. }) => Ending::Answered,
-            Some(Final::Refused { .. } | Final::Failed { overdue: true }) => Ending::Overloaded,
+            Some(FinalResponse::Served { .. } | FinalResponse::NotModified { .. }) => Ending::Answered,
+            Some(FinalResponse::Rejected { .. } | FinalResponse::Failed { overdue: true }) => {
+                Ending::Overloaded
+            }
             _ => Ending::Other,
         };
         let released = self.queue.ended(now_ms, id, ending);
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -9,21 +9,21 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-use edge_proxy::settings::{Env, Row};
+use edge_proxy::settings::{EndpointRecord, PlatformSettings};
 use edge_proxy::{Action, Event, Router};
 use wire::{Line, Reply};
 
 /// One hosted router with what is needed to translate for it.
 struct Instance {
     router: Router,
-    env: Env,
+    env: PlatformSettings,
 }
 
 /// The whole state of the adapter.
 #[derive(Default)]
 struct Host {
     instances: HashMap<u64, Instance>,
-    sheets: HashMap<u64, Vec<Row>>,
+    sheets: HashMap<u64, Vec<EndpointRecord>>,
     clock: Option<u64>,
     reply: String,
     actions: Vec<Action>,
@@ -71,13 +71,13 @@
             Line::Members { i, sheet, mode } => {
                 let Some(instance) = self.instances.get(&i) else { return Ok(false) };
                 let event = if mode == "lost" {
-                    Event::ListLost
+                    Event::WatchLost
                 } else {
                     let number = sheet.ok_or("Members: no sheet")?;
                     let rows = self.sheets.get(&number).ok_or(format!("Members: unknown sheet {number}"))?;
                     let entries =
                         rows.iter().map(|row| instance.env.listing(row)).collect::<Result<_, _>>()?;
-                    Event::Members { full: mode != "incr", entries }
+                    Event::EndpointsChanged { full: mode != "incr", entries }
                 };
                 (i, event)
             }
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -1,8 +1,8 @@
 //! The wire's messages, typed, and their translation.
 
-use edge_proxy::settings::{lenient, Env, Row};
+use edge_proxy::settings::{lenient, EndpointRecord, PlatformSettings};
 use edge_proxy::wire::response_path::PathNote;
-use edge_proxy::{Action, Event, Verdict};
+use edge_proxy::{Action, AttemptOutcome, Event};
 use serde::{Deserialize, Serialize};
 
 /// The messages that are read; all others are skipped.
@@ -54,14 +54,14 @@
     OpenInstance {
         i: u64,
         seed: u64,
-        env: Box<Env>,
+        env: Box<PlatformSettings>,
     },
     Teardown {
         i: u64,
     },
     Table {
         sheet: u64,
-        records: Vec<Row>,
+        records: Vec<EndpointRecord>,
     },
     Members {
         i: u64,
@@ -152,7 +152,7 @@
     }
 
     /// The event that a line means to the router, if any.
-    pub fn event(self, env: &Env) -> Result<Option<Event>, String> {
+    pub fn event(self, env: &PlatformSettings) -> Result<Option<Event>, String> {
         Ok(Some(match self {
             Self::JobIn { request_id, band, asset, give_up_at_us, kbytes, set_no, slice, .. } => {
                 let class = env.class(&band);
@@ -163,40 +163,44 @@
                     group: set_no as u32,
                     part: slice as u32,
                     size_kb: kbytes,
-                    give_up_at: give_up_at_us,
+                    deadline_at: give_up_at_us,
                 }
             }
-            Self::Probed { cache, status, .. } => Event::Probed { member: cache, verdict: verdict(&status)? },
-            Self::Abandoned { request_id, .. } => Event::Left { id: request_id.0 },
-            Self::Settled { request_id, hop, detail, status, took_us, closed, .. } => Event::Outcome {
+            Self::Probed { cache, status, .. } => {
+                Event::HealthChecked { member: cache, outcome: outcome(&status)? }
+            }
+            Self::Abandoned { request_id, .. } => Event::ClientDisconnected { id: request_id.0 },
+            Self::Settled { request_id, hop, detail, status, took_us, closed, .. } => Event::AttemptEnded {
                 id: request_id.0,
                 attempt: hop,
-                verdict: verdict(&status)?,
-                note: PathNote::from_number(detail).into(),
-                took: took_us,
+                outcome: outcome(&status)?,
+                cache_status: PathNote::from_number(detail).into(),
+                elapsed: took_us,
                 closed,
             },
             Self::Elapsed { ctx, .. } => Event::Timer { token: ctx },
             Self::Outdated { asset, family_id, age_span_us, .. } => {
                 Event::Purged { object: asset, group: family_id as u32, ago: age_span_us }
             }
-            Self::Headers { request_id, hop, .. } => Event::Streaming { id: request_id.0, attempt: hop },
+            Self::Headers { request_id, hop, .. } => {
+                Event::ResponseStarted { id: request_id.0, attempt: hop }
+            }
             _ => return Ok(None),
         }))
     }
 }
 
-fn verdict(status: &str) -> Result<Verdict, String> {
+fn outcome(status: &str) -> Result<AttemptOutcome, String> {
     Ok(match status {
-        "S" => Verdict::Served,
-        "E" => Verdict::Error,
-        "F" => Verdict::Refused,
-        "T" => Verdict::TimedOut,
-        "C" => Verdict::NoConnection,
-        "R" => Verdict::Broken,
-        "X" => Verdict::Cancelled,
-        "N" => Verdict::NeverSent,
-        "M" => Verdict::Miss,
+        "S" => AttemptOutcome::Served,
+        "E" => AttemptOutcome::Error,
+        "F" => AttemptOutcome::Rejected,
+        "T" => AttemptOutcome::TimedOut,
+        "C" => AttemptOutcome::NoConnection,
+        "R" => AttemptOutcome::ConnectionLost,
+        "X" => AttemptOutcome::Cancelled,
+        "N" => AttemptOutcome::NotSent,
+        "M" => AttemptOutcome::CacheMiss,
         other => return Err(format!("Settled: unknown status {other:?}")),
     })
 }
@@ -259,8 +263,8 @@
 
 /// The sum that words the orders for a miss: 1 join a fill under way, 2 the source gives only what it holds, 8 renew an
 /// ageing copy behind.
-fn how(join: bool, only_held: bool, renew: bool) -> u32 {
-    u32::from(join) | u32::from(only_held) << 1 | u32::from(renew) << 3
+fn how(join: bool, only_if_cached: bool, revalidate: bool) -> u32 {
+    u32::from(join) | u32::from(only_if_cached) << 1 | u32::from(revalidate) << 3
 }
 
 impl Reply {
@@ -268,16 +272,16 @@
     pub fn from_action(i: u64, action: Action) -> Self {
         let hex = |id: u64| format!("{id:016x}");
         match action {
-            Action::Send { id, to, source: None, timeout, .. } => {
+            Action::Forward { id, to, source: None, timeout, .. } => {
                 Self::Place { i, request_id: hex(id), cache: to, cap_us: timeout }
             }
-            Action::Send {
+            Action::Forward {
                 id,
                 to,
                 source: Some(source),
                 join,
-                only_held,
-                renew,
+                only_if_cached,
+                revalidate,
                 max_age,
                 keep,
                 timeout,
@@ -287,17 +291,17 @@
                 request_id: hex(id),
                 cache: to,
                 source,
-                how: how(join, only_held, renew),
+                how: how(join, only_if_cached, revalidate),
                 age_span_us: max_age,
                 retain: keep,
                 cap_us: timeout,
             },
-            Action::Refuse { id, wait } => Self::OverloadReply { i, request_id: hex(id), wait_us: wait },
+            Action::Reject { id, wait } => Self::OverloadReply { i, request_id: hex(id), wait_us: wait },
             Action::Fail { id } => Self::ReportFailure { i, request_id: hex(id) },
             Action::Cancel { id, attempt } => Self::Abandon { i, request_id: hex(id), hop: attempt },
-            Action::Probe { member } => Self::SoundOut { i, cache: member },
-            Action::Timer { token, at } => Self::After { i, ctx: token, due_at_us: at },
-            Action::Subscribe => Self::Tail { i, enable: true },
+            Action::CheckHealth { member } => Self::SoundOut { i, cache: member },
+            Action::SetTimer { token, at } => Self::After { i, ctx: token, due_at_us: at },
+            Action::Watch => Self::Tail { i, enable: true },
         }
     }
 }
--- a/src/engine/answers.rs
+++ b/src/engine/answers.rs
@@ -2,9 +2,9 @@
 
 use super::{Effect, Engine};
 use crate::state::connections::ConnId;
-use crate::state::requests::{Ask, Final};
+use crate::state::requests::{FinalResponse, IncomingRequest};
 use crate::wire::cache_codec::{Reply, Word};
-use crate::{RequestId, Verdict};
+use crate::{AttemptOutcome, RequestId};
 
 /// With less than this left of its time, in milliseconds, a request that ends has ended for want of it: the module
 /// sends nothing with so little left.
@@ -23,38 +23,38 @@
         };
         // Guards a later attempt of the same request, which has the same id: the answer may come a second time.
         c.close_to(id.0);
-        let (verdict, counter) = match reply.word {
-            Word::Ack | Word::Nomod => (Verdict::Served, &mut self.counters.member_ok),
-            Word::Noent => (Verdict::Miss, &mut self.counters.member_miss),
-            Word::Again => (Verdict::Refused, &mut self.counters.member_full),
-            Word::Eio => (Verdict::Error, &mut self.counters.member_error),
-            Word::Stale => (Verdict::NeverSent, &mut self.counters.member_miss),
+        let (outcome, counter) = match reply.word {
+            Word::Ack | Word::Nomod => (AttemptOutcome::Served, &mut self.counters.member_ok),
+            Word::Noent => (AttemptOutcome::CacheMiss, &mut self.counters.member_miss),
+            Word::Again => (AttemptOutcome::Rejected, &mut self.counters.member_full),
+            Word::Eio => (AttemptOutcome::Error, &mut self.counters.member_error),
+            Word::Stale => (AttemptOutcome::NotSent, &mut self.counters.member_miss),
         };
         *counter += 1;
-        if verdict == Verdict::Served && self.purged(id.0, &reply) {
+        if outcome == AttemptOutcome::Served && self.purged(id.0, &reply) {
             // Guards the rule on purges: a copy that a purge removed reaches no client; the module tries again.
-            self.settle(id, Verdict::Spoilt);
+            self.settle(id, AttemptOutcome::Malformed);
             self.run();
             return self.effects.push_back(Effect::Wake(conn));
         }
-        if verdict == Verdict::Served {
+        if outcome == AttemptOutcome::Served {
             let tag = reply.tag;
             // A member says that the client's copy holds only where the request named that very copy.
             let same = reply.word == Word::Nomod;
-            let named = |ask: &Ask| ask.cached.is_some() && (tag.is_none() || tag == ask.cached);
+            let named = |ask: &IncomingRequest| ask.cached.is_some() && (tag.is_none() || tag == ask.cached);
             if same && self.requests.get(id.0).is_some_and(|ask| !named(ask)) {
-                self.settle(id, Verdict::Spoilt);
+                self.settle(id, AttemptOutcome::Malformed);
                 self.run();
                 return self.effects.push_back(Effect::Wake(conn));
             }
             let answer = if same {
-                Final::Same { tag: tag.unwrap_or_default() }
+                FinalResponse::NotModified { tag: tag.unwrap_or_default() }
             } else {
-                Final::Served { tag, body: reply.body }
+                FinalResponse::Served { tag, body: reply.body }
             };
             self.finish(id.0, answer);
         }
-        self.settle_noted(id, verdict, reply.note.into());
+        self.settle_noted(id, outcome, reply.note.into());
         self.run();
         self.effects.push_back(Effect::Wake(conn));
     }
@@ -77,14 +77,14 @@
     }
 
     /// Gives a request its final answer, if it is still owed one.
-    pub(super) fn finish(&mut self, id: RequestId, answer: Final) {
+    pub(super) fn finish(&mut self, id: RequestId, answer: FinalResponse) {
         if let Some(ask) = self.requests.end(id) {
             let tally = self.tallies.of(self.env.class_name(ask.class).unwrap_or_default());
             let (counter, figure) = match &answer {
-                Final::Served { .. } => (&mut self.counters.served, &mut tally.ok),
-                Final::Same { .. } => (&mut self.counters.unchanged, &mut tally.ok),
-                Final::Refused { .. } => (&mut self.counters.refused, &mut tally.shed),
-                Final::Failed { .. } => (&mut self.counters.failed, &mut tally.errors),
+                FinalResponse::Served { .. } => (&mut self.counters.served, &mut tally.ok),
+                FinalResponse::NotModified { .. } => (&mut self.counters.unchanged, &mut tally.ok),
+                FinalResponse::Rejected { .. } => (&mut self.counters.refused, &mut tally.shed),
+                FinalResponse::Failed { .. } => (&mut self.counters.failed, &mut tally.errors),
             };
             *counter += 1;
             *figure += 1;
--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -4,9 +4,9 @@
 use crate::clock::micros;
 use crate::state::attempts::{Attempt, AttemptId, Stage};
 use crate::state::connections::{ConnId, Place};
-use crate::state::requests::Ask;
+use crate::state::requests::IncomingRequest;
 use crate::wire::cache_codec::Get;
-use crate::{Event, MemberId, Note, RequestId, Verdict};
+use crate::{AttemptOutcome, CacheStatus, EndpointId, Event, RequestId};
 
 /// Silence on a connection, in milliseconds, after which an attempt that timed out there says that the path is
 /// dead: nothing more goes onto it, and a new connection tells at once whether the machine still answers.
@@ -21,7 +21,7 @@
         let member = attempt.to;
         let Some(address) = self.roster.address(member) else {
             self.attempts.put(id, attempt);
-            return self.settle(id, Verdict::NeverSent);
+            return self.settle(id, AttemptOutcome::NotSent);
         };
         let mut place = self.connections.place(member, id.0, now);
         if place == Place::Nowhere {
@@ -47,7 +47,7 @@
             Place::Nowhere => {
                 self.counters.attempts_unplaced += 1;
                 self.attempts.put(id, attempt);
-                self.settle(id, Verdict::NeverSent);
+                self.settle(id, AttemptOutcome::NotSent);
             }
         }
     }
@@ -56,9 +56,13 @@
     pub(super) fn written(&mut self, now: f64, id: AttemptId) -> Option<Get> {
         let ask = self.requests.get(id.0)?;
         let attempt = self.attempts.get_mut(id)?;
-        let able = |member: MemberId| self.roster.address(member).is_some();
+        let able = |member: EndpointId| self.roster.address(member).is_some();
         let left = attempt.due_ms.min(ask.give_up_ms) - now;
-        if !able(attempt.to) || !attempt.source.is_none_or(able) || left < 1.0 || now >= attempt.start_by_ms {
+        if !able(attempt.to)
+            || !attempt.source.is_none_or(able)
+            || left < 1.0
+            || now >= attempt.first_byte_by_ms
+        {
             return None;
         }
         // A copy ages while the attempt waits; 0 would say any age that the class allows.
@@ -90,8 +94,8 @@
             keep: attempt.keep,
             max_age_ms,
             join: attempt.join,
-            only_held: attempt.only_held,
-            renew: attempt.renew,
+            only_if_cached: attempt.only_if_cached,
+            revalidate: attempt.revalidate,
             cached: ask.cached.clone(),
             group,
             body: ask.body.clone(),
@@ -121,21 +125,29 @@
             c.closing |= c.unheard >= UNHEARD_MOST || now - c.read_ms.max(at) > SILENCE_MS;
         }
         // One that still waited for its connection has not run.
-        let verdict = if stage == Stage::Queued { Verdict::NoConnection } else { Verdict::TimedOut };
-        self.settle(id, verdict);
+        let outcome =
+            if stage == Stage::Queued { AttemptOutcome::NoConnection } else { AttemptOutcome::TimedOut };
+        self.settle(id, outcome);
     }
 
     /// Ends an attempt of whose path nothing is told, and tells the module at the next [`Self::run`].
-    pub(super) fn settle(&mut self, id: AttemptId, verdict: Verdict) {
-        self.settle_noted(id, verdict, Note::Silent);
+    pub(super) fn settle(&mut self, id: AttemptId, outcome: AttemptOutcome) {
+        self.settle_noted(id, outcome, CacheStatus::Unknown);
     }
 
     /// Ends an attempt, and tells the module at the next [`Self::run`], with what is told of the path.
-    pub(super) fn settle_noted(&mut self, id: AttemptId, verdict: Verdict, note: Note) {
+    pub(super) fn settle_noted(&mut self, id: AttemptId, outcome: AttemptOutcome, cache_status: CacheStatus) {
         let Some(attempt) = self.attempts.end(id) else { return };
-        let took = micros(self.clock.now() - attempt.sent_ms);
+        let elapsed = micros(self.clock.now() - attempt.sent_ms);
         let closed = self.requests.get(id.0).is_none();
-        self.events.push_back(Event::Outcome { id: id.0, attempt: id.1, verdict, note, took, closed });
+        self.events.push_back(Event::AttemptEnded {
+            id: id.0,
+            attempt: id.1,
+            outcome,
+            cache_status,
+            elapsed,
+            closed,
+        });
     }
 
     /// Takes an attempt off its connection; what was written is given up there.
@@ -155,7 +167,7 @@
     }
 
     /// Ends the attempts that wait for a connection and that a change has made stale.
-    pub(super) fn stale(&mut self, is: impl Fn(&Ask, &Attempt) -> bool) {
+    pub(super) fn stale(&mut self, is: impl Fn(&IncomingRequest, &Attempt) -> bool) {
         let waits = self.attempts.iter().filter(|(_, a)| a.stage == Stage::Queued);
         let hit = waits.filter(|(id, a)| self.requests.get(id.0).is_some_and(|ask| is(ask, a)));
         let mut hit: Vec<AttemptId> = hit.map(|(id, _)| *id).collect();
@@ -163,7 +175,7 @@
         for id in hit {
             self.counters.attempts_stale += 1;
             self.detach(id, false);
-            self.settle(id, Verdict::NeverSent);
+            self.settle(id, AttemptOutcome::NotSent);
         }
     }
 }
--- a/src/engine/effects.rs
+++ b/src/engine/effects.rs
@@ -1,7 +1,7 @@
 //! What an engine wants done on sockets.
 
 use crate::state::connections::ConnId;
-use crate::state::requests::Final;
+use crate::state::requests::FinalResponse;
 use crate::wire::cache_codec::Command;
 use crate::RequestId;
 use std::net::SocketAddrV4;
@@ -21,7 +21,7 @@
     /// There is something to ask [`Engine::next_write`] for.
     Wake(ConnId),
     /// Give a client its final answer.
-    Answer(RequestId, Final),
+    Answer(RequestId, FinalResponse),
 }
 
 /// What a connection's driver writes next.
--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -6,10 +6,10 @@
 use crate::admission::fair::Verdict;
 use crate::clock::{span, Clock};
 use crate::grpc::calls::Backend;
-use crate::settings::Env;
+use crate::settings::PlatformSettings;
 use crate::state::connections::ConnId;
-use crate::state::requests::{Ask, Final, NotTaken};
-use crate::{MemberId, RequestId};
+use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::{EndpointId, RequestId};
 use futures_util::future::LocalBoxFuture;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -45,7 +45,7 @@
     engine: RefCell<Engine>,
     driver: Box<dyn ConnectionDriver>,
     wakers: RefCell<HashMap<ConnId, Rc<Notify>>>,
-    waiting: RefCell<HashMap<RequestId, oneshot::Sender<Final>>>,
+    waiting: RefCell<HashMap<RequestId, oneshot::Sender<FinalResponse>>>,
     due: Notify,
     /// The door's fair queues, where they are on.
     admission: RefCell<Option<AdmissionControl>>,
@@ -100,7 +100,7 @@
     }
 
     /// The settings as they are by now.
-    pub fn env(&self) -> Rc<Env> {
+    pub fn env(&self) -> Rc<PlatformSettings> {
         self.engine.borrow().env()
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// The listed members of a kind, whatever their state, with their own addresses.
-    pub fn members(&self, model: &str) -> Vec<(MemberId, SocketAddr)> {
+    pub fn members(&self, model: &str) -> Vec<(EndpointId, SocketAddr)> {
         let engine = self.engine.borrow();
         let members = engine.of_kind(model).map(|(id, at, _)| (id, SocketAddr::V4(at)));
         members.collect()
@@ -164,7 +164,7 @@
         self.due.notify_one();
     }
 
-    fn answer(&self, id: RequestId, answer: Final) {
+    fn answer(&self, id: RequestId, answer: FinalResponse) {
         if let Some(client) = self.waiting.borrow_mut().remove(&id) {
             // A client that has just left needs none.
             let _ = client.send(answer);
@@ -173,7 +173,10 @@
 
     /// Takes a request in and gives the place where its answer will be. Where the door's queues are on, it
     /// may wait there first, or be refused at once with a time to come back.
-    pub fn ask(self: &Rc<Self>, ask: Ask) -> Result<oneshot::Receiver<Final>, NotTaken> {
+    pub fn ask(
+        self: &Rc<Self>,
+        ask: IncomingRequest,
+    ) -> Result<oneshot::Receiver<FinalResponse>, AdmitError> {
         let (id, (sender, receiver)) = (ask.id, oneshot::channel());
         let now = self.clock.now();
         let mut admission = self.admission.borrow_mut();
@@ -183,9 +186,9 @@
         };
         drop(admission);
         match (verdict, ask) {
-            (Verdict::Duplicate, _) => Err(NotTaken::Duplicate),
+            (Verdict::Duplicate, _) => Err(AdmitError::Duplicate),
             (Verdict::Refuse { come_back_ms, .. }, _) => {
-                let _ = sender.send(Final::Refused { wait_ms: come_back_ms, overdue: false });
+                let _ = sender.send(FinalResponse::Rejected { wait_ms: come_back_ms, overdue: false });
                 Ok(receiver)
             }
             (Verdict::Queue, _) | (_, None) => {
@@ -205,17 +208,17 @@
     }
 
     /// Hands a request that waited at the door to the engine.
-    fn let_in(self: &Rc<Self>, ask: Ask) {
+    fn let_in(self: &Rc<Self>, ask: IncomingRequest) {
         let id = ask.id;
         if let Err(why) = self.engine.borrow_mut().request(ask) {
-            let wait_ms = if why == NotTaken::Full { 300.0 } else { 0.0 };
-            self.answer(id, Final::Refused { wait_ms, overdue: false });
+            let wait_ms = if why == AdmitError::Full { 300.0 } else { 0.0 };
+            self.answer(id, FinalResponse::Rejected { wait_ms, overdue: false });
             self.release(id, None);
         }
     }
 
     /// Tells the door that an admitted request ended without an answer of the engine, and lets in who is next.
-    fn release(self: &Rc<Self>, id: RequestId, answer: Option<&Final>) {
+    fn release(self: &Rc<Self>, id: RequestId, answer: Option<&FinalResponse>) {
         let now = self.clock.now();
         let released = self.with_admission(|admission| admission.ended(now, id, answer));
         released.into_iter().flatten().for_each(|ask| self.let_in(ask));
@@ -237,7 +240,7 @@
         let now = self.clock.now();
         for (id, come_back_ms) in self.with_admission(|admission| admission.expired(now)).unwrap_or_default()
         {
-            self.answer(id, Final::Refused { wait_ms: come_back_ms, overdue: false });
+            self.answer(id, FinalResponse::Rejected { wait_ms: come_back_ms, overdue: false });
         }
     }
 
--- a/src/engine/figures.rs
+++ b/src/engine/figures.rs
@@ -3,7 +3,7 @@
 use super::Engine;
 use crate::clock::micros;
 use crate::wire::discovery_codec::Target;
-use crate::MemberId;
+use crate::EndpointId;
 
 impl Engine {
     /// The figures that the platform reads.
@@ -11,7 +11,7 @@
         for name in (0..).map_while(|k| self.env.class_name(k)) {
             self.tallies.of(name);
         }
-        let pool: Vec<MemberId> =
+        let pool: Vec<EndpointId> =
             self.roster.all_listed().filter(|t| self.env.is_cache(&t.row)).map(|t| t.row.cache).collect();
         let out = pool.iter().filter(|id| self.maintenance.is_out(**id)).count();
         let avoided = out + self.router.avoided(micros(self.clock.now()));
@@ -30,7 +30,7 @@
     /// none where it has none.
     pub fn pool_share(&self) -> Option<f64> {
         let mine = |t: &&Target| {
-            self.env.listing(&t.row).is_ok_and(|line| line.role == crate::Role::Cache)
+            self.env.listing(&t.row).is_ok_and(|line| line.tier == crate::Tier::Cache)
                 && t.row.lifecycle != "dead"
         };
         let mine: Vec<&Target> = self.roster.all_listed().filter(mine).collect();
--- a/src/engine/intake.rs
+++ b/src/engine/intake.rs
@@ -2,12 +2,12 @@
 
 use super::Engine;
 use crate::clock::micros;
-use crate::state::requests::{Ask, NotTaken};
+use crate::state::requests::{AdmitError, IncomingRequest};
 use crate::{Event, RequestId};
 
 impl Engine {
     /// Takes a request in. From now on it gets exactly one [`Effect::Answer`], unless its client leaves.
-    pub fn request(&mut self, ask: Ask) -> Result<(), NotTaken> {
+    pub fn request(&mut self, ask: IncomingRequest) -> Result<(), AdmitError> {
         let event = Event::Request {
             id: ask.id,
             class: ask.class,
@@ -15,14 +15,14 @@
             group: ask.group,
             part: ask.part,
             size_kb: ask.size_kb,
-            give_up_at: micros(ask.give_up_ms),
+            deadline_at: micros(ask.give_up_ms),
         };
         let class = ask.class;
         if let Err(why) = self.requests.take(ask) {
             let tally = self.tallies.of(self.env.class_name(class).unwrap_or_default());
             match why {
-                NotTaken::Duplicate => tally.errors += 1,
-                NotTaken::Full => tally.shed += 1,
+                AdmitError::Duplicate => tally.errors += 1,
+                AdmitError::Full => tally.shed += 1,
             }
             return Err(why);
         }
@@ -36,7 +36,7 @@
     pub fn left(&mut self, id: RequestId) {
         if self.requests.end(id).is_some() {
             self.counters.left += 1;
-            self.events.push_back(Event::Left { id });
+            self.events.push_back(Event::ClientDisconnected { id });
             self.run();
         }
     }
--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -4,10 +4,10 @@
 use crate::clock::micros;
 use crate::purge::fanout::Standing;
 use crate::state::maintenance::{Maintenance, Mark};
-use crate::state::requests::Ask;
+use crate::state::requests::IncomingRequest;
 use crate::wire::cache_codec::member_text;
-use crate::wire::discovery_codec::{News, Numbered, Target};
-use crate::{Event, MemberId, Verdict};
+use crate::wire::discovery_codec::{Sequenced, Target, WatchEvent};
+use crate::{AttemptOutcome, EndpointId, Event};
 use std::net::{SocketAddr, SocketAddrV4};
 
 impl Engine {
@@ -38,7 +38,7 @@
     pub fn of_kind<'e>(
         &'e self,
         model: &'e str,
-    ) -> impl Iterator<Item = (MemberId, SocketAddrV4, bool)> + 'e {
+    ) -> impl Iterator<Item = (EndpointId, SocketAddrV4, bool)> + 'e {
         let listed = self.roster.all_listed().filter(move |t| t.row.model == model);
         listed.map(|t| (t.row.cache, t.address, self.roster.address(t.row.cache).is_some()))
     }
@@ -54,25 +54,25 @@
     }
 
     /// Takes an event of the bulletin. One that was taken before is skipped.
-    pub fn news(&mut self, item: Numbered) {
-        if matches!(item.news, News::Quiet) || item.no <= self.last_no {
+    pub fn news(&mut self, item: Sequenced) {
+        if matches!(item.news, WatchEvent::Heartbeat) || item.no <= self.last_no {
             return;
         }
         self.last_no = item.no;
         self.counters.bulletin_events += 1;
         match item.news {
-            News::Quiet => {}
-            News::Roster { .. } if self.registry => {}
-            News::Roster { full, targets } => {
+            WatchEvent::Heartbeat => {}
+            WatchEvent::Endpoints { .. } if self.registry => {}
+            WatchEvent::Endpoints { full, targets } => {
                 self.roster.hear(full, &targets);
                 self.list(full, targets);
             }
-            News::Purge { object, group, issued } => {
+            WatchEvent::Purge { object, group, issued } => {
                 let ago = micros(self.clock.now() - issued);
                 self.events.push_back(Event::Purged { object, group, ago });
                 self.run();
                 // Guards the rule on purges: what waits for a connection was bounded before this purge.
-                let hit = |ask: &Ask| object.map_or(ask.group == group, |o| ask.object == o);
+                let hit = |ask: &IncomingRequest| object.map_or(ask.group == group, |o| ask.object == o);
                 self.stale(|ask, _| hit(ask));
             }
         }
@@ -88,7 +88,7 @@
         let gone = self.roster.update(full, &targets);
         self.roster_changes += 1;
         // The module learns of it first: asked anew before, it would name the same member again.
-        self.events.push_back(Event::Members { full, entries });
+        self.events.push_back(Event::EndpointsChanged { full, entries });
         self.run();
         gone.into_iter().for_each(|member| self.retire(member));
         self.run();
@@ -96,7 +96,7 @@
 
     /// A member drains, is gone or has moved: nothing new goes there, whatever waits for it is asked of the
     /// module again, and its connections end once they have nothing out. Its address may be another's soon.
-    fn retire(&mut self, member: MemberId) {
+    fn retire(&mut self, member: EndpointId) {
         for (conn, c) in self.connections.iter_mut().filter(|(_, c)| c.member == member) {
             c.closing = true;
             self.effects.push_back(Effect::Wake(*conn));
@@ -105,7 +105,7 @@
     }
 
     /// Takes a member out of use by hand, or puts it back; false where nobody has that id.
-    pub fn maintain(&mut self, id: MemberId, out: bool) -> bool {
+    pub fn maintain(&mut self, id: EndpointId, out: bool) -> bool {
         if self.roster.listed(id).is_none() && !self.maintenance.is_out(id) {
             return false;
         }
@@ -114,7 +114,7 @@
     }
 
     /// Takes words on members that another process of this proxy may have been given.
-    pub fn adopt(&mut self, marks: impl IntoIterator<Item = (MemberId, Mark)>) {
+    pub fn adopt(&mut self, marks: impl IntoIterator<Item = (EndpointId, Mark)>) {
         for (id, mark) in marks {
             if self.maintenance.mark(id, mark) {
                 self.counters.maintenance += 1;
@@ -133,7 +133,7 @@
     pub fn purge_targets(&self, port: u16) -> Vec<(String, SocketAddr, Standing)> {
         let listed = self.roster.all_listed().filter(|t| t.row.lifecycle != "dead");
         let targets = listed.filter_map(|t| {
-            let origin = self.env.listing(&t.row).ok()?.role == crate::Role::Origin;
+            let origin = self.env.listing(&t.row).ok()?.tier == crate::Tier::Origin;
             let standing = if t.row.lifecycle == "live" { Standing::Listed } else { Standing::Draining };
             let address = SocketAddr::new((*t.address.ip()).into(), port);
             (!origin).then(|| (member_text(t.row.cache), address, standing))
@@ -149,9 +149,9 @@
     }
 
     /// Probes found a member down, or up again: the module is told, and decides what follows.
-    pub fn probed(&mut self, member: MemberId, up: bool) {
-        let verdict = if up { Verdict::Served } else { Verdict::NoConnection };
-        self.events.push_back(Event::Probed { member, verdict });
+    pub fn probed(&mut self, member: EndpointId, up: bool) {
+        let outcome = if up { AttemptOutcome::Served } else { AttemptOutcome::NoConnection };
+        self.events.push_back(Event::HealthChecked { member, outcome });
         self.run();
     }
 }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -15,15 +15,15 @@
 
 use crate::clock::{micros, millis, Clock};
 use crate::purge::age_limit::Guard;
-use crate::settings::Env;
+use crate::settings::PlatformSettings;
 use crate::state::attempts::{Attempt, Attempts, Stage};
 use crate::state::connections::{Bounds, Connections};
-use crate::state::counters::{Counters, Tallies};
+use crate::state::counters::{Counters, CountersByClass};
 use crate::state::deadlines::Deadlines;
 use crate::state::maintenance::Maintenance;
 use crate::state::membership::Roster;
-use crate::state::requests::{Final, Requests};
-use crate::{Action, Event, Router, Verdict};
+use crate::state::requests::{FinalResponse, Requests};
+use crate::{Action, AttemptOutcome, Event, Router};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
@@ -42,11 +42,11 @@
 /// The engine. See the module's page.
 pub struct Engine {
     clock: Clock,
-    env: Rc<Env>,
+    env: Rc<PlatformSettings>,
     router: Router,
     /// Counters of what passed.
     pub counters: Counters,
-    tallies: Tallies,
+    tallies: CountersByClass,
     requests: Requests,
     attempts: Attempts,
     connections: Connections,
@@ -70,7 +70,7 @@
 
 impl Engine {
     /// An engine that knows its settings and no member yet.
-    pub fn new(clock: Clock, env: Rc<Env>, seed: u64, bounds: EngineBounds) -> Self {
+    pub fn new(clock: Clock, env: Rc<PlatformSettings>, seed: u64, bounds: EngineBounds) -> Self {
         let router = Router::new(env.settings(), seed);
         Self {
             tidied_ms: clock.now(),
@@ -78,7 +78,7 @@
             env,
             router,
             counters: Counters::default(),
-            tallies: Tallies::default(),
+            tallies: CountersByClass::default(),
             requests: Requests::new(bounds.requests),
             attempts: Attempts::default(),
             connections: Connections::new(bounds.connections),
@@ -112,12 +112,12 @@
     }
 
     /// The settings as they are by now.
-    pub fn env(&self) -> Rc<Env> {
+    pub fn env(&self) -> Rc<PlatformSettings> {
         self.env.clone()
     }
 
     /// Takes other settings. Requests under way keep their class.
-    pub fn retune(&mut self, fresh: Env) {
+    pub fn retune(&mut self, fresh: PlatformSettings) {
         self.env = Rc::new(fresh.after(&self.env, |class| self.requests.uses(class)));
         self.router.retune(self.env.settings());
         self.connections.set_streams(self.env.streams_per_connection());
@@ -144,8 +144,8 @@
         // Guards the rule that each request is answered in time, should the module ever forget one.
         while let Some(id) = self.requests.overdue(now) {
             self.counters.overdue += 1;
-            self.finish(id, Final::Failed { overdue: true });
-            self.events.push_back(Event::Left { id });
+            self.finish(id, FinalResponse::Failed { overdue: true });
+            self.events.push_back(Event::ClientDisconnected { id });
             self.run();
         }
         if now >= self.tidied_ms + HOUSEKEEPING_MS {
@@ -180,45 +180,56 @@
     fn carry_out(&mut self, action: Action) {
         let now = self.clock.now();
         match action {
-            Action::Send { id, to, source, join, only_held, renew, max_age, keep, timeout, start_by } => {
+            Action::Forward {
+                id,
+                to,
+                source,
+                join,
+                only_if_cached,
+                revalidate,
+                max_age,
+                keep,
+                timeout,
+                first_byte_by,
+            } => {
                 let Some(number) = self.requests.number(id) else { return };
                 self.counters.attempts += 1;
                 let (max_age_ms, due_ms) = (millis(max_age), now + millis(timeout));
-                let start_by_ms = millis(start_by);
+                let first_byte_by_ms = millis(first_byte_by);
                 let source = source.filter(|s| *s != to);
                 let (conn, stage, sent_ms, moves) = (0, Stage::Queued, now, 0);
                 let id_text = self.requests.get(id).map(|ask| ask.id_text.clone()).unwrap_or_default();
                 #[rustfmt::skip]
                 let attempt = Attempt {
-                    id_text, to, source, join, only_held, renew, max_age_ms, keep, sent_ms, due_ms, start_by_ms,
+                    id_text, to, source, join, only_if_cached, revalidate, max_age_ms, keep, sent_ms, due_ms, first_byte_by_ms,
                     conn, stage, moves,
                 };
                 self.place(now, (id, number), attempt);
             }
-            Action::Refuse { id, wait } => {
+            Action::Reject { id, wait } => {
                 let overdue = self.is_overdue(now, id);
-                self.finish(id, Final::Refused { wait_ms: millis(wait), overdue });
+                self.finish(id, FinalResponse::Rejected { wait_ms: millis(wait), overdue });
             }
             Action::Fail { id } => {
                 let overdue = self.is_overdue(now, id);
-                self.finish(id, Final::Failed { overdue });
+                self.finish(id, FinalResponse::Failed { overdue });
             }
             Action::Cancel { id, attempt } => {
                 let id = (id, attempt);
                 if self.attempts.get(id).is_some() {
                     self.counters.attempts_cancelled += 1;
                     self.detach(id, true);
-                    self.settle(id, Verdict::Cancelled);
+                    self.settle(id, AttemptOutcome::Cancelled);
                 }
             }
-            Action::Timer { token, at } => self.timers.push(millis(at), token),
+            Action::SetTimer { token, at } => self.timers.push(millis(at), token),
             // Probes are not allowed on this platform, and its PING tells only that a connection works.
-            Action::Probe { .. } if self.probed => {}
-            Action::Probe { member } => {
-                self.events.push_back(Event::Probed { member, verdict: Verdict::NeverSent });
+            Action::CheckHealth { .. } if self.probed => {}
+            Action::CheckHealth { member } => {
+                self.events.push_back(Event::HealthChecked { member, outcome: AttemptOutcome::NotSent });
             }
             // The bulletin tells all changes unasked.
-            Action::Subscribe => {}
+            Action::Watch => {}
         }
     }
 }
--- a/src/engine/upstream.rs
+++ b/src/engine/upstream.rs
@@ -4,7 +4,7 @@
 use crate::state::attempts::{Attempt, AttemptId};
 use crate::state::connections::ConnId;
 use crate::wire::cache_codec::Command;
-use crate::Verdict;
+use crate::AttemptOutcome;
 use std::collections::VecDeque;
 
 /// How long before a member closes an idle connection this side does, as a share of that time.
@@ -24,25 +24,25 @@
     /// A connection did not come up. `local` says that the fault is this machine's own.
     pub fn connect_failed(&mut self, conn: ConnId, local: bool) {
         self.counters.connect_failures += 1;
-        let verdict = if local { Verdict::NeverSent } else { Verdict::NoConnection };
-        self.closed(conn, Verdict::Broken).into_iter().for_each(|id| self.settle(id, verdict));
+        let outcome = if local { AttemptOutcome::NotSent } else { AttemptOutcome::NoConnection };
+        self.closed(conn, AttemptOutcome::ConnectionLost).into_iter().for_each(|id| self.settle(id, outcome));
         self.run();
     }
 
     /// A connection ended that had come up.
     pub fn broken(&mut self, conn: ConnId) {
-        self.ended(conn, Verdict::Broken);
+        self.ended(conn, AttemptOutcome::ConnectionLost);
     }
 
     /// What came over a connection can't be used, and so nothing that may still come over it.
     pub fn spoilt(&mut self, conn: ConnId) {
         self.counters.spoilt += 1;
-        self.ended(conn, Verdict::Spoilt);
+        self.ended(conn, AttemptOutcome::Malformed);
     }
 
     /// What was written may have run. What was not goes to another connection at once: one that ends while it is
     /// idle proves no dead process; only a connect that fails does.
-    fn ended(&mut self, conn: ConnId, written: Verdict) {
+    fn ended(&mut self, conn: ConnId, written: AttemptOutcome) {
         let unwritten = self.closed(conn, written);
         let now = self.clock.now();
         for id in unwritten {
@@ -53,21 +53,21 @@
                 self.place(now, id, Attempt { moves, ..attempt });
             } else {
                 self.attempts.put(id, attempt);
-                self.settle(id, Verdict::NoConnection);
+                self.settle(id, AttemptOutcome::NoConnection);
             }
         }
         self.run();
     }
 
     /// Forgets a connection and settles what was written to it; tells what was not.
-    fn closed(&mut self, conn: ConnId, verdict: Verdict) -> VecDeque<AttemptId> {
+    fn closed(&mut self, conn: ConnId, outcome: AttemptOutcome) -> VecDeque<AttemptId> {
         let Some(c) = self.connections.remove(conn) else { return VecDeque::new() };
         if !c.out.is_empty() {
             self.counters.broken += 1;
         }
         let mut written: Vec<AttemptId> = c.out.into_values().collect();
         written.sort_unstable();
-        written.into_iter().for_each(|id| self.settle(id, verdict));
+        written.into_iter().for_each(|id| self.settle(id, outcome));
         c.queue
     }
 
@@ -88,7 +88,7 @@
                 return Next::Write(Command::Get(Box::new(get)));
             }
             self.counters.attempts_stale += 1;
-            self.settle(id, Verdict::NeverSent);
+            self.settle(id, AttemptOutcome::NotSent);
             self.run();
         }
     }
--- a/src/grpc/admission.rs
+++ b/src/grpc/admission.rs
@@ -5,7 +5,7 @@
 use super::calls::Outcome;
 use crate::admission::control::AdmissionControl;
 use crate::admission::fair::Verdict;
-use crate::state::requests::{Ask, Final};
+use crate::state::requests::{FinalResponse, IncomingRequest};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -62,7 +62,13 @@
     ) -> Entry {
         let id = self.next.get() + 1;
         self.next.set(id);
-        let ask = Ask { id, group: tenant, give_up_ms, client: Some(client), ..Ask::default() };
+        let ask = IncomingRequest {
+            id,
+            group: tenant,
+            give_up_ms,
+            client: Some(client),
+            ..IncomingRequest::default()
+        };
         let at = now();
         let pass = |id| Pass { door: self.clone(), id, now: Box::new(now), outcome: Cell::new(None) };
         match self.with(|admission| admission.arrive(at, ask)) {
@@ -116,9 +122,9 @@
             return;
         }
         let answer = match self.outcome.get() {
-            Some(Outcome::Served) => Some(Final::Served { tag: None, body: Default::default() }),
-            Some(Outcome::Refused) => Some(Final::Refused { wait_ms: 0.0, overdue: false }),
-            Some(Outcome::Failed) => Some(Final::Failed { overdue: false }),
+            Some(Outcome::Served) => Some(FinalResponse::Served { tag: None, body: Default::default() }),
+            Some(Outcome::Refused) => Some(FinalResponse::Rejected { wait_ms: 0.0, overdue: false }),
+            Some(Outcome::Failed) => Some(FinalResponse::Failed { overdue: false }),
             _ => None,
         };
         let released = door.with(|admission| admission.ended(now, id, answer.as_ref())).unwrap_or_default();
--- a/src/grpc/calls.rs
+++ b/src/grpc/calls.rs
@@ -9,8 +9,8 @@
 use super::routes::{Affinity, Kind, Route};
 use super::status::{judge, Code, End, Judgement, Pushback, CODES};
 use crate::clock::{micros, millis};
-use crate::interface::{Repeat, Settings};
-use crate::{Action, Event, Life, Listing, MemberId, Note, Role, Router, Verdict};
+use crate::interface::{Idempotency, PolicySettings};
+use crate::{Action, AttemptOutcome, CacheStatus, Endpoint, EndpointId, EndpointState, Event, Router, Tier};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 /// A call's number; never used again.
 pub type CallId = u64;
 /// The member that stands for what lies behind every backend.
-pub const BEHIND: MemberId = MemberId::MAX;
+pub const BEHIND: EndpointId = EndpointId::MAX;
 /// With less left of a call's time, in milliseconds, it ends for want of it.
 const OVER_MS: f64 = 10.0;
 /// Taken off a client's time, in milliseconds, for the way back ...
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
     /// Its id, the same at every proxy.
-    pub id: MemberId,
+    pub id: EndpointId,
     /// Where it listens.
     pub address: SocketAddr,
     /// It takes new calls; one that doesn't finishes what it has.
@@ -86,7 +86,7 @@
     /// Its number within the call, from 0.
     pub attempt: u32,
     /// The backend.
-    pub member: MemberId,
+    pub member: EndpointId,
     /// Where it listens.
     pub address: SocketAddr,
 }
@@ -132,7 +132,7 @@
     /// Its name.
     pub name: String,
     /// The module's settings for it: one class a route.
-    pub settings: Settings,
+    pub settings: PolicySettings,
 }
 
 /// Figures of a pool.
@@ -157,14 +157,14 @@
 struct Pool {
     name: String,
     router: Router,
-    settings: Settings,
-    backends: BTreeMap<MemberId, Backend>,
+    settings: PolicySettings,
+    backends: BTreeMap<EndpointId, Backend>,
     figures: PoolFigures,
 }
 
 struct Out {
     number: u32,
-    member: MemberId,
+    member: EndpointId,
     sent_ms: f64,
     /// When this attempt is given up, for unary calls that may be repeated.
     due_ms: f64,
@@ -194,7 +194,7 @@
 
 /// What the module wants of one call.
 enum Wish {
-    Send { to: MemberId, timeout_ms: f64 },
+    Send { to: EndpointId, timeout_ms: f64 },
     Refuse { wait_ms: f64 },
     Fail,
 }
@@ -242,18 +242,19 @@
     pub fn list(&mut self, now: f64, pool: usize, backends: &[Backend]) {
         let Some(pool) = self.pools.get_mut(pool) else { return };
         pool.backends = backends.iter().map(|b| (b.id, b.clone())).collect();
-        let line = |id, role, life, weight| Listing { id, role, life, started: 0, weight, zone: 0, cell: 0 };
-        let life = |live| if live { Life::Live } else { Life::Draining };
-        let mut entries: Vec<Listing> =
-            pool.backends.values().map(|b| line(b.id, Role::Cache, life(b.live), b.weight)).collect();
-        entries.push(line(BEHIND, Role::Origin, Life::Live, 1.0));
-        let event = Event::Members { full: true, entries };
+        let line =
+            |id, tier, state, weight| Endpoint { id, tier, state, started_at: 0, weight, zone: 0, cell: 0 };
+        let state = |live| if live { EndpointState::Active } else { EndpointState::Draining };
+        let mut entries: Vec<Endpoint> =
+            pool.backends.values().map(|b| line(b.id, Tier::Cache, state(b.live), b.weight)).collect();
+        entries.push(line(BEHIND, Tier::Origin, EndpointState::Active, 1.0));
+        let event = Event::EndpointsChanged { full: true, entries };
         pool.router.handle(micros(now), &event, &mut self.actions);
         self.actions.clear();
     }
 
     /// Whether a backend of a pool takes new calls.
-    pub fn takes(&self, pool: usize, member: MemberId) -> bool {
+    pub fn takes(&self, pool: usize, member: EndpointId) -> bool {
         self.pools.get(pool).and_then(|p| p.backends.get(&member)).is_some_and(|b| b.live)
     }
 
@@ -281,8 +282,8 @@
         let (pool, class) = (route.pool, route.class);
         let (out, attempts, replayable, kept, last) = (None, 0, true, 0, None);
         self.calls.insert(id, Call { route, give_up_ms, out, attempts, replayable, kept, last });
-        let give_up_at = micros(give_up_ms);
-        let event = Event::Request { id, class, object, group: 0, part: 0, size_kb: 0.0, give_up_at };
+        let deadline_at = micros(give_up_ms);
+        let event = Event::Request { id, class, object, group: 0, part: 0, size_kb: 0.0, deadline_at };
         let wish = self.tell(now, pool, id, &event);
         (id, self.follow(now, id, wish))
     }
@@ -315,7 +316,7 @@
         let pool = call.route.pool;
         let Some(out) = &mut call.out else { return };
         out.committed_ms = Some(now);
-        let event = Event::Streaming { id, attempt: out.number };
+        let event = Event::ResponseStarted { id, attempt: out.number };
         self.release(id);
         self.tell(now, pool, id, &event);
     }
@@ -357,13 +358,14 @@
         // The client's own end of time says nothing of the backend, unless the attempt had its usual wait.
         let over = end == End::TimedOut && left < OVER_MS;
         let again = judged.again && replayable && left >= OVER_MS;
-        let verdict = if over && route.kind == Kind::Stream { Verdict::Cancelled } else { judged.verdict };
-        let event = Event::Outcome {
+        let outcome =
+            if over && route.kind == Kind::Stream { AttemptOutcome::Cancelled } else { judged.outcome };
+        let event = Event::AttemptEnded {
             id,
             attempt: out.number,
-            verdict,
-            note: Note::Silent,
-            took: micros(until - out.sent_ms),
+            outcome,
+            cache_status: CacheStatus::Unknown,
+            elapsed: micros(until - out.sent_ms),
             closed: !again,
         };
         self.pools[route.pool].figures.stale += u64::from(end == End::Stale);
@@ -378,11 +380,17 @@
     pub fn left(&mut self, now: f64, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let (out, pool) = (call.out.take(), call.route.pool);
-        self.tell(now, pool, id, &Event::Left { id });
+        self.tell(now, pool, id, &Event::ClientDisconnected { id });
         if let Some(out) = out {
-            let (took, verdict) = (micros(now - out.sent_ms), Verdict::Cancelled);
-            let event =
-                Event::Outcome { id, attempt: out.number, verdict, note: Note::Silent, took, closed: true };
+            let (elapsed, outcome) = (micros(now - out.sent_ms), AttemptOutcome::Cancelled);
+            let event = Event::AttemptEnded {
+                id,
+                attempt: out.number,
+                outcome,
+                cache_status: CacheStatus::Unknown,
+                elapsed,
+                closed: true,
+            };
             self.tell(now, pool, id, &event);
         }
         self.forget(id);
@@ -394,12 +402,18 @@
         let Some(call) = self.calls.get_mut(&id) else { return Self::forgotten() };
         let pool = call.route.pool;
         if let Some(out) = call.out.take() {
-            let (took, verdict) = (micros(now - out.sent_ms), Verdict::Cancelled);
-            let event =
-                Event::Outcome { id, attempt: out.number, verdict, note: Note::Silent, took, closed: true };
+            let (elapsed, outcome) = (micros(now - out.sent_ms), AttemptOutcome::Cancelled);
+            let event = Event::AttemptEnded {
+                id,
+                attempt: out.number,
+                outcome,
+                cache_status: CacheStatus::Unknown,
+                elapsed,
+                closed: true,
+            };
             self.tell(now, pool, id, &event);
         } else {
-            self.tell(now, pool, id, &Event::Left { id });
+            self.tell(now, pool, id, &Event::ClientDisconnected { id });
         }
         self.forget(id);
         Self::count(&mut self.pools[pool].figures, answer.outcome, answer.code);
@@ -450,10 +464,10 @@
         let mut wish = None;
         for action in actions.drain(..) {
             match action {
-                Action::Send { id: of, to, timeout, .. } if of == id => {
+                Action::Forward { id: of, to, timeout, .. } if of == id => {
                     wish = Some(Wish::Send { to, timeout_ms: millis(timeout) });
                 }
-                Action::Refuse { id: of, wait } if of == id => {
+                Action::Reject { id: of, wait } if of == id => {
                     wish = Some(Wish::Refuse { wait_ms: millis(wait) })
                 }
                 Action::Fail { id: of } if of == id => wish = Some(Wish::Fail),
@@ -476,7 +490,7 @@
                 };
                 // Giving up early pays only where another attempt may follow.
                 let due_ms = match (call.route.kind, call.route.repeat) {
-                    (Kind::Unary, Repeat::Safe | Repeat::Keyed) => now + timeout_ms,
+                    (Kind::Unary, Idempotency::Idempotent | Idempotency::WithKey) => now + timeout_ms,
                     _ => f64::INFINITY,
                 };
                 let attempt = call.attempts;
@@ -508,9 +522,10 @@
             _ if left < OVER_MS => (Code::DEADLINE_EXCEEDED, "the call's time is over"),
             None => (Code::UNAVAILABLE, "no backend takes the call"),
             Some(End::TimedOut) => (Code::UNAVAILABLE, "no backend answered in time"),
-            Some(end) => {
-                (judge(end, false, Repeat::Safe, &[]).code, "the call's attempts failed at their backends")
-            }
+            Some(end) => (
+                judge(end, false, Idempotency::Idempotent, &[]).code,
+                "the call's attempts failed at their backends",
+            ),
         };
         let pushback = match refused {
             Some(_) => come_back_ms.map(Pushback::After),
@@ -526,7 +541,7 @@
         let (last, route) = (call.last, call.route.clone());
         self.forget(id);
         let figures = &mut self.pools[route.pool].figures;
-        let harmless = !committed && (route.repeat == Repeat::Safe || judged.verdict.never_ran());
+        let harmless = !committed && (route.repeat == Idempotency::Idempotent || judged.outcome.never_ran());
         let busy = judged.code == Code::UNAVAILABLE || judged.code == Code::RESOURCE_EXHAUSTED;
         let over = left < OVER_MS && !matches!(last, Some(End::Status(..)));
         let outcome = match judged.code {
--- a/src/grpc/config.rs
+++ b/src/grpc/config.rs
@@ -4,7 +4,7 @@
 use super::routes::{Affinity, Kind, Route, Routes};
 use super::status::Code;
 use crate::admission::config::AdmissionConfig;
-use crate::interface::{Class, ColdStart, KeyScope, Repeat, Settings};
+use crate::interface::{Idempotency, KeyScope, PolicySettings, RequestClass, SlowStart};
 use crate::lifecycle::config::{address, read_json, ConfigError};
 use crate::state::connections;
 use serde::Deserialize;
@@ -315,7 +315,7 @@
     /// The table of methods, and what the module is told of each pool.
     pub fn compile(&self) -> Result<(Routes, Vec<PoolSpec>), String> {
         let mut routes = Routes::default();
-        let mut classes: Vec<Vec<Class>> = vec![Vec::new(); self.pools.len()];
+        let mut classes: Vec<Vec<RequestClass>> = vec![Vec::new(); self.pools.len()];
         for line in &self.routes {
             let bad = |why: String| format!("{:?}: {why}", line.method);
             let pool = self.pools.iter().position(|p| p.name == line.pool);
@@ -335,10 +335,10 @@
                 name.map(|n| n.as_str().to_string()).map_err(|_| bad("no header's name".into()))
             };
             let (repeat, key) = match (line.repeat, &line.key) {
-                (RepeatConfig::Safe, None) => (Repeat::Safe, None),
-                (RepeatConfig::Never, None) => (Repeat::Unsafe, None),
+                (RepeatConfig::Safe, None) => (Idempotency::Idempotent, None),
+                (RepeatConfig::Never, None) => (Idempotency::NotIdempotent, None),
                 (RepeatConfig::Keyed, Some(name)) if line.key_window_ms > 0.0 => {
-                    (Repeat::Keyed, Some(header(name)?))
+                    (Idempotency::WithKey, Some(header(name)?))
                 }
                 _ => return Err(bad("`key` and `key_window_ms` go with `keyed`, and only there".into())),
             };
@@ -353,16 +353,16 @@
             };
             let us = |ms: f64| (ms * 1_000.0) as u64;
             let class = classes[pool].len();
-            classes[pool].push(Class {
-                aim: us(line.aim_ms),
-                aim_stretch: 0.0,
+            classes[pool].push(RequestClass {
+                latency_objective: us(line.aim_ms),
+                latency_stretch: 0.0,
                 deadline: us(deadline),
-                repeat,
+                idempotency: repeat,
                 key_scope: KeyScope::All,
                 key_window: us(line.key_window_ms),
-                worth: 1.0,
-                fresh_for: 0,
-                stale_for: 0,
+                priority_weight: 1.0,
+                fresh_lifetime: 0,
+                stale_while_revalidate: 0,
                 uncacheable: true,
             });
             let (kind, deadline_ms) = (line.kind, line.deadline_ms);
@@ -412,24 +412,25 @@
 }
 
 /// What the module is told of a pool: its backends take all there is, warm from the start, and nothing is kept.
-fn settings(pool: &PoolConfig, classes: Vec<Class>) -> Settings {
-    let warm = ColdStart { floor: 1.0, ramp: 0, multiple: 1.0, window: 0 };
-    Settings {
+fn settings(pool: &PoolConfig, classes: Vec<RequestClass>) -> PolicySettings {
+    let warm =
+        SlowStart { initial_capacity: 1.0, ramp_duration: 0, overload_multiple: 1.0, overload_window: 0 };
+    PolicySettings {
         classes,
-        routers: 1,
-        routers_here: 1,
-        flow_kb_per_s: 0.0,
+        fleet_size: 1,
+        local_fleet_size: 1,
+        client_kb_per_s: 0.0,
         weights_known: pool.backends.iter().any(|b| b.weight.is_some()),
-        joins: false,
-        bypass: false,
-        hit_notes: false,
-        purge_done: 0,
+        can_join_fills: false,
+        can_bypass_caches: false,
+        reports_cache_status: false,
+        purge_completion: 0,
         max_attempts: pool.attempts,
-        cancelling: true,
-        probing: false,
-        max_wait_hint: (pool.come_back_most_ms * 1_000.0) as u64,
-        subscribe: false,
-        cache_cold: warm,
-        parent_cold: warm,
+        can_cancel: true,
+        can_check_health: false,
+        max_retry_after: (pool.come_back_most_ms * 1_000.0) as u64,
+        watch_endpoints: false,
+        cache_slow_start: warm,
+        parent_slow_start: warm,
     }
 }
--- a/src/grpc/routes.rs
+++ b/src/grpc/routes.rs
@@ -1,7 +1,7 @@
 //! Which method goes to which pool, and what it may: the table of an operator file, compiled once. No I/O.
 
 use super::status::Code;
-use crate::interface::Repeat;
+use crate::interface::Idempotency;
 use ahash::AHashMap;
 use sha2::{Digest, Sha256};
 use std::collections::hash_map::Entry;
@@ -38,7 +38,7 @@
     /// Unary or not.
     pub kind: Kind,
     /// Whether it may be repeated.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// The header that must hold an idempotency key.
     pub key: Option<String>,
     /// The longest that a call may take, in milliseconds; none where only the client says.
--- a/src/grpc/routes/tests.rs
+++ b/src/grpc/routes/tests.rs
@@ -5,7 +5,7 @@
         pool: 0,
         class,
         kind: Kind::Unary,
-        repeat: Repeat::Safe,
+        repeat: Idempotency::Idempotent,
         key: None,
         deadline_ms: None,
         retry: Vec::new(),
--- a/src/grpc/status.rs
+++ b/src/grpc/status.rs
@@ -5,8 +5,8 @@
 //! tried again gRFC A6 (client retries): a call is committed once the response's headers went to its client, and
 //! what a backend surely did not process may always be tried again.
 
-use crate::interface::Repeat;
-use crate::Verdict;
+use crate::interface::Idempotency;
+use crate::AttemptOutcome;
 use percent_encoding::{utf8_percent_encode, AsciiSet, CONTROLS};
 
 /// A status code. What a peer sent beyond the named ones reads as [`Code::UNKNOWN`].
@@ -171,9 +171,9 @@
 /// What an end says.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Judgement {
-    /// To the decision module. For a caller's own error this is [`Verdict::Cancelled`], which says nothing of the
+    /// To the decision module. For a caller's own error this is [`AttemptOutcome::Cancelled`], which says nothing of the
     /// backend's health.
-    pub verdict: Verdict,
+    pub outcome: AttemptOutcome,
     /// The status that a client would get of it.
     pub code: Code,
     /// Whether the module may be asked for another attempt; a committed call never gets one.
@@ -182,36 +182,36 @@
 
 /// Judges the end of an attempt. `committed` says that the client has the response's headers; `retry` are the
 /// statuses after which a method that may be repeated is tried again.
-pub fn judge(end: End, committed: bool, repeat: Repeat, retry: &[Code]) -> Judgement {
-    let repeatable = repeat != Repeat::Unsafe;
+pub fn judge(end: End, committed: bool, repeat: Idempotency, retry: &[Code]) -> Judgement {
+    let repeatable = repeat != Idempotency::NotIdempotent;
     let by_code = |code: Code| {
         let busy = code == Code::UNAVAILABLE || code == Code::RESOURCE_EXHAUSTED;
         match code {
-            Code::OK => Verdict::Served,
-            Code::DEADLINE_EXCEEDED => Verdict::TimedOut,
+            Code::OK => AttemptOutcome::Served,
+            Code::DEADLINE_EXCEEDED => AttemptOutcome::TimedOut,
             // Whether it ran is not told: only where a repeat does no harm is it taken for not taken.
-            _ if busy && !committed && repeat == Repeat::Safe => Verdict::Refused,
-            code if code.is_callers() => Verdict::Cancelled,
-            _ => Verdict::Error,
+            _ if busy && !committed && repeat == Idempotency::Idempotent => AttemptOutcome::Rejected,
+            code if code.is_callers() => AttemptOutcome::Cancelled,
+            _ => AttemptOutcome::Error,
         }
     };
-    let (verdict, code, again) = match end {
+    let (outcome, code, again) = match end {
         End::Status(code, pushback) => {
             (by_code(code), code, repeatable && pushback.is_none() && retry.contains(&code))
         }
         End::Http(status) => {
             let code = Code::of_http(status);
-            (Verdict::Error, code, repeatable && retry.contains(&code))
+            (AttemptOutcome::Error, code, repeatable && retry.contains(&code))
         }
-        End::Reset(reason) => (Verdict::Error, Code::of_reset(reason), repeatable),
-        End::Unprocessed => (Verdict::Refused, Code::UNAVAILABLE, true),
-        End::NoConnection { local: true } | End::Stale => (Verdict::NeverSent, Code::UNAVAILABLE, true),
-        End::NoConnection { local: false } => (Verdict::NoConnection, Code::UNAVAILABLE, true),
-        End::Broken => (Verdict::Broken, Code::UNAVAILABLE, repeatable),
-        End::Cut | End::Spoilt => (Verdict::Error, Code::INTERNAL, repeatable),
-        End::TimedOut => (Verdict::TimedOut, Code::DEADLINE_EXCEEDED, repeatable),
+        End::Reset(reason) => (AttemptOutcome::Error, Code::of_reset(reason), repeatable),
+        End::Unprocessed => (AttemptOutcome::Rejected, Code::UNAVAILABLE, true),
+        End::NoConnection { local: true } | End::Stale => (AttemptOutcome::NotSent, Code::UNAVAILABLE, true),
+        End::NoConnection { local: false } => (AttemptOutcome::NoConnection, Code::UNAVAILABLE, true),
+        End::Broken => (AttemptOutcome::ConnectionLost, Code::UNAVAILABLE, repeatable),
+        End::Cut | End::Spoilt => (AttemptOutcome::Error, Code::INTERNAL, repeatable),
+        End::TimedOut => (AttemptOutcome::TimedOut, Code::DEADLINE_EXCEEDED, repeatable),
     };
-    Judgement { verdict, code, again: again && !committed }
+    Judgement { outcome, code, again: again && !committed }
 }
 
 #[cfg(test)]
--- a/src/grpc/status/tests.rs
+++ b/src/grpc/status/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const ALL: [Repeat; 3] = [Repeat::Safe, Repeat::Keyed, Repeat::Unsafe];
+const ALL: [Idempotency; 3] = [Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent];
 
 #[test]
 fn codes_are_read_and_named() {
@@ -27,12 +27,12 @@
     ends.extend([200, 400, 404, 429, 500, 503].map(End::Http));
     let all: Vec<Code> = (0..17).map(Code::of).collect();
     for end in &ends {
-        let judged = judge(*end, false, Repeat::Unsafe, &all);
-        assert!(!judged.again && !judged.verdict.never_ran(), "{end:?}: {judged:?}");
+        let judged = judge(*end, false, Idempotency::NotIdempotent, &all);
+        assert!(!judged.again && !judged.outcome.never_ran(), "{end:?}: {judged:?}");
     }
     for end in [End::Unprocessed, End::NoConnection { local: false }, End::Stale] {
-        let judged = judge(end, false, Repeat::Unsafe, &[]);
-        assert!(judged.again && judged.verdict.never_ran(), "{end:?}: {judged:?}");
+        let judged = judge(end, false, Idempotency::NotIdempotent, &[]);
+        assert!(judged.again && judged.outcome.never_ran(), "{end:?}: {judged:?}");
     }
     ends.extend([End::Unprocessed, End::Stale]);
     for (end, repeat) in ends.iter().flat_map(|e| ALL.map(|r| (*e, r))) {
@@ -45,12 +45,15 @@
 fn only_ok_is_served_and_the_callers_own_errors_leave_the_backend_alone() {
     for (n, committed) in (0..17).flat_map(|n| [(n, false), (n, true)]) {
         let code = Code::of(n);
-        let judged = judge(End::Status(code, None), committed, Repeat::Safe, &[Code::UNAVAILABLE]);
-        assert_eq!(judged.verdict == Verdict::Served, code == Code::OK, "{code:?}");
-        assert_eq!(judged.verdict == Verdict::Cancelled, code.is_callers(), "{code:?}");
+        let judged = judge(End::Status(code, None), committed, Idempotency::Idempotent, &[Code::UNAVAILABLE]);
+        assert_eq!(judged.outcome == AttemptOutcome::Served, code == Code::OK, "{code:?}");
+        assert_eq!(judged.outcome == AttemptOutcome::Cancelled, code.is_callers(), "{code:?}");
         assert_eq!(judged.again, code == Code::UNAVAILABLE && !committed);
         assert_eq!(judged.code, code);
     }
     let told = End::Status(Code::UNAVAILABLE, Some(Pushback::After(50.0)));
-    assert!(!judge(told, false, Repeat::Safe, &[Code::UNAVAILABLE]).again, "it said when to come back");
+    assert!(
+        !judge(told, false, Idempotency::Idempotent, &[Code::UNAVAILABLE]).again,
+        "it said when to come back"
+    );
 }
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -5,7 +5,7 @@
 use crate::clock::{span, Clock};
 use crate::state::connections::{Bounds, ConnId, Connections, Place};
 use crate::wire::cache_connection::is_local;
-use crate::MemberId;
+use crate::EndpointId;
 use bytes::Bytes;
 use h2::client::SendRequest;
 use std::cell::RefCell;
@@ -40,7 +40,7 @@
     connections: RefCell<Connections>,
     links: RefCell<HashMap<ConnId, Link>>,
     /// Addresses by the number under which their connections are held.
-    addresses: RefCell<HashMap<SocketAddr, MemberId>>,
+    addresses: RefCell<HashMap<SocketAddr, EndpointId>>,
 }
 
 /// A call's place on a connection; it is free again once this is dropped.
@@ -73,9 +73,9 @@
         self.len() == 0
     }
 
-    fn number(&self, address: SocketAddr) -> MemberId {
+    fn number(&self, address: SocketAddr) -> EndpointId {
         let mut addresses = self.addresses.borrow_mut();
-        let next = addresses.len() as MemberId;
+        let next = addresses.len() as EndpointId;
         *addresses.entry(address).or_insert(next)
     }
 
--- a/src/http3/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -4,7 +4,7 @@
 use super::response_store::{Claim, Key, SessionId, Shelf, ShelfBounds, ShelfFigures};
 use crate::clock::span;
 use crate::engine::executor::Executor;
-use crate::state::requests::{Ask, Final, NotTaken};
+use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
     /// The host.
     pub host: Rc<Executor>,
     shelf: RefCell<Shelf>,
-    waiting: RefCell<HashMap<Key, Vec<oneshot::Sender<Final>>>>,
+    waiting: RefCell<HashMap<Key, Vec<oneshot::Sender<FinalResponse>>>>,
     hasher: ahash::RandomState,
     due: Notify,
 }
@@ -26,9 +26,9 @@
 /// What an asked call comes to.
 pub enum Kept {
     /// It has its answer.
-    Now(Final),
+    Now(FinalResponse),
     /// It is waited for.
-    Wait(oneshot::Receiver<Final>, Hold),
+    Wait(oneshot::Receiver<FinalResponse>, Hold),
 }
 
 /// One connection's wait for a call. Dropped without a word, the connection counts as lost, and the call goes on.
@@ -45,7 +45,7 @@
     }
 
     /// A client asks for a call of its session.
-    pub fn ask(self: &Rc<Self>, session: SessionId, ask: Ask) -> Result<Kept, NotTaken> {
+    pub fn ask(self: &Rc<Self>, session: SessionId, ask: IncomingRequest) -> Result<Kept, AdmitError> {
         let (key, now) = ((session, ask.id), self.host.clock.now());
         let write = self.host.env().is_write(ask.class);
         let same = (ask.class, ask.object, ask.part, ask.group, &ask.key, &ask.cached, &ask.body);
@@ -53,15 +53,17 @@
         let claim = self.shelf.borrow_mut().claim(now, key, digest, write);
         match claim {
             Claim::Done(answer) => return Ok(Kept::Now(answer)),
-            Claim::Conflict => return Err(NotTaken::Duplicate),
-            Claim::Full => return Ok(Kept::Now(Final::Refused { wait_ms: FULL_WAIT_MS, overdue: false })),
+            Claim::Conflict => return Err(AdmitError::Duplicate),
+            Claim::Full => {
+                return Ok(Kept::Now(FinalResponse::Rejected { wait_ms: FULL_WAIT_MS, overdue: false }))
+            }
             Claim::Joined => {}
             Claim::New => match self.host.ask(ask) {
                 Ok(answer) => {
                     let own = self.clone();
                     self.host.spawn("a kept call", async move {
                         // A call that was called off has no answer, and nobody who waits for one.
-                        let answer = answer.await.unwrap_or(Final::Failed { overdue: false });
+                        let answer = answer.await.unwrap_or(FinalResponse::Failed { overdue: false });
                         own.finish(key, answer);
                     });
                 }
@@ -76,7 +78,7 @@
         Ok(Kept::Wait(heard, Hold { keeper: self.clone(), key: Some(key) }))
     }
 
-    fn finish(&self, key: Key, answer: Final) {
+    fn finish(&self, key: Key, answer: FinalResponse) {
         let now = self.host.clock.now();
         self.shelf.borrow_mut().finished(now, key, &answer);
         for client in self.waiting.borrow_mut().remove(&key).unwrap_or_default() {
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -5,7 +5,7 @@
 use super::response_store::SessionId;
 use super::session::Sessions;
 use crate::engine::executor::Executor;
-use crate::state::requests::{Final, NotTaken};
+use crate::state::requests::{AdmitError, FinalResponse};
 use crate::wire::http::{HttpAnswer, HttpRequest};
 use crate::wire::listener::{Context, Front, Intake, Limits};
 use crate::wire::signed::{range, Range};
@@ -82,20 +82,20 @@
 
     fn take(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Intake {
         match self.inner.take(host, request, now) {
-            Intake::Ask(ask, mut context) => {
+            Intake::IncomingRequest(ask, mut context) => {
                 let header = |name| request.single(name).ok().flatten().map(String::from);
                 if request.method == "GET" {
                     (context.range, context.if_range) = (header("range"), header("if-range"));
                 }
                 let (id, token) = self.session(request, now);
                 (context.session, context.session_token) = (Some(id), token);
-                Intake::Ask(ask, context)
+                Intake::IncomingRequest(ask, context)
             }
             now => now,
         }
     }
 
-    fn word(&self, context: &Context, answer: Final) -> HttpAnswer {
+    fn word(&self, context: &Context, answer: FinalResponse) -> HttpAnswer {
         let answer = part(context, self.inner.word(context, answer)).with("Accept-Ranges", "bytes");
         match &context.session_token {
             Some(token) => answer.with(SESSION, token.clone()),
@@ -103,7 +103,7 @@
         }
     }
 
-    fn not_taken(&self, why: NotTaken) -> HttpAnswer {
+    fn not_taken(&self, why: AdmitError) -> HttpAnswer {
         self.inner.not_taken(why)
     }
 
--- a/src/http3/response_store.rs
+++ b/src/http3/response_store.rs
@@ -5,7 +5,7 @@
 //! taken is never taken again for being asked again. A read whose client is gone runs on for a while only; a write
 //! always runs to its end. What is held is bounded in number, by session and in bytes.
 
-use crate::state::requests::Final;
+use crate::state::requests::FinalResponse;
 use std::collections::{BTreeSet, HashMap};
 
 /// A session's number.
@@ -41,7 +41,7 @@
     /// It runs: its answer is to be waited for.
     Joined,
     /// It has its answer.
-    Done(Final),
+    Done(FinalResponse),
     /// Another request has the id.
     Conflict,
     /// No room: trying again does no harm.
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 enum State {
     Running { attached: u32, lost_ms: f64 },
-    Done { answer: Final, until_ms: f64, bytes: usize },
+    Done { answer: FinalResponse, until_ms: f64, bytes: usize },
 }
 
 #[derive(Clone, Debug)]
@@ -152,24 +152,24 @@
     }
 
     /// A call has its answer. Whether the shelf keeps it depends on what it is.
-    pub fn finished(&mut self, now: f64, key: Key, answer: &Final) {
+    pub fn finished(&mut self, now: f64, key: Key, answer: &FinalResponse) {
         let Some(entry) = self.entries.get(&key) else { return };
         let State::Running { lost_ms, .. } = entry.state else { return };
         self.lost.remove(&(bits(lost_ms + self.bounds.linger_ms), key));
         let write = entry.write;
         let (keep_ms, bytes) = match answer {
             // Nothing ran: asked again it is a new call, as it would be for a client that heard of it.
-            Final::Refused { .. } => (0.0, 0),
-            Final::Failed { .. } if !write => (0.0, 0),
-            Final::Failed { .. } | Final::Same { .. } => (self.kept_ms(write), 0),
-            Final::Served { body, .. } => (self.kept_ms(write), body.len()),
+            FinalResponse::Rejected { .. } => (0.0, 0),
+            FinalResponse::Failed { .. } if !write => (0.0, 0),
+            FinalResponse::Failed { .. } | FinalResponse::NotModified { .. } => (self.kept_ms(write), 0),
+            FinalResponse::Served { body, .. } => (self.kept_ms(write), body.len()),
         };
         if keep_ms <= 0.0 {
             return self.remove(key);
         }
         let fits = bytes + ENTRY_BYTES <= self.bounds.bytes && self.make_room(0, bytes);
         // A write whose answer has no room stays as one that may have run: it must not be taken for new.
-        let failed = Final::Failed { overdue: false };
+        let failed = FinalResponse::Failed { overdue: false };
         let (answer, bytes) = match fits {
             true => (answer, bytes),
             false if write => (&failed, 0),
--- a/src/http3/response_store/tests.rs
+++ b/src/http3/response_store/tests.rs
@@ -13,8 +13,8 @@
     }
 }
 
-fn served(n: usize) -> Final {
-    Final::Served { tag: Some("t".into()), body: Bytes::from(vec![1; n]) }
+fn served(n: usize) -> FinalResponse {
+    FinalResponse::Served { tag: Some("t".into()), body: Bytes::from(vec![1; n]) }
 }
 
 #[test]
@@ -31,15 +31,15 @@
     assert_eq!(shelf.claim(9_029.0, key, 5, true), Claim::Done(served(3)));
     assert_eq!(shelf.claim(9_030.0, key, 5, true), Claim::New, "past its time");
     // A failed write may have run: asked again, it is the same end.
-    shelf.finished(9_040.0, key, &Final::Failed { overdue: false });
-    assert_eq!(shelf.claim(9_050.0, key, 5, true), Claim::Done(Final::Failed { overdue: false }));
+    shelf.finished(9_040.0, key, &FinalResponse::Failed { overdue: false });
+    assert_eq!(shelf.claim(9_050.0, key, 5, true), Claim::Done(FinalResponse::Failed { overdue: false }));
     // One whose answer is too large for the shelf is not taken for new either.
     shelf.claim(9_045.0, (7, 3), 5, true);
     shelf.finished(9_046.0, (7, 3), &served(7_000));
-    assert_eq!(shelf.claim(9_047.0, (7, 3), 5, true), Claim::Done(Final::Failed { overdue: false }));
+    assert_eq!(shelf.claim(9_047.0, (7, 3), 5, true), Claim::Done(FinalResponse::Failed { overdue: false }));
     // A refused one did not.
     assert_eq!(shelf.claim(9_050.0, (7, 2), 5, true), Claim::New);
-    shelf.finished(9_060.0, (7, 2), &Final::Refused { wait_ms: 1.0, overdue: false });
+    shelf.finished(9_060.0, (7, 2), &FinalResponse::Rejected { wait_ms: 1.0, overdue: false });
     assert_eq!(shelf.claim(9_070.0, (7, 2), 5, true), Claim::New);
     assert_eq!(shelf.claim(9_070.0, (8, 2), 5, true), Claim::New, "another session's call is another");
 }
@@ -131,7 +131,7 @@
             prop_assert!(running.keys().all(|k| shelf.entries.contains_key(k)), "a running call was dropped");
         }
         for key in running.into_keys() {
-            shelf.finished(now, key, &Final::Refused { wait_ms: 0.0, overdue: false });
+            shelf.finished(now, key, &FinalResponse::Rejected { wait_ms: 0.0, overdue: false });
         }
         shelf.tick(now + 1e6);
         prop_assert_eq!((shelf.len(), shelf.bytes(), shelf.sessions.len()), (0, 0, 0));
--- a/src/http3/server.rs
+++ b/src/http3/server.rs
@@ -9,7 +9,7 @@
 use super::send_scheduler::{Priority, Turns};
 use crate::clock::span;
 use crate::engine::executor::Executor;
-use crate::state::requests::Final;
+use crate::state::requests::FinalResponse;
 use crate::wire::http::{HttpAnswer, HttpRequest};
 use crate::wire::listener::{Front, Intake, Open, Stop};
 use bytes::{Buf, Bytes, BytesMut};
@@ -341,7 +341,7 @@
     let now = driver.host.clock.now();
     let (mut ask, context) = match driver.front.take(&driver.host, request, now) {
         Intake::Now(answer) => return Some((answer, Priority { urgency: 0, incremental: false })),
-        Intake::Ask(ask, context) => (ask, context),
+        Intake::IncomingRequest(ask, context) => (ask, context),
     };
     let env = driver.host.env();
     // Writes first, then what is small; a clip's parts share what is left. The client's own word counts more.
@@ -362,7 +362,7 @@
             biased;
             heard = heard => {
                 hold.heard();
-                heard.unwrap_or(Final::Failed { overdue: false })
+                heard.unwrap_or(FinalResponse::Failed { overdue: false })
             }
             _ = shared.connection.closed() => {
                 // Its client's own word calls a read off; a link that was lost leaves it to the shelf.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -6,7 +6,7 @@
 /// A point in time or a span, in microseconds. Only differences matter; it never runs backwards.
 pub type Micros = u64;
 /// A cache, a parent or the origin, by the id that the host's list gives it.
-pub type MemberId = u32;
+pub type EndpointId = u32;
 /// A client's request, as one try of the client.
 pub type RequestId = u64;
 /// An object, whatever its part.
@@ -14,13 +14,13 @@
 
 /// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Repeats do no harm.
-    Safe,
+    Idempotent,
     /// Carries a key by which the caches of the class's [`KeyScope`] drop repeats for a while.
-    Keyed,
+    WithKey,
     /// May take effect once only.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// Which members drop the repeats of a keyed request.
@@ -36,103 +36,103 @@
 
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// Answers within this span earn the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this multiple of the request's own sending time.
-    pub aim_stretch: f64,
+    pub latency_stretch: f64,
     /// How long a client waits over all its tries.
     pub deadline: Micros,
     /// Whether it may be repeated.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// Who drops repeats of a keyed request.
     pub key_scope: KeyScope,
     /// For how long repeats are dropped, from the first attempt that may have run.
     pub key_window: Micros,
     /// Worth of one answer in time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// How long a copy is fresh; 0 is without limit.
-    pub fresh_for: Micros,
+    pub fresh_lifetime: Micros,
     /// How long past that a copy may still be served.
-    pub stale_for: Micros,
+    pub stale_while_revalidate: Micros,
     /// Never kept; it runs at the origin.
     pub uncacheable: bool,
 }
 
 /// How a kind of member behaves after its start.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdStart {
+pub struct SlowStart {
     /// Least share of its capacity at the start.
-    pub floor: f64,
+    pub initial_capacity: f64,
     /// When it is warm at the latest.
-    pub ramp: Micros,
+    pub ramp_duration: Micros,
     /// The multiple of its present capacity that pushes it over ...
-    pub multiple: f64,
+    pub overload_multiple: f64,
     /// ... if it lasts this long.
-    pub window: Micros,
+    pub overload_window: Micros,
 }
 
-impl ColdStart {
+impl SlowStart {
     /// Share of its full capacity that it has `since_start` after its start.
     pub fn capacity(&self, since_start: Micros) -> f64 {
-        if self.ramp == 0 {
+        if self.ramp_duration == 0 {
             return 1.0;
         }
-        let t = since_start as f64 / self.ramp as f64;
-        (self.floor + (1.0 - self.floor) * t).clamp(0.0, 1.0)
+        let t = since_start as f64 / self.ramp_duration as f64;
+        (self.initial_capacity + (1.0 - self.initial_capacity) * t).clamp(0.0, 1.0)
     }
 }
 
 /// What a router is told once, at its start.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct PolicySettings {
     /// The request classes; requests name them by place.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// Routers in all.
-    pub routers: u32,
+    pub fleet_size: u32,
     /// Routers that serve this router's location.
-    pub routers_here: u32,
+    pub local_fleet_size: u32,
     /// KB a second of one transfer to a client; 0 where unknown.
-    pub flow_kb_per_s: f64,
+    pub client_kb_per_s: f64,
     /// Members' weights say how many transfers fit on their link.
     pub weights_known: bool,
     /// A request may join a fill under way.
-    pub joins: bool,
+    pub can_join_fills: bool,
     /// Requests may pass the caches by.
-    pub bypass: bool,
+    pub can_bypass_caches: bool,
     /// Outcomes tell hits from fills.
-    pub hit_notes: bool,
+    pub reports_cache_status: bool,
     /// When every older copy is gone, from the purge.
-    pub purge_done: Micros,
+    pub purge_completion: Micros,
     /// The most attempts for a request.
     pub max_attempts: u32,
     /// Attempts may be called off.
-    pub cancelling: bool,
+    pub can_cancel: bool,
     /// Members may be probed.
-    pub probing: bool,
+    pub can_check_health: bool,
     /// The longest wait hint that clients honour; 0 where they get none.
-    pub max_wait_hint: Micros,
+    pub max_retry_after: Micros,
     /// The list of members must be subscribed to.
-    pub subscribe: bool,
+    pub watch_endpoints: bool,
     /// Caches after a start.
-    pub cache_cold: ColdStart,
+    pub cache_slow_start: SlowStart,
     /// Parents after a start.
-    pub parent_cold: ColdStart,
+    pub parent_slow_start: SlowStart,
 }
 
-impl Settings {
+impl PolicySettings {
     /// How a member of a role behaves after its start; the origin's start is not told of.
-    pub fn cold_start(&self, role: Role) -> &ColdStart {
-        match role {
-            Role::Parent => &self.parent_cold,
-            _ => &self.cache_cold,
+    pub fn cold_start(&self, tier: Tier) -> &SlowStart {
+        match tier {
+            Tier::Parent => &self.parent_slow_start,
+            _ => &self.cache_slow_start,
         }
     }
 
     /// Time that the sending of `size_kb` to a client takes, us; 0 where the size or the flow is unknown.
     pub fn sending_time(&self, size_kb: f64) -> f64 {
-        if size_kb > 0.0 && self.flow_kb_per_s > 0.0 {
-            size_kb / self.flow_kb_per_s * 1e6
+        if size_kb > 0.0 && self.client_kb_per_s > 0.0 {
+            size_kb / self.client_kb_per_s * 1e6
         } else {
             0.0
         }
@@ -141,11 +141,11 @@
 
 /// What a member is to this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
+pub enum Tier {
     /// A cache of this router's location.
     Cache,
     /// A cache elsewhere; never used.
-    FarCache,
+    RemoteCache,
     /// A parent cache.
     Parent,
     /// The origin.
@@ -154,26 +154,26 @@
 
 /// Where a member stands in its life, as far as the list knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum EndpointState {
     /// Takes work.
-    Live,
+    Active,
     /// Finishes what it has; must get nothing new.
     Draining,
     /// Withdrawn.
-    Gone,
+    Removed,
 }
 
 /// A line of the list of members.
 #[derive(Clone, Debug)]
-pub struct Listing {
+pub struct Endpoint {
     /// Its id.
-    pub id: MemberId,
+    pub id: EndpointId,
     /// What it is here.
-    pub role: Role,
+    pub tier: Tier,
     /// Its state.
-    pub life: Life,
+    pub state: EndpointState,
     /// When it started; 0 is long ago.
-    pub started: Micros,
+    pub started_at: Micros,
     /// Its size, comparable across members.
     pub weight: f64,
     /// Number of its zone.
@@ -184,51 +184,51 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AttemptOutcome {
     /// Answered; the client has it.
     Served,
     /// An error; it may have run.
     Error,
     /// Not taken; it did not run.
-    Refused,
+    Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection; it did not run.
     NoConnection,
     /// The connection broke; it may have run.
-    Broken,
+    ConnectionLost,
     /// What came over its connection can't be used; it may have run.
-    Spoilt,
+    Malformed,
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    NeverSent,
+    NotSent,
     /// Nothing suitable held; it did not run.
-    Miss,
+    CacheMiss,
 }
 
-impl Verdict {
+impl AttemptOutcome {
     /// Whether the attempt surely had no effect.
     pub fn never_ran(self) -> bool {
-        matches!(self, Self::Refused | Self::NoConnection | Self::NeverSent | Self::Miss)
+        matches!(self, Self::Rejected | Self::NoConnection | Self::NotSent | Self::CacheMiss)
     }
 
     /// Whether the member itself answered, whatever it said.
     pub fn is_answer(self) -> bool {
-        matches!(self, Self::Served | Self::Miss | Self::Refused | Self::Error)
+        matches!(self, Self::Served | Self::CacheMiss | Self::Rejected | Self::Error)
     }
 
     /// Whether the attempt was lost on its way to or from a member, which proves no load and no fault there.
     pub fn is_lost(self) -> bool {
-        matches!(self, Self::Broken | Self::Spoilt | Self::NoConnection | Self::NeverSent)
+        matches!(self, Self::ConnectionLost | Self::Malformed | Self::NoConnection | Self::NotSent)
     }
 }
 
 /// What an outcome says of the path it took, where the settings promise any such note.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum CacheStatus {
     /// Nothing is told.
-    Silent,
+    Unknown,
     /// From the cache's own copy.
     Hit,
     /// Filled from the source, or joined such a fill.
@@ -236,9 +236,9 @@
     /// The source refused, was not reached, broke off, was too slow or failed.
     SourceFailed,
     /// The source lacks the object.
-    SourceLacks,
+    NotAtSource,
     /// The cache has no place for a further fill.
-    NoFillPlace,
+    FillLimitReached,
     /// The origin failed behind the parent.
     OriginFailed,
 }
@@ -247,14 +247,14 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The list of members: all of it, or what changed.
-    Members {
+    EndpointsChanged {
         /// Members that are absent have gone.
         full: bool,
         /// The lines.
-        entries: Vec<Listing>,
+        entries: Vec<Endpoint>,
     },
     /// A call to the list failed, or the subscription broke.
-    ListLost,
+    WatchLost,
     /// A client's request, now owed one final answer.
     Request {
         /// Its id, new to this router.
@@ -270,38 +270,38 @@
         /// KB of this part; 0 where unknown.
         size_kb: f64,
         /// When the client gives this try up.
-        give_up_at: Micros,
+        deadline_at: Micros,
     },
     /// An attempt ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
         id: RequestId,
         /// Number of the attempt, from 0 in the order sent.
         attempt: u32,
         /// How it ended.
-        verdict: Verdict,
+        outcome: AttemptOutcome,
         /// What is told of the path.
-        note: Note,
+        cache_status: CacheStatus,
         /// Time since it was sent.
-        took: Micros,
+        elapsed: Micros,
         /// The request is concluded; nothing is owed.
         closed: bool,
     },
     /// An attempt's answer has begun to stream; the attempt is the client's now.
-    Streaming {
+    ResponseStarted {
         /// The request.
         id: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
     /// The client left; nothing is owed.
-    Left {
+    ClientDisconnected {
         /// The request.
         id: RequestId,
     },
     /// A timer came due.
     Timer {
-        /// The token of [`Action::Timer`].
+        /// The token of [`Action::SetTimer`].
         token: u64,
     },
     /// Copies from before a moment are out of date.
@@ -314,11 +314,11 @@
         ago: Micros,
     },
     /// A probe came back.
-    Probed {
+    HealthChecked {
         /// The member.
-        member: MemberId,
+        member: EndpointId,
         /// How the probe ended.
-        verdict: Verdict,
+        outcome: AttemptOutcome,
     },
 }
 
@@ -326,19 +326,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt. The next outcome number of the request belongs to it.
-    Send {
+    Forward {
         /// The request.
         id: RequestId,
         /// Where to.
-        to: MemberId,
+        to: EndpointId,
         /// Source of a fill; `None` for an attempt that passes through untouched.
-        source: Option<MemberId>,
+        source: Option<EndpointId>,
         /// Join a fill under way.
         join: bool,
         /// The source gives only what it holds, and asks nobody for what it lacks.
-        only_held: bool,
+        only_if_cached: bool,
         /// Serve an ageing copy and renew it behind.
-        renew: bool,
+        revalidate: bool,
         /// Oldest copy that will do; 0 is the class's fresh time.
         max_age: Micros,
         /// Rank at which a copy is kept; 0 passes it through.
@@ -346,10 +346,10 @@
         /// Time-out of the attempt.
         timeout: Micros,
         /// When its first byte must be out: later it could run again what has run. The host sends it no later.
-        start_by: Micros,
+        first_byte_by: Micros,
     },
     /// Final answer: refused; trying again does no harm.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// Wait hint; 0 for none.
@@ -368,17 +368,17 @@
         attempt: u32,
     },
     /// Probe a member.
-    Probe {
+    CheckHealth {
         /// The member.
-        member: MemberId,
+        member: EndpointId,
     },
     /// Ask for [`Event::Timer`].
-    Timer {
+    SetTimer {
         /// Handed back.
         token: u64,
         /// When.
         at: Micros,
     },
     /// Subscribe to the list of members.
-    Subscribe,
+    Watch,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,59 +1,59 @@
 //! Calicobeam decides for a request router that stands before tiers of caches with one origin behind them.
 //!
-//! It is sans-I/O: the host owns clock, threads and network. It makes a [`Router`] from [`Settings`] and a
+//! It is sans-I/O: the host owns clock, threads and network. It makes a [`Router`] from [`PolicySettings`] and a
 //! seed, hands it each [`Event`] with the time, and carries out the [`Action`]s that it gets back, in order.
 //! The same events at the same times with the same seed give the same actions.
 //!
-//! The host owes the router: one [`Event::Outcome`] for each [`Action::Send`], one [`Event::Probed`] for each
-//! [`Action::Probe`] and one [`Event::Timer`] for each [`Action::Timer`]; time that never runs
+//! The host owes the router: one [`Event::AttemptEnded`] for each [`Action::Forward`], one [`Event::HealthChecked`] for each
+//! [`Action::CheckHealth`] and one [`Event::Timer`] for each [`Action::SetTimer`]; time that never runs
 //! backwards; attempts numbered from 0 for each request in the order sent; and no event of a request after a
-//! restart. Every request gets one [`Action::Refuse`] or [`Action::Fail`], or is concluded by an outcome
-//! with `closed` set or by [`Event::Left`].
+//! restart. Every request gets one [`Action::Reject`] or [`Action::Fail`], or is concluded by an outcome
+//! with `closed` set or by [`Event::ClientDisconnected`].
 //!
 //! ```
 //! use edge_proxy::*;
-//! # fn settings() -> Settings {
-//! #     let cold = ColdStart { floor: 0.2, ramp: 15_000_000, multiple: 3.0, window: 2_000_000 };
-//! #     Settings {
-//! #         classes: vec![Class {
-//! #             aim: 400_000, aim_stretch: 2.0, deadline: 2_500_000, repeat: Repeat::Safe,
-//! #             key_scope: KeyScope::All, key_window: 0, worth: 1.0,
-//! #             fresh_for: 0, stale_for: 0, uncacheable: false,
+//! # fn settings() -> PolicySettings {
+//! #     let cold = SlowStart { initial_capacity: 0.2, ramp_duration: 15_000_000, overload_multiple: 3.0, overload_window: 2_000_000 };
+//! #     PolicySettings {
+//! #         classes: vec![RequestClass {
+//! #             latency_objective: 400_000, latency_stretch: 2.0, deadline: 2_500_000, idempotency: Idempotency::Idempotent,
+//! #             key_scope: KeyScope::All, key_window: 0, priority_weight: 1.0,
+//! #             fresh_lifetime: 0, stale_while_revalidate: 0, uncacheable: false,
 //! #         }],
-//! #         routers: 1, routers_here: 1, flow_kb_per_s: 5_000.0, weights_known: true,
-//! #         joins: true, bypass: true, hit_notes: false,
-//! #         purge_done: 6_000_000, max_attempts: 6,
-//! #         cancelling: true, probing: false, max_wait_hint: 500_000, subscribe: false,
-//! #         cache_cold: cold, parent_cold: cold,
+//! #         fleet_size: 1, local_fleet_size: 1, client_kb_per_s: 5_000.0, weights_known: true,
+//! #         can_join_fills: true, can_bypass_caches: true, reports_cache_status: false,
+//! #         purge_completion: 6_000_000, max_attempts: 6,
+//! #         can_cancel: true, can_check_health: false, max_retry_after: 500_000, watch_endpoints: false,
+//! #         cache_slow_start: cold, parent_slow_start: cold,
 //! #     }
 //! # }
-//! # fn listing(id: u32, role: Role) -> Listing {
-//! #     Listing { id, role, life: Life::Live, started: 0, weight: 5.0, zone: 0, cell: 0 }
+//! # fn listing(id: u32, tier: Tier) -> Endpoint {
+//! #     Endpoint { id, tier, state: EndpointState::Active, started_at: 0, weight: 5.0, zone: 0, cell: 0 }
 //! # }
 //! let mut router = Router::new(settings(), 7);
 //! let mut actions = Vec::new();
 //! let entries = vec![
-//!     listing(1, Role::Cache), listing(2, Role::Cache), listing(8, Role::Parent), listing(9, Role::Origin),
+//!     listing(1, Tier::Cache), listing(2, Tier::Cache), listing(8, Tier::Parent), listing(9, Tier::Origin),
 //! ];
-//! router.handle(0, &Event::Members { full: true, entries }, &mut actions);
+//! router.handle(0, &Event::EndpointsChanged { full: true, entries }, &mut actions);
 //!
 //! let request = Event::Request {
-//!     id: 1, class: 0, object: 42, group: 0, part: 0, size_kb: 100.0, give_up_at: 2_500_000,
+//!     id: 1, class: 0, object: 42, group: 0, part: 0, size_kb: 100.0, deadline_at: 2_500_000,
 //! };
 //! router.handle(1_000, &request, &mut actions);
 //! let sent = actions.iter().find_map(|action| match action {
-//!     Action::Send { id: 1, to, source: Some(8), .. } => Some(*to),
+//!     Action::Forward { id: 1, to, source: Some(8), .. } => Some(*to),
 //!     _ => None,
 //! });
 //! let first = sent.expect("an attempt, filled from the parent");
 //!
 //! // The cache's machine is down: the host reports it, and the router tries the other cache at once.
 //! actions.clear();
-//! let outcome = Event::Outcome {
-//!     id: 1, attempt: 0, verdict: Verdict::NoConnection, note: Note::Silent, took: 2_000, closed: false,
+//! let outcome = Event::AttemptEnded {
+//!     id: 1, attempt: 0, outcome: AttemptOutcome::NoConnection, cache_status: CacheStatus::Unknown, elapsed: 2_000, closed: false,
 //! };
 //! router.handle(3_000, &outcome, &mut actions);
-//! assert!(matches!(actions[0], Action::Send { id: 1, to, .. } if to != first));
+//! assert!(matches!(actions[0], Action::Forward { id: 1, to, .. } if to != first));
 //! ```
 
 pub mod admission;
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -1,8 +1,8 @@
 //! The configuration of one proxy, as the platform hands it over.
 
 use crate::message_auth::Keys;
-use crate::settings::Env;
-use crate::wire::discovery_codec::Known;
+use crate::settings::PlatformSettings;
+use crate::wire::discovery_codec::InitialState;
 use serde::Deserialize;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
@@ -73,9 +73,9 @@
     mgmt: Option<String>,
     /// The events of the start.
     #[serde(default)]
-    pub known: Known,
+    pub known: InitialState,
     /// The settings.
-    pub settings: Env,
+    pub settings: PlatformSettings,
     /// The platform holds the clients' listening socket and hands it over, so that a new process may serve beside
     /// this one.
     #[serde(skip)]
--- a/src/lifecycle/descriptors.rs
+++ b/src/lifecycle/descriptors.rs
@@ -52,7 +52,7 @@
 
 /// What takes descriptors besides the platform's clients, the members and the second address.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Demand {
+pub struct DescriptorDemand {
     /// Clients of the second front, at all its listeners.
     pub signed: usize,
     /// Everything else that is on, each within the bounds of its own file.
@@ -63,7 +63,7 @@
 
 /// How many connections of each kind there may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shares {
+pub struct DescriptorBudget {
     /// The platform's clients, at all listeners.
     pub clients: usize,
     /// Connections to all members.
@@ -74,9 +74,9 @@
     pub short: bool,
 }
 
-impl Shares {
+impl DescriptorBudget {
     /// Shares the descriptors: two fifths to clients, two fifths to members, where that leaves enough for all else.
-    pub fn of(descriptors: Descriptors, demand: Demand) -> Self {
+    pub fn of(descriptors: Descriptors, demand: DescriptorDemand) -> Self {
         let Descriptors { most, held } = descriptors;
         let callers = CALLERS.min(most / CALLERS_PART).max(1);
         let taken = held + OWN + callers + demand.signed + demand.others;
--- a/src/lifecycle/descriptors/tests.rs
+++ b/src/lifecycle/descriptors/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn taken(most: usize, shares: Shares, demand: Demand) -> usize {
+fn taken(most: usize, shares: DescriptorBudget, demand: DescriptorDemand) -> usize {
     let counted = shares.clients + shares.members + shares.callers + demand.signed + demand.others;
     assert!(counted + HELD_AT_START + OWN <= most, "{most}: {shares:?} and {demand:?}");
     counted
@@ -12,8 +12,8 @@
     for most in 24..4_096 {
         for others in [0, 64, 320] {
             for handed_over in [false, true] {
-                let demand = Demand { signed: others / 2, others, handed_over };
-                let shares = Shares::of(Descriptors::planned(most), demand);
+                let demand = DescriptorDemand { signed: others / 2, others, handed_over };
+                let shares = DescriptorBudget::of(Descriptors::planned(most), demand);
                 if !shares.short {
                     taken(most, shares, demand);
                 }
@@ -25,18 +25,21 @@
 /// A usual limit is shared as ever: what is held back comes out of the fifth that was nobody's.
 #[test]
 fn a_usual_limit_is_shared_in_fifths() {
-    let shares = Shares::of(Descriptors::planned(1_024), Demand::default());
-    assert_eq!(shares, Shares { clients: 409, members: 409, callers: 16, short: false });
-    let beside = Demand { handed_over: true, ..Demand::default() };
-    assert_eq!(Shares::of(Descriptors::planned(1_024), beside).members, 256);
+    let shares = DescriptorBudget::of(Descriptors::planned(1_024), DescriptorDemand::default());
+    assert_eq!(shares, DescriptorBudget { clients: 409, members: 409, callers: 16, short: false });
+    let beside = DescriptorDemand { handed_over: true, ..DescriptorDemand::default() };
+    assert_eq!(DescriptorBudget::of(Descriptors::planned(1_024), beside).members, 256);
 }
 
 /// Want of descriptors is told, and still leaves something to each.
 #[test]
 fn want_of_descriptors_is_told() {
-    let shares = Shares::of(Descriptors::planned(64), Demand { others: 60, ..Demand::default() });
+    let shares = DescriptorBudget::of(
+        Descriptors::planned(64),
+        DescriptorDemand { others: 60, ..DescriptorDemand::default() },
+    );
     assert!(shares.short && shares.clients == 1 && shares.members == 1 && shares.callers == 4);
-    assert!(!Shares::of(Descriptors::planned(24), Demand::default()).short);
+    assert!(!DescriptorBudget::of(Descriptors::planned(24), DescriptorDemand::default()).short);
 }
 
 /// The machine's limit counts where it is lower than the configuration's.
--- a/src/lifecycle/maintenance.rs
+++ b/src/lifecycle/maintenance.rs
@@ -6,7 +6,7 @@
 use crate::engine::executor::Executor;
 use crate::state::maintenance::Mark;
 use crate::wire::cache_codec::{member_id, member_text};
-use crate::MemberId;
+use crate::EndpointId;
 use serde::Deserialize;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -47,7 +47,7 @@
                     let mark = Mark { out: line.out, at_ms: line.at_ms };
                     Some((member_id(&line.member)?, mark))
                 });
-                let marks: Vec<(MemberId, Mark)> = marks.collect();
+                let marks: Vec<(EndpointId, Mark)> = marks.collect();
                 host.with(|engine| engine.adopt(marks));
             }
             Err(error) => tracing::error!(%error, "maintenance can't be read"),
@@ -57,7 +57,7 @@
     /// Writes down what holds by now. The file is replaced whole, so that the other process never reads half of it.
     pub fn write(&self, host: &Rc<Executor>) -> Result<(), std::io::Error> {
         let Some(path) = &self.0 else { return Ok(()) };
-        let line = |(id, mark): (MemberId, Mark)| {
+        let line = |(id, mark): (EndpointId, Mark)| {
             let (member, out, at_ms) = (member_text(id), mark.out, mark.at_ms);
             format!("{{\"member\":\"{member}\",\"out\":{out},\"at_ms\":{at_ms}}}")
         };
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -1,7 +1,7 @@
 //! The serving process: start, signals, stop.
 
 use super::config::Config;
-use super::descriptors::{Demand, Descriptors, Shares};
+use super::descriptors::{DescriptorBudget, DescriptorDemand, Descriptors};
 use super::front::{keep_keys, FrontConfig};
 use super::inherit;
 use super::maintenance::Store;
@@ -75,7 +75,7 @@
 
 /// What a process serves besides the platform's front, each off where it is none.
 #[derive(Default)]
-pub struct Extras {
+pub struct Subsystems {
     /// The second front, signed URLs.
     pub front: Option<FrontConfig>,
     /// A virtual router.
@@ -102,9 +102,10 @@
     config: &Config,
     clock: &Clock,
     extra: usize,
-) -> Result<(Engine, Rc<crate::settings::Env>), ServeError> {
-    let demand = Demand { signed: extra, handed_over: config.handed_over, ..Demand::default() };
-    let shares = Shares::of(Descriptors::planned(config.limits.sockets), demand);
+) -> Result<(Engine, Rc<crate::settings::PlatformSettings>), ServeError> {
+    let demand =
+        DescriptorDemand { signed: extra, handed_over: config.handed_over, ..DescriptorDemand::default() };
+    let shares = DescriptorBudget::of(Descriptors::planned(config.limits.sockets), demand);
     engine_with(config, clock, extra, shares)
 }
 
@@ -112,8 +113,8 @@
     config: &Config,
     clock: &Clock,
     extra: usize,
-    shares: Shares,
-) -> Result<(Engine, Rc<crate::settings::Env>), ServeError> {
+    shares: DescriptorBudget,
+) -> Result<(Engine, Rc<crate::settings::PlatformSettings>), ServeError> {
     let env = Rc::new(config.settings.clone());
     let seed = config.seed().map_err(|why| ServeError::Field("seed", why))?;
     let sockets = config.limits.sockets;
@@ -133,7 +134,7 @@
 }
 
 /// What takes descriptors besides the platform's front, with what is on.
-fn demand(config: &Config, extras: &Extras) -> Demand {
+fn demand(config: &Config, extras: &Subsystems) -> DescriptorDemand {
     let at = |kind| {
         let virtual_listeners = extras.router.iter().flat_map(|router| &router.serve);
         1 + virtual_listeners.filter(|serve| serve.front == kind).count()
@@ -144,13 +145,13 @@
     let poor = extras.poor.as_ref().map_or(0, |p| p.tcp_at().map_or(0, |_| p.limits.tcp_connections));
     let purges = extras.purges.as_ref().map_or(0, |_| driver::CALLS_MOST);
     let probes = extras.duties.as_ref().map_or(0, |_| duties_driver::PROBES_MOST);
-    Demand { signed, others: grpc + poor + purges + probes, handed_over: config.handed_over }
+    DescriptorDemand { signed, others: grpc + poor + purges + probes, handed_over: config.handed_over }
 }
 
 /// Shares this process's descriptors.
-fn shares(config: &Config, demand: Demand) -> Result<Shares, ServeError> {
+fn shares(config: &Config, demand: DescriptorDemand) -> Result<DescriptorBudget, ServeError> {
     let descriptors = Descriptors::of_process(config.limits.sockets);
-    let shares = Shares::of(descriptors, demand);
+    let shares = DescriptorBudget::of(descriptors, demand);
     if descriptors.most < config.limits.sockets {
         tracing::warn!(
             descriptors.most,
@@ -169,14 +170,14 @@
 }
 
 /// Serves until SIGTERM or SIGINT, and ends once all that was taken is answered.
-pub async fn serve(mut config: Config, extras: Extras) -> Result<(), ServeError> {
+pub async fn serve(mut config: Config, extras: Subsystems) -> Result<(), ServeError> {
     let handed = inherit::listener();
     let handed = handed.map_err(|e| ServeError::System("the socket that was handed over".into(), e))?;
     config.handed_over = handed.is_some();
     let clock = Clock::system();
     let demand = demand(&config, &extras);
     let shares = shares(&config, demand)?;
-    let Extras { front, router, purges, door, registry, grpc, poor, duties, rules } = extras;
+    let Subsystems { front, router, purges, door, registry, grpc, poor, duties, rules } = extras;
     let (engine, _) = engine_with(&config, &clock, demand.signed, shares)?;
     let listen = config.listen().map_err(|why| ServeError::Field("listen", why))?;
     let bulletin = config.bulletin().map_err(|why| ServeError::Field("bulletin", why))?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,7 +7,7 @@
 use edge_proxy::http3::config::PoorConfig;
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::lifecycle::front::FrontConfig;
-use edge_proxy::lifecycle::serve::{self, Extras};
+use edge_proxy::lifecycle::serve::{self, Subsystems};
 use edge_proxy::purge::config::PurgeConfig;
 use edge_proxy::purge::log::{decode, MAGIC};
 use edge_proxy::purge::selector::Selector;
@@ -381,7 +381,7 @@
                 &runtime,
                 serve::serve(
                     config,
-                    Extras { front, router, purges, door, registry, grpc, poor, duties, rules },
+                    Subsystems { front, router, purges, door, registry, grpc, poor, duties, rules },
                 ),
             );
             return served.map_err(|e| e.to_string());
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,6 +1,8 @@
 //! A request's attempts: their time-outs, which repeats are allowed, the retry budget, and the final answer.
 
-use super::{capacity::CONGESTED, health::MAX_HALF_LIFE, Actions, Attempt, Member, Pending, Reach, Router};
+use super::{
+    capacity::CONGESTED, health::MAX_HALF_LIFE, Actions, Attempt, Member, PendingRequest, Reach, Router,
+};
 use crate::interface::*;
 use crate::stats::{DecayingShare, MeanDeviation};
 
@@ -45,20 +47,21 @@
 
 impl Pace {
     /// What a class is taken to need before any answer.
-    pub(super) fn of(class: &Class) -> Self {
-        let aim = class.aim as f64;
-        let time = MeanDeviation::new(0.5 * aim / BASE_TIME, 0.25 * aim / BASE_TIME);
-        Self { time, work: 0.5 * aim, answers: DecayingShare::default() }
+    pub(super) fn of(class: &RequestClass) -> Self {
+        let latency_objective = class.latency_objective as f64;
+        let time =
+            MeanDeviation::new(0.5 * latency_objective / BASE_TIME, 0.25 * latency_objective / BASE_TIME);
+        Self { time, work: 0.5 * latency_objective, answers: DecayingShare::default() }
     }
 
     /// Learns from the time that an attempt took whose own sending takes `work`, 0 where unknown.
-    pub(super) fn learn(&mut self, verdict: Verdict, work: f64, took: f64) {
+    pub(super) fn learn(&mut self, outcome: AttemptOutcome, work: f64, elapsed: f64) {
         // A time-out counts as a long answer: with the served alone the pace would shrink to what the
         // time-outs let through, and cut ever more of what is merely large.
-        let took = if verdict == Verdict::TimedOut { took * CENSORED } else { took };
-        self.time.add(took / (BASE_TIME + work), PACE_GAIN);
-        if verdict == Verdict::Served {
-            let own = if work > 0.0 { work } else { (took - QUICK_WAY).max(QUICK_WAY) };
+        let elapsed = if outcome == AttemptOutcome::TimedOut { elapsed * CENSORED } else { elapsed };
+        self.time.add(elapsed / (BASE_TIME + work), PACE_GAIN);
+        if outcome == AttemptOutcome::Served {
+            let own = if work > 0.0 { work } else { (elapsed - QUICK_WAY).max(QUICK_WAY) };
             self.work += PACE_GAIN * (own - self.work);
         }
     }
@@ -66,7 +69,7 @@
 
 impl Router {
     pub(super) fn on_request(&mut self, now: Micros, event: &Event, actions: &mut Actions) {
-        let Event::Request { id, class, object, group, part, size_kb, give_up_at } = *event else { return };
+        let Event::Request { id, class, object, group, part, size_kb, deadline_at } = *event else { return };
         if class >= self.set.classes.len() {
             return actions.push(Action::Fail { id });
         }
@@ -76,23 +79,30 @@
         self.retries.add_up_to(now, MAX_HALF_LIFE, RETRIES_PER_REQUEST, MAX_RETRIES);
         self.counts.add(now, object);
         let (size_kb, attempts, reach, done) = (size_kb.max(0.0), Vec::new(), Reach::Origin, false);
-        let req = Pending { class, object, group, part, size_kb, give_up_at, attempts, reach, done };
+        let req = PendingRequest { class, object, group, part, size_kb, deadline_at, attempts, reach, done };
         self.requests.insert(id, req);
         self.advance(now, id, None, actions);
     }
 
     /// Sends a request's next attempt, or gives its final answer at once.
-    fn advance(&mut self, now: Micros, id: RequestId, last: Option<(Verdict, f64)>, actions: &mut Actions) {
+    fn advance(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        last: Option<(AttemptOutcome, f64)>,
+        actions: &mut Actions,
+    ) {
         let Some(req) = self.requests.get(&id) else { return };
-        let left = req.give_up_at.saturating_sub(now);
+        let left = req.deadline_at.saturating_sub(now);
         let cost = last.map_or(0.0, |(_, cost)| cost);
         let saved = self.retries.value(now, MAX_HALF_LIFE);
         let tries = req.attempts.len() < self.set.max_attempts.max(1) as usize;
         // Past its aim a request earns little for a whole sending time more: not where others wait for it.
         let since = req.attempts.first().map_or(0, |a| now.saturating_sub(a.sent));
-        let too_late = since as f64 > self.aim(req) && self.congestion(now, req.class) > CONGESTED;
+        let too_late =
+            since as f64 > self.latency_objective(req) && self.congestion(now, req.class) > CONGESTED;
         // It was to be had only where it is held, and is not: there was no room for a fill.
-        let not_held = last.is_some_and(|(verdict, _)| verdict == Verdict::Miss);
+        let not_held = last.is_some_and(|(outcome, _)| outcome == AttemptOutcome::CacheMiss);
         let admitted = last.map_or_else(|| self.admit(now, req), |_| Some(req.reach));
         if let (Some(req), Some(reach)) = (self.requests.get_mut(&id), admitted) {
             req.reach = reach;
@@ -106,17 +116,17 @@
     }
 
     /// Until when doing a request once more is harmless; later, a keyed one that has run may run again.
-    fn repeats_until(&self, req: &Pending) -> Micros {
+    fn repeats_until(&self, req: &PendingRequest) -> Micros {
         let class = &self.set.classes[req.class];
-        match (req.attempts.iter().find(|a| a.may_have_run), class.repeat) {
-            (None, _) | (_, Repeat::Safe) => Micros::MAX,
-            (Some(first), Repeat::Keyed) => first.sent + class.key_window,
-            (Some(_), Repeat::Unsafe) => 0,
+        match (req.attempts.iter().find(|a| a.may_have_run), class.idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => Micros::MAX,
+            (Some(first), Idempotency::WithKey) => first.sent + class.key_window,
+            (Some(_), Idempotency::NotIdempotent) => 0,
         }
     }
 
     /// Whether the rule on repeats lets another attempt go to `to`.
-    fn may_repeat(&self, now: Micros, req: &Pending, to: MemberId) -> bool {
+    fn may_repeat(&self, now: Micros, req: &PendingRequest, to: EndpointId) -> bool {
         let Some(first) = req.attempts.iter().find(|a| a.may_have_run) else { return true };
         let (a, b) = (self.members.get(&first.to), self.members.get(&to));
         let same = |f: fn(&Member) -> u32| a.map(f).zip(b.map(f)).is_some_and(|(x, y)| x == y);
@@ -126,14 +136,14 @@
             KeyScope::Zone => first.to == to || same(|m| m.line.zone),
             KeyScope::Cell => first.to == to || same(|m| m.line.cell),
         };
-        now < self.repeats_until(req) && (scope || class.repeat == Repeat::Safe)
+        now < self.repeats_until(req) && (scope || class.idempotency == Idempotency::Idempotent)
     }
 
-    pub(super) fn aim(&self, req: &Pending) -> f64 {
+    pub(super) fn latency_objective(&self, req: &PendingRequest) -> f64 {
         let class = &self.set.classes[req.class];
         let sending = self.set.sending_time(req.size_kb);
         let work = if req.size_kb > 0.0 { sending } else { self.pace[req.class].work };
-        (class.aim as f64 + class.aim_stretch * work).min(class.deadline as f64)
+        (class.latency_objective as f64 + class.latency_stretch * work).min(class.deadline as f64)
     }
 
     fn send(&mut self, now: Micros, id: RequestId, actions: &mut Actions) -> bool {
@@ -144,12 +154,13 @@
             return false;
         }
         let class = &self.set.classes[req.class];
-        let left = req.give_up_at.saturating_sub(now) as f64;
-        let (pace, work, aim) = (self.pace[req.class], self.set.sending_time(req.size_kb), self.aim(req));
+        let left = req.deadline_at.saturating_sub(now) as f64;
+        let (pace, work, latency_objective) =
+            (self.pace[req.class], self.set.sending_time(req.size_kb), self.latency_objective(req));
         let usual = (BASE_TIME + work) * pace.time.above(TIMEOUT_DEVIATIONS);
         let congested = self.congestion(now, req.class) > CONGESTED;
         let least = if congested { MIN_TIMEOUT_CONGESTED } else { MIN_TIMEOUT_OF_AIM };
-        let patience = usual.max(least * aim);
+        let patience = usual.max(least * latency_objective);
         // Where no second try would fit, the first has all there is.
         let most = if patience < left { MAX_TIMEOUT_OF_LEFT * left } else { left };
         let (timeout, cut) = (patience.min(most) as Micros, patience > most);
@@ -158,10 +169,22 @@
         let max_age = self.age_bound(now, req, stale, to);
         let again = if self.counts.get(req.object) > 1.0 { RANKS.1 } else { RANKS.0 };
         let keep = if class.uncacheable { 0 } else { again };
-        let (join, renew) = (self.set.joins, class.fresh_for > 0 && max_age >= class.fresh_for);
-        let only_held = req.reach == Reach::Parent && source.is_some_and(|s| s != to);
-        let start_by = self.repeats_until(req);
-        let send = Action::Send { id, to, source, join, only_held, renew, max_age, keep, timeout, start_by };
+        let (join, revalidate) =
+            (self.set.can_join_fills, class.fresh_lifetime > 0 && max_age >= class.fresh_lifetime);
+        let only_if_cached = req.reach == Reach::Parent && source.is_some_and(|s| s != to);
+        let first_byte_by = self.repeats_until(req);
+        let send = Action::Forward {
+            id,
+            to,
+            source,
+            join,
+            only_if_cached,
+            revalidate,
+            max_age,
+            keep,
+            timeout,
+            first_byte_by,
+        };
         actions.push(send);
         self.spend(now, to, mean_work);
         if let Some(source) = source.filter(|s| *s != to) {
@@ -178,24 +201,28 @@
     }
 
     pub(super) fn on_outcome(&mut self, now: Micros, event: &Event, actions: &mut Actions) {
-        let Event::Outcome { id, attempt, verdict, note, took, closed } = *event else { return };
+        let Event::AttemptEnded { id, attempt, outcome, cache_status, elapsed, closed } = *event else {
+            return;
+        };
         let Some(req) = self.requests.get_mut(&id) else { return };
         let Some(a) = req.attempts.get_mut(attempt as usize).filter(|a| a.out) else { return };
         a.out = false;
-        a.may_have_run = !verdict.never_ran();
-        a.lost = matches!(verdict, Verdict::Broken | Verdict::Spoilt);
+        a.may_have_run = !outcome.never_ran();
+        a.lost = matches!(outcome, AttemptOutcome::ConnectionLost | AttemptOutcome::Malformed);
         let (to, source) = (a.to, a.source.filter(|s| *s != a.to));
         if let Some(m) = self.members.get_mut(&to) {
             m.inflight = m.inflight.saturating_sub(1);
-            m.health.heard = if verdict.is_answer() { now } else { m.health.heard };
+            m.health.heard = if outcome.is_answer() { now } else { m.health.heard };
         }
-        match verdict {
-            Verdict::NoConnection | Verdict::Broken => self.suspect(now, to, true, actions),
-            Verdict::TimedOut | Verdict::Refused | Verdict::Error => {
+        match outcome {
+            AttemptOutcome::NoConnection | AttemptOutcome::ConnectionLost => {
+                self.suspect(now, to, true, actions)
+            }
+            AttemptOutcome::TimedOut | AttemptOutcome::Rejected | AttemptOutcome::Error => {
                 [Some(to), source].into_iter().flatten().for_each(|m| self.suspect(now, m, false, actions));
             }
-            Verdict::Served => {
-                let filled = source.filter(|_| note == Note::Filled);
+            AttemptOutcome::Served => {
+                let filled = source.filter(|_| cache_status == CacheStatus::Filled);
                 for id in [Some(to), filled].into_iter().flatten() {
                     self.members.entry(id).and_modify(|m| m.health.run = 0);
                 }
@@ -205,17 +232,17 @@
         self.learn(now, event);
         let Some(req) = self.requests.get(&id) else { return };
         let waiting = req.attempts.iter().any(|a| a.out);
-        if closed || req.done || verdict == Verdict::Served {
+        if closed || req.done || outcome == AttemptOutcome::Served {
             self.conclude(id, actions);
         } else if !waiting {
             // The budget guards against retries that multiply work. What was lost on its way costs none; an
             // error has cost no more than the time that it took.
-            let cost = match verdict {
-                verdict if verdict.is_lost() => 0.0,
-                Verdict::Error => (took as f64 / self.aim(req)).min(1.0),
+            let cost = match outcome {
+                outcome if outcome.is_lost() => 0.0,
+                AttemptOutcome::Error => (elapsed as f64 / self.latency_objective(req)).min(1.0),
                 _ => 1.0,
             };
-            self.advance(now, id, Some((verdict, cost)), actions);
+            self.advance(now, id, Some((outcome, cost)), actions);
         }
     }
 
@@ -233,7 +260,7 @@
         let harmless = now < until && (until == Micros::MAX || class.key_scope == KeyScope::All);
         if harmless {
             let wait = (WAIT_HINT * (0.5 + self.random.next(2))) as Micros;
-            actions.push(Action::Refuse { id, wait: wait.min(self.set.max_wait_hint) });
+            actions.push(Action::Reject { id, wait: wait.min(self.set.max_retry_after) });
         } else {
             actions.push(Action::Fail { id });
         }
@@ -253,7 +280,7 @@
     }
 
     fn cancel_rest(&mut self, id: RequestId, but: Option<usize>, actions: &mut Actions) {
-        let Some(req) = self.requests.get(&id).filter(|_| self.set.cancelling) else { return };
+        let Some(req) = self.requests.get(&id).filter(|_| self.set.can_cancel) else { return };
         for (k, a) in req.attempts.iter().enumerate() {
             if a.out && Some(k) != but {
                 actions.push(Action::Cancel { id, attempt: k as u32 });
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -1,7 +1,7 @@
 //! What members, links and the origin bear: room for transfers, load shedding, and slow start's budgets.
 
 use super::{attempts::QUICK_WAY, health::EVIDENCE_HALF_LIFE, placement::COUNT_SPAN};
-use super::{Member, Path, Pending, Reach, Router};
+use super::{Member, Path, PendingRequest, Reach, Router};
 use crate::interface::*;
 use crate::stats::{unit, Pressure};
 
@@ -51,11 +51,11 @@
 impl Router {
     /// The part of its capacity that a member surely has by now.
     pub(super) fn warmth(&self, now: Micros, m: &Member) -> f64 {
-        let started = m.line.started.max(m.health.revived);
-        if started == 0 || m.line.role == Role::Origin {
+        let started_at = m.line.started_at.max(m.health.revived);
+        if started_at == 0 || m.line.tier == Tier::Origin {
             return 1.0;
         }
-        self.set.cold_start(m.line.role).capacity(now.saturating_sub(started))
+        self.set.cold_start(m.line.tier).capacity(now.saturating_sub(started_at))
     }
 
     /// Any router's first item would fit a cold member's budget; were all to send theirs at once, the sum
@@ -65,7 +65,7 @@
     }
 
     /// Guards the rule on cold starts: whether a cold member's budget has room for `work` more.
-    pub(super) fn budget_allows(&self, now: Micros, id: MemberId, work: f64) -> bool {
+    pub(super) fn budget_allows(&self, now: Micros, id: EndpointId, work: f64) -> bool {
         let Some(m) = self.members.get(&id) else { return false };
         let warmth = self.warmth(now, m);
         if warmth >= 1.0 {
@@ -77,32 +77,36 @@
 
     /// What this router may ask of a cold member, in us of sending time for each us, and the rule's window.
     fn budget_pace(&self, m: &Member, warmth: f64) -> (f64, Micros) {
-        let cold = self.set.cold_start(m.line.role);
-        let sharers = if m.line.role == Role::Parent { self.set.routers } else { self.set.routers_here };
-        (cold.multiple * COLD_USE * warmth * m.line.weight / f64::from(sharers.max(1)), cold.window)
+        let cold = self.set.cold_start(m.line.tier);
+        let sharers =
+            if m.line.tier == Tier::Parent { self.set.fleet_size } else { self.set.local_fleet_size };
+        (
+            cold.overload_multiple * COLD_USE * warmth * m.line.weight / f64::from(sharers.max(1)),
+            cold.overload_window,
+        )
     }
 
-    pub(super) fn spend(&mut self, now: Micros, id: MemberId, work: f64) {
+    pub(super) fn spend(&mut self, now: Micros, id: EndpointId, work: f64) {
         let pace = self.members.get(&id).map_or(0.0, |m| self.budget_pace(m, self.warmth(now, m)).0);
         self.members.entry(id).and_modify(|m| m.spent.add(now, pace, work));
     }
 
     /// Transfers at a cache over what fits there, by this router's own. One of many sees few, by chance: they
     /// are drawn to the location's mean, less a standard deviation (Poisson) of what it does not see.
-    pub(super) fn load(&self, now: Micros, id: MemberId) -> f64 {
+    pub(super) fn load(&self, now: Micros, id: EndpointId) -> f64 {
         let Some(m) = self.members.get(&id) else { return f64::MAX };
-        let routers = f64::from(self.set.routers_here.max(1));
-        let room = |m: &Member| m.room * self.warmth(now, m) / routers;
-        let here = |m: &&Member| m.line.role == Role::Cache && m.line.life == Life::Live;
+        let fleet_size = f64::from(self.set.local_fleet_size.max(1));
+        let room = |m: &Member| m.room * self.warmth(now, m) / fleet_size;
+        let here = |m: &&Member| m.line.tier == Tier::Cache && m.line.state == EndpointState::Active;
         let here = || self.members.values().filter(here);
         let out: f64 = here().map(|m| f64::from(m.inflight)).sum();
         let mean = (out * room(m) / here().map(room).sum::<f64>()).max(0.0);
-        let sure = 1.0 - (1.0 - 1.0 / routers) / (out + 1.0).sqrt();
+        let sure = 1.0 - (1.0 - 1.0 / fleet_size) / (out + 1.0).sqrt();
         sure * mean * (LOAD_DOUBT + f64::from(m.inflight)) / (LOAD_DOUBT + mean) / room(m)
     }
 
     /// Learns what a member bears, where weights don't tell: as long as answers come in time, more.
-    pub(super) fn learn_room(&mut self, now: Micros, id: MemberId, late: bool) {
+    pub(super) fn learn_room(&mut self, now: Micros, id: EndpointId, late: bool) {
         let load = self.load(now, id);
         let Some(m) = self.members.get_mut(&id).filter(|_| !self.set.weights_known) else { return };
         // Late answers of a cache that is not even half full are its sources' or its location's link's.
@@ -115,18 +119,27 @@
 
     /// Learns from an outcome that was no hit. Guards the origin, and what only it can do: what all routers
     /// fetch from it falls with what is late.
-    pub(super) fn learn_fill(&mut self, now: Micros, id: RequestId, path: Path, verdict: Verdict, took: f64) {
-        use Verdict::{Error, NoConnection, Refused, Served, TimedOut};
+    pub(super) fn learn_fill(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        path: Path,
+        outcome: AttemptOutcome,
+        elapsed: f64,
+    ) {
+        use AttemptOutcome::{Error, NoConnection, Rejected, Served, TimedOut};
         let Some(req) = self.requests.get(&id) else { return };
-        let (aim, write) = (self.aim(req), self.set.classes[req.class].uncacheable);
-        let is_origin = |m: Option<MemberId>| m.is_some() && m == self.origin();
-        let known = match verdict {
+        let (latency_objective, write) =
+            (self.latency_objective(req), self.set.classes[req.class].uncacheable);
+        let is_origin = |m: Option<EndpointId>| m.is_some() && m == self.origin();
+        let known = match outcome {
             Served | TimedOut => true,
-            Refused | Error => is_origin(Some(path.0)) || is_origin(path.1),
+            Rejected | Error => is_origin(Some(path.0)) || is_origin(path.1),
             NoConnection => is_origin(Some(path.0)),
             _ => false,
         };
-        let good = verdict == Served && took <= if write { WRITE_SLOW * aim } else { aim };
+        let good = outcome == Served
+            && elapsed <= if write { WRITE_SLOW * latency_objective } else { latency_objective };
         // A member that does worse than its best peer tells of itself, not of what is behind all of them.
         let own_fault = || [Some(path.0), path.1].into_iter().flatten().any(|m| self.stands_out(now, m));
         let known = known && (good || !own_fault());
@@ -145,19 +158,19 @@
     /// How far a new request may reach, if it is not refused. What earns least for its sending time goes
     /// first. Under congestion that no cache's own room shows, of links or sources, only fills are shed: what
     /// a cache holds costs them nothing, and nothing tells what it holds so well as asking for it.
-    pub(super) fn admit(&self, now: Micros, req: &Pending) -> Option<Reach> {
+    pub(super) fn admit(&self, now: Micros, req: &PendingRequest) -> Option<Reach> {
         let class = &self.set.classes[req.class];
         if class.uncacheable {
             return Some(Reach::Origin);
         }
         let Some(cache) = self.pick_cache(now, req, 0.0) else { return Some(Reach::Origin) };
         let kept = || self.set.classes.iter().zip(&self.pace).filter(|(c, _)| !c.uncacheable);
-        let mean = kept().map(|(c, p)| c.worth / p.work).sum::<f64>() / kept().count() as f64;
+        let mean = kept().map(|(c, p)| c.priority_weight / p.work).sum::<f64>() / kept().count() as f64;
         let sending = self.set.sending_time(req.size_kb).max(QUICK_WAY);
         let own = if req.size_kb > 0.0 { sending } else { self.pace[req.class].work };
         let congestion = self.congestion(now, req.class);
         let least = if congestion > CONGESTED { SHED_VALUE_CONGESTED } else { SHED_VALUE.0 };
-        let bound = LOAD_SHED * (class.worth / own / mean).clamp(least, SHED_VALUE.1);
+        let bound = LOAD_SHED * (class.priority_weight / own / mean).clamp(least, SHED_VALUE.1);
         let load = self.load(now, cache);
         if load > bound {
             return None;
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -1,6 +1,6 @@
 //! Purges in force, and the oldest copy that an attempt may be served from.
 
-use super::{Pending, Router};
+use super::{PendingRequest, Router};
 use crate::interface::*;
 
 /// Taken off the age bound after a purge, us: the host's clock is coarse.
@@ -12,7 +12,7 @@
 
 impl Router {
     pub(super) fn on_purged(&mut self, now: Micros, object: Option<ObjectId>, group: u32, ago: Micros) {
-        self.purges.retain(|_, at| now < *at + self.set.purge_done + PURGE_KEPT);
+        self.purges.retain(|_, at| now < *at + self.set.purge_completion + PURGE_KEPT);
         let (at, key) = (now.saturating_sub(ago), (object, if object.is_some() { 0 } else { group }));
         let last = self.purges.entry(key).or_insert(at);
         *last = at.max(*last);
@@ -20,16 +20,16 @@
 
     /// Guards the rule on purges: the oldest copy that will do, on every attempt; 0 for the class's own.
     /// `stale` also takes copies past their fresh time.
-    pub(super) fn age_bound(&self, now: Micros, req: &Pending, stale: bool, to: MemberId) -> Micros {
+    pub(super) fn age_bound(&self, now: Micros, req: &PendingRequest, stale: bool, to: EndpointId) -> Micros {
         let class = &self.set.classes[req.class];
-        let own = match class.fresh_for {
+        let own = match class.fresh_lifetime {
             0 => 0,
-            fresh => fresh + if stale { class.stale_for } else { 0 },
+            fresh => fresh + if stale { class.stale_while_revalidate } else { 0 },
         };
         let keys = [(Some(req.object), 0), (None, req.group)];
         let purged = keys.iter().filter_map(|k| self.purges.get(k)).max().copied();
         let heard = self.members.get(&to).map_or(0, |m| m.health.heard);
-        match purged.filter(|at| heard < at + self.set.purge_done + PURGE_EXTRA) {
+        match purged.filter(|at| heard < at + self.set.purge_completion + PURGE_EXTRA) {
             Some(at) => {
                 let age = now.saturating_sub(at + PURGE_MARGIN).max(1);
                 age.min(if own == 0 { age } else { own })
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -88,25 +88,25 @@
 impl Router {
     /// The least share of bad outcomes among a role's peers. A lone parent, or all of them, may limp while
     /// the origin is healthy: it is their peer as a source. What nothing is known of is no example.
-    fn least_bad(&self, now: Micros, role: Role) -> f64 {
-        let peer = |m: &Member| m.line.role == role || (role == Role::Parent && m.line.role == Role::Origin);
+    fn least_bad(&self, now: Micros, tier: Tier) -> f64 {
+        let peer = |m: &Member| m.line.tier == tier || (tier == Tier::Parent && m.line.tier == Tier::Origin);
         let known = |m: &&Member| m.health.asked.value(now, MAX_HALF_LIFE) >= MIN_EVIDENCE;
         let peers = self.members.values().filter(|m| m.able() && peer(m)).filter(known);
         peers.map(|m| m.health.bad_rate(now)).min_by(f64::total_cmp).unwrap_or(0.0)
     }
 
     /// Whether a member fails more than is tolerated beside its best peer.
-    pub(super) fn stands_out(&self, now: Micros, id: MemberId) -> bool {
-        let worse = |m: &Member| m.health.bad_rate(now) > self.least_bad(now, m.line.role) + BAD_TOLERATED;
+    pub(super) fn stands_out(&self, now: Micros, id: EndpointId) -> bool {
+        let worse = |m: &Member| m.health.bad_rate(now) > self.least_bad(now, m.line.tier) + BAD_TOLERATED;
         self.members.get(&id).is_some_and(worse)
     }
 
     /// Members of a role that may get new work, with their share: the lesser of slow start and health.
     /// Health counts what a member does worse than its best peer: when all fail alike it is the origin, the
     /// link or overload, and no circuit breaker may answer that by emptying the fleet or moving its objects.
-    pub(super) fn shares(&self, now: Micros, role: Role) -> Vec<(MemberId, &Member, f64)> {
-        let able = self.members.iter().filter(|(_, m)| m.line.role == role && m.able());
-        let best = self.least_bad(now, role);
+    pub(super) fn shares(&self, now: Micros, tier: Tier) -> Vec<(EndpointId, &Member, f64)> {
+        let able = self.members.iter().filter(|(_, m)| m.line.tier == tier && m.able());
+        let best = self.least_bad(now, tier);
         let health =
             |m: &Member| 1.0 - (m.health.bad_rate(now) - best - BAD_TOLERATED) / (BAD_OUT - BAD_TOLERATED);
         able.map(|(id, m)| (*id, m, self.warmth(now, m).min(health(m)).max(0.0))).collect()
@@ -114,60 +114,75 @@
 
     /// How many caches of the location get nothing new though they are listed as live.
     pub fn avoided(&self, now: Micros) -> usize {
-        let shares = self.shares(now, Role::Cache);
-        let live = |m: &&Member| m.line.role == Role::Cache && m.line.life == Life::Live;
+        let shares = self.shares(now, Tier::Cache);
+        let live = |m: &&Member| m.line.tier == Tier::Cache && m.line.state == EndpointState::Active;
         self.members.values().filter(live).count() - shares.iter().filter(|(.., share)| *share > 0.0).count()
     }
 
     /// Learns from an outcome: the class's pace, what may be asked, and who on the path succeeded or failed.
     pub(super) fn learn(&mut self, now: Micros, outcome: &Event) {
-        let Event::Outcome { id, attempt, verdict, note, took, .. } = *outcome else { return };
+        let Event::AttemptEnded { id, attempt, outcome, cache_status, elapsed, .. } = *outcome else {
+            return;
+        };
         let Some(req) = self.requests.get(&id) else { return };
         let (class, reach, a) = (req.class, req.reach, &req.attempts[attempt as usize]);
         let (to, source) = (a.to, a.source.filter(|s| *s != a.to));
-        let (took, work) = (took as f64, self.set.sending_time(req.size_kb));
-        let (late, held_only) = (took > self.aim(req), a.source == Some(to));
+        let (elapsed, work) = (elapsed as f64, self.set.sending_time(req.size_kb));
+        let (late, held_only) = (elapsed > self.latency_objective(req), a.source == Some(to));
         // Guards the members against impatient clients: a wait that its client cut short proves nothing.
-        if verdict == Verdict::TimedOut && a.cut && !late {
+        if outcome == AttemptOutcome::TimedOut && a.cut && !late {
             return;
         }
-        if matches!(verdict, Verdict::Served | Verdict::TimedOut) {
+        if matches!(outcome, AttemptOutcome::Served | AttemptOutcome::TimedOut) {
             self.learn_room(now, to, late);
-            self.pace[class].learn(verdict, work, took);
+            self.pace[class].learn(outcome, work, elapsed);
         }
-        let note = if held_only && verdict == Verdict::Served { Note::Hit } else { note };
-        if note != Note::Hit && reach == Reach::Origin {
-            self.learn_fill(now, id, (to, source), verdict, took);
+        let cache_status =
+            if held_only && outcome == AttemptOutcome::Served { CacheStatus::Hit } else { cache_status };
+        if cache_status != CacheStatus::Hit && reach == Reach::Origin {
+            self.learn_fill(now, id, (to, source), outcome, elapsed);
         }
         let answers = &mut self.pace[class].answers;
-        match verdict {
-            Verdict::Served if held_only => {}
-            Verdict::Served if !late => answers.good.add(now, EVIDENCE_HALF_LIFE, 1.0),
-            Verdict::Served | Verdict::TimedOut => answers.bad.add(now, EVIDENCE_HALF_LIFE, 1.0),
+        match outcome {
+            AttemptOutcome::Served if held_only => {}
+            AttemptOutcome::Served if !late => answers.good.add(now, EVIDENCE_HALF_LIFE, 1.0),
+            AttemptOutcome::Served | AttemptOutcome::TimedOut => {
+                answers.bad.add(now, EVIDENCE_HALF_LIFE, 1.0)
+            }
             _ => {}
         }
-        match (verdict, note) {
-            (Verdict::Cancelled | Verdict::NeverSent | Verdict::Miss | Verdict::Spoilt, _) => {}
-            (_, Note::NoFillPlace) => {}
-            (Verdict::Served, Note::Hit) => self.credit(now, to, !late, 1.0, LATE_FAILURE),
-            (Verdict::Served, _) if !late => {
+        match (outcome, cache_status) {
+            (
+                AttemptOutcome::Cancelled
+                | AttemptOutcome::NotSent
+                | AttemptOutcome::CacheMiss
+                | AttemptOutcome::Malformed,
+                _,
+            ) => {}
+            (_, CacheStatus::FillLimitReached) => {}
+            (AttemptOutcome::Served, CacheStatus::Hit) => self.credit(now, to, !late, 1.0, LATE_FAILURE),
+            (AttemptOutcome::Served, _) if !late => {
                 self.credit(now, to, true, 1.0, 0.0);
                 // Without notes most answers are hits, which say nothing of the source.
-                let sure = if self.set.hit_notes { 1.0 } else { SOURCE_CREDIT };
+                let sure = if self.set.reports_cache_status { 1.0 } else { SOURCE_CREDIT };
                 source.into_iter().for_each(|s| self.credit(now, s, true, sure, 0.0));
             }
             // Late without a note: it may be a hit on a full link, and a source must not be left for that.
-            (Verdict::Served, Note::Silent) => self.credit(now, to, false, 0.0, LATE_FAILURE),
-            (Verdict::Served, _) => self.blame(now, to, source, LATE_FAILURE),
-            (Verdict::NoConnection, Note::Silent) => self.credit(now, to, false, 0.0, PLAIN_FAILURE),
-            (Verdict::Broken, Note::Silent) => self.credit(now, to, false, 0.0, BROKEN),
-            (_, Note::SourceFailed) => self.blame(now, source.unwrap_or(to), None, PLAIN_FAILURE),
-            (_, Note::OriginFailed) => {}
+            (AttemptOutcome::Served, CacheStatus::Unknown) => self.credit(now, to, false, 0.0, LATE_FAILURE),
+            (AttemptOutcome::Served, _) => self.blame(now, to, source, LATE_FAILURE),
+            (AttemptOutcome::NoConnection, CacheStatus::Unknown) => {
+                self.credit(now, to, false, 0.0, PLAIN_FAILURE)
+            }
+            (AttemptOutcome::ConnectionLost, CacheStatus::Unknown) => {
+                self.credit(now, to, false, 0.0, BROKEN)
+            }
+            (_, CacheStatus::SourceFailed) => self.blame(now, source.unwrap_or(to), None, PLAIN_FAILURE),
+            (_, CacheStatus::OriginFailed) => {}
             _ => self.blame(now, to, source, 1.0),
         }
     }
 
-    fn credit(&mut self, now: Micros, id: MemberId, ok: bool, good: f64, bad: f64) {
+    fn credit(&mut self, now: Micros, id: EndpointId, ok: bool, good: f64, bad: f64) {
         let Some(health) = self.members.get_mut(&id).map(|m| &mut m.health) else { return };
         let half = health.half_life(now);
         health.asked.add(now, MAX_HALF_LIFE, if ok { good } else { bad }.min(1.0));
@@ -182,9 +197,9 @@
 
     /// Splits the blame for a failure that names no culprit by what either has shown on its other paths: a
     /// cache that fails with every source is the cache, a source that fails through every cache the source.
-    fn blame(&mut self, now: Micros, to: MemberId, source: Option<MemberId>, weight: f64) {
+    fn blame(&mut self, now: Micros, to: EndpointId, source: Option<EndpointId>, weight: f64) {
         let suspicion =
-            |id: MemberId| self.members.get(&id).map_or(0.0, |m| MIN_SUSPICION + m.health.bad_rate(now));
+            |id: EndpointId| self.members.get(&id).map_or(0.0, |m| MIN_SUSPICION + m.health.bad_rate(now));
         let (there, behind) = (suspicion(to), source.map_or(0.0, suspicion));
         let part = match there / behind {
             ratio if ratio >= CULPRIT && there >= BAD_OUT => 1.0,
@@ -197,36 +212,43 @@
 
     /// Asks a member that failed whether its process answers. One router alone sees too few failures to tell
     /// a dead parent from a full one, and none at all of a restart that is over before the list tells of it.
-    pub(super) fn suspect(&mut self, now: Micros, id: MemberId, plain: bool, actions: &mut Actions) {
-        let probing = self.set.probing;
-        let Some(m) = self.members.get_mut(&id).filter(|m| m.line.role != Role::Origin) else { return };
+    pub(super) fn suspect(&mut self, now: Micros, id: EndpointId, plain: bool, actions: &mut Actions) {
+        let can_check_health = self.set.can_check_health;
+        let Some(m) = self.members.get_mut(&id).filter(|m| m.line.tier != Tier::Origin) else { return };
         m.health.run += 1;
-        let doubt = plain || m.line.role == Role::Parent || m.health.run >= PROBE_RUN;
+        let doubt = plain || m.line.tier == Tier::Parent || m.health.run >= PROBE_RUN;
         let due = m.health.misses == 0 && now >= m.health.probed_at + MIN_PROBE_GAP;
-        if probing && doubt && due && m.line.life == Life::Live {
+        if can_check_health && doubt && due && m.line.state == EndpointState::Active {
             m.health.probed_at = now;
-            actions.push(Action::Probe { member: id });
+            actions.push(Action::CheckHealth { member: id });
         }
     }
 
     /// A probe's timer came due: asks again where the last probe was not answered.
     pub(super) fn on_probe_due(&self, token: u64, actions: &mut Actions) {
-        let id = (token & u64::from(MemberId::MAX)) as MemberId;
-        if self.members.get(&id).is_some_and(|m| m.health.misses > 0 && m.line.life == Life::Live) {
-            actions.push(Action::Probe { member: id });
+        let id = (token & u64::from(EndpointId::MAX)) as EndpointId;
+        if self.members.get(&id).is_some_and(|m| m.health.misses > 0 && m.line.state == EndpointState::Active)
+        {
+            actions.push(Action::CheckHealth { member: id });
         }
     }
 
-    pub(super) fn on_probed(&mut self, now: Micros, id: MemberId, verdict: Verdict, actions: &mut Actions) {
+    pub(super) fn on_probed(
+        &mut self,
+        now: Micros,
+        id: EndpointId,
+        outcome: AttemptOutcome,
+        actions: &mut Actions,
+    ) {
         let spent = self.initial_spent();
         let Some(m) = self.members.get_mut(&id) else { return };
-        let plain = matches!(verdict, Verdict::NoConnection | Verdict::Broken);
-        if plain || verdict == Verdict::TimedOut {
+        let plain = matches!(outcome, AttemptOutcome::NoConnection | AttemptOutcome::ConnectionLost);
+        if plain || outcome == AttemptOutcome::TimedOut {
             m.health.misses += 1;
             // A probe may meet a pause; two in a row rarely do.
             m.health.down |= plain || m.health.misses >= PROBE_RUN;
             let at = now + if m.health.down { PROBE_AGAIN } else { PROBE_DOUBT };
-            actions.push(Action::Timer { token: PROBE_TIMER | u64::from(id), at });
+            actions.push(Action::SetTimer { token: PROBE_TIMER | u64::from(id), at });
         } else {
             if std::mem::replace(&mut m.health.down, false) {
                 // Most likely a new process, cold and empty: guards it against all coming back at once.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -28,7 +28,7 @@
 
 /// A member as listed, with what this router has seen of it since that process started.
 struct Member {
-    line: Listing,
+    line: Endpoint,
     health: Health,
     /// Transfers that it is taken to bear at once, and when that was last cut.
     room: f64,
@@ -42,14 +42,14 @@
 impl Member {
     /// Whether it may get new work, as far as the list and probes tell.
     fn able(&self) -> bool {
-        self.line.life == Life::Live && !self.health.down
+        self.line.state == EndpointState::Active && !self.health.down
     }
 }
 
 /// One attempt of a request.
 struct Attempt {
-    to: MemberId,
-    source: Option<MemberId>,
+    to: EndpointId,
+    source: Option<EndpointId>,
     sent: Micros,
     out: bool,
     may_have_run: bool,
@@ -60,7 +60,7 @@
 }
 
 /// Where an attempt goes, and the source of its fill.
-type Path = (MemberId, Option<MemberId>);
+type Path = (EndpointId, Option<EndpointId>);
 
 /// Where what a request's cache lacks may come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -74,13 +74,13 @@
 }
 
 /// A request that is owed an answer, or whose attempts are still out.
-struct Pending {
+struct PendingRequest {
     class: usize,
     object: ObjectId,
     group: u32,
     part: u32,
     size_kb: f64,
-    give_up_at: Micros,
+    deadline_at: Micros,
     attempts: Vec<Attempt>,
     reach: Reach,
     /// Nothing more is to be answered or sent; it stays until its attempts' outcomes are in.
@@ -89,12 +89,12 @@
 
 /// The decisions of one router. See the crate's page for how to drive it.
 pub struct Router {
-    set: Settings,
+    set: PolicySettings,
     random: SeededDraws,
-    members: BTreeMap<MemberId, Member>,
+    members: BTreeMap<EndpointId, Member>,
     /// All parents ever listed, with their weights: an object's home is a place in this order.
-    parents: BTreeMap<MemberId, f64>,
-    requests: HashMap<RequestId, Pending>,
+    parents: BTreeMap<EndpointId, f64>,
+    requests: HashMap<RequestId, PendingRequest>,
     subscribed: bool,
     /// When an object (or, without one, a group) was purged, as long as older copies may be about.
     purges: HashMap<(Option<ObjectId>, u32), Micros>,
@@ -107,7 +107,7 @@
 
 impl Router {
     /// A router that knows nothing but its settings. The seed feeds all that is random.
-    pub fn new(settings: Settings, seed: u64) -> Self {
+    pub fn new(settings: PolicySettings, seed: u64) -> Self {
         Self {
             random: SeededDraws::new(seed),
             members: BTreeMap::new(),
@@ -124,7 +124,7 @@
     }
 
     /// Takes other settings. A class at a place of the list that it had keeps what was learned of it.
-    pub fn retune(&mut self, settings: Settings) {
+    pub fn retune(&mut self, settings: PolicySettings) {
         let learned = self.set.classes.iter().zip(&self.pace).map(Some).chain(std::iter::repeat(None));
         let paces = settings.classes.iter().zip(learned).map(|(class, old)| match old {
             Some((same, pace)) if same == class => *pace,
@@ -137,49 +137,49 @@
     /// Takes one event and appends what is to be done, in order.
     pub fn handle(&mut self, now: Micros, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Members { full, entries } => self.on_members(now, *full, entries, actions),
-            Event::ListLost => actions.push(Action::Timer { token: LIST_TIMER, at: now + LIST_RETRY }),
+            Event::EndpointsChanged { full, entries } => self.on_members(now, *full, entries, actions),
+            Event::WatchLost => actions.push(Action::SetTimer { token: LIST_TIMER, at: now + LIST_RETRY }),
             Event::Request { .. } => self.on_request(now, event, actions),
-            Event::Outcome { .. } => self.on_outcome(now, event, actions),
-            Event::Streaming { id, attempt } => self.on_streaming(*id, *attempt, actions),
-            Event::Left { id } => self.conclude(*id, actions),
-            Event::Timer { token: LIST_TIMER } => actions.push(Action::Subscribe),
+            Event::AttemptEnded { .. } => self.on_outcome(now, event, actions),
+            Event::ResponseStarted { id, attempt } => self.on_streaming(*id, *attempt, actions),
+            Event::ClientDisconnected { id } => self.conclude(*id, actions),
+            Event::Timer { token: LIST_TIMER } => actions.push(Action::Watch),
             Event::Timer { token } => self.on_probe_due(*token, actions),
-            Event::Probed { member, verdict } => self.on_probed(now, *member, *verdict, actions),
+            Event::HealthChecked { member, outcome } => self.on_probed(now, *member, *outcome, actions),
             Event::Purged { object, group, ago } => self.on_purged(now, *object, *group, *ago),
         }
     }
 
-    fn on_members(&mut self, now: Micros, full: bool, entries: &[Listing], actions: &mut Actions) {
+    fn on_members(&mut self, now: Micros, full: bool, entries: &[Endpoint], actions: &mut Actions) {
         if full {
-            let listed: BTreeSet<MemberId> = entries.iter().map(|e| e.id).collect();
+            let listed: BTreeSet<EndpointId> = entries.iter().map(|e| e.id).collect();
             self.members.retain(|id, _| listed.contains(id));
         }
         for e in entries {
             // What is never used is not held: the cost of a decision follows the location, not the fleet.
-            if e.life == Life::Gone || e.role == Role::FarCache {
+            if e.state == EndpointState::Removed || e.tier == Tier::RemoteCache {
                 self.members.remove(&e.id);
                 continue;
             }
             let known = self.set.weights_known && e.weight.is_finite() && e.weight > 0.0;
             let weight = if known { e.weight } else { WEIGHT_GUESS };
-            let line = Listing { weight, ..e.clone() };
-            if e.role == Role::Parent {
+            let line = Endpoint { weight, ..e.clone() };
+            if e.tier == Tier::Parent {
                 self.parents.insert(e.id, line.weight);
             }
-            match self.members.get_mut(&e.id).filter(|m| m.line.started == e.started) {
+            match self.members.get_mut(&e.id).filter(|m| m.line.started_at == e.started_at) {
                 Some(m) => m.line = line,
                 // A new process: what was known of an old one says nothing of it.
                 None => self.add_member(now, line),
             }
         }
-        if self.set.subscribe && !self.subscribed {
+        if self.set.watch_endpoints && !self.subscribed {
             self.subscribed = true;
-            actions.push(Action::Subscribe);
+            actions.push(Action::Watch);
         }
     }
 
-    fn add_member(&mut self, now: Micros, line: Listing) {
+    fn add_member(&mut self, now: Micros, line: Endpoint) {
         let fresh = Member {
             health: Health::default(),
             room: line.weight,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -3,8 +3,8 @@
 //! Unknown keys are skipped; what may be absent reads as its type's default.
 
 use crate::wire::cache_codec::is_value;
-use crate::wire::discovery_codec::{News, Numbered};
-use crate::{Class, ColdStart, KeyScope, Life, Listing, Repeat, Role, Settings};
+use crate::wire::discovery_codec::{Sequenced, WatchEvent};
+use crate::{Endpoint, EndpointState, Idempotency, KeyScope, PolicySettings, RequestClass, SlowStart, Tier};
 use serde::{Deserialize, Deserializer};
 
 /// Reads a value that may be absent, null or of another type than expected, as the type's default then.
@@ -15,7 +15,7 @@
 /// One line of the list of members, as the simulator's wire words it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Row {
+pub struct EndpointRecord {
     /// Name of its zone.
     #[serde(default, deserialize_with = "lenient")]
     pub zone: String,
@@ -40,8 +40,8 @@
 /// The settings object.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Env {
-    classes: Vec<EnvClass>,
+pub struct PlatformSettings {
+    classes: Vec<ClassSettings>,
     #[serde(default, deserialize_with = "lenient")]
     discovery: String,
     #[serde(default, deserialize_with = "lenient")]
@@ -64,13 +64,13 @@
 
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "camelCase")]
-struct EnvClass {
+struct ClassSettings {
     name: String,
     /// No longer in the settings: it stays for what was asked of it before.
     #[serde(skip)]
     retired: bool,
-    #[serde(default, deserialize_with = "lenient")]
-    aim_stretch: f64,
+    #[serde(rename = "aimStretch", default, deserialize_with = "lenient")]
+    latency_stretch: f64,
     deadline_us: u64,
     #[serde(default, deserialize_with = "lenient")]
     dedup_scope: String,
@@ -78,8 +78,8 @@
     semantics: String,
     #[serde(default, deserialize_with = "lenient")]
     window_us: u64,
-    #[serde(default, deserialize_with = "lenient")]
-    worth: f64,
+    #[serde(rename = "worth", default, deserialize_with = "lenient")]
+    priority_weight: f64,
 }
 
 #[derive(Clone, Debug, Default, Deserialize)]
@@ -149,7 +149,7 @@
     tip_after_us: u64,
 }
 
-impl Env {
+impl PlatformSettings {
     fn sku(&self, place: Option<i64>) -> Option<&str> {
         self.skus.get(usize::try_from(place?).ok()?).map(String::as_str)
     }
@@ -186,7 +186,7 @@
     }
 
     /// All that is said of the class at a place.
-    fn line(&self, k: usize) -> (EnvClass, u64, u64, bool) {
+    fn line(&self, k: usize) -> (ClassSettings, u64, u64, bool) {
         let fam = &self.family_info;
         let age = |ages: &[u64]| ages.get(k).copied().unwrap_or(0);
         (self.classes[k].clone(), age(&fam.max_age_us), age(&fam.older_by_us), self.is_write(k))
@@ -281,8 +281,8 @@
     }
 
     /// What a proxy could not take of an event, if anything.
-    pub fn check_event(&self, event: &Numbered) -> Result<(), String> {
-        let News::Roster { targets, .. } = &event.news else { return Ok(()) };
+    pub fn check_event(&self, event: &Sequenced) -> Result<(), String> {
+        let WatchEvent::Endpoints { targets, .. } = &event.news else { return Ok(()) };
         targets.iter().try_for_each(|target| self.listing(&target.row).map(|_| ()))
     }
 
@@ -296,17 +296,17 @@
     }
 
     /// The settings in the library's words.
-    pub fn settings(&self) -> Settings {
+    pub fn settings(&self) -> PolicySettings {
         let (fam, limits, rules) = (&self.family_info, &self.policy_limits, &self.rules);
         let home = self.zone(&self.locality);
-        let classes = self.classes.iter().enumerate().map(|(k, c)| Class {
-            aim: c.promise_us,
-            aim_stretch: c.aim_stretch,
+        let classes = self.classes.iter().enumerate().map(|(k, c)| RequestClass {
+            latency_objective: c.promise_us,
+            latency_stretch: c.latency_stretch,
             deadline: c.deadline_us,
-            repeat: match c.semantics.as_str() {
-                "pure" => Repeat::Safe,
-                "token" => Repeat::Keyed,
-                _ => Repeat::Unsafe,
+            idempotency: match c.semantics.as_str() {
+                "pure" => Idempotency::Idempotent,
+                "token" => Idempotency::WithKey,
+                _ => Idempotency::NotIdempotent,
             },
             key_scope: match c.dedup_scope.as_str() {
                 "all" => KeyScope::All,
@@ -314,71 +314,71 @@
                 _ => KeyScope::Cell,
             },
             key_window: c.window_us,
-            worth: c.worth,
-            fresh_for: fam.max_age_us.get(k).copied().unwrap_or(0),
-            stale_for: fam.older_by_us.get(k).copied().unwrap_or(0),
+            priority_weight: c.priority_weight,
+            fresh_lifetime: fam.max_age_us.get(k).copied().unwrap_or(0),
+            stale_while_revalidate: fam.older_by_us.get(k).copied().unwrap_or(0),
             uncacheable: fam.uncached.get(k).copied().unwrap_or(false),
         });
-        let cold = ColdStart {
-            floor: rules.start_capacity,
-            ramp: rules.ramp_time_us,
-            multiple: rules.fall_multiple,
-            window: rules.tip_after_us,
+        let cold = SlowStart {
+            initial_capacity: rules.start_capacity,
+            ramp_duration: rules.ramp_time_us,
+            overload_multiple: rules.fall_multiple,
+            overload_window: rules.tip_after_us,
         };
-        Settings {
+        PolicySettings {
             classes: classes.collect(),
-            routers: self.siblings,
-            routers_here: home.and_then(|z| fam.seats_by_zone.get(z).copied()).unwrap_or(self.siblings),
-            flow_kb_per_s: fam.flow_kb_per_s,
+            fleet_size: self.siblings,
+            local_fleet_size: home.and_then(|z| fam.seats_by_zone.get(z).copied()).unwrap_or(self.siblings),
+            client_kb_per_s: fam.flow_kb_per_s,
             weights_known: matches!(self.weight_kind.as_str(), "nominal" | "rough"),
-            joins: fam.joins,
-            bypass: fam.may_pass_by,
-            hit_notes: matches!(fam.notes_given.as_str(), "hit" | "all"),
-            purge_done: fam.purge_done_us,
+            can_join_fills: fam.joins,
+            can_bypass_caches: fam.may_pass_by,
+            reports_cache_status: matches!(fam.notes_given.as_str(), "hit" | "all"),
+            purge_completion: fam.purge_done_us,
             max_attempts: limits.send_cap,
-            cancelling: limits.cancelling,
-            probing: limits.probing,
-            max_wait_hint: if limits.retry_after { limits.max_retry_after_us } else { 0 },
-            subscribe: self.discovery == "ask",
-            cache_cold: cold,
-            parent_cold: ColdStart {
-                floor: fam.parent_floor,
-                ramp: fam.upper_cold_us,
-                multiple: fam.parent_breaks_at,
+            can_cancel: limits.cancelling,
+            can_check_health: limits.probing,
+            max_retry_after: if limits.retry_after { limits.max_retry_after_us } else { 0 },
+            watch_endpoints: self.discovery == "ask",
+            cache_slow_start: cold,
+            parent_slow_start: SlowStart {
+                initial_capacity: fam.parent_floor,
+                ramp_duration: fam.upper_cold_us,
+                overload_multiple: fam.parent_breaks_at,
                 ..cold
             },
         }
     }
 
     /// Whether a line is that of a cache, in whatever location.
-    pub fn is_cache(&self, row: &Row) -> bool {
+    pub fn is_cache(&self, row: &EndpointRecord) -> bool {
         let upper = [self.family_info.root_kind, self.family_info.mid_kind];
         !upper.into_iter().any(|kind| self.sku(kind) == Some(&row.model))
     }
 
     /// One line of a list, in the library's words.
-    pub fn listing(&self, row: &Row) -> Result<Listing, String> {
+    pub fn listing(&self, row: &EndpointRecord) -> Result<Endpoint, String> {
         let zone = self.zone(&row.zone);
-        let role = if self.sku(self.family_info.root_kind) == Some(&row.model) {
-            Role::Origin
+        let tier = if self.sku(self.family_info.root_kind) == Some(&row.model) {
+            Tier::Origin
         } else if self.sku(self.family_info.mid_kind) == Some(&row.model) {
-            Role::Parent
+            Tier::Parent
         } else if row.zone == self.locality {
-            Role::Cache
+            Tier::Cache
         } else {
-            Role::FarCache
+            Tier::RemoteCache
         };
-        let life = match row.lifecycle.as_str() {
-            "live" => Life::Live,
-            "quiescing" => Life::Draining,
-            "dead" => Life::Gone,
+        let state = match row.lifecycle.as_str() {
+            "live" => EndpointState::Active,
+            "quiescing" => EndpointState::Draining,
+            "dead" => EndpointState::Removed,
             other => return Err(format!("Table: unknown lifecycle {other:?}")),
         };
-        Ok(Listing {
+        Ok(Endpoint {
             id: row.cache,
-            role,
-            life,
-            started: row.ready_at_us,
+            tier,
+            state,
+            started_at: row.ready_at_us,
             weight: row.power_hint.unwrap_or(1.0),
             zone: zone.map_or(u32::MAX, |z| z as u32),
             cell: row.cohort,
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::connections::ConnId;
 use super::deadlines::Deadlines;
-use crate::{MemberId, RequestId};
+use crate::{EndpointId, RequestId};
 use std::collections::HashMap;
 
 /// An attempt: its request and its number there.
@@ -23,15 +23,15 @@
     /// Its request's id as it is passed on.
     pub id_text: String,
     /// Where it goes.
-    pub to: MemberId,
+    pub to: EndpointId,
     /// Where a miss is filled from, if anywhere.
-    pub source: Option<MemberId>,
+    pub source: Option<EndpointId>,
     /// Join a fill under way.
     pub join: bool,
     /// The source gives only what it holds.
-    pub only_held: bool,
+    pub only_if_cached: bool,
     /// Renew an ageing copy behind.
-    pub renew: bool,
+    pub revalidate: bool,
     /// Oldest copy that will do, in milliseconds from when it was asked for; 0 for the class's own bound.
     pub max_age_ms: f64,
     /// Rank at which a copy is kept.
@@ -41,7 +41,7 @@
     /// When its time is over.
     pub due_ms: f64,
     /// When its first byte must be out: later it might run what has run before.
-    pub start_by_ms: f64,
+    pub first_byte_by_ms: f64,
     /// Its connection.
     pub conn: ConnId,
     /// Where it stands.
--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -1,7 +1,7 @@
 //! Connections to members, with what waits for them and what is out on them.
 
 use super::attempts::AttemptId;
-use crate::{MemberId, RequestId};
+use crate::{EndpointId, RequestId};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 /// A connection's number; never used again.
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub struct Connection {
     /// The member at its other end.
-    pub member: MemberId,
+    pub member: EndpointId,
     /// It has come up.
     pub up: bool,
     /// Nothing new goes onto it; it is closed once nothing is out on it.
@@ -108,7 +108,7 @@
     }
 
     /// Finds a connection to a member for a request, the least busy one first.
-    pub fn place(&mut self, member: MemberId, id: RequestId, now: f64) -> Place {
+    pub fn place(&mut self, member: EndpointId, id: RequestId, now: f64) -> Place {
         let mine = || self.all.iter().filter(|(_, c)| c.member == member);
         let best = mine().filter(|(_, c)| c.takes(id)).min_by_key(|(k, c)| (c.load(), !c.up, **k));
         let best = best.map(|(k, c)| (*k, c.load()));
@@ -130,7 +130,7 @@
 
     /// Makes room for a member that has no connection: the one that was idle for longest is to be closed. Guards
     /// a cache that has just started against idle connections to all others holding every place.
-    pub fn evict(&mut self, member: MemberId) -> Option<ConnId> {
+    pub fn evict(&mut self, member: EndpointId) -> Option<ConnId> {
         if self.all.values().any(|c| c.member == member) {
             return None;
         }
--- a/src/state/counters.rs
+++ b/src/state/counters.rs
@@ -6,7 +6,7 @@
 
 /// What became of one class's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct ClassCounters {
     /// Served.
     pub ok: u64,
     /// Refused.
@@ -19,13 +19,13 @@
 
 /// Tallies by the class's name, since the start of the process.
 #[derive(Clone, Debug, Default)]
-pub struct Tallies(BTreeMap<String, Tally>);
+pub struct CountersByClass(BTreeMap<String, ClassCounters>);
 
-impl Tallies {
+impl CountersByClass {
     /// A class's tally; from now on it is listed.
-    pub fn of(&mut self, class: &str) -> &mut Tally {
+    pub fn of(&mut self, class: &str) -> &mut ClassCounters {
         if !self.0.contains_key(class) {
-            self.0.insert(class.to_string(), Tally::default());
+            self.0.insert(class.to_string(), ClassCounters::default());
         }
         self.0.entry(class.to_string()).or_default()
     }
--- a/src/state/maintenance.rs
+++ b/src/state/maintenance.rs
@@ -1,7 +1,7 @@
 //! Members that operators have taken out of use by hand, and when they put them back.
 
-use crate::settings::Row;
-use crate::MemberId;
+use crate::settings::EndpointRecord;
+use crate::EndpointId;
 use std::collections::BTreeMap;
 
 /// How long a return is remembered, in milliseconds: longer than any member takes to be warm.
@@ -18,17 +18,17 @@
 
 /// All such words, by member.
 #[derive(Clone, Debug, Default)]
-pub struct Maintenance(BTreeMap<MemberId, Mark>);
+pub struct Maintenance(BTreeMap<EndpointId, Mark>);
 
 impl Maintenance {
     /// Whether a member is out of use.
-    pub fn is_out(&self, id: MemberId) -> bool {
+    pub fn is_out(&self, id: EndpointId) -> bool {
         self.0.get(&id).is_some_and(|mark| mark.out)
     }
 
     /// Takes a word on a member; tells whether its use changes. A second call that says the same changes nothing, so
     /// one call back is enough for two calls out. Of two words the later one counts.
-    pub fn mark(&mut self, id: MemberId, mark: Mark) -> bool {
+    pub fn mark(&mut self, id: EndpointId, mark: Mark) -> bool {
         let old = self.0.get(&id).copied();
         if self.is_out(id) == mark.out || old.is_some_and(|old| old.at_ms > mark.at_ms) {
             return false;
@@ -43,13 +43,13 @@
     }
 
     /// All of them.
-    pub fn iter(&self) -> impl Iterator<Item = (MemberId, Mark)> + '_ {
+    pub fn iter(&self) -> impl Iterator<Item = (EndpointId, Mark)> + '_ {
         self.0.iter().map(|(id, mark)| (*id, *mark))
     }
 
     /// A member's line as this proxy has to take it. Guards the rule on drains: what is out of use drains, whatever
     /// the list says; and the rule on cold starts: it was restarted meanwhile, so it is cold when it returns.
-    pub fn apply(&self, row: &mut Row) {
+    pub fn apply(&self, row: &mut EndpointRecord) {
         match self.0.get(&row.cache) {
             Some(mark) if mark.out && row.lifecycle == "live" => row.lifecycle = "quiescing".into(),
             Some(mark) if !mark.out => {
--- a/src/state/membership.rs
+++ b/src/state/membership.rs
@@ -1,7 +1,7 @@
 //! The members by id, with their addresses and when this proxy was told that they drain or are gone.
 
 use crate::wire::discovery_codec::Target;
-use crate::MemberId;
+use crate::EndpointId;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
 
@@ -9,8 +9,8 @@
 #[derive(Debug, Default)]
 pub struct Roster {
     /// Members that are listed, as told, whatever their state.
-    listed: HashMap<MemberId, Target>,
-    live: HashMap<MemberId, SocketAddrV4>,
+    listed: HashMap<EndpointId, Target>,
+    live: HashMap<EndpointId, SocketAddrV4>,
 }
 
 impl Roster {
@@ -29,7 +29,7 @@
     }
 
     /// A member's line as last told.
-    pub fn listed(&self, id: MemberId) -> Option<&Target> {
+    pub fn listed(&self, id: EndpointId) -> Option<&Target> {
         self.listed.get(&id)
     }
 
@@ -39,10 +39,10 @@
     }
 
     /// Takes a list or its changes; tells which members may get nothing new from now on, or have moved.
-    pub fn update(&mut self, full: bool, targets: &[Target]) -> Vec<MemberId> {
-        let before: Vec<(MemberId, SocketAddrV4)> = self.live.iter().map(|(id, at)| (*id, *at)).collect();
+    pub fn update(&mut self, full: bool, targets: &[Target]) -> Vec<EndpointId> {
+        let before: Vec<(EndpointId, SocketAddrV4)> = self.live.iter().map(|(id, at)| (*id, *at)).collect();
         if full {
-            let listed: HashSet<MemberId> = targets.iter().map(|t| t.row.cache).collect();
+            let listed: HashSet<EndpointId> = targets.iter().map(|t| t.row.cache).collect();
             self.live.retain(|id, _| listed.contains(id));
         }
         for target in targets {
@@ -57,7 +57,7 @@
     }
 
     /// The address of a member that may get new work.
-    pub fn address(&self, id: MemberId) -> Option<SocketAddrV4> {
+    pub fn address(&self, id: EndpointId) -> Option<SocketAddrV4> {
         self.live.get(&id).copied()
     }
 }
--- a/src/state/membership/tests.rs
+++ b/src/state/membership/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::settings::Row;
+use crate::settings::EndpointRecord;
 
 fn target(cache: u32, lifecycle: &str, port: u16) -> Target {
-    let row = Row {
+    let row = EndpointRecord {
         zone: String::new(),
         model: String::new(),
         lifecycle: lifecycle.into(),
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -7,7 +7,7 @@
 
 /// A client's request as a front hands it to the engine.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct IncomingRequest {
     /// Its id, new to this proxy.
     pub id: RequestId,
     /// The id as it is passed on.
@@ -38,7 +38,7 @@
 
 /// The one final answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Final {
+pub enum FinalResponse {
     /// The bytes of the part, from a member's answer to this request.
     Served {
         /// Tag of the copy, where it has one.
@@ -47,12 +47,12 @@
         body: Bytes,
     },
     /// The client's copy would be served.
-    Same {
+    NotModified {
         /// Tag of the copy.
         tag: String,
     },
     /// Refused: trying again does no harm.
-    Refused {
+    Rejected {
         /// How long to stay away, in milliseconds; 0 for no advice.
         wait_ms: f64,
         /// The request's time was over.
@@ -67,7 +67,7 @@
 
 /// Why a request was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum AdmitError {
     /// Another with its id is open.
     Duplicate,
     /// The table is full.
@@ -77,7 +77,7 @@
 /// Requests that owe an answer, at most `most` of them.
 #[derive(Debug)]
 pub struct Requests {
-    open: HashMap<RequestId, (Ask, u32)>,
+    open: HashMap<RequestId, (IncomingRequest, u32)>,
     due: Deadlines<RequestId>,
     most: usize,
 }
@@ -89,12 +89,12 @@
     }
 
     /// Takes a request in: from now on it owes an answer.
-    pub fn take(&mut self, ask: Ask) -> Result<(), NotTaken> {
+    pub fn take(&mut self, ask: IncomingRequest) -> Result<(), AdmitError> {
         if self.open.contains_key(&ask.id) {
-            return Err(NotTaken::Duplicate);
+            return Err(AdmitError::Duplicate);
         }
         if self.open.len() >= self.most {
-            return Err(NotTaken::Full);
+            return Err(AdmitError::Full);
         }
         self.due.push(ask.give_up_ms, ask.id);
         self.open.insert(ask.id, (ask, 0));
@@ -102,7 +102,7 @@
     }
 
     /// A request that still owes its answer.
-    pub fn get(&self, id: RequestId) -> Option<&Ask> {
+    pub fn get(&self, id: RequestId) -> Option<&IncomingRequest> {
         self.open.get(&id).map(|(ask, _)| ask)
     }
 
@@ -129,12 +129,12 @@
     }
 
     /// Guards against an id that comes again being ended at the time of the request that had it before.
-    fn stands(open: &HashMap<RequestId, (Ask, u32)>, id: RequestId, at: f64) -> bool {
+    fn stands(open: &HashMap<RequestId, (IncomingRequest, u32)>, id: RequestId, at: f64) -> bool {
         open.get(&id).is_some_and(|(ask, _)| ask.give_up_ms == at)
     }
 
     /// Ends a request. Only the first caller gets it, and with it the right to answer.
-    pub fn end(&mut self, id: RequestId) -> Option<Ask> {
+    pub fn end(&mut self, id: RequestId) -> Option<IncomingRequest> {
         self.open.remove(&id).map(|(ask, _)| ask)
     }
 
--- a/src/wire/admin.rs
+++ b/src/wire/admin.rs
@@ -4,7 +4,7 @@
 use super::http::{HttpAnswer, HttpRequest};
 use super::listener::{Context, Front, Intake, Limits};
 use crate::engine::executor::Executor;
-use crate::state::requests::{Final, NotTaken};
+use crate::state::requests::{AdmitError, FinalResponse};
 use std::rc::Rc;
 
 /// Connections at once. At the cap a caller that says nothing gives its place to the next.
@@ -103,11 +103,11 @@
         Intake::Now(HttpAnswer { close: true, ..self.answer(host, request) })
     }
 
-    fn word(&self, _: &Context, _: Final) -> HttpAnswer {
+    fn word(&self, _: &Context, _: FinalResponse) -> HttpAnswer {
         HttpAnswer::closing(404)
     }
 
-    fn not_taken(&self, _: NotTaken) -> HttpAnswer {
+    fn not_taken(&self, _: AdmitError) -> HttpAnswer {
         HttpAnswer::closing(404)
     }
 }
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -72,9 +72,9 @@
     /// Join a fill under way.
     pub join: bool,
     /// The source gives only what it holds.
-    pub only_held: bool,
+    pub only_if_cached: bool,
     /// Renew an ageing copy behind.
-    pub renew: bool,
+    pub revalidate: bool,
     /// Bare tag of the client's copy.
     pub cached: Option<String>,
     /// The object's group, told to boxes that take fleet purges by group; none on the platform.
@@ -264,7 +264,7 @@
         if get.max_age_ms > 0 {
             field("agelim", &get.max_age_ms.to_string());
         }
-        let words = [(get.join, "ride"), (get.only_held, "have-only"), (get.renew, "update")];
+        let words = [(get.join, "ride"), (get.only_if_cached, "have-only"), (get.revalidate, "update")];
         let ways: Vec<&str> = words.iter().filter(|(on, _)| *on).map(|(_, word)| *word).collect();
         if !ways.is_empty() {
             field("ways", &ways.join("+"));
--- a/src/wire/cache_codec/tests.rs
+++ b/src/wire/cache_codec/tests.rs
@@ -114,14 +114,14 @@
         keep: 2,
         max_age_ms: 1_500,
         join: true,
-        renew: true,
+        revalidate: true,
         cached: Some("4be0".into()),
         ..Get::default()
     };
     LineCodec::default().encode(Command::Get(Box::new(get)), &mut out).unwrap();
     LineCodec::default().encode(Command::Drop("9b1f03aa5c7e2d41".into()), &mut out).unwrap();
     let held =
-        Get { id: "000000000000000a".into(), join: true, only_held: true, wait_ms: 5, ..Get::default() };
+        Get { id: "000000000000000a".into(), join: true, only_if_cached: true, wait_ms: 5, ..Get::default() };
     LineCodec::default().encode(Command::Get(Box::new(held)), &mut out).unwrap();
     assert_eq!(
         &out[..],
--- a/src/wire/discovery_codec.rs
+++ b/src/wire/discovery_codec.rs
@@ -2,7 +2,7 @@
 
 use super::cache_codec::{hex16, member_id};
 use super::WireError;
-use crate::settings::{Env, Row};
+use crate::settings::{EndpointRecord, PlatformSettings};
 use bytes::{Buf, BufMut, BytesMut};
 use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -16,18 +16,18 @@
 #[derive(Clone, Debug)]
 pub struct Target {
     /// Its line of the list.
-    pub row: Row,
+    pub row: EndpointRecord,
     /// Where it listens.
     pub address: SocketAddrV4,
 }
 
 /// What an event says.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum WatchEvent {
     /// Nothing new; the link works.
-    Quiet,
+    Heartbeat,
     /// The list: all of it, or what changed.
-    Roster {
+    Endpoints {
         /// Members that are absent have gone.
         full: bool,
         /// The members.
@@ -46,11 +46,11 @@
 
 /// A numbered event.
 #[derive(Clone, Debug)]
-pub struct Numbered {
+pub struct Sequenced {
     /// Its number.
     pub no: u64,
     /// What it says.
-    pub news: News,
+    pub news: WatchEvent,
 }
 
 /// A frame as read: places in the settings' lists are not yet names.
@@ -65,31 +65,31 @@
 
 impl Frame {
     /// The event that a frame means under these settings.
-    pub fn event(&self, env: &Env) -> Result<Numbered, WireError> {
+    pub fn event(&self, env: &PlatformSettings) -> Result<Sequenced, WireError> {
         let mut payload = &self.payload[..];
         let news = match (self.kind, payload.len()) {
-            (0, 0) => News::Quiet,
+            (0, 0) => WatchEvent::Heartbeat,
             (1 | 2, n) if n % RECORD == 0 => {
                 let targets = self.records().map(|r| target(r, env)).collect::<Result<_, _>>()?;
-                News::Roster { full: self.kind == 1, targets }
+                WatchEvent::Endpoints { full: self.kind == 1, targets }
             }
             (3, 16) => {
                 let object = Some(payload.get_u64());
-                News::Purge { object, group: 0, issued: payload.get_u64() as f64 }
+                WatchEvent::Purge { object, group: 0, issued: payload.get_u64() as f64 }
             }
             (4, 10) => {
                 let group = u32::from(payload.get_u16());
-                News::Purge { object: None, group, issued: payload.get_u64() as f64 }
+                WatchEvent::Purge { object: None, group, issued: payload.get_u64() as f64 }
             }
             (0..=4, _) => return Err(WireError::Malformed("a frame's length")),
             // A kind of a later day: its number counts, its text is skipped.
-            _ => News::Quiet,
+            _ => WatchEvent::Heartbeat,
         };
-        Ok(Numbered { no: self.no, news })
+        Ok(Sequenced { no: self.no, news })
     }
 
     /// The members that can be read in a list or changes of it, whatever stands beside them.
-    pub fn readable(&self, env: &Env) -> Vec<Target> {
+    pub fn readable(&self, env: &PlatformSettings) -> Vec<Target> {
         self.records().filter_map(|r| target(r, env).ok()).collect()
     }
 
@@ -100,7 +100,7 @@
     }
 }
 
-fn target(mut buf: &[u8], env: &Env) -> Result<Target, WireError> {
+fn target(mut buf: &[u8], env: &PlatformSettings) -> Result<Target, WireError> {
     let cache = buf.get_u32();
     let address = SocketAddrV4::new(Ipv4Addr::from(buf.get_u32()), buf.get_u16());
     let lifecycle = match buf.get_u8() {
@@ -115,7 +115,8 @@
     let cohort = u32::from(buf.get_u16());
     let power_hint = Some(f64::from(buf.get_u32()) / 1_000.0);
     let ready_at_us = buf.get_u64().saturating_mul(1_000);
-    let row = Row { zone, model, lifecycle: lifecycle.into(), ready_at_us, cache, power_hint, cohort };
+    let row =
+        EndpointRecord { zone, model, lifecycle: lifecycle.into(), ready_at_us, cache, power_hint, cohort };
     Ok(Target { row, address })
 }
 
@@ -159,7 +160,7 @@
 
 /// `known` of the configuration: the events of the start.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Known {
+pub struct InitialState {
     /// Number of the last of them.
     #[serde(default)]
     pub no: u64,
@@ -209,31 +210,31 @@
     boot_ms: f64,
 }
 
-impl Known {
+impl InitialState {
     /// The events, in order; else what is wrong with which of them.
-    pub fn events(&self) -> Result<Vec<Numbered>, String> {
+    pub fn events(&self) -> Result<Vec<Sequenced>, String> {
         self.items.iter().map(|item| item.event().map_err(|e| format!("event {}: {e}", item.no))).collect()
     }
 }
 
 impl Item {
-    fn event(&self) -> Result<Numbered, String> {
+    fn event(&self) -> Result<Sequenced, String> {
         let news = match (&self.roster, &self.recall) {
             (Some(list), _) => {
                 let targets = list.targets.iter().map(Line::target).collect::<Result<_, _>>()?;
-                News::Roster { full: list.all, targets }
+                WatchEvent::Endpoints { full: list.all, targets }
             }
             (None, Some(recall)) => match (&recall.item, recall.lot) {
                 (Some(item), _) => {
                     let object = hex16(item).ok_or_else(|| format!("object {item:?}"))?;
-                    News::Purge { object: Some(object), group: 0, issued: recall.issued }
+                    WatchEvent::Purge { object: Some(object), group: 0, issued: recall.issued }
                 }
-                (None, Some(lot)) => News::Purge { object: None, group: lot, issued: recall.issued },
+                (None, Some(lot)) => WatchEvent::Purge { object: None, group: lot, issued: recall.issued },
                 (None, None) => return Err("a purge of nothing".into()),
             },
-            (None, None) => News::Quiet,
+            (None, None) => WatchEvent::Heartbeat,
         };
-        Ok(Numbered { no: self.no, news })
+        Ok(Sequenced { no: self.no, news })
     }
 }
 
@@ -255,7 +256,7 @@
             "Gone" => "dead",
             other => return Err(format!("state {other:?}")),
         };
-        let row = Row {
+        let row = EndpointRecord {
             zone: self.az.clone(),
             model: self.model.clone(),
             lifecycle: lifecycle.into(),
--- a/src/wire/discovery_codec/tests.rs
+++ b/src/wire/discovery_codec/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn env() -> Env {
+fn env() -> PlatformSettings {
     let mut text = br#"{"classes":[],"localities":["hub","east"],"skus":["std","parent"]}"#.to_vec();
     simd_json::from_slice(&mut text).unwrap()
 }
@@ -39,13 +39,13 @@
             }
         }
         assert_eq!(got.iter().map(|n| n.no).collect::<Vec<_>>(), [7, 7, 8]);
-        let News::Roster { full: false, targets } = &got[0].news else { panic!("{got:?}") };
+        let WatchEvent::Endpoints { full: false, targets } = &got[0].news else { panic!("{got:?}") };
         assert_eq!(targets[0].address.to_string(), "10.1.0.9:5050");
         let row = &targets[0].row;
         assert_eq!((row.cache, row.zone.as_str(), row.lifecycle.as_str()), (0xc41f7a, "east", "quiescing"));
         assert_eq!((row.ready_at_us, row.power_hint), (1_764_576_000_123_000, Some(4.5)));
-        assert!(matches!(got[1].news, News::Quiet));
-        assert!(matches!(got[2].news, News::Purge { object: None, group: 17, issued: 99.0 }));
+        assert!(matches!(got[1].news, WatchEvent::Heartbeat));
+        assert!(matches!(got[2].news, WatchEvent::Purge { object: None, group: 17, issued: 99.0 }));
     }
 }
 
@@ -70,11 +70,12 @@
     let text = r#"{"no":42,"items":[{"no":41,"roster":{"rev":7,"all":true,"targets":[{"uid":"s-00c41f7a",
             "endpoint":"10.1.0.9:5050","az":"east","model":"std","pod_group":2,"state":"Ready",
             "capacity_hint":4,"boot_ms":0}]}},{"no":42,"recall":{"item":"7f3a9c21e0b4d655","issued":5}}]}"#;
-    let read = |text: &str| simd_json::from_slice::<Known>(&mut text.as_bytes().to_vec()).unwrap().events();
+    let read =
+        |text: &str| simd_json::from_slice::<InitialState>(&mut text.as_bytes().to_vec()).unwrap().events();
     let events = read(text).unwrap();
-    assert!(matches!(&events[0].news, News::Roster { full: true, targets } if targets.len() == 1));
+    assert!(matches!(&events[0].news, WatchEvent::Endpoints { full: true, targets } if targets.len() == 1));
     let object = 0x7f3a_9c21_e0b4_d655;
-    assert!(matches!(events[1].news, News::Purge { object: Some(o), issued: 5.0, .. } if o == object));
+    assert!(matches!(events[1].news, WatchEvent::Purge { object: Some(o), issued: 5.0, .. } if o == object));
     let fault = read(&text.replace("10.1.0.9:5050", "nowhere")).unwrap_err();
     assert!(fault.contains("event 41") && fault.contains("endpoint"), "{fault}");
 }
--- a/src/wire/listener.rs
+++ b/src/wire/listener.rs
@@ -8,7 +8,7 @@
 use crate::http3::call_registry::{Keeper, Kept};
 use crate::http3::response_store::SessionId;
 use crate::state::client_slots::{PlaceId, Places};
-use crate::state::requests::{Ask, Final, NotTaken};
+use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -92,7 +92,7 @@
     /// It is answered without the engine.
     Now(HttpAnswer),
     /// It is for the engine.
-    Ask(Box<Ask>, Context),
+    IncomingRequest(Box<IncomingRequest>, Context),
 }
 
 /// A front: what differs between the protocols that clients speak.
@@ -102,9 +102,9 @@
     /// Parses and authenticates a request that was whole at `now`.
     fn take(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Intake;
     /// Words a final answer.
-    fn word(&self, context: &Context, answer: Final) -> HttpAnswer;
+    fn word(&self, context: &Context, answer: FinalResponse) -> HttpAnswer;
     /// Words that a request could not be taken.
-    fn not_taken(&self, why: NotTaken) -> HttpAnswer;
+    fn not_taken(&self, why: AdmitError) -> HttpAnswer;
     /// Where calls outlive their connection, who keeps them.
     fn keeper(&self) -> Option<&Rc<Keeper>> {
         None
@@ -370,8 +370,8 @@
         let mut write_ms = limits.write_ms;
         let mut answer = match front.take(host, &request, host.clock.now()) {
             Intake::Now(answer) => answer,
-            Intake::Ask(ask, context) => {
-                let ask = Ask { client: Some(peer), ..*ask };
+            Intake::IncomingRequest(ask, context) => {
+                let ask = IncomingRequest { client: Some(peer), ..*ask };
                 let give_up_ms = ask.give_up_ms;
                 // One that waited for its place, or behind another request, may have come from a client long gone.
                 if link.has_left().await {
@@ -387,7 +387,7 @@
                 }
                 match waited {
                     Waited::Left => return End::Gone,
-                    Waited::NotTaken(why) => front.not_taken(why),
+                    Waited::AdmitError(why) => front.not_taken(why),
                     Waited::Answer(answer) => front.word(&context, answer),
                 }
             }
@@ -466,17 +466,17 @@
 }
 
 enum Waited {
-    Answer(Final),
-    NotTaken(NotTaken),
+    Answer(FinalResponse),
+    AdmitError(AdmitError),
     Left,
 }
 
 /// Waits for a request's answer, with an eye on whether the client leaves.
-async fn wait(host: &Rc<Executor>, link: &mut Link, ask: Ask) -> Waited {
+async fn wait(host: &Rc<Executor>, link: &mut Link, ask: IncomingRequest) -> Waited {
     let id = ask.id;
     let mut answer = match host.ask(ask) {
         Ok(answer) => answer,
-        Err(why) => return Waited::NotTaken(why),
+        Err(why) => return Waited::AdmitError(why),
     };
     // Guards against a panic in this task leaving the request open.
     let mut guard = Leaving { host, id: Some(id) };
@@ -484,7 +484,7 @@
         biased;
         done = &mut answer => {
             guard.id = None;
-            Waited::Answer(done.unwrap_or(Final::Failed { overdue: false }))
+            Waited::Answer(done.unwrap_or(FinalResponse::Failed { overdue: false }))
         }
         () = link.left() => Waited::Left,
     }
@@ -492,9 +492,9 @@
 
 /// The same where calls outlive their connection: over TCP a client that leaves can't be told from a link that was
 /// lost, so the call goes on for its time.
-async fn wait_kept(keeper: &Rc<Keeper>, session: SessionId, link: &mut Link, ask: Ask) -> Waited {
+async fn wait_kept(keeper: &Rc<Keeper>, session: SessionId, link: &mut Link, ask: IncomingRequest) -> Waited {
     let (mut answer, hold) = match keeper.ask(session, ask) {
-        Err(why) => return Waited::NotTaken(why),
+        Err(why) => return Waited::AdmitError(why),
         Ok(Kept::Now(answer)) => return Waited::Answer(answer),
         Ok(Kept::Wait(answer, hold)) => (answer, hold),
     };
@@ -502,7 +502,7 @@
         biased;
         done = &mut answer => {
             hold.heard();
-            Waited::Answer(done.unwrap_or(Final::Failed { overdue: false }))
+            Waited::Answer(done.unwrap_or(FinalResponse::Failed { overdue: false }))
         }
         () = link.left() => Waited::Left,
     }
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -5,8 +5,8 @@
 use super::listener::{Context, Front, Intake, Limits};
 use crate::engine::executor::Executor;
 use crate::rules::table::{Rules, Said, Target};
-use crate::settings::Env;
-use crate::state::requests::{Ask, Final, NotTaken};
+use crate::settings::PlatformSettings;
+use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -81,7 +81,12 @@
 
     /// What a request asks for. Guards the members, and all that shares a connection with it, against what they
     /// could not read: nothing is passed on that is not spelled plainly and within its bounds.
-    fn ask(&self, env: &Env, request: &HttpRequest, now: f64) -> Result<Box<Ask>, HttpAnswer> {
+    fn ask(
+        &self,
+        env: &PlatformSettings,
+        request: &HttpRequest,
+        now: f64,
+    ) -> Result<Box<IncomingRequest>, HttpAnswer> {
         let bad = || HttpAnswer::closing(400);
         let unknown = || HttpAnswer::closing(404);
         let rules = self.rules.borrow().clone();
@@ -134,7 +139,7 @@
         if key.is_none() && env.is_keyed(class) {
             return Err(bad());
         }
-        Ok(Box::new(Ask {
+        Ok(Box::new(IncomingRequest {
             id,
             id_text: id_text.to_string(),
             class,
@@ -187,30 +192,30 @@
             });
         }
         match self.ask(&host.env(), request, now) {
-            Ok(ask) => Intake::Ask(ask, Context::default()),
+            Ok(ask) => Intake::IncomingRequest(ask, Context::default()),
             Err(answer) => Intake::Now(answer),
         }
     }
 
-    fn word(&self, _: &Context, answer: Final) -> HttpAnswer {
+    fn word(&self, _: &Context, answer: FinalResponse) -> HttpAnswer {
         match answer {
-            Final::Served { tag, body } => {
+            FinalResponse::Served { tag, body } => {
                 let answer = HttpAnswer { body, ..HttpAnswer::status(200) };
                 match tag {
                     Some(tag) => answer.with("ETag", format!("\"{tag}\"")),
                     None => answer,
                 }
             }
-            Final::Same { tag } => HttpAnswer::status(304).with("ETag", format!("\"{tag}\"")),
-            Final::Refused { wait_ms, .. } => refused(wait_ms),
-            Final::Failed { overdue } => HttpAnswer::status(if overdue { 504 } else { 502 }),
+            FinalResponse::NotModified { tag } => HttpAnswer::status(304).with("ETag", format!("\"{tag}\"")),
+            FinalResponse::Rejected { wait_ms, .. } => refused(wait_ms),
+            FinalResponse::Failed { overdue } => HttpAnswer::status(if overdue { 504 } else { 502 }),
         }
     }
 
-    fn not_taken(&self, why: NotTaken) -> HttpAnswer {
+    fn not_taken(&self, why: AdmitError) -> HttpAnswer {
         match why {
-            NotTaken::Duplicate => HttpAnswer::status(409),
-            NotTaken::Full => refused(FULL_WAIT_MS),
+            AdmitError::Duplicate => HttpAnswer::status(409),
+            AdmitError::Full => refused(FULL_WAIT_MS),
         }
     }
 }
--- a/src/wire/response_path.rs
+++ b/src/wire/response_path.rs
@@ -4,7 +4,7 @@
 //! settings (`familyInfo.notesGiven`) announce how much is told: all of it, only hits and fills, or nothing. A note
 //! that was not announced is taken like one that was.
 
-use crate::Note;
+use crate::CacheStatus;
 
 /// What one answer says of its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,16 +60,16 @@
     }
 }
 
-impl From<Option<PathNote>> for Note {
-    /// What the decision module is told; [`Note::Silent`] where an answer carries no note that is known.
+impl From<Option<PathNote>> for CacheStatus {
+    /// What the decision module is told; [`CacheStatus::Unknown`] where an answer carries no note that is known.
     fn from(note: Option<PathNote>) -> Self {
-        let Some(note) = note else { return Self::Silent };
+        let Some(note) = note else { return Self::Unknown };
         match note {
             PathNote::Hit | PathNote::Stale => Self::Hit,
             PathNote::Miss | PathNote::MissOrigin | PathNote::Collapsed => Self::Filled,
             PathNote::SourceBusy | PathNote::SourceDown => Self::SourceFailed,
-            PathNote::SourceMiss => Self::SourceLacks,
-            PathNote::NoFill => Self::NoFillPlace,
+            PathNote::SourceMiss => Self::NotAtSource,
+            PathNote::NoFill => Self::FillLimitReached,
             PathNote::OriginError => Self::OriginFailed,
         }
     }
