--- a/src/wire/signed.rs
+++ b/src/wire/signed.rs
@@ -10,8 +10,8 @@
 use super::listener::{Context, Front, Intake, Limits};
 use super::platform::bare_tag;
 use crate::engine::executor::Executor;
-use crate::settings::Env;
-use crate::state::requests::{Ask, Final, NotTaken};
+use crate::settings::PlatformSettings;
+use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use jsonwebtoken::{decode, decode_header, encode, Header, Validation};
 use regex::RegexBuilder;
 use serde::Deserialize;
@@ -247,7 +247,7 @@
 
 impl Link {
     /// Reads a path; else the status that says what is wrong with it.
-    fn read(path: &str, env: &Env) -> Result<Self, u16> {
+    fn read(path: &str, env: &PlatformSettings) -> Result<Self, u16> {
         let steps: Vec<&str> = path.strip_prefix("/media/").ok_or(404u16)?.split('/').collect();
         let (class, group, object, part, size) = match steps[..] {
             [class, group, object, part] => (class, group, object, part, None),
@@ -270,7 +270,7 @@
     }
 
     /// The path of a link.
-    pub fn path(&self, env: &Env) -> String {
+    pub fn path(&self, env: &PlatformSettings) -> String {
         let class = env.class_name(self.class).unwrap_or_default();
         let path = format!("/media/{class}/{}/{:016x}/{}", self.group, self.object, self.part);
         if self.size_kb > 0.0 {
@@ -297,7 +297,12 @@
         Self { limits, scheme, verifier: RefCell::new(verifier), salt, asked: Cell::new(0) }
     }
 
-    fn ask(&self, env: &Env, request: &HttpRequest, now: f64) -> Result<(Box<Ask>, Context), HttpAnswer> {
+    fn ask(
+        &self,
+        env: &PlatformSettings,
+        request: &HttpRequest,
+        now: f64,
+    ) -> Result<(Box<IncomingRequest>, Context), HttpAnswer> {
         let status = |status| move |_| HttpAnswer::status(status);
         let bad = || HttpAnswer::status(400);
         let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
@@ -339,7 +344,7 @@
         self.asked.set(self.asked.get().wrapping_add(1));
         // An odd multiplier makes each count another id.
         let id = self.salt.wrapping_add(self.asked.get().wrapping_mul(0x9E37_79B9_7F4A_7C15));
-        let ask = Ask {
+        let ask = IncomingRequest {
             id,
             id_text: format!("{id:016x}"),
             class: link.class,
@@ -351,7 +356,7 @@
             give_up_ms: now + (deadline - MARGIN_MS).max(0.0),
             // With `If-Match` the bytes decide, so a cache must not say that the client's copy holds.
             cached: if_none_match.as_deref().filter(|_| context.if_match.is_none()).and_then(bare_tag),
-            ..Ask::default()
+            ..IncomingRequest::default()
         };
         Ok((Box::new(ask), context))
     }
@@ -423,7 +428,7 @@
 
     fn take(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Intake {
         match self.ask(&host.env(), request, now) {
-            Ok((ask, context)) => Intake::Ask(ask, context),
+            Ok((ask, context)) => Intake::IncomingRequest(ask, context),
             Err(answer) => {
                 host.with(|engine| match answer.status {
                     403 => engine.counters.forbidden_requests += 1,
@@ -435,11 +440,11 @@
         }
     }
 
-    fn word(&self, context: &Context, answer: Final) -> HttpAnswer {
+    fn word(&self, context: &Context, answer: FinalResponse) -> HttpAnswer {
         let quoted = |tag: &str| format!("\"{tag}\"");
         let mut worded = match answer {
-            Final::Same { tag } => HttpAnswer::status(304).with("ETag", quoted(&tag)),
-            Final::Served { tag, body } => {
+            FinalResponse::NotModified { tag } => HttpAnswer::status(304).with("ETag", quoted(&tag)),
+            FinalResponse::Served { tag, body } => {
                 let tag = tag.unwrap_or_default();
                 let holds = |list: &Option<String>, weak| list.as_deref().map(|list| lists(list, &tag, weak));
                 let whole = context.if_range.is_some() && holds(&context.if_range, false) != Some(true);
@@ -464,9 +469,11 @@
                     answer.with("Accept-Ranges", "bytes").with("Content-Type", "application/octet-stream")
                 }
             }
-            Final::Refused { overdue: true, .. } | Final::Failed { overdue: true } => HttpAnswer::status(504),
-            Final::Refused { wait_ms, .. } => refused(wait_ms),
-            Final::Failed { .. } => HttpAnswer::status(502),
+            FinalResponse::Rejected { overdue: true, .. } | FinalResponse::Failed { overdue: true } => {
+                HttpAnswer::status(504)
+            }
+            FinalResponse::Rejected { wait_ms, .. } => refused(wait_ms),
+            FinalResponse::Failed { .. } => HttpAnswer::status(502),
         };
         worded.head_only = context.head_only;
         if let Some(cookie) = context.set_cookie.as_ref().filter(|_| matches!(worded.status, 200 | 206 | 304))
@@ -477,10 +484,10 @@
         worded.with("Cache-Control", "private")
     }
 
-    fn not_taken(&self, why: NotTaken) -> HttpAnswer {
+    fn not_taken(&self, why: AdmitError) -> HttpAnswer {
         match why {
-            NotTaken::Full => refused(0.0),
-            NotTaken::Duplicate => HttpAnswer::status(502),
+            AdmitError::Full => refused(0.0),
+            AdmitError::Duplicate => HttpAnswer::status(502),
         }
     }
 }
--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -103,7 +103,7 @@
         }
         let (before, later) = (site.asked(first), site.asked(CACHES[1]));
         // The list names it as ready once more.
-        let line = edge_proxy::settings::Row {
+        let line = edge_proxy::settings::EndpointRecord {
             zone: "town".into(),
             model: "box".into(),
             lifecycle: "live".into(),
@@ -114,8 +114,8 @@
         };
         let SocketAddr::V4(address) = site.members[&first].address else { panic!() };
         let targets = vec![edge_proxy::wire::discovery_codec::Target { row: line, address }];
-        let news = edge_proxy::wire::discovery_codec::News::Roster { full: false, targets };
-        site.host.with(|engine| engine.news(edge_proxy::wire::discovery_codec::Numbered { no: 99, news }));
+        let news = edge_proxy::wire::discovery_codec::WatchEvent::Endpoints { full: false, targets };
+        site.host.with(|engine| engine.news(edge_proxy::wire::discovery_codec::Sequenced { no: 99, news }));
         clips(at, 100..120).await;
         assert_eq!(site.asked(first), before);
         let asked = site.members[&CACHES[1]].asked.borrow()[later..].to_vec();
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -4,7 +4,7 @@
 mod stand_ins;
 
 use edge_proxy::clock::Clock;
-use edge_proxy::state::requests::Ask;
+use edge_proxy::state::requests::IncomingRequest;
 use edge_proxy::wire::client_connection::{Link, AHEAD_MOST};
 use edge_proxy::wire::http::HttpCodec;
 use edge_proxy::wire::listener::{Front, Limits};
@@ -482,7 +482,13 @@
             SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
             drop(stream);
             let (give_up_ms, id_text) = (START_MS + 1_500.0, format!("{:016x}", 2));
-            let second = Ask { id: 2, id_text, object: 0x7f3a_9c21_e0b4_d655, give_up_ms, ..Ask::default() };
+            let second = IncomingRequest {
+                id: 2,
+                id_text,
+                object: 0x7f3a_9c21_e0b4_d655,
+                give_up_ms,
+                ..IncomingRequest::default()
+            };
             let _second = site.host.ask(second).unwrap();
             let answer = first.read(false).await.unwrap();
             assert_eq!((answer.status, &answer.body[..]), (200, &b"hello"[..]));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,58 +15,74 @@
 }
 
 /// A class that may be repeated, without a fresh time.
-pub fn safe() -> Class {
-    Class {
-        aim: 500 * MS,
-        aim_stretch: 2.0,
+pub fn safe() -> RequestClass {
+    RequestClass {
+        latency_objective: 500 * MS,
+        latency_stretch: 2.0,
         deadline: 5 * S,
-        repeat: Repeat::Safe,
+        idempotency: Idempotency::Idempotent,
         key_scope: KeyScope::All,
         key_window: 5 * S,
-        worth: 2.0,
-        fresh_for: 0,
-        stale_for: 0,
+        priority_weight: 2.0,
+        fresh_lifetime: 0,
+        stale_while_revalidate: 0,
         uncacheable: false,
     }
 }
 
 /// Settings with everything allowed: class 0 safe, 1 safe with a fresh time, 2 keyed, 3 unsafe.
-pub fn settings() -> Settings {
-    let fresh = Class { fresh_for: 5 * S, stale_for: 20 * S, worth: 1.0, ..safe() };
-    let keyed = Class { repeat: Repeat::Keyed, uncacheable: true, deadline: 3 * S, ..safe() };
-    let unsafe_ = Class { repeat: Repeat::Unsafe, ..keyed.clone() };
-    let cold = ColdStart { floor: 0.2, ramp: 15 * S, multiple: 3.0, window: 2 * S };
-    Settings {
+pub fn settings() -> PolicySettings {
+    let fresh = RequestClass {
+        fresh_lifetime: 5 * S,
+        stale_while_revalidate: 20 * S,
+        priority_weight: 1.0,
+        ..safe()
+    };
+    let keyed =
+        RequestClass { idempotency: Idempotency::WithKey, uncacheable: true, deadline: 3 * S, ..safe() };
+    let unsafe_ = RequestClass { idempotency: Idempotency::NotIdempotent, ..keyed.clone() };
+    let cold = SlowStart {
+        initial_capacity: 0.2,
+        ramp_duration: 15 * S,
+        overload_multiple: 3.0,
+        overload_window: 2 * S,
+    };
+    PolicySettings {
         classes: vec![safe(), fresh, keyed, unsafe_],
-        routers: 1,
-        routers_here: 1,
-        flow_kb_per_s: 5_000.0,
+        fleet_size: 1,
+        local_fleet_size: 1,
+        client_kb_per_s: 5_000.0,
         weights_known: true,
-        joins: true,
-        bypass: true,
-        hit_notes: true,
-        purge_done: 6 * S,
+        can_join_fills: true,
+        can_bypass_caches: true,
+        reports_cache_status: true,
+        purge_completion: 6 * S,
         max_attempts: 6,
-        cancelling: true,
-        probing: true,
-        max_wait_hint: 500 * MS,
-        subscribe: false,
-        cache_cold: cold,
-        parent_cold: ColdStart { floor: 0.08, ramp: 20 * S, multiple: 2.0, window: 2 * S },
+        can_cancel: true,
+        can_check_health: true,
+        max_retry_after: 500 * MS,
+        watch_endpoints: false,
+        cache_slow_start: cold,
+        parent_slow_start: SlowStart {
+            initial_capacity: 0.08,
+            ramp_duration: 20 * S,
+            overload_multiple: 2.0,
+            overload_window: 2 * S,
+        },
     }
 }
 
 /// A live member that started long ago.
-pub fn member(id: MemberId, role: Role) -> Listing {
-    let weight = if role == Role::Parent { 20.0 } else { 6.0 };
-    Listing { id, role, life: Life::Live, started: 0, weight, zone: 0, cell: id % 2 }
+pub fn member(id: EndpointId, tier: Tier) -> Endpoint {
+    let weight = if tier == Tier::Parent { 20.0 } else { 6.0 };
+    Endpoint { id, tier, state: EndpointState::Active, started_at: 0, weight, zone: 0, cell: id % 2 }
 }
 
 /// Caches 1 to 4, parents 11 to 13, origin 21.
-pub fn fleet() -> Vec<Listing> {
-    let caches = (1..=4).map(|id| member(id, Role::Cache));
-    let parents = (11..=13).map(|id| member(id, Role::Parent));
-    caches.chain(parents).chain([member(21, Role::Origin)]).collect()
+pub fn fleet() -> Vec<Endpoint> {
+    let caches = (1..=4).map(|id| member(id, Tier::Cache));
+    let parents = (11..=13).map(|id| member(id, Tier::Parent));
+    caches.chain(parents).chain([member(21, Tier::Origin)]).collect()
 }
 
 /// A router with a clock and the actions of its last event.
@@ -80,9 +96,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sent {
     pub id: RequestId,
-    pub to: MemberId,
-    pub source: Option<MemberId>,
-    pub only_held: bool,
+    pub to: EndpointId,
+    pub source: Option<EndpointId>,
+    pub only_if_cached: bool,
     pub max_age: Micros,
     pub timeout: Micros,
 }
@@ -90,11 +106,11 @@
 /// The attempts among actions.
 pub fn sent(actions: &[Action]) -> Vec<Sent> {
     let pick = |a: &Action| match a {
-        Action::Send { id, to, source, only_held, max_age, timeout, .. } => Some(Sent {
+        Action::Forward { id, to, source, only_if_cached, max_age, timeout, .. } => Some(Sent {
             id: *id,
             to: *to,
             source: *source,
-            only_held: *only_held,
+            only_if_cached: *only_if_cached,
             max_age: *max_age,
             timeout: *timeout,
         }),
@@ -106,7 +122,7 @@
 /// The final answers among actions: the request and whether it was refused.
 pub fn finals(actions: &[Action]) -> Vec<(RequestId, bool)> {
     let pick = |a: &Action| match a {
-        Action::Refuse { id, .. } => Some((*id, true)),
+        Action::Reject { id, .. } => Some((*id, true)),
         Action::Fail { id } => Some((*id, false)),
         _ => None,
     };
@@ -115,9 +131,9 @@
 
 impl Bench {
     /// A router that has been told of a fleet.
-    pub fn new(settings: Settings, entries: Vec<Listing>) -> Self {
+    pub fn new(settings: PolicySettings, entries: Vec<Endpoint>) -> Self {
         let mut bench = Self { router: Router::new(settings, 7), now: 100 * S, next: 0 };
-        bench.event(Event::Members { full: true, entries });
+        bench.event(Event::EndpointsChanged { full: true, entries });
         bench
     }
 
@@ -138,7 +154,7 @@
             group: (object % 32) as u32,
             part: 0,
             size_kb: 500.0,
-            give_up_at: self.now + 3 * S,
+            deadline_at: self.now + 3 * S,
         })
     }
 
@@ -146,18 +162,25 @@
     pub fn path(&mut self, object: ObjectId) -> Sent {
         let actions = self.ask(0, object);
         let first = sent(&actions).first().cloned().expect("an attempt");
-        self.outcome(first.id, 0, Verdict::Served, true);
+        self.outcome(first.id, 0, AttemptOutcome::Served, true);
         first
     }
 
     /// An outcome, 100 ms after its attempt.
-    pub fn outcome(&mut self, id: RequestId, attempt: u32, verdict: Verdict, closed: bool) -> Vec<Action> {
-        let note = if verdict == Verdict::Served { Note::Filled } else { Note::Silent };
-        self.event(Event::Outcome { id, attempt, verdict, note, took: 100 * MS, closed })
+    pub fn outcome(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        outcome: AttemptOutcome,
+        closed: bool,
+    ) -> Vec<Action> {
+        let cache_status =
+            if outcome == AttemptOutcome::Served { CacheStatus::Filled } else { CacheStatus::Unknown };
+        self.event(Event::AttemptEnded { id, attempt, outcome, cache_status, elapsed: 100 * MS, closed })
     }
 
     /// News of one member.
-    pub fn tell(&mut self, listing: Listing) -> Vec<Action> {
-        self.event(Event::Members { full: false, entries: vec![listing] })
+    pub fn tell(&mut self, listing: Endpoint) -> Vec<Action> {
+        self.event(Event::EndpointsChanged { full: false, entries: vec![listing] })
     }
 }
--- a/tests/endpoints/mod.rs
+++ b/tests/endpoints/mod.rs
@@ -1,6 +1,6 @@
 //! The members that the engine's tests know: caches 1 to 6, parents 7 and 8, the origin 9.
 
-use edge_proxy::settings::Row;
+use edge_proxy::settings::EndpointRecord;
 use edge_proxy::wire::discovery_codec::Target;
 use std::net::SocketAddrV4;
 
@@ -15,7 +15,7 @@
         9 => ("hub", "origin"),
         _ => ("town", "box"),
     };
-    let row = Row {
+    let row = EndpointRecord {
         zone: zone.into(),
         model: model.into(),
         lifecycle: lifecycle.into(),
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -4,11 +4,11 @@
 
 use edge_proxy::clock::Clock;
 use edge_proxy::engine::{Effect, Engine, EngineBounds, Next};
-use edge_proxy::settings::Env;
+use edge_proxy::settings::PlatformSettings;
 use edge_proxy::state::connections::{Bounds, ConnId};
-use edge_proxy::state::requests::{Ask, Final};
+use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
 use edge_proxy::wire::cache_codec::{Command, Get, Reply, Word};
-use edge_proxy::wire::discovery_codec::{News, Numbered};
+use edge_proxy::wire::discovery_codec::{Sequenced, WatchEvent};
 use edge_proxy::wire::response_path::PathNote;
 use endpoints::{target, PARENT};
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 const START: f64 = 1_764_576_000_000.0;
 
 /// Settings with a bound on a connection's requests.
-fn env(streams: u32) -> Env {
+fn env(streams: u32) -> PlatformSettings {
     let text = r#"{"classes":[{"name":"clip","deadlineUs":5000000,"promiseUs":600000,"semantics":"pure",
             "worth":2.0},{"name":"post","deadlineUs":3000000,"promiseUs":700000,"semantics":"side_effect",
             "worth":3.0},{"name":"order","deadlineUs":3000000,"promiseUs":700000,"semantics":"token",
@@ -43,26 +43,26 @@
         let engine = Engine::new(clock.clone(), Rc::new(env), 7, EngineBounds { requests: 9, connections });
         let mut bench = Self { clock, engine, no: 0 };
         let targets = ids.iter().map(|id| target(*id, "live")).collect();
-        bench.news(News::Roster { full: true, targets });
+        bench.news(WatchEvent::Endpoints { full: true, targets });
         bench
     }
 
-    fn news(&mut self, news: News) {
+    fn news(&mut self, news: WatchEvent) {
         self.no += 1;
-        self.engine.news(Numbered { no: self.no, news });
+        self.engine.news(Sequenced { no: self.no, news });
     }
 
     fn ask(&mut self, id: u64, class: usize) {
-        self.take(Ask { id, class, object: 42, group: 17, ..Ask::default() });
+        self.take(IncomingRequest { id, class, object: 42, group: 17, ..IncomingRequest::default() });
     }
 
     fn ask_for(&mut self, id: u64, object: u64) {
-        self.take(Ask { id, object, ..Ask::default() });
+        self.take(IncomingRequest { id, object, ..IncomingRequest::default() });
     }
 
-    fn take(&mut self, ask: Ask) {
+    fn take(&mut self, ask: IncomingRequest) {
         let (give_up_ms, id_text) = (self.clock.now() + 2_000.0, format!("{:016x}", ask.id));
-        self.engine.request(Ask { id_text, give_up_ms, ..ask }).unwrap();
+        self.engine.request(IncomingRequest { id_text, give_up_ms, ..ask }).unwrap();
     }
 
     fn pass(&mut self, ms: f64) {
@@ -85,7 +85,7 @@
         std::iter::from_fn(|| self.engine.take_effect()).collect()
     }
 
-    fn answers(&mut self) -> Vec<(u64, Final)> {
+    fn answers(&mut self) -> Vec<(u64, FinalResponse)> {
         let answers = self.effects().into_iter().filter_map(|e| match e {
             Effect::Answer(id, answer) => Some((id, answer)),
             _ => None,
@@ -171,7 +171,7 @@
 #[test]
 fn the_age_bound_shrinks_by_the_time_in_the_queue() {
     let mut b = Bench::new(&[1, PARENT, 9]);
-    b.news(News::Purge { object: Some(42), group: 0, issued: START - 1_000.0 });
+    b.news(WatchEvent::Purge { object: Some(42), group: 0, issued: START - 1_000.0 });
     b.ask(1, 0);
     let (conn, _) = b.opened()[0];
     b.pass(300.0);
@@ -185,7 +185,7 @@
 #[test]
 fn the_age_bound_never_becomes_the_classs_own() {
     let mut b = Bench::new(&[1, PARENT, 9]);
-    b.news(News::Purge { object: Some(42), group: 0, issued: START - 50.0 });
+    b.news(WatchEvent::Purge { object: Some(42), group: 0, issued: START - 50.0 });
     b.ask(1, 0);
     let (conn, _) = b.opened()[0];
     b.pass(300.0);
@@ -199,7 +199,7 @@
     let mut b = Bench::new(&[1, 2, PARENT, 9]);
     b.ask(1, 0);
     let first = b.opened();
-    b.news(News::Purge { object: None, group: 17, issued: START - 100.0 });
+    b.news(WatchEvent::Purge { object: None, group: 17, issued: START - 100.0 });
     let second = b.opened();
     assert_ne!(first[0].1, second[0].1, "the module takes another cache for a second try");
     b.engine.connected(first[0].0);
@@ -224,7 +224,7 @@
             })
             .unwrap();
         b.ask_for(2, object);
-        b.news(News::Roster { full: false, targets: vec![target(drained, "quiescing")] });
+        b.news(WatchEvent::Endpoints { full: false, targets: vec![target(drained, "quiescing")] });
         assert_eq!(b.get(conn), None, "nothing new is written for member {drained}");
         assert_eq!((b.engine.counters.attempts_stale, b.engine.owed()), (1, 2));
         // The second one is on its way by other members.
@@ -247,7 +247,7 @@
     b.ask(2, 1);
     b.engine.broken(conn);
     let answers: Vec<_> = b.effects();
-    let failed = Effect::Answer(1, Final::Failed { overdue: false });
+    let failed = Effect::Answer(1, FinalResponse::Failed { overdue: false });
     assert!(answers.contains(&failed), "it may have run, so it is not tried again: {answers:?}");
     let again = answers.iter().filter(|e| matches!(e, Effect::Open { .. })).count();
     assert_eq!((again, b.engine.owed()), (1, 1), "the other one goes out again");
@@ -277,7 +277,7 @@
     b.engine.connected(conn);
     b.get(conn).unwrap();
     b.reply(conn, 1, Word::Nomod);
-    assert!(b.answers().iter().all(|(_, answer)| !matches!(answer, Final::Same { .. })));
+    assert!(b.answers().iter().all(|(_, answer)| !matches!(answer, FinalResponse::NotModified { .. })));
 }
 
 /// The copy that holds must be the very one that the request named.
@@ -285,12 +285,21 @@
 fn a_member_cannot_say_that_another_copy_holds_than_the_one_named() {
     for (told, holds) in [("t", true), ("u", false)] {
         let mut b = Bench::new(&[1, PARENT, 9]);
-        b.take(Ask { id: 1, object: 42, cached: Some(told.into()), ..Ask::default() });
+        b.take(IncomingRequest {
+            id: 1,
+            object: 42,
+            cached: Some(told.into()),
+            ..IncomingRequest::default()
+        });
         let (conn, _) = b.opened()[0];
         b.engine.connected(conn);
         assert_eq!(b.get(conn).unwrap().cached.as_deref(), Some(told));
         b.reply(conn, 1, Word::Nomod);
-        assert_eq!(b.answers().iter().any(|(_, a)| matches!(a, Final::Same { .. })), holds, "{told}");
+        assert_eq!(
+            b.answers().iter().any(|(_, a)| matches!(a, FinalResponse::NotModified { .. })),
+            holds,
+            "{told}"
+        );
     }
 }
 
@@ -353,7 +362,7 @@
     let (mut b, conn) = waiting();
     assert!(b.get(conn).is_some(), "nothing has changed");
     let (mut b, conn) = waiting();
-    b.news(News::Roster { full: false, targets: vec![target(1, "quiescing")] });
+    b.news(WatchEvent::Endpoints { full: false, targets: vec![target(1, "quiescing")] });
     assert_eq!((b.get(conn), b.engine.counters.attempts_stale), (None, 1), "its member drains");
     let (mut b, conn) = waiting();
     b.engine.left(1);
@@ -382,7 +391,7 @@
         if !sent {
             let answers = b.answers();
             assert!(
-                matches!(answers[..], [(1, Final::Failed { .. })]),
+                matches!(answers[..], [(1, FinalResponse::Failed { .. })]),
                 "not refused, it may have run: {answers:?}"
             );
         }
@@ -475,7 +484,7 @@
 /// Guards the memory against settings that change often: a place that nothing uses any more goes to the next class.
 #[test]
 fn places_of_classes_are_used_again() {
-    let env = |name: &str| -> Env {
+    let env = |name: &str| -> PlatformSettings {
         let text = format!(
             r#"{{"classes":[{{"name":"clip","deadlineUs":5,"promiseUs":6,"semantics":"pure"}},
             {{"name":"{name}","deadlineUs":5,"promiseUs":6,"semantics":"pure"}}],"familyInfo":{{"uncached":[false,true]}}}}"#
--- a/tests/fleet_model/mod.rs
+++ b/tests/fleet_model/mod.rs
@@ -8,8 +8,8 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
-const ORIGIN: MemberId = 900;
-const FIRST_PARENT: MemberId = 800;
+const ORIGIN: EndpointId = 900;
+const FIRST_PARENT: EndpointId = 800;
 const PARENTS: u32 = 8;
 const GROUPS: u64 = 32;
 const OBJECTS: f64 = 4_000.0;
@@ -27,7 +27,7 @@
 /// The shape of a fleet and of its day.
 #[derive(Clone, Copy, Debug)]
 pub struct Day {
-    pub routers: u32,
+    pub fleet_size: u32,
     pub locations: u32,
     /// Requests a second of the whole fleet, and one write in so many.
     pub rate: u64,
@@ -55,16 +55,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     Arrive,
-    Ask { client: usize },
-    Answer { router: usize, id: RequestId, attempt: u32, verdict: u8, note: u8 },
+    IncomingRequest { client: usize },
+    Answer { router: usize, id: RequestId, attempt: u32, outcome: u8, cache_status: u8 },
     Parent { fill: (u32, ObjectId) },
     Fetched { job: usize },
     TimeOut { router: usize, id: RequestId, attempt: u32 },
 }
 
-const VERDICTS: [Verdict; 5] =
-    [Verdict::Served, Verdict::Miss, Verdict::Error, Verdict::NoConnection, Verdict::TimedOut];
-const NOTES: [Note; 4] = [Note::Silent, Note::Hit, Note::Filled, Note::OriginFailed];
+const VERDICTS: [AttemptOutcome; 5] = [
+    AttemptOutcome::Served,
+    AttemptOutcome::CacheMiss,
+    AttemptOutcome::Error,
+    AttemptOutcome::NoConnection,
+    AttemptOutcome::TimedOut,
+];
+const NOTES: [CacheStatus; 4] =
+    [CacheStatus::Unknown, CacheStatus::Hit, CacheStatus::Filled, CacheStatus::OriginFailed];
 
 struct Client {
     router: usize,
@@ -90,7 +96,7 @@
     day: Day,
     now: Micros,
     random: u64,
-    routers: Vec<Router>,
+    fleet_size: Vec<Router>,
     steps: BinaryHeap<Reverse<(Micros, u64, Step)>>,
     order: u64,
     clients: Vec<Client>,
@@ -112,27 +118,27 @@
 impl Fleet {
     /// Plays a day to its end.
     pub fn play(day: Day) -> Result {
-        let mut set = Settings {
-            routers: day.routers,
-            routers_here: day.routers / day.locations,
-            hit_notes: day.notes,
-            probing: false,
+        let mut set = PolicySettings {
+            fleet_size: day.fleet_size,
+            local_fleet_size: day.fleet_size / day.locations,
+            reports_cache_status: day.notes,
+            can_check_health: false,
             weights_known: true,
             ..settings()
         };
-        set.classes[WRITE].aim = 700 * MS;
+        set.classes[WRITE].latency_objective = 700 * MS;
         let router = |k: u32| {
             let mut router = Router::new(set.clone(), day.seed * 10_000 + u64::from(k));
             let location = k % day.locations;
-            let cache = Listing { weight: 40.0, ..member(1 + location, Role::Cache) };
+            let cache = Endpoint { weight: 40.0, ..member(1 + location, Tier::Cache) };
             let parents =
-                (0..PARENTS).map(|p| Listing { weight: 400.0, ..member(FIRST_PARENT + p, Role::Parent) });
-            let entries = parents.chain([cache, member(ORIGIN, Role::Origin)]).collect();
-            router.handle(0, &Event::Members { full: true, entries }, &mut Vec::new());
+                (0..PARENTS).map(|p| Endpoint { weight: 400.0, ..member(FIRST_PARENT + p, Tier::Parent) });
+            let entries = parents.chain([cache, member(ORIGIN, Tier::Origin)]).collect();
+            router.handle(0, &Event::EndpointsChanged { full: true, entries }, &mut Vec::new());
             router
         };
         let mut fleet = Self {
-            routers: (0..day.routers).map(router).collect(),
+            fleet_size: (0..day.fleet_size).map(router).collect(),
             day,
             now: S,
             random: day.seed,
@@ -170,7 +176,7 @@
 
     fn purge(&mut self) {
         for group in 0..GROUPS as u32 / 2 {
-            for k in 0..self.routers.len() {
+            for k in 0..self.fleet_size.len() {
                 self.tell(k, Event::Purged { object: None, group, ago: 0 });
             }
         }
@@ -186,12 +192,12 @@
     fn take(&mut self, step: Step) {
         match step {
             Step::Arrive => self.arrive(),
-            Step::Ask { client } => self.ask(client),
-            Step::Answer { router, id, attempt, verdict, note } => {
-                self.end((router, id, attempt), VERDICTS[verdict as usize], NOTES[note as usize]);
+            Step::IncomingRequest { client } => self.ask(client),
+            Step::Answer { router, id, attempt, outcome, cache_status } => {
+                self.end((router, id, attempt), VERDICTS[outcome as usize], NOTES[cache_status as usize]);
             }
             Step::TimeOut { router, id, attempt } => {
-                self.end((router, id, attempt), Verdict::TimedOut, Note::Silent)
+                self.end((router, id, attempt), AttemptOutcome::TimedOut, CacheStatus::Unknown)
             }
             Step::Parent { fill } => self.at_parent(fill),
             Step::Fetched { job } => self.fetched(job),
@@ -203,7 +209,7 @@
         if self.now < self.day.length {
             self.at(self.now + gap as Micros, Step::Arrive);
         }
-        let router = (draw(&mut self.random) * f64::from(self.day.routers)) as usize;
+        let router = (draw(&mut self.random) * f64::from(self.day.fleet_size)) as usize;
         let class = if draw(&mut self.random) * (self.day.write_every as f64) < 1.0 { WRITE } else { READ };
         // Popularity falls about with the rank.
         let object = OBJECTS.powf(draw(&mut self.random)) as ObjectId * 7_919;
@@ -217,54 +223,60 @@
 
     fn ask(&mut self, client: usize) {
         let c = &mut self.clients[client];
-        let give_up_at = c.since + CLIENT_TIME;
-        if self.now + 50 * MS >= give_up_at || c.tries >= CLIENT_TRIES {
+        let deadline_at = c.since + CLIENT_TIME;
+        if self.now + 50 * MS >= deadline_at || c.tries >= CLIENT_TRIES {
             return;
         }
         c.tries += 1;
         let id = client as RequestId * 10 + u64::from(c.tries);
         let (router, class, object) = (c.router, c.class, c.object);
         let (group, part, size_kb) = ((object % GROUPS) as u32, 0, 250.0);
-        self.tell(router, Event::Request { id, class, object, group, part, size_kb, give_up_at });
+        self.tell(router, Event::Request { id, class, object, group, part, size_kb, deadline_at });
     }
 
     fn tell(&mut self, router: usize, event: Event) {
         let mut actions = Vec::new();
-        self.routers[router].handle(self.now, &event, &mut actions);
+        self.fleet_size[router].handle(self.now, &event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, to, source, only_held, max_age, timeout, .. } => {
+                Action::Forward { id, to, source, only_if_cached, max_age, timeout, .. } => {
                     let number = self.attempts.entry(id).or_insert(0);
                     let attempt = *number;
                     *number += 1;
                     self.open.insert((router, id, attempt), self.now);
                     self.at(self.now + timeout, Step::TimeOut { router, id, attempt });
-                    self.sent((router, id, attempt), to, source, only_held, max_age);
+                    self.sent((router, id, attempt), to, source, only_if_cached, max_age);
                 }
-                Action::Refuse { id, .. } => {
+                Action::Reject { id, .. } => {
                     let client = (id / 10) as usize;
-                    self.at(self.now + CLIENT_WAIT, Step::Ask { client });
+                    self.at(self.now + CLIENT_WAIT, Step::IncomingRequest { client });
                 }
                 Action::Cancel { id, attempt } => {
-                    self.end((router, id, attempt), Verdict::Cancelled, Note::Silent)
+                    self.end((router, id, attempt), AttemptOutcome::Cancelled, CacheStatus::Unknown)
                 }
                 _ => {}
             }
         }
     }
 
-    fn answer(&mut self, at: Micros, (router, id, attempt): Waiter, verdict: Verdict, note: Note) {
-        let verdict = VERDICTS.iter().position(|v| *v == verdict).expect("a verdict of the model") as u8;
-        let note = NOTES.iter().position(|n| *n == note).expect("a note of the model") as u8;
-        self.at(at, Step::Answer { router, id, attempt, verdict, note });
+    fn answer(
+        &mut self,
+        at: Micros,
+        (router, id, attempt): Waiter,
+        outcome: AttemptOutcome,
+        cache_status: CacheStatus,
+    ) {
+        let outcome = VERDICTS.iter().position(|v| *v == outcome).expect("a verdict of the model") as u8;
+        let cache_status = NOTES.iter().position(|n| *n == cache_status).expect("a note of the model") as u8;
+        self.at(at, Step::Answer { router, id, attempt, outcome, cache_status });
     }
 
     fn sent(
         &mut self,
         who: Waiter,
-        to: MemberId,
-        source: Option<MemberId>,
-        only_held: bool,
+        to: EndpointId,
+        source: Option<EndpointId>,
+        only_if_cached: bool,
         max_age: Micros,
     ) {
         let object = self.clients[(who.1 / 10) as usize].object;
@@ -273,17 +285,17 @@
         }
         if to >= FIRST_PARENT {
             // Past the caches nothing is modelled: it is as good as full.
-            return self.answer(self.now + 10 * MS, who, Verdict::Error, Note::Silent);
+            return self.answer(self.now + 10 * MS, who, AttemptOutcome::Error, CacheStatus::Unknown);
         }
         let fill = (to, object);
         let fresh = |born: &Micros| max_age == 0 || self.now - born <= max_age;
         if self.held.get(&fill).is_some_and(fresh) {
-            self.answer(self.now + HIT_TIME, who, Verdict::Served, Note::Hit)
+            self.answer(self.now + HIT_TIME, who, AttemptOutcome::Served, CacheStatus::Hit)
         } else if source == Some(to) {
-            self.answer(self.now + 10 * MS, who, Verdict::Miss, Note::Silent)
-        } else if only_held && !self.parents.contains_key(&object) {
+            self.answer(self.now + 10 * MS, who, AttemptOutcome::CacheMiss, CacheStatus::Unknown)
+        } else if only_if_cached && !self.parents.contains_key(&object) {
             // The parent is asked, and asks nobody for what it lacks.
-            self.answer(self.now + PARENT_TIME, who, Verdict::Miss, Note::Silent)
+            self.answer(self.now + PARENT_TIME, who, AttemptOutcome::CacheMiss, CacheStatus::Unknown)
         } else {
             let waiters = self.fills.entry(fill).or_default();
             waiters.push(who);
@@ -303,7 +315,7 @@
     fn filled(&mut self, fill: (u32, ObjectId), born: Micros) {
         self.held.insert(fill, born);
         for who in self.fills.remove(&fill).unwrap_or_default() {
-            self.answer(self.now + PARENT_TIME, who, Verdict::Served, Note::Filled);
+            self.answer(self.now + PARENT_TIME, who, AttemptOutcome::Served, CacheStatus::Filled);
         }
     }
 
@@ -336,11 +348,11 @@
     fn failed(&mut self, job: usize) {
         self.jobs[job].gone = true;
         if let Some(who) = self.jobs[job].write {
-            self.answer(self.now + MS, who, Verdict::NoConnection, Note::Silent);
+            self.answer(self.now + MS, who, AttemptOutcome::NoConnection, CacheStatus::Unknown);
         }
         if let Some(fill) = self.jobs[job].fill {
             for who in self.fills.remove(&fill).unwrap_or_default() {
-                self.answer(self.now + 20 * MS, who, Verdict::Error, Note::OriginFailed);
+                self.answer(self.now + 20 * MS, who, AttemptOutcome::Error, CacheStatus::OriginFailed);
             }
         }
     }
@@ -366,7 +378,7 @@
         self.busy = false;
         if !self.jobs[job].gone {
             if let Some(who) = self.jobs[job].write {
-                self.answer(self.now + HIT_TIME, who, Verdict::Served, Note::Silent);
+                self.answer(self.now + HIT_TIME, who, AttemptOutcome::Served, CacheStatus::Unknown);
             }
             if let Some(fill) = self.jobs[job].fill {
                 self.parents.insert(fill.1, self.now);
@@ -378,14 +390,14 @@
 
     // ---- the ends of attempts ----
 
-    fn end(&mut self, who: Waiter, verdict: Verdict, note: Note) {
+    fn end(&mut self, who: Waiter, outcome: AttemptOutcome, cache_status: CacheStatus) {
         let Some(sent) = self.open.remove(&who) else { return };
         let (router, id, attempt) = who;
-        if verdict == Verdict::TimedOut || verdict == Verdict::Cancelled {
+        if outcome == AttemptOutcome::TimedOut || outcome == AttemptOutcome::Cancelled {
             self.leave(who);
         }
         let client = &mut self.clients[(id / 10) as usize];
-        let served = verdict == Verdict::Served && !client.answered;
+        let served = outcome == AttemptOutcome::Served && !client.answered;
         client.answered |= served;
         let (class, since) = (client.class, client.since);
         if served && since >= self.day.slow_at {
@@ -395,9 +407,12 @@
                 self.result.reads_in_time += u32::from(self.now - since <= 600 * MS);
             }
         }
-        let took = self.now - sent;
-        let note = if self.day.notes { note } else { Note::Silent };
-        self.tell(router, Event::Outcome { id, attempt, verdict, note, took, closed: served });
+        let elapsed = self.now - sent;
+        let cache_status = if self.day.notes { cache_status } else { CacheStatus::Unknown };
+        self.tell(
+            router,
+            Event::AttemptEnded { id, attempt, outcome, cache_status, elapsed, closed: served },
+        );
     }
 
     /// A fill that nobody waits for any more is given up.
--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -5,7 +5,7 @@
 use edge_proxy::grpc::config::GrpcConfig;
 use edge_proxy::grpc::routes::{Kind, Route};
 use edge_proxy::grpc::status::{Code, End, Pushback};
-use edge_proxy::Repeat;
+use edge_proxy::Idempotency;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::HashMap;
@@ -79,7 +79,7 @@
                         assert!(!call.committed, "a committed call was sent again");
                         assert!(live[start.member as usize], "a drained backend was named");
                         assert!(
-                            call.route.repeat != Repeat::Unsafe || !call.may_have_run,
+                            call.route.repeat != Idempotency::NotIdempotent || !call.may_have_run,
                             "what may have run was sent again"
                         );
                         assert!(call.replayable, "a request that was not kept was sent again");
@@ -97,7 +97,7 @@
                     }
                     Directive::Answer(answer) => {
                         assert_ne!(answer.code, Code::OK, "an answer of the proxy's own is never OK");
-                        let unsafe_ran = call.route.repeat == Repeat::Unsafe && call.may_have_run;
+                        let unsafe_ran = call.route.repeat == Idempotency::NotIdempotent && call.may_have_run;
                         assert!(
                             !unsafe_ran || answer.outcome != Outcome::Refused,
                             "what may have run was called refused: {answer:?}"
@@ -222,8 +222,8 @@
     let route = |kind, repeat| routes.iter().find(|r| r.kind == kind && r.repeat == repeat).unwrap().clone();
     let new = |route: Rc<Route>| NewCall { route, object: Some(7), timeout_ms: Some(2_000.0), since_ms: 0.0 };
     // A unary attempt is given up before the call is; a stream's is not.
-    let (unary, _) = calls.begin(0.0, new(route(Kind::Unary, Repeat::Safe)));
-    let (stream, _) = calls.begin(0.0, new(route(Kind::Stream, Repeat::Safe)));
+    let (unary, _) = calls.begin(0.0, new(route(Kind::Unary, Idempotency::Idempotent)));
+    let (stream, _) = calls.begin(0.0, new(route(Kind::Stream, Idempotency::Idempotent)));
     assert!(calls.due_ms(unary) < 1_900.0, "{}", calls.due_ms(unary));
     assert_eq!(calls.due_ms(stream), 1_960.0, "the client's time, less the way back");
     calls.committed(50.0, unary);
@@ -231,7 +231,8 @@
     // Long streams leave their backends in good standing: none of the later ones goes elsewhere.
     for n in 0..50 {
         let now = f64::from(n) * 10_000.0;
-        let new = NewCall { timeout_ms: None, since_ms: now, ..new(route(Kind::Stream, Repeat::Safe)) };
+        let new =
+            NewCall { timeout_ms: None, since_ms: now, ..new(route(Kind::Stream, Idempotency::Idempotent)) };
         let (id, directive) = calls.begin(now, new);
         let Directive::Start(start) = directive else { panic!("{directive:?}") };
         calls.committed(now + 5.0, id);
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -7,24 +7,24 @@
 use edge_proxy::*;
 
 /// Routers of a fleet, each with its own seed, all told of the same members.
-fn routers(set: &Settings, entries: &[Listing], count: u64) -> Vec<Bench> {
+fn fleet_size(set: &PolicySettings, entries: &[Endpoint], count: u64) -> Vec<Bench> {
     let router = |k| {
         let mut bench = Bench::new(set.clone(), Vec::new());
         bench.router = Router::new(set.clone(), 1_000 * k);
-        bench.event(Event::Members { full: true, entries: entries.to_vec() });
+        bench.event(Event::EndpointsChanged { full: true, entries: entries.to_vec() });
         bench
     };
     (0..count).map(router).collect()
 }
 
 /// A fleet's settings: nothing tells hits from fills, weights are not known, nobody may be probed.
-fn large() -> Settings {
-    Settings {
-        routers: 100,
-        routers_here: 8,
+fn large() -> PolicySettings {
+    PolicySettings {
+        fleet_size: 100,
+        local_fleet_size: 8,
         weights_known: false,
-        hit_notes: false,
-        probing: false,
+        reports_cache_status: false,
+        can_check_health: false,
         ..settings()
     }
 }
@@ -33,7 +33,7 @@
 /// asked too much, and pushed it over: what they may send beyond first attempts follows their traffic.
 #[test]
 fn a_hundred_quiet_routers_do_not_multiply_an_overload() {
-    let mut fleet = routers(&large(), &fleet(), 100);
+    let mut fleet = fleet_size(&large(), &fleet(), 100);
     // Eight seconds of peace at eight requests a second each, in which retries are earned, then two of refusals.
     let (mut first, mut again) = (0, 0);
     for step in 0..80u64 {
@@ -47,7 +47,7 @@
             let mut actions = bench.ask(2, object);
             let mut attempts = 0;
             while let Some(attempt) = sent(&actions).first().cloned() {
-                actions = bench.outcome(attempt.id, attempts, Verdict::Refused, false);
+                actions = bench.outcome(attempt.id, attempts, AttemptOutcome::Rejected, false);
                 attempts += 1;
             }
             first += 1;
@@ -62,7 +62,7 @@
 /// it was well again, and with it the whole fleet stayed away.
 #[test]
 fn a_parent_that_is_well_again_is_asked_within_seconds_also_at_quiet_routers() {
-    let mut fleet = routers(&large(), &fleet(), 20);
+    let mut fleet = fleet_size(&large(), &fleet(), 20);
     let mut waited = Vec::new();
     for (k, bench) in fleet.iter_mut().enumerate() {
         let mut next = 1_000 * k as u64;
@@ -75,10 +75,20 @@
             while let Some(Sent { id, source, .. }) = sent(&actions).first().cloned() {
                 asked |= source == Some(11);
                 let ill = failing && source == Some(11);
-                let (verdict, note) =
-                    if ill { (Verdict::Error, Note::SourceFailed) } else { (Verdict::Served, Note::Filled) };
-                let took = 100 * MS;
-                actions = bench.event(Event::Outcome { id, attempt, verdict, note, took, closed: !ill });
+                let (outcome, cache_status) = if ill {
+                    (AttemptOutcome::Error, CacheStatus::SourceFailed)
+                } else {
+                    (AttemptOutcome::Served, CacheStatus::Filled)
+                };
+                let elapsed = 100 * MS;
+                actions = bench.event(Event::AttemptEnded {
+                    id,
+                    attempt,
+                    outcome,
+                    cache_status,
+                    elapsed,
+                    closed: !ill,
+                });
                 attempt += 1;
             }
             asked
@@ -97,7 +107,7 @@
 /// in twenty on days without any fault: what a few tell by chance is not a load.
 #[test]
 fn a_few_answers_out_by_chance_are_no_load() {
-    let mut one = routers(&large(), &fleet(), 1).remove(0);
+    let mut one = fleet_size(&large(), &fleet(), 1).remove(0);
     let mut refused_at = None;
     for n in 1..=40 {
         one.now += MS;
@@ -115,19 +125,19 @@
 /// same objects, so that the others are filled once and kept; what is never kept goes on, and all comes back.
 #[test]
 fn the_fills_of_a_hundred_routers_fall_with_late_answers_and_leave_out_the_same_objects() {
-    let mut fleet = routers(&large(), &fleet(), 100);
-    let answered = |bench: &mut Bench, class, object, took| {
+    let mut fleet = fleet_size(&large(), &fleet(), 100);
+    let answered = |bench: &mut Bench, class, object, elapsed| {
         let first = sent(&bench.ask(class, object)).first().cloned()?;
-        let (id, verdict, note) = (first.id, Verdict::Served, Note::Silent);
-        bench.event(Event::Outcome { id, attempt: 0, verdict, note, took, closed: true });
+        let (id, outcome, cache_status) = (first.id, AttemptOutcome::Served, CacheStatus::Unknown);
+        bench.event(Event::AttemptEnded { id, attempt: 0, outcome, cache_status, elapsed, closed: true });
         Some(first)
     };
     // Whether each of 200 objects may be fetched from the origin; the others are asked for where they are held.
-    let fills = |bench: &mut Bench, took| -> Vec<bool> {
+    let fills = |bench: &mut Bench, elapsed| -> Vec<bool> {
         let mut fetched = |k: u64| {
-            let first = answered(bench, 0, 1_000 + k, took).expect("an attempt");
+            let first = answered(bench, 0, 1_000 + k, elapsed).expect("an attempt");
             assert!(first.source.is_some_and(|s| s != first.to), "a parent may still hold it: {first:?}");
-            !first.only_held
+            !first.only_if_cached
         };
         (0..200).map(&mut fetched).collect()
     };
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -5,11 +5,11 @@
 use bytes::BytesMut;
 use edge_proxy::clock::Clock;
 use edge_proxy::engine::{Effect, Engine, EngineBounds, Next};
-use edge_proxy::settings::Env;
+use edge_proxy::settings::PlatformSettings;
 use edge_proxy::state::connections::{Bounds, ConnId};
-use edge_proxy::state::requests::{Ask, Final};
+use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
 use edge_proxy::wire::cache_codec::{Command, LineCodec, Reply, Word, LINE_MOST};
-use edge_proxy::wire::discovery_codec::{FrameCodec, News, Numbered, FRAME_MOST};
+use edge_proxy::wire::discovery_codec::{FrameCodec, Sequenced, WatchEvent, FRAME_MOST};
 use edge_proxy::wire::http::{HttpCodec, Phase};
 use endpoints::target;
 use proptest::prelude::*;
@@ -51,7 +51,7 @@
             "siblings":1,"policyLimits":{"cancelling":true,"connectTimeoutUs":400000,"sendCap":8,
             "streamsPerConn":4}}"#
             .to_vec();
-        let env: Env = simd_json::from_slice(&mut text).unwrap();
+        let env: PlatformSettings = simd_json::from_slice(&mut text).unwrap();
         let clock = Clock::manual(START);
         let connections = Bounds { total: 4, member: 2, spread: 1, streams: 4 };
         let bounds = EngineBounds { requests: 32, connections };
@@ -60,14 +60,14 @@
         let mut model = Self { clock, engine, links, owed, live, next_id: 0, next_no: 0 };
         let ids = [1, 2, 3, 8, 9];
         let targets = ids.iter().map(|id| target(*id, "live")).collect();
-        model.news(News::Roster { full: true, targets });
+        model.news(WatchEvent::Endpoints { full: true, targets });
         model.live = ids.into();
         model
     }
 
-    fn news(&mut self, news: News) {
+    fn news(&mut self, news: WatchEvent) {
         self.next_no += 1;
-        self.engine.news(Numbered { no: self.next_no, news });
+        self.engine.news(Sequenced { no: self.next_no, news });
     }
 
     /// Does one step; `a` and `b` choose among what there is.
@@ -80,14 +80,14 @@
                 let give_up_ms = self.clock.now() + 100.0 + f64::from(b % 1_400);
                 let id_text = format!("{:016x}", self.next_id);
                 let class = usize::from(b % 3 == 0);
-                let ask = Ask {
+                let ask = IncomingRequest {
                     class,
                     id: self.next_id,
                     id_text,
                     object: u64::from(a % 16),
                     group: u32::from(a % 4),
                     give_up_ms,
-                    ..Ask::default()
+                    ..IncomingRequest::default()
                 };
                 match self.engine.request(ask) {
                     Ok(()) => assert!(self.owed.insert(self.next_id, give_up_ms).is_none()),
@@ -127,11 +127,11 @@
                 } else {
                     self.live.remove(&id);
                 }
-                self.news(News::Roster { full: false, targets: vec![target(id, lifecycle)] });
+                self.news(WatchEvent::Endpoints { full: false, targets: vec![target(id, lifecycle)] });
             }
             11 => {
                 let issued = self.clock.now() - 50.0;
-                self.news(News::Purge { object: None, group: u32::from(a % 4), issued });
+                self.news(WatchEvent::Purge { object: None, group: u32::from(a % 4), issued });
             }
             _ => {
                 self.clock.advance(f64::from(b % 200));
@@ -184,7 +184,7 @@
             Effect::Wake(_) => {}
             Effect::Answer(id, answer) => {
                 assert!(self.owed.remove(&id).is_some(), "a second answer, or one to nobody");
-                if let Final::Served { body, .. } = answer {
+                if let FinalResponse::Served { body, .. } = answer {
                     assert!(body.ends_with(format!(":{id}").as_bytes()), "another request's bytes");
                 }
             }
--- a/tests/origin_overload.rs
+++ b/tests/origin_overload.rs
@@ -10,8 +10,8 @@
 /// for fleets of several sizes with the same requests in all, with notes of answers' paths and without.
 fn days(slow: u64) -> Vec<(Day, Result)> {
     let all = [(30, true), (30, false), (330, true), (330, false)];
-    let day = |(routers, notes)| Day {
-        routers,
+    let day = |(fleet_size, notes)| Day {
+        fleet_size,
         locations: 30,
         rate: 1_200,
         write_every: 25,
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 
 /// How a request's attempts go, told by its first path.
-fn drive(bench: &mut Bench, objects: std::ops::Range<u64>, verdict: impl Fn(&Sent) -> Verdict) {
-    drive_every(bench, 20 * MS, objects, verdict);
+fn drive(bench: &mut Bench, objects: std::ops::Range<u64>, outcome: impl Fn(&Sent) -> AttemptOutcome) {
+    drive_every(bench, 20 * MS, objects, outcome);
 }
 
 /// The same with a time between requests.
@@ -16,15 +16,15 @@
     bench: &mut Bench,
     step: Micros,
     objects: std::ops::Range<u64>,
-    verdict: impl Fn(&Sent) -> Verdict,
+    outcome: impl Fn(&Sent) -> AttemptOutcome,
 ) {
     for object in objects {
         bench.now += step;
         let mut actions = bench.ask(0, object);
         let mut attempts = 0;
         while let Some(attempt) = sent(&actions).first().cloned() {
-            let verdict = verdict(&attempt);
-            actions = bench.outcome(attempt.id, attempts, verdict, verdict == Verdict::Served);
+            let outcome = outcome(&attempt);
+            actions = bench.outcome(attempt.id, attempts, outcome, outcome == AttemptOutcome::Served);
             attempts += 1;
         }
     }
@@ -37,7 +37,7 @@
     let mut one = Bench::new(settings(), fleet());
     let mut two = Bench::new(settings(), fleet().into_iter().rev().collect());
     two.router = Router::new(settings(), 99);
-    two.event(Event::Members { full: true, entries: fleet() });
+    two.event(Event::EndpointsChanged { full: true, entries: fleet() });
     let mut homes = BTreeMap::new();
     for object in 0..300 {
         let source = one.path(object).source.expect("a source");
@@ -53,7 +53,7 @@
 fn a_lost_parents_objects_go_to_the_next_listed_and_no_others_move() {
     let mut bench = Bench::new(settings(), fleet());
     let before: Vec<_> = (0..300).map(|o| bench.path(o).source).collect();
-    bench.tell(Listing { life: Life::Gone, ..member(12, Role::Parent) });
+    bench.tell(Endpoint { state: EndpointState::Removed, ..member(12, Tier::Parent) });
     for (object, source) in before.into_iter().enumerate() {
         let now = bench.path(object as u64).source;
         let next = if source == Some(12) { Some(13) } else { source };
@@ -63,7 +63,7 @@
 
 #[test]
 fn without_parents_fills_come_from_the_origin() {
-    let entries = fleet().into_iter().filter(|e| e.role != Role::Parent).collect();
+    let entries = fleet().into_iter().filter(|e| e.tier != Tier::Parent).collect();
     let mut bench = Bench::new(settings(), entries);
     assert!((0..50).all(|o| bench.path(o).source == Some(21)));
 }
@@ -74,7 +74,7 @@
     let first = sent(&bench.ask(2, 5))[0].clone();
     assert_eq!((first.to, first.source), (21, None));
     let mut set = settings();
-    set.bypass = false;
+    set.can_bypass_caches = false;
     let mut bench = Bench::new(set, fleet());
     let first = sent(&bench.ask(2, 5))[0].clone();
     assert!(first.to <= 4 && first.source == Some(21));
@@ -86,11 +86,11 @@
     let to = |bench: &mut Bench, part| {
         let id = 1_000_000 + u64::from(part) + bench.now;
         bench.now += MS;
-        let give_up_at = bench.now + 3 * S;
+        let deadline_at = bench.now + 3 * S;
         let (class, object, group, size_kb) = (0, 77, 1, 500.0);
-        let event = Event::Request { id, class, object, group, part, size_kb, give_up_at };
+        let event = Event::Request { id, class, object, group, part, size_kb, deadline_at };
         let to = sent(&bench.event(event))[0].to;
-        bench.outcome(id, 0, Verdict::Served, true);
+        bench.outcome(id, 0, AttemptOutcome::Served, true);
         to
     };
     let first = to(&mut bench, 0);
@@ -111,14 +111,14 @@
     };
     let mut old = Bench::new(settings(), fleet());
     let before = home(&mut old, 0..600);
-    old.tell(Listing { life: Life::Gone, ..member(12, Role::Parent) });
-    old.tell(member(14, Role::Parent));
+    old.tell(Endpoint { state: EndpointState::Removed, ..member(12, Tier::Parent) });
+    old.tell(member(14, Tier::Parent));
     let after = home(&mut old, 0..600);
     let moved = before.iter().zip(&after).filter(|(b, a)| b != a && **b != 12).count();
     assert!((90..200).contains(&moved), "{moved} of 600 moved to the new one, beside those of the lost one");
     // Who never knew the lost one agrees but for its objects.
-    let now: Vec<Listing> = fleet().into_iter().filter(|e| e.id != 12).collect();
-    let mut new = Bench::new(settings(), now.into_iter().chain([member(14, Role::Parent)]).collect());
+    let now: Vec<Endpoint> = fleet().into_iter().filter(|e| e.id != 12).collect();
+    let mut new = Bench::new(settings(), now.into_iter().chain([member(14, Tier::Parent)]).collect());
     let theirs = home(&mut new, 0..600);
     let differ = (0..600).filter(|k| after[*k] != theirs[*k] && before[*k] != 12).count();
     assert_eq!(differ, 0);
@@ -139,7 +139,7 @@
 #[test]
 fn routers_of_a_location_agree_on_the_cache_whatever_they_have_seen() {
     let mut set = settings();
-    set.routers_here = 7;
+    set.local_fleet_size = 7;
     let mut seen = Bench::new(set.clone(), fleet());
     for _ in 0..20 {
         (0..100).for_each(|o| {
@@ -162,9 +162,9 @@
             let fails = dead && a.source == Some(12);
             failures.set(failures.get() + u32::from(fails));
             if fails {
-                Verdict::Refused
+                AttemptOutcome::Rejected
             } else {
-                Verdict::Served
+                AttemptOutcome::Served
             }
         });
         failures.get()
@@ -183,12 +183,12 @@
 #[test]
 fn a_source_that_fails_through_every_cache_loses_its_slice_fast() {
     let mut bench = Bench::new(settings(), fleet());
-    drive(&mut bench, 0..500, |_| Verdict::Served);
+    drive(&mut bench, 0..500, |_| AttemptOutcome::Served);
     let ill = |a: &Sent| {
         if a.source == Some(12) {
-            Verdict::Refused
+            AttemptOutcome::Rejected
         } else {
-            Verdict::Served
+            AttemptOutcome::Served
         }
     };
     drive(&mut bench, 1_000..1_060, ill);
@@ -205,27 +205,32 @@
 
 #[test]
 fn a_cache_that_fails_with_every_source_loses_its_slice_and_gets_it_back() {
-    for verdict in [Verdict::Error, Verdict::NoConnection, Verdict::Broken, Verdict::TimedOut] {
+    for outcome in [
+        AttemptOutcome::Error,
+        AttemptOutcome::NoConnection,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::TimedOut,
+    ] {
         let mut bench = Bench::new(settings(), fleet());
-        drive(&mut bench, 0..200, |_| Verdict::Served);
-        drive(&mut bench, 1_000..1_120, |a| if a.to == 2 { verdict } else { Verdict::Served });
+        drive(&mut bench, 0..200, |_| AttemptOutcome::Served);
+        drive(&mut bench, 1_000..1_120, |a| if a.to == 2 { outcome } else { AttemptOutcome::Served });
         // It still fails, so what goes there is a trickle.
         let named = std::cell::Cell::new(0);
         drive(&mut bench, 2_000..2_200, |a| {
             named.set(named.get() + u32::from(a.to == 2));
             if a.to == 2 {
-                verdict
+                outcome
             } else {
-                Verdict::Served
+                AttemptOutcome::Served
             }
         });
-        assert!(named.get() < 20, "{verdict:?}: {} of 200 still go there", named.get());
+        assert!(named.get() < 20, "{outcome:?}: {} of 200 still go there", named.get());
         let sources: std::collections::BTreeSet<_> = (3_000..3_100).map(|o| bench.path(o).source).collect();
-        assert_eq!(sources.len(), 3, "{verdict:?}: the parents are not blamed");
+        assert_eq!(sources.len(), 3, "{outcome:?}: the parents are not blamed");
         bench.now += 15 * S;
-        drive(&mut bench, 4_000..4_200, |_| Verdict::Served);
+        drive(&mut bench, 4_000..4_200, |_| AttemptOutcome::Served);
         let named = (5_000..5_200).filter(|o| bench.path(*o).to == 2).count();
-        assert!(named > 25, "{verdict:?}: {named} of 200 after it recovered");
+        assert!(named > 25, "{outcome:?}: {named} of 200 after it recovered");
     }
 }
 
@@ -233,7 +238,7 @@
 #[test]
 fn when_everything_fails_the_fleet_is_not_emptied() {
     let mut bench = Bench::new(settings(), fleet());
-    drive(&mut bench, 0..300, |_| Verdict::Error);
+    drive(&mut bench, 0..300, |_| AttemptOutcome::Error);
     // Part of it is refused for the sources' sake; what is sent goes to every cache still.
     let first = |object| sent(&bench.ask(0, object)).first().map(|a| a.to);
     let caches: std::collections::BTreeSet<_> = (1_000..1_060).filter_map(first).collect();
@@ -243,14 +248,14 @@
 /// Incident i7c60d7: the last parent limped, had no peer to be measured by, and every fill waited for it.
 #[test]
 fn a_lone_failing_parent_gives_way_to_the_origin() {
-    let entries = fleet().into_iter().filter(|e| e.role != Role::Parent || e.id == 11).collect();
+    let entries = fleet().into_iter().filter(|e| e.tier != Tier::Parent || e.id == 11).collect();
     let mut bench = Bench::new(settings(), entries);
-    drive(&mut bench, 0..200, |_| Verdict::Served);
+    drive(&mut bench, 0..200, |_| AttemptOutcome::Served);
     let ill = |a: &Sent| {
         if a.source == Some(11) {
-            Verdict::TimedOut
+            AttemptOutcome::TimedOut
         } else {
-            Verdict::Served
+            AttemptOutcome::Served
         }
     };
     drive(&mut bench, 1_000..1_080, ill);
@@ -261,13 +266,13 @@
 /// Incident ic22892: without notes, hits credited the dead parent that they named.
 #[test]
 fn without_notes_hits_do_not_hide_a_dead_source() {
-    let set = Settings { hit_notes: false, ..settings() };
+    let set = PolicySettings { reports_cache_status: false, ..settings() };
     let mut bench = Bench::new(set, fleet());
     let ill = |a: &Sent| {
         if a.source == Some(12) && a.id % 3 == 0 {
-            Verdict::Refused
+            AttemptOutcome::Rejected
         } else {
-            Verdict::Served
+            AttemptOutcome::Served
         }
     };
     for object in 0..400u64 {
@@ -275,9 +280,17 @@
         let mut actions = bench.ask(0, object);
         let mut attempts = 0;
         while let Some(attempt) = sent(&actions).first().cloned() {
-            let (id, verdict) = (attempt.id, ill(&attempt));
-            let (note, took, closed) = (Note::Silent, 100 * MS, verdict == Verdict::Served);
-            actions = bench.event(Event::Outcome { id, attempt: attempts, verdict, note, took, closed });
+            let (id, outcome) = (attempt.id, ill(&attempt));
+            let (cache_status, elapsed, closed) =
+                (CacheStatus::Unknown, 100 * MS, outcome == AttemptOutcome::Served);
+            actions = bench.event(Event::AttemptEnded {
+                id,
+                attempt: attempts,
+                outcome,
+                cache_status,
+                elapsed,
+                closed,
+            });
             attempts += 1;
         }
     }
@@ -292,7 +305,7 @@
     let refused = |bench: &mut Bench, object| {
         let actions = bench.ask(0, object);
         match actions.as_slice() {
-            [Action::Refuse { wait, .. }] => {
+            [Action::Reject { wait, .. }] => {
                 assert!(*wait > 0 && *wait <= 500 * MS, "a wait hint within what clients honour");
                 true
             }
@@ -312,11 +325,12 @@
     let age = |bench: &mut Bench, object| sent(&bench.ask(1, object)).first().map(|a| (a.id, a.max_age));
     let (id, before) = age(&mut bench, 1).expect("an attempt");
     assert_eq!(before, 5 * S, "fresh copies only");
-    bench.outcome(id, 0, Verdict::Served, true);
+    bench.outcome(id, 0, AttemptOutcome::Served, true);
     for object in 10..60 {
         if let Some((id, _)) = age(&mut bench, object) {
-            let (verdict, note, took, closed) = (Verdict::Served, Note::Filled, 2 * S, true);
-            bench.event(Event::Outcome { id, attempt: 0, verdict, note, took, closed });
+            let (outcome, cache_status, elapsed, closed) =
+                (AttemptOutcome::Served, CacheStatus::Filled, 2 * S, true);
+            bench.event(Event::AttemptEnded { id, attempt: 0, outcome, cache_status, elapsed, closed });
         }
     }
     let (_, after) = age(&mut bench, 100).expect("an attempt");
@@ -334,7 +348,7 @@
         let mut actions = bench.ask(0, object);
         let mut attempts = 0;
         while let Some(attempt) = sent(&actions).first().cloned() {
-            actions = bench.outcome(attempt.id, attempts, Verdict::Refused, false);
+            actions = bench.outcome(attempt.id, attempts, AttemptOutcome::Rejected, false);
             attempts += 1;
         }
         first += attempts.min(1);
@@ -347,25 +361,26 @@
 
 #[test]
 fn bare_settings_still_answer_everything() {
-    let zero = ColdStart { floor: 0.0, ramp: 0, multiple: 0.0, window: 0 };
-    let bare = Settings {
-        routers: 0,
-        routers_here: 0,
-        flow_kb_per_s: 0.0,
+    let zero =
+        SlowStart { initial_capacity: 0.0, ramp_duration: 0, overload_multiple: 0.0, overload_window: 0 };
+    let bare = PolicySettings {
+        fleet_size: 0,
+        local_fleet_size: 0,
+        client_kb_per_s: 0.0,
         weights_known: false,
-        joins: false,
-        bypass: false,
-        hit_notes: false,
-        purge_done: 0,
+        can_join_fills: false,
+        can_bypass_caches: false,
+        reports_cache_status: false,
+        purge_completion: 0,
         max_attempts: 0,
-        cancelling: false,
-        probing: false,
-        max_wait_hint: 0,
-        cache_cold: zero,
-        parent_cold: zero,
+        can_cancel: false,
+        can_check_health: false,
+        max_retry_after: 0,
+        cache_slow_start: zero,
+        parent_slow_start: zero,
         ..settings()
     };
-    let lists = [Vec::new(), vec![member(1, Role::Cache)], vec![member(21, Role::Origin)], fleet()];
+    let lists = [Vec::new(), vec![member(1, Tier::Cache)], vec![member(21, Tier::Origin)], fleet()];
     for entries in lists {
         let mut bench = Bench::new(bare.clone(), entries);
         for class in 0..4 {
@@ -374,11 +389,13 @@
                 let mut attempts = 0;
                 while let Some(attempt) = sent(&actions).first().cloned() {
                     assert_eq!(finals(&actions).len(), 0);
-                    actions = bench.outcome(attempt.id, attempts, Verdict::NoConnection, false);
+                    actions = bench.outcome(attempt.id, attempts, AttemptOutcome::NoConnection, false);
                     attempts += 1;
                 }
                 assert_eq!(finals(&actions).len(), 1);
-                assert!(!actions.iter().any(|a| matches!(a, Action::Cancel { .. } | Action::Probe { .. })));
+                assert!(!actions
+                    .iter()
+                    .any(|a| matches!(a, Action::Cancel { .. } | Action::CheckHealth { .. })));
             }
         }
     }
@@ -386,18 +403,18 @@
 
 #[test]
 fn a_list_that_must_be_asked_for_is_subscribed_to_again_after_a_failure() {
-    let set = Settings { subscribe: true, ..settings() };
+    let set = PolicySettings { watch_endpoints: true, ..settings() };
     let mut router = Router::new(set, 1);
     let mut actions = Vec::new();
-    router.handle(0, &Event::Members { full: true, entries: fleet() }, &mut actions);
-    assert_eq!(actions, [Action::Subscribe]);
+    router.handle(0, &Event::EndpointsChanged { full: true, entries: fleet() }, &mut actions);
+    assert_eq!(actions, [Action::Watch]);
     actions.clear();
-    router.handle(1, &Event::Members { full: true, entries: fleet() }, &mut actions);
+    router.handle(1, &Event::EndpointsChanged { full: true, entries: fleet() }, &mut actions);
     assert!(actions.is_empty());
-    router.handle(2, &Event::ListLost, &mut actions);
-    let Some(Action::Timer { token, at }) = actions.pop() else { panic!("a timer") };
+    router.handle(2, &Event::WatchLost, &mut actions);
+    let Some(Action::SetTimer { token, at }) = actions.pop() else { panic!("a timer") };
     router.handle(at, &Event::Timer { token }, &mut actions);
-    assert_eq!(actions, [Action::Subscribe]);
+    assert_eq!(actions, [Action::Watch]);
 }
 
 /// Attempts for new objects: how many are sent, and how many of them ask for no more than what is held.
@@ -414,8 +431,9 @@
     for object in 1_000..1_060 {
         bench.now += 20 * MS;
         if let Some(first) = sent(&bench.ask(0, object)).first() {
-            let (id, verdict, note, took) = (first.id, Verdict::Served, Note::Filled, 4 * S);
-            bench.event(Event::Outcome { id, attempt: 0, verdict, note, took, closed: true });
+            let (id, outcome, cache_status, elapsed) =
+                (first.id, AttemptOutcome::Served, CacheStatus::Filled, 4 * S);
+            bench.event(Event::AttemptEnded { id, attempt: 0, outcome, cache_status, elapsed, closed: true });
         }
     }
     let (sent_, held) = asks(&mut bench, 2_000..2_060);
@@ -424,19 +442,23 @@
     let id = bench.ask(0, 5_000);
     let first = sent(&id)[0].clone();
     assert_eq!(first.source, Some(first.to));
-    assert_eq!(finals(&bench.outcome(first.id, 0, Verdict::Miss, false)), [(first.id, true)]);
+    assert_eq!(finals(&bench.outcome(first.id, 0, AttemptOutcome::CacheMiss, false)), [(first.id, true)]);
 }
 
 /// A parent that came back cold, and of which nothing was known, made all others look ill: the fleet left them and
 /// filled from the origin for ten seconds.
 #[test]
 fn a_parent_of_which_nothing_is_known_does_not_make_its_peers_look_ill() {
-    let entries: Vec<_> = fleet().into_iter().filter(|e| e.role != Role::Origin).collect();
+    let entries: Vec<_> = fleet().into_iter().filter(|e| e.tier != Tier::Origin).collect();
     let mut bench = Bench::new(settings(), entries);
     // The origin behind them is slow: half of all fills fail at every parent.
-    drive(&mut bench, 0..300, |a| if a.id % 2 == 0 { Verdict::Refused } else { Verdict::Served });
+    drive(
+        &mut bench,
+        0..300,
+        |a| if a.id % 2 == 0 { AttemptOutcome::Rejected } else { AttemptOutcome::Served },
+    );
     bench.now += S;
-    bench.tell(Listing { started: bench.now, ..member(11, Role::Parent) });
+    bench.tell(Endpoint { started_at: bench.now, ..member(11, Tier::Parent) });
     let by = |bench: &mut Bench| {
         let paths: Vec<_> = (1_000..1_100).map(|o| sent(&bench.ask(0, o))).collect();
         paths.iter().flatten().filter(|a| [Some(12), Some(13)].contains(&a.source)).count()
@@ -447,30 +469,30 @@
 /// office-media-later overload: with the parents gone every router filled from the origin, which stopped.
 #[test]
 fn the_origin_gets_less_the_more_of_it_fails_and_more_again_when_it_is_well() {
-    let entries: Vec<_> = fleet().into_iter().filter(|e| e.role != Role::Parent).collect();
+    let entries: Vec<_> = fleet().into_iter().filter(|e| e.tier != Tier::Parent).collect();
     let mut bench = Bench::new(settings(), entries);
-    let fills = |bench: &mut Bench, objects: std::ops::Range<u64>, verdict: Verdict| {
+    let fills = |bench: &mut Bench, objects: std::ops::Range<u64>, outcome: AttemptOutcome| {
         let mut fills = 0;
         for object in objects {
             bench.now += 100 * MS;
             let Some(first) = sent(&bench.ask(0, object)).first().cloned() else { continue };
             let held = first.source == Some(first.to);
             fills += u32::from(!held);
-            let verdict = if held { Verdict::Miss } else { verdict };
-            let actions = bench.outcome(first.id, 0, verdict, verdict == Verdict::Served);
+            let outcome = if held { AttemptOutcome::CacheMiss } else { outcome };
+            let actions = bench.outcome(first.id, 0, outcome, outcome == AttemptOutcome::Served);
             if !sent(&actions).is_empty() {
-                bench.event(Event::Left { id: first.id });
-                bench.outcome(first.id, 1, Verdict::Cancelled, true);
+                bench.event(Event::ClientDisconnected { id: first.id });
+                bench.outcome(first.id, 1, AttemptOutcome::Cancelled, true);
             }
         }
         fills
     };
-    fills(&mut bench, 0..200, Verdict::Served);
-    assert!(fills(&mut bench, 200..300, Verdict::Served) > 90);
-    fills(&mut bench, 300..400, Verdict::Refused);
-    assert!(fills(&mut bench, 400..500, Verdict::Refused) < 20);
-    fills(&mut bench, 600..900, Verdict::Served);
-    assert!(fills(&mut bench, 900..1_000, Verdict::Served) > 50);
+    fills(&mut bench, 0..200, AttemptOutcome::Served);
+    assert!(fills(&mut bench, 200..300, AttemptOutcome::Served) > 90);
+    fills(&mut bench, 300..400, AttemptOutcome::Rejected);
+    assert!(fills(&mut bench, 400..500, AttemptOutcome::Rejected) < 20);
+    fills(&mut bench, 600..900, AttemptOutcome::Served);
+    assert!(fills(&mut bench, 900..1_000, AttemptOutcome::Served) > 50);
 }
 
 /// Brink days with hanging caches: what timed out there was taken for the origin's slowness, and for seconds most objects
@@ -483,14 +505,14 @@
         bench.now += 250 * MS;
         let Some(first) = sent(&bench.ask(0, object)).first().cloned() else { continue };
         asked += 1;
-        fetched += u32::from(!first.only_held);
+        fetched += u32::from(!first.only_if_cached);
         let hangs = [2, 3].contains(&first.to);
         hung += u32::from(hangs);
-        let verdict = if hangs { Verdict::TimedOut } else { Verdict::Served };
-        let actions = bench.outcome(first.id, 0, verdict, verdict == Verdict::Served);
+        let outcome = if hangs { AttemptOutcome::TimedOut } else { AttemptOutcome::Served };
+        let actions = bench.outcome(first.id, 0, outcome, outcome == AttemptOutcome::Served);
         if !sent(&actions).is_empty() {
-            bench.event(Event::Left { id: first.id });
-            bench.outcome(first.id, 1, Verdict::Cancelled, true);
+            bench.event(Event::ClientDisconnected { id: first.id });
+            bench.outcome(first.id, 1, AttemptOutcome::Cancelled, true);
         }
     }
     assert!(hung > 5, "they were asked {hung} times");
@@ -505,24 +527,24 @@
     let before = (0..300).filter(|o| bench.path(*o).source == Some(12)).count();
     let object = (0..300).find(|o| bench.path(*o).source == Some(12)).expect("one of its objects");
     let id = sent(&bench.ask(0, object))[0].id;
-    let actions = bench.outcome(id, 0, Verdict::Refused, false);
-    assert!(actions.contains(&Action::Probe { member: 12 }), "one failure is enough to ask");
-    bench.event(Event::Left { id });
-    let actions = bench.event(Event::Probed { member: 12, verdict: Verdict::NoConnection });
+    let actions = bench.outcome(id, 0, AttemptOutcome::Rejected, false);
+    assert!(actions.contains(&Action::CheckHealth { member: 12 }), "one failure is enough to ask");
+    bench.event(Event::ClientDisconnected { id });
+    let actions = bench.event(Event::HealthChecked { member: 12, outcome: AttemptOutcome::NoConnection });
     assert_eq!((0..300).filter(|o| bench.path(*o).source == Some(12)).count(), 0);
-    let [Action::Timer { token, at }] = actions[..] else { panic!("a timer for the next probe") };
+    let [Action::SetTimer { token, at }] = actions[..] else { panic!("a timer for the next probe") };
     bench.now = at;
-    assert_eq!(bench.event(Event::Timer { token }), [Action::Probe { member: 12 }]);
-    bench.event(Event::Probed { member: 12, verdict: Verdict::Served });
+    assert_eq!(bench.event(Event::Timer { token }), [Action::CheckHealth { member: 12 }]);
+    bench.event(Event::HealthChecked { member: 12, outcome: AttemptOutcome::Served });
     bench.now += 2 * S;
     let back = (0..300).filter(|o| bench.path(*o).source == Some(12)).count();
     assert!((1..before / 2).contains(&back), "{back} of {before}: a new process is cold");
     bench.now += 25 * S;
     assert_eq!((0..300).filter(|o| bench.path(*o).source == Some(12)).count(), before);
     // Results for members that are gone, or never were, change nothing.
-    bench.tell(Listing { life: Life::Gone, ..member(12, Role::Parent) });
+    bench.tell(Endpoint { state: EndpointState::Removed, ..member(12, Tier::Parent) });
     for member in [12, 99] {
-        assert!(bench.event(Event::Probed { member, verdict: Verdict::TimedOut }).is_empty());
+        assert!(bench.event(Event::HealthChecked { member, outcome: AttemptOutcome::TimedOut }).is_empty());
     }
 }
 
@@ -533,8 +555,8 @@
         let mut bench = Bench::new(settings(), fleet());
         (0..400u64)
             .filter(|k| {
-                let (id, group, part, give_up_at) = (k + 1, 0, 0, bench.now + 3 * S);
-                let request = Event::Request { id, class: 0, object: *k, group, part, size_kb, give_up_at };
+                let (id, group, part, deadline_at) = (k + 1, 0, 0, bench.now + 3 * S);
+                let request = Event::Request { id, class: 0, object: *k, group, part, size_kb, deadline_at };
                 !sent(&bench.event(request)).is_empty()
             })
             .count()
@@ -547,25 +569,30 @@
 #[test]
 fn many_routers_together_keep_a_cold_members_budget() {
     let mut set = settings();
-    (set.routers, set.routers_here) = (200, 7);
-    set.parent_cold.ramp = 0;
-    set.cache_cold = ColdStart { floor: 0.15, ramp: 18 * S, multiple: 3.0, window: S };
-    let started = 100 * S;
+    (set.fleet_size, set.local_fleet_size) = (200, 7);
+    set.parent_slow_start.ramp_duration = 0;
+    set.cache_slow_start = SlowStart {
+        initial_capacity: 0.15,
+        ramp_duration: 18 * S,
+        overload_multiple: 3.0,
+        overload_window: S,
+    };
+    let started_at = 100 * S;
     let mut cold = fleet();
-    cold.iter_mut().filter(|e| e.id == 1).for_each(|e| e.started = started);
-    let mut routers: Vec<Bench> = (0..7)
+    cold.iter_mut().filter(|e| e.id == 1).for_each(|e| e.started_at = started_at);
+    let mut fleet_size: Vec<Bench> = (0..7)
         .map(|k| {
             let mut bench = Bench::new(set.clone(), Vec::new());
             bench.router = Router::new(set.clone(), 1_000 * k);
-            bench.event(Event::Members { full: true, entries: cold.clone() });
+            bench.event(Event::EndpointsChanged { full: true, entries: cold.clone() });
             bench
         })
         .collect();
     // Each asks ten times a second; what reaches the cold one in any second stays within its budget.
     let mut sends = Vec::new();
     for step in 0..30u64 {
-        for (k, bench) in routers.iter_mut().enumerate() {
-            bench.now = started + step * 100 * MS;
+        for (k, bench) in fleet_size.iter_mut().enumerate() {
+            bench.now = started_at + step * 100 * MS;
             let path = bench.path(step * 7 + k as u64);
             sends.extend((path.to == 1).then_some(step));
         }
@@ -582,26 +609,33 @@
 fn odd_lists_are_taken_by_their_plain_meaning() {
     let mut bench = Bench::new(settings(), fleet());
     // Listed twice in one list: the later line counts.
-    let lines = vec![member(2, Role::Cache), Listing { life: Life::Draining, ..member(2, Role::Cache) }];
-    bench.event(Event::Members { full: false, entries: lines });
+    let lines =
+        vec![member(2, Tier::Cache), Endpoint { state: EndpointState::Draining, ..member(2, Tier::Cache) }];
+    bench.event(Event::EndpointsChanged { full: false, entries: lines });
     assert!((0..200).all(|o| bench.path(o).to != 2));
     // A parent that becomes a cache is asked as one and named as a source no more, and the other way round.
-    bench.tell(member(12, Role::Cache));
+    bench.tell(member(12, Tier::Cache));
     let paths: Vec<Sent> = (0..200).map(|o| bench.path(o)).collect();
     assert!(paths.iter().any(|p| p.to == 12) && paths.iter().all(|p| p.source != Some(12)));
-    bench.tell(member(12, Role::Parent));
+    bench.tell(member(12, Tier::Parent));
     let paths: Vec<Sent> = (0..200).map(|o| bench.path(o)).collect();
     assert!(paths.iter().any(|p| p.source == Some(12)) && paths.iter().all(|p| p.to != 12));
     // A cache that moves to another location is not used there.
-    bench.tell(member(3, Role::FarCache));
+    bench.tell(member(3, Tier::RemoteCache));
     assert!((0..200).all(|o| bench.path(o).to != 3));
 }
 
 #[test]
 fn an_id_taken_by_a_new_process_starts_cold_and_without_a_past() {
     let mut bench = Bench::new(settings(), fleet());
-    drive(&mut bench, 0..200, |a| if a.to == 2 { Verdict::Broken } else { Verdict::Served });
-    bench.tell(Listing { started: bench.now, ..member(2, Role::Cache) });
+    drive(&mut bench, 0..200, |a| {
+        if a.to == 2 {
+            AttemptOutcome::ConnectionLost
+        } else {
+            AttemptOutcome::Served
+        }
+    });
+    bench.tell(Endpoint { started_at: bench.now, ..member(2, Tier::Cache) });
     bench.now += 3 * S;
     let named = (1_000..1_200).filter(|o| bench.path(*o).to == 2).count();
     assert!((1..40).contains(&named), "{named} of 200 while cold, without the old one's failures");
@@ -609,13 +643,13 @@
 
 #[test]
 fn hundreds_of_lines_may_come_and_go_at_once() {
-    let far = |ids: std::ops::Range<u32>| ids.map(|id| member(id, Role::FarCache));
+    let far = |ids: std::ops::Range<u32>| ids.map(|id| member(id, Tier::RemoteCache));
     let mut bench = Bench::new(settings(), fleet().into_iter().chain(far(1_000..1_400)).collect());
     let before: Vec<Sent> = (0..100).map(|o| bench.path(o)).collect();
-    bench.event(Event::Members { full: true, entries: far(1_000..1_400).collect() });
+    bench.event(Event::EndpointsChanged { full: true, entries: far(1_000..1_400).collect() });
     let actions = bench.ask(0, 5);
     assert_eq!((sent(&actions).len(), finals(&actions).len()), (0, 1), "nothing is left: refused at once");
-    bench.event(Event::Members { full: true, entries: fleet() });
+    bench.event(Event::EndpointsChanged { full: true, entries: fleet() });
     for (object, then) in before.iter().enumerate() {
         let now = bench.path(object as u64);
         assert_eq!((now.to, now.source), (then.to, then.source), "all as before");
@@ -626,17 +660,27 @@
 /// and requests of others go on being filled.
 #[test]
 fn a_wait_that_its_client_cut_short_blames_nobody() {
-    let mut bench = Bench::new(Settings { weights_known: false, hit_notes: false, ..settings() }, fleet());
+    let mut bench = Bench::new(
+        PolicySettings { weights_known: false, reports_cache_status: false, ..settings() },
+        fleet(),
+    );
     for object in 0..400 {
         bench.now += 10 * MS;
-        let give_up_at = bench.now + 60 * MS;
+        let deadline_at = bench.now + 60 * MS;
         let (id, class, group, part, size_kb) = (10_000 + object, 0, 0, 0, 500.0);
-        let asked = bench.event(Event::Request { id, class, object, group, part, size_kb, give_up_at });
+        let asked = bench.event(Event::Request { id, class, object, group, part, size_kb, deadline_at });
         let first = sent(&asked)[0].clone();
         assert_eq!(first.timeout, 60 * MS, "no second try would fit: the first has all the time");
         bench.now += 60 * MS;
-        let (verdict, note, took) = (Verdict::TimedOut, Note::Silent, 60 * MS);
-        let ends = bench.event(Event::Outcome { id, attempt: 0, verdict, note, took, closed: false });
+        let (outcome, cache_status, elapsed) = (AttemptOutcome::TimedOut, CacheStatus::Unknown, 60 * MS);
+        let ends = bench.event(Event::AttemptEnded {
+            id,
+            attempt: 0,
+            outcome,
+            cache_status,
+            elapsed,
+            closed: false,
+        });
         assert_eq!(finals(&ends), [(id, true)]);
     }
     let homes: Vec<_> = (0..100).map(|o| bench.path(o)).collect();
@@ -650,18 +694,20 @@
 /// many are out to it; once its answers are late the guess holds again.
 #[test]
 fn a_guess_at_a_caches_room_refuses_nothing_that_is_answered_in_time() {
-    let lone = vec![member(1, Role::Cache), member(11, Role::Parent), member(21, Role::Origin)];
-    let mut bench = Bench::new(Settings { weights_known: false, hit_notes: false, ..settings() }, lone);
+    let lone = vec![member(1, Tier::Cache), member(11, Tier::Parent), member(21, Tier::Origin)];
+    let mut bench =
+        Bench::new(PolicySettings { weights_known: false, reports_cache_status: false, ..settings() }, lone);
     let mut refused = [0, 0, 0];
-    for (phase, took) in [(0, 100 * MS), (1, 100 * MS), (2, 2_500 * MS)] {
+    for (phase, elapsed) in [(0, 100 * MS), (1, 100 * MS), (2, 2_500 * MS)] {
         for k in 0..1_500 {
             let object = phase * 10_000 + k;
             let asked = bench.ask(0, object);
             refused[phase as usize] += finals(&asked).len();
             // Thirty-two are always out: eight times the guess.
             let id = (phase * 1_500 + k + 1).saturating_sub(32);
-            let (attempt, verdict, note, closed) = (0, Verdict::Served, Note::Silent, true);
-            bench.event(Event::Outcome { id, attempt, verdict, note, took, closed });
+            let (attempt, outcome, cache_status, closed) =
+                (0, AttemptOutcome::Served, CacheStatus::Unknown, true);
+            bench.event(Event::AttemptEnded { id, attempt, outcome, cache_status, elapsed, closed });
             bench.now += 10 * MS;
         }
     }
@@ -674,8 +720,8 @@
 /// blamed for long, the request goes back to the cache that holds its object, and no budget is spent.
 #[test]
 fn what_is_lost_on_its_way_is_asked_again_at_the_same_cache() {
-    for (verdict, each) in [(Verdict::Spoilt, 1), (Verdict::Broken, 5)] {
-        let mut bench = Bench::new(Settings { hit_notes: false, ..settings() }, fleet());
+    for (outcome, each) in [(AttemptOutcome::Malformed, 1), (AttemptOutcome::ConnectionLost, 5)] {
+        let mut bench = Bench::new(PolicySettings { reports_cache_status: false, ..settings() }, fleet());
         let mut fresh = Bench::new(settings(), fleet());
         for object in 0..300 {
             bench.now += 20 * MS;
@@ -685,10 +731,18 @@
             }
             let asked = bench.ask(0, object);
             let first = sent(&asked)[0].clone();
-            let (id, note, took, closed) = (first.id, Note::Silent, 50 * MS, false);
-            let again = bench.event(Event::Outcome { id, attempt: 0, verdict, note, took, closed });
-            assert_eq!(sent(&again)[0].to, first.to, "{verdict:?} of {object}");
-            let done = Event::Outcome { id, attempt: 1, verdict: Verdict::Served, note, took, closed: true };
+            let (id, cache_status, elapsed, closed) = (first.id, CacheStatus::Unknown, 50 * MS, false);
+            let again =
+                bench.event(Event::AttemptEnded { id, attempt: 0, outcome, cache_status, elapsed, closed });
+            assert_eq!(sent(&again)[0].to, first.to, "{outcome:?} of {object}");
+            let done = Event::AttemptEnded {
+                id,
+                attempt: 1,
+                outcome: AttemptOutcome::Served,
+                cache_status,
+                elapsed,
+                closed: true,
+            };
             bench.event(done);
             assert_eq!(first.to, fresh.path(object).to, "its cache has lost nothing");
         }
@@ -698,11 +752,11 @@
 /// Guards requests against a cache that only ever breaks: after two breaks they go elsewhere.
 #[test]
 fn a_cache_that_only_breaks_is_left() {
-    let mut bench = Bench::new(Settings { hit_notes: false, ..settings() }, fleet());
+    let mut bench = Bench::new(PolicySettings { reports_cache_status: false, ..settings() }, fleet());
     let asked = bench.ask(0, 7);
     let first = sent(&asked)[0].clone();
-    bench.outcome(first.id, 0, Verdict::Broken, false);
-    let third = bench.outcome(first.id, 1, Verdict::Broken, false);
+    bench.outcome(first.id, 0, AttemptOutcome::ConnectionLost, false);
+    let third = bench.outcome(first.id, 1, AttemptOutcome::ConnectionLost, false);
     assert_ne!(sent(&third)[0].to, first.to);
 }
 
@@ -710,14 +764,22 @@
 /// neither the parents' good name nor the way past it.
 #[test]
 fn a_lone_cache_that_fails_fast_is_passed_by() {
-    let mut bench = Bench::new(Settings { hit_notes: false, ..settings() }, fleet());
+    let mut bench = Bench::new(PolicySettings { reports_cache_status: false, ..settings() }, fleet());
     let ask = |bench: &mut Bench, object: u64| {
         let (mut actions, mut attempt) = (bench.ask(0, object), 0);
         while let Some(next) = sent(&actions).first().cloned() {
-            let (id, note) = (next.id, Note::Silent);
+            let (id, cache_status) = (next.id, CacheStatus::Unknown);
             let ill = next.to == 1 && object % 8 != 0;
-            let (verdict, took) = if ill { (Verdict::Error, 2 * MS) } else { (Verdict::Served, 150 * MS) };
-            actions = bench.event(Event::Outcome { id, attempt, verdict, note, took, closed: !ill });
+            let (outcome, elapsed) =
+                if ill { (AttemptOutcome::Error, 2 * MS) } else { (AttemptOutcome::Served, 150 * MS) };
+            actions = bench.event(Event::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                cache_status,
+                elapsed,
+                closed: !ill,
+            });
             attempt += 1;
         }
         bench.now += 5 * MS;
@@ -725,7 +787,7 @@
     };
     assert_eq!((0..1_000).map(|o| ask(&mut bench, o)).sum::<usize>(), 0);
     for id in 2..=4 {
-        bench.tell(Listing { life: Life::Draining, ..member(id, Role::Cache) });
+        bench.tell(Endpoint { state: EndpointState::Draining, ..member(id, Tier::Cache) });
     }
     assert_eq!((1_000..2_000).map(|o| ask(&mut bench, o)).sum::<usize>(), 0, "refused");
 }
@@ -734,17 +796,18 @@
 /// take a cache's room back to the guess at once, which would refuse most of what caches hold.
 #[test]
 fn a_burst_of_late_answers_cuts_a_caches_room_once() {
-    let lone = vec![member(1, Role::Cache), member(11, Role::Parent), member(21, Role::Origin)];
-    let mut bench = Bench::new(Settings { weights_known: false, hit_notes: false, ..settings() }, lone);
+    let lone = vec![member(1, Tier::Cache), member(11, Tier::Parent), member(21, Tier::Origin)];
+    let mut bench =
+        Bench::new(PolicySettings { weights_known: false, reports_cache_status: false, ..settings() }, lone);
     let mut refused = 0;
     for k in 0..1_600 {
         let asked = bench.ask(0, k);
         refused += if k < 1_500 { 0 } else { finals(&asked).len() };
-        let (id, attempt, verdict, note, closed) =
-            ((k + 1).saturating_sub(24), 0, Verdict::Served, Note::Silent, true);
+        let (id, attempt, outcome, cache_status, closed) =
+            ((k + 1).saturating_sub(24), 0, AttemptOutcome::Served, CacheStatus::Unknown, true);
         // The last ones come late, thirty within a third of a second.
-        let took = if (1_500..1_530).contains(&k) { 2_500 * MS } else { 100 * MS };
-        bench.event(Event::Outcome { id, attempt, verdict, note, took, closed });
+        let elapsed = if (1_500..1_530).contains(&k) { 2_500 * MS } else { 100 * MS };
+        bench.event(Event::AttemptEnded { id, attempt, outcome, cache_status, elapsed, closed });
         bench.now += 10 * MS;
     }
     assert_eq!(refused, 0);
@@ -754,8 +817,9 @@
 /// answers a good part in time (a fifth where room grew by a share of itself).
 #[test]
 fn the_room_of_an_overloaded_cache_does_not_outgrow_its_cuts() {
-    let lone = vec![member(1, Role::Cache), member(11, Role::Parent), member(21, Role::Origin)];
-    let mut bench = Bench::new(Settings { weights_known: false, hit_notes: false, ..settings() }, lone);
+    let lone = vec![member(1, Tier::Cache), member(11, Tier::Parent), member(21, Tier::Origin)];
+    let mut bench =
+        Bench::new(PolicySettings { weights_known: false, reports_cache_status: false, ..settings() }, lone);
     let mut out = std::collections::VecDeque::new();
     let (mut in_time, mut late) = (0, 0);
     // It serves a request each 10 ms, in their order; two come in that time.
@@ -768,11 +832,12 @@
             continue;
         }
         if let Some((id, since)) = out.pop_front() {
-            let (took, verdict, note) = (bench.now - since, Verdict::Served, Note::Silent);
+            let (elapsed, outcome, cache_status) =
+                (bench.now - since, AttemptOutcome::Served, CacheStatus::Unknown);
             // The aim of these requests.
-            let counter = if took > 700 * MS { &mut late } else { &mut in_time };
+            let counter = if elapsed > 700 * MS { &mut late } else { &mut in_time };
             *counter += u32::from(k > 4_000);
-            bench.event(Event::Outcome { id, attempt: 0, verdict, note, took, closed: true });
+            bench.event(Event::AttemptEnded { id, attempt: 0, outcome, cache_status, elapsed, closed: true });
         }
     }
     assert!(in_time > 600, "{late} late, {in_time} in time");
@@ -782,19 +847,26 @@
 /// and what caches lack is filled again.
 #[test]
 fn evidence_does_not_outlive_its_cause() {
-    let mut bench = Bench::new(Settings { hit_notes: false, ..settings() }, fleet());
+    let mut bench = Bench::new(PolicySettings { reports_cache_status: false, ..settings() }, fleet());
     // These stay out, so that a jam would count.
     (0..40).for_each(|object| drop(bench.ask(0, object)));
     // A hundred requests a second; tells how many were asked only for what a cache holds.
-    let mut second = |took| {
+    let mut second = |elapsed| {
         let mut held = 0;
         for _ in 0..100 {
             bench.now += 10 * MS;
             let object = bench.now / MS;
             for attempt in sent(&bench.ask(0, object)) {
                 held += u32::from(attempt.source == Some(attempt.to));
-                let (id, verdict, note) = (attempt.id, Verdict::Served, Note::Silent);
-                bench.event(Event::Outcome { id, attempt: 0, verdict, note, took, closed: true });
+                let (id, outcome, cache_status) = (attempt.id, AttemptOutcome::Served, CacheStatus::Unknown);
+                bench.event(Event::AttemptEnded {
+                    id,
+                    attempt: 0,
+                    outcome,
+                    cache_status,
+                    elapsed,
+                    closed: true,
+                });
             }
         }
         held
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -9,19 +9,24 @@
 
 #[test]
 fn every_way_of_failing_ends_in_one_final_answer() {
-    for verdict in [Verdict::TimedOut, Verdict::Refused, Verdict::NoConnection, Verdict::Error, Verdict::Miss]
-    {
+    for outcome in [
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::Rejected,
+        AttemptOutcome::NoConnection,
+        AttemptOutcome::Error,
+        AttemptOutcome::CacheMiss,
+    ] {
         let mut bench = Bench::new(settings(), fleet());
         let mut actions = bench.ask(0, 5);
         let (mut attempts, mut answers) = (0, 0);
         while let Some(attempt) = sent(&actions).first().cloned() {
             bench.now += 50 * MS;
-            actions = bench.outcome(attempt.id, attempts, verdict, false);
+            actions = bench.outcome(attempt.id, attempts, outcome, false);
             attempts += 1;
             answers += finals(&actions).len();
         }
-        assert_eq!(answers, 1, "{verdict:?}");
-        assert!(attempts <= 6, "{verdict:?}: {attempts} attempts");
+        assert_eq!(answers, 1, "{outcome:?}");
+        assert!(attempts <= 6, "{outcome:?}: {attempts} attempts");
     }
 }
 
@@ -31,7 +36,7 @@
     let actions = bench.ask(0, 5);
     let id = sent(&actions)[0].id;
     bench.now += 3 * S;
-    let actions = bench.outcome(id, 0, Verdict::TimedOut, false);
+    let actions = bench.outcome(id, 0, AttemptOutcome::TimedOut, false);
     assert_eq!(finals(&actions), [(id, true)]);
     assert!(sent(&actions).is_empty());
 }
@@ -42,14 +47,14 @@
     let mut bench = Bench::new(settings(), fleet());
     let actions = bench.ask(0, 5);
     let id = sent(&actions)[0].id;
-    assert_eq!(bench.event(Event::Left { id }), [Action::Cancel { id, attempt: 0 }]);
-    let actions = bench.outcome(id, 0, Verdict::Refused, false);
+    assert_eq!(bench.event(Event::ClientDisconnected { id }), [Action::Cancel { id, attempt: 0 }]);
+    let actions = bench.outcome(id, 0, AttemptOutcome::Rejected, false);
     assert!(sent(&actions).is_empty() && finals(&actions).is_empty());
     // Served: a stray timer and a late outcome change nothing.
     let actions = bench.ask(0, 6);
     let id = sent(&actions)[0].id;
-    assert!(bench.outcome(id, 0, Verdict::Served, true).is_empty());
-    assert!(bench.outcome(id, 0, Verdict::TimedOut, false).is_empty());
+    assert!(bench.outcome(id, 0, AttemptOutcome::Served, true).is_empty());
+    assert!(bench.outcome(id, 0, AttemptOutcome::TimedOut, false).is_empty());
     assert!(bench.event(Event::Timer { token: 1 }).is_empty());
 }
 
@@ -64,12 +69,17 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed_and_never_repeated() {
-    for verdict in [Verdict::TimedOut, Verdict::Error, Verdict::Broken, Verdict::Cancelled] {
+    for outcome in [
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::Error,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::Cancelled,
+    ] {
         let mut bench = Bench::new(settings(), fleet());
         let id = sent(&bench.ask(3, 5))[0].id;
-        let actions = bench.outcome(id, 0, verdict, false);
-        assert!(sent(&actions).is_empty(), "{verdict:?}");
-        assert_eq!(finals(&actions), [(id, false)], "{verdict:?}");
+        let actions = bench.outcome(id, 0, outcome, false);
+        assert!(sent(&actions).is_empty(), "{outcome:?}");
+        assert_eq!(finals(&actions), [(id, false)], "{outcome:?}");
     }
 }
 
@@ -77,7 +87,7 @@
 fn an_unsafe_request_that_never_ran_is_sent_again() {
     let mut bench = Bench::new(settings(), fleet());
     let id = sent(&bench.ask(3, 5))[0].id;
-    assert_eq!(sent(&bench.outcome(id, 0, Verdict::NoConnection, false)).len(), 1);
+    assert_eq!(sent(&bench.outcome(id, 0, AttemptOutcome::NoConnection, false)).len(), 1);
 }
 
 #[test]
@@ -88,14 +98,14 @@
     let mut bench = Bench::new(set, fleet());
     let id = sent(&bench.ask(2, 5))[0].id;
     bench.now += 100 * MS;
-    assert_eq!(sent(&bench.outcome(id, 0, Verdict::TimedOut, false)).len(), 1);
+    assert_eq!(sent(&bench.outcome(id, 0, AttemptOutcome::TimedOut, false)).len(), 1);
     bench.now += 2 * S;
-    let actions = bench.outcome(id, 1, Verdict::TimedOut, false);
+    let actions = bench.outcome(id, 1, AttemptOutcome::TimedOut, false);
     assert!(sent(&actions).is_empty());
     assert_eq!(finals(&actions), [(id, false)], "failed: nobody drops a client's repeat any more either");
     // One cell drops repeats: a repeat only within the cell, and a failure instead of a refusal.
     let mut set = settings();
-    set.bypass = false;
+    set.can_bypass_caches = false;
     set.classes[2].key_scope = KeyScope::Cell;
     let mut bench = Bench::new(set, fleet());
     for object in 0..40 {
@@ -104,7 +114,7 @@
         let mut attempts = 0;
         while let Some(attempt) = sent(&actions).first().cloned() {
             assert_eq!(attempt.to % 2, first.to % 2);
-            actions = bench.outcome(attempt.id, attempts, Verdict::TimedOut, false);
+            actions = bench.outcome(attempt.id, attempts, AttemptOutcome::TimedOut, false);
             attempts += 1;
         }
         assert_eq!(finals(&actions), [(first.id, false)]);
@@ -117,17 +127,17 @@
     let mut bench = Bench::new(settings(), fleet());
     let actions = bench.ask(0, 5);
     assert_eq!(sent(&actions).len(), 1);
-    assert!(!actions.iter().any(|a| matches!(a, Action::Timer { .. })), "no hedge is planned");
+    assert!(!actions.iter().any(|a| matches!(a, Action::SetTimer { .. })), "no hedge is planned");
 }
 
 // ---- drains are kept ----
 
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_member() {
-    for life in [Life::Draining, Life::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut bench = Bench::new(settings(), fleet());
-        bench.tell(Listing { life, ..member(2, Role::Cache) });
-        bench.tell(Listing { life, ..member(12, Role::Parent) });
+        bench.tell(Endpoint { state, ..member(2, Tier::Cache) });
+        bench.tell(Endpoint { state, ..member(12, Tier::Parent) });
         for object in 0..300 {
             let path = bench.path(object);
             assert_ne!(path.to, 2);
@@ -142,10 +152,11 @@
         let mut bench = Bench::new(settings(), fleet());
         let first = sent(&bench.ask(0, object))[0].clone();
         for id in (1..=4).filter(|id| *id != first.to) {
-            bench.tell(Listing { life: Life::Draining, ..member(id, Role::Cache) });
+            bench.tell(Endpoint { state: EndpointState::Draining, ..member(id, Tier::Cache) });
         }
-        bench.tell(Listing { life: Life::Draining, ..member(first.source.unwrap(), Role::Parent) });
-        for again in sent(&bench.outcome(first.id, 0, Verdict::Refused, false)) {
+        bench
+            .tell(Endpoint { state: EndpointState::Draining, ..member(first.source.unwrap(), Tier::Parent) });
+        for again in sent(&bench.outcome(first.id, 0, AttemptOutcome::Rejected, false)) {
             assert!(again.to >= 11 && again.to != first.source.unwrap(), "{again:?}");
             assert_ne!(again.source, first.source);
         }
@@ -156,7 +167,7 @@
 fn a_member_absent_from_a_full_list_has_gone() {
     let mut bench = Bench::new(settings(), fleet());
     let entries = fleet().into_iter().filter(|e| e.id != 3 && e.id != 13).collect();
-    bench.event(Event::Members { full: true, entries });
+    bench.event(Event::EndpointsChanged { full: true, entries });
     for object in 0..300 {
         let path = bench.path(object);
         assert!(path.to != 3 && path.source != Some(13));
@@ -166,7 +177,7 @@
 // ---- no cold cache or parent is pushed over ----
 
 /// Sending time in seconds that a member is asked for over two seconds, its fills guessed at half.
-fn asked_of(bench: &mut Bench, id: MemberId, per_second: u64) -> f64 {
+fn asked_of(bench: &mut Bench, id: EndpointId, per_second: u64) -> f64 {
     let (mut total, step) = (0.0, S / per_second);
     for object in 0..2 * per_second {
         let path = bench.path(10_000 + object);
@@ -179,23 +190,23 @@
 
 #[test]
 fn a_cold_member_stays_within_its_budget() {
-    for (id, role, floor, multiple, weight) in
-        [(2, Role::Cache, 0.2, 3.0, 6.0), (12, Role::Parent, 0.08, 2.0, 20.0)]
+    for (id, tier, floor, multiple, weight) in
+        [(2, Tier::Cache, 0.2, 3.0, 6.0), (12, Tier::Parent, 0.08, 2.0, 20.0)]
     {
         let mut bench = Bench::new(settings(), fleet());
-        let started = bench.now;
-        bench.tell(Listing { started, ..member(id, role) });
+        let started_at = bench.now;
+        bench.tell(Endpoint { started_at, ..member(id, tier) });
         // Far more than the location could ever serve.
         let asked = asked_of(&mut bench, id, 2_000);
         let limit = multiple * (floor + (1.0 - floor) * 0.1) * weight * 2.0;
-        assert!(asked <= limit, "{role:?}: {asked} of {limit}");
-        assert!(asked > 0.0, "{role:?} must get its first requests");
+        assert!(asked <= limit, "{tier:?}: {asked} of {limit}");
+        assert!(asked > 0.0, "{tier:?} must get its first requests");
     }
 }
 
 #[test]
 fn a_restarted_member_gets_its_slice_back_gradually() {
-    for (id, role) in [(2, Role::Cache), (12, Role::Parent)] {
+    for (id, tier) in [(2, Tier::Cache), (12, Tier::Parent)] {
         let mut bench = Bench::new(settings(), fleet());
         let slice = |bench: &mut Bench| {
             let hit = |p: Sent| p.to == id || p.source == Some(id);
@@ -203,20 +214,20 @@
         };
         let warm = slice(&mut bench);
         bench.now += 60 * S;
-        let started = bench.now;
-        bench.tell(Listing { started, ..member(id, role) });
+        let started_at = bench.now;
+        bench.tell(Endpoint { started_at, ..member(id, tier) });
         let mut last = 0;
         for wait in [1, 4, 8, 12, 22] {
-            bench.now = started + wait * S;
+            bench.now = started_at + wait * S;
             let now = slice(&mut bench);
-            assert!(now >= last, "{role:?} after {wait} s: {now} after {last}");
+            assert!(now >= last, "{tier:?} after {wait} s: {now} after {last}");
             last = now;
             if wait == 1 {
-                assert!(now * 2 < warm, "{role:?}: {now} of {warm} at once");
+                assert!(now * 2 < warm, "{tier:?}: {now} of {warm} at once");
             }
         }
         // Objects asked for again are widened, so the slice is not the very same.
-        assert!(last.abs_diff(warm) * 5 < warm, "{role:?} has its slice back: {last} of {warm}");
+        assert!(last.abs_diff(warm) * 5 < warm, "{tier:?} has its slice back: {last} of {warm}");
     }
 }
 
@@ -232,7 +243,7 @@
         let mut attempts = 0;
         while let Some(attempt) = sent(&actions).first().cloned() {
             assert!(attempt.max_age > 0 && attempt.max_age <= wait + 100 * MS, "{attempt:?} after {wait}");
-            actions = bench.outcome(attempt.id, attempts, Verdict::Refused, false);
+            actions = bench.outcome(attempt.id, attempts, AttemptOutcome::Rejected, false);
             attempts += 1;
         }
         assert!(attempts > 0);
@@ -273,7 +284,7 @@
     let actions = bench.ask(1, 5);
     let first = sent(&actions)[0].clone();
     assert!(first.max_age <= 2 * S);
-    for again in sent(&bench.outcome(first.id, 0, Verdict::TimedOut, false)) {
+    for again in sent(&bench.outcome(first.id, 0, AttemptOutcome::TimedOut, false)) {
         assert!(again.max_age <= 2 * S, "a retry that takes aged copies is bound too");
     }
 }
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -409,13 +409,13 @@
             assert!(f.site.clock.now() - began < most, "not in the client's time");
         }
         // A failed end, as the front words it: the module refuses what may be repeated, so none comes by itself.
-        use edge_proxy::state::requests::Final;
+        use edge_proxy::state::requests::FinalResponse;
         use edge_proxy::wire::listener::{Context, Front};
         let word = |end| f.front.word(&Context::default(), end).status;
-        assert_eq!(word(Final::Failed { overdue: false }), 502);
-        assert_eq!(word(Final::Failed { overdue: true }), 504);
-        assert_eq!(word(Final::Refused { wait_ms: 5.0, overdue: true }), 504);
-        assert_eq!(word(Final::Refused { wait_ms: 1_200.0, overdue: false }), 503);
+        assert_eq!(word(FinalResponse::Failed { overdue: false }), 502);
+        assert_eq!(word(FinalResponse::Failed { overdue: true }), 504);
+        assert_eq!(word(FinalResponse::Rejected { wait_ms: 5.0, overdue: true }), 504);
+        assert_eq!(word(FinalResponse::Rejected { wait_ms: 1_200.0, overdue: false }), 503);
     });
 }
 
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -7,7 +7,7 @@
 use edge_proxy::engine::Engine;
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::lifecycle::serve::engine;
-use edge_proxy::settings::Env;
+use edge_proxy::settings::PlatformSettings;
 use edge_proxy::wire::cache_connection::CacheDriver;
 use edge_proxy::wire::discovery;
 use edge_proxy::wire::listener::{accept, Front, Stop};
@@ -256,7 +256,7 @@
 pub struct Site {
     pub clock: Clock,
     pub host: Rc<Executor>,
-    pub env: Rc<Env>,
+    pub env: Rc<PlatformSettings>,
     pub members: HashMap<u32, Cache>,
     pub bulletin: Bulletin,
     pub config: Config,
