--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -196,9 +196,9 @@
     let dir = std::env::temp_dir().join(format!("edge-proxy-registry-many-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let registry = Registry::start("127.0.83.100").await;
-    for (k, member) in MEMBERS.iter().enumerate() {
+    for (k, endpoint) in MEMBERS.iter().enumerate() {
         let at: SocketAddr = format!("127.0.83.{}:7000", k + 1).parse().unwrap();
-        registry.put(&format!("{PREFIX}{}", member.0), &line(k, at, "Ready"));
+        registry.put(&format!("{PREFIX}{}", endpoint.0), &line(k, at, "Ready"));
     }
     let (config, file) = files(&dir, registry.address, "127.0.83.10:1", None);
     let (config, file) = (Config::read(&config).unwrap(), RegistryConfig::read(&file).unwrap());
--- a/src/admission/config.rs
+++ b/src/admission/config.rs
@@ -153,7 +153,11 @@
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        config.check().map_err(|(field, why)| ConfigError::Field { path: path.to_path_buf(), field, why })?;
+        config.check().map_err(|(field, reason)| ConfigError::Field {
+            path: path.to_path_buf(),
+            field,
+            reason,
+        })?;
         Ok(config)
     }
 
--- a/src/admission/control.rs
+++ b/src/admission/control.rs
@@ -94,7 +94,7 @@
 
     /// Takes the file anew: other weights hold from the next round, and nothing that waits is lost. Bounds and
     /// the limit need a new process.
-    pub fn retune(&mut self, config: AdmissionConfig) {
+    pub fn reconfigure(&mut self, config: AdmissionConfig) {
         self.queue.reweigh(config.weight, config.weights());
         self.exempt = config.exempt();
         self.config = config;
--- a/src/admission/fair.rs
+++ b/src/admission/fair.rs
@@ -174,7 +174,7 @@
         /// Come-back time.
         come_back_ms: f64,
         /// Why.
-        why: Refusal,
+        reason: Refusal,
     },
     /// A request of that id is at the door or open already.
     Duplicate,
@@ -391,7 +391,7 @@
         let flow_len = self.flows.get(&a.client).map_or(0, |f| f.queue.len());
         let tenant_len = self.tenants.get(&a.tenant).map_or(0, |t| t.queued);
         let wait = self.wait_ms(a.client, a.tenant, flow_len + 1);
-        let why = if flow_len >= self.bounds.per_client_most {
+        let reason = if flow_len >= self.bounds.per_client_most {
             Some(Refusal::Client)
         } else if tenant_len >= self.bounds.per_tenant_most {
             Some(Refusal::Tenant)
@@ -404,15 +404,15 @@
         } else {
             None
         };
-        match why {
+        match reason {
             None => {
                 self.enter(a, Line::Round);
                 Verdict::Queue
             }
-            Some(why) => {
+            Some(reason) => {
                 let come_back_ms = self.come_back(now_ms, a.client, a.tenant, ticket);
-                self.figures.refused[why as usize] += 1;
-                Verdict::Refuse { come_back_ms, why }
+                self.figures.refused[reason as usize] += 1;
+                Verdict::Refuse { come_back_ms, reason }
             }
         }
     }
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -167,7 +167,7 @@
                 }
             }
             Self::Probed { cache, status, .. } => {
-                Event::HealthChecked { member: cache, outcome: outcome(&status)? }
+                Event::HealthChecked { endpoint: cache, outcome: outcome(&status)? }
             }
             Self::Abandoned { request_id, .. } => Event::ClientDisconnected { id: request_id.0 },
             Self::Settled { request_id, hop, detail, status, took_us, closed, .. } => Event::AttemptEnded {
@@ -299,7 +299,7 @@
             Action::Reject { id, wait } => Self::OverloadReply { i, request_id: hex(id), wait_us: wait },
             Action::Fail { id } => Self::ReportFailure { i, request_id: hex(id) },
             Action::Cancel { id, attempt } => Self::Abandon { i, request_id: hex(id), hop: attempt },
-            Action::CheckHealth { member } => Self::SoundOut { i, cache: member },
+            Action::CheckHealth { endpoint } => Self::SoundOut { i, cache: endpoint },
             Action::SetTimer { token, at } => Self::After { i, ctx: token, due_at_us: at },
             Action::Watch => Self::Tail { i, enable: true },
         }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -52,17 +52,17 @@
 }
 
 /// Milliseconds as the decision module's microseconds: the only place where the two meet.
-pub fn micros(ms: f64) -> Micros {
+pub fn micros_from_ms(ms: f64) -> Micros {
     (ms.max(0.0) * 1_000.0) as Micros
 }
 
 /// The module's microseconds as milliseconds.
-pub fn millis(us: Micros) -> f64 {
+pub fn ms_from_micros(us: Micros) -> f64 {
     us as f64 / 1_000.0
 }
 
 /// A span of the clock as the runtime's timers take it; none is negative or endless.
-pub fn span(ms: f64) -> Duration {
+pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64((ms / 1_000.0).clamp(0.0, 86_400.0))
 }
 
--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -12,11 +12,11 @@
 
 #[test]
 fn units_convert_both_ways() {
-    assert_eq!(micros(1.5), 1_500);
-    assert_eq!(micros(-3.0), 0);
-    assert_eq!(millis(2_250), 2.25);
-    assert_eq!(span(-1.0), Duration::ZERO);
-    assert_eq!(span(f64::INFINITY), Duration::from_secs(86_400));
+    assert_eq!(micros_from_ms(1.5), 1_500);
+    assert_eq!(micros_from_ms(-3.0), 0);
+    assert_eq!(ms_from_micros(2_250), 2.25);
+    assert_eq!(duration_from_ms(-1.0), Duration::ZERO);
+    assert_eq!(duration_from_ms(f64::INFINITY), Duration::from_secs(86_400));
 }
 
 #[test]
--- a/src/engine/answers.rs
+++ b/src/engine/answers.rs
@@ -11,7 +11,7 @@
 const OVER_MS: f64 = 50.0;
 
 impl Engine {
-    /// A member answered.
+    /// An endpoint answered.
     pub fn answered(&mut self, conn: ConnId, reply: Reply) {
         let now = self.clock.now();
         let Some(c) = self.connections.get_mut(conn) else { return };
@@ -39,7 +39,7 @@
         }
         if outcome == AttemptOutcome::Served {
             let tag = reply.tag;
-            // A member says that the client's copy holds only where the request named that very copy.
+            // An endpoint says that the client's copy holds only where the request named that very copy.
             let same = reply.word == Word::Nomod;
             let named = |ask: &IncomingRequest| ask.cached.is_some() && (tag.is_none() || tag == ask.cached);
             if same && self.requests.get(id.0).is_some_and(|ask| !named(ask)) {
--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts, from their place on a connection to their end: placing, wording, time-outs, outcomes.
 
 use super::{Effect, Engine};
-use crate::clock::micros;
+use crate::clock::micros_from_ms;
 use crate::state::attempts::{Attempt, AttemptId, Stage};
 use crate::state::connections::{ConnId, Place};
 use crate::state::requests::IncomingRequest;
@@ -12,22 +12,22 @@
 /// dead: nothing more goes onto it, and a new connection tells at once whether the machine still answers.
 const SILENCE_MS: f64 = 1_500.0;
 /// Attempts that time out one after another on a connection with nothing read between, which say the same.
-const UNHEARD_MOST: u32 = 2;
+const MAX_UNHEARD: u32 = 2;
 
 impl Engine {
-    /// Queues an attempt on a connection to its member, opening one where none has room; without any place it was
+    /// Queues an attempt on a connection to its endpoint, opening one where none has room; without any place it was
     /// never sent.
     pub(super) fn place(&mut self, now: f64, id: AttemptId, mut attempt: Attempt) {
-        let member = attempt.to;
-        let Some(address) = self.roster.address(member) else {
+        let endpoint = attempt.to;
+        let Some(address) = self.roster.address(endpoint) else {
             self.attempts.put(id, attempt);
             return self.settle(id, AttemptOutcome::NotSent);
         };
-        let mut place = self.connections.place(member, id.0, now);
+        let mut place = self.connections.place(endpoint, id.0, now);
         if place == Place::Nowhere {
-            if let Some(idle) = self.connections.evict(member) {
+            if let Some(idle) = self.connections.evict(endpoint) {
                 self.effects.push_back(Effect::Wake(idle));
-                place = self.connections.place(member, id.0, now);
+                place = self.connections.place(endpoint, id.0, now);
             }
         }
         match place {
@@ -56,7 +56,7 @@
     pub(super) fn written(&mut self, now: f64, id: AttemptId) -> Option<Get> {
         let ask = self.requests.get(id.0)?;
         let attempt = self.attempts.get_mut(id)?;
-        let able = |member: EndpointId| self.roster.address(member).is_some();
+        let able = |endpoint: EndpointId| self.roster.address(endpoint).is_some();
         let left = attempt.due_ms.min(ask.give_up_ms) - now;
         if !able(attempt.to)
             || !attempt.source.is_none_or(able)
@@ -122,7 +122,7 @@
         self.detach(id, true);
         if let (Stage::Written(at), Some(c)) = (stage, self.connections.get_mut(conn)) {
             c.unheard += 1;
-            c.closing |= c.unheard >= UNHEARD_MOST || now - c.read_ms.max(at) > SILENCE_MS;
+            c.closing |= c.unheard >= MAX_UNHEARD || now - c.read_ms.max(at) > SILENCE_MS;
         }
         // One that still waited for its connection has not run.
         let outcome =
@@ -138,7 +138,7 @@
     /// Ends an attempt, and tells the module at the next [`Self::run`], with what is told of the path.
     pub(super) fn settle_noted(&mut self, id: AttemptId, outcome: AttemptOutcome, cache_status: CacheStatus) {
         let Some(attempt) = self.attempts.end(id) else { return };
-        let elapsed = micros(self.clock.now() - attempt.sent_ms);
+        let elapsed = micros_from_ms(self.clock.now() - attempt.sent_ms);
         let closed = self.requests.get(id.0).is_none();
         self.events.push_back(Event::AttemptEnded {
             id: id.0,
--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -4,7 +4,7 @@
 use super::{Effect, Engine};
 use crate::admission::control::AdmissionControl;
 use crate::admission::fair::Verdict;
-use crate::clock::{span, Clock};
+use crate::clock::{duration_from_ms, Clock};
 use crate::grpc::calls::Backend;
 use crate::settings::PlatformSettings;
 use crate::state::connections::ConnId;
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// A connection to a member that the engine wants opened.
+/// A connection to an endpoint that the engine wants opened.
 pub struct Dial {
     /// Its number.
     pub conn: ConnId,
@@ -30,7 +30,7 @@
     pub waker: Rc<Notify>,
 }
 
-/// Speaks to members: opens a connection, writes what the engine has and hands it what comes.
+/// Speaks to endpoints: opens a connection, writes what the engine has and hands it what comes.
 pub trait ConnectionDriver {
     /// Serves one connection until either side ends it, and reports to the executor's engine how it came up
     /// ([`Engine::connected`] or [`Engine::connect_failed`]) and how it ended ([`Engine::broken`] or
@@ -104,12 +104,12 @@
         self.engine.borrow().env()
     }
 
-    /// How often the list of members has changed.
+    /// How often the list of endpoints has changed.
     pub fn roster_changes(&self) -> u64 {
         self.engine.borrow().roster_changes()
     }
 
-    /// The listed members of a kind as backends, at their own addresses with `port`, by id.
+    /// The listed endpoints of a kind as backends, at their own addresses with `port`, by id.
     pub fn backends(&self, model: &str, port: u16) -> Vec<Backend> {
         let engine = self.engine.borrow();
         let mut all: Vec<Backend> = engine
@@ -125,11 +125,11 @@
         all
     }
 
-    /// The listed members of a kind, whatever their state, with their own addresses.
-    pub fn members(&self, model: &str) -> Vec<(EndpointId, SocketAddr)> {
+    /// The listed endpoints of a kind, whatever their state, with their own addresses.
+    pub fn endpoints(&self, model: &str) -> Vec<(EndpointId, SocketAddr)> {
         let engine = self.engine.borrow();
-        let members = engine.of_kind(model).map(|(id, at, _)| (id, SocketAddr::V4(at)));
-        members.collect()
+        let endpoints = engine.of_kind(model).map(|(id, at, _)| (id, SocketAddr::V4(at)));
+        endpoints.collect()
     }
 
     fn carry_out(self: &Rc<Self>) {
@@ -210,8 +210,8 @@
     /// Hands a request that waited at the door to the engine.
     fn let_in(self: &Rc<Self>, ask: IncomingRequest) {
         let id = ask.id;
-        if let Err(why) = self.engine.borrow_mut().request(ask) {
-            let wait_ms = if why == AdmitError::Full { 300.0 } else { 0.0 };
+        if let Err(reason) = self.engine.borrow_mut().request(ask) {
+            let wait_ms = if reason == AdmitError::Full { 300.0 } else { 0.0 };
             self.answer(id, FinalResponse::Rejected { wait_ms, overdue: false });
             self.release(id, None);
         }
@@ -264,7 +264,7 @@
             let door =
                 self.with_admission(|admission| admission.next_due()).flatten().unwrap_or(f64::INFINITY);
             let due = self.engine.borrow_mut().next_due().min(door);
-            let wait = span(due - self.clock.now());
+            let wait = duration_from_ms(due - self.clock.now());
             tokio::select! {
                 () = tokio::time::sleep(wait) => {
                     self.admission_tick();
--- a/src/engine/figures.rs
+++ b/src/engine/figures.rs
@@ -1,7 +1,7 @@
 //! The figures that the platform reads.
 
 use super::Engine;
-use crate::clock::micros;
+use crate::clock::micros_from_ms;
 use crate::wire::discovery_codec::Target;
 use crate::EndpointId;
 
@@ -14,7 +14,7 @@
         let pool: Vec<EndpointId> =
             self.roster.all_listed().filter(|t| self.env.is_cache(&t.row)).map(|t| t.row.cache).collect();
         let out = pool.iter().filter(|id| self.maintenance.is_out(**id)).count();
-        let avoided = out + self.router.avoided(micros(self.clock.now()));
+        let avoided = out + self.router.avoided(micros_from_ms(self.clock.now()));
         let figures = [
             ("active", self.requests.len() as u64),
             ("pool_size", pool.len() as u64),
@@ -35,7 +35,7 @@
         };
         let mine: Vec<&Target> = self.roster.all_listed().filter(mine).collect();
         let able = mine.iter().filter(|t| self.roster.address(t.row.cache).is_some()).count();
-        let avoided = self.router.avoided(micros(self.clock.now()));
+        let avoided = self.router.avoided(micros_from_ms(self.clock.now()));
         (!mine.is_empty()).then(|| able.saturating_sub(avoided) as f64 / mine.len() as f64)
     }
 }
--- a/src/engine/intake.rs
+++ b/src/engine/intake.rs
@@ -1,7 +1,7 @@
 //! Requests of clients: taking them in, and letting go of those whose client has left.
 
 use super::Engine;
-use crate::clock::micros;
+use crate::clock::micros_from_ms;
 use crate::state::requests::{AdmitError, IncomingRequest};
 use crate::{Event, RequestId};
 
@@ -15,16 +15,16 @@
             group: ask.group,
             part: ask.part,
             size_kb: ask.size_kb,
-            deadline_at: micros(ask.give_up_ms),
+            deadline_at: micros_from_ms(ask.give_up_ms),
         };
         let class = ask.class;
-        if let Err(why) = self.requests.take(ask) {
+        if let Err(reason) = self.requests.take(ask) {
             let tally = self.tallies.of(self.env.class_name(class).unwrap_or_default());
-            match why {
+            match reason {
                 AdmitError::Duplicate => tally.errors += 1,
                 AdmitError::Full => tally.shed += 1,
             }
-            return Err(why);
+            return Err(reason);
         }
         self.counters.requests += 1;
         self.events.push_back(event);
--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -1,40 +1,40 @@
 //! The list of members, from the bulletin or a registry, with what operators say of members by hand.
 
 use super::{Effect, Engine};
-use crate::clock::micros;
+use crate::clock::micros_from_ms;
 use crate::purge::fanout::Standing;
 use crate::state::maintenance::{Maintenance, Mark};
 use crate::state::requests::IncomingRequest;
-use crate::wire::cache_codec::member_text;
+use crate::wire::cache_codec::endpoint_text;
 use crate::wire::discovery_codec::{Sequenced, Target, WatchEvent};
 use crate::{AttemptOutcome, EndpointId, Event};
 use std::net::{SocketAddr, SocketAddrV4};
 
 impl Engine {
-    /// From now on the list of members is a registry's: the bulletin brings purges alone.
+    /// From now on the list of endpoints is a registry's: the bulletin brings purges alone.
     pub fn take_roster_from_registry(&mut self) {
         self.registry = true;
     }
 
-    /// Takes a list of members, or changes of it, from a registry: the same rules as the bulletin's lists, at once.
+    /// Takes a list of endpoints, or changes of it, from a registry: the same rules as the bulletin's lists, at once.
     pub fn hear_roster(&mut self, full: bool, targets: Vec<Target>) {
         self.roster.hear(full, &targets);
         self.list(full, targets);
     }
 
-    /// Takes the members that can be read in an event of the bulletin that can't be read whole. Its number stays open.
+    /// Takes the endpoints that can be read in an event of the bulletin that can't be read whole. Its number stays open.
     pub fn hear_part(&mut self, targets: Vec<Target>) {
         if !self.registry && !targets.is_empty() {
             self.hear_roster(false, targets);
         }
     }
 
-    /// How often the list of members has changed.
+    /// How often the list of endpoints has changed.
     pub fn roster_changes(&self) -> u64 {
         self.roster_changes
     }
 
-    /// The listed members of a kind: id, address, and whether they take new work.
+    /// The listed endpoints of a kind: id, address, and whether they take new work.
     pub fn of_kind<'e>(
         &'e self,
         model: &'e str,
@@ -68,7 +68,7 @@
                 self.list(full, targets);
             }
             WatchEvent::Purge { object, group, issued } => {
-                let ago = micros(self.clock.now() - issued);
+                let ago = micros_from_ms(self.clock.now() - issued);
                 self.events.push_back(Event::Purged { object, group, ago });
                 self.run();
                 // Guards the rule on purges: what waits for a connection was bounded before this purge.
@@ -87,24 +87,24 @@
         let Ok(entries) = entries else { return };
         let gone = self.roster.update(full, &targets);
         self.roster_changes += 1;
-        // The module learns of it first: asked anew before, it would name the same member again.
+        // The module learns of it first: asked anew before, it would name the same endpoint again.
         self.events.push_back(Event::EndpointsChanged { full, entries });
         self.run();
-        gone.into_iter().for_each(|member| self.retire(member));
+        gone.into_iter().for_each(|endpoint| self.retire(endpoint));
         self.run();
     }
 
-    /// A member drains, is gone or has moved: nothing new goes there, whatever waits for it is asked of the
+    /// An endpoint drains, is gone or has moved: nothing new goes there, whatever waits for it is asked of the
     /// module again, and its connections end once they have nothing out. Its address may be another's soon.
-    fn retire(&mut self, member: EndpointId) {
-        for (conn, c) in self.connections.iter_mut().filter(|(_, c)| c.member == member) {
+    fn retire(&mut self, endpoint: EndpointId) {
+        for (conn, c) in self.connections.iter_mut().filter(|(_, c)| c.endpoint == endpoint) {
             c.closing = true;
             self.effects.push_back(Effect::Wake(*conn));
         }
-        self.stale(|_, attempt| attempt.to == member || attempt.source == Some(member));
+        self.stale(|_, attempt| attempt.to == endpoint || attempt.source == Some(endpoint));
     }
 
-    /// Takes a member out of use by hand, or puts it back; false where nobody has that id.
+    /// Takes an endpoint out of use by hand, or puts it back; false where nobody has that id.
     pub fn maintain(&mut self, id: EndpointId, out: bool) -> bool {
         if self.roster.listed(id).is_none() && !self.maintenance.is_out(id) {
             return false;
@@ -113,7 +113,7 @@
         true
     }
 
-    /// Takes words on members that another process of this proxy may have been given.
+    /// Takes words on endpoints that another process of this proxy may have been given.
     pub fn adopt(&mut self, marks: impl IntoIterator<Item = (EndpointId, Mark)>) {
         for (id, mark) in marks {
             if self.maintenance.mark(id, mark) {
@@ -123,35 +123,35 @@
         }
     }
 
-    /// What operators said of members.
+    /// What operators said of endpoints.
     pub fn maintenance(&self) -> &Maintenance {
         &self.maintenance
     }
 
     /// The caches and parents of the roster as targets of fleet purges, by name, at their own address with
-    /// `port`: the origin holds no copies, and a member that is gone is none.
+    /// `port`: the origin holds no copies, and an endpoint that is gone is none.
     pub fn purge_targets(&self, port: u16) -> Vec<(String, SocketAddr, Standing)> {
         let listed = self.roster.all_listed().filter(|t| t.row.lifecycle != "dead");
         let targets = listed.filter_map(|t| {
             let origin = self.env.listing(&t.row).ok()?.tier == crate::Tier::Origin;
             let standing = if t.row.lifecycle == "live" { Standing::Listed } else { Standing::Draining };
             let address = SocketAddr::new((*t.address.ip()).into(), port);
-            (!origin).then(|| (member_text(t.row.cache), address, standing))
+            (!origin).then(|| (endpoint_text(t.row.cache), address, standing))
         });
         let mut targets: Vec<_> = targets.collect();
         targets.sort_by(|a, b| a.0.cmp(&b.0));
         targets
     }
 
-    /// From now on members are probed as shared duties, and what the module would probe is left to those.
+    /// From now on endpoints are probed as shared duties, and what the module would probe is left to those.
     pub fn share_probes(&mut self) {
         self.probed = true;
     }
 
-    /// Probes found a member down, or up again: the module is told, and decides what follows.
-    pub fn probed(&mut self, member: EndpointId, up: bool) {
+    /// Probes found an endpoint down, or up again: the module is told, and decides what follows.
+    pub fn probed(&mut self, endpoint: EndpointId, up: bool) {
         let outcome = if up { AttemptOutcome::Served } else { AttemptOutcome::NoConnection };
-        self.events.push_back(Event::HealthChecked { member, outcome });
+        self.events.push_back(Event::HealthChecked { endpoint, outcome });
         self.run();
     }
 }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -13,7 +13,7 @@
 
 pub use effects::{Effect, Next};
 
-use crate::clock::{micros, millis, Clock};
+use crate::clock::{micros_from_ms, ms_from_micros, Clock};
 use crate::purge::age_limit::Guard;
 use crate::settings::PlatformSettings;
 use crate::state::attempts::{Attempt, Attempts, Stage};
@@ -35,7 +35,7 @@
 pub struct EngineBounds {
     /// Requests that owe an answer.
     pub requests: usize,
-    /// Connections to members.
+    /// Connections to endpoints.
     pub connections: Bounds,
 }
 
@@ -60,16 +60,16 @@
     tidied_ms: f64,
     /// Fleet purges, where they are on.
     purge: Option<Guard>,
-    /// The list of members comes from a registry: the bulletin's lists are not taken.
+    /// The list of endpoints comes from a registry: the bulletin's lists are not taken.
     registry: bool,
-    /// How often the list of members has changed.
+    /// How often the list of endpoints has changed.
     roster_changes: u64,
     /// Probes are shared duties: their results come by [`Self::probed`].
     probed: bool,
 }
 
 impl Engine {
-    /// An engine that knows its settings and no member yet.
+    /// An engine that knows its settings and no endpoint yet.
     pub fn new(clock: Clock, env: Rc<PlatformSettings>, seed: u64, bounds: EngineBounds) -> Self {
         let router = Router::new(env.settings(), seed);
         Self {
@@ -117,9 +117,9 @@
     }
 
     /// Takes other settings. Requests under way keep their class.
-    pub fn retune(&mut self, fresh: PlatformSettings) {
+    pub fn reconfigure(&mut self, fresh: PlatformSettings) {
         self.env = Rc::new(fresh.after(&self.env, |class| self.requests.uses(class)));
-        self.router.retune(self.env.settings());
+        self.router.reconfigure(self.env.settings());
         self.connections.set_streams(self.env.streams_per_connection());
         let targets = self.roster.all_listed().cloned().collect();
         self.list(true, targets);
@@ -167,7 +167,7 @@
     fn run(&mut self) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
-            let now = micros(self.clock.now());
+            let now = micros_from_ms(self.clock.now());
             self.router.handle(now, &event, &mut actions);
             // What a replay of a day counts over all proxies; off unless `CALICOBEAM_LOG` asks for this target.
             tracing::trace!(target: "decisions", now, ?event, ?actions);
@@ -194,8 +194,8 @@
             } => {
                 let Some(number) = self.requests.number(id) else { return };
                 self.counters.attempts += 1;
-                let (max_age_ms, due_ms) = (millis(max_age), now + millis(timeout));
-                let first_byte_by_ms = millis(first_byte_by);
+                let (max_age_ms, due_ms) = (ms_from_micros(max_age), now + ms_from_micros(timeout));
+                let first_byte_by_ms = ms_from_micros(first_byte_by);
                 let source = source.filter(|s| *s != to);
                 let (conn, stage, sent_ms, moves) = (0, Stage::Queued, now, 0);
                 let id_text = self.requests.get(id).map(|ask| ask.id_text.clone()).unwrap_or_default();
@@ -208,7 +208,7 @@
             }
             Action::Reject { id, wait } => {
                 let overdue = self.is_overdue(now, id);
-                self.finish(id, FinalResponse::Rejected { wait_ms: millis(wait), overdue });
+                self.finish(id, FinalResponse::Rejected { wait_ms: ms_from_micros(wait), overdue });
             }
             Action::Fail { id } => {
                 let overdue = self.is_overdue(now, id);
@@ -222,11 +222,11 @@
                     self.settle(id, AttemptOutcome::Cancelled);
                 }
             }
-            Action::SetTimer { token, at } => self.timers.push(millis(at), token),
+            Action::SetTimer { token, at } => self.timers.push(ms_from_micros(at), token),
             // Probes are not allowed on this platform, and its PING tells only that a connection works.
             Action::CheckHealth { .. } if self.probed => {}
-            Action::CheckHealth { member } => {
-                self.events.push_back(Event::HealthChecked { member, outcome: AttemptOutcome::NotSent });
+            Action::CheckHealth { endpoint } => {
+                self.events.push_back(Event::HealthChecked { endpoint, outcome: AttemptOutcome::NotSent });
             }
             // The bulletin tells all changes unasked.
             Action::Watch => {}
--- a/src/engine/upstream.rs
+++ b/src/engine/upstream.rs
@@ -7,10 +7,10 @@
 use crate::AttemptOutcome;
 use std::collections::VecDeque;
 
-/// How long before a member closes an idle connection this side does, as a share of that time.
+/// How long before an endpoint closes an idle connection this side does, as a share of that time.
 const IDLE_SHARE: f64 = 0.8;
 /// How often an attempt whose connection ended before its first byte goes to another at once.
-const MOVES_MOST: u32 = 2;
+const MAX_MOVES: u32 = 2;
 
 impl Engine {
     /// A connection came up.
@@ -47,7 +47,7 @@
         let now = self.clock.now();
         for id in unwritten {
             let Some(attempt) = self.attempts.end(id) else { continue };
-            if attempt.moves < MOVES_MOST {
+            if attempt.moves < MAX_MOVES {
                 self.counters.attempts_moved += 1;
                 let moves = attempt.moves + 1;
                 self.place(now, id, Attempt { moves, ..attempt });
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Ends the connections that have been idle for so long that their members may soon end them.
+    /// Ends the connections that have been idle for so long that their endpoints may soon end them.
     pub(super) fn tidy(&mut self, now: f64) {
         self.maintenance.tidy(now);
         let idle = self.env.keepalive_ms() * IDLE_SHARE;
--- a/src/grpc/calls.rs
+++ b/src/grpc/calls.rs
@@ -8,7 +8,7 @@
 
 use super::routes::{Affinity, Kind, Route};
 use super::status::{judge, Code, End, Judgement, Pushback, CODES};
-use crate::clock::{micros, millis};
+use crate::clock::{micros_from_ms, ms_from_micros};
 use crate::interface::{Idempotency, PolicySettings};
 use crate::{Action, AttemptOutcome, CacheStatus, Endpoint, EndpointId, EndpointState, Event, Router, Tier};
 use std::collections::{BTreeMap, HashMap};
@@ -211,16 +211,16 @@
             seed,
             actions: Vec::new(),
         };
-        calls.retune(pools);
+        calls.reconfigure(pools);
         calls
     }
 
     /// Takes other pools and classes, by name; calls under way go on. Pools that are gone stay for those.
-    pub fn retune(&mut self, pools: Vec<PoolSpec>) {
+    pub fn reconfigure(&mut self, pools: Vec<PoolSpec>) {
         for spec in pools {
             match self.pools.iter_mut().find(|p| p.name == spec.name) {
                 Some(pool) => {
-                    pool.router.retune(spec.settings.clone());
+                    pool.router.reconfigure(spec.settings.clone());
                     pool.settings = spec.settings;
                 }
                 None => {
@@ -249,7 +249,7 @@
             pool.backends.values().map(|b| line(b.id, Tier::Cache, state(b.live), b.weight)).collect();
         entries.push(line(BEHIND, Tier::Origin, EndpointState::Active, 1.0));
         let event = Event::EndpointsChanged { full: true, entries };
-        pool.router.handle(micros(now), &event, &mut self.actions);
+        pool.router.handle(micros_from_ms(now), &event, &mut self.actions);
         self.actions.clear();
     }
 
@@ -282,7 +282,7 @@
         let (pool, class) = (route.pool, route.class);
         let (out, attempts, replayable, kept, last) = (None, 0, true, 0, None);
         self.calls.insert(id, Call { route, give_up_ms, out, attempts, replayable, kept, last });
-        let deadline_at = micros(give_up_ms);
+        let deadline_at = micros_from_ms(give_up_ms);
         let event = Event::Request { id, class, object, group: 0, part: 0, size_kb: 0.0, deadline_at };
         let wish = self.tell(now, pool, id, &event);
         (id, self.follow(now, id, wish))
@@ -365,7 +365,7 @@
             attempt: out.number,
             outcome,
             cache_status: CacheStatus::Unknown,
-            elapsed: micros(until - out.sent_ms),
+            elapsed: micros_from_ms(until - out.sent_ms),
             closed: !again,
         };
         self.pools[route.pool].figures.stale += u64::from(end == End::Stale);
@@ -382,7 +382,7 @@
         let (out, pool) = (call.out.take(), call.route.pool);
         self.tell(now, pool, id, &Event::ClientDisconnected { id });
         if let Some(out) = out {
-            let (elapsed, outcome) = (micros(now - out.sent_ms), AttemptOutcome::Cancelled);
+            let (elapsed, outcome) = (micros_from_ms(now - out.sent_ms), AttemptOutcome::Cancelled);
             let event = Event::AttemptEnded {
                 id,
                 attempt: out.number,
@@ -402,7 +402,7 @@
         let Some(call) = self.calls.get_mut(&id) else { return Self::forgotten() };
         let pool = call.route.pool;
         if let Some(out) = call.out.take() {
-            let (elapsed, outcome) = (micros(now - out.sent_ms), AttemptOutcome::Cancelled);
+            let (elapsed, outcome) = (micros_from_ms(now - out.sent_ms), AttemptOutcome::Cancelled);
             let event = Event::AttemptEnded {
                 id,
                 attempt: out.number,
@@ -444,7 +444,7 @@
 
     /// How many backends of a pool get nothing new though they are live, by the module's evidence.
     pub fn avoided(&self, now: f64, pool: usize) -> usize {
-        self.pools.get(pool).map_or(0, |p| p.router.avoided(micros(now)))
+        self.pools.get(pool).map_or(0, |p| p.router.avoided(micros_from_ms(now)))
     }
 
     fn forget(&mut self, id: CallId) {
@@ -460,15 +460,15 @@
     /// Hands the module an event and takes what it wants of this call.
     fn tell(&mut self, now: f64, pool: usize, id: CallId, event: &Event) -> Option<Wish> {
         let mut actions = std::mem::take(&mut self.actions);
-        self.pools[pool].router.handle(micros(now), event, &mut actions);
+        self.pools[pool].router.handle(micros_from_ms(now), event, &mut actions);
         let mut wish = None;
         for action in actions.drain(..) {
             match action {
                 Action::Forward { id: of, to, timeout, .. } if of == id => {
-                    wish = Some(Wish::Send { to, timeout_ms: millis(timeout) });
+                    wish = Some(Wish::Send { to, timeout_ms: ms_from_micros(timeout) });
                 }
                 Action::Reject { id: of, wait } if of == id => {
-                    wish = Some(Wish::Refuse { wait_ms: millis(wait) })
+                    wish = Some(Wish::Refuse { wait_ms: ms_from_micros(wait) })
                 }
                 Action::Fail { id: of } if of == id => wish = Some(Wish::Fail),
                 // Attempts are called off by their driver; probes and subscriptions are turned off.
--- a/src/grpc/config.rs
+++ b/src/grpc/config.rs
@@ -222,7 +222,7 @@
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        let field = |(field, why)| ConfigError::Field { path: path.to_path_buf(), field, why };
+        let field = |(field, reason)| ConfigError::Field { path: path.to_path_buf(), field, reason };
         config.check().map_err(field)?;
         Ok(config)
     }
@@ -231,14 +231,14 @@
     pub fn again(&self) -> Result<Self, ConfigError> {
         let fresh = Self::read(&self.path)?;
         if fresh.listen != self.listen {
-            let why = format!("{:?}: another address needs a new process", fresh.listen);
-            return Err(ConfigError::Field { path: self.path.clone(), field: "listen", why });
+            let reason = format!("{:?}: another address needs a new process", fresh.listen);
+            return Err(ConfigError::Field { path: self.path.clone(), field: "listen", reason });
         }
         Ok(fresh)
     }
 
     fn check(&self) -> Result<(), (&'static str, String)> {
-        address(&self.listen).map_err(|why| ("listen", why))?;
+        address(&self.listen).map_err(|reason| ("listen", reason))?;
         let l = &self.limits;
         let within = |name, v: f64, low: f64, high: f64| {
             let ok = v.is_finite() && v >= low && v <= high;
@@ -267,7 +267,7 @@
             within(name, ms, low, 3_600_000.0)?;
         }
         if let Some(door) = &self.door {
-            door.check().map_err(|(field, why)| ("door", format!("`{field}`: {why}")))?;
+            door.check().map_err(|(field, reason)| ("door", format!("`{field}`: {reason}")))?;
         }
         if self.tenant_header.as_ref().is_some_and(|n| http::HeaderName::from_bytes(n.as_bytes()).is_err()) {
             return Err(("tenant_header", "no header's name".into()));
@@ -276,7 +276,7 @@
             return Err(("pools", "none".into()));
         }
         for (k, pool) in self.pools.iter().enumerate() {
-            let bad = |why: String| ("pools", format!("{:?}: {why}", pool.name));
+            let bad = |reason: String| ("pools", format!("{:?}: {reason}", pool.name));
             if pool.name.is_empty() || self.pools[..k].iter().any(|p| p.name == pool.name) {
                 return Err(bad("the name is empty or comes twice".into()));
             }
@@ -304,7 +304,7 @@
                 return Err(bad("`come_back_most_ms` 0 to 60,000".into()));
             }
         }
-        self.compile().map(|_| ()).map_err(|why| ("routes", why))
+        self.compile().map(|_| ()).map_err(|reason| ("routes", reason))
     }
 
     /// Where clients connect.
@@ -317,7 +317,7 @@
         let mut routes = Routes::default();
         let mut classes: Vec<Vec<RequestClass>> = vec![Vec::new(); self.pools.len()];
         for line in &self.routes {
-            let bad = |why: String| format!("{:?}: {why}", line.method);
+            let bad = |reason: String| format!("{:?}: {reason}", line.method);
             let pool = self.pools.iter().position(|p| p.name == line.pool);
             let pool = pool.ok_or_else(|| bad(format!("no pool {:?}", line.pool)))?;
             let deadline = line.deadline_ms.unwrap_or(ENDLESS_MS);
@@ -404,7 +404,7 @@
         let l = &self.limits;
         connections::Bounds {
             total: l.connections,
-            member: l.connections_per_backend,
+            endpoint: l.connections_per_backend,
             spread: l.spread.min(l.streams_per_connection),
             streams: l.streams_per_connection,
         }
--- a/src/grpc/relay.rs
+++ b/src/grpc/relay.rs
@@ -9,7 +9,7 @@
 use super::status::{message, Code, End, Pushback};
 use super::timeout;
 use super::upstream::NoLink;
-use crate::clock::span;
+use crate::clock::duration_from_ms;
 use bytes::Bytes;
 use h2::client::ResponseFuture;
 use h2::server::SendResponse;
@@ -351,7 +351,7 @@
             if left <= 0.0 {
                 return;
             }
-            tokio::time::sleep(span(left)).await;
+            tokio::time::sleep(duration_from_ms(left)).await;
         }
     };
     tokio::select! {
--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -9,7 +9,7 @@
 use super::routes::Routes;
 use super::upstream::Upstream;
 use crate::admission::control::AdmissionControl;
-use crate::clock::span;
+use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::wire::http::{HttpAnswer, HttpRequest};
 use crate::wire::listener::Stop;
@@ -103,17 +103,17 @@
     }
 
     /// Takes the operator file anew: backends, pools and methods. A file that can't be used changes nothing.
-    pub fn retune(&self, fresh: GrpcConfig) -> Result<(), String> {
+    pub fn reconfigure(&self, fresh: GrpcConfig) -> Result<(), String> {
         let (mut routes, pools) = fresh.compile()?;
         let names: Vec<String> = pools.iter().map(|p| p.name.clone()).collect();
-        self.with(|calls| calls.retune(pools));
+        self.with(|calls| calls.reconfigure(pools));
         // Pools keep their places; those of the file may have moved.
         let places =
             names.iter().map(|name| self.with(|calls| calls.pool(name)).unwrap_or(0)).collect::<Vec<_>>();
         routes.renumber(|pool| places[pool]);
         *self.routes.borrow_mut() = Rc::new(routes);
         // Weights and exempt networks of the door hold from its next round; its bounds need a new process.
-        fresh.door.clone().map(|door| self.door.with(|gate| gate.retune(door)));
+        fresh.door.clone().map(|door| self.door.with(|gate| gate.reconfigure(door)));
         *self.config.borrow_mut() = fresh;
         self.list();
         Ok(())
@@ -284,7 +284,7 @@
     loop {
         let left = front.door.next_due() - front.now();
         tokio::select! {
-            () = tokio::time::sleep(span(left)) => front.door.tick(front.now()),
+            () = tokio::time::sleep(duration_from_ms(left)) => front.door.tick(front.now()),
             () = front.door.due.notified() => {}
         }
     }
@@ -293,7 +293,7 @@
 /// Ends what is still under way some time after the stop has begun.
 pub async fn cut_at_stop(front: Rc<GrpcFront>, stop: Rc<Stop>) {
     stop.begun().await;
-    tokio::time::sleep(span(front.limits.stop_ms)).await;
+    tokio::time::sleep(duration_from_ms(front.limits.stop_ms)).await;
     front.cut_all();
 }
 
@@ -376,7 +376,7 @@
         .max_header_list_size(l.header_bytes)
         .max_send_buffer_size(l.window_bytes as usize);
     // Guards the places against a client that never says what it speaks.
-    let Ok(link) = timeout(span(l.first_ms), builder.handshake::<_, Bytes>(stream)).await else {
+    let Ok(link) = timeout(duration_from_ms(l.first_ms), builder.handshake::<_, Bytes>(stream)).await else {
         return Ok(());
     };
     let mut link = link?;
@@ -408,7 +408,7 @@
                 leaving = true;
                 link.graceful_shutdown();
             }
-            () = tokio::time::sleep(span(l.idle_ms)), if idle => {
+            () = tokio::time::sleep(duration_from_ms(l.idle_ms)), if idle => {
                 leaving = true;
                 link.graceful_shutdown();
             }
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -2,7 +2,7 @@
 //! further one is opened, is [`Connections`]' decision, the same as for the other fronts' members.
 
 use super::config::Limits;
-use crate::clock::{span, Clock};
+use crate::clock::{duration_from_ms, Clock};
 use crate::state::connections::{Bounds, ConnId, Connections, Place};
 use crate::wire::cache_connection::is_local;
 use crate::EndpointId;
@@ -115,7 +115,7 @@
     /// A backend takes nothing new: its connections end once nothing is out on them.
     pub fn retire(&self, address: SocketAddr) {
         let Some(member) = self.addresses.borrow().get(&address).copied() else { return };
-        for (conn, c) in self.connections.borrow_mut().iter_mut().filter(|(_, c)| c.member == member) {
+        for (conn, c) in self.connections.borrow_mut().iter_mut().filter(|(_, c)| c.endpoint == member) {
             c.closing = true;
             self.close_if_done(*conn, c.load());
         }
@@ -159,7 +159,7 @@
                 .max_send_buffer_size(l.window_bytes as usize);
             builder.handshake::<_, Bytes>(stream).await.map_err(|_| false)
         };
-        let (send, mut connection) = match timeout(span(self.limits.connect_ms), open).await {
+        let (send, mut connection) = match timeout(duration_from_ms(self.limits.connect_ms), open).await {
             Ok(Ok(up)) => up,
             Ok(Err(local)) => return drop(tell.send(State::Down { local })),
             Err(_) => return drop(tell.send(State::Down { local: false })),
@@ -186,8 +186,10 @@
     async fn keep_alive(&self, ping: Option<h2::PingPong>) {
         let Some(mut ping) = ping else { return std::future::pending().await };
         loop {
-            tokio::time::sleep(span(self.limits.keepalive_ms)).await;
-            let answer = timeout(span(self.limits.keepalive_timeout_ms), ping.ping(h2::Ping::opaque())).await;
+            tokio::time::sleep(duration_from_ms(self.limits.keepalive_ms)).await;
+            let answer =
+                timeout(duration_from_ms(self.limits.keepalive_timeout_ms), ping.ping(h2::Ping::opaque()))
+                    .await;
             match answer {
                 Ok(Ok(_)) => {}
                 // The connection's own end tells of this one.
--- a/src/health_check/config.rs
+++ b/src/health_check/config.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 
 /// The most other instances: as many proxies as an installation may have, several times over.
-pub const PEERS_MOST: usize = 4_096;
+pub const MAX_PEERS: usize = 4_096;
 
 /// An instance that takes part.
 #[derive(Clone, Debug, Deserialize)]
@@ -33,11 +33,11 @@
     Http(String),
 }
 
-/// The servers that are probed: members of the list, by their kind.
+/// The servers that are probed: endpoints of the list, by their kind.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Servers {
-    /// Kinds (`model`) of members.
+    /// Kinds (`model`) of endpoints.
     pub models: Vec<String>,
     /// The port on which they answer probes; their own, where it is not told.
     #[serde(default)]
@@ -114,26 +114,30 @@
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        config.check().map_err(|(field, why)| ConfigError::Field { path: path.to_path_buf(), field, why })?;
+        config.check().map_err(|(field, reason)| ConfigError::Field {
+            path: path.to_path_buf(),
+            field,
+            reason,
+        })?;
         Ok(config)
     }
 
     fn check(&self) -> Result<(), (&'static str, String)> {
-        let own = address(&self.listen).map_err(|why| ("listen", why))?;
+        let own = address(&self.listen).map_err(|reason| ("listen", reason))?;
         let (mut ids, mut places) = (BTreeSet::from([self.id]), BTreeSet::from([own]));
         for peer in &self.peers {
-            let at = address(&peer.address).map_err(|why| ("peers", why))?;
+            let at = address(&peer.address).map_err(|reason| ("peers", reason))?;
             if !ids.insert(peer.id) || !places.insert(at) {
                 return Err(("peers", format!("{} at {at} comes twice, or is this instance", peer.id)));
             }
         }
-        if self.peers.len() > PEERS_MOST {
-            return Err(("peers", format!("{} are more than {PEERS_MOST}", self.peers.len())));
+        if self.peers.len() > MAX_PEERS {
+            return Err(("peers", format!("{} are more than {MAX_PEERS}", self.peers.len())));
         }
         if let Some(far) = places.iter().find(|at| !at.ip().is_loopback()) {
             return Err(("peers", format!("{far}: it is carried over loopback only")));
         }
-        self.keys().map_err(|why| ("key_file", why))?;
+        self.keys().map_err(|reason| ("key_file", reason))?;
         if self.servers.models.is_empty() || self.servers.port == Some(0) {
             return Err(("servers", "`models` names kinds, and a `port` is not 0".into()));
         }
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -5,10 +5,10 @@
 use super::health_status::{Board, Standing};
 use super::lease::{DutyId, InstanceId, Slot};
 use super::scheduler::{Act, Message, Plan, PlanFigures};
-use crate::clock::span;
+use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::vrrp::auth::Seals;
-use crate::wire::cache_codec::member_text;
+use crate::wire::cache_codec::endpoint_text;
 use crate::wire::http::{HttpAnswer, HttpRequest};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -22,15 +22,15 @@
 /// What the datagrams' seals are for.
 pub const LABEL: &[u8] = b"calicobeam duties 1";
 /// The longest datagram.
-const DATAGRAM_MOST: usize = 512;
-/// How often the list of members is looked at, in milliseconds.
+const MAX_DATAGRAM: usize = 512;
+/// How often the list of endpoints is looked at, in milliseconds.
 const LOOK_MS: f64 = 100.0;
 /// How long after a result it is told once more, in milliseconds: a datagram may get lost.
 const TELL_AGAIN_MS: f64 = 100.0;
 /// Probes at once: each takes a descriptor, and there may be more servers than those.
-pub const PROBES_MOST: usize = 64;
+pub const MAX_PROBES: usize = 64;
 /// The most of a probe's answer that is read.
-const ANSWER_MOST: usize = 1_024;
+const MAX_ANSWER: usize = 1_024;
 
 /// Shared duties, as their task and the second address share them.
 pub struct Duties {
@@ -64,7 +64,7 @@
             roster_seen: Cell::new(u64::MAX),
             ignored: Cell::new(0),
             others,
-            probes: Semaphore::new(PROBES_MOST),
+            probes: Semaphore::new(MAX_PROBES),
             host,
             config,
             socket,
@@ -85,7 +85,7 @@
         Ok(())
     }
 
-    /// Takes the list of members, where it changed.
+    /// Takes the list of endpoints, where it changed.
     fn list(&self) {
         let changes = self.host.roster_changes();
         if self.roster_seen.replace(changes) == changes {
@@ -93,7 +93,7 @@
         }
         let mut servers = BTreeMap::new();
         for model in &self.config.servers.models {
-            for (id, at) in self.host.members(model) {
+            for (id, at) in self.host.endpoints(model) {
                 let port = self.config.servers.port.unwrap_or(at.port());
                 servers.insert(id, SocketAddr::new(at.ip(), port));
             }
@@ -138,23 +138,24 @@
         let Some(at) = self.servers.borrow().get(&duty).copied() else { return };
         let _place = self.probes.acquire().await;
         let start = self.now();
-        let ok = timeout(span(self.config.probe_ms), reach(at, &self.config.probe)).await == Ok(true);
+        let ok =
+            timeout(duration_from_ms(self.config.probe_ms), reach(at, &self.config.probe)).await == Ok(true);
         let took_ms = self.now() - start;
         self.hear(duty, slot, ok, took_ms);
         let message = Message::Result { duty, slot, ok, took_ms };
         self.tell(&message).await;
-        tokio::time::sleep(span(TELL_AGAIN_MS)).await;
+        tokio::time::sleep(duration_from_ms(TELL_AGAIN_MS)).await;
         self.tell(&message).await;
     }
 
-    /// Notes a result, and tells the engine where it turned a member.
+    /// Notes a result, and tells the engine where it turned an endpoint.
     fn hear(&self, duty: DutyId, slot: Slot, ok: bool, took_ms: f64) {
         if !self.servers.borrow().contains_key(&duty) || !took_ms.is_finite() {
             return;
         }
         let turned = self.board.borrow_mut().hear(self.now(), duty, slot, ok, took_ms);
         if let Some(up) = turned {
-            tracing::warn!(member = %member_text(duty), up, "duties: a member turned by its probes");
+            tracing::warn!(endpoint = %endpoint_text(duty), up, "duties: a member turned by its probes");
             self.host.with(|engine| engine.probed(duty, up));
         }
     }
@@ -219,7 +220,7 @@
             living: plan.living(now).collect(),
             figures: plan.figures,
             ignored: self.ignored.get(),
-            servers: board.all().map(|(duty, standing)| (member_text(duty), *standing)).collect(),
+            servers: board.all().map(|(duty, standing)| (endpoint_text(duty), *standing)).collect(),
         };
         let body = simd_json::to_vec(&status).unwrap_or_default();
         Some(
@@ -249,7 +250,7 @@
         return false;
     }
     let mut answer = Vec::new();
-    while answer.len() < ANSWER_MOST {
+    while answer.len() < MAX_ANSWER {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut response = httparse::Response::new(&mut headers);
         // The status line is enough: a head of any length follows it.
@@ -266,7 +267,7 @@
 
 /// Does the duties for ever.
 pub async fn run(duties: Rc<Duties>) {
-    let mut bytes = [0u8; DATAGRAM_MOST];
+    let mut bytes = [0u8; MAX_DATAGRAM];
     let mut look_ms = f64::NEG_INFINITY;
     loop {
         let now = duties.now();
@@ -278,7 +279,7 @@
         duties.carry_out(acts).await;
         let due = duties.plan.borrow().next_due(now).min(look_ms);
         tokio::select! {
-            () = tokio::time::sleep(span((due - now).max(1.0))) => {}
+            () = tokio::time::sleep(duration_from_ms((due - now).max(1.0))) => {}
             got = duties.socket.recv_from(&mut bytes) => {
                 // An error here is one of an earlier send to an instance that is down.
                 let Ok((length, from)) = got else { continue };
--- a/src/http3/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -2,7 +2,7 @@
 //! that wait for it, on whatever connection they came.
 
 use super::response_store::{Claim, Key, SessionId, Shelf, ShelfBounds, ShelfFigures};
-use crate::clock::span;
+use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use std::cell::RefCell;
@@ -67,9 +67,9 @@
                         own.finish(key, answer);
                     });
                 }
-                Err(why) => {
+                Err(reason) => {
                     self.shelf.borrow_mut().not_taken(key);
-                    return Err(why);
+                    return Err(reason);
                 }
             },
         }
@@ -97,7 +97,7 @@
         loop {
             let left = self.shelf.borrow().next_due() - self.host.clock.now();
             tokio::select! {
-                () = tokio::time::sleep(span(left)) => {
+                () = tokio::time::sleep(duration_from_ms(left)) => {
                     let off = self.shelf.borrow_mut().tick(self.host.clock.now());
                     off.into_iter().for_each(|key| self.call_off(key));
                 }
--- a/src/http3/config.rs
+++ b/src/http3/config.rs
@@ -152,17 +152,21 @@
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.file = path.to_path_buf();
-        config.check().map_err(|(field, why)| ConfigError::Field { path: path.to_path_buf(), field, why })?;
+        config.check().map_err(|(field, reason)| ConfigError::Field {
+            path: path.to_path_buf(),
+            field,
+            reason,
+        })?;
         Ok(config)
     }
 
     fn check(&self) -> Result<(), (&'static str, String)> {
-        address(&self.listen).map_err(|why| ("listen", why))?;
+        address(&self.listen).map_err(|reason| ("listen", reason))?;
         if let Some(tcp) = &self.tcp {
-            address(tcp).map_err(|why| ("tcp", why))?;
+            address(tcp).map_err(|reason| ("tcp", reason))?;
         }
-        self.sessions().map_err(|why| ("session_keys", why))?;
-        super::server::server_config(self).map_err(|why| ("certificate", why))?;
+        self.sessions().map_err(|reason| ("session_keys", reason))?;
+        super::server::server_config(self).map_err(|reason| ("certificate", reason))?;
         let (l, s, p) = (&self.limits, &self.shelf, &self.path);
         let checks: [(&'static str, f64, f64, f64); 20] = [
             ("connections", l.connections as f64, 1.0, 65_536.0),
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    fn not_taken(&self, why: AdmitError) -> HttpAnswer {
-        self.inner.not_taken(why)
+    fn not_taken(&self, reason: AdmitError) -> HttpAnswer {
+        self.inner.not_taken(reason)
     }
 
     fn keeper(&self) -> Option<&Rc<Keeper>> {
--- a/src/http3/path_estimate.rs
+++ b/src/http3/path_estimate.rs
@@ -15,13 +15,13 @@
 }
 
 /// Packets of which a share of losses says something.
-const PACKETS_LEAST: u64 = 20;
+const MIN_PACKETS: u64 = 20;
 /// Weight of a new sample in the round trip's deviation, as in RFC 9002.
 const DEVIATION_GAIN: f64 = 0.25;
 /// Share of lost packets from which on a further round trip is allowed for, since the last packet may be among them.
 const LOSSY: f64 = 0.01;
 /// The most of a request's patience that the way back may take: beyond that it is better to try.
-const SHARE_MOST: f64 = 0.5;
+const MAX_SHARE: f64 = 0.5;
 
 /// A link.
 #[derive(Clone, Copy, Debug, Default)]
@@ -44,7 +44,7 @@
         }
         self.samples += 1;
         (self.rtt_ms, self.window) = (sample.rtt_ms, sample.window);
-        if sample.sent >= PACKETS_LEAST {
+        if sample.sent >= MIN_PACKETS {
             self.loss = sample.lost as f64 / sample.sent as f64;
         }
     }
@@ -74,7 +74,7 @@
     /// good link: never later, and never so early that less than half of the request's time is left for it.
     pub fn give_up_ms(&self, now: f64, give_up_ms: f64, bytes: f64) -> f64 {
         let patience = (give_up_ms - now).max(0.0);
-        give_up_ms - self.back_ms(bytes).min(SHARE_MOST * patience)
+        give_up_ms - self.back_ms(bytes).min(MAX_SHARE * patience)
     }
 }
 
--- a/src/http3/server.rs
+++ b/src/http3/server.rs
@@ -7,7 +7,7 @@
 use super::front::PoorFront;
 use super::path_estimate::{Link, Sample};
 use super::send_scheduler::{Priority, Turns};
-use crate::clock::span;
+use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::state::requests::FinalResponse;
 use crate::wire::http::{HttpAnswer, HttpRequest};
@@ -73,7 +73,7 @@
         .send_window(l.send_bytes)
         .packet_threshold(p.reorder_packets)
         .time_threshold(p.reorder_trips)
-        .initial_rtt(span(p.first_rtt_ms));
+        .initial_rtt(duration_from_ms(p.first_rtt_ms));
     match p.congestion {
         Congestion::Bbr => {
             transport.congestion_controller_factory(Arc::new(quinn::congestion::BbrConfig::default()))
@@ -178,7 +178,7 @@
         let (own, stop, held) = (driver.clone(), stop.clone(), stop.enter());
         driver.host.spawn("a QUIC connection", async move {
             let _place = Place(own.clone(), held);
-            let handshake = timeout(span(own.limits.handshake_ms), incoming).await;
+            let handshake = timeout(duration_from_ms(own.limits.handshake_ms), incoming).await;
             if let Ok(Ok(connection)) = handshake {
                 serve(&own, connection, &stop).await;
             }
@@ -187,7 +187,7 @@
     // No new connection; the endpoint lives on for those that are open.
     endpoint.set_server_config(None);
     while driver.open.get() > 0 {
-        tokio::time::sleep(span(FLUSH_MS / 8.0)).await;
+        tokio::time::sleep(duration_from_ms(FLUSH_MS / 8.0)).await;
     }
     endpoint.wait_idle().await;
 }
@@ -254,7 +254,7 @@
                     own.open.set(own.open.get() + 1);
                     driver.host.spawn("a request over QUIC", async move {
                         let _open = OpenRequest(own.clone());
-                        match timeout(span(own.driver.limits.body_ms), resolver.resolve_request()).await {
+                        match timeout(duration_from_ms(own.driver.limits.body_ms), resolver.resolve_request()).await {
                             Ok(Ok((request, stream))) => answer(&own, request, stream, peer).await,
                             _ => own.driver.count(|f| f.malformed += 1),
                         }
@@ -281,7 +281,7 @@
     match connection.close_reason() {
         None => {
             // The last bytes are on their way: a close would overtake them.
-            let _ = timeout(span(FLUSH_MS), connection.closed()).await;
+            let _ = timeout(duration_from_ms(FLUSH_MS), connection.closed()).await;
             connection.close(NO_ERROR.into(), b"");
         }
         Some(quinn::ConnectionError::ApplicationClosed(_) | quinn::ConnectionError::LocallyClosed) => {}
@@ -326,7 +326,7 @@
         }
         Ok(())
     };
-    timeout(span(shared.driver.limits.body_ms), all).await.map_err(|_| 408u16)??;
+    timeout(duration_from_ms(shared.driver.limits.body_ms), all).await.map_err(|_| 408u16)??;
     let stated = read.single("content-length").map_err(|_| 400u16)?.map(str::to_string);
     if stated.is_some_and(|n| n.parse() != Ok(body.len())) {
         return Err(400);
@@ -356,7 +356,7 @@
     ask.give_up_ms = shared.sample().give_up_ms(now, ask.give_up_ms, ask.size_kb * 1_024.0);
     let Some(session) = context.session else { return Some((HttpAnswer::status(500), base)) };
     let last = match driver.keeper.ask(session, *ask) {
-        Err(why) => return Some((driver.front.not_taken(why), priority)),
+        Err(reason) => return Some((driver.front.not_taken(reason), priority)),
         Ok(Kept::Now(last)) => last,
         Ok(Kept::Wait(heard, hold)) => tokio::select! {
             biased;
@@ -436,7 +436,7 @@
             if may {
                 break;
             }
-            let _ = timeout(span(again), shared.turn.notified()).await;
+            let _ = timeout(duration_from_ms(again), shared.turn.notified()).await;
         }
         let part = body.split_to(body.len().min(shared.driver.limits.turn_bytes));
         stream.send_data(part).await?;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -23,14 +23,14 @@
     NotIdempotent,
 }
 
-/// Which members drop the repeats of a keyed request.
+/// Which endpoints drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// Every member.
+    /// Every endpoint.
     All,
-    /// Those of the zone of the first member that may have run it.
+    /// Those of the zone of the first endpoint that may have run it.
     Zone,
-    /// Those of that member's cell.
+    /// Those of that endpoint's cell.
     Cell,
 }
 
@@ -59,7 +59,7 @@
     pub uncacheable: bool,
 }
 
-/// How a kind of member behaves after its start.
+/// How a kind of endpoint behaves after its start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
     /// Least share of its capacity at the start.
@@ -94,7 +94,7 @@
     pub local_fleet_size: u32,
     /// KB a second of one transfer to a client; 0 where unknown.
     pub client_kb_per_s: f64,
-    /// Members' weights say how many transfers fit on their link.
+    /// Endpoints' weights say how many transfers fit on their link.
     pub weights_known: bool,
     /// A request may join a fill under way.
     pub can_join_fills: bool,
@@ -108,11 +108,11 @@
     pub max_attempts: u32,
     /// Attempts may be called off.
     pub can_cancel: bool,
-    /// Members may be probed.
+    /// Endpoints may be probed.
     pub can_check_health: bool,
     /// The longest wait hint that clients honour; 0 where they get none.
     pub max_retry_after: Micros,
-    /// The list of members must be subscribed to.
+    /// The list of endpoints must be subscribed to.
     pub watch_endpoints: bool,
     /// Caches after a start.
     pub cache_slow_start: SlowStart,
@@ -121,7 +121,7 @@
 }
 
 impl PolicySettings {
-    /// How a member of a role behaves after its start; the origin's start is not told of.
+    /// How an endpoint of a role behaves after its start; the origin's start is not told of.
     pub fn cold_start(&self, tier: Tier) -> &SlowStart {
         match tier {
             Tier::Parent => &self.parent_slow_start,
@@ -139,7 +139,7 @@
     }
 }
 
-/// What a member is to this router.
+/// What an endpoint is to this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tier {
     /// A cache of this router's location.
@@ -152,7 +152,7 @@
     Origin,
 }
 
-/// Where a member stands in its life, as far as the list knows.
+/// Where an endpoint stands in its life, as far as the list knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     /// Takes work.
@@ -163,7 +163,7 @@
     Removed,
 }
 
-/// A line of the list of members.
+/// A line of the list of endpoints.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// Its id.
@@ -174,7 +174,7 @@
     pub state: EndpointState,
     /// When it started; 0 is long ago.
     pub started_at: Micros,
-    /// Its size, comparable across members.
+    /// Its size, comparable across endpoints.
     pub weight: f64,
     /// Number of its zone.
     pub zone: u32,
@@ -213,12 +213,12 @@
         matches!(self, Self::Rejected | Self::NoConnection | Self::NotSent | Self::CacheMiss)
     }
 
-    /// Whether the member itself answered, whatever it said.
+    /// Whether the endpoint itself answered, whatever it said.
     pub fn is_answer(self) -> bool {
         matches!(self, Self::Served | Self::CacheMiss | Self::Rejected | Self::Error)
     }
 
-    /// Whether the attempt was lost on its way to or from a member, which proves no load and no fault there.
+    /// Whether the attempt was lost on its way to or from an endpoint, which proves no load and no fault there.
     pub fn is_lost(self) -> bool {
         matches!(self, Self::ConnectionLost | Self::Malformed | Self::NoConnection | Self::NotSent)
     }
@@ -246,9 +246,9 @@
 /// What a router is told. All of it is news to this router alone.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of members: all of it, or what changed.
+    /// The list of endpoints: all of it, or what changed.
     EndpointsChanged {
-        /// Members that are absent have gone.
+        /// Endpoints that are absent have gone.
         full: bool,
         /// The lines.
         entries: Vec<Endpoint>,
@@ -315,8 +315,8 @@
     },
     /// A probe came back.
     HealthChecked {
-        /// The member.
-        member: EndpointId,
+        /// The endpoint.
+        endpoint: EndpointId,
         /// How the probe ended.
         outcome: AttemptOutcome,
     },
@@ -367,10 +367,10 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Probe a member.
+    /// Probe an endpoint.
     CheckHealth {
-        /// The member.
-        member: EndpointId,
+        /// The endpoint.
+        endpoint: EndpointId,
     },
     /// Ask for [`Event::Timer`].
     SetTimer {
@@ -379,6 +379,6 @@
         /// When.
         at: Micros,
     },
-    /// Subscribe to the list of members.
+    /// Subscribe to the list of endpoints.
     Watch,
 }
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -38,19 +38,19 @@
         key: String,
     },
     /// A field's value can't be used.
-    #[error("{}: field `{field}`: {why}", path.display())]
+    #[error("{}: field `{field}`: {reason}", path.display())]
     Field {
         /// The file.
         path: PathBuf,
         /// The field.
         field: &'static str,
         /// What is wrong.
-        why: String,
+        reason: String,
     },
 }
 
 /// The fewest descriptors that a proxy can work with.
-const SOCKETS_LEAST: usize = 32;
+const MIN_SOCKETS: usize = 32;
 
 /// The configuration.
 #[derive(Clone, Debug, Deserialize)]
@@ -136,7 +136,7 @@
 pub fn keys_beside(path: &Path, file: &Path) -> Result<Keys, String> {
     let file = beside(path, file);
     let text = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
-    Keys::parse(&text).map_err(|why| format!("{}: {why}", file.display()))
+    Keys::parse(&text).map_err(|reason| format!("{}: {reason}", file.display()))
 }
 
 /// An IPv4 address that is one host's own.
@@ -159,17 +159,17 @@
         let mut config: Self = read_json(path)?;
         config.keys = keys;
         config.path = path.to_path_buf();
-        let field = |field, why| ConfigError::Field { path: path.to_path_buf(), field, why };
-        address(&config.listen).map_err(|why| field("listen", why))?;
-        address(&config.bulletin).map_err(|why| field("bulletin", why))?;
-        config.mgmt().map_err(|why| field("mgmt", why))?;
-        config.seed().map_err(|why| field("seed", why))?;
-        config.settings.check().map_err(|why| field("settings", why))?;
-        let events = config.known.events().map_err(|why| field("known", why))?;
+        let field = |field, reason| ConfigError::Field { path: path.to_path_buf(), field, reason };
+        address(&config.listen).map_err(|reason| field("listen", reason))?;
+        address(&config.bulletin).map_err(|reason| field("bulletin", reason))?;
+        config.mgmt().map_err(|reason| field("mgmt", reason))?;
+        config.seed().map_err(|reason| field("seed", reason))?;
+        config.settings.check().map_err(|reason| field("settings", reason))?;
+        let events = config.known.events().map_err(|reason| field("known", reason))?;
         for event in events {
-            config.settings.check_event(&event).map_err(|why| field("known", why))?;
+            config.settings.check_event(&event).map_err(|reason| field("known", reason))?;
         }
-        if config.limits.sockets < SOCKETS_LEAST {
+        if config.limits.sockets < MIN_SOCKETS {
             return Err(field("limits.sockets", format!("{} are too few", config.limits.sockets)));
         }
         Ok(config)
--- a/src/lifecycle/descriptors.rs
+++ b/src/lifecycle/descriptors.rs
@@ -4,14 +4,14 @@
 use crate::wire::admin::CALLERS;
 use rlimit::Resource;
 
-/// Descriptors that a serving process opens besides connections that are counted here: listeners, the membership watch
+/// Descriptors that a serving process opens besides connections that are counted here: listeners, the endpointship watch
 /// and the one that replaces it, a registry's watch, a file that is read, and one newcomer a listener that waits for a
 /// place.
 const OWN: usize = 8;
 /// Descriptors that are open before anything is served where they can't be counted: standard streams, the runtime's.
 const HELD_AT_START: usize = 8;
-/// The fewest connections of clients, and of members, with which anything can be served.
-const CONNECTIONS_LEAST: usize = 1;
+/// The fewest connections of clients, and of endpoints, with which anything can be served.
+const MIN_CONNECTIONS: usize = 1;
 /// The second address has this part of all descriptors, and [`CALLERS`] at most.
 const CALLERS_PART: usize = 16;
 /// Where the operating system's list of this process's descriptors stands.
@@ -50,7 +50,7 @@
     Some(numbers.filter(|number| *number < most).count().saturating_sub(1))
 }
 
-/// What takes descriptors besides the platform's clients, the members and the second address.
+/// What takes descriptors besides the platform's clients, the endpoints and the second address.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DescriptorDemand {
     /// Clients of the second front, at all its listeners.
@@ -66,8 +66,8 @@
 pub struct DescriptorBudget {
     /// The platform's clients, at all listeners.
     pub clients: usize,
-    /// Connections to all members.
-    pub members: usize,
+    /// Connections to all endpoints.
+    pub endpoints: usize,
     /// Callers at the second address.
     pub callers: usize,
     /// The descriptors do not suffice for what is on.
@@ -75,7 +75,7 @@
 }
 
 impl DescriptorBudget {
-    /// Shares the descriptors: two fifths to clients, two fifths to members, where that leaves enough for all else.
+    /// Shares the descriptors: two fifths to clients, two fifths to endpoints, where that leaves enough for all else.
     pub fn of(descriptors: Descriptors, demand: DescriptorDemand) -> Self {
         let Descriptors { most, held } = descriptors;
         let callers = CALLERS.min(most / CALLERS_PART).max(1);
@@ -83,12 +83,12 @@
         let spare = most.saturating_sub(taken);
         let members_part = if demand.handed_over { most / 4 } else { most * 2 / 5 };
         let clients = (most * 2 / 5).min(spare / 2);
-        let members = members_part.saturating_sub(demand.signed / 2).min(spare - clients);
+        let endpoints = members_part.saturating_sub(demand.signed / 2).min(spare - clients);
         Self {
-            clients: clients.max(CONNECTIONS_LEAST),
-            members: members.max(CONNECTIONS_LEAST),
+            clients: clients.max(MIN_CONNECTIONS),
+            endpoints: endpoints.max(MIN_CONNECTIONS),
             callers,
-            short: clients.min(members) < CONNECTIONS_LEAST,
+            short: clients.min(endpoints) < MIN_CONNECTIONS,
         }
     }
 }
--- a/src/lifecycle/descriptors/tests.rs
+++ b/src/lifecycle/descriptors/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn taken(most: usize, shares: DescriptorBudget, demand: DescriptorDemand) -> usize {
-    let counted = shares.clients + shares.members + shares.callers + demand.signed + demand.others;
+    let counted = shares.clients + shares.endpoints + shares.callers + demand.signed + demand.others;
     assert!(counted + HELD_AT_START + OWN <= most, "{most}: {shares:?} and {demand:?}");
     counted
 }
@@ -26,9 +26,9 @@
 #[test]
 fn a_usual_limit_is_shared_in_fifths() {
     let shares = DescriptorBudget::of(Descriptors::planned(1_024), DescriptorDemand::default());
-    assert_eq!(shares, DescriptorBudget { clients: 409, members: 409, callers: 16, short: false });
+    assert_eq!(shares, DescriptorBudget { clients: 409, endpoints: 409, callers: 16, short: false });
     let beside = DescriptorDemand { handed_over: true, ..DescriptorDemand::default() };
-    assert_eq!(DescriptorBudget::of(Descriptors::planned(1_024), beside).members, 256);
+    assert_eq!(DescriptorBudget::of(Descriptors::planned(1_024), beside).endpoints, 256);
 }
 
 /// Want of descriptors is told, and still leaves something to each.
@@ -38,7 +38,7 @@
         Descriptors::planned(64),
         DescriptorDemand { others: 60, ..DescriptorDemand::default() },
     );
-    assert!(shares.short && shares.clients == 1 && shares.members == 1 && shares.callers == 4);
+    assert!(shares.short && shares.clients == 1 && shares.endpoints == 1 && shares.callers == 4);
     assert!(!DescriptorBudget::of(Descriptors::planned(24), DescriptorDemand::default()).short);
 }
 
--- a/src/lifecycle/front.rs
+++ b/src/lifecycle/front.rs
@@ -16,7 +16,7 @@
 /// How often the key file is looked at, in milliseconds.
 const LOOK_MS: f64 = 500.0;
 /// The longest key file, in bytes.
-const KEY_FILE_MOST: u64 = 65_536;
+const MAX_KEY_FILE: u64 = 65_536;
 
 /// The front's file.
 #[derive(Clone, Debug, Deserialize)]
@@ -60,7 +60,7 @@
 
 fn read_keys(path: &Path) -> Result<(Vec<u8>, HashMap<String, Key>), String> {
     let length = std::fs::metadata(path).map_err(|e| e.to_string())?.len();
-    if length > KEY_FILE_MOST {
+    if length > MAX_KEY_FILE {
         return Err(format!("{length} bytes are too many"));
     }
     let text = std::fs::read(path).map_err(|e| e.to_string())?;
@@ -72,10 +72,11 @@
     /// Reads and checks a front's file and its keys; the proxy has `sockets` descriptors.
     pub fn read(path: &Path, sockets: usize) -> Result<Self, ConfigError> {
         let mut front: Self = read_json(path)?;
-        let field = |field, why: String| ConfigError::Field { path: path.to_path_buf(), field, why };
-        address(&front.listen).map_err(|why| field("listen", why))?;
+        let field = |field, reason: String| ConfigError::Field { path: path.to_path_buf(), field, reason };
+        address(&front.listen).map_err(|reason| field("listen", reason))?;
         front.keys = path.parent().unwrap_or(Path::new("")).join(&front.keys);
-        read_keys(&front.keys).map_err(|why| field("keys", format!("{}: {why}", front.keys.display())))?;
+        read_keys(&front.keys)
+            .map_err(|reason| field("keys", format!("{}: {reason}", front.keys.display())))?;
         if front.issuer.is_empty() {
             return Err(field("issuer", "it is empty".into()));
         }
@@ -128,7 +129,7 @@
     let mut last = std::fs::read(&config.keys).unwrap_or_default();
     let mut fault = String::new();
     loop {
-        let _ = timeout(crate::clock::span(LOOK_MS), reload.notified()).await;
+        let _ = timeout(crate::clock::duration_from_ms(LOOK_MS), reload.notified()).await;
         match read_keys(&config.keys) {
             Ok((text, _)) if text == last => fault.clear(),
             Ok((text, keys)) => {
@@ -137,10 +138,10 @@
                 last = text;
                 fault.clear();
             }
-            Err(why) if why == fault => {}
-            Err(why) => {
-                tracing::warn!(%why, "the old keys for signed links stay");
-                fault = why;
+            Err(reason) if reason == fault => {}
+            Err(reason) => {
+                tracing::warn!(%reason, "the old keys for signed links stay");
+                fault = reason;
             }
         }
     }
--- a/src/lifecycle/maintenance.rs
+++ b/src/lifecycle/maintenance.rs
@@ -2,10 +2,10 @@
 //! read it while they serve side by side.
 
 use super::config::read_json;
-use crate::clock::span;
+use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::state::maintenance::Mark;
-use crate::wire::cache_codec::{member_id, member_text};
+use crate::wire::cache_codec::{endpoint_id, endpoint_text};
 use crate::EndpointId;
 use serde::Deserialize;
 use std::path::PathBuf;
@@ -16,7 +16,8 @@
 
 #[derive(Debug, Deserialize)]
 struct Line {
-    member: String,
+    #[serde(rename = "member")]
+    endpoint: String,
     out: bool,
     at_ms: f64,
 }
@@ -45,7 +46,7 @@
             Ok(lines) => {
                 let marks = lines.into_iter().filter_map(|line| {
                     let mark = Mark { out: line.out, at_ms: line.at_ms };
-                    Some((member_id(&line.member)?, mark))
+                    Some((endpoint_id(&line.endpoint)?, mark))
                 });
                 let marks: Vec<(EndpointId, Mark)> = marks.collect();
                 host.with(|engine| engine.adopt(marks));
@@ -58,8 +59,8 @@
     pub fn write(&self, host: &Rc<Executor>) -> Result<(), std::io::Error> {
         let Some(path) = &self.0 else { return Ok(()) };
         let line = |(id, mark): (EndpointId, Mark)| {
-            let (member, out, at_ms) = (member_text(id), mark.out, mark.at_ms);
-            format!("{{\"member\":\"{member}\",\"out\":{out},\"at_ms\":{at_ms}}}")
+            let (endpoint, out, at_ms) = (endpoint_text(id), mark.out, mark.at_ms);
+            format!("{{\"member\":\"{endpoint}\",\"out\":{out},\"at_ms\":{at_ms}}}")
         };
         let lines: Vec<String> = host.with(|engine| engine.maintenance().iter().map(line).collect());
         let fresh = path.with_extension(std::process::id().to_string());
@@ -71,7 +72,7 @@
     pub async fn follow(self, host: Rc<Executor>) {
         loop {
             self.take_over(&host);
-            tokio::time::sleep(span(LOOK_MS)).await;
+            tokio::time::sleep(duration_from_ms(LOOK_MS)).await;
         }
     }
 }
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -7,7 +7,7 @@
 use super::maintenance::Store;
 use crate::admission::config::AdmissionConfig;
 use crate::admission::control::AdmissionControl;
-use crate::clock::{span, Clock};
+use crate::clock::{duration_from_ms, Clock};
 use crate::engine::executor::Executor;
 use crate::engine::{Engine, EngineBounds};
 use crate::grpc::config::GrpcConfig;
@@ -19,7 +19,7 @@
 use crate::http3::front::PoorFront;
 use crate::http3::server;
 use crate::purge::config::PurgeConfig;
-use crate::purge::{driver, wire::CALL_MOST};
+use crate::purge::{driver, wire::MAX_CALL};
 use crate::registry::config::RegistryConfig;
 use crate::registry::driver::{self as registry_driver, Link};
 use crate::rules::config::RulesConfig;
@@ -84,7 +84,7 @@
     pub purges: Option<PurgeConfig>,
     /// Fair queues at the door.
     pub door: Option<AdmissionConfig>,
-    /// Members from a registry.
+    /// Endpoints from a registry.
     pub registry: Option<RegistryConfig>,
     /// gRPC pass-through.
     pub grpc: Option<GrpcConfig>,
@@ -116,17 +116,17 @@
     shares: DescriptorBudget,
 ) -> Result<(Engine, Rc<crate::settings::PlatformSettings>), ServeError> {
     let env = Rc::new(config.settings.clone());
-    let seed = config.seed().map_err(|why| ServeError::Field("seed", why))?;
+    let seed = config.seed().map_err(|reason| ServeError::Field("seed", reason))?;
     let sockets = config.limits.sockets;
     let connections = Bounds {
-        total: shares.members,
-        member: (sockets / 64).clamp(2, 16),
+        total: shares.endpoints,
+        endpoint: (sockets / 64).clamp(2, 16),
         spread: 4,
         streams: env.streams_per_connection(),
     };
     let bounds = EngineBounds { requests: sockets * 2 / 5 + extra, connections };
     let mut engine = Engine::new(clock.clone(), env.clone(), seed, bounds);
-    for event in config.known.events().map_err(|why| ServeError::Field("known", why))? {
+    for event in config.known.events().map_err(|reason| ServeError::Field("known", reason))? {
         engine.news(event);
     }
     engine.skip_to(config.known.no);
@@ -143,8 +143,8 @@
     let grpc =
         extras.grpc.as_ref().map_or(0, |g| g.limits.clients * at(FrontKind::Grpc) + g.limits.connections);
     let poor = extras.poor.as_ref().map_or(0, |p| p.tcp_at().map_or(0, |_| p.limits.tcp_connections));
-    let purges = extras.purges.as_ref().map_or(0, |_| driver::CALLS_MOST);
-    let probes = extras.duties.as_ref().map_or(0, |_| duties_driver::PROBES_MOST);
+    let purges = extras.purges.as_ref().map_or(0, |_| driver::MAX_CALLS);
+    let probes = extras.duties.as_ref().map_or(0, |_| duties_driver::MAX_PROBES);
     DescriptorDemand { signed, others: grpc + poor + purges + probes, handed_over: config.handed_over }
 }
 
@@ -162,9 +162,9 @@
     // Alone, the platform's front makes do with what there is; what an operator turned on beside it must fit.
     if shares.short && demand.signed + demand.others > 0 {
         let needed = demand.signed + demand.others;
-        let why =
+        let reason =
             format!("{} are too few: what is on needs {needed} beside clients and members", descriptors.most);
-        return Err(ServeError::Field("limits.sockets", why));
+        return Err(ServeError::Field("limits.sockets", reason));
     }
     Ok(shares)
 }
@@ -179,10 +179,10 @@
     let shares = shares(&config, demand)?;
     let Subsystems { front, router, purges, door, registry, grpc, poor, duties, rules } = extras;
     let (engine, _) = engine_with(&config, &clock, demand.signed, shares)?;
-    let listen = config.listen().map_err(|why| ServeError::Field("listen", why))?;
-    let bulletin = config.bulletin().map_err(|why| ServeError::Field("bulletin", why))?;
+    let listen = config.listen().map_err(|reason| ServeError::Field("listen", reason))?;
+    let bulletin = config.bulletin().map_err(|reason| ServeError::Field("bulletin", reason))?;
     let (bulletin, moves) = watch::channel(bulletin);
-    let seed = config.seed().map_err(|why| ServeError::Field("seed", why))?;
+    let seed = config.seed().map_err(|reason| ServeError::Field("seed", reason))?;
     let host = Executor::new(clock, engine, CacheDriver);
     if let Some(door) = door.clone() {
         host.set_admission(AdmissionControl::new(door, "door"));
@@ -212,7 +212,7 @@
     fronts.borrow_mut().push((FrontKind::Platform, platform.clone()));
     let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
     host.spawn("accepting", accept(host.clone(), platform, listener, stop.clone(), closing.clone()));
-    let mgmt = config.mgmt().map_err(|why| ServeError::Field("mgmt", why))?;
+    let mgmt = config.mgmt().map_err(|reason| ServeError::Field("mgmt", reason))?;
     let link = registry.as_ref().map(|_| Rc::new(RefCell::new(Link::default())));
     if let (Some(registry), Some(link)) = (registry, link.clone()) {
         host.with(|engine| engine.take_roster_from_registry());
@@ -223,7 +223,7 @@
         None => None,
         Some(config) => {
             let front = GrpcFront::new(host.clone(), config.clone(), seed);
-            let front = front.map_err(|why| ServeError::Field("routes", why))?;
+            let front = front.map_err(|reason| ServeError::Field("routes", reason))?;
             let figures = front.clone();
             host.add_figures(Box::new(move || figures.figures()));
             Some((front, config))
@@ -235,11 +235,11 @@
             let pools: Vec<String> =
                 grpc.iter().flat_map(|(_, g)| g.pools.iter().map(|p| p.name.clone())).collect();
             set.check_with(front.is_some(), &pools, door.is_some(), link.is_some())
-                .map_err(|why| ServeError::Field("vrrp", why))?;
+                .map_err(|reason| ServeError::Field("vrrp", reason))?;
             let accept = accept_virtual(&host, &fronts, grpc.as_ref().map(|(front, _)| front.clone()));
             let ask = tracked(&host, link.clone(), grpc.as_ref().map(|(front, _)| front.clone()));
             let router = vrrp::Router::new(host.clone(), set.clone(), accept, ask);
-            let router = router.map_err(|why| ServeError::Field("key_file", why))?;
+            let router = router.map_err(|reason| ServeError::Field("key_file", reason))?;
             let figures = router.clone();
             host.add_figures(Box::new(move || figures.metrics()));
             Some((router, set))
@@ -251,7 +251,7 @@
             let listen = config.at();
             let socket = bind_udp(listen).await?;
             let duties = Duties::new(host.clone(), config, socket);
-            let duties = duties.map_err(|why| ServeError::Field("key_file", why))?;
+            let duties = duties.map_err(|reason| ServeError::Field("key_file", reason))?;
             let (figures, task) = (duties.clone(), duties.clone());
             host.add_figures(Box::new(move || figures.metrics()));
             always(&host, "shared duties", move || duties_driver::run(task.clone()));
@@ -280,7 +280,7 @@
         .with_callers(shares.callers);
         if let Some(desk) = desk.clone() {
             manage =
-                manage.with_calls(Box::new(move |host, call| driver::answer(host, &desk, call)), CALL_MOST);
+                manage.with_calls(Box::new(move |host, call| driver::answer(host, &desk, call)), MAX_CALL);
         }
         if let Some(link) = link.clone() {
             manage = manage.with_calls(Box::new(move |_, call| registry_driver::answer(&link, call)), 0);
@@ -317,9 +317,9 @@
     let reload = Rc::new(Notify::new());
     let second = Rc::new(Notify::new());
     if let Some(front) = front {
-        let listen = front.listen().map_err(|why| ServeError::Field("listen", why))?;
+        let listen = front.listen().map_err(|reason| ServeError::Field("listen", reason))?;
         let signed = front.front(host.clock.now().to_bits() ^ seed);
-        let signed = Rc::new(signed.map_err(|why| ServeError::Field("keys", why))?);
+        let signed = Rc::new(signed.map_err(|reason| ServeError::Field("keys", reason))?);
         let listener = bind(listen).await?;
         fronts.borrow_mut().push((FrontKind::Signed, signed.clone()));
         host.spawn("accepting", accept(host.clone(), signed.clone(), listener, stop.clone(), second.clone()));
@@ -387,28 +387,28 @@
                             ruled.iter().for_each(|front| front.set_rules(Some(fresh.clone())));
                             tracing::info!(file = %config.path.display(), "rules read again");
                         }
-                        Err(why) => tracing::warn!(%why, "the old rules stay"),
+                        Err(reason) => tracing::warn!(%reason, "the old rules stay"),
                     }
                 }
-                if let Some(Err(why)) = duties.as_ref().map(|duties| duties.rekey()) {
-                    tracing::warn!(%why, "the duties' old keys stay");
+                if let Some(Err(reason)) = duties.as_ref().map(|duties| duties.rekey()) {
+                    tracing::warn!(%reason, "the duties' old keys stay");
                 }
                 if let Some((edge, config)) = &poor {
                     match edge.reload(config) {
                         Ok(()) => tracing::info!(file = %config.file.display(), "certificates and session keys read again"),
-                        Err(why) => tracing::warn!(%why, "the old certificates and session keys stay"),
+                        Err(reason) => tracing::warn!(%reason, "the old certificates and session keys stay"),
                     }
                 }
                 if let Some((router, config)) = &router {
-                    match config.again().map_err(|e| e.to_string()).and_then(|fresh| router.retune(fresh)) {
+                    match config.again().map_err(|e| e.to_string()).and_then(|fresh| router.reconfigure(fresh)) {
                         Ok(()) => tracing::info!(file = %config.path.display(), "the virtual router's file read again"),
-                        Err(why) => tracing::warn!(%why, "the virtual router's old file stays"),
+                        Err(reason) => tracing::warn!(%reason, "the virtual router's old file stays"),
                     }
                 }
                 if let Some((front, config)) = &grpc {
-                    match config.again().map_err(|e| e.to_string()).and_then(|fresh| front.retune(fresh)) {
+                    match config.again().map_err(|e| e.to_string()).and_then(|fresh| front.reconfigure(fresh)) {
                         Ok(()) => tracing::info!(file = %config.path.display(), "gRPC's file read again"),
-                        Err(why) => tracing::warn!(%why, "gRPC's old file stays"),
+                        Err(reason) => tracing::warn!(%reason, "gRPC's old file stays"),
                     }
                 }
             }
@@ -424,9 +424,9 @@
         closing.notify_one();
         second.notify_one();
         third.notify_one();
-        tokio::time::sleep(span(KEEP_IDLE_MS)).await;
+        tokio::time::sleep(duration_from_ms(KEEP_IDLE_MS)).await;
     } else {
-        tokio::time::sleep(span(ACCEPT_ON_MS)).await;
+        tokio::time::sleep(duration_from_ms(ACCEPT_ON_MS)).await;
         closing.notify_one();
         second.notify_one();
         third.notify_one();
@@ -440,9 +440,9 @@
     stop.begin();
     let busy = || router.as_ref().map_or(0, |(router, _)| router.busy()) + stop.holds();
     // A moment for connections that the machine had accepted and this process not yet.
-    tokio::time::sleep(span(4.0 * STOP_LOOK_MS)).await;
+    tokio::time::sleep(duration_from_ms(4.0 * STOP_LOOK_MS)).await;
     while (busy() > 0 || host.with(|engine| engine.owed()) > 0) && host.clock.now() < until {
-        tokio::time::sleep(span(STOP_LOOK_MS)).await;
+        tokio::time::sleep(duration_from_ms(STOP_LOOK_MS)).await;
     }
     print_counters(&host);
     Ok(())
@@ -476,7 +476,7 @@
     stop: &Rc<Stop>,
 ) -> Result<PoorEdge, ServeError> {
     let l = &config.limits;
-    let field = |name| move |why| ServeError::Field(name, why);
+    let field = |name| move |reason| ServeError::Field(name, reason);
     let keeper = Keeper::new(host.clone(), config.shelf());
     let sessions = config.sessions().map_err(field("session_keys"))?;
     let limits =
@@ -541,14 +541,14 @@
         Ok((address, settings)) => {
             host.with(|engine| {
                 engine.counters.reloads += 1;
-                engine.retune(settings);
+                engine.reconfigure(settings);
             });
             let moved = bulletin.send_if_modified(|old| std::mem::replace(old, address) != address);
             tracing::info!(bulletin = %address, moved, "configuration read again");
         }
-        Err(why) => {
+        Err(reason) => {
             host.with(|engine| engine.counters.reload_faults += 1);
-            tracing::warn!(%why, "the old configuration stays");
+            tracing::warn!(%reason, "the old configuration stays");
         }
     }
 }
@@ -557,10 +557,10 @@
 pub fn read_admission_again(host: &Rc<Executor>, door: &AdmissionConfig) {
     match door.again() {
         Ok(fresh) => {
-            host.with_admission(|gate| gate.retune(fresh));
+            host.with_admission(|gate| gate.reconfigure(fresh));
             tracing::info!(file = %door.path.display(), "the door's file read again");
         }
-        Err(why) => tracing::warn!(%why, "the door's old file stays"),
+        Err(reason) => tracing::warn!(%reason, "the door's old file stays"),
     }
 }
 
@@ -586,7 +586,7 @@
                     tracing::warn!(%at, "the address is in use; most likely by a process that is ending");
                 }
                 tries -= 1;
-                tokio::time::sleep(span(IN_USE_LOOK_MS)).await;
+                tokio::time::sleep(duration_from_ms(IN_USE_LOOK_MS)).await;
             }
             opened => return opened.map_err(|e| ServeError::System(format!("listen on {at}"), e)),
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -61,7 +61,7 @@
     /// the file of the door's fair queues; without it every request goes to the engine at once
     #[argh(option)]
     door: Option<PathBuf>,
-    /// the file of the registry client; without it the members come from the bulletin
+    /// the file of the registry client; without it the endpoints come from the bulletin
     #[argh(option)]
     registry: Option<PathBuf>,
     /// the file of gRPC pass-through; without it there is no such front
@@ -289,8 +289,8 @@
     if (200..300).contains(&answer.status) {
         return Ok(text);
     }
-    let why = from_json::<Fault>(&answer.body).map_or(text, |fault| fault.error);
-    Err(format!("{at} answered {}: {why}", answer.status))
+    let reason = from_json::<Fault>(&answer.body).map_or(text, |fault| fault.error);
+    Err(format!("{at} answered {}: {reason}", answer.status))
 }
 
 fn purge(command: PurgeCommand) -> Result<(), String> {
@@ -315,10 +315,10 @@
             for record in &records {
                 println!("{}", simd_json::to_string(record).map_err(|e| e.to_string())?);
             }
-            if let Some((at, why)) = fault {
+            if let Some((at, reason)) = fault {
                 let at = at + MAGIC.len();
                 return Err(format!(
-                    "{}: {} records whole; at byte {at}: {why}",
+                    "{}: {} records whole; at byte {at}: {reason}",
                     log.file.display(),
                     records.len()
                 ));
--- a/src/message_auth.rs
+++ b/src/message_auth.rs
@@ -9,9 +9,9 @@
 /// Bytes of a tag.
 pub const TAG: usize = 32;
 /// The shortest key, in bytes.
-const KEY_LEAST: usize = 32;
+const MIN_KEY: usize = 32;
 /// Keys at once at the most: the one that signs, and those on their way out or in.
-const KEYS_MOST: usize = 4;
+const MAX_KEYS: usize = 4;
 
 /// Keys: the first signs, all are accepted.
 #[derive(Clone)]
@@ -30,13 +30,13 @@
         let mut keys = Vec::new();
         for (k, line) in lines.enumerate() {
             let key = STANDARD.decode(line).map_err(|e| format!("key {}: {e}", k + 1))?;
-            if key.len() < KEY_LEAST {
-                return Err(format!("key {}: {} bytes are fewer than {KEY_LEAST}", k + 1, key.len()));
+            if key.len() < MIN_KEY {
+                return Err(format!("key {}: {} bytes are fewer than {MIN_KEY}", k + 1, key.len()));
             }
             keys.push(key);
         }
-        if keys.is_empty() || keys.len() > KEYS_MOST {
-            return Err(format!("{} keys are not within 1 to {KEYS_MOST}", keys.len()));
+        if keys.is_empty() || keys.len() > MAX_KEYS {
+            return Err(format!("{} keys are not within 1 to {MAX_KEYS}", keys.len()));
         }
         Ok(Self(keys))
     }
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,7 +1,8 @@
 //! A request's attempts: their time-outs, which repeats are allowed, the retry budget, and the final answer.
 
 use super::{
-    capacity::CONGESTED, health::MAX_HALF_LIFE, Actions, Attempt, Member, PendingRequest, Reach, Router,
+    capacity::CONGESTED, health::MAX_HALF_LIFE, Actions, Attempt, KnownEndpoint, PendingRequest, Reach,
+    Router,
 };
 use crate::interface::*;
 use crate::stats::{DecayingShare, MeanDeviation};
@@ -41,7 +42,7 @@
     time: MeanDeviation,
     /// Mean sending time, us.
     pub(super) work: f64,
-    /// Answers in time and late ones, of all members together.
+    /// Answers in time and late ones, of all endpoints together.
     pub(super) answers: DecayingShare,
 }
 
@@ -128,8 +129,8 @@
     /// Whether the rule on repeats lets another attempt go to `to`.
     fn may_repeat(&self, now: Micros, req: &PendingRequest, to: EndpointId) -> bool {
         let Some(first) = req.attempts.iter().find(|a| a.may_have_run) else { return true };
-        let (a, b) = (self.members.get(&first.to), self.members.get(&to));
-        let same = |f: fn(&Member) -> u32| a.map(f).zip(b.map(f)).is_some_and(|(x, y)| x == y);
+        let (a, b) = (self.endpoints.get(&first.to), self.endpoints.get(&to));
+        let same = |f: fn(&KnownEndpoint) -> u32| a.map(f).zip(b.map(f)).is_some_and(|(x, y)| x == y);
         let class = &self.set.classes[req.class];
         let scope = match class.key_scope {
             KeyScope::All => true,
@@ -190,7 +191,7 @@
         if let Some(source) = source.filter(|s| *s != to) {
             self.spend(now, source, mean_work);
         }
-        if let Some(m) = self.members.get_mut(&to) {
+        if let Some(m) = self.endpoints.get_mut(&to) {
             m.inflight += 1;
         }
         if let Some(req) = self.requests.get_mut(&id) {
@@ -210,7 +211,7 @@
         a.may_have_run = !outcome.never_ran();
         a.lost = matches!(outcome, AttemptOutcome::ConnectionLost | AttemptOutcome::Malformed);
         let (to, source) = (a.to, a.source.filter(|s| *s != a.to));
-        if let Some(m) = self.members.get_mut(&to) {
+        if let Some(m) = self.endpoints.get_mut(&to) {
             m.inflight = m.inflight.saturating_sub(1);
             m.health.heard = if outcome.is_answer() { now } else { m.health.heard };
         }
@@ -224,7 +225,7 @@
             AttemptOutcome::Served => {
                 let filled = source.filter(|_| cache_status == CacheStatus::Filled);
                 for id in [Some(to), filled].into_iter().flatten() {
-                    self.members.entry(id).and_modify(|m| m.health.run = 0);
+                    self.endpoints.entry(id).and_modify(|m| m.health.run = 0);
                 }
             }
             _ => {}
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -1,7 +1,7 @@
 //! What members, links and the origin bear: room for transfers, load shedding, and slow start's budgets.
 
 use super::{attempts::QUICK_WAY, health::EVIDENCE_HALF_LIFE, placement::COUNT_SPAN};
-use super::{Member, Path, PendingRequest, Reach, Router};
+use super::{KnownEndpoint, Path, PendingRequest, Reach, Router};
 use crate::interface::*;
 use crate::stats::{unit, Pressure};
 
@@ -14,9 +14,9 @@
 const MAX_ROOM: f64 = 16.0;
 /// Least time between two cuts of a cache's room, us: late answers of one cause come together, as in TCP.
 const MIN_ROOM_CUT_GAP: Micros = 500_000;
-/// Part of the stated multiple of a cold member's capacity that all routers together may use.
+/// Part of the stated multiple of a cold endpoint's capacity that all routers together may use.
 const COLD_USE: f64 = 0.5;
-/// Part of a cold member's budget over the rule's window that may be spent at once.
+/// Part of a cold endpoint's budget over the rule's window that may be spent at once.
 const COLD_BURST: f64 = 0.25;
 /// Transfers that the location's mean weighs in a cache's load, so that few at once don't spill by chance.
 const LOAD_DOUBT: f64 = 1.5;
@@ -49,8 +49,8 @@
 const MIN_SHED: f64 = 0.3;
 
 impl Router {
-    /// The part of its capacity that a member surely has by now.
-    pub(super) fn warmth(&self, now: Micros, m: &Member) -> f64 {
+    /// The part of its capacity that an endpoint surely has by now.
+    pub(super) fn warmth(&self, now: Micros, m: &KnownEndpoint) -> f64 {
         let started_at = m.line.started_at.max(m.health.revived);
         if started_at == 0 || m.line.tier == Tier::Origin {
             return 1.0;
@@ -58,15 +58,15 @@
         self.set.cold_start(m.line.tier).capacity(now.saturating_sub(started_at))
     }
 
-    /// Any router's first item would fit a cold member's budget; were all to send theirs at once, the sum
+    /// Any router's first item would fit a cold endpoint's budget; were all to send theirs at once, the sum
     /// would not. So each begins at a random point of the time that its part of the budget takes for one.
     pub(super) fn initial_spent(&mut self) -> f64 {
         self.pace.iter().map(|p| p.work).fold(0.0, f64::max) * self.random.next(3)
     }
 
-    /// Guards the rule on cold starts: whether a cold member's budget has room for `work` more.
+    /// Guards the rule on cold starts: whether a cold endpoint's budget has room for `work` more.
     pub(super) fn budget_allows(&self, now: Micros, id: EndpointId, work: f64) -> bool {
-        let Some(m) = self.members.get(&id) else { return false };
+        let Some(m) = self.endpoints.get(&id) else { return false };
         let warmth = self.warmth(now, m);
         if warmth >= 1.0 {
             return true;
@@ -75,8 +75,8 @@
         m.spent.level(now, pace) + work <= (window as f64 * pace * COLD_BURST).max(work * 1.01)
     }
 
-    /// What this router may ask of a cold member, in us of sending time for each us, and the rule's window.
-    fn budget_pace(&self, m: &Member, warmth: f64) -> (f64, Micros) {
+    /// What this router may ask of a cold endpoint, in us of sending time for each us, and the rule's window.
+    fn budget_pace(&self, m: &KnownEndpoint, warmth: f64) -> (f64, Micros) {
         let cold = self.set.cold_start(m.line.tier);
         let sharers =
             if m.line.tier == Tier::Parent { self.set.fleet_size } else { self.set.local_fleet_size };
@@ -87,28 +87,28 @@
     }
 
     pub(super) fn spend(&mut self, now: Micros, id: EndpointId, work: f64) {
-        let pace = self.members.get(&id).map_or(0.0, |m| self.budget_pace(m, self.warmth(now, m)).0);
-        self.members.entry(id).and_modify(|m| m.spent.add(now, pace, work));
+        let pace = self.endpoints.get(&id).map_or(0.0, |m| self.budget_pace(m, self.warmth(now, m)).0);
+        self.endpoints.entry(id).and_modify(|m| m.spent.add(now, pace, work));
     }
 
     /// Transfers at a cache over what fits there, by this router's own. One of many sees few, by chance: they
     /// are drawn to the location's mean, less a standard deviation (Poisson) of what it does not see.
     pub(super) fn load(&self, now: Micros, id: EndpointId) -> f64 {
-        let Some(m) = self.members.get(&id) else { return f64::MAX };
+        let Some(m) = self.endpoints.get(&id) else { return f64::MAX };
         let fleet_size = f64::from(self.set.local_fleet_size.max(1));
-        let room = |m: &Member| m.room * self.warmth(now, m) / fleet_size;
-        let here = |m: &&Member| m.line.tier == Tier::Cache && m.line.state == EndpointState::Active;
-        let here = || self.members.values().filter(here);
+        let room = |m: &KnownEndpoint| m.room * self.warmth(now, m) / fleet_size;
+        let here = |m: &&KnownEndpoint| m.line.tier == Tier::Cache && m.line.state == EndpointState::Active;
+        let here = || self.endpoints.values().filter(here);
         let out: f64 = here().map(|m| f64::from(m.inflight)).sum();
         let mean = (out * room(m) / here().map(room).sum::<f64>()).max(0.0);
         let sure = 1.0 - (1.0 - 1.0 / fleet_size) / (out + 1.0).sqrt();
         sure * mean * (LOAD_DOUBT + f64::from(m.inflight)) / (LOAD_DOUBT + mean) / room(m)
     }
 
-    /// Learns what a member bears, where weights don't tell: as long as answers come in time, more.
+    /// Learns what an endpoint bears, where weights don't tell: as long as answers come in time, more.
     pub(super) fn learn_room(&mut self, now: Micros, id: EndpointId, late: bool) {
         let load = self.load(now, id);
-        let Some(m) = self.members.get_mut(&id).filter(|_| !self.set.weights_known) else { return };
+        let Some(m) = self.endpoints.get_mut(&id).filter(|_| !self.set.weights_known) else { return };
         // Late answers of a cache that is not even half full are its sources' or its location's link's.
         let cut = late && load >= 0.5 && now >= m.room_cut_at + MIN_ROOM_CUT_GAP;
         m.room_cut_at = if cut { now } else { m.room_cut_at };
@@ -140,7 +140,7 @@
         };
         let good = outcome == Served
             && elapsed <= if write { WRITE_SLOW * latency_objective } else { latency_objective };
-        // A member that does worse than its best peer tells of itself, not of what is behind all of them.
+        // An endpoint that does worse than its best peer tells of itself, not of what is behind all of them.
         let own_fault = || [Some(path.0), path.1].into_iter().flatten().any(|m| self.stands_out(now, m));
         let known = known && (good || !own_fault());
         if write {
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -28,7 +28,7 @@
         };
         let keys = [(Some(req.object), 0), (None, req.group)];
         let purged = keys.iter().filter_map(|k| self.purges.get(k)).max().copied();
-        let heard = self.members.get(&to).map_or(0, |m| m.health.heard);
+        let heard = self.endpoints.get(&to).map_or(0, |m| m.health.heard);
         match purged.filter(|at| heard < at + self.set.purge_completion + PURGE_EXTRA) {
             Some(at) => {
                 let age = now.saturating_sub(at + PURGE_MARGIN).max(1);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -26,8 +26,8 @@
 /// What the host is to do, in order.
 type Actions = Vec<Action>;
 
-/// A member as listed, with what this router has seen of it since that process started.
-struct Member {
+/// An endpoint as listed, with what this router has seen of it since that process started.
+struct KnownEndpoint {
     line: Endpoint,
     health: Health,
     /// Transfers that it is taken to bear at once, and when that was last cut.
@@ -39,7 +39,7 @@
     spent: LeakyBucket,
 }
 
-impl Member {
+impl KnownEndpoint {
     /// Whether it may get new work, as far as the list and probes tell.
     fn able(&self) -> bool {
         self.line.state == EndpointState::Active && !self.health.down
@@ -91,7 +91,7 @@
 pub struct Router {
     set: PolicySettings,
     random: SeededDraws,
-    members: BTreeMap<EndpointId, Member>,
+    endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     /// All parents ever listed, with their weights: an object's home is a place in this order.
     parents: BTreeMap<EndpointId, f64>,
     requests: HashMap<RequestId, PendingRequest>,
@@ -110,7 +110,7 @@
     pub fn new(settings: PolicySettings, seed: u64) -> Self {
         Self {
             random: SeededDraws::new(seed),
-            members: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             parents: BTreeMap::new(),
             requests: HashMap::new(),
             subscribed: false,
@@ -124,7 +124,7 @@
     }
 
     /// Takes other settings. A class at a place of the list that it had keeps what was learned of it.
-    pub fn retune(&mut self, settings: PolicySettings) {
+    pub fn reconfigure(&mut self, settings: PolicySettings) {
         let learned = self.set.classes.iter().zip(&self.pace).map(Some).chain(std::iter::repeat(None));
         let paces = settings.classes.iter().zip(learned).map(|(class, old)| match old {
             Some((same, pace)) if same == class => *pace,
@@ -145,7 +145,7 @@
             Event::ClientDisconnected { id } => self.conclude(*id, actions),
             Event::Timer { token: LIST_TIMER } => actions.push(Action::Watch),
             Event::Timer { token } => self.on_probe_due(*token, actions),
-            Event::HealthChecked { member, outcome } => self.on_probed(now, *member, *outcome, actions),
+            Event::HealthChecked { endpoint, outcome } => self.on_probed(now, *endpoint, *outcome, actions),
             Event::Purged { object, group, ago } => self.on_purged(now, *object, *group, *ago),
         }
     }
@@ -153,12 +153,12 @@
     fn on_members(&mut self, now: Micros, full: bool, entries: &[Endpoint], actions: &mut Actions) {
         if full {
             let listed: BTreeSet<EndpointId> = entries.iter().map(|e| e.id).collect();
-            self.members.retain(|id, _| listed.contains(id));
+            self.endpoints.retain(|id, _| listed.contains(id));
         }
         for e in entries {
             // What is never used is not held: the cost of a decision follows the location, not the fleet.
             if e.state == EndpointState::Removed || e.tier == Tier::RemoteCache {
-                self.members.remove(&e.id);
+                self.endpoints.remove(&e.id);
                 continue;
             }
             let known = self.set.weights_known && e.weight.is_finite() && e.weight > 0.0;
@@ -167,7 +167,7 @@
             if e.tier == Tier::Parent {
                 self.parents.insert(e.id, line.weight);
             }
-            match self.members.get_mut(&e.id).filter(|m| m.line.started_at == e.started_at) {
+            match self.endpoints.get_mut(&e.id).filter(|m| m.line.started_at == e.started_at) {
                 Some(m) => m.line = line,
                 // A new process: what was known of an old one says nothing of it.
                 None => self.add_member(now, line),
@@ -180,14 +180,14 @@
     }
 
     fn add_member(&mut self, now: Micros, line: Endpoint) {
-        let fresh = Member {
+        let fresh = KnownEndpoint {
             health: Health::default(),
             room: line.weight,
             room_cut_at: 0,
-            inflight: self.members.get(&line.id).map_or(0, |m| m.inflight),
+            inflight: self.endpoints.get(&line.id).map_or(0, |m| m.inflight),
             spent: LeakyBucket::new(now, self.initial_spent()),
             line,
         };
-        self.members.insert(fresh.line.id, fresh);
+        self.endpoints.insert(fresh.line.id, fresh);
     }
 }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -4,7 +4,7 @@
 //! over all parents gives its home parent, from which every location's caches fill; a hash of the object
 //! picks the location's cache.
 
-use super::{Member, Path, PendingRequest, Reach, Router};
+use super::{KnownEndpoint, Path, PendingRequest, Reach, Router};
 use crate::interface::*;
 use crate::stats::{mix, rendezvous_first, rendezvous_order, unit};
 
@@ -77,8 +77,8 @@
     }
 
     pub(super) fn origin(&self) -> Option<EndpointId> {
-        let live = |m: &Member| m.line.tier == Tier::Origin && m.line.state == EndpointState::Active;
-        self.members.iter().find(|(_, m)| live(m)).map(|(id, _)| *id)
+        let live = |m: &KnownEndpoint| m.line.tier == Tier::Origin && m.line.state == EndpointState::Active;
+        self.endpoints.iter().find(|(_, m)| live(m)).map(|(id, _)| *id)
     }
 
     /// Where the next attempt goes and what it names as source. Further attempts climb: next cache, next
--- a/src/purge/book.rs
+++ b/src/purge/book.rs
@@ -13,7 +13,7 @@
 use super::active_purges::{Applied, Ledger, Mark, Purge};
 use super::config::{PurgeConfig, Role};
 use super::fanout::{Backoff, FanOut, Heard, Standing};
-use super::log::{LogError, PurgeLog, Record, Snapshot, TailFault, PURGE_RECORD_LEAST};
+use super::log::{LogError, PurgeLog, Record, Snapshot, TailFault, MIN_PURGE_RECORD};
 use super::selector::Selector;
 use super::wire::{Batch, Listing, Submitted};
 use std::collections::BTreeMap;
@@ -218,10 +218,10 @@
     }
 
     /// What a log cut back by corruption may have held is unknown: numbers that may have been given out are
-    /// skipped (at most one for each `PURGE_RECORD_LEAST` bytes that were cut), and every copy given out until now
+    /// skipped (at most one for each `MIN_PURGE_RECORD` bytes that were cut), and every copy given out until now
     /// counts as purged, here and at every target that lacks those numbers.
     fn after_corruption(&mut self, cut: u64, ledger: &mut Ledger, now_ms: f64) -> Result<(), LogError> {
-        let skipped = if self.role == Role::Leader { cut / PURGE_RECORD_LEAST + 1 } else { 0 };
+        let skipped = if self.role == Role::Leader { cut / MIN_PURGE_RECORD + 1 } else { 0 };
         let mark = Mark { seq: self.last + skipped, issued_ms: now_ms.max(self.last_issued_ms) };
         tracing::error!(
             cut, skipped, floor_seq = mark.seq,
@@ -469,12 +469,17 @@
     }
 
     /// A batch to a target failed.
-    pub fn failed(&mut self, target: &str, now_ms: f64, why: &str) {
+    pub fn failed(&mut self, target: &str, now_ms: f64, reason: &str) {
         self.fanout.failed(target, now_ms);
         self.figures.failures += 1;
         let failures = self.fanout.peers().get(target).map_or(0, |p| p.failures);
         if failures == 1 || failures % 20 == 0 {
-            tracing::warn!(target, failures, why, "purges: a target can't be told; it is tried again later");
+            tracing::warn!(
+                target,
+                failures,
+                reason,
+                "purges: a target can't be told; it is tried again later"
+            );
         }
     }
 
--- a/src/purge/config.rs
+++ b/src/purge/config.rs
@@ -110,7 +110,11 @@
         if let Some(state) = &config.state {
             config.state = Some(path.parent().unwrap_or(Path::new("")).join(state));
         }
-        config.check().map_err(|(field, why)| ConfigError::Field { path: path.to_path_buf(), field, why })?;
+        config.check().map_err(|(field, reason)| ConfigError::Field {
+            path: path.to_path_buf(),
+            field,
+            reason,
+        })?;
         Ok(config)
     }
 
@@ -129,7 +133,7 @@
                     format!("{:?}: names are plain, unique and not this proxy's", target.name),
                 ));
             }
-            address(&target.address).map_err(|why| ("targets", why))?;
+            address(&target.address).map_err(|reason| ("targets", reason))?;
         }
         if self.role == Role::Follower && (!self.targets.is_empty() || self.roster_port.is_some()) {
             return Err(("targets", "only the leader tells targets".into()));
--- a/src/purge/driver.rs
+++ b/src/purge/driver.rs
@@ -6,7 +6,7 @@
 use super::config::{PurgeConfig, Role};
 use super::log::LogError;
 use super::wire::{call, from_json, to_json, Ack, Batch, Fault, Submit};
-use crate::clock::span;
+use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::wire::http::{HttpAnswer, HttpRequest};
 use std::cell::RefCell;
@@ -18,9 +18,9 @@
 /// How often what was written without waiting is made lasting, in milliseconds.
 const SYNC_MS: f64 = 1_000.0;
 /// Calls to targets at once: each takes a descriptor, and there may be more targets than those.
-pub const CALLS_MOST: usize = 64;
+pub const MAX_CALLS: usize = 64;
 /// The most purges that `GET /purges/log` gives at once.
-const LIST_MOST: usize = 1_000;
+const MAX_LIST: usize = 1_000;
 
 /// What the calls and the task share.
 pub struct Desk {
@@ -46,7 +46,7 @@
         book: RefCell::new(book),
         config,
         wake: Notify::new(),
-        calls: Semaphore::new(CALLS_MOST),
+        calls: Semaphore::new(MAX_CALLS),
     }))
 }
 
@@ -77,7 +77,7 @@
         let next = desk.book.borrow().next_due().unwrap_or(f64::INFINITY).min(sync_at);
         let next = if leader { next.min(look_at) } else { next };
         tokio::select! {
-            () = tokio::time::sleep(span(next - now)) => {}
+            () = tokio::time::sleep(duration_from_ms(next - now)) => {}
             () = desk.wake.notified() => {}
         }
     }
@@ -85,7 +85,7 @@
 
 async fn send(host: Rc<Executor>, desk: Rc<Desk>, out: Outgoing) {
     let body = to_json(&out.batch);
-    let within = span(desk.config.timeout_ms);
+    let within = duration_from_ms(desk.config.timeout_ms);
     let place = desk.calls.acquire().await;
     let answer = call(out.address, "POST", "/purges/apply", &body, within).await;
     drop(place);
@@ -105,7 +105,7 @@
                 tracing::error!(%error, target = out.target, "purges: an acknowledgement can't be written down");
             }
         }
-        Err(why) => desk.book.borrow_mut().failed(&out.target, now, &why),
+        Err(reason) => desk.book.borrow_mut().failed(&out.target, now, &reason),
     }
     desk.wake.notify_one();
 }
@@ -133,7 +133,7 @@
     let now = host.clock.now();
     let answer = match (request.method.as_str(), path) {
         ("POST", "/purges") => match from_json::<Submit>(&request.body) {
-            Err(why) => fault(400, why),
+            Err(reason) => fault(400, reason),
             Ok(submit) => {
                 let issued = host.with(|engine| {
                     let ledger = &mut engine.guard().expect("a desk has a guard").ledger;
@@ -153,7 +153,7 @@
             }
         },
         ("POST", _) => match from_json::<Batch>(&request.body) {
-            Err(why) => fault(400, why),
+            Err(reason) => fault(400, reason),
             Ok(batch) => {
                 let applied = host.with(|engine| {
                     let ledger = &mut engine.guard().expect("a desk has a guard").ledger;
@@ -171,7 +171,7 @@
         },
         (_, "/purges/log") => {
             let from = number(query, "from").unwrap_or(1);
-            let most = number(query, "most").map_or(LIST_MOST, |m| (m as usize).min(LIST_MOST));
+            let most = number(query, "most").map_or(MAX_LIST, |m| (m as usize).min(MAX_LIST));
             let listing = host.with(|engine| {
                 let ledger = &engine.guard().expect("a desk has a guard").ledger;
                 desk.book.borrow().list(ledger, from, most)
--- a/src/purge/log.rs
+++ b/src/purge/log.rs
@@ -26,13 +26,13 @@
 /// The first bytes of a purge log.
 pub const MAGIC: &[u8; 8] = b"CBPURGE1";
 /// The longest record, in bytes: far above any purge.
-pub const RECORD_MOST: usize = 1 << 20;
+pub const MAX_RECORD: usize = 1 << 20;
 /// The largest file that is read, in bytes.
-pub const FILE_MOST: u64 = 1 << 30;
+pub const MAX_FILE: u64 = 1 << 30;
 /// The fewest bytes of a purge's record: what a lost tail held can't have had more purges than its bytes over this.
-pub const PURGE_RECORD_LEAST: u64 = 40;
+pub const MIN_PURGE_RECORD: u64 = 40;
 /// The most bytes of a purge's record: a torn tail shorter than this is one write that never ended.
-pub const PURGE_RECORD_MOST: u64 = 1_024;
+pub const MAX_PURGE_RECORD: u64 = 1_024;
 
 /// What a log holds, record by record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -108,14 +108,15 @@
     /// Bytes cut off.
     pub cut: u64,
     /// What was wrong.
-    pub why: &'static str,
+    #[serde(rename = "why")]
+    pub reason: &'static str,
 }
 
 impl TailFault {
     /// Whether it is one write that never ended, which nobody heard of: a purge is written down before it is
     /// told. Anything else may have held what was told, and is corruption.
     pub fn is_torn_write(&self) -> bool {
-        matches!(self.why, "a torn record head" | "a torn record") && self.cut <= PURGE_RECORD_MOST
+        matches!(self.reason, "a torn record head" | "a torn record") && self.cut <= MAX_PURGE_RECORD
     }
 }
 
@@ -149,11 +150,11 @@
     let mut records = Vec::new();
     let mut at = 0;
     while at < bytes.len() {
-        let fault = |why| Some((at, why));
+        let fault = |reason| Some((at, reason));
         let Some(head) = bytes.get(at..at + 8) else { return (records, fault("a torn record head")) };
         let length = u32::from_le_bytes(head[..4].try_into().expect("four bytes")) as usize;
         let crc = u32::from_le_bytes(head[4..].try_into().expect("four bytes"));
-        if length == 0 || length > RECORD_MOST {
+        if length == 0 || length > MAX_RECORD {
             return (records, fault("a record's length out of bounds"));
         }
         let Some(body) = bytes.get(at + 8..at + 8 + length) else {
@@ -182,7 +183,7 @@
         let mut file =
             OpenOptions::new().read(true).append(true).create(true).open(path).map_err(io(path, "open"))?;
         let size = file.metadata().map_err(io(path, "stat"))?.len();
-        if size > FILE_MOST {
+        if size > MAX_FILE {
             return Err(LogError::TooLarge(path.to_path_buf()));
         }
         let mut bytes = Vec::with_capacity(size as usize);
@@ -198,14 +199,14 @@
             return Err(LogError::Foreign(path.to_path_buf()));
         }
         let (records, fault) = decode(&bytes[MAGIC.len()..]);
-        let fault = fault.map(|(at, why)| {
+        let fault = fault.map(|(at, reason)| {
             let offset = (MAGIC.len() + at) as u64;
-            TailFault { offset, cut: size - offset, why }
+            TailFault { offset, cut: size - offset, reason }
         });
         let mut log = Self { path: path.to_path_buf(), file, bytes: size };
         if let Some(fault) = &fault {
             tracing::error!(
-                log = %path.display(), offset = fault.offset, cut = fault.cut, why = fault.why,
+                log = %path.display(), offset = fault.offset, cut = fault.cut, reason = fault.reason,
                 kept = records.len(), "purge log: cut back to its last whole record"
             );
             log.file.set_len(fault.offset).map_err(io(path, "truncate"))?;
--- a/src/purge/selector.rs
+++ b/src/purge/selector.rs
@@ -7,7 +7,7 @@
 //!
 //! Patterns are globs whose cost is bounded when they are submitted, never while serving: `*` matches a run of
 //! characters within one step of the name, `?` one character, and a last step `**` all that follows. At most
-//! [`WILDCARDS_MOST`] wildcards and [`PATTERN_MOST`] bytes, so that matching a name costs at most a few hundred
+//! [`MAX_WILDCARDS`] wildcards and [`MAX_PATTERN`] bytes, so that matching a name costs at most a few hundred
 //! steps. Classes of characters, braces and escapes are refused.
 
 use crate::ObjectId;
@@ -16,13 +16,13 @@
 use thiserror::Error;
 
 /// The longest pattern, in bytes.
-pub const PATTERN_MOST: usize = 256;
+pub const MAX_PATTERN: usize = 256;
 /// The most wildcards in a pattern: `*`, `?` and a final `**` count one each.
-pub const WILDCARDS_MOST: usize = 8;
+pub const MAX_WILDCARDS: usize = 8;
 /// The longest tag, in bytes.
-pub const TAG_MOST: usize = 128;
+pub const MAX_TAG: usize = 128;
 /// The highest group number.
-pub const GROUP_MOST: u32 = 65_535;
+pub const MAX_GROUP: u32 = 65_535;
 
 /// Why a selector is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -37,18 +37,18 @@
     #[error("an object is 16 hex digits, not `{0}`")]
     Object(String),
     /// A group that is not a plain number within bounds.
-    #[error("a group is a number from 0 to {GROUP_MOST}, not `{0}`")]
+    #[error("a group is a number from 0 to {MAX_GROUP}, not `{0}`")]
     Group(String),
     /// A tag that is empty, too long or has characters outside letters, digits and `-._~:`.
-    #[error("a tag is 1 to {TAG_MOST} letters, digits or `-._~:`, not `{0}`")]
+    #[error("a tag is 1 to {MAX_TAG} letters, digits or `-._~:`, not `{0}`")]
     Tag(String),
     /// A pattern whose form or cost is out of bounds.
-    #[error("pattern `{pattern}`: {why}")]
+    #[error("pattern `{pattern}`: {reason}")]
     Pattern {
         /// The pattern as given.
         pattern: String,
         /// What is wrong with it.
-        why: &'static str,
+        reason: &'static str,
     },
 }
 
@@ -57,10 +57,10 @@
 pub struct Tag(Box<str>);
 
 impl Tag {
-    /// A tag from its text: 1 to [`TAG_MOST`] letters, digits or `-._~:`.
+    /// A tag from its text: 1 to [`MAX_TAG`] letters, digits or `-._~:`.
     pub fn new(text: &str) -> Result<Self, SelectorError> {
         let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~:".contains(&b);
-        if text.is_empty() || text.len() > TAG_MOST || !text.bytes().all(plain) {
+        if text.is_empty() || text.len() > MAX_TAG || !text.bytes().all(plain) {
             return Err(SelectorError::Tag(text.to_string()));
         }
         Ok(Self(text.into()))
@@ -93,11 +93,11 @@
 impl Glob {
     /// Checks and compiles a pattern.
     pub fn new(text: &str) -> Result<Self, SelectorError> {
-        let fault = |why| Err(SelectorError::Pattern { pattern: text.to_string(), why });
+        let fault = |reason| Err(SelectorError::Pattern { pattern: text.to_string(), reason });
         if text.is_empty() || !text.starts_with('/') {
             return fault("a pattern begins with `/`, as a copy's name does");
         }
-        if text.len() > PATTERN_MOST {
+        if text.len() > MAX_PATTERN {
             return fault("longer than 256 bytes");
         }
         if !text.bytes().all(|b| b.is_ascii_graphic()) {
@@ -129,7 +129,7 @@
             wildcards += wild;
             steps.push(if wild == 0 { Step::Literal((*part).into()) } else { Step::Wild((*part).into()) });
         }
-        if wildcards > WILDCARDS_MOST {
+        if wildcards > MAX_WILDCARDS {
             return fault("more than 8 wildcards");
         }
         Ok(Self { text: text.into(), steps, rest })
@@ -233,7 +233,7 @@
             }
             "group" => {
                 let plain = (1..=5).contains(&value.len()) && value.bytes().all(|b| b.is_ascii_digit());
-                let group = plain.then(|| value.parse::<u32>().ok()).flatten().filter(|g| *g <= GROUP_MOST);
+                let group = plain.then(|| value.parse::<u32>().ok()).flatten().filter(|g| *g <= MAX_GROUP);
                 group.map(Self::Group).ok_or_else(|| SelectorError::Group(value.to_string()))
             }
             "tag" => Tag::new(value).map(Self::Tag),
--- a/src/purge/selector/tests.rs
+++ b/src/purge/selector/tests.rs
@@ -22,7 +22,7 @@
     for text in refused {
         assert!(Glob::new(text).is_err(), "{text:?} was taken");
     }
-    assert!(Glob::new(&format!("/{}", "a".repeat(PATTERN_MOST))).is_err());
+    assert!(Glob::new(&format!("/{}", "a".repeat(MAX_PATTERN))).is_err());
     assert!(Glob::new("/*/*/*/*/*/*/*/*/*").is_err());
     assert!(Glob::new("/*/*/*/*/*/*/*/*").is_ok());
 }
--- a/src/purge/wire.rs
+++ b/src/purge/wire.rs
@@ -21,9 +21,9 @@
 use tokio::net::TcpStream;
 
 /// The largest answer that a call reads, in bytes.
-pub const ANSWER_MOST: usize = 4 << 20;
+pub const MAX_ANSWER: usize = 4 << 20;
 /// The largest body of a purge call that a proxy takes, in bytes: a batch of 256 purges of the longest kind.
-pub const CALL_MOST: usize = 262_144;
+pub const MAX_CALL: usize = 262_144;
 
 /// A purge to issue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -152,7 +152,7 @@
                 return Ok(answer);
             }
             answer.extend_from_slice(&chunk[..n]);
-            if answer.len() > ANSWER_MOST {
+            if answer.len() > MAX_ANSWER {
                 return Err(std::io::Error::other("too large"));
             }
             if whole(&answer).is_some() {
--- a/src/registry/config.rs
+++ b/src/registry/config.rs
@@ -13,7 +13,7 @@
 pub struct RegistryConfig {
     /// Where the registry's JSON gateway listens.
     pub address: String,
-    /// The prefix under which each member is a key, its value the member's JSON line.
+    /// The prefix under which each endpoint is a key, its value the endpoint's JSON line.
     pub prefix: String,
     /// How long a call may take, in milliseconds.
     #[serde(default = "timeout_ms")]
@@ -38,8 +38,8 @@
     /// Reads and checks the file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let config: Self = read_json(path)?;
-        let field = |field, why: String| ConfigError::Field { path: path.to_path_buf(), field, why };
-        address(&config.address).map_err(|why| field("address", why))?;
+        let field = |field, reason: String| ConfigError::Field { path: path.to_path_buf(), field, reason };
+        address(&config.address).map_err(|reason| field("address", reason))?;
         if config.prefix.is_empty() || config.prefix.len() > 256 {
             return Err(field("prefix", "1 to 256 bytes".into()));
         }
--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -5,7 +5,7 @@
 use super::session::{Session, Step};
 use super::view::{MemberView, Update, ViewFigures};
 use super::wire::{range, RegistryError, Told, Watch};
-use crate::clock::span;
+use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::wire::http::{HttpAnswer, HttpRequest};
 use std::cell::RefCell;
@@ -21,8 +21,9 @@
     pub heard_ms: f64,
     /// When the registry last answered anything, Unix milliseconds.
     pub answered_ms: f64,
-    /// Members held.
-    pub members: usize,
+    /// Endpoints held.
+    #[serde(rename = "members")]
+    pub endpoints: usize,
     /// Watches made.
     pub watches: u64,
     /// Calls and watches that failed.
@@ -34,11 +35,11 @@
 }
 
 fn tell(host: &Rc<Executor>, link: &RefCell<Link>, view: &MemberView, update: Update) {
-    for (key, why) in &update.faults {
-        tracing::error!(key, why, "registry: a member's value can't be read; it stays as it was");
+    for (key, reason) in &update.faults {
+        tracing::error!(key, reason, "registry: a member's value can't be read; it stays as it was");
     }
     for id in &update.drains {
-        tracing::info!(member = %crate::wire::cache_codec::member_text(*id), "registry: a member drains");
+        tracing::info!(endpoint = %crate::wire::cache_codec::endpoint_text(*id), "registry: a member drains");
     }
     let now = host.clock.now();
     if !update.is_empty() {
@@ -46,8 +47,8 @@
         link.borrow_mut().heard_ms = now;
     }
     let mut link = link.borrow_mut();
-    (link.revision, link.members, link.view, link.answered_ms) =
-        (view.revision(), view.members().count(), view.figures, now);
+    (link.revision, link.endpoints, link.view, link.answered_ms) =
+        (view.revision(), view.endpoints().count(), view.figures, now);
 }
 
 fn failed(link: &RefCell<Link>, session: &mut Session, error: &RegistryError) -> f64 {
@@ -61,9 +62,9 @@
     wait
 }
 
-/// Keeps the members from the registry for ever.
+/// Keeps the endpoints from the registry for ever.
 pub async fn keep(host: Rc<Executor>, config: RegistryConfig, link: Rc<RefCell<Link>>, seed: u64) {
-    let (at, within) = (config.at(), span(config.timeout_ms));
+    let (at, within) = (config.at(), duration_from_ms(config.timeout_ms));
     let mut view = MemberView::new();
     let mut session = Session::new(config.backoff, config.stall_ms, seed);
     loop {
@@ -72,7 +73,7 @@
                 Ok((revision, kvs)) => {
                     session.heard();
                     let update = view.read(revision, kvs);
-                    tracing::info!(revision, members = update.targets.len(), "registry: all members read");
+                    tracing::info!(revision, endpoints = update.targets.len(), "registry: all members read");
                     tell(&host, &link, &view, update);
                     continue;
                 }
@@ -90,7 +91,7 @@
                 Err(error) => failed(&link, &mut session, &error),
             },
         };
-        tokio::time::sleep(span(wait)).await;
+        tokio::time::sleep(duration_from_ms(wait)).await;
     }
 }
 
@@ -104,7 +105,7 @@
     at: SocketAddr,
 ) -> Option<RegistryError> {
     loop {
-        let told = match tokio::time::timeout(span(session.stall_ms), watch.next()).await {
+        let told = match tokio::time::timeout(duration_from_ms(session.stall_ms), watch.next()).await {
             Ok(Ok(told)) => told,
             Ok(Err(error)) => return Some(error),
             Err(_) => return Some(RegistryError::Broken(at, "the watch fell silent")),
--- a/src/registry/session.rs
+++ b/src/registry/session.rs
@@ -8,7 +8,7 @@
 /// What the client does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Read every member: nothing is held yet, or the changes since were compacted away.
+    /// Read every endpoint: nothing is held yet, or the changes since were compacted away.
     Read,
     /// Watch for changes from this revision on.
     Watch(i64),
--- a/src/registry/view.rs
+++ b/src/registry/view.rs
@@ -39,18 +39,18 @@
 
 /// Deletions remembered at the most. Beyond them the oldest are forgotten and the floor rises to the newest of
 /// those, so that nothing they guarded against can come back.
-pub const TOMBSTONES_MOST: usize = 4_096;
+pub const MAX_TOMBSTONES: usize = 4_096;
 
 /// What the engine is to hear.
 #[derive(Clone, Debug, Default)]
 pub struct Update {
-    /// Members that are new or changed, and those that are gone (as gone), since the last update.
+    /// Endpoints that are new or changed, and those that are gone (as gone), since the last update.
     pub targets: Vec<Target>,
-    /// The whole list: members absent from it have gone.
+    /// The whole list: endpoints absent from it have gone.
     pub full: bool,
-    /// Members that began to drain, by id.
+    /// Endpoints that began to drain, by id.
     pub drains: Vec<u32>,
-    /// Values that could not be read, by key: their members stay as they were.
+    /// Values that could not be read, by key: their endpoints stay as they were.
     pub faults: Vec<(String, String)>,
 }
 
@@ -76,14 +76,14 @@
     pub stale: u64,
     /// Values that could not be read.
     pub faults: u64,
-    /// Members found changed by a full read after a break: what a watch would have told.
+    /// Endpoints found changed by a full read after a break: what a watch would have told.
     pub found: u64,
 }
 
 /// The view. See the module's page.
 #[derive(Clone, Debug, Default)]
 pub struct MemberView {
-    members: BTreeMap<String, (Target, i64)>,
+    endpoints: BTreeMap<String, (Target, i64)>,
     /// The last revision of each key that is deleted, since the last full read.
     tombstones: BTreeMap<String, i64>,
     /// The revision up to which the view is whole.
@@ -110,9 +110,9 @@
         self.revision
     }
 
-    /// The members held.
-    pub fn members(&self) -> impl Iterator<Item = &Target> {
-        self.members.values().map(|(target, _)| target)
+    /// The endpoints held.
+    pub fn endpoints(&self) -> impl Iterator<Item = &Target> {
+        self.endpoints.values().map(|(target, _)| target)
     }
 
     /// The revision from which a watch is to start, or none where a full read must come first.
@@ -154,19 +154,19 @@
                 Ok(target) => {
                     fresh.insert(kv.key, (target, kv.mod_revision));
                 }
-                Err(why) => {
+                Err(reason) => {
                     self.figures.faults += 1;
-                    // A member that can't be read now stays as it was.
-                    if let Some(old) = self.members.get(&kv.key) {
+                    // An endpoint that can't be read now stays as it was.
+                    if let Some(old) = self.endpoints.get(&kv.key) {
                         fresh.insert(kv.key.clone(), old.clone());
                     }
-                    update.faults.push((kv.key, why));
+                    update.faults.push((kv.key, reason));
                 }
             }
         }
         let was_reading = self.figures.reads > 0;
         for (key, (target, _)) in &fresh {
-            let before = self.members.get(key).map(|(old, _)| lifecycle(old));
+            let before = self.endpoints.get(key).map(|(old, _)| lifecycle(old));
             if before != Some(lifecycle(target)) {
                 self.figures.found += u64::from(was_reading);
                 if lifecycle(target) == "quiescing" {
@@ -174,15 +174,15 @@
                 }
             }
         }
-        let gone = self.members.keys().filter(|key| !fresh.contains_key(*key)).count();
+        let gone = self.endpoints.keys().filter(|key| !fresh.contains_key(*key)).count();
         self.figures.found += if was_reading { gone as u64 } else { 0 };
-        self.members = fresh;
+        self.endpoints = fresh;
         self.tombstones.clear();
         // The read is the truth, also where it stands below what was held.
         (self.revision, self.floor) = (revision, revision);
         self.resync = false;
         self.figures.reads += 1;
-        update.targets = self.members.values().map(|(target, _)| target.clone()).collect();
+        update.targets = self.endpoints.values().map(|(target, _)| target.clone()).collect();
         update
     }
 
@@ -195,7 +195,7 @@
                 Change::Delete { key, revision } => (key.clone(), *revision),
             };
             let held =
-                self.members.get(&key).map(|(_, rev)| *rev).or_else(|| self.tombstones.get(&key).copied());
+                self.endpoints.get(&key).map(|(_, rev)| *rev).or_else(|| self.tombstones.get(&key).copied());
             if at <= self.floor || held.is_some_and(|rev| at <= rev) {
                 self.figures.stale += 1;
                 continue;
@@ -204,21 +204,21 @@
             match change {
                 Change::Put(kv) => match Line::parse(&kv.value) {
                     Ok(target) => {
-                        let was = self.members.get(&key).map(|(old, _)| lifecycle(old).to_string());
+                        let was = self.endpoints.get(&key).map(|(old, _)| lifecycle(old).to_string());
                         if lifecycle(&target) == "quiescing" && was.as_deref() != Some("quiescing") {
                             update.drains.push(target.row.cache);
                         }
                         self.tombstones.remove(&key);
-                        self.members.insert(key, (target.clone(), at));
+                        self.endpoints.insert(key, (target.clone(), at));
                         update.targets.push(target);
                     }
-                    Err(why) => {
+                    Err(reason) => {
                         self.figures.faults += 1;
-                        update.faults.push((key, why));
+                        update.faults.push((key, reason));
                     }
                 },
                 Change::Delete { .. } => {
-                    if let Some((mut target, _)) = self.members.remove(&key) {
+                    if let Some((mut target, _)) = self.endpoints.remove(&key) {
                         target.row.lifecycle = "dead".into();
                         update.targets.push(target);
                     }
@@ -232,13 +232,13 @@
     }
 
     fn forget_old_deletions(&mut self) {
-        if self.tombstones.len() <= TOMBSTONES_MOST {
+        if self.tombstones.len() <= MAX_TOMBSTONES {
             return;
         }
         let mut at: Vec<i64> = self.tombstones.values().copied().collect();
         at.sort_unstable();
         // Half goes at once, so that this is rare.
-        self.floor = self.floor.max(at[at.len() - TOMBSTONES_MOST / 2 - 1]);
+        self.floor = self.floor.max(at[at.len() - MAX_TOMBSTONES / 2 - 1]);
         let floor = self.floor;
         self.tombstones.retain(|_, rev| *rev > floor);
     }
--- a/src/registry/view/tests.rs
+++ b/src/registry/view/tests.rs
@@ -22,7 +22,7 @@
     let update =
         view.changes(12, vec![put(1, "Terminating", 12), put(1, "Terminating", 12), put(1, "Ready", 11)]);
     assert_eq!((update.targets.len(), update.drains.clone()), (1, vec![1]));
-    assert_eq!(view.members().next().unwrap().row.lifecycle, "quiescing");
+    assert_eq!(view.endpoints().next().unwrap().row.lifecycle, "quiescing");
     assert_eq!(view.changes(12, vec![put(2, "Ready", 9)]).targets.len(), 0, "older than the read");
     let gone =
         view.changes(14, vec![Change::Delete { key: "/m/1".into(), revision: 14 }, put(1, "Ready", 13)]);
@@ -50,14 +50,14 @@
     let mut view = MemberView::new();
     view.read(1, Vec::new());
     let mut rev = 1;
-    for id in 0..3 * TOMBSTONES_MOST as u32 {
+    for id in 0..3 * MAX_TOMBSTONES as u32 {
         rev += 2;
         view.changes(rev - 1, vec![put(id % 9_000, "Ready", rev - 1)]);
         view.changes(rev, vec![Change::Delete { key: format!("/m/{}", id % 9_000), revision: rev }]);
-        assert!(view.tombstones.len() <= TOMBSTONES_MOST);
+        assert!(view.tombstones.len() <= MAX_TOMBSTONES);
     }
     let old = view.changes(rev, vec![put(0, "Ready", 2), put(3, "Ready", 8)]);
-    assert_eq!((old.targets.len(), view.members().count()), (0, 0), "a late line raised the dead");
+    assert_eq!((old.targets.len(), view.endpoints().count()), (0, 0), "a late line raised the dead");
 }
 
 #[test]
@@ -82,5 +82,5 @@
     assert_eq!((update.targets.len(), update.faults.len()), (0, 1));
     let update = view.read(12, vec![bad]);
     assert_eq!(update.targets.len(), 1, "the old line stays");
-    assert_eq!(view.members().next().unwrap().row.lifecycle, "live");
+    assert_eq!(view.endpoints().next().unwrap().row.lifecycle, "live");
 }
--- a/src/registry/wire.rs
+++ b/src/registry/wire.rs
@@ -19,11 +19,11 @@
 use tokio::net::TcpStream;
 
 /// The largest answer to a range, in bytes.
-pub const RANGE_MOST: usize = 16 << 20;
+pub const MAX_RANGE: usize = 16 << 20;
 /// The longest line of a watch, in bytes.
-pub const LINE_MOST: usize = 4 << 20;
+pub const MAX_LINE: usize = 4 << 20;
 /// The longest head of an answer, in bytes.
-const HEAD_MOST: usize = 16_384;
+const MAX_HEAD: usize = 16_384;
 
 /// Why a call to the registry failed.
 #[derive(Debug, Error)]
@@ -215,7 +215,7 @@
                 self.buf.drain(..end);
                 return Ok((status, chunked, length));
             }
-            if self.buf.len() > HEAD_MOST {
+            if self.buf.len() > MAX_HEAD {
                 return Err(RegistryError::Garbage(self.addr, "an answer's head is too long".into()));
             }
             self.fill().await?;
@@ -237,13 +237,13 @@
     /// The next chunk's data of a chunked answer; an empty one at its end.
     async fn chunk(&mut self) -> Result<Vec<u8>, RegistryError> {
         let addr = self.addr;
-        let garbage = move |why: &str| RegistryError::Garbage(addr, why.to_string());
+        let garbage = move |reason: &str| RegistryError::Garbage(addr, reason.to_string());
         loop {
             if let Some(end) = self.buf.windows(2).position(|w| w == b"\r\n") {
                 let size = std::str::from_utf8(&self.buf[..end]).map_err(|_| garbage("a chunk's size"))?;
                 let size = usize::from_str_radix(size.split(';').next().unwrap_or("").trim(), 16)
                     .map_err(|_| garbage("a chunk's size"))?;
-                if size > LINE_MOST {
+                if size > MAX_LINE {
                     return Err(garbage("a chunk too large"));
                 }
                 if self.buf.len() >= end + 2 + size + 2 {
@@ -272,7 +272,7 @@
     );
     let read = async {
         let mut answer = Answer::open(addr, request(addr, "/v3/kv/range", &body), within).await?;
-        let mut bytes = answer.body(RANGE_MOST).await?;
+        let mut bytes = answer.body(MAX_RANGE).await?;
         let parsed: RangeAnswer =
             simd_json::from_slice(&mut bytes).map_err(|e| RegistryError::Garbage(addr, e.to_string()))?;
         let kvs = parsed.kvs.into_iter().map(|w| kv(addr, w)).collect::<Result<Vec<_>, _>>()?;
@@ -318,7 +318,7 @@
                 }
                 return parse(addr, &mut line);
             }
-            if self.lines.len() > LINE_MOST {
+            if self.lines.len() > MAX_LINE {
                 return Err(RegistryError::Garbage(addr, "a watch line too long".into()));
             }
             let data = self.answer.chunk().await?;
--- a/src/rules/config.rs
+++ b/src/rules/config.rs
@@ -54,7 +54,7 @@
     pub fn read(path: &Path) -> Result<(Self, Rules), ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        let field = |why: String| ConfigError::Field { path: path.to_path_buf(), field: "rules", why };
+        let field = |reason: String| ConfigError::Field { path: path.to_path_buf(), field: "rules", reason };
         let rules = config.compile().map_err(field)?;
         Ok((config, rules))
     }
@@ -68,8 +68,8 @@
         let mut rules = Rules::default();
         for (k, line) in self.rules.iter().enumerate() {
             let part = |name: &str, text: &str, of| {
-                let why = |e: BadExpression| format!("rule {}, `{name}`: {e}", k + 1);
-                definitions.compile(text, of, self.cost_most).map_err(why)
+                let reason = |e: BadExpression| format!("rule {}, `{name}`: {e}", k + 1);
+                definitions.compile(text, of, self.cost_most).map_err(reason)
             };
             rules.0.push(Rule {
                 when: part("when", &line.when, Type::Bool)?,
--- a/src/rules/evaluator/tests.rs
+++ b/src/rules/evaluator/tests.rs
@@ -1,4 +1,4 @@
-use super::super::type_check::{Definitions, Type, LENGTH_MOST};
+use super::super::type_check::{Definitions, Type, MAX_LENGTH};
 use super::*;
 use proptest::prelude::*;
 
@@ -77,12 +77,12 @@
     // A text that doubles with each line is refused long before it is long.
     let doubling = (0..40).map(|k| format!("let a{} = a{k} + a{k} in ", k + 1)).collect::<String>();
     let text = format!("let a0 = path in {doubling} a40 == path");
-    let why = plain.compile(&text, Type::Bool, u64::MAX).unwrap_err().to_string();
-    assert!(why.contains("length") && why.contains(&LENGTH_MOST.to_string()), "{why}");
+    let reason = plain.compile(&text, Type::Bool, u64::MAX).unwrap_err().to_string();
+    assert!(reason.contains("length") && reason.contains(&MAX_LENGTH.to_string()), "{reason}");
     // So are definitions that call themselves, through whatever others, and calls that multiply.
     let read = |lines: &[&str]| Definitions::read(&lines.iter().map(|l| l.to_string()).collect::<Vec<_>>());
-    let why = read(&["f(n: int) = g(n)", "g(n: int) = f(n) + 1"]).unwrap_err().to_string();
-    assert!(why.contains("calls itself"), "{why}");
+    let reason = read(&["f(n: int) = g(n)", "g(n: int) = f(n) + 1"]).unwrap_err().to_string();
+    assert!(reason.contains("calls itself"), "{reason}");
     assert!(read(&["f(n: int) = f(n)"]).is_err());
     let many: Vec<String> = (0..30)
         .map(|k| {
@@ -93,8 +93,8 @@
             }
         })
         .collect();
-    let why = Definitions::read(&many).unwrap_err().to_string();
-    assert!(why.contains("nodes"), "{why}");
+    let reason = Definitions::read(&many).unwrap_err().to_string();
+    assert!(reason.contains("nodes"), "{reason}");
     for bad in [
         "f",
         "f(x) = 1",
--- a/src/rules/parser.rs
+++ b/src/rules/parser.rs
@@ -4,18 +4,18 @@
 use thiserror::Error;
 
 /// The longest expression, in bytes.
-pub const TEXT_MOST: usize = 4_096;
+pub const MAX_TEXT: usize = 4_096;
 /// How deep expressions may nest.
-pub const DEPTH_MOST: usize = 64;
+pub const MAX_DEPTH: usize = 64;
 
 /// What is wrong with a text, and at which byte.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("at byte {at}: {why}")]
+#[error("at byte {at}: {reason}")]
 pub struct BadSyntax {
     /// Where.
     pub at: usize,
     /// What.
-    pub why: String,
+    pub reason: String,
 }
 
 /// Operators with two sides.
@@ -81,14 +81,14 @@
     ["&&", "||", "==", "!=", "<=", ">=", "<", ">", "+", "-", "!", "(", ")", ",", "=", "|", "&"];
 
 fn tokens(text: &str) -> Result<Vec<(usize, Token)>, BadSyntax> {
-    if text.len() > TEXT_MOST {
-        return Err(BadSyntax { at: TEXT_MOST, why: format!("longer than {TEXT_MOST} bytes") });
+    if text.len() > MAX_TEXT {
+        return Err(BadSyntax { at: MAX_TEXT, reason: format!("longer than {MAX_TEXT} bytes") });
     }
     let (mut at, mut all) = (0, Vec::new());
     while at < text.len() {
         let rest = &text[at..];
         let first = rest.chars().next().expect("not at the end");
-        let bad = |why: &str| Err(BadSyntax { at, why: why.to_string() });
+        let bad = |reason: &str| Err(BadSyntax { at, reason: reason.to_string() });
         let run = |is: fn(char) -> bool| rest.find(|c| !is(c)).unwrap_or(rest.len());
         let (token, n) = match first {
             c if c.is_ascii_whitespace() => {
@@ -163,8 +163,8 @@
         self.tokens[self.next].0
     }
 
-    fn fail<T>(&self, why: String) -> Result<T, BadSyntax> {
-        Err(BadSyntax { at: self.at(), why })
+    fn fail<T>(&self, reason: String) -> Result<T, BadSyntax> {
+        Err(BadSyntax { at: self.at(), reason })
     }
 
     fn take(&mut self) -> Token {
@@ -196,8 +196,8 @@
 
     fn expression(&mut self) -> Result<Tree, BadSyntax> {
         self.depth += 1;
-        if self.depth > DEPTH_MOST {
-            return self.fail(format!("nested deeper than {DEPTH_MOST}"));
+        if self.depth > MAX_DEPTH {
+            return self.fail(format!("nested deeper than {MAX_DEPTH}"));
         }
         let at = self.at();
         let tree = if self.word("if") {
@@ -243,8 +243,8 @@
             left = Tree { at, kind: Kind::Binary(*op, left.into(), right.into()) };
             sides += 1;
             // Long chains nest as well, to the left.
-            if sides > DEPTH_MOST {
-                return self.fail(format!("more than {DEPTH_MOST} operators in a row"));
+            if sides > MAX_DEPTH {
+                return self.fail(format!("more than {MAX_DEPTH} operators in a row"));
             }
         }
         Ok(left)
@@ -253,8 +253,8 @@
     fn unary(&mut self) -> Result<Tree, BadSyntax> {
         let at = self.at();
         self.depth += 1;
-        if self.depth > DEPTH_MOST {
-            return self.fail(format!("nested deeper than {DEPTH_MOST}"));
+        if self.depth > MAX_DEPTH {
+            return self.fail(format!("nested deeper than {MAX_DEPTH}"));
         }
         let tree = if self.sign("!") {
             Tree { at, kind: Kind::Not(self.unary()?.into()) }
--- a/src/rules/parser/tests.rs
+++ b/src/rules/parser/tests.rs
@@ -50,5 +50,5 @@
     ] {
         assert!(parse(&deep).is_err(), "{}", &deep[..20]);
     }
-    assert!(parse(&"a".repeat(TEXT_MOST + 1)).is_err());
+    assert!(parse(&"a".repeat(MAX_TEXT + 1)).is_err());
 }
--- a/src/rules/type_check.rs
+++ b/src/rules/type_check.rs
@@ -3,7 +3,7 @@
 //!
 //! There are no loops; definitions are put in place of their calls, and one that calls itself, through whatever
 //! others, is refused. Each text has a longest length that follows from the bounds of a request, and each node a
-//! greatest cost in steps, about one for a byte that is looked at. What exceeds [`LENGTH_MOST`], [`NODES_MOST`] or the
+//! greatest cost in steps, about one for a byte that is looked at. What exceeds [`MAX_LENGTH`], [`MAX_NODES`] or the
 //! cost that is allowed is refused.
 
 use super::parser::{parse, BadSyntax, Kind, Op, Tree};
@@ -11,15 +11,15 @@
 use thiserror::Error;
 
 /// The longest text that may come about, in bytes.
-pub const LENGTH_MOST: u64 = 65_536;
+pub const MAX_LENGTH: u64 = 65_536;
 /// The most nodes of a program, its definitions put in place.
-pub const NODES_MOST: usize = 4_096;
+pub const MAX_NODES: usize = 4_096;
 /// How deep they may nest: a program's run needs as much of the stack.
-pub const NEST_MOST: usize = 160;
+pub const MAX_NEST: usize = 160;
 /// The longest text that a request brings, in bytes: its whole head.
-const INPUT_MOST: u64 = crate::wire::http::HEAD_MOST as u64;
+const MAX_INPUT: u64 = crate::wire::http::MAX_HEAD as u64;
 /// The longest name of a header.
-const HEADER_MOST: usize = 64;
+const MAX_HEADER: usize = 64;
 
 /// A value's type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,20 +41,20 @@
     #[error("{0}")]
     Syntax(#[from] BadSyntax),
     /// It has no type, or another one than is wanted.
-    #[error("at byte {at}: {why}")]
+    #[error("at byte {at}: {reason}")]
     Type {
         /// Where.
         at: usize,
         /// What.
-        why: String,
+        reason: String,
     },
     /// A definition is none, or can't be used.
-    #[error("definition {name:?}: {why}")]
+    #[error("definition {name:?}: {reason}")]
     Definition {
         /// Its name.
         name: String,
         /// What.
-        why: String,
+        reason: String,
     },
     /// It could grow or cost beyond what is allowed.
     #[error("{what} may come to {came}, above {most}")]
@@ -179,7 +179,8 @@
         let mut all = Self::default();
         for text in texts {
             let head = text.split('(').next().unwrap_or_default().trim().to_string();
-            let bad = |why: &str| BadExpression::Definition { name: head.clone(), why: why.to_string() };
+            let bad =
+                |reason: &str| BadExpression::Definition { name: head.clone(), reason: reason.to_string() };
             let (front, body) = text.split_once('=').ok_or_else(|| bad("`name(x: type) = body`"))?;
             let front = front.trim().strip_suffix(')').and_then(|f| f.split_once('('));
             let (name, list) = front.ok_or_else(|| bad("`name(x: type) = body`"))?;
@@ -205,10 +206,10 @@
             // Each is checked by itself, so that one that nobody calls is no hiding place.
             let mut checker = Checker { all: &all, calling: vec![name.clone()], nodes: 0, nest: 0 };
             let mut scope: Vec<Bound> =
-                definition.parameters.iter().map(|(p, of)| Bound::new(p, *of, INPUT_MOST)).collect();
+                definition.parameters.iter().map(|(p, of)| Bound::new(p, *of, MAX_INPUT)).collect();
             checker.node(&definition.body, &mut scope).map_err(|e| match e {
                 own @ BadExpression::Definition { .. } => own,
-                other => BadExpression::Definition { name: name.clone(), why: other.to_string() },
+                other => BadExpression::Definition { name: name.clone(), reason: other.to_string() },
             })?;
         }
         Ok(all)
@@ -220,8 +221,8 @@
         let mut checker = Checker { all: self, calling: Vec::new(), nodes: 0, nest: 0 };
         let made = checker.node(&tree, &mut Vec::new())?;
         if made.of != want {
-            let why = format!("it gives {:?} where {want:?} is wanted", made.of);
-            return Err(BadExpression::Type { at: tree.at, why });
+            let reason = format!("it gives {:?} where {want:?} is wanted", made.of);
+            return Err(BadExpression::Type { at: tree.at, reason });
         }
         if made.cost > cost_most {
             return Err(BadExpression::Bound { what: "its cost in steps", came: made.cost, most: cost_most });
@@ -286,8 +287,8 @@
 impl Checker<'_> {
     fn node(&mut self, tree: &Tree, scope: &mut Vec<Bound>) -> Result<Made, BadExpression> {
         self.nest += 1;
-        if self.nest > NEST_MOST {
-            let (came, most) = (self.nest as u64, NEST_MOST as u64);
+        if self.nest > MAX_NEST {
+            let (came, most) = (self.nest as u64, MAX_NEST as u64);
             return Err(BadExpression::Bound { what: "its depth", came, most });
         }
         let made = self.one(tree, scope);
@@ -297,12 +298,12 @@
 
     fn one(&mut self, tree: &Tree, scope: &mut Vec<Bound>) -> Result<Made, BadExpression> {
         self.nodes += 1;
-        if self.nodes > NODES_MOST {
-            let (came, most) = (self.nodes as u64, NODES_MOST as u64);
+        if self.nodes > MAX_NODES {
+            let (came, most) = (self.nodes as u64, MAX_NODES as u64);
             return Err(BadExpression::Bound { what: "its nodes", came, most });
         }
         let at = tree.at;
-        let fail = |why: String| Err(BadExpression::Type { at, why });
+        let fail = |reason: String| Err(BadExpression::Type { at, reason });
         let plain = |node, of| Made { node, of, cost: 1, length: 0 };
         let made = match &tree.kind {
             Kind::Bool(value) => plain(Node::Bool(*value), Type::Bool),
@@ -321,7 +322,7 @@
                         "query" => Input::Query,
                         _ => return fail(format!("nothing is named {name:?}")),
                     };
-                    Made { length: INPUT_MOST, ..plain(Node::Input(input), Type::Str) }
+                    Made { length: MAX_INPUT, ..plain(Node::Input(input), Type::Str) }
                 }
             }
             Kind::Call(name, arguments) => self.call(at, name, arguments, scope)?,
@@ -355,8 +356,8 @@
                 Made { node, of: body.of, cost: 1 + value.cost + body.cost, length: body.length }
             }
         };
-        if made.length > LENGTH_MOST {
-            let (came, most) = (made.length, LENGTH_MOST);
+        if made.length > MAX_LENGTH {
+            let (came, most) = (made.length, MAX_LENGTH);
             return Err(BadExpression::Bound { what: "a text's length in bytes", came, most });
         }
         Ok(made)
@@ -365,8 +366,8 @@
     fn want(&mut self, tree: &Tree, of: Type, scope: &mut Vec<Bound>) -> Result<Made, BadExpression> {
         let made = self.node(tree, scope)?;
         if made.of != of {
-            let why = format!("{:?} where {of:?} is wanted", made.of);
-            return Err(BadExpression::Type { at: tree.at, why });
+            let reason = format!("{:?} where {of:?} is wanted", made.of);
+            return Err(BadExpression::Type { at: tree.at, reason });
         }
         Ok(made)
     }
@@ -378,10 +379,10 @@
         arguments: &[Tree],
         scope: &mut Vec<Bound>,
     ) -> Result<Made, BadExpression> {
-        let fail = |why: String| Err(BadExpression::Type { at, why });
+        let fail = |reason: String| Err(BadExpression::Type { at, reason });
         let count = |n: usize| {
-            let why = format!("{name:?} takes {n}, not {}", arguments.len());
-            (arguments.len() == n).then_some(()).ok_or(BadExpression::Type { at, why })
+            let reason = format!("{name:?} takes {n}, not {}", arguments.len());
+            (arguments.len() == n).then_some(()).ok_or(BadExpression::Type { at, reason })
         };
         if name == "header" || name == "has" {
             count(1)?;
@@ -389,14 +390,14 @@
                 return fail(format!("{name:?} takes a header's name in quotes"));
             };
             let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
-            if header.is_empty() || header.len() > HEADER_MOST || !header.bytes().all(plain) {
+            if header.is_empty() || header.len() > MAX_HEADER || !header.bytes().all(plain) {
                 return fail(format!("{header:?} is no header's name in lower case"));
             }
             // Every header's name may be looked at.
-            let cost = 1 + crate::wire::http::HEADERS_MOST as u64 * HEADER_MOST as u64;
+            let cost = 1 + crate::wire::http::MAX_HEADERS as u64 * MAX_HEADER as u64;
             return Ok(match name {
                 "has" => Made { node: Node::Has(header.clone()), of: Type::Bool, cost, length: 0 },
-                _ => Made { node: Node::Header(header.clone()), of: Type::Str, cost, length: INPUT_MOST },
+                _ => Made { node: Node::Header(header.clone()), of: Type::Str, cost, length: MAX_INPUT },
             });
         }
         if name == "try" {
@@ -434,7 +435,7 @@
             let way = self.calling.join(" calls ");
             return Err(BadExpression::Definition {
                 name: name.into(),
-                why: format!("it calls itself: {way} calls {name}"),
+                reason: format!("it calls itself: {way} calls {name}"),
             });
         }
         count(definition.parameters.len())?;
@@ -485,7 +486,7 @@
             }
             (Op::Add | Op::Sub, Type::Int) => made(Node::Sum(op, a, b), Type::Int, cost, 0),
             (Op::Add, Type::Str) => made(Node::Concat(a, b), Type::Str, cost + texts, texts),
-            _ => Err(BadExpression::Type { at, why: format!("{op:?} is not for {of:?}") }),
+            _ => Err(BadExpression::Type { at, reason: format!("{op:?} is not for {of:?}") }),
         }
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -12,7 +12,7 @@
     Ok(Option::<T>::deserialize(d)?.unwrap_or_default())
 }
 
-/// One line of the list of members, as the simulator's wire words it.
+/// One line of the list of endpoints, as the simulator's wire words it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EndpointRecord {
@@ -286,7 +286,7 @@
         targets.iter().try_for_each(|target| self.listing(&target.row).map(|_| ()))
     }
 
-    /// For how long a drained member may still be named, in milliseconds.
+    /// For how long a drained endpoint may still be named, in milliseconds.
     pub fn drain_grace_ms(&self) -> f64 {
         self.rules.drain_grace_us as f64 / 1_000.0
     }
--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -8,13 +8,13 @@
 pub type ConnId = u64;
 
 /// Requests whose attempt on a connection is over that are remembered there.
-const OVER_MOST: usize = 256;
+const MAX_OVER: usize = 256;
 
 /// A connection as the engine sees it.
 #[derive(Debug, Default)]
 pub struct Connection {
-    /// The member at its other end.
-    pub member: EndpointId,
+    /// The endpoint at its other end.
+    pub endpoint: EndpointId,
     /// It has come up.
     pub up: bool,
     /// Nothing new goes onto it; it is closed once nothing is out on it.
@@ -55,14 +55,14 @@
         if self.over.insert(id) {
             self.over_order.push_back(id);
         }
-        while self.over_order.len() > OVER_MOST {
+        while self.over_order.len() > MAX_OVER {
             if let Some(old) = self.over_order.pop_front() {
                 self.over.remove(&old);
             }
         }
     }
 
-    /// Remembers that a request was given up here, and that the member is to be told.
+    /// Remembers that a request was given up here, and that the endpoint is to be told.
     pub fn give_up(&mut self, id: RequestId, text: String) {
         self.drops.push_back(text);
         self.close_to(id);
@@ -72,10 +72,10 @@
 /// How many connections there may be, and how many requests on each.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Connections to all members.
+    /// Connections to all endpoints.
     pub total: usize,
-    /// Connections to one member.
-    pub member: usize,
+    /// Connections to one endpoint.
+    pub endpoint: usize,
     /// Requests on a connection from which on a further one is opened.
     pub spread: usize,
     /// Requests on a connection.
@@ -93,7 +93,7 @@
     Nowhere,
 }
 
-/// All connections to members.
+/// All connections to endpoints.
 #[derive(Debug)]
 pub struct Connections {
     all: BTreeMap<ConnId, Connection>,
@@ -107,20 +107,20 @@
         Self { all: BTreeMap::new(), next: 0, bounds }
     }
 
-    /// Finds a connection to a member for a request, the least busy one first.
-    pub fn place(&mut self, member: EndpointId, id: RequestId, now: f64) -> Place {
-        let mine = || self.all.iter().filter(|(_, c)| c.member == member);
+    /// Finds a connection to an endpoint for a request, the least busy one first.
+    pub fn place(&mut self, endpoint: EndpointId, id: RequestId, now: f64) -> Place {
+        let mine = || self.all.iter().filter(|(_, c)| c.endpoint == endpoint);
         let best = mine().filter(|(_, c)| c.takes(id)).min_by_key(|(k, c)| (c.load(), !c.up, **k));
         let best = best.map(|(k, c)| (*k, c.load()));
         let Bounds { spread, streams, .. } = self.bounds;
         // What is idle and closing ends at once, and counts no more.
         let held = self.all.values().filter(|c| !(c.closing && c.up && c.load() == 0)).count();
-        let room = held < self.bounds.total && mine().count() < self.bounds.member;
+        let room = held < self.bounds.total && mine().count() < self.bounds.endpoint;
         match best {
             Some((conn, load)) if load < streams && (load < spread || !room) => Place::On(conn),
             _ if room => {
                 self.next += 1;
-                let fresh = Connection { member, used_ms: now, read_ms: now, ..Connection::default() };
+                let fresh = Connection { endpoint, used_ms: now, read_ms: now, ..Connection::default() };
                 self.all.insert(self.next, fresh);
                 Place::New(self.next)
             }
@@ -128,10 +128,10 @@
         }
     }
 
-    /// Makes room for a member that has no connection: the one that was idle for longest is to be closed. Guards
+    /// Makes room for an endpoint that has no connection: the one that was idle for longest is to be closed. Guards
     /// a cache that has just started against idle connections to all others holding every place.
-    pub fn evict(&mut self, member: EndpointId) -> Option<ConnId> {
-        if self.all.values().any(|c| c.member == member) {
+    pub fn evict(&mut self, endpoint: EndpointId) -> Option<ConnId> {
+        if self.all.values().any(|c| c.endpoint == endpoint) {
             return None;
         }
         let idle = self.all.iter_mut().filter(|(_, c)| c.up && !c.closing && c.load() == 0);
--- a/src/state/connections/tests.rs
+++ b/src/state/connections/tests.rs
@@ -2,9 +2,9 @@
 
 #[test]
 fn requests_spread_over_connections_up_to_the_bounds() {
-    let mut all = Connections::new(Bounds { total: 3, member: 2, spread: 1, streams: 2 });
-    let mut put = |member, id: u64| {
-        let place = all.place(member, id, 0.0);
+    let mut all = Connections::new(Bounds { total: 3, endpoint: 2, spread: 1, streams: 2 });
+    let mut put = |endpoint, id: u64| {
+        let place = all.place(endpoint, id, 0.0);
         if let Place::On(conn) | Place::New(conn) = place {
             all.get_mut(conn).unwrap().queue.push_back((id, 0));
         }
@@ -21,9 +21,9 @@
 
 #[test]
 fn an_idle_connection_makes_room_for_a_member_without_one() {
-    let mut all = Connections::new(Bounds { total: 2, member: 2, spread: 1, streams: 1 });
-    for (member, used) in [(7, 5.0), (8, 3.0)] {
-        let Place::New(conn) = all.place(member, 1, used) else { panic!() };
+    let mut all = Connections::new(Bounds { total: 2, endpoint: 2, spread: 1, streams: 1 });
+    for (endpoint, used) in [(7, 5.0), (8, 3.0)] {
+        let Place::New(conn) = all.place(endpoint, 1, used) else { panic!() };
         all.get_mut(conn).unwrap().up = true;
     }
     assert_eq!(all.place(9, 1, 9.0), Place::Nowhere);
@@ -37,12 +37,12 @@
 /// Guards against a late answer to the first attempt ending the second.
 #[test]
 fn a_request_given_up_on_a_connection_does_not_go_there_again() {
-    let mut all = Connections::new(Bounds { total: 9, member: 9, spread: 9, streams: 9 });
+    let mut all = Connections::new(Bounds { total: 9, endpoint: 9, spread: 9, streams: 9 });
     let Place::New(conn) = all.place(7, 1, 0.0) else { panic!() };
     all.get_mut(conn).unwrap().give_up(1, String::new());
     assert_eq!(all.place(7, 2, 0.0), Place::On(conn));
     assert_eq!(all.place(7, 1, 0.0), Place::New(conn + 1));
     let c = all.get_mut(conn).unwrap();
-    (10..10 + 2 * OVER_MOST as u64).for_each(|id| c.give_up(id, String::new()));
-    assert_eq!(c.over.len(), OVER_MOST);
+    (10..10 + 2 * MAX_OVER as u64).for_each(|id| c.give_up(id, String::new()));
+    assert_eq!(c.over.len(), MAX_OVER);
 }
--- a/src/state/counters.rs
+++ b/src/state/counters.rs
@@ -13,7 +13,7 @@
     pub shed: u64,
     /// Failed.
     pub errors: u64,
-    /// Attempts written to members.
+    /// Attempts written to endpoints.
     pub tries: u64,
 }
 
@@ -90,17 +90,17 @@
     overdue,
     /// Answers that could not be written whole.
     unwritten,
-    /// Connections opened to members.
+    /// Connections opened to endpoints.
     connections,
-    /// Connections to members that did not come up.
+    /// Connections to endpoints that did not come up.
     connect_failures,
-    /// Connections to members that broke with requests on them.
+    /// Connections to endpoints that broke with requests on them.
     broken,
-    /// Connections to members dropped for what came over them.
+    /// Connections to endpoints dropped for what came over them.
     malformed_members,
-    /// Connections to members dropped because an answer stopped in its middle.
+    /// Connections to endpoints dropped because an answer stopped in its middle.
     stalled_members,
-    /// Connections to members dropped for either.
+    /// Connections to endpoints dropped for either.
     spoilt,
     /// Attempts asked for by the module.
     attempts,
@@ -116,15 +116,15 @@
     attempts_timed_out,
     /// Attempts that no connection had room for.
     attempts_unplaced,
-    /// Members' answers: the bytes, or that the client's copy holds.
+    /// Endpoints' answers: the bytes, or that the client's copy holds.
     member_ok,
-    /// Members' answers: a miss.
+    /// Endpoints' answers: a miss.
     member_miss,
-    /// Members' answers: full.
+    /// Endpoints' answers: full.
     member_full,
-    /// Members' answers: an error.
+    /// Endpoints' answers: an error.
     member_error,
-    /// Members' answers that nobody waited for any more.
+    /// Endpoints' answers that nobody waited for any more.
     member_late,
     /// Links to the bulletin made.
     bulletin_links,
@@ -140,7 +140,7 @@
     reloads,
     /// Configurations read again on SIGHUP that could not be used.
     reload_faults,
-    /// Members taken out of use by hand, or put back.
+    /// Endpoints taken out of use by hand, or put back.
     maintenance,
     /// Events of the bulletin.
     bulletin_events,
--- a/src/state/maintenance.rs
+++ b/src/state/maintenance.rs
@@ -4,10 +4,10 @@
 use crate::EndpointId;
 use std::collections::BTreeMap;
 
-/// How long a return is remembered, in milliseconds: longer than any member takes to be warm.
+/// How long a return is remembered, in milliseconds: longer than any endpoint takes to be warm.
 const BACK_MS: f64 = 120_000.0;
 
-/// The last word on a member.
+/// The last word on an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mark {
     /// It is out of use; else it was put back.
@@ -16,17 +16,17 @@
     pub at_ms: f64,
 }
 
-/// All such words, by member.
+/// All such words, by endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Maintenance(BTreeMap<EndpointId, Mark>);
 
 impl Maintenance {
-    /// Whether a member is out of use.
+    /// Whether an endpoint is out of use.
     pub fn is_out(&self, id: EndpointId) -> bool {
         self.0.get(&id).is_some_and(|mark| mark.out)
     }
 
-    /// Takes a word on a member; tells whether its use changes. A second call that says the same changes nothing, so
+    /// Takes a word on an endpoint; tells whether its use changes. A second call that says the same changes nothing, so
     /// one call back is enough for two calls out. Of two words the later one counts.
     pub fn mark(&mut self, id: EndpointId, mark: Mark) -> bool {
         let old = self.0.get(&id).copied();
@@ -47,13 +47,13 @@
         self.0.iter().map(|(id, mark)| (*id, *mark))
     }
 
-    /// A member's line as this proxy has to take it. Guards the rule on drains: what is out of use drains, whatever
+    /// An endpoint's line as this proxy has to take it. Guards the rule on drains: what is out of use drains, whatever
     /// the list says; and the rule on cold starts: it was restarted meanwhile, so it is cold when it returns.
     pub fn apply(&self, row: &mut EndpointRecord) {
         match self.0.get(&row.cache) {
             Some(mark) if mark.out && row.lifecycle == "live" => row.lifecycle = "quiescing".into(),
             Some(mark) if !mark.out => {
-                row.ready_at_us = row.ready_at_us.max(crate::clock::micros(mark.at_ms));
+                row.ready_at_us = row.ready_at_us.max(crate::clock::micros_from_ms(mark.at_ms));
             }
             _ => {}
         }
--- a/src/state/membership.rs
+++ b/src/state/membership.rs
@@ -8,7 +8,7 @@
 /// The list as last told.
 #[derive(Debug, Default)]
 pub struct Roster {
-    /// Members that are listed, as told, whatever their state.
+    /// Endpoints that are listed, as told, whatever their state.
     listed: HashMap<EndpointId, Target>,
     live: HashMap<EndpointId, SocketAddrV4>,
 }
@@ -28,7 +28,7 @@
         }
     }
 
-    /// A member's line as last told.
+    /// An endpoint's line as last told.
     pub fn listed(&self, id: EndpointId) -> Option<&Target> {
         self.listed.get(&id)
     }
@@ -38,7 +38,7 @@
         self.listed.values()
     }
 
-    /// Takes a list or its changes; tells which members may get nothing new from now on, or have moved.
+    /// Takes a list or its changes; tells which endpoints may get nothing new from now on, or have moved.
     pub fn update(&mut self, full: bool, targets: &[Target]) -> Vec<EndpointId> {
         let before: Vec<(EndpointId, SocketAddrV4)> = self.live.iter().map(|(id, at)| (*id, *at)).collect();
         if full {
@@ -56,7 +56,7 @@
         moved.map(|(id, _)| id).collect()
     }
 
-    /// The address of a member that may get new work.
+    /// The address of an endpoint that may get new work.
     pub fn address(&self, id: EndpointId) -> Option<SocketAddrV4> {
         self.live.get(&id).copied()
     }
--- a/src/state/membership/tests.rs
+++ b/src/state/membership/tests.rs
@@ -25,7 +25,7 @@
     assert_eq!(gone, [3, 4]);
     assert_eq!(roster.address(1), None);
     assert_eq!(roster.address(3).map(|a| a.port()), Some(99));
-    // A new member at the address of one that has gone.
+    // A new endpoint at the address of one that has gone.
     assert!(roster.update(false, &[target(9, "live", 101)]).is_empty());
     assert_eq!(roster.address(9).map(|a| a.port()), Some(101));
 }
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -39,7 +39,7 @@
 /// The one final answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
-    /// The bytes of the part, from a member's answer to this request.
+    /// The bytes of the part, from an endpoint's answer to this request.
     Served {
         /// Tag of the copy, where it has one.
         tag: Option<String>,
--- a/src/stats/timed_share.rs
+++ b/src/stats/timed_share.rs
@@ -14,7 +14,7 @@
 }
 
 /// A share in 0 to 1, all at first, that good outcomes raise and bad ones cut. An outcome counts for the time since
-/// the one before it of its kind, so that the mean share of a fleet does not depend on how many members share the
+/// the one before it of its kind, so that the mean share of a fleet does not depend on how many endpoints share the
 /// same outcomes. `KINDS` kinds of outcomes are timed apart.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedShare<const KINDS: usize> {
--- a/src/vrrp/config.rs
+++ b/src/vrrp/config.rs
@@ -106,7 +106,11 @@
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        config.check().map_err(|(field, why)| ConfigError::Field { path: path.to_path_buf(), field, why })?;
+        config.check().map_err(|(field, reason)| ConfigError::Field {
+            path: path.to_path_buf(),
+            field,
+            reason,
+        })?;
         Ok(config)
     }
 
@@ -115,18 +119,18 @@
         let fresh = Self::read(&self.path)?;
         let same = |c: &Self| (c.listen, c.vrid, c.serve.iter().map(ServeConfig::at).collect::<Vec<_>>());
         if same(&fresh) != same(self) {
-            let why = "`listen`, `vrid` and `serve` need a new process".into();
-            return Err(ConfigError::Field { path: self.path.clone(), field: "listen", why });
+            let reason = "`listen`, `vrid` and `serve` need a new process".into();
+            return Err(ConfigError::Field { path: self.path.clone(), field: "listen", reason });
         }
         Ok(fresh)
     }
 
     fn check(&self) -> Result<(), (&'static str, String)> {
         self.router().check()?;
-        self.keys().map_err(|why| ("key_file", why))?;
+        self.keys().map_err(|reason| ("key_file", reason))?;
         let mut seen = Vec::new();
         for listener in &self.serve {
-            let at = address(&listener.address).map_err(|why| ("serve", why))?;
+            let at = address(&listener.address).map_err(|reason| ("serve", reason))?;
             if !self.addresses.iter().any(|virt| at.ip() == std::net::IpAddr::V4(*virt)) {
                 return Err(("serve", format!("{at} is on none of `addresses`")));
             }
@@ -136,7 +140,7 @@
             seen.push(at);
         }
         for track in &self.track {
-            track.check().map_err(|why| ("track", why))?;
+            track.check().map_err(|reason| ("track", reason))?;
             if self.priority == OWNER && !track.fault {
                 return Err(("track", "the owner's priority is fixed: only `fault` goes with 255".into()));
             }
--- a/src/vrrp/driver.rs
+++ b/src/vrrp/driver.rs
@@ -7,7 +7,7 @@
 use super::message::{Advertisement, STOPS};
 use super::service::{Command, Service};
 use super::track::{standing, Rate, Track, What};
-use crate::clock::span;
+use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::wire::http::{HttpAnswer, HttpRequest};
 use crate::wire::listener::Stop;
@@ -128,7 +128,7 @@
     }
 
     /// Takes the operator file anew: priority, keys, what is tracked, delays. One that can't be used changes nothing.
-    pub fn retune(&self, fresh: VrrpConfig) -> Result<(), String> {
+    pub fn reconfigure(&self, fresh: VrrpConfig) -> Result<(), String> {
         let keys = fresh.keys()?;
         match (&mut *self.seals.borrow_mut(), keys) {
             (Some(seals), Some(keys)) => seals.rekey(keys),
@@ -141,7 +141,7 @@
             Track::counting_as(old.is_some_and(|t| t.bad), spec)
         });
         *tracks = fresh_tracks.collect();
-        self.machine.borrow_mut().retune(fresh.router());
+        self.machine.borrow_mut().reconfigure(fresh.router());
         *self.config.borrow_mut() = fresh;
         self.wake.notify_one();
         Ok(())
@@ -239,21 +239,21 @@
             None => datagram,
             Some(seals) => match seals.open(now, from, datagram) {
                 Ok(message) => message,
-                Err(why) => {
+                Err(reason) => {
                     use super::auth::BadSeal::{Replayed, Skewed};
-                    let old = matches!(why, Replayed | Skewed);
+                    let old = matches!(reason, Replayed | Skewed);
                     self.count(|f| if old { f.replayed += 1 } else { f.unsealed += 1 });
-                    self.complain(from, &why);
+                    self.complain(from, &reason);
                     return None;
                 }
             },
         };
         let ad = match Advertisement::decode(message) {
             Ok(ad) => ad,
-            Err(why) => {
+            Err(reason) => {
                 self.count(|f| f.malformed += 1);
                 self.host.with(|engine| engine.counters.vrrp_malformed += 1);
-                self.complain(from, &why);
+                self.complain(from, &reason);
                 return None;
             }
         };
@@ -272,11 +272,11 @@
     }
 
     /// Says once for each power of two what is wrong with what comes: a peer gone wild must not fill the log.
-    fn complain(&self, from: SocketAddr, why: &dyn std::fmt::Display) {
+    fn complain(&self, from: SocketAddr, reason: &dyn std::fmt::Display) {
         let f = self.figures.get();
         let all = f.malformed + f.unsealed + f.replayed + f.mismatched;
         if all.is_power_of_two() {
-            tracing::warn!(%from, %why, so_far = all, "virtual router: a datagram is not heeded");
+            tracing::warn!(%from, %reason, so_far = all, "virtual router: a datagram is not heeded");
         }
     }
 
@@ -456,7 +456,7 @@
         tokio::select! {
             () = stop.notified() => say.extend(router.machine.borrow_mut().stop()),
             () = router.wake.notified() => look_ms = now,
-            () = tokio::time::sleep(span(due - now)) => {
+            () = tokio::time::sleep(duration_from_ms(due - now)) => {
                 let now = clock.now();
                 say.extend(router.machine.borrow_mut().tick(now));
                 if now >= look_ms {
--- a/src/vrrp/machine.rs
+++ b/src/vrrp/machine.rs
@@ -9,9 +9,9 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// The most other routers: as many proxies as an installation may have, several times over.
-pub const PEERS_MOST: usize = 4_096;
+pub const MAX_PEERS: usize = 4_096;
 /// The most virtual addresses of one router. An advertisement counts them in one byte.
-pub const ADDRESSES_MOST: usize = 16;
+pub const MAX_ADDRESSES: usize = 16;
 
 const CENTISECOND_MS: f64 = 10.0;
 
@@ -89,8 +89,8 @@
         if let Some(far) = all.into_iter().find(|a| !a.ip().is_loopback()) {
             return Err(("peers", format!("{far}: it is carried over loopback only")));
         }
-        if self.peers.is_empty() || self.peers.len() > PEERS_MOST {
-            return Err(("peers", format!("{} are not within 1 to {PEERS_MOST}", self.peers.len())));
+        if self.peers.is_empty() || self.peers.len() > MAX_PEERS {
+            return Err(("peers", format!("{} are not within 1 to {MAX_PEERS}", self.peers.len())));
         }
         if self.vrid == 0 {
             return Err(("vrid", "0 is none".into()));
@@ -101,10 +101,10 @@
         if !(1..=4_095).contains(&self.interval_cs) {
             return Err(("interval_cs", format!("{} is not within 1 to 4095", self.interval_cs)));
         }
-        if self.addresses.is_empty() || self.addresses.len() > ADDRESSES_MOST {
+        if self.addresses.is_empty() || self.addresses.len() > MAX_ADDRESSES {
             return Err((
                 "addresses",
-                format!("{} are not within 1 to {ADDRESSES_MOST}", self.addresses.len()),
+                format!("{} are not within 1 to {MAX_ADDRESSES}", self.addresses.len()),
             ));
         }
         let within = |ms: f64| ms.is_finite() && (0.0..=3_600_000.0).contains(&ms);
@@ -184,7 +184,7 @@
     }
 
     /// Takes other settings; the state stays, and so does the wait that runs.
-    pub fn retune(&mut self, set: Settings) {
+    pub fn reconfigure(&mut self, set: Settings) {
         self.set = set;
     }
 
--- a/src/vrrp/track.rs
+++ b/src/vrrp/track.rs
@@ -28,7 +28,7 @@
 /// The time over which [`What::Refused`] is measured, in milliseconds.
 pub const RATE_MS: f64 = 3_000.0;
 /// Ends below which a share of them says nothing.
-const RATE_LEAST: u64 = 20;
+const MIN_RATE: u64 = 20;
 
 /// One thing that is tracked.
 #[derive(Clone, Debug, Deserialize)]
@@ -155,7 +155,7 @@
         }
         let (_, all_before, those_before) = *self.samples.front()?;
         let (all, those) = (all.saturating_sub(all_before), those.saturating_sub(those_before));
-        (all >= RATE_LEAST).then(|| those as f64 / all as f64)
+        (all >= MIN_RATE).then(|| those as f64 / all as f64)
     }
 }
 
--- a/src/wire/admin.rs
+++ b/src/wire/admin.rs
@@ -1,6 +1,6 @@
 //! The second address, for the platform and its staff: one call on a connection, and a 2xx means yes.
 
-use super::cache_codec::member_id;
+use super::cache_codec::endpoint_id;
 use super::http::{HttpAnswer, HttpRequest};
 use super::listener::{Context, Front, Intake, Limits};
 use crate::engine::executor::Executor;
@@ -12,7 +12,7 @@
 /// Wait for a whole call, in milliseconds.
 const CALL_MS: f64 = 6_000.0;
 /// The longest body of a call; what it says is not looked at.
-const BODY_MOST: usize = 4_096;
+const MAX_BODY: usize = 4_096;
 
 /// Writes maintenance down, so that it outlives this process.
 pub type Keep = Box<dyn Fn(&Rc<Executor>) -> Result<(), std::io::Error>>;
@@ -30,7 +30,7 @@
 impl Manage {
     /// A front that writes maintenance down by `keep`.
     pub fn new(keep: Keep) -> Self {
-        let (connections, body_bytes) = (CALLERS, BODY_MOST);
+        let (connections, body_bytes) = (CALLERS, MAX_BODY);
         let (first_ms, idle_ms, head_ms, body_ms) = (CALL_MS, CALL_MS, CALL_MS, CALL_MS);
         let limits =
             Limits { connections, first_ms, idle_ms, head_ms, body_ms, body_bytes, ..Limits::default() };
@@ -65,7 +65,7 @@
             return HttpAnswer::status(405).with("Allow", allowed);
         }
         match steps[..] {
-            ["pop-caches", id, word] => match member_id(id) {
+            ["pop-caches", id, word] => match endpoint_id(id) {
                 Some(id) => self.maintain(host, id, word == "maint"),
                 None => HttpAnswer::status(404),
             },
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes a member out of use, or puts it back; a yes says that this holds already, and is written down.
+    /// Takes an endpoint out of use, or puts it back; a yes says that this holds already, and is written down.
     fn maintain(&self, host: &Rc<Executor>, id: u32, out: bool) -> HttpAnswer {
         if !host.with(|engine| engine.maintain(id, out)) {
             return HttpAnswer::status(404);
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -8,9 +8,9 @@
 use tokio_util::codec::{Decoder, Encoder};
 
 /// The longest line that a pop cache may send.
-pub const LINE_MOST: usize = 4_096;
+pub const MAX_LINE: usize = 4_096;
 /// The largest body that a pop cache may send: the largest object.
-pub const BODY_MOST: usize = 240_000;
+pub const MAX_BODY: usize = 240_000;
 
 /// How a pop cache ended a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     pub tag: Option<String>,
     /// The Unix millisecond at which the origin gave out this copy.
     pub born: Option<f64>,
-    /// The copy's surrogate keys, where the member tells them (`tags=a+b`, boxes that take fleet purges).
+    /// The copy's surrogate keys, where the endpoint tells them (`tags=a+b`, boxes that take fleet purges).
     pub tags: Vec<Tag>,
     /// What it says of the path it took; none where it says nothing that is known.
     pub note: Option<PathNote>,
@@ -92,13 +92,13 @@
     Drop(String),
 }
 
-/// The text of a member's id.
-pub fn member_text(id: u32) -> String {
+/// The text of an endpoint's id.
+pub fn endpoint_text(id: u32) -> String {
     format!("s-{id:08x}")
 }
 
-/// A member's id from its text.
-pub fn member_id(text: &str) -> Option<u32> {
+/// An endpoint's id from its text.
+pub fn endpoint_id(text: &str) -> Option<u32> {
     let digits = text.strip_prefix("s-")?;
     (digits.len() == 8 && digits.bytes().all(|b| b.is_ascii_hexdigit()))
         .then(|| u32::from_str_radix(digits, 16).ok())?
@@ -152,7 +152,7 @@
             return Err(WireError::Malformed("too many words"));
         }
         let length: usize = length.parse().map_err(|_| WireError::Malformed("an answer's length"))?;
-        if length > BODY_MOST {
+        if length > MAX_BODY {
             return Err(WireError::TooLarge("an answer's body"));
         }
         let (mut tag, mut born, mut tags, mut note) = (None, None, Vec::new(), None);
@@ -204,13 +204,13 @@
             let from = self.searched.saturating_sub(1);
             let Some(end) = buf[from..].windows(2).position(|w| w == b"\r\n").map(|k| from + k) else {
                 self.searched = buf.len();
-                if buf.len() > LINE_MOST {
+                if buf.len() > MAX_LINE {
                     return Err(WireError::TooLarge("a line"));
                 }
                 return Ok(None);
             };
             self.searched = 0;
-            if end > LINE_MOST {
+            if end > MAX_LINE {
                 return Err(WireError::TooLarge("a line"));
             }
             let line = buf.split_to(end + 2);
@@ -256,7 +256,7 @@
             field("i", key);
         }
         if let Some(source) = get.source {
-            field("next", &member_text(source));
+            field("next", &endpoint_text(source));
         }
         if get.keep > 0 {
             field("admit", &get.keep.to_string());
--- a/src/wire/cache_codec/tests.rs
+++ b/src/wire/cache_codec/tests.rs
@@ -47,7 +47,7 @@
 /// Guards against a pop cache whose bytes can't be read: the connection ends, nothing is guessed.
 #[test]
 fn what_is_malformed_or_too_large_is_an_error() {
-    let long = vec![b'x'; LINE_MOST + 10];
+    let long = vec![b'x'; MAX_LINE + 10];
     let bad: [&[u8]; 9] = [
         b"nonsense\r\n",
         b"000000000000000a WHAT - 0\r\n",
@@ -133,8 +133,8 @@
 
 #[test]
 fn ids_and_values_are_checked() {
-    assert_eq!(member_id("s-00c41f7a"), Some(0xc41f7a));
-    assert_eq!(member_id("s-0c41f7a"), None);
+    assert_eq!(endpoint_id("s-00c41f7a"), Some(0xc41f7a));
+    assert_eq!(endpoint_id("s-0c41f7a"), None);
     assert_eq!(hex16("+000000000000001"), None);
     assert!(is_value("4be0") && !is_value("a,b") && !is_value("a b") && !is_value(""));
 }
--- a/src/wire/cache_connection.rs
+++ b/src/wire/cache_connection.rs
@@ -2,7 +2,7 @@
 
 use super::cache_codec::{hex16, Command, LineCodec};
 use super::WireError;
-use crate::clock::span;
+use crate::clock::duration_from_ms;
 use crate::engine::executor::{ConnectionDriver, Dial, Executor};
 use crate::engine::Next;
 use crate::state::connections::ConnId;
@@ -18,7 +18,7 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Encoder, FramedRead};
 
-/// How long one write may take, in milliseconds: a member that reads nothing for so long is as good as gone.
+/// How long one write may take, in milliseconds: an endpoint that reads nothing for so long is as good as gone.
 const WRITE_MS: f64 = 2_000.0;
 
 /// How long, in milliseconds, what came before a connection broke is still read: the machine holds it already.
@@ -28,7 +28,7 @@
 /// its middle between two looks will not go on, and neither will those that wait behind it.
 const STALL_LOOK_MS: f64 = 200.0;
 
-/// Speaks the pop caches' protocol to members.
+/// Speaks the pop caches' protocol to endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheDriver;
 
@@ -41,7 +41,7 @@
 /// Connects, writes what the engine has and hands it what comes, until either side ends.
 async fn drive(executor: &Rc<Executor>, dial: Dial) {
     let Dial { conn, address, within_ms, waker } = dial;
-    let stream = match timeout(span(within_ms), TcpStream::connect(address)).await {
+    let stream = match timeout(duration_from_ms(within_ms), TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return executor.with(|engine| engine.connect_failed(conn, is_local(&error))),
         Err(_) => return executor.with(|engine| engine.connect_failed(conn, false)),
@@ -57,7 +57,7 @@
         end = write(executor, conn, sink, &waker) => match end {
             Ok(()) => Ok(()),
             // Guards answers that came whole before the connection broke: what they answer has not been lost.
-            Err(broken) => match timeout(span(LAST_READ_MS), &mut reading).await {
+            Err(broken) => match timeout(duration_from_ms(LAST_READ_MS), &mut reading).await {
                 Ok(Err(error)) => Err(error),
                 Ok(Ok(())) | Err(_) => Err(broken),
             },
@@ -69,9 +69,9 @@
                 engine.counters.malformed_members += 1;
                 engine.counters.malformed_members
             });
-            // Guards the log against members that spoil all they send: each doubling is told.
+            // Guards the log against endpoints that spoil all they send: each doubling is told.
             if told.is_power_of_two() {
-                tracing::warn!(member = %address, %error, told, "a member's connection failed");
+                tracing::warn!(endpoint = %address, %error, told, "a member's connection failed");
             }
             executor.with(|engine| engine.spoilt(conn));
         }
@@ -97,7 +97,7 @@
     // How much of an answer was there at the last look.
     let mut held = None;
     loop {
-        match timeout(span(STALL_LOOK_MS), source.next()).await {
+        match timeout(duration_from_ms(STALL_LOOK_MS), source.next()).await {
             Ok(Some(reply)) => {
                 let reply = reply?;
                 held = None;
@@ -140,12 +140,12 @@
         codec.encode(command, &mut bytes)?;
         match (sink.try_write(&bytes), request) {
             (Ok(written), _) => drop(bytes.split_to(written)),
-            // Guards the rules on drains, leavings and deadlines against a member that reads nothing: what has no byte
+            // Guards the rules on drains, leavings and deadlines against an endpoint that reads nothing: what has no byte
             // out yet goes back, and is looked at again when there is room for it.
             (Err(error), Some(request)) if error.kind() == ErrorKind::WouldBlock => {
                 bytes.clear();
                 executor.with(|engine| engine.unwritten(conn, request));
-                match timeout(span(WRITE_MS), sink.writable()).await {
+                match timeout(duration_from_ms(WRITE_MS), sink.writable()).await {
                     Ok(room) => room?,
                     Err(_) => return Ok(()),
                 }
@@ -154,7 +154,7 @@
             (Err(error), _) if error.kind() == ErrorKind::WouldBlock => {}
             (Err(error), _) => return Err(error.into()),
         }
-        match timeout(span(WRITE_MS), sink.write_all_buf(&mut bytes)).await {
+        match timeout(duration_from_ms(WRITE_MS), sink.write_all_buf(&mut bytes)).await {
             Ok(written) => written?,
             Err(_) => return Ok(()),
         }
--- a/src/wire/client_connection.rs
+++ b/src/wire/client_connection.rs
@@ -1,9 +1,9 @@
 //! A client's connection over TCP as one piece: what is read, whether the client has left, what is written, and the
 //! one way in which a connection ends.
 
-use super::http::{BadRequest, HttpAnswer, HttpCodec, HttpRequest, Phase, HEAD_MOST, INLINE_MOST};
+use super::http::{BadRequest, HttpAnswer, HttpCodec, HttpRequest, Phase, MAX_HEAD, MAX_INLINE};
 use super::WireError;
-use crate::clock::span;
+use crate::clock::duration_from_ms;
 use futures_util::{FutureExt, SinkExt, StreamExt};
 use std::future::Future;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -12,10 +12,10 @@
 use tokio_util::codec::{Decoder, Framed};
 
 /// What is held of a client that goes on sending while its request is open, in bytes.
-pub const AHEAD_MOST: usize = HEAD_MOST;
+pub const MAX_AHEAD: usize = MAX_HEAD;
 /// How often a client that goes on sending is looked at before its request is taken: the machine holds some hundreds of
 /// kilobytes of one that nobody read yet, and a look takes in as many.
-const LOOKS_MOST: u32 = 64;
+const MAX_LOOKS: u32 = 64;
 /// How long, in milliseconds, what a client still sends after the end is taken in (lingering close).
 const LINGER_MS: f64 = 1_500.0;
 /// How much is read at once while nothing is decoded, in bytes.
@@ -38,7 +38,7 @@
 
 impl Link {
     /// A connection that was just accepted. Small writes leave at once (`TCP_NODELAY`). What clients send ahead of an
-    /// answer beyond [`AHEAD_MOST`] is thrown away. Where they do not pipeline, the connection ends with that answer;
+    /// answer beyond [`MAX_AHEAD`] is thrown away. Where they do not pipeline, the connection ends with that answer;
     /// where they do, with the answer to the last request that is held whole.
     pub fn new(stream: TcpStream, codec: HttpCodec, pipelines: bool) -> Self {
         let _ = stream.set_nodelay(true);
@@ -102,7 +102,7 @@
     fn hold(&mut self, bytes: &[u8]) {
         self.came_ahead += bytes.len() as u64;
         let ahead = self.framed.read_buffer_mut();
-        if !self.overrun && ahead.len() + bytes.len() <= AHEAD_MOST {
+        if !self.overrun && ahead.len() + bytes.len() <= MAX_AHEAD {
             ahead.extend_from_slice(bytes);
             return;
         }
@@ -115,7 +115,7 @@
     /// Whether the client has left by now, as far as the machine has been told: what waited for its place may have
     /// come from one that is long gone. Its end may stand behind more than one look takes in.
     pub async fn has_left(&mut self) -> bool {
-        for _ in 0..LOOKS_MOST {
+        for _ in 0..MAX_LOOKS {
             // What came together with the request is told at the machine's next turn.
             tokio::task::yield_now().await;
             let before = self.came_ahead;
@@ -131,7 +131,7 @@
 
     /// Writes an answer whole, within `ms` milliseconds.
     pub async fn write(&mut self, answer: HttpAnswer, ms: f64) -> Result<(), WireError> {
-        let body = Some(answer.wire_body()).filter(|body| body.len() > INLINE_MOST);
+        let body = Some(answer.wire_body()).filter(|body| body.len() > MAX_INLINE);
         let all = async {
             self.framed.send(answer).await?;
             if let Some(body) = body {
@@ -140,7 +140,7 @@
             Ok(())
         };
         let late = |_| Err(WireError::Socket(std::io::ErrorKind::TimedOut.into()));
-        timeout(span(ms), all).await.unwrap_or_else(late)
+        timeout(duration_from_ms(ms), all).await.unwrap_or_else(late)
     }
 
     /// Ends the connection: nothing more is sent, and what the client still sends is taken in unread, so that no
@@ -155,7 +155,7 @@
         let drain = async { while matches!(stream.read(&mut scrap).await, Ok(1..)) {} };
         tokio::select! {
             biased;
-            _ = timeout(span(LINGER_MS), drain) => {}
+            _ = timeout(duration_from_ms(LINGER_MS), drain) => {}
             () = sooner => {}
         }
     }
