--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::discovery_codec::FrameCodec;
 use super::WireError;
-use crate::clock::span;
+use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use futures_util::{SinkExt, StreamExt};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 /// is taken off every wait.
 const AGAIN_MOST_MS: f64 = 240.0;
 /// How often the same frame may fail before it is skipped: one that was garbled on its way comes whole the next time.
-const SAME_FRAME_MOST: u32 = 3;
+const MAX_SAME_FRAME: u32 = 3;
 
 /// How far the links have come, over all of them.
 #[derive(Default)]
@@ -85,7 +85,7 @@
         tokio::select! {
             biased;
             Ok(()) = async { address.changed().await.map(|()| address.mark_changed()) } => {}
-            () = sleep(span(wait_ms)) => {}
+            () = sleep(duration_from_ms(wait_ms)) => {}
         }
     }
 }
@@ -93,24 +93,26 @@
 async fn follow(host: &Rc<Executor>, address: SocketAddr, progress: &mut Progress) -> Result<(), WireError> {
     let silent = || WireError::Socket(std::io::ErrorKind::TimedOut.into());
     progress.vain += 1;
-    let stream = timeout(span(CONNECT_MS), TcpStream::connect(address)).await.map_err(|_| silent())??;
+    let stream =
+        timeout(duration_from_ms(CONNECT_MS), TcpStream::connect(address)).await.map_err(|_| silent())??;
     let _ = stream.set_nodelay(true);
     let mut link = Framed::new(stream, FrameCodec);
     let last = host.with(|engine| {
         engine.counters.bulletin_links += 1;
         engine.last_no()
     });
-    timeout(span(CONNECT_MS), link.send(last)).await.map_err(|_| silent())??;
+    timeout(duration_from_ms(CONNECT_MS), link.send(last)).await.map_err(|_| silent())??;
     let silence_ms = SILENCE_MS.0 + (SILENCE_MS.1 - SILENCE_MS.0) * rand::random::<f64>();
     loop {
-        let Some(frame) = timeout(span(silence_ms), link.next()).await.map_err(|_| silent())? else {
+        let Some(frame) = timeout(duration_from_ms(silence_ms), link.next()).await.map_err(|_| silent())?
+        else {
             return Ok(());
         };
         let frame = frame?;
         let (no, last) = (frame.no, host.with(|engine| engine.last_no()));
         // Guards against a number that was garbled, after which all that follows would count as old, and against events
         // that got lost: the numbers follow each other. One that stays is taken, and what is missing is missing.
-        if frame.kind != 0 && no > last + 1 && progress.stuck(no) < SAME_FRAME_MOST {
+        if frame.kind != 0 && no > last + 1 && progress.stuck(no) < MAX_SAME_FRAME {
             host.with(|engine| engine.counters.bulletin_gaps += 1);
             return Err(WireError::Malformed("a gap in the events' numbers"));
         }
@@ -123,7 +125,7 @@
                     engine.skip_to(if frame.kind == 0 { 0 } else { no });
                 });
             }
-            Err(error) if no > last && progress.stuck(no) < SAME_FRAME_MOST => {
+            Err(error) if no > last && progress.stuck(no) < MAX_SAME_FRAME => {
                 // Guards the rule on drains: one that stands beside what can't be read was told all the same.
                 host.with(|engine| engine.hear_part(frame.readable(&engine.env())));
                 return Err(error);
--- a/src/wire/discovery_codec.rs
+++ b/src/wire/discovery_codec.rs
@@ -1,6 +1,6 @@
 //! The bulletin's frames, and the same events as JSON in the configuration.
 
-use super::cache_codec::{hex16, member_id};
+use super::cache_codec::{endpoint_id, hex16};
 use super::WireError;
 use crate::settings::{EndpointRecord, PlatformSettings};
 use bytes::{Buf, BufMut, BytesMut};
@@ -9,10 +9,10 @@
 use tokio_util::codec::{Decoder, Encoder};
 
 /// The longest frame: some thousands of records.
-pub const FRAME_MOST: usize = 262_144;
+pub const MAX_FRAME: usize = 262_144;
 const RECORD: usize = 27;
 
-/// A member with the address at which it listens.
+/// An endpoint with the address at which it listens.
 #[derive(Clone, Debug)]
 pub struct Target {
     /// Its line of the list.
@@ -28,9 +28,9 @@
     Heartbeat,
     /// The list: all of it, or what changed.
     Endpoints {
-        /// Members that are absent have gone.
+        /// Endpoints that are absent have gone.
         full: bool,
-        /// The members.
+        /// The endpoints.
         targets: Vec<Target>,
     },
     /// A purge of an object, or of a group.
@@ -88,7 +88,7 @@
         Ok(Sequenced { no: self.no, news })
     }
 
-    /// The members that can be read in a list or changes of it, whatever stands beside them.
+    /// The endpoints that can be read in a list or changes of it, whatever stands beside them.
     pub fn readable(&self, env: &PlatformSettings) -> Vec<Target> {
         self.records().filter_map(|r| target(r, env).ok()).collect()
     }
@@ -134,7 +134,7 @@
         if length < 9 {
             return Err(WireError::Malformed("a frame's length"));
         }
-        if length > FRAME_MOST {
+        if length > MAX_FRAME {
             return Err(WireError::TooLarge("a frame"));
         }
         if buf.len() < 4 + length {
@@ -191,7 +191,7 @@
     issued: f64,
 }
 
-/// One member as JSON, as the configuration's `known` and a registry's values word it:
+/// One endpoint as JSON, as the configuration's `known` and a registry's values word it:
 /// `{"uid":"s-00c41f7a","endpoint":"10.1.0.9:5050","az":"east","model":"std","pod_group":2,"state":"Ready",
 /// "capacity_hint":4,"boot_ms":0}`.
 #[derive(Clone, Debug, Deserialize)]
@@ -239,16 +239,16 @@
 }
 
 impl Line {
-    /// A member from its JSON; what is wrong, where it can't be used.
+    /// An endpoint from its JSON; what is wrong, where it can't be used.
     pub fn parse(bytes: &[u8]) -> Result<Target, String> {
         let mut bytes = bytes.to_vec();
         let line: Line = simd_json::from_slice(&mut bytes).map_err(|e| e.to_string())?;
         line.target()
     }
 
-    /// The member that it names.
+    /// The endpoint that it names.
     pub fn target(&self) -> Result<Target, String> {
-        let cache = member_id(&self.uid).ok_or_else(|| format!("uid {:?}", self.uid))?;
+        let cache = endpoint_id(&self.uid).ok_or_else(|| format!("uid {:?}", self.uid))?;
         let address = self.endpoint.parse().map_err(|_| format!("endpoint {:?}", self.endpoint))?;
         let lifecycle = match self.state.as_str() {
             "Ready" => "live",
@@ -260,7 +260,7 @@
             zone: self.az.clone(),
             model: self.model.clone(),
             lifecycle: lifecycle.into(),
-            ready_at_us: crate::clock::micros(self.boot_ms),
+            ready_at_us: crate::clock::micros_from_ms(self.boot_ms),
             cache,
             power_hint: self.capacity_hint,
             cohort: self.pod_group,
--- a/src/wire/discovery_codec/tests.rs
+++ b/src/wire/discovery_codec/tests.rs
@@ -60,7 +60,7 @@
         let mut buf = BytesMut::from(&frame(1, kind, payload)[..]);
         assert!(FrameCodec.decode(&mut buf).unwrap().unwrap().event(&env()).is_err(), "{kind}");
     }
-    for length in [8u32, FRAME_MOST as u32 + 1, u32::MAX] {
+    for length in [8u32, MAX_FRAME as u32 + 1, u32::MAX] {
         assert!(FrameCodec.decode(&mut BytesMut::from(&length.to_be_bytes()[..])).is_err());
     }
 }
--- a/src/wire/http.rs
+++ b/src/wire/http.rs
@@ -7,13 +7,13 @@
 use tokio_util::codec::{Decoder, Encoder};
 
 /// The longest head of a request.
-pub const HEAD_MOST: usize = 16_384;
+pub const MAX_HEAD: usize = 16_384;
 /// The most headers of a request.
-pub const HEADERS_MOST: usize = 64;
+pub const MAX_HEADERS: usize = 64;
 
 /// The longest body that is copied behind its head; a longer one is written as it is held, so that an answer
 /// that waits for a slow client is in memory once.
-pub const INLINE_MOST: usize = 4_096;
+pub const MAX_INLINE: usize = 4_096;
 
 /// A request, whole.
 #[derive(Clone, Debug, Default)]
@@ -170,11 +170,11 @@
             return Ok(None);
         }
         self.enter(Phase::Head);
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
         let length = match parsed.parse(buf) {
-            Ok(httparse::Status::Complete(length)) if length <= HEAD_MOST => length,
-            Ok(httparse::Status::Partial) if buf.len() <= HEAD_MOST => return Ok(None),
+            Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD => length,
+            Ok(httparse::Status::Partial) if buf.len() <= MAX_HEAD => return Ok(None),
             Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(BadRequest(431)),
             Err(_) => return Err(BadRequest(400)),
         };
@@ -276,7 +276,7 @@
         }
         head.push_str(if answer.close { "Connection: close\r\n\r\n" } else { "\r\n" });
         let body = answer.wire_body();
-        let inline = if body.len() <= INLINE_MOST { &body[..] } else { &[] };
+        let inline = if body.len() <= MAX_INLINE { &body[..] } else { &[] };
         out.reserve(head.len() + inline.len());
         out.put_slice(head.as_bytes());
         out.put_slice(inline);
--- a/src/wire/http/tests.rs
+++ b/src/wire/http/tests.rs
@@ -29,8 +29,8 @@
 /// Guards against what no honest client sends: each fault has its status, and nothing after it is read.
 #[test]
 fn faults_have_their_status_and_end_the_reading() {
-    let long = format!("GET /{} HTTP/1.1\r\nHost: a\r\n\r\n", "x".repeat(HEAD_MOST));
-    let many = format!("GET / HTTP/1.1\r\nHost: a\r\n{}\r\n", "X: y\r\n".repeat(HEADERS_MOST + 1));
+    let long = format!("GET /{} HTTP/1.1\r\nHost: a\r\n\r\n", "x".repeat(MAX_HEAD));
+    let many = format!("GET / HTTP/1.1\r\nHost: a\r\n{}\r\n", "X: y\r\n".repeat(MAX_HEADERS + 1));
     let cases: [(&str, u16); 12] = [
         ("\x01\x02\x03\r\n\r\n", 400),
         ("GET / HTTP/1.1\r\n\r\n", 400),
@@ -56,8 +56,8 @@
 
 #[test]
 fn an_endless_head_is_not_held() {
-    assert_eq!(first(&vec![b'a'; HEAD_MOST + 1]).unwrap().unwrap_err(), BadRequest(431));
-    assert!(first(&vec![b'a'; HEAD_MOST - 1]).is_none());
+    assert_eq!(first(&vec![b'a'; MAX_HEAD + 1]).unwrap().unwrap_err(), BadRequest(431));
+    assert!(first(&vec![b'a'; MAX_HEAD - 1]).is_none());
 }
 
 #[test]
@@ -94,7 +94,7 @@
         write(HttpAnswer::status(304).with("ETag", "\"x\"")),
         "HTTP/1.1 304 Not Modified\r\nETag: \"x\"\r\n\r\n"
     );
-    let long = HttpAnswer { body: vec![b'x'; INLINE_MOST + 1].into(), ..HttpAnswer::status(200) };
+    let long = HttpAnswer { body: vec![b'x'; MAX_INLINE + 1].into(), ..HttpAnswer::status(200) };
     assert!(write(long).ends_with("Content-Length: 4097\r\n\r\n"), "its body is written by the driver");
     assert!(write(HttpAnswer::closing(400)).contains("Connection: close\r\n"));
 }
--- a/src/wire/keys.rs
+++ b/src/wire/keys.rs
@@ -6,9 +6,9 @@
 use thiserror::Error;
 
 /// The most keys of a set, and the most that a ring still holds after they were rotated out.
-const KEYS_MOST: usize = 64;
+const MAX_KEYS: usize = 64;
 /// The shortest secret, in bytes: RFC 7518 asks as many of HS256 as its hash is long.
-const SECRET_LEAST: usize = 32;
+const MIN_SECRET: usize = 32;
 
 /// What stands before, and between, the numbers of a P-256 key in PKCS #8 (RFC 5208, RFC 5915).
 const P256_HEAD: [u8; 36] = [
@@ -96,7 +96,7 @@
 impl Jwk {
     /// The key, or `None` for a type that this proxy has no use for.
     fn key(&self, place: usize) -> Result<Option<(String, Key)>, KeysError> {
-        let fault = |why| KeysError::Key(place, why);
+        let fault = |reason| KeysError::Key(place, reason);
         let algorithm = match (self.kty.as_str(), self.crv.as_deref()) {
             ("oct", _) => Algorithm::HS256,
             ("EC", Some("P-256")) => Algorithm::ES256,
@@ -110,10 +110,10 @@
             return Err(fault("`alg` is not that of its type"));
         }
         let kid = self.kid.clone().filter(|kid| !kid.is_empty()).ok_or(fault("no `kid`"))?;
-        let part = |text: &Option<String>, why| text.as_deref().and_then(base64url).ok_or(fault(why));
+        let part = |text: &Option<String>, reason| text.as_deref().and_then(base64url).ok_or(fault(reason));
         let key = if algorithm == Algorithm::HS256 {
             let secret = part(&self.k, "`k` is not base64url")?;
-            if secret.len() < SECRET_LEAST {
+            if secret.len() < MIN_SECRET {
                 return Err(fault("`k` is too short"));
             }
             let signing = Some(EncodingKey::from_secret(&secret));
@@ -152,7 +152,7 @@
     }
     match keys.len() {
         0 => Err(KeysError::Count("no key that can be used")),
-        n if n > KEYS_MOST => Err(KeysError::Count("too many keys")),
+        n if n > MAX_KEYS => Err(KeysError::Count("too many keys")),
         _ => Ok(keys),
     }
 }
@@ -182,7 +182,7 @@
                 self.old.push((kid, key, until));
             }
         }
-        let most = self.old.len().saturating_sub(KEYS_MOST);
+        let most = self.old.len().saturating_sub(MAX_KEYS);
         self.old.drain(..most);
     }
 
--- a/src/wire/keys/tests.rs
+++ b/src/wire/keys/tests.rs
@@ -42,5 +42,5 @@
     ring.rotate(set("b", &other).unwrap(), 9_000.0);
     assert_eq!((ring.find("b", 9_500.0).count(), ring.find("b", 10_000.0).count()), (2, 1));
     (0..200).for_each(|k| ring.rotate(set(&format!("k{k}"), K).unwrap(), 9_100.0));
-    assert!(ring.old.len() <= KEYS_MOST);
+    assert!(ring.old.len() <= MAX_KEYS);
 }
--- a/src/wire/listener.rs
+++ b/src/wire/listener.rs
@@ -3,7 +3,7 @@
 
 use super::client_connection::{Link, Read};
 use super::http::{BadRequest, HttpAnswer, HttpCodec, HttpRequest, Phase};
-use crate::clock::span;
+use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::http3::call_registry::{Keeper, Kept};
 use crate::http3::response_store::SessionId;
@@ -104,7 +104,7 @@
     /// Words a final answer.
     fn word(&self, context: &Context, answer: FinalResponse) -> HttpAnswer;
     /// Words that a request could not be taken.
-    fn not_taken(&self, why: AdmitError) -> HttpAnswer;
+    fn not_taken(&self, reason: AdmitError) -> HttpAnswer;
     /// Where calls outlive their connection, who keeps them.
     fn keeper(&self) -> Option<&Rc<Keeper>> {
         None
@@ -184,7 +184,7 @@
                 host.with(|engine| engine.counters.clients_displaced += 1);
                 end.notify_one();
             }
-            let _ = timeout(span(ROOM_LOOK_MS), self.change.notified()).await;
+            let _ = timeout(duration_from_ms(ROOM_LOOK_MS), self.change.notified()).await;
         }
     }
 }
@@ -240,7 +240,7 @@
     loop {
         let accepted = if last {
             // Guards requests on connections that the machine took before the stop: they count as taken.
-            match timeout(span(1.0), listener.accept()).await {
+            match timeout(duration_from_ms(1.0), listener.accept()).await {
                 Ok(accepted) => accepted,
                 Err(_) => return,
             }
@@ -268,7 +268,7 @@
             Err(_) => {
                 // Guards against running out of descriptors: the clients wait, the process goes on.
                 host.with(|engine| engine.counters.accept_failures += 1);
-                tokio::time::sleep(span(ACCEPT_AGAIN_MS)).await;
+                tokio::time::sleep(duration_from_ms(ACCEPT_AGAIN_MS)).await;
             }
         }
     }
@@ -387,7 +387,7 @@
                 }
                 match waited {
                     Waited::Left => return End::Gone,
-                    Waited::AdmitError(why) => front.not_taken(why),
+                    Waited::AdmitError(reason) => front.not_taken(reason),
                     Waited::Answer(answer) => front.word(&context, answer),
                 }
             }
@@ -427,7 +427,7 @@
         tokio::select! {
             // What has come is read before anything else is heeded: a request may cross the end of its place.
             biased;
-            read = timeout(span(look), link.next()) => if let Ok(read) = read {
+            read = timeout(duration_from_ms(look), link.next()) => if let Ok(read) = read {
                 return Ok(read);
             },
             () = stop.wake.notified() => {}
@@ -476,7 +476,7 @@
     let id = ask.id;
     let mut answer = match host.ask(ask) {
         Ok(answer) => answer,
-        Err(why) => return Waited::AdmitError(why),
+        Err(reason) => return Waited::AdmitError(reason),
     };
     // Guards against a panic in this task leaving the request open.
     let mut guard = Leaving { host, id: Some(id) };
@@ -494,7 +494,7 @@
 /// lost, so the call goes on for its time.
 async fn wait_kept(keeper: &Rc<Keeper>, session: SessionId, link: &mut Link, ask: IncomingRequest) -> Waited {
     let (mut answer, hold) = match keeper.ask(session, ask) {
-        Err(why) => return Waited::AdmitError(why),
+        Err(reason) => return Waited::AdmitError(reason),
         Ok(Kept::Now(answer)) => return Waited::Answer(answer),
         Ok(Kept::Wait(answer, hold)) => (answer, hold),
     };
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -15,15 +15,15 @@
 /// ... and the most of it as a share: guards impatient clients against a margin that leaves no time at all.
 const MARGIN_SHARE: f64 = 0.1;
 /// The highest number of a part.
-const PART_MOST: u32 = 65_535;
+const MAX_PART: u32 = 65_535;
 /// The highest number of a group.
-const GROUP_MOST: u32 = 255;
+const MAX_GROUP: u32 = 255;
 /// The longest patience, in milliseconds.
-const PATIENCE_MOST: f64 = 3_600_000.0;
+const MAX_PATIENCE: f64 = 3_600_000.0;
 /// The largest part, in KB.
-const SIZE_MOST: f64 = 10_000_000.0;
+const MAX_SIZE: f64 = 10_000_000.0;
 /// The longest idempotency key.
-const KEY_MOST: usize = 64;
+const MAX_KEY: usize = 64;
 /// How long a client stays away when the request table is full, in milliseconds.
 const FULL_WAIT_MS: f64 = 300.0;
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /// What a request asks for. Guards the members, and all that shares a connection with it, against what they
+    /// What a request asks for. Guards the endpoints, and all that shares a connection with it, against what they
     /// could not read: nothing is passed on that is not spelled plainly and within its bounds.
     fn ask(
         &self,
@@ -105,7 +105,7 @@
             Said::Nothing => return Err(unknown()),
         };
         let class = env.class(&class).ok_or_else(unknown)?;
-        if part > PART_MOST || group > GROUP_MOST {
+        if part > MAX_PART || group > MAX_GROUP {
             return Err(bad());
         }
         // The platform's own spelling goes on as it came.
@@ -128,11 +128,11 @@
             None => Ok(None),
             Some(text) => decimal(text).filter(|v| *v <= most).map(Some).ok_or_else(bad),
         };
-        let patience = number("x-patience-ms", PATIENCE_MOST)?.unwrap_or_else(|| env.deadline_ms(class));
-        let size_kb = number("x-heap-kb", SIZE_MOST)?.unwrap_or(0.0);
+        let patience = number("x-patience-ms", MAX_PATIENCE)?.unwrap_or_else(|| env.deadline_ms(class));
+        let size_kb = number("x-heap-kb", MAX_SIZE)?.unwrap_or(0.0);
         let key = header("x-dedupe-key")?;
         let plain = |key: &str| key.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_');
-        if key.is_some_and(|key| key.is_empty() || key.len() > KEY_MOST || !plain(key)) {
+        if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY || !plain(key)) {
             return Err(bad());
         }
         // Without its key a repeat could take effect twice.
@@ -212,8 +212,8 @@
         }
     }
 
-    fn not_taken(&self, why: AdmitError) -> HttpAnswer {
-        match why {
+    fn not_taken(&self, reason: AdmitError) -> HttpAnswer {
+        match reason {
             AdmitError::Duplicate => HttpAnswer::status(409),
             AdmitError::Full => refused(FULL_WAIT_MS),
         }
--- a/src/wire/signed.rs
+++ b/src/wire/signed.rs
@@ -25,12 +25,12 @@
 /// Taken off a class's deadline for the way back to the client, in milliseconds.
 const MARGIN_MS: f64 = 40.0;
 /// The most memory that a token's regular expression may take, in bytes.
-const REGEX_MOST: usize = 65_536;
+const MAX_REGEX: usize = 65_536;
 /// Claims that this front understands and checks.
 const UNDERSTOOD: [&str; 10] =
     ["iss", "exp", "nbf", "iat", "sub", "cdniv", "cdniuc", "cdniets", "cdnistt", "cdnistd"];
 /// The longest time that a renewed token may be good for, in seconds.
-const RENEWAL_MOST: f64 = 86_400.0;
+const MAX_RENEWAL: f64 = 86_400.0;
 /// The transports of renewed tokens: none, and a cookie.
 const NO_RENEWAL: f64 = 0.0;
 const BY_COOKIE: f64 = 1.0;
@@ -186,7 +186,7 @@
 
 /// The token that takes another's place: the same claims, with a later end (RFC 9246, signed token renewal).
 fn renew(payload: &str, claims: &Claims, key: &Key, kid: &str, now: f64) -> Option<Renewal> {
-    let seconds = claims.cdniets.filter(|s| (1.0..=RENEWAL_MOST).contains(s))?;
+    let seconds = claims.cdniets.filter(|s| (1.0..=MAX_RENEWAL).contains(s))?;
     let depth = claims.cdnistd.unwrap_or(0.0);
     if !(0.0..=16.0).contains(&depth) || depth.fract() != 0.0 {
         return None;
@@ -220,7 +220,7 @@
     let pattern = container.strip_prefix("regex:").ok_or(Denied::Forbidden)?;
     // Alone first: what only compiles inside the anchors would have broken out of them.
     let build =
-        |text: &str| RegexBuilder::new(text).size_limit(REGEX_MOST).build().map_err(|_| Denied::Forbidden);
+        |text: &str| RegexBuilder::new(text).size_limit(MAX_REGEX).build().map_err(|_| Denied::Forbidden);
     build(pattern)?;
     Ok(build(&format!("^(?:{pattern})$"))?.is_match(uri))
 }
@@ -484,8 +484,8 @@
         worded.with("Cache-Control", "private")
     }
 
-    fn not_taken(&self, why: AdmitError) -> HttpAnswer {
-        match why {
+    fn not_taken(&self, reason: AdmitError) -> HttpAnswer {
+        match reason {
             AdmitError::Full => refused(0.0),
             AdmitError::Duplicate => HttpAnswer::status(502),
         }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -64,7 +64,7 @@
     format!("{{\"cmd\":\"Table\",\"sheet\":3,\"records\":[{}]}}", rows.join(","))
 }
 
-fn members(i: u64) -> String {
+fn endpoints(i: u64) -> String {
     format!("{{\"cmd\":\"Members\",\"i\":{i},\"sheet\":3,\"mode\":\"warm_copy\",\"index\":1}}")
 }
 
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_request_is_sent_with_its_home_parent_and_tried_again() {
-    let start = batch(1_000, &[open(0), table(), members(0)]);
+    let start = batch(1_000, &[open(0), table(), endpoints(0)]);
     let out = lines(
         &(start + &batch(2_000, &[job(0, 7, "clip")]) + &batch(4_000, &[settled(0, 7, 0, "C", false)])),
     );
@@ -109,7 +109,7 @@
 
 #[test]
 fn an_uncacheable_request_is_placed_at_the_origin() {
-    let start = batch(1_000, &[open(0), table(), members(0), job(0, 8, "order")]);
+    let start = batch(1_000, &[open(0), table(), endpoints(0), job(0, 8, "order")]);
     let out = lines(&start);
     let sent: Vec<_> = out.iter().map(|l| value(l)).filter(|v| v["cmd"] == "Place").collect();
     assert_eq!((sent.len(), &sent[0]["cache"]), (1, &301.into()));
@@ -119,7 +119,7 @@
 /// only what it holds.
 #[test]
 fn what_the_origin_is_spared_is_asked_of_what_the_parent_holds() {
-    let start = batch(1_000, &[open(0), table(), members(0), job(0, 8, "order")]);
+    let start = batch(1_000, &[open(0), table(), endpoints(0), job(0, 8, "order")]);
     let before = lines(&(start.clone() + &batch(3_000_000, &[job(0, 9, "clip")])));
     let after = lines(&(start + &batch(3_000_000, &[settled(0, 8, 0, "F", false), job(0, 9, "clip")])));
     let clip = |out: &[String]| {
@@ -133,7 +133,7 @@
 #[test]
 fn a_purge_and_a_time_out_at_the_deadline_are_translated() {
     let purge = "{\"cmd\":\"Outdated\",\"i\":0,\"asset\":77,\"familyId\":3,\"ageSpanUs\":85000}".to_string();
-    let start = batch(1_000_000, &[open(0), table(), members(0), purge, job(0, 9, "clip")]);
+    let start = batch(1_000_000, &[open(0), table(), endpoints(0), purge, job(0, 9, "clip")]);
     let out = lines(&(start + &batch(4_000_000, &[settled(0, 9, 0, "T", false)])));
     let sent = out.iter().map(|l| value(l)).find(|v| v["cmd"] == "LookAndFill").expect("an attempt");
     assert!((1..=85_000).contains(&sent["ageSpanUs"].as_u64().unwrap()));
@@ -144,8 +144,9 @@
 #[test]
 fn instances_share_nothing_and_may_start_again_in_one_batch() {
     let kill = "{\"cmd\":\"Teardown\",\"i\":0}".to_string();
-    let events = [open(0), table(), members(0), open(1), members(1), job(0, 7, "clip"), job(1, 7, "clip")];
-    let again = [kill, settled(0, 7, 0, "T", false), open(0), members(0), job(0, 7, "clip")];
+    let events =
+        [open(0), table(), endpoints(0), open(1), endpoints(1), job(0, 7, "clip"), job(1, 7, "clip")];
+    let again = [kill, settled(0, 7, 0, "T", false), open(0), endpoints(0), job(0, 7, "clip")];
     let out = lines(&(batch(1_000, &events) + &batch(2_000, &again)));
     let sent: Vec<_> = out.iter().map(|l| value(l)).filter(|v| v["cmd"] == "LookAndFill").collect();
     let who: Vec<_> = sent.iter().map(|v| v["i"].as_u64().unwrap()).collect();
@@ -166,7 +167,7 @@
         settled(0, 255, 0, "S", true),
         settled(9, 255, 0, "S", true),
     ];
-    let start = batch(1_000, &[open(0), table(), members(0)]);
+    let start = batch(1_000, &[open(0), table(), endpoints(0)]);
     assert_eq!(lines(&(start + &batch(2_000, &news))).len(), 2);
 }
 
--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -112,13 +112,13 @@
             power_hint: Some(4.0),
             cohort: 0,
         };
-        let SocketAddr::V4(address) = site.members[&first].address else { panic!() };
+        let SocketAddr::V4(address) = site.endpoints[&first].address else { panic!() };
         let targets = vec![edge_proxy::wire::discovery_codec::Target { row: line, address }];
         let news = edge_proxy::wire::discovery_codec::WatchEvent::Endpoints { full: false, targets };
         site.host.with(|engine| engine.news(edge_proxy::wire::discovery_codec::Sequenced { no: 99, news }));
         clips(at, 100..120).await;
         assert_eq!(site.asked(first), before);
-        let asked = site.members[&CACHES[1]].asked.borrow()[later..].to_vec();
+        let asked = site.endpoints[&CACHES[1]].asked.borrow()[later..].to_vec();
         assert!(asked.len() >= 20 && asked.iter().all(|fields| fields["next"] != "s-000000a0"));
         // Another process of this proxy takes that over.
         let other = Site::start("maintenance_other").await;
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -76,7 +76,7 @@
     for id in 3..=40 {
         match door.arrive(now, arrival(id, 1, 0, now)) {
             Verdict::Queue => {}
-            Verdict::Refuse { why: Refusal::Client, come_back_ms } => {
+            Verdict::Refuse { reason: Refusal::Client, come_back_ms } => {
                 assert!(come_back_ms >= 100.0);
                 refused += 1;
             }
@@ -104,7 +104,7 @@
     }
     // A second client whose time is too short for its turn.
     let hurried = Arrival { give_up_ms: now + 30.0, ..arrival(50, 7, 0, now) };
-    let Verdict::Refuse { come_back_ms, why: Refusal::Time } = door.arrive(now, hurried) else { panic!() };
+    let Verdict::Refuse { come_back_ms, reason: Refusal::Time } = door.arrive(now, hurried) else { panic!() };
     // Meanwhile others keep the door full.
     for id in 60..=66 {
         door.arrive(now, arrival(id, 8, 0, now));
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -5,7 +5,7 @@
 
 use edge_proxy::clock::Clock;
 use edge_proxy::state::requests::IncomingRequest;
-use edge_proxy::wire::client_connection::{Link, AHEAD_MOST};
+use edge_proxy::wire::client_connection::{Link, MAX_AHEAD};
 use edge_proxy::wire::http::HttpCodec;
 use edge_proxy::wire::listener::{Front, Limits};
 use edge_proxy::wire::platform::{limits, Platform};
@@ -40,7 +40,7 @@
 }
 
 fn dropped(site: &Site) -> usize {
-    site.members.values().map(|m| m.dropped.borrow().len()).sum()
+    site.endpoints.values().map(|m| m.dropped.borrow().len()).sum()
 }
 
 // ---- the client has left ----
@@ -142,7 +142,7 @@
     (listener, filled, at)
 }
 
-/// Clients that leave while the dial to their member is under way, closed or reset, with a further request ahead or not:
+/// Clients that leave while the dial to their endpoint is under way, closed or reset, with a further request ahead or not:
 /// nothing is sent once the dial has failed, and nothing is owed.
 #[test]
 fn clients_that_leave_while_a_dial_hangs_have_nothing_sent_on() {
@@ -186,7 +186,7 @@
     }
 }
 
-/// Clients that leave behind others at a member that never answers: each is called off at once, and a member that fails
+/// Clients that leave behind others at an endpoint that never answers: each is called off at once, and an endpoint that fails
 /// afterwards is no cause for a further attempt.
 #[test]
 fn clients_that_left_get_no_further_attempt_when_their_member_fails() {
@@ -299,7 +299,7 @@
         let codec = HttpCodec::new(Clock::manual(START_MS), 100);
         let mut link = Link::new(theirs, codec, true);
         let length = get(1).len();
-        let sent: String = (1..=4 * (AHEAD_MOST / length) as u64).map(get).collect();
+        let sent: String = (1..=4 * (MAX_AHEAD / length) as u64).map(get).collect();
         client.write_all(sent.as_bytes()).await.unwrap();
         client.shutdown().await.unwrap();
         // Its end says that all was read.
@@ -314,7 +314,7 @@
             }
         }
         let held = answered * length;
-        assert!(held > AHEAD_MOST / 2 && held <= AHEAD_MOST + 2 * length, "{held} bytes of requests");
+        assert!(held > MAX_AHEAD / 2 && held <= MAX_AHEAD + 2 * length, "{held} bytes of requests");
     });
 }
 
@@ -452,7 +452,7 @@
 
 // ---- members ----
 
-/// A member that answers and then resets: the answer came whole, whatever the writing meets meanwhile.
+/// An endpoint that answers and then resets: the answer came whole, whatever the writing meets meanwhile.
 #[test]
 fn an_answer_that_came_before_the_reset_counts() {
     for round in 0..12 {
@@ -463,7 +463,7 @@
             site.bulletin.state(CACHES[0], cache, 0, 0);
             site.bulletin.state(CACHES[1], cache, 0, 2);
             until(|| site.host.with(|e| e.last_no()) == 3).await;
-            let member = spawn_local(async move {
+            let endpoint = spawn_local(async move {
                 let (stream, _) = listener.accept().await.unwrap();
                 let mut stream = BufReader::new(stream);
                 let mut line = String::new();
@@ -474,7 +474,7 @@
             });
             let mut first = Client::connect(at).await;
             first.write(get(1).as_bytes()).await;
-            let (stream, answer) = member.await.unwrap();
+            let (stream, answer) = endpoint.await.unwrap();
             let mut stream = stream.into_std().unwrap();
             stream.set_nonblocking(false).unwrap();
             // In one turn of the proxy's thread: the whole answer, a reset, and something more to write there.
--- a/tests/cold_members.rs
+++ b/tests/cold_members.rs
@@ -6,7 +6,7 @@
 use common::*;
 use edge_proxy::*;
 
-/// The member that starts anew, and the size of all requests: 100 ms of sending.
+/// The endpoint that starts anew, and the size of all requests: 100 ms of sending.
 const COLD: EndpointId = 12;
 const SIZE_KB: f64 = 500.0;
 const WORK: Micros = 100 * MS;
@@ -43,7 +43,7 @@
     (set.clone(), seats.collect())
 }
 
-/// The most that the cold member was asked for in any span of the rule's length, over what the settings allow it then:
+/// The most that the cold endpoint was asked for in any span of the rule's length, over what the settings allow it then:
 /// N + 2 root(N) + 2 requests of mean work. Also how many requests it got in all.
 fn worst(fleet_size: u32, seed: u64) -> (f64, usize) {
     let (set, mut seats) = fleet_of(fleet_size, seed);
@@ -78,7 +78,7 @@
     }
     let started_at = now;
     for seat in &mut seats {
-        let line = Endpoint { started_at, ..member(COLD, Tier::Parent) };
+        let line = Endpoint { started_at, ..endpoint(COLD, Tier::Parent) };
         seat.router.handle(
             now,
             &Event::EndpointsChanged { full: false, entries: vec![line] },
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -72,17 +72,17 @@
     }
 }
 
-/// A live member that started long ago.
-pub fn member(id: EndpointId, tier: Tier) -> Endpoint {
+/// A live endpoint that started long ago.
+pub fn endpoint(id: EndpointId, tier: Tier) -> Endpoint {
     let weight = if tier == Tier::Parent { 20.0 } else { 6.0 };
     Endpoint { id, tier, state: EndpointState::Active, started_at: 0, weight, zone: 0, cell: id % 2 }
 }
 
 /// Caches 1 to 4, parents 11 to 13, origin 21.
 pub fn fleet() -> Vec<Endpoint> {
-    let caches = (1..=4).map(|id| member(id, Tier::Cache));
-    let parents = (11..=13).map(|id| member(id, Tier::Parent));
-    caches.chain(parents).chain([member(21, Tier::Origin)]).collect()
+    let caches = (1..=4).map(|id| endpoint(id, Tier::Cache));
+    let parents = (11..=13).map(|id| endpoint(id, Tier::Parent));
+    caches.chain(parents).chain([endpoint(21, Tier::Origin)]).collect()
 }
 
 /// A router with a clock and the actions of its last event.
@@ -179,7 +179,7 @@
         self.event(Event::AttemptEnded { id, attempt, outcome, cache_status, elapsed: 100 * MS, closed })
     }
 
-    /// News of one member.
+    /// News of one endpoint.
     pub fn tell(&mut self, listing: Endpoint) -> Vec<Action> {
         self.event(Event::EndpointsChanged { full: false, entries: vec![listing] })
     }
--- a/tests/endpoints/mod.rs
+++ b/tests/endpoints/mod.rs
@@ -8,7 +8,7 @@
 #[allow(dead_code)]
 pub const PARENT: u32 = 8;
 
-/// A member's line; its port tells its id.
+/// An endpoint's line; its port tells its id.
 pub fn target(id: u32, lifecycle: &str) -> Target {
     let (zone, model) = match id {
         PARENT | 7 => ("hub", "parent"),
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -35,11 +35,11 @@
 }
 
 impl Bench {
-    /// An engine with these members.
+    /// An engine with these endpoints.
     fn new(ids: &[u32]) -> Self {
         let env = env(4);
         let clock = Clock::manual(START);
-        let connections = Bounds { total: 8, member: 4, spread: 4, streams: 4 };
+        let connections = Bounds { total: 8, endpoint: 4, spread: 4, streams: 4 };
         let engine = Engine::new(clock.clone(), Rc::new(env), 7, EngineBounds { requests: 9, connections });
         let mut bench = Self { clock, engine, no: 0 };
         let targets = ids.iter().map(|id| target(*id, "live")).collect();
@@ -70,7 +70,7 @@
         self.engine.tick();
     }
 
-    /// The connections that are to be opened, with their members.
+    /// The connections that are to be opened, with their endpoints.
     fn opened(&mut self) -> Vec<(ConnId, u32)> {
         self.effects()
             .into_iter()
@@ -208,7 +208,7 @@
     assert!((1..=100).contains(&b.get(second[0].0).unwrap().max_age_ms));
 }
 
-/// Guards the rule on drains, for the member that an attempt waits for and for the source that it names.
+/// Guards the rule on drains, for the endpoint that an attempt waits for and for the source that it names.
 #[test]
 fn what_waits_for_a_drained_member_or_source_is_asked_anew() {
     for drained in [1, PARENT] {
@@ -217,17 +217,17 @@
             .find_map(|k| {
                 let (mut b, object) = (Bench::new(&[1, 2, 7, PARENT, 9]), k * 7_919);
                 b.ask_for(1, object);
-                let (conn, member) = b.opened()[0];
+                let (conn, endpoint) = b.opened()[0];
                 b.engine.connected(conn);
                 let source = b.get(conn).and_then(|get| get.source);
-                (member == 1 && source == Some(PARENT)).then_some((b, conn, object))
+                (endpoint == 1 && source == Some(PARENT)).then_some((b, conn, object))
             })
             .unwrap();
         b.ask_for(2, object);
         b.news(WatchEvent::Endpoints { full: false, targets: vec![target(drained, "quiescing")] });
         assert_eq!(b.get(conn), None, "nothing new is written for member {drained}");
         assert_eq!((b.engine.counters.attempts_stale, b.engine.owed()), (1, 2));
-        // The second one is on its way by other members.
+        // The second one is on its way by other endpoints.
         let (other, _) = b.opened().first().copied().unwrap_or((conn, 1));
         b.engine.connected(other);
         let get = b.get(other).unwrap();
@@ -240,8 +240,8 @@
 fn a_break_tells_what_may_have_run_from_what_has_not() {
     let mut b = Bench::new(&[1, PARENT, 9]);
     b.ask(1, 1);
-    let (conn, member) = b.opened()[0];
-    assert_eq!(member, 9);
+    let (conn, endpoint) = b.opened()[0];
+    assert_eq!(endpoint, 9);
     b.engine.connected(conn);
     assert!(b.get(conn).is_some());
     b.ask(2, 1);
@@ -303,19 +303,19 @@
     }
 }
 
-/// A member that answers twice: the second answer must not pass for that of a later attempt of the same request, which
+/// An endpoint that answers twice: the second answer must not pass for that of a later attempt of the same request, which
 /// has the same id. So a request never goes twice onto one connection.
 #[test]
 fn a_second_answer_to_an_attempt_that_is_over_ends_no_later_attempt() {
     let mut b = Bench::new(&[1, PARENT, 9]);
     b.ask(1, 0);
-    let (conn, member) = b.opened()[0];
+    let (conn, endpoint) = b.opened()[0];
     b.engine.connected(conn);
     b.get(conn).unwrap();
     // Nothing was named, so it is spoilt, and the same cache is asked again.
     b.reply(conn, 1, Word::Nomod);
     let (second, again) = b.opened()[0];
-    assert_eq!((member, again), (1, 1));
+    assert_eq!((endpoint, again), (1, 1));
     assert_ne!(second, conn);
     assert_eq!(b.get(conn), None);
     b.engine.connected(second);
@@ -346,7 +346,7 @@
     assert_eq!((b.engine.counters.attempts_written, b.engine.counters.left), (1, 2));
 }
 
-/// A member that reads nothing: what has no byte out waits on, and every rule is looked at again before its first byte.
+/// An endpoint that reads nothing: what has no byte out waits on, and every rule is looked at again before its first byte.
 #[test]
 fn what_could_not_be_written_is_looked_at_again_before_its_first_byte() {
     let waiting = || {
@@ -402,7 +402,7 @@
 #[test]
 fn the_bound_on_a_connections_requests_follows_the_settings() {
     let mut b = Bench::new(&[1]);
-    b.engine.retune(env(1));
+    b.engine.reconfigure(env(1));
     b.effects();
     (1..=9).for_each(|id| b.ask(id, 0));
     assert_eq!(b.opened().len(), 4, "so many as a member may have");
@@ -435,7 +435,7 @@
     assert_eq!(next, Next::Close);
 }
 
-/// Guards the one answer that each request is owed, whatever no member ever says.
+/// Guards the one answer that each request is owed, whatever no endpoint ever says.
 #[test]
 fn each_request_is_answered_once_and_in_time() {
     let mut b = Bench::new(&[1, 2, PARENT, 9]);
@@ -464,20 +464,20 @@
 }
 
 /// Guards a request whose connection ends before its first byte: it never ran, and a fresh connection to the same
-/// member tells whether that lives. Only so many times, though.
+/// endpoint tells whether that lives. Only so many times, though.
 #[test]
 fn what_was_never_written_goes_on_a_fresh_connection_at_once() {
     let mut b = Bench::new(&[1, PARENT, 9]);
     b.ask(1, 0);
     for moves in 1..=2 {
-        let (conn, member) = b.opened()[0];
+        let (conn, endpoint) = b.opened()[0];
         b.engine.connected(conn);
         b.engine.broken(conn);
-        assert_eq!((member, b.engine.counters.attempts_moved, b.engine.counters.attempts), (1, moves, 1));
+        assert_eq!((endpoint, b.engine.counters.attempts_moved, b.engine.counters.attempts), (1, moves, 1));
     }
-    let (conn, member) = b.opened()[0];
+    let (conn, endpoint) = b.opened()[0];
     b.engine.broken(conn);
-    assert_eq!((member, b.engine.counters.attempts_moved, b.engine.counters.attempts), (1, 2, 2));
+    assert_eq!((endpoint, b.engine.counters.attempts_moved, b.engine.counters.attempts), (1, 2, 2));
     assert_eq!(b.engine.owed(), 1, "the module has sent it elsewhere");
 }
 
--- a/tests/fleet_model/mod.rs
+++ b/tests/fleet_model/mod.rs
@@ -3,7 +3,7 @@
 //! Caches hold what they were filled with and join fills of one object; parents fetch for each fill apart; the origin
 //! is one queue. Clients ask by a skewed choice of objects, write now and then, and try again when they are refused.
 
-use crate::common::{draw, member, settings, MS, S};
+use crate::common::{draw, endpoint, settings, MS, S};
 use edge_proxy::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -130,10 +130,10 @@
         let router = |k: u32| {
             let mut router = Router::new(set.clone(), day.seed * 10_000 + u64::from(k));
             let location = k % day.locations;
-            let cache = Endpoint { weight: 40.0, ..member(1 + location, Tier::Cache) };
+            let cache = Endpoint { weight: 40.0, ..endpoint(1 + location, Tier::Cache) };
             let parents =
-                (0..PARENTS).map(|p| Endpoint { weight: 400.0, ..member(FIRST_PARENT + p, Tier::Parent) });
-            let entries = parents.chain([cache, member(ORIGIN, Tier::Origin)]).collect();
+                (0..PARENTS).map(|p| Endpoint { weight: 400.0, ..endpoint(FIRST_PARENT + p, Tier::Parent) });
+            let entries = parents.chain([cache, endpoint(ORIGIN, Tier::Origin)]).collect();
             router.handle(0, &Event::EndpointsChanged { full: true, entries }, &mut Vec::new());
             router
         };
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -402,7 +402,7 @@
         }
         let drained = |on| {
             let backends: Vec<_> = edge.boxes.iter().map(|b| (b.address, on && b.address == first)).collect();
-            edge.front.retune(file(&edge.dir, edge.at, &backends, "{}")).unwrap();
+            edge.front.reconfigure(file(&edge.dir, edge.at, &backends, "{}")).unwrap();
         };
         drained(true);
         let before = edge.boxes[0].count();
@@ -479,7 +479,7 @@
         );
         // All drain: refused at once, with a time to come back.
         let backends: Vec<_> = edge.boxes.iter().map(|b| (b.address, true)).collect();
-        edge.front.retune(file(&edge.dir, edge.at, &backends, "{}")).unwrap();
+        edge.front.reconfigure(file(&edge.dir, edge.at, &backends, "{}")).unwrap();
         let got = caller.call("/t.Once/Do", &[], msg(2)).await;
         assert_eq!(got.status(), 14);
         assert!(
@@ -552,7 +552,7 @@
             edge_proxy::wire::discovery_codec::Line::parse(text.as_bytes()).unwrap()
         };
         host.with(|engine| engine.hear_roster(true, vec![line(0xc1, "Ready"), line(0xc2, "Ready")]));
-        edge.front.retune(GrpcConfig::read(&edge.dir.join("grpc.json")).unwrap()).unwrap();
+        edge.front.reconfigure(GrpcConfig::read(&edge.dir.join("grpc.json")).unwrap()).unwrap();
         let caller = Caller::connect(edge.at).await;
         let go = |n: usize| {
             let caller = caller.clone();
--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -276,7 +276,7 @@
         (file(pool, route, r#","door":{"limit":{"first":1,"least":2,"most":3}}"#), "door"),
         (file(pool, route, r#","tenant_header":"a b""#), "tenant_header"),
     ] {
-        let why = check(&text).expect_err(&text);
-        assert!(why.contains(word), "{why} does not name {word}");
+        let reason = check(&text).expect_err(&text);
+        assert!(reason.contains(word), "{reason} does not name {word}");
     }
 }
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -17,7 +17,7 @@
 use tokio::net::UdpSocket;
 
 const PERIOD_MS: f64 = 500.0;
-/// The members of the example's list that are probed, by id.
+/// The endpoints of the example's list that are probed, by id.
 const MEMBERS: [u32; 3] = [0xc1, 0xc2, 0xa0];
 
 struct Instance {
@@ -106,7 +106,7 @@
     let mut longest = 0.0f64;
     for (k, server) in servers.iter().enumerate() {
         let probes = server.between(from, to);
-        // The duty of a server is its member's id; a probe comes within a slot of its being due.
+        // The duty of a server is its endpoint's id; a probe comes within a slot of its being due.
         let slots: BTreeSet<u64> = probes.iter().map(|at| slot_at(*at, MEMBERS[k], PERIOD_MS)).collect();
         assert_eq!(slots.len(), probes.len(), "server {k} was probed twice in a slot: {probes:?}");
         longest = probes.windows(2).map(|w| w[1] - w[0]).fold(longest, f64::max);
@@ -236,7 +236,7 @@
         (file("").replace("[\"box\"]", "[]"), "servers"),
         (file(r#","shares":1"#), "shares"),
     ] {
-        let why = check(&text).expect_err(&text);
-        assert!(why.contains(word), "{why} does not name {word}");
+        let reason = check(&text).expect_err(&text);
+        assert!(reason.contains(word), "{reason} does not name {word}");
     }
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -6,7 +6,7 @@
 use common::*;
 use edge_proxy::*;
 
-/// Routers of a fleet, each with its own seed, all told of the same members.
+/// Routers of a fleet, each with its own seed, all told of the same endpoints.
 fn fleet_size(set: &PolicySettings, entries: &[Endpoint], count: u64) -> Vec<Bench> {
     let router = |k| {
         let mut bench = Bench::new(set.clone(), Vec::new());
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -8,8 +8,8 @@
 use edge_proxy::settings::PlatformSettings;
 use edge_proxy::state::connections::{Bounds, ConnId};
 use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
-use edge_proxy::wire::cache_codec::{Command, LineCodec, Reply, Word, LINE_MOST};
-use edge_proxy::wire::discovery_codec::{FrameCodec, Sequenced, WatchEvent, FRAME_MOST};
+use edge_proxy::wire::cache_codec::{Command, LineCodec, Reply, Word, MAX_LINE};
+use edge_proxy::wire::discovery_codec::{FrameCodec, Sequenced, WatchEvent, MAX_FRAME};
 use edge_proxy::wire::http::{HttpCodec, Phase};
 use endpoints::target;
 use proptest::prelude::*;
@@ -53,7 +53,7 @@
             .to_vec();
         let env: PlatformSettings = simd_json::from_slice(&mut text).unwrap();
         let clock = Clock::manual(START);
-        let connections = Bounds { total: 4, member: 2, spread: 1, streams: 4 };
+        let connections = Bounds { total: 4, endpoint: 2, spread: 1, streams: 4 };
         let bounds = EngineBounds { requests: 32, connections };
         let engine = Engine::new(clock.clone(), Rc::new(env), 7, bounds);
         let (links, owed, live) = Default::default();
@@ -141,7 +141,7 @@
         self.settle();
     }
 
-    /// A member answers something on a connection: what is out, or what was given up.
+    /// An endpoint answers something on a connection: what is out, or what was given up.
     fn answer(&mut self, conn: ConnId, b: u16) {
         let Some(link) = self.links.get_mut(&conn) else { return };
         let words = [Word::Ack, Word::Ack, Word::Noent, Word::Again, Word::Eio, Word::Stale];
@@ -209,8 +209,8 @@
                 }
                 Next::Write(Command::Get(get)) => {
                     let id = u64::from_str_radix(&get.id, 16).unwrap();
-                    let member = u32::from(link.port - 5_000);
-                    assert!(self.live.contains(&member), "a request to a member that drains");
+                    let endpoint = u32::from(link.port - 5_000);
+                    assert!(self.live.contains(&endpoint), "a request to a member that drains");
                     assert!(get.source.is_none_or(|s| self.live.contains(&s)), "a source that drains");
                     let left =
                         self.owed.get(&id).expect("written for a request that has ended") - self.clock.now();
@@ -307,8 +307,8 @@
             if line.is_some() && frame.is_some() {
                 return Ok(());
             }
-            prop_assert!(line.is_some() || line_bytes.len() <= LINE_MOST);
-            prop_assert!(frame.is_some() || frame_bytes.len() <= FRAME_MOST + 4);
+            prop_assert!(line.is_some() || line_bytes.len() <= MAX_LINE);
+            prop_assert!(frame.is_some() || frame_bytes.len() <= MAX_FRAME + 4);
         }
     }
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -38,7 +38,7 @@
         assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
         let same = client.ask("GET", CLIP, &(headers(2) + "If-None-Match: \"t1\"\r\n")).await;
         assert_eq!((same.status, same.body.len()), (304, 0));
-        let seen: Vec<_> = CACHES.iter().flat_map(|id| site.members[id].asked.borrow().clone()).collect();
+        let seen: Vec<_> = CACHES.iter().flat_map(|id| site.endpoints[id].asked.borrow().clone()).collect();
         assert_eq!(seen.len(), 2);
         let by_id = |id: &str| seen.iter().find(|fields| fields["id"] == id).unwrap();
         let first = by_id("0000000000000001");
@@ -58,12 +58,12 @@
         let text = format!("PUT /ops/post/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: o\r\n{head}\r\nhello");
         client.write(text.as_bytes()).await;
         assert_eq!(client.read(false).await.unwrap().status, 200);
-        let asked = site.members[&ORIGIN].asked.borrow();
+        let asked = site.endpoints[&ORIGIN].asked.borrow();
         assert_eq!((asked.len(), asked[0]["i"].as_str()), (1, "5c0f6e"));
     });
 }
 
-/// Guards the faults of clients: each has its status, and none reaches a member.
+/// Guards the faults of clients: each has its status, and none reaches an endpoint.
 #[test]
 fn what_is_no_request_has_its_status() {
     run(async {
@@ -140,20 +140,20 @@
         client.write(format!("GET {CLIP} HTTP/1.1\r\nHost: o\r\n{}\r\n", headers(9)).as_bytes()).await;
         until(|| site.asked_in_all() == 1).await;
         drop(client);
-        let dropped = || site.members.values().map(|m| m.dropped.borrow().len()).sum::<usize>();
+        let dropped = || site.endpoints.values().map(|m| m.dropped.borrow().len()).sum::<usize>();
         until(|| dropped() == 1).await;
         let (left, owed) = site.host.with(|e| (e.counters.left, e.owed()));
         assert_eq!((left, owed), (1, 0));
     });
 }
 
-/// Guards against a member whose bytes can't be read: its connection ends, and the request goes elsewhere.
+/// Guards against an endpoint whose bytes can't be read: its connection ends, and the request goes elsewhere.
 #[test]
 fn a_member_that_talks_nonsense_is_left() {
     run(async {
         let (site, at) = open("nonsense").await;
         let nonsense: Script = Rc::new(|_| Some(("WHAT", "-".into(), Vec::new())));
-        *site.members[&CACHES[0]].script.borrow_mut() = nonsense;
+        *site.endpoints[&CACHES[0]].script.borrow_mut() = nonsense;
         for id in 1..30u64 {
             let target = format!("/ops/clip/{:016x}/slice-0", id * 7_919);
             assert_eq!(ask(at, "GET", &target, &headers(id)).await.status, 200);
@@ -169,12 +169,12 @@
 fn a_cut_answer_never_passes_for_whole() {
     run(async {
         let (site, at) = open("cut").await;
-        CACHES.iter().for_each(|id| site.members[id].cuts.set(true));
+        CACHES.iter().for_each(|id| site.endpoints[id].cuts.set(true));
         let answer = ask(at, "GET", CLIP, &headers(1)).await;
         assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
         let (broken, served) = site.host.with(|e| (e.counters.broken, e.counters.served));
         assert_eq!((broken, served), (4, 1), "each cache is asked twice: a break is not its fault");
-        site.members.values().for_each(|m| m.cuts.set(true));
+        site.endpoints.values().for_each(|m| m.cuts.set(true));
         let answer = ask(at, "GET", CLIP, &headers(2)).await;
         assert!(answer.status >= 500 && answer.body.is_empty(), "{answer:?}");
     });
@@ -426,7 +426,7 @@
         let (site, at) = open("impatient").await;
         let short = headers(1).replace("1500", "40");
         assert_eq!(ask(at, "GET", CLIP, &short).await.status, 200);
-        let waits: Vec<_> = CACHES.iter().flat_map(|id| site.members[id].asked.borrow().clone()).collect();
+        let waits: Vec<_> = CACHES.iter().flat_map(|id| site.endpoints[id].asked.borrow().clone()).collect();
         assert_eq!(waits[0]["w"], "36");
     });
 }
@@ -437,7 +437,7 @@
 fn an_answer_that_stops_short_is_not_waited_for() {
     run(async {
         let (site, at) = open("stops").await;
-        site.members.values().for_each(|m| m.stops.set(1));
+        site.endpoints.values().for_each(|m| m.stops.set(1));
         let answer = ask(at, "GET", CLIP, &headers(1)).await;
         assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
         assert_eq!(site.host.with(|e| (e.counters.stalled_members, e.counters.attempts_timed_out)), (1, 0));
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -53,7 +53,7 @@
 fn a_lost_parents_objects_go_to_the_next_listed_and_no_others_move() {
     let mut bench = Bench::new(settings(), fleet());
     let before: Vec<_> = (0..300).map(|o| bench.path(o).source).collect();
-    bench.tell(Endpoint { state: EndpointState::Removed, ..member(12, Tier::Parent) });
+    bench.tell(Endpoint { state: EndpointState::Removed, ..endpoint(12, Tier::Parent) });
     for (object, source) in before.into_iter().enumerate() {
         let now = bench.path(object as u64).source;
         let next = if source == Some(12) { Some(13) } else { source };
@@ -111,14 +111,14 @@
     };
     let mut old = Bench::new(settings(), fleet());
     let before = home(&mut old, 0..600);
-    old.tell(Endpoint { state: EndpointState::Removed, ..member(12, Tier::Parent) });
-    old.tell(member(14, Tier::Parent));
+    old.tell(Endpoint { state: EndpointState::Removed, ..endpoint(12, Tier::Parent) });
+    old.tell(endpoint(14, Tier::Parent));
     let after = home(&mut old, 0..600);
     let moved = before.iter().zip(&after).filter(|(b, a)| b != a && **b != 12).count();
     assert!((90..200).contains(&moved), "{moved} of 600 moved to the new one, beside those of the lost one");
     // Who never knew the lost one agrees but for its objects.
     let now: Vec<Endpoint> = fleet().into_iter().filter(|e| e.id != 12).collect();
-    let mut new = Bench::new(settings(), now.into_iter().chain([member(14, Tier::Parent)]).collect());
+    let mut new = Bench::new(settings(), now.into_iter().chain([endpoint(14, Tier::Parent)]).collect());
     let theirs = home(&mut new, 0..600);
     let differ = (0..600).filter(|k| after[*k] != theirs[*k] && before[*k] != 12).count();
     assert_eq!(differ, 0);
@@ -380,7 +380,7 @@
         parent_slow_start: zero,
         ..settings()
     };
-    let lists = [Vec::new(), vec![member(1, Tier::Cache)], vec![member(21, Tier::Origin)], fleet()];
+    let lists = [Vec::new(), vec![endpoint(1, Tier::Cache)], vec![endpoint(21, Tier::Origin)], fleet()];
     for entries in lists {
         let mut bench = Bench::new(bare.clone(), entries);
         for class in 0..4 {
@@ -458,7 +458,7 @@
         |a| if a.id % 2 == 0 { AttemptOutcome::Rejected } else { AttemptOutcome::Served },
     );
     bench.now += S;
-    bench.tell(Endpoint { started_at: bench.now, ..member(11, Tier::Parent) });
+    bench.tell(Endpoint { started_at: bench.now, ..endpoint(11, Tier::Parent) });
     let by = |bench: &mut Bench| {
         let paths: Vec<_> = (1_000..1_100).map(|o| sent(&bench.ask(0, o))).collect();
         paths.iter().flatten().filter(|a| [Some(12), Some(13)].contains(&a.source)).count()
@@ -528,23 +528,23 @@
     let object = (0..300).find(|o| bench.path(*o).source == Some(12)).expect("one of its objects");
     let id = sent(&bench.ask(0, object))[0].id;
     let actions = bench.outcome(id, 0, AttemptOutcome::Rejected, false);
-    assert!(actions.contains(&Action::CheckHealth { member: 12 }), "one failure is enough to ask");
+    assert!(actions.contains(&Action::CheckHealth { endpoint: 12 }), "one failure is enough to ask");
     bench.event(Event::ClientDisconnected { id });
-    let actions = bench.event(Event::HealthChecked { member: 12, outcome: AttemptOutcome::NoConnection });
+    let actions = bench.event(Event::HealthChecked { endpoint: 12, outcome: AttemptOutcome::NoConnection });
     assert_eq!((0..300).filter(|o| bench.path(*o).source == Some(12)).count(), 0);
     let [Action::SetTimer { token, at }] = actions[..] else { panic!("a timer for the next probe") };
     bench.now = at;
-    assert_eq!(bench.event(Event::Timer { token }), [Action::CheckHealth { member: 12 }]);
-    bench.event(Event::HealthChecked { member: 12, outcome: AttemptOutcome::Served });
+    assert_eq!(bench.event(Event::Timer { token }), [Action::CheckHealth { endpoint: 12 }]);
+    bench.event(Event::HealthChecked { endpoint: 12, outcome: AttemptOutcome::Served });
     bench.now += 2 * S;
     let back = (0..300).filter(|o| bench.path(*o).source == Some(12)).count();
     assert!((1..before / 2).contains(&back), "{back} of {before}: a new process is cold");
     bench.now += 25 * S;
     assert_eq!((0..300).filter(|o| bench.path(*o).source == Some(12)).count(), before);
-    // Results for members that are gone, or never were, change nothing.
-    bench.tell(Endpoint { state: EndpointState::Removed, ..member(12, Tier::Parent) });
-    for member in [12, 99] {
-        assert!(bench.event(Event::HealthChecked { member, outcome: AttemptOutcome::TimedOut }).is_empty());
+    // Results for endpoints that are gone, or never were, change nothing.
+    bench.tell(Endpoint { state: EndpointState::Removed, ..endpoint(12, Tier::Parent) });
+    for endpoint in [12, 99] {
+        assert!(bench.event(Event::HealthChecked { endpoint, outcome: AttemptOutcome::TimedOut }).is_empty());
     }
 }
 
@@ -565,7 +565,7 @@
     assert!(large * 2 < small, "{large} large and {small} small ones");
 }
 
-/// Many routers together: their first items for a cold member must not come at once.
+/// Many routers together: their first items for a cold endpoint must not come at once.
 #[test]
 fn many_routers_together_keep_a_cold_members_budget() {
     let mut set = settings();
@@ -609,19 +609,21 @@
 fn odd_lists_are_taken_by_their_plain_meaning() {
     let mut bench = Bench::new(settings(), fleet());
     // Listed twice in one list: the later line counts.
-    let lines =
-        vec![member(2, Tier::Cache), Endpoint { state: EndpointState::Draining, ..member(2, Tier::Cache) }];
+    let lines = vec![
+        endpoint(2, Tier::Cache),
+        Endpoint { state: EndpointState::Draining, ..endpoint(2, Tier::Cache) },
+    ];
     bench.event(Event::EndpointsChanged { full: false, entries: lines });
     assert!((0..200).all(|o| bench.path(o).to != 2));
     // A parent that becomes a cache is asked as one and named as a source no more, and the other way round.
-    bench.tell(member(12, Tier::Cache));
+    bench.tell(endpoint(12, Tier::Cache));
     let paths: Vec<Sent> = (0..200).map(|o| bench.path(o)).collect();
     assert!(paths.iter().any(|p| p.to == 12) && paths.iter().all(|p| p.source != Some(12)));
-    bench.tell(member(12, Tier::Parent));
+    bench.tell(endpoint(12, Tier::Parent));
     let paths: Vec<Sent> = (0..200).map(|o| bench.path(o)).collect();
     assert!(paths.iter().any(|p| p.source == Some(12)) && paths.iter().all(|p| p.to != 12));
     // A cache that moves to another location is not used there.
-    bench.tell(member(3, Tier::RemoteCache));
+    bench.tell(endpoint(3, Tier::RemoteCache));
     assert!((0..200).all(|o| bench.path(o).to != 3));
 }
 
@@ -635,7 +637,7 @@
             AttemptOutcome::Served
         }
     });
-    bench.tell(Endpoint { started_at: bench.now, ..member(2, Tier::Cache) });
+    bench.tell(Endpoint { started_at: bench.now, ..endpoint(2, Tier::Cache) });
     bench.now += 3 * S;
     let named = (1_000..1_200).filter(|o| bench.path(*o).to == 2).count();
     assert!((1..40).contains(&named), "{named} of 200 while cold, without the old one's failures");
@@ -643,7 +645,7 @@
 
 #[test]
 fn hundreds_of_lines_may_come_and_go_at_once() {
-    let far = |ids: std::ops::Range<u32>| ids.map(|id| member(id, Tier::RemoteCache));
+    let far = |ids: std::ops::Range<u32>| ids.map(|id| endpoint(id, Tier::RemoteCache));
     let mut bench = Bench::new(settings(), fleet().into_iter().chain(far(1_000..1_400)).collect());
     let before: Vec<Sent> = (0..100).map(|o| bench.path(o)).collect();
     bench.event(Event::EndpointsChanged { full: true, entries: far(1_000..1_400).collect() });
@@ -656,7 +658,7 @@
     }
 }
 
-/// Guards the members against impatient clients: what a client's own time cut short says nothing of any member,
+/// Guards the endpoints against impatient clients: what a client's own time cut short says nothing of any endpoint,
 /// and requests of others go on being filled.
 #[test]
 fn a_wait_that_its_client_cut_short_blames_nobody() {
@@ -694,7 +696,7 @@
 /// many are out to it; once its answers are late the guess holds again.
 #[test]
 fn a_guess_at_a_caches_room_refuses_nothing_that_is_answered_in_time() {
-    let lone = vec![member(1, Tier::Cache), member(11, Tier::Parent), member(21, Tier::Origin)];
+    let lone = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
     let mut bench =
         Bench::new(PolicySettings { weights_known: false, reports_cache_status: false, ..settings() }, lone);
     let mut refused = [0, 0, 0];
@@ -716,7 +718,7 @@
     assert!(refused[2] > 200, "late answers bring it back: {refused:?}");
 }
 
-/// Guards copies, members and the retry budget against peers that spoil answers or reset connections: nobody is
+/// Guards copies, endpoints and the retry budget against peers that spoil answers or reset connections: nobody is
 /// blamed for long, the request goes back to the cache that holds its object, and no budget is spent.
 #[test]
 fn what_is_lost_on_its_way_is_asked_again_at_the_same_cache() {
@@ -787,7 +789,7 @@
     };
     assert_eq!((0..1_000).map(|o| ask(&mut bench, o)).sum::<usize>(), 0);
     for id in 2..=4 {
-        bench.tell(Endpoint { state: EndpointState::Draining, ..member(id, Tier::Cache) });
+        bench.tell(Endpoint { state: EndpointState::Draining, ..endpoint(id, Tier::Cache) });
     }
     assert_eq!((1_000..2_000).map(|o| ask(&mut bench, o)).sum::<usize>(), 0, "refused");
 }
@@ -796,7 +798,7 @@
 /// take a cache's room back to the guess at once, which would refuse most of what caches hold.
 #[test]
 fn a_burst_of_late_answers_cuts_a_caches_room_once() {
-    let lone = vec![member(1, Tier::Cache), member(11, Tier::Parent), member(21, Tier::Origin)];
+    let lone = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
     let mut bench =
         Bench::new(PolicySettings { weights_known: false, reports_cache_status: false, ..settings() }, lone);
     let mut refused = 0;
@@ -817,7 +819,7 @@
 /// answers a good part in time (a fifth where room grew by a share of itself).
 #[test]
 fn the_room_of_an_overloaded_cache_does_not_outgrow_its_cuts() {
-    let lone = vec![member(1, Tier::Cache), member(11, Tier::Parent), member(21, Tier::Origin)];
+    let lone = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
     let mut bench =
         Bench::new(PolicySettings { weights_known: false, reports_cache_status: false, ..settings() }, lone);
     let mut out = std::collections::VecDeque::new();
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -85,11 +85,11 @@
     assert_eq!(proxy.child.wait().unwrap().code(), Some(0));
 }
 
-/// SIGTERM twice, with SIGHUP between them, while every member hangs: what was in flight, what was half read and what
+/// SIGTERM twice, with SIGHUP between them, while every endpoint hangs: what was in flight, what was half read and what
 /// came on a connection of the last moments is answered whole, once, and the process ends well.
 #[test]
 fn a_stop_that_is_asked_for_twice_answers_all_that_was_taken() {
-    // Members that take connections and never answer.
+    // Endpoints that take connections and never answer.
     let hanging = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = hanging.local_addr().unwrap().to_string();
     let text = (7101..=7104).fold(example(), |text, k| text.replace(&format!("127.0.0.1:{k}"), &at));
@@ -103,9 +103,9 @@
     };
     let mut flying = proxy.connect();
     flying.write_all(get(1).as_bytes()).unwrap();
-    let (member, _) = hanging.accept().unwrap();
+    let (endpoint, _) = hanging.accept().unwrap();
     let mut line = String::new();
-    BufReader::new(&member).read_line(&mut line).unwrap();
+    BufReader::new(&endpoint).read_line(&mut line).unwrap();
     assert!(line.starts_with("GET 0000000000000001 "), "it is at a member: {line}");
     let mut half = proxy.connect();
     half.write_all(&get(2).as_bytes()[..40]).unwrap();
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -81,7 +81,7 @@
                     lives.insert(id, state);
                     Event::EndpointsChanged {
                         full: false,
-                        entries: vec![Endpoint { state, started_at, ..member(id, tier) }],
+                        entries: vec![Endpoint { state, started_at, ..endpoint(id, tier) }],
                     }
                 }
                 8 => Event::Purged {
@@ -99,7 +99,7 @@
                     match (due, ids.is_empty()) {
                         (Some(k), _) => Event::Timer { token: timers.remove(k).1 },
                         (None, true) => Event::HealthChecked {
-                            member: dice.roll(24) as u32,
+                            endpoint: dice.roll(24) as u32,
                             outcome: [
                                 AttemptOutcome::Served,
                                 AttemptOutcome::NoConnection,
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -6,7 +6,7 @@
 use edge_proxy::purge::active_purges::{Applied, Ledger, LedgerBounds};
 use edge_proxy::purge::book::Book;
 use edge_proxy::purge::config::PurgeConfig;
-use edge_proxy::purge::driver::CALLS_MOST;
+use edge_proxy::purge::driver::MAX_CALLS;
 use edge_proxy::purge::selector::Tag;
 use edge_proxy::purge::wire::{call, from_json, to_json, Batch, Submitted};
 use simd_json::prelude::*;
@@ -467,11 +467,11 @@
             ("tag:a b", "a tag is"),
             ("object:xyz", "16 hex digits"),
         ];
-        for (selector, why) in cases {
+        for (selector, reason) in cases {
             let out =
                 Command::new(PROGRAM).args(["purge", "submit", "--at", &at, selector]).output().unwrap();
             let message = String::from_utf8_lossy(&out.stderr);
-            assert!(!out.status.success() && message.contains(why), "{selector:?}: {message}");
+            assert!(!out.status.success() && message.contains(reason), "{selector:?}: {message}");
         }
         for body in ["{\"sel\":\"pattern:/[ab]\"}", "{\"sel\":\"tag:x\",\"more\":1}", "not json", "{}"] {
             let answer =
@@ -513,16 +513,16 @@
             list.count()
         };
         let (mut most, mut held, serial) = (0, Vec::new(), Cell::new(0));
-        for calls in 0..3 * CALLS_MOST {
+        for calls in 0..3 * MAX_CALLS {
             // Kept open here: only the proxy ends a call.
             held.push(hanging.accept().await.unwrap());
             most = most.max(descriptors());
-            if calls % CALLS_MOST == 0 {
+            if calls % MAX_CALLS == 0 {
                 assert_eq!(fetch(leader.listen, calls as u64, 17, &serial).await.unwrap().0, 200);
             }
         }
-        assert!(most >= CALLS_MOST, "all places are used: {most} descriptors");
+        assert!(most >= MAX_CALLS, "all places are used: {most} descriptors");
         // Standard streams, the runtime, listeners, the log: fewer than the calls.
-        assert!(most < 2 * CALLS_MOST + PASSING, "{most} descriptors while {TARGETS} targets hang");
+        assert!(most < 2 * MAX_CALLS + PASSING, "{most} descriptors while {TARGETS} targets hang");
     });
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -92,7 +92,7 @@
 
 #[test]
 fn a_keyed_request_stays_in_its_group_and_window() {
-    // Every member drops repeats, for two seconds: a repeat within them, none later.
+    // Every endpoint drops repeats, for two seconds: a repeat within them, none later.
     let mut set = settings();
     set.classes[2].key_window = 2 * S;
     let mut bench = Bench::new(set, fleet());
@@ -136,8 +136,8 @@
 fn nothing_new_goes_to_a_draining_or_gone_member() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut bench = Bench::new(settings(), fleet());
-        bench.tell(Endpoint { state, ..member(2, Tier::Cache) });
-        bench.tell(Endpoint { state, ..member(12, Tier::Parent) });
+        bench.tell(Endpoint { state, ..endpoint(2, Tier::Cache) });
+        bench.tell(Endpoint { state, ..endpoint(12, Tier::Parent) });
         for object in 0..300 {
             let path = bench.path(object);
             assert_ne!(path.to, 2);
@@ -152,10 +152,12 @@
         let mut bench = Bench::new(settings(), fleet());
         let first = sent(&bench.ask(0, object))[0].clone();
         for id in (1..=4).filter(|id| *id != first.to) {
-            bench.tell(Endpoint { state: EndpointState::Draining, ..member(id, Tier::Cache) });
+            bench.tell(Endpoint { state: EndpointState::Draining, ..endpoint(id, Tier::Cache) });
         }
-        bench
-            .tell(Endpoint { state: EndpointState::Draining, ..member(first.source.unwrap(), Tier::Parent) });
+        bench.tell(Endpoint {
+            state: EndpointState::Draining,
+            ..endpoint(first.source.unwrap(), Tier::Parent)
+        });
         for again in sent(&bench.outcome(first.id, 0, AttemptOutcome::Rejected, false)) {
             assert!(again.to >= 11 && again.to != first.source.unwrap(), "{again:?}");
             assert_ne!(again.source, first.source);
@@ -176,7 +178,7 @@
 
 // ---- no cold cache or parent is pushed over ----
 
-/// Sending time in seconds that a member is asked for over two seconds, its fills guessed at half.
+/// Sending time in seconds that an endpoint is asked for over two seconds, its fills guessed at half.
 fn asked_of(bench: &mut Bench, id: EndpointId, per_second: u64) -> f64 {
     let (mut total, step) = (0.0, S / per_second);
     for object in 0..2 * per_second {
@@ -195,7 +197,7 @@
     {
         let mut bench = Bench::new(settings(), fleet());
         let started_at = bench.now;
-        bench.tell(Endpoint { started_at, ..member(id, tier) });
+        bench.tell(Endpoint { started_at, ..endpoint(id, tier) });
         // Far more than the location could ever serve.
         let asked = asked_of(&mut bench, id, 2_000);
         let limit = multiple * (floor + (1.0 - floor) * 0.1) * weight * 2.0;
@@ -215,7 +217,7 @@
         let warm = slice(&mut bench);
         bench.now += 60 * S;
         let started_at = bench.now;
-        bench.tell(Endpoint { started_at, ..member(id, tier) });
+        bench.tell(Endpoint { started_at, ..endpoint(id, tier) });
         let mut last = 0;
         for wait in [1, 4, 8, 12, 22] {
             bench.now = started_at + wait * S;
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -104,8 +104,8 @@
         (rule("f(1) == 1", "hash(path)"), r#""define":["f(n: int) = f(n)"],"#, "calls itself"),
         (String::new(), "", "not within 1 to 256"),
     ] {
-        let why = check(&text, more).expect_err(&text);
-        assert!(why.contains(word), "{why} does not name {word}");
+        let reason = check(&text, more).expect_err(&text);
+        assert!(reason.contains(word), "{reason} does not name {word}");
     }
 }
 
--- a/tests/scarcity.rs
+++ b/tests/scarcity.rs
@@ -16,9 +16,9 @@
 
 /// A configuration that knows these caches, for a process that is told to have 1,024 descriptors.
 fn known(watch: SocketAddr, caches: &[(u32, SocketAddr)], admin: Option<SocketAddr>) -> String {
-    let members: Vec<(u32, &str, SocketAddr)> = caches.iter().map(|(id, at)| (*id, "box", *at)).collect();
+    let endpoints: Vec<(u32, &str, SocketAddr)> = caches.iter().map(|(id, at)| (*id, "box", *at)).collect();
     let admin = admin.map_or(String::new(), |at| format!(r#""mgmt":"{at}","#));
-    stand_ins::config(watch, &members)
+    stand_ins::config(watch, &endpoints)
         .replace(r#""listen":"127.0.0.1:1","#, &format!(r#""listen":"127.0.0.1:5050",{admin}"#))
 }
 
@@ -57,7 +57,7 @@
     (head[9..12].to_string(), body)
 }
 
-/// Asks until a member of this name serves a request: the proxy hears of changes in its own time.
+/// Asks until an endpoint of this name serves a request: the proxy hears of changes in its own time.
 fn served_by(proxy: &Running, ids: &mut u64, name: &str) {
     loop {
         *ids += 1;
@@ -74,22 +74,23 @@
     line.trim().split(' ').next_back().unwrap().parse().unwrap()
 }
 
-/// Idle clients fill all that clients may hold while the membership watch is down: the dial to a member, the second
+/// Idle clients fill all that clients may hold while the endpointship watch is down: the dial to an endpoint, the second
 /// address and the watch, once it is back, get their descriptors. Nothing is ever accepted for which there is none.
 #[test]
 fn idle_clients_leave_descriptors_to_the_watch_the_members_and_the_second_address() {
-    let member = Member::start("one");
+    let endpoint = KnownEndpoint::start("one");
     let (watch, admin) = (free(), free());
-    let mut proxy = Running::start_of(&known(watch, &[(0xc1, member.address)], Some(admin)), "few.json", FEW);
+    let mut proxy =
+        Running::start_of(&known(watch, &[(0xc1, endpoint.address)], Some(admin)), "few.json", FEW);
     let idle: Vec<TcpStream> = (0..IDLE).map(|_| proxy.connect()).collect();
-    // The dial to the member. An honest client waits for its place behind the others, and gets one.
+    // The dial to the endpoint. An honest client waits for its place behind the others, and gets one.
     assert_eq!(ask(&mut proxy.connect(), 1), ("200".to_string(), "one".to_string()));
     // The second address.
     let mut call = TcpStream::connect(admin).unwrap();
     call.write_all(b"GET /healthcheck HTTP/1.1\r\nHost: o\r\n\r\n").unwrap();
     assert!(read(&mut call).0.starts_with("HTTP/1.1 200"));
-    // The watch comes back and brings a new member, while the idle clients are still there.
-    let other = Member::start("two");
+    // The watch comes back and brings a new endpoint, while the idle clients are still there.
+    let other = KnownEndpoint::start("two");
     let listener = TcpListener::bind(watch).unwrap();
     let (mut stream, last) = link(&listener);
     assert_eq!(last, 1);
@@ -106,12 +107,12 @@
 #[test]
 fn a_process_is_ready_at_once_whatever_discovery_does() {
     for silent in [false, true] {
-        let member = Member::start("known");
+        let endpoint = KnownEndpoint::start("known");
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let watch = listener.local_addr().unwrap();
         // Taken by the machine and never answered; or refused.
         let _silent = silent.then_some(listener);
-        let text = known(watch, &[(0xc1, member.address)], None);
+        let text = known(watch, &[(0xc1, endpoint.address)], None);
         let name = format!("ready{silent}.json");
         let mut proxy = Running::start_of(&text, &name, FEW);
         for round in 0..2 {
@@ -135,15 +136,15 @@
 /// same address before the old process is waited for: the new one serves.
 #[test]
 fn a_kill_right_after_an_accept_and_a_start_at_the_same_address_serves() {
-    let member = Member::start("again");
-    let text = known(free(), &[(0xc1, member.address)], None);
+    let endpoint = KnownEndpoint::start("again");
+    let text = known(free(), &[(0xc1, endpoint.address)], None);
     let mut proxy = Running::start_of(&text, "again.json", FEW);
     for round in 1..=5 {
         let mut accepted = proxy.connect();
         accepted.write_all(get(round).as_bytes()).unwrap();
-        // It is at the member, or not yet taken: both in turn. What the last process had sent may be told late.
+        // It is at the endpoint, or not yet taken: both in turn. What the last process had sent may be told late.
         if round % 2 == 0 {
-            while member.asked.recv_timeout(HANGS).unwrap() != format!("{round:016x}") {}
+            while endpoint.asked.recv_timeout(HANGS).unwrap() != format!("{round:016x}") {}
         }
         let port = proxy.port;
         proxy.signal("-KILL");
@@ -151,7 +152,7 @@
         proxy = Running::start_at(port, &text, "again.json", FEW).expect("it takes the address");
         let (status, body) = ask(&mut proxy.connect(), 100 + round);
         assert_eq!((&*status, &*body), ("200", "again"));
-        while member.asked.recv_timeout(HANGS).unwrap() != format!("{:016x}", 100 + round) {}
+        while endpoint.asked.recv_timeout(HANGS).unwrap() != format!("{:016x}", 100 + round) {}
     }
 }
 
@@ -159,11 +160,11 @@
 /// address is free.
 #[test]
 fn a_start_at_an_address_that_is_still_in_use_serves_once_it_is_free() {
-    let member = Member::start("late");
+    let endpoint = KnownEndpoint::start("late");
     // Who has the address first.
     let ending = TcpListener::bind("127.0.0.1:0").unwrap();
     let port = ending.local_addr().unwrap().port();
-    let text = known(free(), &[(0xc1, member.address)], None);
+    let text = known(free(), &[(0xc1, endpoint.address)], None);
     let mut proxy = Running::spawn_at(port, &text, "in_use.json", FEW);
     assert!(proxy.begins("the address is in use"), "it ended instead of waiting");
     drop(ending);
@@ -171,10 +172,10 @@
     assert_eq!(ask(&mut proxy.connect(), 1), ("200".to_string(), "late".to_string()));
 }
 
-/// SIGHUP, then a drain of the member that served: the other one serves. And once more the other way round.
+/// SIGHUP, then a drain of the endpoint that served: the other one serves. And once more the other way round.
 #[test]
 fn a_drain_after_a_reload_leaves_a_proxy_that_serves() {
-    let (one, two) = (Member::start("one"), Member::start("two"));
+    let (one, two) = (KnownEndpoint::start("one"), KnownEndpoint::start("two"));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let watch = listener.local_addr().unwrap();
     let text = known(watch, &[(0xc1, one.address), (0xc2, two.address)], None);
@@ -207,10 +208,11 @@
 }
 
 /// A watch that brings changes for a while and then falls silent with its connection up; and one that brings a whole list
-/// in the middle that replaces all members. The last list told is served from, and the next link goes on from its number.
+/// in the middle that replaces all endpoints. The last list told is served from, and the next link goes on from its number.
 #[test]
 fn a_whole_list_in_the_middle_and_a_silence_behind_it_leave_a_proxy_that_serves() {
-    let (old, new, last) = (Member::start("old"), Member::start("new"), Member::start("last"));
+    let (old, new, last) =
+        (KnownEndpoint::start("old"), KnownEndpoint::start("new"), KnownEndpoint::start("last"));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let watch = listener.local_addr().unwrap();
     let proxy = Running::start_of(&known(watch, &[(0xc1, old.address)], None), "whole.json", 256);
@@ -220,7 +222,7 @@
     assert_eq!(begun, 1);
     stream.write_all(&frame(1, 0, &[])).unwrap();
     stream.write_all(&frame(2, 2, &cache_record(0xc2, new.address, 1))).unwrap();
-    // The whole list: another member altogether, in two writes with the cut inside a record.
+    // The whole list: another endpoint altogether, in two writes with the cut inside a record.
     let list = frame(3, 1, &[cache_record(0xc3, new.address, 0), origin_record(0xb0, new.address)].concat());
     stream.write_all(&list[..30]).unwrap();
     stream.flush().unwrap();
@@ -243,8 +245,8 @@
 /// Requests in pieces: a byte at a time, cut at every place in turn, and cut inside every CR LF.
 #[test]
 fn requests_in_pieces_are_served() {
-    let member = Member::start("pieces");
-    let proxy = Running::start_of(&known(free(), &[(0xc1, member.address)], None), "pieces.json", 256);
+    let endpoint = KnownEndpoint::start("pieces");
+    let proxy = Running::start_of(&known(free(), &[(0xc1, endpoint.address)], None), "pieces.json", 256);
     let mut client = proxy.connect();
     client.set_nodelay(true).unwrap();
     let mut id = 1;
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -436,7 +436,7 @@
             assert_eq!(client.ask("GET", link, "").await.status, 200);
         }
         assert!(f.site.asked(CACHES[0]) > 0 && f.site.asked(CACHES[1]) > 0);
-        let at = f.site.members[&CACHES[0]].address;
+        let at = f.site.endpoints[&CACHES[0]].address;
         let no = f.site.bulletin.state(CACHES[0], at, 0, 1);
         until(|| f.site.host.with(|e| e.last_no()) >= no).await;
         f.site.pass(250.0);
@@ -448,7 +448,7 @@
         }
         assert_eq!(f.site.asked(CACHES[0]), before);
         // As a source it is as good as gone: here the parent drains.
-        let at = f.site.members[&PARENT].address;
+        let at = f.site.endpoints[&PARENT].address;
         let no = f.site.bulletin.state(PARENT, at, 1, 1);
         until(|| f.site.host.with(|e| e.last_no()) >= no).await;
         f.site.pass(250.0);
@@ -456,7 +456,7 @@
         for link in &links {
             assert_eq!(client.ask("GET", link, "").await.status, 200);
         }
-        let asked = f.site.members[&CACHES[1]].asked.borrow();
+        let asked = f.site.endpoints[&CACHES[1]].asked.borrow();
         assert!(asked[seen..]
             .iter()
             .all(|fields| fields.get("next").is_none_or(|next| next != "s-000000a0")));
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -10,9 +10,9 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Members, and proxies, of a large fleet.
+/// Endpoints, and proxies, of a large fleet.
 const LARGE: u32 = 1_024;
-/// Members of a small one.
+/// Endpoints of a small one.
 const SMALL: u32 = 10;
 /// Requests for objects of their own that each fleet gets.
 const REQUESTS: u64 = 2_000;
@@ -79,27 +79,29 @@
     (first..first + REQUESTS).map(served).filter(|ok| *ok).count()
 }
 
-/// A proxy whose settings tell of 1,024 siblings, served by one member, which the watch replaces by so many at once.
-fn fleet(members: u32, member: SocketAddr) -> (Running, TcpStream) {
+/// A proxy whose settings tell of 1,024 siblings, served by one endpoint, which the watch replaces by so many at once.
+fn fleet(endpoints: u32, endpoint: SocketAddr) -> (Running, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let text = stand_ins::config(listener.local_addr().unwrap(), &[(0xffff, "box", member)])
+    let text = stand_ins::config(listener.local_addr().unwrap(), &[(0xffff, "box", endpoint)])
         .replace(r#""listen":"127.0.0.1:1""#, r#""listen":"127.0.0.1:5050""#)
         .replace(r#""siblings":1"#, &format!(r#""siblings":{LARGE}"#))
         .replace(r#""seatsByZone":[0,1]"#, &format!(r#""seatsByZone":[{},{}]"#, LARGE / 2, LARGE / 2));
-    let proxy = Running::start_of(&text, &format!("size{members}.json"), 1_024);
+    let proxy = Running::start_of(&text, &format!("size{endpoints}.json"), 1_024);
     let (mut stream, _) = link(&listener);
-    let caches = (0..members).flat_map(|k| cache_record(0x1000 + k, member, 0));
-    stream.write_all(&frame(2, 1, &caches.chain(origin_record(0xb0, member)).collect::<Vec<u8>>())).unwrap();
+    let caches = (0..endpoints).flat_map(|k| cache_record(0x1000 + k, endpoint, 0));
+    stream
+        .write_all(&frame(2, 1, &caches.chain(origin_record(0xb0, endpoint)).collect::<Vec<u8>>()))
+        .unwrap();
     (proxy, stream)
 }
 
-/// A whole list of 1,024 members in one event is taken and served from, with settings that tell of 1,024 siblings; the
-/// threads are those of ten members, and the memory stays within what the deployment allows.
+/// A whole list of 1,024 endpoints in one event is taken and served from, with settings that tell of 1,024 siblings; the
+/// threads are those of ten endpoints, and the memory stays within what the deployment allows.
 #[test]
 fn a_thousand_members_cost_no_thread_and_little_memory() {
-    let member = Member::start("large");
-    let measure = |members: u32| {
-        let (mut proxy, _watch) = fleet(members, member.address);
+    let endpoint = KnownEndpoint::start("large");
+    let measure = |endpoints: u32| {
+        let (mut proxy, _watch) = fleet(endpoints, endpoint.address);
         proxy.signal("-USR1");
         proxy.until("bulletin_events");
         let idle = held(&proxy);
@@ -109,7 +111,7 @@
         let connections: usize =
             proxy.until("connections ").trim().split(' ').next_back().unwrap().parse().unwrap();
         println!(
-            "{members} members: idle {idle:?}, after {REQUESTS} requests {busy:?} (threads, resident KB, descriptors); \
+            "{endpoints} members: idle {idle:?}, after {REQUESTS} requests {busy:?} (threads, resident KB, descriptors); \
              {served} served over {connections} connections to members"
         );
         assert!(served as u64 > REQUESTS * 9 / 10, "{served} served");
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -229,7 +229,7 @@
         no
     }
 
-    /// Tells of one member's state: 0 ready, 1 draining, 2 gone.
+    /// Tells of one endpoint's state: 0 ready, 1 draining, 2 gone.
     pub fn state(&self, id: u32, at: SocketAddr, kind: u8, state: u8) -> u64 {
         let mut record = id.to_be_bytes().to_vec();
         record.extend([127, 0, 0, 1]);
@@ -257,7 +257,7 @@
     pub clock: Clock,
     pub host: Rc<Executor>,
     pub env: Rc<PlatformSettings>,
-    pub members: HashMap<u32, Cache>,
+    pub endpoints: HashMap<u32, Cache>,
     pub bulletin: Bulletin,
     pub config: Config,
     /// Where the bulletin is, as the configuration says.
@@ -273,8 +273,8 @@
     path
 }
 
-/// The text of a configuration. Members are `(id, kind, address)`.
-pub fn config(bulletin: SocketAddr, members: &[(u32, &str, SocketAddr)]) -> String {
+/// The text of a configuration. Endpoints are `(id, kind, address)`.
+pub fn config(bulletin: SocketAddr, endpoints: &[(u32, &str, SocketAddr)]) -> String {
     let line = |(id, kind, at): &(u32, &str, SocketAddr)| {
         let zone = if *kind == "box" { "town" } else { "hub" };
         format!(
@@ -282,7 +282,7 @@
                 "state":"Ready","capacity_hint":4,"boot_ms":0}}"#
         )
     };
-    let targets: Vec<String> = members.iter().map(line).collect();
+    let targets: Vec<String> = endpoints.iter().map(line).collect();
     let targets = targets.join(",");
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:1","seed":"8c1f30d27a5be964","limits":{{"sockets":1024}},
@@ -310,12 +310,12 @@
     /// Starts everything but a front. `name` is the test's own.
     pub async fn start(name: &str) -> Self {
         let bulletin = Bulletin::start().await;
-        let mut members = HashMap::new();
+        let mut endpoints = HashMap::new();
         let mut lines = Vec::new();
         for (id, kind) in [(CACHES[0], "box"), (CACHES[1], "box"), (PARENT, "parent"), (ORIGIN, "origin")] {
             let cache = Cache::start().await;
             lines.push((id, kind, cache.address));
-            members.insert(id, cache);
+            endpoints.insert(id, cache);
         }
         let path = folder(name).join("config.json");
         std::fs::write(&path, config(bulletin.address, &lines)).unwrap();
@@ -327,7 +327,7 @@
         let (moves, told) = watch::channel(config.bulletin().unwrap());
         spawn_local(discovery::keep(host.clone(), told));
         let (stop, closing) = Default::default();
-        Self { clock, host, env, members, bulletin, config, moves, stop, closing }
+        Self { clock, host, env, endpoints, bulletin, config, moves, stop, closing }
     }
 
     /// Opens a front and tells where.
@@ -344,19 +344,19 @@
         self.host.with(Engine::tick);
     }
 
-    /// All members answer alike from now on.
+    /// All endpoints answer alike from now on.
     pub fn all(&self, script: Script) {
-        self.members.values().for_each(|m| *m.script.borrow_mut() = script.clone());
+        self.endpoints.values().for_each(|m| *m.script.borrow_mut() = script.clone());
     }
 
-    /// How many requests reached a member.
+    /// How many requests reached an endpoint.
     pub fn asked(&self, id: u32) -> usize {
-        self.members[&id].asked.borrow().len()
+        self.endpoints[&id].asked.borrow().len()
     }
 
-    /// How many requests reached all members.
+    /// How many requests reached all endpoints.
     pub fn asked_in_all(&self) -> usize {
-        self.members.values().map(|m| m.asked.borrow().len()).sum()
+        self.endpoints.values().map(|m| m.asked.borrow().len()).sum()
     }
 }
 
--- a/tests/stand_ins/threads.rs
+++ b/tests/stand_ins/threads.rs
@@ -8,14 +8,14 @@
 /// How long a thread's test waits for what must come; it only ends a test that hangs.
 pub const HANGS: Duration = Duration::from_secs(30);
 
-/// A member that answers every request with its own name; tells the name's asker the ids.
-pub struct Member {
+/// An endpoint that answers every request with its own name; tells the name's asker the ids.
+pub struct KnownEndpoint {
     pub address: SocketAddr,
     /// Ids of requests, as they came.
     pub asked: Receiver<String>,
 }
 
-impl Member {
+impl KnownEndpoint {
     /// Starts one that answers with `name`.
     pub fn start(name: &'static str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -47,7 +47,7 @@
     }
 }
 
-/// A frame of the membership watch.
+/// A frame of the endpointship watch.
 pub fn frame(no: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let mut frame = (payload.len() as u32 + 9).to_be_bytes().to_vec();
     frame.extend(no.to_be_bytes());
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -118,17 +118,17 @@
     record
 }
 
-/// A drain that stands beside a member of an unknown zone binds from the first time that it is told.
+/// A drain that stands beside an endpoint of an unknown zone binds from the first time that it is told.
 #[test]
 fn a_drain_beside_a_record_that_cannot_be_read_binds_at_once() {
     run(async {
         let site = Site::start("beside").await;
-        let at = site.members[&CACHES[0]].address;
+        let at = site.endpoints[&CACHES[0]].address;
         let changes = [record(0xdd, 0, 99, at), record(CACHES[0], 1, 1, at)].concat();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to = listener.local_addr().unwrap();
         let links = scripted(listener, vec![says(&[frame(2, 2, &changes), purge(3, 18)])]);
-        let live = |site: &Site| site.host.members("box").len();
+        let live = |site: &Site| site.host.endpoints("box").len();
         let takes = |site: &Site| site.host.backends("box", 1).iter().filter(|b| b.live).count();
         assert_eq!((live(&site), takes(&site)), (2, 2));
         site.moves.send(to).unwrap();
