--- a/src/main.rs
+++ b/src/main.rs
@@ -17,6 +17,7 @@
 use edge_proxy::rules::table::{Rules, Said};
 use edge_proxy::vrrp::config::VrrpConfig;
 use edge_proxy::wire::http::HttpRequest;
+use edge_proxy::Idempotency;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -277,6 +278,15 @@
     path.map(|path| PurgeConfig::read(&path).map_err(|e| e.to_string())).transpose()
 }
 
+/// The spelling of [`Idempotency`] in the answers of `grpc-route`.
+fn repeat_text(idempotency: Idempotency) -> &'static str {
+    match idempotency {
+        Idempotency::Idempotent => "Safe",
+        Idempotency::WithKey => "Keyed",
+        Idempotency::NotIdempotent => "Unsafe",
+    }
+}
+
 /// How long a call of the command line waits.
 const CALL_WITHIN: Duration = Duration::from_secs(5);
 
@@ -392,10 +402,10 @@
             let route = routes.find(&asked.path).ok_or(format!("{:?}: no line of the table", asked.path))?;
             let deadline = route.deadline_ms.map_or("the client's".into(), |ms| format!("{ms} ms"));
             println!(
-                "pool {}  kind {:?}  repeat {:?}  deadline {deadline}  affinity {:?}  retry {}",
+                "pool {}  kind {:?}  repeat {}  deadline {deadline}  affinity {:?}  retry {}",
                 pools[route.pool].name,
                 route.kind,
-                route.repeat,
+                repeat_text(route.repeat),
                 route.affinity,
                 route.retry.iter().map(|code| code.name()).collect::<Vec<_>>().join(",")
             );
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -3,8 +3,8 @@
 
 mod stand_ins;
 
-use calicobeam::duties::config::DutiesConfig;
-use calicobeam::vrrp::config::VrrpConfig;
+use edge_proxy::health_check::config::DutiesConfig;
+use edge_proxy::vrrp::config::VrrpConfig;
 use serde_json::{json, Value};
 use stand_ins::running::{Running, PROGRAM};
 use std::io::{BufReader, Read, Write};
