--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -10,8 +10,8 @@
 mod slow_box;
 
 use device::{certify, Device, Impaired};
-use edge_proxy::http3::config::PoorConfig;
-use edge_proxy::http3::response_store::{Claim, Shelf, ShelfBounds};
+use edge_proxy::http3::config::Http3Config;
+use edge_proxy::http3::response_store::{Claim, ResponseStore, ShelfBounds};
 use edge_proxy::state::requests::FinalResponse;
 use hdrhistogram::Histogram;
 use slow_box::SlowFleet;
@@ -44,7 +44,7 @@
     doubled: usize,
 }
 
-fn program(dir: &Path, fleet: &SlowFleet, at: std::net::SocketAddr, path: &str) -> (Running, PoorConfig) {
+fn program(dir: &Path, fleet: &SlowFleet, at: std::net::SocketAddr, path: &str) -> (Running, Http3Config) {
     let program =
         PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
     let listen = std::net::TcpListener::bind("127.0.120.9:0").unwrap().local_addr().unwrap();
@@ -64,7 +64,7 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     std::thread::sleep(Duration::from_millis(50));
-    (Running(child), PoorConfig::read(&file).unwrap())
+    (Running(child), Http3Config::read(&file).unwrap())
 }
 
 async fn round(dir: &Path, path: &str, loss: f64, jitter_ms: f64, requests: u64, number: u64) -> Round {
@@ -149,7 +149,7 @@
         keep_read_ms: 10_000.0,
         keep_write_ms: 60_000.0,
     };
-    let (mut shelf, calls) = (Shelf::new(bounds), 400_000u64);
+    let (mut shelf, calls) = (ResponseStore::new(bounds), 400_000u64);
     let answer = FinalResponse::Served { tag: None, body: vec![1u8; 600].into() };
     let (start, mut most) = (Instant::now(), 0);
     for n in 0..calls {
--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -15,7 +15,7 @@
 use edge_proxy::engine::executor::Executor;
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::registry::config::RegistryConfig;
-use edge_proxy::registry::driver::{keep, Link};
+use edge_proxy::registry::driver::{keep, RegistryStatus};
 use edge_proxy::wire::cache_connection::CacheDriver;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -208,7 +208,7 @@
         let (engine, _) = edge_proxy::lifecycle::serve::engine(&config, &clock, 0).unwrap();
         let host = Executor::new(clock, engine, CacheDriver);
         host.with(|engine| engine.take_roster_from_registry());
-        let link = Rc::new(RefCell::new(Link::default()));
+        let link = Rc::new(RefCell::new(RegistryStatus::default()));
         links.push(link.clone());
         tokio::task::spawn_local(keep(host, file.clone(), link, n as u64));
     }
--- a/src/admission/config.rs
+++ b/src/admission/config.rs
@@ -2,7 +2,7 @@
 //! engine at once, as before.
 
 use super::fair::{AdmissionBounds, ClientKey, Limit};
-use crate::lifecycle::config::{read_json, ConfigError};
+use crate::config_file::{read_json, ConfigError, FieldError};
 use ahash::AHashMap;
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use iprange::IpRange;
@@ -153,11 +153,7 @@
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        config.check().map_err(|(field, reason)| ConfigError::Field {
-            path: path.to_path_buf(),
-            field,
-            reason,
-        })?;
+        config.check().map_err(|error| error.in_file(path))?;
         Ok(config)
     }
 
@@ -167,16 +163,16 @@
     }
 
     /// What is wrong, by field.
-    pub fn check(&self) -> Result<(), (&'static str, String)> {
+    pub fn check(&self) -> Result<(), FieldError> {
         let l = self.limit;
         let weight_ok = |w: f64| w.is_finite() && (0.01..=100.0).contains(&w);
         let mut groups = std::collections::BTreeSet::new();
         for tenant in &self.tenants {
             if !weight_ok(tenant.weight) || tenant.groups.is_empty() {
-                return Err(("tenants", "each has groups and a weight from 0.01 to 100".into()));
+                return Err(FieldError::new("tenants", "each has groups and a weight from 0.01 to 100"));
             }
             if let Some(twice) = tenant.groups.iter().find(|g| !groups.insert(**g)) {
-                return Err(("tenants", format!("group {twice} stands in two tenants")));
+                return Err(FieldError::new("tenants", format!("group {twice} stands in two tenants")));
             }
         }
         let within = |v: f64, low: f64, high: f64| v.is_finite() && v >= low && v <= high;
@@ -203,10 +199,10 @@
             ("weight", weight_ok(self.weight), "0.01 to 100"),
         ];
         if self.client_prefix_v4 > 32 || self.client_prefix_v6 > 128 {
-            return Err(("client_prefix_v4", "at most 32, and 128 for client_prefix_v6".into()));
+            return Err(FieldError::new("client_prefix_v4", "at most 32, and 128 for client_prefix_v6"));
         }
         match checks.into_iter().find(|(_, ok, _)| !ok) {
-            Some((field, _, bound)) => Err((field, format!("out of bounds: {bound}"))),
+            Some((field, _, bound)) => Err(FieldError::new(field, format!("out of bounds: {bound}"))),
             None => Ok(()),
         }
     }
--- a/src/grpc/config.rs
+++ b/src/grpc/config.rs
@@ -4,8 +4,8 @@
 use super::routes::{Affinity, Kind, Route, Routes};
 use super::status::Code;
 use crate::admission::config::AdmissionConfig;
+use crate::config_file::{parse_address, read_json, ConfigError, FieldError};
 use crate::interface::{Idempotency, KeyScope, PolicySettings, RequestClass, SlowStart};
-use crate::lifecycle::config::{address, read_json, ConfigError};
 use crate::state::connections;
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -222,7 +222,7 @@
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        let field = |(field, reason)| ConfigError::Field { path: path.to_path_buf(), field, reason };
+        let field = |error: FieldError| error.in_file(path);
         config.check().map_err(field)?;
         Ok(config)
     }
@@ -232,17 +232,20 @@
         let fresh = Self::read(&self.path)?;
         if fresh.listen != self.listen {
             let reason = format!("{:?}: another address needs a new process", fresh.listen);
-            return Err(ConfigError::Field { path: self.path.clone(), field: "listen", reason });
+            return Err(FieldError::new("listen", reason).in_file(&self.path));
         }
         Ok(fresh)
     }
 
-    fn check(&self) -> Result<(), (&'static str, String)> {
-        address(&self.listen).map_err(|reason| ("listen", reason))?;
+    fn check(&self) -> Result<(), FieldError> {
+        parse_address(&self.listen).map_err(|reason| FieldError::new("listen", reason))?;
         let l = &self.limits;
         let within = |name, v: f64, low: f64, high: f64| {
             let ok = v.is_finite() && v >= low && v <= high;
-            ok.then_some(()).ok_or_else(|| ("limits", format!("`{name}` {v} is not within {low} to {high}")))
+            ok.then_some(()).ok_or_else(|| {
+                let reason = format!("`{name}` {v} is not within {low} to {high}");
+                FieldError::new("limits", reason)
+            })
         };
         within("clients", l.clients as f64, 1.0, 65_536.0)?;
         within("streams_per_client", f64::from(l.streams_per_client), 1.0, 10_000.0)?;
@@ -267,16 +270,18 @@
             within(name, ms, low, 3_600_000.0)?;
         }
         if let Some(door) = &self.door {
-            door.check().map_err(|(field, reason)| ("door", format!("`{field}`: {reason}")))?;
+            door.check().map_err(|FieldError { field, source }| {
+                FieldError::new("door", format!("`{field}`: {source}"))
+            })?;
         }
         if self.tenant_header.as_ref().is_some_and(|n| http::HeaderName::from_bytes(n.as_bytes()).is_err()) {
-            return Err(("tenant_header", "no header's name".into()));
+            return Err(FieldError::new("tenant_header", "no header's name"));
         }
         if self.pools.is_empty() {
-            return Err(("pools", "none".into()));
+            return Err(FieldError::new("pools", "none"));
         }
         for (k, pool) in self.pools.iter().enumerate() {
-            let bad = |reason: String| ("pools", format!("{:?}: {reason}", pool.name));
+            let bad = |reason: String| FieldError::new("pools", format!("{:?}: {reason}", pool.name));
             if pool.name.is_empty() || self.pools[..k].iter().any(|p| p.name == pool.name) {
                 return Err(bad("the name is empty or comes twice".into()));
             }
@@ -289,7 +294,7 @@
             }
             let mut seen = BTreeSet::new();
             for b in &pool.backends {
-                let at = address(&b.address).map_err(bad)?;
+                let at = parse_address(&b.address).map_err(|error| bad(error.to_string()))?;
                 if !seen.insert(at) {
                     return Err(bad(format!("{at} comes twice")));
                 }
@@ -304,12 +309,12 @@
                 return Err(bad("`come_back_most_ms` 0 to 60,000".into()));
             }
         }
-        self.compile().map(|_| ()).map_err(|reason| ("routes", reason))
+        self.compile().map(|_| ()).map_err(|reason| FieldError::new("routes", reason))
     }
 
     /// Where clients connect.
     pub fn at(&self) -> SocketAddr {
-        address(&self.listen).expect("checked when read")
+        parse_address(&self.listen).expect("checked when read")
     }
 
     /// The table of methods, and what the module is told of each pool.
@@ -381,7 +386,7 @@
     pub fn backends(&self, pool: &PoolConfig) -> Vec<Backend> {
         let mut taken = BTreeSet::new();
         let mut lines: Vec<(SocketAddr, &BackendConfig)> =
-            pool.backends.iter().filter_map(|b| Some((address(&b.address).ok()?, b))).collect();
+            pool.backends.iter().filter_map(|b| Some((parse_address(&b.address).ok()?, b))).collect();
         lines.sort_by_key(|(at, _)| *at);
         let backends = lines.into_iter().map(|(address, b)| {
             // An id by the address alone, so that every proxy agrees on it and a list may change.
--- a/src/health_check/config.rs
+++ b/src/health_check/config.rs
@@ -3,8 +3,8 @@
 use super::health_status::Turns;
 use super::lease::InstanceId;
 use super::scheduler::{Times, LAST_PLACE};
-use crate::lifecycle::config::{address, keys_beside, read_json, ConfigError};
-use crate::message_auth::Keys;
+use crate::config_file::{parse_address, read_json, read_keys_beside, ConfigError, FieldError, KeyFileError};
+use crate::message_auth::MessageKeys;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
 /// The operator file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct DutiesConfig {
+pub struct HealthCheckConfig {
     /// This instance's number.
     pub id: InstanceId,
     /// Where it takes the others' datagrams.
@@ -109,41 +109,40 @@
     2
 }
 
-impl DutiesConfig {
+impl HealthCheckConfig {
     /// Reads and checks the file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        config.check().map_err(|(field, reason)| ConfigError::Field {
-            path: path.to_path_buf(),
-            field,
-            reason,
-        })?;
+        config.check().map_err(|error| error.in_file(path))?;
         Ok(config)
     }
 
-    fn check(&self) -> Result<(), (&'static str, String)> {
-        let own = address(&self.listen).map_err(|reason| ("listen", reason))?;
+    fn check(&self) -> Result<(), FieldError> {
+        let own = parse_address(&self.listen).map_err(|reason| FieldError::new("listen", reason))?;
         let (mut ids, mut places) = (BTreeSet::from([self.id]), BTreeSet::from([own]));
         for peer in &self.peers {
-            let at = address(&peer.address).map_err(|reason| ("peers", reason))?;
+            let at = parse_address(&peer.address).map_err(|reason| FieldError::new("peers", reason))?;
             if !ids.insert(peer.id) || !places.insert(at) {
-                return Err(("peers", format!("{} at {at} comes twice, or is this instance", peer.id)));
+                return Err(FieldError::new(
+                    "peers",
+                    format!("{} at {at} comes twice, or is this instance", peer.id),
+                ));
             }
         }
         if self.peers.len() > MAX_PEERS {
-            return Err(("peers", format!("{} are more than {MAX_PEERS}", self.peers.len())));
+            return Err(FieldError::new("peers", format!("{} are more than {MAX_PEERS}", self.peers.len())));
         }
         if let Some(far) = places.iter().find(|at| !at.ip().is_loopback()) {
-            return Err(("peers", format!("{far}: it is carried over loopback only")));
+            return Err(FieldError::new("peers", format!("{far}: it is carried over loopback only")));
         }
-        self.keys().map_err(|reason| ("key_file", reason))?;
+        self.keys().map_err(|reason| FieldError::new("key_file", reason))?;
         if self.servers.models.is_empty() || self.servers.port == Some(0) {
-            return Err(("servers", "`models` names kinds, and a `port` is not 0".into()));
+            return Err(FieldError::new("servers", "`models` names kinds, and a `port` is not 0"));
         }
         if let Probe::Http(path) = &self.probe {
             if !path.starts_with('/') || !path.bytes().all(|b| b.is_ascii_graphic()) {
-                return Err(("probe", format!("{path:?} is no path")));
+                return Err(FieldError::new("probe", format!("{path:?} is no path")));
             }
         }
         let checks: [(&'static str, f64, f64, f64); 7] = [
@@ -156,19 +155,21 @@
             ("rise", f64::from(self.rise), 1.0, 100.0),
         ];
         match checks.into_iter().find(|(_, v, low, high)| !(v.is_finite() && v >= low && v <= high)) {
-            Some((field, v, low, high)) => Err((field, format!("{v} is not within {low} to {high}"))),
+            Some((field, v, low, high)) => {
+                Err(FieldError::new(field, format!("{v} is not within {low} to {high}")))
+            }
             None => Ok(()),
         }
     }
 
     /// Where it takes the others' datagrams.
     pub fn at(&self) -> SocketAddr {
-        address(&self.listen).expect("checked when read")
+        parse_address(&self.listen).expect("checked when read")
     }
 
     /// The other instances, by number.
     pub fn others(&self) -> Vec<(InstanceId, SocketAddr)> {
-        let at = |peer: &Peer| address(&peer.address).expect("checked when read");
+        let at = |peer: &Peer| parse_address(&peer.address).expect("checked when read");
         self.peers.iter().map(|peer| (peer.id, at(peer))).collect()
     }
 
@@ -190,7 +191,7 @@
     }
 
     /// The keys that seal datagrams, where there is a file for them.
-    pub fn keys(&self) -> Result<Option<Keys>, String> {
-        self.key_file.as_ref().map(|file| keys_beside(&self.path, file)).transpose()
+    pub fn keys(&self) -> Result<Option<MessageKeys>, KeyFileError> {
+        self.key_file.as_ref().map(|file| read_keys_beside(&self.path, file)).transpose()
     }
 }
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -1,7 +1,7 @@
 //! The duties' task: the other instances' datagrams, the plan's acts, the probes themselves, and what the engine is
 //! told of members that turned.
 
-use super::config::{DutiesConfig, Probe};
+use super::config::{HealthCheckConfig, Probe};
 use super::health_status::{Board, Standing};
 use super::lease::{DutyId, InstanceId, Slot};
 use super::scheduler::{Act, Message, Plan, PlanFigures};
@@ -33,9 +33,9 @@
 const MAX_ANSWER: usize = 1_024;
 
 /// Shared duties, as their task and the second address share them.
-pub struct Duties {
+pub struct HealthChecker {
     host: Rc<Executor>,
-    config: DutiesConfig,
+    config: HealthCheckConfig,
     socket: UdpSocket,
     plan: RefCell<Plan>,
     board: RefCell<Board>,
@@ -49,10 +49,13 @@
     probes: Semaphore,
 }
 
-impl Duties {
+impl HealthChecker {
     /// Shared duties of an operator file, over a socket that is bound where it says.
-    pub fn new(host: Rc<Executor>, config: DutiesConfig, socket: UdpSocket) -> Result<Rc<Self>, String> {
-        let seals = config.keys()?.map(|keys| Seals::labelled(keys, config.clock_skew_ms, LABEL));
+    pub fn new(host: Rc<Executor>, config: HealthCheckConfig, socket: UdpSocket) -> Result<Rc<Self>, String> {
+        let seals = config
+            .keys()
+            .map_err(|error| error.to_string())?
+            .map(|keys| Seals::labelled(keys, config.clock_skew_ms, LABEL));
         let others: BTreeMap<InstanceId, SocketAddr> = config.others().into_iter().collect();
         let plan = Plan::new(host.clock.now(), config.id, others.keys().copied(), config.times());
         host.with(|engine| engine.share_probes());
@@ -77,7 +80,7 @@
 
     /// Takes the keys as their file stands by now.
     pub fn rekey(&self) -> Result<(), String> {
-        let keys = self.config.keys()?;
+        let keys = self.config.keys().map_err(|error| error.to_string())?;
         match (&mut *self.seals.borrow_mut(), keys) {
             (Some(seals), Some(keys)) => seals.rekey(keys),
             _ => return Ok(()),
@@ -266,7 +269,7 @@
 }
 
 /// Does the duties for ever.
-pub async fn run(duties: Rc<Duties>) {
+pub async fn run(duties: Rc<HealthChecker>) {
     let mut bytes = [0u8; MAX_DATAGRAM];
     let mut look_ms = f64::NEG_INFINITY;
     loop {
--- a/src/http3/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -1,7 +1,7 @@
 //! The shelf between the fronts' drivers and the engine: a call that is new goes to the engine, and its answer to all
 //! that wait for it, on whatever connection they came.
 
-use super::response_store::{Claim, Key, SessionId, Shelf, ShelfBounds, ShelfFigures};
+use super::response_store::{Claim, Key, ResponseStore, SessionId, ShelfBounds, ShelfFigures};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
@@ -14,10 +14,10 @@
 const FULL_WAIT_MS: f64 = 500.0;
 
 /// The shelf in service.
-pub struct Keeper {
+pub struct CallRegistry {
     /// The host.
     pub host: Rc<Executor>,
-    shelf: RefCell<Shelf>,
+    shelf: RefCell<ResponseStore>,
     waiting: RefCell<HashMap<Key, Vec<oneshot::Sender<FinalResponse>>>>,
     hasher: ahash::RandomState,
     due: Notify,
@@ -33,14 +33,14 @@
 
 /// One connection's wait for a call. Dropped without a word, the connection counts as lost, and the call goes on.
 pub struct Hold {
-    keeper: Rc<Keeper>,
+    keeper: Rc<CallRegistry>,
     key: Option<Key>,
 }
 
-impl Keeper {
+impl CallRegistry {
     /// A keeper with an empty shelf.
     pub fn new(host: Rc<Executor>, bounds: ShelfBounds) -> Rc<Self> {
-        let (shelf, waiting) = (RefCell::new(Shelf::new(bounds)), RefCell::default());
+        let (shelf, waiting) = (RefCell::new(ResponseStore::new(bounds)), RefCell::default());
         Rc::new(Self { host, shelf, waiting, hasher: ahash::RandomState::new(), due: Notify::new() })
     }
 
--- a/src/http3/config.rs
+++ b/src/http3/config.rs
@@ -2,8 +2,10 @@
 
 use super::response_store::ShelfBounds;
 use super::session::Sessions;
-use crate::lifecycle::config::{address, beside, keys_beside, read_json, ConfigError};
-use crate::message_auth::Keys;
+use crate::config_file::{
+    parse_address, read_json, read_keys_beside, resolve_beside, ConfigError, FieldError,
+};
+use crate::message_auth::MessageKeys;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -120,7 +122,7 @@
 /// The operator file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct PoorConfig {
+pub struct Http3Config {
     /// Where it takes QUIC, over UDP.
     pub listen: String,
     /// Where it takes plain HTTP/1.1 for devices that UDP does not reach.
@@ -147,26 +149,22 @@
     pub file: PathBuf,
 }
 
-impl PoorConfig {
+impl Http3Config {
     /// Reads and checks the file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.file = path.to_path_buf();
-        config.check().map_err(|(field, reason)| ConfigError::Field {
-            path: path.to_path_buf(),
-            field,
-            reason,
-        })?;
+        config.check().map_err(|error| error.in_file(path))?;
         Ok(config)
     }
 
-    fn check(&self) -> Result<(), (&'static str, String)> {
-        address(&self.listen).map_err(|reason| ("listen", reason))?;
+    fn check(&self) -> Result<(), FieldError> {
+        parse_address(&self.listen).map_err(|reason| FieldError::new("listen", reason))?;
         if let Some(tcp) = &self.tcp {
-            address(tcp).map_err(|reason| ("tcp", reason))?;
+            parse_address(tcp).map_err(|reason| FieldError::new("tcp", reason))?;
         }
-        self.sessions().map_err(|reason| ("session_keys", reason))?;
-        super::server::server_config(self).map_err(|reason| ("certificate", reason))?;
+        self.sessions().map_err(|reason| FieldError::new("session_keys", reason))?;
+        super::server::server_config(self).map_err(|reason| FieldError::new("certificate", reason))?;
         let (l, s, p) = (&self.limits, &self.shelf, &self.path);
         let checks: [(&'static str, f64, f64, f64); 20] = [
             ("connections", l.connections as f64, 1.0, 65_536.0),
@@ -191,31 +189,33 @@
             ("first_rtt_ms", p.first_rtt_ms, 1.0, 10_000.0),
         ];
         match checks.into_iter().find(|(_, v, low, high)| !(v.is_finite() && v >= low && v <= high)) {
-            Some((field, v, low, high)) => Err((field, format!("{v} is not within {low} to {high}"))),
+            Some((field, v, low, high)) => {
+                Err(FieldError::new(field, format!("{v} is not within {low} to {high}")))
+            }
             None => Ok(()),
         }
     }
 
     /// A file that is named beside this one.
-    pub fn beside(&self, file: &Path) -> PathBuf {
-        beside(&self.file, file)
+    pub fn resolve_beside(&self, file: &Path) -> PathBuf {
+        resolve_beside(&self.file, file)
     }
 
     /// Where it takes QUIC.
     pub fn at(&self) -> SocketAddr {
-        address(&self.listen).expect("checked when read")
+        parse_address(&self.listen).expect("checked when read")
     }
 
     /// Where it takes TCP.
     pub fn tcp_at(&self) -> Option<SocketAddr> {
-        self.tcp.as_ref().map(|tcp| address(tcp).expect("checked when read"))
+        self.tcp.as_ref().map(|tcp| parse_address(tcp).expect("checked when read"))
     }
 
     /// Sessions by the keys as they are by now.
     pub fn sessions(&self) -> Result<Sessions, String> {
         let keys = match &self.session_keys {
-            None => Keys::random(),
-            Some(file) => keys_beside(&self.file, file)?,
+            None => MessageKeys::random(),
+            Some(file) => read_keys_beside(&self.file, file).map_err(|error| error.to_string())?,
         };
         Ok(Sessions::new(keys, self.shelf.session_ms))
     }
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -1,7 +1,7 @@
 //! The front of the edge for poor links: another front's requests and answers, with a session by which a device's
 //! calls outlive its connections, and with ranges, so that a clip that stopped halfway goes on from there.
 
-use super::call_registry::Keeper;
+use super::call_registry::CallRegistry;
 use super::response_store::SessionId;
 use super::session::Sessions;
 use crate::engine::executor::Executor;
@@ -16,16 +16,16 @@
 pub const SESSION: &str = "X-Session";
 
 /// The front.
-pub struct PoorFront {
+pub struct Http3Front {
     inner: Rc<dyn Front>,
     limits: Limits,
     sessions: RefCell<Sessions>,
-    keeper: Rc<Keeper>,
+    keeper: Rc<CallRegistry>,
 }
 
-impl PoorFront {
+impl Http3Front {
     /// A front for another one's requests.
-    pub fn new(inner: Rc<dyn Front>, limits: Limits, sessions: Sessions, keeper: Rc<Keeper>) -> Self {
+    pub fn new(inner: Rc<dyn Front>, limits: Limits, sessions: Sessions, keeper: Rc<CallRegistry>) -> Self {
         Self { inner, limits, sessions: RefCell::new(sessions), keeper }
     }
 
@@ -75,7 +75,7 @@
     }
 }
 
-impl Front for PoorFront {
+impl Front for Http3Front {
     fn limits(&self) -> &Limits {
         &self.limits
     }
@@ -107,7 +107,7 @@
         self.inner.not_taken(reason)
     }
 
-    fn keeper(&self) -> Option<&Rc<Keeper>> {
+    fn keeper(&self) -> Option<&Rc<CallRegistry>> {
         Some(&self.keeper)
     }
 }
--- a/src/http3/response_store.rs
+++ b/src/http3/response_store.rs
@@ -85,7 +85,7 @@
 
 /// The shelf. See the module's page.
 #[derive(Debug)]
-pub struct Shelf {
+pub struct ResponseStore {
     bounds: ShelfBounds,
     entries: HashMap<Key, Entry>,
     sessions: HashMap<SessionId, usize>,
@@ -102,7 +102,7 @@
     ms.max(0.0).to_bits()
 }
 
-impl Shelf {
+impl ResponseStore {
     /// An empty shelf.
     pub fn new(bounds: ShelfBounds) -> Self {
         Self {
--- a/src/http3/response_store/tests.rs
+++ b/src/http3/response_store/tests.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_write_is_taken_once_however_often_it_is_asked() {
-    let mut shelf = Shelf::new(bounds());
+    let mut shelf = ResponseStore::new(bounds());
     let key = (7, 1);
     assert_eq!(shelf.claim(0.0, key, 5, true), Claim::New);
     shelf.lost(10.0, key);
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_read_without_a_client_runs_on_for_a_while() {
-    let mut shelf = Shelf::new(bounds());
+    let mut shelf = ResponseStore::new(bounds());
     shelf.claim(0.0, (7, 1), 5, false);
     shelf.lost(100.0, (7, 1));
     assert_eq!((shelf.next_due(), shelf.tick(1_099.0)), (1_100.0, vec![]));
@@ -64,7 +64,7 @@
 
 #[test]
 fn room_is_made_of_answers_reads_first_and_never_of_running_calls() {
-    let mut shelf = Shelf::new(bounds());
+    let mut shelf = ResponseStore::new(bounds());
     for id in 0..3 {
         assert_eq!(shelf.claim(0.0, (1, id), 0, id == 0), Claim::New);
         shelf.finished(f64::from(id as u32), (1, id), &served(1_000));
@@ -94,7 +94,7 @@
     #[test]
     fn the_bounds_hold(steps in prop::collection::vec((0u8..6, 0u64..12, 0f64..400.0, 0usize..2_500), 1..300)) {
         let bounds = bounds();
-        let mut shelf = Shelf::new(bounds);
+        let mut shelf = ResponseStore::new(bounds);
         let (mut now, mut running) = (0.0, HashMap::<Key, u32>::new());
         for (kind, id, ms, bytes) in steps {
             now += ms;
--- a/src/http3/server.rs
+++ b/src/http3/server.rs
@@ -2,9 +2,9 @@
 //! connection that ends by its client's word calls its reads off; one that is lost leaves its calls to the shelf.
 //! There is no early data (0-RTT), so no request is replayed by the transport (RFC 8470).
 
-use super::call_registry::{Keeper, Kept};
-use super::config::{Congestion, Limits, PoorConfig};
-use super::front::PoorFront;
+use super::call_registry::{CallRegistry, Kept};
+use super::config::{Congestion, Http3Config, Limits};
+use super::front::Http3Front;
 use super::path_estimate::{Link, Sample};
 use super::send_scheduler::{Priority, Turns};
 use crate::clock::duration_from_ms;
@@ -34,9 +34,9 @@
 const FLUSH_MS: f64 = 400.0;
 
 /// What the transport is told.
-pub fn server_config(config: &PoorConfig) -> Result<quinn::ServerConfig, String> {
+pub fn server_config(config: &Http3Config) -> Result<quinn::ServerConfig, String> {
     let file = |path: &std::path::Path| {
-        let path = config.beside(path);
+        let path = config.resolve_beside(path);
         std::fs::read(&path).map_err(|e| format!("{}: {e}", path.display()))
     };
     let certificates: Result<Vec<_>, _> =
@@ -62,7 +62,7 @@
 }
 
 /// The transport for such links, for either side.
-pub fn transport(config: &PoorConfig) -> quinn::TransportConfig {
+pub fn transport(config: &Http3Config) -> quinn::TransportConfig {
     let (l, p) = (&config.limits, &config.path);
     let mut transport = quinn::TransportConfig::default();
     let idle = quinn::VarInt::from_u32(l.idle_ms as u32);
@@ -105,8 +105,8 @@
 /// The driver, as its tasks share it.
 pub struct Driver {
     host: Rc<Executor>,
-    front: Rc<PoorFront>,
-    keeper: Rc<Keeper>,
+    front: Rc<Http3Front>,
+    keeper: Rc<CallRegistry>,
     limits: Limits,
     open: Cell<usize>,
     figures: Cell<PoorFigures>,
@@ -114,7 +114,12 @@
 
 impl Driver {
     /// A driver of a front.
-    pub fn new(host: Rc<Executor>, front: Rc<PoorFront>, keeper: Rc<Keeper>, limits: Limits) -> Rc<Self> {
+    pub fn new(
+        host: Rc<Executor>,
+        front: Rc<Http3Front>,
+        keeper: Rc<CallRegistry>,
+        limits: Limits,
+    ) -> Rc<Self> {
         let (open, figures) = Default::default();
         Rc::new(Self { host, front, keeper, limits, open, figures })
     }
--- a/src/http3/session.rs
+++ b/src/http3/session.rs
@@ -3,7 +3,7 @@
 //! keys takes it. No I/O.
 
 use super::response_store::SessionId;
-use crate::message_auth::Keys;
+use crate::message_auth::MessageKeys;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine as _;
 use thiserror::Error;
@@ -38,14 +38,14 @@
 /// Makes and opens tokens.
 #[derive(Clone, Debug)]
 pub struct Sessions {
-    keys: Keys,
+    keys: MessageKeys,
     /// How long a token is good, in milliseconds.
     last_ms: f64,
 }
 
 impl Sessions {
     /// Sessions by these keys.
-    pub fn new(keys: Keys, last_ms: f64) -> Self {
+    pub fn new(keys: MessageKeys, last_ms: f64) -> Self {
         Self { keys, last_ms }
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -58,6 +58,7 @@
 
 pub mod admission;
 pub mod clock;
+pub mod config_file;
 pub mod engine;
 pub mod grpc;
 pub mod health_check;
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -1,53 +1,13 @@
 //! The configuration of one proxy, as the platform hands it over.
 
-use crate::message_auth::Keys;
+use crate::config_file::{parse_address, read_json, AddressError, ConfigError};
 use crate::settings::PlatformSettings;
 use crate::wire::discovery_codec::InitialState;
 use serde::Deserialize;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use thiserror::Error;
-
-/// What is wrong with a configuration.
-#[derive(Debug, Error)]
-pub enum ConfigError {
-    /// The file can't be read.
-    #[error("{}: {error}", path.display())]
-    Unreadable {
-        /// The file.
-        path: PathBuf,
-        /// Why.
-        error: std::io::Error,
-    },
-    /// The text is not what it should be.
-    #[error("{}: {error}", path.display())]
-    Malformed {
-        /// The file.
-        path: PathBuf,
-        /// What, where.
-        error: String,
-    },
-    /// A key is gone that the file had at the start.
-    #[error("{}: key `{key}` is gone", path.display())]
-    Lost {
-        /// The file.
-        path: PathBuf,
-        /// The key.
-        key: String,
-    },
-    /// A field's value can't be used.
-    #[error("{}: field `{field}`: {reason}", path.display())]
-    Field {
-        /// The file.
-        path: PathBuf,
-        /// The field.
-        field: &'static str,
-        /// What is wrong.
-        reason: String,
-    },
-}
 
 /// The fewest descriptors that a proxy can work with.
 const MIN_SOCKETS: usize = 32;
@@ -102,14 +62,6 @@
     }
 }
 
-/// Reads a JSON file into a type.
-pub fn read_json<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, ConfigError> {
-    let mut text =
-        std::fs::read(path).map_err(|error| ConfigError::Unreadable { path: path.to_path_buf(), error })?;
-    simd_json::from_slice(&mut text)
-        .map_err(|error| ConfigError::Malformed { path: path.to_path_buf(), error: error.to_string() })
-}
-
 /// A key of `old` that `new` lacks. Items of a list may come and go, but each has the keys that all of them had.
 fn lost(old: &OwnedValue, new: &OwnedValue) -> Option<String> {
     if let Some(old) = old.as_object() {
@@ -127,27 +79,6 @@
         .find_map(|item| keys.iter().find(|key| item.get(key.as_str()).is_none()).map(|key| (*key).clone()))
 }
 
-/// A file that is named beside another one.
-pub fn beside(path: &Path, file: &Path) -> PathBuf {
-    path.parent().map_or_else(|| file.to_path_buf(), |dir| dir.join(file))
-}
-
-/// Reads the keys of a file that is named beside another one.
-pub fn keys_beside(path: &Path, file: &Path) -> Result<Keys, String> {
-    let file = beside(path, file);
-    let text = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
-    Keys::parse(&text).map_err(|reason| format!("{}: {reason}", file.display()))
-}
-
-/// An IPv4 address that is one host's own.
-pub fn address(text: &str) -> Result<SocketAddr, String> {
-    match text.parse::<SocketAddr>() {
-        Ok(at) if at.ip() == Ipv4Addr::UNSPECIFIED => Err(format!("{text:?} is not one address")),
-        Ok(at) => Ok(at),
-        Err(error) => Err(format!("{text:?}: {error}")),
-    }
-}
-
 impl Config {
     /// Reads and checks a configuration.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
@@ -159,18 +90,24 @@
         let mut config: Self = read_json(path)?;
         config.keys = keys;
         config.path = path.to_path_buf();
-        let field = |field, reason| ConfigError::Field { path: path.to_path_buf(), field, reason };
-        address(&config.listen).map_err(|reason| field("listen", reason))?;
-        address(&config.bulletin).map_err(|reason| field("bulletin", reason))?;
-        config.mgmt().map_err(|reason| field("mgmt", reason))?;
-        config.seed().map_err(|reason| field("seed", reason))?;
-        config.settings.check().map_err(|reason| field("settings", reason))?;
-        let events = config.known.events().map_err(|reason| field("known", reason))?;
+        parse_address(&config.listen).map_err(|reason| ConfigError::field(path, "listen", reason))?;
+        parse_address(&config.bulletin).map_err(|reason| ConfigError::field(path, "bulletin", reason))?;
+        config.mgmt().map_err(|reason| ConfigError::field(path, "mgmt", reason))?;
+        config.seed().map_err(|reason| ConfigError::field(path, "seed", reason))?;
+        config.settings.check().map_err(|reason| ConfigError::field(path, "settings", reason))?;
+        let events = config.known.events().map_err(|reason| ConfigError::field(path, "known", reason))?;
         for event in events {
-            config.settings.check_event(&event).map_err(|reason| field("known", reason))?;
+            config
+                .settings
+                .check_event(&event)
+                .map_err(|reason| ConfigError::field(path, "known", reason))?;
         }
         if config.limits.sockets < MIN_SOCKETS {
-            return Err(field("limits.sockets", format!("{} are too few", config.limits.sockets)));
+            return Err(ConfigError::field(
+                path,
+                "limits.sockets",
+                format!("{} are too few", config.limits.sockets),
+            ));
         }
         Ok(config)
     }
@@ -180,26 +117,26 @@
     pub fn again(&self) -> Result<Self, ConfigError> {
         let fresh = Self::read(&self.path)?;
         match lost(&self.keys, &fresh.keys) {
-            Some(key) => Err(ConfigError::Lost { path: self.path.clone(), key }),
+            Some(key) => Err(ConfigError::MissingKey { path: self.path.clone(), key }),
             None => Ok(fresh),
         }
     }
 
     /// Where clients connect.
-    pub fn listen(&self) -> Result<SocketAddr, String> {
-        address(&self.listen)
+    pub fn listen(&self) -> Result<SocketAddr, AddressError> {
+        parse_address(&self.listen)
     }
 
     /// Where the bulletin listens.
-    pub fn bulletin(&self) -> Result<SocketAddr, String> {
-        address(&self.bulletin)
+    pub fn bulletin(&self) -> Result<SocketAddr, AddressError> {
+        parse_address(&self.bulletin)
     }
 
     /// Where the platform and its staff connect: as `NODE_MGMT` says, since a new process may be given the file of
     /// the old one with an address of its own, else as the file says.
-    pub fn mgmt(&self) -> Result<Option<SocketAddr>, String> {
+    pub fn mgmt(&self) -> Result<Option<SocketAddr>, AddressError> {
         let named = std::env::var("NODE_MGMT").ok().filter(|text| !text.is_empty());
-        named.or_else(|| self.mgmt.clone()).as_deref().map(address).transpose()
+        named.or_else(|| self.mgmt.clone()).as_deref().map(parse_address).transpose()
     }
 
     /// Seed of what is random.
--- a/src/lifecycle/front.rs
+++ b/src/lifecycle/front.rs
@@ -1,6 +1,6 @@
 //! The second front's file, and its keys while it runs.
 
-use super::config::{address, read_json, ConfigError};
+use crate::config_file::{parse_address, read_json, AddressError, ConfigError};
 use crate::engine::executor::Executor;
 use crate::wire::keys::{self, Key, KeyRing};
 use crate::wire::listener::Limits;
@@ -21,7 +21,7 @@
 /// The front's file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct FrontConfig {
+pub struct SignedUrlConfig {
     /// Where clients connect.
     listen: String,
     /// The JWK set, beside this file unless the path is absolute.
@@ -68,24 +68,28 @@
     Ok((text, keys))
 }
 
-impl FrontConfig {
+impl SignedUrlConfig {
     /// Reads and checks a front's file and its keys; the proxy has `sockets` descriptors.
     pub fn read(path: &Path, sockets: usize) -> Result<Self, ConfigError> {
         let mut front: Self = read_json(path)?;
-        let field = |field, reason: String| ConfigError::Field { path: path.to_path_buf(), field, reason };
-        address(&front.listen).map_err(|reason| field("listen", reason))?;
+        parse_address(&front.listen).map_err(|reason| ConfigError::field(path, "listen", reason))?;
         front.keys = path.parent().unwrap_or(Path::new("")).join(&front.keys);
-        read_keys(&front.keys)
-            .map_err(|reason| field("keys", format!("{}: {reason}", front.keys.display())))?;
+        read_keys(&front.keys).map_err(|reason| {
+            ConfigError::field(path, "keys", format!("{}: {reason}", front.keys.display()))
+        })?;
         if front.issuer.is_empty() {
-            return Err(field("issuer", "it is empty".into()));
+            return Err(ConfigError::field(path, "issuer", "it is empty"));
         }
         if !matches!(front.scheme.as_str(), "http" | "https") {
-            return Err(field("scheme", format!("{:?} is neither http nor https", front.scheme)));
+            return Err(ConfigError::field(
+                path,
+                "scheme",
+                format!("{:?} is neither http nor https", front.scheme),
+            ));
         }
         for (name, ms) in [("leeway_ms", front.leeway_ms), ("overlap_ms", front.overlap_ms)] {
             if !(0.0..=86_400_000.0).contains(&ms) {
-                return Err(field(name, format!("{ms} is not within a day")));
+                return Err(ConfigError::field(path, name, format!("{ms} is not within a day")));
             }
         }
         let l = &front.limits;
@@ -93,10 +97,11 @@
             .iter()
             .any(|ms| !(1.0..=3_600_000.0).contains(ms))
         {
-            return Err(field("limits", "a time is not within 1 ms to 1 hour".into()));
+            return Err(ConfigError::field(path, "limits", "a time is not within 1 ms to 1 hour"));
         }
         if l.connections == 0 || l.connections > sockets / 5 {
-            return Err(field(
+            return Err(ConfigError::field(
+                path,
                 "limits.connections",
                 format!("{} is not within 1 to {}", l.connections, sockets / 5),
             ));
@@ -105,8 +110,8 @@
     }
 
     /// Where clients connect.
-    pub fn listen(&self) -> Result<SocketAddr, String> {
-        address(&self.listen)
+    pub fn listen(&self) -> Result<SocketAddr, AddressError> {
+        parse_address(&self.listen)
     }
 
     /// How many connections its clients may have.
@@ -125,7 +130,12 @@
 
 /// Keeps a front's keys as its file has them: at once when `reload` says so, else within [`LOOK_MS`]. A file
 /// that can't be used changes nothing; it is logged once, by its fault and never by its text.
-pub async fn keep_keys(host: Rc<Executor>, config: FrontConfig, front: Rc<SignedUrls>, reload: Rc<Notify>) {
+pub async fn keep_keys(
+    host: Rc<Executor>,
+    config: SignedUrlConfig,
+    front: Rc<SignedUrls>,
+    reload: Rc<Notify>,
+) {
     let mut last = std::fs::read(&config.keys).unwrap_or_default();
     let mut fault = String::new();
     loop {
--- a/src/lifecycle/maintenance.rs
+++ b/src/lifecycle/maintenance.rs
@@ -1,8 +1,8 @@
 //! The file in which maintenance of members outlives a process: a new version of the program takes it over, and both
 //! read it while they serve side by side.
 
-use super::config::read_json;
 use crate::clock::duration_from_ms;
+use crate::config_file::read_json;
 use crate::engine::executor::Executor;
 use crate::state::maintenance::Mark;
 use crate::wire::cache_codec::{endpoint_id, endpoint_text};
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -2,33 +2,34 @@
 
 use super::config::Config;
 use super::descriptors::{DescriptorBudget, DescriptorDemand, Descriptors};
-use super::front::{keep_keys, FrontConfig};
+use super::front::{keep_keys, SignedUrlConfig};
 use super::inherit;
 use super::maintenance::Store;
 use crate::admission::config::AdmissionConfig;
 use crate::admission::control::AdmissionControl;
 use crate::clock::{duration_from_ms, Clock};
+use crate::config_file::BoxError;
 use crate::engine::executor::Executor;
 use crate::engine::{Engine, EngineBounds};
 use crate::grpc::config::GrpcConfig;
 use crate::grpc::server::{self as grpc, GrpcFront};
-use crate::health_check::config::DutiesConfig;
-use crate::health_check::driver::{self as duties_driver, Duties};
-use crate::http3::call_registry::Keeper;
-use crate::http3::config::PoorConfig;
-use crate::http3::front::PoorFront;
+use crate::health_check::config::HealthCheckConfig;
+use crate::health_check::driver::{self as duties_driver, HealthChecker};
+use crate::http3::call_registry::CallRegistry;
+use crate::http3::config::Http3Config;
+use crate::http3::front::Http3Front;
 use crate::http3::server;
 use crate::purge::config::PurgeConfig;
 use crate::purge::{driver, wire::MAX_CALL};
 use crate::registry::config::RegistryConfig;
-use crate::registry::driver::{self as registry_driver, Link};
+use crate::registry::driver::{self as registry_driver, RegistryStatus};
 use crate::rules::config::RulesConfig;
 use crate::rules::table::Rules;
 use crate::state::connections::Bounds;
 use crate::vrrp::config::{FrontKind, VrrpConfig};
 use crate::vrrp::driver::{self as vrrp, host_value};
 use crate::vrrp::track::{Rate, What};
-use crate::wire::admin::Manage;
+use crate::wire::admin::AdminFront;
 use crate::wire::cache_connection::CacheDriver;
 use crate::wire::discovery;
 use crate::wire::listener::{accept, Front, Limits, Stop};
@@ -64,7 +65,7 @@
 pub enum ServeError {
     /// A value of the configuration.
     #[error("field `{0}`: {1}")]
-    Field(&'static str, String),
+    Field(&'static str, BoxError),
     /// An address can't be listened on, or a signal not be awaited.
     #[error("{0}: {1}")]
     System(String, std::io::Error),
@@ -73,11 +74,18 @@
     Purges(#[from] crate::purge::log::LogError),
 }
 
+impl ServeError {
+    /// An error of the field `field`.
+    fn field(field: &'static str, source: impl Into<BoxError>) -> Self {
+        Self::Field(field, source.into())
+    }
+}
+
 /// What a process serves besides the platform's front, each off where it is none.
 #[derive(Default)]
 pub struct Subsystems {
     /// The second front, signed URLs.
-    pub front: Option<FrontConfig>,
+    pub front: Option<SignedUrlConfig>,
     /// A virtual router.
     pub router: Option<VrrpConfig>,
     /// Fleet purges.
@@ -89,9 +97,9 @@
     /// gRPC pass-through.
     pub grpc: Option<GrpcConfig>,
     /// The edge for poor links.
-    pub poor: Option<PoorConfig>,
+    pub poor: Option<Http3Config>,
     /// Shared duties.
-    pub duties: Option<DutiesConfig>,
+    pub duties: Option<HealthCheckConfig>,
     /// Rules that say what requests ask for.
     pub rules: Option<(RulesConfig, Rules)>,
 }
@@ -116,7 +124,7 @@
     shares: DescriptorBudget,
 ) -> Result<(Engine, Rc<crate::settings::PlatformSettings>), ServeError> {
     let env = Rc::new(config.settings.clone());
-    let seed = config.seed().map_err(|reason| ServeError::Field("seed", reason))?;
+    let seed = config.seed().map_err(|reason| ServeError::field("seed", reason))?;
     let sockets = config.limits.sockets;
     let connections = Bounds {
         total: shares.endpoints,
@@ -126,7 +134,7 @@
     };
     let bounds = EngineBounds { requests: sockets * 2 / 5 + extra, connections };
     let mut engine = Engine::new(clock.clone(), env.clone(), seed, bounds);
-    for event in config.known.events().map_err(|reason| ServeError::Field("known", reason))? {
+    for event in config.known.events().map_err(|reason| ServeError::field("known", reason))? {
         engine.news(event);
     }
     engine.skip_to(config.known.no);
@@ -164,7 +172,7 @@
         let needed = demand.signed + demand.others;
         let reason =
             format!("{} are too few: what is on needs {needed} beside clients and members", descriptors.most);
-        return Err(ServeError::Field("limits.sockets", reason));
+        return Err(ServeError::field("limits.sockets", reason));
     }
     Ok(shares)
 }
@@ -179,10 +187,10 @@
     let shares = shares(&config, demand)?;
     let Subsystems { front, router, purges, door, registry, grpc, poor, duties, rules } = extras;
     let (engine, _) = engine_with(&config, &clock, demand.signed, shares)?;
-    let listen = config.listen().map_err(|reason| ServeError::Field("listen", reason))?;
-    let bulletin = config.bulletin().map_err(|reason| ServeError::Field("bulletin", reason))?;
+    let listen = config.listen().map_err(|reason| ServeError::field("listen", reason))?;
+    let bulletin = config.bulletin().map_err(|reason| ServeError::field("bulletin", reason))?;
     let (bulletin, moves) = watch::channel(bulletin);
-    let seed = config.seed().map_err(|reason| ServeError::Field("seed", reason))?;
+    let seed = config.seed().map_err(|reason| ServeError::field("seed", reason))?;
     let host = Executor::new(clock, engine, CacheDriver);
     if let Some(door) = door.clone() {
         host.set_admission(AdmissionControl::new(door, "door"));
@@ -212,8 +220,8 @@
     fronts.borrow_mut().push((FrontKind::Platform, platform.clone()));
     let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
     host.spawn("accepting", accept(host.clone(), platform, listener, stop.clone(), closing.clone()));
-    let mgmt = config.mgmt().map_err(|reason| ServeError::Field("mgmt", reason))?;
-    let link = registry.as_ref().map(|_| Rc::new(RefCell::new(Link::default())));
+    let mgmt = config.mgmt().map_err(|reason| ServeError::field("mgmt", reason))?;
+    let link = registry.as_ref().map(|_| Rc::new(RefCell::new(RegistryStatus::default())));
     if let (Some(registry), Some(link)) = (registry, link.clone()) {
         host.with(|engine| engine.take_roster_from_registry());
         tracing::info!(at = registry.address, "members come from the registry");
@@ -223,7 +231,7 @@
         None => None,
         Some(config) => {
             let front = GrpcFront::new(host.clone(), config.clone(), seed);
-            let front = front.map_err(|reason| ServeError::Field("routes", reason))?;
+            let front = front.map_err(|reason| ServeError::field("routes", reason))?;
             let figures = front.clone();
             host.add_figures(Box::new(move || figures.figures()));
             Some((front, config))
@@ -235,11 +243,11 @@
             let pools: Vec<String> =
                 grpc.iter().flat_map(|(_, g)| g.pools.iter().map(|p| p.name.clone())).collect();
             set.check_with(front.is_some(), &pools, door.is_some(), link.is_some())
-                .map_err(|reason| ServeError::Field("vrrp", reason))?;
+                .map_err(|reason| ServeError::field("vrrp", reason))?;
             let accept = accept_virtual(&host, &fronts, grpc.as_ref().map(|(front, _)| front.clone()));
             let ask = tracked(&host, link.clone(), grpc.as_ref().map(|(front, _)| front.clone()));
-            let router = vrrp::Router::new(host.clone(), set.clone(), accept, ask);
-            let router = router.map_err(|reason| ServeError::Field("key_file", reason))?;
+            let router = vrrp::VirtualRouter::new(host.clone(), set.clone(), accept, ask);
+            let router = router.map_err(|reason| ServeError::field("key_file", reason))?;
             let figures = router.clone();
             host.add_figures(Box::new(move || figures.metrics()));
             Some((router, set))
@@ -250,8 +258,8 @@
         Some(config) => {
             let listen = config.at();
             let socket = bind_udp(listen).await?;
-            let duties = Duties::new(host.clone(), config, socket);
-            let duties = duties.map_err(|reason| ServeError::Field("key_file", reason))?;
+            let duties = HealthChecker::new(host.clone(), config, socket);
+            let duties = duties.map_err(|reason| ServeError::field("key_file", reason))?;
             let (figures, task) = (duties.clone(), duties.clone());
             host.add_figures(Box::new(move || figures.metrics()));
             always(&host, "shared duties", move || duties_driver::run(task.clone()));
@@ -260,9 +268,9 @@
         }
     };
     if purges.is_some() && mgmt.is_none() {
-        return Err(ServeError::Field(
+        return Err(ServeError::field(
             "mgmt",
-            "fleet purges are called at the second address, and there is none".into(),
+            "fleet purges are called at the second address, and there is none",
         ));
     }
     // Before anything is served: the purges that the log holds bind.
@@ -272,7 +280,7 @@
         // Before anything is served: what is out of use stays so across an upgrade.
         store.take_over(&host);
         let keep = store.clone();
-        let mut manage = Manage::new(Box::new(move |host| {
+        let mut manage = AdminFront::new(Box::new(move |host| {
             // What the other process was told meanwhile is kept.
             keep.take_over(host);
             keep.write(host)
@@ -317,9 +325,9 @@
     let reload = Rc::new(Notify::new());
     let second = Rc::new(Notify::new());
     if let Some(front) = front {
-        let listen = front.listen().map_err(|reason| ServeError::Field("listen", reason))?;
+        let listen = front.listen().map_err(|reason| ServeError::field("listen", reason))?;
         let signed = front.front(host.clock.now().to_bits() ^ seed);
-        let signed = Rc::new(signed.map_err(|reason| ServeError::Field("keys", reason))?);
+        let signed = Rc::new(signed.map_err(|reason| ServeError::field("keys", reason))?);
         let listener = bind(listen).await?;
         fronts.borrow_mut().push((FrontKind::Signed, signed.clone()));
         host.spawn("accepting", accept(host.clone(), signed.clone(), listener, stop.clone(), second.clone()));
@@ -360,7 +368,7 @@
     });
     always(&host, "the bulletin", {
         let host = host.clone();
-        move || discovery::keep(host.clone(), moves.clone())
+        move || discovery::run(host.clone(), moves.clone())
     });
     let router_stop = Rc::new(Notify::new());
     if let Some((router, set)) = &router {
@@ -376,9 +384,9 @@
             _ = report.recv() => print_counters(&host),
             _ = hangup.recv() => {
                 reload.notify_one();
-                read_again(&host, &config, &bulletin);
+                reload_config(&host, &config, &bulletin);
                 if let Some(door) = &door {
-                    read_admission_again(&host, door);
+                    reload_admission(&host, door);
                 }
                 if let Some(config) = &rules_config {
                     match RulesConfig::read(&config.path) {
@@ -449,16 +457,16 @@
 }
 
 /// The edge for poor links, as a running process holds it.
-struct PoorEdge {
+struct Http3Edge {
     endpoint: quinn::Endpoint,
-    front: Rc<PoorFront>,
+    front: Rc<Http3Front>,
     /// Ends the taking of new connections, of QUIC and of TCP.
     closing: [Rc<Notify>; 2],
 }
 
-impl PoorEdge {
+impl Http3Edge {
     /// Takes certificates and session keys as their files stand by now.
-    fn reload(&self, config: &PoorConfig) -> Result<(), String> {
+    fn reload(&self, config: &Http3Config) -> Result<(), String> {
         let server = server::server_config(config)?;
         if config.session_keys.is_some() {
             self.front.rekey(config.sessions()?);
@@ -471,17 +479,17 @@
 /// Opens the edge for poor links: QUIC, and TCP where the file says so, on one shelf.
 async fn poor_links(
     host: &Rc<Executor>,
-    config: &PoorConfig,
+    config: &Http3Config,
     inner: Rc<dyn Front>,
     stop: &Rc<Stop>,
-) -> Result<PoorEdge, ServeError> {
+) -> Result<Http3Edge, ServeError> {
     let l = &config.limits;
-    let field = |name| move |reason| ServeError::Field(name, reason);
-    let keeper = Keeper::new(host.clone(), config.shelf());
+    let field = |name| move |reason| ServeError::field(name, reason);
+    let keeper = CallRegistry::new(host.clone(), config.shelf());
     let sessions = config.sessions().map_err(field("session_keys"))?;
     let limits =
         Limits { idle_ms: l.idle_ms, body_bytes: l.body_bytes, ..platform::limits(l.tcp_connections) };
-    let front = Rc::new(PoorFront::new(inner, limits, sessions, keeper.clone()));
+    let front = Rc::new(Http3Front::new(inner, limits, sessions, keeper.clone()));
     let listen = config.at();
     let server = server::server_config(config).map_err(field("certificate"))?;
     let open = || std::future::ready(quinn::Endpoint::server(server.clone(), listen));
@@ -500,7 +508,7 @@
         );
     }
     tracing::info!(%listen, "HTTP/3 is served");
-    Ok(PoorEdge { endpoint, front, closing })
+    Ok(Http3Edge { endpoint, front, closing })
 }
 
 /// The fronts that are on, for virtual addresses.
@@ -521,7 +529,11 @@
 }
 
 /// The numbers of what a virtual router tracks.
-fn tracked(host: &Rc<Executor>, link: Option<Rc<RefCell<Link>>>, grpc: Option<Rc<GrpcFront>>) -> vrrp::Ask {
+fn tracked(
+    host: &Rc<Executor>,
+    link: Option<Rc<RefCell<RegistryStatus>>>,
+    grpc: Option<Rc<GrpcFront>>,
+) -> vrrp::Ask {
     let (host, rate) = (host.clone(), RefCell::new(Rate::default()));
     Box::new(move |what| match what {
         What::Registry => {
@@ -535,9 +547,9 @@
 
 /// Reads the configuration again, takes its settings and moves the bulletin's link where it says another address.
 /// Guards a running proxy against a file that can't be used: all stays as it was.
-pub fn read_again(host: &Rc<Executor>, config: &Config, bulletin: &watch::Sender<SocketAddr>) {
+pub fn reload_config(host: &Rc<Executor>, config: &Config, bulletin: &watch::Sender<SocketAddr>) {
     let read = config.again().map_err(|e| e.to_string());
-    match read.and_then(|fresh| Ok((fresh.bulletin()?, fresh.settings))) {
+    match read.and_then(|fresh| Ok((fresh.bulletin().map_err(|e| e.to_string())?, fresh.settings))) {
         Ok((address, settings)) => {
             host.with(|engine| {
                 engine.counters.reloads += 1;
@@ -554,7 +566,7 @@
 }
 
 /// Reads the door's file again: other weights hold from the next round; a file that can't be used changes nothing.
-pub fn read_admission_again(host: &Rc<Executor>, door: &AdmissionConfig) {
+pub fn reload_admission(host: &Rc<Executor>, door: &AdmissionConfig) {
     match door.again() {
         Ok(fresh) => {
             host.with_admission(|gate| gate.reconfigure(fresh));
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,10 +3,10 @@
 use argh::FromArgs;
 use edge_proxy::admission::config::AdmissionConfig;
 use edge_proxy::grpc::config::GrpcConfig;
-use edge_proxy::health_check::config::DutiesConfig;
-use edge_proxy::http3::config::PoorConfig;
+use edge_proxy::health_check::config::HealthCheckConfig;
+use edge_proxy::http3::config::Http3Config;
 use edge_proxy::lifecycle::config::Config;
-use edge_proxy::lifecycle::front::FrontConfig;
+use edge_proxy::lifecycle::front::SignedUrlConfig;
 use edge_proxy::lifecycle::serve::{self, Subsystems};
 use edge_proxy::purge::config::PurgeConfig;
 use edge_proxy::purge::log::{decode, MAGIC};
@@ -241,8 +241,8 @@
     Config::read(&path).map_err(|e| e.to_string())
 }
 
-fn read_front(path: Option<PathBuf>, config: &Config) -> Result<Option<FrontConfig>, String> {
-    let read = |path: PathBuf| FrontConfig::read(&path, config.limits.sockets).map_err(|e| e.to_string());
+fn read_front(path: Option<PathBuf>, config: &Config) -> Result<Option<SignedUrlConfig>, String> {
+    let read = |path: PathBuf| SignedUrlConfig::read(&path, config.limits.sockets).map_err(|e| e.to_string());
     path.map(read).transpose()
 }
 
@@ -258,12 +258,12 @@
     path.map(|path| GrpcConfig::read(&path).map_err(|e| e.to_string())).transpose()
 }
 
-fn read_poor(path: Option<PathBuf>) -> Result<Option<PoorConfig>, String> {
-    path.map(|path| PoorConfig::read(&path).map_err(|e| e.to_string())).transpose()
+fn read_poor(path: Option<PathBuf>) -> Result<Option<Http3Config>, String> {
+    path.map(|path| Http3Config::read(&path).map_err(|e| e.to_string())).transpose()
 }
 
-fn read_duties(path: Option<PathBuf>) -> Result<Option<DutiesConfig>, String> {
-    path.map(|path| DutiesConfig::read(&path).map_err(|e| e.to_string())).transpose()
+fn read_duties(path: Option<PathBuf>) -> Result<Option<HealthCheckConfig>, String> {
+    path.map(|path| HealthCheckConfig::read(&path).map_err(|e| e.to_string())).transpose()
 }
 
 fn read_rules(path: Option<PathBuf>) -> Result<Option<(RulesConfig, Rules)>, String> {
--- a/src/message_auth.rs
+++ b/src/message_auth.rs
@@ -1,68 +1,102 @@
-//! Keys for message authentication (HMAC-SHA256, RFC 2104) that rotate: a file with one in base64 on each line, of
-//! which the first signs and all are accepted. No I/O.
+//! Keys for message authentication (HMAC-SHA256, RFC 2104) that can be rotated. No I/O.
+//!
+//! A key file has one key in base64 on each line. The first key signs, and all keys verify. Empty lines and lines that
+//! begin with `#` are skipped.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
+use thiserror::Error;
 
-/// Bytes of a tag.
-pub const TAG: usize = 32;
-/// The shortest key, in bytes.
-const MIN_KEY: usize = 32;
-/// Keys at once at the most: the one that signs, and those on their way out or in.
+/// Length of a signature, in bytes.
+pub const SIGNATURE_BYTES: usize = 32;
+/// Least length of a key, in bytes.
+const MIN_KEY_BYTES: usize = 32;
+/// Most keys in a file: the one that signs, and those that are being phased out or in.
 const MAX_KEYS: usize = 4;
 
-/// Keys: the first signs, all are accepted.
+/// A key file's text that holds no usable keys.
+#[derive(Debug, Error)]
+pub enum KeyError {
+    /// A line is not base64.
+    #[error("key {number}: {source}")]
+    Encoding {
+        /// Number of the key, from 1.
+        number: usize,
+        /// The decoder's error.
+        source: base64::DecodeError,
+    },
+    /// A key is shorter than 32 bytes.
+    #[error("key {number}: {length} bytes are fewer than {MIN_KEY_BYTES}")]
+    TooShort {
+        /// Number of the key, from 1.
+        number: usize,
+        /// Length of the key, in bytes.
+        length: usize,
+    },
+    /// There is no key, or more than 4.
+    #[error("{count} keys are not within 1 to {MAX_KEYS}")]
+    Count {
+        /// How many keys there are.
+        count: usize,
+    },
+}
+
+/// Keys of which the first signs and all verify.
 #[derive(Clone)]
-pub struct Keys(Vec<Vec<u8>>);
+pub struct MessageKeys(Vec<Vec<u8>>);
 
-impl std::fmt::Debug for Keys {
+impl std::fmt::Debug for MessageKeys {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{} keys", self.0.len())
     }
 }
 
-impl Keys {
-    /// Reads keys, one in base64 on each line; lines that are empty or begin with `#` are skipped.
-    pub fn parse(text: &str) -> Result<Self, String> {
+impl MessageKeys {
+    /// Parses the text of a key file.
+    pub fn parse(text: &str) -> Result<Self, KeyError> {
         let lines = text.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with('#'));
-        let mut keys = Vec::new();
-        for (k, line) in lines.enumerate() {
-            let key = STANDARD.decode(line).map_err(|e| format!("key {}: {e}", k + 1))?;
-            if key.len() < MIN_KEY {
-                return Err(format!("key {}: {} bytes are fewer than {MIN_KEY}", k + 1, key.len()));
-            }
-            keys.push(key);
-        }
+        let keys = lines.enumerate().map(|(index, line)| decode_key(index + 1, line));
+        let keys = keys.collect::<Result<Vec<_>, _>>()?;
         if keys.is_empty() || keys.len() > MAX_KEYS {
-            return Err(format!("{} keys are not within 1 to {MAX_KEYS}", keys.len()));
+            return Err(KeyError::Count { count: keys.len() });
         }
         Ok(Self(keys))
     }
 
-    /// One key that nobody else knows, good as long as the process.
+    /// A random key that no other process has.
     pub fn random() -> Self {
         let half = || rand::random::<u128>().to_be_bytes();
         Self(vec![[half(), half()].concat()])
     }
 
-    fn mac(key: &[u8], label: &[u8], parts: &[&[u8]]) -> Hmac<Sha256> {
-        let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("any length will do");
-        mac.update(label);
-        parts.iter().for_each(|part| mac.update(part));
-        mac
+    /// The signature of the first key over a label, which separates uses of the keys, and parts of fixed lengths.
+    pub fn sign(&self, label: &[u8], parts: &[&[u8]]) -> [u8; SIGNATURE_BYTES] {
+        authenticator(&self.0[0], label, parts).finalize().into_bytes().into()
     }
 
-    /// The first key's tag over a label, which says what for, and parts of fixed places.
-    pub fn sign(&self, label: &[u8], parts: &[&[u8]]) -> [u8; TAG] {
-        Self::mac(&self.0[0], label, parts).finalize().into_bytes().into()
+    /// Whether `signature`, or a signature cut off to its length, is that of any key. Compares in constant time.
+    pub fn verify(&self, label: &[u8], parts: &[&[u8]], signature: &[u8]) -> bool {
+        self.0.iter().any(|key| authenticator(key, label, parts).verify_truncated_left(signature).is_ok())
     }
+}
 
-    /// Whether a tag, or its first bytes, is that of any key; compared in constant time.
-    pub fn verify(&self, label: &[u8], parts: &[&[u8]], tag: &[u8]) -> bool {
-        self.0.iter().any(|key| Self::mac(key, label, parts).verify_truncated_left(tag).is_ok())
+/// Decodes the key on one line.
+fn decode_key(number: usize, line: &str) -> Result<Vec<u8>, KeyError> {
+    let key = STANDARD.decode(line).map_err(|source| KeyError::Encoding { number, source })?;
+    if key.len() < MIN_KEY_BYTES {
+        return Err(KeyError::TooShort { number, length: key.len() });
     }
+    Ok(key)
+}
+
+/// The HMAC of a key over a label and parts.
+fn authenticator(key: &[u8], label: &[u8], parts: &[&[u8]]) -> Hmac<Sha256> {
+    let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC accepts a key of any length");
+    mac.update(label);
+    parts.iter().for_each(|part| mac.update(part));
+    mac
 }
 
 #[cfg(test)]
--- a/src/purge/config.rs
+++ b/src/purge/config.rs
@@ -3,7 +3,7 @@
 
 use super::active_purges::LedgerBounds;
 use super::fanout::{Backoff, FanOutBounds};
-use crate::lifecycle::config::{address, read_json, ConfigError};
+use crate::config_file::{parse_address, read_json, ConfigError, FieldError};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -110,33 +110,29 @@
         if let Some(state) = &config.state {
             config.state = Some(path.parent().unwrap_or(Path::new("")).join(state));
         }
-        config.check().map_err(|(field, reason)| ConfigError::Field {
-            path: path.to_path_buf(),
-            field,
-            reason,
-        })?;
+        config.check().map_err(|error| error.in_file(path))?;
         Ok(config)
     }
 
     /// What is wrong, by field.
-    pub fn check(&self) -> Result<(), (&'static str, String)> {
+    pub fn check(&self) -> Result<(), FieldError> {
         let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._:".contains(&b);
         let name_ok = |name: &str| !name.is_empty() && name.len() <= 64 && name.bytes().all(plain);
         if !name_ok(&self.name) {
-            return Err(("name", "1 to 64 letters, digits or -._:".into()));
+            return Err(FieldError::new("name", "1 to 64 letters, digits or -._:"));
         }
         let mut names = std::collections::BTreeSet::new();
         for target in &self.targets {
             if !name_ok(&target.name) || !names.insert(target.name.as_str()) || target.name == self.name {
-                return Err((
+                return Err(FieldError::new(
                     "targets",
                     format!("{:?}: names are plain, unique and not this proxy's", target.name),
                 ));
             }
-            address(&target.address).map_err(|reason| ("targets", reason))?;
+            parse_address(&target.address).map_err(|reason| FieldError::new("targets", reason))?;
         }
         if self.role == Role::Follower && (!self.targets.is_empty() || self.roster_port.is_some()) {
-            return Err(("targets", "only the leader tells targets".into()));
+            return Err(FieldError::new("targets", "only the leader tells targets"));
         }
         let within = |v: f64, low: f64, high: f64| v.is_finite() && v >= low && v <= high;
         let checks: [(&'static str, bool, &str); 10] = [
@@ -152,7 +148,7 @@
             ("roster_port", self.roster_port != Some(0), "a port from 1"),
         ];
         match checks.into_iter().find(|(_, ok, _)| !ok) {
-            Some((field, _, bound)) => Err((field, format!("out of bounds: {bound}"))),
+            Some((field, _, bound)) => Err(FieldError::new(field, format!("out of bounds: {bound}"))),
             None => Ok(()),
         }
     }
@@ -168,7 +164,7 @@
 
     /// The operator's targets with their addresses.
     pub fn fixed_targets(&self) -> Vec<(String, SocketAddr)> {
-        let at = |t: &TargetConfig| address(&t.address).ok().map(|a| (t.name.clone(), a));
+        let at = |t: &TargetConfig| parse_address(&t.address).ok().map(|a| (t.name.clone(), a));
         self.targets.iter().filter_map(at).collect()
     }
 
--- a/src/purge/driver.rs
+++ b/src/purge/driver.rs
@@ -23,7 +23,7 @@
 const MAX_LIST: usize = 1_000;
 
 /// What the calls and the task share.
-pub struct Desk {
+pub struct PurgeService {
     /// The book.
     pub book: RefCell<Book>,
     /// The operator file.
@@ -35,14 +35,14 @@
 }
 
 /// Gives the engine its guard, reads the log, and makes the desk. The ledger binds before anything is served.
-pub fn open(host: &Rc<Executor>, config: PurgeConfig, seed: u64) -> Result<Rc<Desk>, LogError> {
+pub fn open(host: &Rc<Executor>, config: PurgeConfig, seed: u64) -> Result<Rc<PurgeService>, LogError> {
     let now = host.clock.now();
     let guard = Guard::new(config.ledger_bounds(), config.tags_most);
     let book = host.with(|engine| {
         let guard = engine.set_guard(guard);
         Book::open(&config, &mut guard.ledger, now, seed)
     })?;
-    Ok(Rc::new(Desk {
+    Ok(Rc::new(PurgeService {
         book: RefCell::new(book),
         config,
         wake: Notify::new(),
@@ -51,7 +51,7 @@
 }
 
 /// The leader's task: sends each target what it lacks, and keeps the log lasting. A follower's only syncs.
-pub async fn run(host: Rc<Executor>, desk: Rc<Desk>) {
+pub async fn run(host: Rc<Executor>, desk: Rc<PurgeService>) {
     let leader = desk.book.borrow().role() == Role::Leader;
     let (mut look_at, mut sync_at) = (f64::NEG_INFINITY, host.clock.now() + SYNC_MS);
     loop {
@@ -83,7 +83,7 @@
     }
 }
 
-async fn send(host: Rc<Executor>, desk: Rc<Desk>, out: Outgoing) {
+async fn send(host: Rc<Executor>, desk: Rc<PurgeService>, out: Outgoing) {
     let body = to_json(&out.batch);
     let within = duration_from_ms(desk.config.timeout_ms);
     let place = desk.calls.acquire().await;
@@ -119,7 +119,7 @@
 }
 
 /// Answers the purge calls of the second address; none for a call that is not one of them.
-pub fn answer(host: &Rc<Executor>, desk: &Rc<Desk>, request: &HttpRequest) -> Option<HttpAnswer> {
+pub fn answer(host: &Rc<Executor>, desk: &Rc<PurgeService>, request: &HttpRequest) -> Option<HttpAnswer> {
     let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
     let allowed = match path {
         "/purges" => "GET, POST",
--- a/src/registry/config.rs
+++ b/src/registry/config.rs
@@ -1,7 +1,7 @@
 //! The operator file of the registry client, `serve --registry FILE`. Without it the list of members comes
 //! from the bulletin alone.
 
-use crate::lifecycle::config::{address, read_json, ConfigError};
+use crate::config_file::{parse_address, read_json, ConfigError};
 use crate::purge::fanout::Backoff;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -38,17 +38,16 @@
     /// Reads and checks the file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let config: Self = read_json(path)?;
-        let field = |field, reason: String| ConfigError::Field { path: path.to_path_buf(), field, reason };
-        address(&config.address).map_err(|reason| field("address", reason))?;
+        parse_address(&config.address).map_err(|reason| ConfigError::field(path, "address", reason))?;
         if config.prefix.is_empty() || config.prefix.len() > 256 {
-            return Err(field("prefix", "1 to 256 bytes".into()));
+            return Err(ConfigError::field(path, "prefix", "1 to 256 bytes"));
         }
         let within = |v: f64, low: f64, high: f64| v.is_finite() && v >= low && v <= high;
         if !within(config.timeout_ms, 10.0, 60_000.0) {
-            return Err(field("timeout_ms", "10 to 60,000".into()));
+            return Err(ConfigError::field(path, "timeout_ms", "10 to 60,000"));
         }
         if !within(config.stall_ms, 100.0, 3_600_000.0) {
-            return Err(field("stall_ms", "100 to 3,600,000".into()));
+            return Err(ConfigError::field(path, "stall_ms", "100 to 3,600,000"));
         }
         let b = config.backoff;
         if !(b.first_ms >= 1.0
@@ -56,13 +55,17 @@
             && (1.0..=10.0).contains(&b.factor)
             && (0.0..=1.0).contains(&b.jitter))
         {
-            return Err(field("backoff", "first_ms 1 to most_ms, factor 1 to 10, jitter 0 to 1".into()));
+            return Err(ConfigError::field(
+                path,
+                "backoff",
+                "first_ms 1 to most_ms, factor 1 to 10, jitter 0 to 1",
+            ));
         }
         Ok(config)
     }
 
     /// The registry's address.
     pub fn at(&self) -> SocketAddr {
-        address(&self.address).expect("checked when read")
+        parse_address(&self.address).expect("checked when read")
     }
 }
--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -14,7 +14,7 @@
 
 /// What the link shares with the second address.
 #[derive(Debug, Default, serde::Serialize)]
-pub struct Link {
+pub struct RegistryStatus {
     /// The revision up to which the view is whole.
     pub revision: i64,
     /// When the engine last heard a change from the registry, Unix milliseconds.
@@ -34,7 +34,7 @@
     pub view: ViewFigures,
 }
 
-fn tell(host: &Rc<Executor>, link: &RefCell<Link>, view: &MemberView, update: Update) {
+fn tell(host: &Rc<Executor>, link: &RefCell<RegistryStatus>, view: &MemberView, update: Update) {
     for (key, reason) in &update.faults {
         tracing::error!(key, reason, "registry: a member's value can't be read; it stays as it was");
     }
@@ -51,7 +51,7 @@
         (view.revision(), view.endpoints().count(), view.figures, now);
 }
 
-fn failed(link: &RefCell<Link>, session: &mut Session, error: &RegistryError) -> f64 {
+fn failed(link: &RefCell<RegistryStatus>, session: &mut Session, error: &RegistryError) -> f64 {
     let wait = session.failed();
     let mut link = link.borrow_mut();
     link.failures += 1;
@@ -63,7 +63,7 @@
 }
 
 /// Keeps the endpoints from the registry for ever.
-pub async fn keep(host: Rc<Executor>, config: RegistryConfig, link: Rc<RefCell<Link>>, seed: u64) {
+pub async fn keep(host: Rc<Executor>, config: RegistryConfig, link: Rc<RefCell<RegistryStatus>>, seed: u64) {
     let (at, within) = (config.at(), duration_from_ms(config.timeout_ms));
     let mut view = MemberView::new();
     let mut session = Session::new(config.backoff, config.stall_ms, seed);
@@ -98,7 +98,7 @@
 /// Follows a watch until it ends: `None` where a full read is due, else why it broke.
 async fn follow(
     host: &Rc<Executor>,
-    link: &RefCell<Link>,
+    link: &RefCell<RegistryStatus>,
     view: &mut MemberView,
     session: &mut Session,
     watch: &mut Watch,
@@ -135,7 +135,7 @@
 }
 
 /// Answers `GET /registry` at the second address: the link's state.
-pub fn answer(link: &Rc<RefCell<Link>>, request: &HttpRequest) -> Option<HttpAnswer> {
+pub fn answer(link: &Rc<RefCell<RegistryStatus>>, request: &HttpRequest) -> Option<HttpAnswer> {
     if request.target != "/registry" {
         return None;
     }
--- a/src/rules/config.rs
+++ b/src/rules/config.rs
@@ -2,7 +2,7 @@
 
 use super::table::{Rule, Rules};
 use super::type_check::{BadExpression, Definitions, Type};
-use crate::lifecycle::config::{read_json, ConfigError};
+use crate::config_file::{read_json, ConfigError, FieldError};
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
@@ -54,7 +54,7 @@
     pub fn read(path: &Path) -> Result<(Self, Rules), ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        let field = |reason: String| ConfigError::Field { path: path.to_path_buf(), field: "rules", reason };
+        let field = |reason: String| FieldError::new("rules", reason).in_file(path);
         let rules = config.compile().map_err(field)?;
         Ok((config, rules))
     }
--- a/src/vrrp/auth.rs
+++ b/src/vrrp/auth.rs
@@ -2,13 +2,13 @@
 //! hosts that others share, each datagram carries a trailer: a number that only grows (Unix microseconds at the
 //! sender, 8 bytes) and an HMAC-SHA256 (RFC 2104) over a label, the message and the number. No I/O.
 
-use crate::message_auth::{Keys, TAG};
+use crate::message_auth::{MessageKeys, SIGNATURE_BYTES};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use thiserror::Error;
 
 /// Bytes of the trailer.
-pub const TRAILER: usize = 8 + TAG;
+pub const TRAILER: usize = 8 + SIGNATURE_BYTES;
 /// What the seal is for: no seal of another protocol under the same key passes for it.
 const LABEL: &[u8] = b"calicobeam vrrp 1";
 
@@ -32,7 +32,7 @@
 /// Seals what is sent and opens what comes.
 #[derive(Debug)]
 pub struct Seals {
-    keys: Keys,
+    keys: MessageKeys,
     /// How far a sender's clock may be from this one, in milliseconds.
     skew_ms: f64,
     label: &'static [u8],
@@ -43,17 +43,17 @@
 
 impl Seals {
     /// Seals of advertisements by these keys.
-    pub fn new(keys: Keys, skew_ms: f64) -> Self {
+    pub fn new(keys: MessageKeys, skew_ms: f64) -> Self {
         Self::labelled(keys, skew_ms, LABEL)
     }
 
     /// Seals of another protocol's datagrams: `label` says which, so that none passes for another's.
-    pub fn labelled(keys: Keys, skew_ms: f64, label: &'static [u8]) -> Self {
+    pub fn labelled(keys: MessageKeys, skew_ms: f64, label: &'static [u8]) -> Self {
         Self { keys, skew_ms, label, last_sent: 0, heard: HashMap::new() }
     }
 
     /// Takes other keys.
-    pub fn rekey(&mut self, keys: Keys) {
+    pub fn rekey(&mut self, keys: MessageKeys) {
         self.keys = keys;
     }
 
--- a/src/vrrp/auth/tests.rs
+++ b/src/vrrp/auth/tests.rs
@@ -2,9 +2,9 @@
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
 
-fn keys(seeds: &[u8]) -> Keys {
+fn keys(seeds: &[u8]) -> MessageKeys {
     let lines: Vec<String> = seeds.iter().map(|s| STANDARD.encode([*s; 32])).collect();
-    Keys::parse(&format!("# first signs\n{}\n", lines.join("\n"))).unwrap()
+    MessageKeys::parse(&format!("# first signs\n{}\n", lines.join("\n"))).unwrap()
 }
 
 #[test]
--- a/src/vrrp/config.rs
+++ b/src/vrrp/config.rs
@@ -3,8 +3,8 @@
 use super::machine::Settings;
 use super::message::OWNER;
 use super::track::{TrackSpec, What};
-use crate::lifecycle::config::{address, keys_beside, read_json, ConfigError};
-use crate::message_auth::Keys;
+use crate::config_file::{parse_address, read_json, read_keys_beside, ConfigError, FieldError, KeyFileError};
+use crate::message_auth::MessageKeys;
 use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -34,7 +34,7 @@
 impl ServeConfig {
     /// Its address.
     pub fn at(&self) -> SocketAddr {
-        address(&self.address).expect("checked when read")
+        parse_address(&self.address).expect("checked when read")
     }
 }
 
@@ -106,11 +106,7 @@
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        config.check().map_err(|(field, reason)| ConfigError::Field {
-            path: path.to_path_buf(),
-            field,
-            reason,
-        })?;
+        config.check().map_err(|error| error.in_file(path))?;
         Ok(config)
     }
 
@@ -119,30 +115,33 @@
         let fresh = Self::read(&self.path)?;
         let same = |c: &Self| (c.listen, c.vrid, c.serve.iter().map(ServeConfig::at).collect::<Vec<_>>());
         if same(&fresh) != same(self) {
-            let reason = "`listen`, `vrid` and `serve` need a new process".into();
-            return Err(ConfigError::Field { path: self.path.clone(), field: "listen", reason });
+            let reason = "`listen`, `vrid` and `serve` need a new process";
+            return Err(FieldError::new("listen", reason).in_file(&self.path));
         }
         Ok(fresh)
     }
 
-    fn check(&self) -> Result<(), (&'static str, String)> {
-        self.router().check()?;
-        self.keys().map_err(|reason| ("key_file", reason))?;
+    fn check(&self) -> Result<(), FieldError> {
+        self.router().check().map_err(|(field, reason)| FieldError::new(field, reason))?;
+        self.keys().map_err(|reason| FieldError::new("key_file", reason))?;
         let mut seen = Vec::new();
         for listener in &self.serve {
-            let at = address(&listener.address).map_err(|reason| ("serve", reason))?;
+            let at = parse_address(&listener.address).map_err(|reason| FieldError::new("serve", reason))?;
             if !self.addresses.iter().any(|virt| at.ip() == std::net::IpAddr::V4(*virt)) {
-                return Err(("serve", format!("{at} is on none of `addresses`")));
+                return Err(FieldError::new("serve", format!("{at} is on none of `addresses`")));
             }
             if seen.contains(&at) || at.port() == 0 {
-                return Err(("serve", format!("{at} comes twice, or has no port")));
+                return Err(FieldError::new("serve", format!("{at} comes twice, or has no port")));
             }
             seen.push(at);
         }
         for track in &self.track {
-            track.check().map_err(|reason| ("track", reason))?;
+            track.check().map_err(|reason| FieldError::new("track", reason))?;
             if self.priority == OWNER && !track.fault {
-                return Err(("track", "the owner's priority is fixed: only `fault` goes with 255".into()));
+                return Err(FieldError::new(
+                    "track",
+                    "the owner's priority is fixed: only `fault` goes with 255",
+                ));
             }
         }
         let within = |ms: f64| ms.is_finite() && (1.0..=3_600_000.0).contains(&ms);
@@ -152,7 +151,7 @@
             ("aside_ms", self.aside_ms),
         ] {
             if !within(ms) {
-                return Err((field, format!("{ms} is not within 1 to 3,600,000")));
+                return Err(FieldError::new(field, format!("{ms} is not within 1 to 3,600,000")));
             }
         }
         Ok(())
@@ -208,7 +207,7 @@
     }
 
     /// The keys that seal advertisements, read anew, where there is a file for them.
-    pub fn keys(&self) -> Result<Option<Keys>, String> {
-        self.key_file.as_ref().map(|file| keys_beside(&self.path, file)).transpose()
+    pub fn keys(&self) -> Result<Option<MessageKeys>, KeyFileError> {
+        self.key_file.as_ref().map(|file| read_keys_beside(&self.path, file)).transpose()
     }
 }
--- a/src/vrrp/driver.rs
+++ b/src/vrrp/driver.rs
@@ -70,7 +70,7 @@
 }
 
 /// A virtual router, as its task and the second address share it.
-pub struct Router {
+pub struct VirtualRouter {
     host: Rc<Executor>,
     config: RefCell<VrrpConfig>,
     machine: RefCell<Machine>,
@@ -92,10 +92,13 @@
     pub figures: Cell<RouterFigures>,
 }
 
-impl Router {
+impl VirtualRouter {
     /// A router of an operator file, not yet started.
     pub fn new(host: Rc<Executor>, config: VrrpConfig, accept: Accept, ask: Ask) -> Result<Rc<Self>, String> {
-        let seals = config.keys()?.map(|keys| Seals::new(keys, config.clock_skew_ms));
+        let seals = config
+            .keys()
+            .map_err(|error| error.to_string())?
+            .map(|keys| Seals::new(keys, config.clock_skew_ms));
         let service = Service::new(config.serve.len(), config.open_patience_ms, config.aside_ms);
         Ok(Rc::new(Self {
             machine: RefCell::new(Machine::new(config.router())),
@@ -129,7 +132,7 @@
 
     /// Takes the operator file anew: priority, keys, what is tracked, delays. One that can't be used changes nothing.
     pub fn reconfigure(&self, fresh: VrrpConfig) -> Result<(), String> {
-        let keys = fresh.keys()?;
+        let keys = fresh.keys().map_err(|error| error.to_string())?;
         match (&mut *self.seals.borrow_mut(), keys) {
             (Some(seals), Some(keys)) => seals.rekey(keys),
             (seals, keys) => *seals = keys.map(|keys| Seals::new(keys, fresh.clock_skew_ms)),
@@ -418,7 +421,7 @@
 }
 
 /// Runs a virtual router until `stop`. Its listeners stay open then, for as long as the process takes clients.
-pub async fn run(router: Rc<Router>, socket: UdpSocket, stop: Rc<Notify>) {
+pub async fn run(router: Rc<VirtualRouter>, socket: UdpSocket, stop: Rc<Notify>) {
     let host = router.host.clone();
     let clock = host.clock.clone();
     let mut bytes = [0u8; 512];
@@ -473,7 +476,7 @@
     }
 }
 
-async fn send(router: &Router, socket: &UdpSocket, ad: &Advertisement) {
+async fn send(router: &VirtualRouter, socket: &UdpSocket, ad: &Advertisement) {
     let peers = router.config.borrow().router().peers;
     for peer in peers {
         // Each datagram has a number of its own.
--- a/src/wire/admin.rs
+++ b/src/wire/admin.rs
@@ -21,13 +21,13 @@
 pub type Calls = Box<dyn Fn(&Rc<Executor>, &HttpRequest) -> Option<HttpAnswer>>;
 
 /// The front of the second address.
-pub struct Manage {
+pub struct AdminFront {
     limits: Limits,
     keep: Keep,
     calls: Vec<Calls>,
 }
 
-impl Manage {
+impl AdminFront {
     /// A front that writes maintenance down by `keep`.
     pub fn new(keep: Keep) -> Self {
         let (connections, body_bytes) = (CALLERS, MAX_BODY);
@@ -94,7 +94,7 @@
     answer.with("Content-Type", "text/plain; charset=utf-8")
 }
 
-impl Front for Manage {
+impl Front for AdminFront {
     fn limits(&self) -> &Limits {
         &self.limits
     }
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -59,7 +59,7 @@
 /// Keeps a link to the bulletin for ever. A link that ends is made anew from the last number: what the bulletin holds
 /// counts as told, so every moment without a link is one in which a rule may be broken unseen. Where the bulletin
 /// moves, the link goes to its new address at once: the old one tells nothing more.
-pub async fn keep(host: Rc<Executor>, mut address: watch::Receiver<SocketAddr>) {
+pub async fn run(host: Rc<Executor>, mut address: watch::Receiver<SocketAddr>) {
     let mut progress = Progress::default();
     loop {
         let at = *address.borrow_and_update();
--- a/src/wire/listener.rs
+++ b/src/wire/listener.rs
@@ -5,7 +5,7 @@
 use super::http::{BadRequest, HttpAnswer, HttpCodec, HttpRequest, Phase};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
-use crate::http3::call_registry::{Keeper, Kept};
+use crate::http3::call_registry::{CallRegistry, Kept};
 use crate::http3::response_store::SessionId;
 use crate::state::client_slots::{PlaceId, Places};
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
@@ -106,7 +106,7 @@
     /// Words that a request could not be taken.
     fn not_taken(&self, reason: AdmitError) -> HttpAnswer;
     /// Where calls outlive their connection, who keeps them.
-    fn keeper(&self) -> Option<&Rc<Keeper>> {
+    fn keeper(&self) -> Option<&Rc<CallRegistry>> {
         None
     }
 }
@@ -492,7 +492,12 @@
 
 /// The same where calls outlive their connection: over TCP a client that leaves can't be told from a link that was
 /// lost, so the call goes on for its time.
-async fn wait_kept(keeper: &Rc<Keeper>, session: SessionId, link: &mut Link, ask: IncomingRequest) -> Waited {
+async fn wait_kept(
+    keeper: &Rc<CallRegistry>,
+    session: SessionId,
+    link: &mut Link,
+    ask: IncomingRequest,
+) -> Waited {
     let (mut answer, hold) = match keeper.ask(session, ask) {
         Err(reason) => return Waited::AdmitError(reason),
         Ok(Kept::Now(answer)) => return Waited::Answer(answer),
--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -3,7 +3,7 @@
 mod stand_ins;
 
 use edge_proxy::lifecycle::maintenance::Store;
-use edge_proxy::wire::admin::Manage;
+use edge_proxy::wire::admin::AdminFront;
 use edge_proxy::wire::listener::Front;
 use edge_proxy::wire::platform::{limits, Platform};
 use stand_ins::*;
@@ -13,7 +13,7 @@
 async fn open(name: &str) -> (Site, SocketAddr, SocketAddr) {
     let site = Site::start(name).await;
     let store = Store::at(folder(name).join("maintenance.json"));
-    let front: Rc<dyn Front> = Rc::new(Manage::new(Box::new(move |host| store.write(host))));
+    let front: Rc<dyn Front> = Rc::new(AdminFront::new(Box::new(move |host| store.write(host))));
     let calls = site.open(front).await;
     let front: Rc<dyn Front> = Rc::new(Platform::new(limits(400)));
     let at = site.open(front).await;
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -4,7 +4,7 @@
 mod stand_ins;
 
 use base64::Engine as _;
-use edge_proxy::health_check::config::DutiesConfig;
+use edge_proxy::health_check::config::HealthCheckConfig;
 use edge_proxy::health_check::lease::slot_at;
 use simd_json::prelude::*;
 use stand_ins::probed::Probed;
@@ -216,7 +216,7 @@
     let dir = folder("duties-files");
     let check = |text: &str| {
         std::fs::write(dir.join("d.json"), text).unwrap();
-        DutiesConfig::read(&dir.join("d.json")).map(|_| ()).map_err(|e| e.to_string())
+        HealthCheckConfig::read(&dir.join("d.json")).map(|_| ()).map_err(|e| e.to_string())
     };
     let file = |more: &str| {
         format!(
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -5,9 +5,9 @@
 
 use edge_proxy::clock::Clock;
 use edge_proxy::engine::executor::Executor;
-use edge_proxy::http3::call_registry::Keeper;
-use edge_proxy::http3::config::PoorConfig;
-use edge_proxy::http3::front::PoorFront;
+use edge_proxy::http3::call_registry::CallRegistry;
+use edge_proxy::http3::config::Http3Config;
+use edge_proxy::http3::front::Http3Front;
 use edge_proxy::http3::server::{self, Driver};
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::lifecycle::serve::engine;
@@ -29,11 +29,11 @@
 
 struct Edge {
     fleet: SlowFleet,
-    config: PoorConfig,
+    config: Http3Config,
     at: SocketAddr,
     tcp: SocketAddr,
     driver: Rc<Driver>,
-    keeper: Rc<Keeper>,
+    keeper: Rc<CallRegistry>,
     stop: Rc<Stop>,
     closing: Rc<Notify>,
 }
@@ -66,14 +66,14 @@
         let host = Executor::new(clock, engine, CacheDriver);
         spawn_local(host.clone().keep_time());
         let file = poor_file(&dir, format!("127.0.{net}.9:1").parse().unwrap(), more);
-        let config = PoorConfig::read(&file).unwrap();
+        let config = Http3Config::read(&file).unwrap();
         let server = server::server_config(&config).unwrap();
         let endpoint = quinn::Endpoint::server(server, format!("127.0.{net}.9:0").parse().unwrap()).unwrap();
         let at = endpoint.local_addr().unwrap();
-        let keeper = Keeper::new(host.clone(), config.shelf());
+        let keeper = CallRegistry::new(host.clone(), config.shelf());
         let inner: Rc<dyn Front> = Rc::new(Platform::new(platform::limits(64)));
         let limits = Limits { idle_ms: 5_000.0, ..platform::limits(64) };
-        let front = Rc::new(PoorFront::new(inner, limits, config.sessions().unwrap(), keeper.clone()));
+        let front = Rc::new(Http3Front::new(inner, limits, config.sessions().unwrap(), keeper.clone()));
         let driver = Driver::new(host.clone(), front.clone(), keeper.clone(), config.limits.clone());
         let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
         spawn_local(server::accept(driver.clone(), endpoint, stop.clone(), closing.clone()));
@@ -441,7 +441,7 @@
         let node = node_file(&fleet).replace("\"listen\": \"127.0.0.1:5050\",", &addresses);
         std::fs::write(dir.join("config.json"), node).unwrap();
         let file = poor_file(&dir, at, "");
-        let config = PoorConfig::read(&file).unwrap();
+        let config = Http3Config::read(&file).unwrap();
         let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
         let node = dir.join("config.json");
         let args = ["serve", "--config", node.to_str().unwrap(), "--poor", file.to_str().unwrap()];
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -2,7 +2,7 @@
 
 mod stand_ins;
 
-use edge_proxy::lifecycle::serve::read_again;
+use edge_proxy::lifecycle::serve::reload_config;
 use edge_proxy::wire::listener::{Front, Limits};
 use edge_proxy::wire::platform::{limits, Platform};
 use stand_ins::*;
@@ -324,12 +324,12 @@
         let path = folder("moves").join("config.json");
         let text = std::fs::read_to_string(&path).unwrap();
         std::fs::write(&path, "{").unwrap();
-        read_again(&site.host, &site.config, &site.moves);
+        reload_config(&site.host, &site.config, &site.moves);
         assert_eq!(site.host.with(|e| e.counters.reload_faults), 1);
         let other = Bulletin::start().await;
         let (from, to) = (site.bulletin.address.to_string(), other.address.to_string());
         std::fs::write(&path, text.replace(&from, &to)).unwrap();
-        read_again(&site.host, &site.config, &site.moves);
+        reload_config(&site.host, &site.config, &site.moves);
         until(|| !other.links.borrow().is_empty()).await;
         assert_eq!(*other.links.borrow(), [no]);
         assert_eq!(site.bulletin.links.borrow().len(), 1);
@@ -356,7 +356,7 @@
         let fresh =
             fresh.replacen("\"pure\"", "\"side_effect\"", 1).replace("\"sendCap\":8", "\"sendCap\":1");
         std::fs::write(&path, fresh).unwrap();
-        read_again(&site.host, &site.config, &site.moves);
+        reload_config(&site.host, &site.config, &site.moves);
         assert_eq!(site.host.with(|e| (e.counters.reloads, e.counters.reload_faults)), (1, 0));
         site.all(says("EIO"));
         assert_eq!(ask(at, "GET", CLIP, &headers(2)).await.status, 404);
@@ -376,7 +376,7 @@
         // The old class comes back in its place.
         site.all(holds());
         std::fs::write(&path, &text).unwrap();
-        read_again(&site.host, &site.config, &site.moves);
+        reload_config(&site.host, &site.config, &site.moves);
         assert_eq!(site.host.with(|e| e.env().class("clip")), Some(0));
         assert_eq!(ask(at, "GET", CLIP, &headers(5)).await.status, 200);
         assert_eq!(ask(at, "GET", &film, &headers(6)).await.status, 404);
@@ -409,12 +409,12 @@
         for (k, case) in cases.iter().enumerate() {
             assert_ne!(*case, fresh, "case {k} changes nothing");
             std::fs::write(&path, case).unwrap();
-            read_again(&site.host, &site.config, &site.moves);
+            reload_config(&site.host, &site.config, &site.moves);
             assert_eq!(site.host.with(|e| e.counters.reload_faults), k as u64 + 1, "{case}");
         }
         assert_eq!(ask(at, "GET", CLIP, &headers(1)).await.status, 200);
         std::fs::write(&path, fresh).unwrap();
-        read_again(&site.host, &site.config, &site.moves);
+        reload_config(&site.host, &site.config, &site.moves);
         assert_eq!(site.host.with(|e| e.counters.reloads), 1);
     });
 }
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -2,7 +2,7 @@
 
 mod stand_ins;
 
-use edge_proxy::lifecycle::front::{keep_keys, FrontConfig};
+use edge_proxy::lifecycle::front::{keep_keys, SignedUrlConfig};
 use edge_proxy::wire::signed::SignedUrls;
 use jsonwebtoken::{encode, Algorithm, EncodingKey, Header};
 use p256::pkcs8::EncodePrivateKey;
@@ -114,7 +114,7 @@
         "leeway_ms":2000,"overlap_ms":30000,
         "limits":{"connections":4,"head_ms":5000,"write_ms":300,"body_bytes":0}});
     std::fs::write(&file, text.to_string()).unwrap();
-    let config = FrontConfig::read(&file, 1_024).unwrap();
+    let config = SignedUrlConfig::read(&file, 1_024).unwrap();
     let front = Rc::new(config.front(77).unwrap());
     let reload = Rc::new(Notify::new());
     spawn_local(keep_keys(site.host.clone(), config, front.clone(), reload.clone()));
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -3,7 +3,7 @@
 
 mod stand_ins;
 
-use edge_proxy::health_check::config::DutiesConfig;
+use edge_proxy::health_check::config::HealthCheckConfig;
 use edge_proxy::vrrp::config::VrrpConfig;
 use stand_ins::running::Running;
 use stand_ins::threads::*;
@@ -31,7 +31,7 @@
         peers.join(",")
     );
     std::fs::write(folder.join("duties.json"), text).unwrap();
-    let duties = DutiesConfig::read(&folder.join("duties.json")).unwrap();
+    let duties = HealthCheckConfig::read(&folder.join("duties.json")).unwrap();
     assert_eq!(duties.others().len(), LARGE as usize);
     let peers: Vec<String> = (0..LARGE).map(|k| format!("{:?}", at(k))).collect();
     let text = format!(
--- a/tests/stand_ins/device.rs
+++ b/tests/stand_ins/device.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use bytes::{Buf, Bytes};
-use edge_proxy::http3::config::PoorConfig;
+use edge_proxy::http3::config::Http3Config;
 use edge_proxy::http3::server::transport;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -152,8 +152,8 @@
 
 impl Device {
     /// Connects to an address with the transport of an edge's file, trusting its certificate.
-    pub async fn connect(at: SocketAddr, config: &PoorConfig, session: Option<String>) -> Option<Self> {
-        let pem = std::fs::read(config.beside(&config.certificate)).unwrap();
+    pub async fn connect(at: SocketAddr, config: &Http3Config, session: Option<String>) -> Option<Self> {
+        let pem = std::fs::read(config.resolve_beside(&config.certificate)).unwrap();
         let mut roots = rustls::RootCertStore::empty();
         roots.add(CertificateDer::from_pem_slice(&pem).unwrap()).unwrap();
         let provider = Arc::new(rustls::crypto::ring::default_provider());
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -325,7 +325,7 @@
         let host = Executor::new(clock.clone(), engine, CacheDriver);
         spawn_local(host.clone().keep_time());
         let (moves, told) = watch::channel(config.bulletin().unwrap());
-        spawn_local(discovery::keep(host.clone(), told));
+        spawn_local(discovery::run(host.clone(), told));
         let (stop, closing) = Default::default();
         Self { clock, host, env, endpoints, bulletin, config, moves, stop, closing }
     }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -3,7 +3,7 @@
 
 mod stand_ins;
 
-use edge_proxy::health_check::config::DutiesConfig;
+use edge_proxy::health_check::config::HealthCheckConfig;
 use edge_proxy::vrrp::config::VrrpConfig;
 use serde_json::{json, Value};
 use stand_ins::running::{Running, PROGRAM};
@@ -245,7 +245,7 @@
     let folder = workspace("datagrams");
     edit(&folder.join("duties.json"), "{", "{ \"key_file\": \"duties.key\",");
     edit(&folder.join("vrrp.json"), "{", "{ \"key_file\": \"vrrp.key\",");
-    let duties = DutiesConfig::read(&folder.join("duties.json")).unwrap().keys().unwrap().unwrap();
+    let duties = HealthCheckConfig::read(&folder.join("duties.json")).unwrap().keys().unwrap().unwrap();
     let vrrp = VrrpConfig::read(&folder.join("vrrp.json")).unwrap().keys().unwrap().unwrap();
     // HMAC-SHA256 by each file's first key.
     let cases = [
--- a/tests/vrrp_service.rs
+++ b/tests/vrrp_service.rs
@@ -5,7 +5,7 @@
 mod stand_ins;
 
 use base64::Engine as _;
-use edge_proxy::message_auth::Keys;
+use edge_proxy::message_auth::MessageKeys;
 use edge_proxy::vrrp::auth::Seals;
 use edge_proxy::vrrp::machine::{Machine, Settings, State};
 use edge_proxy::vrrp::message::Advertisement;
@@ -346,9 +346,9 @@
             Advertisement { vrid, priority: 250, interval_cs: 10, addresses: vec![address] }.encode()
         };
         let better = ad(7, virtual_address);
-        let mut right = Seals::new(Keys::parse(&key(1)).unwrap(), 5_000.0);
-        let mut old = Seals::new(Keys::parse(&key(1)).unwrap(), 5_000.0);
-        let mut wrong = Seals::new(Keys::parse(&key(2)).unwrap(), 5_000.0);
+        let mut right = Seals::new(MessageKeys::parse(&key(1)).unwrap(), 5_000.0);
+        let mut old = Seals::new(MessageKeys::parse(&key(1)).unwrap(), 5_000.0);
+        let mut wrong = Seals::new(MessageKeys::parse(&key(2)).unwrap(), 5_000.0);
         let now = unix_ms;
         let mut broken = better.clone();
         broken[6] ^= 1;
