--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -9,9 +9,10 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-use edge_proxy::settings::{EndpointRecord, PlatformSettings};
+use edge_proxy::endpoint_list::EndpointRecord;
+use edge_proxy::settings::PlatformSettings;
 use edge_proxy::{Action, Event, Router};
-use wire::{Line, Reply};
+use wire::{Line, Reply, TableRecord};
 
 /// One hosted router with what is needed to translate for it.
 struct Instance {
@@ -23,7 +24,7 @@
 #[derive(Default)]
 struct Host {
     instances: HashMap<u64, Instance>,
-    sheets: HashMap<u64, Vec<EndpointRecord>>,
+    sheets: HashMap<u64, Vec<TableRecord>>,
     clock: Option<u64>,
     reply: String,
     actions: Vec<Action>,
@@ -75,8 +76,10 @@
                 } else {
                     let number = sheet.ok_or("Members: no sheet")?;
                     let rows = self.sheets.get(&number).ok_or(format!("Members: unknown sheet {number}"))?;
-                    let entries =
-                        rows.iter().map(|row| instance.env.listing(row)).collect::<Result<_, _>>()?;
+                    let records = rows.iter().map(EndpointRecord::try_from);
+                    let entries = records
+                        .map(|record| Ok(instance.env.endpoint(&record?)))
+                        .collect::<Result<_, String>>()?;
                     Event::EndpointsChanged { full: mode != "incr", entries }
                 };
                 (i, event)
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -1,8 +1,9 @@
 //! The wire's messages, typed, and their translation.
 
-use edge_proxy::settings::{lenient, EndpointRecord, PlatformSettings};
+use edge_proxy::endpoint_list::EndpointRecord;
+use edge_proxy::settings::{lenient, PlatformSettings};
 use edge_proxy::wire::response_path::PathNote;
-use edge_proxy::{Action, AttemptOutcome, Event};
+use edge_proxy::{Action, AttemptOutcome, EndpointState, Event};
 use serde::{Deserialize, Serialize};
 
 /// The messages that are read; all others are skipped.
@@ -43,6 +44,46 @@
     }
 }
 
+/// An endpoint of a table.
+#[derive(Deserialize)]
+#[serde(rename_all = "camelCase")]
+pub struct TableRecord {
+    #[serde(default, deserialize_with = "lenient")]
+    zone: String,
+    #[serde(default, deserialize_with = "lenient")]
+    model: String,
+    lifecycle: String,
+    #[serde(default, deserialize_with = "lenient")]
+    ready_at_us: u64,
+    cache: u32,
+    #[serde(default)]
+    power_hint: Option<f64>,
+    #[serde(default, deserialize_with = "lenient")]
+    cohort: u32,
+}
+
+impl TryFrom<&TableRecord> for EndpointRecord {
+    type Error = String;
+
+    fn try_from(record: &TableRecord) -> Result<Self, String> {
+        let state = match record.lifecycle.as_str() {
+            "live" => EndpointState::Active,
+            "quiescing" => EndpointState::Draining,
+            "dead" => EndpointState::Removed,
+            other => return Err(format!("Table: unknown lifecycle {other:?}")),
+        };
+        Ok(Self {
+            id: record.cache,
+            zone: record.zone.clone(),
+            kind: record.model.clone(),
+            state,
+            started_at: record.ready_at_us,
+            capacity_hint: record.power_hint,
+            cell: record.cohort,
+        })
+    }
+}
+
 #[derive(Deserialize)]
 #[serde(tag = "cmd")]
 pub enum Line {
@@ -61,7 +102,7 @@
     },
     Table {
         sheet: u64,
-        records: Vec<EndpointRecord>,
+        records: Vec<TableRecord>,
     },
     Members {
         i: u64,
--- a/src/engine/figures.rs
+++ b/src/engine/figures.rs
@@ -2,8 +2,8 @@
 
 use super::Engine;
 use crate::clock::micros_from_ms;
-use crate::wire::discovery_codec::Target;
-use crate::EndpointId;
+use crate::endpoint_list::ListedEndpoint;
+use crate::{EndpointId, EndpointState};
 
 impl Engine {
     /// The figures that the platform reads.
@@ -12,7 +12,7 @@
             self.tallies.of(name);
         }
         let pool: Vec<EndpointId> =
-            self.roster.all_listed().filter(|t| self.env.is_cache(&t.row)).map(|t| t.row.cache).collect();
+            self.roster.all_listed().filter(|t| self.env.is_cache(&t.record)).map(|t| t.record.id).collect();
         let out = pool.iter().filter(|id| self.maintenance.is_out(**id)).count();
         let avoided = out + self.router.avoided(micros_from_ms(self.clock.now()));
         let figures = [
@@ -29,12 +29,12 @@
     /// The share of this location's caches that take new work and that the module does not leave for their failures;
     /// none where it has none.
     pub fn pool_share(&self) -> Option<f64> {
-        let mine = |t: &&Target| {
-            self.env.listing(&t.row).is_ok_and(|line| line.tier == crate::Tier::Cache)
-                && t.row.lifecycle != "dead"
+        let mine = |t: &&ListedEndpoint| {
+            self.env.endpoint(&t.record).tier == crate::Tier::Cache
+                && t.record.state != EndpointState::Removed
         };
-        let mine: Vec<&Target> = self.roster.all_listed().filter(mine).collect();
-        let able = mine.iter().filter(|t| self.roster.address(t.row.cache).is_some()).count();
+        let mine: Vec<&ListedEndpoint> = self.roster.all_listed().filter(mine).collect();
+        let able = mine.iter().filter(|t| self.roster.address(t.record.id).is_some()).count();
         let avoided = self.router.avoided(micros_from_ms(self.clock.now()));
         (!mine.is_empty()).then(|| able.saturating_sub(avoided) as f64 / mine.len() as f64)
     }
--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -2,12 +2,12 @@
 
 use super::{Effect, Engine};
 use crate::clock::micros_from_ms;
+use crate::endpoint_list::{ListedEndpoint, Sequenced, WatchEvent};
 use crate::purge::fanout::Standing;
 use crate::state::maintenance::{Maintenance, Mark};
 use crate::state::requests::IncomingRequest;
-use crate::wire::cache_codec::endpoint_text;
-use crate::wire::discovery_codec::{Sequenced, Target, WatchEvent};
-use crate::{AttemptOutcome, EndpointId, Event};
+use crate::text::endpoint_text;
+use crate::{AttemptOutcome, EndpointId, EndpointState, Event};
 use std::net::{SocketAddr, SocketAddrV4};
 
 impl Engine {
@@ -17,13 +17,13 @@
     }
 
     /// Takes a list of endpoints, or changes of it, from a registry: the same rules as the bulletin's lists, at once.
-    pub fn hear_roster(&mut self, full: bool, targets: Vec<Target>) {
+    pub fn hear_roster(&mut self, full: bool, targets: Vec<ListedEndpoint>) {
         self.roster.hear(full, &targets);
         self.list(full, targets);
     }
 
     /// Takes the endpoints that can be read in an event of the bulletin that can't be read whole. Its number stays open.
-    pub fn hear_part(&mut self, targets: Vec<Target>) {
+    pub fn hear_part(&mut self, targets: Vec<ListedEndpoint>) {
         if !self.registry && !targets.is_empty() {
             self.hear_roster(false, targets);
         }
@@ -39,8 +39,8 @@
         &'e self,
         model: &'e str,
     ) -> impl Iterator<Item = (EndpointId, SocketAddrV4, bool)> + 'e {
-        let listed = self.roster.all_listed().filter(move |t| t.row.model == model);
-        listed.map(|t| (t.row.cache, t.address, self.roster.address(t.row.cache).is_some()))
+        let listed = self.roster.all_listed().filter(move |t| t.record.kind == model);
+        listed.map(|t| (t.record.id, t.address, self.roster.address(t.record.id).is_some()))
     }
 
     /// Number of the bulletin's last event that was taken.
@@ -55,20 +55,20 @@
 
     /// Takes an event of the bulletin. One that was taken before is skipped.
     pub fn news(&mut self, item: Sequenced) {
-        if matches!(item.news, WatchEvent::Heartbeat) || item.no <= self.last_no {
+        if matches!(item.event, WatchEvent::Heartbeat) || item.number <= self.last_no {
             return;
         }
-        self.last_no = item.no;
+        self.last_no = item.number;
         self.counters.bulletin_events += 1;
-        match item.news {
+        match item.event {
             WatchEvent::Heartbeat => {}
             WatchEvent::Endpoints { .. } if self.registry => {}
-            WatchEvent::Endpoints { full, targets } => {
-                self.roster.hear(full, &targets);
-                self.list(full, targets);
+            WatchEvent::Endpoints { full, endpoints } => {
+                self.roster.hear(full, &endpoints);
+                self.list(full, endpoints);
             }
-            WatchEvent::Purge { object, group, issued } => {
-                let ago = micros_from_ms(self.clock.now() - issued);
+            WatchEvent::Purge { object, group, issued_ms } => {
+                let ago = micros_from_ms(self.clock.now() - issued_ms);
                 self.events.push_back(Event::Purged { object, group, ago });
                 self.run();
                 // Guards the rule on purges: what waits for a connection was bounded before this purge.
@@ -80,11 +80,9 @@
     }
 
     /// Takes a list, or changes of it, as maintenance by hand leaves it.
-    pub(super) fn list(&mut self, full: bool, mut targets: Vec<Target>) {
-        targets.iter_mut().for_each(|target| self.maintenance.apply(&mut target.row));
-        let entries: Result<Vec<_>, _> = targets.iter().map(|t| self.env.listing(&t.row)).collect();
-        // The codec makes only states that the settings type knows.
-        let Ok(entries) = entries else { return };
+    pub(super) fn list(&mut self, full: bool, mut targets: Vec<ListedEndpoint>) {
+        targets.iter_mut().for_each(|target| self.maintenance.apply(&mut target.record));
+        let entries = targets.iter().map(|t| self.env.endpoint(&t.record)).collect();
         let gone = self.roster.update(full, &targets);
         self.roster_changes += 1;
         // The module learns of it first: asked anew before, it would name the same endpoint again.
@@ -131,12 +129,13 @@
     /// The caches and parents of the roster as targets of fleet purges, by name, at their own address with
     /// `port`: the origin holds no copies, and an endpoint that is gone is none.
     pub fn purge_targets(&self, port: u16) -> Vec<(String, SocketAddr, Standing)> {
-        let listed = self.roster.all_listed().filter(|t| t.row.lifecycle != "dead");
+        let listed = self.roster.all_listed().filter(|t| t.record.state != EndpointState::Removed);
         let targets = listed.filter_map(|t| {
-            let origin = self.env.listing(&t.row).ok()?.tier == crate::Tier::Origin;
-            let standing = if t.row.lifecycle == "live" { Standing::Listed } else { Standing::Draining };
+            let origin = self.env.endpoint(&t.record).tier == crate::Tier::Origin;
+            let standing =
+                if t.record.state == EndpointState::Active { Standing::Listed } else { Standing::Draining };
             let address = SocketAddr::new((*t.address.ip()).into(), port);
-            (!origin).then(|| (endpoint_text(t.row.cache), address, standing))
+            (!origin).then(|| (endpoint_text(t.record.id), address, standing))
         });
         let mut targets: Vec<_> = targets.collect();
         targets.sort_by(|a, b| a.0.cmp(&b.0));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -59,6 +59,7 @@
 pub mod admission;
 pub mod clock;
 pub mod config_file;
+pub mod endpoint_list;
 pub mod engine;
 pub mod grpc;
 pub mod health_check;
@@ -73,6 +74,7 @@
 pub mod settings;
 pub mod state;
 mod stats;
+pub mod text;
 pub mod vrrp;
 pub mod wire;
 
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -95,13 +95,7 @@
         config.mgmt().map_err(|reason| ConfigError::field(path, "mgmt", reason))?;
         config.seed().map_err(|reason| ConfigError::field(path, "seed", reason))?;
         config.settings.check().map_err(|reason| ConfigError::field(path, "settings", reason))?;
-        let events = config.known.events().map_err(|reason| ConfigError::field(path, "known", reason))?;
-        for event in events {
-            config
-                .settings
-                .check_event(&event)
-                .map_err(|reason| ConfigError::field(path, "known", reason))?;
-        }
+        config.known.events().map_err(|reason| ConfigError::field(path, "known", reason))?;
         if config.limits.sockets < MIN_SOCKETS {
             return Err(ConfigError::field(
                 path,
--- a/src/registry/view.rs
+++ b/src/registry/view.rs
@@ -9,7 +9,9 @@
 //! that tells of a revision below the view's (restored from an older copy, say) has begun a new history: a watch
 //! there would wait for revisions that may be years away, so the next step is a full read as well.
 
-use crate::wire::discovery_codec::{Line, Target};
+use crate::endpoint_list::ListedEndpoint;
+use crate::wire::discovery_codec::Line;
+use crate::EndpointState;
 use std::collections::BTreeMap;
 
 /// A key's value at a revision, as a read gives it.
@@ -45,7 +47,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Update {
     /// Endpoints that are new or changed, and those that are gone (as gone), since the last update.
-    pub targets: Vec<Target>,
+    pub targets: Vec<ListedEndpoint>,
     /// The whole list: endpoints absent from it have gone.
     pub full: bool,
     /// Endpoints that began to drain, by id.
@@ -83,7 +85,7 @@
 /// The view. See the module's page.
 #[derive(Clone, Debug, Default)]
 pub struct MemberView {
-    endpoints: BTreeMap<String, (Target, i64)>,
+    endpoints: BTreeMap<String, (ListedEndpoint, i64)>,
     /// The last revision of each key that is deleted, since the last full read.
     tombstones: BTreeMap<String, i64>,
     /// The revision up to which the view is whole.
@@ -95,10 +97,6 @@
     pub figures: ViewFigures,
 }
 
-fn lifecycle(target: &Target) -> &str {
-    &target.row.lifecycle
-}
-
 impl MemberView {
     /// A view that has read nothing yet.
     pub fn new() -> Self {
@@ -111,7 +109,7 @@
     }
 
     /// The endpoints held.
-    pub fn endpoints(&self) -> impl Iterator<Item = &Target> {
+    pub fn endpoints(&self) -> impl Iterator<Item = &ListedEndpoint> {
         self.endpoints.values().map(|(target, _)| target)
     }
 
@@ -166,11 +164,11 @@
         }
         let was_reading = self.figures.reads > 0;
         for (key, (target, _)) in &fresh {
-            let before = self.endpoints.get(key).map(|(old, _)| lifecycle(old));
-            if before != Some(lifecycle(target)) {
+            let before = self.endpoints.get(key).map(|(old, _)| old.record.state);
+            if before != Some(target.record.state) {
                 self.figures.found += u64::from(was_reading);
-                if lifecycle(target) == "quiescing" {
-                    update.drains.push(target.row.cache);
+                if target.record.state == EndpointState::Draining {
+                    update.drains.push(target.record.id);
                 }
             }
         }
@@ -204,9 +202,11 @@
             match change {
                 Change::Put(kv) => match Line::parse(&kv.value) {
                     Ok(target) => {
-                        let was = self.endpoints.get(&key).map(|(old, _)| lifecycle(old).to_string());
-                        if lifecycle(&target) == "quiescing" && was.as_deref() != Some("quiescing") {
-                            update.drains.push(target.row.cache);
+                        let was = self.endpoints.get(&key).map(|(old, _)| old.record.state);
+                        if target.record.state == EndpointState::Draining
+                            && was != Some(EndpointState::Draining)
+                        {
+                            update.drains.push(target.record.id);
                         }
                         self.tombstones.remove(&key);
                         self.endpoints.insert(key, (target.clone(), at));
@@ -219,7 +219,7 @@
                 },
                 Change::Delete { .. } => {
                     if let Some((mut target, _)) = self.endpoints.remove(&key) {
-                        target.row.lifecycle = "dead".into();
+                        target.record.state = EndpointState::Removed;
                         update.targets.push(target);
                     }
                     self.tombstones.insert(key, at);
--- a/src/registry/view/tests.rs
+++ b/src/registry/view/tests.rs
@@ -22,11 +22,11 @@
     let update =
         view.changes(12, vec![put(1, "Terminating", 12), put(1, "Terminating", 12), put(1, "Ready", 11)]);
     assert_eq!((update.targets.len(), update.drains.clone()), (1, vec![1]));
-    assert_eq!(view.endpoints().next().unwrap().row.lifecycle, "quiescing");
+    assert_eq!(view.endpoints().next().unwrap().record.state, EndpointState::Draining);
     assert_eq!(view.changes(12, vec![put(2, "Ready", 9)]).targets.len(), 0, "older than the read");
     let gone =
         view.changes(14, vec![Change::Delete { key: "/m/1".into(), revision: 14 }, put(1, "Ready", 13)]);
-    assert_eq!(gone.targets.iter().map(|t| t.row.lifecycle.as_str()).collect::<Vec<_>>(), ["dead"]);
+    assert_eq!(gone.targets.iter().map(|t| t.record.state).collect::<Vec<_>>(), [EndpointState::Removed]);
     assert_eq!(view.figures.stale, 4, "one doubled, two late, one older than the read");
     let late = view.changes(14, vec![put(3, "Terminating", 13)]);
     assert_eq!(late.drains, [3], "late among other keys' changes, but the newest of its own");
@@ -82,5 +82,5 @@
     assert_eq!((update.targets.len(), update.faults.len()), (0, 1));
     let update = view.read(12, vec![bad]);
     assert_eq!(update.targets.len(), 1, "the old line stays");
-    assert_eq!(view.endpoints().next().unwrap().row.lifecycle, "live");
+    assert_eq!(view.endpoints().next().unwrap().record.state, EndpointState::Active);
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,9 +2,9 @@
 //!
 //! Unknown keys are skipped; what may be absent reads as its type's default.
 
-use crate::wire::cache_codec::is_value;
-use crate::wire::discovery_codec::{Sequenced, WatchEvent};
-use crate::{Endpoint, EndpointState, Idempotency, KeyScope, PolicySettings, RequestClass, SlowStart, Tier};
+use crate::endpoint_list::EndpointRecord;
+use crate::text::is_value;
+use crate::{Endpoint, Idempotency, KeyScope, PolicySettings, RequestClass, SlowStart, Tier};
 use serde::{Deserialize, Deserializer};
 
 /// Reads a value that may be absent, null or of another type than expected, as the type's default then.
@@ -12,31 +12,6 @@
     Ok(Option::<T>::deserialize(d)?.unwrap_or_default())
 }
 
-/// One line of the list of endpoints, as the simulator's wire words it.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct EndpointRecord {
-    /// Name of its zone.
-    #[serde(default, deserialize_with = "lenient")]
-    pub zone: String,
-    /// Name of its kind.
-    #[serde(default, deserialize_with = "lenient")]
-    pub model: String,
-    /// `live`, `quiescing` or `dead`.
-    pub lifecycle: String,
-    /// When it started, in microseconds; 0 is long ago.
-    #[serde(default, deserialize_with = "lenient")]
-    pub ready_at_us: u64,
-    /// Its id.
-    pub cache: u32,
-    /// Its size, where it is told.
-    #[serde(default)]
-    pub power_hint: Option<f64>,
-    /// Number of its cell.
-    #[serde(default, deserialize_with = "lenient")]
-    pub cohort: u32,
-}
-
 /// The settings object.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
@@ -280,12 +255,6 @@
         Ok(())
     }
 
-    /// What a proxy could not take of an event, if anything.
-    pub fn check_event(&self, event: &Sequenced) -> Result<(), String> {
-        let WatchEvent::Endpoints { targets, .. } = &event.news else { return Ok(()) };
-        targets.iter().try_for_each(|target| self.listing(&target.row).map(|_| ()))
-    }
-
     /// For how long a drained endpoint may still be named, in milliseconds.
     pub fn drain_grace_ms(&self) -> f64 {
         self.rules.drain_grace_us as f64 / 1_000.0
@@ -350,38 +319,40 @@
         }
     }
 
-    /// Whether a line is that of a cache, in whatever location.
-    pub fn is_cache(&self, row: &EndpointRecord) -> bool {
-        let upper = [self.family_info.root_kind, self.family_info.mid_kind];
-        !upper.into_iter().any(|kind| self.sku(kind) == Some(&row.model))
+    /// Whether an endpoint is a cache, in whatever zone.
+    pub fn is_cache(&self, record: &EndpointRecord) -> bool {
+        !self.is_of_kind(record, self.family_info.root_kind)
+            && !self.is_of_kind(record, self.family_info.mid_kind)
     }
 
-    /// One line of a list, in the library's words.
-    pub fn listing(&self, row: &EndpointRecord) -> Result<Endpoint, String> {
-        let zone = self.zone(&row.zone);
-        let tier = if self.sku(self.family_info.root_kind) == Some(&row.model) {
+    /// An endpoint as the decision module knows it.
+    pub fn endpoint(&self, record: &EndpointRecord) -> Endpoint {
+        Endpoint {
+            id: record.id,
+            tier: self.tier(record),
+            state: record.state,
+            started_at: record.started_at,
+            weight: record.capacity_hint.unwrap_or(1.0),
+            zone: self.zone(&record.zone).map_or(u32::MAX, |zone| zone as u32),
+            cell: record.cell,
+        }
+    }
+
+    /// What an endpoint is to a proxy of this zone.
+    fn tier(&self, record: &EndpointRecord) -> Tier {
+        if self.is_of_kind(record, self.family_info.root_kind) {
             Tier::Origin
-        } else if self.sku(self.family_info.mid_kind) == Some(&row.model) {
+        } else if self.is_of_kind(record, self.family_info.mid_kind) {
             Tier::Parent
-        } else if row.zone == self.locality {
+        } else if record.zone == self.locality {
             Tier::Cache
         } else {
             Tier::RemoteCache
-        };
-        let state = match row.lifecycle.as_str() {
-            "live" => EndpointState::Active,
-            "quiescing" => EndpointState::Draining,
-            "dead" => EndpointState::Removed,
-            other => return Err(format!("Table: unknown lifecycle {other:?}")),
-        };
-        Ok(Endpoint {
-            id: row.cache,
-            tier,
-            state,
-            started_at: row.ready_at_us,
-            weight: row.power_hint.unwrap_or(1.0),
-            zone: zone.map_or(u32::MAX, |z| z as u32),
-            cell: row.cohort,
-        })
+        }
+    }
+
+    /// Whether an endpoint is of the kind at a place of the settings' list.
+    fn is_of_kind(&self, record: &EndpointRecord, kind: Option<i64>) -> bool {
+        self.sku(kind) == Some(&record.kind)
     }
 }
--- a/src/state/maintenance.rs
+++ b/src/state/maintenance.rs
@@ -1,7 +1,7 @@
 //! Members that operators have taken out of use by hand, and when they put them back.
 
-use crate::settings::EndpointRecord;
-use crate::EndpointId;
+use crate::endpoint_list::EndpointRecord;
+use crate::{EndpointId, EndpointState};
 use std::collections::BTreeMap;
 
 /// How long a return is remembered, in milliseconds: longer than any endpoint takes to be warm.
@@ -49,11 +49,13 @@
 
     /// An endpoint's line as this proxy has to take it. Guards the rule on drains: what is out of use drains, whatever
     /// the list says; and the rule on cold starts: it was restarted meanwhile, so it is cold when it returns.
-    pub fn apply(&self, row: &mut EndpointRecord) {
-        match self.0.get(&row.cache) {
-            Some(mark) if mark.out && row.lifecycle == "live" => row.lifecycle = "quiescing".into(),
+    pub fn apply(&self, record: &mut EndpointRecord) {
+        match self.0.get(&record.id) {
+            Some(mark) if mark.out && record.state == EndpointState::Active => {
+                record.state = EndpointState::Draining
+            }
             Some(mark) if !mark.out => {
-                row.ready_at_us = row.ready_at_us.max(crate::clock::micros_from_ms(mark.at_ms));
+                record.started_at = record.started_at.max(crate::clock::micros_from_ms(mark.at_ms));
             }
             _ => {}
         }
--- a/src/state/membership.rs
+++ b/src/state/membership.rs
@@ -1,7 +1,7 @@
 //! The members by id, with their addresses and when this proxy was told that they drain or are gone.
 
-use crate::wire::discovery_codec::Target;
-use crate::EndpointId;
+use crate::endpoint_list::ListedEndpoint;
+use crate::{EndpointId, EndpointState};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
 
@@ -9,47 +9,47 @@
 #[derive(Debug, Default)]
 pub struct Roster {
     /// Endpoints that are listed, as told, whatever their state.
-    listed: HashMap<EndpointId, Target>,
+    listed: HashMap<EndpointId, ListedEndpoint>,
     live: HashMap<EndpointId, SocketAddrV4>,
 }
 
 impl Roster {
     /// Notes a list or its changes as told.
-    pub fn hear(&mut self, full: bool, targets: &[Target]) {
+    pub fn hear(&mut self, full: bool, targets: &[ListedEndpoint]) {
         if full {
             self.listed.clear();
         }
         for target in targets {
-            if target.row.lifecycle == "dead" {
-                self.listed.remove(&target.row.cache);
+            if target.record.state == EndpointState::Removed {
+                self.listed.remove(&target.record.id);
             } else {
-                self.listed.insert(target.row.cache, target.clone());
+                self.listed.insert(target.record.id, target.clone());
             }
         }
     }
 
     /// An endpoint's line as last told.
-    pub fn listed(&self, id: EndpointId) -> Option<&Target> {
+    pub fn listed(&self, id: EndpointId) -> Option<&ListedEndpoint> {
         self.listed.get(&id)
     }
 
     /// All of them.
-    pub fn all_listed(&self) -> impl Iterator<Item = &Target> {
+    pub fn all_listed(&self) -> impl Iterator<Item = &ListedEndpoint> {
         self.listed.values()
     }
 
     /// Takes a list or its changes; tells which endpoints may get nothing new from now on, or have moved.
-    pub fn update(&mut self, full: bool, targets: &[Target]) -> Vec<EndpointId> {
+    pub fn update(&mut self, full: bool, targets: &[ListedEndpoint]) -> Vec<EndpointId> {
         let before: Vec<(EndpointId, SocketAddrV4)> = self.live.iter().map(|(id, at)| (*id, *at)).collect();
         if full {
-            let listed: HashSet<EndpointId> = targets.iter().map(|t| t.row.cache).collect();
+            let listed: HashSet<EndpointId> = targets.iter().map(|t| t.record.id).collect();
             self.live.retain(|id, _| listed.contains(id));
         }
         for target in targets {
-            if target.row.lifecycle == "live" {
-                self.live.insert(target.row.cache, target.address);
+            if target.record.state == EndpointState::Active {
+                self.live.insert(target.record.id, target.address);
             } else {
-                self.live.remove(&target.row.cache);
+                self.live.remove(&target.record.id);
             }
         }
         let moved = before.into_iter().filter(|(id, at)| self.live.get(id) != Some(at));
--- a/src/state/membership/tests.rs
+++ b/src/state/membership/tests.rs
@@ -1,31 +1,33 @@
 use super::*;
-use crate::settings::EndpointRecord;
+use crate::endpoint_list::EndpointRecord;
+use crate::EndpointState;
 
-fn target(cache: u32, lifecycle: &str, port: u16) -> Target {
-    let row = EndpointRecord {
+fn target(id: u32, state: EndpointState, port: u16) -> ListedEndpoint {
+    let record = EndpointRecord {
         zone: String::new(),
-        model: String::new(),
-        lifecycle: lifecycle.into(),
-        ready_at_us: 0,
-        cache,
-        power_hint: None,
-        cohort: 0,
+        kind: String::new(),
+        state,
+        started_at: 0,
+        id,
+        capacity_hint: None,
+        cell: 0,
     };
-    Target { row, address: SocketAddrV4::new([127, 0, 0, 1].into(), port) }
+    ListedEndpoint { record, address: SocketAddrV4::new([127, 0, 0, 1].into(), port) }
 }
 
 #[test]
 fn drained_absent_and_moved_members_are_told() {
     let mut roster = Roster::default();
-    let start: Vec<_> = [1, 2, 3, 4].map(|id| target(id, "live", 100 + id as u16)).into();
+    let start: Vec<_> = [1, 2, 3, 4].map(|id| target(id, EndpointState::Active, 100 + id as u16)).into();
     assert!(roster.update(true, &start).is_empty());
-    assert_eq!(roster.update(false, &[target(1, "quiescing", 101)]), [1]);
-    let mut gone = roster.update(true, &[target(2, "live", 102), target(3, "live", 99)]);
+    assert_eq!(roster.update(false, &[target(1, EndpointState::Draining, 101)]), [1]);
+    let mut gone =
+        roster.update(true, &[target(2, EndpointState::Active, 102), target(3, EndpointState::Active, 99)]);
     gone.sort_unstable();
     assert_eq!(gone, [3, 4]);
     assert_eq!(roster.address(1), None);
     assert_eq!(roster.address(3).map(|a| a.port()), Some(99));
     // A new endpoint at the address of one that has gone.
-    assert!(roster.update(false, &[target(9, "live", 101)]).is_empty());
+    assert!(roster.update(false, &[target(9, EndpointState::Active, 101)]).is_empty());
     assert_eq!(roster.address(9).map(|a| a.port()), Some(101));
 }
--- /dev/null
+++ b/src/text.rs
@@ -0,0 +1,26 @@
+//! Text forms of ids that protocols, operators' files and log lines share.
+
+use crate::EndpointId;
+
+/// The text form of an endpoint's id: `s-` and eight hex digits.
+pub fn endpoint_text(id: EndpointId) -> String {
+    format!("s-{id:08x}")
+}
+
+/// Parses the text form of an endpoint's id.
+pub fn endpoint_id(text: &str) -> Option<EndpointId> {
+    let digits = text.strip_prefix("s-")?;
+    (digits.len() == 8 && digits.bytes().all(|b| b.is_ascii_hexdigit()))
+        .then(|| EndpointId::from_str_radix(digits, 16).ok())?
+}
+
+/// Parses a number of exactly 16 hex digits.
+pub fn hex16(text: &str) -> Option<u64> {
+    (text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit()))
+        .then(|| u64::from_str_radix(text, 16).ok())?
+}
+
+/// Whether a text can be a field's value in the cache protocol: visible ASCII without `,` and `=`.
+pub fn is_value(text: &str) -> bool {
+    !text.is_empty() && text.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'=')
+}
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -3,6 +3,7 @@
 use super::response_path::PathNote;
 use super::WireError;
 use crate::purge::selector::Tag;
+pub use crate::text::{endpoint_id, endpoint_text, hex16, is_value};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::fmt::Write as _;
 use tokio_util::codec::{Decoder, Encoder};
@@ -92,29 +93,6 @@
     Drop(String),
 }
 
-/// The text of an endpoint's id.
-pub fn endpoint_text(id: u32) -> String {
-    format!("s-{id:08x}")
-}
-
-/// An endpoint's id from its text.
-pub fn endpoint_id(text: &str) -> Option<u32> {
-    let digits = text.strip_prefix("s-")?;
-    (digits.len() == 8 && digits.bytes().all(|b| b.is_ascii_hexdigit()))
-        .then(|| u32::from_str_radix(digits, 16).ok())?
-}
-
-/// A number of exactly 16 hex digits.
-pub fn hex16(text: &str) -> Option<u64> {
-    (text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit()))
-        .then(|| u64::from_str_radix(text, 16).ok())?
-}
-
-/// Whether a text can stand as a field's value.
-pub fn is_value(text: &str) -> bool {
-    !text.is_empty() && text.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'=')
-}
-
 /// Both directions of a connection to a pop cache.
 #[derive(Debug, Default)]
 pub struct LineCodec {
--- a/src/wire/discovery_codec.rs
+++ b/src/wire/discovery_codec.rs
@@ -2,7 +2,9 @@
 
 use super::cache_codec::{endpoint_id, hex16};
 use super::WireError;
-use crate::settings::{EndpointRecord, PlatformSettings};
+use crate::endpoint_list::{EndpointRecord, ListedEndpoint, Sequenced, WatchEvent};
+use crate::settings::PlatformSettings;
+use crate::EndpointState;
 use bytes::{Buf, BufMut, BytesMut};
 use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -12,47 +14,6 @@
 pub const MAX_FRAME: usize = 262_144;
 const RECORD: usize = 27;
 
-/// An endpoint with the address at which it listens.
-#[derive(Clone, Debug)]
-pub struct Target {
-    /// Its line of the list.
-    pub row: EndpointRecord,
-    /// Where it listens.
-    pub address: SocketAddrV4,
-}
-
-/// What an event says.
-#[derive(Clone, Debug)]
-pub enum WatchEvent {
-    /// Nothing new; the link works.
-    Heartbeat,
-    /// The list: all of it, or what changed.
-    Endpoints {
-        /// Endpoints that are absent have gone.
-        full: bool,
-        /// The endpoints.
-        targets: Vec<Target>,
-    },
-    /// A purge of an object, or of a group.
-    Purge {
-        /// The object, or none for the group.
-        object: Option<u64>,
-        /// The group.
-        group: u32,
-        /// The Unix millisecond of the purge.
-        issued: f64,
-    },
-}
-
-/// A numbered event.
-#[derive(Clone, Debug)]
-pub struct Sequenced {
-    /// Its number.
-    pub no: u64,
-    /// What it says.
-    pub news: WatchEvent,
-}
-
 /// A frame as read: places in the settings' lists are not yet names.
 #[derive(Clone, Debug)]
 pub struct Frame {
@@ -67,29 +28,29 @@
     /// The event that a frame means under these settings.
     pub fn event(&self, env: &PlatformSettings) -> Result<Sequenced, WireError> {
         let mut payload = &self.payload[..];
-        let news = match (self.kind, payload.len()) {
+        let event = match (self.kind, payload.len()) {
             (0, 0) => WatchEvent::Heartbeat,
             (1 | 2, n) if n % RECORD == 0 => {
-                let targets = self.records().map(|r| target(r, env)).collect::<Result<_, _>>()?;
-                WatchEvent::Endpoints { full: self.kind == 1, targets }
+                let endpoints = self.records().map(|r| target(r, env)).collect::<Result<_, _>>()?;
+                WatchEvent::Endpoints { full: self.kind == 1, endpoints }
             }
             (3, 16) => {
                 let object = Some(payload.get_u64());
-                WatchEvent::Purge { object, group: 0, issued: payload.get_u64() as f64 }
+                WatchEvent::Purge { object, group: 0, issued_ms: payload.get_u64() as f64 }
             }
             (4, 10) => {
                 let group = u32::from(payload.get_u16());
-                WatchEvent::Purge { object: None, group, issued: payload.get_u64() as f64 }
+                WatchEvent::Purge { object: None, group, issued_ms: payload.get_u64() as f64 }
             }
             (0..=4, _) => return Err(WireError::Malformed("a frame's length")),
             // A kind of a later day: its number counts, its text is skipped.
             _ => WatchEvent::Heartbeat,
         };
-        Ok(Sequenced { no: self.no, news })
+        Ok(Sequenced { number: self.no, event })
     }
 
     /// The endpoints that can be read in a list or changes of it, whatever stands beside them.
-    pub fn readable(&self, env: &PlatformSettings) -> Vec<Target> {
+    pub fn readable(&self, env: &PlatformSettings) -> Vec<ListedEndpoint> {
         self.records().filter_map(|r| target(r, env).ok()).collect()
     }
 
@@ -100,24 +61,23 @@
     }
 }
 
-fn target(mut buf: &[u8], env: &PlatformSettings) -> Result<Target, WireError> {
-    let cache = buf.get_u32();
+fn target(mut buf: &[u8], env: &PlatformSettings) -> Result<ListedEndpoint, WireError> {
+    let id = buf.get_u32();
     let address = SocketAddrV4::new(Ipv4Addr::from(buf.get_u32()), buf.get_u16());
-    let lifecycle = match buf.get_u8() {
-        0 => "live",
-        1 => "quiescing",
-        2 => "dead",
+    let state = match buf.get_u8() {
+        0 => EndpointState::Active,
+        1 => EndpointState::Draining,
+        2 => EndpointState::Removed,
         _ => return Err(WireError::Malformed("a member's state")),
     };
     let (zone, kind) = (usize::from(buf.get_u8()), usize::from(buf.get_u8()));
     let zone = env.zone_name(zone).ok_or(WireError::Malformed("a member's zone"))?.to_string();
-    let model = env.kind_name(kind).ok_or(WireError::Malformed("a member's kind"))?.to_string();
-    let cohort = u32::from(buf.get_u16());
-    let power_hint = Some(f64::from(buf.get_u32()) / 1_000.0);
-    let ready_at_us = buf.get_u64().saturating_mul(1_000);
-    let row =
-        EndpointRecord { zone, model, lifecycle: lifecycle.into(), ready_at_us, cache, power_hint, cohort };
-    Ok(Target { row, address })
+    let kind = env.kind_name(kind).ok_or(WireError::Malformed("a member's kind"))?.to_string();
+    let cell = u32::from(buf.get_u16());
+    let capacity_hint = Some(f64::from(buf.get_u32()) / 1_000.0);
+    let started_at = buf.get_u64().saturating_mul(1_000);
+    let record = EndpointRecord { id, zone, kind, state, started_at, capacity_hint, cell };
+    Ok(ListedEndpoint { record, address })
 }
 
 /// Both directions of the connection to the bulletin: frames come in, numbers go out.
@@ -219,53 +179,53 @@
 
 impl Item {
     fn event(&self) -> Result<Sequenced, String> {
-        let news = match (&self.roster, &self.recall) {
+        let event = match (&self.roster, &self.recall) {
             (Some(list), _) => {
-                let targets = list.targets.iter().map(Line::target).collect::<Result<_, _>>()?;
-                WatchEvent::Endpoints { full: list.all, targets }
+                let endpoints = list.targets.iter().map(Line::target).collect::<Result<_, _>>()?;
+                WatchEvent::Endpoints { full: list.all, endpoints }
             }
             (None, Some(recall)) => match (&recall.item, recall.lot) {
                 (Some(item), _) => {
                     let object = hex16(item).ok_or_else(|| format!("object {item:?}"))?;
-                    WatchEvent::Purge { object: Some(object), group: 0, issued: recall.issued }
+                    WatchEvent::Purge { object: Some(object), group: 0, issued_ms: recall.issued }
                 }
-                (None, Some(lot)) => WatchEvent::Purge { object: None, group: lot, issued: recall.issued },
+                (None, Some(lot)) => WatchEvent::Purge { object: None, group: lot, issued_ms: recall.issued },
                 (None, None) => return Err("a purge of nothing".into()),
             },
             (None, None) => WatchEvent::Heartbeat,
         };
-        Ok(Sequenced { no: self.no, news })
+        Ok(Sequenced { number: self.no, event })
     }
 }
 
 impl Line {
     /// An endpoint from its JSON; what is wrong, where it can't be used.
-    pub fn parse(bytes: &[u8]) -> Result<Target, String> {
+    pub fn parse(bytes: &[u8]) -> Result<ListedEndpoint, String> {
         let mut bytes = bytes.to_vec();
         let line: Line = simd_json::from_slice(&mut bytes).map_err(|e| e.to_string())?;
         line.target()
     }
 
     /// The endpoint that it names.
-    pub fn target(&self) -> Result<Target, String> {
-        let cache = endpoint_id(&self.uid).ok_or_else(|| format!("uid {:?}", self.uid))?;
+    pub fn target(&self) -> Result<ListedEndpoint, String> {
+        let id = endpoint_id(&self.uid).ok_or_else(|| format!("uid {:?}", self.uid))?;
         let address = self.endpoint.parse().map_err(|_| format!("endpoint {:?}", self.endpoint))?;
-        let lifecycle = match self.state.as_str() {
-            "Ready" => "live",
-            "Terminating" => "quiescing",
-            "Gone" => "dead",
+        let state = match self.state.as_str() {
+            "Ready" => EndpointState::Active,
+            "Terminating" => EndpointState::Draining,
+            "Gone" => EndpointState::Removed,
             other => return Err(format!("state {other:?}")),
         };
-        let row = EndpointRecord {
+        let record = EndpointRecord {
+            id,
             zone: self.az.clone(),
-            model: self.model.clone(),
-            lifecycle: lifecycle.into(),
-            ready_at_us: crate::clock::micros_from_ms(self.boot_ms),
-            cache,
-            power_hint: self.capacity_hint,
-            cohort: self.pod_group,
+            kind: self.model.clone(),
+            state,
+            started_at: crate::clock::micros_from_ms(self.boot_ms),
+            capacity_hint: self.capacity_hint,
+            cell: self.pod_group,
         };
-        Ok(Target { row, address })
+        Ok(ListedEndpoint { record, address })
     }
 }
 
--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -103,19 +103,20 @@
         }
         let (before, later) = (site.asked(first), site.asked(CACHES[1]));
         // The list names it as ready once more.
-        let line = edge_proxy::settings::EndpointRecord {
+        let line = edge_proxy::endpoint_list::EndpointRecord {
             zone: "town".into(),
-            model: "box".into(),
-            lifecycle: "live".into(),
-            ready_at_us: 0,
-            cache: first,
-            power_hint: Some(4.0),
-            cohort: 0,
+            kind: "box".into(),
+            state: edge_proxy::EndpointState::Active,
+            started_at: 0,
+            id: first,
+            capacity_hint: Some(4.0),
+            cell: 0,
         };
         let SocketAddr::V4(address) = site.endpoints[&first].address else { panic!() };
-        let targets = vec![edge_proxy::wire::discovery_codec::Target { row: line, address }];
-        let news = edge_proxy::wire::discovery_codec::WatchEvent::Endpoints { full: false, targets };
-        site.host.with(|engine| engine.news(edge_proxy::wire::discovery_codec::Sequenced { no: 99, news }));
+        let targets = vec![edge_proxy::endpoint_list::ListedEndpoint { record: line, address }];
+        let news = edge_proxy::endpoint_list::WatchEvent::Endpoints { full: false, endpoints: targets };
+        site.host
+            .with(|engine| engine.news(edge_proxy::endpoint_list::Sequenced { number: 99, event: news }));
         clips(at, 100..120).await;
         assert_eq!(site.asked(first), before);
         let asked = site.endpoints[&CACHES[1]].asked.borrow()[later..].to_vec();
--- a/tests/endpoints/mod.rs
+++ b/tests/endpoints/mod.rs
@@ -1,7 +1,8 @@
 //! The members that the engine's tests know: caches 1 to 6, parents 7 and 8, the origin 9.
 
-use edge_proxy::settings::EndpointRecord;
-use edge_proxy::wire::discovery_codec::Target;
+use edge_proxy::endpoint_list::EndpointRecord;
+use edge_proxy::endpoint_list::ListedEndpoint;
+use edge_proxy::EndpointState;
 use std::net::SocketAddrV4;
 
 /// The parent that both tests use.
@@ -9,20 +10,20 @@
 pub const PARENT: u32 = 8;
 
 /// An endpoint's line; its port tells its id.
-pub fn target(id: u32, lifecycle: &str) -> Target {
-    let (zone, model) = match id {
+pub fn target(id: u32, state: EndpointState) -> ListedEndpoint {
+    let (zone, kind) = match id {
         PARENT | 7 => ("hub", "parent"),
         9 => ("hub", "origin"),
         _ => ("town", "box"),
     };
-    let row = EndpointRecord {
+    let record = EndpointRecord {
         zone: zone.into(),
-        model: model.into(),
-        lifecycle: lifecycle.into(),
-        ready_at_us: 0,
-        cache: id,
-        power_hint: Some(4.0),
-        cohort: 0,
+        kind: kind.into(),
+        state,
+        started_at: 0,
+        id: id,
+        capacity_hint: Some(4.0),
+        cell: 0,
     };
-    Target { row, address: SocketAddrV4::new([127, 0, 0, 1].into(), 5_000 + id as u16) }
+    ListedEndpoint { record, address: SocketAddrV4::new([127, 0, 0, 1].into(), 5_000 + id as u16) }
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -3,13 +3,14 @@
 mod endpoints;
 
 use edge_proxy::clock::Clock;
+use edge_proxy::endpoint_list::{Sequenced, WatchEvent};
 use edge_proxy::engine::{Effect, Engine, EngineBounds, Next};
 use edge_proxy::settings::PlatformSettings;
 use edge_proxy::state::connections::{Bounds, ConnId};
 use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
 use edge_proxy::wire::cache_codec::{Command, Get, Reply, Word};
-use edge_proxy::wire::discovery_codec::{Sequenced, WatchEvent};
 use edge_proxy::wire::response_path::PathNote;
+use edge_proxy::EndpointState;
 use endpoints::{target, PARENT};
 use std::rc::Rc;
 
@@ -42,14 +43,14 @@
         let connections = Bounds { total: 8, endpoint: 4, spread: 4, streams: 4 };
         let engine = Engine::new(clock.clone(), Rc::new(env), 7, EngineBounds { requests: 9, connections });
         let mut bench = Self { clock, engine, no: 0 };
-        let targets = ids.iter().map(|id| target(*id, "live")).collect();
-        bench.news(WatchEvent::Endpoints { full: true, targets });
+        let endpoints = ids.iter().map(|id| target(*id, EndpointState::Active)).collect();
+        bench.news(WatchEvent::Endpoints { full: true, endpoints });
         bench
     }
 
     fn news(&mut self, news: WatchEvent) {
         self.no += 1;
-        self.engine.news(Sequenced { no: self.no, news });
+        self.engine.news(Sequenced { number: self.no, event: news });
     }
 
     fn ask(&mut self, id: u64, class: usize) {
@@ -171,7 +172,7 @@
 #[test]
 fn the_age_bound_shrinks_by_the_time_in_the_queue() {
     let mut b = Bench::new(&[1, PARENT, 9]);
-    b.news(WatchEvent::Purge { object: Some(42), group: 0, issued: START - 1_000.0 });
+    b.news(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START - 1_000.0 });
     b.ask(1, 0);
     let (conn, _) = b.opened()[0];
     b.pass(300.0);
@@ -185,7 +186,7 @@
 #[test]
 fn the_age_bound_never_becomes_the_classs_own() {
     let mut b = Bench::new(&[1, PARENT, 9]);
-    b.news(WatchEvent::Purge { object: Some(42), group: 0, issued: START - 50.0 });
+    b.news(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START - 50.0 });
     b.ask(1, 0);
     let (conn, _) = b.opened()[0];
     b.pass(300.0);
@@ -199,7 +200,7 @@
     let mut b = Bench::new(&[1, 2, PARENT, 9]);
     b.ask(1, 0);
     let first = b.opened();
-    b.news(WatchEvent::Purge { object: None, group: 17, issued: START - 100.0 });
+    b.news(WatchEvent::Purge { object: None, group: 17, issued_ms: START - 100.0 });
     let second = b.opened();
     assert_ne!(first[0].1, second[0].1, "the module takes another cache for a second try");
     b.engine.connected(first[0].0);
@@ -224,7 +225,10 @@
             })
             .unwrap();
         b.ask_for(2, object);
-        b.news(WatchEvent::Endpoints { full: false, targets: vec![target(drained, "quiescing")] });
+        b.news(WatchEvent::Endpoints {
+            full: false,
+            endpoints: vec![target(drained, EndpointState::Draining)],
+        });
         assert_eq!(b.get(conn), None, "nothing new is written for member {drained}");
         assert_eq!((b.engine.counters.attempts_stale, b.engine.owed()), (1, 2));
         // The second one is on its way by other endpoints.
@@ -362,7 +366,7 @@
     let (mut b, conn) = waiting();
     assert!(b.get(conn).is_some(), "nothing has changed");
     let (mut b, conn) = waiting();
-    b.news(WatchEvent::Endpoints { full: false, targets: vec![target(1, "quiescing")] });
+    b.news(WatchEvent::Endpoints { full: false, endpoints: vec![target(1, EndpointState::Draining)] });
     assert_eq!((b.get(conn), b.engine.counters.attempts_stale), (None, 1), "its member drains");
     let (mut b, conn) = waiting();
     b.engine.left(1);
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -4,13 +4,15 @@
 
 use bytes::BytesMut;
 use edge_proxy::clock::Clock;
+use edge_proxy::endpoint_list::{Sequenced, WatchEvent};
 use edge_proxy::engine::{Effect, Engine, EngineBounds, Next};
 use edge_proxy::settings::PlatformSettings;
 use edge_proxy::state::connections::{Bounds, ConnId};
 use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
 use edge_proxy::wire::cache_codec::{Command, LineCodec, Reply, Word, MAX_LINE};
-use edge_proxy::wire::discovery_codec::{FrameCodec, Sequenced, WatchEvent, MAX_FRAME};
+use edge_proxy::wire::discovery_codec::{FrameCodec, MAX_FRAME};
 use edge_proxy::wire::http::{HttpCodec, Phase};
+use edge_proxy::EndpointState;
 use endpoints::target;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -59,15 +61,15 @@
         let (links, owed, live) = Default::default();
         let mut model = Self { clock, engine, links, owed, live, next_id: 0, next_no: 0 };
         let ids = [1, 2, 3, 8, 9];
-        let targets = ids.iter().map(|id| target(*id, "live")).collect();
-        model.news(WatchEvent::Endpoints { full: true, targets });
+        let endpoints = ids.iter().map(|id| target(*id, EndpointState::Active)).collect();
+        model.news(WatchEvent::Endpoints { full: true, endpoints });
         model.live = ids.into();
         model
     }
 
     fn news(&mut self, news: WatchEvent) {
         self.next_no += 1;
-        self.engine.news(Sequenced { no: self.next_no, news });
+        self.engine.news(Sequenced { number: self.next_no, event: news });
     }
 
     /// Does one step; `a` and `b` choose among what there is.
@@ -121,17 +123,18 @@
             }
             10 => {
                 let id = [1, 2, 3, 8][pick(4)];
-                let lifecycle = ["live", "quiescing", "dead"][usize::from(b) % 3];
-                if lifecycle == "live" {
+                let state = [EndpointState::Active, EndpointState::Draining, EndpointState::Removed]
+                    [usize::from(b) % 3];
+                if state == EndpointState::Active {
                     self.live.insert(id);
                 } else {
                     self.live.remove(&id);
                 }
-                self.news(WatchEvent::Endpoints { full: false, targets: vec![target(id, lifecycle)] });
+                self.news(WatchEvent::Endpoints { full: false, endpoints: vec![target(id, state)] });
             }
             11 => {
                 let issued = self.clock.now() - 50.0;
-                self.news(WatchEvent::Purge { object: None, group: u32::from(a % 4), issued });
+                self.news(WatchEvent::Purge { object: None, group: u32::from(a % 4), issued_ms: issued });
             }
             _ => {
                 self.clock.advance(f64::from(b % 200));
