--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -207,7 +207,7 @@
         let clock = Clock::system();
         let (engine, _) = edge_proxy::lifecycle::serve::engine(&config, &clock, 0).unwrap();
         let host = Executor::new(clock, engine, CacheDriver);
-        host.with(|engine| engine.take_roster_from_registry());
+        host.with(|engine| engine.use_registry());
         let link = Rc::new(RefCell::new(RegistryStatus::default()));
         links.push(link.clone());
         tokio::task::spawn_local(keep(host, file.clone(), link, n as u64));
--- a/src/admission/control.rs
+++ b/src/admission/control.rs
@@ -119,7 +119,7 @@
         let client = self.config.client_of(ask.client.expect("checked above"));
         let tenant = self.config.tenant_of(ask.group);
         let arrival =
-            Arrival { id: ask.id, client, tenant, give_up_ms: ask.give_up_ms, bytes: ask.body.len() };
+            Arrival { id: ask.id, client, tenant, give_up_ms: ask.deadline_ms, bytes: ask.body.len() };
         match self.queue.arrive(now_ms, arrival) {
             Verdict::Queue => {
                 self.waiting.insert(ask.id, ask);
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -61,7 +61,7 @@
                 return Ok(false);
             }
             Line::OpenInstance { i, seed, env } => {
-                let router = Router::new(env.settings(), seed);
+                let router = Router::new(env.policy_settings(), seed);
                 self.instances.insert(i, Instance { router, env: *env });
                 return Ok(false);
             }
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -196,7 +196,7 @@
     pub fn event(self, env: &PlatformSettings) -> Result<Option<Event>, String> {
         Ok(Some(match self {
             Self::JobIn { request_id, band, asset, give_up_at_us, kbytes, set_no, slice, .. } => {
-                let class = env.class(&band);
+                let class = env.class_index(&band);
                 Event::Request {
                     id: request_id.0,
                     class: class.ok_or_else(|| format!("JobIn: unknown class {band:?}"))?,
@@ -221,7 +221,7 @@
             },
             Self::Elapsed { ctx, .. } => Event::Timer { token: ctx },
             Self::Outdated { asset, family_id, age_span_us, .. } => {
-                Event::Purged { object: asset, group: family_id as u32, ago: age_span_us }
+                Event::Purged { object: asset, group: family_id as u32, age: age_span_us }
             }
             Self::Headers { request_id, hop, .. } => {
                 Event::ResponseStarted { id: request_id.0, attempt: hop }
@@ -320,11 +320,11 @@
                 id,
                 to,
                 source: Some(source),
-                join,
+                join_fill: join,
                 only_if_cached,
                 revalidate,
                 max_age,
-                keep,
+                retention_rank: keep,
                 timeout,
                 ..
             } => Self::LookAndFill {
@@ -337,7 +337,9 @@
                 retain: keep,
                 cap_us: timeout,
             },
-            Action::Reject { id, wait } => Self::OverloadReply { i, request_id: hex(id), wait_us: wait },
+            Action::Reject { id, retry_after: wait } => {
+                Self::OverloadReply { i, request_id: hex(id), wait_us: wait }
+            }
             Action::Fail { id } => Self::ReportFailure { i, request_id: hex(id) },
             Action::Cancel { id, attempt } => Self::Abandon { i, request_id: hex(id), hop: attempt },
             Action::CheckHealth { endpoint } => Self::SoundOut { i, cache: endpoint },
--- a/src/engine/answers.rs
+++ b/src/engine/answers.rs
@@ -1,7 +1,7 @@
 //! Answers: what a member's answer means for its attempt, and the one final answer of a request.
 
 use super::{Effect, Engine};
-use crate::state::connections::ConnId;
+use crate::state::connections::ConnectionId;
 use crate::state::requests::{FinalResponse, IncomingRequest};
 use crate::wire::cache_codec::{Reply, Word};
 use crate::{AttemptOutcome, RequestId};
@@ -12,17 +12,17 @@
 
 impl Engine {
     /// An endpoint answered.
-    pub fn answered(&mut self, conn: ConnId, reply: Reply) {
+    pub fn handle_response(&mut self, conn: ConnectionId, reply: Reply) {
         let now = self.clock.now();
         let Some(c) = self.connections.get_mut(conn) else { return };
-        (c.read_ms, c.used_ms, c.unheard) = (now, now, 0);
-        let Some(id) = c.out.remove(&reply.id) else {
+        (c.read_ms, c.used_ms, c.timeouts_since_read) = (now, now, 0);
+        let Some(id) = c.in_flight.remove(&reply.id) else {
             // An answer that crossed a DROP, a second one, or one to nothing that was asked here: no client gets it.
             self.counters.member_late += 1;
             return;
         };
         // Guards a later attempt of the same request, which has the same id: the answer may come a second time.
-        c.close_to(id.0);
+        c.bar(id.0);
         let (outcome, counter) = match reply.word {
             Word::Ack | Word::Nomod => (AttemptOutcome::Served, &mut self.counters.member_ok),
             Word::Noent => (AttemptOutcome::CacheMiss, &mut self.counters.member_miss),
@@ -31,20 +31,22 @@
             Word::Stale => (AttemptOutcome::NotSent, &mut self.counters.member_miss),
         };
         *counter += 1;
-        if outcome == AttemptOutcome::Served && self.purged(id.0, &reply) {
+        if outcome == AttemptOutcome::Served && self.is_purged(id.0, &reply) {
             // Guards the rule on purges: a copy that a purge removed reaches no client; the module tries again.
-            self.settle(id, AttemptOutcome::Malformed);
-            self.run();
+            self.end_attempt(id, AttemptOutcome::Malformed);
+            self.process_events();
             return self.effects.push_back(Effect::Wake(conn));
         }
         if outcome == AttemptOutcome::Served {
             let tag = reply.tag;
             // An endpoint says that the client's copy holds only where the request named that very copy.
             let same = reply.word == Word::Nomod;
-            let named = |ask: &IncomingRequest| ask.cached.is_some() && (tag.is_none() || tag == ask.cached);
+            let named = |ask: &IncomingRequest| {
+                ask.client_etag.is_some() && (tag.is_none() || tag == ask.client_etag)
+            };
             if same && self.requests.get(id.0).is_some_and(|ask| !named(ask)) {
-                self.settle(id, AttemptOutcome::Malformed);
-                self.run();
+                self.end_attempt(id, AttemptOutcome::Malformed);
+                self.process_events();
                 return self.effects.push_back(Effect::Wake(conn));
             }
             let answer = if same {
@@ -52,17 +54,18 @@
             } else {
                 FinalResponse::Served { tag, body: reply.body }
             };
-            self.finish(id.0, answer);
+            self.respond(id.0, answer);
         }
-        self.settle_noted(id, outcome, reply.note.into());
-        self.run();
+        self.end_attempt_with_status(id, outcome, reply.note.into());
+        self.process_events();
         self.effects.push_back(Effect::Wake(conn));
     }
 
     /// Whether a read's answer carries a copy that a fleet purge removed.
-    fn purged(&mut self, id: RequestId, reply: &Reply) -> bool {
+    fn is_purged(&mut self, id: RequestId, reply: &Reply) -> bool {
         let (Some(guard), Some(ask)) = (&mut self.purge, self.requests.get(id)) else { return false };
-        let Some(class) = self.env.class_name(ask.class).filter(|_| !self.env.is_write(ask.class)) else {
+        let Some(class) = self.settings.class_name(ask.class).filter(|_| !self.settings.is_write(ask.class))
+        else {
             return false;
         };
         let removed = guard.removes(class, ask.object, ask.part, ask.group, reply.born, &reply.tags);
@@ -77,23 +80,24 @@
     }
 
     /// Gives a request its final answer, if it is still owed one.
-    pub(super) fn finish(&mut self, id: RequestId, answer: FinalResponse) {
-        if let Some(ask) = self.requests.end(id) {
-            let tally = self.tallies.of(self.env.class_name(ask.class).unwrap_or_default());
+    pub(super) fn respond(&mut self, id: RequestId, answer: FinalResponse) {
+        if let Some(ask) = self.requests.remove(id) {
+            let class_counter =
+                self.class_counters.of(self.settings.class_name(ask.class).unwrap_or_default());
             let (counter, figure) = match &answer {
-                FinalResponse::Served { .. } => (&mut self.counters.served, &mut tally.ok),
-                FinalResponse::NotModified { .. } => (&mut self.counters.unchanged, &mut tally.ok),
-                FinalResponse::Rejected { .. } => (&mut self.counters.refused, &mut tally.shed),
-                FinalResponse::Failed { .. } => (&mut self.counters.failed, &mut tally.errors),
+                FinalResponse::Served { .. } => (&mut self.counters.served, &mut class_counter.ok),
+                FinalResponse::NotModified { .. } => (&mut self.counters.unchanged, &mut class_counter.ok),
+                FinalResponse::Rejected { .. } => (&mut self.counters.refused, &mut class_counter.shed),
+                FinalResponse::Failed { .. } => (&mut self.counters.failed, &mut class_counter.errors),
             };
             *counter += 1;
             *figure += 1;
-            self.effects.push_back(Effect::Answer(id, answer));
+            self.effects.push_back(Effect::Respond(id, answer));
         }
     }
 
     /// Whether a request ends for want of time: less is left than any attempt could use.
     pub(super) fn is_overdue(&self, now: f64, id: RequestId) -> bool {
-        self.requests.get(id).is_some_and(|ask| now + OVER_MS >= ask.give_up_ms)
+        self.requests.get(id).is_some_and(|ask| now + OVER_MS >= ask.deadline_ms)
     }
 }
--- a/src/engine/effects.rs
+++ b/src/engine/effects.rs
@@ -1,6 +1,6 @@
 //! What an engine wants done on sockets.
 
-use crate::state::connections::ConnId;
+use crate::state::connections::ConnectionId;
 use crate::state::requests::FinalResponse;
 use crate::wire::cache_codec::Command;
 use crate::RequestId;
@@ -12,21 +12,21 @@
     /// Open a connection and report that it came up or not.
     Open {
         /// Its number.
-        conn: ConnId,
+        conn: ConnectionId,
         /// Where to.
         address: SocketAddrV4,
         /// How long it may take, in milliseconds.
         within_ms: f64,
     },
     /// There is something to ask [`Engine::next_write`] for.
-    Wake(ConnId),
+    Wake(ConnectionId),
     /// Give a client its final answer.
-    Answer(RequestId, FinalResponse),
+    Respond(RequestId, FinalResponse),
 }
 
 /// What a connection's driver writes next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
+pub enum NextWrite {
     /// This, beginning now.
     Write(Command),
     /// Nothing for now.
--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -7,7 +7,7 @@
 use crate::clock::{duration_from_ms, Clock};
 use crate::grpc::calls::Backend;
 use crate::settings::PlatformSettings;
-use crate::state::connections::ConnId;
+use crate::state::connections::ConnectionId;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use crate::{EndpointId, RequestId};
 use futures_util::future::LocalBoxFuture;
@@ -21,7 +21,7 @@
 /// A connection to an endpoint that the engine wants opened.
 pub struct Dial {
     /// Its number.
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     /// Where to.
     pub address: SocketAddrV4,
     /// How long it may take to come up, in milliseconds.
@@ -33,8 +33,8 @@
 /// Speaks to endpoints: opens a connection, writes what the engine has and hands it what comes.
 pub trait ConnectionDriver {
     /// Serves one connection until either side ends it, and reports to the executor's engine how it came up
-    /// ([`Engine::connected`] or [`Engine::connect_failed`]) and how it ended ([`Engine::broken`] or
-    /// [`Engine::spoilt`]).
+    /// ([`Engine::connection_established`] or [`Engine::connection_failed`]) and how it ended ([`Engine::connection_lost`] or
+    /// [`Engine::connection_malformed`]).
     fn drive(&self, executor: Rc<Executor>, dial: Dial) -> LocalBoxFuture<'static, ()>;
 }
 
@@ -44,7 +44,7 @@
     pub clock: Clock,
     engine: RefCell<Engine>,
     driver: Box<dyn ConnectionDriver>,
-    wakers: RefCell<HashMap<ConnId, Rc<Notify>>>,
+    wakers: RefCell<HashMap<ConnectionId, Rc<Notify>>>,
     waiting: RefCell<HashMap<RequestId, oneshot::Sender<FinalResponse>>>,
     due: Notify,
     /// The door's fair queues, where they are on.
@@ -76,7 +76,7 @@
     }
 
     /// Adds a subsystem's figures to those that the platform reads.
-    pub fn add_figures(&self, figures: Figures) {
+    pub fn add_metrics(&self, figures: Figures) {
         self.figures.borrow_mut().push(figures);
     }
 
@@ -86,8 +86,8 @@
     }
 
     /// The figures that the platform reads, with the door's where it is on.
-    pub fn figures(self: &Rc<Self>) -> String {
-        let engine = self.with(|engine| engine.figures());
+    pub fn metrics(self: &Rc<Self>) -> String {
+        let engine = self.with(|engine| engine.metrics());
         let more: String = self.figures.borrow().iter().map(|figures| figures()).collect();
         engine + &self.with_admission(AdmissionControl::figures).unwrap_or_default() + &more
     }
@@ -95,25 +95,25 @@
     /// Lets the engine do something, and carries out what it wants.
     pub fn with<R>(self: &Rc<Self>, act: impl FnOnce(&mut Engine) -> R) -> R {
         let result = act(&mut self.engine.borrow_mut());
-        self.carry_out();
+        self.run_effects();
         result
     }
 
     /// The settings as they are by now.
-    pub fn env(&self) -> Rc<PlatformSettings> {
-        self.engine.borrow().env()
+    pub fn settings(&self) -> Rc<PlatformSettings> {
+        self.engine.borrow().settings()
     }
 
     /// How often the list of endpoints has changed.
-    pub fn roster_changes(&self) -> u64 {
-        self.engine.borrow().roster_changes()
+    pub fn endpoint_list_changes(&self) -> u64 {
+        self.engine.borrow().endpoint_list_changes()
     }
 
     /// The listed endpoints of a kind as backends, at their own addresses with `port`, by id.
     pub fn backends(&self, model: &str, port: u16) -> Vec<Backend> {
         let engine = self.engine.borrow();
         let mut all: Vec<Backend> = engine
-            .of_kind(model)
+            .endpoints_of_kind(model)
             .map(|(id, at, live)| Backend {
                 id,
                 address: SocketAddr::new((*at.ip()).into(), port),
@@ -128,11 +128,11 @@
     /// The listed endpoints of a kind, whatever their state, with their own addresses.
     pub fn endpoints(&self, model: &str) -> Vec<(EndpointId, SocketAddr)> {
         let engine = self.engine.borrow();
-        let endpoints = engine.of_kind(model).map(|(id, at, _)| (id, SocketAddr::V4(at)));
+        let endpoints = engine.endpoints_of_kind(model).map(|(id, at, _)| (id, SocketAddr::V4(at)));
         endpoints.collect()
     }
 
-    fn carry_out(self: &Rc<Self>) {
+    fn run_effects(self: &Rc<Self>) {
         loop {
             let effect = self.engine.borrow_mut().take_effect();
             match effect {
@@ -144,7 +144,7 @@
                     let executor = self.clone();
                     self.spawn("a member's connection", async move {
                         // Guards against a panic in the driver leaving its attempts out for ever.
-                        let _end = Gone { executor: executor.clone(), conn };
+                        let _end = ConnectionGuard { executor: executor.clone(), conn };
                         executor.driver.drive(executor.clone(), dial).await;
                     });
                 }
@@ -153,18 +153,18 @@
                         waker.notify_one();
                     }
                 }
-                Some(Effect::Answer(id, answer)) => {
+                Some(Effect::Respond(id, answer)) => {
                     let now = self.clock.now();
                     let released = self.with_admission(|admission| admission.ended(now, id, Some(&answer)));
-                    self.answer(id, answer);
-                    released.into_iter().flatten().for_each(|ask| self.let_in(ask));
+                    self.deliver(id, answer);
+                    released.into_iter().flatten().for_each(|ask| self.admit_queued(ask));
                 }
             }
         }
         self.due.notify_one();
     }
 
-    fn answer(&self, id: RequestId, answer: FinalResponse) {
+    fn deliver(&self, id: RequestId, answer: FinalResponse) {
         if let Some(client) = self.waiting.borrow_mut().remove(&id) {
             // A client that has just left needs none.
             let _ = client.send(answer);
@@ -173,7 +173,7 @@
 
     /// Takes a request in and gives the place where its answer will be. Where the door's queues are on, it
     /// may wait there first, or be refused at once with a time to come back.
-    pub fn ask(
+    pub fn submit(
         self: &Rc<Self>,
         ask: IncomingRequest,
     ) -> Result<oneshot::Receiver<FinalResponse>, AdmitError> {
@@ -188,7 +188,7 @@
         match (verdict, ask) {
             (Verdict::Duplicate, _) => Err(AdmitError::Duplicate),
             (Verdict::Refuse { come_back_ms, .. }, _) => {
-                let _ = sender.send(FinalResponse::Rejected { wait_ms: come_back_ms, overdue: false });
+                let _ = sender.send(FinalResponse::Rejected { retry_after_ms: come_back_ms, overdue: false });
                 Ok(receiver)
             }
             (Verdict::Queue, _) | (_, None) => {
@@ -196,43 +196,43 @@
                 Ok(receiver)
             }
             (Verdict::Admit, Some(ask)) => {
-                let taken = self.engine.borrow_mut().request(ask);
+                let taken = self.engine.borrow_mut().submit(ask);
                 match taken {
                     Ok(()) => drop(self.waiting.borrow_mut().insert(id, sender)),
-                    Err(_) => self.release(id, None),
+                    Err(_) => self.release_admission(id, None),
                 }
-                self.carry_out();
+                self.run_effects();
                 taken.map(|()| receiver)
             }
         }
     }
 
     /// Hands a request that waited at the door to the engine.
-    fn let_in(self: &Rc<Self>, ask: IncomingRequest) {
+    fn admit_queued(self: &Rc<Self>, ask: IncomingRequest) {
         let id = ask.id;
-        if let Err(reason) = self.engine.borrow_mut().request(ask) {
-            let wait_ms = if reason == AdmitError::Full { 300.0 } else { 0.0 };
-            self.answer(id, FinalResponse::Rejected { wait_ms, overdue: false });
-            self.release(id, None);
+        if let Err(reason) = self.engine.borrow_mut().submit(ask) {
+            let retry_after_ms = if reason == AdmitError::Full { 300.0 } else { 0.0 };
+            self.deliver(id, FinalResponse::Rejected { retry_after_ms, overdue: false });
+            self.release_admission(id, None);
         }
     }
 
     /// Tells the door that an admitted request ended without an answer of the engine, and lets in who is next.
-    fn release(self: &Rc<Self>, id: RequestId, answer: Option<&FinalResponse>) {
+    fn release_admission(self: &Rc<Self>, id: RequestId, answer: Option<&FinalResponse>) {
         let now = self.clock.now();
         let released = self.with_admission(|admission| admission.ended(now, id, answer));
-        released.into_iter().flatten().for_each(|ask| self.let_in(ask));
+        released.into_iter().flatten().for_each(|ask| self.admit_queued(ask));
     }
 
     /// A client left before its answer. One that waited at the door is forgotten there; nothing was sent.
-    pub fn left(self: &Rc<Self>, id: RequestId) {
+    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         self.waiting.borrow_mut().remove(&id);
         if self.with_admission(|admission| admission.left(id)) == Some(true) {
             return;
         }
-        self.with(|engine| engine.left(id));
-        self.release(id, None);
-        self.carry_out();
+        self.with(|engine| engine.client_disconnected(id));
+        self.release_admission(id, None);
+        self.run_effects();
     }
 
     /// Refuses, at once, what waited at the door and whose time is over.
@@ -240,7 +240,7 @@
         let now = self.clock.now();
         for (id, come_back_ms) in self.with_admission(|admission| admission.expired(now)).unwrap_or_default()
         {
-            self.answer(id, FinalResponse::Rejected { wait_ms: come_back_ms, overdue: false });
+            self.deliver(id, FinalResponse::Rejected { retry_after_ms: come_back_ms, overdue: false });
         }
     }
 
@@ -259,7 +259,7 @@
     }
 
     /// Keeps the engine's time: whatever is due is done.
-    pub async fn keep_time(self: Rc<Self>) {
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
             let door =
                 self.with_admission(|admission| admission.next_due()).flatten().unwrap_or(f64::INFINITY);
@@ -277,16 +277,16 @@
 }
 
 /// Ends a connection for the engine when its driver is gone, however that came.
-struct Gone {
+struct ConnectionGuard {
     executor: Rc<Executor>,
-    conn: ConnId,
+    conn: ConnectionId,
 }
 
-impl Drop for Gone {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.executor.wakers.borrow_mut().remove(&self.conn);
         if std::thread::panicking() {
-            self.executor.with(|engine| engine.broken(self.conn));
+            self.executor.with(|engine| engine.connection_lost(self.conn));
         }
     }
 }
--- a/src/grpc/admission.rs
+++ b/src/grpc/admission.rs
@@ -65,7 +65,7 @@
         let ask = IncomingRequest {
             id,
             group: tenant,
-            give_up_ms,
+            deadline_ms: give_up_ms,
             client: Some(client),
             ..IncomingRequest::default()
         };
@@ -123,7 +123,7 @@
         }
         let answer = match self.outcome.get() {
             Some(Outcome::Served) => Some(FinalResponse::Served { tag: None, body: Default::default() }),
-            Some(Outcome::Refused) => Some(FinalResponse::Rejected { wait_ms: 0.0, overdue: false }),
+            Some(Outcome::Refused) => Some(FinalResponse::Rejected { retry_after_ms: 0.0, overdue: false }),
             Some(Outcome::Failed) => Some(FinalResponse::Failed { overdue: false }),
             _ => None,
         };
--- a/src/grpc/calls.rs
+++ b/src/grpc/calls.rs
@@ -444,7 +444,7 @@
 
     /// How many backends of a pool get nothing new though they are live, by the module's evidence.
     pub fn avoided(&self, now: f64, pool: usize) -> usize {
-        self.pools.get(pool).map_or(0, |p| p.router.avoided(micros_from_ms(now)))
+        self.pools.get(pool).map_or(0, |p| p.router.ejected_caches(micros_from_ms(now)))
     }
 
     fn forget(&mut self, id: CallId) {
@@ -467,7 +467,7 @@
                 Action::Forward { id: of, to, timeout, .. } if of == id => {
                     wish = Some(Wish::Send { to, timeout_ms: ms_from_micros(timeout) });
                 }
-                Action::Reject { id: of, wait } if of == id => {
+                Action::Reject { id: of, retry_after: wait } if of == id => {
                     wish = Some(Wish::Refuse { wait_ms: ms_from_micros(wait) })
                 }
                 Action::Fail { id: of } if of == id => wish = Some(Wish::Fail),
--- a/src/grpc/config.rs
+++ b/src/grpc/config.rs
@@ -405,12 +405,12 @@
     }
 
     /// The bounds of connections to backends.
-    pub fn connections(&self) -> connections::Bounds {
+    pub fn connections(&self) -> connections::ConnectionLimits {
         let l = &self.limits;
-        connections::Bounds {
+        connections::ConnectionLimits {
             total: l.connections,
-            endpoint: l.connections_per_backend,
-            spread: l.spread.min(l.streams_per_connection),
+            per_endpoint: l.connections_per_backend,
+            spread_above: l.spread.min(l.streams_per_connection),
             streams: l.streams_per_connection,
         }
     }
--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -121,13 +121,13 @@
 
     /// Takes the list of members as it is by now, where it has changed.
     pub fn sync(&self) {
-        if self.roster_seen.get() != self.host.roster_changes() {
+        if self.roster_seen.get() != self.host.endpoint_list_changes() {
             self.list();
         }
     }
 
     fn list(&self) {
-        self.roster_seen.set(self.host.roster_changes());
+        self.roster_seen.set(self.host.endpoint_list_changes());
         let (now, config) = (self.now(), self.config.borrow());
         let mut listed = self.listed.borrow_mut();
         for pool in &config.pools {
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -3,7 +3,7 @@
 
 use super::config::Limits;
 use crate::clock::{duration_from_ms, Clock};
-use crate::state::connections::{Bounds, ConnId, Connections, Place};
+use crate::state::connections::{ConnectionId, ConnectionLimits, Connections, Placement};
 use crate::wire::cache_connection::is_local;
 use crate::EndpointId;
 use bytes::Bytes;
@@ -38,7 +38,7 @@
     clock: Clock,
     limits: Limits,
     connections: RefCell<Connections>,
-    links: RefCell<HashMap<ConnId, Link>>,
+    links: RefCell<HashMap<ConnectionId, Link>>,
     /// Addresses by the number under which their connections are held.
     addresses: RefCell<HashMap<SocketAddr, EndpointId>>,
 }
@@ -46,14 +46,14 @@
 /// A call's place on a connection; it is free again once this is dropped.
 pub struct Seat {
     upstream: Rc<Upstream>,
-    conn: ConnId,
+    conn: ConnectionId,
     call: u64,
     state: watch::Receiver<State>,
 }
 
 impl Upstream {
     /// None yet.
-    pub fn new(clock: Clock, limits: Limits, bounds: Bounds) -> Rc<Self> {
+    pub fn new(clock: Clock, limits: Limits, bounds: ConnectionLimits) -> Rc<Self> {
         Rc::new(Self {
             clock,
             limits,
@@ -84,16 +84,16 @@
         let (now, member) = (self.clock.now(), self.number(address));
         let mut all = self.connections.borrow_mut();
         let mut place = all.place(member, call, now);
-        if place == Place::Nowhere {
+        if place == Placement::Unavailable {
             if let Some(idle) = all.evict(member) {
                 self.links.borrow().get(&idle).inspect(|link| link.close.notify_one());
                 place = all.place(member, call, now);
             }
         }
         let conn = match place {
-            Place::Nowhere => return None,
-            Place::On(conn) => conn,
-            Place::New(conn) => {
+            Placement::Unavailable => return None,
+            Placement::Existing(conn) => conn,
+            Placement::New(conn) => {
                 let (tell, state) = watch::channel(State::Connecting);
                 let close = Rc::new(Notify::new());
                 self.links.borrow_mut().insert(conn, Link { state, close: close.clone() });
@@ -106,7 +106,7 @@
             }
         };
         let c = all.get_mut(conn)?;
-        c.out.insert(call, (call, attempt));
+        c.in_flight.insert(call, (call, attempt));
         c.used_ms = now;
         let state = self.links.borrow().get(&conn)?.state.clone();
         Some(Seat { upstream: self.clone(), conn, call, state })
@@ -132,20 +132,26 @@
         }
     }
 
-    fn close_if_done(&self, conn: ConnId, load: usize) {
+    fn close_if_done(&self, conn: ConnectionId, load: usize) {
         if load == 0 {
             self.links.borrow().get(&conn).inspect(|link| link.close.notify_one());
         }
     }
 
     /// Nothing new goes onto a connection: its backend said so, or it no longer takes streams.
-    fn spent(&self, conn: ConnId) {
+    fn spent(&self, conn: ConnectionId) {
         if let Some(c) = self.connections.borrow_mut().get_mut(conn) {
             c.closing = true;
         }
     }
 
-    async fn drive(&self, conn: ConnId, address: SocketAddr, tell: watch::Sender<State>, close: Rc<Notify>) {
+    async fn drive(
+        &self,
+        conn: ConnectionId,
+        address: SocketAddr,
+        tell: watch::Sender<State>,
+        close: Rc<Notify>,
+    ) {
         let open = async {
             let stream = TcpStream::connect(address).await.map_err(|e| is_local(&e))?;
             let _ = stream.set_nodelay(true);
@@ -203,7 +209,7 @@
 /// Forgets a connection when its task is gone, however that came.
 struct Ended {
     upstream: Rc<Upstream>,
-    conn: ConnId,
+    conn: ConnectionId,
 }
 
 impl Drop for Ended {
@@ -256,7 +262,7 @@
         let now = self.upstream.clock.now();
         let mut all = self.upstream.connections.borrow_mut();
         let Some(c) = all.get_mut(self.conn) else { return };
-        c.out.remove(&self.call);
+        c.in_flight.remove(&self.call);
         c.used_ms = now;
         if c.closing {
             self.upstream.close_if_done(self.conn, c.load());
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -58,7 +58,7 @@
             .map(|keys| Seals::labelled(keys, config.clock_skew_ms, LABEL));
         let others: BTreeMap<InstanceId, SocketAddr> = config.others().into_iter().collect();
         let plan = Plan::new(host.clock.now(), config.id, others.keys().copied(), config.times());
-        host.with(|engine| engine.share_probes());
+        host.with(|engine| engine.delegate_health_checks());
         Ok(Rc::new(Self {
             plan: RefCell::new(plan),
             board: RefCell::new(Board::new(config.turns())),
@@ -90,7 +90,7 @@
 
     /// Takes the list of endpoints, where it changed.
     fn list(&self) {
-        let changes = self.host.roster_changes();
+        let changes = self.host.endpoint_list_changes();
         if self.roster_seen.replace(changes) == changes {
             return;
         }
@@ -159,7 +159,7 @@
         let turned = self.board.borrow_mut().hear(self.now(), duty, slot, ok, took_ms);
         if let Some(up) = turned {
             tracing::warn!(endpoint = %endpoint_text(duty), up, "duties: a member turned by its probes");
-            self.host.with(|engine| engine.probed(duty, up));
+            self.host.with(|engine| engine.report_health_check(duty, up));
         }
     }
 
--- a/src/http3/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -47,18 +47,21 @@
     /// A client asks for a call of its session.
     pub fn ask(self: &Rc<Self>, session: SessionId, ask: IncomingRequest) -> Result<Kept, AdmitError> {
         let (key, now) = ((session, ask.id), self.host.clock.now());
-        let write = self.host.env().is_write(ask.class);
-        let same = (ask.class, ask.object, ask.part, ask.group, &ask.key, &ask.cached, &ask.body);
+        let write = self.host.settings().is_write(ask.class);
+        let same = (ask.class, ask.object, ask.part, ask.group, &ask.key, &ask.client_etag, &ask.body);
         let digest = self.hasher.hash_one(same);
         let claim = self.shelf.borrow_mut().claim(now, key, digest, write);
         match claim {
             Claim::Done(answer) => return Ok(Kept::Now(answer)),
             Claim::Conflict => return Err(AdmitError::Duplicate),
             Claim::Full => {
-                return Ok(Kept::Now(FinalResponse::Rejected { wait_ms: FULL_WAIT_MS, overdue: false }))
+                return Ok(Kept::Now(FinalResponse::Rejected {
+                    retry_after_ms: FULL_WAIT_MS,
+                    overdue: false,
+                }))
             }
             Claim::Joined => {}
-            Claim::New => match self.host.ask(ask) {
+            Claim::New => match self.host.submit(ask) {
                 Ok(answer) => {
                     let own = self.clone();
                     self.host.spawn("a kept call", async move {
@@ -89,7 +92,7 @@
 
     fn call_off(&self, key: Key) {
         self.waiting.borrow_mut().remove(&key);
-        self.host.left(key.1);
+        self.host.client_disconnected(key.1);
     }
 
     /// Calls off what ran on without a client for its time, for ever.
--- a/src/http3/response_store/tests.rs
+++ b/src/http3/response_store/tests.rs
@@ -39,7 +39,7 @@
     assert_eq!(shelf.claim(9_047.0, (7, 3), 5, true), Claim::Done(FinalResponse::Failed { overdue: false }));
     // A refused one did not.
     assert_eq!(shelf.claim(9_050.0, (7, 2), 5, true), Claim::New);
-    shelf.finished(9_060.0, (7, 2), &FinalResponse::Rejected { wait_ms: 1.0, overdue: false });
+    shelf.finished(9_060.0, (7, 2), &FinalResponse::Rejected { retry_after_ms: 1.0, overdue: false });
     assert_eq!(shelf.claim(9_070.0, (7, 2), 5, true), Claim::New);
     assert_eq!(shelf.claim(9_070.0, (8, 2), 5, true), Claim::New, "another session's call is another");
 }
@@ -131,7 +131,7 @@
             prop_assert!(running.keys().all(|k| shelf.entries.contains_key(k)), "a running call was dropped");
         }
         for key in running.into_keys() {
-            shelf.finished(now, key, &FinalResponse::Rejected { wait_ms: 0.0, overdue: false });
+            shelf.finished(now, key, &FinalResponse::Rejected { retry_after_ms: 0.0, overdue: false });
         }
         shelf.tick(now + 1e6);
         prop_assert_eq!((shelf.len(), shelf.bytes(), shelf.sessions.len()), (0, 0, 0));
--- a/src/http3/server.rs
+++ b/src/http3/server.rs
@@ -348,7 +348,7 @@
         Intake::Now(answer) => return Some((answer, Priority { urgency: 0, incremental: false })),
         Intake::IncomingRequest(ask, context) => (ask, context),
     };
-    let env = driver.host.env();
+    let env = driver.host.settings();
     // Writes first, then what is small; a clip's parts share what is left. The client's own word counts more.
     let base = match (env.is_write(ask.class), ask.part) {
         (true, _) => Priority { urgency: 1, incremental: false },
@@ -358,7 +358,7 @@
     let said = request.single("priority").ok().flatten();
     let priority = said.map_or(base, |text| Priority::parse(text, base));
     ask.client = Some(peer);
-    ask.give_up_ms = shared.sample().give_up_ms(now, ask.give_up_ms, ask.size_kb * 1_024.0);
+    ask.deadline_ms = shared.sample().give_up_ms(now, ask.deadline_ms, ask.size_kb * 1_024.0);
     let Some(session) = context.session else { return Some((HttpAnswer::status(500), base)) };
     let last = match driver.keeper.ask(session, *ask) {
         Err(reason) => return Some((driver.front.not_taken(reason), priority)),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -122,7 +122,7 @@
 
 impl PolicySettings {
     /// How an endpoint of a role behaves after its start; the origin's start is not told of.
-    pub fn cold_start(&self, tier: Tier) -> &SlowStart {
+    pub fn slow_start(&self, tier: Tier) -> &SlowStart {
         match tier {
             Tier::Parent => &self.parent_slow_start,
             _ => &self.cache_slow_start,
@@ -311,7 +311,7 @@
         /// The group.
         group: u32,
         /// How long ago the purge was.
-        ago: Micros,
+        age: Micros,
     },
     /// A probe came back.
     HealthChecked {
@@ -334,7 +334,7 @@
         /// Source of a fill; `None` for an attempt that passes through untouched.
         source: Option<EndpointId>,
         /// Join a fill under way.
-        join: bool,
+        join_fill: bool,
         /// The source gives only what it holds, and asks nobody for what it lacks.
         only_if_cached: bool,
         /// Serve an ageing copy and renew it behind.
@@ -342,7 +342,7 @@
         /// Oldest copy that will do; 0 is the class's fresh time.
         max_age: Micros,
         /// Rank at which a copy is kept; 0 passes it through.
-        keep: u8,
+        retention_rank: u8,
         /// Time-out of the attempt.
         timeout: Micros,
         /// When its first byte must be out: later it could run again what has run. The host sends it no later.
@@ -353,7 +353,7 @@
         /// The request.
         id: RequestId,
         /// Wait hint; 0 for none.
-        wait: Micros,
+        retry_after: Micros,
     },
     /// Final answer: failed; nothing is promised.
     Fail {
--- a/src/lifecycle/maintenance.rs
+++ b/src/lifecycle/maintenance.rs
@@ -49,7 +49,7 @@
                     Some((endpoint_id(&line.endpoint)?, mark))
                 });
                 let marks: Vec<(EndpointId, Mark)> = marks.collect();
-                host.with(|engine| engine.adopt(marks));
+                host.with(|engine| engine.merge_maintenance(marks));
             }
             Err(error) => tracing::error!(%error, "maintenance can't be read"),
         }
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -10,7 +10,7 @@
 use crate::clock::{duration_from_ms, Clock};
 use crate::config_file::BoxError;
 use crate::engine::executor::Executor;
-use crate::engine::{Engine, EngineBounds};
+use crate::engine::{Engine, EngineLimits};
 use crate::grpc::config::GrpcConfig;
 use crate::grpc::server::{self as grpc, GrpcFront};
 use crate::health_check::config::HealthCheckConfig;
@@ -25,7 +25,7 @@
 use crate::registry::driver::{self as registry_driver, RegistryStatus};
 use crate::rules::config::RulesConfig;
 use crate::rules::table::Rules;
-use crate::state::connections::Bounds;
+use crate::state::connections::ConnectionLimits;
 use crate::vrrp::config::{FrontKind, VrrpConfig};
 use crate::vrrp::driver::{self as vrrp, host_value};
 use crate::vrrp::track::{Rate, What};
@@ -126,18 +126,18 @@
     let env = Rc::new(config.settings.clone());
     let seed = config.seed().map_err(|reason| ServeError::field("seed", reason))?;
     let sockets = config.limits.sockets;
-    let connections = Bounds {
+    let connections = ConnectionLimits {
         total: shares.endpoints,
-        endpoint: (sockets / 64).clamp(2, 16),
-        spread: 4,
+        per_endpoint: (sockets / 64).clamp(2, 16),
+        spread_above: 4,
         streams: env.streams_per_connection(),
     };
-    let bounds = EngineBounds { requests: sockets * 2 / 5 + extra, connections };
+    let bounds = EngineLimits { requests: sockets * 2 / 5 + extra, connections };
     let mut engine = Engine::new(clock.clone(), env.clone(), seed, bounds);
     for event in config.known.events().map_err(|reason| ServeError::field("known", reason))? {
-        engine.news(event);
+        engine.apply_event(event);
     }
-    engine.skip_to(config.known.no);
+    engine.skip_events_to(config.known.no);
     Ok((engine, env))
 }
 
@@ -223,7 +223,7 @@
     let mgmt = config.mgmt().map_err(|reason| ServeError::field("mgmt", reason))?;
     let link = registry.as_ref().map(|_| Rc::new(RefCell::new(RegistryStatus::default())));
     if let (Some(registry), Some(link)) = (registry, link.clone()) {
-        host.with(|engine| engine.take_roster_from_registry());
+        host.with(|engine| engine.use_registry());
         tracing::info!(at = registry.address, "members come from the registry");
         host.spawn("the registry", registry_driver::keep(host.clone(), registry, link, seed));
     }
@@ -233,7 +233,7 @@
             let front = GrpcFront::new(host.clone(), config.clone(), seed);
             let front = front.map_err(|reason| ServeError::field("routes", reason))?;
             let figures = front.clone();
-            host.add_figures(Box::new(move || figures.figures()));
+            host.add_metrics(Box::new(move || figures.figures()));
             Some((front, config))
         }
     };
@@ -249,7 +249,7 @@
             let router = vrrp::VirtualRouter::new(host.clone(), set.clone(), accept, ask);
             let router = router.map_err(|reason| ServeError::field("key_file", reason))?;
             let figures = router.clone();
-            host.add_figures(Box::new(move || figures.metrics()));
+            host.add_metrics(Box::new(move || figures.metrics()));
             Some((router, set))
         }
     };
@@ -261,7 +261,7 @@
             let duties = HealthChecker::new(host.clone(), config, socket);
             let duties = duties.map_err(|reason| ServeError::field("key_file", reason))?;
             let (figures, task) = (duties.clone(), duties.clone());
-            host.add_figures(Box::new(move || figures.metrics()));
+            host.add_metrics(Box::new(move || figures.metrics()));
             always(&host, "shared duties", move || duties_driver::run(task.clone()));
             tracing::info!(%listen, "duties are shared");
             Some(duties)
@@ -364,7 +364,7 @@
     }
     always(&host, "keeping time", {
         let host = host.clone();
-        move || host.clone().keep_time()
+        move || host.clone().run_timers()
     });
     always(&host, "the bulletin", {
         let host = host.clone();
@@ -425,7 +425,7 @@
     tracing::info!("{} stops", config.name);
     router_stop.notify_one();
     let until =
-        host.clock.now() + ACCEPT_ON_MS + host.env().longest_deadline_ms().max(3_000.0) + STOP_MORE_MS;
+        host.clock.now() + ACCEPT_ON_MS + host.settings().longest_deadline_ms().max(3_000.0) + STOP_MORE_MS;
     if config.handed_over {
         // Whoever connects from now on is the new process's: the socket stays open there.
         stop.turn_away();
@@ -449,7 +449,7 @@
     let busy = || router.as_ref().map_or(0, |(router, _)| router.busy()) + stop.holds();
     // A moment for connections that the machine had accepted and this process not yet.
     tokio::time::sleep(duration_from_ms(4.0 * STOP_LOOK_MS)).await;
-    while (busy() > 0 || host.with(|engine| engine.owed()) > 0) && host.clock.now() < until {
+    while (busy() > 0 || host.with(|engine| engine.open_requests()) > 0) && host.clock.now() < until {
         tokio::time::sleep(duration_from_ms(STOP_LOOK_MS)).await;
     }
     print_counters(&host);
@@ -496,7 +496,7 @@
     let endpoint = while_in_use(listen, open).await?;
     let driver = server::Driver::new(host.clone(), front.clone(), keeper.clone(), l.clone());
     let figures = driver.clone();
-    host.add_figures(Box::new(move || figures.metrics()));
+    host.add_metrics(Box::new(move || figures.metrics()));
     let closing = [Rc::new(Notify::new()), Rc::new(Notify::new())];
     host.spawn("accepting", server::accept(driver, endpoint.clone(), stop.clone(), closing[0].clone()));
     always(host, "the shelf", move || keeper.clone().keep());
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -178,11 +178,11 @@
             id,
             to,
             source,
-            join,
+            join_fill: join,
             only_if_cached,
             revalidate,
             max_age,
-            keep,
+            retention_rank: keep,
             timeout,
             first_byte_by,
         };
@@ -261,7 +261,7 @@
         let harmless = now < until && (until == Micros::MAX || class.key_scope == KeyScope::All);
         if harmless {
             let wait = (WAIT_HINT * (0.5 + self.random.next(2))) as Micros;
-            actions.push(Action::Reject { id, wait: wait.min(self.set.max_retry_after) });
+            actions.push(Action::Reject { id, retry_after: wait.min(self.set.max_retry_after) });
         } else {
             actions.push(Action::Fail { id });
         }
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -55,7 +55,7 @@
         if started_at == 0 || m.line.tier == Tier::Origin {
             return 1.0;
         }
-        self.set.cold_start(m.line.tier).capacity(now.saturating_sub(started_at))
+        self.set.slow_start(m.line.tier).capacity(now.saturating_sub(started_at))
     }
 
     /// Any router's first item would fit a cold endpoint's budget; were all to send theirs at once, the sum
@@ -77,7 +77,7 @@
 
     /// What this router may ask of a cold endpoint, in us of sending time for each us, and the rule's window.
     fn budget_pace(&self, m: &KnownEndpoint, warmth: f64) -> (f64, Micros) {
-        let cold = self.set.cold_start(m.line.tier);
+        let cold = self.set.slow_start(m.line.tier);
         let sharers =
             if m.line.tier == Tier::Parent { self.set.fleet_size } else { self.set.local_fleet_size };
         (
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -116,7 +116,7 @@
     }
 
     /// How many caches of the location get nothing new though they are listed as live.
-    pub fn avoided(&self, now: Micros) -> usize {
+    pub fn ejected_caches(&self, now: Micros) -> usize {
         let shares = self.shares(now, Tier::Cache);
         let live = |m: &&KnownEndpoint| m.line.tier == Tier::Cache && m.line.state == EndpointState::Active;
         self.endpoints.values().filter(live).count()
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -146,7 +146,7 @@
             Event::Timer { token: LIST_TIMER } => actions.push(Action::Watch),
             Event::Timer { token } => self.on_probe_due(*token, actions),
             Event::HealthChecked { endpoint, outcome } => self.on_probed(now, *endpoint, *outcome, actions),
-            Event::Purged { object, group, ago } => self.on_purged(now, *object, *group, *ago),
+            Event::Purged { object, group, age: ago } => self.on_purged(now, *object, *group, *ago),
         }
     }
 
--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -43,7 +43,7 @@
     }
     let now = host.clock.now();
     if !update.is_empty() {
-        host.with(|engine| engine.hear_roster(update.full, update.targets));
+        host.with(|engine| engine.apply_endpoints(update.full, update.targets));
         link.borrow_mut().heard_ms = now;
     }
     let mut link = link.borrow_mut();
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -168,7 +168,7 @@
     }
 
     /// Place of a class by its name.
-    pub fn class(&self, name: &str) -> Option<usize> {
+    pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|c| c.name == name && !c.retired)
     }
 
@@ -265,7 +265,7 @@
     }
 
     /// The settings in the library's words.
-    pub fn settings(&self) -> PolicySettings {
+    pub fn policy_settings(&self) -> PolicySettings {
         let (fam, limits, rules) = (&self.family_info, &self.policy_limits, &self.rules);
         let home = self.zone(&self.locality);
         let classes = self.classes.iter().enumerate().map(|(k, c)| RequestClass {
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts that are out: queued for a connection, or written to one.
 
-use super::connections::ConnId;
+use super::connections::ConnectionId;
 use super::deadlines::Deadlines;
 use crate::{EndpointId, RequestId};
 use std::collections::HashMap;
@@ -27,7 +27,7 @@
     /// Where a miss is filled from, if anywhere.
     pub source: Option<EndpointId>,
     /// Join a fill under way.
-    pub join: bool,
+    pub join_fill: bool,
     /// The source gives only what it holds.
     pub only_if_cached: bool,
     /// Renew an ageing copy behind.
@@ -35,7 +35,7 @@
     /// Oldest copy that will do, in milliseconds from when it was asked for; 0 for the class's own bound.
     pub max_age_ms: f64,
     /// Rank at which a copy is kept.
-    pub keep: u8,
+    pub retention_rank: u8,
     /// When the module sent it.
     pub sent_ms: f64,
     /// When its time is over.
@@ -43,11 +43,11 @@
     /// When its first byte must be out: later it might run what has run before.
     pub first_byte_by_ms: f64,
     /// Its connection.
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     /// Where it stands.
     pub stage: Stage,
     /// How often it went to another connection unwritten.
-    pub moves: u32,
+    pub migrations: u32,
 }
 
 /// All attempts that are out.
@@ -59,7 +59,7 @@
 
 impl Attempts {
     /// Puts an attempt out.
-    pub fn put(&mut self, id: AttemptId, attempt: Attempt) {
+    pub fn insert(&mut self, id: AttemptId, attempt: Attempt) {
         self.due.push(attempt.due_ms, id);
         self.out.insert(id, attempt);
     }
@@ -75,7 +75,7 @@
     }
 
     /// Ends an attempt; only the first caller gets it.
-    pub fn end(&mut self, id: AttemptId) -> Option<Attempt> {
+    pub fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
         self.out.remove(&id)
     }
 
@@ -86,11 +86,11 @@
 
     /// When the next one's time is over.
     pub fn next_due(&mut self) -> Option<f64> {
-        self.due.next(|id, _| self.out.contains_key(&id))
+        self.due.next_due(|id, _| self.out.contains_key(&id))
     }
 
     /// One whose time is over.
-    pub fn overdue(&mut self, now: f64) -> Option<AttemptId> {
-        self.due.take(now, |id, _| self.out.contains_key(&id))
+    pub fn pop_overdue(&mut self, now: f64) -> Option<AttemptId> {
+        self.due.pop_due(now, |id, _| self.out.contains_key(&id))
     }
 }
--- a/src/state/client_slots.rs
+++ b/src/state/client_slots.rs
@@ -1,9 +1,9 @@
-//! The places of a front's clients: how many there may be, and whose is given up for a newcomer.
+//! The slots of a front's clients: how many there may be, and whose is given up for a newcomer.
 
 use std::collections::BTreeMap;
 
 /// A place's number; never used again.
-pub type PlaceId = u64;
+pub type SlotId = u64;
 
 /// How long a connection that has sent nothing keeps its place in any case, in milliseconds: its first request
 /// is most likely on its way.
@@ -13,7 +13,7 @@
 const READING_MS: f64 = 500.0;
 
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct Slot {
     /// A request came over it and was answered.
     asked: bool,
     /// Since when it waits with no byte of a request read; none while a request is open.
@@ -24,60 +24,60 @@
     ending: bool,
 }
 
-/// The places of one front.
+/// The slots of one front.
 #[derive(Debug)]
-pub struct Places {
-    held: BTreeMap<PlaceId, Place>,
-    next: PlaceId,
+pub struct ClientSlots {
+    held: BTreeMap<SlotId, Slot>,
+    next: SlotId,
     most: usize,
 }
 
-impl Places {
-    /// At most `most` places.
+impl ClientSlots {
+    /// At most `most` slots.
     pub fn new(most: usize) -> Self {
         Self { held: BTreeMap::new(), next: 0, most: most.max(1) }
     }
 
     /// Gives a new connection a place, if there is one.
-    pub fn take(&mut self, now: f64) -> Option<PlaceId> {
+    pub fn claim(&mut self, now: f64) -> Option<SlotId> {
         if self.held.len() >= self.most {
             return None;
         }
         self.next += 1;
-        self.held.insert(self.next, Place { asked: false, idle: Some(now), reading: None, ending: false });
+        self.held.insert(self.next, Slot { asked: false, idle: Some(now), reading: None, ending: false });
         Some(self.next)
     }
 
     /// A request is on its way in since its first byte.
-    pub fn reading(&mut self, id: PlaceId, since: f64) {
+    pub fn request_started(&mut self, id: SlotId, since: f64) {
         if let Some(place) = self.held.get_mut(&id) {
             (place.idle, place.reading) = (None, Some(since));
         }
     }
 
     /// A request is whole, or an answer on its way: the place is kept.
-    pub fn busy(&mut self, id: PlaceId) {
+    pub fn request_open(&mut self, id: SlotId) {
         if let Some(place) = self.held.get_mut(&id) {
             (place.idle, place.reading) = (None, None);
         }
     }
 
     /// Its request is answered, and it waits for the next.
-    pub fn idle(&mut self, id: PlaceId, now: f64) {
+    pub fn idle(&mut self, id: SlotId, now: f64) {
         if let Some(place) = self.held.get_mut(&id) {
             (place.asked, place.idle, place.reading) = (true, Some(now), None);
         }
     }
 
     /// It is owed nothing more, and only takes in what is still on its way.
-    pub fn done(&mut self, id: PlaceId) {
+    pub fn finished(&mut self, id: SlotId) {
         if let Some(place) = self.held.get_mut(&id) {
             (place.asked, place.idle, place.reading) = (false, Some(f64::MIN), None);
         }
     }
 
     /// It has ended.
-    pub fn leave(&mut self, id: PlaceId) {
+    pub fn release(&mut self, id: SlotId) {
         self.held.remove(&id);
     }
 
@@ -85,11 +85,11 @@
     /// stay, or send a request a byte at a time. One that never asked goes first, then the one that is idle for
     /// longest, then the request that is on its way in for longest; never one with a request open, and never a second
     /// one for the same newcomer while the first is still ending.
-    pub fn make_room(&mut self, now: f64) -> Option<PlaceId> {
+    pub fn evict_one(&mut self, now: f64) -> Option<SlotId> {
         if self.held.values().any(|p| p.ending) {
             return None;
         }
-        let order = |p: &Place| match (p.idle, p.reading) {
+        let order = |p: &Slot| match (p.idle, p.reading) {
             (Some(since), _) if p.asked || now - since >= FIRST_BYTE_MS => Some((u8::from(p.asked), since)),
             (_, Some(since)) if now - since >= READING_MS => Some((2, since)),
             _ => None,
--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -5,10 +5,10 @@
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 /// A connection's number; never used again.
-pub type ConnId = u64;
+pub type ConnectionId = u64;
 
 /// Requests whose attempt on a connection is over that are remembered there.
-const MAX_OVER: usize = 256;
+const MAX_BARRED: usize = 256;
 
 /// A connection as the engine sees it.
 #[derive(Debug, Default)]
@@ -22,17 +22,17 @@
     /// Attempts that wait to be written.
     pub queue: VecDeque<AttemptId>,
     /// Attempts that were written, by the id on the wire.
-    pub out: HashMap<RequestId, AttemptId>,
+    pub in_flight: HashMap<RequestId, AttemptId>,
     /// Requests to be given up.
-    pub drops: VecDeque<String>,
+    pub abandoned: VecDeque<String>,
     /// Requests whose attempt here is over while they may be asked again: an answer to it may still come, for the first
     /// time or once more.
-    over: HashSet<RequestId>,
-    over_order: VecDeque<RequestId>,
+    barred: HashSet<RequestId>,
+    barred_order: VecDeque<RequestId>,
     /// When something was last written or read.
     pub used_ms: f64,
     /// Attempts that timed out here since something was last read.
-    pub unheard: u32,
+    pub timeouts_since_read: u32,
     /// When something was last read.
     pub read_ms: f64,
 }
@@ -40,97 +40,99 @@
 impl Connection {
     /// What it has to do.
     pub fn load(&self) -> usize {
-        self.queue.len() + self.out.len()
+        self.queue.len() + self.in_flight.len()
     }
 
     /// Whether a request can go onto it: guards against an answer to an earlier attempt, late or a second time, being
     /// taken for that of a later attempt of the same request, which has the same id.
-    fn takes(&self, id: RequestId) -> bool {
+    fn accepts(&self, id: RequestId) -> bool {
         let queued = || self.queue.iter().any(|(queued, _)| *queued == id);
-        !self.closing && !self.out.contains_key(&id) && !self.over.contains(&id) && !queued()
+        !self.closing && !self.in_flight.contains_key(&id) && !self.barred.contains(&id) && !queued()
     }
 
     /// Remembers that a request's attempt here is over.
-    pub fn close_to(&mut self, id: RequestId) {
-        if self.over.insert(id) {
-            self.over_order.push_back(id);
+    pub fn bar(&mut self, id: RequestId) {
+        if self.barred.insert(id) {
+            self.barred_order.push_back(id);
         }
-        while self.over_order.len() > MAX_OVER {
-            if let Some(old) = self.over_order.pop_front() {
-                self.over.remove(&old);
+        while self.barred_order.len() > MAX_BARRED {
+            if let Some(old) = self.barred_order.pop_front() {
+                self.barred.remove(&old);
             }
         }
     }
 
     /// Remembers that a request was given up here, and that the endpoint is to be told.
-    pub fn give_up(&mut self, id: RequestId, text: String) {
-        self.drops.push_back(text);
-        self.close_to(id);
+    pub fn abandon(&mut self, id: RequestId, text: String) {
+        self.abandoned.push_back(text);
+        self.bar(id);
     }
 }
 
 /// How many connections there may be, and how many requests on each.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct ConnectionLimits {
     /// Connections to all endpoints.
     pub total: usize,
     /// Connections to one endpoint.
-    pub endpoint: usize,
+    pub per_endpoint: usize,
     /// Requests on a connection from which on a further one is opened.
-    pub spread: usize,
+    pub spread_above: usize,
     /// Requests on a connection.
     pub streams: usize,
 }
 
 /// Where an attempt goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Placement {
     /// Onto this connection.
-    On(ConnId),
+    Existing(ConnectionId),
     /// Onto a new one.
-    New(ConnId),
+    New(ConnectionId),
     /// Nowhere: every connection is full.
-    Nowhere,
+    Unavailable,
 }
 
 /// All connections to endpoints.
 #[derive(Debug)]
 pub struct Connections {
-    all: BTreeMap<ConnId, Connection>,
-    next: ConnId,
-    bounds: Bounds,
+    all: BTreeMap<ConnectionId, Connection>,
+    next: ConnectionId,
+    limits: ConnectionLimits,
 }
 
 impl Connections {
     /// None yet.
-    pub fn new(bounds: Bounds) -> Self {
-        Self { all: BTreeMap::new(), next: 0, bounds }
+    pub fn new(limits: ConnectionLimits) -> Self {
+        Self { all: BTreeMap::new(), next: 0, limits }
     }
 
     /// Finds a connection to an endpoint for a request, the least busy one first.
-    pub fn place(&mut self, endpoint: EndpointId, id: RequestId, now: f64) -> Place {
+    pub fn place(&mut self, endpoint: EndpointId, id: RequestId, now: f64) -> Placement {
         let mine = || self.all.iter().filter(|(_, c)| c.endpoint == endpoint);
-        let best = mine().filter(|(_, c)| c.takes(id)).min_by_key(|(k, c)| (c.load(), !c.up, **k));
+        let best = mine().filter(|(_, c)| c.accepts(id)).min_by_key(|(k, c)| (c.load(), !c.up, **k));
         let best = best.map(|(k, c)| (*k, c.load()));
-        let Bounds { spread, streams, .. } = self.bounds;
+        let ConnectionLimits { spread_above, streams, .. } = self.limits;
         // What is idle and closing ends at once, and counts no more.
         let held = self.all.values().filter(|c| !(c.closing && c.up && c.load() == 0)).count();
-        let room = held < self.bounds.total && mine().count() < self.bounds.endpoint;
+        let room = held < self.limits.total && mine().count() < self.limits.per_endpoint;
         match best {
-            Some((conn, load)) if load < streams && (load < spread || !room) => Place::On(conn),
+            Some((conn, load)) if load < streams && (load < spread_above || !room) => {
+                Placement::Existing(conn)
+            }
             _ if room => {
                 self.next += 1;
                 let fresh = Connection { endpoint, used_ms: now, read_ms: now, ..Connection::default() };
                 self.all.insert(self.next, fresh);
-                Place::New(self.next)
+                Placement::New(self.next)
             }
-            _ => Place::Nowhere,
+            _ => Placement::Unavailable,
         }
     }
 
     /// Makes room for an endpoint that has no connection: the one that was idle for longest is to be closed. Guards
     /// a cache that has just started against idle connections to all others holding every place.
-    pub fn evict(&mut self, endpoint: EndpointId) -> Option<ConnId> {
+    pub fn evict(&mut self, endpoint: EndpointId) -> Option<ConnectionId> {
         if self.all.values().any(|c| c.endpoint == endpoint) {
             return None;
         }
@@ -141,22 +143,22 @@
     }
 
     /// Takes another bound on the requests of a connection.
-    pub fn set_streams(&mut self, streams: usize) {
-        self.bounds.streams = streams;
+    pub fn set_stream_limit(&mut self, streams: usize) {
+        self.limits.streams = streams;
     }
 
     /// A connection.
-    pub fn get_mut(&mut self, conn: ConnId) -> Option<&mut Connection> {
+    pub fn get_mut(&mut self, conn: ConnectionId) -> Option<&mut Connection> {
         self.all.get_mut(&conn)
     }
 
     /// Forgets a connection that has ended.
-    pub fn remove(&mut self, conn: ConnId) -> Option<Connection> {
+    pub fn remove(&mut self, conn: ConnectionId) -> Option<Connection> {
         self.all.remove(&conn)
     }
 
     /// All of them.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = (&ConnId, &mut Connection)> {
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = (&ConnectionId, &mut Connection)> {
         self.all.iter_mut()
     }
 
--- a/src/state/connections/tests.rs
+++ b/src/state/connections/tests.rs
@@ -2,34 +2,36 @@
 
 #[test]
 fn requests_spread_over_connections_up_to_the_bounds() {
-    let mut all = Connections::new(Bounds { total: 3, endpoint: 2, spread: 1, streams: 2 });
+    let mut all =
+        Connections::new(ConnectionLimits { total: 3, per_endpoint: 2, spread_above: 1, streams: 2 });
     let mut put = |endpoint, id: u64| {
         let place = all.place(endpoint, id, 0.0);
-        if let Place::On(conn) | Place::New(conn) = place {
+        if let Placement::Existing(conn) | Placement::New(conn) = place {
             all.get_mut(conn).unwrap().queue.push_back((id, 0));
         }
         place
     };
-    assert_eq!(put(7, 1), Place::New(1));
-    assert_eq!(put(7, 2), Place::New(2));
-    assert_eq!(put(7, 3), Place::On(1));
-    assert_eq!(put(7, 4), Place::On(2));
-    assert_eq!(put(7, 5), Place::Nowhere);
-    assert_eq!(put(8, 6), Place::New(3));
-    assert_eq!(put(9, 7), Place::Nowhere);
+    assert_eq!(put(7, 1), Placement::New(1));
+    assert_eq!(put(7, 2), Placement::New(2));
+    assert_eq!(put(7, 3), Placement::Existing(1));
+    assert_eq!(put(7, 4), Placement::Existing(2));
+    assert_eq!(put(7, 5), Placement::Unavailable);
+    assert_eq!(put(8, 6), Placement::New(3));
+    assert_eq!(put(9, 7), Placement::Unavailable);
 }
 
 #[test]
 fn an_idle_connection_makes_room_for_a_member_without_one() {
-    let mut all = Connections::new(Bounds { total: 2, endpoint: 2, spread: 1, streams: 1 });
+    let mut all =
+        Connections::new(ConnectionLimits { total: 2, per_endpoint: 2, spread_above: 1, streams: 1 });
     for (endpoint, used) in [(7, 5.0), (8, 3.0)] {
-        let Place::New(conn) = all.place(endpoint, 1, used) else { panic!() };
+        let Placement::New(conn) = all.place(endpoint, 1, used) else { panic!() };
         all.get_mut(conn).unwrap().up = true;
     }
-    assert_eq!(all.place(9, 1, 9.0), Place::Nowhere);
+    assert_eq!(all.place(9, 1, 9.0), Placement::Unavailable);
     assert_eq!(all.evict(7), None, "it has one");
     assert_eq!(all.evict(9), Some(2), "idle for longest");
-    assert_eq!(all.place(9, 1, 9.0), Place::New(3));
+    assert_eq!(all.place(9, 1, 9.0), Placement::New(3));
     all.get_mut(1).unwrap().queue.push_back((1, 0));
     assert_eq!(all.evict(10), None, "nothing else is idle");
 }
@@ -37,12 +39,13 @@
 /// Guards against a late answer to the first attempt ending the second.
 #[test]
 fn a_request_given_up_on_a_connection_does_not_go_there_again() {
-    let mut all = Connections::new(Bounds { total: 9, endpoint: 9, spread: 9, streams: 9 });
-    let Place::New(conn) = all.place(7, 1, 0.0) else { panic!() };
-    all.get_mut(conn).unwrap().give_up(1, String::new());
-    assert_eq!(all.place(7, 2, 0.0), Place::On(conn));
-    assert_eq!(all.place(7, 1, 0.0), Place::New(conn + 1));
+    let mut all =
+        Connections::new(ConnectionLimits { total: 9, per_endpoint: 9, spread_above: 9, streams: 9 });
+    let Placement::New(conn) = all.place(7, 1, 0.0) else { panic!() };
+    all.get_mut(conn).unwrap().abandon(1, String::new());
+    assert_eq!(all.place(7, 2, 0.0), Placement::Existing(conn));
+    assert_eq!(all.place(7, 1, 0.0), Placement::New(conn + 1));
     let c = all.get_mut(conn).unwrap();
-    (10..10 + 2 * MAX_OVER as u64).for_each(|id| c.give_up(id, String::new()));
-    assert_eq!(c.over.len(), MAX_OVER);
+    (10..10 + 2 * MAX_BARRED as u64).for_each(|id| c.abandon(id, String::new()));
+    assert_eq!(c.barred.len(), MAX_BARRED);
 }
--- a/src/state/deadlines.rs
+++ b/src/state/deadlines.rs
@@ -37,7 +37,7 @@
     }
 
     /// The first time at which something is due that `stands` still, asked with its time.
-    pub fn next(&mut self, stands: impl Fn(T, f64) -> bool) -> Option<f64> {
+    pub fn next_due(&mut self, stands: impl Fn(T, f64) -> bool) -> Option<f64> {
         while let Some(Due(at, what)) = self.0.peek() {
             if stands(*what, *at) {
                 return Some(*at);
@@ -58,8 +58,8 @@
     }
 
     /// Takes one that is due by `now` and `stands` still.
-    pub fn take(&mut self, now: f64, stands: impl Fn(T, f64) -> bool) -> Option<T> {
-        if self.next(stands)? > now {
+    pub fn pop_due(&mut self, now: f64, stands: impl Fn(T, f64) -> bool) -> Option<T> {
+        if self.next_due(stands)? > now {
             return None;
         }
         self.0.pop().map(|Due(_, what)| what)
--- a/src/state/deadlines/tests.rs
+++ b/src/state/deadlines/tests.rs
@@ -5,9 +5,9 @@
     let mut times = Deadlines::default();
     [(30.0, 3), (10.0, 1), (20.0, 2)].into_iter().for_each(|(at, what)| times.push(at, what));
     let stands = |what, _| what != 1;
-    assert_eq!(times.next(stands), Some(20.0));
-    assert_eq!(times.take(19.0, stands), None);
-    assert_eq!(times.take(30.0, stands), Some(2));
-    assert_eq!(times.take(30.0, stands), Some(3));
-    assert_eq!(times.next(stands), None);
+    assert_eq!(times.next_due(stands), Some(20.0));
+    assert_eq!(times.pop_due(19.0, stands), None);
+    assert_eq!(times.pop_due(30.0, stands), Some(2));
+    assert_eq!(times.pop_due(30.0, stands), Some(3));
+    assert_eq!(times.next_due(stands), None);
 }
--- a/src/state/maintenance.rs
+++ b/src/state/maintenance.rs
@@ -28,7 +28,7 @@
 
     /// Takes a word on an endpoint; tells whether its use changes. A second call that says the same changes nothing, so
     /// one call back is enough for two calls out. Of two words the later one counts.
-    pub fn mark(&mut self, id: EndpointId, mark: Mark) -> bool {
+    pub fn record(&mut self, id: EndpointId, mark: Mark) -> bool {
         let old = self.0.get(&id).copied();
         if self.is_out(id) == mark.out || old.is_some_and(|old| old.at_ms > mark.at_ms) {
             return false;
@@ -38,7 +38,7 @@
     }
 
     /// Forgets returns of long ago.
-    pub fn tidy(&mut self, now: f64) {
+    pub fn forget_old_returns(&mut self, now: f64) {
         self.0.retain(|_, mark| mark.out || now < mark.at_ms + BACK_MS);
     }
 
--- a/src/state/maintenance/tests.rs
+++ b/src/state/maintenance/tests.rs
@@ -4,13 +4,13 @@
 fn the_later_word_counts_and_a_return_is_forgotten_in_time() {
     let mut all = Maintenance::default();
     let at = |out, at_ms| Mark { out, at_ms };
-    assert!(!all.mark(7, at(false, 1.0)), "it was in use");
-    assert!(all.mark(7, at(true, 2.0)) && all.is_out(7));
-    assert!(!all.mark(7, at(true, 3.0)));
-    assert!(!all.mark(7, at(false, 1.0)), "an older word");
-    assert!(all.mark(7, at(false, 4.0)) && !all.is_out(7));
-    all.tidy(4.0 + BACK_MS - 1.0);
+    assert!(!all.record(7, at(false, 1.0)), "it was in use");
+    assert!(all.record(7, at(true, 2.0)) && all.is_out(7));
+    assert!(!all.record(7, at(true, 3.0)));
+    assert!(!all.record(7, at(false, 1.0)), "an older word");
+    assert!(all.record(7, at(false, 4.0)) && !all.is_out(7));
+    all.forget_old_returns(4.0 + BACK_MS - 1.0);
     assert_eq!(all.iter().count(), 1);
-    all.tidy(4.0 + BACK_MS);
+    all.forget_old_returns(4.0 + BACK_MS);
     assert_eq!(all.iter().count(), 0);
 }
--- a/src/state/membership.rs
+++ b/src/state/membership.rs
@@ -7,15 +7,15 @@
 
 /// The list as last told.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct Membership {
     /// Endpoints that are listed, as told, whatever their state.
     listed: HashMap<EndpointId, ListedEndpoint>,
     live: HashMap<EndpointId, SocketAddrV4>,
 }
 
-impl Roster {
+impl Membership {
     /// Notes a list or its changes as told.
-    pub fn hear(&mut self, full: bool, targets: &[ListedEndpoint]) {
+    pub fn record_listed(&mut self, full: bool, targets: &[ListedEndpoint]) {
         if full {
             self.listed.clear();
         }
@@ -39,7 +39,7 @@
     }
 
     /// Takes a list or its changes; tells which endpoints may get nothing new from now on, or have moved.
-    pub fn update(&mut self, full: bool, targets: &[ListedEndpoint]) -> Vec<EndpointId> {
+    pub fn update_usable(&mut self, full: bool, targets: &[ListedEndpoint]) -> Vec<EndpointId> {
         let before: Vec<(EndpointId, SocketAddrV4)> = self.live.iter().map(|(id, at)| (*id, *at)).collect();
         if full {
             let listed: HashSet<EndpointId> = targets.iter().map(|t| t.record.id).collect();
--- a/src/state/membership/tests.rs
+++ b/src/state/membership/tests.rs
@@ -17,17 +17,17 @@
 
 #[test]
 fn drained_absent_and_moved_members_are_told() {
-    let mut roster = Roster::default();
+    let mut membership = Membership::default();
     let start: Vec<_> = [1, 2, 3, 4].map(|id| target(id, EndpointState::Active, 100 + id as u16)).into();
-    assert!(roster.update(true, &start).is_empty());
-    assert_eq!(roster.update(false, &[target(1, EndpointState::Draining, 101)]), [1]);
-    let mut gone =
-        roster.update(true, &[target(2, EndpointState::Active, 102), target(3, EndpointState::Active, 99)]);
+    assert!(membership.update_usable(true, &start).is_empty());
+    assert_eq!(membership.update_usable(false, &[target(1, EndpointState::Draining, 101)]), [1]);
+    let mut gone = membership
+        .update_usable(true, &[target(2, EndpointState::Active, 102), target(3, EndpointState::Active, 99)]);
     gone.sort_unstable();
     assert_eq!(gone, [3, 4]);
-    assert_eq!(roster.address(1), None);
-    assert_eq!(roster.address(3).map(|a| a.port()), Some(99));
+    assert_eq!(membership.address(1), None);
+    assert_eq!(membership.address(3).map(|a| a.port()), Some(99));
     // A new endpoint at the address of one that has gone.
-    assert!(roster.update(false, &[target(9, EndpointState::Active, 101)]).is_empty());
-    assert_eq!(roster.address(9).map(|a| a.port()), Some(101));
+    assert!(membership.update_usable(false, &[target(9, EndpointState::Active, 101)]).is_empty());
+    assert_eq!(membership.address(9).map(|a| a.port()), Some(101));
 }
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -25,11 +25,11 @@
     /// KB of the part; 0 where unknown.
     pub size_kb: f64,
     /// When the answer must be on its way, in Unix milliseconds.
-    pub give_up_ms: f64,
+    pub deadline_ms: f64,
     /// Idempotency key.
     pub key: Option<String>,
     /// Bare tag of the client's copy.
-    pub cached: Option<String>,
+    pub client_etag: Option<String>,
     /// Body of a write.
     pub body: Bytes,
     /// The client's address, where the front knows it: the door shares by it.
@@ -54,7 +54,7 @@
     /// Refused: trying again does no harm.
     Rejected {
         /// How long to stay away, in milliseconds; 0 for no advice.
-        wait_ms: f64,
+        retry_after_ms: f64,
         /// The request's time was over.
         overdue: bool,
     },
@@ -89,14 +89,14 @@
     }
 
     /// Takes a request in: from now on it owes an answer.
-    pub fn take(&mut self, ask: IncomingRequest) -> Result<(), AdmitError> {
+    pub fn admit(&mut self, ask: IncomingRequest) -> Result<(), AdmitError> {
         if self.open.contains_key(&ask.id) {
             return Err(AdmitError::Duplicate);
         }
         if self.open.len() >= self.most {
             return Err(AdmitError::Full);
         }
-        self.due.push(ask.give_up_ms, ask.id);
+        self.due.push(ask.deadline_ms, ask.id);
         self.open.insert(ask.id, (ask, 0));
         Ok(())
     }
@@ -107,34 +107,34 @@
     }
 
     /// The number of a request's next attempt, as the module counts them too.
-    pub fn number(&mut self, id: RequestId) -> Option<u32> {
+    pub fn next_attempt_number(&mut self, id: RequestId) -> Option<u32> {
         let (_, next) = self.open.get_mut(&id)?;
         *next += 1;
         Some(*next - 1)
     }
 
     /// Whether a request of this class is open.
-    pub fn uses(&self, class: usize) -> bool {
+    pub fn uses_class(&self, class: usize) -> bool {
         self.open.values().any(|(ask, _)| ask.class == class)
     }
 
     /// When the next request's time is over.
     pub fn next_due(&mut self) -> Option<f64> {
-        self.due.next(|id, at| Self::stands(&self.open, id, at))
+        self.due.next_due(|id, at| Self::is_current(&self.open, id, at))
     }
 
     /// A request whose time was over by `now`; it is told once, and is to be ended then.
-    pub fn overdue(&mut self, now: f64) -> Option<RequestId> {
-        self.due.take(now, |id, at| Self::stands(&self.open, id, at))
+    pub fn pop_overdue(&mut self, now: f64) -> Option<RequestId> {
+        self.due.pop_due(now, |id, at| Self::is_current(&self.open, id, at))
     }
 
     /// Guards against an id that comes again being ended at the time of the request that had it before.
-    fn stands(open: &HashMap<RequestId, (IncomingRequest, u32)>, id: RequestId, at: f64) -> bool {
-        open.get(&id).is_some_and(|(ask, _)| ask.give_up_ms == at)
+    fn is_current(open: &HashMap<RequestId, (IncomingRequest, u32)>, id: RequestId, at: f64) -> bool {
+        open.get(&id).is_some_and(|(ask, _)| ask.deadline_ms == at)
     }
 
     /// Ends a request. Only the first caller gets it, and with it the right to answer.
-    pub fn end(&mut self, id: RequestId) -> Option<IncomingRequest> {
+    pub fn remove(&mut self, id: RequestId) -> Option<IncomingRequest> {
         self.open.remove(&id).map(|(ask, _)| ask)
     }
 
--- a/src/vrrp/driver.rs
+++ b/src/vrrp/driver.rs
@@ -406,7 +406,7 @@
 pub fn host_value(host: &Rc<Executor>, rate: &RefCell<Rate>, what: &What) -> Option<f64> {
     let now = host.clock.now();
     match what {
-        What::Pool => host.with(|engine| engine.pool_share()),
+        What::Pool => host.with(|engine| engine.usable_cache_share()),
         What::Refused => {
             let (all, those) = host.with(|engine| {
                 let c = &engine.counters;
--- a/src/wire/admin.rs
+++ b/src/wire/admin.rs
@@ -69,14 +69,14 @@
                 Some(id) => self.maintain(host, id, word == "maint"),
                 None => HttpAnswer::status(404),
             },
-            ["stats"] => text(host.figures()),
+            ["stats"] => text(host.metrics()),
             _ => text("ok\n".into()),
         }
     }
 
     /// Takes an endpoint out of use, or puts it back; a yes says that this holds already, and is written down.
     fn maintain(&self, host: &Rc<Executor>, id: u32, out: bool) -> HttpAnswer {
-        if !host.with(|engine| engine.maintain(id, out)) {
+        if !host.with(|engine| engine.set_out_of_use(id, out)) {
             return HttpAnswer::status(404);
         }
         match (self.keep)(host) {
--- a/src/wire/cache_connection.rs
+++ b/src/wire/cache_connection.rs
@@ -4,8 +4,8 @@
 use super::WireError;
 use crate::clock::duration_from_ms;
 use crate::engine::executor::{ConnectionDriver, Dial, Executor};
-use crate::engine::Next;
-use crate::state::connections::ConnId;
+use crate::engine::NextWrite;
+use crate::state::connections::ConnectionId;
 use bytes::BytesMut;
 use futures_util::future::LocalBoxFuture;
 use futures_util::StreamExt;
@@ -43,11 +43,11 @@
     let Dial { conn, address, within_ms, waker } = dial;
     let stream = match timeout(duration_from_ms(within_ms), TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(error)) => return executor.with(|engine| engine.connect_failed(conn, is_local(&error))),
-        Err(_) => return executor.with(|engine| engine.connect_failed(conn, false)),
+        Ok(Err(error)) => return executor.with(|engine| engine.connection_failed(conn, is_local(&error))),
+        Err(_) => return executor.with(|engine| engine.connection_failed(conn, false)),
     };
     let _ = stream.set_nodelay(true);
-    executor.with(|engine| engine.connected(conn));
+    executor.with(|engine| engine.connection_established(conn));
     let (source, sink) = stream.into_split();
     let source = FramedRead::new(source, LineCodec::default());
     let mut reading = Box::pin(read(executor, conn, source));
@@ -73,13 +73,13 @@
             if told.is_power_of_two() {
                 tracing::warn!(endpoint = %address, %error, told, "a member's connection failed");
             }
-            executor.with(|engine| engine.spoilt(conn));
+            executor.with(|engine| engine.connection_malformed(conn));
         }
         Err(WireError::Stalled) => executor.with(|engine| {
             engine.counters.stalled_members += 1;
-            engine.spoilt(conn);
+            engine.connection_malformed(conn);
         }),
-        Ok(()) | Err(WireError::Socket(_)) => executor.with(|engine| engine.broken(conn)),
+        Ok(()) | Err(WireError::Socket(_)) => executor.with(|engine| engine.connection_lost(conn)),
     }
 }
 
@@ -91,7 +91,7 @@
 
 async fn read(
     executor: &Rc<Executor>,
-    conn: ConnId,
+    conn: ConnectionId,
     mut source: FramedRead<OwnedReadHalf, LineCodec>,
 ) -> Result<(), WireError> {
     // How much of an answer was there at the last look.
@@ -101,7 +101,7 @@
             Ok(Some(reply)) => {
                 let reply = reply?;
                 held = None;
-                executor.with(|engine| engine.answered(conn, reply));
+                executor.with(|engine| engine.handle_response(conn, reply));
             }
             Ok(None) => return Ok(()),
             // Guards all that waits on this connection against an answer that has stopped short.
@@ -119,19 +119,19 @@
 
 async fn write(
     executor: &Rc<Executor>,
-    conn: ConnId,
+    conn: ConnectionId,
     mut sink: OwnedWriteHalf,
     waker: &Notify,
 ) -> Result<(), WireError> {
     let (mut codec, mut bytes) = (LineCodec::default(), BytesMut::new());
     loop {
         let command = match executor.with(|engine| engine.next_write(conn)) {
-            Next::Write(command) => command,
-            Next::Idle => {
+            NextWrite::Write(command) => command,
+            NextWrite::Idle => {
                 waker.notified().await;
                 continue;
             }
-            Next::Close => return Ok(()),
+            NextWrite::Close => return Ok(()),
         };
         let request = match &command {
             Command::Get(get) => hex16(&get.id),
@@ -144,7 +144,7 @@
             // out yet goes back, and is looked at again when there is room for it.
             (Err(error), Some(request)) if error.kind() == ErrorKind::WouldBlock => {
                 bytes.clear();
-                executor.with(|engine| engine.unwritten(conn, request));
+                executor.with(|engine| engine.write_blocked(conn, request));
                 match timeout(duration_from_ms(WRITE_MS), sink.writable()).await {
                     Ok(room) => room?,
                     Err(_) => return Ok(()),
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -99,7 +99,7 @@
     let mut link = Framed::new(stream, FrameCodec);
     let last = host.with(|engine| {
         engine.counters.bulletin_links += 1;
-        engine.last_no()
+        engine.last_event_number()
     });
     timeout(duration_from_ms(CONNECT_MS), link.send(last)).await.map_err(|_| silent())??;
     let silence_ms = SILENCE_MS.0 + (SILENCE_MS.1 - SILENCE_MS.0) * rand::random::<f64>();
@@ -109,25 +109,25 @@
             return Ok(());
         };
         let frame = frame?;
-        let (no, last) = (frame.no, host.with(|engine| engine.last_no()));
+        let (no, last) = (frame.no, host.with(|engine| engine.last_event_number()));
         // Guards against a number that was garbled, after which all that follows would count as old, and against events
         // that got lost: the numbers follow each other. One that stays is taken, and what is missing is missing.
         if frame.kind != 0 && no > last + 1 && progress.stuck(no) < MAX_SAME_FRAME {
             host.with(|engine| engine.counters.bulletin_gaps += 1);
             return Err(WireError::Malformed("a gap in the events' numbers"));
         }
-        match frame.event(&host.env()) {
+        match frame.event(&host.settings()) {
             Ok(event) => {
                 progress.vain = 0;
                 host.with(|engine| {
-                    engine.news(event);
+                    engine.apply_event(event);
                     // The number of a kind of a later day counts too.
-                    engine.skip_to(if frame.kind == 0 { 0 } else { no });
+                    engine.skip_events_to(if frame.kind == 0 { 0 } else { no });
                 });
             }
             Err(error) if no > last && progress.stuck(no) < MAX_SAME_FRAME => {
                 // Guards the rule on drains: one that stands beside what can't be read was told all the same.
-                host.with(|engine| engine.hear_part(frame.readable(&engine.env())));
+                host.with(|engine| engine.apply_readable_endpoints(frame.readable(&engine.settings())));
                 return Err(error);
             }
             // Guards all that comes after it against one frame that nobody can read.
@@ -135,7 +135,7 @@
                 tracing::warn!(%error, no, "an event of the bulletin is skipped");
                 host.with(|engine| {
                     engine.counters.bulletin_skipped += 1;
-                    engine.skip_to(no);
+                    engine.skip_events_to(no);
                 });
             }
         }
--- a/src/wire/listener.rs
+++ b/src/wire/listener.rs
@@ -7,7 +7,7 @@
 use crate::engine::executor::Executor;
 use crate::http3::call_registry::{CallRegistry, Kept};
 use crate::http3::response_store::SessionId;
-use crate::state::client_slots::{PlaceId, Places};
+use crate::state::client_slots::{ClientSlots, SlotId};
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
@@ -158,15 +158,15 @@
 
 /// A front's places, with how to end the connection at each.
 struct Door {
-    places: RefCell<Places>,
-    ends: RefCell<HashMap<PlaceId, Rc<Notify>>>,
+    places: RefCell<ClientSlots>,
+    ends: RefCell<HashMap<SlotId, Rc<Notify>>>,
     /// A place has become free or idle.
     change: Notify,
 }
 
 impl Door {
     fn new(most: usize) -> Rc<Self> {
-        let places = RefCell::new(Places::new(most));
+        let places = RefCell::new(ClientSlots::new(most));
         Rc::new(Self { places, ends: RefCell::default(), change: Notify::new() })
     }
 
@@ -174,12 +174,12 @@
     async fn enter(self: &Rc<Self>, host: &Rc<Executor>) -> Seat {
         loop {
             let now = host.clock.now();
-            if let Some(id) = self.places.borrow_mut().take(now) {
+            if let Some(id) = self.places.borrow_mut().claim(now) {
                 let end = Rc::new(Notify::new());
                 self.ends.borrow_mut().insert(id, end.clone());
                 return Seat { door: self.clone(), id, end, displaced: Cell::new(false) };
             }
-            let idle = self.places.borrow_mut().make_room(now);
+            let idle = self.places.borrow_mut().evict_one(now);
             if let Some(end) = idle.and_then(|id| self.ends.borrow().get(&id).cloned()) {
                 host.with(|engine| engine.counters.clients_displaced += 1);
                 end.notify_one();
@@ -192,7 +192,7 @@
 /// A connection's place; it is free again once this is dropped.
 struct Seat {
     door: Rc<Door>,
-    id: PlaceId,
+    id: SlotId,
     /// Tells the connection that others need its place.
     end: Rc<Notify>,
     /// It was told.
@@ -201,11 +201,11 @@
 
 impl Seat {
     fn reading(&self, since: f64) {
-        self.door.places.borrow_mut().reading(self.id, since);
+        self.door.places.borrow_mut().request_started(self.id, since);
     }
 
     fn busy(&self) {
-        self.door.places.borrow_mut().busy(self.id);
+        self.door.places.borrow_mut().request_open(self.id);
     }
 
     fn idle(&self, now: f64) {
@@ -214,14 +214,14 @@
     }
 
     fn done(&self) {
-        self.door.places.borrow_mut().done(self.id);
+        self.door.places.borrow_mut().finished(self.id);
         self.door.change.notify_one();
     }
 }
 
 impl Drop for Seat {
     fn drop(&mut self) {
-        self.door.places.borrow_mut().leave(self.id);
+        self.door.places.borrow_mut().release(self.id);
         self.door.ends.borrow_mut().remove(&self.id);
         self.door.change.notify_one();
     }
@@ -372,7 +372,7 @@
             Intake::Now(answer) => answer,
             Intake::IncomingRequest(ask, context) => {
                 let ask = IncomingRequest { client: Some(peer), ..*ask };
-                let give_up_ms = ask.give_up_ms;
+                let give_up_ms = ask.deadline_ms;
                 // One that waited for its place, or behind another request, may have come from a client long gone.
                 if link.has_left().await {
                     host.with(|engine| engine.counters.left += 1);
@@ -474,7 +474,7 @@
 /// Waits for a request's answer, with an eye on whether the client leaves.
 async fn wait(host: &Rc<Executor>, link: &mut Link, ask: IncomingRequest) -> Waited {
     let id = ask.id;
-    let mut answer = match host.ask(ask) {
+    let mut answer = match host.submit(ask) {
         Ok(answer) => answer,
         Err(reason) => return Waited::AdmitError(reason),
     };
@@ -521,7 +521,7 @@
 impl Drop for Leaving<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.id {
-            self.host.left(id);
+            self.host.client_disconnected(id);
         }
     }
 }
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -99,12 +99,12 @@
             Said::Malformed => {
                 // A class that nobody knows is told before what else is wrong.
                 let class = request.target.split(['/', '?']).nth(2).unwrap_or_default();
-                let known = rules.is_some() || env.class(class).is_some();
+                let known = rules.is_some() || env.class_index(class).is_some();
                 return Err(if known { bad() } else { unknown() });
             }
             Said::Nothing => return Err(unknown()),
         };
-        let class = env.class(&class).ok_or_else(unknown)?;
+        let class = env.class_index(&class).ok_or_else(unknown)?;
         if part > MAX_PART || group > MAX_GROUP {
             return Err(bad());
         }
@@ -148,9 +148,9 @@
             part,
             group,
             size_kb,
-            give_up_ms: now + patience - MARGIN_MS.min(MARGIN_SHARE * patience),
+            deadline_ms: now + patience - MARGIN_MS.min(MARGIN_SHARE * patience),
             key: key.map(String::from),
-            cached: header("if-none-match")?.and_then(bare_tag),
+            client_etag: header("if-none-match")?.and_then(bare_tag),
             body: request.body.clone(),
             client: None,
         }))
@@ -191,7 +191,7 @@
                 _ => HttpAnswer::status(405).with("Allow", "GET"),
             });
         }
-        match self.ask(&host.env(), request, now) {
+        match self.ask(&host.settings(), request, now) {
             Ok(ask) => Intake::IncomingRequest(ask, Context::default()),
             Err(answer) => Intake::Now(answer),
         }
@@ -207,7 +207,7 @@
                 }
             }
             FinalResponse::NotModified { tag } => HttpAnswer::status(304).with("ETag", format!("\"{tag}\"")),
-            FinalResponse::Rejected { wait_ms, .. } => refused(wait_ms),
+            FinalResponse::Rejected { retry_after_ms: wait_ms, .. } => refused(wait_ms),
             FinalResponse::Failed { overdue } => HttpAnswer::status(if overdue { 504 } else { 502 }),
         }
     }
--- a/src/wire/signed.rs
+++ b/src/wire/signed.rs
@@ -254,7 +254,7 @@
             [class, group, object, part, size] => (class, group, object, part, Some(size)),
             _ => return Err(404),
         };
-        let class = env.class(class).filter(|class| !env.is_write(*class)).ok_or(404u16)?;
+        let class = env.class_index(class).filter(|class| !env.is_write(*class)).ok_or(404u16)?;
         let group = number(group).filter(|g| *g <= 255).ok_or(400u16)?;
         let lower = !object.bytes().any(|b| b.is_ascii_uppercase());
         let object = hex16(object).filter(|_| lower).ok_or(400u16)?;
@@ -353,9 +353,9 @@
             part: link.part,
             group: link.group,
             size_kb: link.size_kb,
-            give_up_ms: now + (deadline - MARGIN_MS).max(0.0),
+            deadline_ms: now + (deadline - MARGIN_MS).max(0.0),
             // With `If-Match` the bytes decide, so a cache must not say that the client's copy holds.
-            cached: if_none_match.as_deref().filter(|_| context.if_match.is_none()).and_then(bare_tag),
+            client_etag: if_none_match.as_deref().filter(|_| context.if_match.is_none()).and_then(bare_tag),
             ..IncomingRequest::default()
         };
         Ok((Box::new(ask), context))
@@ -427,7 +427,7 @@
     }
 
     fn take(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Intake {
-        match self.ask(&host.env(), request, now) {
+        match self.ask(&host.settings(), request, now) {
             Ok((ask, context)) => Intake::IncomingRequest(ask, context),
             Err(answer) => {
                 host.with(|engine| match answer.status {
@@ -472,7 +472,7 @@
             FinalResponse::Rejected { overdue: true, .. } | FinalResponse::Failed { overdue: true } => {
                 HttpAnswer::status(504)
             }
-            FinalResponse::Rejected { wait_ms, .. } => refused(wait_ms),
+            FinalResponse::Rejected { retry_after_ms: wait_ms, .. } => refused(wait_ms),
             FinalResponse::Failed { .. } => HttpAnswer::status(502),
         };
         worded.head_only = context.head_only;
--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -115,8 +115,9 @@
         let SocketAddr::V4(address) = site.endpoints[&first].address else { panic!() };
         let targets = vec![edge_proxy::endpoint_list::ListedEndpoint { record: line, address }];
         let news = edge_proxy::endpoint_list::WatchEvent::Endpoints { full: false, endpoints: targets };
-        site.host
-            .with(|engine| engine.news(edge_proxy::endpoint_list::Sequenced { number: 99, event: news }));
+        site.host.with(|engine| {
+            engine.apply_event(edge_proxy::endpoint_list::Sequenced { number: 99, event: news })
+        });
         clips(at, 100..120).await;
         assert_eq!(site.asked(first), before);
         let asked = site.endpoints[&CACHES[1]].asked.borrow()[later..].to_vec();
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -59,7 +59,7 @@
             client.write(ahead.as_bytes()).await;
             drop(client);
             until(|| dropped(&site) == 1).await;
-            assert_eq!(site.host.with(|e| (e.counters.left, e.owed())), (1, 0));
+            assert_eq!(site.host.with(|e| (e.counters.left, e.open_requests())), (1, 0));
             assert_eq!(site.asked_in_all(), 1, "nothing of what came ahead is sent on");
         });
     }
@@ -76,7 +76,7 @@
         until(|| site.asked_in_all() == 1).await;
         stream.write_all(b"\r\n\r\nGET").unwrap();
         tokio::task::yield_now().await;
-        assert_eq!(site.host.with(|e| (e.counters.left, e.owed())), (0, 1), "bytes are no leaving");
+        assert_eq!(site.host.with(|e| (e.counters.left, e.open_requests())), (0, 1), "bytes are no leaving");
         stream.shutdown(std::net::Shutdown::Write).unwrap();
         until(|| dropped(&site) == 1).await;
         assert_eq!(site.host.with(|e| e.counters.left), 1);
@@ -154,7 +154,7 @@
             let (_listener, _filled, cache) = hangs();
             site.bulletin.state(CACHES[0], cache, 0, 0);
             site.bulletin.state(CACHES[1], cache, 0, 2);
-            until(|| site.host.with(|e| e.last_no()) == 3).await;
+            until(|| site.host.with(|e| e.last_event_number()) == 3).await;
             // Two wait for the same dial.
             let clients: Vec<Blocking> = (1..=2)
                 .map(|id| {
@@ -175,7 +175,7 @@
             }
             until(|| site.host.with(|e| e.counters.left) == 2).await;
             assert_eq!(
-                site.host.with(|e| (e.owed(), e.counters.connect_failures)),
+                site.host.with(|e| (e.open_requests(), e.counters.connect_failures)),
                 (0, 0),
                 "before the dial ends"
             );
@@ -205,7 +205,7 @@
         until(|| dropped(&site) == 12).await;
         // Every time limit passes.
         (0..40).for_each(|_| site.pass(100.0));
-        until(|| site.host.with(|e| e.owed()) == 0).await;
+        until(|| site.host.with(|e| e.open_requests()) == 0).await;
         assert_eq!((site.asked_in_all(), site.host.with(|e| e.counters.attempts)), (12, attempts));
     });
 }
@@ -278,13 +278,17 @@
             stream.write_all(get(1).as_bytes()).unwrap();
             until(|| site.asked_in_all() == 1).await;
             flood(&mut stream).await;
-            assert_eq!(site.host.with(|e| (e.counters.left, e.owed())), (0, 1), "a flood is no leaving");
+            assert_eq!(
+                site.host.with(|e| (e.counters.left, e.open_requests())),
+                (0, 1),
+                "a flood is no leaving"
+            );
             if reset {
                 SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
             }
             drop(stream);
             until(|| dropped(&site) == 1).await;
-            assert_eq!(site.host.with(|e| (e.counters.left, e.owed())), (1, 0));
+            assert_eq!(site.host.with(|e| (e.counters.left, e.open_requests())), (1, 0));
             assert_eq!(site.asked_in_all(), 1, "nothing further was sent");
         });
     }
@@ -462,7 +466,7 @@
             let cache = listener.local_addr().unwrap();
             site.bulletin.state(CACHES[0], cache, 0, 0);
             site.bulletin.state(CACHES[1], cache, 0, 2);
-            until(|| site.host.with(|e| e.last_no()) == 3).await;
+            until(|| site.host.with(|e| e.last_event_number()) == 3).await;
             let endpoint = spawn_local(async move {
                 let (stream, _) = listener.accept().await.unwrap();
                 let mut stream = BufReader::new(stream);
@@ -486,10 +490,10 @@
                 id: 2,
                 id_text,
                 object: 0x7f3a_9c21_e0b4_d655,
-                give_up_ms,
+                deadline_ms: give_up_ms,
                 ..IncomingRequest::default()
             };
-            let _second = site.host.ask(second).unwrap();
+            let _second = site.host.submit(second).unwrap();
             let answer = first.read(false).await.unwrap();
             assert_eq!((answer.status, &answer.body[..]), (200, &b"hello"[..]));
         });
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -4,9 +4,9 @@
 
 use edge_proxy::clock::Clock;
 use edge_proxy::endpoint_list::{Sequenced, WatchEvent};
-use edge_proxy::engine::{Effect, Engine, EngineBounds, Next};
+use edge_proxy::engine::{Effect, Engine, EngineLimits, NextWrite};
 use edge_proxy::settings::PlatformSettings;
-use edge_proxy::state::connections::{Bounds, ConnId};
+use edge_proxy::state::connections::{ConnectionId, ConnectionLimits};
 use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
 use edge_proxy::wire::cache_codec::{Command, Get, Reply, Word};
 use edge_proxy::wire::response_path::PathNote;
@@ -40,17 +40,17 @@
     fn new(ids: &[u32]) -> Self {
         let env = env(4);
         let clock = Clock::manual(START);
-        let connections = Bounds { total: 8, endpoint: 4, spread: 4, streams: 4 };
-        let engine = Engine::new(clock.clone(), Rc::new(env), 7, EngineBounds { requests: 9, connections });
+        let connections = ConnectionLimits { total: 8, per_endpoint: 4, spread_above: 4, streams: 4 };
+        let engine = Engine::new(clock.clone(), Rc::new(env), 7, EngineLimits { requests: 9, connections });
         let mut bench = Self { clock, engine, no: 0 };
         let endpoints = ids.iter().map(|id| target(*id, EndpointState::Active)).collect();
-        bench.news(WatchEvent::Endpoints { full: true, endpoints });
+        bench.apply_event(WatchEvent::Endpoints { full: true, endpoints });
         bench
     }
 
-    fn news(&mut self, news: WatchEvent) {
+    fn apply_event(&mut self, news: WatchEvent) {
         self.no += 1;
-        self.engine.news(Sequenced { number: self.no, event: news });
+        self.engine.apply_event(Sequenced { number: self.no, event: news });
     }
 
     fn ask(&mut self, id: u64, class: usize) {
@@ -62,8 +62,8 @@
     }
 
     fn take(&mut self, ask: IncomingRequest) {
-        let (give_up_ms, id_text) = (self.clock.now() + 2_000.0, format!("{:016x}", ask.id));
-        self.engine.request(IncomingRequest { id_text, give_up_ms, ..ask }).unwrap();
+        let (deadline_ms, id_text) = (self.clock.now() + 2_000.0, format!("{:016x}", ask.id));
+        self.engine.submit(IncomingRequest { id_text, deadline_ms, ..ask }).unwrap();
     }
 
     fn pass(&mut self, ms: f64) {
@@ -72,7 +72,7 @@
     }
 
     /// The connections that are to be opened, with their endpoints.
-    fn opened(&mut self) -> Vec<(ConnId, u32)> {
+    fn opened(&mut self) -> Vec<(ConnectionId, u32)> {
         self.effects()
             .into_iter()
             .filter_map(|e| match e {
@@ -88,38 +88,38 @@
 
     fn answers(&mut self) -> Vec<(u64, FinalResponse)> {
         let answers = self.effects().into_iter().filter_map(|e| match e {
-            Effect::Answer(id, answer) => Some((id, answer)),
+            Effect::Respond(id, answer) => Some((id, answer)),
             _ => None,
         });
         answers.collect()
     }
 
-    fn get(&mut self, conn: ConnId) -> Option<Get> {
+    fn get(&mut self, conn: ConnectionId) -> Option<Get> {
         match self.engine.next_write(conn) {
-            Next::Write(Command::Get(get)) => Some(*get),
+            NextWrite::Write(Command::Get(get)) => Some(*get),
             _ => None,
         }
     }
 
-    fn reply(&mut self, conn: ConnId, id: u64, word: Word) {
+    fn reply(&mut self, conn: ConnectionId, id: u64, word: Word) {
         self.reply_noted(conn, id, word, None);
     }
 
-    fn reply_noted(&mut self, conn: ConnId, id: u64, word: Word, note: Option<PathNote>) {
+    fn reply_noted(&mut self, conn: ConnectionId, id: u64, word: Word, note: Option<PathNote>) {
         let (tag, body) = (Some("t".to_string()), "bytes".into());
-        self.engine.answered(conn, Reply { id, word, tag, born: None, tags: Vec::new(), note, body });
+        self.engine.handle_response(conn, Reply { id, word, tag, born: None, tags: Vec::new(), note, body });
     }
 
     /// Connects all that is opened, and answers each attempt that is written: with an error and this note where it
     /// names the source `failing`, else with the bytes.
     fn answer_all(&mut self, failing: Option<u32>, note: Option<PathNote>) {
         loop {
-            let conns: Vec<ConnId> = self.effects().iter().filter_map(driven).collect();
+            let conns: Vec<ConnectionId> = self.effects().iter().filter_map(driven).collect();
             if conns.is_empty() {
                 return;
             }
             for conn in conns {
-                self.engine.connected(conn);
+                self.engine.connection_established(conn);
                 while let Some(get) = self.get(conn) {
                     let id = u64::from_str_radix(&get.id, 16).unwrap();
                     if get.source == failing {
@@ -135,18 +135,18 @@
     /// The source that the first attempt of a new request names.
     fn first_source(&mut self, id: u64) -> Option<u32> {
         self.ask_for(id, 42);
-        let conns: Vec<ConnId> = self.effects().iter().filter_map(driven).collect();
-        conns.iter().for_each(|conn| self.engine.connected(*conn));
+        let conns: Vec<ConnectionId> = self.effects().iter().filter_map(driven).collect();
+        conns.iter().for_each(|conn| self.engine.connection_established(*conn));
         let written = conns.iter().find_map(|conn| self.get(*conn));
         written.expect("an attempt is written").source
     }
 }
 
 /// The connection that an effect opens or wakes.
-fn driven(effect: &Effect) -> Option<ConnId> {
+fn driven(effect: &Effect) -> Option<ConnectionId> {
     match effect {
         Effect::Open { conn, .. } | Effect::Wake(conn) => Some(*conn),
-        Effect::Answer(..) => None,
+        Effect::Respond(..) => None,
     }
 }
 
@@ -158,7 +158,7 @@
     for (note, stays) in notes {
         let mut b = Bench::new(&[1, 2, 7, PARENT, 9]);
         let home = b.first_source(1);
-        b.engine.left(1);
+        b.engine.client_disconnected(1);
         for id in 2..=30 {
             b.ask_for(id, 42);
             b.answer_all(home, note);
@@ -172,11 +172,11 @@
 #[test]
 fn the_age_bound_shrinks_by_the_time_in_the_queue() {
     let mut b = Bench::new(&[1, PARENT, 9]);
-    b.news(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START - 1_000.0 });
+    b.apply_event(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START - 1_000.0 });
     b.ask(1, 0);
     let (conn, _) = b.opened()[0];
     b.pass(300.0);
-    b.engine.connected(conn);
+    b.engine.connection_established(conn);
     let get = b.get(conn).unwrap();
     // 1,000 ms ago, less the module's margin of 10 and the 300 in the queue.
     assert_eq!(get.max_age_ms, 690);
@@ -186,11 +186,11 @@
 #[test]
 fn the_age_bound_never_becomes_the_classs_own() {
     let mut b = Bench::new(&[1, PARENT, 9]);
-    b.news(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START - 50.0 });
+    b.apply_event(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START - 50.0 });
     b.ask(1, 0);
     let (conn, _) = b.opened()[0];
     b.pass(300.0);
-    b.engine.connected(conn);
+    b.engine.connection_established(conn);
     assert_eq!(b.get(conn).unwrap().max_age_ms, 1, "0 would allow any age");
 }
 
@@ -200,12 +200,12 @@
     let mut b = Bench::new(&[1, 2, PARENT, 9]);
     b.ask(1, 0);
     let first = b.opened();
-    b.news(WatchEvent::Purge { object: None, group: 17, issued_ms: START - 100.0 });
+    b.apply_event(WatchEvent::Purge { object: None, group: 17, issued_ms: START - 100.0 });
     let second = b.opened();
     assert_ne!(first[0].1, second[0].1, "the module takes another cache for a second try");
-    b.engine.connected(first[0].0);
+    b.engine.connection_established(first[0].0);
     assert_eq!(b.get(first[0].0), None);
-    b.engine.connected(second[0].0);
+    b.engine.connection_established(second[0].0);
     assert!((1..=100).contains(&b.get(second[0].0).unwrap().max_age_ms));
 }
 
@@ -219,21 +219,21 @@
                 let (mut b, object) = (Bench::new(&[1, 2, 7, PARENT, 9]), k * 7_919);
                 b.ask_for(1, object);
                 let (conn, endpoint) = b.opened()[0];
-                b.engine.connected(conn);
+                b.engine.connection_established(conn);
                 let source = b.get(conn).and_then(|get| get.source);
                 (endpoint == 1 && source == Some(PARENT)).then_some((b, conn, object))
             })
             .unwrap();
         b.ask_for(2, object);
-        b.news(WatchEvent::Endpoints {
+        b.apply_event(WatchEvent::Endpoints {
             full: false,
             endpoints: vec![target(drained, EndpointState::Draining)],
         });
         assert_eq!(b.get(conn), None, "nothing new is written for member {drained}");
-        assert_eq!((b.engine.counters.attempts_stale, b.engine.owed()), (1, 2));
+        assert_eq!((b.engine.counters.attempts_stale, b.engine.open_requests()), (1, 2));
         // The second one is on its way by other endpoints.
         let (other, _) = b.opened().first().copied().unwrap_or((conn, 1));
-        b.engine.connected(other);
+        b.engine.connection_established(other);
         let get = b.get(other).unwrap();
         assert!(get.id.ends_with('2') && get.source != Some(drained));
     }
@@ -246,15 +246,15 @@
     b.ask(1, 1);
     let (conn, endpoint) = b.opened()[0];
     assert_eq!(endpoint, 9);
-    b.engine.connected(conn);
+    b.engine.connection_established(conn);
     assert!(b.get(conn).is_some());
     b.ask(2, 1);
-    b.engine.broken(conn);
+    b.engine.connection_lost(conn);
     let answers: Vec<_> = b.effects();
-    let failed = Effect::Answer(1, FinalResponse::Failed { overdue: false });
+    let failed = Effect::Respond(1, FinalResponse::Failed { overdue: false });
     assert!(answers.contains(&failed), "it may have run, so it is not tried again: {answers:?}");
     let again = answers.iter().filter(|e| matches!(e, Effect::Open { .. })).count();
-    assert_eq!((again, b.engine.owed()), (1, 1), "the other one goes out again");
+    assert_eq!((again, b.engine.open_requests()), (1, 1), "the other one goes out again");
 }
 
 /// Guards against an answer that crosses the end of its request: nobody gets it, and nothing is counted twice.
@@ -263,9 +263,9 @@
     let mut b = Bench::new(&[1, PARENT, 9]);
     b.ask(1, 0);
     let (conn, _) = b.opened()[0];
-    b.engine.connected(conn);
+    b.engine.connection_established(conn);
     b.get(conn).unwrap();
-    b.engine.left(1);
+    b.engine.client_disconnected(1);
     b.reply(conn, 1, Word::Ack);
     b.reply(conn, 77, Word::Ack);
     assert!(b.answers().is_empty());
@@ -278,7 +278,7 @@
     let mut b = Bench::new(&[1, PARENT, 9]);
     b.ask(1, 0);
     let (conn, _) = b.opened()[0];
-    b.engine.connected(conn);
+    b.engine.connection_established(conn);
     b.get(conn).unwrap();
     b.reply(conn, 1, Word::Nomod);
     assert!(b.answers().iter().all(|(_, answer)| !matches!(answer, FinalResponse::NotModified { .. })));
@@ -292,11 +292,11 @@
         b.take(IncomingRequest {
             id: 1,
             object: 42,
-            cached: Some(told.into()),
+            client_etag: Some(told.into()),
             ..IncomingRequest::default()
         });
         let (conn, _) = b.opened()[0];
-        b.engine.connected(conn);
+        b.engine.connection_established(conn);
         assert_eq!(b.get(conn).unwrap().cached.as_deref(), Some(told));
         b.reply(conn, 1, Word::Nomod);
         assert_eq!(
@@ -314,7 +314,7 @@
     let mut b = Bench::new(&[1, PARENT, 9]);
     b.ask(1, 0);
     let (conn, endpoint) = b.opened()[0];
-    b.engine.connected(conn);
+    b.engine.connection_established(conn);
     b.get(conn).unwrap();
     // Nothing was named, so it is spoilt, and the same cache is asked again.
     b.reply(conn, 1, Word::Nomod);
@@ -322,13 +322,13 @@
     assert_eq!((endpoint, again), (1, 1));
     assert_ne!(second, conn);
     assert_eq!(b.get(conn), None);
-    b.engine.connected(second);
+    b.engine.connection_established(second);
     b.get(second).unwrap();
     b.reply(conn, 1, Word::Ack);
     assert!(b.answers().is_empty(), "it crossed the end of its attempt");
     b.reply(second, 1, Word::Ack);
     assert_eq!(b.answers().len(), 1);
-    assert_eq!((b.engine.counters.member_late, b.engine.owed()), (1, 0));
+    assert_eq!((b.engine.counters.member_late, b.engine.open_requests()), (1, 0));
 }
 
 /// A client that leaves while its request waits for a dial, or behind others on a connection: never sent on.
@@ -338,15 +338,18 @@
     b.ask(1, 0);
     b.ask(2, 0);
     let (conn, _) = b.opened()[0];
-    b.engine.left(1);
-    b.engine.connected(conn);
+    b.engine.client_disconnected(1);
+    b.engine.connection_established(conn);
     assert!(b.get(conn).is_some_and(|get| get.id.ends_with('2')), "the dial was for both");
-    b.engine.left(2);
+    b.engine.client_disconnected(2);
     assert!(
-        matches!(b.engine.next_write(conn), Next::Write(Command::Drop(_))),
+        matches!(b.engine.next_write(conn), NextWrite::Write(Command::Drop(_))),
         "it was written, and is called off"
     );
-    assert_eq!((b.engine.next_write(conn), b.engine.owed(), b.answers().len()), (Next::Idle, 0, 0));
+    assert_eq!(
+        (b.engine.next_write(conn), b.engine.open_requests(), b.answers().len()),
+        (NextWrite::Idle, 0, 0)
+    );
     assert_eq!((b.engine.counters.attempts_written, b.engine.counters.left), (1, 2));
 }
 
@@ -357,23 +360,27 @@
         let mut b = Bench::new(&[1, PARENT, 9]);
         b.ask(1, 0);
         let (conn, _) = b.opened()[0];
-        b.engine.connected(conn);
+        b.engine.connection_established(conn);
         b.get(conn).unwrap();
-        b.engine.unwritten(conn, 1);
+        b.engine.write_blocked(conn, 1);
         assert_eq!(b.engine.counters.attempts_written, 0);
         (b, conn)
     };
     let (mut b, conn) = waiting();
     assert!(b.get(conn).is_some(), "nothing has changed");
     let (mut b, conn) = waiting();
-    b.news(WatchEvent::Endpoints { full: false, endpoints: vec![target(1, EndpointState::Draining)] });
+    b.apply_event(WatchEvent::Endpoints { full: false, endpoints: vec![target(1, EndpointState::Draining)] });
     assert_eq!((b.get(conn), b.engine.counters.attempts_stale), (None, 1), "its member drains");
     let (mut b, conn) = waiting();
-    b.engine.left(1);
-    assert_eq!(b.engine.next_write(conn), Next::Idle, "its client left, and nothing is to be called off");
+    b.engine.client_disconnected(1);
+    assert_eq!(
+        b.engine.next_write(conn),
+        NextWrite::Idle,
+        "its client left, and nothing is to be called off"
+    );
     let (mut b, conn) = waiting();
     b.pass(1_999.5);
-    assert!(!matches!(b.engine.next_write(conn), Next::Write(Command::Get(_))), "its time is over");
+    assert!(!matches!(b.engine.next_write(conn), NextWrite::Write(Command::Get(_))), "its time is over");
 }
 
 /// A keyed write that may have run is repeated only as long as its key is remembered, counted to the first byte.
@@ -383,14 +390,14 @@
         let mut b = Bench::new(&[1, PARENT, 9]);
         b.ask(1, 2);
         let (first, _) = b.opened()[0];
-        b.engine.connected(first);
+        b.engine.connection_established(first);
         b.get(first).unwrap();
         b.pass(300.0);
         b.reply(first, 1, Word::Eio);
         // 300 of the window's 400 ms are gone. The connection for the repeat comes up late.
         let (second, _) = b.opened()[0];
         b.pass(waits_ms);
-        b.engine.connected(second);
+        b.engine.connection_established(second);
         assert_eq!(b.get(second).is_some(), sent, "{waits_ms} ms");
         if !sent {
             let answers = b.answers();
@@ -421,7 +428,7 @@
         b.ask(id, 0);
     }
     let (conn, _) = b.opened()[0];
-    b.engine.connected(conn);
+    b.engine.connection_established(conn);
     while b.get(conn).is_some() {}
     for _ in 0..40 {
         b.pass(50.0);
@@ -433,10 +440,10 @@
     let opened = b.opened();
     assert!(opened.iter().all(|(fresh, _)| *fresh != conn));
     let mut next = b.engine.next_write(conn);
-    while matches!(next, Next::Write(Command::Drop(_))) {
+    while matches!(next, NextWrite::Write(Command::Drop(_))) {
         next = b.engine.next_write(conn);
     }
-    assert_eq!(next, Next::Close);
+    assert_eq!(next, NextWrite::Close);
 }
 
 /// Guards the one answer that each request is owed, whatever no endpoint ever says.
@@ -451,8 +458,8 @@
         let opened: Vec<_> = b.effects();
         for effect in opened {
             match effect {
-                Effect::Open { conn, .. } => b.engine.connected(conn),
-                Effect::Answer(id, _) => answered.push(id),
+                Effect::Open { conn, .. } => b.engine.connection_established(conn),
+                Effect::Respond(id, _) => answered.push(id),
                 Effect::Wake(_) => {}
             }
         }
@@ -475,14 +482,14 @@
     b.ask(1, 0);
     for moves in 1..=2 {
         let (conn, endpoint) = b.opened()[0];
-        b.engine.connected(conn);
-        b.engine.broken(conn);
+        b.engine.connection_established(conn);
+        b.engine.connection_lost(conn);
         assert_eq!((endpoint, b.engine.counters.attempts_moved, b.engine.counters.attempts), (1, moves, 1));
     }
     let (conn, endpoint) = b.opened()[0];
-    b.engine.broken(conn);
+    b.engine.connection_lost(conn);
     assert_eq!((endpoint, b.engine.counters.attempts_moved, b.engine.counters.attempts), (1, 2, 2));
-    assert_eq!(b.engine.owed(), 1, "the module has sent it elsewhere");
+    assert_eq!(b.engine.open_requests(), 1, "the module has sent it elsewhere");
 }
 
 /// Guards the memory against settings that change often: a place that nothing uses any more goes to the next class.
@@ -499,10 +506,10 @@
     for round in 0..50 {
         let name = format!("b{round}");
         now = env(&name).after(&now, |_| false);
-        assert_eq!(now.class("clip"), Some(0));
-        let place = now.class(&name).unwrap();
+        assert_eq!(now.class_index("clip"), Some(0));
+        let place = now.class_index(&name).unwrap();
         assert!(place < 4 && now.is_write(place) && !now.is_write(0), "{place}");
     }
     let kept = env("z").after(&now, |_| true);
-    assert_eq!(kept.class("z"), Some((0..).take_while(|k| now.class_name(*k).is_some()).count()));
+    assert_eq!(kept.class_index("z"), Some((0..).take_while(|k| now.class_name(*k).is_some()).count()));
 }
--- a/tests/fleet_model/mod.rs
+++ b/tests/fleet_model/mod.rs
@@ -177,7 +177,7 @@
     fn purge(&mut self) {
         for group in 0..GROUPS as u32 / 2 {
             for k in 0..self.fleet_size.len() {
-                self.tell(k, Event::Purged { object: None, group, ago: 0 });
+                self.tell(k, Event::Purged { object: None, group, age: 0 });
             }
         }
         self.parents.retain(|object, _| object % GROUPS >= GROUPS / 2);
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -551,7 +551,7 @@
             );
             edge_proxy::wire::discovery_codec::Line::parse(text.as_bytes()).unwrap()
         };
-        host.with(|engine| engine.hear_roster(true, vec![line(0xc1, "Ready"), line(0xc2, "Ready")]));
+        host.with(|engine| engine.apply_endpoints(true, vec![line(0xc1, "Ready"), line(0xc2, "Ready")]));
         edge.front.reconfigure(GrpcConfig::read(&edge.dir.join("grpc.json")).unwrap()).unwrap();
         let caller = Caller::connect(edge.at).await;
         let go = |n: usize| {
@@ -564,12 +564,12 @@
         };
         go(40).await;
         assert!(one.count() > 5 && two.count() > 5, "both are asked: {} and {}", one.count(), two.count());
-        host.with(|engine| engine.hear_roster(false, vec![line(0xc1, "Terminating")]));
+        host.with(|engine| engine.apply_endpoints(false, vec![line(0xc1, "Terminating")]));
         let before = one.count();
         go(40).await;
         assert_eq!(one.count(), before, "a drained member was asked");
-        host.with(|engine| engine.hear_roster(false, vec![line(0xc1, "Ready")]));
-        host.with(|engine| engine.maintain(0xc2, true));
+        host.with(|engine| engine.apply_endpoints(false, vec![line(0xc1, "Ready")]));
+        host.with(|engine| engine.set_out_of_use(0xc2, true));
         let before = two.count();
         go(40).await;
         assert_eq!(two.count(), before, "maintenance by hand counts as well");
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -64,7 +64,7 @@
         let clock = Clock::system();
         let (engine, _) = engine(&node, &clock, 0).unwrap();
         let host = Executor::new(clock, engine, CacheDriver);
-        spawn_local(host.clone().keep_time());
+        spawn_local(host.clone().run_timers());
         let file = poor_file(&dir, format!("127.0.{net}.9:1").parse().unwrap(), more);
         let config = Http3Config::read(&file).unwrap();
         let server = server::server_config(&config).unwrap();
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -5,9 +5,9 @@
 use bytes::BytesMut;
 use edge_proxy::clock::Clock;
 use edge_proxy::endpoint_list::{Sequenced, WatchEvent};
-use edge_proxy::engine::{Effect, Engine, EngineBounds, Next};
+use edge_proxy::engine::{Effect, Engine, EngineLimits, NextWrite};
 use edge_proxy::settings::PlatformSettings;
-use edge_proxy::state::connections::{Bounds, ConnId};
+use edge_proxy::state::connections::{ConnectionId, ConnectionLimits};
 use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
 use edge_proxy::wire::cache_codec::{Command, LineCodec, Reply, Word, MAX_LINE};
 use edge_proxy::wire::discovery_codec::{FrameCodec, MAX_FRAME};
@@ -36,7 +36,7 @@
 struct Model {
     clock: Clock,
     engine: Engine,
-    links: BTreeMap<ConnId, Link>,
+    links: BTreeMap<ConnectionId, Link>,
     /// Requests that owe an answer, with the time by which it must come.
     owed: BTreeMap<u64, f64>,
     live: BTreeSet<u32>,
@@ -55,21 +55,21 @@
             .to_vec();
         let env: PlatformSettings = simd_json::from_slice(&mut text).unwrap();
         let clock = Clock::manual(START);
-        let connections = Bounds { total: 4, endpoint: 2, spread: 1, streams: 4 };
-        let bounds = EngineBounds { requests: 32, connections };
+        let connections = ConnectionLimits { total: 4, per_endpoint: 2, spread_above: 1, streams: 4 };
+        let bounds = EngineLimits { requests: 32, connections };
         let engine = Engine::new(clock.clone(), Rc::new(env), 7, bounds);
         let (links, owed, live) = Default::default();
         let mut model = Self { clock, engine, links, owed, live, next_id: 0, next_no: 0 };
         let ids = [1, 2, 3, 8, 9];
         let endpoints = ids.iter().map(|id| target(*id, EndpointState::Active)).collect();
-        model.news(WatchEvent::Endpoints { full: true, endpoints });
+        model.apply_event(WatchEvent::Endpoints { full: true, endpoints });
         model.live = ids.into();
         model
     }
 
-    fn news(&mut self, news: WatchEvent) {
+    fn apply_event(&mut self, news: WatchEvent) {
         self.next_no += 1;
-        self.engine.news(Sequenced { number: self.next_no, event: news });
+        self.engine.apply_event(Sequenced { number: self.next_no, event: news });
     }
 
     /// Does one step; `a` and `b` choose among what there is.
@@ -79,7 +79,7 @@
         match kind {
             0..=2 => {
                 self.next_id += 1;
-                let give_up_ms = self.clock.now() + 100.0 + f64::from(b % 1_400);
+                let deadline_ms = self.clock.now() + 100.0 + f64::from(b % 1_400);
                 let id_text = format!("{:016x}", self.next_id);
                 let class = usize::from(b % 3 == 0);
                 let ask = IncomingRequest {
@@ -88,31 +88,31 @@
                     id_text,
                     object: u64::from(a % 16),
                     group: u32::from(a % 4),
-                    give_up_ms,
+                    deadline_ms,
                     ..IncomingRequest::default()
                 };
-                match self.engine.request(ask) {
-                    Ok(()) => assert!(self.owed.insert(self.next_id, give_up_ms).is_none()),
+                match self.engine.submit(ask) {
+                    Ok(()) => assert!(self.owed.insert(self.next_id, deadline_ms).is_none()),
                     Err(_) => assert!(self.owed.len() >= 32),
                 }
             }
             3 => {
                 if let Some(id) = self.owed.keys().nth(pick(self.owed.len())).copied() {
                     self.owed.remove(&id);
-                    self.engine.left(id);
+                    self.engine.client_disconnected(id);
                 }
             }
             4 | 5 => {
                 if let Some((conn, link)) = conn.and_then(|c| self.links.get_mut(&c).map(|l| (c, l))) {
                     if !link.up && b % 4 == 0 {
                         self.links.remove(&conn);
-                        self.engine.connect_failed(conn, false);
+                        self.engine.connection_failed(conn, false);
                     } else if !link.up {
                         link.up = true;
-                        self.engine.connected(conn);
+                        self.engine.connection_established(conn);
                     } else if b % 8 == 0 {
                         self.links.remove(&conn);
-                        self.engine.broken(conn);
+                        self.engine.connection_lost(conn);
                     }
                 }
             }
@@ -130,22 +130,26 @@
                 } else {
                     self.live.remove(&id);
                 }
-                self.news(WatchEvent::Endpoints { full: false, endpoints: vec![target(id, state)] });
+                self.apply_event(WatchEvent::Endpoints { full: false, endpoints: vec![target(id, state)] });
             }
             11 => {
                 let issued = self.clock.now() - 50.0;
-                self.news(WatchEvent::Purge { object: None, group: u32::from(a % 4), issued_ms: issued });
+                self.apply_event(WatchEvent::Purge {
+                    object: None,
+                    group: u32::from(a % 4),
+                    issued_ms: issued,
+                });
             }
             _ => {
                 self.clock.advance(f64::from(b % 200));
                 self.engine.tick();
             }
         }
-        self.settle();
+        self.end_attempt();
     }
 
     /// An endpoint answers something on a connection: what is out, or what was given up.
-    fn answer(&mut self, conn: ConnId, b: u16) {
+    fn answer(&mut self, conn: ConnectionId, b: u16) {
         let Some(link) = self.links.get_mut(&conn) else { return };
         let words = [Word::Ack, Word::Ack, Word::Noent, Word::Again, Word::Eio, Word::Stale];
         let late = b % 5 == 0 && !link.late.is_empty();
@@ -154,18 +158,18 @@
         from.remove(&id);
         let word = words[usize::from(b / 8) % words.len()];
         let body = format!("{conn}:{id}").into();
-        let before = self.engine.owed();
-        self.engine.answered(
+        let before = self.engine.open_requests();
+        self.engine.handle_response(
             conn,
             Reply { id, word, tag: Some("t".into()), born: None, tags: Vec::new(), note: None, body },
         );
-        assert!(!late || self.engine.owed() == before, "a late answer ended a request");
+        assert!(!late || self.engine.open_requests() == before, "a late answer ended a request");
     }
 
     /// Carries out the effects and writes all there is, until nothing more comes of it.
-    fn settle(&mut self) {
+    fn end_attempt(&mut self) {
         loop {
-            let up: Vec<ConnId> = self.links.iter().filter(|(_, l)| l.up).map(|(c, _)| *c).collect();
+            let up: Vec<ConnectionId> = self.links.iter().filter(|(_, l)| l.up).map(|(c, _)| *c).collect();
             up.into_iter().for_each(|conn| self.write(conn));
             let Some(effect) = self.engine.take_effect() else { break };
             self.effect(effect);
@@ -173,7 +177,7 @@
                 self.effect(effect);
             }
         }
-        assert_eq!(self.engine.owed(), self.owed.len());
+        assert_eq!(self.engine.open_requests(), self.owed.len());
     }
 
     fn effect(&mut self, effect: Effect) {
@@ -185,7 +189,7 @@
             }
             Effect::Wake(conn) if self.links.get(&conn).is_some_and(|link| link.up) => self.write(conn),
             Effect::Wake(_) => {}
-            Effect::Answer(id, answer) => {
+            Effect::Respond(id, answer) => {
                 assert!(self.owed.remove(&id).is_some(), "a second answer, or one to nobody");
                 if let FinalResponse::Served { body, .. } = answer {
                     assert!(body.ends_with(format!(":{id}").as_bytes()), "another request's bytes");
@@ -194,23 +198,23 @@
         }
     }
 
-    fn write(&mut self, conn: ConnId) {
+    fn write(&mut self, conn: ConnectionId) {
         loop {
             let next = self.engine.next_write(conn);
             let Some(link) = self.links.get_mut(&conn) else { return };
             match next {
-                Next::Idle => return,
-                Next::Close => {
+                NextWrite::Idle => return,
+                NextWrite::Close => {
                     assert!(link.out.is_empty(), "closed with requests on it");
                     self.links.remove(&conn);
-                    return self.engine.broken(conn);
+                    return self.engine.connection_lost(conn);
                 }
-                Next::Write(Command::Drop(text)) => {
+                NextWrite::Write(Command::Drop(text)) => {
                     let id = u64::from_str_radix(&text, 16).unwrap();
                     assert!(link.out.remove(&id), "gave up what was not asked for");
                     link.late.insert(id);
                 }
-                Next::Write(Command::Get(get)) => {
+                NextWrite::Write(Command::Get(get)) => {
                     let id = u64::from_str_radix(&get.id, 16).unwrap();
                     let endpoint = u32::from(link.port - 5_000);
                     assert!(self.live.contains(&endpoint), "a request to a member that drains");
@@ -240,7 +244,7 @@
         // In the end everything is answered, whatever was left hanging.
         model.clock.advance(2_000.0);
         model.engine.tick();
-        model.settle();
+        model.end_attempt();
         prop_assert!(model.owed.is_empty());
     }
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -142,7 +142,7 @@
         drop(client);
         let dropped = || site.endpoints.values().map(|m| m.dropped.borrow().len()).sum::<usize>();
         until(|| dropped() == 1).await;
-        let (left, owed) = site.host.with(|e| (e.counters.left, e.owed()));
+        let (left, owed) = site.host.with(|e| (e.counters.left, e.open_requests()));
         assert_eq!((left, owed), (1, 0));
     });
 }
@@ -198,11 +198,11 @@
     run(async {
         let (site, _) = open("bulletin").await;
         let no = site.bulletin.purge(17, START_MS as u64);
-        until(|| site.host.with(|e| e.last_no()) == no).await;
+        until(|| site.host.with(|e| e.last_event_number()) == no).await;
         site.bulletin.cut();
         until(|| site.bulletin.links.borrow().len() == 2).await;
         let no = site.bulletin.purge(18, START_MS as u64);
-        until(|| site.host.with(|e| e.last_no()) == no).await;
+        until(|| site.host.with(|e| e.last_event_number()) == no).await;
         assert_eq!(*site.bulletin.links.borrow(), [1, no - 1]);
         assert_eq!(site.host.with(|e| e.counters.bulletin_events), 3);
     });
@@ -320,7 +320,7 @@
     run(async {
         let (site, at) = open("moves").await;
         let no = site.bulletin.purge(17, START_MS as u64);
-        until(|| site.host.with(|e| e.last_no()) == no).await;
+        until(|| site.host.with(|e| e.last_event_number()) == no).await;
         let path = folder("moves").join("config.json");
         let text = std::fs::read_to_string(&path).unwrap();
         std::fs::write(&path, "{").unwrap();
@@ -377,7 +377,7 @@
         site.all(holds());
         std::fs::write(&path, &text).unwrap();
         reload_config(&site.host, &site.config, &site.moves);
-        assert_eq!(site.host.with(|e| e.env().class("clip")), Some(0));
+        assert_eq!(site.host.with(|e| e.settings().class_index("clip")), Some(0));
         assert_eq!(ask(at, "GET", CLIP, &headers(5)).await.status, 200);
         assert_eq!(ask(at, "GET", &film, &headers(6)).await.status, 404);
     });
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -305,7 +305,7 @@
     let refused = |bench: &mut Bench, object| {
         let actions = bench.ask(0, object);
         match actions.as_slice() {
-            [Action::Reject { wait, .. }] => {
+            [Action::Reject { retry_after: wait, .. }] => {
                 assert!(*wait > 0 && *wait <= 500 * MS, "a wait hint within what clients honour");
                 true
             }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -87,7 +87,7 @@
                 8 => Event::Purged {
                     object: (dice.roll(2) == 0).then(|| dice.roll(50)),
                     group: dice.roll(4) as u32,
-                    ago: dice.roll(4_000) * MS,
+                    age: dice.roll(4_000) * MS,
                 },
                 9 => Event::ClientDisconnected { id: dice.roll(next + 2) },
                 10 => Event::Timer { token: dice.roll(50) },
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -238,7 +238,7 @@
 #[test]
 fn every_attempt_after_a_purge_bounds_the_age() {
     let mut bench = Bench::new(settings(), fleet());
-    bench.event(Event::Purged { object: Some(5), group: 5, ago: 100 * MS });
+    bench.event(Event::Purged { object: Some(5), group: 5, age: 100 * MS });
     for wait in [0, 200 * MS, S, 3 * S, 6 * S] {
         bench.now = 100 * S + wait;
         let mut actions = bench.ask(0, 5);
@@ -262,18 +262,18 @@
 #[test]
 fn a_group_purge_binds_all_its_objects_and_a_later_purge_counts() {
     let mut bench = Bench::new(settings(), fleet());
-    bench.event(Event::Purged { object: None, group: 5, ago: 2 * S });
+    bench.event(Event::Purged { object: None, group: 5, age: 2 * S });
     bench.now += S;
     let age = bench.path(5 + 32).max_age;
     assert!(age > 0 && age <= 3 * S);
-    bench.event(Event::Purged { object: Some(5 + 32), group: 5, ago: 50 * MS });
+    bench.event(Event::Purged { object: Some(5 + 32), group: 5, age: 50 * MS });
     assert!(bench.path(5 + 32).max_age <= 50 * MS);
     assert_eq!(bench.path(6).max_age, 0);
     // An older purge, told late, does not widen the bound; the first one's end does not end the second's.
-    bench.event(Event::Purged { object: Some(5 + 32), group: 5, ago: 4 * S });
+    bench.event(Event::Purged { object: Some(5 + 32), group: 5, age: 4 * S });
     assert!(bench.path(5 + 32).max_age <= 50 * MS);
     bench.now += 5 * S;
-    bench.event(Event::Purged { object: Some(1), group: 1, ago: 0 });
+    bench.event(Event::Purged { object: Some(1), group: 1, age: 0 });
     let age = bench.path(5 + 32).max_age;
     assert!(age > 0 && age <= 5 * S + 50 * MS);
 }
@@ -281,7 +281,7 @@
 #[test]
 fn a_purge_also_bounds_a_class_with_a_fresh_time() {
     let mut bench = Bench::new(settings(), fleet());
-    bench.event(Event::Purged { object: Some(5), group: 5, ago: 0 });
+    bench.event(Event::Purged { object: Some(5), group: 5, age: 0 });
     bench.now += 2 * S;
     let actions = bench.ask(1, 5);
     let first = sent(&actions)[0].clone();
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -400,7 +400,7 @@
             let waits = spawn_local(async move { ask(at, "GET", &link, "").await });
             while !waits.is_finished() {
                 // Time passes only while an attempt is out, in steps, so that its own time-out is met.
-                if f.site.host.with(|e| e.owed()) > 0 {
+                if f.site.host.with(|e| e.open_requests()) > 0 {
                     f.site.pass(10.0);
                 }
                 tokio::time::sleep(std::time::Duration::from_millis(1)).await;
@@ -414,8 +414,8 @@
         let word = |end| f.front.word(&Context::default(), end).status;
         assert_eq!(word(FinalResponse::Failed { overdue: false }), 502);
         assert_eq!(word(FinalResponse::Failed { overdue: true }), 504);
-        assert_eq!(word(FinalResponse::Rejected { wait_ms: 5.0, overdue: true }), 504);
-        assert_eq!(word(FinalResponse::Rejected { wait_ms: 1_200.0, overdue: false }), 503);
+        assert_eq!(word(FinalResponse::Rejected { retry_after_ms: 5.0, overdue: true }), 504);
+        assert_eq!(word(FinalResponse::Rejected { retry_after_ms: 1_200.0, overdue: false }), 503);
     });
 }
 
@@ -438,7 +438,7 @@
         assert!(f.site.asked(CACHES[0]) > 0 && f.site.asked(CACHES[1]) > 0);
         let at = f.site.endpoints[&CACHES[0]].address;
         let no = f.site.bulletin.state(CACHES[0], at, 0, 1);
-        until(|| f.site.host.with(|e| e.last_no()) >= no).await;
+        until(|| f.site.host.with(|e| e.last_event_number()) >= no).await;
         f.site.pass(250.0);
         let before = f.site.asked(CACHES[0]);
         for (k, link) in links.iter().enumerate() {
@@ -450,7 +450,7 @@
         // As a source it is as good as gone: here the parent drains.
         let at = f.site.endpoints[&PARENT].address;
         let no = f.site.bulletin.state(PARENT, at, 1, 1);
-        until(|| f.site.host.with(|e| e.last_no()) >= no).await;
+        until(|| f.site.host.with(|e| e.last_event_number()) >= no).await;
         f.site.pass(250.0);
         let seen = f.site.asked(CACHES[1]);
         for link in &links {
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -323,7 +323,7 @@
         let clock = Clock::manual(START_MS);
         let (engine, env) = engine(&config, &clock, 0).unwrap();
         let host = Executor::new(clock.clone(), engine, CacheDriver);
-        spawn_local(host.clone().keep_time());
+        spawn_local(host.clone().run_timers());
         let (moves, told) = watch::channel(config.bulletin().unwrap());
         spawn_local(discovery::run(host.clone(), told));
         let (stop, closing) = Default::default();
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -69,7 +69,7 @@
 }
 
 fn last(site: &Site) -> u64 {
-    site.host.with(|e| e.last_no())
+    site.host.with(|e| e.last_event_number())
 }
 
 /// Half a frame, then silence with the connection up: the link is given up and made anew from the last whole frame.
