--- /dev/null
+++ b/src/policy/attribution.rs
@@ -0,0 +1,146 @@
+//! Learning from the outcomes of attempts: a class's latency, a cache's capacity, the origin's share, and
+//! which endpoint of the path succeeded or failed.
+
+use super::outlier_detection::EJECTION_BAD_SHARE;
+use super::pending_request::{AttemptPath, EndedAttempt, FillScope};
+use super::Router;
+use crate::interface::*;
+
+/// Weight of an outcome, in outcomes.
+const FULL_WEIGHT: f64 = 1.0;
+/// Weight of a failure that names the endpoint by itself, such as a refused connection, in outcomes.
+const CONCLUSIVE_FAILURE: f64 = 2.0;
+/// Weight of a lost connection, in outcomes: one alone is tolerated, and where the process died, the next
+/// connect fails.
+const LOST_CONNECTION: f64 = 0.25;
+/// Weight of a late response, in outcomes: overload makes responses late as well.
+const LATE_RESPONSE: f64 = 0.5;
+/// Weight of a timely response for its source, in outcomes, where hits are not told from fills: most are
+/// hits.
+const UNCONFIRMED_FILL: f64 = 0.1;
+/// Suspicion of an endpoint without a bad outcome, beside the share of bad ones.
+const MIN_SUSPICION: f64 = 0.1;
+/// How many times as suspect as the other an outlier of a path is for it to be given all the blame.
+const SOLE_BLAME_RATIO: f64 = 2.5;
+
+impl Router {
+    /// Learns from an attempt that has ended.
+    pub(super) fn learn(&mut self, now: Micros, ended: &EndedAttempt) {
+        let Some(request) = self.requests.get(&ended.request) else { return };
+        let attempt = &request.attempts[ended.number];
+        let (class, path) = (request.class, attempt.path);
+        let may_fetch_from_origin = request.fill_scope == FillScope::Origin;
+        let transfer_time = self.settings.sending_time(request.size_kb);
+        let elapsed = ended.elapsed as f64;
+        let late = elapsed > self.latency_objective(request);
+        // A wait that an impatient client cut short says nothing of the endpoints.
+        if ended.outcome == AttemptOutcome::TimedOut && attempt.timeout_shortened && !late {
+            return;
+        }
+        if matches!(ended.outcome, AttemptOutcome::Served | AttemptOutcome::TimedOut) {
+            self.learn_capacity(now, path.to, late);
+            self.latency[class].add(ended.outcome, transfer_time, elapsed);
+        }
+        let cache_only = path.source == Some(path.to);
+        let served_from_cache = cache_only && ended.outcome == AttemptOutcome::Served;
+        let cache_status = if served_from_cache { CacheStatus::Hit } else { ended.cache_status };
+        if cache_status != CacheStatus::Hit && may_fetch_from_origin {
+            self.learn_origin_fetch(now, ended, path);
+        }
+        self.learn_congestion(now, class, ended.outcome, late, cache_only);
+        match ended.outcome {
+            AttemptOutcome::Served => self.attribute_response(now, path, cache_status, late),
+            outcome => self.attribute_failure(now, path, outcome, cache_status),
+        }
+    }
+
+    /// Attributes a response to the endpoints of its path.
+    fn attribute_response(&mut self, now: Micros, path: AttemptPath, cache_status: CacheStatus, late: bool) {
+        match cache_status {
+            CacheStatus::FillLimitReached => {}
+            CacheStatus::Hit if late => self.add_failure(now, path.to, LATE_RESPONSE),
+            CacheStatus::Hit => self.add_success(now, path.to, FULL_WEIGHT),
+            _ if !late => {
+                self.add_success(now, path.to, FULL_WEIGHT);
+                let fills_are_told = self.settings.reports_cache_status;
+                let weight = if fills_are_told { FULL_WEIGHT } else { UNCONFIRMED_FILL };
+                if let Some(source) = path.fill_source() {
+                    self.add_success(now, source, weight);
+                }
+            }
+            // It may be a hit over a loaded link, so its source is not blamed.
+            CacheStatus::Unknown => self.add_failure(now, path.to, LATE_RESPONSE),
+            _ => self.split_blame(now, path, LATE_RESPONSE),
+        }
+    }
+
+    /// Attributes an attempt that was not served.
+    fn attribute_failure(
+        &mut self,
+        now: Micros,
+        path: AttemptPath,
+        outcome: AttemptOutcome,
+        cache_status: CacheStatus,
+    ) {
+        let says_nothing = matches!(
+            outcome,
+            AttemptOutcome::Cancelled
+                | AttemptOutcome::NotSent
+                | AttemptOutcome::CacheMiss
+                | AttemptOutcome::Malformed
+        );
+        if says_nothing {
+            return;
+        }
+        match (outcome, cache_status) {
+            (_, CacheStatus::FillLimitReached | CacheStatus::OriginFailed) => {}
+            (AttemptOutcome::NoConnection, CacheStatus::Unknown) => {
+                self.add_failure(now, path.to, CONCLUSIVE_FAILURE);
+            }
+            (AttemptOutcome::ConnectionLost, CacheStatus::Unknown) => {
+                self.add_failure(now, path.to, LOST_CONNECTION);
+            }
+            (_, CacheStatus::SourceFailed) => {
+                let only = AttemptPath { to: path.fill_source().unwrap_or(path.to), source: None };
+                self.split_blame(now, only, CONCLUSIVE_FAILURE);
+            }
+            _ => self.split_blame(now, path, FULL_WEIGHT),
+        }
+    }
+
+    fn add_success(&mut self, now: Micros, id: EndpointId, weight: f64) {
+        if let Some(endpoint) = self.endpoints.get_mut(&id) {
+            endpoint.health.add_success(now, weight);
+        }
+    }
+
+    fn add_failure(&mut self, now: Micros, id: EndpointId, weight: f64) {
+        if let Some(endpoint) = self.endpoints.get_mut(&id) {
+            endpoint.health.add_failure(now, weight);
+        }
+    }
+
+    /// Splits the blame for a failure that names no endpoint by what both have shown on other paths: a cache
+    /// that fails with every source is at fault itself, and so is a source that fails through every cache.
+    fn split_blame(&mut self, now: Micros, path: AttemptPath, weight: f64) {
+        let source = path.fill_source();
+        let of_cache = self.suspicion(now, path.to);
+        let of_source = source.map_or(0.0, |source| self.suspicion(now, source));
+        let ratio = of_cache / of_source;
+        let cache_part = if ratio >= SOLE_BLAME_RATIO && of_cache >= EJECTION_BAD_SHARE {
+            1.0
+        } else if ratio <= 1.0 / SOLE_BLAME_RATIO && of_source >= EJECTION_BAD_SHARE {
+            0.0
+        } else {
+            of_cache / (of_cache + of_source)
+        };
+        self.add_failure(now, path.to, weight * cache_part);
+        if let Some(source) = source {
+            self.add_failure(now, source, weight * (1.0 - cache_part));
+        }
+    }
+
+    fn suspicion(&self, now: Micros, id: EndpointId) -> f64 {
+        self.endpoints.get(&id).map_or(0.0, |endpoint| MIN_SUSPICION + endpoint.health.bad_share(now))
+    }
+}
--- /dev/null
+++ b/src/policy/endpoints.rs
@@ -0,0 +1,93 @@
+//! The endpoints that may get attempts, as listed and as this router has observed them.
+
+use super::outlier_detection::Health;
+use super::{Actions, Router};
+use crate::interface::*;
+use crate::stats::LeakyBucket;
+use std::collections::BTreeSet;
+
+/// Capacity of a cache, in concurrent transfers, where the list of endpoints does not tell it: a small
+/// machine's.
+const DEFAULT_CAPACITY: f64 = 4.0;
+
+/// An endpoint as listed, with what this router has observed since that process started.
+pub(super) struct KnownEndpoint {
+    pub(super) listed: Endpoint,
+    pub(super) health: Health,
+    /// Concurrent transfers that it is estimated to bear.
+    pub(super) capacity: f64,
+    /// When that estimate was last reduced.
+    pub(super) capacity_reduced_at: Micros,
+    /// This router's attempts to it that are in flight.
+    pub(super) in_flight: u32,
+    /// Transfer time assigned to it during slow start, in microseconds; drains at the rate of its budget.
+    pub(super) warm_up_load: LeakyBucket,
+}
+
+impl KnownEndpoint {
+    /// Whether it may get new attempts, as far as the list and health checks tell.
+    pub(super) fn is_usable(&self) -> bool {
+        self.listed.state == EndpointState::Active && !self.health.down
+    }
+
+    /// Whether it is listed as an active cache of this router's location.
+    pub(super) fn is_active_cache(&self) -> bool {
+        self.listed.tier == Tier::Cache && self.listed.state == EndpointState::Active
+    }
+}
+
+impl Router {
+    /// Applies a list of endpoints, or changes of it.
+    pub(super) fn on_endpoints_changed(
+        &mut self,
+        now: Micros,
+        full: bool,
+        entries: &[Endpoint],
+        actions: &mut Actions,
+    ) {
+        if full {
+            let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
+            self.endpoints.retain(|id, _| listed.contains(id));
+        }
+        for entry in entries {
+            self.apply_entry(now, entry);
+        }
+        if self.settings.watch_endpoints && !self.watching {
+            self.watching = true;
+            actions.push(Action::Watch);
+        }
+    }
+
+    /// Applies one entry. Endpoints that never get attempts are dropped, so that the cost of a decision
+    /// depends on the location's size and not on the fleet's.
+    fn apply_entry(&mut self, now: Micros, entry: &Endpoint) {
+        if entry.state == EndpointState::Removed || entry.tier == Tier::RemoteCache {
+            self.endpoints.remove(&entry.id);
+            return;
+        }
+        let weight_known = self.settings.weights_known && entry.weight.is_finite() && entry.weight > 0.0;
+        let weight = if weight_known { entry.weight } else { DEFAULT_CAPACITY };
+        let listed = Endpoint { weight, ..entry.clone() };
+        if entry.tier == Tier::Parent {
+            self.parents.insert(entry.id, listed.weight);
+        }
+        let same_process = |known: &&mut KnownEndpoint| known.listed.started_at == entry.started_at;
+        match self.endpoints.get_mut(&entry.id).filter(same_process) {
+            Some(known) => known.listed = listed,
+            // Observations of another process say nothing of this one.
+            None => self.add_endpoint(now, listed),
+        }
+    }
+
+    fn add_endpoint(&mut self, now: Micros, listed: Endpoint) {
+        let endpoint = KnownEndpoint {
+            health: Health::default(),
+            capacity: listed.weight,
+            capacity_reduced_at: 0,
+            in_flight: self.endpoints.get(&listed.id).map_or(0, |known| known.in_flight),
+            warm_up_load: LeakyBucket::new(now, self.initial_warm_up_load()),
+            listed,
+        };
+        self.endpoints.insert(endpoint.listed.id, endpoint);
+    }
+}
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -1,40 +1,77 @@
-//! Purges in force, and the oldest copy that an attempt may be served from.
+//! Purges in force, and the oldest copy from which an attempt may be served.
 
 use super::{PendingRequest, Router};
 use crate::interface::*;
+use std::collections::HashMap;
 
-/// Taken off the age bound after a purge, us: the host's clock is coarse.
-const PURGE_MARGIN: Micros = 10_000;
-/// Kept beyond the stated end of a purge, us, for the same reason.
-const PURGE_EXTRA: Micros = 500_000;
-/// How long a purge is remembered beyond it, us, for caches that hang then and drop their old copies later.
-const PURGE_KEPT: Micros = 60_000_000;
+/// Subtracted from an age limit after a purge, in microseconds, as the host's clock is coarse.
+const PURGE_CLOCK_MARGIN: Micros = 10_000;
+/// Added to the time in which a purge completes, in microseconds, for the same reason.
+const PURGE_COMPLETION_MARGIN: Micros = 500_000;
+/// How long a purge is remembered after its completion, in microseconds: a cache that was paused drops its
+/// old copies later.
+const PURGE_RETENTION: Micros = 60_000_000;
+
+/// What a purge removes.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+enum PurgeTarget {
+    Object(ObjectId),
+    Group(u32),
+}
+
+/// When each target was last purged.
+#[derive(Default)]
+pub(super) struct Purges(HashMap<PurgeTarget, Micros>);
+
+impl Purges {
+    /// When a request's object or group was last purged.
+    fn last_of(&self, request: &PendingRequest) -> Option<Micros> {
+        let targets = [PurgeTarget::Object(request.object), PurgeTarget::Group(request.group)];
+        targets.iter().filter_map(|target| self.0.get(target)).max().copied()
+    }
+}
 
 impl Router {
-    pub(super) fn on_purged(&mut self, now: Micros, object: Option<ObjectId>, group: u32, ago: Micros) {
-        self.purges.retain(|_, at| now < *at + self.set.purge_completion + PURGE_KEPT);
-        let (at, key) = (now.saturating_sub(ago), (object, if object.is_some() { 0 } else { group }));
-        let last = self.purges.entry(key).or_insert(at);
-        *last = at.max(*last);
+    /// Records a purge of an object, or of a group where `object` is none, which was issued `age` ago.
+    pub(super) fn on_purged(&mut self, now: Micros, object: Option<ObjectId>, group: u32, age: Micros) {
+        let completion = self.settings.purge_completion;
+        self.purges.0.retain(|_, purged_at| now < *purged_at + completion + PURGE_RETENTION);
+        let target = object.map_or(PurgeTarget::Group(group), PurgeTarget::Object);
+        let purged_at = now.saturating_sub(age);
+        let last = self.purges.0.entry(target).or_insert(purged_at);
+        *last = purged_at.max(*last);
+    }
+
+    /// The greatest age of a copy from which an attempt to `to` may be served; 0 for the class's fresh
+    /// lifetime. A purge limits it for every attempt until `to` has responded after the purge's completion.
+    pub(super) fn max_age(
+        &self,
+        now: Micros,
+        request: &PendingRequest,
+        accept_stale: bool,
+        to: EndpointId,
+    ) -> Micros {
+        let of_class = self.max_age_of_class(request.class, accept_stale);
+        let Some(purged_at) = self.purges.last_of(request) else { return of_class };
+        let responded_at = self.endpoints.get(&to).map_or(0, |endpoint| endpoint.health.responded_at);
+        if responded_at >= purged_at + self.settings.purge_completion + PURGE_COMPLETION_MARGIN {
+            return of_class;
+        }
+        let since_purge = now.saturating_sub(purged_at + PURGE_CLOCK_MARGIN).max(1);
+        if of_class == 0 {
+            since_purge
+        } else {
+            since_purge.min(of_class)
+        }
     }
 
-    /// Guards the rule on purges: the oldest copy that will do, on every attempt; 0 for the class's own.
-    /// `stale` also takes copies past their fresh time.
-    pub(super) fn age_bound(&self, now: Micros, req: &PendingRequest, stale: bool, to: EndpointId) -> Micros {
-        let class = &self.set.classes[req.class];
-        let own = match class.fresh_lifetime {
+    /// The greatest age that a class allows; 0 for any.
+    fn max_age_of_class(&self, class: usize, accept_stale: bool) -> Micros {
+        let class = &self.settings.classes[class];
+        match class.fresh_lifetime {
             0 => 0,
-            fresh => fresh + if stale { class.stale_while_revalidate } else { 0 },
-        };
-        let keys = [(Some(req.object), 0), (None, req.group)];
-        let purged = keys.iter().filter_map(|k| self.purges.get(k)).max().copied();
-        let heard = self.endpoints.get(&to).map_or(0, |m| m.health.heard);
-        match purged.filter(|at| heard < at + self.set.purge_completion + PURGE_EXTRA) {
-            Some(at) => {
-                let age = now.saturating_sub(at + PURGE_MARGIN).max(1);
-                age.min(if own == 0 { age } else { own })
-            }
-            None => own,
+            fresh if accept_stale => fresh + class.stale_while_revalidate,
+            fresh => fresh,
         }
     }
 }
--- /dev/null
+++ b/src/policy/health_checks.rs
@@ -0,0 +1,76 @@
+//! Active health checks of endpoints whose attempts fail: whether their process still responds.
+
+use super::{Actions, Router};
+use crate::interface::*;
+use crate::stats::LeakyBucket;
+
+/// Failures in a row from which on a cache is checked, and unanswered checks in a row after which it is down.
+const MIN_FAILURES: u32 = 2;
+/// Least time between checks of an endpoint that responds, in microseconds: a check has a price.
+const MIN_CHECK_GAP: Micros = 3_000_000;
+/// Time from an unanswered check to the next, in microseconds.
+const RECHECK_DELAY: Micros = 300_000;
+/// The same once the endpoint is down.
+const RECHECK_DELAY_DOWN: Micros = 1_000_000;
+/// Marks the timer tokens of health checks; the endpoint's id stands in the bits below.
+const TIMER_TOKEN: u64 = 1 << 32;
+
+impl Router {
+    /// Counts a failed attempt against an endpoint and has its process checked. One router alone sees too few
+    /// failures to tell a dead process from a loaded one. `conclusive` marks a failure that names the
+    /// endpoint by itself.
+    pub(super) fn suspect(&mut self, now: Micros, id: EndpointId, conclusive: bool, actions: &mut Actions) {
+        let can_check = self.settings.can_check_health;
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        if endpoint.listed.tier == Tier::Origin {
+            return;
+        }
+        let health = &mut endpoint.health;
+        health.consecutive_failures += 1;
+        let is_parent = endpoint.listed.tier == Tier::Parent;
+        let doubtful = conclusive || is_parent || health.consecutive_failures >= MIN_FAILURES;
+        let due = health.unanswered_checks == 0 && now >= health.checked_at + MIN_CHECK_GAP;
+        if can_check && doubtful && due && endpoint.listed.state == EndpointState::Active {
+            health.checked_at = now;
+            actions.push(Action::CheckHealth { endpoint: id });
+        }
+    }
+
+    /// A health check's timer is due: repeats a check that was not answered.
+    pub(super) fn on_recheck_due(&self, token: u64, actions: &mut Actions) {
+        let id = (token & u64::from(EndpointId::MAX)) as EndpointId;
+        let Some(endpoint) = self.endpoints.get(&id) else { return };
+        if endpoint.health.unanswered_checks > 0 && endpoint.listed.state == EndpointState::Active {
+            actions.push(Action::CheckHealth { endpoint: id });
+        }
+    }
+
+    /// Applies the result of a health check.
+    pub(super) fn on_health_checked(
+        &mut self,
+        now: Micros,
+        id: EndpointId,
+        outcome: AttemptOutcome,
+        actions: &mut Actions,
+    ) {
+        // Drawn for every result, so that the sequence of draws does not depend on it.
+        let warm_up_load = self.initial_warm_up_load();
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        let health = &mut endpoint.health;
+        let unreachable = matches!(outcome, AttemptOutcome::NoConnection | AttemptOutcome::ConnectionLost);
+        if unreachable || outcome == AttemptOutcome::TimedOut {
+            health.unanswered_checks += 1;
+            health.down |= unreachable || health.unanswered_checks >= MIN_FAILURES;
+            let delay = if health.down { RECHECK_DELAY_DOWN } else { RECHECK_DELAY };
+            actions.push(Action::SetTimer { token: TIMER_TOKEN | u64::from(id), at: now + delay });
+            return;
+        }
+        health.unanswered_checks = 0;
+        if std::mem::replace(&mut health.down, false) {
+            // Most likely a new process with an empty cache, before the list tells of it.
+            health.restarted_at = now;
+            health.forget_outcomes();
+            endpoint.warm_up_load = LeakyBucket::new(now, warm_up_load);
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/load_shedding.rs
@@ -0,0 +1,153 @@
+//! Load shedding: which requests are admitted, how far their misses may be filled, and the share of objects
+//! that may be fetched from the origin.
+
+use super::latency::HIT_OVERHEAD;
+use super::outlier_detection::EVIDENCE_HALF_LIFE;
+use super::pending_request::{AttemptPath, EndedAttempt, FillScope, PendingRequest};
+use super::placement::OBJECT_COUNT_SPAN;
+use super::Router;
+use crate::interface::*;
+use crate::stats::{unit, Pressure};
+
+/// How outcomes of fills move the share of objects that may be fetched from the origin. Links and parents
+/// make fills late as well, so a timely one counts for little and a late one for much.
+const FILL_PRESSURE: Pressure = Pressure { up: 0.1, down: 6.0, max_gap: 1.0 };
+/// How outcomes of writes move it. They are rare but always run at the origin.
+const WRITE_PRESSURE: Pressure = Pressure { up: 1.0, down: 2.0, max_gap: 3.0 };
+/// Index of fills among the kinds of outcomes that move the share.
+const FILL_OUTCOMES: usize = 0;
+/// Index of writes among these kinds.
+const WRITE_OUTCOMES: usize = 1;
+/// Least share of objects that may be fetched, so that a recovered origin is noticed.
+const MIN_ORIGIN_FETCH_SHARE: f64 = 0.03;
+/// Part of its latency objective past which a write shows a queue at the origin.
+const SLOW_WRITE_OF_OBJECTIVE: f64 = 0.6;
+/// Timely responses assumed beforehand in a class's share of late ones.
+const CONGESTION_PRIOR: f64 = 3.0;
+/// Share of late responses above which a class is congested.
+pub(super) const CONGESTION_THRESHOLD: f64 = 0.1;
+/// Load of a cache above which a request of mean value for its transfer time is rejected.
+const SHED_LOAD: f64 = 3.0;
+/// Least factor on that load, for requests of low value for their transfer time.
+const MIN_VALUE_FACTOR: f64 = 0.6;
+/// The same under congestion, where large transfers of low value are rejected first.
+const MIN_VALUE_FACTOR_CONGESTED: f64 = 0.15;
+/// Greatest factor on that load, for requests of high value for their transfer time.
+const MAX_VALUE_FACTOR: f64 = 1.5;
+/// Part of the admitted load that a class loses for each unit of its share of late responses.
+const LATE_REDUCTION: f64 = 3.0;
+/// Least part of the admitted load that remains.
+const MIN_ADMITTED_PART: f64 = 0.3;
+
+impl Router {
+    /// Share of late responses of a class at this router.
+    pub(super) fn congestion(&self, now: Micros, class: usize) -> f64 {
+        self.latency[class].timeliness.bad_share(now, EVIDENCE_HALF_LIFE, CONGESTION_PRIOR)
+    }
+
+    /// Whether a class's responses are late more often than is tolerated.
+    pub(super) fn is_congested(&self, now: Micros, class: usize) -> bool {
+        self.congestion(now, class) > CONGESTION_THRESHOLD
+    }
+
+    /// Counts a response towards its class's congestion. A hit forced by the fill scope says nothing of the
+    /// sources.
+    pub(super) fn learn_congestion(
+        &mut self,
+        now: Micros,
+        class: usize,
+        outcome: AttemptOutcome,
+        late: bool,
+        cache_only: bool,
+    ) {
+        let timeliness = &mut self.latency[class].timeliness;
+        match outcome {
+            AttemptOutcome::Served if cache_only => {}
+            AttemptOutcome::Served if !late => timeliness.good.add(now, EVIDENCE_HALF_LIFE, 1.0),
+            AttemptOutcome::Served | AttemptOutcome::TimedOut => {
+                timeliness.bad.add(now, EVIDENCE_HALF_LIFE, 1.0);
+            }
+            _ => {}
+        }
+    }
+
+    /// How far a new request's miss may be filled; none where the request is rejected. Requests of least
+    /// value for their transfer time are rejected first. Under congestion that no cache's load shows, only
+    /// fills are shed: hits cost links and sources nothing.
+    pub(super) fn admit(&self, now: Micros, request: &PendingRequest) -> Option<FillScope> {
+        if self.settings.classes[request.class].uncacheable {
+            return Some(FillScope::Origin);
+        }
+        let Some(cache) = self.choose_cache(now, request, 0.0) else { return Some(FillScope::Origin) };
+        let limit = self.admitted_load(now, request);
+        let load = self.load(now, cache);
+        if load > limit {
+            return None;
+        }
+        let late = self.congestion(now, request.class);
+        if load > limit * (1.0 - LATE_REDUCTION * late).max(MIN_ADMITTED_PART) {
+            return Some(FillScope::CacheOnly);
+        }
+        // All routers leave out the same objects for a span, so that the others are filled once and then
+        // cached.
+        let left_out = self.origin_fetch_share.value() < unit(request.object, now / OBJECT_COUNT_SPAN);
+        Some(if left_out { FillScope::ParentOnly } else { FillScope::Origin })
+    }
+
+    /// The load of its cache up to which a request is admitted, by its value for its transfer time over the
+    /// mean.
+    fn admitted_load(&self, now: Micros, request: &PendingRequest) -> f64 {
+        let cacheable = || {
+            let classes = self.settings.classes.iter().zip(&self.latency);
+            classes.filter(|(class, _)| !class.uncacheable)
+        };
+        let values = cacheable().map(|(class, latency)| class.priority_weight / latency.transfer_time);
+        let mean_value = values.sum::<f64>() / cacheable().count() as f64;
+        let transfer_time = if request.size_kb > 0.0 {
+            self.settings.sending_time(request.size_kb).max(HIT_OVERHEAD)
+        } else {
+            self.latency[request.class].transfer_time
+        };
+        let congested = self.is_congested(now, request.class);
+        let min_factor = if congested { MIN_VALUE_FACTOR_CONGESTED } else { MIN_VALUE_FACTOR };
+        let class = &self.settings.classes[request.class];
+        let value = class.priority_weight / transfer_time / mean_value;
+        SHED_LOAD * value.clamp(min_factor, MAX_VALUE_FACTOR)
+    }
+
+    /// Moves the share of objects that may be fetched from the origin by an outcome that was no hit.
+    pub(super) fn learn_origin_fetch(&mut self, now: Micros, ended: &EndedAttempt, path: AttemptPath) {
+        let Some(request) = self.requests.get(&ended.request) else { return };
+        let write = self.settings.classes[request.class].uncacheable;
+        let latency_objective = self.latency_objective(request);
+        let limit = if write { SLOW_WRITE_OF_OBJECTIVE * latency_objective } else { latency_objective };
+        let good = ended.outcome == AttemptOutcome::Served && ended.elapsed as f64 <= limit;
+        // An endpoint that does worse than its best peer shows its own fault and not one of the origin.
+        let says_something =
+            self.concerns_origin(ended.outcome, path) && (good || !self.has_outlier(now, path));
+        let good = says_something.then_some(good);
+        if write {
+            self.origin_fetch_share.add(now, WRITE_OUTCOMES, &WRITE_PRESSURE, MIN_ORIGIN_FETCH_SHARE, good);
+        } else if path.fill_source().is_some() {
+            self.origin_fetch_share.add(now, FILL_OUTCOMES, &FILL_PRESSURE, MIN_ORIGIN_FETCH_SHARE, good);
+        }
+    }
+
+    /// Whether an outcome may say something of the origin.
+    fn concerns_origin(&self, outcome: AttemptOutcome, path: AttemptPath) -> bool {
+        let is_origin = |id: Option<EndpointId>| id.is_some() && id == self.origin();
+        match outcome {
+            AttemptOutcome::Served | AttemptOutcome::TimedOut => true,
+            AttemptOutcome::Rejected | AttemptOutcome::Error => {
+                is_origin(Some(path.to)) || is_origin(path.fill_source())
+            }
+            AttemptOutcome::NoConnection => is_origin(Some(path.to)),
+            _ => false,
+        }
+    }
+
+    /// Whether an endpoint of a path is an outlier among its peers.
+    fn has_outlier(&self, now: Micros, path: AttemptPath) -> bool {
+        [Some(path.to), path.fill_source()].into_iter().flatten().any(|id| self.is_outlier(now, id))
+    }
+}
--- /dev/null
+++ b/src/policy/outlier_detection.rs
@@ -0,0 +1,143 @@
+//! Outlier detection: evidence on each endpoint that fades with time, and the share of new attempts that it
+//! leaves.
+
+use super::endpoints::KnownEndpoint;
+use super::Router;
+use crate::interface::*;
+use crate::stats::{DecayingShare, DecayingSum};
+
+/// Half-life of evidence on classes and on busy endpoints, in microseconds.
+pub(super) const EVIDENCE_HALF_LIFE: f64 = 1_000_000.0;
+/// Outcomes that fall within an endpoint's half-life: where attempts are rare, evidence has to last longer.
+const OUTCOMES_PER_HALF_LIFE: f64 = 10.0;
+/// Longest half-life of evidence, in microseconds.
+pub(super) const MAX_HALF_LIFE: f64 = 10_000_000.0;
+/// Outcomes from which on an endpoint is compared with its peers.
+const MIN_OUTCOMES_OF_PEER: f64 = 0.5;
+/// Good outcomes assumed beforehand in an endpoint's share of bad ones.
+const HEALTH_PRIOR: f64 = 1.5;
+/// Share of bad outcomes above the best peer's up to which an endpoint is healthy.
+const TOLERATED_BAD_SHARE: f64 = 0.15;
+/// Share of bad outcomes above the best peer's at which an endpoint is ejected.
+pub(super) const EJECTION_BAD_SHARE: f64 = 0.5;
+/// Most bad evidence held, in outcomes.
+const MAX_BAD_OUTCOMES: f64 = 10.0;
+/// Longest time in which bad evidence fades to the prior, in microseconds: bounds an ejection after recovery.
+const MAX_EJECTION: f64 = 5_000_000.0;
+/// Most good evidence held, in outcomes: a long good past must not hide a sudden failure.
+const MAX_GOOD_OUTCOMES: f64 = 15.0;
+/// Part of the good evidence that a full failure leaves.
+const GOOD_LEFT_BY_FAILURE: f64 = 0.8;
+
+/// Observations of an endpoint.
+#[derive(Default)]
+pub(super) struct Health {
+    outcomes: DecayingShare,
+    /// Outcomes of this router over [`MAX_HALF_LIFE`], which set the half-life of the evidence.
+    volume: DecayingSum,
+    /// Failures in a row of attempts with this endpoint on their path.
+    pub(super) consecutive_failures: u32,
+    /// Health checks in a row without a response.
+    pub(super) unanswered_checks: u32,
+    /// When it was last checked after a failure.
+    pub(super) checked_at: Micros,
+    /// Its process does not respond: it gets no attempt until a health check is answered.
+    pub(super) down: bool,
+    /// When it responded again after it was down, as the start of a new process; 0 for never.
+    pub(super) restarted_at: Micros,
+    /// When it last responded to this router.
+    pub(super) responded_at: Micros,
+}
+
+impl Health {
+    /// Half-life of the evidence in microseconds: the longer, the fewer attempts this router sends.
+    fn half_life(&self, now: Micros) -> f64 {
+        let outcomes_per_us = self.volume.rate(now, MAX_HALF_LIFE);
+        (OUTCOMES_PER_HALF_LIFE / outcomes_per_us).clamp(EVIDENCE_HALF_LIFE, MAX_HALF_LIFE)
+    }
+
+    /// Share of bad outcomes.
+    pub(super) fn bad_share(&self, now: Micros) -> f64 {
+        self.outcomes.bad_share(now, self.half_life(now), HEALTH_PRIOR)
+    }
+
+    /// Adds a good outcome of this weight.
+    pub(super) fn add_success(&mut self, now: Micros, weight: f64) {
+        let half_life = self.half_life(now);
+        self.volume.add(now, MAX_HALF_LIFE, weight.min(1.0));
+        self.outcomes.good.add_up_to(now, half_life, weight, MAX_GOOD_OUTCOMES);
+    }
+
+    /// Adds a bad outcome of this weight, which also reduces the good evidence.
+    pub(super) fn add_failure(&mut self, now: Micros, weight: f64) {
+        let half_life = self.half_life(now);
+        self.volume.add(now, MAX_HALF_LIFE, weight.min(1.0));
+        let max_bad = MAX_BAD_OUTCOMES.min(HEALTH_PRIOR * (MAX_EJECTION / half_life).exp2());
+        self.outcomes.bad.add_up_to(now, half_life, weight, max_bad);
+        self.outcomes.good.scale(now, half_life, GOOD_LEFT_BY_FAILURE.powf(weight.min(1.0)));
+    }
+
+    /// Drops the evidence on a process that has ended.
+    pub(super) fn forget_outcomes(&mut self) {
+        self.outcomes = DecayingShare::default();
+    }
+
+    fn has_evidence(&self, now: Micros) -> bool {
+        self.volume.value(now, MAX_HALF_LIFE) >= MIN_OUTCOMES_OF_PEER
+    }
+}
+
+/// An endpoint that may get new attempts, with its share of them.
+pub(super) struct Candidate<'a> {
+    pub(super) id: EndpointId,
+    pub(super) endpoint: &'a KnownEndpoint,
+    /// In 0 to 1; an ejected endpoint has 0.
+    pub(super) share: f64,
+}
+
+impl Router {
+    /// The least share of bad outcomes among a tier's endpoints; 0 where there is no evidence. The origin is
+    /// a peer of parents, as both are sources of fills.
+    fn best_bad_share(&self, now: Micros, tier: Tier) -> f64 {
+        let is_peer = |endpoint: &KnownEndpoint| {
+            let other = endpoint.listed.tier;
+            other == tier || (tier == Tier::Parent && other == Tier::Origin)
+        };
+        let peers = self.endpoints.values().filter(|endpoint| endpoint.is_usable() && is_peer(endpoint));
+        let known = peers.filter(|endpoint| endpoint.health.has_evidence(now));
+        let shares = known.map(|endpoint| endpoint.health.bad_share(now));
+        shares.min_by(f64::total_cmp).unwrap_or(0.0)
+    }
+
+    /// Whether an endpoint fails more than is tolerated beside its best peer.
+    pub(super) fn is_outlier(&self, now: Micros, id: EndpointId) -> bool {
+        let Some(endpoint) = self.endpoints.get(&id) else { return false };
+        let best = self.best_bad_share(now, endpoint.listed.tier);
+        endpoint.health.bad_share(now) > best + TOLERATED_BAD_SHARE
+    }
+
+    /// The endpoints of a tier that may get new attempts; their share is the lesser of slow start and health.
+    /// Health counts only what an endpoint does worse than its best peer: failures that all have in common
+    /// come from the origin, a link or overload, and must not eject the whole tier.
+    pub(super) fn candidates(&self, now: Micros, tier: Tier) -> Vec<Candidate<'_>> {
+        let best = self.best_bad_share(now, tier);
+        let health = |endpoint: &KnownEndpoint| {
+            let excess = endpoint.health.bad_share(now) - best - TOLERATED_BAD_SHARE;
+            1.0 - excess / (EJECTION_BAD_SHARE - TOLERATED_BAD_SHARE)
+        };
+        let of_tier = self.endpoints.iter().filter(|(_, endpoint)| endpoint.listed.tier == tier);
+        let usable = of_tier.filter(|(_, endpoint)| endpoint.is_usable());
+        let candidates = usable.map(|(id, endpoint)| {
+            let share = self.warm_fraction(now, endpoint).min(health(endpoint)).max(0.0);
+            Candidate { id: *id, endpoint, share }
+        });
+        candidates.collect()
+    }
+
+    /// How many caches of the location are listed as active and get no new attempts.
+    pub fn ejected_caches(&self, now: Micros) -> usize {
+        let active = self.endpoints.values().filter(|endpoint| endpoint.is_active_cache()).count();
+        let candidates = self.candidates(now, Tier::Cache);
+        active - candidates.iter().filter(|candidate| candidate.share > 0.0).count()
+    }
+}
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,119 +1,184 @@
-//! Which cache a request goes to, which source fills a miss, and which path further attempts take.
+//! Placement: which cache a request goes to, which source fills its misses, and which path its retries take.
 //!
-//! The ordinary path is that of Canali et al. (SAINT 2005, section 2.2 and 2.3): a hash of the object's name
-//! over all parents gives its home parent, from which every location's caches fill; a hash of the object
-//! picks the location's cache.
+//! The ordinary path is that of Canali et al. (SAINT 2005, sections 2.2 and 2.3): rendezvous hashing of the
+//! object over all parents gives its home parent, from which every location's caches fill; rendezvous hashing
+//! over the location's caches gives its cache.
 
-use super::{KnownEndpoint, Path, PendingRequest, Reach, Router};
+use super::outlier_detection::Candidate;
+use super::pending_request::{AttemptPath, FillScope, PendingRequest};
+use super::Router;
 use crate::interface::*;
 use crate::stats::{mix, rendezvous_first, rendezvous_order, unit};
 
-/// Attempts at one cache that may break or be spoilt before the request goes elsewhere.
-const MAX_SAME_CACHE: usize = 2;
-/// Transfers at once, in multiples of what fits on a cache's link, up to which an object stays at its cache:
-/// well above what aims allow, since a spilled object is a miss, and misses congest the location's link.
-const LOAD_SPILL: f64 = 4.0;
-/// Requests for an object in the counts from which on it uses two caches ...
-const WIDEN_TWO: f32 = 2.0;
-/// ... and three.
-const WIDEN_THREE: f32 = 4.0;
-/// Span of a generation of the counts of objects, us: parts of an object follow each other within seconds.
-pub(super) const COUNT_SPAN: Micros = 10_000_000;
-/// The most objects in a generation: bounds memory.
-pub(super) const MAX_COUNTED: usize = 50_000;
+/// Load of a cache from which on its objects spill over to other caches. A spilled object is a miss.
+const SPILL_OVER_LOAD: f64 = 4.0;
+/// Counted requests of an object from which on it is spread over two caches.
+const REQUESTS_FOR_TWO_CACHES: f32 = 2.0;
+/// Counted requests of an object from which on it is spread over three caches.
+const REQUESTS_FOR_THREE_CACHES: f32 = 4.0;
+/// Span of a generation of the counts of objects, in microseconds.
+pub(super) const OBJECT_COUNT_SPAN: Micros = 10_000_000;
+/// Most objects in a generation of the counts.
+pub(super) const MAX_COUNTED_OBJECTS: usize = 50_000;
+/// Conclusive attempts by way of caches, after which an attempt bypasses them.
+const ATTEMPTS_BY_CACHES: usize = 3;
+/// Conclusive attempts after which sources that were already used are avoided.
+const ATTEMPTS_BY_SAME_SOURCE: usize = 2;
+/// One in so many attempts of a write is sent by way of a parent.
+const WRITE_ATTEMPTS_PER_PARENT: usize = 3;
 
-impl PendingRequest {
-    /// Attempts that tell where the next should go: a connection that ended says nothing of the path.
-    fn tried(&self) -> usize {
-        self.attempts.iter().filter(|a| !a.lost).count()
-    }
-    /// Whether a cache may still be asked: guards its copies against a request that leaves it for a reset.
-    fn open_to(&self, id: EndpointId) -> bool {
-        let there = || self.attempts.iter().filter(|a| a.to == id);
-        there().all(|a| a.lost) && there().count() < MAX_SAME_CACHE
+/// A cache in an object's hash order.
+struct RankedCache {
+    id: EndpointId,
+    /// The share of objects that it may get.
+    share: f64,
+}
+
+impl RankedCache {
+    /// Whether its share of objects includes this one.
+    fn accepts(&self, object: ObjectId) -> bool {
+        self.share > unit(!object, u64::from(self.id))
     }
 }
 
 impl Router {
-    /// The location's cache for an object: the first in hash order whose share exceeds the object's hash,
-    /// widened to two or three for objects often asked.
-    pub(super) fn pick_cache(&self, now: Micros, req: &PendingRequest, work: f64) -> Option<EndpointId> {
-        let open = self.shares(now, Tier::Cache).into_iter().filter(|(id, ..)| req.open_to(*id));
-        let able = open.filter(|(id, ..)| self.budget_allows(now, *id, work));
-        let order = rendezvous_order(req.object, able.map(|(id, m, share)| (id, m.line.weight, share)));
-        // Every router of the location is taken to see as much of an object, so that they agree on its width.
-        let often = self.counts.get(req.object) * self.set.local_fleet_size.max(1) as f32;
-        let willing = order
-            .iter()
-            .filter(|(id, share)| *share > unit(!req.object, u64::from(*id)))
-            .filter(|(id, _)| self.load(now, *id) < LOAD_SPILL)
-            .map(|(id, _)| *id);
-        // Within the widened set the part decides, so that each part still has one copy in the location.
-        // The first part stays, so that an object of one part never moves for being asked.
-        let wider = usize::from(often >= WIDEN_TWO) + usize::from(often >= WIDEN_THREE);
-        let width = if req.part == 0 { 1 } else { 1 + wider };
-        let chosen =
-            willing.take(width).max_by_key(|id| mix(req.object ^ u64::from(*id), u64::from(req.part)));
-        let rest = order.iter().filter(|(_, share)| *share > 0.0).map(|(id, _)| (self.load(now, *id), *id));
-        chosen.or_else(|| rest.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id))
+    /// The location's cache for a request's part: the first in the object's hash order that accepts it, among
+    /// two or three for popular objects; where none does, the least loaded one. `work` is the transfer time,
+    /// in microseconds, that the cache's slow-start budget must have room for.
+    pub(super) fn choose_cache(
+        &self,
+        now: Micros,
+        request: &PendingRequest,
+        work: f64,
+    ) -> Option<EndpointId> {
+        let ranked = self.ranked_caches(now, request, work);
+        let accepting = ranked.iter().filter(|cache| cache.accepts(request.object));
+        let below_limit = accepting.filter(|cache| self.load(now, cache.id) < SPILL_OVER_LOAD);
+        // Within the spread the part decides, so that each part has one copy in the location.
+        let hash_of_part =
+            |cache: &&RankedCache| mix(request.object ^ u64::from(cache.id), u64::from(request.part));
+        let chosen = below_limit.take(self.spread(request)).max_by_key(hash_of_part);
+        chosen.map(|cache| cache.id).or_else(|| self.least_loaded(now, &ranked))
+    }
+
+    /// The caches that may get a request, in its object's hash order.
+    fn ranked_caches(&self, now: Micros, request: &PendingRequest, work: f64) -> Vec<RankedCache> {
+        let candidates = self.candidates(now, Tier::Cache).into_iter();
+        let open = candidates.filter(|cache| request.may_use(cache.id));
+        let within_budget = open.filter(|cache| self.has_warm_up_budget(now, cache.id, work));
+        let weighted = within_budget.map(|cache| (cache.id, cache.endpoint.listed.weight, cache.share));
+        let order = rendezvous_order(request.object, weighted);
+        order.into_iter().map(|(id, share)| RankedCache { id, share }).collect()
+    }
+
+    /// Over how many caches a request's object is spread. Every router of the location is assumed to see as
+    /// many requests of it, so that they agree. The first part stays at one cache, so that an object of one
+    /// part never moves.
+    fn spread(&self, request: &PendingRequest) -> usize {
+        if request.part == 0 {
+            return 1;
+        }
+        let routers = self.settings.local_fleet_size.max(1) as f32;
+        let requests = self.object_counts.get(request.object) * routers;
+        let for_two = usize::from(requests >= REQUESTS_FOR_TWO_CACHES);
+        let for_three = usize::from(requests >= REQUESTS_FOR_THREE_CACHES);
+        1 + for_two + for_three
+    }
+
+    fn least_loaded(&self, now: Micros, caches: &[RankedCache]) -> Option<EndpointId> {
+        let usable = caches.iter().filter(|cache| cache.share > 0.0);
+        let loads = usable.map(|cache| (self.load(now, cache.id), cache.id));
+        loads.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id)
     }
 
-    /// The source of an object's fills: its home parent, or the next listed one that takes the object.
-    fn pick_parent(
+    /// The source of an object's fills: its home parent, or the next one in order that accepts the object.
+    fn choose_parent(
         &self,
         now: Micros,
         object: ObjectId,
         work: f64,
-        not: &[EndpointId],
+        avoided: &[EndpointId],
     ) -> Option<EndpointId> {
-        let home = rendezvous_first(object, self.parents.iter().map(|(id, weight)| (*id, *weight)))?;
-        let shares = self.shares(now, Tier::Parent);
-        let around = self.parents.range(home..).chain(self.parents.range(..home));
-        let mut walk = around.filter_map(|(&id, _)| {
-            let share = shares.iter().find(|(s, ..)| *s == id)?.2;
-            (!not.contains(&id) && self.budget_allows(now, id, work)).then_some((id, share))
-        });
-        walk.find(|(id, share)| *share > unit(!object, u64::from(*id))).map(|(id, _)| id)
+        let weights = self.parents.iter().map(|(id, weight)| (*id, *weight));
+        let home = rendezvous_first(object, weights)?;
+        let candidates = self.candidates(now, Tier::Parent);
+        let from_home = self.parents.range(home..).chain(self.parents.range(..home)).map(|(id, _)| *id);
+        let listed = from_home.filter_map(|id| candidates.iter().find(|candidate| candidate.id == id));
+        let may_fill = |parent: &&Candidate| {
+            !avoided.contains(&parent.id) && self.has_warm_up_budget(now, parent.id, work)
+        };
+        let accepts = |parent: &&Candidate| parent.share > unit(!object, u64::from(parent.id));
+        let mut accepting = listed.filter(may_fill).filter(accepts);
+        accepting.next().map(|parent| parent.id)
     }
 
+    /// The origin, where it is listed as active.
     pub(super) fn origin(&self) -> Option<EndpointId> {
-        let live = |m: &KnownEndpoint| m.line.tier == Tier::Origin && m.line.state == EndpointState::Active;
-        self.endpoints.iter().find(|(_, m)| live(m)).map(|(id, _)| *id)
+        let active_origin =
+            |endpoint: &Endpoint| endpoint.tier == Tier::Origin && endpoint.state == EndpointState::Active;
+        self.endpoints.iter().find(|(_, endpoint)| active_origin(&endpoint.listed)).map(|(id, _)| *id)
     }
 
-    /// Where the next attempt goes and what it names as source. Further attempts climb: next cache, next
-    /// parent, straight to a parent, the origin.
-    pub(super) fn path(&self, now: Micros, req: &PendingRequest, work: f64) -> Option<Path> {
-        let class = &self.set.classes[req.class];
-        let origin = self.origin();
-        let tried = req.tried();
-        if class.uncacheable {
-            if self.set.can_bypass_caches {
-                let parent = || self.pick_parent(now, req.object, work, &[]);
-                let by_parent = || Some((parent()?, Some(origin?)));
-                return origin.map(|o| (o, None)).filter(|_| tried % 3 != 2).or_else(by_parent);
-            }
-            return self.pick_cache(now, req, work).zip(origin).map(|(c, o)| (c, Some(o)));
+    /// The path of a request's next attempt; none where no endpoint may get it. Retries climb the tiers: the
+    /// next cache, the next parent, a parent without a cache, the origin.
+    pub(super) fn next_path(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
+        if self.settings.classes[request.class].uncacheable {
+            return self.write_path(now, request, work);
         }
-        if req.reach == Reach::Cache {
-            return self.pick_cache(now, req, work).map(|c| (c, Some(c)));
+        if request.fill_scope == FillScope::CacheOnly {
+            let cache = self.choose_cache(now, request, work)?;
+            return Some(AttemptPath { to: cache, source: Some(cache) });
         }
-        // What may not be fetched is not asked of the origin by any path.
-        let fetch = origin.filter(|_| req.reach == Reach::Origin);
-        let sources: Vec<EndpointId> = req.attempts.iter().filter_map(|a| a.source).collect();
-        let avoid = if tried >= 2 { &sources[..] } else { &[] };
-        let parent = self.pick_parent(now, req.object, work, avoid);
-        if tried < 3 || !self.set.can_bypass_caches {
-            if let Some(cache) = self.pick_cache(now, req, work) {
-                return Some((cache, parent.or(fetch).or(Some(cache))));
-            }
+        let by_caches =
+            request.conclusive_attempts() < ATTEMPTS_BY_CACHES || !self.settings.can_bypass_caches;
+        let path = if by_caches { self.path_by_cache(now, request, work) } else { None };
+        if path.is_some() || !self.settings.can_bypass_caches {
+            return path;
         }
-        if !self.set.can_bypass_caches {
-            return None;
+        self.path_past_caches(now, request, work)
+    }
+
+    /// The path of a write, which runs at the origin.
+    fn write_path(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
+        let origin = self.origin();
+        if !self.settings.can_bypass_caches {
+            let cache = self.choose_cache(now, request, work)?;
+            return Some(AttemptPath { to: cache, source: Some(origin?) });
+        }
+        let origin = origin?;
+        let by_parent =
+            request.conclusive_attempts() % WRITE_ATTEMPTS_PER_PARENT == WRITE_ATTEMPTS_PER_PARENT - 1;
+        if by_parent {
+            let parent = self.choose_parent(now, request.object, work, &[])?;
+            return Some(AttemptPath { to: parent, source: Some(origin) });
         }
-        let direct = |id: &EndpointId| !req.attempts.iter().any(|a| a.to == *id);
-        let parent = self.pick_parent(now, req.object, work, &[]).filter(direct);
-        let straight = || fetch.filter(direct).map(|o| (o, Some(o)));
-        parent.map(|p| (p, Some(fetch.unwrap_or(p)))).or_else(straight)
+        Some(AttemptPath { to: origin, source: None })
+    }
+
+    /// A path by the request's cache, filled from a parent, else from the origin, else not at all.
+    fn path_by_cache(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
+        let cache = self.choose_cache(now, request, work)?;
+        let sources = request.attempts.iter().filter_map(|attempt| attempt.path.source);
+        let avoid_used = request.conclusive_attempts() >= ATTEMPTS_BY_SAME_SOURCE;
+        let avoided: Vec<EndpointId> = if avoid_used { sources.collect() } else { Vec::new() };
+        let parent = self.choose_parent(now, request.object, work, &avoided);
+        let source = parent.or_else(|| self.permitted_origin(request)).unwrap_or(cache);
+        Some(AttemptPath { to: cache, source: Some(source) })
+    }
+
+    /// A path straight to a parent or to the origin, where neither was tried yet.
+    fn path_past_caches(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
+        let origin = self.permitted_origin(request);
+        let untried = |id: &EndpointId| !request.was_sent_to(*id);
+        if let Some(parent) = self.choose_parent(now, request.object, work, &[]).filter(untried) {
+            return Some(AttemptPath { to: parent, source: Some(origin.unwrap_or(parent)) });
+        }
+        let origin = origin.filter(untried)?;
+        Some(AttemptPath { to: origin, source: Some(origin) })
+    }
+
+    /// The origin, where the request's fill scope includes it.
+    fn permitted_origin(&self, request: &PendingRequest) -> Option<EndpointId> {
+        self.origin().filter(|_| request.fill_scope == FillScope::Origin)
     }
 }
--- /dev/null
+++ b/src/policy/retries.rs
@@ -0,0 +1,77 @@
+//! Which retries are allowed: the retry budget, and until when and where a request may be repeated.
+
+use super::endpoints::KnownEndpoint;
+use super::outlier_detection::MAX_HALF_LIFE;
+use super::pending_request::{EndedAttempt, PendingRequest};
+use super::Router;
+use crate::interface::*;
+
+/// Retries that each new request adds to the budget.
+const RETRIES_PER_REQUEST: f64 = 0.05;
+/// Most retries in the budget, which fades with [`MAX_HALF_LIFE`]: a fleet must not spend savings all at once
+/// on the same failing source.
+const MAX_RETRY_BUDGET: f64 = 20.0;
+/// Retries in the budget at the start.
+pub(super) const INITIAL_RETRY_BUDGET: f64 = 5.0;
+
+impl Router {
+    /// Adds to the retry budget for a new request.
+    pub(super) fn earn_retries(&mut self, now: Micros) {
+        self.retry_budget.add_up_to(now, MAX_HALF_LIFE, RETRIES_PER_REQUEST, MAX_RETRY_BUDGET);
+    }
+
+    /// Takes the cost of an attempt out of the retry budget.
+    pub(super) fn spend_retries(&mut self, now: Micros, cost: f64) {
+        self.retry_budget.add(now, MAX_HALF_LIFE, -cost);
+    }
+
+    /// Whether the retry budget covers the cost of an attempt.
+    pub(super) fn can_spend_retries(&self, now: Micros, cost: f64) -> bool {
+        self.retry_budget.value(now, MAX_HALF_LIFE) >= cost
+    }
+
+    /// What a retry after this attempt costs. The budget limits retries that multiply work: an attempt that
+    /// was lost on its way cost none, and an error no more than the time that it took.
+    pub(super) fn retry_cost(&self, request: &PendingRequest, ended: &EndedAttempt) -> f64 {
+        match ended.outcome {
+            outcome if outcome.is_lost() => 0.0,
+            AttemptOutcome::Error => (ended.elapsed as f64 / self.latency_objective(request)).min(1.0),
+            _ => 1.0,
+        }
+    }
+
+    /// Until when a request may be repeated; 0 for never.
+    pub(super) fn repeatable_until(&self, request: &PendingRequest) -> Micros {
+        let class = &self.settings.classes[request.class];
+        let Some(first) = request.first_that_may_have_run() else { return Micros::MAX };
+        match class.idempotency {
+            Idempotency::Idempotent => Micros::MAX,
+            Idempotency::WithKey => first.sent_at + class.key_window,
+            Idempotency::NotIdempotent => 0,
+        }
+    }
+
+    /// Whether a request may be sent to an endpoint: one that may have run already, only where a repeat does
+    /// no harm.
+    pub(super) fn may_repeat_at(&self, now: Micros, request: &PendingRequest, to: EndpointId) -> bool {
+        let Some(first) = request.first_that_may_have_run() else { return true };
+        if now >= self.repeatable_until(request) {
+            return false;
+        }
+        let class = &self.settings.classes[request.class];
+        class.idempotency == Idempotency::Idempotent || self.shares_keys(class.key_scope, first.path.to, to)
+    }
+
+    /// Whether two endpoints drop each other's repeats of a request with an idempotency key.
+    fn shares_keys(&self, scope: KeyScope, first: EndpointId, second: EndpointId) -> bool {
+        let same = |number: fn(&KnownEndpoint) -> u32| {
+            let numbers = self.endpoints.get(&first).map(number).zip(self.endpoints.get(&second).map(number));
+            numbers.is_some_and(|(first, second)| first == second)
+        };
+        match scope {
+            KeyScope::All => true,
+            KeyScope::Zone => first == second || same(|endpoint| endpoint.listed.zone),
+            KeyScope::Cell => first == second || same(|endpoint| endpoint.listed.cell),
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/slow_start.rs
@@ -0,0 +1,73 @@
+//! Slow start: the part of its capacity that a process has while it warms up, and the budget that keeps all
+//! routers together below what would overload it.
+
+use super::endpoints::KnownEndpoint;
+use super::Router;
+use crate::interface::*;
+
+/// Part of a warming endpoint's overload threshold that all routers together use.
+const BUDGET_OF_THRESHOLD: f64 = 0.5;
+/// Part of the budget over the overload window that may be used at once.
+const BURST_OF_BUDGET: f64 = 0.25;
+/// Least burst in multiples of the work that is to be assigned, so that one request always fits an empty
+/// budget.
+const MIN_BURST_OF_WORK: f64 = 1.01;
+
+/// The budget of one router for a warming endpoint.
+struct WarmUpBudget {
+    /// Transfer time that may be assigned, in microseconds for each microsecond.
+    rate: f64,
+    /// Time over which overload is judged.
+    window: Micros,
+}
+
+impl Router {
+    /// The part of its capacity that an endpoint surely has by now.
+    pub(super) fn warm_fraction(&self, now: Micros, endpoint: &KnownEndpoint) -> f64 {
+        let started_at = endpoint.listed.started_at.max(endpoint.health.restarted_at);
+        if started_at == 0 || endpoint.listed.tier == Tier::Origin {
+            return 1.0;
+        }
+        self.settings.slow_start(endpoint.listed.tier).capacity(now.saturating_sub(started_at))
+    }
+
+    /// The load with which a new process's budget starts: a random part of one request's transfer time, since
+    /// the first requests of all routers at once would exceed the sum of their budgets.
+    pub(super) fn initial_warm_up_load(&mut self) -> f64 {
+        let longest = self.latency.iter().map(|estimate| estimate.transfer_time).fold(0.0, f64::max);
+        longest * self.random.next(3)
+    }
+
+    /// Whether an endpoint is warm, or its budget has room for `work` more, in microseconds of transfer time.
+    pub(super) fn has_warm_up_budget(&self, now: Micros, id: EndpointId, work: f64) -> bool {
+        let Some(endpoint) = self.endpoints.get(&id) else { return false };
+        let warm_fraction = self.warm_fraction(now, endpoint);
+        if warm_fraction >= 1.0 {
+            return true;
+        }
+        let budget = self.warm_up_budget(endpoint, warm_fraction);
+        let burst = (budget.window as f64 * budget.rate * BURST_OF_BUDGET).max(work * MIN_BURST_OF_WORK);
+        endpoint.warm_up_load.level(now, budget.rate) + work <= burst
+    }
+
+    fn warm_up_budget(&self, endpoint: &KnownEndpoint, warm_fraction: f64) -> WarmUpBudget {
+        let tier = endpoint.listed.tier;
+        let slow_start = self.settings.slow_start(tier);
+        let routers = match tier {
+            Tier::Parent => self.settings.fleet_size,
+            _ => self.settings.local_fleet_size,
+        };
+        let fleet_rate =
+            slow_start.overload_multiple * BUDGET_OF_THRESHOLD * warm_fraction * endpoint.listed.weight;
+        WarmUpBudget { rate: fleet_rate / f64::from(routers.max(1)), window: slow_start.overload_window }
+    }
+
+    /// Charges an endpoint's budget with `work`, in microseconds of transfer time.
+    pub(super) fn charge_warm_up_budget(&mut self, now: Micros, id: EndpointId, work: f64) {
+        let Some(endpoint) = self.endpoints.get(&id) else { return };
+        let rate = self.warm_up_budget(endpoint, self.warm_fraction(now, endpoint)).rate;
+        if let Some(endpoint) = self.endpoints.get_mut(&id) {
+            endpoint.warm_up_load.add(now, rate, work);
+        }
+    }
+}
