--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -3,7 +3,8 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-const RUN: &str = "     Running unittests src/lib.rs (target/debug/deps/calicobeam-1)
+/// The output of a run in which one test of two files fails.
+const RUN: &str = "     Running unittests src/lib.rs (target/debug/deps/edge_proxy-1)
 test clock::tests::counts ... ok
 test result: ok. 1 passed; 0 failed
      Running tests/closes.rs (target/debug/deps/closes-2)
@@ -14,7 +15,7 @@
     `--test closes`
 ";
 
-/// Whether a run passes with this list, and what is said of it.
+/// Whether a run passes with this list, and what the script prints.
 fn verdict(name: &str, listed: &str, output: &str, status: &str) -> (bool, String) {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("known-red-{name}"));
     std::fs::create_dir_all(&dir).unwrap();
@@ -28,15 +29,16 @@
 
 #[test]
 fn a_listed_test_that_fails_is_printed_and_passes() {
-    let list = "# why\n\ntests/closes.rs a_reset | resets are late | issue 20\n";
+    let list =
+        "# why\n\ntests/closes.rs a_reset | cargo test --test closes, seed 7 | resets are late | issue 20\n";
     let (passes, said) = verdict("listed", list, RUN, "101");
     assert!(passes, "{said}");
-    assert!(said.contains("known red: tests/closes.rs a_reset | resets are late | issue 20"), "{said}");
+    assert!(said.contains("known red: tests/closes.rs a_reset | cargo test --test closes, seed 7 | resets are late | issue 20"), "{said}");
 }
 
 #[test]
 fn a_failing_test_that_is_not_listed_fails_the_run() {
-    let list = "tests/other.rs a_reset | another file | issue 20\n";
+    let list = "tests/other.rs a_reset | cargo test | another file | issue 20\n";
     let (passes, said) = verdict("other", list, RUN, "101");
     assert!(!passes && said.contains("failed: tests/closes.rs a_reset"), "{said}");
     assert!(!verdict("none", "", RUN, "101").0);
@@ -45,24 +47,32 @@
 #[test]
 fn a_listed_test_that_passes_or_does_not_exist_fails_the_run() {
     for test in ["tests/closes.rs a_close", "tests/closes.rs a_dream"] {
-        let list = format!("tests/closes.rs a_reset | late | issue 20\n{test} | late | issue 20\n");
+        let list = format!(
+            "tests/closes.rs a_reset | cargo test | late | issue 20\n{test} | cargo test | late | issue 20\n"
+        );
         let (passes, said) = verdict("passing", &list, RUN, "101");
         assert!(!passes && said.contains(&format!("does not exist: {test}")), "{said}");
     }
 }
 
 #[test]
-fn more_than_three_lines_or_one_without_a_cause_fail_the_run() {
-    let line = "tests/closes.rs a_reset | late | issue 20\n";
+fn more_than_three_entries_or_an_incomplete_one_fail_the_run() {
+    let line = "tests/closes.rs a_reset | cargo test | late | issue 20\n";
     assert!(!verdict("four", &line.repeat(4), RUN, "101").0);
-    assert!(!verdict("bare", "tests/closes.rs a_reset\n", RUN, "101").0);
+    for incomplete in
+        ["", "| cargo test", "| cargo test | late", "| cargo test | late |", "| cargo test | | issue 20"]
+    {
+        let (passes, said) =
+            verdict("incomplete", &format!("tests/closes.rs a_reset {incomplete}\n"), RUN, "101");
+        assert!(!passes && said.contains("lacks the command"), "{incomplete:?}: {said}");
+    }
 }
 
 #[test]
 fn a_run_that_did_not_build_or_ran_nothing_fails() {
-    let list = "tests/closes.rs a_reset | late | issue 20\n";
+    let list = "tests/closes.rs a_reset | cargo test | late | issue 20\n";
     assert!(!verdict("nothing", list, "", "101").0);
     let broken =
-        format!("{RUN}error: could not compile `calicobeam` (test \"grpc\") due to 1 previous error\n");
+        format!("{RUN}error: could not compile `edge-proxy` (test \"grpc\") due to 1 previous error\n");
     assert!(!verdict("broken", list, &broken, "101").0);
 }
