--- a/src/grpc/admission.rs
+++ b/src/grpc/admission.rs
@@ -2,7 +2,7 @@
 //! Streams do not go through it: they may last for hours, and a limit on what is under way would be theirs alone;
 //! the bounds of calls and of streams a client hold them.
 
-use super::calls::Outcome;
+use super::calls::CallOutcome;
 use crate::admission::control::AdmissionControl;
 use crate::admission::fair::Verdict;
 use crate::state::requests::{FinalResponse, IncomingRequest};
@@ -24,21 +24,21 @@
 }
 
 /// What the door says to a call.
-pub enum Entry {
+pub enum AdmissionResult {
     /// It goes on; the pass is kept until its end.
-    In(Pass),
+    Admitted(AdmissionPermit),
     /// It waits.
-    Wait(oneshot::Receiver<Option<f64>>, Pass),
+    Queued(oneshot::Receiver<Option<f64>>, AdmissionPermit),
     /// It is refused: the client is to come back after this many milliseconds.
-    Refused(f64),
+    Rejected(f64),
 }
 
 /// An admitted or waiting call's hold on the door; given back when dropped.
-pub struct Pass {
+pub struct AdmissionPermit {
     door: Rc<CallAdmission>,
     id: Option<u64>,
     now: Box<dyn Fn() -> f64>,
-    outcome: Cell<Option<Outcome>>,
+    outcome: Cell<Option<CallOutcome>>,
 }
 
 impl CallAdmission {
@@ -52,44 +52,47 @@
         self.admission.borrow_mut().as_mut().map(act)
     }
 
-    /// A call comes; `give_up_ms` is when its time is over.
+    /// A call comes; `deadline_ms` is when its time is over.
     pub fn enter(
         self: &Rc<Self>,
         now: impl Fn() -> f64 + 'static,
         client: IpAddr,
         tenant: u32,
-        give_up_ms: f64,
-    ) -> Entry {
+        deadline_ms: f64,
+    ) -> AdmissionResult {
         let id = self.next.get() + 1;
         self.next.set(id);
         let ask = IncomingRequest {
             id,
             group: tenant,
-            give_up_ms,
+            give_up_ms: deadline_ms,
             client: Some(client),
             ..IncomingRequest::default()
         };
         let at = now();
-        let pass = |id| Pass { door: self.clone(), id, now: Box::new(now), outcome: Cell::new(None) };
+        let pass =
+            |id| AdmissionPermit { door: self.clone(), id, now: Box::new(now), outcome: Cell::new(None) };
         match self.with(|admission| admission.arrive(at, ask)) {
-            None => Entry::In(pass(None)),
-            Some((Verdict::Admit, _)) => Entry::In(pass(Some(id))),
+            None => AdmissionResult::Admitted(pass(None)),
+            Some((Verdict::Admit, _)) => AdmissionResult::Admitted(pass(Some(id))),
             Some((Verdict::Queue, _)) => {
                 let (tell, heard) = oneshot::channel();
                 self.waiting.borrow_mut().insert(id, tell);
                 self.due.notify_one();
-                Entry::Wait(heard, pass(Some(id)))
+                AdmissionResult::Queued(heard, pass(Some(id)))
+            }
+            Some((Verdict::Refuse { come_back_ms: retry_after_ms, .. }, _)) => {
+                AdmissionResult::Rejected(retry_after_ms)
             }
-            Some((Verdict::Refuse { come_back_ms, .. }, _)) => Entry::Refused(come_back_ms),
             // Its ids are the door's own: none comes twice.
-            Some((Verdict::Duplicate, _)) => Entry::Refused(0.0),
+            Some((Verdict::Duplicate, _)) => AdmissionResult::Rejected(0.0),
         }
     }
 
     /// Refuses what waited until its time was nearly over.
     pub fn tick(&self, now: f64) {
-        for (id, come_back_ms) in self.with(|admission| admission.expired(now)).unwrap_or_default() {
-            self.tell(id, Some(come_back_ms));
+        for (id, retry_after_ms) in self.with(|admission| admission.expired(now)).unwrap_or_default() {
+            self.tell(id, Some(retry_after_ms));
         }
     }
 
@@ -106,14 +109,14 @@
     }
 }
 
-impl Pass {
+impl AdmissionPermit {
     /// How the call ended: the door's limit moves by it.
-    pub fn ended(&self, outcome: Outcome) {
+    pub fn ended(&self, outcome: CallOutcome) {
         self.outcome.set(Some(outcome));
     }
 }
 
-impl Drop for Pass {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         let Some(id) = self.id else { return };
         let (now, door) = ((self.now)(), &self.door);
@@ -122,9 +125,9 @@
             return;
         }
         let answer = match self.outcome.get() {
-            Some(Outcome::Served) => Some(FinalResponse::Served { tag: None, body: Default::default() }),
-            Some(Outcome::Refused) => Some(FinalResponse::Rejected { wait_ms: 0.0, overdue: false }),
-            Some(Outcome::Failed) => Some(FinalResponse::Failed { overdue: false }),
+            Some(CallOutcome::Served) => Some(FinalResponse::Served { tag: None, body: Default::default() }),
+            Some(CallOutcome::Rejected) => Some(FinalResponse::Rejected { wait_ms: 0.0, overdue: false }),
+            Some(CallOutcome::Failed) => Some(FinalResponse::Failed { overdue: false }),
             _ => None,
         };
         let released = door.with(|admission| admission.ended(now, id, answer.as_ref())).unwrap_or_default();
--- a/src/grpc/calls.rs
+++ b/src/grpc/calls.rs
@@ -6,8 +6,8 @@
 //! through every backend is blamed on that and empties no pool. A call gets exactly one [`Directive`] that ends it,
 //! unless its client left.
 
-use super::routes::{Affinity, Kind, Route};
-use super::status::{judge, Code, End, Judgement, Pushback, CODES};
+use super::routes::{Affinity, MethodKind, Route};
+use super::status::{classify, AttemptEnd, Classification, Code, Pushback, CODES};
 use crate::clock::{micros_from_ms, ms_from_micros};
 use crate::interface::{Idempotency, PolicySettings};
 use crate::{Action, AttemptOutcome, CacheStatus, Endpoint, EndpointId, EndpointState, Event, Router, Tier};
@@ -18,7 +18,7 @@
 /// A call's number; never used again.
 pub type CallId = u64;
 /// The member that stands for what lies behind every backend.
-pub const BEHIND: EndpointId = EndpointId::MAX;
+pub const ORIGIN_ID: EndpointId = EndpointId::MAX;
 /// With less left of a call's time, in milliseconds, it ends for want of it.
 const OVER_MS: f64 = 10.0;
 /// Taken off a client's time, in milliseconds, for the way back ...
@@ -51,7 +51,7 @@
     /// `grpc-timeout`, in milliseconds.
     pub timeout_ms: Option<f64>,
     /// When its head came: its time counts from there, also where it waited at the door.
-    pub since_ms: f64,
+    pub received_ms: f64,
 }
 
 impl NewCall {
@@ -68,32 +68,32 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Directive {
     /// Make this attempt.
-    Start(Start),
+    StartAttempt(AttemptTarget),
     /// Pass the last attempt's own end on: its status and trailers as they came.
-    Pass {
+    ForwardStatus {
         /// What it counts as.
-        outcome: Outcome,
+        outcome: CallOutcome,
         /// A come-back time to add where the backend gave none, in milliseconds.
-        come_back_ms: Option<f64>,
+        retry_after_ms: Option<f64>,
     },
     /// End the call with a status of the proxy's own.
-    Answer(Answer),
+    Respond(LocalStatus),
 }
 
 /// An attempt to be made.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Start {
+pub struct AttemptTarget {
     /// Its number within the call, from 0.
     pub attempt: u32,
     /// The backend.
-    pub member: EndpointId,
+    pub backend: EndpointId,
     /// Where it listens.
     pub address: SocketAddr,
 }
 
 /// A status of the proxy's own.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct LocalStatus {
     /// The status.
     pub code: Code,
     /// In words, for people.
@@ -101,20 +101,20 @@
     /// What it says of trying again.
     pub pushback: Option<Pushback>,
     /// What it counts as.
-    pub outcome: Outcome,
+    pub outcome: CallOutcome,
 }
 
 /// What a call's end counts as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// Status OK, whole.
     Served,
     /// Trying again does no harm.
-    Refused,
+    Rejected,
     /// Nothing is promised.
     Failed,
     /// The client left.
-    Left,
+    ClientDisconnected,
 }
 
 /// The bounds of what is held.
@@ -137,7 +137,7 @@
 
 /// Figures of a pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PoolFigures {
+pub struct PoolCounters {
     /// Calls by outcome: served, refused, failed, left.
     pub outcomes: [u64; 4],
     /// Calls by the status that their client got.
@@ -159,12 +159,12 @@
     router: Router,
     settings: PolicySettings,
     backends: BTreeMap<EndpointId, Backend>,
-    figures: PoolFigures,
+    counters: PoolCounters,
 }
 
 struct Out {
     number: u32,
-    member: EndpointId,
+    backend: EndpointId,
     sent_ms: f64,
     /// When this attempt is given up, for unary calls that may be repeated.
     due_ms: f64,
@@ -173,16 +173,16 @@
 
 struct Call {
     route: Rc<Route>,
-    give_up_ms: f64,
+    deadline_ms: f64,
     out: Option<Out>,
     attempts: u32,
     replayable: bool,
     kept: usize,
-    last: Option<End>,
+    last: Option<AttemptEnd>,
 }
 
 /// The calls of a process. See the module's page.
-pub struct Calls {
+pub struct CallTable {
     pools: Vec<Pool>,
     calls: HashMap<CallId, Call>,
     next: CallId,
@@ -199,7 +199,7 @@
     Fail,
 }
 
-impl Calls {
+impl CallTable {
     /// No calls yet, and no backends.
     pub fn new(pools: Vec<PoolSpec>, bounds: Bounds, seed: u64) -> Self {
         let mut calls = Self {
@@ -225,9 +225,9 @@
                 }
                 None => {
                     let router = Router::new(spec.settings.clone(), self.seed ^ self.pools.len() as u64);
-                    let (backends, figures) = Default::default();
+                    let (backends, counters) = Default::default();
                     let PoolSpec { name, settings } = spec;
-                    self.pools.push(Pool { name, router, settings, backends, figures });
+                    self.pools.push(Pool { name, router, settings, backends, counters });
                 }
             }
         }
@@ -247,33 +247,33 @@
         let state = |live| if live { EndpointState::Active } else { EndpointState::Draining };
         let mut entries: Vec<Endpoint> =
             pool.backends.values().map(|b| line(b.id, Tier::Cache, state(b.live), b.weight)).collect();
-        entries.push(line(BEHIND, Tier::Origin, EndpointState::Active, 1.0));
+        entries.push(line(ORIGIN_ID, Tier::Origin, EndpointState::Active, 1.0));
         let event = Event::EndpointsChanged { full: true, entries };
         pool.router.handle(micros_from_ms(now), &event, &mut self.actions);
         self.actions.clear();
     }
 
     /// Whether a backend of a pool takes new calls.
-    pub fn takes(&self, pool: usize, member: EndpointId) -> bool {
-        self.pools.get(pool).and_then(|p| p.backends.get(&member)).is_some_and(|b| b.live)
+    pub fn accepts_calls(&self, pool: usize, backend: EndpointId) -> bool {
+        self.pools.get(pool).and_then(|p| p.backends.get(&backend)).is_some_and(|b| b.live)
     }
 
     /// Takes a call in. From now on it gets exactly one directive that ends it, unless its client leaves.
     pub fn begin(&mut self, now: f64, new: NewCall) -> (CallId, Directive) {
         self.next += 1;
-        let (id, give_up_ms) = (self.next, new.since_ms + new.allowed_ms());
+        let (id, deadline_ms) = (self.next, new.received_ms + new.allowed_ms());
         let NewCall { route, object, timeout_ms, .. } = new;
-        let figures = &mut self.pools[route.pool].figures;
-        figures.shortened += u64::from(timeout_ms.zip(route.deadline_ms).is_some_and(|(c, r)| r < c));
+        let counters = &mut self.pools[route.pool].counters;
+        counters.shortened += u64::from(timeout_ms.zip(route.deadline_ms).is_some_and(|(c, r)| r < c));
         if self.calls.len() >= self.bounds.calls {
-            let answer = Answer {
+            let answer = LocalStatus {
                 code: Code::UNAVAILABLE,
                 message: "too many calls are open",
                 pushback: Some(Pushback::After(FULL_WAIT_MS)),
-                outcome: Outcome::Refused,
+                outcome: CallOutcome::Rejected,
             };
-            Self::count(figures, Outcome::Refused, answer.code);
-            return (id, Directive::Answer(answer));
+            Self::count(counters, CallOutcome::Rejected, answer.code);
+            return (id, Directive::Respond(answer));
         }
         let object = object.unwrap_or_else(|| {
             // Spreads calls by themselves evenly: the module's hash takes it from there.
@@ -281,8 +281,8 @@
         });
         let (pool, class) = (route.pool, route.class);
         let (out, attempts, replayable, kept, last) = (None, 0, true, 0, None);
-        self.calls.insert(id, Call { route, give_up_ms, out, attempts, replayable, kept, last });
-        let deadline_at = micros_from_ms(give_up_ms);
+        self.calls.insert(id, Call { route, deadline_ms, out, attempts, replayable, kept, last });
+        let deadline_at = micros_from_ms(deadline_ms);
         let event = Event::Request { id, class, object, group: 0, part: 0, size_kb: 0.0, deadline_at };
         let wish = self.tell(now, pool, id, &event);
         (id, self.follow(now, id, wish))
@@ -293,8 +293,8 @@
     pub fn may_start(&mut self, now: f64, id: CallId) -> Option<f64> {
         let call = self.calls.get(&id)?;
         let out = call.out.as_ref()?;
-        let left = out.due_ms.min(call.give_up_ms) - now;
-        (left >= 1.0 && self.takes(call.route.pool, out.member)).then_some(left)
+        let left = out.due_ms.min(call.deadline_ms) - now;
+        (left >= 1.0 && self.accepts_calls(call.route.pool, out.backend)).then_some(left)
     }
 
     /// When the attempt under way is given up: for a unary call that may be repeated its own time-out until its
@@ -302,12 +302,12 @@
     pub fn due_ms(&self, id: CallId) -> f64 {
         let Some(call) = self.calls.get(&id) else { return f64::NEG_INFINITY };
         let own = call.out.as_ref().filter(|o| o.committed_ms.is_none()).map_or(f64::INFINITY, |o| o.due_ms);
-        own.min(call.give_up_ms)
+        own.min(call.deadline_ms)
     }
 
     /// When the call's time is over.
-    pub fn give_up_ms(&self, id: CallId) -> f64 {
-        self.calls.get(&id).map_or(f64::NEG_INFINITY, |call| call.give_up_ms)
+    pub fn deadline_ms(&self, id: CallId) -> f64 {
+        self.calls.get(&id).map_or(f64::NEG_INFINITY, |call| call.deadline_ms)
     }
 
     /// The response's headers go to the client: the attempt is the call's last.
@@ -342,24 +342,24 @@
     }
 
     /// An attempt ended. What comes back is the next thing to do; a directive other than a start ends the call.
-    pub fn ended(&mut self, now: f64, id: CallId, end: End) -> Directive {
+    pub fn ended(&mut self, now: f64, id: CallId, end: AttemptEnd) -> Directive {
         let Some(call) = self.calls.get_mut(&id) else { return Self::forgotten() };
         let Some(out) = call.out.take() else { return Self::forgotten() };
         let (route, replayable) = (call.route.clone(), call.replayable);
-        let left = call.give_up_ms - now;
+        let left = call.deadline_ms - now;
         call.last = Some(end);
         let committed = out.committed_ms.is_some();
-        let judged = judge(end, committed, route.repeat, &route.retry);
+        let judged = classify(end, committed, route.idempotency, &route.retry);
         // A call of any length is judged by how soon its response began.
         let until = match (route.kind, out.committed_ms) {
-            (Kind::Stream, Some(began)) => began,
+            (MethodKind::Stream, Some(began)) => began,
             _ => now,
         };
         // The client's own end of time says nothing of the backend, unless the attempt had its usual wait.
-        let over = end == End::TimedOut && left < OVER_MS;
+        let over = end == AttemptEnd::TimedOut && left < OVER_MS;
         let again = judged.again && replayable && left >= OVER_MS;
         let outcome =
-            if over && route.kind == Kind::Stream { AttemptOutcome::Cancelled } else { judged.outcome };
+            if over && route.kind == MethodKind::Stream { AttemptOutcome::Cancelled } else { judged.outcome };
         let event = Event::AttemptEnded {
             id,
             attempt: out.number,
@@ -368,7 +368,7 @@
             elapsed: micros_from_ms(until - out.sent_ms),
             closed: !again,
         };
-        self.pools[route.pool].figures.stale += u64::from(end == End::Stale);
+        self.pools[route.pool].counters.stale += u64::from(end == AttemptEnd::NotSent);
         let wish = self.tell(now, route.pool, id, &event);
         if again {
             return self.follow(now, id, wish);
@@ -394,11 +394,11 @@
             self.tell(now, pool, id, &event);
         }
         self.forget(id);
-        Self::count(&mut self.pools[pool].figures, Outcome::Left, Code::CANCELLED);
+        Self::count(&mut self.pools[pool].counters, CallOutcome::ClientDisconnected, Code::CANCELLED);
     }
 
     /// The call can't go on for its own or the proxy's sake: it ends with this status.
-    pub fn abort(&mut self, now: f64, id: CallId, answer: Answer) -> Directive {
+    pub fn abort(&mut self, now: f64, id: CallId, answer: LocalStatus) -> Directive {
         let Some(call) = self.calls.get_mut(&id) else { return Self::forgotten() };
         let pool = call.route.pool;
         if let Some(out) = call.out.take() {
@@ -416,8 +416,8 @@
             self.tell(now, pool, id, &Event::ClientDisconnected { id });
         }
         self.forget(id);
-        Self::count(&mut self.pools[pool].figures, answer.outcome, answer.code);
-        Directive::Answer(answer)
+        Self::count(&mut self.pools[pool].counters, answer.outcome, answer.code);
+        Directive::Respond(answer)
     }
 
     /// Calls under way.
@@ -431,10 +431,10 @@
     }
 
     /// The pools' names and figures.
-    pub fn figures(&self) -> impl Iterator<Item = (&str, &PoolFigures, usize)> {
+    pub fn counters(&self) -> impl Iterator<Item = (&str, &PoolCounters, usize)> {
         self.pools
             .iter()
-            .map(|p| (p.name.as_str(), &p.figures, p.backends.values().filter(|b| b.live).count()))
+            .map(|p| (p.name.as_str(), &p.counters, p.backends.values().filter(|b| b.live).count()))
     }
 
     /// A pool's backends as last listed.
@@ -452,9 +452,9 @@
         self.calls.remove(&id);
     }
 
-    fn count(figures: &mut PoolFigures, outcome: Outcome, code: Code) {
-        figures.outcomes[outcome as usize] += 1;
-        figures.codes[usize::from(code.number())] += 1;
+    fn count(counters: &mut PoolCounters, outcome: CallOutcome, code: Code) {
+        counters.outcomes[outcome as usize] += 1;
+        counters.codes[usize::from(code.number())] += 1;
     }
 
     /// Hands the module an event and takes what it wants of this call.
@@ -489,17 +489,17 @@
                     return self.end_by_module(now, id, None);
                 };
                 // Giving up early pays only where another attempt may follow.
-                let due_ms = match (call.route.kind, call.route.repeat) {
-                    (Kind::Unary, Idempotency::Idempotent | Idempotency::WithKey) => now + timeout_ms,
+                let due_ms = match (call.route.kind, call.route.idempotency) {
+                    (MethodKind::Unary, Idempotency::Idempotent | Idempotency::WithKey) => now + timeout_ms,
                     _ => f64::INFINITY,
                 };
                 let attempt = call.attempts;
                 call.attempts += 1;
-                pool.figures.attempts += 1;
-                pool.figures.retries += u64::from(attempt > 0);
+                pool.counters.attempts += 1;
+                pool.counters.retries += u64::from(attempt > 0);
                 call.out =
-                    Some(Out { number: attempt, member: to, sent_ms: now, due_ms, committed_ms: None });
-                Directive::Start(Start { attempt, member: to, address: backend.address })
+                    Some(Out { number: attempt, backend: to, sent_ms: now, due_ms, committed_ms: None });
+                Directive::StartAttempt(AttemptTarget { attempt, backend: to, address: backend.address })
             }
             Some(Wish::Refuse { wait_ms }) => self.end_by_module(now, id, Some(wait_ms)),
             Some(Wish::Fail) | None => self.end_by_module(now, id, None),
@@ -509,69 +509,75 @@
     /// The module gave the call up: refused with a come-back time, or failed.
     fn end_by_module(&mut self, now: f64, id: CallId, refused: Option<f64>) -> Directive {
         let Some(call) = self.calls.get(&id) else { return Self::forgotten() };
-        let (last, pool, left) = (call.last, call.route.pool, call.give_up_ms - now);
-        let outcome = if refused.is_some() { Outcome::Refused } else { Outcome::Failed };
+        let (last, pool, left) = (call.last, call.route.pool, call.deadline_ms - now);
+        let outcome = if refused.is_some() { CallOutcome::Rejected } else { CallOutcome::Failed };
         self.forget(id);
-        let figures = &mut self.pools[pool].figures;
-        let come_back_ms = refused.filter(|ms| *ms > 0.0);
-        if let Some(End::Status(code, _)) = last {
-            Self::count(figures, outcome, code);
-            return Directive::Pass { outcome, come_back_ms };
+        let counters = &mut self.pools[pool].counters;
+        let retry_after_ms = refused.filter(|ms| *ms > 0.0);
+        if let Some(AttemptEnd::Status(code, _)) = last {
+            Self::count(counters, outcome, code);
+            return Directive::ForwardStatus { outcome, retry_after_ms };
         }
         let (code, message) = match last {
             _ if left < OVER_MS => (Code::DEADLINE_EXCEEDED, "the call's time is over"),
             None => (Code::UNAVAILABLE, "no backend takes the call"),
-            Some(End::TimedOut) => (Code::UNAVAILABLE, "no backend answered in time"),
+            Some(AttemptEnd::TimedOut) => (Code::UNAVAILABLE, "no backend answered in time"),
             Some(end) => (
-                judge(end, false, Idempotency::Idempotent, &[]).code,
+                classify(end, false, Idempotency::Idempotent, &[]).code,
                 "the call's attempts failed at their backends",
             ),
         };
         let pushback = match refused {
-            Some(_) => come_back_ms.map(Pushback::After),
+            Some(_) => retry_after_ms.map(Pushback::After),
             None => Some(Pushback::Never),
         };
-        Self::count(figures, outcome, code);
-        Directive::Answer(Answer { code, message, pushback, outcome })
+        Self::count(counters, outcome, code);
+        Directive::Respond(LocalStatus { code, message, pushback, outcome })
     }
 
     /// An attempt's end is the call's.
-    fn conclude(&mut self, id: CallId, committed: bool, judged: Judgement, left: f64) -> Directive {
+    fn conclude(&mut self, id: CallId, committed: bool, judged: Classification, left: f64) -> Directive {
         let Some(call) = self.calls.get(&id) else { return Self::forgotten() };
         let (last, route) = (call.last, call.route.clone());
         self.forget(id);
-        let figures = &mut self.pools[route.pool].figures;
-        let harmless = !committed && (route.repeat == Idempotency::Idempotent || judged.outcome.never_ran());
+        let counters = &mut self.pools[route.pool].counters;
+        let harmless =
+            !committed && (route.idempotency == Idempotency::Idempotent || judged.outcome.never_ran());
         let busy = judged.code == Code::UNAVAILABLE || judged.code == Code::RESOURCE_EXHAUSTED;
-        let over = left < OVER_MS && !matches!(last, Some(End::Status(..)));
+        let over = left < OVER_MS && !matches!(last, Some(AttemptEnd::Status(..)));
         let outcome = match judged.code {
-            Code::OK => Outcome::Served,
-            _ if busy && harmless && !over => Outcome::Refused,
-            _ => Outcome::Failed,
+            Code::OK => CallOutcome::Served,
+            _ if busy && harmless && !over => CallOutcome::Rejected,
+            _ => CallOutcome::Failed,
         };
-        figures.failed_after_data += u64::from(committed && outcome == Outcome::Failed);
-        if let Some(End::Status(code, _)) = last {
-            Self::count(figures, outcome, code);
-            return Directive::Pass { outcome, come_back_ms: None };
+        counters.failed_after_data += u64::from(committed && outcome == CallOutcome::Failed);
+        if let Some(AttemptEnd::Status(code, _)) = last {
+            Self::count(counters, outcome, code);
+            return Directive::ForwardStatus { outcome, retry_after_ms: None };
         }
         let (code, message) = match last {
             _ if over => (Code::DEADLINE_EXCEEDED, "the call's time is over"),
-            Some(End::Cut) => (judged.code, "the backend's answer was cut"),
-            Some(End::Spoilt) => (judged.code, "the backend's answer can't be read"),
-            Some(End::TimedOut) => (judged.code, "the backend did not answer in time"),
-            Some(End::Http(_)) => (judged.code, "the backend's answer is not gRPC"),
-            Some(End::Reset(_)) => (judged.code, "the backend reset the call"),
+            Some(AttemptEnd::Truncated) => (judged.code, "the backend's answer was cut"),
+            Some(AttemptEnd::Malformed) => (judged.code, "the backend's answer can't be read"),
+            Some(AttemptEnd::TimedOut) => (judged.code, "the backend did not answer in time"),
+            Some(AttemptEnd::HttpStatus(_)) => (judged.code, "the backend's answer is not gRPC"),
+            Some(AttemptEnd::Reset(_)) => (judged.code, "the backend reset the call"),
             _ => (judged.code, "the backend was lost"),
         };
-        let pushback = (outcome == Outcome::Failed && !harmless && !over).then_some(Pushback::Never);
-        Self::count(figures, outcome, code);
-        Directive::Answer(Answer { code, message, pushback, outcome })
+        let pushback = (outcome == CallOutcome::Failed && !harmless && !over).then_some(Pushback::Never);
+        Self::count(counters, outcome, code);
+        Directive::Respond(LocalStatus { code, message, pushback, outcome })
     }
 
     /// What a driver is told that asks for a call that has ended already: a fault of its own, answered safely.
     fn forgotten() -> Directive {
         let (code, message) = (Code::INTERNAL, "the call has ended");
-        Directive::Answer(Answer { code, message, pushback: Some(Pushback::Never), outcome: Outcome::Failed })
+        Directive::Respond(LocalStatus {
+            code,
+            message,
+            pushback: Some(Pushback::Never),
+            outcome: CallOutcome::Failed,
+        })
     }
 }
 
--- a/src/grpc/config.rs
+++ b/src/grpc/config.rs
@@ -1,7 +1,7 @@
 //! The operator file of gRPC pass-through, `serve --grpc FILE`. Without it there is no such front.
 
-use super::calls::{Backend, Bounds, PoolSpec, BEHIND};
-use super::routes::{Affinity, Kind, Route, Routes};
+use super::calls::{Backend, Bounds, PoolSpec, ORIGIN_ID};
+use super::routes::{Affinity, MethodKind, Route, Routes};
 use super::status::Code;
 use crate::admission::config::AdmissionConfig;
 use crate::config_file::{parse_address, read_json, ConfigError, FieldError};
@@ -15,7 +15,7 @@
 /// Bounds of the front; times are in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Limits {
+pub struct GrpcLimits {
     /// Clients' connections at once.
     pub clients: usize,
     /// Calls at once on one of them.
@@ -54,7 +54,7 @@
     pub stop_ms: f64,
 }
 
-impl Default for Limits {
+impl Default for GrpcLimits {
     fn default() -> Self {
         Self {
             clients: 64,
@@ -96,7 +96,7 @@
 /// Backends from the list of members, as the bulletin or a registry tells it.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct FromRoster {
+pub struct DiscoveredBackends {
     /// The kind (`model`) of the members that serve the pool.
     pub model: String,
     /// The port on which they take gRPC.
@@ -113,28 +113,28 @@
     #[serde(default)]
     pub backends: Vec<BackendConfig>,
     /// Its backends, where the list of members tells them.
-    #[serde(default)]
-    pub roster: Option<FromRoster>,
+    #[serde(rename = "roster", default)]
+    pub discovered: Option<DiscoveredBackends>,
     /// The most attempts for a call.
-    #[serde(default = "attempts")]
+    #[serde(default = "default_attempts")]
     pub attempts: u32,
     /// The longest come-back time told with a refusal, in milliseconds.
-    #[serde(default = "come_back")]
-    pub come_back_most_ms: f64,
+    #[serde(rename = "come_back_most_ms", default = "default_max_retry_after_ms")]
+    pub max_retry_after_ms: f64,
 }
 
-fn attempts() -> u32 {
+fn default_attempts() -> u32 {
     3
 }
 
-fn come_back() -> f64 {
+fn default_max_retry_after_ms() -> f64 {
     2_000.0
 }
 
 /// Whether a method may be repeated.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum RepeatConfig {
+pub enum IdempotencyConfig {
     /// Repeats do no harm.
     Safe,
     /// It carries a key by which the backends drop repeats.
@@ -154,10 +154,10 @@
     pub pool: String,
     /// Unary, or a stream (the default).
     #[serde(default)]
-    pub kind: Kind,
+    pub kind: MethodKind,
     /// Whether it may be repeated; `never` by default.
-    #[serde(default)]
-    pub repeat: RepeatConfig,
+    #[serde(rename = "repeat", default)]
+    pub idempotency: IdempotencyConfig,
     /// The header with the key, where it is `keyed`.
     #[serde(default)]
     pub key: Option<String>,
@@ -168,30 +168,30 @@
     #[serde(default)]
     pub deadline_ms: Option<f64>,
     /// Answers within this time are good, in milliseconds; for streams until the response begins.
-    #[serde(default = "aim")]
-    pub aim_ms: f64,
+    #[serde(rename = "aim_ms", default = "default_latency_objective_ms")]
+    pub latency_objective_ms: f64,
     /// Names of the statuses after which it is tried again, where it may be repeated.
-    #[serde(default = "retry")]
+    #[serde(default = "default_retry")]
     pub retry: Vec<String>,
     /// `call`, `method` or `header:NAME`.
-    #[serde(default = "affinity")]
+    #[serde(default = "default_affinity")]
     pub affinity: String,
 }
 
-fn aim() -> f64 {
+fn default_latency_objective_ms() -> f64 {
     500.0
 }
 
-fn retry() -> Vec<String> {
+fn default_retry() -> Vec<String> {
     vec!["UNAVAILABLE".into()]
 }
 
-fn affinity() -> String {
+fn default_affinity() -> String {
     "call".into()
 }
 
 /// The longest time that the module is told of, in milliseconds, where a call has no end of its own.
-const ENDLESS_MS: f64 = 86_400_000.0;
+const MAX_DEADLINE_MS: f64 = 86_400_000.0;
 
 /// The operator file.
 #[derive(Clone, Debug, Deserialize)]
@@ -201,10 +201,10 @@
     pub listen: String,
     /// Bounds.
     #[serde(default)]
-    pub limits: Limits,
+    pub limits: GrpcLimits,
     /// Fair queues ahead of unary calls, worded as the door's own file.
-    #[serde(default)]
-    pub door: Option<AdmissionConfig>,
+    #[serde(rename = "door", default)]
+    pub admission: Option<AdmissionConfig>,
     /// The header whose number (0 to 255) is a call's tenant at the door; without it each route is a tenant.
     #[serde(default)]
     pub tenant_header: Option<String>,
@@ -269,8 +269,8 @@
         ] {
             within(name, ms, low, 3_600_000.0)?;
         }
-        if let Some(door) = &self.door {
-            door.check().map_err(|FieldError { field, source }| {
+        if let Some(admission) = &self.admission {
+            admission.check().map_err(|FieldError { field, source }| {
                 FieldError::new("door", format!("`{field}`: {source}"))
             })?;
         }
@@ -285,7 +285,7 @@
             if pool.name.is_empty() || self.pools[..k].iter().any(|p| p.name == pool.name) {
                 return Err(bad("the name is empty or comes twice".into()));
             }
-            if pool.backends.is_empty() == pool.roster.is_none() {
+            if pool.backends.is_empty() == pool.discovered.is_none() {
                 return Err(bad("either `backends` or `roster`".into()));
             }
             let weighed = pool.backends.iter().filter(|b| b.weight.is_some()).count();
@@ -305,7 +305,7 @@
             if !(1..=16).contains(&pool.attempts) {
                 return Err(bad("`attempts` 1 to 16".into()));
             }
-            if !(pool.come_back_most_ms >= 0.0 && pool.come_back_most_ms <= 60_000.0) {
+            if !(pool.max_retry_after_ms >= 0.0 && pool.max_retry_after_ms <= 60_000.0) {
                 return Err(bad("`come_back_most_ms` 0 to 60,000".into()));
             }
         }
@@ -325,24 +325,27 @@
             let bad = |reason: String| format!("{:?}: {reason}", line.method);
             let pool = self.pools.iter().position(|p| p.name == line.pool);
             let pool = pool.ok_or_else(|| bad(format!("no pool {:?}", line.pool)))?;
-            let deadline = line.deadline_ms.unwrap_or(ENDLESS_MS);
-            if !(deadline.is_finite() && (1.0..=ENDLESS_MS).contains(&deadline)) {
+            let deadline = line.deadline_ms.unwrap_or(MAX_DEADLINE_MS);
+            if !(deadline.is_finite() && (1.0..=MAX_DEADLINE_MS).contains(&deadline)) {
                 return Err(bad("`deadline_ms` 1 to a day".into()));
             }
-            if line.kind == Kind::Unary && line.deadline_ms.is_none() {
+            if line.kind == MethodKind::Unary && line.deadline_ms.is_none() {
                 return Err(bad("a unary method needs `deadline_ms`".into()));
             }
-            if !(line.aim_ms.is_finite() && line.aim_ms >= 1.0 && line.aim_ms <= deadline) {
+            if !(line.latency_objective_ms.is_finite()
+                && line.latency_objective_ms >= 1.0
+                && line.latency_objective_ms <= deadline)
+            {
                 return Err(bad("`aim_ms` 1 to the deadline".into()));
             }
             let header = |name: &str| {
                 let name = http::HeaderName::from_bytes(name.as_bytes());
                 name.map(|n| n.as_str().to_string()).map_err(|_| bad("no header's name".into()))
             };
-            let (repeat, key) = match (line.repeat, &line.key) {
-                (RepeatConfig::Safe, None) => (Idempotency::Idempotent, None),
-                (RepeatConfig::Never, None) => (Idempotency::NotIdempotent, None),
-                (RepeatConfig::Keyed, Some(name)) if line.key_window_ms > 0.0 => {
+            let (idempotency, key) = match (line.idempotency, &line.key) {
+                (IdempotencyConfig::Safe, None) => (Idempotency::Idempotent, None),
+                (IdempotencyConfig::Never, None) => (Idempotency::NotIdempotent, None),
+                (IdempotencyConfig::Keyed, Some(name)) if line.key_window_ms > 0.0 => {
                     (Idempotency::WithKey, Some(header(name)?))
                 }
                 _ => return Err(bad("`key` and `key_window_ms` go with `keyed`, and only there".into())),
@@ -359,10 +362,10 @@
             let us = |ms: f64| (ms * 1_000.0) as u64;
             let class = classes[pool].len();
             classes[pool].push(RequestClass {
-                latency_objective: us(line.aim_ms),
+                latency_objective: us(line.latency_objective_ms),
                 latency_stretch: 0.0,
                 deadline: us(deadline),
-                idempotency: repeat,
+                idempotency,
                 key_scope: KeyScope::All,
                 key_window: us(line.key_window_ms),
                 priority_weight: 1.0,
@@ -371,7 +374,7 @@
                 uncacheable: true,
             });
             let (kind, deadline_ms) = (line.kind, line.deadline_ms);
-            let route = Route { pool, class, kind, repeat, key, deadline_ms, retry, affinity };
+            let route = Route { pool, class, kind, idempotency, key, deadline_ms, retry, affinity };
             routes.add(&line.method, route).map_err(|e| e.to_string())?;
         }
         let specs = self
@@ -391,7 +394,7 @@
         let backends = lines.into_iter().map(|(address, b)| {
             // An id by the address alone, so that every proxy agrees on it and a list may change.
             let mut id = crc32fast::hash(address.to_string().as_bytes());
-            while id == BEHIND || !taken.insert(id) {
+            while id == ORIGIN_ID || !taken.insert(id) {
                 id = id.wrapping_add(1);
             }
             Backend { id, address, live: !b.draining, weight: b.weight.unwrap_or(1.0) }
@@ -433,7 +436,7 @@
         max_attempts: pool.attempts,
         can_cancel: true,
         can_check_health: false,
-        max_retry_after: (pool.come_back_most_ms * 1_000.0) as u64,
+        max_retry_after: (pool.max_retry_after_ms * 1_000.0) as u64,
         watch_endpoints: false,
         cache_slow_start: warm,
         parent_slow_start: warm,
--- a/src/grpc/frames.rs
+++ b/src/grpc/frames.rs
@@ -6,7 +6,7 @@
 
 /// What is wrong with a stream of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadMessage {
+pub enum MessageError {
     /// The first byte of a prefix is neither 0 nor 1.
     #[error("a message's compressed-flag is {0}")]
     Flag(u8),
@@ -17,7 +17,7 @@
 
 /// Where a stream of messages stands.
 #[derive(Clone, Debug)]
-pub struct Tracker {
+pub struct MessageTracker {
     prefix: [u8; PREFIX],
     /// Bytes of the prefix that came.
     have: usize,
@@ -30,14 +30,14 @@
     pub bytes: u64,
 }
 
-impl Tracker {
+impl MessageTracker {
     /// At a stream's start; messages may have at most `most` bytes.
     pub fn new(most: u32) -> Self {
         Self { prefix: [0; PREFIX], have: 0, left: 0, most, messages: 0, bytes: 0 }
     }
 
     /// Takes the next bytes of the stream.
-    pub fn feed(&mut self, mut bytes: &[u8]) -> Result<(), BadMessage> {
+    pub fn feed(&mut self, mut bytes: &[u8]) -> Result<(), MessageError> {
         self.bytes += bytes.len() as u64;
         while !bytes.is_empty() {
             if self.have < PREFIX {
@@ -46,7 +46,7 @@
                 self.have += n;
                 bytes = &bytes[n..];
                 if self.prefix[0] > 1 {
-                    return Err(BadMessage::Flag(self.prefix[0]));
+                    return Err(MessageError::Flag(self.prefix[0]));
                 }
                 if self.have < PREFIX {
                     return Ok(());
@@ -54,7 +54,7 @@
                 let [_, a, b, c, d] = self.prefix;
                 self.left = u32::from_be_bytes([a, b, c, d]);
                 if self.left > self.most {
-                    return Err(BadMessage::TooLong(self.left));
+                    return Err(MessageError::TooLong(self.left));
                 }
             }
             let n = (self.left as usize).min(bytes.len());
--- a/src/grpc/metrics.rs
+++ b/src/grpc/metrics.rs
@@ -1,6 +1,6 @@
 //! The front's figures in the Prometheus text format (`prometheus-client`), read at the second address.
 
-use super::calls::{Calls, PoolFigures};
+use super::calls::{CallTable, PoolCounters};
 use super::status::{Code, CODES};
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -30,7 +30,7 @@
     connections: Gauge,
     /// From a call's head to its response's headers, in seconds.
     pub first_head: Histogram,
-    told: HashMap<String, PoolFigures>,
+    told: HashMap<String, PoolCounters>,
 }
 
 impl Default for Metrics {
@@ -78,8 +78,8 @@
 
 impl Metrics {
     /// The text, with what came since it was last asked for.
-    pub fn text(&mut self, now: f64, calls: &Calls, connections: usize) -> String {
-        for (place, (name, f, live)) in calls.figures().enumerate() {
+    pub fn text(&mut self, now: f64, calls: &CallTable, connections: usize) -> String {
+        for (place, (name, f, live)) in calls.counters().enumerate() {
             let t = self.told.entry(name.to_string()).or_default();
             let pool = ("pool".to_string(), name.to_string());
             let label = |key: &str, value: &str| vec![pool.clone(), (key.to_string(), value.to_string())];
--- a/src/grpc/relay.rs
+++ b/src/grpc/relay.rs
@@ -1,14 +1,14 @@
 //! One call's bytes, both ways: the client's request to the attempt's backend, the backend's response and its
 //! trailers back, each with the other side's flow control. What is done next is [`super::calls`]' word.
 
-use super::admission::{Entry, Pass};
-use super::calls::{object, Answer, CallId, Directive, NewCall, Outcome, Start};
-use super::frames::{BadMessage, Tracker};
-use super::routes::Kind;
+use super::admission::{AdmissionPermit, AdmissionResult};
+use super::calls::{object, AttemptTarget, CallId, CallOutcome, Directive, LocalStatus, NewCall};
+use super::frames::{MessageError, MessageTracker};
+use super::routes::MethodKind;
 use super::server::GrpcFront;
-use super::status::{message, Code, End, Pushback};
+use super::status::{message, AttemptEnd, Code, Pushback};
 use super::timeout;
-use super::upstream::NoLink;
+use super::upstream::ConnectionError;
 use crate::clock::duration_from_ms;
 use bytes::Bytes;
 use h2::client::ResponseFuture;
@@ -22,7 +22,7 @@
 const STATUS: &str = "grpc-status";
 const PUSHBACK: &str = "grpc-retry-pushback-ms";
 /// Headers of one hop (RFC 9113, section 8.2.2), and those that this proxy words itself.
-const OWN_HOP: [&str; 8] = [
+const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "proxy-connection",
     "keep-alive",
@@ -41,7 +41,7 @@
     /// What is kept for a further attempt.
     kept: Vec<Bytes>,
     replayable: bool,
-    tracker: Tracker,
+    tracker: MessageTracker,
 }
 
 /// The client's half that receives.
@@ -101,11 +101,11 @@
 /// What came of an attempt.
 enum Came {
     /// It ended; the backend's own last headers, where it sent any.
-    End(End, Option<HeaderMap>),
+    AttemptEnd(AttemptEnd, Option<HeaderMap>),
     /// The client left.
     Left,
     /// The call can't go on, for its client's or the proxy's own sake.
-    Abort(Answer),
+    Abort(LocalStatus),
 }
 
 fn without_hop(headers: &HeaderMap) -> HeaderMap {
@@ -117,13 +117,13 @@
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(',').map(|n| n.trim().to_ascii_lowercase()))
         .collect();
-    for name in named.iter().map(String::as_str).chain(OWN_HOP) {
+    for name in named.iter().map(String::as_str).chain(HOP_BY_HOP_HEADERS) {
         all.remove(name);
     }
     all
 }
 
-fn trailers(answer: &Answer) -> HeaderMap {
+fn trailers(answer: &LocalStatus) -> HeaderMap {
     let mut map = HeaderMap::new();
     map.insert(STATUS, HeaderValue::from(u16::from(answer.code.number())));
     if let Ok(text) = HeaderValue::from_str(&message(answer.message)) {
@@ -143,23 +143,23 @@
 }
 
 /// What an HTTP/2 error says of the attempt.
-fn end_of(error: &h2::Error) -> End {
+fn end_of(error: &h2::Error) -> AttemptEnd {
     if error.is_go_away() && error.is_remote() {
         // `h2` gives a GOAWAY only to streams above its last-stream-id: those surely did not run.
-        return End::Unprocessed;
+        return AttemptEnd::Unprocessed;
     }
     match error.reason() {
-        Some(Reason::REFUSED_STREAM) if error.is_remote() => End::Unprocessed,
-        Some(reason) if error.is_reset() && error.is_remote() => End::Reset(reason.into()),
-        Some(_) if !error.is_io() => End::Spoilt,
-        _ => End::Broken,
+        Some(Reason::REFUSED_STREAM) if error.is_remote() => AttemptEnd::Unprocessed,
+        Some(reason) if error.is_reset() && error.is_remote() => AttemptEnd::Reset(reason.into()),
+        Some(_) if !error.is_io() => AttemptEnd::Malformed,
+        _ => AttemptEnd::ConnectionLost,
     }
 }
 
 /// The status in a response's last headers.
-fn status_of(last: &HeaderMap) -> Option<End> {
+fn status_of(last: &HeaderMap) -> Option<AttemptEnd> {
     let code = Code::parse(last.get(STATUS)?.as_bytes())?;
-    Some(End::Status(code, last.get(PUSHBACK).map(|v| Pushback::parse(v.as_bytes()))))
+    Some(AttemptEnd::Status(code, last.get(PUSHBACK).map(|v| Pushback::parse(v.as_bytes()))))
 }
 
 fn is_grpc(headers: &HeaderMap) -> bool {
@@ -177,12 +177,12 @@
     }
 }
 
-fn refuse(code: Code, message: &'static str) -> Answer {
-    Answer { code, message, pushback: None, outcome: Outcome::Failed }
+fn refuse(code: Code, message: &'static str) -> LocalStatus {
+    LocalStatus { code, message, pushback: None, outcome: CallOutcome::Failed }
 }
 
 /// What a client's head asks for; else what it is told.
-fn asked(front: &GrpcFront, parts: &request::Parts, now: f64) -> Result<NewCall, Answer> {
+fn asked(front: &GrpcFront, parts: &request::Parts, now: f64) -> Result<NewCall, LocalStatus> {
     let path = parts.uri.path();
     let route = front.routes().find(path).cloned().map(Rc::new);
     let route = route.ok_or_else(|| refuse(Code::UNIMPLEMENTED, "no such method here"))?;
@@ -203,7 +203,7 @@
     }
     let header = |name: &str| parts.headers.get(name).map(|v| v.as_bytes().to_vec());
     let object = object(&route.affinity, path, header);
-    Ok(NewCall { route, object, timeout_ms, since_ms: now })
+    Ok(NewCall { route, object, timeout_ms, received_ms: now })
 }
 
 /// Passes one call through, to its one end.
@@ -227,7 +227,7 @@
     let new = match asked(&front, &parts, began) {
         Ok(new) => new,
         Err(answer) => {
-            front.unasked();
+            front.unrouted();
             return down.end(trailers(&answer));
         }
     };
@@ -236,38 +236,38 @@
         Admitted::Left => return,
         Admitted::Refused(ms) => {
             let (code, pushback) = (Code::UNAVAILABLE, (ms > 0.0).then_some(Pushback::After(ms)));
-            let (message, outcome) = ("refused at the door", Outcome::Refused);
-            return down.end(trailers(&Answer { code, message, pushback, outcome }));
+            let (message, outcome) = ("refused at the door", CallOutcome::Rejected);
+            return down.end(trailers(&LocalStatus { code, message, pushback, outcome }));
         }
     };
     front.sync();
-    let tracker = || Tracker::new(front.limits().message_bytes);
+    let tracker = || MessageTracker::new(front.limits().message_bytes);
     let mut up = Up { body, done: false, kept: Vec::new(), replayable: true, tracker: tracker() };
     let (id, mut directive) = front.with(|calls| calls.begin(front.now(), new));
     let guard = Leaving { front: &front, id };
     let mut last: Option<HeaderMap> = None;
     loop {
         directive = match directive {
-            Directive::Start(start) => {
+            Directive::StartAttempt(start) => {
                 let came = attempt(&front, id, &start, &parts, &mut up, &mut down, began).await;
                 front.sync();
                 match came {
                     Came::Left => return,
                     Came::Abort(answer) => front.with(|calls| calls.abort(front.now(), id, answer)),
-                    Came::End(end, headers) => {
+                    Came::AttemptEnd(end, headers) => {
                         last = headers;
                         front.with(|calls| calls.ended(front.now(), id, end))
                     }
                 }
             }
-            Directive::Pass { come_back_ms, outcome } => {
+            Directive::ForwardStatus { retry_after_ms, outcome } => {
                 pass.iter().for_each(|pass| pass.ended(outcome));
                 let mut headers = last.take().unwrap_or_default();
-                push_back(&mut headers, come_back_ms.map(Pushback::After));
+                push_back(&mut headers, retry_after_ms.map(Pushback::After));
                 down.end(headers);
                 break;
             }
-            Directive::Answer(answer) => {
+            Directive::Respond(answer) => {
                 pass.iter().for_each(|pass| pass.ended(answer.outcome));
                 down.end(trailers(&answer));
                 break;
@@ -280,7 +280,7 @@
 /// What the door said in the end.
 enum Admitted {
     /// It goes on; streams have no pass.
-    In(Option<Pass>),
+    In(Option<AdmissionPermit>),
     Refused(f64),
     Left,
 }
@@ -293,16 +293,16 @@
     client: IpAddr,
     down: &mut Down,
 ) -> Admitted {
-    if new.route.kind != Kind::Unary {
+    if new.route.kind != MethodKind::Unary {
         return Admitted::In(None);
     }
     let number = |name: &str| parts.headers.get(name)?.to_str().ok()?.parse().ok();
     let tenant = front.tenant(new.route.class, number);
     let clock = front.host.clock.clone();
-    match front.door.enter(move || clock.now(), client, tenant, new.since_ms + new.allowed_ms()) {
-        Entry::In(pass) => Admitted::In(Some(pass)),
-        Entry::Refused(ms) => Admitted::Refused(ms),
-        Entry::Wait(heard, pass) => tokio::select! {
+    match front.door.enter(move || clock.now(), client, tenant, new.received_ms + new.allowed_ms()) {
+        AdmissionResult::Admitted(pass) => Admitted::In(Some(pass)),
+        AdmissionResult::Rejected(ms) => Admitted::Refused(ms),
+        AdmissionResult::Queued(heard, pass) => tokio::select! {
             biased;
             heard = heard => match heard {
                 Ok(None) => Admitted::In(Some(pass)),
@@ -330,17 +330,17 @@
 async fn attempt(
     front: &Rc<GrpcFront>,
     id: CallId,
-    start: &Start,
+    start: &AttemptTarget,
     head: &request::Parts,
     up: &mut Up,
     down: &mut Down,
     began: f64,
 ) -> Came {
-    let stopping = || Answer {
+    let stopping = || LocalStatus {
         code: Code::UNAVAILABLE,
         message: "the proxy stops",
         pushback: None,
-        outcome: Outcome::Failed,
+        outcome: CallOutcome::Failed,
     };
     if front.is_cut() {
         return Came::Abort(stopping());
@@ -358,36 +358,38 @@
         biased;
         came = pass(front, id, start, head, up, down, began) => came,
         () = front.cut() => Came::Abort(stopping()),
-        () = over => Came::End(End::TimedOut, None),
+        () = over => Came::AttemptEnd(AttemptEnd::TimedOut, None),
     }
 }
 
 async fn pass(
     front: &Rc<GrpcFront>,
     id: CallId,
-    start: &Start,
+    start: &AttemptTarget,
     head: &request::Parts,
     up: &mut Up,
     down: &mut Down,
     began: f64,
 ) -> Came {
-    let Some(mut seat) = front.upstream.place(start.address, id, start.attempt) else {
-        return Came::End(End::NoConnection { local: true }, None);
+    let Some(mut permit) = front.upstream.place(start.address, id, start.attempt) else {
+        return Came::AttemptEnd(AttemptEnd::NoConnection { local: true }, None);
     };
     let ready = tokio::select! {
         biased;
-        ready = seat.ready() => ready,
+        ready = permit.ready() => ready,
         () = down.left() => return Came::Left,
     };
     let mut send = match ready {
         Ok(send) => send,
-        Err(NoLink::NotUp { local }) => return Came::End(End::NoConnection { local }, None),
-        Err(NoLink::Spent) => return Came::End(End::Stale, None),
+        Err(ConnectionError::NotConnected { local }) => {
+            return Came::AttemptEnd(AttemptEnd::NoConnection { local }, None)
+        }
+        Err(ConnectionError::Exhausted) => return Came::AttemptEnd(AttemptEnd::NotSent, None),
     };
     // Before the first byte: the list as it is by now, and what is left of the time.
     front.sync();
     let Some(left) = front.with(|calls| calls.may_start(front.now(), id)) else {
-        return Came::End(End::Stale, None);
+        return Came::AttemptEnd(AttemptEnd::NotSent, None);
     };
     let mut request = Request::new(());
     *request.method_mut() = Method::POST;
@@ -413,8 +415,8 @@
     let (response, mut stream) = match send.send_request(request, false) {
         Ok(out) => out,
         Err(_) => {
-            seat.spent();
-            return Came::End(End::Stale, None);
+            permit.spent();
+            return Came::AttemptEnd(AttemptEnd::NotSent, None);
         }
     };
     drop(send);
@@ -423,10 +425,10 @@
         came = receive(front, id, response, down, began) => came,
         came = transmit(front, id, up, &mut stream) => came,
     };
-    if matches!(came, Came::End(End::Unprocessed, _)) {
-        seat.spent();
+    if matches!(came, Came::AttemptEnd(AttemptEnd::Unprocessed, _)) {
+        permit.spent();
     }
-    if !matches!(came, Came::End(End::Status(..), _)) {
+    if !matches!(came, Came::AttemptEnd(AttemptEnd::Status(..), _)) {
         // Whatever the backend still does for this attempt, nobody waits for it.
         stream.send_reset(Reason::CANCEL);
     }
@@ -450,8 +452,8 @@
             Some(Ok(chunk)) => {
                 if let Err(bad) = up.tracker.feed(&chunk) {
                     return Came::Abort(match bad {
-                        BadMessage::Flag(_) => refuse(Code::INTERNAL, "a message's prefix can't be read"),
-                        BadMessage::TooLong(_) => refuse(Code::RESOURCE_EXHAUSTED, "a message is too long"),
+                        MessageError::Flag(_) => refuse(Code::INTERNAL, "a message's prefix can't be read"),
+                        MessageError::TooLong(_) => refuse(Code::RESOURCE_EXHAUSTED, "a message is too long"),
                     });
                 }
                 let most = front.limits().replay_bytes;
@@ -493,26 +495,28 @@
     };
     let (parts, mut body) = match response {
         Ok(response) => response.into_parts(),
-        Err(error) => return Came::End(end_of(&error), None),
+        Err(error) => return Came::AttemptEnd(end_of(&error), None),
     };
     let headers = without_hop(&parts.headers);
     if body.is_end_stream() {
         // "Trailers-only": the whole answer is its status, and the client has nothing of it yet.
         return match status_of(&headers) {
-            Some(end) => Came::End(end, Some(headers)),
-            None if parts.status != 200 => Came::End(End::Http(parts.status.as_u16()), None),
-            None => Came::End(End::Cut, None),
+            Some(end) => Came::AttemptEnd(end, Some(headers)),
+            None if parts.status != 200 => {
+                Came::AttemptEnd(AttemptEnd::HttpStatus(parts.status.as_u16()), None)
+            }
+            None => Came::AttemptEnd(AttemptEnd::Truncated, None),
         };
     }
     if parts.status != 200 || !is_grpc(&headers) {
-        return Came::End(End::Http(parts.status.as_u16()), None);
+        return Came::AttemptEnd(AttemptEnd::HttpStatus(parts.status.as_u16()), None);
     }
     if !down.commit(headers) {
         return Came::Left;
     }
     front.with(|calls| calls.committed(front.now(), id));
     front.observe_head(front.now() - began);
-    let mut tracker = Tracker::new(front.limits().message_bytes);
+    let mut tracker = MessageTracker::new(front.limits().message_bytes);
     loop {
         let chunk = tokio::select! {
             biased;
@@ -521,11 +525,11 @@
         };
         let chunk = match chunk {
             None => break,
-            Some(Err(error)) => return Came::End(end_of(&error), None),
+            Some(Err(error)) => return Came::AttemptEnd(end_of(&error), None),
             Some(Ok(chunk)) => chunk,
         };
         if tracker.feed(&chunk).is_err() {
-            return Came::End(End::Spoilt, None);
+            return Came::AttemptEnd(AttemptEnd::Malformed, None);
         }
         let len = chunk.len();
         let Down::Body(stream) = down else { return Came::Left };
@@ -536,14 +540,16 @@
     }
     let last = match body.trailers().await {
         Ok(Some(last)) => without_hop(&last),
-        Ok(None) => return Came::End(End::Cut, None),
-        Err(error) => return Came::End(end_of(&error), None),
+        Ok(None) => return Came::AttemptEnd(AttemptEnd::Truncated, None),
+        Err(error) => return Came::AttemptEnd(end_of(&error), None),
     };
     match status_of(&last) {
         // A status of OK after half a message is none.
-        Some(End::Status(Code::OK, _)) if tracker.within() => Came::End(End::Cut, None),
-        Some(end) => Came::End(end, Some(last)),
-        None => Came::End(End::Cut, None),
+        Some(AttemptEnd::Status(Code::OK, _)) if tracker.within() => {
+            Came::AttemptEnd(AttemptEnd::Truncated, None)
+        }
+        Some(end) => Came::AttemptEnd(end, Some(last)),
+        None => Came::AttemptEnd(AttemptEnd::Truncated, None),
     }
 }
 
--- a/src/grpc/routes.rs
+++ b/src/grpc/routes.rs
@@ -9,7 +9,7 @@
 /// Whether a method's calls are one message each way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum MethodKind {
     /// One message each way: an attempt that does not answer in its time is given up, where it may be repeated.
     Unary,
     /// Any number of messages either way, or not known: an attempt has all the call's time.
@@ -36,9 +36,9 @@
     /// Place of its class in the pool's settings.
     pub class: usize,
     /// Unary or not.
-    pub kind: Kind,
+    pub kind: MethodKind,
     /// Whether it may be repeated.
-    pub repeat: Idempotency,
+    pub idempotency: Idempotency,
     /// The header that must hold an idempotency key.
     pub key: Option<String>,
     /// The longest that a call may take, in milliseconds; none where only the client says.
@@ -60,7 +60,7 @@
 
 /// Why a pattern is none.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadPattern {
+pub enum PatternError {
     /// It is not `/Service/Method`, `/Service/*` or `*`.
     #[error("{0:?} is not `/Service/Method`, `/Service/*` or `*`")]
     Form(String),
@@ -79,9 +79,9 @@
 
 impl Routes {
     /// Adds what a pattern's methods may.
-    pub fn add(&mut self, pattern: &str, route: Route) -> Result<(), BadPattern> {
+    pub fn add(&mut self, pattern: &str, route: Route) -> Result<(), PatternError> {
         let service = pattern.strip_suffix("/*").filter(|s| split(&format!("{s}/m")).is_some());
-        let (taken, place) = (BadPattern::Twice(pattern.to_string()), self.routes.len());
+        let (taken, place) = (PatternError::Twice(pattern.to_string()), self.routes.len());
         match service {
             _ if pattern == "*" => match self.rest {
                 Some(_) => return Err(taken),
@@ -95,7 +95,7 @@
                 Entry::Occupied(_) => return Err(taken),
                 Entry::Vacant(free) => drop(free.insert(place)),
             },
-            None => return Err(BadPattern::Form(pattern.to_string())),
+            None => return Err(PatternError::Form(pattern.to_string())),
         }
         self.routes.push(route);
         Ok(())
--- a/src/grpc/routes/tests.rs
+++ b/src/grpc/routes/tests.rs
@@ -4,8 +4,8 @@
     Route {
         pool: 0,
         class,
-        kind: Kind::Unary,
-        repeat: Idempotency::Idempotent,
+        kind: MethodKind::Unary,
+        idempotency: Idempotency::Idempotent,
         key: None,
         deadline_ms: None,
         retry: Vec::new(),
@@ -29,11 +29,11 @@
         assert_eq!(class(&routes, bad), None, "{bad:?}");
     }
     for twice in ["*", "/ads.v1.Ads/*", "/ads.v1.Ads/Post"] {
-        assert_eq!(routes.add(twice, route(9)), Err(BadPattern::Twice(twice.into())));
+        assert_eq!(routes.add(twice, route(9)), Err(PatternError::Twice(twice.into())));
     }
     assert_eq!(class(&routes, "/ads.v1.Adsy/Get"), Some(2), "the first line stays");
     for bad in ["", "/*", "a/*", "/a/b/*", "**", "/a/b*"] {
-        assert_eq!(routes.add(bad, route(9)), Err(BadPattern::Form(bad.into())), "{bad:?}");
+        assert_eq!(routes.add(bad, route(9)), Err(PatternError::Form(bad.into())), "{bad:?}");
     }
     assert_eq!(routes.all().len(), 3, "a bad line adds nothing");
 }
--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -2,8 +2,8 @@
 //! connection and each call. What `h2` finds malformed ends the stream or the connection as RFC 9113 says.
 
 use super::admission::CallAdmission;
-use super::calls::{Backend, Calls};
-use super::config::{GrpcConfig, Limits};
+use super::calls::{Backend, CallTable};
+use super::config::{GrpcConfig, GrpcLimits};
 use super::metrics::Metrics;
 use super::relay::relay;
 use super::routes::Routes;
@@ -23,9 +23,9 @@
 use tokio::time::timeout;
 
 /// The wait after an accept that failed, in milliseconds: most likely for want of descriptors.
-const ACCEPT_AGAIN_MS: u64 = 20;
+const ACCEPT_RETRY_MS: u64 = 20;
 /// How often idle connections to backends, and the list of members, are looked at, in milliseconds.
-const TIDY_MS: u64 = 100;
+const HOUSEKEEPING_INTERVAL_MS: u64 = 100;
 /// How long a connection to a backend may be without a call, in milliseconds.
 const UPSTREAM_IDLE_MS: f64 = 60_000.0;
 
@@ -35,10 +35,10 @@
     pub host: Rc<Executor>,
     /// Connections to backends.
     pub upstream: Rc<Upstream>,
-    calls: RefCell<Calls>,
+    calls: RefCell<CallTable>,
     routes: RefCell<Rc<Routes>>,
     config: RefCell<GrpcConfig>,
-    limits: Limits,
+    limits: GrpcLimits,
     metrics: RefCell<Metrics>,
     /// Fair queues ahead of unary calls.
     pub door: Rc<CallAdmission>,
@@ -46,7 +46,7 @@
     listed: RefCell<Vec<Vec<Backend>>>,
     roster_seen: Cell<u64>,
     not_grpc: Cell<u64>,
-    unasked: Cell<u64>,
+    unrouted: Cell<u64>,
     /// Calls under way end now.
     cut: Notify,
     cutting: Cell<bool>,
@@ -61,7 +61,7 @@
         let upstream = Upstream::new(host.clock.clone(), config.limits.clone(), config.connections());
         let front = Rc::new(Self {
             upstream,
-            calls: RefCell::new(Calls::new(pools, config.bounds(), seed)),
+            calls: RefCell::new(CallTable::new(pools, config.bounds(), seed)),
             routes: RefCell::new(Rc::new(routes)),
             limits: config.limits.clone(),
             config: RefCell::new(config),
@@ -70,13 +70,13 @@
             listed: RefCell::default(),
             roster_seen: Cell::new(u64::MAX),
             not_grpc: Cell::new(0),
-            unasked: Cell::new(0),
+            unrouted: Cell::new(0),
             cut: Notify::new(),
             cutting: Cell::new(false),
             crowded: Notify::new(),
             host,
         });
-        let door = front.config.borrow().door.clone();
+        let door = front.config.borrow().admission.clone();
         front.door.set(door.map(|door| AdmissionControl::new(door, "grpc_door")));
         front.list();
         Ok(front)
@@ -88,7 +88,7 @@
     }
 
     /// The bounds.
-    pub fn limits(&self) -> &Limits {
+    pub fn limits(&self) -> &GrpcLimits {
         &self.limits
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Lets the calls do something.
-    pub fn with<R>(&self, act: impl FnOnce(&mut Calls) -> R) -> R {
+    pub fn with<R>(&self, act: impl FnOnce(&mut CallTable) -> R) -> R {
         act(&mut self.calls.borrow_mut())
     }
 
@@ -113,7 +113,7 @@
         routes.renumber(|pool| places[pool]);
         *self.routes.borrow_mut() = Rc::new(routes);
         // Weights and exempt networks of the door hold from its next round; its bounds need a new process.
-        fresh.door.clone().map(|door| self.door.with(|gate| gate.reconfigure(door)));
+        fresh.admission.clone().map(|door| self.door.with(|gate| gate.reconfigure(door)));
         *self.config.borrow_mut() = fresh;
         self.list();
         Ok(())
@@ -132,7 +132,7 @@
         let mut listed = self.listed.borrow_mut();
         for pool in &config.pools {
             let Some(place) = self.with(|calls| calls.pool(&pool.name)) else { continue };
-            let fresh = match &pool.roster {
+            let fresh = match &pool.discovered {
                 None => config.backends(pool),
                 Some(from) => self.host.backends(&from.model, from.port),
             };
@@ -158,9 +158,9 @@
     pub fn figures(&self) -> String {
         let calls = self.calls.borrow();
         let text = self.metrics.borrow_mut().text(self.now(), &calls, self.upstream.len());
-        let (other, unasked) = (self.not_grpc.get(), self.unasked.get());
+        let (other, unrouted) = (self.not_grpc.get(), self.unrouted.get());
         let text = text.trim_end().trim_end_matches("# EOF").to_string();
-        let own = format!("grpc_not_grpc_total {other}\ngrpc_unrouted_total {unasked}\n# EOF\n");
+        let own = format!("grpc_not_grpc_total {other}\ngrpc_unrouted_total {unrouted}\n# EOF\n");
         text + &own + &self.door.with(AdmissionControl::figures).unwrap_or_default()
     }
 
@@ -182,7 +182,7 @@
             return Some(HttpAnswer::status(405).with("Allow", "GET"));
         }
         let calls = self.calls.borrow();
-        let pools = calls.figures().enumerate().map(|(place, (name, f, live))| PoolStatus {
+        let pools = calls.counters().enumerate().map(|(place, (name, f, live))| PoolStatus {
             name: name.to_string(),
             live,
             avoided: calls.avoided(self.now(), place),
@@ -218,8 +218,8 @@
     }
 
     /// A call came that the table does not know, or whose head can't be used.
-    pub fn unasked(&self) {
-        self.unasked.set(self.unasked.get() + 1);
+    pub fn unrouted(&self) {
+        self.unrouted.set(self.unrouted.get() + 1);
     }
 
     /// A response's headers went out, this many milliseconds after the call's own.
@@ -273,7 +273,7 @@
 /// Keeps the front's housekeeping.
 pub async fn keep(front: Rc<GrpcFront>) {
     loop {
-        tokio::time::sleep(Duration::from_millis(TIDY_MS)).await;
+        tokio::time::sleep(Duration::from_millis(HOUSEKEEPING_INTERVAL_MS)).await;
         front.sync();
         front.upstream.tidy(UPSTREAM_IDLE_MS);
     }
@@ -307,7 +307,7 @@
             Err(_) => {
                 // Above the cap one newcomer waits here, the others in the machine's queue.
                 front.crowded.notify_one();
-                let _ = timeout(Duration::from_millis(ACCEPT_AGAIN_MS), closing.notified())
+                let _ = timeout(Duration::from_millis(ACCEPT_RETRY_MS), closing.notified())
                     .await
                     .map(|()| last = true);
                 continue;
@@ -344,7 +344,7 @@
             Err(_) => {
                 // Guards against running out of descriptors: the clients wait, the process goes on.
                 front.host.with(|engine| engine.counters.accept_failures += 1);
-                tokio::time::sleep(Duration::from_millis(ACCEPT_AGAIN_MS)).await;
+                tokio::time::sleep(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             }
         }
     }
--- a/src/grpc/status.rs
+++ b/src/grpc/status.rs
@@ -142,11 +142,11 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub enum AttemptEnd {
     /// The backend ended the call with a status.
     Status(Code, Option<Pushback>),
     /// It answered something that is not gRPC, with this HTTP status.
-    Http(u16),
+    HttpStatus(u16),
     /// It reset the stream, with this error code, and may have processed it.
     Reset(u32),
     /// It surely did not process the stream: REFUSED_STREAM, or a GOAWAY that leaves it out.
@@ -157,20 +157,20 @@
         local: bool,
     },
     /// Never sent: its backend drained or its time was over while it waited.
-    Stale,
+    NotSent,
     /// The connection ended under it.
-    Broken,
+    ConnectionLost,
     /// The stream ended within a message, or without a status.
-    Cut,
+    Truncated,
     /// What came breaks the rules of messages.
-    Spoilt,
+    Malformed,
     /// No answer in time.
     TimedOut,
 }
 
 /// What an end says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Judgement {
+pub struct Classification {
     /// To the decision module. For a caller's own error this is [`AttemptOutcome::Cancelled`], which says nothing of the
     /// backend's health.
     pub outcome: AttemptOutcome,
@@ -182,7 +182,7 @@
 
 /// Judges the end of an attempt. `committed` says that the client has the response's headers; `retry` are the
 /// statuses after which a method that may be repeated is tried again.
-pub fn judge(end: End, committed: bool, repeat: Idempotency, retry: &[Code]) -> Judgement {
+pub fn classify(end: AttemptEnd, committed: bool, repeat: Idempotency, retry: &[Code]) -> Classification {
     let repeatable = repeat != Idempotency::NotIdempotent;
     let by_code = |code: Code| {
         let busy = code == Code::UNAVAILABLE || code == Code::RESOURCE_EXHAUSTED;
@@ -196,22 +196,24 @@
         }
     };
     let (outcome, code, again) = match end {
-        End::Status(code, pushback) => {
+        AttemptEnd::Status(code, pushback) => {
             (by_code(code), code, repeatable && pushback.is_none() && retry.contains(&code))
         }
-        End::Http(status) => {
+        AttemptEnd::HttpStatus(status) => {
             let code = Code::of_http(status);
             (AttemptOutcome::Error, code, repeatable && retry.contains(&code))
         }
-        End::Reset(reason) => (AttemptOutcome::Error, Code::of_reset(reason), repeatable),
-        End::Unprocessed => (AttemptOutcome::Rejected, Code::UNAVAILABLE, true),
-        End::NoConnection { local: true } | End::Stale => (AttemptOutcome::NotSent, Code::UNAVAILABLE, true),
-        End::NoConnection { local: false } => (AttemptOutcome::NoConnection, Code::UNAVAILABLE, true),
-        End::Broken => (AttemptOutcome::ConnectionLost, Code::UNAVAILABLE, repeatable),
-        End::Cut | End::Spoilt => (AttemptOutcome::Error, Code::INTERNAL, repeatable),
-        End::TimedOut => (AttemptOutcome::TimedOut, Code::DEADLINE_EXCEEDED, repeatable),
+        AttemptEnd::Reset(reason) => (AttemptOutcome::Error, Code::of_reset(reason), repeatable),
+        AttemptEnd::Unprocessed => (AttemptOutcome::Rejected, Code::UNAVAILABLE, true),
+        AttemptEnd::NoConnection { local: true } | AttemptEnd::NotSent => {
+            (AttemptOutcome::NotSent, Code::UNAVAILABLE, true)
+        }
+        AttemptEnd::NoConnection { local: false } => (AttemptOutcome::NoConnection, Code::UNAVAILABLE, true),
+        AttemptEnd::ConnectionLost => (AttemptOutcome::ConnectionLost, Code::UNAVAILABLE, repeatable),
+        AttemptEnd::Truncated | AttemptEnd::Malformed => (AttemptOutcome::Error, Code::INTERNAL, repeatable),
+        AttemptEnd::TimedOut => (AttemptOutcome::TimedOut, Code::DEADLINE_EXCEEDED, repeatable),
     };
-    Judgement { outcome, code, again: again && !committed }
+    Classification { outcome, code, again: again && !committed }
 }
 
 #[cfg(test)]
--- a/src/grpc/status/tests.rs
+++ b/src/grpc/status/tests.rs
@@ -22,21 +22,28 @@
 /// only goes on after ends that surely came before it ran.
 #[test]
 fn an_unsafe_method_goes_on_only_where_nothing_ran() {
-    let mut ends = vec![End::Reset(7), End::Reset(8), End::Broken, End::Cut, End::Spoilt, End::TimedOut];
-    ends.extend((0..17).map(|n| End::Status(Code::of(n), None)));
-    ends.extend([200, 400, 404, 429, 500, 503].map(End::Http));
+    let mut ends = vec![
+        AttemptEnd::Reset(7),
+        AttemptEnd::Reset(8),
+        AttemptEnd::ConnectionLost,
+        AttemptEnd::Truncated,
+        AttemptEnd::Malformed,
+        AttemptEnd::TimedOut,
+    ];
+    ends.extend((0..17).map(|n| AttemptEnd::Status(Code::of(n), None)));
+    ends.extend([200, 400, 404, 429, 500, 503].map(AttemptEnd::HttpStatus));
     let all: Vec<Code> = (0..17).map(Code::of).collect();
     for end in &ends {
-        let judged = judge(*end, false, Idempotency::NotIdempotent, &all);
+        let judged = classify(*end, false, Idempotency::NotIdempotent, &all);
         assert!(!judged.again && !judged.outcome.never_ran(), "{end:?}: {judged:?}");
     }
-    for end in [End::Unprocessed, End::NoConnection { local: false }, End::Stale] {
-        let judged = judge(end, false, Idempotency::NotIdempotent, &[]);
+    for end in [AttemptEnd::Unprocessed, AttemptEnd::NoConnection { local: false }, AttemptEnd::NotSent] {
+        let judged = classify(end, false, Idempotency::NotIdempotent, &[]);
         assert!(judged.again && judged.outcome.never_ran(), "{end:?}: {judged:?}");
     }
-    ends.extend([End::Unprocessed, End::Stale]);
+    ends.extend([AttemptEnd::Unprocessed, AttemptEnd::NotSent]);
     for (end, repeat) in ends.iter().flat_map(|e| ALL.map(|r| (*e, r))) {
-        assert!(!judge(end, true, repeat, &all).again, "{end:?}: committed");
+        assert!(!classify(end, true, repeat, &all).again, "{end:?}: committed");
     }
 }
 
@@ -45,15 +52,20 @@
 fn only_ok_is_served_and_the_callers_own_errors_leave_the_backend_alone() {
     for (n, committed) in (0..17).flat_map(|n| [(n, false), (n, true)]) {
         let code = Code::of(n);
-        let judged = judge(End::Status(code, None), committed, Idempotency::Idempotent, &[Code::UNAVAILABLE]);
+        let judged = classify(
+            AttemptEnd::Status(code, None),
+            committed,
+            Idempotency::Idempotent,
+            &[Code::UNAVAILABLE],
+        );
         assert_eq!(judged.outcome == AttemptOutcome::Served, code == Code::OK, "{code:?}");
         assert_eq!(judged.outcome == AttemptOutcome::Cancelled, code.is_callers(), "{code:?}");
         assert_eq!(judged.again, code == Code::UNAVAILABLE && !committed);
         assert_eq!(judged.code, code);
     }
-    let told = End::Status(Code::UNAVAILABLE, Some(Pushback::After(50.0)));
+    let told = AttemptEnd::Status(Code::UNAVAILABLE, Some(Pushback::After(50.0)));
     assert!(
-        !judge(told, false, Idempotency::Idempotent, &[Code::UNAVAILABLE]).again,
+        !classify(told, false, Idempotency::Idempotent, &[Code::UNAVAILABLE]).again,
         "it said when to come back"
     );
 }
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -1,7 +1,7 @@
 //! Connections to backends: HTTP/2 by the `h2` crate, one task each. Which connection a call goes onto, and when a
 //! further one is opened, is [`Connections`]' decision, the same as for the other fronts' members.
 
-use super::config::Limits;
+use super::config::GrpcLimits;
 use crate::clock::{duration_from_ms, Clock};
 use crate::state::connections::{Bounds, ConnId, Connections, Place};
 use crate::wire::cache_connection::is_local;
@@ -36,7 +36,7 @@
 /// All connections to backends.
 pub struct Upstream {
     clock: Clock,
-    limits: Limits,
+    limits: GrpcLimits,
     connections: RefCell<Connections>,
     links: RefCell<HashMap<ConnId, Link>>,
     /// Addresses by the number under which their connections are held.
@@ -44,7 +44,7 @@
 }
 
 /// A call's place on a connection; it is free again once this is dropped.
-pub struct Seat {
+pub struct StreamPermit {
     upstream: Rc<Upstream>,
     conn: ConnId,
     call: u64,
@@ -53,7 +53,7 @@
 
 impl Upstream {
     /// None yet.
-    pub fn new(clock: Clock, limits: Limits, bounds: Bounds) -> Rc<Self> {
+    pub fn new(clock: Clock, limits: GrpcLimits, bounds: Bounds) -> Rc<Self> {
         Rc::new(Self {
             clock,
             limits,
@@ -80,14 +80,14 @@
     }
 
     /// Gives a call a place on a connection to a backend; none where all are full.
-    pub fn place(self: &Rc<Self>, address: SocketAddr, call: u64, attempt: u32) -> Option<Seat> {
-        let (now, member) = (self.clock.now(), self.number(address));
+    pub fn place(self: &Rc<Self>, address: SocketAddr, call: u64, attempt: u32) -> Option<StreamPermit> {
+        let (now, backend) = (self.clock.now(), self.number(address));
         let mut all = self.connections.borrow_mut();
-        let mut place = all.place(member, call, now);
+        let mut place = all.place(backend, call, now);
         if place == Place::Nowhere {
-            if let Some(idle) = all.evict(member) {
+            if let Some(idle) = all.evict(backend) {
                 self.links.borrow().get(&idle).inspect(|link| link.close.notify_one());
-                place = all.place(member, call, now);
+                place = all.place(backend, call, now);
             }
         }
         let conn = match place {
@@ -109,13 +109,13 @@
         c.out.insert(call, (call, attempt));
         c.used_ms = now;
         let state = self.links.borrow().get(&conn)?.state.clone();
-        Some(Seat { upstream: self.clone(), conn, call, state })
+        Some(StreamPermit { upstream: self.clone(), conn, call, state })
     }
 
     /// A backend takes nothing new: its connections end once nothing is out on them.
     pub fn retire(&self, address: SocketAddr) {
-        let Some(member) = self.addresses.borrow().get(&address).copied() else { return };
-        for (conn, c) in self.connections.borrow_mut().iter_mut().filter(|(_, c)| c.endpoint == member) {
+        let Some(backend) = self.addresses.borrow().get(&address).copied() else { return };
+        for (conn, c) in self.connections.borrow_mut().iter_mut().filter(|(_, c)| c.endpoint == backend) {
             c.closing = true;
             self.close_if_done(*conn, c.load());
         }
@@ -215,33 +215,33 @@
 
 /// Why a seat's connection takes no call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoLink {
+pub enum ConnectionError {
     /// It did not come up; `local` says that the fault is this machine's own.
-    NotUp {
+    NotConnected {
         /// This machine's own fault.
         local: bool,
     },
     /// It had come up and takes no more: that proves no fault.
-    Spent,
+    Exhausted,
 }
 
-impl Seat {
+impl StreamPermit {
     /// Waits for the connection to come up and to have room for a stream.
-    pub async fn ready(&mut self) -> Result<SendRequest<Bytes>, NoLink> {
+    pub async fn ready(&mut self) -> Result<SendRequest<Bytes>, ConnectionError> {
         let send = loop {
             let state = self.state.borrow_and_update().clone();
             match state {
                 State::Up(send) => break send,
-                State::Down { local } => return Err(NoLink::NotUp { local }),
+                State::Down { local } => return Err(ConnectionError::NotConnected { local }),
                 State::Connecting => {}
             }
             if self.state.changed().await.is_err() {
-                return Err(NoLink::NotUp { local: false });
+                return Err(ConnectionError::NotConnected { local: false });
             }
         };
         send.ready().await.map_err(|_| {
             self.upstream.spent(self.conn);
-            NoLink::Spent
+            ConnectionError::Exhausted
         })
     }
 
@@ -251,7 +251,7 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for StreamPermit {
     fn drop(&mut self) {
         let now = self.upstream.clock.now();
         let mut all = self.upstream.connections.borrow_mut();
--- a/src/main.rs
+++ b/src/main.rs
@@ -405,7 +405,7 @@
                 "pool {}  kind {:?}  repeat {}  deadline {deadline}  affinity {:?}  retry {}",
                 pools[route.pool].name,
                 route.kind,
-                repeat_text(route.repeat),
+                repeat_text(route.idempotency),
                 route.affinity,
                 route.retry.iter().map(|code| code.name()).collect::<Vec<_>>().join(",")
             );
--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -1,17 +1,19 @@
 //! The decisions of gRPC pass-through without a socket: random calls, ends, lists and departures by fixed seeds, and
 //! what must hold whatever comes.
 
-use edge_proxy::grpc::calls::{Backend, Bounds, CallId, Calls, Directive, NewCall, Outcome, Start};
+use edge_proxy::grpc::calls::{
+    AttemptTarget, Backend, Bounds, CallId, CallOutcome, CallTable, Directive, NewCall,
+};
 use edge_proxy::grpc::config::GrpcConfig;
-use edge_proxy::grpc::routes::{Kind, Route};
-use edge_proxy::grpc::status::{Code, End, Pushback};
+use edge_proxy::grpc::routes::{MethodKind, Route};
+use edge_proxy::grpc::status::{AttemptEnd, Code, Pushback};
 use edge_proxy::Idempotency;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-fn config() -> (Calls, Vec<Rc<Route>>) {
+fn config() -> (CallTable, Vec<Rc<Route>>) {
     let routes = [("safe", ""), ("never", ""), ("keyed", r#","key":"x-key","key_window_ms":900"#)];
     let routes = routes.iter().flat_map(|(repeat, more)| {
         ["unary", "stream"].map(|kind| {
@@ -34,7 +36,7 @@
     let _ = std::fs::remove_file(&file);
     let (routes, pools) = config.compile().unwrap();
     let bounds = Bounds { calls: 40, replay_total: 5_000 };
-    (Calls::new(pools, bounds, 9), routes.all().iter().cloned().map(Rc::new).collect())
+    (CallTable::new(pools, bounds, 9), routes.all().iter().cloned().map(Rc::new).collect())
 }
 
 fn backends(live: &[bool]) -> Vec<Backend> {
@@ -49,7 +51,7 @@
 
 struct Open {
     route: Rc<Route>,
-    start: Start,
+    start: AttemptTarget,
     began: f64,
     allowed: f64,
     committed: bool,
@@ -75,11 +77,11 @@
         let mut follow =
             |open: &mut HashMap<CallId, Open>, id, mut call: Open, directive, live: &[bool], over: bool| {
                 match directive {
-                    Directive::Start(start) => {
+                    Directive::StartAttempt(start) => {
                         assert!(!call.committed, "a committed call was sent again");
-                        assert!(live[start.member as usize], "a drained backend was named");
+                        assert!(live[start.backend as usize], "a drained backend was named");
                         assert!(
-                            call.route.repeat != Idempotency::NotIdempotent || !call.may_have_run,
+                            call.route.idempotency != Idempotency::NotIdempotent || !call.may_have_run,
                             "what may have run was sent again"
                         );
                         assert!(call.replayable, "a request that was not kept was sent again");
@@ -91,15 +93,16 @@
                         open.insert(id, call);
                         false
                     }
-                    Directive::Pass { outcome, .. } => {
+                    Directive::ForwardStatus { outcome, .. } => {
                         *seen.entry(format!("pass {outcome:?}")).or_default() += 1;
                         true
                     }
-                    Directive::Answer(answer) => {
+                    Directive::Respond(answer) => {
                         assert_ne!(answer.code, Code::OK, "an answer of the proxy's own is never OK");
-                        let unsafe_ran = call.route.repeat == Idempotency::NotIdempotent && call.may_have_run;
+                        let unsafe_ran =
+                            call.route.idempotency == Idempotency::NotIdempotent && call.may_have_run;
                         assert!(
-                            !unsafe_ran || answer.outcome != Outcome::Refused,
+                            !unsafe_ran || answer.outcome != CallOutcome::Rejected,
                             "what may have run was called refused: {answer:?}"
                         );
                         *seen.entry(format!("answer {:?}", answer.outcome)).or_default() += 1;
@@ -111,7 +114,7 @@
             0..=3 if step < 3_600 => {
                 let route = routes[rng.random_range(0..routes.len())].clone();
                 let timeout_ms = (rng.random_range(0..3) > 0).then(|| rng.random_range(1.0..4_000.0));
-                let new = NewCall { route: route.clone(), object: None, timeout_ms, since_ms: now };
+                let new = NewCall { route: route.clone(), object: None, timeout_ms, received_ms: now };
                 let allowed = new.allowed_ms();
                 assert!(
                     allowed <= 3_000.0 && timeout_ms.is_none_or(|t| allowed <= t),
@@ -119,7 +122,7 @@
                 );
                 let (id, directive) = calls.begin(now, new);
                 begun += 1;
-                let start = Start { attempt: 0, member: 0, address: "127.0.0.1:1".parse().unwrap() };
+                let start = AttemptTarget { attempt: 0, backend: 0, address: "127.0.0.1:1".parse().unwrap() };
                 let (committed, may_have_run, attempts, replayable) = (false, false, 0, true);
                 let call =
                     Open { route, start, began: now, allowed, committed, may_have_run, attempts, replayable };
@@ -154,39 +157,51 @@
                 let mut call = open.remove(&id).unwrap();
                 let may_start = calls.may_start(now, id);
                 if let Some(left) = may_start {
-                    assert!(live[call.start.member as usize], "an attempt may start at a drained backend");
+                    assert!(live[call.start.backend as usize], "an attempt may start at a drained backend");
                     assert!(left <= call.began + call.allowed - now + 1e-6, "more time than the call has");
                 }
                 let over = now >= call.began + call.allowed;
                 let ends = [
-                    End::Status(Code::of(rng.random_range(0..17)), None),
-                    End::Status(Code::OK, None),
-                    End::Status(Code::UNAVAILABLE, Some(Pushback::After(100.0))),
-                    End::Http(503),
-                    End::Reset(2),
-                    End::Unprocessed,
-                    End::NoConnection { local: false },
-                    End::Stale,
-                    End::Broken,
-                    End::Cut,
-                    End::Spoilt,
-                    End::TimedOut,
+                    AttemptEnd::Status(Code::of(rng.random_range(0..17)), None),
+                    AttemptEnd::Status(Code::OK, None),
+                    AttemptEnd::Status(Code::UNAVAILABLE, Some(Pushback::After(100.0))),
+                    AttemptEnd::HttpStatus(503),
+                    AttemptEnd::Reset(2),
+                    AttemptEnd::Unprocessed,
+                    AttemptEnd::NoConnection { local: false },
+                    AttemptEnd::NotSent,
+                    AttemptEnd::ConnectionLost,
+                    AttemptEnd::Truncated,
+                    AttemptEnd::Malformed,
+                    AttemptEnd::TimedOut,
                 ];
                 let mut end = ends[rng.random_range(0..ends.len())];
-                if call.committed && matches!(end, End::Stale | End::NoConnection { .. } | End::Unprocessed) {
-                    end = End::Broken;
+                if call.committed
+                    && matches!(
+                        end,
+                        AttemptEnd::NotSent | AttemptEnd::NoConnection { .. } | AttemptEnd::Unprocessed
+                    )
+                {
+                    end = AttemptEnd::ConnectionLost;
                 }
                 if over {
-                    end = End::TimedOut;
+                    end = AttemptEnd::TimedOut;
                 }
-                let never = matches!(end, End::Stale | End::NoConnection { .. } | End::Unprocessed);
+                let never = matches!(
+                    end,
+                    AttemptEnd::NotSent | AttemptEnd::NoConnection { .. } | AttemptEnd::Unprocessed
+                );
                 call.may_have_run |= !never;
                 let directive = calls.ended(now, id, end);
                 if call.committed {
-                    assert!(!matches!(directive, Directive::Start(_)), "a committed call goes on: {end:?}");
+                    assert!(
+                        !matches!(directive, Directive::StartAttempt(_)),
+                        "a committed call goes on: {end:?}"
+                    );
                 }
-                if end == End::Status(Code::OK, None) {
-                    let served = Directive::Pass { outcome: Outcome::Served, come_back_ms: None };
+                if end == AttemptEnd::Status(Code::OK, None) {
+                    let served =
+                        Directive::ForwardStatus { outcome: CallOutcome::Served, retry_after_ms: None };
                     assert_eq!(directive, served);
                 }
                 ended += u64::from(follow(&mut open, id, call, directive, &live, over));
@@ -199,8 +214,8 @@
         calls.left(now, id);
     }
     assert_eq!((calls.open(), calls.kept_bytes()), (0, 0), "nothing stays behind");
-    let (_, figures, _) = calls.figures().next().unwrap();
-    assert_eq!(figures.outcomes.iter().sum::<u64>(), begun, "each call is counted once");
+    let (_, counters, _) = calls.counters().next().unwrap();
+    assert_eq!(counters.outcomes.iter().sum::<u64>(), begun, "each call is counted once");
     seen
 }
 
@@ -219,11 +234,13 @@
 fn a_stream_is_judged_by_its_beginning_and_an_attempt_by_its_own_time() {
     let (mut calls, routes) = config();
     calls.list(0.0, 0, &backends(&[true, true]));
-    let route = |kind, repeat| routes.iter().find(|r| r.kind == kind && r.repeat == repeat).unwrap().clone();
-    let new = |route: Rc<Route>| NewCall { route, object: Some(7), timeout_ms: Some(2_000.0), since_ms: 0.0 };
+    let route =
+        |kind, repeat| routes.iter().find(|r| r.kind == kind && r.idempotency == repeat).unwrap().clone();
+    let new =
+        |route: Rc<Route>| NewCall { route, object: Some(7), timeout_ms: Some(2_000.0), received_ms: 0.0 };
     // A unary attempt is given up before the call is; a stream's is not.
-    let (unary, _) = calls.begin(0.0, new(route(Kind::Unary, Idempotency::Idempotent)));
-    let (stream, _) = calls.begin(0.0, new(route(Kind::Stream, Idempotency::Idempotent)));
+    let (unary, _) = calls.begin(0.0, new(route(MethodKind::Unary, Idempotency::Idempotent)));
+    let (stream, _) = calls.begin(0.0, new(route(MethodKind::Stream, Idempotency::Idempotent)));
     assert!(calls.due_ms(unary) < 1_900.0, "{}", calls.due_ms(unary));
     assert_eq!(calls.due_ms(stream), 1_960.0, "the client's time, less the way back");
     calls.committed(50.0, unary);
@@ -231,13 +248,16 @@
     // Long streams leave their backends in good standing: none of the later ones goes elsewhere.
     for n in 0..50 {
         let now = f64::from(n) * 10_000.0;
-        let new =
-            NewCall { timeout_ms: None, since_ms: now, ..new(route(Kind::Stream, Idempotency::Idempotent)) };
+        let new = NewCall {
+            timeout_ms: None,
+            received_ms: now,
+            ..new(route(MethodKind::Stream, Idempotency::Idempotent))
+        };
         let (id, directive) = calls.begin(now, new);
-        let Directive::Start(start) = directive else { panic!("{directive:?}") };
+        let Directive::StartAttempt(start) = directive else { panic!("{directive:?}") };
         calls.committed(now + 5.0, id);
-        let end = calls.ended(now + 2_900.0, id, End::Status(Code::OK, None));
-        assert!(matches!(end, Directive::Pass { outcome: Outcome::Served, .. }));
+        let end = calls.ended(now + 2_900.0, id, AttemptEnd::Status(Code::OK, None));
+        assert!(matches!(end, Directive::ForwardStatus { outcome: CallOutcome::Served, .. }));
         assert_eq!((start.attempt, calls.avoided(now, 0)), (0, 0), "stream {n}");
     }
 }
