--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -225,7 +225,7 @@
     for seed in 0..20 {
         day(seed).into_iter().for_each(|(what, n)| *all.entry(what).or_default() += n);
     }
-    for what in ["pass Served", "pass Refused", "pass Failed", "answer Refused", "answer Failed"] {
+    for what in ["pass Served", "pass Rejected", "pass Failed", "answer Rejected", "answer Failed"] {
         assert!(all.get(what).is_some_and(|n| *n > 20), "{what}: {all:?}");
     }
 }
