--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -5,7 +5,6 @@
 use crate::admission::control::AdmissionControl;
 use crate::admission::fair::Verdict;
 use crate::clock::{duration_from_ms, Clock};
-use crate::grpc::calls::Backend;
 use crate::settings::PlatformSettings;
 use crate::state::connections::ConnId;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
@@ -18,6 +17,19 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
+/// An endpoint as a backend of a pool.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Backend {
+    /// Its id, the same at every proxy.
+    pub id: EndpointId,
+    /// Its address.
+    pub address: SocketAddr,
+    /// Whether it accepts new calls. A backend that does not completes those that are open.
+    pub live: bool,
+    /// Its weight relative to the other backends'.
+    pub weight: f64,
+}
+
 /// A connection to an endpoint that the engine wants opened.
 pub struct Dial {
     /// Its number.
--- a/src/grpc/admission.rs
+++ b/src/grpc/admission.rs
@@ -1,10 +1,12 @@
-//! The front's own door: the fair queues of [`crate::admission`] ahead of its unary calls, by tenant and client.
-//! Streams do not go through it: they may last for hours, and a limit on what is under way would be theirs alone;
-//! the bounds of calls and of streams a client hold them.
+//! Admission control of unary calls: the fair queues of [`crate::admission`], by tenant and client.
+//!
+//! Streams are not subject to it. They may last for hours, so that a limit on concurrent requests would be theirs alone; the
+//! limits on calls and on a client's streams bound them.
 
-use super::calls::CallOutcome;
+use super::call::CallOutcome;
 use crate::admission::control::AdmissionControl;
 use crate::admission::fair::Verdict;
+use crate::clock::Clock;
 use crate::state::requests::{FinalResponse, IncomingRequest};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,87 +14,91 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// The door, and the calls that wait at it.
+/// A queued call's decision: none where it is admitted, else the retry pushback of its rejection in milliseconds.
+type QueueDecision = Option<f64>;
+
+/// Admission control, where it is on, and the calls that are queued.
 #[derive(Default)]
 pub struct CallAdmission {
-    admission: RefCell<Option<AdmissionControl>>,
-    /// Where a waiting call hears that it is let in (none), or refused with a time to come back.
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Option<f64>>>>,
-    next: Cell<u64>,
-    /// Something waits whose time may be the next to be over.
+    control: RefCell<Option<AdmissionControl>>,
+    queued: RefCell<HashMap<u64, oneshot::Sender<QueueDecision>>>,
+    last_id: Cell<u64>,
+    /// Notified when a call is queued, since its time may be the next to be over.
     pub due: Notify,
 }
 
-/// What the door says to a call.
+/// How a call was received.
 pub enum AdmissionResult {
-    /// It goes on; the pass is kept until its end.
+    /// It goes on, and keeps the permit until its end.
     Admitted(AdmissionPermit),
-    /// It waits.
-    Queued(oneshot::Receiver<Option<f64>>, AdmissionPermit),
-    /// It is refused: the client is to come back after this many milliseconds.
+    /// It waits for a decision.
+    Queued(oneshot::Receiver<QueueDecision>, AdmissionPermit),
+    /// It is rejected, with a retry pushback in milliseconds; 0 for none.
     Rejected(f64),
 }
 
-/// An admitted or waiting call's hold on the door; given back when dropped.
+/// An admitted or queued call's permit, returned when it is dropped.
 pub struct AdmissionPermit {
-    door: Rc<CallAdmission>,
+    admission: Rc<CallAdmission>,
+    /// The call's id; none where admission control is off.
     id: Option<u64>,
-    now: Box<dyn Fn() -> f64>,
+    clock: Clock,
     outcome: Cell<Option<CallOutcome>>,
 }
 
 impl CallAdmission {
-    /// Puts fair queues at the door, or takes their file anew where they are there.
-    pub fn set(&self, admission: Option<AdmissionControl>) {
-        *self.admission.borrow_mut() = admission;
+    /// Turns admission control on or off.
+    pub fn set(&self, control: Option<AdmissionControl>) {
+        *self.control.borrow_mut() = control;
     }
 
-    /// Lets the queues do something, where they are on.
+    /// Runs `act` on admission control, where it is on.
     pub fn with<R>(&self, act: impl FnOnce(&mut AdmissionControl) -> R) -> Option<R> {
-        self.admission.borrow_mut().as_mut().map(act)
+        self.control.borrow_mut().as_mut().map(act)
     }
 
-    /// A call comes; `deadline_ms` is when its time is over.
+    /// Receives a call whose time is over at `deadline_ms`.
     pub fn enter(
         self: &Rc<Self>,
-        now: impl Fn() -> f64 + 'static,
+        clock: &Clock,
         client: IpAddr,
         tenant: u32,
         deadline_ms: f64,
     ) -> AdmissionResult {
-        let id = self.next.get() + 1;
-        self.next.set(id);
-        let ask = IncomingRequest {
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
+        let request = IncomingRequest {
             id,
             group: tenant,
             give_up_ms: deadline_ms,
             client: Some(client),
             ..IncomingRequest::default()
         };
-        let at = now();
-        let pass =
-            |id| AdmissionPermit { door: self.clone(), id, now: Box::new(now), outcome: Cell::new(None) };
-        match self.with(|admission| admission.arrive(at, ask)) {
-            None => AdmissionResult::Admitted(pass(None)),
-            Some((Verdict::Admit, _)) => AdmissionResult::Admitted(pass(Some(id))),
+        let permit = |id| AdmissionPermit {
+            admission: self.clone(),
+            id,
+            clock: clock.clone(),
+            outcome: Cell::new(None),
+        };
+        match self.with(|control| control.arrive(clock.now(), request)) {
+            None => AdmissionResult::Admitted(permit(None)),
+            Some((Verdict::Admit, _)) => AdmissionResult::Admitted(permit(Some(id))),
             Some((Verdict::Queue, _)) => {
-                let (tell, heard) = oneshot::channel();
-                self.waiting.borrow_mut().insert(id, tell);
+                let (sender, decision) = oneshot::channel();
+                self.queued.borrow_mut().insert(id, sender);
                 self.due.notify_one();
-                AdmissionResult::Queued(heard, pass(Some(id)))
-            }
-            Some((Verdict::Refuse { come_back_ms: retry_after_ms, .. }, _)) => {
-                AdmissionResult::Rejected(retry_after_ms)
+                AdmissionResult::Queued(decision, permit(Some(id)))
             }
-            // Its ids are the door's own: none comes twice.
+            Some((Verdict::Refuse { come_back_ms, .. }, _)) => AdmissionResult::Rejected(come_back_ms),
+            // The ids are made here, so that none repeats.
             Some((Verdict::Duplicate, _)) => AdmissionResult::Rejected(0.0),
         }
     }
 
-    /// Refuses what waited until its time was nearly over.
+    /// Rejects queued calls whose time is nearly over.
     pub fn tick(&self, now: f64) {
-        for (id, retry_after_ms) in self.with(|admission| admission.expired(now)).unwrap_or_default() {
-            self.tell(id, Some(retry_after_ms));
+        for (id, retry_after_ms) in self.with(|control| control.expired(now)).unwrap_or_default() {
+            self.decide(id, Some(retry_after_ms));
         }
     }
 
@@ -101,16 +107,16 @@
         self.with(AdmissionControl::next_due).flatten().unwrap_or(f64::INFINITY)
     }
 
-    fn tell(&self, id: u64, refused: Option<f64>) {
-        if let Some(call) = self.waiting.borrow_mut().remove(&id) {
-            // One that has just left needs no word.
-            let _ = call.send(refused);
+    fn decide(&self, id: u64, decision: QueueDecision) {
+        if let Some(call) = self.queued.borrow_mut().remove(&id) {
+            // A call that has just ended needs no decision.
+            let _ = call.send(decision);
         }
     }
 }
 
 impl AdmissionPermit {
-    /// How the call ended: the door's limit moves by it.
+    /// Records how the call ended: the adaptive limit follows it.
     pub fn ended(&self, outcome: CallOutcome) {
         self.outcome.set(Some(outcome));
     }
@@ -119,18 +125,18 @@
 impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         let Some(id) = self.id else { return };
-        let (now, door) = ((self.now)(), &self.door);
-        if door.waiting.borrow_mut().remove(&id).is_some() {
-            door.with(|admission| admission.left(id));
+        let (now, admission) = (self.clock.now(), &self.admission);
+        if admission.queued.borrow_mut().remove(&id).is_some() {
+            admission.with(|control| control.left(id));
             return;
         }
-        let answer = match self.outcome.get() {
+        let response = match self.outcome.get() {
             Some(CallOutcome::Served) => Some(FinalResponse::Served { tag: None, body: Default::default() }),
             Some(CallOutcome::Rejected) => Some(FinalResponse::Rejected { wait_ms: 0.0, overdue: false }),
             Some(CallOutcome::Failed) => Some(FinalResponse::Failed { overdue: false }),
-            _ => None,
+            Some(CallOutcome::ClientDisconnected) | None => None,
         };
-        let released = door.with(|admission| admission.ended(now, id, answer.as_ref())).unwrap_or_default();
-        released.into_iter().for_each(|ask| door.tell(ask.id, None));
+        let released = admission.with(|control| control.ended(now, id, response.as_ref()));
+        released.into_iter().flatten().for_each(|request| admission.decide(request.id, None));
     }
 }
--- /dev/null
+++ b/src/grpc/call_driver.rs
@@ -0,0 +1,192 @@
+//! Drives one call from its head to its end: admission, attempts as [`super::call_table`] directs them, and the status.
+
+use super::admission::{AdmissionPermit, AdmissionResult};
+use super::attempt::{run_attempt, AttemptResult, ClientStreams};
+use super::call::{affinity_hash, CallId, Directive, LocalStatus, NewCall};
+use super::front::GrpcFront;
+use super::headers::{add_pushback, is_grpc, single, trailers_of, TIMEOUT};
+use super::request_stream::RequestStream;
+use super::response_stream::ResponseStream;
+use super::routes::MethodKind;
+use super::status::{Code, Pushback};
+use super::timeout;
+use bytes::Bytes;
+use h2::server::SendResponse;
+use h2::RecvStream;
+use http::{request, HeaderMap, Method, Request, Response, StatusCode};
+use std::net::IpAddr;
+use std::rc::Rc;
+
+/// Forwards one call, up to its one end.
+pub async fn drive_call(
+    front: Rc<GrpcFront>,
+    request: Request<RecvStream>,
+    mut respond: SendResponse<Bytes>,
+    client: IpAddr,
+) {
+    let (head, body) = request.into_parts();
+    if head.method != Method::POST || !is_grpc(&head.headers) {
+        respond_without_grpc(&head.method, &mut respond);
+        return front.count_not_grpc();
+    }
+    let received_ms = front.now();
+    let mut response = ResponseStream::NotStarted(respond);
+    let new = match parse_head(&front, &head, received_ms) {
+        Ok(new) => new,
+        Err(status) => {
+            front.count_unrouted();
+            return response.end(trailers_of(&status));
+        }
+    };
+    let permit = match admit(&front, &head, &new, client, &mut response).await {
+        Admission::Admitted(permit) => permit,
+        Admission::ClientDisconnected => return,
+        Admission::Rejected { retry_after_ms } => {
+            let retry_after_ms = (retry_after_ms > 0.0).then_some(retry_after_ms);
+            let status = LocalStatus::rejected("refused at the door", retry_after_ms);
+            return response.end(trailers_of(&status));
+        }
+    };
+    front.sync_backends();
+    let mut request = RequestStream::new(body, front.limits().message_bytes);
+    let mut streams =
+        ClientStreams { head: &head, request: &mut request, response: &mut response, received_ms };
+    run_attempts(&front, new, &mut streams, permit).await;
+}
+
+/// Tells a client that does not speak gRPC so, in plain HTTP.
+fn respond_without_grpc(method: &Method, respond: &mut SendResponse<Bytes>) {
+    let is_post = method == Method::POST;
+    let status = if is_post { StatusCode::UNSUPPORTED_MEDIA_TYPE } else { StatusCode::METHOD_NOT_ALLOWED };
+    let mut response = Response::new(());
+    *response.status_mut() = status;
+    let _ = respond.send_response(response, true);
+}
+
+/// Makes attempts until the call has ended.
+async fn run_attempts(
+    front: &Rc<GrpcFront>,
+    new: NewCall,
+    streams: &mut ClientStreams<'_>,
+    permit: Option<AdmissionPermit>,
+) {
+    let (id, mut directive) = front.with(|calls| calls.begin(front.now(), new));
+    let mut open_call = OpenCallGuard { front, id, ended: false };
+    let mut last_headers: Option<HeaderMap> = None;
+    loop {
+        directive = match directive {
+            Directive::StartAttempt(target) => {
+                let result = run_attempt(front, id, &target, streams).await;
+                front.sync_backends();
+                match result {
+                    AttemptResult::ClientDisconnected => return,
+                    AttemptResult::Aborted(status) => {
+                        front.with(|calls| calls.abort(front.now(), id, status))
+                    }
+                    AttemptResult::Ended(end, headers) => {
+                        last_headers = headers;
+                        front.with(|calls| calls.attempt_ended(front.now(), id, end))
+                    }
+                }
+            }
+            Directive::ForwardStatus { retry_after_ms, outcome } => {
+                permit.iter().for_each(|permit| permit.ended(outcome));
+                let mut trailers = last_headers.take().unwrap_or_default();
+                add_pushback(&mut trailers, retry_after_ms.map(Pushback::After));
+                streams.response.end(trailers);
+                break;
+            }
+            Directive::Respond(status) => {
+                permit.iter().for_each(|permit| permit.ended(status.outcome));
+                streams.response.end(trailers_of(&status));
+                break;
+            }
+        };
+    }
+    open_call.ended = true;
+}
+
+/// Reads the head of a request; the error is the status that its client gets.
+fn parse_head(front: &GrpcFront, head: &request::Parts, now: f64) -> Result<NewCall, LocalStatus> {
+    let path = head.uri.path();
+    let route = front.routes().find(path).cloned().map(Rc::new);
+    let route = route.ok_or_else(|| LocalStatus::failed(Code::UNIMPLEMENTED, "no such method here"))?;
+    let timeout_ms = parse_timeout(&head.headers)?;
+    if let Some(name) = &route.key {
+        // Without its key a repetition could take effect twice.
+        let key = single(&head.headers, name).ok().flatten();
+        if key.is_none_or(|key| key.is_empty()) {
+            let message = "the method needs one idempotency key";
+            return Err(LocalStatus::failed(Code::INVALID_ARGUMENT, message));
+        }
+    }
+    let header = |name: &str| head.headers.get(name).map(|value| value.as_bytes().to_vec());
+    let object = affinity_hash(&route.affinity, path, header);
+    Ok(NewCall { route, object, timeout_ms, received_ms: now })
+}
+
+/// The value of `grpc-timeout` in milliseconds, where there is one.
+fn parse_timeout(headers: &HeaderMap) -> Result<Option<f64>, LocalStatus> {
+    let value = single(headers, TIMEOUT);
+    let value = value.map_err(|_| LocalStatus::failed(Code::INTERNAL, "grpc-timeout comes twice"))?;
+    let Some(value) = value else { return Ok(None) };
+    let timeout_ms = value.to_str().ok().and_then(timeout::parse);
+    let unreadable = || LocalStatus::failed(Code::INTERNAL, "grpc-timeout can't be read");
+    timeout_ms.map(Some).ok_or_else(unreadable)
+}
+
+/// How admission control decided about a call.
+enum Admission {
+    /// It goes on; streams have no permit.
+    Admitted(Option<AdmissionPermit>),
+    /// It is rejected.
+    Rejected {
+        /// The retry pushback, in milliseconds; 0 for none.
+        retry_after_ms: f64,
+    },
+    /// Its client disconnected while it waited.
+    ClientDisconnected,
+}
+
+/// Waits until admission control has decided about a unary call. Streams are not subject to it.
+async fn admit(
+    front: &Rc<GrpcFront>,
+    head: &request::Parts,
+    new: &NewCall,
+    client: IpAddr,
+    response: &mut ResponseStream,
+) -> Admission {
+    if new.route.kind != MethodKind::Unary {
+        return Admission::Admitted(None);
+    }
+    let number = |name: &str| head.headers.get(name)?.to_str().ok()?.parse().ok();
+    let tenant = front.tenant(new.route.class, number);
+    match front.admission.enter(&front.executor.clock, client, tenant, new.deadline_ms()) {
+        AdmissionResult::Admitted(permit) => Admission::Admitted(Some(permit)),
+        AdmissionResult::Rejected(retry_after_ms) => Admission::Rejected { retry_after_ms },
+        AdmissionResult::Queued(decision, permit) => tokio::select! {
+            biased;
+            decision = decision => match decision {
+                Ok(None) => Admission::Admitted(Some(permit)),
+                Ok(Some(retry_after_ms)) => Admission::Rejected { retry_after_ms },
+                Err(_) => Admission::Rejected { retry_after_ms: 0.0 },
+            },
+            () = response.client_disconnected() => Admission::ClientDisconnected,
+        },
+    }
+}
+
+/// Removes a call from the table where its driver ends early: by a panic, or because its client disconnected.
+struct OpenCallGuard<'f> {
+    front: &'f GrpcFront,
+    id: CallId,
+    ended: bool,
+}
+
+impl Drop for OpenCallGuard<'_> {
+    fn drop(&mut self) {
+        if !self.ended {
+            self.front.with(|calls| calls.client_disconnected(self.front.now(), self.id));
+        }
+    }
+}
--- /dev/null
+++ b/src/grpc/call_table.rs
@@ -0,0 +1,416 @@
+//! The table of open calls: which backend a call's next attempt goes to (the decision module decides), whether there may
+//! be another attempt, how much time is left, and how the call ends. No I/O.
+//!
+//! A call gets exactly one [`Directive`] that ends it, unless its client disconnects.
+
+use super::call::{AttemptTarget, CallId, CallOutcome, Directive, LocalStatus, NewCall};
+use super::pool::{Decision, Pool, PoolSpec};
+use super::routes::{MethodKind, Route};
+use super::status::{classify, AttemptEnd, Classification, Code, Pushback};
+use crate::clock::micros_from_ms;
+use crate::engine::executor::Backend;
+use crate::{AttemptOutcome, CacheStatus, EndpointId, Event, Idempotency};
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// With less left of a call's time than this, in milliseconds, no attempt is made and the call counts as out of time.
+const MIN_REMAINING_MS: f64 = 10.0;
+/// The retry pushback of calls that are rejected because the table is full, in milliseconds.
+const OVERLOAD_RETRY_AFTER_MS: f64 = 300.0;
+/// Multiplier that spreads the numbers of calls without affinity over the hash space (golden ratio, 64 bits).
+const CALL_HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+
+/// The bounds of the table.
+#[derive(Clone, Copy, Debug)]
+pub struct Bounds {
+    /// Open calls.
+    pub calls: usize,
+    /// Bytes of requests that are kept for a retry, of all calls together.
+    pub replay_total: usize,
+}
+
+/// The attempt that is under way.
+struct ActiveAttempt {
+    number: u32,
+    backend: EndpointId,
+    sent_ms: f64,
+    /// When the attempt times out; infinite where no other attempt could follow it.
+    due_ms: f64,
+    /// When its response's headers went to the client.
+    committed_ms: Option<f64>,
+}
+
+/// An open call.
+struct Call {
+    route: Rc<Route>,
+    deadline_ms: f64,
+    active: Option<ActiveAttempt>,
+    attempts: u32,
+    /// The request's bytes are kept, so that it may be sent again.
+    replayable: bool,
+    replay_bytes: usize,
+    last_end: Option<AttemptEnd>,
+}
+
+/// The open calls of a process, and the pools that they go to.
+pub struct CallTable {
+    pools: Vec<Pool>,
+    calls: HashMap<CallId, Call>,
+    last_id: CallId,
+    bounds: Bounds,
+    replay_bytes: usize,
+    seed: u64,
+}
+
+impl CallTable {
+    /// A table without calls, and pools without backends.
+    pub fn new(pools: Vec<PoolSpec>, bounds: Bounds, seed: u64) -> Self {
+        let mut table =
+            Self { pools: Vec::new(), calls: HashMap::new(), last_id: 0, bounds, replay_bytes: 0, seed };
+        table.reconfigure(pools);
+        table
+    }
+
+    /// Replaces the settings of pools by their names, and adds new pools. Pools that are not named any more stay for their
+    /// open calls.
+    pub fn reconfigure(&mut self, pools: Vec<PoolSpec>) {
+        for spec in pools {
+            match self.pools.iter_mut().find(|pool| pool.name() == spec.name) {
+                Some(pool) => pool.reconfigure(spec.settings),
+                None => {
+                    let seed = self.seed ^ self.pools.len() as u64;
+                    self.pools.push(Pool::new(spec, seed));
+                }
+            }
+        }
+    }
+
+    /// The index of a pool by its name.
+    pub fn pool_index(&self, name: &str) -> Option<usize> {
+        self.pools.iter().position(|pool| pool.name() == name)
+    }
+
+    /// All pools, by index.
+    pub fn pools(&self) -> &[Pool] {
+        &self.pools
+    }
+
+    /// Replaces a pool's list of backends.
+    pub fn set_backends(&mut self, now: f64, pool: usize, backends: &[Backend]) {
+        if let Some(pool) = self.pools.get_mut(pool) {
+            pool.set_backends(now, backends);
+        }
+    }
+
+    /// Whether a backend of a pool accepts new calls.
+    pub fn accepts_calls(&self, pool: usize, backend: EndpointId) -> bool {
+        self.pools.get(pool).and_then(|pool| pool.backend(backend)).is_some_and(|backend| backend.live)
+    }
+
+    /// Adds a call, unless the table is full.
+    pub fn begin(&mut self, now: f64, new: NewCall) -> (CallId, Directive) {
+        self.last_id += 1;
+        let id = self.last_id;
+        let deadline_ms = new.deadline_ms();
+        let NewCall { route, object, timeout_ms, .. } = new;
+        let counters = &mut self.pools[route.pool].counters;
+        let shortened = timeout_ms.zip(route.deadline_ms).is_some_and(|(client, own)| own < client);
+        counters.shortened += u64::from(shortened);
+        if self.calls.len() >= self.bounds.calls {
+            let status = LocalStatus::rejected("too many calls are open", Some(OVERLOAD_RETRY_AFTER_MS));
+            counters.count(status.outcome, status.code);
+            return (id, Directive::Respond(status));
+        }
+        let object = object.unwrap_or_else(|| self.seed.wrapping_add(id).wrapping_mul(CALL_HASH_MULTIPLIER));
+        let (pool, class) = (route.pool, route.class);
+        let call = Call {
+            route,
+            deadline_ms,
+            active: None,
+            attempts: 0,
+            replayable: true,
+            replay_bytes: 0,
+            last_end: None,
+        };
+        self.calls.insert(id, call);
+        let deadline_at = micros_from_ms(deadline_ms);
+        let event = Event::Request { id, class, object, group: 0, part: 0, size_kb: 0.0, deadline_at };
+        let decision = self.pools[pool].decide(now, id, &event);
+        (id, self.carry_out(now, id, decision))
+    }
+
+    /// The time that is left of the attempt under way, in milliseconds, just before its first byte. None where it must not
+    /// be sent any more, since its backend is draining or gone, or its time is over.
+    pub fn may_start(&mut self, now: f64, id: CallId) -> Option<f64> {
+        let call = self.calls.get(&id)?;
+        let attempt = call.active.as_ref()?;
+        let left = attempt.due_ms.min(call.deadline_ms) - now;
+        (left >= 1.0 && self.accepts_calls(call.route.pool, attempt.backend)).then_some(left)
+    }
+
+    /// When the attempt under way times out: at its own time-out until its response begins, and at the call's deadline.
+    pub fn due_ms(&self, id: CallId) -> f64 {
+        let Some(call) = self.calls.get(&id) else { return f64::NEG_INFINITY };
+        let uncommitted = call.active.as_ref().filter(|attempt| attempt.committed_ms.is_none());
+        uncommitted.map_or(f64::INFINITY, |attempt| attempt.due_ms).min(call.deadline_ms)
+    }
+
+    /// When the call's time is over.
+    pub fn deadline_ms(&self, id: CallId) -> f64 {
+        self.calls.get(&id).map_or(f64::NEG_INFINITY, |call| call.deadline_ms)
+    }
+
+    /// The response's headers go to the client: the attempt is the call's last one.
+    pub fn committed(&mut self, now: f64, id: CallId) {
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        let pool = call.route.pool;
+        let Some(attempt) = &mut call.active else { return };
+        attempt.committed_ms = Some(now);
+        let event = Event::ResponseStarted { id, attempt: attempt.number };
+        self.release_replay(id);
+        self.pools[pool].decide(now, id, &event);
+    }
+
+    /// Reserves `bytes` more of the call's request for a retry, up to `max_bytes` a call. Where they exceed a bound, what was
+    /// kept is to be dropped, and the call may only be retried where no byte of it was sent.
+    pub fn reserve_replay(&mut self, id: CallId, bytes: usize, max_bytes: usize) -> bool {
+        let Some(call) = self.calls.get_mut(&id).filter(|call| call.replayable) else { return false };
+        let exceeds_call = call.replay_bytes + bytes > max_bytes;
+        let exceeds_total = self.replay_bytes + bytes > self.bounds.replay_total;
+        if exceeds_call || exceeds_total {
+            call.replayable = false;
+            self.release_replay(id);
+            return false;
+        }
+        call.replay_bytes += bytes;
+        self.replay_bytes += bytes;
+        true
+    }
+
+    fn release_replay(&mut self, id: CallId) {
+        if let Some(call) = self.calls.get_mut(&id) {
+            self.replay_bytes -= std::mem::take(&mut call.replay_bytes);
+        }
+    }
+
+    /// The attempt under way ended. A directive other than [`Directive::StartAttempt`] ends the call.
+    pub fn attempt_ended(&mut self, now: f64, id: CallId, end: AttemptEnd) -> Directive {
+        let Some(call) = self.calls.get_mut(&id) else { return already_ended() };
+        let Some(attempt) = call.active.take() else { return already_ended() };
+        let route = call.route.clone();
+        let remaining_ms = call.deadline_ms - now;
+        call.last_end = Some(end);
+        let committed = attempt.committed_ms.is_some();
+        let classified = classify(end, committed, route.idempotency, &route.retry);
+        let retry = classified.retryable && call.replayable && remaining_ms >= MIN_REMAINING_MS;
+        let event = Event::AttemptEnded {
+            id,
+            attempt: attempt.number,
+            outcome: outcome_for_policy(&route, end, &classified, remaining_ms),
+            cache_status: CacheStatus::Unknown,
+            elapsed: micros_from_ms(answered_ms(&route, &attempt, now) - attempt.sent_ms),
+            closed: !retry,
+        };
+        let pool = &mut self.pools[route.pool];
+        pool.counters.stale += u64::from(end == AttemptEnd::NotSent);
+        let decision = pool.decide(now, id, &event);
+        if retry {
+            return self.carry_out(now, id, decision);
+        }
+        self.end_with_attempt(id, committed, classified, remaining_ms)
+    }
+
+    /// The client disconnected, or its half of the call failed: nothing is owed to it.
+    pub fn client_disconnected(&mut self, now: f64, id: CallId) {
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        let (attempt, pool) = (call.active.take(), call.route.pool);
+        self.pools[pool].decide(now, id, &Event::ClientDisconnected { id });
+        if let Some(attempt) = attempt {
+            self.pools[pool].decide(now, id, &cancelled(now, id, &attempt));
+        }
+        self.remove(id);
+        self.pools[pool].counters.count(CallOutcome::ClientDisconnected, Code::CANCELLED);
+    }
+
+    /// The call cannot go on, for its client's or the proxy's own reasons: it ends with this status.
+    pub fn abort(&mut self, now: f64, id: CallId, status: LocalStatus) -> Directive {
+        let Some(call) = self.calls.get_mut(&id) else { return already_ended() };
+        let pool = call.route.pool;
+        let event = match call.active.take() {
+            Some(attempt) => cancelled(now, id, &attempt),
+            None => Event::ClientDisconnected { id },
+        };
+        self.pools[pool].decide(now, id, &event);
+        self.remove(id);
+        self.pools[pool].counters.count(status.outcome, status.code);
+        Directive::Respond(status)
+    }
+
+    /// How many calls are open.
+    pub fn open(&self) -> usize {
+        self.calls.len()
+    }
+
+    /// Bytes of requests that are kept for a retry.
+    pub fn replay_bytes(&self) -> usize {
+        self.replay_bytes
+    }
+
+    fn remove(&mut self, id: CallId) {
+        self.release_replay(id);
+        self.calls.remove(&id);
+    }
+
+    /// Turns the decision module's decision about a call into a directive.
+    fn carry_out(&mut self, now: f64, id: CallId, decision: Option<Decision>) -> Directive {
+        match decision {
+            Some(Decision::Forward { to, timeout_ms }) => self.start_attempt(now, id, to, timeout_ms),
+            Some(Decision::Reject { retry_after_ms }) => self.end_by_policy(now, id, Some(retry_after_ms)),
+            Some(Decision::Fail) | None => self.end_by_policy(now, id, None),
+        }
+    }
+
+    fn start_attempt(&mut self, now: f64, id: CallId, backend: EndpointId, timeout_ms: f64) -> Directive {
+        let Some(call) = self.calls.get_mut(&id) else { return already_ended() };
+        let pool = &mut self.pools[call.route.pool];
+        let Some(address) = pool.backend(backend).map(|backend| backend.address) else {
+            // The decision module names only listed backends; a call must not stay open if it ever does not.
+            return self.end_by_policy(now, id, None);
+        };
+        // An attempt's own time-out is of use only where another attempt may follow.
+        let due_ms = match (call.route.kind, call.route.idempotency) {
+            (MethodKind::Unary, Idempotency::Idempotent | Idempotency::WithKey) => now + timeout_ms,
+            _ => f64::INFINITY,
+        };
+        let attempt = call.attempts;
+        call.attempts += 1;
+        pool.counters.attempts += 1;
+        pool.counters.retries += u64::from(attempt > 0);
+        call.active =
+            Some(ActiveAttempt { number: attempt, backend, sent_ms: now, due_ms, committed_ms: None });
+        Directive::StartAttempt(AttemptTarget { attempt, backend, address })
+    }
+
+    /// Ends a call that the decision module rejected, with a retry pushback, or failed.
+    fn end_by_policy(&mut self, now: f64, id: CallId, rejected: Option<f64>) -> Directive {
+        let Some(call) = self.calls.get(&id) else { return already_ended() };
+        let (last_end, pool) = (call.last_end, call.route.pool);
+        let out_of_time = call.deadline_ms - now < MIN_REMAINING_MS;
+        let outcome = if rejected.is_some() { CallOutcome::Rejected } else { CallOutcome::Failed };
+        let retry_after_ms = rejected.filter(|ms| *ms > 0.0);
+        self.remove(id);
+        let counters = &mut self.pools[pool].counters;
+        if let Some(AttemptEnd::Status(code, _)) = last_end {
+            counters.count(outcome, code);
+            return Directive::ForwardStatus { outcome, retry_after_ms };
+        }
+        let (code, message) = unforwarded_status(last_end, out_of_time);
+        let pushback = match rejected {
+            Some(_) => retry_after_ms.map(Pushback::After),
+            None => Some(Pushback::Never),
+        };
+        counters.count(outcome, code);
+        Directive::Respond(LocalStatus { code, message, pushback, outcome })
+    }
+
+    /// Ends a call with the end of its last attempt.
+    fn end_with_attempt(
+        &mut self,
+        id: CallId,
+        committed: bool,
+        classified: Classification,
+        remaining_ms: f64,
+    ) -> Directive {
+        let Some(call) = self.calls.get(&id) else { return already_ended() };
+        let (last_end, route) = (call.last_end, call.route.clone());
+        self.remove(id);
+        let counters = &mut self.pools[route.pool].counters;
+        let repeatable = route.idempotency == Idempotency::Idempotent || classified.outcome.never_ran();
+        let harmless = !committed && repeatable;
+        let has_status = matches!(last_end, Some(AttemptEnd::Status(..)));
+        let out_of_time = remaining_ms < MIN_REMAINING_MS && !has_status;
+        let outcome = match classified.code {
+            Code::OK => CallOutcome::Served,
+            code if code.is_overload() && harmless && !out_of_time => CallOutcome::Rejected,
+            _ => CallOutcome::Failed,
+        };
+        counters.failed_after_data += u64::from(committed && outcome == CallOutcome::Failed);
+        if let Some(AttemptEnd::Status(code, _)) = last_end {
+            counters.count(outcome, code);
+            return Directive::ForwardStatus { outcome, retry_after_ms: None };
+        }
+        let (code, message) = match last_end {
+            _ if out_of_time => (Code::DEADLINE_EXCEEDED, "the call's time is over"),
+            end => (classified.code, message_of_end(end)),
+        };
+        let never = outcome == CallOutcome::Failed && !harmless && !out_of_time;
+        counters.count(outcome, code);
+        Directive::Respond(LocalStatus { code, message, pushback: never.then_some(Pushback::Never), outcome })
+    }
+}
+
+/// The directive for a driver that reports on a call that has ended already.
+fn already_ended() -> Directive {
+    Directive::Respond(LocalStatus::already_ended())
+}
+
+/// The event of an attempt that was cancelled and ends its call.
+fn cancelled(now: f64, id: CallId, attempt: &ActiveAttempt) -> Event {
+    Event::AttemptEnded {
+        id,
+        attempt: attempt.number,
+        outcome: AttemptOutcome::Cancelled,
+        cache_status: CacheStatus::Unknown,
+        elapsed: micros_from_ms(now - attempt.sent_ms),
+        closed: true,
+    }
+}
+
+/// When an attempt counts as answered: a stream may last for any time, so that only its beginning tells how fast a backend
+/// is.
+fn answered_ms(route: &Route, attempt: &ActiveAttempt, now: f64) -> f64 {
+    match (route.kind, attempt.committed_ms) {
+        (MethodKind::Stream, Some(committed_ms)) => committed_ms,
+        _ => now,
+    }
+}
+
+/// What the decision module learns of an attempt's end. A deadline that a stream reached proves nothing about its backend.
+fn outcome_for_policy(
+    route: &Route,
+    end: AttemptEnd,
+    classified: &Classification,
+    remaining_ms: f64,
+) -> AttemptOutcome {
+    let at_deadline = end == AttemptEnd::TimedOut && remaining_ms < MIN_REMAINING_MS;
+    if at_deadline && route.kind == MethodKind::Stream {
+        AttemptOutcome::Cancelled
+    } else {
+        classified.outcome
+    }
+}
+
+/// The proxy's own status of a call whose last attempt ended without one, or that had no attempt.
+fn unforwarded_status(last_end: Option<AttemptEnd>, out_of_time: bool) -> (Code, &'static str) {
+    match last_end {
+        _ if out_of_time => (Code::DEADLINE_EXCEEDED, "the call's time is over"),
+        None => (Code::UNAVAILABLE, "no backend takes the call"),
+        Some(AttemptEnd::TimedOut) => (Code::UNAVAILABLE, "no backend answered in time"),
+        Some(end) => {
+            let code = classify(end, false, Idempotency::Idempotent, &[]).code;
+            (code, "the call's attempts failed at their backends")
+        }
+    }
+}
+
+/// The message about an attempt that ended without a status and ends its call.
+fn message_of_end(end: Option<AttemptEnd>) -> &'static str {
+    match end {
+        Some(AttemptEnd::Truncated) => "the backend's answer was cut",
+        Some(AttemptEnd::Malformed) => "the backend's answer can't be read",
+        Some(AttemptEnd::TimedOut) => "the backend did not answer in time",
+        Some(AttemptEnd::HttpStatus(_)) => "the backend's answer is not gRPC",
+        Some(AttemptEnd::Reset(_)) => "the backend reset the call",
+        _ => "the backend was lost",
+    }
+}
--- a/src/grpc/metrics.rs
+++ b/src/grpc/metrics.rs
@@ -1,6 +1,7 @@
-//! The front's figures in the Prometheus text format (`prometheus-client`), read at the second address.
+//! The front's metrics in the Prometheus text format (`prometheus-client`), read at the second address.
 
-use super::calls::{CallTable, PoolCounters};
+use super::call_table::CallTable;
+use super::pool::{Pool, PoolCounters};
 use super::status::{Code, CODES};
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -10,10 +11,13 @@
 use prometheus_client::registry::Registry;
 use std::collections::HashMap;
 
+/// The values of the label `outcome`, in the order of [`super::call::CallOutcome`].
+const OUTCOME_LABELS: [&str; 4] = ["served", "refused", "failed", "left"];
+
 type Labels = Vec<(String, String)>;
 type Counters = Family<Labels, Counter>;
 
-/// The metrics, and the figures as they were last told to them.
+/// The metrics, and the pools' counters as they were last added to them.
 pub struct Metrics {
     registry: Registry,
     calls: Counters,
@@ -26,11 +30,11 @@
     live: Family<Labels, Gauge>,
     avoided: Family<Labels, Gauge>,
     open: Gauge,
-    kept: Gauge,
+    replay_bytes: Gauge,
     connections: Gauge,
     /// From a call's head to its response's headers, in seconds.
     pub first_head: Histogram,
-    told: HashMap<String, PoolCounters>,
+    last_reported: HashMap<String, PoolCounters>,
 }
 
 impl Default for Metrics {
@@ -40,7 +44,7 @@
             <(Counters, Counters, Counters, Counters, Counters)>::default();
         let (failed_after_data, shortened) = <(Counters, Counters)>::default();
         let (live, avoided) = <(Family<Labels, Gauge>, Family<Labels, Gauge>)>::default();
-        let (open, kept, connections) = <(Gauge, Gauge, Gauge)>::default();
+        let (open, replay_bytes, connections) = <(Gauge, Gauge, Gauge)>::default();
         let first_head = Histogram::new(exponential_buckets(0.001, 2.0, 14));
         registry.register("calls", "Calls by outcome: served, refused, failed, left", calls.clone());
         registry.register("status", "Calls by the status that their client got", codes.clone());
@@ -60,7 +64,7 @@
         registry.register("backends_live", "Backends that take new calls", live.clone());
         registry.register("backends_avoided", "Live backends that the module leaves", avoided.clone());
         registry.register("open_calls", "Calls under way", open.clone());
-        registry.register("replay_bytes", "Bytes kept for further attempts", kept.clone());
+        registry.register("replay_bytes", "Bytes kept for further attempts", replay_bytes.clone());
         registry.register("connections", "Connections to backends", connections.clone());
         registry.register(
             "response_head_seconds",
@@ -69,47 +73,54 @@
         );
         #[rustfmt::skip]
         let metrics = Self {
-            registry, calls, codes, attempts, retries, stale, failed_after_data, shortened, live, avoided, open, kept,
-            connections, first_head, told: HashMap::new(),
+            registry, calls, codes, attempts, retries, stale, failed_after_data, shortened, live, avoided, open, replay_bytes,
+            connections, first_head, last_reported: HashMap::new(),
         };
         metrics
     }
 }
 
 impl Metrics {
-    /// The text, with what came since it was last asked for.
+    /// The metrics in the text format, with the counts up to now.
     pub fn text(&mut self, now: f64, calls: &CallTable, connections: usize) -> String {
-        for (place, (name, f, live)) in calls.counters().enumerate() {
-            let t = self.told.entry(name.to_string()).or_default();
-            let pool = ("pool".to_string(), name.to_string());
-            let label = |key: &str, value: &str| vec![pool.clone(), (key.to_string(), value.to_string())];
-            for (k, outcome) in ["served", "refused", "failed", "left"].iter().enumerate() {
-                let more = f.outcomes[k] - t.outcomes[k];
-                self.calls.get_or_create(&label("outcome", outcome)).inc_by(more);
-            }
-            for k in (0..CODES).filter(|k| f.codes[*k] > 0) {
-                let code = Code::of(k as u64).name();
-                self.codes.get_or_create(&label("code", code)).inc_by(f.codes[k] - t.codes[k]);
-            }
-            let own = vec![pool.clone()];
-            for (family, new, old) in [
-                (&self.attempts, f.attempts, t.attempts),
-                (&self.retries, f.retries, t.retries),
-                (&self.stale, f.stale, t.stale),
-                (&self.failed_after_data, f.failed_after_data, t.failed_after_data),
-                (&self.shortened, f.shortened, t.shortened),
-            ] {
-                family.get_or_create(&own).inc_by(new - old);
-            }
-            *t = f.clone();
-            self.live.get_or_create(&own).set(live as i64);
-            self.avoided.get_or_create(&own).set(calls.avoided(now, place) as i64);
+        for pool in calls.pools() {
+            self.update_pool(now, pool);
         }
         self.open.set(calls.open() as i64);
-        self.kept.set(calls.kept_bytes() as i64);
+        self.replay_bytes.set(calls.replay_bytes() as i64);
         self.connections.set(connections as i64);
         let mut text = String::new();
         let _ = encode(&mut text, &self.registry);
         text
     }
+
+    /// Adds what a pool counted since the last update.
+    fn update_pool(&mut self, now: f64, pool: &Pool) {
+        let (name, counters) = (pool.name().to_string(), &pool.counters);
+        let last = self.last_reported.entry(name.clone()).or_default();
+        let pool_label = ("pool".to_string(), name);
+        let labels = |key: &str, value: &str| vec![pool_label.clone(), (key.to_string(), value.to_string())];
+        for (index, outcome) in OUTCOME_LABELS.iter().enumerate() {
+            let increase = counters.outcomes[index] - last.outcomes[index];
+            self.calls.get_or_create(&labels("outcome", outcome)).inc_by(increase);
+        }
+        for index in (0..CODES).filter(|index| counters.codes[*index] > 0) {
+            let code = Code::of(index as u64).name();
+            let increase = counters.codes[index] - last.codes[index];
+            self.codes.get_or_create(&labels("code", code)).inc_by(increase);
+        }
+        let labels = vec![pool_label];
+        for (family, count, last_count) in [
+            (&self.attempts, counters.attempts, last.attempts),
+            (&self.retries, counters.retries, last.retries),
+            (&self.stale, counters.stale, last.stale),
+            (&self.failed_after_data, counters.failed_after_data, last.failed_after_data),
+            (&self.shortened, counters.shortened, last.shortened),
+        ] {
+            family.get_or_create(&labels).inc_by(count - last_count);
+        }
+        *last = counters.clone();
+        self.live.get_or_create(&labels).set(pool.active_backends() as i64);
+        self.avoided.get_or_create(&labels).set(pool.avoided_backends(now) as i64);
+    }
 }
--- a/src/grpc/mod.rs
+++ b/src/grpc/mod.rs
@@ -1,29 +1,47 @@
-//! gRPC pass-through over HTTP/2 (RFC 9113): unary and streaming calls, trailers intact, behind the same decision
-//! module as every other front. Which backend, whether to try again and what to refuse are the module's; what
-//! gRPC adds to that (what a status says of an attempt, what may be sent twice, how long is left) is decided here.
+//! gRPC pass-through over HTTP/2 (RFC 9113): unary and streaming calls with their trailers, behind the same decision module
+//! as every other front. The decision module chooses the backend, decides about retries and rejects calls. What gRPC adds
+//! is decided here: how a status classifies an attempt, what may be sent twice, and how much time is left.
 //!
-//! | part | what it does | I/O |
+//! | module | what it does | I/O |
 //! | --- | --- | --- |
-//! | [`status`] | status codes, what HTTP and HTTP/2 errors mean as one, what they say to the module | none |
-//! | [`timeout`] | `grpc-timeout`, read and written, never longer than it came | none |
-//! | [`frames`] | messages in a stream of bytes: where one is cut, how many, how long | none |
-//! | [`routes`] | which method goes where, and what it may | none |
-//! | [`calls`] | every call from its head to its one end: attempts, deadlines, what is final | none |
+//! | [`status`] | status codes, and the classification of an attempt's end | none |
+//! | [`timeout`] | `grpc-timeout`, parsed and written | none |
+//! | [`frames`] | length-prefixed messages in a stream of bytes | none |
+//! | [`headers`] | headers and trailers: which are forwarded, and the status in them | none |
+//! | [`routes`], [`route_compiler`] | the table of methods, and how it is made from the file | none |
+//! | [`call`] | what a call is, what its driver does next, how it ends | none |
+//! | [`pool`] | a pool of backends with its decision module | none |
+//! | [`call_table`] | the open calls: attempts, deadlines, ends | none |
 //! | [`admission`] | fair queues ahead of unary calls | none |
 //! | [`config`] | the operator file | a file |
-//! | [`metrics`] | figures in the Prometheus text format | none |
+//! | [`metrics`] | metrics in the Prometheus text format | none |
+//! | [`front`] | the state that all tasks of the front share | none |
+//! | [`admin`] | the front's state at the second address | none |
 //! | [`upstream`] | connections to backends | sockets |
-//! | [`relay`] | one call's bytes, both ways | sockets |
+//! | [`flow_control`] | sending within the receiver's window | sockets |
+//! | [`request_stream`], [`response_stream`] | the two halves of a call at its client | sockets |
+//! | [`attempt`] | one attempt of a call | sockets |
+//! | [`call_driver`] | one call, from its head to its end | sockets |
 //! | [`server`] | clients' connections | sockets |
 //!
 //! The design note is `docs/design-grpc.md`; operators read `docs/grpc.md`.
 
+pub mod admin;
 pub mod admission;
-pub mod calls;
+pub mod attempt;
+pub mod call;
+pub mod call_driver;
+pub mod call_table;
 pub mod config;
+pub mod flow_control;
 pub mod frames;
+pub mod front;
+pub mod headers;
 pub mod metrics;
-pub mod relay;
+pub mod pool;
+pub mod request_stream;
+pub mod response_stream;
+pub mod route_compiler;
 pub mod routes;
 pub mod server;
 pub mod status;
--- /dev/null
+++ b/src/grpc/request_stream.rs
@@ -0,0 +1,90 @@
+//! The client's half of a call that sends: its request, kept as far as the bounds allow, so that a retry can send it again.
+
+use super::attempt::AttemptResult;
+use super::call::{CallId, LocalStatus};
+use super::flow_control::send_chunk;
+use super::frames::{MessageError, MessageTracker};
+use super::front::GrpcFront;
+use super::status::Code;
+use bytes::Bytes;
+use h2::{RecvStream, SendStream};
+
+/// The request of a call, as it arrives.
+pub struct RequestStream {
+    body: RecvStream,
+    /// The client has sent all of it.
+    complete: bool,
+    /// What is kept for a retry.
+    replay: Vec<Bytes>,
+    replayable: bool,
+    tracker: MessageTracker,
+}
+
+impl RequestStream {
+    /// A request of which nothing was read; messages may have at most `max_message_bytes`.
+    pub fn new(body: RecvStream, max_message_bytes: u32) -> Self {
+        let tracker = MessageTracker::new(max_message_bytes);
+        Self { body, complete: false, replay: Vec::new(), replayable: true, tracker }
+    }
+
+    /// Sends what was kept, then what the client sends, as fast as the backend's flow control allows. Returns only if the
+    /// client ends the call.
+    pub async fn send_to(
+        &mut self,
+        front: &GrpcFront,
+        id: CallId,
+        stream: &mut SendStream<Bytes>,
+    ) -> AttemptResult {
+        for chunk in self.replay.clone() {
+            send_or_wait(stream, chunk).await;
+        }
+        while !self.complete {
+            match self.body.data().await {
+                None if self.tracker.within() => {
+                    let status = LocalStatus::failed(Code::INTERNAL, "the request was cut within a message");
+                    return AttemptResult::Aborted(status);
+                }
+                None => self.complete = true,
+                Some(Err(_)) => return AttemptResult::ClientDisconnected,
+                Some(Ok(chunk)) => {
+                    if let Err(error) = self.tracker.feed(&chunk) {
+                        return AttemptResult::Aborted(status_of(error));
+                    }
+                    self.keep_for_retry(front, id, &chunk);
+                    let length = chunk.len();
+                    send_or_wait(stream, chunk).await;
+                    let _ = self.body.flow_control().release_capacity(length);
+                }
+            }
+        }
+        let _ = stream.send_data(Bytes::new(), true);
+        std::future::pending().await
+    }
+
+    /// Keeps a chunk for a retry, or drops all that was kept where it exceeds the bounds.
+    fn keep_for_retry(&mut self, front: &GrpcFront, id: CallId, chunk: &Bytes) {
+        let max_bytes = front.limits().replay_bytes;
+        self.replayable =
+            self.replayable && front.with(|calls| calls.reserve_replay(id, chunk.len(), max_bytes));
+        if self.replayable {
+            self.replay.push(chunk.clone());
+        } else {
+            self.replay = Vec::new();
+        }
+    }
+}
+
+/// The status of a request whose messages cannot be read.
+fn status_of(error: MessageError) -> LocalStatus {
+    match error {
+        MessageError::Flag(_) => LocalStatus::failed(Code::INTERNAL, "a message's prefix can't be read"),
+        MessageError::TooLong(_) => LocalStatus::failed(Code::RESOURCE_EXHAUSTED, "a message is too long"),
+    }
+}
+
+/// Sends a chunk. Where the backend accepts no more, waits for ever: the end of its own stream tells the reason.
+async fn send_or_wait(stream: &mut SendStream<Bytes>, chunk: Bytes) {
+    if !send_chunk(stream, chunk).await {
+        std::future::pending().await
+    }
+}
--- /dev/null
+++ b/src/grpc/response_stream.rs
@@ -0,0 +1,151 @@
+//! The client's half of a call that receives: its response, from one attempt or from the proxy itself.
+
+use super::attempt::{end_of, AttemptResult};
+use super::call::CallId;
+use super::flow_control::send_chunk;
+use super::frames::MessageTracker;
+use super::front::GrpcFront;
+use super::headers::{end_to_end, is_grpc, status_in};
+use super::status::{AttemptEnd, Code};
+use bytes::Bytes;
+use h2::client::ResponseFuture;
+use h2::server::SendResponse;
+use h2::{RecvStream, SendStream};
+use http::{HeaderMap, HeaderValue, Response};
+use std::future::poll_fn;
+use std::task::Poll;
+
+/// The response of a call, as far as it was sent.
+pub enum ResponseStream {
+    /// It has not begun.
+    NotStarted(SendResponse<Bytes>),
+    /// Its headers were sent.
+    Streaming(SendStream<Bytes>),
+    /// It has ended.
+    Ended,
+}
+
+impl ResponseStream {
+    /// Waits until the client resets the call or its connection is gone.
+    pub async fn client_disconnected(&mut self) {
+        poll_fn(|context| match self {
+            Self::NotStarted(respond) => respond.poll_reset(context).map(drop),
+            Self::Streaming(stream) => stream.poll_reset(context).map(drop),
+            Self::Ended => Poll::Pending,
+        })
+        .await;
+    }
+
+    /// Begins the response. Returns false where the client is gone.
+    fn start(&mut self, headers: HeaderMap) -> bool {
+        let Self::NotStarted(respond) = self else { return false };
+        match respond.send_response(response(headers), false) {
+            Ok(stream) => {
+                *self = Self::Streaming(stream);
+                true
+            }
+            Err(_) => false,
+        }
+    }
+
+    /// Ends the call with these trailers: after its response, or as a "Trailers-Only" response.
+    pub fn end(&mut self, trailers: HeaderMap) {
+        match std::mem::replace(self, Self::Ended) {
+            Self::NotStarted(mut respond) => {
+                let _ = respond.send_response(response(trailers), true);
+            }
+            Self::Streaming(mut stream) => {
+                let _ = stream.send_trailers(trailers);
+            }
+            Self::Ended => {}
+        }
+    }
+
+    /// Forwards the response of an attempt, up to its status.
+    pub async fn receive_from(
+        &mut self,
+        front: &GrpcFront,
+        id: CallId,
+        response: ResponseFuture,
+        received_ms: f64,
+    ) -> AttemptResult {
+        let response = tokio::select! {
+            biased;
+            response = response => response,
+            () = self.client_disconnected() => return AttemptResult::ClientDisconnected,
+        };
+        let (head, mut body) = match response {
+            Ok(response) => response.into_parts(),
+            Err(error) => return AttemptResult::ended(end_of(&error)),
+        };
+        let headers = end_to_end(&head.headers);
+        if body.is_end_stream() {
+            return trailers_only(head.status.as_u16(), headers);
+        }
+        if head.status != 200 || !is_grpc(&headers) {
+            return AttemptResult::ended(AttemptEnd::HttpStatus(head.status.as_u16()));
+        }
+        if !self.start(headers) {
+            return AttemptResult::ClientDisconnected;
+        }
+        front.with(|calls| calls.committed(front.now(), id));
+        front.observe_head(front.now() - received_ms);
+        self.forward_body(front, &mut body).await
+    }
+
+    /// Forwards the messages and returns the status after them.
+    async fn forward_body(&mut self, front: &GrpcFront, body: &mut RecvStream) -> AttemptResult {
+        let mut tracker = MessageTracker::new(front.limits().message_bytes);
+        loop {
+            let chunk = tokio::select! {
+                biased;
+                chunk = body.data() => chunk,
+                () = self.client_disconnected() => return AttemptResult::ClientDisconnected,
+            };
+            let chunk = match chunk {
+                None => break,
+                Some(Err(error)) => return AttemptResult::ended(end_of(&error)),
+                Some(Ok(chunk)) => chunk,
+            };
+            if tracker.feed(&chunk).is_err() {
+                return AttemptResult::ended(AttemptEnd::Malformed);
+            }
+            let length = chunk.len();
+            let Self::Streaming(stream) = self else { return AttemptResult::ClientDisconnected };
+            if !send_chunk(stream, chunk).await {
+                return AttemptResult::ClientDisconnected;
+            }
+            let _ = body.flow_control().release_capacity(length);
+        }
+        let trailers = match body.trailers().await {
+            Ok(Some(trailers)) => end_to_end(&trailers),
+            Ok(None) => return AttemptResult::ended(AttemptEnd::Truncated),
+            Err(error) => return AttemptResult::ended(end_of(&error)),
+        };
+        match status_in(&trailers) {
+            // A status of OK after a part of a message does not count.
+            Some(AttemptEnd::Status(Code::OK, _)) if tracker.within() => {
+                AttemptResult::ended(AttemptEnd::Truncated)
+            }
+            Some(end) => AttemptResult::Ended(end, Some(trailers)),
+            None => AttemptResult::ended(AttemptEnd::Truncated),
+        }
+    }
+}
+
+/// The end of an attempt whose whole response is one header block. The client has got nothing of it yet.
+fn trailers_only(http_status: u16, headers: HeaderMap) -> AttemptResult {
+    match status_in(&headers) {
+        Some(end) => AttemptResult::Ended(end, Some(headers)),
+        None if http_status != 200 => AttemptResult::ended(AttemptEnd::HttpStatus(http_status)),
+        None => AttemptResult::ended(AttemptEnd::Truncated),
+    }
+}
+
+/// A response's head, of gRPC's content type where none is given.
+fn response(headers: HeaderMap) -> Response<()> {
+    let mut response = Response::new(());
+    *response.headers_mut() = headers;
+    response.headers_mut().entry("content-type").or_insert(HeaderValue::from_static("application/grpc"));
+    response
+}
--- /dev/null
+++ b/src/grpc/route_compiler.rs
@@ -0,0 +1,179 @@
+//! Compiles the routes of an operator file into the table of methods and each pool's request classes. No I/O.
+
+use super::config::{IdempotencyConfig, PoolConfig, RouteConfig};
+use super::pool::PoolSpec;
+use super::routes::{Affinity, MethodKind, PatternError, Route, Routes};
+use super::status::Code;
+use crate::clock::micros_from_ms;
+use crate::{Idempotency, KeyScope, PolicySettings, RequestClass, SlowStart};
+use http::HeaderName;
+use thiserror::Error;
+
+/// The deadline that the decision module gets for calls without one, in milliseconds.
+const MAX_DEADLINE_MS: f64 = 86_400_000.0;
+
+/// A route that cannot be used.
+#[derive(Debug, Error)]
+pub enum RouteError {
+    /// A field's value cannot be used.
+    #[error("{method:?}: {fault}")]
+    Fault {
+        /// The route's pattern.
+        method: String,
+        /// What is wrong.
+        #[source]
+        fault: RouteFault,
+    },
+    /// The pattern cannot be used.
+    #[error(transparent)]
+    Pattern(#[from] PatternError),
+}
+
+/// What is wrong with a route.
+#[derive(Debug, Error)]
+pub enum RouteFault {
+    /// There is no pool of this name.
+    #[error("no pool {0:?}")]
+    NoPool(String),
+    /// The deadline is out of its range.
+    #[error("`deadline_ms` 1 to a day")]
+    Deadline,
+    /// A unary method has no deadline.
+    #[error("a unary method needs `deadline_ms`")]
+    NoDeadline,
+    /// The latency objective is out of its range.
+    #[error("`aim_ms` 1 to the deadline")]
+    LatencyObjective,
+    /// A name is not that of a header.
+    #[error("no header's name")]
+    HeaderName,
+    /// An idempotency key is named where none is used, or the other way round.
+    #[error("`key` and `key_window_ms` go with `keyed`, and only there")]
+    Key,
+    /// A status in `retry` has no such name, or is OK.
+    #[error("`retry` names statuses other than OK")]
+    Retry,
+    /// The affinity is none of the three forms.
+    #[error("`affinity` is `call`, `method` or `header:NAME`")]
+    Affinity,
+}
+
+/// Compiles routes to pools.
+pub fn compile(pools: &[PoolConfig], lines: &[RouteConfig]) -> Result<(Routes, Vec<PoolSpec>), RouteError> {
+    let mut routes = Routes::default();
+    let mut classes: Vec<Vec<RequestClass>> = vec![Vec::new(); pools.len()];
+    for line in lines {
+        let fault = |fault| RouteError::Fault { method: line.method.clone(), fault };
+        let pool = pools.iter().position(|pool| pool.name == line.pool);
+        let pool = pool.ok_or_else(|| fault(RouteFault::NoPool(line.pool.clone())))?;
+        let deadline_ms = checked_deadline_ms(line).map_err(fault)?;
+        let (idempotency, key) = idempotency(line).map_err(fault)?;
+        let route = Route {
+            pool,
+            class: classes[pool].len(),
+            kind: line.kind,
+            idempotency,
+            key,
+            deadline_ms: line.deadline_ms,
+            retry: retried_codes(line).map_err(fault)?,
+            affinity: affinity(line).map_err(fault)?,
+        };
+        classes[pool].push(request_class(line, deadline_ms, idempotency));
+        routes.add(&line.method, route)?;
+    }
+    let specs = pools.iter().zip(classes).map(|(pool, classes)| PoolSpec {
+        name: pool.name.clone(),
+        settings: policy_settings(pool, classes),
+    });
+    Ok((routes, specs.collect()))
+}
+
+/// The idempotency of a route's methods, and the header of their key.
+fn idempotency(line: &RouteConfig) -> Result<(Idempotency, Option<String>), RouteFault> {
+    match (line.idempotency, &line.key) {
+        (IdempotencyConfig::Safe, None) => Ok((Idempotency::Idempotent, None)),
+        (IdempotencyConfig::Never, None) => Ok((Idempotency::NotIdempotent, None)),
+        (IdempotencyConfig::Keyed, Some(name)) if line.key_window_ms > 0.0 => {
+            Ok((Idempotency::WithKey, Some(header_name(name)?)))
+        }
+        _ => Err(RouteFault::Key),
+    }
+}
+
+/// A header's name in lower case.
+fn header_name(name: &str) -> Result<String, RouteFault> {
+    let name = HeaderName::from_bytes(name.as_bytes()).map_err(|_| RouteFault::HeaderName)?;
+    Ok(name.as_str().to_string())
+}
+
+/// The statuses after which a route's methods are retried.
+fn retried_codes(line: &RouteConfig) -> Result<Vec<Code>, RouteFault> {
+    let codes: Option<Vec<Code>> = line.retry.iter().map(|name| Code::named(name)).collect();
+    codes.filter(|codes| !codes.contains(&Code::OK)).ok_or(RouteFault::Retry)
+}
+
+/// The affinity of a route's methods.
+fn affinity(line: &RouteConfig) -> Result<Affinity, RouteFault> {
+    match line.affinity.split_once(':') {
+        None if line.affinity == "call" => Ok(Affinity::Call),
+        None if line.affinity == "method" => Ok(Affinity::Method),
+        Some(("header", name)) => Ok(Affinity::Header(header_name(name)?)),
+        _ => Err(RouteFault::Affinity),
+    }
+}
+
+/// The deadline of a route's calls, once its times are checked.
+fn checked_deadline_ms(line: &RouteConfig) -> Result<f64, RouteFault> {
+    let deadline_ms = line.deadline_ms.unwrap_or(MAX_DEADLINE_MS);
+    if !(1.0..=MAX_DEADLINE_MS).contains(&deadline_ms) {
+        return Err(RouteFault::Deadline);
+    }
+    if line.kind == MethodKind::Unary && line.deadline_ms.is_none() {
+        return Err(RouteFault::NoDeadline);
+    }
+    if !(1.0..=deadline_ms).contains(&line.latency_objective_ms) {
+        return Err(RouteFault::LatencyObjective);
+    }
+    Ok(deadline_ms)
+}
+
+/// The request class of a route.
+fn request_class(line: &RouteConfig, deadline_ms: f64, idempotency: Idempotency) -> RequestClass {
+    RequestClass {
+        latency_objective: micros_from_ms(line.latency_objective_ms),
+        latency_stretch: 0.0,
+        deadline: micros_from_ms(deadline_ms),
+        idempotency,
+        key_scope: KeyScope::All,
+        key_window: micros_from_ms(line.key_window_ms),
+        priority_weight: 1.0,
+        fresh_lifetime: 0,
+        stale_while_revalidate: 0,
+        uncacheable: true,
+    }
+}
+
+/// The decision module's settings for a pool: one proxy has all the backends' capacity, the backends are warm from the start,
+/// and nothing is cached.
+fn policy_settings(pool: &PoolConfig, classes: Vec<RequestClass>) -> PolicySettings {
+    let warm =
+        SlowStart { initial_capacity: 1.0, ramp_duration: 0, overload_multiple: 1.0, overload_window: 0 };
+    PolicySettings {
+        classes,
+        fleet_size: 1,
+        local_fleet_size: 1,
+        client_kb_per_s: 0.0,
+        weights_known: pool.backends.iter().any(|backend| backend.weight.is_some()),
+        can_join_fills: false,
+        can_bypass_caches: false,
+        reports_cache_status: false,
+        purge_completion: 0,
+        max_attempts: pool.attempts,
+        can_cancel: true,
+        can_check_health: false,
+        max_retry_after: micros_from_ms(pool.max_retry_after_ms),
+        watch_endpoints: false,
+        cache_slow_start: warm,
+        parent_slow_start: warm,
+    }
+}
--- a/src/grpc/status.rs
+++ b/src/grpc/status.rs
@@ -1,19 +1,19 @@
-//! gRPC status codes; what HTTP statuses and HTTP/2 errors mean as one; and what the end of an attempt says to the
-//! decision module and to the client. No I/O.
+//! gRPC status codes, the codes that stand for HTTP statuses and HTTP/2 errors, and the classification of an attempt's end for
+//! the decision module and for the client. No I/O.
 //!
-//! The tables are those of "gRPC over HTTP/2" (errors), "HTTP to gRPC Status Code Mapping", and for what may be
-//! tried again gRFC A6 (client retries): a call is committed once the response's headers went to its client, and
-//! what a backend surely did not process may always be tried again.
+//! The tables are those of "gRPC over HTTP/2" (errors), "HTTP to gRPC Status Code Mapping", and, for
+//! retries, gRFC A6: a call is committed once the response's headers went to its client, and what a backend did not
+//! process may always be retried.
 
 use crate::interface::Idempotency;
 use crate::AttemptOutcome;
 use percent_encoding::{utf8_percent_encode, AsciiSet, CONTROLS};
 
-/// A status code. What a peer sent beyond the named ones reads as [`Code::UNKNOWN`].
+/// A status code. Numbers without a name are read as [`Code::UNKNOWN`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Code(u8);
 
-/// How many codes there are.
+/// The number of status codes.
 pub const CODES: usize = 17;
 
 const NAMES: [&str; CODES] = [
@@ -53,7 +53,7 @@
 }
 
 impl Code {
-    /// The code of a number, unknown ones as [`Code::UNKNOWN`].
+    /// The code of a number.
     pub fn of(number: u64) -> Self {
         if number < CODES as u64 {
             Self(number as u8)
@@ -62,33 +62,38 @@
         }
     }
 
-    /// The code of a `grpc-status` header's value; none where it is no number in plain digits.
+    /// Parses the value of a `grpc-status` header; none where it is not a number in decimal digits.
     pub fn parse(value: &[u8]) -> Option<Self> {
         let plain = !value.is_empty() && value.len() <= 10 && value.iter().all(u8::is_ascii_digit);
         plain.then(|| std::str::from_utf8(value).ok()?.parse().ok().map(Self::of))?
     }
 
-    /// The code of a name, as configurations word it.
+    /// The code of a name, as operator files spell it.
     pub fn named(name: &str) -> Option<Self> {
         NAMES.iter().position(|n| *n == name).map(|k| Self(k as u8))
     }
 
-    /// Its name.
+    /// The code's name.
     pub fn name(self) -> &'static str {
         NAMES[usize::from(self.0)]
     }
 
-    /// Its number.
+    /// The code's number.
     pub fn number(self) -> u8 {
         self.0
     }
 
-    /// Whether it tells of the caller's own request or standing, and not of the backend's health.
+    /// Whether the cause is the caller's request or authorization, and not the backend's health.
     pub fn is_callers(self) -> bool {
         matches!(self.0, 1 | 3 | 5 | 6 | 7 | 9 | 10 | 11 | 12 | 16)
     }
 
-    /// What an answer that is not gRPC means, by its HTTP status.
+    /// Whether it tells of a backend, or a client's quota, that is overloaded.
+    pub fn is_overload(self) -> bool {
+        self == Self::UNAVAILABLE || self == Self::RESOURCE_EXHAUSTED
+    }
+
+    /// The code that stands for a response that is not gRPC, by its HTTP status.
     pub fn of_http(status: u16) -> Self {
         match status {
             400 | 431 => Self::INTERNAL,
@@ -100,7 +105,7 @@
         }
     }
 
-    /// What RST_STREAM means, by its error code (RFC 9113, section 7).
+    /// The code that stands for an RST_STREAM, by its error code (RFC 9113, section 7).
     pub fn of_reset(reason: u32) -> Self {
         match reason {
             0x7 => Self::UNAVAILABLE,
@@ -115,22 +120,22 @@
 /// What a `grpc-message` may hold unescaped: printable ASCII but `%`.
 const MESSAGE: &AsciiSet = &CONTROLS.add(b'%');
 
-/// A text as `grpc-message` words it.
+/// A text in the percent encoding of `grpc-message`.
 pub fn message(text: &str) -> String {
     utf8_percent_encode(text, MESSAGE).to_string()
 }
 
-/// What a server says of trying again (`grpc-retry-pushback-ms`, gRFC A6).
+/// A server's retry pushback (`grpc-retry-pushback-ms`, gRFC A6).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Pushback {
-    /// Not at all.
+    /// The call must not be retried.
     Never,
-    /// After this many milliseconds.
+    /// The call may be retried after this many milliseconds.
     After(f64),
 }
 
 impl Pushback {
-    /// Reads the header's value; what is no number says never, as the gRFC asks.
+    /// Parses the header's value. What is no number counts as [`Self::Never`], as the gRFC requires.
     pub fn parse(value: &[u8]) -> Self {
         let number = std::str::from_utf8(value).ok().and_then(|text| text.parse::<i64>().ok());
         match number {
@@ -145,57 +150,63 @@
 pub enum AttemptEnd {
     /// The backend ended the call with a status.
     Status(Code, Option<Pushback>),
-    /// It answered something that is not gRPC, with this HTTP status.
+    /// The response was not gRPC and had this HTTP status.
     HttpStatus(u16),
-    /// It reset the stream, with this error code, and may have processed it.
+    /// The backend reset the stream with this error code, and may have processed it.
     Reset(u32),
-    /// It surely did not process the stream: REFUSED_STREAM, or a GOAWAY that leaves it out.
+    /// The backend did not process the stream: REFUSED_STREAM, or a GOAWAY that excludes it.
     Unprocessed,
-    /// No connection came up, or none had a place. `local` says that the fault is this machine's own.
+    /// No connection was established, or none had capacity. `local` where the cause is this machine.
     NoConnection {
-        /// This proxy's own fault or bound.
+        /// The cause is an error or a bound of this machine.
         local: bool,
     },
-    /// Never sent: its backend drained or its time was over while it waited.
+    /// The attempt was not sent, since its backend began to drain or its time was over while it waited.
     NotSent,
-    /// The connection ended under it.
+    /// The connection was lost.
     ConnectionLost,
     /// The stream ended within a message, or without a status.
     Truncated,
-    /// What came breaks the rules of messages.
+    /// The response's messages violate the framing.
     Malformed,
-    /// No answer in time.
+    /// There was no response in time.
     TimedOut,
 }
 
-/// What an end says.
+/// How an attempt's end is classified.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Classification {
-    /// To the decision module. For a caller's own error this is [`AttemptOutcome::Cancelled`], which says nothing of the
-    /// backend's health.
+    /// The outcome for the decision module. A caller's own error is [`AttemptOutcome::Cancelled`], which does not count for or
+    /// against the backend.
     pub outcome: AttemptOutcome,
-    /// The status that a client would get of it.
+    /// The status that a client would get.
     pub code: Code,
-    /// Whether the module may be asked for another attempt; a committed call never gets one.
-    pub again: bool,
+    /// Whether another attempt may follow; never after the call was committed.
+    pub retryable: bool,
 }
 
-/// Judges the end of an attempt. `committed` says that the client has the response's headers; `retry` are the
-/// statuses after which a method that may be repeated is tried again.
-pub fn classify(end: AttemptEnd, committed: bool, repeat: Idempotency, retry: &[Code]) -> Classification {
-    let repeatable = repeat != Idempotency::NotIdempotent;
+/// Classifies the end of an attempt. `committed` tells that the response's headers went to the client; `retry` are the
+/// statuses after which an idempotent method is retried.
+pub fn classify(
+    end: AttemptEnd,
+    committed: bool,
+    idempotency: Idempotency,
+    retry: &[Code],
+) -> Classification {
+    let repeatable = idempotency != Idempotency::NotIdempotent;
     let by_code = |code: Code| {
-        let busy = code == Code::UNAVAILABLE || code == Code::RESOURCE_EXHAUSTED;
         match code {
             Code::OK => AttemptOutcome::Served,
             Code::DEADLINE_EXCEEDED => AttemptOutcome::TimedOut,
-            // Whether it ran is not told: only where a repeat does no harm is it taken for not taken.
-            _ if busy && !committed && repeat == Idempotency::Idempotent => AttemptOutcome::Rejected,
+            // The status does not tell whether the call ran, so that only idempotent calls count as rejected.
+            _ if code.is_overload() && !committed && idempotency == Idempotency::Idempotent => {
+                AttemptOutcome::Rejected
+            }
             code if code.is_callers() => AttemptOutcome::Cancelled,
             _ => AttemptOutcome::Error,
         }
     };
-    let (outcome, code, again) = match end {
+    let (outcome, code, retryable) = match end {
         AttemptEnd::Status(code, pushback) => {
             (by_code(code), code, repeatable && pushback.is_none() && retry.contains(&code))
         }
@@ -213,7 +224,7 @@
         AttemptEnd::Truncated | AttemptEnd::Malformed => (AttemptOutcome::Error, Code::INTERNAL, repeatable),
         AttemptEnd::TimedOut => (AttemptOutcome::TimedOut, Code::DEADLINE_EXCEEDED, repeatable),
     };
-    Classification { outcome, code, again: again && !committed }
+    Classification { outcome, code, retryable: retryable && !committed }
 }
 
 #[cfg(test)]
--- a/src/grpc/status/tests.rs
+++ b/src/grpc/status/tests.rs
@@ -34,16 +34,16 @@
     ends.extend([200, 400, 404, 429, 500, 503].map(AttemptEnd::HttpStatus));
     let all: Vec<Code> = (0..17).map(Code::of).collect();
     for end in &ends {
-        let judged = classify(*end, false, Idempotency::NotIdempotent, &all);
-        assert!(!judged.again && !judged.outcome.never_ran(), "{end:?}: {judged:?}");
+        let classified = classify(*end, false, Idempotency::NotIdempotent, &all);
+        assert!(!classified.retryable && !classified.outcome.never_ran(), "{end:?}: {classified:?}");
     }
     for end in [AttemptEnd::Unprocessed, AttemptEnd::NoConnection { local: false }, AttemptEnd::NotSent] {
-        let judged = classify(end, false, Idempotency::NotIdempotent, &[]);
-        assert!(judged.again && judged.outcome.never_ran(), "{end:?}: {judged:?}");
+        let classified = classify(end, false, Idempotency::NotIdempotent, &[]);
+        assert!(classified.retryable && classified.outcome.never_ran(), "{end:?}: {classified:?}");
     }
     ends.extend([AttemptEnd::Unprocessed, AttemptEnd::NotSent]);
-    for (end, repeat) in ends.iter().flat_map(|e| ALL.map(|r| (*e, r))) {
-        assert!(!classify(end, true, repeat, &all).again, "{end:?}: committed");
+    for (end, idempotency) in ends.iter().flat_map(|e| ALL.map(|r| (*e, r))) {
+        assert!(!classify(end, true, idempotency, &all).retryable, "{end:?}: committed");
     }
 }
 
@@ -52,20 +52,20 @@
 fn only_ok_is_served_and_the_callers_own_errors_leave_the_backend_alone() {
     for (n, committed) in (0..17).flat_map(|n| [(n, false), (n, true)]) {
         let code = Code::of(n);
-        let judged = classify(
+        let classified = classify(
             AttemptEnd::Status(code, None),
             committed,
             Idempotency::Idempotent,
             &[Code::UNAVAILABLE],
         );
-        assert_eq!(judged.outcome == AttemptOutcome::Served, code == Code::OK, "{code:?}");
-        assert_eq!(judged.outcome == AttemptOutcome::Cancelled, code.is_callers(), "{code:?}");
-        assert_eq!(judged.again, code == Code::UNAVAILABLE && !committed);
-        assert_eq!(judged.code, code);
+        assert_eq!(classified.outcome == AttemptOutcome::Served, code == Code::OK, "{code:?}");
+        assert_eq!(classified.outcome == AttemptOutcome::Cancelled, code.is_callers(), "{code:?}");
+        assert_eq!(classified.retryable, code == Code::UNAVAILABLE && !committed);
+        assert_eq!(classified.code, code);
     }
-    let told = AttemptEnd::Status(Code::UNAVAILABLE, Some(Pushback::After(50.0)));
+    let end = AttemptEnd::Status(Code::UNAVAILABLE, Some(Pushback::After(50.0)));
     assert!(
-        !classify(told, false, Idempotency::Idempotent, &[Code::UNAVAILABLE]).again,
+        !classify(end, false, Idempotency::Idempotent, &[Code::UNAVAILABLE]).retryable,
         "it said when to come back"
     );
 }
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -1,7 +1,8 @@
-//! Connections to backends: HTTP/2 by the `h2` crate, one task each. Which connection a call goes onto, and when a
-//! further one is opened, is [`Connections`]' decision, the same as for the other fronts' members.
+//! Connections to backends: HTTP/2 by the `h2` crate, one task each. [`Connections`] decides which connection a call goes
+//! onto, and when another one is opened, as for the endpoints of the other fronts.
 
 use super::config::GrpcLimits;
+use super::server::connection_window_bytes;
 use crate::clock::{duration_from_ms, Clock};
 use crate::state::connections::{Bounds, ConnId, Connections, Place};
 use crate::wire::cache_connection::is_local;
@@ -16,20 +17,20 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::timeout;
 
-/// A connection's state, as those see it who wait for it.
+/// A connection's state, as calls that wait for it see it.
 #[derive(Clone)]
 enum State {
     Connecting,
     Up(SendRequest<Bytes>),
-    /// It did not come up, or has ended; `local` says that the fault is this machine's own.
+    /// It was not established, or has ended; `local` where the cause is this machine.
     Down {
         local: bool,
     },
 }
 
-struct Link {
+struct ConnectionHandle {
     state: watch::Receiver<State>,
-    /// Nothing is out on it, and nothing more will be.
+    /// Notified when it has no open streams and gets no new ones.
     close: Rc<Notify>,
 }
 
@@ -38,12 +39,12 @@
     clock: Clock,
     limits: GrpcLimits,
     connections: RefCell<Connections>,
-    links: RefCell<HashMap<ConnId, Link>>,
-    /// Addresses by the number under which their connections are held.
+    handles: RefCell<HashMap<ConnId, ConnectionHandle>>,
+    /// The ids under which the connections of an address are kept.
     addresses: RefCell<HashMap<SocketAddr, EndpointId>>,
 }
 
-/// A call's place on a connection; it is free again once this is dropped.
+/// A call's permit for a stream on a connection, returned when it is dropped.
 pub struct StreamPermit {
     upstream: Rc<Upstream>,
     conn: ConnId,
@@ -52,41 +53,46 @@
 }
 
 impl Upstream {
-    /// None yet.
+    /// No connections.
     pub fn new(clock: Clock, limits: GrpcLimits, bounds: Bounds) -> Rc<Self> {
         Rc::new(Self {
             clock,
             limits,
             connections: RefCell::new(Connections::new(bounds)),
-            links: RefCell::default(),
+            handles: RefCell::default(),
             addresses: RefCell::default(),
         })
     }
 
-    /// How many there are.
+    /// How many connections there are.
     pub fn len(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Whether there is none.
+    /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn number(&self, address: SocketAddr) -> EndpointId {
+    fn endpoint_id(&self, address: SocketAddr) -> EndpointId {
         let mut addresses = self.addresses.borrow_mut();
         let next = addresses.len() as EndpointId;
         *addresses.entry(address).or_insert(next)
     }
 
-    /// Gives a call a place on a connection to a backend; none where all are full.
-    pub fn place(self: &Rc<Self>, address: SocketAddr, call: u64, attempt: u32) -> Option<StreamPermit> {
-        let (now, backend) = (self.clock.now(), self.number(address));
+    /// Reserves a stream on a connection to a backend for a call; none where all connections are full.
+    pub fn reserve_stream(
+        self: &Rc<Self>,
+        address: SocketAddr,
+        call: u64,
+        attempt: u32,
+    ) -> Option<StreamPermit> {
+        let (now, backend) = (self.clock.now(), self.endpoint_id(address));
         let mut all = self.connections.borrow_mut();
         let mut place = all.place(backend, call, now);
         if place == Place::Nowhere {
             if let Some(idle) = all.evict(backend) {
-                self.links.borrow().get(&idle).inspect(|link| link.close.notify_one());
+                self.handles.borrow().get(&idle).inspect(|handle| handle.close.notify_one());
                 place = all.place(backend, call, now);
             }
         }
@@ -94,13 +100,13 @@
             Place::Nowhere => return None,
             Place::On(conn) => conn,
             Place::New(conn) => {
-                let (tell, state) = watch::channel(State::Connecting);
+                let (sender, state) = watch::channel(State::Connecting);
                 let close = Rc::new(Notify::new());
-                self.links.borrow_mut().insert(conn, Link { state, close: close.clone() });
+                self.handles.borrow_mut().insert(conn, ConnectionHandle { state, close: close.clone() });
                 let own = self.clone();
                 tokio::task::spawn_local(async move {
-                    let _end = Ended { upstream: own.clone(), conn };
-                    own.drive(conn, address, tell, close).await;
+                    let _guard = ConnectionGuard { upstream: own.clone(), conn };
+                    own.drive(conn, address, sender, close).await;
                 });
                 conn
             }
@@ -108,11 +114,11 @@
         let c = all.get_mut(conn)?;
         c.out.insert(call, (call, attempt));
         c.used_ms = now;
-        let state = self.links.borrow().get(&conn)?.state.clone();
+        let state = self.handles.borrow().get(&conn)?.state.clone();
         Some(StreamPermit { upstream: self.clone(), conn, call, state })
     }
 
-    /// A backend takes nothing new: its connections end once nothing is out on them.
+    /// A backend accepts no new calls: its connections are closed once they have no open streams.
     pub fn retire(&self, address: SocketAddr) {
         let Some(backend) = self.addresses.borrow().get(&address).copied() else { return };
         for (conn, c) in self.connections.borrow_mut().iter_mut().filter(|(_, c)| c.endpoint == backend) {
@@ -121,7 +127,7 @@
         }
     }
 
-    /// Ends connections that were idle for `idle_ms`.
+    /// Closes connections that were idle for `idle_ms`.
     pub fn tidy(&self, idle_ms: f64) {
         let now = self.clock.now();
         for (conn, c) in self.connections.borrow_mut().iter_mut() {
@@ -134,56 +140,62 @@
 
     fn close_if_done(&self, conn: ConnId, load: usize) {
         if load == 0 {
-            self.links.borrow().get(&conn).inspect(|link| link.close.notify_one());
+            self.handles.borrow().get(&conn).inspect(|handle| handle.close.notify_one());
         }
     }
 
-    /// Nothing new goes onto a connection: its backend said so, or it no longer takes streams.
-    fn spent(&self, conn: ConnId) {
+    /// A connection accepts no new streams any more.
+    fn mark_exhausted(&self, conn: ConnId) {
         if let Some(c) = self.connections.borrow_mut().get_mut(conn) {
             c.closing = true;
         }
     }
 
-    async fn drive(&self, conn: ConnId, address: SocketAddr, tell: watch::Sender<State>, close: Rc<Notify>) {
+    async fn drive(
+        &self,
+        conn: ConnId,
+        address: SocketAddr,
+        sender: watch::Sender<State>,
+        close: Rc<Notify>,
+    ) {
         let open = async {
             let stream = TcpStream::connect(address).await.map_err(|e| is_local(&e))?;
             let _ = stream.set_nodelay(true);
-            let l = &self.limits;
+            let limits = &self.limits;
             let mut builder = h2::client::Builder::new();
             builder
                 .enable_push(false)
-                .initial_window_size(l.window_bytes)
-                .initial_connection_window_size(l.window_bytes.saturating_mul(4).min(1 << 30))
-                .max_header_list_size(l.header_bytes)
-                .max_send_buffer_size(l.window_bytes as usize);
+                .initial_window_size(limits.window_bytes)
+                .initial_connection_window_size(connection_window_bytes(limits.window_bytes))
+                .max_header_list_size(limits.header_bytes)
+                .max_send_buffer_size(limits.window_bytes as usize);
             builder.handshake::<_, Bytes>(stream).await.map_err(|_| false)
         };
         let (send, mut connection) = match timeout(duration_from_ms(self.limits.connect_ms), open).await {
             Ok(Ok(up)) => up,
-            Ok(Err(local)) => return drop(tell.send(State::Down { local })),
-            Err(_) => return drop(tell.send(State::Down { local: false })),
+            Ok(Err(local)) => return drop(sender.send(State::Down { local })),
+            Err(_) => return drop(sender.send(State::Down { local: false })),
         };
         let ping = connection.ping_pong();
         if let Some(c) = self.connections.borrow_mut().get_mut(conn) {
             c.up = true;
         }
-        let _ = tell.send(State::Up(send));
+        let _ = sender.send(State::Up(send));
         tokio::select! {
             ended = &mut connection => if let Err(error) = ended {
                 tracing::debug!(%address, %error, "gRPC: a backend's connection ended");
             },
-            () = self.keep_alive(ping) => {
+            () = self.ping_until_silent(ping) => {
                 tracing::warn!(%address, "gRPC: a backend's connection fell silent");
             }
             () = close.notified() => {}
         }
-        // With the connection dropped, what is still out on it ends as broken.
-        let _ = tell.send(State::Down { local: false });
+        // Dropping the connection ends its open streams as lost.
+        let _ = sender.send(State::Down { local: false });
     }
 
-    /// Pings until no answer comes in time: guards long streams against a path that is dead without a word.
-    async fn keep_alive(&self, ping: Option<h2::PingPong>) {
+    /// Sends pings until one is not answered in time, so that long streams do not wait on a path that is dead.
+    async fn ping_until_silent(&self, ping: Option<h2::PingPong>) {
         let Some(mut ping) = ping else { return std::future::pending().await };
         loop {
             tokio::time::sleep(duration_from_ms(self.limits.keepalive_ms)).await;
@@ -192,7 +204,7 @@
                     .await;
             match answer {
                 Ok(Ok(_)) => {}
-                // The connection's own end tells of this one.
+                // The connection's own future reports this error.
                 Ok(Err(_)) => return std::future::pending().await,
                 Err(_) => return,
             }
@@ -200,33 +212,35 @@
     }
 }
 
-/// Forgets a connection when its task is gone, however that came.
-struct Ended {
+/// Removes a connection when its task ends, also by a panic.
+struct ConnectionGuard {
     upstream: Rc<Upstream>,
     conn: ConnId,
 }
 
-impl Drop for Ended {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.upstream.links.borrow_mut().remove(&self.conn);
+        self.upstream.handles.borrow_mut().remove(&self.conn);
         self.upstream.connections.borrow_mut().remove(self.conn);
     }
 }
 
-/// Why a seat's connection takes no call.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// A connection on which a call cannot be sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectionError {
-    /// It did not come up; `local` says that the fault is this machine's own.
+    /// It was not established; `local` where the cause is this machine.
+    #[error("the connection was not established")]
     NotConnected {
-        /// This machine's own fault.
+        /// The cause is an error of this machine.
         local: bool,
     },
-    /// It had come up and takes no more: that proves no fault.
+    /// It was established and accepts no more streams, which is no fault of the backend.
+    #[error("the connection accepts no more streams")]
     Exhausted,
 }
 
 impl StreamPermit {
-    /// Waits for the connection to come up and to have room for a stream.
+    /// Waits until the connection is established and has capacity for a stream.
     pub async fn ready(&mut self) -> Result<SendRequest<Bytes>, ConnectionError> {
         let send = loop {
             let state = self.state.borrow_and_update().clone();
@@ -240,14 +254,14 @@
             }
         };
         send.ready().await.map_err(|_| {
-            self.upstream.spent(self.conn);
+            self.upstream.mark_exhausted(self.conn);
             ConnectionError::Exhausted
         })
     }
 
-    /// The connection takes nothing more.
-    pub fn spent(&self) {
-        self.upstream.spent(self.conn);
+    /// The connection accepts no more streams.
+    pub fn connection_exhausted(&self) {
+        self.upstream.mark_exhausted(self.conn);
     }
 }
 
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -12,7 +12,8 @@
 use crate::engine::executor::Executor;
 use crate::engine::{Engine, EngineBounds};
 use crate::grpc::config::GrpcConfig;
-use crate::grpc::server::{self as grpc, GrpcFront};
+use crate::grpc::front::GrpcFront;
+use crate::grpc::server as grpc;
 use crate::health_check::config::HealthCheckConfig;
 use crate::health_check::driver::{self as duties_driver, HealthChecker};
 use crate::http3::call_registry::CallRegistry;
@@ -233,7 +234,7 @@
             let front = GrpcFront::new(host.clone(), config.clone(), seed);
             let front = front.map_err(|reason| ServeError::field("routes", reason))?;
             let figures = front.clone();
-            host.add_figures(Box::new(move || figures.figures()));
+            host.add_figures(Box::new(move || figures.metrics()));
             Some((front, config))
         }
     };
@@ -414,7 +415,7 @@
                     }
                 }
                 if let Some((front, config)) = &grpc {
-                    match config.again().map_err(|e| e.to_string()).and_then(|fresh| front.reconfigure(fresh)) {
+                    match config.again().map_err(|e| e.to_string()).and_then(|fresh| front.reconfigure(fresh).map_err(|e| e.to_string())) {
                         Ok(()) => tracing::info!(file = %config.path.display(), "gRPC's file read again"),
                         Err(reason) => tracing::warn!(%reason, "gRPC's old file stays"),
                     }
@@ -540,7 +541,7 @@
             let answered = link.as_ref()?.borrow().answered_ms;
             Some(host.clock.now() - answered).filter(|_| answered > 0.0)
         }
-        What::Grpc(pool) => grpc.as_ref()?.usable(pool),
+        What::Grpc(pool) => grpc.as_ref()?.usable_share(pool),
         what => host_value(&host, &rate, what),
     })
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -398,7 +398,7 @@
         }
         Command::GrpcRoute(asked) => {
             let config = GrpcConfig::read(&asked.grpc).map_err(|e| e.to_string())?;
-            let (routes, pools) = config.compile()?;
+            let (routes, pools) = config.compile().map_err(|e| e.to_string())?;
             let route = routes.find(&asked.path).ok_or(format!("{:?}: no line of the table", asked.path))?;
             let deadline = route.deadline_ms.map_or("the client's".into(), |ms| format!("{ms} ms"));
             println!(
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -6,7 +6,8 @@
 use edge_proxy::clock::Clock;
 use edge_proxy::engine::executor::Executor;
 use edge_proxy::grpc::config::GrpcConfig;
-use edge_proxy::grpc::server::{accept, cut_at_stop, keep, GrpcFront};
+use edge_proxy::grpc::front::GrpcFront;
+use edge_proxy::grpc::server::{accept, cut_at_stop, keep};
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::lifecycle::serve::engine;
 use edge_proxy::wire::cache_connection::CacheDriver;
@@ -101,7 +102,7 @@
 
     /// A line of the figures.
     fn figure(&self, line: &str) -> u64 {
-        let text = self.front.figures();
+        let text = self.front.metrics();
         text.lines().find_map(|l| l.strip_prefix(line)?.trim().parse().ok()).unwrap_or(0)
     }
 
@@ -543,7 +544,7 @@
             edge.at
         );
         std::fs::write(edge.dir.join("grpc.json"), text).unwrap();
-        let host = edge.front.host.clone();
+        let host = edge.front.executor.clone();
         let line = |uid: u32, state: &str| {
             let ip = if uid == 0xc1 { "127.0.91.1" } else { "127.0.91.2" };
             let text = format!(
@@ -602,7 +603,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert_eq!(edge.boxes[0].count(), 3, "two unary calls and the stream");
         // One that waits and leaves; its place goes to the next.
-        let before = front.figures();
+        let before = front.metrics();
         assert!(before.contains("grpc_door_queued 3"), "{before}");
         let (mut served, mut refused) = (0, 0);
         for got in burst {
@@ -635,8 +636,8 @@
             !edge.boxes[0].calls.borrow().iter().skip(reached).any(sent),
             "a call whose client left was sent"
         );
-        soon("the door is empty", || front.figures().contains("grpc_door_open 0")).await;
-        assert!(front.figures().contains("grpc_door_queued 0"));
+        soon("the door is empty", || front.metrics().contains("grpc_door_open 0")).await;
+        assert!(front.metrics().contains("grpc_door_queued 0"));
     });
 }
 
--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -1,9 +1,9 @@
 //! The decisions of gRPC pass-through without a socket: random calls, ends, lists and departures by fixed seeds, and
 //! what must hold whatever comes.
 
-use edge_proxy::grpc::calls::{
-    AttemptTarget, Backend, Bounds, CallId, CallOutcome, CallTable, Directive, NewCall,
-};
+use edge_proxy::engine::executor::Backend;
+use edge_proxy::grpc::call::{AttemptTarget, CallId, CallOutcome, Directive, NewCall};
+use edge_proxy::grpc::call_table::{Bounds, CallTable};
 use edge_proxy::grpc::config::GrpcConfig;
 use edge_proxy::grpc::routes::{MethodKind, Route};
 use edge_proxy::grpc::status::{AttemptEnd, Code, Pushback};
@@ -66,7 +66,7 @@
     let (mut calls, routes) = config();
     let mut live = vec![true; 4];
     let mut now = 1e6;
-    calls.list(now, 0, &backends(&live));
+    calls.set_backends(now, 0, &backends(&live));
     let mut open: HashMap<CallId, Open> = HashMap::new();
     let (mut begun, mut ended, mut left, mut seen) = (0u64, 0u64, 0u64, HashMap::<String, u32>::new());
     for step in 0..4_000 {
@@ -131,20 +131,20 @@
             4 => {
                 let k = rng.random_range(0..live.len());
                 live[k] = !live[k];
-                calls.list(now, 0, &backends(&live));
+                calls.set_backends(now, 0, &backends(&live));
             }
             5 => {
                 let Some(id) = some.filter(|_| rng.random_range(0..3) == 0) else { continue };
                 open.remove(&id);
-                calls.left(now, id);
+                calls.client_disconnected(now, id);
                 left += 1;
             }
             6 => {
                 let Some(id) = some else { continue };
                 let call = open.get_mut(&id).unwrap();
                 let most = 800;
-                call.replayable &= calls.keep(id, rng.random_range(1..500), most);
-                assert!(calls.kept_bytes() <= 5_000, "more is kept than the bound");
+                call.replayable &= calls.reserve_replay(id, rng.random_range(1..500), most);
+                assert!(calls.replay_bytes() <= 5_000, "more is kept than the bound");
             }
             7 => {
                 let Some(id) = some else { continue };
@@ -192,7 +192,7 @@
                     AttemptEnd::NotSent | AttemptEnd::NoConnection { .. } | AttemptEnd::Unprocessed
                 );
                 call.may_have_run |= !never;
-                let directive = calls.ended(now, id, end);
+                let directive = calls.attempt_ended(now, id, end);
                 if call.committed {
                     assert!(
                         !matches!(directive, Directive::StartAttempt(_)),
@@ -211,10 +211,10 @@
     }
     assert_eq!(begun, ended + left + open.len() as u64, "each call ends once");
     for (id, _) in open {
-        calls.left(now, id);
+        calls.client_disconnected(now, id);
     }
-    assert_eq!((calls.open(), calls.kept_bytes()), (0, 0), "nothing stays behind");
-    let (_, counters, _) = calls.counters().next().unwrap();
+    assert_eq!((calls.open(), calls.replay_bytes()), (0, 0), "nothing stays behind");
+    let counters = &calls.pools()[0].counters;
     assert_eq!(counters.outcomes.iter().sum::<u64>(), begun, "each call is counted once");
     seen
 }
@@ -233,7 +233,7 @@
 #[test]
 fn a_stream_is_judged_by_its_beginning_and_an_attempt_by_its_own_time() {
     let (mut calls, routes) = config();
-    calls.list(0.0, 0, &backends(&[true, true]));
+    calls.set_backends(0.0, 0, &backends(&[true, true]));
     let route =
         |kind, repeat| routes.iter().find(|r| r.kind == kind && r.idempotency == repeat).unwrap().clone();
     let new =
@@ -256,9 +256,9 @@
         let (id, directive) = calls.begin(now, new);
         let Directive::StartAttempt(start) = directive else { panic!("{directive:?}") };
         calls.committed(now + 5.0, id);
-        let end = calls.ended(now + 2_900.0, id, AttemptEnd::Status(Code::OK, None));
+        let end = calls.attempt_ended(now + 2_900.0, id, AttemptEnd::Status(Code::OK, None));
         assert!(matches!(end, Directive::ForwardStatus { outcome: CallOutcome::Served, .. }));
-        assert_eq!((start.attempt, calls.avoided(now, 0)), (0, 0), "stream {n}");
+        assert_eq!((start.attempt, calls.pools()[0].avoided_backends(now)), (0, 0), "stream {n}");
     }
 }
 
