--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -205,7 +205,7 @@
     let mut links = Vec::new();
     for n in 0..proxies {
         let clock = Clock::system();
-        let (engine, _) = edge_proxy::lifecycle::serve::engine(&config, &clock, 0).unwrap();
+        let (engine, _) = edge_proxy::lifecycle::engine_setup::engine(&config, &clock, 0).unwrap();
         let host = Executor::new(clock, engine, CacheDriver);
         host.with(|engine| engine.take_roster_from_registry());
         let link = Rc::new(RefCell::new(RegistryStatus::default()));
--- /dev/null
+++ b/src/cli/rule.rs
@@ -0,0 +1,52 @@
+//! `rule`: applies routing rules to a request.
+
+use super::error::CliError;
+use argh::FromArgs;
+use edge_proxy::rules::config::RulesConfig;
+use edge_proxy::rules::table::Said;
+use edge_proxy::wire::http::HttpRequest;
+use std::path::PathBuf;
+
+/// Show how rules classify a request.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "rule")]
+pub struct Rule {
+    /// the file of routing rules
+    #[argh(option)]
+    rules: PathBuf,
+    /// the method; GET where it is not given
+    #[argh(option, default = "String::from(\"GET\")")]
+    method: String,
+    /// a header, `name: value`; may be given more than once
+    #[argh(option)]
+    header: Vec<String>,
+    /// the target
+    #[argh(positional)]
+    target: String,
+}
+
+impl Rule {
+    /// Prints the request's class and keys, or why it has none.
+    pub fn run(self) -> Result<(), CliError> {
+        let (_, rules) = RulesConfig::read(&self.rules)?;
+        let headers = self.header.iter().map(|line| parse_header(line)).collect::<Result<_, _>>()?;
+        let request =
+            HttpRequest { method: self.method, target: self.target, headers, ..HttpRequest::default() };
+        let mut steps = 0;
+        match rules.of(&request, &mut steps) {
+            Said::Target(t) => println!(
+                "class {}  object {:016x}  part {}  group {}  steps {steps}",
+                t.class, t.object, t.part, t.group
+            ),
+            Said::Malformed => println!("malformed: 400  steps {steps}"),
+            Said::Nothing => println!("no rule: 404  steps {steps}"),
+        }
+        Ok(())
+    }
+}
+
+/// A header's name, in lower case, and its value.
+fn parse_header(line: &str) -> Result<(String, String), CliError> {
+    let (name, value) = line.split_once(':').ok_or_else(|| CliError::Header(line.to_string()))?;
+    Ok((name.trim().to_ascii_lowercase(), value.trim().to_string()))
+}
--- /dev/null
+++ b/src/cli/version.rs
@@ -0,0 +1,18 @@
+//! `version`.
+
+use super::error::CliError;
+use super::PROGRAM;
+use argh::FromArgs;
+
+/// Print the version.
+#[derive(FromArgs)]
+#[argh(subcommand, name = "version")]
+pub struct Version {}
+
+impl Version {
+    /// Prints the version.
+    pub fn run(self) -> Result<(), CliError> {
+        println!("{PROGRAM} {}", env!("CARGO_PKG_VERSION"));
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/lifecycle/engine_setup.rs
@@ -0,0 +1,61 @@
+//! The engine of a configuration, with the bounds that the process's file descriptors allow.
+
+use super::config::Config;
+use super::descriptors::{DescriptorBudget, DescriptorDemand, Descriptors};
+use super::error::ServeError;
+use crate::clock::Clock;
+use crate::engine::{Engine, EngineBounds};
+use crate::settings::PlatformSettings;
+use crate::state::connections::Bounds;
+use std::rc::Rc;
+
+/// Connections to one endpoint: one for each 64 descriptors, within these bounds.
+const DESCRIPTORS_PER_ENDPOINT_CONNECTION: usize = 64;
+/// The fewest connections to one endpoint.
+const MIN_ENDPOINT_CONNECTIONS: usize = 2;
+/// The most connections to one endpoint.
+const MAX_ENDPOINT_CONNECTIONS: usize = 16;
+/// Connections over which an endpoint's requests are spread before one is shared.
+const ENDPOINT_SPREAD: usize = 4;
+
+/// Starts the engine of a configuration, with what was known at the start, for a process that may hold all descriptors
+/// that the configuration names. The signed URL front may bring `signed_connections` connections of clients.
+pub fn engine(
+    config: &Config,
+    clock: &Clock,
+    signed_connections: usize,
+) -> Result<(Engine, Rc<PlatformSettings>), ServeError> {
+    let demand = DescriptorDemand {
+        signed: signed_connections,
+        handed_over: config.handed_over,
+        ..DescriptorDemand::default()
+    };
+    let budget = DescriptorBudget::of(Descriptors::planned(config.limits.sockets), demand);
+    engine_within(config, clock, signed_connections, budget)
+}
+
+/// Starts the engine of a configuration within a budget of descriptors.
+pub fn engine_within(
+    config: &Config,
+    clock: &Clock,
+    signed_connections: usize,
+    budget: DescriptorBudget,
+) -> Result<(Engine, Rc<PlatformSettings>), ServeError> {
+    let settings = Rc::new(config.settings.clone());
+    let seed = config.seed().map_err(ServeError::field("seed"))?;
+    let sockets = config.limits.sockets;
+    let connections = Bounds {
+        total: budget.endpoints,
+        endpoint: (sockets / DESCRIPTORS_PER_ENDPOINT_CONNECTION)
+            .clamp(MIN_ENDPOINT_CONNECTIONS, MAX_ENDPOINT_CONNECTIONS),
+        spread: ENDPOINT_SPREAD,
+        streams: settings.streams_per_connection(),
+    };
+    let bounds = EngineBounds { requests: sockets * 2 / 5 + signed_connections, connections };
+    let mut engine = Engine::new(clock.clone(), settings.clone(), seed, bounds);
+    for event in config.known.events().map_err(ServeError::field("known"))? {
+        engine.news(event);
+    }
+    engine.skip_to(config.known.no);
+    Ok((engine, settings))
+}
--- /dev/null
+++ b/src/lifecycle/subsystem_configs.rs
@@ -0,0 +1,114 @@
+//! The configuration files of the subsystems that an operator may turn on.
+
+use super::descriptors::DescriptorDemand;
+use super::signed_urls::SignedUrlConfig;
+use crate::admission::config::AdmissionConfig;
+use crate::config_file::ConfigError;
+use crate::grpc::config::GrpcConfig;
+use crate::health_check::config::HealthCheckConfig;
+use crate::health_check::driver::MAX_PROBES;
+use crate::http3::config::Http3Config;
+use crate::purge::config::PurgeConfig;
+use crate::purge::driver::MAX_CALLS;
+use crate::registry::config::RegistryConfig;
+use crate::rules::config::RulesConfig;
+use crate::rules::table::Rules;
+use crate::vrrp::config::{FrontKind, VrrpConfig};
+use std::path::{Path, PathBuf};
+
+/// The paths of the subsystems' files; a subsystem without a file is off.
+#[derive(Clone, Debug, Default)]
+pub struct SubsystemFiles {
+    /// Signed URLs.
+    pub signed_urls: Option<PathBuf>,
+    /// A virtual router (VRRP).
+    pub vrrp: Option<PathBuf>,
+    /// Fleet purges.
+    pub purges: Option<PathBuf>,
+    /// Admission control.
+    pub admission: Option<PathBuf>,
+    /// The registry client.
+    pub registry: Option<PathBuf>,
+    /// gRPC pass-through.
+    pub grpc: Option<PathBuf>,
+    /// HTTP/3.
+    pub http3: Option<PathBuf>,
+    /// Health checks shared among instances.
+    pub health_checks: Option<PathBuf>,
+    /// Routing rules.
+    pub rules: Option<PathBuf>,
+}
+
+/// The configurations of the subsystems that are on.
+#[derive(Default)]
+pub struct SubsystemConfigs {
+    /// Signed URLs.
+    pub signed_urls: Option<SignedUrlConfig>,
+    /// A virtual router (VRRP).
+    pub vrrp: Option<VrrpConfig>,
+    /// Fleet purges.
+    pub purges: Option<PurgeConfig>,
+    /// Admission control.
+    pub admission: Option<AdmissionConfig>,
+    /// The registry client.
+    pub registry: Option<RegistryConfig>,
+    /// gRPC pass-through.
+    pub grpc: Option<GrpcConfig>,
+    /// HTTP/3.
+    pub http3: Option<Http3Config>,
+    /// Health checks shared among instances.
+    pub health_checks: Option<HealthCheckConfig>,
+    /// Routing rules, with the file that they were read from.
+    pub rules: Option<(RulesConfig, Rules)>,
+}
+
+/// Reads the file of a subsystem where it has one.
+fn read_optional<C>(
+    file: &Option<PathBuf>,
+    read: impl FnOnce(&Path) -> Result<C, ConfigError>,
+) -> Result<Option<C>, ConfigError> {
+    file.as_deref().map(read).transpose()
+}
+
+impl SubsystemConfigs {
+    /// Reads and checks all files, for a process that may hold `max_sockets` file descriptors.
+    pub fn read(files: &SubsystemFiles, max_sockets: usize) -> Result<Self, ConfigError> {
+        Ok(Self {
+            signed_urls: read_optional(&files.signed_urls, |path| SignedUrlConfig::read(path, max_sockets))?,
+            vrrp: read_optional(&files.vrrp, VrrpConfig::read)?,
+            purges: read_optional(&files.purges, PurgeConfig::read)?,
+            admission: read_optional(&files.admission, AdmissionConfig::read)?,
+            registry: read_optional(&files.registry, RegistryConfig::read)?,
+            grpc: read_optional(&files.grpc, GrpcConfig::read)?,
+            http3: read_optional(&files.http3, Http3Config::read)?,
+            health_checks: read_optional(&files.health_checks, HealthCheckConfig::read)?,
+            rules: read_optional(&files.rules, RulesConfig::read)?,
+        })
+    }
+
+    /// How many listeners a front has: its own and those at virtual addresses.
+    pub fn listeners(&self, front: FrontKind) -> usize {
+        let virtual_listeners = self.vrrp.iter().flat_map(|vrrp| &vrrp.serve);
+        1 + virtual_listeners.filter(|listener| listener.front == front).count()
+    }
+
+    /// The file descriptors that the subsystems may hold.
+    pub fn descriptor_demand(&self, handed_over: bool) -> DescriptorDemand {
+        let signed =
+            self.signed_urls.as_ref().map_or(0, |c| c.connections() * self.listeners(FrontKind::Signed));
+        let grpc = self
+            .grpc
+            .as_ref()
+            .map_or(0, |c| c.limits.clients * self.listeners(FrontKind::Grpc) + c.limits.connections);
+        let http3 =
+            self.http3.as_ref().and_then(|c| c.tcp_at().map(|_| c.limits.tcp_connections)).unwrap_or(0);
+        let purges = if self.purges.is_some() { MAX_CALLS } else { 0 };
+        let health_checks = if self.health_checks.is_some() { MAX_PROBES } else { 0 };
+        DescriptorDemand { signed, others: grpc + http3 + purges + health_checks, handed_over }
+    }
+
+    /// The names of the gRPC pools.
+    pub fn grpc_pools(&self) -> Vec<String> {
+        self.grpc.iter().flat_map(|grpc| grpc.pools.iter().map(|pool| pool.name.clone())).collect()
+    }
+}
--- /dev/null
+++ b/src/lifecycle/subsystems/admission.rs
@@ -0,0 +1,46 @@
+//! Admission control ahead of the engine: fair queues for the requests of all HTTP/1.1 and HTTP/3 fronts.
+
+use crate::admission::config::AdmissionConfig;
+use crate::admission::control::AdmissionControl;
+use crate::engine::executor::Executor;
+use crate::lifecycle::subsystem::{Context, Starting, Subsystem};
+use futures_util::future::{ready, FutureExt};
+use std::rc::Rc;
+
+/// The prefix of the metrics' names.
+const METRICS_PREFIX: &str = "door";
+
+/// Admission control of the engine.
+pub struct Admission {
+    config: AdmissionConfig,
+}
+
+impl Admission {
+    /// Admission control of an operator file.
+    pub fn new(config: AdmissionConfig) -> Self {
+        Self { config }
+    }
+}
+
+impl Subsystem for Admission {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+        context.executor.set_admission(AdmissionControl::new(self.config.clone(), METRICS_PREFIX));
+        ready(Ok(())).boxed_local()
+    }
+
+    fn reload(&mut self, context: &Context) {
+        reload_admission(&context.executor, &self.config);
+    }
+}
+
+/// Reads the file of admission control again: other weights hold from the next round. A file that cannot be used
+/// changes nothing.
+pub fn reload_admission(executor: &Rc<Executor>, config: &AdmissionConfig) {
+    match config.again() {
+        Ok(fresh) => {
+            executor.with_admission(|admission| admission.reconfigure(fresh));
+            tracing::info!(file = %config.path.display(), "the admission file read again");
+        }
+        Err(reason) => tracing::warn!(%reason, "the old admission file stays"),
+    }
+}
--- /dev/null
+++ b/src/lifecycle/subsystems/grpc.rs
@@ -0,0 +1,88 @@
+//! gRPC pass-through.
+
+use crate::config_file::BoxError;
+use crate::engine::executor::Figures;
+use crate::grpc::config::GrpcConfig;
+use crate::grpc::server::{accept, cut_at_stop, keep, keep_admission, GrpcFront};
+use crate::lifecycle::bind::bind_tcp;
+use crate::lifecycle::error::ServeError;
+use crate::lifecycle::subsystem::{AdminCalls, Context, Starting, StopStage, Subsystem};
+use crate::lifecycle::supervisor::supervise;
+use futures_util::future::{ready, FutureExt};
+use std::rc::Rc;
+use tokio::sync::Notify;
+
+/// The gRPC front with its listener.
+pub struct Grpc {
+    config: GrpcConfig,
+    front: Option<Rc<GrpcFront>>,
+    closing: Rc<Notify>,
+}
+
+impl Grpc {
+    /// The front of an operator file.
+    pub fn new(config: GrpcConfig) -> Self {
+        Self { config, front: None, closing: Rc::default() }
+    }
+
+    fn create_front(&mut self, context: &Context) -> Result<(), ServeError> {
+        let front = GrpcFront::new(context.executor.clone(), self.config.clone(), context.seed);
+        let front = front.map_err(ServeError::field("routes"))?;
+        *context.grpc.borrow_mut() = Some(front.clone());
+        self.front = Some(front);
+        Ok(())
+    }
+
+    async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
+        let Some(front) = self.front.clone() else { return Ok(()) };
+        let executor = &context.executor;
+        let listen = self.config.at();
+        let listener = bind_tcp(listen).await?;
+        let accepting = accept(front.clone(), listener, context.stop.clone(), self.closing.clone());
+        executor.spawn("accepting", accepting);
+        let (housekeeper, admission) = (front.clone(), front.clone());
+        supervise(executor, "gRPC housekeeping", move || keep(housekeeper.clone()));
+        supervise(executor, "gRPC admission", move || keep_admission(admission.clone()));
+        executor.spawn("the stop of calls", cut_at_stop(front, context.stop.clone()));
+        tracing::info!(%listen, "gRPC calls are passed through");
+        Ok(())
+    }
+
+    fn read_again(&self, front: &GrpcFront) -> Result<(), BoxError> {
+        Ok(front.reconfigure(self.config.again()?)?)
+    }
+}
+
+impl Subsystem for Grpc {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+        ready(self.create_front(context)).boxed_local()
+    }
+
+    fn start<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+        self.open(context).boxed_local()
+    }
+
+    fn metrics(&self) -> Option<Figures> {
+        let front = self.front.clone()?;
+        Some(Box::new(move || front.figures()))
+    }
+
+    fn admin_calls(&self) -> Option<AdminCalls> {
+        let front = self.front.clone()?;
+        Some(AdminCalls { handler: Box::new(move |_, call| front.answer(call)), max_body: 0 })
+    }
+
+    fn reload(&mut self, _: &Context) {
+        let Some(front) = &self.front else { return };
+        match self.read_again(front) {
+            Ok(()) => tracing::info!(file = %self.config.path.display(), "the gRPC file read again"),
+            Err(reason) => tracing::warn!(%reason, "the old gRPC file stays"),
+        }
+    }
+
+    fn stop(&mut self, stage: StopStage) {
+        if stage == StopStage::CloseListeners {
+            self.closing.notify_one();
+        }
+    }
+}
--- /dev/null
+++ b/src/lifecycle/subsystems/health_checks.rs
@@ -0,0 +1,58 @@
+//! Health checks of endpoints, shared among the instances of an installation.
+
+use crate::engine::executor::Figures;
+use crate::health_check::config::HealthCheckConfig;
+use crate::health_check::driver::{run, HealthChecker};
+use crate::lifecycle::bind::bind_udp;
+use crate::lifecycle::error::ServeError;
+use crate::lifecycle::subsystem::{AdminCalls, Context, Starting, Subsystem};
+use crate::lifecycle::supervisor::supervise;
+use futures_util::FutureExt;
+use std::rc::Rc;
+
+/// Shared health checks.
+pub struct HealthChecks {
+    config: HealthCheckConfig,
+    checker: Option<Rc<HealthChecker>>,
+}
+
+impl HealthChecks {
+    /// Health checks of an operator file.
+    pub fn new(config: HealthCheckConfig) -> Self {
+        Self { config, checker: None }
+    }
+
+    async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
+        let listen = self.config.at();
+        let socket = bind_udp(listen).await?;
+        let checker = HealthChecker::new(context.executor.clone(), self.config.clone(), socket);
+        let checker = checker.map_err(ServeError::field("key_file"))?;
+        let task = checker.clone();
+        supervise(&context.executor, "shared health checks", move || run(task.clone()));
+        tracing::info!(%listen, "health checks are shared");
+        self.checker = Some(checker);
+        Ok(())
+    }
+}
+
+impl Subsystem for HealthChecks {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+        self.open(context).boxed_local()
+    }
+
+    fn metrics(&self) -> Option<Figures> {
+        let checker = self.checker.clone()?;
+        Some(Box::new(move || checker.metrics()))
+    }
+
+    fn admin_calls(&self) -> Option<AdminCalls> {
+        let checker = self.checker.clone()?;
+        Some(AdminCalls { handler: Box::new(move |_, call| checker.answer(call)), max_body: 0 })
+    }
+
+    fn reload(&mut self, _: &Context) {
+        if let Some(Err(reason)) = self.checker.as_ref().map(|checker| checker.rekey()) {
+            tracing::warn!(%reason, "the old keys of the health checks stay");
+        }
+    }
+}
--- /dev/null
+++ b/src/lifecycle/subsystems/http3.rs
@@ -0,0 +1,129 @@
+//! HTTP/3: a QUIC endpoint, and HTTP/1.1 over TCP with the same sessions where the file names an address.
+
+use crate::config_file::BoxError;
+use crate::engine::executor::Figures;
+use crate::http3::call_registry::CallRegistry;
+use crate::http3::config::Http3Config;
+use crate::http3::front::Http3Front;
+use crate::http3::server::{self, Driver};
+use crate::lifecycle::bind::{bind_tcp, retry_while_in_use};
+use crate::lifecycle::error::ServeError;
+use crate::lifecycle::subsystem::{Context, Starting, StopStage, Subsystem};
+use crate::lifecycle::supervisor::supervise;
+use crate::wire::listener::{accept, Limits};
+use crate::wire::platform::{limits, Platform};
+use futures_util::future::{ready, FutureExt};
+use quinn::Endpoint;
+use std::rc::Rc;
+use tokio::sync::Notify;
+
+/// The HTTP/3 front with its listeners.
+pub struct Http3 {
+    config: Http3Config,
+    prepared: Option<Prepared>,
+    endpoint: Option<Endpoint>,
+    quic_closing: Rc<Notify>,
+    tcp_closing: Rc<Notify>,
+}
+
+/// What exists before the sockets open.
+#[derive(Clone)]
+struct Prepared {
+    front: Rc<Http3Front>,
+    calls: Rc<CallRegistry>,
+    driver: Rc<Driver>,
+}
+
+impl Http3 {
+    /// The front of an operator file.
+    pub fn new(config: Http3Config) -> Self {
+        Self {
+            config,
+            prepared: None,
+            endpoint: None,
+            quic_closing: Rc::default(),
+            tcp_closing: Rc::default(),
+        }
+    }
+
+    fn create_front(&mut self, context: &Context) -> Result<(), ServeError> {
+        let (executor, bounds) = (&context.executor, &self.config.limits);
+        let platform = Rc::new(Platform::new(limits(bounds.tcp_connections)));
+        context.rules.attach(platform.clone());
+        let calls = CallRegistry::new(executor.clone(), self.config.shelf());
+        let sessions = self.config.sessions().map_err(ServeError::field("session_keys"))?;
+        let limits = Limits {
+            idle_ms: bounds.idle_ms,
+            body_bytes: bounds.body_bytes,
+            ..limits(bounds.tcp_connections)
+        };
+        let front = Rc::new(Http3Front::new(platform, limits, sessions, calls.clone()));
+        let driver = Driver::new(executor.clone(), front.clone(), calls.clone(), bounds.clone());
+        self.prepared = Some(Prepared { front, calls, driver });
+        Ok(())
+    }
+
+    async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
+        let Some(Prepared { front, calls, driver }) = self.prepared.clone() else { return Ok(()) };
+        let executor = &context.executor;
+        let listen = self.config.at();
+        let tls = server::server_config(&self.config).map_err(ServeError::field("certificate"))?;
+        let open_endpoint = || ready(Endpoint::server(tls.clone(), listen));
+        let endpoint = retry_while_in_use(listen, open_endpoint).await?;
+        let (stop, closing) = (context.stop.clone(), self.quic_closing.clone());
+        executor.spawn("accepting", server::accept(driver, endpoint.clone(), stop, closing));
+        supervise(executor, "the response store", move || calls.clone().keep());
+        if let Some(address) = self.config.tcp_at() {
+            let listener = bind_tcp(address).await?;
+            let (stop, closing) = (context.stop.clone(), self.tcp_closing.clone());
+            executor.spawn("accepting", accept(executor.clone(), front, listener, stop, closing));
+        }
+        self.endpoint = Some(endpoint);
+        tracing::info!(%listen, "HTTP/3 is served");
+        Ok(())
+    }
+
+    /// Puts the certificates and session keys in force that their files hold by now.
+    fn reload_keys(&self) -> Result<(), BoxError> {
+        let tls = server::server_config(&self.config)?;
+        if let (Some(_), Some(prepared)) = (&self.config.session_keys, &self.prepared) {
+            prepared.front.rekey(self.config.sessions()?);
+        }
+        if let Some(endpoint) = &self.endpoint {
+            endpoint.set_server_config(Some(tls));
+        }
+        Ok(())
+    }
+}
+
+impl Subsystem for Http3 {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+        ready(self.create_front(context)).boxed_local()
+    }
+
+    fn start<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+        self.open(context).boxed_local()
+    }
+
+    fn metrics(&self) -> Option<Figures> {
+        let driver = self.prepared.as_ref()?.driver.clone();
+        Some(Box::new(move || driver.metrics()))
+    }
+
+    fn reload(&mut self, _: &Context) {
+        match self.reload_keys() {
+            Ok(()) => tracing::info!(
+                file = %self.config.file.display(),
+                "certificates and session keys read again"
+            ),
+            Err(reason) => tracing::warn!(%reason, "the old certificates and session keys stay"),
+        }
+    }
+
+    fn stop(&mut self, stage: StopStage) {
+        if stage == StopStage::CloseRemaining {
+            self.quic_closing.notify_one();
+            self.tcp_closing.notify_one();
+        }
+    }
+}
--- /dev/null
+++ b/src/lifecycle/subsystems/mod.rs
@@ -0,0 +1,84 @@
+//! The subsystems of a serving process, an adapter for each, and the order in which they are handled.
+
+mod admin;
+mod admission;
+mod discovery;
+mod engine_timer;
+mod grpc;
+mod health_checks;
+mod http3;
+mod platform;
+mod purges;
+mod registry;
+mod rules;
+mod settings;
+mod signed_urls;
+mod vrrp;
+
+pub use admission::reload_admission;
+pub use settings::reload_config;
+
+use super::config::Config;
+use super::error::ServeError;
+use super::subsystem::Subsystem;
+use super::subsystem_configs::SubsystemConfigs;
+use crate::vrrp::config::FrontKind;
+use std::net::TcpListener;
+use tokio::sync::watch;
+
+/// The subsystems that are on, in the order in which they are prepared, started, reloaded and stopped:
+///
+/// 1. Settings, admission and rules open nothing; the fronts depend on them.
+/// 2. The platform listener opens first, so that clients queue in the system's backlog while the rest starts.
+/// 3. The registry client and the health checks come before the admin address, at which they are observed.
+/// 4. The admin address restores maintenance of endpoints, and fleet purges are sent once it answers their calls.
+/// 5. The other fronts open once purges and maintenance bind.
+/// 6. The engine's timer and the endpoint watch run once every front exists. The virtual router comes last: it claims
+///    addresses for fronts that can serve them.
+pub fn configured(
+    config: &Config,
+    configs: SubsystemConfigs,
+    handed_over: Option<TcpListener>,
+) -> Result<Vec<Box<dyn Subsystem>>, ServeError> {
+    let address = config.bulletin().map_err(ServeError::field("bulletin"))?;
+    let (discovery_sender, discovery_address) = watch::channel(address);
+    let platform_listeners = configs.listeners(FrontKind::Platform);
+    let router_needs = vrrp::Prerequisites {
+        signed_urls: configs.signed_urls.is_some(),
+        grpc_pools: configs.grpc_pools(),
+        admission: configs.admission.is_some(),
+        registry: configs.registry.is_some(),
+    };
+    let SubsystemConfigs {
+        signed_urls,
+        vrrp,
+        purges,
+        admission,
+        registry,
+        grpc,
+        http3,
+        health_checks,
+        rules,
+    } = configs;
+    let all: Vec<Option<Box<dyn Subsystem>>> = vec![
+        Some(Box::new(settings::Settings::new(discovery_sender))),
+        admission.map(|config| boxed(admission::Admission::new(config))),
+        rules.map(|(config, rules)| boxed(rules::RoutingRules::new(config, rules))),
+        Some(Box::new(platform::PlatformListener::new(handed_over, platform_listeners))),
+        registry.map(|config| boxed(registry::Registry::new(config))),
+        health_checks.map(|config| boxed(health_checks::HealthChecks::new(config))),
+        Some(Box::new(admin::AdminAddress)),
+        purges.map(|config| boxed(purges::Purges::new(config))),
+        signed_urls.map(|config| boxed(signed_urls::SignedUrls::new(config))),
+        http3.map(|config| boxed(http3::Http3::new(config))),
+        grpc.map(|config| boxed(grpc::Grpc::new(config))),
+        Some(Box::new(engine_timer::EngineTimer)),
+        Some(Box::new(discovery::Discovery::new(discovery_address))),
+        vrrp.map(|config| boxed(vrrp::Vrrp::new(config, router_needs))),
+    ];
+    Ok(all.into_iter().flatten().collect())
+}
+
+fn boxed(subsystem: impl Subsystem + 'static) -> Box<dyn Subsystem> {
+    Box::new(subsystem)
+}
--- /dev/null
+++ b/src/lifecycle/subsystems/platform.rs
@@ -0,0 +1,56 @@
+//! The platform's listener: the front that is always on, at the socket that the platform hands over or at its own.
+
+use crate::lifecycle::bind::bind_tcp;
+use crate::lifecycle::error::ServeError;
+use crate::lifecycle::subsystem::{Context, Starting, StopStage, Subsystem};
+use crate::vrrp::config::FrontKind;
+use crate::wire::listener::accept;
+use crate::wire::platform::{limits, Platform};
+use futures_util::FutureExt;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::sync::Notify;
+
+/// The platform's listener.
+pub struct PlatformListener {
+    handed_over: Option<std::net::TcpListener>,
+    /// Listeners that share the connections of clients: this one, and those of virtual addresses.
+    listeners: usize,
+    closing: Rc<Notify>,
+}
+
+impl PlatformListener {
+    /// A listener on the socket that was handed over, or else on one of its own. `listeners` of the front share the
+    /// connections of clients.
+    pub fn new(handed_over: Option<std::net::TcpListener>, listeners: usize) -> Self {
+        Self { handed_over, listeners, closing: Rc::default() }
+    }
+
+    async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
+        let address = context.config.listen().map_err(ServeError::field("listen"))?;
+        let listener = match self.handed_over.take() {
+            Some(listener) => TcpListener::from_std(listener).map_err(ServeError::HandedOverSocket)?,
+            None => bind_tcp(address).await?,
+        };
+        let connections = (context.budget.clients / self.listeners).max(1);
+        let front = Rc::new(Platform::new(limits(connections)));
+        context.rules.attach(front.clone());
+        context.fronts.add(FrontKind::Platform, front.clone());
+        let accepting =
+            accept(context.executor.clone(), front, listener, context.stop.clone(), self.closing.clone());
+        context.executor.spawn("accepting", accepting);
+        Ok(())
+    }
+}
+
+impl Subsystem for PlatformListener {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+        self.open(context).boxed_local()
+    }
+
+    fn stop(&mut self, stage: StopStage) {
+        if stage == StopStage::CloseListeners {
+            self.closing.notify_one();
+        }
+    }
+}
--- /dev/null
+++ b/src/lifecycle/subsystems/registry.rs
@@ -0,0 +1,38 @@
+//! The registry client: endpoints from a service registry in place of the discovery service.
+
+use crate::lifecycle::subsystem::{AdminCalls, Context, Starting, Subsystem};
+use crate::registry::config::RegistryConfig;
+use crate::registry::driver::{answer, keep, RegistryStatus};
+use futures_util::future::{ready, FutureExt};
+use std::cell::RefCell;
+use std::rc::Rc;
+
+/// The registry client.
+pub struct Registry {
+    config: RegistryConfig,
+    status: Rc<RefCell<RegistryStatus>>,
+}
+
+impl Registry {
+    /// A client of an operator file.
+    pub fn new(config: RegistryConfig) -> Self {
+        Self { config, status: Rc::default() }
+    }
+}
+
+impl Subsystem for Registry {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+        let executor = &context.executor;
+        *context.registry.borrow_mut() = Some(self.status.clone());
+        executor.with(|engine| engine.take_roster_from_registry());
+        tracing::info!(at = self.config.address, "endpoints come from the registry");
+        let client = keep(executor.clone(), self.config.clone(), self.status.clone(), context.seed);
+        executor.spawn("the registry", client);
+        ready(Ok(())).boxed_local()
+    }
+
+    fn admin_calls(&self) -> Option<AdminCalls> {
+        let status = self.status.clone();
+        Some(AdminCalls { handler: Box::new(move |_, call| answer(&status, call)), max_body: 0 })
+    }
+}
--- /dev/null
+++ b/src/lifecycle/subsystems/rules.rs
@@ -0,0 +1,39 @@
+//! Routing rules: which class and object a request of the platform's front is for.
+
+use crate::lifecycle::subsystem::{Context, Starting, Subsystem};
+use crate::rules::config::RulesConfig;
+use crate::rules::table::Rules;
+use futures_util::future::{ready, FutureExt};
+
+/// The routing rules of an operator file.
+pub struct RoutingRules {
+    config: RulesConfig,
+    /// The rules as they were read at the start, until they are put in force.
+    initial: Option<Rules>,
+}
+
+impl RoutingRules {
+    /// Rules and the file that they were read from.
+    pub fn new(config: RulesConfig, rules: Rules) -> Self {
+        Self { config, initial: Some(rules) }
+    }
+}
+
+impl Subsystem for RoutingRules {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+        if let Some(rules) = self.initial.take() {
+            context.rules.replace(rules);
+        }
+        ready(Ok(())).boxed_local()
+    }
+
+    fn reload(&mut self, context: &Context) {
+        match RulesConfig::read(&self.config.path) {
+            Ok((_, rules)) => {
+                context.rules.replace(rules);
+                tracing::info!(file = %self.config.path.display(), "rules read again");
+            }
+            Err(reason) => tracing::warn!(%reason, "the old rules stay"),
+        }
+    }
+}
--- /dev/null
+++ b/src/lifecycle/subsystems/settings.rs
@@ -0,0 +1,56 @@
+//! The platform's settings: they are read again on SIGHUP, with the address of the discovery service.
+
+use crate::config_file::BoxError;
+use crate::engine::executor::Executor;
+use crate::lifecycle::config::Config;
+use crate::lifecycle::subsystem::{Context, Subsystem};
+use crate::settings::PlatformSettings;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::sync::watch;
+
+/// The settings of the running process.
+pub struct Settings {
+    discovery_address: watch::Sender<SocketAddr>,
+}
+
+impl Settings {
+    /// Settings whose reload moves the endpoint watch by `discovery_address`.
+    pub fn new(discovery_address: watch::Sender<SocketAddr>) -> Self {
+        Self { discovery_address }
+    }
+}
+
+impl Subsystem for Settings {
+    fn reload(&mut self, context: &Context) {
+        reload_config(&context.executor, &context.config, &self.discovery_address);
+    }
+}
+
+/// Reads the configuration again, puts its settings in force and moves the endpoint watch where the address of the
+/// discovery service changed. A file that cannot be used changes nothing.
+pub fn reload_config(
+    executor: &Rc<Executor>,
+    config: &Config,
+    discovery_address: &watch::Sender<SocketAddr>,
+) {
+    match read_again(config) {
+        Ok((address, settings)) => {
+            executor.with(|engine| {
+                engine.counters.reloads += 1;
+                engine.reconfigure(settings);
+            });
+            let moved = discovery_address.send_if_modified(|old| std::mem::replace(old, address) != address);
+            tracing::info!(bulletin = %address, moved, "configuration read again");
+        }
+        Err(reason) => {
+            executor.with(|engine| engine.counters.reload_faults += 1);
+            tracing::warn!(%reason, "the old configuration stays");
+        }
+    }
+}
+
+fn read_again(config: &Config) -> Result<(SocketAddr, PlatformSettings), BoxError> {
+    let fresh = config.again()?;
+    Ok((fresh.bulletin()?, fresh.settings))
+}
--- /dev/null
+++ b/src/lifecycle/subsystems/signed_urls.rs
@@ -0,0 +1,61 @@
+//! The front for signed URLs, and its keys.
+
+use crate::lifecycle::bind::bind_tcp;
+use crate::lifecycle::error::ServeError;
+use crate::lifecycle::signed_urls::{keep_keys, SignedUrlConfig};
+use crate::lifecycle::subsystem::{Context, Starting, StopStage, Subsystem};
+use crate::lifecycle::supervisor::supervise;
+use crate::vrrp::config::FrontKind;
+use crate::wire::listener::accept;
+use futures_util::FutureExt;
+use std::rc::Rc;
+use tokio::sync::Notify;
+
+/// The front for signed URLs.
+pub struct SignedUrls {
+    config: SignedUrlConfig,
+    closing: Rc<Notify>,
+    /// Has the keys read again at once.
+    reload: Rc<Notify>,
+}
+
+impl SignedUrls {
+    /// The front of an operator file.
+    pub fn new(config: SignedUrlConfig) -> Self {
+        Self { config, closing: Rc::default(), reload: Rc::default() }
+    }
+
+    async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
+        let executor = &context.executor;
+        let listen = self.config.listen().map_err(ServeError::field("listen"))?;
+        let salt = executor.clock.now().to_bits() ^ context.seed;
+        let front = Rc::new(self.config.front(salt).map_err(ServeError::field("keys"))?);
+        let listener = bind_tcp(listen).await?;
+        context.fronts.add(FrontKind::Signed, front.clone());
+        let accepting =
+            accept(executor.clone(), front.clone(), listener, context.stop.clone(), self.closing.clone());
+        executor.spawn("accepting", accepting);
+        supervise(executor, "keeping keys", {
+            let (executor, config, reload) = (executor.clone(), self.config.clone(), self.reload.clone());
+            move || keep_keys(executor.clone(), config.clone(), front.clone(), reload.clone())
+        });
+        tracing::info!(%listen, "signed URLs are served");
+        Ok(())
+    }
+}
+
+impl Subsystem for SignedUrls {
+    fn start<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+        self.open(context).boxed_local()
+    }
+
+    fn reload(&mut self, _: &Context) {
+        self.reload.notify_one();
+    }
+
+    fn stop(&mut self, stage: StopStage) {
+        if stage == StopStage::CloseListeners {
+            self.closing.notify_one();
+        }
+    }
+}
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -10,7 +10,7 @@
 use edge_proxy::http3::front::Http3Front;
 use edge_proxy::http3::server::{self, Driver};
 use edge_proxy::lifecycle::config::Config;
-use edge_proxy::lifecycle::serve::engine;
+use edge_proxy::lifecycle::engine_setup::engine;
 use edge_proxy::wire::cache_connection::CacheDriver;
 use edge_proxy::wire::listener::{accept, Front, Limits, Stop};
 use edge_proxy::wire::platform::{self, Platform};
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -2,7 +2,7 @@
 
 mod stand_ins;
 
-use edge_proxy::lifecycle::serve::reload_config;
+use edge_proxy::lifecycle::subsystems::reload_config;
 use edge_proxy::wire::listener::{Front, Limits};
 use edge_proxy::wire::platform::{limits, Platform};
 use stand_ins::*;
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -2,7 +2,7 @@
 
 mod stand_ins;
 
-use edge_proxy::lifecycle::front::{keep_keys, SignedUrlConfig};
+use edge_proxy::lifecycle::signed_urls::{keep_keys, SignedUrlConfig};
 use edge_proxy::wire::signed::SignedUrls;
 use jsonwebtoken::{encode, Algorithm, EncodingKey, Header};
 use p256::pkcs8::EncodePrivateKey;
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -6,7 +6,7 @@
 use edge_proxy::engine::executor::Executor;
 use edge_proxy::engine::Engine;
 use edge_proxy::lifecycle::config::Config;
-use edge_proxy::lifecycle::serve::engine;
+use edge_proxy::lifecycle::engine_setup::engine;
 use edge_proxy::settings::PlatformSettings;
 use edge_proxy::wire::cache_connection::CacheDriver;
 use edge_proxy::wire::discovery;
