--- a/examples/admission_heavy.rs
+++ b/examples/admission_heavy.rs
@@ -107,10 +107,10 @@
     std::fs::write(&file, r#"{"limit":{"first":8,"least":8,"most":8},"per_client_most":16}"#).unwrap();
     let mut args = vec!["serve".to_string(), "--config".into(), config.display().to_string()];
     if door {
-        args.extend(["--door".into(), file.display().to_string()]);
+        args.extend(["--admission".into(), file.display().to_string()]);
     }
     let mut command = Command::new(program);
-    command.args(&args).env("CALICOBEAM_LOG", "warn").stdout(Stdio::null()).stderr(Stdio::null());
+    command.args(&args).env("EDGE_PROXY_LOG", "warn").stdout(Stdio::null()).stderr(Stdio::null());
     let _child = Running(command.spawn().unwrap());
     while tokio::net::TcpStream::connect(listen).await.is_err() {
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -58,7 +58,7 @@
     let text = format!(r#"{{"listen":"{at}","certificate":"cert.pem","key":"key.pem","path":{path}}}"#);
     std::fs::write(&file, text).unwrap();
     let mut command = Command::new(program);
-    command.arg("serve").arg("--config").arg(dir.join("config.json")).arg("--poor").arg(&file);
+    command.arg("serve").arg("--config").arg(dir.join("config.json")).arg("--http3").arg(&file);
     let child = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
     while std::net::TcpStream::connect(listen).is_err() {
         std::thread::sleep(Duration::from_millis(10));
--- a/examples/purge_fleet.rs
+++ b/examples/purge_fleet.rs
@@ -47,7 +47,7 @@
     let purges = dir.join(format!("{name}-purges.json"));
     Command::new(program)
         .args(["serve", "--config", config.to_str().unwrap(), "--purges", purges.to_str().unwrap()])
-        .env("CALICOBEAM_LOG", "warn")
+        .env("EDGE_PROXY_LOG", "warn")
         .stderr(Stdio::from(log))
         .spawn()
         .expect("the program: build it with cargo build --release")
--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -109,7 +109,7 @@
     let mut command = Command::new(&program);
     command.args(["serve", "--config", config.to_str().unwrap(), "--registry", file.to_str().unwrap()]);
     let _proxy = Running(
-        command.env("CALICOBEAM_LOG", "warn").stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap(),
+        command.env("EDGE_PROXY_LOG", "warn").stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap(),
     );
     while state(mgmt).await.and_then(|s| s["revision"].as_i64()).unwrap_or(0) < 4 {
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/tests/admission_loopback.rs
+++ b/tests/admission_loopback.rs
@@ -114,7 +114,7 @@
     std::fs::write(dir.join("door.json"), door).unwrap();
     let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
     let (config, file) = (dir.join("config.json"), dir.join("door.json"));
-    let args = ["serve", "--config", config.to_str().unwrap(), "--door", file.to_str().unwrap()];
+    let args = ["serve", "--config", config.to_str().unwrap(), "--admission", file.to_str().unwrap()];
     let proxy = Proxy(Command::new(PROGRAM).args(args).stderr(Stdio::from(log)).spawn().unwrap());
     for _ in 0..500 {
         if tokio::net::TcpStream::connect(listen).await.is_ok() {
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -87,7 +87,7 @@
         std::fs::write(dir.join("duties.json"), file).unwrap();
         let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
         let (config, own) = (dir.join("config.json"), dir.join("duties.json"));
-        let args = ["serve", "--config", config.to_str().unwrap(), "--duties", own.to_str().unwrap()];
+        let args = ["serve", "--config", config.to_str().unwrap(), "--health-checks", own.to_str().unwrap()];
         let child =
             Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(Stdio::from(log)).spawn();
         Instance { process: Killed(child.unwrap()), mgmt }
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -444,7 +444,7 @@
         let config = Http3Config::read(&file).unwrap();
         let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
         let node = dir.join("config.json");
-        let args = ["serve", "--config", node.to_str().unwrap(), "--poor", file.to_str().unwrap()];
+        let args = ["serve", "--config", node.to_str().unwrap(), "--http3", file.to_str().unwrap()];
         let child =
             std::process::Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(log).spawn();
         let mut program = Killed(child.unwrap());
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -49,7 +49,7 @@
     file("no-keys.json", "{\"keys\":[]}");
     let shipped = include_str!("../deploy/signed-urls.json").replace("signed-urls-keys.json", "keys.json");
     let good = file("front.json", &shipped);
-    let output = check(&["--config", config, "--front", good.to_str().unwrap()]);
+    let output = check(&["--config", config, "--signed-urls", good.to_str().unwrap()]);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let cases = [
         ("127.0.0.1:8080", "x", "`listen`"),
@@ -63,7 +63,7 @@
     ];
     for (from, to, field) in cases {
         let bad = file("bad-front.json", &shipped.replacen(from, to, 1));
-        let output = check(&["--config", config, "--front", bad.to_str().unwrap()]);
+        let output = check(&["--config", config, "--signed-urls", bad.to_str().unwrap()]);
         let message = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(!output.status.success() && message.contains(field), "{to}: {message}");
     }
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -102,7 +102,7 @@
         Command::new(PROGRAM)
             .args(["serve", "--config", config.to_str().unwrap(), "--purges", purges.to_str().unwrap()])
             .env_remove("NODE_CONFIG")
-            .env("CALICOBEAM_LOG", "info")
+            .env("EDGE_PROXY_LOG", "info")
             .stderr(Stdio::from(errors))
             .spawn()
             .unwrap()
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -14,14 +14,14 @@
 
 /// The operators' files, by the option that names them.
 const OPERATOR_FILES: [(&str, &str); 9] = [
-    ("--front", "signed-urls.json"),
+    ("--signed-urls", "signed-urls.json"),
     ("--vrrp", "vrrp.json"),
     ("--purges", "purges.json"),
-    ("--door", "door.json"),
+    ("--admission", "door.json"),
     ("--registry", "registry.json"),
     ("--grpc", "grpc.json"),
-    ("--poor", "poor.json"),
-    ("--duties", "duties.json"),
+    ("--http3", "poor.json"),
+    ("--health-checks", "duties.json"),
     ("--rules", "rules.json"),
 ];
 
@@ -90,7 +90,11 @@
             }
             command.args([option, "option.json"]);
         }
-        command.current_dir(folder).env("TMPDIR", folder).env_remove("CALICOBEAM_LOG");
+        command
+            .current_dir(folder)
+            .env("TMPDIR", folder)
+            .env_remove("EDGE_PROXY_LOG")
+            .env_remove("CALICOBEAM_LOG");
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let errors = BufReader::new(child.stderr.take().unwrap());
         let mut process = Running { child, errors, port };
@@ -208,7 +212,7 @@
 #[test]
 fn links_signed_with_stored_keys_are_accepted() {
     let folder = workspace("links");
-    let proxy = Proxy::start(&folder, Some(("--front", "signed-urls.json")), Some("127.0.0.1:8080"));
+    let proxy = Proxy::start(&folder, Some(("--signed-urls", "signed-urls.json")), Some("127.0.0.1:8080"));
     let links: Value = serde_json::from_str(&text("keys/links.json")).unwrap();
     let host = format!("Host: {}\r\n", links["host"].as_str().unwrap());
     let ask = |link: &str| status(&call(proxy.front, "GET", link, &host)).to_string();
@@ -225,7 +229,7 @@
 fn session_tokens_by_stored_keys_are_accepted() {
     let folder = workspace("sessions");
     edit(&folder.join("poor.json"), "127.0.0.1:5444", "127.0.0.1:0");
-    let proxy = Proxy::start(&folder, Some(("--poor", "poor.json")), Some("127.0.0.1:5445"));
+    let proxy = Proxy::start(&folder, Some(("--http3", "poor.json")), Some("127.0.0.1:5445"));
     let tokens: Value = serde_json::from_str(&text("keys/session-tokens.json")).unwrap();
     let target = "/ops/video-part/7f3a9c21e0b4d655/slice-3";
     // A device whose token is refused gets a new one in the answer.
