--- a/src/cli/grpc_route.rs
+++ b/src/cli/grpc_route.rs
@@ -30,7 +30,7 @@
             "pool {}  kind {:?}  repeat {}  deadline {deadline}  affinity {:?}  retry {}",
             pools[route.pool].name,
             route.kind,
-            idempotency_text(route.repeat),
+            idempotency_text(route.idempotency),
             route.affinity,
             retry.join(",")
         );
