--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -34,7 +34,7 @@
 }
 
 /// Follows the list of endpoints and closes idle connections to backends, for ever.
-pub async fn keep(front: Rc<GrpcFront>) {
+pub async fn run_housekeeping(front: Rc<GrpcFront>) {
     loop {
         tokio::time::sleep(Duration::from_millis(HOUSEKEEPING_INTERVAL_MS)).await;
         front.sync_backends();
@@ -43,7 +43,7 @@
 }
 
 /// Rejects queued calls whose time is over, for ever.
-pub async fn keep_admission(front: Rc<GrpcFront>) {
+pub async fn expire_queued_calls(front: Rc<GrpcFront>) {
     loop {
         let left = front.admission.next_due() - front.now();
         tokio::select! {
@@ -54,7 +54,7 @@
 }
 
 /// Aborts the calls that are still open some time after the stop has begun.
-pub async fn cut_at_stop(front: Rc<GrpcFront>, stop: Rc<Stop>) {
+pub async fn abort_calls_at_shutdown(front: Rc<GrpcFront>, stop: Rc<Stop>) {
     stop.begun().await;
     tokio::time::sleep(duration_from_ms(front.limits().stop_ms)).await;
     front.abort_calls();
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -7,9 +7,9 @@
 use edge_proxy::engine::executor::Executor;
 use edge_proxy::grpc::config::GrpcConfig;
 use edge_proxy::grpc::front::GrpcFront;
-use edge_proxy::grpc::server::{accept, cut_at_stop, keep};
+use edge_proxy::grpc::server::{abort_calls_at_shutdown, accept, run_housekeeping};
 use edge_proxy::lifecycle::config::Config;
-use edge_proxy::lifecycle::serve::engine;
+use edge_proxy::lifecycle::engine_setup::engine;
 use edge_proxy::wire::cache_connection::CacheDriver;
 use edge_proxy::wire::listener::Stop;
 use stand_ins::grpc::{finish, msg, Caller, GrpcBox};
@@ -91,8 +91,8 @@
         let front = GrpcFront::new(host(clock), config, 5).unwrap();
         let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
         spawn_local(accept(front.clone(), listener, stop.clone(), closing.clone()));
-        spawn_local(keep(front.clone()));
-        spawn_local(cut_at_stop(front.clone(), stop.clone()));
+        spawn_local(run_housekeeping(front.clone()));
+        spawn_local(abort_calls_at_shutdown(front.clone(), stop.clone()));
         Self { front, at, stop, closing, boxes: all, dir }
     }
 
@@ -704,6 +704,6 @@
         assert_eq!((got.status(), got.body), (0, msg(5)));
         program.ends_well().await;
         let log = std::fs::read_to_string(dir.join("proxy.log")).unwrap();
-        assert!(log.contains("gRPC's old file stays"), "{log}");
+        assert!(log.contains("the old gRPC file stays"), "{log}");
     });
 }
