--- a/examples/health_checks_shared.rs
+++ b/examples/health_checks_shared.rs
@@ -1,50 +1,56 @@
-//! Shared duties measured without sockets, on a clock that is moved by hand: instances with a network that loses and
-//! delays their words, one of which is killed again and again. How late probes are, how many words each costs, and
-//! what a tick costs with a thousand duties.
+//! Measures shared health checks without sockets, on a simulated clock: instances with a network that loses and delays
+//! messages, of which one is killed over and over. Prints how late checks are, how many messages each costs, and what a
+//! tick costs.
 //!
-//!     cargo run --release --example duties_shared -- [KILLS]
+//!     cargo run --release --example health_checks_shared -- [KILLS]
 
-use edge_proxy::health_check::lease::{due_ms, DutyId, InstanceId, Slot};
-use edge_proxy::health_check::scheduler::{Act, Message, Plan, Times};
+use edge_proxy::health_check::lease::{InstanceId, Lease};
+use edge_proxy::health_check::message::{CheckResult, Message};
+use edge_proxy::health_check::scheduler::{Action, Scheduler, SchedulerTimes};
+use edge_proxy::EndpointId;
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-const TIMES: Times = Times {
+const TIMES: SchedulerTimes = SchedulerTimes {
     period_ms: 2_000.0,
-    step_ms: 200.0,
-    again_ms: 50.0,
-    claim_ms: 400.0,
-    beat_ms: 375.0,
-    dead_ms: 1_500.0,
+    rank_delay_ms: 200.0,
+    retry_interval_ms: 50.0,
+    request_timeout_ms: 400.0,
+    heartbeat_interval_ms: 375.0,
+    failure_timeout_ms: 1_500.0,
 };
-/// How far the clock moves at once, in milliseconds.
+/// Time that the simulated clock advances per step, in milliseconds.
 const STEP_MS: f64 = 5.0;
 
-struct Net {
-    plans: BTreeMap<InstanceId, Plan>,
-    wires: BTreeMap<u64, Vec<(InstanceId, InstanceId, Message)>>,
+struct Network {
+    schedulers: BTreeMap<InstanceId, Scheduler>,
+    in_flight: BTreeMap<u64, Vec<(InstanceId, InstanceId, Message)>>,
     rng: SmallRng,
     loss: f64,
-    words: u64,
+    messages: u64,
     ticks: u64,
     tick_ns: u128,
-    ran: Vec<(f64, DutyId, Slot)>,
+    checks: Vec<(f64, Lease)>,
 }
 
-impl Net {
-    fn send(&mut self, now: f64, from: InstanceId, acts: Vec<Act>) {
-        let others = |me| self.plans.keys().copied().filter(|id| *id != me).collect::<Vec<_>>();
+impl Network {
+    fn send(&mut self, now: f64, from: InstanceId, actions: Vec<Action>) {
+        let others = |me| self.schedulers.keys().copied().filter(|id| *id != me).collect::<Vec<_>>();
         let mut out = Vec::new();
-        for act in acts {
-            match act {
-                Act::Tell(message) => out.extend(others(from).into_iter().map(|to| (to, message.clone()))),
-                Act::Answer(to, message) => out.push((to, message)),
-                Act::Run(duty, slot) => {
-                    self.ran.push((now, duty, slot));
-                    let message = Message::Result { duty, slot, ok: true, took_ms: 1.0 };
+        for action in actions {
+            match action {
+                Action::Broadcast(message) => {
+                    out.extend(others(from).into_iter().map(|to| (to, message.clone())))
+                }
+                Action::Reply(to, message) => out.push((to, message)),
+                Action::RunCheck(lease) => {
+                    self.checks.push((now, lease));
+                    let Lease { endpoint, slot } = lease;
+                    let result = CheckResult { endpoint, slot, passed: true, duration_ms: 1.0 };
+                    let message = Message::Result(result);
                     for _ in 0..2 {
                         out.extend(others(from).into_iter().map(|to| (to, message.clone())));
                     }
@@ -52,10 +58,10 @@
             }
         }
         for (to, message) in out {
-            self.words += 1;
+            self.messages += 1;
             if self.rng.random_range(0.0..1.0) >= self.loss {
                 let at = ((now + self.rng.random_range(0.5..10.0)) / STEP_MS).ceil() as u64;
-                self.wires.entry(at).or_default().push((from, to, message));
+                self.in_flight.entry(at).or_default().push((from, to, message));
             }
         }
     }
@@ -64,81 +70,82 @@
         let mut now = from;
         while now < to {
             now += STEP_MS;
-            for id in self.plans.keys().copied().collect::<Vec<_>>() {
+            for id in self.schedulers.keys().copied().collect::<Vec<_>>() {
                 let start = Instant::now();
-                let acts = self.plans.get_mut(&id).unwrap().tick(now);
+                let actions = self.schedulers.get_mut(&id).unwrap().tick(now);
                 self.tick_ns += start.elapsed().as_nanos();
                 self.ticks += 1;
-                self.send(now, id, acts);
+                self.send(now, id, actions);
             }
-            let later = self.wires.split_off(&((now / STEP_MS) as u64 + 1));
-            for (from, to, message) in std::mem::replace(&mut self.wires, later).into_values().flatten() {
-                if let Some(plan) = self.plans.get_mut(&to) {
-                    let acts = plan.receive(now, from, &message);
-                    self.send(now, to, acts);
+            let later = self.in_flight.split_off(&((now / STEP_MS) as u64 + 1));
+            for (from, to, message) in std::mem::replace(&mut self.in_flight, later).into_values().flatten() {
+                if let Some(scheduler) = self.schedulers.get_mut(&to) {
+                    let actions = scheduler.receive(now, from, &message);
+                    self.send(now, to, actions);
                 }
             }
         }
     }
 }
 
-fn one(instances: u16, duties: u32, loss: f64, kills: u32) {
+fn measure(instances: u16, endpoints: u32, loss: f64, kills: u32) {
     let all: Vec<InstanceId> = (1..=instances).collect();
-    let plan = |now: f64, me: InstanceId| {
-        let mut plan = Plan::new(now, me, all.iter().copied(), TIMES);
-        plan.list(now, 0..duties);
-        plan
+    let scheduler = |now: f64, me: InstanceId| {
+        let mut scheduler = Scheduler::new(now, me, all.iter().copied(), TIMES);
+        scheduler.set_endpoints(now, 0..endpoints);
+        scheduler
     };
-    let plans = all.iter().map(|me| (*me, plan(0.0, *me))).collect();
-    let (wires, rng) = (BTreeMap::new(), SmallRng::seed_from_u64(7));
-    let mut net = Net { plans, wires, rng, loss, words: 0, ticks: 0, tick_ns: 0, ran: Vec::new() };
-    net.run(0.0, 10_000.0);
-    let (mut now, mut words, mut slots) = (10_000.0, 0, 0u64);
+    let schedulers = all.iter().map(|me| (*me, scheduler(0.0, *me))).collect();
+    let (in_flight, rng) = (BTreeMap::new(), SmallRng::seed_from_u64(7));
+    let mut network =
+        Network { schedulers, in_flight, rng, loss, messages: 0, ticks: 0, tick_ns: 0, checks: Vec::new() };
+    network.run(0.0, 10_000.0);
+    let (mut now, mut messages, mut slots) = (10_000.0, 0, 0u64);
     let mut late = Histogram::<u64>::new(3).unwrap();
     let mut gaps = Histogram::<u64>::new(3).unwrap();
-    let mut doubled = 0usize;
+    let mut repeated = 0usize;
     for k in 0..kills.max(1) {
-        let (from, before) = (now, net.words);
-        net.ran.clear();
+        let (from, before) = (now, network.messages);
+        network.checks.clear();
         let victim = (k % u32::from(instances)) as InstanceId + 1;
         if kills > 0 {
-            net.plans.remove(&victim);
+            network.schedulers.remove(&victim);
         }
-        net.run(now, now + 8_000.0);
-        words += net.words - before;
+        network.run(now, now + 8_000.0);
+        messages += network.messages - before;
         now += 8_000.0;
         let mut seen = BTreeSet::new();
-        let mut last = BTreeMap::<DutyId, f64>::new();
-        for (at, duty, slot) in &net.ran {
-            doubled += usize::from(!seen.insert((*duty, *slot)));
-            late.record((at - due_ms(*duty, *slot, TIMES.period_ms)).max(0.0) as u64).unwrap();
-            let gap = at - last.insert(*duty, *at).unwrap_or(from);
+        let mut last = BTreeMap::<EndpointId, f64>::new();
+        for (at, lease) in &network.checks {
+            repeated += usize::from(!seen.insert(*lease));
+            late.record((at - lease.due_ms(TIMES.period_ms)).max(0.0) as u64).unwrap();
+            let gap = at - last.insert(lease.endpoint, *at).unwrap_or(from);
             gaps.record(gap as u64).unwrap();
         }
         slots += seen.len() as u64;
         if kills > 0 {
-            net.plans.insert(victim, plan(now, victim));
-            net.run(now, now + 8_000.0);
+            network.schedulers.insert(victim, scheduler(now, victim));
+            network.run(now, now + 8_000.0);
             now += 8_000.0;
         }
     }
     println!(
-        "| {instances} | {duties} | {loss} | {kills} | {} / {} / {} | {} / {} | {doubled} | {:.1} | {:.0} |",
+        "| {instances} | {endpoints} | {loss} | {kills} | {} / {} / {} | {} / {} | {repeated} | {:.1} | {:.0} |",
         late.value_at_quantile(0.5),
         late.value_at_quantile(0.99),
         late.max(),
         gaps.value_at_quantile(0.99),
         gaps.max(),
-        words as f64 / slots as f64,
-        net.tick_ns as f64 / net.ticks as f64
+        messages as f64 / slots as f64,
+        network.tick_ns as f64 / network.ticks as f64
     );
 }
 
 fn main() {
     let kills: u32 = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or(20);
-    println!("| instances | duties | loss | kills | probes late p50 / p99 / max ms | time between two probes of a server p99 / max ms | doubled | words a probe | ns a tick |");
+    println!("| instances | endpoints | loss | kills | checks late p50 / p99 / max ms | time between two checks of an endpoint p99 / max ms | run twice | messages per check | ns per tick |");
     println!("| ---: | ---: | ---: | ---: | --- | --- | ---: | ---: | ---: |");
-    for (instances, duties, loss, kills) in [
+    for (instances, endpoints, loss, kills) in [
         (3, 100, 0.0, 0),
         (3, 100, 0.0, kills),
         (3, 100, 0.1, kills),
@@ -146,6 +153,6 @@
         (9, 100, 0.0, kills),
         (3, 1_000, 0.0, kills.min(5)),
     ] {
-        one(instances, duties, loss, kills);
+        measure(instances, endpoints, loss, kills);
     }
 }
--- /dev/null
+++ b/src/health_check/admin.rs
@@ -0,0 +1,75 @@
+//! What operators see of shared health checks: the admin call `GET /duties` and the metrics. Paths, JSON keys and metric
+//! names are those of the first version.
+
+use super::driver::HealthChecker;
+use super::health_status::EndpointHealth;
+use super::lease::InstanceId;
+use super::scheduler::SchedulerMetrics;
+use crate::wire::cache_codec::endpoint_text;
+use crate::wire::http::{HttpAnswer, HttpRequest};
+use serde::Serialize;
+use std::collections::BTreeMap;
+
+/// Path of the admin call.
+const STATUS_PATH: &str = "/duties";
+
+/// Body of the answer to the admin call.
+#[derive(Serialize)]
+struct Status {
+    id: InstanceId,
+    majority: usize,
+    #[serde(rename = "living")]
+    live_instances: Vec<InstanceId>,
+    #[serde(rename = "figures")]
+    metrics: SchedulerMetrics,
+    #[serde(rename = "ignored")]
+    rejected_datagrams: u64,
+    #[serde(rename = "servers")]
+    endpoints: BTreeMap<String, EndpointHealth>,
+}
+
+impl HealthChecker {
+    /// Answers the admin call `GET /duties`. Returns none for other paths.
+    pub fn answer(&self, request: &HttpRequest) -> Option<HttpAnswer> {
+        if request.target != STATUS_PATH {
+            return None;
+        }
+        if request.method != "GET" {
+            return Some(HttpAnswer::status(405).with("Allow", "GET"));
+        }
+        let body = simd_json::to_vec(&self.status()).unwrap_or_default();
+        let answer = HttpAnswer { body: body.into(), ..HttpAnswer::status(200) };
+        Some(answer.with("Content-Type", "application/json"))
+    }
+
+    fn status(&self) -> Status {
+        let (scheduler, health) = (self.scheduler.borrow(), self.health.borrow());
+        Status {
+            id: self.config.id,
+            majority: scheduler.majority(),
+            live_instances: scheduler.live_instances(self.now()).collect(),
+            metrics: scheduler.metrics,
+            rejected_datagrams: self.rejected_datagrams.get(),
+            endpoints: health.iter().map(|(id, health)| (endpoint_text(id), *health)).collect(),
+        }
+    }
+
+    /// The metrics in the Prometheus text format.
+    pub fn metrics(&self) -> String {
+        let scheduler = self.scheduler.borrow();
+        let metrics = scheduler.metrics;
+        let lines = [
+            ("instances_living", scheduler.live_instances(self.now()).count() as u64),
+            ("servers", self.endpoints.borrow().len() as u64),
+            ("servers_down", self.health.borrow().unhealthy_count() as u64),
+            ("ran_total", metrics.checks_run),
+            ("stood_in_total", metrics.failovers),
+            ("claims_total", metrics.vote_requests),
+            ("outvoted_total", metrics.outvoted),
+            ("unanswered_total", metrics.timed_out),
+            ("heard_total", metrics.results_received),
+            ("ignored_total", self.rejected_datagrams.get()),
+        ];
+        lines.iter().map(|(name, value)| format!("duties_{name} {value}\n")).collect()
+    }
+}
--- /dev/null
+++ b/src/health_check/checker.rs
@@ -0,0 +1,50 @@
+//! Runs one health check of an endpoint.
+
+use super::config::CheckKind;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+
+/// Most bytes of a response that are read.
+const MAX_RESPONSE_BYTES: usize = 1_024;
+/// Most headers of a response that are parsed.
+const MAX_HEADERS: usize = 32;
+
+/// Checks the endpoint at `address` and returns whether it passed within `limit`.
+pub async fn check(address: SocketAddr, kind: &CheckKind, limit: Duration) -> bool {
+    let passed = async {
+        let stream = TcpStream::connect(address).await?;
+        match kind {
+            CheckKind::Connect => Ok(true),
+            CheckKind::Http(path) => check_http(stream, address, path).await,
+        }
+    };
+    matches!(timeout(limit, passed).await, Ok(Ok(true)))
+}
+
+/// Sends a `GET` over a new connection and returns whether the response has a 2xx status.
+async fn check_http(mut stream: TcpStream, address: SocketAddr, path: &str) -> std::io::Result<bool> {
+    let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
+    stream.write_all(request.as_bytes()).await?;
+    let mut received = Vec::new();
+    while received.len() < MAX_RESPONSE_BYTES {
+        if let Some(status) = parse_status(&received) {
+            return Ok((200..300).contains(&status));
+        }
+        if stream.read_buf(&mut received).await? == 0 {
+            return Ok(false);
+        }
+    }
+    Ok(false)
+}
+
+/// The status of a response, of which the headers may be incomplete.
+fn parse_status(received: &[u8]) -> Option<u16> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut headers);
+    // The status line suffices: the parser sets the status before it fails in headers that are incomplete or too many.
+    let _ = response.parse(received);
+    response.code
+}
--- a/src/health_check/config.rs
+++ b/src/health_check/config.rs
@@ -1,8 +1,10 @@
-//! The operator file of shared duties, `serve --duties FILE`. Without it nothing is probed.
+//! The operator file of shared health checks, `serve --health-checks FILE`. Without it no health checks run.
+//!
+//! The keys of the file are those of the first version.
 
-use super::health_status::Turns;
+use super::health_status::HealthThresholds;
 use super::lease::InstanceId;
-use super::scheduler::{Times, LAST_PLACE};
+use super::scheduler::{SchedulerTimes, MAX_RANK};
 use crate::config_file::{parse_address, read_json, read_keys_beside, ConfigError, FieldError, KeyFileError};
 use crate::message_auth::MessageKeys;
 use serde::Deserialize;
@@ -10,36 +12,42 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The most other instances: as many proxies as an installation may have, several times over.
+/// Most other instances.
 pub const MAX_PEERS: usize = 4_096;
+/// Attempts of a vote request within one rank's delay.
+const ATTEMPTS_PER_RANK_DELAY: f64 = 4.0;
+/// Ranks' delays after which a vote request is given up.
+const REQUEST_TIMEOUT_RANKS: f64 = 2.0;
+/// Heartbeats within the time after which a silent instance counts as failed.
+const HEARTBEATS_PER_FAILURE_TIMEOUT: f64 = 4.0;
 
-/// An instance that takes part.
+/// Another instance that takes part.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
     /// Its number, the same in every instance's file.
     pub id: InstanceId,
-    /// Where it takes the others' datagrams.
+    /// Address at which it receives datagrams.
     pub address: String,
 }
 
-/// How a server is probed.
+/// What a health check does.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Probe {
-    /// A connection that comes up.
+pub enum CheckKind {
+    /// Opens a TCP connection.
     Connect,
-    /// `GET` of this path over HTTP/1.1, answered with 2xx.
+    /// Sends an HTTP/1.1 `GET` of this path and expects a 2xx status.
     Http(String),
 }
 
-/// The servers that are probed: endpoints of the list, by their kind.
+/// The endpoints that are checked.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Servers {
-    /// Kinds (`model`) of endpoints.
+pub struct CheckedEndpoints {
+    /// Models of endpoints.
     pub models: Vec<String>,
-    /// The port on which they answer probes; their own, where it is not told.
+    /// Port for health checks, or none for each endpoint's own port.
     #[serde(default)]
     pub port: Option<u16>,
 }
@@ -48,64 +56,68 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HealthCheckConfig {
-    /// This instance's number.
+    /// Number of this instance.
     pub id: InstanceId,
-    /// Where it takes the others' datagrams.
+    /// Address at which this instance receives datagrams.
     pub listen: String,
     /// The other instances.
     pub peers: Vec<Peer>,
-    /// The file with the keys that seal datagrams; without it they are not sealed.
+    /// File with the keys that authenticate datagrams; without it datagrams are not authenticated.
     #[serde(default)]
     pub key_file: Option<PathBuf>,
-    /// How far a peer's clock may be off, in milliseconds.
-    #[serde(default = "skew")]
+    /// How far a peer's clock may be from this one, in milliseconds.
+    #[serde(default = "default_clock_skew_ms")]
     pub clock_skew_ms: f64,
-    /// What is probed.
-    pub servers: Servers,
-    /// How.
-    pub probe: Probe,
-    /// How long a probe may take, in milliseconds.
-    #[serde(default = "probe_ms")]
-    pub probe_ms: f64,
-    /// Between two probes of a server, in milliseconds.
-    #[serde(default = "period")]
+    /// The endpoints that are checked.
+    #[serde(rename = "servers")]
+    pub endpoints: CheckedEndpoints,
+    /// What a check does.
+    #[serde(rename = "probe")]
+    pub check: CheckKind,
+    /// Longest duration of a check, in milliseconds.
+    #[serde(rename = "probe_ms", default = "default_check_timeout_ms")]
+    pub check_timeout_ms: f64,
+    /// Time between two checks of an endpoint, in milliseconds.
+    #[serde(default = "default_period_ms")]
     pub period_ms: f64,
-    /// How much later each next instance claims, in milliseconds.
-    #[serde(default = "step")]
-    pub step_ms: f64,
-    /// Silence after which an instance is left out of the order, in milliseconds.
-    #[serde(default = "dead")]
-    pub dead_ms: f64,
-    /// Failures in a row until a server is down, and answers until it is up.
-    #[serde(default = "fall")]
+    /// Delay after which each next instance requests a lease, in milliseconds.
+    #[serde(rename = "step_ms", default = "default_rank_delay_ms")]
+    pub rank_delay_ms: f64,
+    /// Silence after which an instance counts as failed, in milliseconds.
+    #[serde(rename = "dead_ms", default = "default_failure_timeout_ms")]
+    pub failure_timeout_ms: f64,
+    /// Consecutive failed checks until an endpoint is unhealthy.
+    #[serde(default = "default_threshold")]
     pub fall: u32,
-    /// See `fall`.
-    #[serde(default = "rise")]
+    /// Consecutive passed checks until an endpoint is healthy.
+    #[serde(default = "default_threshold")]
     pub rise: u32,
-    /// The file.
+    /// Path of the file.
     #[serde(skip)]
     pub path: PathBuf,
 }
 
-fn skew() -> f64 {
+fn default_clock_skew_ms() -> f64 {
     5_000.0
 }
-fn probe_ms() -> f64 {
+
+fn default_check_timeout_ms() -> f64 {
     1_000.0
 }
-fn period() -> f64 {
+
+fn default_period_ms() -> f64 {
     2_000.0
 }
-fn step() -> f64 {
+
+fn default_rank_delay_ms() -> f64 {
     200.0
 }
-fn dead() -> f64 {
+
+fn default_failure_timeout_ms() -> f64 {
     1_500.0
 }
-fn fall() -> u32 {
-    2
-}
-fn rise() -> u32 {
+
+fn default_threshold() -> u32 {
     2
 }
 
@@ -119,78 +131,88 @@
     }
 
     fn check(&self) -> Result<(), FieldError> {
-        let own = parse_address(&self.listen).map_err(|reason| FieldError::new("listen", reason))?;
-        let (mut ids, mut places) = (BTreeSet::from([self.id]), BTreeSet::from([own]));
+        self.check_addresses()?;
+        self.keys().map_err(|error| FieldError::new("key_file", error))?;
+        if self.endpoints.models.is_empty() || self.endpoints.port == Some(0) {
+            return Err(FieldError::new("servers", "`models` is empty, or `port` is 0"));
+        }
+        if let CheckKind::Http(path) = &self.check {
+            if !path.starts_with('/') || !path.bytes().all(|b| b.is_ascii_graphic()) {
+                return Err(FieldError::new("probe", format!("{path:?} is not a path")));
+            }
+        }
+        self.check_numbers()
+    }
+
+    fn check_addresses(&self) -> Result<(), FieldError> {
+        let own = parse_address(&self.listen).map_err(|error| FieldError::new("listen", error))?;
+        let (mut ids, mut addresses) = (BTreeSet::from([self.id]), BTreeSet::from([own]));
         for peer in &self.peers {
-            let at = parse_address(&peer.address).map_err(|reason| FieldError::new("peers", reason))?;
-            if !ids.insert(peer.id) || !places.insert(at) {
-                return Err(FieldError::new(
-                    "peers",
-                    format!("{} at {at} comes twice, or is this instance", peer.id),
-                ));
+            let address = parse_address(&peer.address).map_err(|error| FieldError::new("peers", error))?;
+            if !ids.insert(peer.id) || !addresses.insert(address) {
+                let reason = format!("{} at {address} is listed twice, or is this instance", peer.id);
+                return Err(FieldError::new("peers", reason));
             }
         }
         if self.peers.len() > MAX_PEERS {
-            return Err(FieldError::new("peers", format!("{} are more than {MAX_PEERS}", self.peers.len())));
-        }
-        if let Some(far) = places.iter().find(|at| !at.ip().is_loopback()) {
-            return Err(FieldError::new("peers", format!("{far}: it is carried over loopback only")));
+            let reason = format!("{} are more than {MAX_PEERS}", self.peers.len());
+            return Err(FieldError::new("peers", reason));
         }
-        self.keys().map_err(|reason| FieldError::new("key_file", reason))?;
-        if self.servers.models.is_empty() || self.servers.port == Some(0) {
-            return Err(FieldError::new("servers", "`models` names kinds, and a `port` is not 0"));
-        }
-        if let Probe::Http(path) = &self.probe {
-            if !path.starts_with('/') || !path.bytes().all(|b| b.is_ascii_graphic()) {
-                return Err(FieldError::new("probe", format!("{path:?} is no path")));
-            }
+        match addresses.iter().find(|address| !address.ip().is_loopback()) {
+            Some(address) => Err(FieldError::new("peers", format!("{address} is not a loopback address"))),
+            None => Ok(()),
         }
-        let checks: [(&'static str, f64, f64, f64); 7] = [
+    }
+
+    fn check_numbers(&self) -> Result<(), FieldError> {
+        let ranks = self.peers.len().min(MAX_RANK) as f64;
+        let max_rank_delay_ms = self.period_ms / (ranks + REQUEST_TIMEOUT_RANKS);
+        let bounds = [
             ("clock_skew_ms", self.clock_skew_ms, 1.0, 3_600_000.0),
             ("period_ms", self.period_ms, 100.0, 3_600_000.0),
-            ("probe_ms", self.probe_ms, 10.0, self.period_ms),
-            ("step_ms", self.step_ms, 10.0, self.period_ms / (self.peers.len().min(LAST_PLACE) as f64 + 2.0)),
-            ("dead_ms", self.dead_ms, 100.0, 3_600_000.0),
+            ("probe_ms", self.check_timeout_ms, 10.0, self.period_ms),
+            ("step_ms", self.rank_delay_ms, 10.0, max_rank_delay_ms),
+            ("dead_ms", self.failure_timeout_ms, 100.0, 3_600_000.0),
             ("fall", f64::from(self.fall), 1.0, 100.0),
             ("rise", f64::from(self.rise), 1.0, 100.0),
         ];
-        match checks.into_iter().find(|(_, v, low, high)| !(v.is_finite() && v >= low && v <= high)) {
-            Some((field, v, low, high)) => {
-                Err(FieldError::new(field, format!("{v} is not within {low} to {high}")))
+        for (field, value, min, max) in bounds {
+            if !value.is_finite() || !(min..=max).contains(&value) {
+                return Err(FieldError::new(field, format!("{value} is not within {min} to {max}")));
             }
-            None => Ok(()),
         }
+        Ok(())
     }
 
-    /// Where it takes the others' datagrams.
+    /// Address at which this instance receives datagrams.
     pub fn at(&self) -> SocketAddr {
         parse_address(&self.listen).expect("checked when read")
     }
 
-    /// The other instances, by number.
-    pub fn others(&self) -> Vec<(InstanceId, SocketAddr)> {
-        let at = |peer: &Peer| parse_address(&peer.address).expect("checked when read");
-        self.peers.iter().map(|peer| (peer.id, at(peer))).collect()
+    /// Numbers and addresses of the other instances.
+    pub fn peer_addresses(&self) -> impl Iterator<Item = (InstanceId, SocketAddr)> + '_ {
+        let address = |peer: &Peer| parse_address(&peer.address).expect("checked when read");
+        self.peers.iter().map(move |peer| (peer.id, address(peer)))
     }
 
-    /// The plan's times.
-    pub fn times(&self) -> Times {
-        Times {
+    /// Times of the scheduler.
+    pub fn scheduler_times(&self) -> SchedulerTimes {
+        SchedulerTimes {
             period_ms: self.period_ms,
-            step_ms: self.step_ms,
-            again_ms: self.step_ms / 4.0,
-            claim_ms: 2.0 * self.step_ms,
-            beat_ms: self.dead_ms / 4.0,
-            dead_ms: self.dead_ms,
+            rank_delay_ms: self.rank_delay_ms,
+            retry_interval_ms: self.rank_delay_ms / ATTEMPTS_PER_RANK_DELAY,
+            request_timeout_ms: self.rank_delay_ms * REQUEST_TIMEOUT_RANKS,
+            heartbeat_interval_ms: self.failure_timeout_ms / HEARTBEATS_PER_FAILURE_TIMEOUT,
+            failure_timeout_ms: self.failure_timeout_ms,
         }
     }
 
-    /// When a server turns.
-    pub fn turns(&self) -> Turns {
-        Turns { fall: self.fall, rise: self.rise }
+    /// Results that change an endpoint's health.
+    pub fn thresholds(&self) -> HealthThresholds {
+        HealthThresholds { fall: self.fall, rise: self.rise }
     }
 
-    /// The keys that seal datagrams, where there is a file for them.
+    /// Reads the keys that authenticate datagrams, if a file is configured.
     pub fn keys(&self) -> Result<Option<MessageKeys>, KeyFileError> {
         self.key_file.as_ref().map(|file| read_keys_beside(&self.path, file)).transpose()
     }
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -1,297 +1,238 @@
-//! The duties' task: the other instances' datagrams, the plan's acts, the probes themselves, and what the engine is
-//! told of members that turned.
-
-use super::config::{HealthCheckConfig, Probe};
-use super::health_status::{Board, Standing};
-use super::lease::{DutyId, InstanceId, Slot};
-use super::scheduler::{Act, Message, Plan, PlanFigures};
+//! Shared health checks as a task: exchanges datagrams with the other instances, runs the checks that the scheduler
+//! decides on, and reports changes of endpoints' health to the engine.
+
+use super::checker;
+use super::config::HealthCheckConfig;
+use super::health_status::HealthStatus;
+use super::lease::{InstanceId, Lease};
+use super::message::{CheckResult, Message, LABEL, MAX_DATAGRAM_BYTES};
+use super::scheduler::{Action, Scheduler};
 use crate::clock::duration_from_ms;
+use crate::config_file::KeyFileError;
+use crate::datagram_auth::DatagramAuth;
 use crate::engine::executor::Executor;
-use crate::vrrp::auth::Seals;
 use crate::wire::cache_codec::endpoint_text;
-use crate::wire::http::{HttpAnswer, HttpRequest};
+use crate::EndpointId;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpStream, UdpSocket};
+use thiserror::Error;
+use tokio::net::UdpSocket;
 use tokio::sync::Semaphore;
-use tokio::time::timeout;
 
-/// What the datagrams' seals are for.
-pub const LABEL: &[u8] = b"calicobeam duties 1";
-/// The longest datagram.
-const MAX_DATAGRAM: usize = 512;
-/// How often the list of endpoints is looked at, in milliseconds.
-const LOOK_MS: f64 = 100.0;
-/// How long after a result it is told once more, in milliseconds: a datagram may get lost.
-const TELL_AGAIN_MS: f64 = 100.0;
-/// Probes at once: each takes a descriptor, and there may be more servers than those.
+/// Time between two looks at the endpoint list, in milliseconds.
+const ENDPOINT_POLL_INTERVAL_MS: f64 = 100.0;
+/// Time after which a result is sent once more, in milliseconds, because a datagram may get lost.
+const RESULT_RESEND_MS: f64 = 100.0;
+/// Most checks at once. Each needs a descriptor.
 pub const MAX_PROBES: usize = 64;
-/// The most of a probe's answer that is read.
-const MAX_ANSWER: usize = 1_024;
 
-/// Shared duties, as their task and the second address share them.
+/// A datagram that is rejected.
+#[derive(Debug, Error)]
+enum DatagramError {
+    /// The sender's address is no peer's.
+    #[error("the sender is not a peer")]
+    UnknownSender,
+    /// The datagram is not authentic.
+    #[error(transparent)]
+    NotAuthentic(#[from] crate::datagram_auth::AuthError),
+    /// The text is no message.
+    #[error("the message is malformed: {0}")]
+    Malformed(#[from] simd_json::Error),
+}
+
+/// Shared health checks of one instance.
 pub struct HealthChecker {
     host: Rc<Executor>,
-    config: HealthCheckConfig,
+    pub(super) config: HealthCheckConfig,
     socket: UdpSocket,
-    plan: RefCell<Plan>,
-    board: RefCell<Board>,
-    seals: RefCell<Option<Seals>>,
-    servers: RefCell<BTreeMap<DutyId, SocketAddr>>,
-    roster_seen: Cell<u64>,
-    ignored: Cell<u64>,
-    /// The other instances' addresses.
-    others: BTreeMap<InstanceId, SocketAddr>,
-    /// Bounds the probes under way.
-    probes: Semaphore,
+    pub(super) scheduler: RefCell<Scheduler>,
+    pub(super) health: RefCell<HealthStatus>,
+    auth: RefCell<Option<DatagramAuth>>,
+    /// Addresses for health checks.
+    pub(super) endpoints: RefCell<BTreeMap<EndpointId, SocketAddr>>,
+    /// Version of the endpoint list that `endpoints` is from.
+    endpoints_version: Cell<u64>,
+    pub(super) rejected_datagrams: Cell<u64>,
+    peers: BTreeMap<InstanceId, SocketAddr>,
+    check_permits: Semaphore,
 }
 
 impl HealthChecker {
-    /// Shared duties of an operator file, over a socket that is bound where it says.
-    pub fn new(host: Rc<Executor>, config: HealthCheckConfig, socket: UdpSocket) -> Result<Rc<Self>, String> {
-        let seals = config
-            .keys()
-            .map_err(|error| error.to_string())?
-            .map(|keys| Seals::labelled(keys, config.clock_skew_ms, LABEL));
-        let others: BTreeMap<InstanceId, SocketAddr> = config.others().into_iter().collect();
-        let plan = Plan::new(host.clock.now(), config.id, others.keys().copied(), config.times());
+    /// Creates the health checks of an operator file over a socket that is bound to its address. From then on the
+    /// engine runs no checks of its own.
+    pub fn new(
+        host: Rc<Executor>,
+        config: HealthCheckConfig,
+        socket: UdpSocket,
+    ) -> Result<Rc<Self>, KeyFileError> {
+        let auth = config.keys()?.map(|keys| DatagramAuth::new(keys, config.clock_skew_ms, LABEL));
+        let peers: BTreeMap<InstanceId, SocketAddr> = config.peer_addresses().collect();
+        let times = config.scheduler_times();
+        let scheduler = Scheduler::new(host.clock.now(), config.id, peers.keys().copied(), times);
         host.with(|engine| engine.share_probes());
         Ok(Rc::new(Self {
-            plan: RefCell::new(plan),
-            board: RefCell::new(Board::new(config.turns())),
-            seals: RefCell::new(seals),
-            servers: RefCell::default(),
-            roster_seen: Cell::new(u64::MAX),
-            ignored: Cell::new(0),
-            others,
-            probes: Semaphore::new(MAX_PROBES),
+            scheduler: RefCell::new(scheduler),
+            health: RefCell::new(HealthStatus::new(config.thresholds())),
+            auth: RefCell::new(auth),
+            endpoints: RefCell::default(),
+            endpoints_version: Cell::new(u64::MAX),
+            rejected_datagrams: Cell::new(0),
+            peers,
+            check_permits: Semaphore::new(MAX_PROBES),
             host,
             config,
             socket,
         }))
     }
 
-    fn now(&self) -> f64 {
+    /// The time, in Unix milliseconds.
+    pub(super) fn now(&self) -> f64 {
         self.host.clock.now()
     }
 
-    /// Takes the keys as their file stands by now.
-    pub fn rekey(&self) -> Result<(), String> {
-        let keys = self.config.keys().map_err(|error| error.to_string())?;
-        match (&mut *self.seals.borrow_mut(), keys) {
-            (Some(seals), Some(keys)) => seals.rekey(keys),
-            _ => return Ok(()),
+    /// Reads the key file again. If it cannot be used, the old keys stay.
+    pub fn rekey(&self) -> Result<(), KeyFileError> {
+        let keys = self.config.keys()?;
+        if let (Some(auth), Some(keys)) = (&mut *self.auth.borrow_mut(), keys) {
+            auth.set_keys(keys);
         }
         Ok(())
     }
 
-    /// Takes the list of endpoints, where it changed.
-    fn list(&self) {
-        let changes = self.host.roster_changes();
-        if self.roster_seen.replace(changes) == changes {
+    /// Applies the endpoint list if it changed.
+    fn update_endpoints(&self) {
+        let version = self.host.roster_changes();
+        if self.endpoints_version.replace(version) == version {
             return;
         }
-        let mut servers = BTreeMap::new();
-        for model in &self.config.servers.models {
-            for (id, at) in self.host.endpoints(model) {
-                let port = self.config.servers.port.unwrap_or(at.port());
-                servers.insert(id, SocketAddr::new(at.ip(), port));
-            }
-        }
-        self.plan.borrow_mut().list(self.now(), servers.keys().copied());
-        self.board.borrow_mut().retain(|duty| servers.contains_key(&duty));
-        *self.servers.borrow_mut() = servers;
+        let checked = &self.config.endpoints;
+        let listed = checked.models.iter().flat_map(|model| self.host.endpoints(model));
+        let endpoints: BTreeMap<_, _> = listed
+            .map(|(id, address)| (id, SocketAddr::new(address.ip(), checked.port.unwrap_or(address.port()))))
+            .collect();
+        self.scheduler.borrow_mut().set_endpoints(self.now(), endpoints.keys().copied());
+        self.health.borrow_mut().retain(|endpoint| endpoints.contains_key(&endpoint));
+        *self.endpoints.borrow_mut() = endpoints;
     }
 
     async fn send(&self, to: InstanceId, message: &Message) {
-        let Some(at) = self.others.get(&to) else { return };
+        let Some(address) = self.peers.get(&to) else { return };
         let text = simd_json::to_vec(message).unwrap_or_default();
-        let text = match &mut *self.seals.borrow_mut() {
-            Some(seals) => seals.seal(self.now(), text),
+        let datagram = match &mut *self.auth.borrow_mut() {
+            Some(auth) => auth.sign(self.now(), text),
             None => text,
         };
-        // An instance that is down is found out by its silence.
-        let _ = self.socket.send_to(&text, at).await;
+        // Errors are ignored: a failed instance is detected by its silence.
+        let _ = self.socket.send_to(&datagram, address).await;
     }
 
-    async fn tell(&self, message: &Message) {
-        for id in self.others.keys() {
+    async fn broadcast(&self, message: &Message) {
+        for id in self.peers.keys() {
             self.send(*id, message).await;
         }
     }
 
-    async fn carry_out(self: &Rc<Self>, acts: Vec<Act>) {
-        for act in acts {
-            match act {
-                Act::Tell(message) => self.tell(&message).await,
-                Act::Answer(to, message) => self.send(to, &message).await,
-                Act::Run(duty, slot) => {
-                    let own = self.clone();
-                    self.host.spawn("a probe", async move { own.probe(duty, slot).await });
+    async fn perform(self: &Rc<Self>, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Broadcast(message) => self.broadcast(&message).await,
+                Action::Reply(to, message) => self.send(to, &message).await,
+                Action::RunCheck(lease) => {
+                    let checker = self.clone();
+                    self.host.spawn("a health check", async move { checker.run_check(lease).await });
                 }
             }
         }
     }
 
-    /// Probes a server, once, and tells what came of it.
-    async fn probe(&self, duty: DutyId, slot: Slot) {
-        let Some(at) = self.servers.borrow().get(&duty).copied() else { return };
-        let _place = self.probes.acquire().await;
-        let start = self.now();
-        let ok =
-            timeout(duration_from_ms(self.config.probe_ms), reach(at, &self.config.probe)).await == Ok(true);
-        let took_ms = self.now() - start;
-        self.hear(duty, slot, ok, took_ms);
-        let message = Message::Result { duty, slot, ok, took_ms };
-        self.tell(&message).await;
-        tokio::time::sleep(duration_from_ms(TELL_AGAIN_MS)).await;
-        self.tell(&message).await;
-    }
-
-    /// Notes a result, and tells the engine where it turned an endpoint.
-    fn hear(&self, duty: DutyId, slot: Slot, ok: bool, took_ms: f64) {
-        if !self.servers.borrow().contains_key(&duty) || !took_ms.is_finite() {
+    /// Runs a check, applies its result and sends it to the other instances.
+    async fn run_check(&self, lease: Lease) {
+        let Some(address) = self.endpoints.borrow().get(&lease.endpoint).copied() else { return };
+        let _permit = self.check_permits.acquire().await;
+        let started_ms = self.now();
+        let limit = duration_from_ms(self.config.check_timeout_ms);
+        let passed = checker::check(address, &self.config.check, limit).await;
+        let duration_ms = self.now() - started_ms;
+        let result = CheckResult { endpoint: lease.endpoint, slot: lease.slot, passed, duration_ms };
+        self.apply(result);
+        let message = Message::Result(result);
+        self.broadcast(&message).await;
+        tokio::time::sleep(duration_from_ms(RESULT_RESEND_MS)).await;
+        self.broadcast(&message).await;
+    }
+
+    /// Applies a result and reports a change of the endpoint's health to the engine.
+    fn apply(&self, result: CheckResult) {
+        let endpoint = result.endpoint;
+        if !self.endpoints.borrow().contains_key(&endpoint) || !result.duration_ms.is_finite() {
             return;
         }
-        let turned = self.board.borrow_mut().hear(self.now(), duty, slot, ok, took_ms);
-        if let Some(up) = turned {
-            tracing::warn!(endpoint = %endpoint_text(duty), up, "duties: a member turned by its probes");
-            self.host.with(|engine| engine.probed(duty, up));
+        let changed = self.health.borrow_mut().apply(self.now(), result);
+        if let Some(healthy) = changed {
+            tracing::warn!(
+                endpoint = %endpoint_text(endpoint),
+                healthy,
+                "health checks: an endpoint's health changed"
+            );
+            self.host.with(|engine| engine.probed(endpoint, healthy));
         }
     }
 
-    /// A datagram's message and its sender; none where it is not heeded.
-    fn read(&self, from: SocketAddr, datagram: &[u8]) -> Option<(InstanceId, Message)> {
-        let id = self.others.iter().find(|(_, at)| **at == from).map(|(id, _)| *id);
-        let read = || {
-            let id = id?;
-            let mut text = match &mut *self.seals.borrow_mut() {
-                Some(seals) => seals.open(self.now(), from, datagram).ok()?.to_vec(),
-                None => datagram.to_vec(),
-            };
-            Some((id, simd_json::from_slice(&mut text).ok()?))
+    /// Authenticates and decodes a datagram.
+    fn decode(&self, from: SocketAddr, datagram: &[u8]) -> Result<(InstanceId, Message), DatagramError> {
+        let peer = self.peers.iter().find(|(_, address)| **address == from);
+        let (id, _) = peer.ok_or(DatagramError::UnknownSender)?;
+        let mut text = match &mut *self.auth.borrow_mut() {
+            Some(auth) => auth.verify(self.now(), from, datagram)?.to_vec(),
+            None => datagram.to_vec(),
         };
-        let read = read();
-        if read.is_none() {
-            self.ignored.set(self.ignored.get() + 1);
-            if self.ignored.get().is_power_of_two() {
-                tracing::warn!(%from, so_far = self.ignored.get(), "duties: a datagram is not heeded");
-            }
-        }
-        read
-    }
-
-    /// The plan's figures.
-    pub fn figures(&self) -> PlanFigures {
-        self.plan.borrow().figures
+        Ok((*id, simd_json::from_slice(&mut text)?))
     }
 
-    /// The figures in the Prometheus text format.
-    pub fn metrics(&self) -> String {
-        let (f, now) = (self.figures(), self.now());
-        let down = self.board.borrow().all().filter(|(_, s)| !s.up).count();
-        let lines = [
-            ("instances_living", self.plan.borrow().living(now).count() as u64),
-            ("servers", self.servers.borrow().len() as u64),
-            ("servers_down", down as u64),
-            ("ran_total", f.ran),
-            ("stood_in_total", f.stood_in),
-            ("claims_total", f.claims),
-            ("outvoted_total", f.outvoted),
-            ("unanswered_total", f.unanswered),
-            ("heard_total", f.heard),
-            ("ignored_total", self.ignored.get()),
-        ];
-        lines.iter().map(|(name, n)| format!("duties_{name} {n}\n")).collect()
-    }
-
-    /// Answers `GET /duties` at the second address.
-    pub fn answer(&self, request: &HttpRequest) -> Option<HttpAnswer> {
-        if request.target != "/duties" {
-            return None;
-        }
-        if request.method != "GET" {
-            return Some(HttpAnswer::status(405).with("Allow", "GET"));
+    /// Counts a rejected datagram, and logs it if the count is a power of two.
+    fn reject(&self, from: SocketAddr, reason: &DatagramError) {
+        let rejected = self.rejected_datagrams.get() + 1;
+        self.rejected_datagrams.set(rejected);
+        if rejected.is_power_of_two() {
+            tracing::warn!(%from, %reason, rejected, "health checks: a datagram is rejected");
         }
-        let (plan, board, now) = (self.plan.borrow(), self.board.borrow(), self.now());
-        let status = Status {
-            id: self.config.id,
-            majority: plan.majority(),
-            living: plan.living(now).collect(),
-            figures: plan.figures,
-            ignored: self.ignored.get(),
-            servers: board.all().map(|(duty, standing)| (endpoint_text(duty), *standing)).collect(),
-        };
-        let body = simd_json::to_vec(&status).unwrap_or_default();
-        Some(
-            HttpAnswer { body: body.into(), ..HttpAnswer::status(200) }
-                .with("Content-Type", "application/json"),
-        )
     }
-}
 
-/// The duties' state, in words for people.
-#[derive(serde::Serialize)]
-struct Status {
-    id: InstanceId,
-    majority: usize,
-    living: Vec<InstanceId>,
-    figures: PlanFigures,
-    ignored: u64,
-    servers: BTreeMap<String, Standing>,
-}
-
-/// Whether a server answers a probe as it should.
-async fn reach(at: SocketAddr, probe: &Probe) -> bool {
-    let Ok(mut stream) = TcpStream::connect(at).await else { return false };
-    let Probe::Http(path) = probe else { return true };
-    let text = format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n");
-    if stream.write_all(text.as_bytes()).await.is_err() {
-        return false;
-    }
-    let mut answer = Vec::new();
-    while answer.len() < MAX_ANSWER {
-        let mut headers = [httparse::EMPTY_HEADER; 32];
-        let mut response = httparse::Response::new(&mut headers);
-        // The status line is enough: a head of any length follows it.
-        let _ = response.parse(&answer);
-        if let Some(code) = response.code {
-            return (200..300).contains(&code);
-        }
-        if !matches!(stream.read_buf(&mut answer).await, Ok(n) if n > 0) {
-            return false;
+    async fn receive(self: &Rc<Self>, from: SocketAddr, datagram: &[u8]) {
+        let (id, message) = match self.decode(from, datagram) {
+            Ok(received) => received,
+            Err(reason) => return self.reject(from, &reason),
+        };
+        if let Message::Result(result) = message {
+            self.apply(result);
         }
+        let actions = self.scheduler.borrow_mut().receive(self.now(), id, &message);
+        self.perform(actions).await;
     }
-    false
 }
 
-/// Does the duties for ever.
-pub async fn run(duties: Rc<HealthChecker>) {
-    let mut bytes = [0u8; MAX_DATAGRAM];
-    let mut look_ms = f64::NEG_INFINITY;
+/// Runs shared health checks without end.
+pub async fn run(checker: Rc<HealthChecker>) {
+    let mut buffer = [0u8; MAX_DATAGRAM_BYTES];
+    let mut endpoint_poll_ms = f64::NEG_INFINITY;
     loop {
-        let now = duties.now();
-        if now >= look_ms {
-            look_ms = now + LOOK_MS;
-            duties.list();
+        let now = checker.now();
+        if now >= endpoint_poll_ms {
+            endpoint_poll_ms = now + ENDPOINT_POLL_INTERVAL_MS;
+            checker.update_endpoints();
         }
-        let acts = duties.plan.borrow_mut().tick(now);
-        duties.carry_out(acts).await;
-        let due = duties.plan.borrow().next_due(now).min(look_ms);
+        let actions = checker.scheduler.borrow_mut().tick(now);
+        checker.perform(actions).await;
+        let due_ms = checker.scheduler.borrow().next_due_ms(now).min(endpoint_poll_ms);
         tokio::select! {
-            () = tokio::time::sleep(duration_from_ms((due - now).max(1.0))) => {}
-            got = duties.socket.recv_from(&mut bytes) => {
-                // An error here is one of an earlier send to an instance that is down.
-                let Ok((length, from)) = got else { continue };
-                let Some((id, message)) = duties.read(from, &bytes[..length]) else { continue };
-                if let Message::Result { duty, slot, ok, took_ms } = message {
-                    duties.hear(duty, slot, ok, took_ms);
+            () = tokio::time::sleep(duration_from_ms((due_ms - now).max(1.0))) => {}
+            received = checker.socket.recv_from(&mut buffer) => {
+                // An error is that of an earlier send to a failed instance.
+                if let Ok((length, from)) = received {
+                    checker.receive(from, &buffer[..length]).await;
                 }
-                let acts = duties.plan.borrow_mut().receive(duties.now(), id, &message);
-                duties.carry_out(acts).await;
             }
         }
     }
--- a/src/health_check/health_status.rs
+++ b/src/health_check/health_status.rs
@@ -1,80 +1,96 @@
-//! What probes say of each server: down after some failures in a row, up after some answers. Results come from whatever
-//! instance did the probe, each slot once. No I/O.
+//! The health of each endpoint by the results of its checks, from whatever instance ran them. An endpoint becomes
+//! unhealthy after a number of consecutive failures and healthy after a number of consecutive passes. No I/O.
 
-use super::lease::{DutyId, Slot};
+use super::lease::Slot;
+use super::message::CheckResult;
+use crate::EndpointId;
 use std::collections::BTreeMap;
 
-/// How many results in a row turn a server.
+/// Consecutive results that change an endpoint's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turns {
-    /// Failures until it is down.
+pub struct HealthThresholds {
+    /// Failed checks until a healthy endpoint is unhealthy.
     pub fall: u32,
-    /// Answers until it is up.
+    /// Passed checks until an unhealthy endpoint is healthy.
     pub rise: u32,
 }
 
-/// A server as the board has it.
+/// Health of one endpoint, as the admin call shows it.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize)]
-pub struct Standing {
-    /// Whether it counts as up.
-    pub up: bool,
-    /// The last slot heard of.
-    pub slot: Slot,
-    /// Results in a row that contradict that.
-    pub against: u32,
-    /// When the last result was heard, Unix milliseconds.
-    pub heard_ms: f64,
-    /// The last probe's time, in milliseconds.
-    pub took_ms: f64,
+pub struct EndpointHealth {
+    /// Whether the endpoint is healthy.
+    #[serde(rename = "up")]
+    pub healthy: bool,
+    /// Slot of the last result.
+    #[serde(rename = "slot")]
+    pub last_slot: Slot,
+    /// Consecutive results that contradict `healthy`.
+    #[serde(rename = "against")]
+    pub contrary_results: u32,
+    /// When the last result was received, in Unix milliseconds.
+    #[serde(rename = "heard_ms")]
+    pub updated_ms: f64,
+    /// Duration of the last check, in milliseconds.
+    #[serde(rename = "took_ms")]
+    pub duration_ms: f64,
 }
 
-/// The board.
+/// Health of all endpoints with results.
 #[derive(Clone, Debug)]
-pub struct Board {
-    turns: Turns,
-    all: BTreeMap<DutyId, Standing>,
+pub struct HealthStatus {
+    thresholds: HealthThresholds,
+    endpoints: BTreeMap<EndpointId, EndpointHealth>,
 }
 
-impl Board {
-    /// Nothing is known yet: every server counts as up.
-    pub fn new(turns: Turns) -> Self {
-        Self { turns, all: BTreeMap::new() }
+impl HealthStatus {
+    /// Creates the status without any result: every endpoint counts as healthy.
+    pub fn new(thresholds: HealthThresholds) -> Self {
+        Self { thresholds, endpoints: BTreeMap::new() }
     }
 
-    /// Takes a result. Returns whether the server turned, and to what; a slot that was heard of says nothing new.
-    pub fn hear(&mut self, now: f64, duty: DutyId, slot: Slot, ok: bool, took_ms: f64) -> Option<bool> {
-        let fresh = Standing { up: true, slot: 0, against: 0, heard_ms: now, took_ms };
-        let standing = self.all.entry(duty).or_insert(fresh);
-        if slot <= standing.slot {
+    /// Applies a result. Returns the new health if it changed.
+    ///
+    /// A second result of the same slot, or one of an earlier slot, is ignored.
+    pub fn apply(&mut self, now: f64, result: CheckResult) -> Option<bool> {
+        let CheckResult { endpoint, slot, passed, duration_ms } = result;
+        let initial =
+            EndpointHealth { healthy: true, last_slot: 0, contrary_results: 0, updated_ms: now, duration_ms };
+        let health = self.endpoints.entry(endpoint).or_insert(initial);
+        if slot <= health.last_slot {
             return None;
         }
-        (standing.slot, standing.heard_ms, standing.took_ms) = (slot, now, took_ms);
-        if ok == standing.up {
-            standing.against = 0;
+        (health.last_slot, health.updated_ms, health.duration_ms) = (slot, now, duration_ms);
+        if passed == health.healthy {
+            health.contrary_results = 0;
             return None;
         }
-        standing.against += 1;
-        let enough = if standing.up { self.turns.fall } else { self.turns.rise };
-        if standing.against < enough {
+        health.contrary_results += 1;
+        let threshold = if health.healthy { self.thresholds.fall } else { self.thresholds.rise };
+        if health.contrary_results < threshold {
             return None;
         }
-        (standing.up, standing.against) = (ok, 0);
-        Some(ok)
+        (health.healthy, health.contrary_results) = (passed, 0);
+        Some(passed)
     }
 
-    /// The last slot of a duty that a result was heard of.
-    pub fn last(&self, duty: DutyId) -> Slot {
-        self.all.get(&duty).map_or(0, |s| s.slot)
+    /// Slot of an endpoint's last result, or 0.
+    pub fn last_slot(&self, endpoint: EndpointId) -> Slot {
+        self.endpoints.get(&endpoint).map_or(0, |health| health.last_slot)
     }
 
-    /// All servers with results.
-    pub fn all(&self) -> impl Iterator<Item = (DutyId, &Standing)> {
-        self.all.iter().map(|(duty, standing)| (*duty, standing))
+    /// All endpoints with results.
+    pub fn iter(&self) -> impl Iterator<Item = (EndpointId, &EndpointHealth)> {
+        self.endpoints.iter().map(|(endpoint, health)| (*endpoint, health))
     }
 
-    /// Forgets servers that are no more.
-    pub fn retain(&mut self, is: impl Fn(DutyId) -> bool) {
-        self.all.retain(|duty, _| is(*duty));
+    /// Number of unhealthy endpoints.
+    pub fn unhealthy_count(&self) -> usize {
+        self.endpoints.values().filter(|health| !health.healthy).count()
+    }
+
+    /// Drops endpoints for which `keep` is false.
+    pub fn retain(&mut self, keep: impl Fn(EndpointId) -> bool) {
+        self.endpoints.retain(|endpoint, _| keep(*endpoint));
     }
 }
 
--- a/src/health_check/health_status/tests.rs
+++ b/src/health_check/health_status/tests.rs
@@ -1,15 +1,20 @@
 use super::*;
 
 #[test]
-fn a_server_turns_after_results_in_a_row_each_slot_once() {
-    let mut board = Board::new(Turns { fall: 3, rise: 2 });
-    let mut hear = |slot, ok| board.hear(slot as f64, 7, slot, ok, 1.0);
-    assert_eq!((hear(1, false), hear(1, false), hear(1, false)), (None, None, None), "one slot, told thrice");
-    assert_eq!((hear(2, false), hear(3, true), hear(4, false), hear(5, false)), (None, None, None, None));
-    assert_eq!(hear(6, false), Some(false));
-    assert_eq!((hear(7, false), hear(8, true), hear(6, true)), (None, None, None), "late news");
-    assert_eq!(hear(9, true), Some(true));
-    assert_eq!(board.last(7), 9);
-    board.retain(|_| false);
-    assert_eq!(board.all().count(), 0);
+fn health_changes_after_consecutive_results_of_different_slots() {
+    let mut status = HealthStatus::new(HealthThresholds { fall: 3, rise: 2 });
+    let mut apply =
+        |slot, passed| status.apply(slot as f64, CheckResult { endpoint: 7, slot, passed, duration_ms: 1.0 });
+    assert_eq!(
+        (apply(1, false), apply(1, false), apply(1, false)),
+        (None, None, None),
+        "one slot, received three times"
+    );
+    assert_eq!((apply(2, false), apply(3, true), apply(4, false), apply(5, false)), (None, None, None, None));
+    assert_eq!(apply(6, false), Some(false));
+    assert_eq!((apply(7, false), apply(8, true), apply(6, true)), (None, None, None), "late results");
+    assert_eq!(apply(9, true), Some(true));
+    assert_eq!(status.last_slot(7), 9);
+    status.retain(|_| false);
+    assert_eq!(status.iter().count(), 0);
 }
--- a/src/health_check/lease.rs
+++ b/src/health_check/lease.rs
@@ -1,15 +1,41 @@
-//! When each duty is due, and in which order instances try for it. Slots are counted from the Unix epoch, so that
-//! instances with clocks near each other agree on them without a word; the duties of one period are spread over it by
-//! their ids, so that no moment has them all. No I/O.
+//! Leases: the right of one instance to run the check of one endpoint in one slot. This module computes when each check
+//! is due and in which order instances become candidates for its lease. No I/O.
+//!
+//! Slots are counted from the Unix epoch, so instances whose clocks roughly agree number them alike without
+//! communication. The checks of one period are spread over it by a hash of the endpoint's id.
 
-/// A duty's number: the id of the server it is about.
-pub type DutyId = u32;
-/// A slot's number within a duty.
+use crate::EndpointId;
+use serde::{Deserialize, Serialize};
+
+/// Number of a slot of an endpoint's check: its periods since the Unix epoch.
 pub type Slot = u64;
-/// An instance's number.
+/// Number of an instance, the same in every instance's configuration.
 pub type InstanceId = u16;
 
-/// A well-mixed hash, the same at every instance.
+/// A lease, named by its check.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Lease {
+    /// Endpoint to be checked.
+    #[serde(rename = "duty")]
+    pub endpoint: EndpointId,
+    /// Slot of the check.
+    pub slot: Slot,
+}
+
+impl Lease {
+    /// When the check is due, in Unix milliseconds.
+    pub fn due_ms(&self, period_ms: f64) -> f64 {
+        offset_ms(self.endpoint, period_ms) + self.slot as f64 * period_ms
+    }
+}
+
+/// Hash input that separates a check's place in the period from the ranks of instances.
+const OFFSET_INPUT: u64 = 1;
+/// Least hash input of an instance.
+const RANK_INPUT: u64 = 1_000;
+
+/// A well-mixed hash that is the same at every instance (the finalizer of SplitMix64).
 fn mix(a: u64, b: u64) -> u64 {
     let mut z = a.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ b.wrapping_add(0xD1B5_4A32_D192_ED03);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -17,25 +43,23 @@
     z ^ (z >> 31)
 }
 
-/// Where in a period a duty is due, in milliseconds.
-pub fn offset_ms(duty: DutyId, period_ms: f64) -> f64 {
-    (mix(u64::from(duty), 1) >> 11) as f64 / (1u64 << 53) as f64 * period_ms
-}
-
-/// The slot of a duty that is due last before `now`.
-pub fn slot_at(now: f64, duty: DutyId, period_ms: f64) -> Slot {
-    ((now - offset_ms(duty, period_ms)) / period_ms).floor().max(0.0) as Slot
+/// Time from the start of a period until an endpoint's check is due, in milliseconds.
+pub fn offset_ms(endpoint: EndpointId, period_ms: f64) -> f64 {
+    let fraction = (mix(u64::from(endpoint), OFFSET_INPUT) >> 11) as f64 / (1u64 << 53) as f64;
+    fraction * period_ms
 }
 
-/// When a slot is due, Unix milliseconds.
-pub fn due_ms(duty: DutyId, slot: Slot, period_ms: f64) -> f64 {
-    offset_ms(duty, period_ms) + slot as f64 * period_ms
+/// The latest slot of an endpoint's check that is due at `now`, in Unix milliseconds.
+pub fn slot_at(now: f64, endpoint: EndpointId, period_ms: f64) -> Slot {
+    ((now - offset_ms(endpoint, period_ms)) / period_ms).floor().max(0.0) as Slot
 }
 
-/// An instance's place among others in a duty's order, from 0: rendezvous hashing, so that one that dies leaves the
-/// others' order as it was, and its duties go to all of them alike.
-pub fn place(duty: DutyId, me: InstanceId, others: impl Iterator<Item = InstanceId>) -> usize {
-    let score = |id: InstanceId| (mix(u64::from(duty), 1_000 + u64::from(id)), id);
+/// Rank of an instance among others as candidate for the leases of an endpoint, from 0.
+///
+/// Rendezvous hashing: a failed instance leaves the order of the others unchanged, and its checks are spread evenly
+/// over them.
+pub fn rank(endpoint: EndpointId, me: InstanceId, others: impl Iterator<Item = InstanceId>) -> usize {
+    let score = |id: InstanceId| (mix(u64::from(endpoint), RANK_INPUT + u64::from(id)), id);
     others.filter(|id| *id != me && score(*id) < score(me)).count()
 }
 
--- a/src/health_check/mod.rs
+++ b/src/health_check/mod.rs
@@ -1,20 +1,26 @@
-//! Periodic duties divided among instances: each server is probed once in each slot, by one instance, and every
-//! instance hears what came of it. A duty whose instance dies is taken up by the next one.
+//! Health checks shared among instances: each endpoint is checked once per period by one instance, and all instances
+//! apply the result. If an instance fails, the next one runs its checks.
 //!
-//! | part | what it does | I/O |
+//! | module | responsibility | I/O |
 //! | --- | --- | --- |
-//! | [`lease`] | when each duty is due, and in which order instances try for it | none |
-//! | [`quorum`] | one grant for each duty's slot: what keeps two from doing it | none |
-//! | [`scheduler`] | the instance: its view of the others, its claims, its votes | none |
-//! | [`health_status`] | what probes say of each server: up or down | none |
+//! | [`lease`] | when each check is due, and the order of instances as candidates for its lease | none |
+//! | [`quorum`] | the votes that ensure one lease holder | none |
+//! | [`scheduler`] | vote requests, votes, live instances, checks to run | none |
+//! | [`health_status`] | health of each endpoint by the results | none |
+//! | [`message`] | messages between instances | none |
 //! | [`config`] | the operator file | a file |
-//! | [`driver`] | datagrams, probes, and what the engine is told | sockets |
+//! | [`checker`] | one health check of an endpoint | a connection |
+//! | [`driver`] | the task: datagrams, checks, reports to the engine | a UDP socket |
+//! | `admin` | the admin call and the metrics | none |
 //!
-//! The design note is `docs/design-health-checks.md`; operators read `docs/health-checks.md`.
+//! Design note: `docs/design-health-checks.md`. Operator page: `docs/health-checks.md`.
 
+mod admin;
+pub mod checker;
 pub mod config;
 pub mod driver;
 pub mod health_status;
 pub mod lease;
+pub mod message;
 pub mod quorum;
 pub mod scheduler;
--- a/src/health_check/quorum.rs
+++ b/src/health_check/quorum.rs
@@ -1,57 +1,72 @@
-//! One grant for each duty's slot. An instance does a duty only with the grants of a majority, its own among them, and
-//! each gives one grant a slot, to the first that asks: so no two ever do the same duty in the same slot, whoever of
-//! them thinks that it is theirs, and the lesser part of a split does none. One that has just started forgot what it
-//! granted, and grants nothing for a while. No I/O.
+//! The votes of one instance. A candidate needs the votes of a majority for a lease, its own included, and each instance
+//! votes for one candidate per slot: no two instances hold the same lease, and the minority side of a network partition
+//! holds none. No I/O.
+//!
+//! Votes are kept in memory. An instance that has just started does not know its earlier votes, so it rejects all
+//! candidates until those votes are out of date.
 
-use super::lease::{DutyId, InstanceId, Slot};
+use super::lease::{InstanceId, Lease, Slot};
+use crate::EndpointId;
 use std::collections::BTreeMap;
 
-/// Slots of a duty that are remembered: the one that is due and those near it, for clocks that differ.
-const REMEMBERED: usize = 4;
+/// Slots per endpoint whose votes are kept: the one that is due and those near it, for clocks that differ.
+const KEPT_SLOTS: usize = 4;
+/// How far a candidate's slot may be from the one that is due by this instance's clock.
+const MAX_SLOT_DISTANCE: u64 = 1;
 
-/// An instance's grants.
+/// A vote for a candidate.
+#[derive(Clone, Copy, Debug)]
+struct Vote {
+    slot: Slot,
+    candidate: InstanceId,
+}
+
+/// Gives and remembers the votes of one instance.
 #[derive(Clone, Debug)]
-pub struct Votes {
-    /// Nothing is granted before, Unix milliseconds.
-    from_ms: f64,
-    granted: BTreeMap<DutyId, Vec<(Slot, InstanceId)>>,
+pub struct Voter {
+    /// No vote is given before this time, in Unix milliseconds.
+    votes_from_ms: f64,
+    votes: BTreeMap<EndpointId, Vec<Vote>>,
 }
 
-impl Votes {
-    /// Of an instance that starts at `now` and grants nothing for `quiet_ms`: what it granted before must have passed.
-    pub fn new(now: f64, quiet_ms: f64) -> Self {
-        Self { from_ms: now + quiet_ms, granted: BTreeMap::new() }
+impl Voter {
+    /// Creates the voter of an instance that starts at `now` and gives no vote for `silence_ms`.
+    pub fn new(now: f64, silence_ms: f64) -> Self {
+        Self { votes_from_ms: now + silence_ms, votes: BTreeMap::new() }
     }
 
-    /// Asks for the grant of a slot. `current` is the slot that is due by this instance's clock: others than it and
-    /// its neighbours are never granted.
-    pub fn ask(&mut self, now: f64, duty: DutyId, slot: Slot, current: Slot, who: InstanceId) -> bool {
-        if now < self.from_ms || slot.abs_diff(current) > 1 {
+    /// Decides on a candidate for a lease and returns whether it gets the vote.
+    ///
+    /// `current` is the slot that is due by this instance's clock. Slots further away than its neighbours get no vote.
+    pub fn decide(&mut self, now: f64, current: Slot, lease: Lease, candidate: InstanceId) -> bool {
+        let Lease { endpoint, slot } = lease;
+        if now < self.votes_from_ms || slot.abs_diff(current) > MAX_SLOT_DISTANCE {
             return false;
         }
-        let granted = self.granted.entry(duty).or_default();
-        if let Some((_, holder)) = granted.iter().find(|(s, _)| *s == slot) {
-            return *holder == who;
+        let votes = self.votes.entry(endpoint).or_default();
+        if let Some(vote) = votes.iter().find(|vote| vote.slot == slot) {
+            return vote.candidate == candidate;
         }
-        // A slot before one that was granted is over.
-        if granted.iter().any(|(s, _)| *s > slot) {
+        // A slot before one with a vote is over.
+        if votes.iter().any(|vote| vote.slot > slot) {
             return false;
         }
-        granted.push((slot, who));
-        if granted.len() > REMEMBERED {
-            granted.remove(0);
+        votes.push(Vote { slot, candidate });
+        if votes.len() > KEPT_SLOTS {
+            votes.remove(0);
         }
         true
     }
 
-    /// Who holds the grant of a slot here.
-    pub fn holder(&self, duty: DutyId, slot: Slot) -> Option<InstanceId> {
-        self.granted.get(&duty)?.iter().find(|(s, _)| *s == slot).map(|(_, who)| *who)
+    /// The candidate that got this instance's vote for a lease.
+    pub fn voted_for(&self, lease: Lease) -> Option<InstanceId> {
+        let votes = self.votes.get(&lease.endpoint)?;
+        votes.iter().find(|vote| vote.slot == lease.slot).map(|vote| vote.candidate)
     }
 
-    /// Forgets duties that are no more.
-    pub fn retain(&mut self, is: impl Fn(DutyId) -> bool) {
-        self.granted.retain(|duty, _| is(*duty));
+    /// Drops the votes of endpoints for which `keep` is false.
+    pub fn retain(&mut self, keep: impl Fn(EndpointId) -> bool) {
+        self.votes.retain(|endpoint, _| keep(*endpoint));
     }
 }
 
--- a/src/health_check/quorum/tests.rs
+++ b/src/health_check/quorum/tests.rs
@@ -1,20 +1,30 @@
 use super::*;
 
+fn lease(endpoint: EndpointId, slot: Slot) -> Lease {
+    Lease { endpoint, slot }
+}
+
 #[test]
-fn a_slot_is_granted_once_and_never_after_a_later_one() {
-    let mut votes = Votes::new(0.0, 100.0);
-    assert!(!votes.ask(99.0, 7, 10, 10, 1), "it may have granted that before it started");
-    assert!(votes.ask(100.0, 7, 10, 10, 1) && votes.ask(101.0, 7, 10, 10, 1), "asked again");
-    assert!(!votes.ask(101.0, 7, 10, 10, 2), "it is another's");
-    assert!(votes.ask(102.0, 8, 10, 10, 2), "another duty");
-    assert!(votes.ask(200.0, 7, 11, 10, 2), "a clock that is ahead");
-    assert!(!votes.ask(200.0, 7, 12, 10, 2) && !votes.ask(200.0, 7, 8, 10, 2), "one that is far off");
-    assert!(votes.ask(201.0, 7, 10, 11, 1) && !votes.ask(201.0, 7, 10, 11, 3));
+fn one_candidate_per_slot_gets_a_vote_and_none_after_a_later_slot() {
+    let mut voter = Voter::new(0.0, 100.0);
+    assert!(!voter.decide(99.0, 10, lease(7, 10), 1), "it may have voted before it started");
+    assert!(
+        voter.decide(100.0, 10, lease(7, 10), 1) && voter.decide(101.0, 10, lease(7, 10), 1),
+        "the same request again"
+    );
+    assert!(!voter.decide(101.0, 10, lease(7, 10), 2), "another candidate has the vote");
+    assert!(voter.decide(102.0, 10, lease(8, 10), 2), "another endpoint");
+    assert!(voter.decide(200.0, 10, lease(7, 11), 2), "a clock that is ahead");
+    assert!(
+        !voter.decide(200.0, 10, lease(7, 12), 2) && !voter.decide(200.0, 10, lease(7, 8), 2),
+        "a clock that is far off"
+    );
+    assert!(voter.decide(201.0, 11, lease(7, 10), 1) && !voter.decide(201.0, 11, lease(7, 10), 3));
     for slot in 12..40 {
-        assert!(votes.ask(300.0, 7, slot, slot, 3));
-        assert!(!votes.ask(300.0, 7, slot - 1, slot, 9), "over");
+        assert!(voter.decide(300.0, slot, lease(7, slot), 3));
+        assert!(!voter.decide(300.0, slot, lease(7, slot - 1), 9), "over");
     }
-    assert!(votes.granted[&7].len() <= REMEMBERED);
-    votes.retain(|duty| duty == 8);
-    assert_eq!((votes.holder(7, 39), votes.holder(8, 10)), (None, Some(2)));
+    assert!(voter.votes[&7].len() <= KEPT_SLOTS);
+    voter.retain(|endpoint| endpoint == 8);
+    assert_eq!((voter.voted_for(lease(7, 39)), voter.voted_for(lease(8, 10))), (None, Some(2)));
 }
--- a/src/health_check/scheduler.rs
+++ b/src/health_check/scheduler.rs
@@ -1,295 +1,299 @@
-//! An instance's part in the duties: whom it hears, which slots it claims and when, what it grants, and what it does
-//! once a majority granted it. No I/O; time is Unix milliseconds, as it is told.
+//! Decides which checks this instance runs: it requests votes for leases, votes for other instances, and runs a check
+//! once it holds the lease. No I/O; time is given by the caller in Unix milliseconds.
 //!
-//! In a duty's order the first claims its slot when it is due, the second a step later, and so on: where the first
-//! has died, the second does the duty in that very slot, before anybody knows of the death. Those that are known to
-//! be silent are left out of the order, so that the next slots are on time again.
+//! The instance of rank 0 for an endpoint requests the lease when the check is due, rank 1 one step later, and so on.
+//! If an instance has failed, the next one runs the check in the same slot, before the failure is known. Instances
+//! that are known to be silent have no rank, so their checks are on time again in the following slots.
 
-use super::lease::{due_ms, place, slot_at, DutyId, InstanceId, Slot};
-use super::quorum::Votes;
-use serde::{Deserialize, Serialize};
+use super::lease::{rank, slot_at, InstanceId, Lease, Slot};
+use super::message::Message;
+use super::quorum::Voter;
+use crate::EndpointId;
+use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What instances tell each other.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase", deny_unknown_fields)]
-pub enum Message {
-    /// The sender lives.
-    Beat,
-    /// The sender wants to do a duty's slot.
-    Claim {
-        /// The duty.
-        duty: DutyId,
-        /// Its slot.
-        slot: Slot,
-    },
-    /// The sender grants it, or says that it is not to be had.
-    Grant {
-        /// The duty.
-        duty: DutyId,
-        /// Its slot.
-        slot: Slot,
-        /// Whether it is granted.
-        yes: bool,
-    },
-    /// The sender did it.
-    Result {
-        /// The duty.
-        duty: DutyId,
-        /// Its slot.
-        slot: Slot,
-        /// Whether the server answered as it should.
-        ok: bool,
-        /// How long that took, in milliseconds.
-        took_ms: f64,
-    },
-}
+/// Highest rank with a delay of its own. Instances of a higher rank request leases together with it, so that all
+/// delays fit into a period; the votes still ensure that one instance runs the check.
+pub const MAX_RANK: usize = 30;
 
-/// What is to be done.
+/// An action of the caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    /// Tell all other instances.
-    Tell(Message),
-    /// Tell one.
-    Answer(InstanceId, Message),
-    /// Do the duty now, once.
-    Run(DutyId, Slot),
+pub enum Action {
+    /// Send a message to all other instances.
+    Broadcast(Message),
+    /// Send a message to one instance.
+    Reply(InstanceId, Message),
+    /// Run the check of a lease now, once.
+    RunCheck(Lease),
 }
 
-/// The last place in a duty's order that has a time of its own: instances behind it claim with it, so that all turns fit
-/// into a period however many there are. Grants still make sure that one alone does the duty.
-pub const LAST_PLACE: usize = 30;
-
-/// Times, in milliseconds.
+/// Times of the scheduler, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Times {
-    /// Between two slots of a duty.
+pub struct SchedulerTimes {
+    /// Time between two checks of an endpoint.
     pub period_ms: f64,
-    /// How much later each next instance in a duty's order claims.
-    pub step_ms: f64,
-    /// Between two tries of a claim that is not yet granted.
-    pub again_ms: f64,
-    /// How long a claim is tried.
-    pub claim_ms: f64,
-    /// Between two beats.
-    pub beat_ms: f64,
-    /// Silence after which an instance is left out of the order.
-    pub dead_ms: f64,
+    /// Delay of each rank after the one before.
+    pub rank_delay_ms: f64,
+    /// Time between two attempts of a vote request.
+    pub retry_interval_ms: f64,
+    /// Time after which a vote request is given up.
+    pub request_timeout_ms: f64,
+    /// Time between two heartbeats.
+    pub heartbeat_interval_ms: f64,
+    /// Silence after which an instance counts as failed.
+    pub failure_timeout_ms: f64,
 }
 
-/// A claim that is not yet granted.
+/// Counters of the scheduler, as the admin call shows them.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
+pub struct SchedulerMetrics {
+    /// Checks run by this instance.
+    #[serde(rename = "ran")]
+    pub checks_run: u64,
+    /// Vote requests for leases that an instance of a lower rank had not requested.
+    #[serde(rename = "stood_in")]
+    pub failovers: u64,
+    /// Vote requests begun.
+    #[serde(rename = "claims")]
+    pub vote_requests: u64,
+    /// Vote requests that another candidate won.
+    #[serde(rename = "outvoted")]
+    pub outvoted: u64,
+    /// Vote requests without an answer of a majority, because of a partition or failed instances.
+    #[serde(rename = "unanswered")]
+    pub timed_out: u64,
+    /// Results received from other instances.
+    #[serde(rename = "heard")]
+    pub results_received: u64,
+}
+
+/// A vote request that is not yet decided.
 #[derive(Clone, Debug)]
-struct Claiming {
-    slot: Slot,
-    since_ms: f64,
-    again_ms: f64,
-    yes: BTreeSet<InstanceId>,
-    no: BTreeSet<InstanceId>,
+struct PendingLease {
+    lease: Lease,
+    requested_ms: f64,
+    retry_ms: f64,
+    granted_by: BTreeSet<InstanceId>,
+    denied_by: BTreeSet<InstanceId>,
 }
 
-/// Figures.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct PlanFigures {
-    /// Duties done here.
-    pub ran: u64,
-    /// Of them such as another one comes first for, which did not.
-    pub stood_in: u64,
-    /// Claims begun.
-    pub claims: u64,
-    /// Claims that another instance was quicker in.
-    pub outvoted: u64,
-    /// Claims that no majority answered: a split, or too many are down.
-    pub unanswered: u64,
-    /// Results heard from others.
-    pub heard: u64,
+impl PendingLease {
+    /// A request by the instance `me`, which votes for itself.
+    fn new(now: f64, lease: Lease, me: InstanceId) -> Self {
+        let (granted_by, denied_by) = (BTreeSet::from([me]), BTreeSet::new());
+        Self { lease, requested_ms: now, retry_ms: now, granted_by, denied_by }
+    }
 }
 
-/// The instance. See the module's page.
+/// Schedules the checks of one instance.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Scheduler {
     me: InstanceId,
-    all: BTreeSet<InstanceId>,
-    times: Times,
-    heard_ms: BTreeMap<InstanceId, f64>,
-    votes: Votes,
-    duties: BTreeSet<DutyId>,
-    claims: BTreeMap<DutyId, Claiming>,
-    /// The last slot of each duty that is settled here: done, granted to another, or given up.
-    settled: BTreeMap<DutyId, Slot>,
-    beat_ms: f64,
-    /// Its figures.
-    pub figures: PlanFigures,
+    instances: BTreeSet<InstanceId>,
+    times: SchedulerTimes,
+    /// When each instance was last heard of, in Unix milliseconds.
+    last_heard_ms: BTreeMap<InstanceId, f64>,
+    voter: Voter,
+    endpoints: BTreeSet<EndpointId>,
+    pending: BTreeMap<EndpointId, PendingLease>,
+    /// Last slot of each endpoint that is settled here: requested by this instance, or checked by another.
+    settled: BTreeMap<EndpointId, Slot>,
+    heartbeat_due_ms: f64,
+    /// Counters.
+    pub metrics: SchedulerMetrics,
 }
 
-impl Plan {
-    /// Instance `me` of `all`, which starts at `now`.
-    pub fn new(now: f64, me: InstanceId, all: impl IntoIterator<Item = InstanceId>, times: Times) -> Self {
-        let mut all: BTreeSet<InstanceId> = all.into_iter().collect();
-        all.insert(me);
-        // What it granted before it started may be of the slot that is due, or of the next by another's clock.
-        let quiet_ms = if all.len() > 1 { 2.0 * times.period_ms } else { 0.0 };
+impl Scheduler {
+    /// Creates the scheduler of the instance `me`, which starts at `now` and is one of `instances`.
+    pub fn new(
+        now: f64,
+        me: InstanceId,
+        instances: impl IntoIterator<Item = InstanceId>,
+        times: SchedulerTimes,
+    ) -> Self {
+        let mut instances: BTreeSet<InstanceId> = instances.into_iter().collect();
+        instances.insert(me);
+        // A vote before the start may be of the slot that is due, or of the next one by another instance's clock.
+        let silence_ms = if instances.len() > 1 { 2.0 * times.period_ms } else { 0.0 };
         Self {
             me,
-            // All others count as alive at first: one that is not is found out by its silence.
-            heard_ms: all.iter().map(|id| (*id, now)).collect(),
-            all,
+            // All instances count as alive until their silence shows that they have failed.
+            last_heard_ms: instances.iter().map(|id| (*id, now)).collect(),
+            instances,
             times,
-            votes: Votes::new(now, quiet_ms),
-            duties: BTreeSet::new(),
-            claims: BTreeMap::new(),
+            voter: Voter::new(now, silence_ms),
+            endpoints: BTreeSet::new(),
+            pending: BTreeMap::new(),
             settled: BTreeMap::new(),
-            beat_ms: f64::NEG_INFINITY,
-            figures: PlanFigures::default(),
+            heartbeat_due_ms: f64::NEG_INFINITY,
+            metrics: SchedulerMetrics::default(),
         }
     }
 
-    /// Takes the list of duties.
-    pub fn list(&mut self, now: f64, duties: impl IntoIterator<Item = DutyId>) {
-        self.duties = duties.into_iter().collect();
-        let is = |duty: &DutyId| self.duties.contains(duty);
-        self.claims.retain(|duty, _| is(duty));
-        self.settled.retain(|duty, _| is(duty));
-        // A duty that is new is due from its next slot on.
-        for duty in &self.duties {
-            self.settled.entry(*duty).or_insert_with(|| slot_at(now, *duty, self.times.period_ms));
+    /// Replaces the endpoints to be checked. A new endpoint is first checked in its next slot.
+    pub fn set_endpoints(&mut self, now: f64, endpoints: impl IntoIterator<Item = EndpointId>) {
+        self.endpoints = endpoints.into_iter().collect();
+        let endpoints = &self.endpoints;
+        self.pending.retain(|endpoint, _| endpoints.contains(endpoint));
+        self.settled.retain(|endpoint, _| endpoints.contains(endpoint));
+        self.voter.retain(|endpoint| endpoints.contains(&endpoint));
+        for endpoint in endpoints {
+            let current = slot_at(now, *endpoint, self.times.period_ms);
+            self.settled.entry(*endpoint).or_insert(current);
         }
-        let duties = &self.duties;
-        self.votes.retain(|duty| duties.contains(&duty));
     }
 
-    /// How many grants a claim needs, its own among them.
+    /// Votes needed for a lease, this instance's own included.
     pub fn majority(&self) -> usize {
-        self.all.len() / 2 + 1
+        self.instances.len() / 2 + 1
     }
 
     /// Whether an instance counts as alive.
-    pub fn alive(&self, now: f64, id: InstanceId) -> bool {
-        id == self.me || self.heard_ms.get(&id).is_some_and(|at| now - at < self.times.dead_ms)
+    pub fn is_alive(&self, now: f64, id: InstanceId) -> bool {
+        let heard_lately = |heard_ms: &f64| now - heard_ms < self.times.failure_timeout_ms;
+        id == self.me || self.last_heard_ms.get(&id).is_some_and(heard_lately)
     }
 
     /// Instances that count as alive.
-    pub fn living(&self, now: f64) -> impl Iterator<Item = InstanceId> + '_ {
-        self.all.iter().copied().filter(move |id| self.alive(now, *id))
+    pub fn live_instances(&self, now: f64) -> impl Iterator<Item = InstanceId> + '_ {
+        self.instances.iter().copied().filter(move |id| self.is_alive(now, *id))
+    }
+
+    /// This instance's rank for an endpoint. The cost grows with the number of instances.
+    fn own_rank(&self, now: f64, endpoint: EndpointId) -> usize {
+        rank(endpoint, self.me, self.live_instances(now)).min(MAX_RANK)
+    }
+
+    /// When this instance requests a lease at a rank.
+    fn request_due_ms(&self, lease: Lease, rank: usize) -> f64 {
+        lease.due_ms(self.times.period_ms) + rank as f64 * self.times.rank_delay_ms
+    }
+
+    /// The lease of an endpoint's latest slot that is due.
+    fn current_lease(&self, now: f64, endpoint: EndpointId) -> Lease {
+        Lease { endpoint, slot: slot_at(now, endpoint, self.times.period_ms) }
+    }
+
+    fn is_settled(&self, lease: Lease) -> bool {
+        self.settled.get(&lease.endpoint).is_some_and(|slot| *slot >= lease.slot)
     }
 
-    /// When this instance claims a slot of a duty. Looks at every living instance.
-    fn claims_at(&self, now: f64, duty: DutyId, slot: Slot) -> (f64, usize) {
-        let place = place(duty, self.me, self.living(now)).min(LAST_PLACE);
-        (due_ms(duty, slot, self.times.period_ms) + place as f64 * self.times.step_ms, place)
+    fn voted_for_another(&self, lease: Lease) -> bool {
+        self.voter.voted_for(lease).is_some_and(|candidate| candidate != self.me)
     }
 
-    /// Does what is due by `now`.
-    pub fn tick(&mut self, now: f64) -> Vec<Act> {
-        let mut acts = Vec::new();
-        if now >= self.beat_ms {
-            self.beat_ms = now + self.times.beat_ms;
-            acts.push(Act::Tell(Message::Beat));
+    /// Returns the actions that are due by `now`.
+    pub fn tick(&mut self, now: f64) -> Vec<Action> {
+        let mut actions = Vec::new();
+        if now >= self.heartbeat_due_ms {
+            self.heartbeat_due_ms = now + self.times.heartbeat_interval_ms;
+            actions.push(Action::Broadcast(Message::Heartbeat));
         }
-        for duty in self.duties.clone() {
-            let slot = slot_at(now, duty, self.times.period_ms);
-            let settled = self.settled.get(&duty).is_some_and(|s| *s >= slot);
-            let held = self.votes.holder(duty, slot).is_some_and(|who| who != self.me);
-            let open = !settled && !held && !self.claims.contains_key(&duty);
-            // The order is worked out only for what is open: it looks at every instance.
-            let claims_at = open.then(|| self.claims_at(now, duty, slot));
-            if let Some((_, place)) = claims_at.filter(|(at, _)| now >= *at) {
-                self.settled.insert(duty, slot);
-                if !self.votes.ask(now, duty, slot, slot, self.me) {
-                    // It has just started, and its own grant counts no more than the others'.
-                    continue;
-                }
-                self.figures.claims += 1;
-                self.figures.stood_in += u64::from(place > 0);
-                let (yes, no) = (BTreeSet::from([self.me]), BTreeSet::new());
-                self.claims.insert(duty, Claiming { slot, since_ms: now, again_ms: now, yes, no });
-            }
-            self.pursue(now, duty, &mut acts);
+        for endpoint in self.endpoints.clone() {
+            self.begin_request(now, endpoint);
+            self.advance_request(now, endpoint, &mut actions);
         }
-        acts
+        actions
     }
 
-    /// Goes on with a claim: granted, lost, given up, or told again.
-    fn pursue(&mut self, now: f64, duty: DutyId, acts: &mut Vec<Act>) {
-        let (need, all) = (self.majority(), self.all.len());
-        let Some(claim) = self.claims.get_mut(&duty) else { return };
-        let slot = claim.slot;
-        if claim.yes.len() >= need {
-            self.claims.remove(&duty);
-            self.figures.ran += 1;
-            return acts.push(Act::Run(duty, slot));
+    /// Begins the vote request for an endpoint's current slot if this instance is to request it now.
+    fn begin_request(&mut self, now: f64, endpoint: EndpointId) {
+        let lease = self.current_lease(now, endpoint);
+        if self.is_settled(lease) || self.voted_for_another(lease) || self.pending.contains_key(&endpoint) {
+            return;
         }
-        if claim.no.len() > all - need {
-            self.claims.remove(&duty);
-            self.figures.outvoted += 1;
+        let rank = self.own_rank(now, endpoint);
+        if now < self.request_due_ms(lease, rank) {
             return;
         }
-        if now - claim.since_ms >= self.times.claim_ms {
-            self.claims.remove(&duty);
-            self.figures.unanswered += 1;
+        self.settled.insert(endpoint, lease.slot);
+        if !self.voter.decide(now, lease.slot, lease, self.me) {
             return;
         }
-        if now >= claim.again_ms {
-            claim.again_ms = now + self.times.again_ms;
-            acts.push(Act::Tell(Message::Claim { duty, slot }));
+        self.metrics.vote_requests += 1;
+        self.metrics.failovers += u64::from(rank > 0);
+        self.pending.insert(endpoint, PendingLease::new(now, lease, self.me));
+    }
+
+    /// Ends the vote request of an endpoint if it is decided or timed out, and repeats it otherwise.
+    fn advance_request(&mut self, now: f64, endpoint: EndpointId, actions: &mut Vec<Action>) {
+        let (majority, instances) = (self.majority(), self.instances.len());
+        let Some(pending) = self.pending.get_mut(&endpoint) else { return };
+        let lease = pending.lease;
+        if pending.granted_by.len() >= majority {
+            self.pending.remove(&endpoint);
+            self.metrics.checks_run += 1;
+            actions.push(Action::RunCheck(lease));
+        } else if pending.denied_by.len() > instances - majority {
+            self.pending.remove(&endpoint);
+            self.metrics.outvoted += 1;
+        } else if now - pending.requested_ms >= self.times.request_timeout_ms {
+            self.pending.remove(&endpoint);
+            self.metrics.timed_out += 1;
+        } else if now >= pending.retry_ms {
+            pending.retry_ms = now + self.times.retry_interval_ms;
+            actions.push(Action::Broadcast(Message::VoteRequest(lease)));
         }
     }
 
-    /// Takes another instance's word. A result is the caller's to note.
-    pub fn receive(&mut self, now: f64, from: InstanceId, message: &Message) -> Vec<Act> {
-        let mut acts = Vec::new();
-        if from == self.me || !self.all.contains(&from) {
-            return acts;
+    /// Processes a message from another instance. The caller applies check results itself.
+    pub fn receive(&mut self, now: f64, from: InstanceId, message: &Message) -> Vec<Action> {
+        let mut actions = Vec::new();
+        if from == self.me || !self.instances.contains(&from) {
+            return actions;
         }
-        self.heard_ms.insert(from, now);
+        self.last_heard_ms.insert(from, now);
         match *message {
-            Message::Beat => {}
-            Message::Claim { duty, slot } => {
-                let current = slot_at(now, duty, self.times.period_ms);
-                // Duties that only the other knows of by now are granted as well: lists may come later here.
-                let yes = self.votes.ask(now, duty, slot, current, from);
-                acts.push(Act::Answer(from, Message::Grant { duty, slot, yes }));
+            Message::Heartbeat => {}
+            Message::VoteRequest(lease) => {
+                let current = slot_at(now, lease.endpoint, self.times.period_ms);
+                // Unknown endpoints get votes too: this instance's list may be older than the candidate's.
+                let granted = self.voter.decide(now, current, lease, from);
+                let vote = Message::Vote { endpoint: lease.endpoint, slot: lease.slot, granted };
+                actions.push(Action::Reply(from, vote));
             }
-            Message::Grant { duty, slot, yes } => {
-                if let Some(claim) = self.claims.get_mut(&duty).filter(|c| c.slot == slot) {
-                    if yes {
-                        claim.yes.insert(from);
-                    } else {
-                        claim.no.insert(from);
-                    }
-                    self.pursue(now, duty, &mut acts);
+            Message::Vote { endpoint, slot, granted } => {
+                let pending = self.pending.get_mut(&endpoint).filter(|pending| pending.lease.slot == slot);
+                if let Some(pending) = pending {
+                    let votes = if granted { &mut pending.granted_by } else { &mut pending.denied_by };
+                    votes.insert(from);
+                    self.advance_request(now, endpoint, &mut actions);
                 }
             }
-            Message::Result { duty, slot, .. } => {
-                self.figures.heard += 1;
-                let settled = self.settled.entry(duty).or_insert(slot);
-                *settled = slot.max(*settled);
-                if !self.duties.contains(&duty) {
-                    self.settled.remove(&duty);
+            Message::Result(result) => {
+                self.metrics.results_received += 1;
+                if self.endpoints.contains(&result.endpoint) {
+                    let settled = self.settled.entry(result.endpoint).or_insert(result.slot);
+                    *settled = result.slot.max(*settled);
                 }
             }
         }
-        acts
+        actions
     }
 
-    /// When [`Self::tick`] has something to do next.
-    pub fn next_due(&self, now: f64) -> f64 {
-        let claims = self.claims.values().map(|c| c.again_ms.min(c.since_ms + self.times.claim_ms));
-        let slots = self.duties.iter().map(|duty| {
-            let slot = slot_at(now, *duty, self.times.period_ms);
-            let open = self.settled.get(duty).is_none_or(|s| *s < slot);
-            let held = self.votes.holder(*duty, slot).is_some_and(|who| who != self.me);
-            let next = due_ms(*duty, slot + 1, self.times.period_ms);
-            if !open || held {
-                return next;
-            }
-            let here = self.claims_at(now, *duty, slot).0;
-            if here > now {
-                here.min(next)
-            } else {
-                next
-            }
-        });
-        claims.chain(slots).fold(self.beat_ms, f64::min)
+    /// When [`Self::tick`] has actions next.
+    pub fn next_due_ms(&self, now: f64) -> f64 {
+        let requests = self
+            .pending
+            .values()
+            .map(|pending| pending.retry_ms.min(pending.requested_ms + self.times.request_timeout_ms));
+        let leases = self.endpoints.iter().map(|endpoint| self.next_lease_due_ms(now, *endpoint));
+        requests.chain(leases).fold(self.heartbeat_due_ms, f64::min)
+    }
+
+    /// When this instance may request a lease of an endpoint next.
+    fn next_lease_due_ms(&self, now: f64, endpoint: EndpointId) -> f64 {
+        let current = self.current_lease(now, endpoint);
+        let next_ms = Lease { slot: current.slot + 1, ..current }.due_ms(self.times.period_ms);
+        if self.is_settled(current) || self.voted_for_another(current) {
+            return next_ms;
+        }
+        let request_ms = self.request_due_ms(current, self.own_rank(now, endpoint));
+        if request_ms > now {
+            request_ms.min(next_ms)
+        } else {
+            next_ms
+        }
     }
 }
 
--- a/src/health_check/scheduler/tests.rs
+++ b/src/health_check/scheduler/tests.rs
@@ -1,65 +1,69 @@
 use super::*;
+use crate::health_check::message::CheckResult;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-const TIMES: Times = Times {
+const TIMES: SchedulerTimes = SchedulerTimes {
     period_ms: 2_000.0,
-    step_ms: 200.0,
-    again_ms: 40.0,
-    claim_ms: 400.0,
-    beat_ms: 300.0,
-    dead_ms: 1_200.0,
+    rank_delay_ms: 200.0,
+    retry_interval_ms: 40.0,
+    request_timeout_ms: 400.0,
+    heartbeat_interval_ms: 300.0,
+    failure_timeout_ms: 1_200.0,
 };
 
-/// Instances in one thread, with a network that loses and delays.
-struct Net {
-    plans: BTreeMap<InstanceId, Plan>,
-    wires: Vec<(f64, InstanceId, InstanceId, Message)>,
+/// Instances in one thread, with a network that loses and delays messages.
+struct Network {
+    schedulers: BTreeMap<InstanceId, Scheduler>,
+    in_flight: Vec<(f64, InstanceId, InstanceId, Message)>,
     rng: SmallRng,
     loss: f64,
-    /// Instances whose words reach nobody on the other side.
-    apart: BTreeSet<InstanceId>,
-    ran: Vec<(f64, InstanceId, DutyId, Slot)>,
+    /// Instances on the minority side of a partition.
+    isolated: BTreeSet<InstanceId>,
+    /// When and by which instance each check was run.
+    checks: Vec<(f64, InstanceId, Lease)>,
     skew: BTreeMap<InstanceId, f64>,
 }
 
-impl Net {
-    fn new(instances: u16, duties: u32, seed: u64) -> Self {
+impl Network {
+    fn new(instances: u16, endpoints: u32, seed: u64) -> Self {
         let all: Vec<InstanceId> = (1..=instances).collect();
-        let mut plans = BTreeMap::new();
+        let mut schedulers = BTreeMap::new();
         for me in &all {
-            let mut plan = Plan::new(0.0, *me, all.iter().copied(), TIMES);
-            plan.list(0.0, 0..duties);
-            plans.insert(*me, plan);
+            let mut scheduler = Scheduler::new(0.0, *me, all.iter().copied(), TIMES);
+            scheduler.set_endpoints(0.0, 0..endpoints);
+            schedulers.insert(*me, scheduler);
         }
-        let (rng, wires, apart, ran, skew) =
+        let (rng, in_flight, isolated, checks, skew) =
             (SmallRng::seed_from_u64(seed), vec![], BTreeSet::new(), vec![], BTreeMap::new());
-        Self { plans, wires, rng, loss: 0.0, apart, ran, skew }
+        Self { schedulers, in_flight, rng, loss: 0.0, isolated, checks, skew }
     }
 
-    fn send(&mut self, now: f64, from: InstanceId, acts: Vec<Act>) {
+    fn send(&mut self, now: f64, from: InstanceId, actions: Vec<Action>) {
         let mut out = Vec::new();
-        for act in acts {
-            match act {
-                Act::Tell(message) => {
+        for action in actions {
+            match action {
+                Action::Broadcast(message) => {
                     let others: Vec<InstanceId> =
-                        self.plans.keys().copied().filter(|id| *id != from).collect();
+                        self.schedulers.keys().copied().filter(|id| *id != from).collect();
                     out.extend(others.into_iter().map(|to| (to, message.clone())));
                 }
-                Act::Answer(to, message) => out.push((to, message)),
-                Act::Run(duty, slot) => {
-                    self.ran.push((now, from, duty, slot));
-                    let message = Message::Result { duty, slot, ok: true, took_ms: 1.0 };
+                Action::Reply(to, message) => out.push((to, message)),
+                Action::RunCheck(lease) => {
+                    self.checks.push((now, from, lease));
+                    let Lease { endpoint, slot } = lease;
+                    let result = CheckResult { endpoint, slot, passed: true, duration_ms: 1.0 };
+                    let message = Message::Result(result);
                     let others: Vec<InstanceId> =
-                        self.plans.keys().copied().filter(|id| *id != from).collect();
+                        self.schedulers.keys().copied().filter(|id| *id != from).collect();
                     out.extend(others.into_iter().map(|to| (to, message.clone())));
                 }
             }
         }
         for (to, message) in out {
-            let cut = self.apart.contains(&from) != self.apart.contains(&to);
+            let cut = self.isolated.contains(&from) != self.isolated.contains(&to);
             if !cut && self.rng.random_range(0.0..1.0) >= self.loss {
-                self.wires.push((now + self.rng.random_range(0.5..20.0), from, to, message));
+                self.in_flight.push((now + self.rng.random_range(0.5..20.0), from, to, message));
             }
         }
     }
@@ -68,140 +72,148 @@
         let mut now = from;
         while now < to {
             now += 10.0;
-            for id in self.plans.keys().copied().collect::<Vec<_>>() {
+            for id in self.schedulers.keys().copied().collect::<Vec<_>>() {
                 let own = now + self.skew.get(&id).copied().unwrap_or(0.0);
-                let acts = self.plans.get_mut(&id).unwrap().tick(own);
-                self.send(now, id, acts);
+                let actions = self.schedulers.get_mut(&id).unwrap().tick(own);
+                self.send(now, id, actions);
             }
             let (due, later): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut self.wires).into_iter().partition(|w| w.0 <= now);
-            self.wires = later;
+                std::mem::take(&mut self.in_flight).into_iter().partition(|w| w.0 <= now);
+            self.in_flight = later;
             for (_, from, to, message) in due {
                 let own = now + self.skew.get(&to).copied().unwrap_or(0.0);
-                if let Some(plan) = self.plans.get_mut(&to) {
-                    let acts = plan.receive(own, from, &message);
-                    self.send(now, to, acts);
+                if let Some(scheduler) = self.schedulers.get_mut(&to) {
+                    let actions = scheduler.receive(own, from, &message);
+                    self.send(now, to, actions);
                 }
             }
         }
     }
 
-    /// Slots of each duty that were done between two times, and the most often that one was.
-    fn done(&self, from: f64, to: f64) -> (usize, usize) {
-        let mut counts = BTreeMap::<(DutyId, Slot), usize>::new();
-        for (_, _, duty, slot) in self.ran.iter().filter(|(at, ..)| *at >= from && *at < to) {
-            *counts.entry((*duty, *slot)).or_default() += 1;
+    /// Number of leases whose checks were run between two times, and most runs of one of them.
+    fn checks_between(&self, from: f64, to: f64) -> (usize, usize) {
+        let mut counts = BTreeMap::<Lease, usize>::new();
+        for (_, _, lease) in self.checks.iter().filter(|(at, ..)| *at >= from && *at < to) {
+            *counts.entry(*lease).or_default() += 1;
         }
         (counts.len(), counts.values().copied().max().unwrap_or(0))
     }
 }
 
 #[test]
-fn each_slot_is_done_once_and_all_do_their_part() {
-    let mut net = Net::new(3, 30, 1);
-    net.run(0.0, 24_000.0);
-    assert_eq!(net.done(8_000.0, 24_000.0), (30 * 8, 1), "30 duties, 8 periods");
+fn each_check_runs_once_and_every_instance_runs_some() {
+    let mut network = Network::new(3, 30, 1);
+    network.run(0.0, 24_000.0);
+    assert_eq!(network.checks_between(8_000.0, 24_000.0), (30 * 8, 1), "30 endpoints, 8 periods");
     for id in 1..=3 {
-        let part = net.ran.iter().filter(|(at, who, ..)| *at >= 8_000.0 && *who == id).count();
-        assert!((40..130).contains(&part), "{id} did {part} of 240");
+        let part = network.checks.iter().filter(|(at, who, ..)| *at >= 8_000.0 && *who == id).count();
+        assert!((40..130).contains(&part), "instance {id} ran {part} of 240");
     }
 }
 
 #[test]
-fn losses_and_clocks_that_differ_double_nothing() {
-    let mut net = Net::new(3, 30, 2);
-    (net.loss, net.skew) = (0.2, BTreeMap::from([(1, -150.0), (2, 250.0)]));
-    net.run(0.0, 44_000.0);
-    let (slots, most) = net.done(8_000.0, 44_000.0);
-    assert_eq!(most, 1, "a slot was done twice");
+fn no_check_runs_twice_under_loss_and_clock_skew() {
+    let mut network = Network::new(3, 30, 2);
+    (network.loss, network.skew) = (0.2, BTreeMap::from([(1, -150.0), (2, 250.0)]));
+    network.run(0.0, 44_000.0);
+    let (slots, max_runs) = network.checks_between(8_000.0, 44_000.0);
+    assert_eq!(max_runs, 1, "a check ran twice");
     assert!(slots >= 30 * 18 * 9 / 10, "{slots} of {}", 30 * 18);
 }
 
 #[test]
-fn a_dead_ones_duties_are_taken_up_in_the_next_slots() {
-    let mut net = Net::new(3, 30, 3);
-    net.run(0.0, 10_000.0);
-    net.plans.remove(&2);
-    net.run(10_000.0, 20_000.0);
-    let (slots, most) = net.done(10_500.0, 18_500.0);
-    assert_eq!((slots, most), (30 * 4, 1), "no slot was left out");
-    let late: Vec<f64> = net
-        .ran
+fn the_checks_of_a_failed_instance_go_on_in_the_next_slots() {
+    let mut network = Network::new(3, 30, 3);
+    network.run(0.0, 10_000.0);
+    network.schedulers.remove(&2);
+    network.run(10_000.0, 20_000.0);
+    let (slots, max_runs) = network.checks_between(10_500.0, 18_500.0);
+    assert_eq!((slots, max_runs), (30 * 4, 1), "no slot was skipped");
+    let late: Vec<f64> = network
+        .checks
         .iter()
         .filter(|(at, ..)| *at > 10_000.0)
-        .map(|(at, _, duty, slot)| at - due_ms(*duty, *slot, TIMES.period_ms))
+        .map(|(at, _, lease)| at - lease.due_ms(TIMES.period_ms))
         .collect();
-    assert!(late.iter().all(|ms| *ms < 500.0), "at most two steps and a round late");
-    assert!(net.plans[&1].figures.stood_in + net.plans[&3].figures.stood_in > 0);
+    assert!(late.iter().all(|ms| *ms < 500.0), "at most two rank delays and a round trip late");
+    assert!(network.schedulers[&1].metrics.failovers + network.schedulers[&3].metrics.failovers > 0);
 }
 
 #[test]
-fn the_lesser_part_of_a_split_does_nothing_and_a_restart_doubles_nothing() {
-    let mut net = Net::new(3, 30, 4);
-    net.run(0.0, 10_000.0);
-    net.apart.insert(3);
-    net.run(10_000.0, 20_000.0);
-    assert_eq!(net.done(10_500.0, 19_500.0).1, 1);
-    assert!(!net.ran.iter().any(|(at, who, ..)| *at > 10_500.0 && *who == 3), "the lesser part did a duty");
-    assert!(net.plans[&3].figures.unanswered > 0);
-    net.apart.clear();
-    // One that starts anew, again and again, forgets what it granted.
+fn the_minority_of_a_partition_runs_no_check_and_after_a_restart_none_runs_twice() {
+    let mut network = Network::new(3, 30, 4);
+    network.run(0.0, 10_000.0);
+    network.isolated.insert(3);
+    network.run(10_000.0, 20_000.0);
+    assert_eq!(network.checks_between(10_500.0, 19_500.0).1, 1);
+    assert!(
+        !network.checks.iter().any(|(at, who, ..)| *at > 10_500.0 && *who == 3),
+        "the minority ran a check"
+    );
+    assert!(network.schedulers[&3].metrics.timed_out > 0);
+    network.isolated.clear();
+    // An instance that restarts over and over does not know its earlier votes.
     for k in 0..20 {
         let now = 20_000.0 + f64::from(k) * 900.0;
-        let mut plan = Plan::new(now, 1, [1, 2, 3], TIMES);
-        plan.list(now, 0..30);
-        net.plans.insert(1, plan);
-        net.run(now, now + 900.0);
+        let mut scheduler = Scheduler::new(now, 1, [1, 2, 3], TIMES);
+        scheduler.set_endpoints(now, 0..30);
+        network.schedulers.insert(1, scheduler);
+        network.run(now, now + 900.0);
     }
-    net.run(38_000.0, 50_000.0);
-    assert_eq!(net.done(0.0, 50_000.0).1, 1, "a slot was done twice");
-    assert_eq!(net.done(44_000.0, 50_000.0).0, 30 * 3, "all is well again");
+    network.run(38_000.0, 50_000.0);
+    assert_eq!(network.checks_between(0.0, 50_000.0).1, 1, "a check ran twice");
+    assert_eq!(network.checks_between(44_000.0, 50_000.0).0, 30 * 3, "all checks run again");
 }
 
 #[test]
-fn strangers_and_what_comes_late_change_nothing() {
-    let mut plan = Plan::new(0.0, 1, [1, 2, 3], TIMES);
-    plan.list(0.0, [7]);
-    assert!(plan.receive(9_000.0, 9, &Message::Claim { duty: 7, slot: 4 }).is_empty(), "a stranger");
-    let far = plan.receive(9_000.0, 2, &Message::Claim { duty: 7, slot: 900 });
-    assert_eq!(far, [Act::Answer(2, Message::Grant { duty: 7, slot: 900, yes: false })]);
+fn messages_of_strangers_and_late_votes_are_ignored() {
+    let mut scheduler = Scheduler::new(0.0, 1, [1, 2, 3], TIMES);
+    scheduler.set_endpoints(0.0, [7]);
+    assert!(
+        scheduler.receive(9_000.0, 9, &Message::VoteRequest(Lease { endpoint: 7, slot: 4 })).is_empty(),
+        "a stranger"
+    );
+    let far = scheduler.receive(9_000.0, 2, &Message::VoteRequest(Lease { endpoint: 7, slot: 900 }));
+    assert_eq!(far, [Action::Reply(2, Message::Vote { endpoint: 7, slot: 900, granted: false })]);
     assert!(
-        plan.receive(9_000.0, 2, &Message::Grant { duty: 7, slot: 3, yes: true }).is_empty(),
-        "of no claim"
+        scheduler.receive(9_000.0, 2, &Message::Vote { endpoint: 7, slot: 3, granted: true }).is_empty(),
+        "a vote without a request"
     );
-    let mut alone = Plan::new(0.0, 1, [], TIMES);
-    alone.list(0.0, [7]);
-    let mut ran = 0;
+    let mut alone = Scheduler::new(0.0, 1, [], TIMES);
+    alone.set_endpoints(0.0, [7]);
+    let mut checks = 0;
     for k in 0..1_000 {
-        ran += alone.tick(f64::from(k) * 10.0).iter().filter(|a| matches!(a, Act::Run(..))).count();
+        checks += alone.tick(f64::from(k) * 10.0).iter().filter(|a| matches!(a, Action::RunCheck(_))).count();
     }
-    let due = (1..).take_while(|slot| due_ms(7, *slot, TIMES.period_ms) < 9_990.0).count();
-    assert_eq!(ran, due, "one alone does all, once each period, from the next slot on");
+    let due =
+        (1..).take_while(|slot| Lease { endpoint: 7, slot: *slot }.due_ms(TIMES.period_ms) < 9_990.0).count();
+    assert_eq!(checks, due, "a single instance runs every check from the next slot on");
 }
 
-/// A thousand instances: those far down the order claim within the period, and a majority of grants runs the duty once.
+/// Of a thousand instances those of high ranks request leases within the period, and a majority of votes runs the check once.
 #[test]
-fn a_thousand_instances_claim_within_a_period() {
-    let times = Times { step_ms: 50.0, ..TIMES };
+fn a_thousand_instances_request_leases_within_a_period() {
+    let times = SchedulerTimes { rank_delay_ms: 50.0, ..TIMES };
     let all = 1..=1_024;
     for me in [1, 512, 1_024] {
-        let mut plan = Plan::new(0.0, me, all.clone(), times);
-        plan.list(0.0, 0..3);
-        let mut claimed = 0;
+        let mut scheduler = Scheduler::new(0.0, me, all.clone(), times);
+        scheduler.set_endpoints(0.0, 0..3);
+        let mut requested = 0;
         for step in 0..80 {
             let now = 4_000.0 + f64::from(step) * 50.0;
-            // Everybody else is alive and says nothing of these duties.
-            all.clone().for_each(|id| drop(plan.receive(now, id, &Message::Beat)));
-            for act in plan.tick(now) {
-                let Act::Tell(Message::Claim { duty, slot }) = act else { continue };
-                let late = now - due_ms(duty, slot, times.period_ms);
-                assert!(late <= LAST_PLACE as f64 * times.step_ms + 50.0, "{late} ms late");
-                claimed += 1;
-                let grant = Message::Grant { duty, slot, yes: true };
-                let granted: Vec<Act> = all.clone().flat_map(|id| plan.receive(now, id, &grant)).collect();
-                assert_eq!(granted, [Act::Run(duty, slot)], "once, with the grants of a majority");
+            // All other instances are alive and request no lease.
+            all.clone().for_each(|id| drop(scheduler.receive(now, id, &Message::Heartbeat)));
+            for action in scheduler.tick(now) {
+                let Action::Broadcast(Message::VoteRequest(lease)) = action else { continue };
+                let late = now - lease.due_ms(times.period_ms);
+                assert!(late <= MAX_RANK as f64 * times.rank_delay_ms + 50.0, "{late} ms late");
+                requested += 1;
+                let vote = Message::Vote { endpoint: lease.endpoint, slot: lease.slot, granted: true };
+                let actions: Vec<Action> =
+                    all.clone().flat_map(|id| scheduler.receive(now, id, &vote)).collect();
+                assert_eq!(actions, [Action::RunCheck(lease)], "once, with a majority of votes");
             }
         }
-        assert!(claimed >= 3, "instance {me} claimed {claimed} slots that nobody else did");
+        assert!(requested >= 3, "instance {me} requested {requested} leases that no other instance did");
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -59,6 +59,7 @@
 pub mod admission;
 pub mod clock;
 pub mod config_file;
+pub mod datagram_auth;
 pub mod engine;
 pub mod grpc;
 pub mod health_check;
--- a/src/vrrp/driver.rs
+++ b/src/vrrp/driver.rs
@@ -1,13 +1,13 @@
 //! The router's task: its peers' datagrams, its timers, what is tracked, and the listeners of the virtual addresses.
 //! What is to be done is the [`Machine`]'s and the [`Service`]'s word.
 
-use super::auth::Seals;
 use super::config::{FrontKind, VrrpConfig};
 use super::machine::{Machine, State};
-use super::message::{Advertisement, STOPS};
+use super::message::{Advertisement, LABEL, STOPS};
 use super::service::{Command, Service};
 use super::track::{standing, Rate, Track, What};
 use crate::clock::duration_from_ms;
+use crate::datagram_auth::{AuthError, DatagramAuth};
 use crate::engine::executor::Executor;
 use crate::wire::http::{HttpAnswer, HttpRequest};
 use crate::wire::listener::Stop;
@@ -76,7 +76,7 @@
     machine: RefCell<Machine>,
     service: RefCell<Service>,
     tracks: RefCell<Vec<Track>>,
-    seals: RefCell<Option<Seals>>,
+    seals: RefCell<Option<DatagramAuth>>,
     peers: RefCell<BTreeMap<SocketAddr, Peer>>,
     opened: RefCell<BTreeMap<usize, Opened>>,
     /// Listeners that were closed and whose clients still have answers to come.
@@ -98,7 +98,7 @@
         let seals = config
             .keys()
             .map_err(|error| error.to_string())?
-            .map(|keys| Seals::new(keys, config.clock_skew_ms));
+            .map(|keys| DatagramAuth::new(keys, config.clock_skew_ms, LABEL));
         let service = Service::new(config.serve.len(), config.open_patience_ms, config.aside_ms);
         Ok(Rc::new(Self {
             machine: RefCell::new(Machine::new(config.router())),
@@ -134,8 +134,8 @@
     pub fn reconfigure(&self, fresh: VrrpConfig) -> Result<(), String> {
         let keys = fresh.keys().map_err(|error| error.to_string())?;
         match (&mut *self.seals.borrow_mut(), keys) {
-            (Some(seals), Some(keys)) => seals.rekey(keys),
-            (seals, keys) => *seals = keys.map(|keys| Seals::new(keys, fresh.clock_skew_ms)),
+            (Some(seals), Some(keys)) => seals.set_keys(keys),
+            (seals, keys) => *seals = keys.map(|keys| DatagramAuth::new(keys, fresh.clock_skew_ms, LABEL)),
         }
         let mut tracks = self.tracks.borrow_mut();
         let fresh_tracks = fresh.track.iter().cloned().map(|spec| {
@@ -240,11 +240,10 @@
         }
         let message = match &mut *self.seals.borrow_mut() {
             None => datagram,
-            Some(seals) => match seals.open(now, from, datagram) {
+            Some(seals) => match seals.verify(now, from, datagram) {
                 Ok(message) => message,
                 Err(reason) => {
-                    use super::auth::BadSeal::{Replayed, Skewed};
-                    let old = matches!(reason, Replayed | Skewed);
+                    let old = matches!(reason, AuthError::Replayed | AuthError::ClockSkew);
                     self.count(|f| if old { f.replayed += 1 } else { f.unsealed += 1 });
                     self.complain(from, &reason);
                     return None;
@@ -482,7 +481,7 @@
         // Each datagram has a number of its own.
         let text = ad.encode();
         let text = match &mut *router.seals.borrow_mut() {
-            Some(seals) => seals.seal(router.host.clock.now(), text),
+            Some(seals) => seals.sign(router.host.clock.now(), text),
             None => text,
         };
         // A peer that is down is found out by its silence.
--- a/src/vrrp/message.rs
+++ b/src/vrrp/message.rs
@@ -8,6 +8,9 @@
 pub const OWNER: u8 = 255;
 /// The priority that says that its sender stops.
 pub const STOPS: u8 = 0;
+/// Label of the signatures of authenticated advertisements, which separates them from other protocols under the same
+/// keys.
+pub const LABEL: &[u8] = b"calicobeam vrrp 1";
 const HEAD: usize = 8;
 
 /// What is wrong with a message.
--- a/src/vrrp/mod.rs
+++ b/src/vrrp/mod.rs
@@ -4,7 +4,6 @@
 //! | part | what it does | I/O |
 //! | --- | --- | --- |
 //! | [`message`] | the advertisement's bytes | none |
-//! | [`auth`] | sealed advertisements: HMAC, replay, keys that rotate | none |
 //! | [`machine`] | the state machine, with moving priority, fault, delay and hold | none |
 //! | [`track`] | what is tracked, and the priority that follows | none |
 //! | [`service`] | which listeners are to be open, and when to try again or stand aside | none |
@@ -13,7 +12,6 @@
 //!
 //! The design note is `docs/design-vrrp.md`; operators read `docs/vrrp.md`.
 
-pub mod auth;
 pub mod config;
 pub mod driver;
 pub mod machine;
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -1,5 +1,5 @@
-//! Shared duties in the program itself: three proxy processes that divide the probing of stand-in servers, of which
-//! one is killed, others are stopped, and servers fail.
+//! Shared health checks in the program itself: three proxy processes that share the checks of stand-in endpoints, of
+//! which one is killed, others are stopped, and endpoints fail.
 
 mod stand_ins;
 
@@ -7,7 +7,7 @@
 use edge_proxy::health_check::config::HealthCheckConfig;
 use edge_proxy::health_check::lease::slot_at;
 use simd_json::prelude::*;
-use stand_ins::probed::Probed;
+use stand_ins::checked_endpoint::CheckedEndpoint;
 use stand_ins::slow_box::{unix_ms, SlowFleet};
 use stand_ins::{folder, run, Killed};
 use std::collections::BTreeSet;
@@ -17,8 +17,8 @@
 use tokio::net::UdpSocket;
 
 const PERIOD_MS: f64 = 500.0;
-/// The endpoints of the example's list that are probed, by id.
-const MEMBERS: [u32; 3] = [0xc1, 0xc2, 0xa0];
+/// Ids of the checked endpoints of the example's list.
+const ENDPOINTS: [u32; 3] = [0xc1, 0xc2, 0xa0];
 
 struct Instance {
     process: Killed,
@@ -47,17 +47,17 @@
     }
 }
 
-/// Three instances before a fleet, and the servers that they probe.
-async fn three(net: u8, name: &str) -> (Vec<Instance>, Vec<Probed>, [SocketAddr; 3]) {
+/// Starts three instances before a fleet, with the endpoints that they check and the addresses of the instances.
+async fn start_three(net: u8, name: &str) -> (Vec<Instance>, Vec<CheckedEndpoint>, [SocketAddr; 3]) {
     let fleet = SlowFleet::start(net, 4, 64, 2).await;
-    // The servers answer probes on one port, beside the fleet's own.
+    // The endpoints answer checks on one port, besides those of the fleet.
     let port = std::net::TcpListener::bind(format!("127.0.{net}.1:0")).unwrap().local_addr().unwrap().port();
-    let mut servers = Vec::new();
+    let mut endpoints = Vec::new();
     for k in 1..=3 {
-        servers.push(Probed::start(&format!("127.0.{net}.{k}:{port}")).await);
+        endpoints.push(CheckedEndpoint::start(&format!("127.0.{net}.{k}:{port}")).await);
     }
     let udp = || std::net::UdpSocket::bind(format!("127.0.{net}.10:0")).unwrap().local_addr().unwrap();
-    let places = [udp(), udp(), udp()];
+    let instance_addresses = [udp(), udp(), udp()];
     let key = base64::engine::general_purpose::STANDARD.encode([9; 32]);
     let instances = (0..3).map(|k| {
         let dir = folder(&format!("{name}-{k}"));
@@ -71,22 +71,22 @@
         let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
         let text = text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses);
         std::fs::write(dir.join("config.json"), text).unwrap();
-        std::fs::write(dir.join("duties.key"), &key).unwrap();
+        std::fs::write(dir.join("health-checks.key"), &key).unwrap();
         let peers: Vec<String> = (0..3)
             .filter(|n| *n != k)
-            .map(|n| format!(r#"{{"id":{},"address":"{}"}}"#, n + 1, places[n]))
+            .map(|n| format!(r#"{{"id":{},"address":"{}"}}"#, n + 1, instance_addresses[n]))
             .collect();
         let file = format!(
-            r#"{{"id":{},"listen":"{}","peers":[{}],"key_file":"duties.key","probe":{{"http":"/health"}},
+            r#"{{"id":{},"listen":"{}","peers":[{}],"key_file":"health-checks.key","probe":{{"http":"/health"}},
                 "servers":{{"models":["std","box","parent"],"port":{port}}},"probe_ms":200,
                 "period_ms":{PERIOD_MS},"step_ms":60,"dead_ms":400}}"#,
             k + 1,
-            places[k],
+            instance_addresses[k],
             peers.join(",")
         );
-        std::fs::write(dir.join("duties.json"), file).unwrap();
+        std::fs::write(dir.join("health-checks.json"), file).unwrap();
         let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
-        let (config, own) = (dir.join("config.json"), dir.join("duties.json"));
+        let (config, own) = (dir.join("config.json"), dir.join("health-checks.json"));
         let args = ["serve", "--config", config.to_str().unwrap(), "--duties", own.to_str().unwrap()];
         let child =
             Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(Stdio::from(log)).spawn();
@@ -94,97 +94,97 @@
     });
     let instances: Vec<Instance> = instances.collect();
     let end = Instant::now() + Duration::from_secs(10);
-    while servers.iter().any(|s| s.probes.borrow().len() < 2) {
-        assert!(Instant::now() < end, "the servers are not probed");
+    while endpoints.iter().any(|s| s.checks.borrow().len() < 2) {
+        assert!(Instant::now() < end, "the endpoints are not checked");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    (instances, servers, places)
+    (instances, endpoints, instance_addresses)
 }
 
-/// No slot of a server was probed twice; returns the longest time between two probes of one.
-fn once_a_slot(servers: &[Probed], from: f64, to: f64) -> f64 {
+/// Asserts that no slot of an endpoint was checked twice. Returns the longest time between two checks of one endpoint.
+fn assert_one_check_per_slot(endpoints: &[CheckedEndpoint], from: f64, to: f64) -> f64 {
     let mut longest = 0.0f64;
-    for (k, server) in servers.iter().enumerate() {
-        let probes = server.between(from, to);
-        // The duty of a server is its endpoint's id; a probe comes within a slot of its being due.
-        let slots: BTreeSet<u64> = probes.iter().map(|at| slot_at(*at, MEMBERS[k], PERIOD_MS)).collect();
-        assert_eq!(slots.len(), probes.len(), "server {k} was probed twice in a slot: {probes:?}");
-        longest = probes.windows(2).map(|w| w[1] - w[0]).fold(longest, f64::max);
+    for (k, endpoint) in endpoints.iter().enumerate() {
+        let checks = endpoint.between(from, to);
+        // A check arrives within the slot in which it is due.
+        let slots: BTreeSet<u64> = checks.iter().map(|at| slot_at(*at, ENDPOINTS[k], PERIOD_MS)).collect();
+        assert_eq!(slots.len(), checks.len(), "endpoint {k} was checked twice in a slot: {checks:?}");
+        longest = checks.windows(2).map(|w| w[1] - w[0]).fold(longest, f64::max);
     }
     longest
 }
 
 #[test]
-fn each_server_is_probed_once_a_period_also_after_an_instance_is_killed() {
+fn each_endpoint_is_checked_once_a_period_also_after_an_instance_is_killed() {
     run(async {
-        let (mut instances, servers, _) = three(121, "duties-kill").await;
+        let (mut instances, endpoints, _) = start_three(121, "health-checks-kill").await;
         tokio::time::sleep(Duration::from_millis(500)).await;
         let from = unix_ms();
         tokio::time::sleep(Duration::from_millis(4_000)).await;
         let to = unix_ms();
-        for server in &servers {
-            let n = server.between(from, to).len();
-            assert!((7..=9).contains(&n), "{n} probes in eight periods");
+        for endpoint in &endpoints {
+            let n = endpoint.between(from, to).len();
+            assert!((7..=9).contains(&n), "{n} checks in eight periods");
         }
-        once_a_slot(&servers, from, to);
-        let mut ran = Vec::new();
+        assert_one_check_per_slot(&endpoints, from, to);
+        let mut checks_run = Vec::new();
         for instance in &instances {
-            ran.push(instance.status().await["figures"]["ran"].as_u64().unwrap());
+            checks_run.push(instance.status().await["figures"]["ran"].as_u64().unwrap());
         }
-        assert!(ran.iter().filter(|n| **n > 0).count() >= 2, "the duties are divided: {ran:?}");
-        // The one that does most is killed: its duties go on at once.
-        let most = (0..3).max_by_key(|k| ran[*k]).unwrap();
+        assert!(checks_run.iter().filter(|n| **n > 0).count() >= 2, "the checks are shared: {checks_run:?}");
+        // The instance that runs most checks is killed: its checks go on at once.
+        let most = (0..3).max_by_key(|k| checks_run[*k]).unwrap();
         let killed = unix_ms();
         instances[most].process.0.kill().unwrap();
         tokio::time::sleep(Duration::from_millis(3_000)).await;
-        let longest = once_a_slot(&servers, killed - 2_000.0, unix_ms());
-        assert!(longest < 1_500.0, "a duty was lost for {longest:.0} ms");
+        let longest = assert_one_check_per_slot(&endpoints, killed - 2_000.0, unix_ms());
+        assert!(longest < 1_500.0, "no check for {longest:.0} ms");
         let left = instances.iter().enumerate().find(|(k, _)| *k != most).unwrap().1;
         let living = left.status().await["living"].as_array().map(|a| a.len());
-        assert_eq!(living, Some(2), "its silence was noticed");
+        assert_eq!(living, Some(2), "its failure was detected");
     });
 }
 
-/// Two of three are stopped: the one that is left has no majority, and probes nothing. When they go on, with clocks
-/// and minds where they were, nothing is doubled.
+/// Two of three instances are stopped: the third has no majority and runs no check. When they continue, with the state
+/// that they had, no check runs twice.
 #[test]
-fn without_a_majority_nothing_is_probed_and_nothing_is_doubled_after() {
+fn without_a_majority_no_check_runs_and_none_runs_twice_afterwards() {
     run(async {
-        let (instances, servers, places) = three(122, "duties-split").await;
+        let (instances, endpoints, instance_addresses) = start_three(122, "health-checks-split").await;
         instances[0].signal("-STOP");
         instances[1].signal("-STOP");
         tokio::time::sleep(Duration::from_millis(400)).await;
         let from = unix_ms();
         tokio::time::sleep(Duration::from_millis(2_000)).await;
-        let alone: usize = servers.iter().map(|s| s.between(from, unix_ms()).len()).sum();
-        assert_eq!(alone, 0, "one alone probed");
+        let alone: usize = endpoints.iter().map(|s| s.between(from, unix_ms()).len()).sum();
+        assert_eq!(alone, 0, "a single instance ran a check");
         assert!(instances[2].status().await["figures"]["unanswered"].as_u64() > Some(0));
         instances[0].signal("-CONT");
         instances[1].signal("-CONT");
         let from = unix_ms();
         tokio::time::sleep(Duration::from_millis(2_500)).await;
-        for server in &servers {
-            assert!(server.between(from + 500.0, unix_ms()).len() >= 3, "probing goes on");
+        for endpoint in &endpoints {
+            assert!(endpoint.between(from + 500.0, unix_ms()).len() >= 3, "checks go on");
         }
-        once_a_slot(&servers, from, unix_ms());
-        // Datagrams of strangers, without a seal, or unreadable, are counted and change nothing.
+        assert_one_check_per_slot(&endpoints, from, unix_ms());
+        // Datagrams of strangers, unauthenticated or malformed, are counted and change nothing.
         let stranger = UdpSocket::bind("127.0.122.30:0").await.unwrap();
         let before = instances[2].status().await["ignored"].as_u64().unwrap();
         for text in [&b"{\"claim\":{\"duty\":193,\"slot\":1}}"[..], b"", b"{", &[0xff; 500]] {
-            stranger.send_to(text, places[2]).await.unwrap();
+            stranger.send_to(text, instance_addresses[2]).await.unwrap();
         }
         let end = Instant::now() + Duration::from_secs(2);
         while instances[2].status().await["ignored"].as_u64().unwrap() < before + 4 {
-            assert!(Instant::now() < end, "a stranger's words are not counted");
+            assert!(Instant::now() < end, "a stranger's datagram is not counted");
         }
     });
 }
 
-/// A server that fails its probes is left by every instance's module, whoever probed it, and taken back.
+/// An endpoint that fails its checks is ejected by every instance, whichever ran the check, and used again later.
 #[test]
-fn what_one_finds_out_all_know() {
+fn every_instance_applies_the_result_of_a_check() {
     run(async {
-        let (instances, servers, _) = three(123, "duties-board").await;
+        let (instances, endpoints, _) = start_three(123, "health-checks-board").await;
         let ejected = |n: u64| {
             let instances = &instances;
             async move {
@@ -192,29 +192,29 @@
                 for instance in instances {
                     let line = format!("app_pool_ejected {n}\n");
                     while !instance.call("/stats").await.is_some_and(|text| text.contains(&line)) {
-                        assert!(Instant::now() < end, "not every instance says {line:?}");
+                        assert!(Instant::now() < end, "not every instance reports {line:?}");
                         tokio::time::sleep(Duration::from_millis(20)).await;
                     }
                 }
             }
         };
         ejected(0).await;
-        servers[0].status.set(500);
+        endpoints[0].status.set(500);
         ejected(1).await;
-        servers[1].status.set(0);
+        endpoints[1].status.set(0);
         ejected(2).await;
-        let down = instances[0].status().await["servers"]["s-000000c1"]["up"].as_bool();
-        assert_eq!(down, Some(false));
-        servers[0].status.set(200);
-        servers[1].status.set(204);
+        let up = instances[0].status().await["servers"]["s-000000c1"]["up"].as_bool();
+        assert_eq!(up, Some(false));
+        endpoints[0].status.set(200);
+        endpoints[1].status.set(204);
         ejected(0).await;
     });
 }
 
 #[test]
-fn files_that_cannot_work_are_refused_with_the_field() {
-    let dir = folder("duties-files");
-    let check = |text: &str| {
+fn invalid_files_are_rejected_with_the_field() {
+    let dir = folder("health-checks-files");
+    let read = |text: &str| {
         std::fs::write(dir.join("d.json"), text).unwrap();
         HealthCheckConfig::read(&dir.join("d.json")).map(|_| ()).map_err(|e| e.to_string())
     };
@@ -223,7 +223,7 @@
             r#"{{"id":1,"listen":"127.0.0.1:1","servers":{{"models":["box"]}},"probe":"connect","peers":[{{"id":2,"address":"127.0.0.1:2"}}]{more}}}"#
         )
     };
-    assert_eq!(check(&file("")), Ok(()));
+    assert_eq!(read(&file("")), Ok(()));
     for (text, word) in [
         (file(r#","period_ms":1"#), "period_ms"),
         (file(r#","probe_ms":9000"#), "probe_ms"),
@@ -236,7 +236,7 @@
         (file("").replace("[\"box\"]", "[]"), "servers"),
         (file(r#","shares":1"#), "shares"),
     ] {
-        let reason = check(&text).expect_err(&text);
+        let reason = read(&text).expect_err(&text);
         assert!(reason.contains(word), "{reason} does not name {word}");
     }
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -32,7 +32,7 @@
     );
     std::fs::write(folder.join("duties.json"), text).unwrap();
     let duties = HealthCheckConfig::read(&folder.join("duties.json")).unwrap();
-    assert_eq!(duties.others().len(), LARGE as usize);
+    assert_eq!(duties.peer_addresses().count(), LARGE as usize);
     let peers: Vec<String> = (0..LARGE).map(|k| format!("{:?}", at(k))).collect();
     let text = format!(
         r#"{{"listen":"127.0.0.1:5100","peers":[{}],"vrid":7,"priority":100,"addresses":["127.1.0.1"]}}"#,
--- a/tests/stand_ins/probed.rs
+++ b/tests/stand_ins/checked_endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in server that is probed: it notes when each probe came, and answers as it is told.
+//! A stand-in endpoint for health checks: it records when each check arrives and answers with a given status.
 #![allow(dead_code)]
 
 use super::slow_box::unix_ms;
@@ -8,23 +8,23 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// The server.
-pub struct Probed {
-    /// When each probe came, Unix milliseconds.
-    pub probes: Rc<RefCell<Vec<f64>>>,
-    /// The status it answers with; 0 is none at all.
+/// The endpoint.
+pub struct CheckedEndpoint {
+    /// When each check arrived, in Unix milliseconds.
+    pub checks: Rc<RefCell<Vec<f64>>>,
+    /// Status of its answers; 0 for no answer.
     pub status: Rc<Cell<u16>>,
 }
 
-impl Probed {
-    /// At `ip:port`.
+impl CheckedEndpoint {
+    /// Listens at `ip:port`.
     pub async fn start(at: &str) -> Self {
         let listener = TcpListener::bind(at).await.unwrap();
-        let (probes, status): (Rc<RefCell<Vec<f64>>>, _) = (Rc::default(), Rc::new(Cell::new(200u16)));
-        let (noted, answer) = (probes.clone(), status.clone());
+        let (checks, status): (Rc<RefCell<Vec<f64>>>, _) = (Rc::default(), Rc::new(Cell::new(200u16)));
+        let (recorded, answer) = (checks.clone(), status.clone());
         spawn_local(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
-                noted.borrow_mut().push(unix_ms());
+                recorded.borrow_mut().push(unix_ms());
                 let answer = answer.get();
                 spawn_local(async move {
                     let mut bytes = [0u8; 512];
@@ -37,11 +37,11 @@
                 });
             }
         });
-        Self { probes, status }
+        Self { checks, status }
     }
 
-    /// Probes between two times.
+    /// Checks between two times.
     pub fn between(&self, from: f64, to: f64) -> Vec<f64> {
-        self.probes.borrow().iter().copied().filter(|at| *at >= from && *at < to).collect()
+        self.checks.borrow().iter().copied().filter(|at| *at >= from && *at < to).collect()
     }
 }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -23,9 +23,9 @@
 use tokio::sync::{watch, Notify};
 use tokio::task::spawn_local;
 
+pub mod checked_endpoint;
 pub mod device;
 pub mod grpc;
-pub mod probed;
 pub mod purge_box;
 pub mod registry;
 pub mod running;
--- a/tests/vrrp_service.rs
+++ b/tests/vrrp_service.rs
@@ -5,10 +5,10 @@
 mod stand_ins;
 
 use base64::Engine as _;
+use edge_proxy::datagram_auth::DatagramAuth;
 use edge_proxy::message_auth::MessageKeys;
-use edge_proxy::vrrp::auth::Seals;
 use edge_proxy::vrrp::machine::{Machine, Settings, State};
-use edge_proxy::vrrp::message::Advertisement;
+use edge_proxy::vrrp::message::{Advertisement, LABEL};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use simd_json::prelude::*;
@@ -346,21 +346,21 @@
             Advertisement { vrid, priority: 250, interval_cs: 10, addresses: vec![address] }.encode()
         };
         let better = ad(7, virtual_address);
-        let mut right = Seals::new(MessageKeys::parse(&key(1)).unwrap(), 5_000.0);
-        let mut old = Seals::new(MessageKeys::parse(&key(1)).unwrap(), 5_000.0);
-        let mut wrong = Seals::new(MessageKeys::parse(&key(2)).unwrap(), 5_000.0);
+        let mut right = DatagramAuth::new(MessageKeys::parse(&key(1)).unwrap(), 5_000.0, LABEL);
+        let mut old = DatagramAuth::new(MessageKeys::parse(&key(1)).unwrap(), 5_000.0, LABEL);
+        let mut wrong = DatagramAuth::new(MessageKeys::parse(&key(2)).unwrap(), 5_000.0, LABEL);
         let now = unix_ms;
         let mut broken = better.clone();
         broken[6] ^= 1;
         let bad: Vec<(&str, Vec<u8>)> = vec![
             ("unsealed", better.clone()),
             ("unsealed", b"x".to_vec()),
-            ("unsealed", wrong.seal(now(), better.clone())),
-            ("malformed", right.seal(now(), broken)),
-            ("malformed", right.seal(now(), vec![0x21, 7, 250, 0])),
-            ("mismatched", right.seal(now(), ad(8, virtual_address))),
-            ("mismatched", right.seal(now(), ad(7, Ipv4Addr::new(127, 9, 9, 9)))),
-            ("replayed", old.seal(now() - 60_000.0, better.clone())),
+            ("unsealed", wrong.sign(now(), better.clone())),
+            ("malformed", right.sign(now(), broken)),
+            ("malformed", right.sign(now(), vec![0x21, 7, 250, 0])),
+            ("mismatched", right.sign(now(), ad(8, virtual_address))),
+            ("mismatched", right.sign(now(), ad(7, Ipv4Addr::new(127, 9, 9, 9)))),
+            ("replayed", old.sign(now() - 60_000.0, better.clone())),
         ];
         for (what, datagram) in &bad {
             let before = proxy.figure(what).await;
@@ -370,7 +370,7 @@
                 assert!(Instant::now() < end, "{what} is not counted");
             }
         }
-        let sealed = right.seal(now(), better.clone());
+        let sealed = right.sign(now(), better.clone());
         stranger.send_to(&sealed, router).await.unwrap();
         let end = Instant::now() + Duration::from_secs(2);
         while proxy.figure("strangers").await == 0 {
@@ -379,7 +379,7 @@
         assert_eq!(proxy.status().await["state"].as_str(), Some("active"), "none of them was heeded");
         assert_eq!(proxy.figure("gave_up").await, 0);
         // The same words, sealed and new, are heeded; said again they are not.
-        let sealed = right.seal(now(), better);
+        let sealed = right.sign(now(), better);
         peer.send_to(&sealed, router).await.unwrap();
         proxy.until("backup", true).await;
         proxy.until("active", true).await;
