--- a/benches/purge_lookup.rs
+++ b/benches/purge_lookup.rs
@@ -1,8 +1,9 @@
-//! What the purge check costs a request, against the number of purges that bind: nanoseconds per lookup and the
-//! ledger's bytes, for 100 to 100,000 purges of every kind. Run with `cargo bench --bench purge_lookup`.
+//! The cost of a purge lookup by the number of active purges: nanoseconds per lookup and heap bytes, for 100 to 100,000
+//! purges of every kind. Run with `cargo bench --bench purge_lookup`.
 
-use edge_proxy::purge::active_purges::{Ledger, LedgerBounds, Purge};
-use edge_proxy::purge::selector::{copy_name, Copy, Selector, Tag};
+use edge_proxy::purge::active_purges::{ActivePurges, Purge, RetentionLimits};
+use edge_proxy::purge::selector::{copy_name, CachedCopy, Selector};
+use edge_proxy::surrogate_key::SurrogateKey;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::hint::black_box;
@@ -30,29 +31,31 @@
     println!("| ---: | ---: | ---: | ---: | ---: |");
     for purges in [100usize, 1_000, 10_000, 100_000] {
         let mut rng = SmallRng::seed_from_u64(7);
-        let mut ledger = Ledger::new(LedgerBounds { most: 1_000_000, hold_ms: 6_000.0 });
+        let mut active =
+            ActivePurges::new(RetentionLimits { max_active: 1_000_000, min_retention_ms: 6_000.0 });
         for seq in 1..=purges as u64 {
-            ledger.apply(&Purge { seq, issued_ms: seq as f64, sel: selector(&mut rng) });
+            active.apply(&Purge { seq, issued_ms: seq as f64, selector: selector(&mut rng) });
         }
-        let copies: Vec<(String, u64, u32, Vec<Tag>)> = (0..4_096)
+        let copies: Vec<(String, u64, u32, Vec<SurrogateKey>)> = (0..4_096)
             .map(|_| {
                 let object = rng.random::<u64>();
                 let class = CLASSES[rng.random_range(0..3usize)];
-                let tag =
-                    |rng: &mut SmallRng| Tag::new(&format!("seller-{}", rng.random_range(0..1_000_000u32)));
-                let tags = vec![tag(&mut rng).unwrap(), tag(&mut rng).unwrap()];
-                (copy_name(class, object, rng.random_range(0..20)), object, rng.random_range(0..256), tags)
+                let key = |rng: &mut SmallRng| {
+                    SurrogateKey::new(&format!("seller-{}", rng.random_range(0..1_000_000u32)))
+                };
+                let keys = vec![key(&mut rng).unwrap(), key(&mut rng).unwrap()];
+                (copy_name(class, object, rng.random_range(0..20)), object, rng.random_range(0..256), keys)
             })
             .collect();
         let mut covered = 0usize;
         let start = Instant::now();
         for k in 0..LOOKUPS {
-            let (name, object, group, tags) = &copies[k % copies.len()];
-            let copy = Copy { name, object: *object, group: *group, tags };
-            covered += usize::from(black_box(ledger.newest(black_box(&copy))).is_some());
+            let (name, object, group, surrogate_keys) = &copies[k % copies.len()];
+            let copy = CachedCopy { name, object: *object, group: *group, surrogate_keys };
+            covered += usize::from(black_box(active.newest(black_box(&copy))).is_some());
         }
         let ns = start.elapsed().as_nanos() as f64 / LOOKUPS as f64;
-        let bytes = ledger.heap_bytes();
+        let bytes = active.heap_bytes();
         let share = covered as f64 / LOOKUPS as f64;
         println!("| {purges} | {ns:.0} | {bytes} | {:.0} | {share:.3} |", bytes as f64 / purges as f64);
     }
--- a/examples/purge_fleet.rs
+++ b/examples/purge_fleet.rs
@@ -1,19 +1,20 @@
-//! A measurement of fleet purges on loopback: stand-in boxes holding a thousand tagged objects, a leader and a
-//! follower proxy as processes of their own, clients reading through both, a purge issued every 400 ms, and
-//! the leader killed (SIGKILL) halfway and started again. Every answer's copy is checked against every purge:
-//! a request sent more than 500 ms after a purge's issue must not be answered from a copy older than it.
+//! A measurement of fleet purges on loopback: stand-in cache servers with a thousand tagged objects, a leader and a
+//! follower proxy as processes, clients that read through both, a purge every 400 ms, and the leader killed (SIGKILL)
+//! halfway and restarted. Every answer's copy is checked against every purge: a request sent more than 500 ms after a
+//! purge's issue must not be answered from an older copy.
 //!
 //!     cargo build --release && cargo run --release --example purge_fleet -- [SECONDS]
 //!
-//! It prints a table: answers checked, stale answers and how late they came, the purge-to-visible delay of each
-//! purge (p50, p99, max), and what the leader's restart cost.
+//! It prints a table: answers checked, stale answers and their delay, the purge-to-visible delay of each purge (p50, p99,
+//! max), and the cost of the leader's restart.
 
-#[path = "../tests/stand_ins/purge_box.rs"]
-mod purge_box;
+#[path = "../tests/stand_ins/purge_target.rs"]
+mod purge_target;
 
-use edge_proxy::purge::selector::{copy_name, Copy, Selector, Tag};
+use edge_proxy::purge::selector::{copy_name, CachedCopy, Selector};
 use edge_proxy::purge::wire::{call, from_json, Submitted};
-use purge_box::{now_ms, Origin, PurgeBox};
+use edge_proxy::surrogate_key::SurrogateKey;
+use purge_target::{now_ms, Origin, PurgeTarget};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -34,7 +35,7 @@
     sent_ms: f64,
     object: usize,
     status: u16,
-    born: Option<f64>,
+    generated_ms: Option<f64>,
 }
 
 fn free(ip: &str) -> SocketAddr {
@@ -47,7 +48,7 @@
     let purges = dir.join(format!("{name}-purges.json"));
     Command::new(program)
         .args(["serve", "--config", config.to_str().unwrap(), "--purges", purges.to_str().unwrap()])
-        .env("CALICOBEAM_LOG", "warn")
+        .env("EDGE_PROXY_LOG", "warn")
         .stderr(Stdio::from(log))
         .spawn()
         .expect("the program: build it with cargo build --release")
@@ -80,8 +81,8 @@
     tokio::time::timeout(Duration::from_secs(3), attempt).await.ok().flatten().unwrap_or((0, None))
 }
 
-/// A target's acknowledgement as the leader's status tells it.
-async fn acked(mgmt: SocketAddr, target: &str) -> Option<u64> {
+/// A target's acknowledgement, by the leader's status.
+async fn acknowledged(mgmt: SocketAddr, target: &str) -> Option<u64> {
     use simd_json::prelude::*;
     let answer = call(mgmt, "GET", "/purges", b"", Duration::from_secs(1)).await.ok()?;
     let mut body = answer.body;
@@ -109,20 +110,20 @@
     std::fs::create_dir_all(&dir).unwrap();
     let mut rng = SmallRng::seed_from_u64(11);
     let origin = Rc::new(Origin::default());
-    let objects: Vec<(u64, Tag)> = (0..OBJECTS)
-        .map(|k| (rng.random::<u64>(), Tag::new(&format!("seller-{}", k as u32 % SELLERS)).unwrap()))
+    let objects: Vec<(u64, SurrogateKey)> = (0..OBJECTS)
+        .map(|k| (rng.random::<u64>(), SurrogateKey::new(&format!("seller-{}", k as u32 % SELLERS)).unwrap()))
         .collect();
     for (object, tag) in &objects {
-        origin.tags.borrow_mut().insert(*object, vec![tag.clone()]);
+        origin.surrogate_keys.borrow_mut().insert(*object, vec![tag.clone()]);
     }
     let port = free("127.0.60.1").port();
-    let mut boxes = Vec::new();
+    let mut servers = Vec::new();
     for (k, name) in ["s-000000c1", "s-000000c2", "s-000000a0", "s-000000b0"].iter().enumerate() {
-        boxes.push(PurgeBox::start(name, &format!("127.0.60.{}", k + 1), port, origin.clone()).await);
+        servers.push(PurgeTarget::start(name, &format!("127.0.60.{}", k + 1), port, origin.clone()).await);
     }
-    boxes[3].fresh_only.set(true);
-    // One box takes its batches slowly, so that it is behind when the leader dies.
-    boxes[1].ack_delay_ms.set(700);
+    servers[3].always_generates.set(true);
+    // One server acknowledges slowly, so that it is behind when the leader is killed.
+    servers[1].ack_delay_ms.set(700);
     let example =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
     let mut addresses = Vec::new();
@@ -133,7 +134,7 @@
             &format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\","),
         );
         for (k, at) in (7101..=7104).enumerate() {
-            text = text.replace(&format!("127.0.0.1:{at}"), &boxes[k].lines.to_string());
+            text = text.replace(&format!("127.0.0.1:{at}"), &servers[k].cache_address.to_string());
         }
         std::fs::write(dir.join(format!("{name}.json")), text).unwrap();
         addresses.push((listen, mgmt));
@@ -157,7 +158,7 @@
 
     let answers: Rc<RefCell<Vec<Answer>>> = Rc::default();
     let purges: Rc<RefCell<Vec<(Submitted, Selector)>>> = Rc::default();
-    let refused_submits = Rc::new(Cell::new(0u64));
+    let rejected_submits = Rc::new(Cell::new(0u64));
     let end = now_ms() + seconds as f64 * 1_000.0;
     let objects = Rc::new(objects);
     let mut tasks = Vec::new();
@@ -171,70 +172,70 @@
                 let object = rng.random_range(0..OBJECTS);
                 serial += 1;
                 let sent_ms = now_ms();
-                let (status, born) = fetch(listen, objects[object].0, serial).await;
-                answers.borrow_mut().push(Answer { sent_ms, object, status, born });
+                let (status, generated_ms) = fetch(listen, objects[object].0, serial).await;
+                answers.borrow_mut().push(Answer { sent_ms, object, status, generated_ms });
             }
         }));
     }
     let issuing = {
-        let (purges, objects, refused) = (purges.clone(), objects.clone(), refused_submits.clone());
+        let (purges, objects, rejected) = (purges.clone(), objects.clone(), rejected_submits.clone());
         tokio::task::spawn_local(async move {
             let mut rng = SmallRng::seed_from_u64(99);
             while now_ms() < end - 1_000.0 {
-                let sel = if rng.random_range(0..10) < 7 {
+                let selector = if rng.random_range(0..10) < 7 {
                     format!("tag:seller-{}", rng.random_range(0..SELLERS))
                 } else {
                     let hex = format!("{:016x}", objects[rng.random_range(0..OBJECTS)].0);
                     format!("pattern:/small-object/{}*", &hex[..2])
                 };
-                let body = format!("{{\"sel\":\"{sel}\"}}");
+                let body = format!("{{\"sel\":\"{selector}\"}}");
                 match call(leader_mgmt, "POST", "/purges", body.as_bytes(), Duration::from_secs(1)).await {
                     Ok(answer) if answer.status == 200 => {
                         let submitted: Submitted = from_json(&answer.body).unwrap();
-                        purges.borrow_mut().push((submitted, sel.parse().unwrap()));
+                        purges.borrow_mut().push((submitted, selector.parse().unwrap()));
                     }
-                    _ => refused.set(refused.get() + 1),
+                    _ => rejected.set(rejected.get() + 1),
                 }
                 tokio::time::sleep(Duration::from_millis(PURGE_EVERY_MS)).await;
             }
         })
     };
-    // Halfway, the leader dies without a word and comes back a second later.
+    // Halfway, the leader is killed and restarted a second later.
     tokio::time::sleep(Duration::from_millis(seconds * 500)).await;
     let killed_ms = now_ms();
-    let behind_at_kill: Vec<u64> = boxes.iter().map(|b| b.applied()).collect();
+    let behind_at_kill: Vec<u64> = servers.iter().map(|b| b.applied()).collect();
     let last_at_kill = purges.borrow().last().map_or(0, |p| p.0.seq);
     leader.borrow_mut().kill().unwrap();
     leader.borrow_mut().wait().unwrap();
     tokio::time::sleep(Duration::from_secs(1)).await;
     *leader.borrow_mut() = spawn(&program, &dir, "leader");
     up(leader_mgmt).await;
-    let back_ms = now_ms();
+    let restarted_ms = now_ms();
     let mut acked_at_restart = None;
-    while now_ms() < back_ms + 10_000.0 {
-        let acked = acked(leader_mgmt, "s-000000c2").await;
+    while now_ms() < restarted_ms + 10_000.0 {
+        let acked = acknowledged(leader_mgmt, "s-000000c2").await;
         acked_at_restart = acked_at_restart.or(acked);
         if acked.is_some_and(|a| a >= last_at_kill) {
             break;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let resumed_ms = now_ms() - back_ms;
+    let resumed_ms = now_ms() - restarted_ms;
     for task in tasks {
         task.await.unwrap();
     }
     issuing.await.unwrap();
     let (last, last_issued) = purges.borrow().last().map_or((0, now_ms()), |p| (p.0.seq, p.0.issued_ms));
-    while boxes[..3].iter().any(|b| b.applied() < last) && now_ms() < last_issued + 10_000.0 {
+    while servers[..3].iter().any(|b| b.applied() < last) && now_ms() < last_issued + 10_000.0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let caught_up_ms = now_ms() - last_issued;
-    let repeats: u64 = boxes[..3]
+    let repeats: u64 = servers[..3]
         .iter()
-        .map(|b| b.seen.received.borrow().values().map(|n| u64::from(n - 1)).sum::<u64>())
+        .map(|b| b.observed.received.borrow().values().map(|n| u64::from(n - 1)).sum::<u64>())
         .sum();
-    let twice = boxes[..3].iter().any(|b| {
-        let applied = b.seen.applied.borrow();
+    let twice = servers[..3].iter().any(|b| {
+        let applied = b.observed.applied.borrow();
         applied.windows(2).any(|w| w[1] != w[0] + 1)
     });
 
@@ -245,14 +246,15 @@
     let mut visible = vec![0.0f64; purges.len()];
     let (mut stale, mut late, mut served) = (0u64, Vec::new(), 0u64);
     for answer in answers.iter() {
-        let Some(born) = answer.born.filter(|_| answer.status == 200) else { continue };
+        let Some(generated_ms) = answer.generated_ms.filter(|_| answer.status == 200) else { continue };
         served += 1;
-        let (object, tag) = &objects[answer.object];
-        let tags = [tag.clone()];
-        let copy = Copy { name: &names[answer.object], object: *object, group: 0, tags: &tags };
+        let (object, key) = &objects[answer.object];
+        let keys = [key.clone()];
+        let copy =
+            CachedCopy { name: &names[answer.object], object: *object, group: 0, surrogate_keys: &keys };
         let mut worst: Option<f64> = None;
-        for (k, (purge, sel)) in purges.iter().enumerate() {
-            if purge.issued_ms >= born && purge.issued_ms < answer.sent_ms && sel.covers(&copy) {
+        for (k, (purge, selector)) in purges.iter().enumerate() {
+            if purge.issued_ms >= generated_ms && purge.issued_ms < answer.sent_ms && selector.covers(&copy) {
                 let by = answer.sent_ms - purge.issued_ms;
                 visible[k] = visible[k].max(by);
                 worst = Some(worst.map_or(by, |w: f64| w.max(by)));
@@ -270,11 +272,11 @@
     let failed = answers.iter().filter(|a| a.status != 200).count();
     println!("| what | figure |");
     println!("| --- | ---: |");
-    println!("| run | {seconds} s, {OBJECTS} objects tagged by {SELLERS} sellers, {CLIENTS} clients, two proxies, four stand-in boxes |");
+    println!("| run | {seconds} s, {OBJECTS} objects tagged by {SELLERS} sellers, {CLIENTS} clients, two proxies, four stand-in cache servers |");
     println!(
-        "| purges issued | {} ({} submissions refused while the leader was down) |",
+        "| purges issued | {} ({} submissions rejected while the leader was down) |",
         purges.len(),
-        refused_submits.get()
+        rejected_submits.get()
     );
     println!("| answers checked | {} ({served} served, {failed} not served) |", answers.len());
     println!("| answers from a copy older than a purge sent before them | {stale} |");
@@ -286,14 +288,16 @@
         visible_sorted.last().copied().unwrap_or(0.0)
     );
     println!(
-        "| leader killed at | {:.1} s, purge {last_at_kill} issued; boxes had {behind_at_kill:?} |",
+        "| leader killed at | {:.1} s, purge {last_at_kill} issued; servers had applied {behind_at_kill:?} |",
         (killed_ms - (end - seconds as f64 * 1_000.0)) / 1_000.0
     );
-    println!("| the slow box's acknowledgement as the restarted leader read it from its log | {acked_at_restart:?} |");
-    println!("| the slow box acknowledged all of before the kill, after the restart | {resumed_ms:.0} ms |");
-    println!("| all boxes had the last purge ({last}), after its issue | {caught_up_ms:.0} ms |");
-    println!("| purges told again to boxes (repeats) | {repeats} |");
-    println!("| a box applied a number twice or skipped one | {twice} |");
+    println!(
+        "| the slow server's acknowledgement in the log of the restarted leader | {acked_at_restart:?} |"
+    );
+    println!("| the slow server acknowledged all purges of before the kill, after the restart | {resumed_ms:.0} ms |");
+    println!("| all servers had applied the last purge ({last}), after its issue | {caught_up_ms:.0} ms |");
+    println!("| purges repeated to servers | {repeats} |");
+    println!("| a server applied a number twice or skipped one | {twice} |");
     let _ = follower.kill();
     let _ = follower.wait();
     let _ = leader.borrow_mut().kill();
--- /dev/null
+++ b/src/backoff.rs
@@ -0,0 +1,65 @@
+//! Exponential backoff with jitter, for the retries of connections and calls that failed. No I/O and no clock.
+
+use rand::{Rng, RngExt};
+
+/// The delays between retries, as an operator file states them.
+#[derive(Clone, Copy, Debug, PartialEq, serde::Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Backoff {
+    /// The delay after the first failure, in milliseconds.
+    pub first_ms: f64,
+    /// The factor by which each further failure lengthens the delay.
+    pub factor: f64,
+    /// The longest delay, in milliseconds.
+    #[serde(rename = "most_ms")]
+    pub max_ms: f64,
+    /// The part of each delay that is drawn at random, from 0 to 1.
+    pub jitter: f64,
+}
+
+impl Default for Backoff {
+    fn default() -> Self {
+        Self { first_ms: 100.0, factor: 2.0, max_ms: 2_000.0, jitter: 0.2 }
+    }
+}
+
+impl Backoff {
+    /// The bounds that [`Self::is_valid`] checks, for error messages; fields by their names in operator files.
+    pub const BOUNDS: &'static str = "first_ms 1 to most_ms, factor 1 to 10, jitter 0 to 1";
+
+    /// Whether every value is within its bounds.
+    pub fn is_valid(&self) -> bool {
+        self.first_ms >= 1.0
+            && self.max_ms >= self.first_ms
+            && (1.0..=10.0).contains(&self.factor)
+            && (0.0..=1.0).contains(&self.jitter)
+    }
+
+    /// The delay sequence of one target.
+    pub fn start(&self) -> BackoffDelay {
+        BackoffDelay { backoff: *self, base_ms: self.first_ms }
+    }
+}
+
+/// The delay sequence of one target.
+#[derive(Clone, Debug, PartialEq)]
+pub struct BackoffDelay {
+    backoff: Backoff,
+    /// The next delay without jitter, in milliseconds.
+    base_ms: f64,
+}
+
+impl BackoffDelay {
+    /// Returns the delay before the next retry, in milliseconds, and lengthens the one after it.
+    pub fn next_ms(&mut self, rng: &mut impl Rng) -> f64 {
+        let jitter = self.backoff.jitter.clamp(0.0, 1.0);
+        let delay_ms = self.base_ms * (1.0 - jitter + jitter * rng.random_range(0.0..1.0));
+        self.base_ms = (self.base_ms * self.backoff.factor.max(1.0)).min(self.backoff.max_ms);
+        delay_ms
+    }
+
+    /// Returns to the first delay, after a success.
+    pub fn reset(&mut self) {
+        self.base_ms = self.backoff.first_ms;
+    }
+}
--- a/src/engine/answers.rs
+++ b/src/engine/answers.rs
@@ -65,7 +65,7 @@
         let Some(class) = self.env.class_name(ask.class).filter(|_| !self.env.is_write(ask.class)) else {
             return false;
         };
-        let removed = guard.removes(class, ask.object, ask.part, ask.group, reply.born, &reply.tags);
+        let removed = guard.check_answer(class, ask.object, ask.part, ask.group, reply.born, &reply.tags);
         if let Some(mark) = removed {
             tracing::debug!(
                 id = ask.id_text,
--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -73,7 +73,7 @@
         let class = self.env.class_name(ask.class)?;
         let (max_age_ms, group) = match &mut self.purge {
             Some(guard) if !self.env.is_write(ask.class) => {
-                (guard.bound(now, class, ask.object, ask.part, ask.group, max_age_ms), Some(ask.group))
+                (guard.limit(now, class, ask.object, ask.part, ask.group, max_age_ms), Some(ask.group))
             }
             _ => (max_age_ms, None),
         };
--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -2,7 +2,7 @@
 
 use super::{Effect, Engine};
 use crate::clock::micros_from_ms;
-use crate::purge::fanout::Standing;
+use crate::purge::fanout::TargetStatus;
 use crate::state::maintenance::{Maintenance, Mark};
 use crate::state::requests::IncomingRequest;
 use crate::wire::cache_codec::endpoint_text;
@@ -130,11 +130,12 @@
 
     /// The caches and parents of the roster as targets of fleet purges, by name, at their own address with
     /// `port`: the origin holds no copies, and an endpoint that is gone is none.
-    pub fn purge_targets(&self, port: u16) -> Vec<(String, SocketAddr, Standing)> {
+    pub fn purge_targets(&self, port: u16) -> Vec<(String, SocketAddr, TargetStatus)> {
         let listed = self.roster.all_listed().filter(|t| t.row.lifecycle != "dead");
         let targets = listed.filter_map(|t| {
             let origin = self.env.listing(&t.row).ok()?.tier == crate::Tier::Origin;
-            let standing = if t.row.lifecycle == "live" { Standing::Listed } else { Standing::Draining };
+            let standing =
+                if t.row.lifecycle == "live" { TargetStatus::Listed } else { TargetStatus::Draining };
             let address = SocketAddr::new((*t.address.ip()).into(), port);
             (!origin).then(|| (endpoint_text(t.row.cache), address, standing))
         });
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -14,7 +14,7 @@
 pub use effects::{Effect, Next};
 
 use crate::clock::{micros_from_ms, ms_from_micros, Clock};
-use crate::purge::age_limit::Guard;
+use crate::purge::age_limit::AgeLimiter;
 use crate::settings::PlatformSettings;
 use crate::state::attempts::{Attempt, Attempts, Stage};
 use crate::state::connections::{Bounds, Connections};
@@ -59,7 +59,7 @@
     last_no: u64,
     tidied_ms: f64,
     /// Fleet purges, where they are on.
-    purge: Option<Guard>,
+    purge: Option<AgeLimiter>,
     /// The list of endpoints comes from a registry: the bulletin's lists are not taken.
     registry: bool,
     /// How often the list of endpoints has changed.
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Turns fleet purges on: from now on their ledger bounds every attempt's age and judges every answer.
-    pub fn set_guard(&mut self, guard: Guard) -> &mut Guard {
-        self.purge.insert(guard)
+    /// Turns fleet purges on: from now on they limit the age of every attempt, and every answer is checked.
+    pub fn set_age_limiter(&mut self, limiter: AgeLimiter) -> &mut AgeLimiter {
+        self.purge.insert(limiter)
     }
 
-    /// The guard of fleet purges, where they are on.
-    pub fn guard(&mut self) -> Option<&mut Guard> {
+    /// The age limiter of fleet purges, where they are on.
+    pub fn age_limiter(&mut self) -> Option<&mut AgeLimiter> {
         self.purge.as_mut()
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -57,12 +57,14 @@
 //! ```
 
 pub mod admission;
+pub mod backoff;
 pub mod clock;
 pub mod config_file;
 pub mod engine;
 pub mod grpc;
 pub mod health_check;
 pub mod http3;
+pub mod http_client;
 mod interface;
 pub mod lifecycle;
 pub mod message_auth;
@@ -73,6 +75,7 @@
 pub mod settings;
 pub mod state;
 mod stats;
+pub mod surrogate_key;
 pub mod vrrp;
 pub mod wire;
 
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -20,7 +20,8 @@
 use crate::http3::front::Http3Front;
 use crate::http3::server;
 use crate::purge::config::PurgeConfig;
-use crate::purge::{driver, wire::MAX_CALL};
+use crate::purge::service::{self as purge_service, PurgeService};
+use crate::purge::wire::MAX_CALL;
 use crate::registry::config::RegistryConfig;
 use crate::registry::driver::{self as registry_driver, RegistryStatus};
 use crate::rules::config::RulesConfig;
@@ -151,7 +152,7 @@
     let grpc =
         extras.grpc.as_ref().map_or(0, |g| g.limits.clients * at(FrontKind::Grpc) + g.limits.connections);
     let poor = extras.poor.as_ref().map_or(0, |p| p.tcp_at().map_or(0, |_| p.limits.tcp_connections));
-    let purges = extras.purges.as_ref().map_or(0, |_| driver::MAX_CALLS);
+    let purges = extras.purges.as_ref().map_or(0, |_| purge_service::MAX_CALLS);
     let probes = extras.duties.as_ref().map_or(0, |_| duties_driver::MAX_PROBES);
     DescriptorDemand { signed, others: grpc + poor + purges + probes, handed_over: config.handed_over }
 }
@@ -274,7 +275,7 @@
         ));
     }
     // Before anything is served: the purges that the log holds bind.
-    let desk = purges.map(|purges| driver::open(&host, purges, seed)).transpose()?;
+    let desk = purges.map(|purges| PurgeService::open(&host, purges, seed)).transpose()?;
     if let Some(mgmt) = mgmt {
         let store = Store::of(&config.name);
         // Before anything is served: what is out of use stays so across an upgrade.
@@ -287,8 +288,7 @@
         }))
         .with_callers(shares.callers);
         if let Some(desk) = desk.clone() {
-            manage =
-                manage.with_calls(Box::new(move |host, call| driver::answer(host, &desk, call)), MAX_CALL);
+            manage = manage.with_calls(Box::new(move |_, call| desk.answer(call)), MAX_CALL);
         }
         if let Some(link) = link.clone() {
             manage = manage.with_calls(Box::new(move |_, call| registry_driver::answer(&link, call)), 0);
@@ -317,10 +317,7 @@
         tracing::info!(%mgmt, "calls are taken");
     }
     if let Some(desk) = desk {
-        always(&host, "fleet purges", {
-            let host = host.clone();
-            move || driver::run(host.clone(), desk.clone())
-        });
+        always(&host, "fleet purges", move || desk.clone().run());
     }
     let reload = Rc::new(Notify::new());
     let second = Rc::new(Notify::new());
--- a/src/main.rs
+++ b/src/main.rs
@@ -9,9 +9,9 @@
 use edge_proxy::lifecycle::front::SignedUrlConfig;
 use edge_proxy::lifecycle::serve::{self, Subsystems};
 use edge_proxy::purge::config::PurgeConfig;
-use edge_proxy::purge::log::{decode, MAGIC};
+use edge_proxy::purge::log::{decode, DecodedLog, FaultAt, MAGIC};
 use edge_proxy::purge::selector::Selector;
-use edge_proxy::purge::wire::{call, from_json, Fault, Submit};
+use edge_proxy::purge::wire::{call, from_json, Fault, SubmitRequest};
 use edge_proxy::registry::config::RegistryConfig;
 use edge_proxy::rules::config::RulesConfig;
 use edge_proxy::rules::table::{Rules, Said};
@@ -307,8 +307,8 @@
     match command {
         PurgeCommand::Submit(submit) => {
             // Checked here first, so that a bad selector changes nothing anywhere and says why at once.
-            let sel: Selector = submit.selector.parse().map_err(|e| format!("{e}"))?;
-            let body = edge_proxy::purge::wire::to_json(&Submit { sel });
+            let selector: Selector = submit.selector.parse().map_err(|e| format!("{e}"))?;
+            let body = edge_proxy::purge::wire::to_json(&SubmitRequest { selector });
             println!("{}", ask(submit.at, "POST", "/purges", &body)?);
         }
         PurgeCommand::Status(status) => println!("{}", ask(status.at, "GET", "/purges", b"")?),
@@ -321,12 +321,12 @@
             let Some(records) = bytes.strip_prefix(MAGIC.as_slice()) else {
                 return Err(format!("{}: not a purge log", log.file.display()));
             };
-            let (records, fault) = decode(records);
+            let DecodedLog { records, fault } = decode(records);
             for record in &records {
                 println!("{}", simd_json::to_string(record).map_err(|e| e.to_string())?);
             }
-            if let Some((at, reason)) = fault {
-                let at = at + MAGIC.len();
+            if let Some(FaultAt { offset, fault: reason }) = fault {
+                let at = offset + MAGIC.len();
                 return Err(format!(
                     "{}: {} records whole; at byte {at}: {reason}",
                     log.file.display(),
--- a/src/purge/age_limit.rs
+++ b/src/purge/age_limit.rs
@@ -1,91 +1,98 @@
-//! What the engine asks of fleet purges, for each attempt and each answer: the oldest copy that will do before
-//! an attempt's first byte, and whether an answer's copy is one that a purge removed. No I/O.
+//! The effect of fleet purges on requests: the age limit of each attempt, and whether the copy in an answer has been
+//! purged. No I/O.
 //!
-//! The tags of a copy are known only from answers, so the guard remembers them for the objects answered last,
-//! at most [`Guard::new`]'s `tags_most` of them (an LRU). Where it forgot them, or never knew them, the answer
-//! still tells: a copy whose tags a purge names and that is older than that purge is not passed on, and the
-//! attempt counts as one whose answer can't be used. The module then tries again, and that attempt's age bound
-//! knows the tags.
+//! The surrogate keys of a copy are known only from answers, so the keys of the objects answered last are cached. Where
+//! they are unknown, the answer is still checked: a copy that a purge covers is not passed on, the attempt counts as
+//! malformed, and the age limit of the next attempt takes the keys into account.
 
-use super::active_purges::{Ledger, LedgerBounds, Mark};
-use super::selector::{copy_name, Copy, Tag};
+use super::active_purges::{ActivePurges, PurgeStamp, RetentionLimits};
+use super::selector::{copy_name, CachedCopy};
+use crate::surrogate_key::SurrogateKey;
 use crate::ObjectId;
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// Figures of the guard.
+/// Counters of the age limits and answer checks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct GuardFigures {
-    /// Attempts whose age bound a purge lowered.
-    pub bounded: u64,
-    /// Answers whose copy a purge removed, which no client got.
-    pub stale_answers: u64,
+pub struct AgeLimitMetrics {
+    /// Attempts whose age limit a purge lowered.
+    #[serde(rename = "bounded")]
+    pub limited_attempts: u64,
+    /// Answers that were not passed on because their copy had been purged.
+    #[serde(rename = "stale_answers")]
+    pub purged_answers: u64,
 }
 
-/// The engine's view of fleet purges. See the module's page.
+/// Limits the age of attempts and checks answers by the active purges.
 #[derive(Debug)]
-pub struct Guard {
-    /// The purges that bind.
-    pub ledger: Ledger,
-    tags: LruCache<ObjectId, Box<[Tag]>>,
-    /// Its figures.
-    pub figures: GuardFigures,
+pub struct AgeLimiter {
+    /// The active purges.
+    pub active: ActivePurges,
+    surrogate_keys: LruCache<ObjectId, Box<[SurrogateKey]>>,
+    /// Its counters.
+    pub metrics: AgeLimitMetrics,
 }
 
-impl Guard {
-    /// A guard with an empty ledger.
-    pub fn new(bounds: LedgerBounds, tags_most: usize) -> Self {
-        let tags = LruCache::new(NonZeroUsize::new(tags_most.max(1)).expect("at least one"));
-        Self { ledger: Ledger::new(bounds), tags, figures: GuardFigures::default() }
+impl AgeLimiter {
+    /// A limiter without purges, which caches the surrogate keys of `max_tagged_objects` objects.
+    pub fn new(limits: RetentionLimits, max_tagged_objects: usize) -> Self {
+        let capacity = NonZeroUsize::new(max_tagged_objects).unwrap_or(NonZeroUsize::MIN);
+        Self {
+            active: ActivePurges::new(limits),
+            surrogate_keys: LruCache::new(capacity),
+            metrics: AgeLimitMetrics::default(),
+        }
     }
 
-    /// The age bound of an attempt sent now, in milliseconds, where a purge lowers it; `own` is the module's
-    /// bound (0 for the class's own), which a purge may only lower.
-    pub fn bound(
+    /// The age limit of an attempt sent now, in milliseconds: `requested` (0 for the class's default), or less where
+    /// a purge covers the copy.
+    pub fn limit(
         &mut self,
         now_ms: f64,
         class: &str,
         object: ObjectId,
         part: u32,
         group: u32,
-        own: u64,
+        requested: u64,
     ) -> u64 {
         let name = copy_name(class, object, part);
-        let tags = self.tags.peek(&object).map_or(&[][..], |t| &t[..]);
-        let copy = Copy { name: &name, object, group, tags };
-        match self.ledger.age_bound_ms(now_ms, &copy) {
-            Some(bound) if own == 0 || bound < own => {
-                self.figures.bounded += 1;
-                bound
+        let surrogate_keys = self.surrogate_keys.peek(&object).map_or(&[][..], |keys| &keys[..]);
+        let copy = CachedCopy { name: &name, object, group, surrogate_keys };
+        match self.active.max_age_ms(now_ms, &copy) {
+            Some(limit) if requested == 0 || limit < requested => {
+                self.metrics.limited_attempts += 1;
+                limit
             }
-            _ => own,
+            _ => requested,
         }
     }
 
-    /// Whether an answer's copy, given out at `born_ms` and carrying `tags`, was removed by a purge. Learns the
-    /// tags. A copy whose birth is not told can't be judged, and passes.
-    pub fn removes(
+    /// The purge that removed the copy in an answer, if any. Caches the surrogate keys. A copy without a generation
+    /// time can't be checked and passes.
+    pub fn check_answer(
         &mut self,
         class: &str,
         object: ObjectId,
         part: u32,
         group: u32,
-        born_ms: Option<f64>,
-        tags: &[Tag],
-    ) -> Option<Mark> {
-        if !tags.is_empty() && self.tags.peek(&object).is_none_or(|known| known[..] != *tags) {
-            self.tags.put(object, tags.into());
+        generated_ms: Option<f64>,
+        surrogate_keys: &[SurrogateKey],
+    ) -> Option<PurgeStamp> {
+        if !surrogate_keys.is_empty()
+            && self.surrogate_keys.peek(&object).is_none_or(|known| known[..] != *surrogate_keys)
+        {
+            self.surrogate_keys.put(object, surrogate_keys.into());
         }
         let name = copy_name(class, object, part);
-        let copy = Copy { name: &name, object, group, tags };
-        let mark = self.ledger.purges(&copy, born_ms?)?;
-        self.figures.stale_answers += 1;
-        Some(mark)
+        let copy = CachedCopy { name: &name, object, group, surrogate_keys };
+        let purge = self.active.purge_of(&copy, generated_ms?)?;
+        self.metrics.purged_answers += 1;
+        Some(purge)
     }
 
-    /// Objects whose tags are remembered.
-    pub fn tags_known(&self) -> usize {
-        self.tags.len()
+    /// The number of objects whose surrogate keys are cached.
+    pub fn tagged_objects(&self) -> usize {
+        self.surrogate_keys.len()
     }
 }
 
--- a/src/purge/config.rs
+++ b/src/purge/config.rs
@@ -1,184 +1,209 @@
-//! The operator file of fleet purges, `serve --purges FILE`. Without it a proxy takes the platform's purges from
-//! the bulletin alone and none of this runs.
+//! The operator file of fleet purges, `serve --purges FILE`. Without it a proxy gets the platform's purges from the
+//! discovery stream only.
 
-use super::active_purges::LedgerBounds;
-use super::fanout::{Backoff, FanOutBounds};
-use crate::config_file::{parse_address, read_json, ConfigError, FieldError};
+use super::active_purges::RetentionLimits;
+use super::fanout::{FanOutLimits, TargetStatus};
+use crate::backoff::Backoff;
+use crate::config_file::{parse_address, read_json, resolve_beside, ConfigError, FieldError};
 use serde::Deserialize;
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// What a proxy is in its fleet's purges.
+/// The longest name of a proxy or target, in bytes.
+const MAX_NAME: usize = 64;
+/// The longest delay between retries, in milliseconds.
+const MAX_BACKOFF_MS: f64 = 600_000.0;
+
+/// The role of a proxy in its fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Numbers the purges, keeps the log, and fans it out.
+    /// Numbers the purges, keeps the log, and replicates it.
     Leader,
-    /// Takes purges from the leader, in order.
+    /// Applies the leader's purges in order.
     Follower,
 }
 
-/// A target that the operator names.
+/// A target in the operator file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetConfig {
     /// Its name, unique among the targets.
     pub name: String,
-    /// Where it takes `POST /purges/apply`: a proxy's second address, or a box's purge address.
+    /// The address of its `POST /purges/apply`: a proxy's admin address, or a cache server's purge address.
     pub address: String,
 }
 
+/// A target of the leader: a cache server or another proxy.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Target {
+    /// Its name, unique among the targets.
+    pub name: String,
+    /// The address of its `POST /purges/apply`.
+    pub address: SocketAddr,
+    /// Its state.
+    pub status: TargetStatus,
+}
+
 /// The operator file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PurgeConfig {
-    /// This proxy's role.
+    /// The role of this proxy.
     pub role: Role,
-    /// This proxy's name, as the leader's batches and the logs give it.
+    /// The name of this proxy in batches and log lines.
     pub name: String,
-    /// The log file, which outlives the process; absent: memory only, and a restart knows nothing.
+    /// The log file; without it all state is in memory and lost at a restart.
     #[serde(default)]
     pub state: Option<PathBuf>,
-    /// The targets that the leader tells (boxes and other proxies).
+    /// The leader's targets beside those of the endpoint list.
     #[serde(default)]
     pub targets: Vec<TargetConfig>,
-    /// Where set, every cache and parent of the roster is a target too, at its own address with this port.
-    #[serde(default)]
-    pub roster_port: Option<u16>,
-    /// How long a purge is held after its issue at least, in milliseconds.
-    #[serde(default = "hold_ms")]
-    pub hold_ms: f64,
-    /// Purges that bind at most; past it the oldest fold into a floor.
-    #[serde(default = "held_most")]
-    pub held_most: usize,
-    /// Purges that the leader's log holds at most; a target that lacks older ones gets a floor.
-    #[serde(default = "queue_most")]
-    pub queue_most: usize,
+    /// If set, every cache and parent of the endpoint list is a target too, at its own address with this port.
+    #[serde(default, rename = "roster_port")]
+    pub endpoint_port: Option<u16>,
+    /// How long a purge stays active after its issue at least, in milliseconds.
+    #[serde(default = "default_min_retention_ms", rename = "hold_ms")]
+    pub min_retention_ms: f64,
+    /// Active purges at most; beyond it the oldest are merged into a cutoff.
+    #[serde(default = "default_max_active", rename = "held_most")]
+    pub max_active: usize,
+    /// Purges that the leader retains for its targets at most; a target that lacks older ones gets a cutoff.
+    #[serde(default = "default_max_retained", rename = "queue_most")]
+    pub max_retained: usize,
     /// Purges in one batch at most.
-    #[serde(default = "batch_most")]
-    pub batch_most: usize,
-    /// Time between empty batches to a target that has all, in milliseconds.
-    #[serde(default = "heartbeat_ms")]
+    #[serde(default = "default_max_batch", rename = "batch_most")]
+    pub max_batch: usize,
+    /// Time between heartbeats to a target that is up to date, in milliseconds.
+    #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: f64,
-    /// How long a target's answer is waited for, in milliseconds.
-    #[serde(default = "timeout_ms")]
+    /// Time-out of a call to a target, in milliseconds.
+    #[serde(default = "default_timeout_ms")]
     pub timeout_ms: f64,
-    /// The wait after a target's failures.
+    /// The delays between retries to a target that fails.
     #[serde(default)]
     pub backoff: Backoff,
-    /// The size at which the log is written anew, in bytes.
-    #[serde(default = "compact_bytes")]
+    /// The size beyond which the log is rewritten, in bytes.
+    #[serde(default = "default_compact_bytes")]
     pub compact_bytes: u64,
-    /// Objects whose tags the proxy remembers from answers, at most.
-    #[serde(default = "tags_most")]
-    pub tags_most: usize,
-    /// The file that it was read from.
+    /// Objects whose surrogate keys are cached from answers, at most.
+    #[serde(default = "default_max_tagged_objects", rename = "tags_most")]
+    pub max_tagged_objects: usize,
+    /// The path of this file.
     #[serde(skip)]
     pub path: PathBuf,
 }
 
-fn hold_ms() -> f64 {
+fn default_min_retention_ms() -> f64 {
     6_000.0
 }
-fn held_most() -> usize {
+fn default_max_active() -> usize {
     100_000
 }
-fn queue_most() -> usize {
+fn default_max_retained() -> usize {
     10_000
 }
-fn batch_most() -> usize {
+fn default_max_batch() -> usize {
     256
 }
-fn heartbeat_ms() -> f64 {
+fn default_heartbeat_ms() -> f64 {
     500.0
 }
-fn timeout_ms() -> f64 {
+fn default_timeout_ms() -> f64 {
     1_000.0
 }
-fn compact_bytes() -> u64 {
+fn default_compact_bytes() -> u64 {
     4 << 20
 }
-fn tags_most() -> usize {
+fn default_max_tagged_objects() -> usize {
     65_536
 }
 
 impl PurgeConfig {
-    /// Reads and checks the file. A state path that is not absolute is taken beside the file.
+    /// Reads and checks the file. A relative path of the log is resolved beside the file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        if let Some(state) = &config.state {
-            config.state = Some(path.parent().unwrap_or(Path::new("")).join(state));
-        }
+        config.state = config.state.map(|state| resolve_beside(path, &state));
         config.check().map_err(|error| error.in_file(path))?;
         Ok(config)
     }
 
-    /// What is wrong, by field.
+    /// Checks every field. Errors name fields by their keys in the file.
     pub fn check(&self) -> Result<(), FieldError> {
-        let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._:".contains(&b);
-        let name_ok = |name: &str| !name.is_empty() && name.len() <= 64 && name.bytes().all(plain);
-        if !name_ok(&self.name) {
+        if !is_valid_name(&self.name) {
             return Err(FieldError::new("name", "1 to 64 letters, digits or -._:"));
         }
-        let mut names = std::collections::BTreeSet::new();
+        self.check_targets()?;
+        self.check_bounds()
+    }
+
+    fn check_targets(&self) -> Result<(), FieldError> {
+        let mut names = BTreeSet::new();
         for target in &self.targets {
-            if !name_ok(&target.name) || !names.insert(target.name.as_str()) || target.name == self.name {
+            let unique = target.name != self.name && names.insert(target.name.as_str());
+            if !is_valid_name(&target.name) || !unique {
                 return Err(FieldError::new(
                     "targets",
                     format!("{:?}: names are plain, unique and not this proxy's", target.name),
                 ));
             }
-            parse_address(&target.address).map_err(|reason| FieldError::new("targets", reason))?;
+            parse_address(&target.address).map_err(|error| FieldError::new("targets", error))?;
         }
-        if self.role == Role::Follower && (!self.targets.is_empty() || self.roster_port.is_some()) {
-            return Err(FieldError::new("targets", "only the leader tells targets"));
+        if self.role == Role::Follower && (!self.targets.is_empty() || self.endpoint_port.is_some()) {
+            return Err(FieldError::new("targets", "only the leader has targets"));
         }
+        Ok(())
+    }
+
+    fn check_bounds(&self) -> Result<(), FieldError> {
         let within = |v: f64, low: f64, high: f64| v.is_finite() && v >= low && v <= high;
+        let backoff_ok = self.backoff.is_valid() && self.backoff.max_ms <= MAX_BACKOFF_MS;
         let checks: [(&'static str, bool, &str); 10] = [
-            ("hold_ms", within(self.hold_ms, 500.0, 3_600_000.0), "500 to 3,600,000"),
-            ("held_most", (1..=10_000_000).contains(&self.held_most), "1 to 10,000,000"),
-            ("queue_most", (1..=10_000_000).contains(&self.queue_most), "1 to 10,000,000"),
-            ("batch_most", (1..=1_024).contains(&self.batch_most), "1 to 1,024"),
+            ("hold_ms", within(self.min_retention_ms, 500.0, 3_600_000.0), "500 to 3,600,000"),
+            ("held_most", (1..=10_000_000).contains(&self.max_active), "1 to 10,000,000"),
+            ("queue_most", (1..=10_000_000).contains(&self.max_retained), "1 to 10,000,000"),
+            ("batch_most", (1..=1_024).contains(&self.max_batch), "1 to 1,024"),
             ("heartbeat_ms", within(self.heartbeat_ms, 10.0, 60_000.0), "10 to 60,000"),
             ("timeout_ms", within(self.timeout_ms, 10.0, 60_000.0), "10 to 60,000"),
-            ("backoff", self.backoff_ok(), "first_ms 1 to most_ms, factor 1 to 10, jitter 0 to 1"),
+            ("backoff", backoff_ok, Backoff::BOUNDS),
             ("compact_bytes", (4_096..=1 << 30).contains(&self.compact_bytes), "4,096 to 1 GiB"),
-            ("tags_most", (1..=10_000_000).contains(&self.tags_most), "1 to 10,000,000"),
-            ("roster_port", self.roster_port != Some(0), "a port from 1"),
+            ("tags_most", (1..=10_000_000).contains(&self.max_tagged_objects), "1 to 10,000,000"),
+            ("roster_port", self.endpoint_port != Some(0), "a port from 1"),
         ];
         match checks.into_iter().find(|(_, ok, _)| !ok) {
-            Some((field, _, bound)) => Err(FieldError::new(field, format!("out of bounds: {bound}"))),
+            Some((field, _, bounds)) => Err(FieldError::new(field, format!("out of bounds: {bounds}"))),
             None => Ok(()),
         }
     }
 
-    fn backoff_ok(&self) -> bool {
-        let b = self.backoff;
-        b.first_ms >= 1.0
-            && b.most_ms >= b.first_ms
-            && b.most_ms <= 600_000.0
-            && (1.0..=10.0).contains(&b.factor)
-            && (0.0..=1.0).contains(&b.jitter)
+    /// The targets of the file.
+    pub fn configured_targets(&self) -> Vec<Target> {
+        let target = |configured: &TargetConfig| {
+            let address = parse_address(&configured.address).ok()?;
+            Some(Target { name: configured.name.clone(), address, status: TargetStatus::Listed })
+        };
+        self.targets.iter().filter_map(target).collect()
     }
 
-    /// The operator's targets with their addresses.
-    pub fn fixed_targets(&self) -> Vec<(String, SocketAddr)> {
-        let at = |t: &TargetConfig| parse_address(&t.address).ok().map(|a| (t.name.clone(), a));
-        self.targets.iter().filter_map(at).collect()
+    /// The limits of the active purges.
+    pub fn retention_limits(&self) -> RetentionLimits {
+        RetentionLimits { max_active: self.max_active, min_retention_ms: self.min_retention_ms }
     }
 
-    /// The bounds of the ledger.
-    pub fn ledger_bounds(&self) -> LedgerBounds {
-        LedgerBounds { most: self.held_most, hold_ms: self.hold_ms }
-    }
-
-    /// The bounds of the fan-out.
-    pub fn fanout_bounds(&self) -> FanOutBounds {
-        FanOutBounds {
-            batch_most: self.batch_most,
+    /// The limits of the fan-out.
+    pub fn fanout_limits(&self) -> FanOutLimits {
+        FanOutLimits {
+            max_batch: self.max_batch,
             heartbeat_ms: self.heartbeat_ms,
             timeout_ms: self.timeout_ms,
         }
     }
 }
+
+/// Whether a text is a name: 1 to [`MAX_NAME`] ASCII letters, digits or `-._:`.
+fn is_valid_name(name: &str) -> bool {
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-._:".contains(&b);
+    !name.is_empty() && name.len() <= MAX_NAME && name.bytes().all(allowed)
+}
--- a/src/purge/fanout.rs
+++ b/src/purge/fanout.rs
@@ -1,294 +1,319 @@
-//! Who has been told what: the leader's decisions on fanning the log out to every box and proxy. No I/O, and no
-//! clock but the time it is told, in Unix milliseconds.
+//! Replication of the leader's log to its targets: which batch each target gets and when. No I/O and no clock: callers
+//! pass the time, in Unix milliseconds.
 //!
-//! Each target acknowledges the highest number that it has applied, all before it included. The leader sends
-//! a target what follows its acknowledgement, one batch at a time and at most [`FanOutBounds::batch_most`]
-//! purges in a batch; a target that has everything hears an empty batch every [`FanOutBounds::heartbeat_ms`],
-//! which carries the `done` mark and shows that it still answers. A target that fails waits before it is tried
-//! again, twice as long each time up to [`Backoff::most_ms`], with a share of the wait drawn at random so that
-//! the targets of one leader are not all tried at once. It is never dropped for failing: a box that is down or
-//! draining is caught up when it answers again. Only a target that the roster says is gone stops counting; one
-//! that comes back starts from nothing and gets all that is still held, or a floor in place of what is not.
+//! Each target acknowledges the highest sequence number that it has applied, all before it included. The leader sends
+//! a target what follows its acknowledgement, one batch at a time and at most [`FanOutLimits::max_batch`] purges in a
+//! batch. A target that is up to date gets an empty batch every [`FanOutLimits::heartbeat_ms`] as a heartbeat, which
+//! carries the low-water mark.
+//!
+//! A target that fails is retried with backoff and jitter, and is never dropped for failing. Only a target that is
+//! removed from the endpoint list no longer holds back the low-water mark; one that is listed again starts from
+//! nothing and gets all purges that are still retained, or a cutoff in place of those that are not.
 
+use crate::backoff::{Backoff, BackoffDelay};
 use rand::rngs::SmallRng;
-use rand::{RngExt, SeedableRng};
+use rand::SeedableRng;
 use std::collections::BTreeMap;
 
-/// How long a target that fails waits before the next try.
-#[derive(Clone, Copy, Debug, PartialEq, serde::Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Backoff {
-    /// After the first failure, in milliseconds.
-    pub first_ms: f64,
-    /// The multiple by which each further failure lengthens it.
-    pub factor: f64,
-    /// The longest wait, in milliseconds.
-    pub most_ms: f64,
-    /// The share of each wait that is drawn at random, from 0 to 1.
-    pub jitter: f64,
-}
-
-impl Default for Backoff {
-    fn default() -> Self {
-        Self { first_ms: 100.0, factor: 2.0, most_ms: 2_000.0, jitter: 0.2 }
-    }
-}
+/// A batch without an answer fails after this many time-outs.
+const LOST_AFTER_TIMEOUTS: f64 = 2.0;
 
-/// The bounds of a fan-out.
+/// The limits of a fan-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FanOutBounds {
+pub struct FanOutLimits {
     /// Purges in one batch at most.
-    pub batch_most: usize,
-    /// Time between empty batches to a target that has all, in milliseconds.
+    pub max_batch: usize,
+    /// Time between heartbeats to a target that is up to date, in milliseconds.
     pub heartbeat_ms: f64,
-    /// How long an answer is waited for, in milliseconds; a batch out for twice as long counts as failed.
+    /// Time-out of a call, in milliseconds; a batch in flight for twice as long counts as failed.
     pub timeout_ms: f64,
 }
 
-impl Default for FanOutBounds {
+impl Default for FanOutLimits {
     fn default() -> Self {
-        Self { batch_most: 256, heartbeat_ms: 500.0, timeout_ms: 1_000.0 }
+        Self { max_batch: 256, heartbeat_ms: 500.0, timeout_ms: 1_000.0 }
     }
 }
 
-/// Where a target stands, as the roster or the operator file says.
+/// The state of a target by the endpoint list or the operator file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
-    /// Serves.
+pub enum TargetStatus {
+    /// It serves.
     Listed,
-    /// Finishes what it has; it may still hold copies, so it is told.
+    /// It is draining. It may still hold copies and gets purges.
     Draining,
 }
 
-/// A batch to send: the purges `from..=through` (none where `through < from`).
+/// A batch to send: the purges `from..=through`, none where `through < from`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Send {
-    /// The target, by name.
+pub struct BatchRange {
+    /// The name of the target.
     pub target: String,
-    /// The first number in the batch.
+    /// The first sequence number in the batch.
     pub from: u64,
-    /// The last number in the batch.
+    /// The last sequence number in the batch.
     pub through: u64,
-    /// The target lacks purges that are no longer held: it gets the floor in their place first.
-    pub floor: bool,
+    /// Whether the target lacks purges that are no longer retained and gets a cutoff in their place first.
+    pub with_cutoff: bool,
 }
 
-/// What an answer did.
+impl BatchRange {
+    fn len(&self) -> u64 {
+        (self.through + 1).saturating_sub(self.from)
+    }
+}
+
+/// The effect of an acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// The acknowledgement moved on, or stood.
-    Moved {
-        /// What was acknowledged before.
+pub enum AckOutcome {
+    /// The target's acknowledgement advanced, or stayed the same.
+    Advanced {
+        /// The acknowledgement before.
         from: u64,
-        /// What is now.
+        /// The acknowledgement now.
         to: u64,
     },
-    /// The target acknowledged less than before: it lost what it had applied, and is told again.
-    Lost {
-        /// What was acknowledged before.
-        had: u64,
-        /// What it says now.
-        has: u64,
+    /// The target acknowledged less than before: it lost its state, and gets the purges again.
+    Regressed {
+        /// The acknowledgement before.
+        from: u64,
+        /// The acknowledgement now.
+        to: u64,
     },
-    /// The target acknowledged more than the log holds: numbers up to it were given out by a log that is lost.
-    Ahead {
-        /// What it says.
-        has: u64,
+    /// The target acknowledged more than the log has: numbers up to it were issued from a log that was lost.
+    BeyondLog {
+        /// The number that it acknowledged.
+        acknowledged: u64,
     },
-    /// Nothing was out to it, or it is not a target.
-    Unasked,
+    /// No batch was in flight to it, or it is no target.
+    Unexpected,
 }
 
-/// What the leader knows of one target.
+/// A batch in flight.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct InFlight {
+    sent_ms: f64,
+}
+
+/// The leader's state of one target.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
-pub struct Peer {
-    /// The highest number that it acknowledged.
-    pub acked: u64,
-    /// Where it stands.
-    pub standing: Standing,
+pub struct TargetState {
+    /// The highest sequence number that it acknowledged.
+    #[serde(rename = "acked")]
+    pub acknowledged: u64,
+    /// Its state by the endpoint list.
+    #[serde(rename = "standing")]
+    pub status: TargetStatus,
     /// Failures since its last answer.
     pub failures: u32,
-    /// When it last answered, Unix milliseconds.
-    pub heard_ms: Option<f64>,
-    /// When it is due next, Unix milliseconds.
-    pub next_ms: f64,
+    /// When it last answered, in Unix milliseconds.
+    #[serde(rename = "heard_ms")]
+    pub last_answer_ms: Option<f64>,
+    /// When the next batch is due, in Unix milliseconds.
+    #[serde(rename = "next_ms")]
+    pub next_due_ms: f64,
     /// Purges sent to it, repeats included.
     pub sent: u64,
     #[serde(skip)]
-    out: Option<(u64, u64, f64)>,
+    in_flight: Option<InFlight>,
     #[serde(skip)]
-    wait_ms: f64,
+    retry_delay: BackoffDelay,
     #[serde(skip)]
-    told_ms: f64,
+    last_sent_ms: f64,
 }
 
-/// The fan-out of one leader. See the module's page.
-#[derive(Clone, Debug)]
-pub struct FanOut {
-    peers: BTreeMap<String, Peer>,
-    /// Acknowledgements from before a restart, for targets that the roster has not named again yet.
-    remembered: BTreeMap<String, u64>,
-    /// The lowest number that the log still holds.
+impl TargetState {
+    fn new(status: TargetStatus, acknowledged: u64, backoff: &Backoff, now_ms: f64) -> Self {
+        Self {
+            acknowledged,
+            status,
+            failures: 0,
+            last_answer_ms: None,
+            next_due_ms: now_ms,
+            sent: 0,
+            in_flight: None,
+            retry_delay: backoff.start(),
+            last_sent_ms: f64::NEG_INFINITY,
+        }
+    }
+}
+
+/// The sequence numbers that the leader's log retains.
+#[derive(Clone, Copy, Debug)]
+struct RetainedRange {
     first: u64,
-    /// The highest number given out.
     last: u64,
+}
+
+/// The fan-out of one leader.
+#[derive(Clone, Debug)]
+pub struct FanOut {
+    targets: BTreeMap<String, TargetState>,
+    /// Acknowledgements from before a restart, of targets that are not listed yet.
+    restored: BTreeMap<String, u64>,
+    retained: RetainedRange,
     backoff: Backoff,
-    bounds: FanOutBounds,
+    limits: FanOutLimits,
     rng: SmallRng,
 }
 
 impl FanOut {
-    /// A fan-out with no target yet, over an empty log.
-    pub fn new(backoff: Backoff, bounds: FanOutBounds, seed: u64) -> Self {
-        let rng = SmallRng::seed_from_u64(seed);
-        Self { peers: BTreeMap::new(), remembered: BTreeMap::new(), first: 1, last: 0, backoff, bounds, rng }
-    }
-
-    /// The log holds the numbers `first..=last`; what lies before `first` is gone.
-    pub fn hold(&mut self, first: u64, last: u64) {
-        self.first = first.max(1);
-        self.last = last;
+    /// A fan-out without targets, of an empty log.
+    pub fn new(backoff: Backoff, limits: FanOutLimits, seed: u64) -> Self {
+        Self {
+            targets: BTreeMap::new(),
+            restored: BTreeMap::new(),
+            retained: RetainedRange { first: 1, last: 0 },
+            backoff,
+            limits,
+            rng: SmallRng::seed_from_u64(seed),
+        }
     }
 
-    /// The highest number given out.
-    pub fn last(&self) -> u64 {
-        self.last
+    /// Sets the sequence numbers that the log retains, `first..=last`.
+    pub fn set_retained(&mut self, first: u64, last: u64) {
+        self.retained = RetainedRange { first: first.max(1), last };
     }
 
-    /// A purge was added to the log: targets that wait for nothing are due at once.
-    pub fn appended(&mut self, seq: u64, now_ms: f64) {
-        self.last = self.last.max(seq);
-        for peer in self.peers.values_mut().filter(|p| p.out.is_none() && p.failures == 0) {
-            peer.next_ms = peer.next_ms.min(now_ms);
+    /// Records a purge that was appended to the log: targets that are up to date are due at once.
+    pub fn purge_appended(&mut self, seq: u64, now_ms: f64) {
+        self.retained.last = self.retained.last.max(seq);
+        for target in self.targets.values_mut().filter(|t| t.in_flight.is_none() && t.failures == 0) {
+            target.next_due_ms = target.next_due_ms.min(now_ms);
         }
     }
 
-    /// Takes the targets as they stand now. A new one has nothing; one that is absent is gone and forgotten.
-    pub fn set_targets(&mut self, now_ms: f64, targets: impl IntoIterator<Item = (String, Standing)>) {
-        let mut fresh = BTreeMap::new();
-        for (name, standing) in targets {
-            let acked = self.remembered.remove(&name).unwrap_or(0).min(self.last);
-            let peer = self.peers.remove(&name).unwrap_or(Peer {
-                acked,
-                standing,
-                failures: 0,
-                heard_ms: None,
-                next_ms: now_ms,
-                sent: 0,
-                out: None,
-                wait_ms: self.backoff.first_ms,
-                told_ms: f64::NEG_INFINITY,
-            });
-            fresh.insert(name, Peer { standing, ..peer });
+    /// Replaces the list of targets. A new target has applied nothing; one that is absent is forgotten.
+    pub fn set_targets(&mut self, now_ms: f64, listed: impl IntoIterator<Item = (String, TargetStatus)>) {
+        let mut targets = BTreeMap::new();
+        for (name, status) in listed {
+            let restored = self.restored.remove(&name).unwrap_or(0).min(self.retained.last);
+            let known = self.targets.remove(&name);
+            let target = known.unwrap_or_else(|| TargetState::new(status, restored, &self.backoff, now_ms));
+            targets.insert(name, TargetState { status, ..target });
         }
-        self.peers = fresh;
+        self.targets = targets;
     }
 
-    /// Takes an acknowledgement that a log kept from before a restart: the target is not told it again, also
-    /// where it is named only later.
-    pub fn restore(&mut self, target: &str, acked: u64) {
-        match self.peers.get_mut(target) {
-            Some(peer) => peer.acked = peer.acked.max(acked.min(self.last)),
+    /// Restores an acknowledgement from the log, also of a target that is listed only later.
+    pub fn restore_acknowledgement(&mut self, target: &str, acknowledged: u64) {
+        match self.targets.get_mut(target) {
+            Some(target) => {
+                target.acknowledged = target.acknowledged.max(acknowledged.min(self.retained.last));
+            }
             None => {
-                self.remembered.insert(target.to_string(), acked);
+                self.restored.insert(target.to_string(), acknowledged);
             }
         }
     }
 
-    /// Every acknowledgement known, of targets named and of those from before a restart not named yet.
+    /// Every known acknowledgement, by target, those of targets that are not listed yet included.
     pub fn acknowledgements(&self) -> BTreeMap<String, u64> {
-        let named = self.peers.iter().map(|(name, peer)| (name.clone(), peer.acked));
-        self.remembered.clone().into_iter().chain(named).collect()
+        let listed = self.targets.iter().map(|(name, target)| (name.clone(), target.acknowledged));
+        self.restored.clone().into_iter().chain(listed).collect()
     }
 
     /// The targets, by name.
-    pub fn peers(&self) -> &BTreeMap<String, Peer> {
-        &self.peers
+    pub fn targets(&self) -> &BTreeMap<String, TargetState> {
+        &self.targets
     }
 
-    /// The highest number that every target has applied: the fleet's `done` mark. With no target it is all.
-    pub fn done(&self) -> u64 {
-        self.peers.values().map(|p| p.acked).min().unwrap_or(self.last).min(self.last)
+    /// The highest sequence number that every target has acknowledged; the last one where there are no targets.
+    pub fn low_water_mark(&self) -> u64 {
+        let last = self.retained.last;
+        self.targets.values().map(|target| target.acknowledged).min().unwrap_or(last).min(last)
     }
 
     /// The batches to send now. A target gets one batch at a time.
-    pub fn due(&mut self, now_ms: f64) -> Vec<Send> {
-        let mut sends = Vec::new();
-        let (first, last, most, beat) =
-            (self.first, self.last, self.bounds.batch_most as u64, self.bounds.heartbeat_ms);
-        let lost_after = 2.0 * self.bounds.timeout_ms;
+    pub fn due(&mut self, now_ms: f64) -> Vec<BatchRange> {
+        let (retained, limits) = (self.retained, self.limits);
+        let lost_after_ms = self.lost_after_ms();
+        let mut batches = Vec::new();
         let mut lost = Vec::new();
-        for (name, peer) in &mut self.peers {
-            if let Some((_, _, sent_ms)) = peer.out {
-                // An answer that never came back: the driver owed one, and the batch counts as failed.
-                if now_ms - sent_ms > lost_after {
-                    lost.push(name.clone());
-                }
-                continue;
-            }
-            if now_ms < peer.next_ms {
-                continue;
+        for (name, target) in &mut self.targets {
+            match target.in_flight {
+                Some(batch) if now_ms - batch.sent_ms > lost_after_ms => lost.push(name.clone()),
+                Some(_) => {}
+                None => batches.extend(target.next_batch(name, retained, &limits, now_ms)),
             }
-            let behind = peer.acked < last;
-            if !behind && now_ms - peer.told_ms < beat {
-                peer.next_ms = peer.told_ms + beat;
-                continue;
-            }
-            let from = (peer.acked + 1).max(first);
-            let through = if behind { last.min(from + most.max(1) - 1) } else { peer.acked };
-            let floor = peer.acked + 1 < first;
-            peer.out = Some((from, through, now_ms));
-            peer.told_ms = now_ms;
-            peer.sent += through.saturating_sub(from) + u64::from(through >= from);
-            sends.push(Send { target: name.clone(), from, through, floor });
         }
         for name in lost {
-            self.failed(&name, now_ms);
+            self.record_failure(&name, now_ms);
         }
-        sends
+        batches
     }
 
-    /// A target answered with the highest number that it has applied.
-    pub fn answered(&mut self, target: &str, applied: u64, now_ms: f64) -> Heard {
-        let (last, beat, first_wait) = (self.last, self.bounds.heartbeat_ms, self.backoff.first_ms);
-        let Some(peer) = self.peers.get_mut(target) else { return Heard::Unasked };
-        if peer.out.take().is_none() {
-            return Heard::Unasked;
+    /// Records a target's answer to a batch: the highest sequence number that it has applied.
+    pub fn acknowledge(&mut self, target: &str, applied: u64, now_ms: f64) -> AckOutcome {
+        let last = self.retained.last;
+        let Some(target) = self.targets.get_mut(target) else { return AckOutcome::Unexpected };
+        if target.in_flight.take().is_none() {
+            return AckOutcome::Unexpected;
         }
-        (peer.failures, peer.wait_ms, peer.heard_ms) = (0, first_wait, Some(now_ms));
-        let had = peer.acked;
-        let heard = if applied > last {
-            peer.acked = last;
-            Heard::Ahead { has: applied }
-        } else if applied < had {
-            peer.acked = applied;
-            Heard::Lost { had, has: applied }
+        target.failures = 0;
+        target.retry_delay.reset();
+        target.last_answer_ms = Some(now_ms);
+        let from = std::mem::replace(&mut target.acknowledged, applied.min(last));
+        let up_to_date = target.acknowledged >= last;
+        target.next_due_ms = if up_to_date { now_ms + self.limits.heartbeat_ms } else { now_ms };
+        if applied > last {
+            AckOutcome::BeyondLog { acknowledged: applied }
+        } else if applied < from {
+            AckOutcome::Regressed { from, to: applied }
         } else {
-            peer.acked = applied;
-            Heard::Moved { from: had, to: applied }
+            AckOutcome::Advanced { from, to: applied }
+        }
+    }
+
+    /// Records that a batch to a target failed: no connection, no answer in time, or an unusable one.
+    pub fn record_failure(&mut self, target: &str, now_ms: f64) {
+        let Some(target) = self.targets.get_mut(target) else { return };
+        target.in_flight = None;
+        target.failures += 1;
+        target.next_due_ms = now_ms + target.retry_delay.next_ms(&mut self.rng);
+    }
+
+    /// When the next batch is due, in Unix milliseconds; `None` without targets.
+    pub fn next_due_ms(&self) -> Option<f64> {
+        let lost_after_ms = self.lost_after_ms();
+        let due = |target: &TargetState| {
+            target.in_flight.map_or(target.next_due_ms, |batch| batch.sent_ms + lost_after_ms)
         };
-        peer.next_ms = if peer.acked < last { now_ms } else { now_ms + beat };
-        heard
+        self.targets.values().map(due).min_by(f64::total_cmp)
     }
 
-    /// A batch to a target failed: no connection, no answer in time, or one that can't be read.
-    pub fn failed(&mut self, target: &str, now_ms: f64) {
-        let backoff = self.backoff;
-        let Some(peer) = self.peers.get_mut(target) else { return };
-        peer.out = None;
-        peer.failures += 1;
-        let jitter = backoff.jitter.clamp(0.0, 1.0);
-        let wait = peer.wait_ms * (1.0 - jitter + jitter * self.rng.random_range(0.0..1.0));
-        peer.next_ms = now_ms + wait;
-        peer.wait_ms = (peer.wait_ms * backoff.factor.max(1.0)).min(backoff.most_ms);
+    fn lost_after_ms(&self) -> f64 {
+        LOST_AFTER_TIMEOUTS * self.limits.timeout_ms
     }
+}
 
-    /// When the next batch is due, Unix milliseconds; none where no target is left.
-    pub fn next_due(&self) -> Option<f64> {
-        let lost_after = 2.0 * self.bounds.timeout_ms;
-        let due = |p: &Peer| p.out.map_or(p.next_ms, |(_, _, sent)| sent + lost_after);
-        self.peers.values().map(due).min_by(f64::total_cmp)
+impl TargetState {
+    /// The next batch to this target, if one is due, recorded as in flight.
+    fn next_batch(
+        &mut self,
+        name: &str,
+        retained: RetainedRange,
+        limits: &FanOutLimits,
+        now_ms: f64,
+    ) -> Option<BatchRange> {
+        if now_ms < self.next_due_ms {
+            return None;
+        }
+        let is_behind = self.acknowledged < retained.last;
+        if !is_behind && now_ms - self.last_sent_ms < limits.heartbeat_ms {
+            self.next_due_ms = self.last_sent_ms + limits.heartbeat_ms;
+            return None;
+        }
+        let from = (self.acknowledged + 1).max(retained.first);
+        let longest_batch_end = from + (limits.max_batch as u64).max(1) - 1;
+        let through = if is_behind { retained.last.min(longest_batch_end) } else { self.acknowledged };
+        let with_cutoff = self.acknowledged + 1 < retained.first;
+        let batch = BatchRange { target: name.to_string(), from, through, with_cutoff };
+        self.in_flight = Some(InFlight { sent_ms: now_ms });
+        self.last_sent_ms = now_ms;
+        self.sent += batch.len();
+        Some(batch)
     }
 }
 
--- /dev/null
+++ b/src/purge/follower.rs
@@ -0,0 +1,135 @@
+//! A follower: applies the leader's batches in order and logs what it has applied before it acknowledges.
+
+use super::active_purges::{ActivePurges, Purge, PurgeStamp};
+use super::config::{PurgeConfig, Role};
+use super::journal::{Durability, Journal};
+use super::log::{LogError, Record};
+use super::metrics::ReplicaStatus;
+use super::recovery::Recovered;
+use super::wire::{Batch, PurgeList};
+use std::collections::BTreeMap;
+use thiserror::Error;
+
+/// A batch that was rejected or not applied completely.
+#[derive(Debug, Error)]
+pub enum ReceiveError {
+    /// This proxy is a leader. Two leaders would issue the same sequence numbers.
+    #[error("this proxy is a leader and takes no batches")]
+    NotFollower,
+    /// The purges of the batch are not in order.
+    #[error("the purges of a batch are not in order")]
+    OutOfOrder,
+    /// The log can't be written.
+    #[error(transparent)]
+    Log(#[from] LogError),
+}
+
+/// The state of a follower. Its only I/O is the log.
+#[derive(Debug)]
+pub struct Follower {
+    name: String,
+    journal: Journal,
+    /// Acknowledgements in the log, kept for a proxy that becomes leader with it.
+    acknowledged: BTreeMap<String, u64>,
+}
+
+impl Follower {
+    /// Recovers a follower from the log of its operator file and puts its purges in force.
+    pub fn open(config: &PurgeConfig, active: &mut ActivePurges, now_ms: f64) -> Result<Self, LogError> {
+        let Recovered { journal, acknowledged, .. } = Recovered::read(config, active, now_ms)?;
+        Ok(Self { name: config.name.clone(), journal, acknowledged })
+    }
+
+    /// Applies a batch from the leader: the purges that follow those applied, in order, up to a gap. They are on disk
+    /// when this returns. Returns the highest sequence number applied.
+    pub fn receive(
+        &mut self,
+        batch: &Batch,
+        active: &mut ActivePurges,
+        now_ms: f64,
+    ) -> Result<u64, ReceiveError> {
+        if !is_in_order(batch) {
+            return Err(ReceiveError::OutOfOrder);
+        }
+        let mut changed = false;
+        if let Some(cutoff) = batch.cutoff {
+            changed |= self.apply_cutoff(cutoff, batch.from, active)?;
+        }
+        changed |= self.apply_purges(&batch.purges, active)?;
+        let low_water_mark = batch.low_water_mark.min(active.applied());
+        changed |= self.journal.advance_low_water_mark(low_water_mark, active, now_ms)?;
+        if changed {
+            self.journal.sync()?;
+        }
+        if self.journal.needs_compaction() {
+            self.journal.first_retained = self.journal.low_water_mark + 1;
+            self.journal.compact(active, &BTreeMap::new(), self.acknowledged.clone())?;
+        }
+        Ok(active.applied())
+    }
+
+    /// Applies a cutoff if it replaces purges that are missing here; whether it does.
+    fn apply_cutoff(
+        &mut self,
+        cutoff: PurgeStamp,
+        batch_from: u64,
+        active: &mut ActivePurges,
+    ) -> Result<bool, LogError> {
+        if cutoff.seq < active.applied() || batch_from != cutoff.seq + 1 {
+            return Ok(false);
+        }
+        self.journal.append(&Record::Cutoff(cutoff), Durability::Deferred)?;
+        active.apply_cutoff(cutoff);
+        self.journal.last_dropped = Some(cutoff);
+        self.journal.last_seq = self.journal.last_seq.max(cutoff.seq);
+        tracing::warn!(
+            seq = cutoff.seq,
+            issued_ms = cutoff.issued_ms,
+            "purges: applied a cutoff in place of missed purges"
+        );
+        Ok(true)
+    }
+
+    /// Applies purges up to a gap; whether any was new.
+    fn apply_purges(&mut self, purges: &[Purge], active: &mut ActivePurges) -> Result<bool, LogError> {
+        let applied_before = active.applied();
+        for purge in purges {
+            if purge.seq <= active.applied() {
+                self.journal.metrics.repeats += 1;
+                continue;
+            }
+            if purge.seq != active.applied() + 1 {
+                self.journal.metrics.gaps += 1;
+                break;
+            }
+            self.journal.append(&Record::Purge(purge.clone()), Durability::Deferred)?;
+            active.apply(purge);
+            self.journal.metrics.received += 1;
+            self.journal.last_seq = purge.seq;
+            tracing::info!(seq = purge.seq, selector = %purge.selector, "purge applied");
+        }
+        Ok(active.applied() > applied_before)
+    }
+
+    /// Synchronises the log to disk.
+    pub fn sync(&mut self) -> Result<(), LogError> {
+        self.journal.sync()
+    }
+
+    /// The active purges from sequence number `from` on, at most `max`.
+    pub fn list(&self, active: &ActivePurges, from: u64, max: usize) -> PurgeList {
+        let purges = active.iter().filter(|purge| purge.seq >= from).take(max).collect();
+        PurgeList { purges, last_seq: self.journal.last_seq }
+    }
+
+    /// The status.
+    pub fn status(&self, active: &ActivePurges) -> ReplicaStatus {
+        self.journal.status(Role::Follower, &self.name, active)
+    }
+}
+
+/// Whether the purges of a batch are consecutive and begin where the batch says.
+fn is_in_order(batch: &Batch) -> bool {
+    let begins_at_from = batch.purges.first().is_none_or(|purge| purge.seq == batch.from);
+    begins_at_from && batch.purges.windows(2).all(|pair| pair[1].seq == pair[0].seq + 1)
+}
--- /dev/null
+++ b/src/purge/glob.rs
@@ -0,0 +1,180 @@
+//! Glob patterns over the names of copies, with bounded cost.
+//!
+//! A copy's name is `/CLASS/OBJECT/PART` (see [`super::selector::copy_name`]). `*` matches any characters within one
+//! segment of the name, `?` one character, and a last segment `**` the rest of the name. Character classes, braces and
+//! escapes are rejected. A pattern has at most [`MAX_WILDCARDS`] wildcards and [`MAX_PATTERN`] bytes, which is checked
+//! when it is compiled, so that matching a name costs at most a few hundred steps.
+
+use thiserror::Error;
+
+/// The longest pattern, in bytes.
+pub const MAX_PATTERN: usize = 256;
+/// The most wildcards in a pattern: `*`, `?` and a final `**` count one each.
+pub const MAX_WILDCARDS: usize = 8;
+
+/// A pattern that is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum GlobError {
+    /// The pattern is empty or does not begin with `/`.
+    #[error("a pattern begins with `/`, as a copy's name does")]
+    NoLeadingSlash,
+    /// The pattern has more than [`MAX_PATTERN`] bytes.
+    #[error("longer than {MAX_PATTERN} bytes")]
+    TooLong,
+    /// The pattern has a space, a control character or a character beyond ASCII.
+    #[error("only visible ASCII characters, no spaces")]
+    InvalidCharacter,
+    /// The pattern has a character class, a brace or an escape.
+    #[error("classes, braces and escapes are not supported: use `*` and `?`")]
+    UnsupportedSyntax,
+    /// A segment `**` is followed by another segment.
+    #[error("`**` may stand only as the last step")]
+    RestNotLast,
+    /// `**` is part of a longer segment.
+    #[error("`**` must be a whole step")]
+    PartialRest,
+    /// A segment before the last is empty.
+    #[error("an empty step")]
+    EmptySegment,
+    /// The pattern has more than [`MAX_WILDCARDS`] wildcards.
+    #[error("more than {MAX_WILDCARDS} wildcards")]
+    TooManyWildcards,
+}
+
+/// One segment of a pattern.
+#[derive(Clone, Debug, PartialEq, Eq)]
+enum Segment {
+    /// Matches this text only.
+    Literal(Box<str>),
+    /// Contains `*` or `?`.
+    Wildcard(Box<str>),
+}
+
+impl Segment {
+    fn matches(&self, text: &str) -> bool {
+        match self {
+            Self::Literal(literal) => **literal == *text,
+            Self::Wildcard(pattern) => wildcard_match(pattern.as_bytes(), text.as_bytes()),
+        }
+    }
+}
+
+/// A compiled pattern.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Glob {
+    text: Box<str>,
+    segments: Vec<Segment>,
+    /// Whether the last segment is `**`.
+    matches_rest: bool,
+}
+
+impl Glob {
+    /// Checks and compiles a pattern.
+    pub fn new(text: &str) -> Result<Self, GlobError> {
+        check_characters(text)?;
+        let parts: Vec<&str> = text[1..].split('/').collect();
+        let (last, leading) = parts.split_last().expect("split yields at least one part");
+        let mut segments = Vec::with_capacity(parts.len());
+        let mut wildcards = 0;
+        for part in leading {
+            if *part == "**" {
+                return Err(GlobError::RestNotLast);
+            }
+            if part.is_empty() {
+                return Err(GlobError::EmptySegment);
+            }
+            segments.push(segment(part, &mut wildcards)?);
+        }
+        let matches_rest = *last == "**";
+        if matches_rest {
+            wildcards += 1;
+        } else {
+            segments.push(segment(last, &mut wildcards)?);
+        }
+        if wildcards > MAX_WILDCARDS {
+            return Err(GlobError::TooManyWildcards);
+        }
+        Ok(Self { text: text.into(), segments, matches_rest })
+    }
+
+    /// The pattern as given.
+    pub fn as_str(&self) -> &str {
+        &self.text
+    }
+
+    /// The text before the first wildcard, such as `/video-part/7f3a`, with which every matching name begins.
+    pub fn literal_prefix(&self) -> &str {
+        let end = self.text.find(['*', '?']).unwrap_or(self.text.len());
+        &self.text[..end]
+    }
+
+    /// Whether the pattern has no wildcard and names one copy.
+    pub fn is_exact(&self) -> bool {
+        !self.matches_rest && self.segments.iter().all(|segment| matches!(segment, Segment::Literal(_)))
+    }
+
+    /// Whether a copy's name matches. The cost is at most the name's length times the wildcards of a segment.
+    pub fn matches(&self, name: &str) -> bool {
+        let Some(name) = name.strip_prefix('/') else { return false };
+        let mut parts = name.split('/');
+        for segment in &self.segments {
+            if !parts.next().is_some_and(|part| segment.matches(part)) {
+                return false;
+            }
+        }
+        self.matches_rest || parts.next().is_none()
+    }
+}
+
+fn check_characters(text: &str) -> Result<(), GlobError> {
+    if !text.starts_with('/') {
+        return Err(GlobError::NoLeadingSlash);
+    }
+    if text.len() > MAX_PATTERN {
+        return Err(GlobError::TooLong);
+    }
+    if !text.bytes().all(|b| b.is_ascii_graphic()) {
+        return Err(GlobError::InvalidCharacter);
+    }
+    if text.contains(['[', ']', '{', '}', '\\']) {
+        return Err(GlobError::UnsupportedSyntax);
+    }
+    Ok(())
+}
+
+/// Compiles a segment other than `**`, and adds its wildcards to `wildcards`.
+fn segment(part: &str, wildcards: &mut usize) -> Result<Segment, GlobError> {
+    if part.contains("**") {
+        return Err(GlobError::PartialRest);
+    }
+    let count = part.bytes().filter(|b| matches!(b, b'*' | b'?')).count();
+    *wildcards += count;
+    Ok(if count == 0 { Segment::Literal(part.into()) } else { Segment::Wildcard(part.into()) })
+}
+
+/// Matches `*` and `?` within one segment, greedily with one backtracking point: linear for one `*`, and at most the
+/// text's length times the number of wildcards otherwise.
+fn wildcard_match(pattern: &[u8], text: &[u8]) -> bool {
+    let (mut p, mut t) = (0, 0);
+    // The place after the last `*`, and the text matched by that `*` so far.
+    let mut backtrack: Option<(usize, usize)> = None;
+    while t < text.len() {
+        if p < pattern.len() && (pattern[p] == b'?' || pattern[p] == text[t]) {
+            p += 1;
+            t += 1;
+        } else if p < pattern.len() && pattern[p] == b'*' {
+            p += 1;
+            backtrack = Some((p, t));
+        } else if let Some((after_star, matched)) = backtrack {
+            p = after_star;
+            t = matched + 1;
+            backtrack = Some((after_star, t));
+        } else {
+            return false;
+        }
+    }
+    pattern[p..].iter().all(|b| *b == b'*')
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/purge/glob/tests.rs
@@ -0,0 +1,28 @@
+use super::*;
+
+#[test]
+fn globs_match_within_segments_and_the_rest_only_at_the_end() {
+    let glob = Glob::new("/video-part/7f3a*/*").unwrap();
+    assert!(glob.matches("/video-part/7f3a9c21e0b4d655/3"));
+    assert!(!glob.matches("/video-part/8f3a9c21e0b4d655/3"));
+    assert!(!glob.matches("/video-part/7f3a9c21e0b4d655/3/4"));
+    assert_eq!(glob.literal_prefix(), "/video-part/7f3a");
+    let rest = Glob::new("/small-object/**").unwrap();
+    assert!(rest.matches("/small-object/00000000000000aa/0"));
+    assert!(!rest.matches("/video-part/00000000000000aa/0"));
+    let suffix = Glob::new("/*/*a?/1").unwrap();
+    assert!(suffix.matches("/x/0000ab/1") && !suffix.matches("/x/0000a/1") && !suffix.matches("/x/00ab/2"));
+    assert!(Glob::new("/a/b/c").unwrap().is_exact());
+    assert!(wildcard_match(b"*a*b*c", b"xxaxxbxxc") && !wildcard_match(b"*a*b*c", b"xxaxxcxxb"));
+}
+
+#[test]
+fn unbounded_or_unsupported_patterns_are_rejected() {
+    let rejected = ["", "video/*", "/a/**/b", "/a**", "/[ab]", "/{a,b}", "/a b", "/a//b", "/a\\*"];
+    for text in rejected {
+        assert!(Glob::new(text).is_err(), "{text:?} was accepted");
+    }
+    assert!(Glob::new(&format!("/{}", "a".repeat(MAX_PATTERN))).is_err());
+    assert!(Glob::new("/*/*/*/*/*/*/*/*/*").is_err());
+    assert!(Glob::new("/*/*/*/*/*/*/*/*").is_ok());
+}
--- /dev/null
+++ b/src/purge/journal.rs
@@ -0,0 +1,138 @@
+//! The log of a leader or follower with the positions that it stores. Without a log file everything is in memory only.
+
+use super::active_purges::{ActivePurges, Purge, PurgeStamp};
+use super::config::{PurgeConfig, Role};
+use super::log::{LogError, PurgeLog, Record, Snapshot, TruncatedTail};
+use super::metrics::{LogFile, PurgeMetrics, ReplicaStatus};
+use std::collections::BTreeMap;
+
+/// Whether a write waits for the disk.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Durability {
+    /// The record is on disk when the call returns.
+    Synced,
+    /// The record is on disk after the next [`Journal::sync`].
+    Deferred,
+}
+
+/// A log and its positions.
+#[derive(Debug)]
+pub(super) struct Journal {
+    pub(super) log: Option<PurgeLog>,
+    pub(super) truncated: Option<TruncatedTail>,
+    /// The size beyond which the log is rewritten, in bytes.
+    compact_bytes: u64,
+    /// The highest sequence number issued or applied.
+    pub(super) last_seq: u64,
+    /// The highest sequence number that the whole fleet has applied.
+    pub(super) low_water_mark: u64,
+    /// The lowest sequence number that is retained.
+    pub(super) first_retained: u64,
+    /// The newest purge that is no longer retained.
+    pub(super) last_dropped: Option<PurgeStamp>,
+    pub(super) metrics: PurgeMetrics,
+}
+
+impl Journal {
+    /// An empty journal without a log.
+    pub(super) fn new(config: &PurgeConfig) -> Self {
+        Self {
+            log: None,
+            truncated: None,
+            compact_bytes: config.compact_bytes,
+            last_seq: 0,
+            low_water_mark: 0,
+            first_retained: 1,
+            last_dropped: None,
+            metrics: PurgeMetrics::default(),
+        }
+    }
+
+    /// Appends a record.
+    pub(super) fn append(&mut self, record: &Record, durability: Durability) -> Result<(), LogError> {
+        match &mut self.log {
+            Some(log) => log.append(record, durability == Durability::Synced),
+            None => Ok(()),
+        }
+    }
+
+    /// Synchronises deferred records to disk.
+    pub(super) fn sync(&mut self) -> Result<(), LogError> {
+        self.log.as_mut().map_or(Ok(()), PurgeLog::sync)
+    }
+
+    /// Records that the whole fleet has applied the purges up to `seq`; whether that is an advance.
+    pub(super) fn advance_low_water_mark(
+        &mut self,
+        seq: u64,
+        active: &mut ActivePurges,
+        now_ms: f64,
+    ) -> Result<bool, LogError> {
+        if seq <= self.low_water_mark {
+            return Ok(false);
+        }
+        self.low_water_mark = seq;
+        active.advance_low_water_mark(seq, now_ms);
+        self.append(&Record::LowWaterMark { through: seq }, Durability::Deferred)?;
+        Ok(true)
+    }
+
+    /// Whether the log has grown beyond its size.
+    pub(super) fn needs_compaction(&self) -> bool {
+        self.log.as_ref().is_some_and(|log| log.bytes() > self.compact_bytes)
+    }
+
+    /// Rewrites the log from the present state: the retained and the active purges, each once and in order.
+    pub(super) fn compact(
+        &mut self,
+        active: &ActivePurges,
+        retained: &BTreeMap<u64, Purge>,
+        acknowledged: BTreeMap<String, u64>,
+    ) -> Result<(), LogError> {
+        let Some(log) = &mut self.log else { return Ok(()) };
+        let snapshot = Snapshot {
+            last_seq: self.last_seq,
+            low_water_mark: self.low_water_mark,
+            first_retained: self.first_retained,
+            last_dropped: self.last_dropped,
+            cutoff: active.cutoff(),
+            acknowledged,
+        };
+        let mut purges: BTreeMap<u64, Purge> = active.iter().map(|purge| (purge.seq, purge)).collect();
+        purges.extend(retained.iter().map(|(seq, purge)| (*seq, purge.clone())));
+        let mut records = vec![Record::Snapshot(snapshot)];
+        records.extend(purges.into_values().map(Record::Purge));
+        log.rewrite(&records)?;
+        self.metrics.compactions += 1;
+        tracing::info!(
+            bytes = log.bytes(),
+            purges = records.len() - 1,
+            first_retained = self.first_retained,
+            last_seq = self.last_seq,
+            "purge log compacted"
+        );
+        Ok(())
+    }
+
+    /// The status of a replica without targets and retained purges.
+    pub(super) fn status(&self, role: Role, name: &str, active: &ActivePurges) -> ReplicaStatus {
+        let log_file =
+            |log: &PurgeLog| LogFile { path: log.path().display().to_string(), bytes: log.bytes() };
+        ReplicaStatus {
+            role,
+            name: name.to_string(),
+            last_seq: self.last_seq,
+            low_water_mark: self.low_water_mark,
+            first_retained: self.first_retained,
+            retained: 0,
+            active: active.len(),
+            merged: active.merged(),
+            cutoff: active.cutoff(),
+            active_bytes: active.heap_bytes(),
+            targets: BTreeMap::new(),
+            log: self.log.as_ref().map(log_file),
+            truncated: self.truncated.clone(),
+            metrics: self.metrics,
+        }
+    }
+}
--- /dev/null
+++ b/src/purge/leader.rs
@@ -0,0 +1,260 @@
+//! The leader: numbers purges, logs them before any target gets them, and decides which batches to send.
+
+use super::active_purges::{ActivePurges, ApplyOutcome, Purge, PurgeStamp};
+use super::config::{PurgeConfig, Role, Target};
+use super::fanout::{AckOutcome, BatchRange, FanOut};
+use super::journal::{Durability, Journal};
+use super::log::{LogError, Record};
+use super::metrics::ReplicaStatus;
+use super::recovery::Recovered;
+use super::selector::Selector;
+use super::wire::{Batch, CallError, PurgeList, Submitted};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use thiserror::Error;
+
+/// Failures of one target between warnings.
+const FAILURES_PER_WARNING: u32 = 20;
+
+/// A purge that was not issued. Nothing changed.
+#[derive(Debug, Error)]
+pub enum SubmitError {
+    /// This proxy is a follower.
+    #[error("this proxy is a follower: submit to the leader")]
+    NotLeader,
+    /// The log can't be written.
+    #[error(transparent)]
+    Log(#[from] LogError),
+}
+
+/// A batch that got no acknowledgement.
+#[derive(Debug, Error)]
+pub enum SendError {
+    /// The call failed.
+    #[error(transparent)]
+    Call(#[from] CallError),
+    /// The target answered with an error status.
+    #[error("status {0}")]
+    Status(u16),
+    /// The target's answer is no acknowledgement.
+    #[error(transparent)]
+    Malformed(#[from] simd_json::Error),
+}
+
+/// A batch to send.
+#[derive(Clone, Debug, PartialEq)]
+pub struct OutgoingBatch {
+    /// The name of the target.
+    pub target: String,
+    /// The address of the target.
+    pub address: SocketAddr,
+    /// The batch.
+    pub batch: Batch,
+}
+
+/// The state of a leader. Its only I/O is the log.
+#[derive(Debug)]
+pub struct Leader {
+    name: String,
+    journal: Journal,
+    /// The purges retained for targets, by sequence number.
+    retained: BTreeMap<u64, Purge>,
+    max_retained: usize,
+    /// The issue time of the newest purge, in Unix milliseconds. Issue times never decrease.
+    last_issued_ms: f64,
+    fanout: FanOut,
+    addresses: BTreeMap<String, SocketAddr>,
+    /// The targets of the operator file.
+    configured_targets: Vec<Target>,
+}
+
+impl Leader {
+    /// Recovers a leader from the log of its operator file and puts its purges in force.
+    pub fn open(
+        config: &PurgeConfig,
+        active: &mut ActivePurges,
+        now_ms: f64,
+        seed: u64,
+    ) -> Result<Self, LogError> {
+        let recovered = Recovered::read(config, active, now_ms)?;
+        let mut leader = Self {
+            name: config.name.clone(),
+            journal: recovered.journal,
+            retained: recovered.retained,
+            max_retained: config.max_retained,
+            last_issued_ms: recovered.last_issued_ms,
+            fanout: FanOut::new(config.backoff, config.fanout_limits(), seed),
+            addresses: BTreeMap::new(),
+            configured_targets: config.configured_targets(),
+        };
+        leader.update_fanout_range();
+        leader.set_listed_targets(now_ms, Vec::new());
+        for (target, seq) in &recovered.acknowledged {
+            leader.fanout.restore_acknowledgement(target, *seq);
+        }
+        Ok(leader)
+    }
+
+    /// Replaces the targets of the endpoint list; those of the operator file always remain.
+    pub fn set_listed_targets(&mut self, now_ms: f64, listed: Vec<Target>) {
+        let targets: Vec<Target> = self.configured_targets.iter().cloned().chain(listed).collect();
+        self.addresses = targets.iter().map(|target| (target.name.clone(), target.address)).collect();
+        self.fanout.set_targets(now_ms, targets.into_iter().map(|target| (target.name, target.status)));
+    }
+
+    /// Issues a purge: numbers it, logs it durably, and puts it in force here. It is due to all targets at once.
+    pub fn submit(
+        &mut self,
+        selector: Selector,
+        active: &mut ActivePurges,
+        now_ms: f64,
+    ) -> Result<Submitted, SubmitError> {
+        let issued_ms = now_ms.max(self.last_issued_ms);
+        let purge = Purge { seq: self.journal.last_seq + 1, issued_ms, selector };
+        self.journal.append(&Record::Purge(purge.clone()), Durability::Synced)?;
+        self.journal.last_seq = purge.seq;
+        self.last_issued_ms = issued_ms;
+        let outcome = active.apply(&purge);
+        debug_assert_eq!(outcome, ApplyOutcome::Applied);
+        tracing::info!(seq = purge.seq, selector = %purge.selector, issued_ms, "purge issued");
+        self.journal.metrics.issued += 1;
+        let submitted = Submitted { seq: purge.seq, issued_ms };
+        self.retained.insert(purge.seq, purge);
+        self.fanout.purge_appended(submitted.seq, now_ms);
+        self.drop_old_purges(active)?;
+        Ok(submitted)
+    }
+
+    /// Drops the oldest purges beyond the limit, and, once the log has grown beyond its size, those that every target
+    /// has applied. A target that lacks a dropped purge gets a cutoff.
+    fn drop_old_purges(&mut self, active: &ActivePurges) -> Result<(), LogError> {
+        if self.retained.len() <= self.max_retained && !self.journal.needs_compaction() {
+            return Ok(());
+        }
+        let low_water_mark = self.fanout.low_water_mark();
+        while let Some((&seq, purge)) = self.retained.first_key_value() {
+            if seq > low_water_mark && self.retained.len() <= self.max_retained {
+                break;
+            }
+            self.journal.last_dropped = Some(purge.stamp());
+            self.journal.first_retained = seq + 1;
+            self.retained.remove(&seq);
+        }
+        self.update_fanout_range();
+        self.journal.compact(active, &self.retained, self.fanout.acknowledgements())
+    }
+
+    fn update_fanout_range(&mut self) {
+        self.fanout.set_retained(self.journal.first_retained, self.journal.last_seq);
+    }
+
+    /// The batches to send now.
+    pub fn due(&mut self, now_ms: f64) -> Vec<OutgoingBatch> {
+        let low_water_mark = self.fanout.low_water_mark();
+        let ranges = self.fanout.due(now_ms);
+        ranges.into_iter().filter_map(|range| self.batch(range, low_water_mark)).collect()
+    }
+
+    fn batch(&mut self, range: BatchRange, low_water_mark: u64) -> Option<OutgoingBatch> {
+        let address = *self.addresses.get(&range.target)?;
+        let purges = match range.through >= range.from {
+            true => self.retained.range(range.from..=range.through).map(|(_, p)| p.clone()).collect(),
+            false => Vec::new(),
+        };
+        let cutoff = self.journal.last_dropped.filter(|_| range.with_cutoff);
+        self.journal.metrics.batches += 1;
+        self.journal.metrics.cutoffs += u64::from(cutoff.is_some());
+        let batch = Batch { leader: self.name.clone(), from: range.from, low_water_mark, cutoff, purges };
+        Some(OutgoingBatch { target: range.target, address, batch })
+    }
+
+    /// Records a target's answer to a batch: the highest sequence number that it has applied.
+    pub fn acknowledge(
+        &mut self,
+        target: &str,
+        applied: u64,
+        active: &mut ActivePurges,
+        now_ms: f64,
+    ) -> Result<(), LogError> {
+        match self.fanout.acknowledge(target, applied, now_ms) {
+            AckOutcome::Advanced { from, to } if to > from => {
+                let record = Record::Acknowledged { target: target.to_string(), seq: to };
+                self.journal.append(&record, Durability::Deferred)?;
+                tracing::debug!(target, acknowledged = to, "purges: target acknowledged");
+            }
+            AckOutcome::Regressed { from, to } => {
+                self.journal.metrics.regressions += 1;
+                tracing::warn!(target, from, to, "purges: a target lost its state; resending its purges");
+            }
+            AckOutcome::BeyondLog { acknowledged } => {
+                self.replace_unknown_purges(acknowledged, active, now_ms)?;
+            }
+            AckOutcome::Advanced { .. } | AckOutcome::Unexpected => {}
+        }
+        let low_water_mark = self.fanout.low_water_mark();
+        if self.journal.advance_low_water_mark(low_water_mark, active, now_ms)? {
+            tracing::info!(low_water_mark, "purges: low-water mark advanced");
+        }
+        self.drop_old_purges(active)
+    }
+
+    /// A target acknowledged sequence numbers beyond this log, which were issued from a log that was lost. Replaces
+    /// the unknown purges by a cutoff at the present time, and continues numbering after them.
+    fn replace_unknown_purges(
+        &mut self,
+        acknowledged: u64,
+        active: &mut ActivePurges,
+        now_ms: f64,
+    ) -> Result<(), LogError> {
+        tracing::error!(
+            acknowledged,
+            last_seq = self.journal.last_seq,
+            "purges: a target has applied purges that this log lacks; every older copy is purged fleet-wide"
+        );
+        let cutoff = PurgeStamp { seq: acknowledged, issued_ms: now_ms.max(self.last_issued_ms) };
+        self.journal.append(&Record::Cutoff(cutoff), Durability::Synced)?;
+        active.apply_cutoff(cutoff);
+        self.journal.last_seq = cutoff.seq;
+        self.journal.first_retained = cutoff.seq + 1;
+        self.journal.last_dropped = Some(cutoff);
+        self.last_issued_ms = cutoff.issued_ms;
+        self.retained.clear();
+        self.update_fanout_range();
+        Ok(())
+    }
+
+    /// Records that a batch to a target failed. It is retried with backoff.
+    pub fn record_failure(&mut self, target: &str, now_ms: f64, error: &SendError) {
+        self.fanout.record_failure(target, now_ms);
+        self.journal.metrics.failures += 1;
+        let failures = self.fanout.targets().get(target).map_or(0, |state| state.failures);
+        if failures == 1 || failures % FAILURES_PER_WARNING == 0 {
+            tracing::warn!(target, failures, %error, "purges: sending to a target failed; retrying with backoff");
+        }
+    }
+
+    /// When the next batch is due, in Unix milliseconds.
+    pub fn next_due_ms(&self) -> Option<f64> {
+        self.fanout.next_due_ms()
+    }
+
+    /// Synchronises the log to disk.
+    pub fn sync(&mut self) -> Result<(), LogError> {
+        self.journal.sync()
+    }
+
+    /// The retained purges from sequence number `from` on, at most `max`.
+    pub fn list(&self, from: u64, max: usize) -> PurgeList {
+        let purges = self.retained.range(from..).take(max).map(|(_, purge)| purge.clone()).collect();
+        PurgeList { purges, last_seq: self.journal.last_seq }
+    }
+
+    /// The status.
+    pub fn status(&self, active: &ActivePurges) -> ReplicaStatus {
+        ReplicaStatus {
+            retained: self.retained.len(),
+            targets: self.fanout.targets().clone(),
+            ..self.journal.status(Role::Leader, &self.name, active)
+        }
+    }
+}
--- a/src/purge/log.rs
+++ b/src/purge/log.rs
@@ -1,21 +1,20 @@
-//! The purge log on disk: an append-only file of records, each with its length and a CRC-32 of its bytes, so
-//! that a tail that a crash tore or a disk spoilt is found when the file is opened again.
+//! The purge log on disk: an append-only file of records, each with its length and a CRC-32 of its bytes, so that a torn
+//! or corrupt tail is found when the file is opened again.
 //!
 //! ```text
 //! file   = magic:8 ("CBPURGE1") record*
 //! record = length:4 crc32:4 kind:1 payload      length counts kind and payload; little-endian
 //! ```
 //!
-//! The payload is JSON. Opening reads every record whose length and checksum hold; at the first that does not,
-//! the file is cut back to the end of the one before, the fault is returned and logged, and what follows is
-//! never applied. A purge is written with `fsync` before anybody hears of it, so a torn tail holds only what was
-//! never told. Other records may go without: after SIGKILL the system still writes them, and one lost to a
-//! power cut only makes a target hear a purge again, which it skips by its number.
+//! The payload is JSON. Opening reads the records up to the first whose length or checksum is wrong, truncates the file
+//! there, and logs and returns the fault. A purge is synchronised to disk before any target gets it, so a torn tail
+//! holds only a purge that was never sent. Other records may be written without waiting for the disk: they survive
+//! SIGKILL, and one lost to a power cut only causes a repeat, which the target skips by its sequence number.
 //!
-//! When the file grows past its bound it is written anew, in a file beside it that then takes its name: the
-//! rename is atomic, so a crash leaves the old file or the new one, whole.
+//! A file that has grown beyond its bound is rewritten beside the old one and renamed over it. The rename is atomic, so
+//! a crash leaves either file complete.
 
-use super::active_purges::{Mark, Purge};
+use super::active_purges::{Purge, PurgeStamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -25,102 +24,173 @@
 
 /// The first bytes of a purge log.
 pub const MAGIC: &[u8; 8] = b"CBPURGE1";
-/// The longest record, in bytes: far above any purge.
+/// The longest record, in bytes.
 pub const MAX_RECORD: usize = 1 << 20;
 /// The largest file that is read, in bytes.
 pub const MAX_FILE: u64 = 1 << 30;
-/// The fewest bytes of a purge's record: what a lost tail held can't have had more purges than its bytes over this.
+/// The shortest record of a purge, in bytes: bounds the number of purges in a tail that was cut off.
 pub const MIN_PURGE_RECORD: u64 = 40;
-/// The most bytes of a purge's record: a torn tail shorter than this is one write that never ended.
+/// The longest record of a purge, in bytes: a torn tail up to this length is one incomplete write.
 pub const MAX_PURGE_RECORD: u64 = 1_024;
+/// Bytes of a record's length and checksum.
+const RECORD_HEADER: usize = 8;
+/// The only kind of record.
+const KIND_JSON: u8 = 1;
 
-/// What a log holds, record by record.
+/// One record of a log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
     /// A purge, as issued or as received.
     Purge(Purge),
-    /// A target acknowledged all up to `seq` (the leader's).
-    Acked {
-        /// The target.
+    /// A target acknowledged all purges up to `seq` (leader only).
+    #[serde(rename = "Acked")]
+    Acknowledged {
+        /// The name of the target.
         target: String,
-        /// Its acknowledgement.
+        /// The sequence number.
         seq: u64,
     },
-    /// The fleet applied all up to `through`.
-    Done {
-        /// The mark.
+    /// The whole fleet has applied all purges up to `through`.
+    #[serde(rename = "Done")]
+    LowWaterMark {
+        /// The sequence number.
         through: u64,
     },
-    /// A floor took the place of the purges up to its number.
-    Floor(Mark),
-    /// The state as a whole, at the start of a file that was written anew.
+    /// A cutoff replaced the purges up to its sequence number.
+    #[serde(rename = "Floor")]
+    Cutoff(PurgeStamp),
+    /// The state at the start of a rewritten file.
     Snapshot(Snapshot),
 }
 
-/// The state that a log written anew begins with; the purges still held follow it.
+/// The state at the start of a rewritten file; the purges that are retained follow it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The highest number given out or applied.
-    pub last: u64,
-    /// The fleet's `done` mark.
-    pub done: u64,
-    /// The lowest number still held.
-    pub first: u64,
-    /// The newest of the purges that the leader no longer holds: a floor for whoever lacks them.
-    #[serde(default)]
-    pub let_go: Option<Mark>,
-    /// The ledger's floor, which binds.
-    #[serde(default)]
-    pub floor: Option<Mark>,
-    /// The targets' acknowledgements (the leader's).
-    pub acked: BTreeMap<String, u64>,
+    /// The highest sequence number issued or applied.
+    #[serde(rename = "last")]
+    pub last_seq: u64,
+    /// The highest sequence number that the whole fleet has applied.
+    #[serde(rename = "done")]
+    pub low_water_mark: u64,
+    /// The lowest sequence number that is retained.
+    #[serde(rename = "first")]
+    pub first_retained: u64,
+    /// The newest purge that is no longer retained: the cutoff of targets that lack it.
+    #[serde(default, rename = "let_go")]
+    pub last_dropped: Option<PurgeStamp>,
+    /// The cutoff of the active purges.
+    #[serde(default, rename = "floor")]
+    pub cutoff: Option<PurgeStamp>,
+    /// The acknowledgements by target (leader only).
+    #[serde(rename = "acked")]
+    pub acknowledged: BTreeMap<String, u64>,
 }
 
-/// Why a log can't be used.
+/// A log that can't be opened or written.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// The file system refused.
-    #[error("purge log {path}: {op}: {source}")]
+    /// A file operation failed.
+    #[error("purge log {path}: {operation}: {source}")]
     Io {
         /// The file.
         path: PathBuf,
-        /// What was done.
-        op: &'static str,
-        /// Why it failed.
+        /// The operation.
+        operation: &'static str,
+        /// The error of the system.
         source: std::io::Error,
     },
-    /// The file is something else: it is left alone.
+    /// The file is not a purge log and is left alone.
     #[error("purge log {0}: not a purge log (its first bytes are not CBPURGE1)")]
-    Foreign(PathBuf),
-    /// The file is larger than is read.
+    NotPurgeLog(PathBuf),
+    /// The file is larger than [`MAX_FILE`].
     #[error("purge log {0}: larger than 1 GiB")]
     TooLarge(PathBuf),
-    /// A record could not be written as JSON.
+    /// A record can't be encoded as JSON.
     #[error("purge log: a record can't be written: {0}")]
-    Encode(String),
+    Encode(#[from] simd_json::Error),
 }
 
-/// The first record that could not be read, and why: what came from it on was cut off.
+/// What is wrong with a record.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum RecordFault {
+    /// The file ends within the record's length or checksum.
+    #[error("a torn record head")]
+    TornHeader,
+    /// The file ends within the record's body.
+    #[error("a torn record")]
+    TornBody,
+    /// The length is 0 or beyond [`MAX_RECORD`].
+    #[error("a record's length out of bounds")]
+    LengthOutOfBounds,
+    /// The checksum does not match.
+    #[error("a record's checksum does not hold")]
+    ChecksumMismatch,
+    /// The kind is unknown.
+    #[error("a record of an unknown kind")]
+    UnknownKind,
+    /// The payload is not the JSON of a [`Record`].
+    #[error("a record that is not a purge log's JSON")]
+    MalformedPayload,
+}
+
+impl Serialize for RecordFault {
+    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
+    }
+}
+
+/// A fault at a place in a log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FaultAt {
+    /// Offset of the record from the first one, in bytes.
+    pub offset: usize,
+    /// The fault.
+    pub fault: RecordFault,
+}
+
+/// The records of a log up to the first fault.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DecodedLog {
+    /// The records before the fault.
+    pub records: Vec<Record>,
+    /// The fault, if there is one.
+    pub fault: Option<FaultAt>,
+}
+
+/// The fault at which a log was truncated.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct TailFault {
-    /// Its offset in the file, where the file now ends.
+pub struct TruncatedTail {
+    /// Offset in the file, in bytes, where the file now ends.
     pub offset: u64,
     /// Bytes cut off.
-    pub cut: u64,
-    /// What was wrong.
+    #[serde(rename = "cut")]
+    pub removed: u64,
+    /// What was wrong with the first record cut off.
     #[serde(rename = "why")]
-    pub reason: &'static str,
+    pub fault: RecordFault,
 }
 
-impl TailFault {
-    /// Whether it is one write that never ended, which nobody heard of: a purge is written down before it is
-    /// told. Anything else may have held what was told, and is corruption.
+impl TruncatedTail {
+    /// Whether the tail was one incomplete write, which no target has seen. Anything else is corruption, which may
+    /// have removed purges that were sent.
     pub fn is_torn_write(&self) -> bool {
-        matches!(self.reason, "a torn record head" | "a torn record") && self.cut <= MAX_PURGE_RECORD
+        matches!(self.fault, RecordFault::TornHeader | RecordFault::TornBody)
+            && self.removed <= MAX_PURGE_RECORD
     }
 }
 
-/// An open log, to append to.
+/// A log that was opened, and what it contained.
+#[derive(Debug)]
+pub struct OpenedLog {
+    /// The log, to append to.
+    pub log: PurgeLog,
+    /// Its records.
+    pub records: Vec<Record>,
+    /// The fault at which it was truncated, if any.
+    pub truncated: Option<TruncatedTail>,
+}
+
+/// An open log.
 #[derive(Debug)]
 pub struct PurgeLog {
     path: PathBuf,
@@ -128,58 +198,65 @@
     bytes: u64,
 }
 
-fn io<'a>(path: &'a Path, op: &'static str) -> impl FnOnce(std::io::Error) -> LogError + 'a {
-    move |source| LogError::Io { path: path.to_path_buf(), op, source }
+/// Converts an error of the system.
+fn io<'a>(path: &'a Path, operation: &'static str) -> impl FnOnce(std::io::Error) -> LogError + 'a {
+    move |source| LogError::Io { path: path.to_path_buf(), operation, source }
 }
 
-/// The bytes of a record, framed.
+/// Encodes a record with its length and checksum.
 pub fn encode(record: &Record) -> Result<Vec<u8>, LogError> {
-    let payload = simd_json::to_vec(record).map_err(|e| LogError::Encode(e.to_string()))?;
+    let payload = simd_json::to_vec(record)?;
     let mut body = Vec::with_capacity(payload.len() + 1);
-    body.push(1u8);
+    body.push(KIND_JSON);
     body.extend_from_slice(&payload);
-    let mut framed = Vec::with_capacity(body.len() + 8);
+    let mut framed = Vec::with_capacity(body.len() + RECORD_HEADER);
     framed.extend_from_slice(&(body.len() as u32).to_le_bytes());
     framed.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
     framed.extend_from_slice(&body);
     Ok(framed)
 }
 
-/// Reads the records of a file's bytes after the magic; stops at the first that fails, and says where.
-pub fn decode(bytes: &[u8]) -> (Vec<Record>, Option<(usize, &'static str)>) {
+/// Decodes the records after the magic, up to the first fault.
+pub fn decode(bytes: &[u8]) -> DecodedLog {
     let mut records = Vec::new();
-    let mut at = 0;
-    while at < bytes.len() {
-        let fault = |reason| Some((at, reason));
-        let Some(head) = bytes.get(at..at + 8) else { return (records, fault("a torn record head")) };
-        let length = u32::from_le_bytes(head[..4].try_into().expect("four bytes")) as usize;
-        let crc = u32::from_le_bytes(head[4..].try_into().expect("four bytes"));
-        if length == 0 || length > MAX_RECORD {
-            return (records, fault("a record's length out of bounds"));
-        }
-        let Some(body) = bytes.get(at + 8..at + 8 + length) else {
-            return (records, fault("a torn record"));
-        };
-        if crc32fast::hash(body) != crc {
-            return (records, fault("a record's checksum does not hold"));
+    let mut offset = 0;
+    while offset < bytes.len() {
+        match decode_record(&bytes[offset..]) {
+            Ok((record, length)) => {
+                records.push(record);
+                offset += length;
+            }
+            Err(fault) => return DecodedLog { records, fault: Some(FaultAt { offset, fault }) },
         }
-        if body[0] != 1 {
-            return (records, fault("a record of an unknown kind"));
-        }
-        let mut payload = body[1..].to_vec();
-        match simd_json::from_slice::<Record>(&mut payload) {
-            Ok(record) => records.push(record),
-            Err(_) => return (records, fault("a record that is not a purge log's JSON")),
-        }
-        at += 8 + length;
     }
-    (records, None)
+    DecodedLog { records, fault: None }
+}
+
+/// Decodes the first record; returns it with its length in bytes.
+fn decode_record(bytes: &[u8]) -> Result<(Record, usize), RecordFault> {
+    let Some((header, rest)) = bytes.split_at_checked(RECORD_HEADER) else {
+        return Err(RecordFault::TornHeader);
+    };
+    let length = u32::from_le_bytes(header[..4].try_into().expect("four bytes")) as usize;
+    let checksum = u32::from_le_bytes(header[4..].try_into().expect("four bytes"));
+    if length == 0 || length > MAX_RECORD {
+        return Err(RecordFault::LengthOutOfBounds);
+    }
+    let body = rest.get(..length).ok_or(RecordFault::TornBody)?;
+    if crc32fast::hash(body) != checksum {
+        return Err(RecordFault::ChecksumMismatch);
+    }
+    if body[0] != KIND_JSON {
+        return Err(RecordFault::UnknownKind);
+    }
+    let mut payload = body[1..].to_vec();
+    let record = simd_json::from_slice(&mut payload).map_err(|_| RecordFault::MalformedPayload)?;
+    Ok((record, RECORD_HEADER + length))
 }
 
 impl PurgeLog {
-    /// Opens a log, or makes an empty one. Returns what it holds, and the fault at its tail, if any, which is
-    /// cut off and logged.
-    pub fn open(path: &Path) -> Result<(Self, Vec<Record>, Option<TailFault>), LogError> {
+    /// Opens a log, or creates an empty one. Reads its records, and truncates it at the first fault.
+    pub fn open(path: &Path) -> Result<OpenedLog, LogError> {
         let mut file =
             OpenOptions::new().read(true).append(true).create(true).open(path).map_err(io(path, "open"))?;
         let size = file.metadata().map_err(io(path, "stat"))?.len();
@@ -189,34 +266,40 @@
         let mut bytes = Vec::with_capacity(size as usize);
         file.read_to_end(&mut bytes).map_err(io(path, "read"))?;
         if bytes.is_empty() {
-            file.write_all(MAGIC).map_err(io(path, "write"))?;
-            file.sync_all().map_err(io(path, "fsync"))?;
-            sync_folder(path)?;
-            let log = Self { path: path.to_path_buf(), file, bytes: MAGIC.len() as u64 };
-            return Ok((log, Vec::new(), None));
+            let log = Self::create(path, file)?;
+            return Ok(OpenedLog { log, records: Vec::new(), truncated: None });
         }
-        if !bytes.starts_with(MAGIC) {
-            return Err(LogError::Foreign(path.to_path_buf()));
-        }
-        let (records, fault) = decode(&bytes[MAGIC.len()..]);
-        let fault = fault.map(|(at, reason)| {
-            let offset = (MAGIC.len() + at) as u64;
-            TailFault { offset, cut: size - offset, reason }
-        });
+        let Some(encoded) = bytes.strip_prefix(MAGIC.as_slice()) else {
+            return Err(LogError::NotPurgeLog(path.to_path_buf()));
+        };
+        let DecodedLog { records, fault } = decode(encoded);
         let mut log = Self { path: path.to_path_buf(), file, bytes: size };
-        if let Some(fault) = &fault {
-            tracing::error!(
-                log = %path.display(), offset = fault.offset, cut = fault.cut, reason = fault.reason,
-                kept = records.len(), "purge log: cut back to its last whole record"
-            );
-            log.file.set_len(fault.offset).map_err(io(path, "truncate"))?;
-            log.file.sync_all().map_err(io(path, "fsync"))?;
-            log.bytes = fault.offset;
-        }
-        Ok((log, records, fault))
+        let truncated = fault.map(|at| log.truncate_at(at, records.len())).transpose()?;
+        Ok(OpenedLog { log, records, truncated })
+    }
+
+    /// Writes the magic to an empty file.
+    fn create(path: &Path, mut file: File) -> Result<Self, LogError> {
+        file.write_all(MAGIC).map_err(io(path, "write"))?;
+        file.sync_all().map_err(io(path, "fsync"))?;
+        sync_folder(path)?;
+        Ok(Self { path: path.to_path_buf(), file, bytes: MAGIC.len() as u64 })
+    }
+
+    fn truncate_at(&mut self, at: FaultAt, intact_records: usize) -> Result<TruncatedTail, LogError> {
+        let offset = (MAGIC.len() + at.offset) as u64;
+        let tail = TruncatedTail { offset, removed: self.bytes - offset, fault: at.fault };
+        tracing::error!(
+            log = %self.path.display(), offset, removed = tail.removed, fault = %tail.fault, intact_records,
+            "purge log: truncated after its last intact record"
+        );
+        self.file.set_len(offset).map_err(io(&self.path, "truncate"))?;
+        self.file.sync_all().map_err(io(&self.path, "fsync"))?;
+        self.bytes = offset;
+        Ok(tail)
     }
 
-    /// Appends a record; `durable` waits until it is on the disk.
+    /// Appends a record; with `durable`, returns once it is on disk.
     pub fn append(&mut self, record: &Record, durable: bool) -> Result<(), LogError> {
         let framed = encode(record)?;
         self.file.write_all(&framed).map_err(io(&self.path, "write"))?;
@@ -227,24 +310,24 @@
         Ok(())
     }
 
-    /// Writes everything down that was appended without waiting.
+    /// Synchronises to disk what was appended without waiting for it.
     pub fn sync(&mut self) -> Result<(), LogError> {
         self.file.sync_data().map_err(io(&self.path, "fsync"))
     }
 
-    /// Writes the log anew with these records alone: beside it first, then in its place.
+    /// Replaces the log with these records, atomically.
     pub fn rewrite(&mut self, records: &[Record]) -> Result<(), LogError> {
-        let mut fresh = self.path.clone().into_os_string();
-        fresh.push(".new");
-        let fresh = PathBuf::from(fresh);
+        let mut replacement = self.path.clone().into_os_string();
+        replacement.push(".new");
+        let replacement = PathBuf::from(replacement);
         let mut bytes = MAGIC.to_vec();
         for record in records {
             bytes.extend(encode(record)?);
         }
-        let mut file = File::create(&fresh).map_err(io(&fresh, "create"))?;
-        file.write_all(&bytes).map_err(io(&fresh, "write"))?;
-        file.sync_all().map_err(io(&fresh, "fsync"))?;
-        std::fs::rename(&fresh, &self.path).map_err(io(&self.path, "rename"))?;
+        let mut file = File::create(&replacement).map_err(io(&replacement, "create"))?;
+        file.write_all(&bytes).map_err(io(&replacement, "write"))?;
+        file.sync_all().map_err(io(&replacement, "fsync"))?;
+        std::fs::rename(&replacement, &self.path).map_err(io(&self.path, "rename"))?;
         sync_folder(&self.path)?;
         self.file =
             OpenOptions::new().read(true).append(true).open(&self.path).map_err(io(&self.path, "open"))?;
@@ -257,13 +340,13 @@
         self.bytes
     }
 
-    /// The file.
+    /// The path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 }
 
-/// Makes a new name in a folder lasting.
+/// Synchronises the folder of a file to disk, with a name that was created or replaced in it.
 fn sync_folder(path: &Path) -> Result<(), LogError> {
     let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
     File::open(folder).and_then(|f| f.sync_all()).map_err(io(folder, "fsync the folder"))
--- a/src/purge/mod.rs
+++ b/src/purge/mod.rs
@@ -1,26 +1,36 @@
-//! Fleet purges: purges by object, group, surrogate key or pattern, numbered by one leader, written down before
-//! anybody hears of them, fanned out to every box and proxy, and applied in order everywhere.
+//! Fleet purges: purges by object, group, surrogate key or pattern for every cache server and proxy of an installation.
+//! One leader numbers them, logs them before any target gets them, and replicates the log; every follower and cache
+//! server applies them in order.
 //!
-//! | part | what it does | I/O |
+//! | module | concern | I/O |
 //! | --- | --- | --- |
-//! | [`selector`] | what a purge names, and what a copy's name is | none |
-//! | [`active_purges`] | which purges bind a copy, the age bound of an attempt, folding past a bound | none |
-//! | [`fanout`] | who has been told what, batches, backoff, the fleet's `done` mark | none |
-//! | [`age_limit`] | what the engine asks before an attempt's first byte and of each answer | none |
-//! | [`log`] | the append-only log with checksums that outlives a crash | a file |
-//! | [`book`] | a leader's or follower's state: issue, receive, acknowledge, resume | the log's file |
-//! | [`wire`] | the JSON calls over HTTP/1.1, and a small client | sockets |
-//! | [`driver`] | the task that sends batches and takes answers | sockets |
+//! | [`selector`], [`glob`] | the copies that a purge removes | none |
+//! | [`active_purges`], `index` | the purges in force, retention, lookup by copy | none |
+//! | [`age_limit`] | the age limit of attempts and the check of answers | none |
+//! | [`fanout`] | replication: batches, acknowledgements, backoff, the low-water mark | none |
+//! | [`log`] | the append-only log with checksums | a file |
+//! | [`leader`], [`follower`], [`replica`] | issuing, applying and acknowledging purges | the log |
+//! | `journal`, `recovery` | the log with its positions, and the state after a restart | the log |
+//! | [`wire`] | the JSON bodies of the calls | none |
+//! | [`service`] | the calls at the admin address and the sending task | sockets |
 //! | [`config`] | the operator file | a file |
+//! | [`metrics`] | counters and status | none |
 //!
-//! The design note is `docs/design-fleet-purges.md`; operators read `docs/fleet-purges.md`.
+//! The design note is `docs/design-fleet-purges.md`, the operators' page `docs/fleet-purges.md`.
 
 pub mod active_purges;
 pub mod age_limit;
-pub mod book;
 pub mod config;
-pub mod driver;
 pub mod fanout;
+pub mod follower;
+pub mod glob;
+mod index;
+mod journal;
+pub mod leader;
 pub mod log;
+pub mod metrics;
+mod recovery;
+pub mod replica;
 pub mod selector;
+pub mod service;
 pub mod wire;
--- /dev/null
+++ b/src/purge/recovery.rs
@@ -0,0 +1,132 @@
+//! The state of a leader or follower at its start, from its log.
+//!
+//! A restart resumes from the highest sequence number issued or applied (none is issued twice), the retained and
+//! active purges (they are in force before the first request), the low-water mark, and each target's acknowledgement,
+//! so that a target gets exactly the purges that it lacks. An acknowledgement is written without waiting for the disk;
+//! one lost to a power cut only causes a repeat, which the target skips by its sequence number.
+
+use super::active_purges::{ActivePurges, Purge, PurgeStamp};
+use super::config::{PurgeConfig, Role};
+use super::journal::{Durability, Journal};
+use super::log::{LogError, OpenedLog, PurgeLog, Record, Snapshot, MIN_PURGE_RECORD};
+use std::collections::BTreeMap;
+
+/// The recovered state.
+#[derive(Debug)]
+pub(super) struct Recovered {
+    role: Role,
+    pub(super) journal: Journal,
+    /// The purges retained for targets, by sequence number (leader only).
+    pub(super) retained: BTreeMap<u64, Purge>,
+    /// The acknowledgements by target.
+    pub(super) acknowledged: BTreeMap<String, u64>,
+    /// The latest issue time, in Unix milliseconds.
+    pub(super) last_issued_ms: f64,
+}
+
+impl Recovered {
+    /// Reads the log of an operator file, if it names one, and puts its purges in force.
+    pub(super) fn read(
+        config: &PurgeConfig,
+        active: &mut ActivePurges,
+        now_ms: f64,
+    ) -> Result<Self, LogError> {
+        let mut recovered = Self {
+            role: config.role,
+            journal: Journal::new(config),
+            retained: BTreeMap::new(),
+            acknowledged: BTreeMap::new(),
+            last_issued_ms: 0.0,
+        };
+        if let Some(path) = &config.state {
+            let OpenedLog { log, records, truncated } = PurgeLog::open(path)?;
+            recovered.journal.log = Some(log);
+            recovered.journal.truncated = truncated;
+            records.into_iter().for_each(|record| recovered.replay(record, active));
+        }
+        active.skip_to(recovered.journal.last_seq);
+        let corrupt = recovered.journal.truncated.as_ref().filter(|tail| !tail.is_torn_write());
+        if let Some(removed) = corrupt.map(|tail| tail.removed) {
+            recovered.replace_lost_purges(removed, active, now_ms)?;
+        }
+        active.advance_low_water_mark(recovered.journal.low_water_mark, now_ms);
+        tracing::info!(
+            role = ?recovered.role,
+            last_seq = recovered.journal.last_seq,
+            low_water_mark = recovered.journal.low_water_mark,
+            retained = recovered.retained.len(),
+            active = active.len(),
+            targets = recovered.acknowledged.len(),
+            "purges: resumed from the log"
+        );
+        Ok(recovered)
+    }
+
+    fn replay(&mut self, record: Record, active: &mut ActivePurges) {
+        match record {
+            Record::Snapshot(snapshot) => self.replay_snapshot(snapshot, active),
+            Record::Purge(purge) => {
+                self.journal.last_seq = self.journal.last_seq.max(purge.seq);
+                self.last_issued_ms = self.last_issued_ms.max(purge.issued_ms);
+                active.restore(&purge);
+                if self.role == Role::Leader && purge.seq >= self.journal.first_retained {
+                    self.retained.insert(purge.seq, purge);
+                }
+            }
+            Record::Acknowledged { target, seq } => {
+                let acknowledged = self.acknowledged.entry(target).or_insert(seq);
+                *acknowledged = (*acknowledged).max(seq);
+            }
+            Record::LowWaterMark { through } => {
+                self.journal.low_water_mark = self.journal.low_water_mark.max(through);
+            }
+            Record::Cutoff(cutoff) => {
+                active.apply_cutoff(cutoff);
+                self.journal.last_seq = self.journal.last_seq.max(cutoff.seq);
+                self.journal.first_retained = self.journal.first_retained.max(cutoff.seq + 1);
+                self.journal.last_dropped = Some(cutoff);
+                self.retained.retain(|seq, _| *seq > cutoff.seq);
+            }
+        }
+    }
+
+    fn replay_snapshot(&mut self, snapshot: Snapshot, active: &mut ActivePurges) {
+        self.journal.last_seq = snapshot.last_seq;
+        self.journal.low_water_mark = snapshot.low_water_mark;
+        self.journal.first_retained = snapshot.first_retained.max(1);
+        self.journal.last_dropped = snapshot.last_dropped;
+        if let Some(cutoff) = snapshot.cutoff {
+            active.apply_cutoff(cutoff);
+        }
+        self.acknowledged = snapshot.acknowledged;
+    }
+
+    /// Replaces the purges that a corrupt tail of `removed` bytes may have contained by a cutoff at the present time.
+    /// A leader skips the sequence numbers that may have been issued, at most one for each [`MIN_PURGE_RECORD`] bytes.
+    fn replace_lost_purges(
+        &mut self,
+        removed: u64,
+        active: &mut ActivePurges,
+        now_ms: f64,
+    ) -> Result<(), LogError> {
+        let skipped = if self.role == Role::Leader { removed / MIN_PURGE_RECORD + 1 } else { 0 };
+        let cutoff =
+            PurgeStamp { seq: self.journal.last_seq + skipped, issued_ms: now_ms.max(self.last_issued_ms) };
+        tracing::error!(
+            removed,
+            skipped,
+            cutoff_seq = cutoff.seq,
+            "purges: the log was corrupt; every copy older than now counts as purged until the fleet has caught up"
+        );
+        self.journal.append(&Record::Cutoff(cutoff), Durability::Synced)?;
+        active.apply_cutoff(cutoff);
+        self.last_issued_ms = cutoff.issued_ms;
+        if self.role == Role::Leader {
+            self.journal.last_seq = cutoff.seq;
+            self.journal.first_retained = cutoff.seq + 1;
+            self.journal.last_dropped = Some(cutoff);
+            self.retained.clear();
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/purge/replica.rs
@@ -0,0 +1,93 @@
+//! A proxy's copy of the fleet's purge log: a leader or a follower.
+
+use super::active_purges::ActivePurges;
+use super::config::{PurgeConfig, Role};
+use super::follower::{Follower, ReceiveError};
+use super::leader::{Leader, SubmitError};
+use super::log::LogError;
+use super::metrics::ReplicaStatus;
+use super::selector::Selector;
+use super::wire::{Batch, PurgeList, Submitted};
+
+/// A leader or a follower.
+#[derive(Debug)]
+pub enum Replica {
+    /// A leader.
+    Leader(Box<Leader>),
+    /// A follower.
+    Follower(Box<Follower>),
+}
+
+impl Replica {
+    /// Recovers the replica of an operator file from its log and puts its purges in force.
+    pub fn open(
+        config: &PurgeConfig,
+        active: &mut ActivePurges,
+        now_ms: f64,
+        seed: u64,
+    ) -> Result<Self, LogError> {
+        Ok(match config.role {
+            Role::Leader => Self::Leader(Box::new(Leader::open(config, active, now_ms, seed)?)),
+            Role::Follower => Self::Follower(Box::new(Follower::open(config, active, now_ms)?)),
+        })
+    }
+
+    /// The leader, if this is one.
+    pub fn leader(&mut self) -> Option<&mut Leader> {
+        match self {
+            Self::Leader(leader) => Some(leader),
+            Self::Follower(_) => None,
+        }
+    }
+
+    /// Issues a purge, at a leader only.
+    pub fn submit(
+        &mut self,
+        selector: Selector,
+        active: &mut ActivePurges,
+        now_ms: f64,
+    ) -> Result<Submitted, SubmitError> {
+        match self {
+            Self::Leader(leader) => leader.submit(selector, active, now_ms),
+            Self::Follower(_) => Err(SubmitError::NotLeader),
+        }
+    }
+
+    /// Applies a batch, at a follower only; returns the highest sequence number applied.
+    pub fn receive(
+        &mut self,
+        batch: &Batch,
+        active: &mut ActivePurges,
+        now_ms: f64,
+    ) -> Result<u64, ReceiveError> {
+        match self {
+            Self::Leader(_) => Err(ReceiveError::NotFollower),
+            Self::Follower(follower) => follower.receive(batch, active, now_ms),
+        }
+    }
+
+    /// Synchronises the log to disk.
+    pub fn sync(&mut self) -> Result<(), LogError> {
+        match self {
+            Self::Leader(leader) => leader.sync(),
+            Self::Follower(follower) => follower.sync(),
+        }
+    }
+
+    /// The purges from sequence number `from` on, at most `max`: those retained at a leader, the active ones at a
+    /// follower.
+    pub fn list(&self, active: &ActivePurges, from: u64, max: usize) -> PurgeList {
+        match self {
+            Self::Leader(leader) => leader.list(from, max),
+            Self::Follower(follower) => follower.list(active, from, max),
+        }
+    }
+
+    /// The status.
+    pub fn status(&self, active: &ActivePurges) -> ReplicaStatus {
+        match self {
+            Self::Leader(leader) => leader.status(active),
+            Self::Follower(follower) => follower.status(active),
+        }
+    }
+}
--- /dev/null
+++ b/src/purge/service.rs
@@ -0,0 +1,227 @@
+//! The fleet-purge service of a proxy: the calls at the admin address, and the task that sends the leader's batches.
+//! Which batches to send, when, and the effect of an answer are decided in [`super::leader`] and [`super::fanout`].
+
+use super::age_limit::AgeLimiter;
+use super::config::{PurgeConfig, Target};
+use super::follower::ReceiveError;
+use super::leader::{OutgoingBatch, SendError, SubmitError};
+use super::log::LogError;
+use super::metrics::PurgeStatus;
+use super::replica::Replica;
+use super::wire::{call, from_json, to_json, Acknowledgement, Batch, Fault, SubmitRequest};
+use crate::clock::duration_from_ms;
+use crate::engine::executor::Executor;
+use crate::wire::http::{HttpAnswer, HttpRequest};
+use serde::Serialize;
+use std::cell::RefCell;
+use std::rc::Rc;
+use tokio::sync::{Notify, Semaphore};
+
+/// How often the endpoint list is read for targets, in milliseconds.
+const TARGET_REFRESH_MS: f64 = 1_000.0;
+/// How often deferred log records are synchronised to disk, in milliseconds.
+const SYNC_INTERVAL_MS: f64 = 1_000.0;
+/// Calls to targets at once. Each has a file descriptor, and there may be more targets.
+pub const MAX_CALLS: usize = 64;
+/// Purges in one answer to `GET /purges/log` at most.
+const MAX_LISTED: usize = 1_000;
+
+/// The fleet-purge service of one proxy.
+pub struct PurgeService {
+    host: Rc<Executor>,
+    replica: RefCell<Replica>,
+    config: PurgeConfig,
+    /// Wakes the task: a purge was issued, or a target answered.
+    wake: Notify,
+    /// Permits of calls to targets.
+    calls: Semaphore,
+}
+
+impl PurgeService {
+    /// Recovers the replica from its log and puts its purges in force at the engine, before anything is served.
+    pub fn open(host: &Rc<Executor>, config: PurgeConfig, seed: u64) -> Result<Rc<Self>, LogError> {
+        let now_ms = host.clock.now();
+        let limiter = AgeLimiter::new(config.retention_limits(), config.max_tagged_objects);
+        let replica = host.with(|engine| {
+            let limiter = engine.set_age_limiter(limiter);
+            Replica::open(&config, &mut limiter.active, now_ms, seed)
+        })?;
+        Ok(Rc::new(Self {
+            host: host.clone(),
+            replica: RefCell::new(replica),
+            config,
+            wake: Notify::new(),
+            calls: Semaphore::new(MAX_CALLS),
+        }))
+    }
+
+    /// Runs `f` on the replica and the engine's age limiter.
+    fn with_replica<T>(&self, f: impl FnOnce(&mut Replica, &mut AgeLimiter) -> T) -> T {
+        self.host.with(|engine| {
+            let limiter = engine.age_limiter().expect("set when the service was opened");
+            f(&mut self.replica.borrow_mut(), limiter)
+        })
+    }
+
+    /// Sends due batches (leader only) and synchronises the log to disk, for ever.
+    pub async fn run(self: Rc<Self>) {
+        let is_leader = self.replica.borrow_mut().leader().is_some();
+        let mut next_refresh_ms = if is_leader { f64::NEG_INFINITY } else { f64::INFINITY };
+        let mut next_sync_ms = self.host.clock.now() + SYNC_INTERVAL_MS;
+        loop {
+            let now_ms = self.host.clock.now();
+            if now_ms >= next_refresh_ms {
+                self.refresh_targets(now_ms);
+                next_refresh_ms = now_ms + TARGET_REFRESH_MS;
+            }
+            let due = self.replica.borrow_mut().leader().map(|leader| leader.due(now_ms));
+            for batch in due.into_iter().flatten() {
+                tokio::task::spawn_local(self.clone().send(batch));
+            }
+            if now_ms >= next_sync_ms {
+                self.sync();
+                next_sync_ms = now_ms + SYNC_INTERVAL_MS;
+            }
+            let next_due_ms = self.replica.borrow_mut().leader().and_then(|leader| leader.next_due_ms());
+            let wake_at_ms = next_due_ms.unwrap_or(f64::INFINITY).min(next_sync_ms).min(next_refresh_ms);
+            tokio::select! {
+                () = tokio::time::sleep(duration_from_ms(wake_at_ms - now_ms)) => {}
+                () = self.wake.notified() => {}
+            }
+        }
+    }
+
+    /// Updates the leader's targets from the endpoint list.
+    fn refresh_targets(&self, now_ms: f64) {
+        let port = self.config.endpoint_port;
+        let listed = port.map(|port| self.host.with(|engine| engine.purge_targets(port)));
+        let target = |(name, address, status)| Target { name, address, status };
+        let targets = listed.into_iter().flatten().map(target).collect();
+        if let Some(leader) = self.replica.borrow_mut().leader() {
+            leader.set_listed_targets(now_ms, targets);
+        }
+    }
+
+    fn sync(&self) {
+        if let Err(error) = self.replica.borrow_mut().sync() {
+            tracing::error!(%error, "purges: the log can't be synchronised to disk");
+        }
+    }
+
+    /// Sends a batch to its target and records the answer.
+    async fn send(self: Rc<Self>, outgoing: OutgoingBatch) {
+        let answer = self.call_target(&outgoing).await;
+        let now_ms = self.host.clock.now();
+        let target = outgoing.target.as_str();
+        let recorded = self.with_replica(|replica, limiter| {
+            let Some(leader) = replica.leader() else { return Ok(()) };
+            match answer {
+                Ok(ack) => leader.acknowledge(target, ack.applied, &mut limiter.active, now_ms),
+                Err(error) => {
+                    leader.record_failure(target, now_ms, &error);
+                    Ok(())
+                }
+            }
+        });
+        if let Err(error) = recorded {
+            tracing::error!(%error, target, "purges: an acknowledgement can't be logged");
+        }
+        self.wake.notify_one();
+    }
+
+    async fn call_target(&self, outgoing: &OutgoingBatch) -> Result<Acknowledgement, SendError> {
+        let body = to_json(&outgoing.batch);
+        let timeout = duration_from_ms(self.config.timeout_ms);
+        let permit = self.calls.acquire().await;
+        let answer = call(outgoing.address, "POST", "/purges/apply", &body, timeout).await?;
+        drop(permit);
+        match answer.status {
+            200 => Ok(from_json(&answer.body)?),
+            status => Err(SendError::Status(status)),
+        }
+    }
+
+    /// Answers a call of fleet purges at the admin address; `None` for any other path.
+    pub fn answer(&self, request: &HttpRequest) -> Option<HttpAnswer> {
+        let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
+        let method = request.method.as_str();
+        Some(match (path, method) {
+            ("/purges", "POST") => self.submit(&request.body),
+            ("/purges", "GET") => self.status(),
+            ("/purges/log", "GET") => self.list(query),
+            ("/purges/apply", "POST") => self.receive(&request.body),
+            ("/purges", _) => HttpAnswer::status(405).with("Allow", "GET, POST"),
+            ("/purges/log", _) => HttpAnswer::status(405).with("Allow", "GET"),
+            ("/purges/apply", _) => HttpAnswer::status(405).with("Allow", "POST"),
+            _ => return None,
+        })
+    }
+
+    fn submit(&self, body: &[u8]) -> HttpAnswer {
+        let request: SubmitRequest = match from_json(body) {
+            Ok(request) => request,
+            Err(error) => return error_answer(400, error),
+        };
+        let now_ms = self.host.clock.now();
+        let issued = self
+            .with_replica(|replica, limiter| replica.submit(request.selector, &mut limiter.active, now_ms));
+        match issued {
+            Ok(submitted) => {
+                self.wake.notify_one();
+                json_answer(200, &submitted)
+            }
+            Err(error @ SubmitError::NotLeader) => error_answer(409, error),
+            Err(error @ SubmitError::Log(_)) => {
+                tracing::error!(%error, "purges: a purge was not issued");
+                error_answer(500, error)
+            }
+        }
+    }
+
+    fn receive(&self, body: &[u8]) -> HttpAnswer {
+        let batch: Batch = match from_json(body) {
+            Ok(batch) => batch,
+            Err(error) => return error_answer(400, error),
+        };
+        let now_ms = self.host.clock.now();
+        let received =
+            self.with_replica(|replica, limiter| replica.receive(&batch, &mut limiter.active, now_ms));
+        match received {
+            Ok(applied) => json_answer(200, &Acknowledgement { applied }),
+            Err(error @ (ReceiveError::NotFollower | ReceiveError::OutOfOrder)) => error_answer(409, error),
+            Err(error @ ReceiveError::Log(_)) => {
+                tracing::error!(%error, "purges: a batch was not applied completely");
+                error_answer(500, error)
+            }
+        }
+    }
+
+    fn list(&self, query: &str) -> HttpAnswer {
+        let from = query_number(query, "from").unwrap_or(1);
+        let max = query_number(query, "most").map_or(MAX_LISTED, |max| (max as usize).min(MAX_LISTED));
+        json_answer(200, &self.with_replica(|replica, limiter| replica.list(&limiter.active, from, max)))
+    }
+
+    fn status(&self) -> HttpAnswer {
+        let status = self.with_replica(|replica, limiter| PurgeStatus {
+            replica: replica.status(&limiter.active),
+            age_limits: limiter.metrics,
+            tagged_objects: limiter.tagged_objects(),
+        });
+        json_answer(200, &status)
+    }
+}
+
+fn json_answer<T: Serialize>(status: u16, body: &T) -> HttpAnswer {
+    let answer = HttpAnswer { body: to_json(body).into(), ..HttpAnswer::status(status) };
+    answer.with("Content-Type", "application/json")
+}
+
+fn error_answer(status: u16, error: impl ToString) -> HttpAnswer {
+    json_answer(status, &Fault { error: error.to_string() })
+}
+
+/// A number in a query such as `from=3&most=10`.
+fn query_number(query: &str, name: &str) -> Option<u64> {
+    query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
+}
--- a/src/registry/config.rs
+++ b/src/registry/config.rs
@@ -1,8 +1,8 @@
 //! The operator file of the registry client, `serve --registry FILE`. Without it the list of members comes
 //! from the bulletin alone.
 
+use crate::backoff::Backoff;
 use crate::config_file::{parse_address, read_json, ConfigError};
-use crate::purge::fanout::Backoff;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -49,17 +49,8 @@
         if !within(config.stall_ms, 100.0, 3_600_000.0) {
             return Err(ConfigError::field(path, "stall_ms", "100 to 3,600,000"));
         }
-        let b = config.backoff;
-        if !(b.first_ms >= 1.0
-            && b.most_ms >= b.first_ms
-            && (1.0..=10.0).contains(&b.factor)
-            && (0.0..=1.0).contains(&b.jitter))
-        {
-            return Err(ConfigError::field(
-                path,
-                "backoff",
-                "first_ms 1 to most_ms, factor 1 to 10, jitter 0 to 1",
-            ));
+        if !config.backoff.is_valid() {
+            return Err(ConfigError::field(path, "backoff", Backoff::BOUNDS));
         }
         Ok(config)
     }
--- a/src/registry/session.rs
+++ b/src/registry/session.rs
@@ -1,9 +1,9 @@
 //! When the registry client tries again, and when a link that says nothing counts as broken. No I/O.
 
 use super::view::MemberView;
-use crate::purge::fanout::Backoff;
+use crate::backoff::{Backoff, BackoffDelay};
 use rand::rngs::SmallRng;
-use rand::{RngExt, SeedableRng};
+use rand::SeedableRng;
 
 /// What the client does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,8 +17,7 @@
 /// The link's state of mind.
 #[derive(Clone, Debug)]
 pub struct Session {
-    backoff: Backoff,
-    wait_ms: f64,
+    retry_delay: BackoffDelay,
     /// Failures since the registry last answered.
     pub failures: u32,
     /// Silence on a watch after which it counts as broken, in milliseconds.
@@ -29,7 +28,7 @@
 impl Session {
     /// A session that has not failed yet.
     pub fn new(backoff: Backoff, stall_ms: f64, seed: u64) -> Self {
-        Self { wait_ms: backoff.first_ms, backoff, failures: 0, stall_ms, rng: SmallRng::seed_from_u64(seed) }
+        Self { retry_delay: backoff.start(), failures: 0, stall_ms, rng: SmallRng::seed_from_u64(seed) }
     }
 
     /// What comes next, by what the view holds.
@@ -39,7 +38,8 @@
 
     /// The registry answered: the next failure waits the least again.
     pub fn heard(&mut self) {
-        (self.failures, self.wait_ms) = (0, self.backoff.first_ms);
+        self.failures = 0;
+        self.retry_delay.reset();
     }
 
     /// A call failed or a watch broke; how long to wait before the next, in milliseconds. The first failure
@@ -49,10 +49,7 @@
         if self.failures == 1 {
             return 0.0;
         }
-        let jitter = self.backoff.jitter.clamp(0.0, 1.0);
-        let wait = self.wait_ms * (1.0 - jitter + jitter * self.rng.random_range(0.0..1.0));
-        self.wait_ms = (self.wait_ms * self.backoff.factor.max(1.0)).min(self.backoff.most_ms);
-        wait
+        self.retry_delay.next_ms(&mut self.rng)
     }
 }
 
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -2,7 +2,7 @@
 
 use super::response_path::PathNote;
 use super::WireError;
-use crate::purge::selector::Tag;
+use crate::surrogate_key::SurrogateKey;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::fmt::Write as _;
 use tokio_util::codec::{Decoder, Encoder};
@@ -41,7 +41,7 @@
     /// The Unix millisecond at which the origin gave out this copy.
     pub born: Option<f64>,
     /// The copy's surrogate keys, where the endpoint tells them (`tags=a+b`, boxes that take fleet purges).
-    pub tags: Vec<Tag>,
+    pub tags: Vec<SurrogateKey>,
     /// What it says of the path it took; none where it says nothing that is known.
     pub note: Option<PathNote>,
     /// The bytes.
@@ -169,7 +169,7 @@
                 "tags" => {
                     let each = value
                         .split('+')
-                        .map(|text| Tag::new(text).map_err(|_| WireError::Malformed("a tag")));
+                        .map(|text| SurrogateKey::new(text).map_err(|_| WireError::Malformed("a tag")));
                     tags = each.collect::<Result<_, _>>()?;
                 }
                 _ => {}
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -1,16 +1,16 @@
-//! Fleet purges as the program runs them: a leader and followers as processes of their own, stand-in boxes on
-//! loopback, a log on a real disk, and a leader killed halfway.
+//! Fleet purges of the program: a leader and followers in their own processes, stand-in cache servers on loopback, a
+//! log on a real disk, and a leader that is killed halfway.
 
 mod stand_ins;
 
-use edge_proxy::purge::active_purges::{Applied, Ledger, LedgerBounds};
-use edge_proxy::purge::book::Book;
+use edge_proxy::purge::active_purges::{ActivePurges, ApplyOutcome, Purge, RetentionLimits};
 use edge_proxy::purge::config::PurgeConfig;
-use edge_proxy::purge::driver::MAX_CALLS;
-use edge_proxy::purge::selector::Tag;
+use edge_proxy::purge::leader::Leader;
+use edge_proxy::purge::service::MAX_CALLS;
 use edge_proxy::purge::wire::{call, from_json, to_json, Batch, Submitted};
+use edge_proxy::surrogate_key::SurrogateKey;
 use simd_json::prelude::*;
-use stand_ins::purge_box::{now_ms, Origin, PurgeBox};
+use stand_ins::purge_target::{now_ms, Origin, PurgeTarget};
 use stand_ins::{folder, run};
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
@@ -22,7 +22,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-proxy");
 
-/// Waits, up to a bound, for something that must come to be.
+/// Waits for a condition, and fails after a time-out.
 async fn within(seconds: u64, what: &str, test: impl Fn() -> bool) {
     let end = tokio::time::Instant::now() + Duration::from_secs(seconds);
     while !test() {
@@ -35,9 +35,9 @@
     TcpListener::bind(format!("{ip}:0")).unwrap().local_addr().unwrap().port()
 }
 
-/// Two caches, a parent and an origin, each at an address of its own, their purge addresses on one port.
+/// Two caches, a parent and an origin, each at its own address, with their purge addresses on one port.
 struct Fleet {
-    boxes: Vec<PurgeBox>,
+    servers: Vec<PurgeTarget>,
     origin: Rc<Origin>,
     port: u16,
 }
@@ -46,32 +46,34 @@
     async fn start(net: u8) -> Self {
         let origin = Rc::new(Origin::default());
         let port = free_port(&format!("127.0.{net}.1"));
-        let mut boxes = Vec::new();
+        let mut servers = Vec::new();
         for (k, name) in ["s-000000c1", "s-000000c2", "s-000000a0", "s-000000b0"].iter().enumerate() {
-            boxes.push(PurgeBox::start(name, &format!("127.0.{net}.{}", k + 1), port, origin.clone()).await);
+            servers.push(
+                PurgeTarget::start(name, &format!("127.0.{net}.{}", k + 1), port, origin.clone()).await,
+            );
         }
-        boxes[3].fresh_only.set(true);
-        Self { boxes, origin, port }
+        servers[3].always_generates.set(true);
+        Self { servers, origin, port }
     }
 
-    /// The boxes that hold copies: caches and the parent.
-    fn holders(&self) -> &[PurgeBox] {
-        &self.boxes[..3]
+    /// The servers that cache copies: the caches and the parent.
+    fn caches(&self) -> &[PurgeTarget] {
+        &self.servers[..3]
     }
 
-    /// A proxy's configuration: the example's, with this fleet and addresses of its own.
+    /// A proxy's configuration: the example with the addresses of this fleet.
     fn config(&self, listen: SocketAddr, mgmt: SocketAddr) -> String {
         let mut text =
             std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
         for (k, port) in (7101..=7104).enumerate() {
-            text = text.replace(&format!("127.0.0.1:{port}"), &self.boxes[k].lines.to_string());
+            text = text.replace(&format!("127.0.0.1:{port}"), &self.servers[k].cache_address.to_string());
         }
         let listen = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
         text.replace("\"listen\": \"127.0.0.1:5050\",", &listen)
     }
 }
 
-/// A proxy process with fleet purges on.
+/// A proxy process with fleet purges.
 struct Proxy {
     child: Child,
     listen: SocketAddr,
@@ -102,7 +104,7 @@
         Command::new(PROGRAM)
             .args(["serve", "--config", config.to_str().unwrap(), "--purges", purges.to_str().unwrap()])
             .env_remove("NODE_CONFIG")
-            .env("CALICOBEAM_LOG", "info")
+            .env("EDGE_PROXY_LOG", "info")
             .stderr(Stdio::from(errors))
             .spawn()
             .unwrap()
@@ -123,7 +125,7 @@
         panic!("the proxy did not come up");
     }
 
-    /// SIGKILL, and the same files again.
+    /// Ends the process with SIGKILL and starts it with the same files.
     async fn kill_and_restart(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -165,7 +167,7 @@
     )
 }
 
-/// A client's read through the proxy: the status, and the birth of the copy that the body names.
+/// A client's read through the proxy: the status, and the generation time of the copy, from the body.
 async fn fetch(
     listen: SocketAddr,
     object: u64,
@@ -184,16 +186,16 @@
     tokio::time::timeout(Duration::from_secs(4), stream.read_to_end(&mut answer)).await.ok()?.ok()?;
     let text = String::from_utf8_lossy(&answer).to_string();
     let status = text.get(9..12)?.parse().ok()?;
-    let born = text.split("born=").nth(1).and_then(|b| b.trim().parse().ok());
-    Some((status, born))
+    let generated_ms = text.split("born=").nth(1).and_then(|b| b.trim().parse().ok());
+    Some((status, generated_ms))
 }
 
 #[test]
-fn a_leader_killed_halfway_resumes_where_it_stood() {
+fn a_leader_killed_halfway_resumes_where_it_stopped() {
     run(async {
         let fleet = Fleet::start(41).await;
-        // The parent takes its batches slowly: the leader is killed while it is still behind.
-        fleet.boxes[2].ack_delay_ms.set(400);
+        // The parent acknowledges slowly: the leader is killed while the parent is behind.
+        fleet.servers[2].ack_delay_ms.set(400);
         let dir = folder("purges-kill");
         let _ = std::fs::remove_file(dir.join("edge-1-state.log"));
         let extra = format!(",\"roster_port\":{}", fleet.port);
@@ -203,36 +205,36 @@
             let issued = submit(leader.mgmt, &format!("tag:t{k}")).await.unwrap();
             assert_eq!(issued.seq, k);
         }
-        let (quick, slow) = (&fleet.boxes[..2], &fleet.boxes[2]);
-        within(10, "the quick boxes have all", || quick.iter().all(|b| b.applied() == 8)).await;
-        within(10, "the slow box has some", || slow.applied() >= 2).await;
+        let (quick, slow) = (&fleet.servers[..2], &fleet.servers[2]);
+        within(10, "the quick servers have applied all", || quick.iter().all(|b| b.applied() == 8)).await;
+        within(10, "the slow server has applied some", || slow.applied() >= 2).await;
         let behind = slow.applied();
-        assert!(behind < 8, "the slow box was to be behind at the kill, has {behind}");
+        assert!(behind < 8, "the slow server should be behind at the kill, has {behind}");
         leader.kill_and_restart().await;
-        within(15, "the slow box catches up", || slow.applied() == 8).await;
-        assert_eq!(submit(leader.mgmt, "tag:t9").await.unwrap().seq, 9, "numbers go on, never again from 1");
-        within(10, "all have the new one", || fleet.holders().iter().all(|b| b.applied() == 9)).await;
-        for b in fleet.holders() {
+        within(15, "the slow server catches up", || slow.applied() == 8).await;
+        assert_eq!(submit(leader.mgmt, "tag:t9").await.unwrap().seq, 9, "numbering continues");
+        within(10, "all have applied the new one", || fleet.caches().iter().all(|b| b.applied() == 9)).await;
+        for b in fleet.caches() {
             assert_eq!(
-                *b.seen.applied.borrow(),
+                *b.observed.applied.borrow(),
                 (1..=9).collect::<Vec<u64>>(),
                 "{} applied in order, once",
                 b.name
             );
         }
         for b in quick {
-            let told = b.seen.received.borrow();
+            let received = b.observed.received.borrow();
             assert!(
-                (1..=9).all(|seq| told[&seq] == 1),
-                "{} was not told again after the restart: {told:?}",
+                (1..=9).all(|seq| received[&seq] == 1),
+                "{} got purges again after the restart: {received:?}",
                 b.name
             );
         }
-        // At most the batch that was out at the kill comes again; nothing before it, nothing skipped.
-        let told = slow.seen.received.borrow().clone();
-        let repeats: u32 = told.values().map(|n| n - 1).sum();
-        assert!(repeats <= 2, "the slow box was told {repeats} purges again: {told:?}");
-        assert!((1..behind.saturating_sub(1)).all(|seq| told[&seq] == 1), "{told:?}");
+        // At most the batch in flight at the kill is repeated; nothing before it, and nothing is skipped.
+        let received = slow.observed.received.borrow().clone();
+        let repeats: u32 = received.values().map(|n| n - 1).sum();
+        assert!(repeats <= 2, "the slow server got {repeats} purges again: {received:?}");
+        assert!((1..behind.saturating_sub(1)).all(|seq| received[&seq] == 1), "{received:?}");
         let status = get(leader.mgmt, "/purges").await.unwrap();
         assert_eq!(status["last"].as_u64(), Some(9));
     });
@@ -253,29 +255,25 @@
             fleet.port, follower.mgmt
         );
         let leader = Proxy::start(&dir, "lead", "127.0.42.10", &fleet, &leader_file("lead", &extra)).await;
-        // A follower takes nothing that comes before what it lacks.
+        // A follower applies nothing after a gap.
         let early = Batch {
             leader: "lead".into(),
             from: 2,
-            done: 0,
-            floor: None,
-            entries: vec![edge_proxy::purge::active_purges::Purge {
-                seq: 2,
-                issued_ms: now_ms(),
-                sel: "tag:x".parse().unwrap(),
-            }],
+            low_water_mark: 0,
+            cutoff: None,
+            purges: vec![Purge { seq: 2, issued_ms: now_ms(), selector: "tag:x".parse().unwrap() }],
         };
         let answer = call(follower.mgmt, "POST", "/purges/apply", &to_json(&early), Duration::from_secs(2))
             .await
             .unwrap();
         assert_eq!((answer.status, String::from_utf8_lossy(&answer.body).as_ref()), (200, "{\"applied\":0}"));
-        // A tag and a pattern that cover the same objects.
-        fleet.origin.tags.borrow_mut().insert(0x11, vec![Tag::new("seller-1").unwrap()]);
+        // A surrogate key and a pattern that cover the same objects.
+        fleet.origin.surrogate_keys.borrow_mut().insert(0x11, vec![SurrogateKey::new("seller-1").unwrap()]);
         assert_eq!(submit(leader.mgmt, "tag:seller-1").await.unwrap().seq, 1);
         assert_eq!(submit(leader.mgmt, "pattern:/small-object/00000000000000*").await.unwrap().seq, 2);
-        within(10, "every box has both", || fleet.holders().iter().all(|b| b.applied() == 2)).await;
-        for b in fleet.holders() {
-            assert_eq!(*b.seen.applied.borrow(), [1, 2], "{}", b.name);
+        within(10, "every server has applied both", || fleet.caches().iter().all(|b| b.applied() == 2)).await;
+        for b in fleet.caches() {
+            assert_eq!(*b.observed.applied.borrow(), [1, 2], "{}", b.name);
         }
         let mut listed = None;
         for _ in 0..500 {
@@ -296,7 +294,7 @@
 }
 
 #[test]
-fn a_box_away_for_seconds_is_caught_up_and_keeps_copies_newer_than_the_purge() {
+fn a_target_unreachable_for_seconds_catches_up_and_retains_copies_newer_than_the_purge() {
     run(async {
         let fleet = Fleet::start(43).await;
         let dir = folder("purges-away");
@@ -306,22 +304,29 @@
         let serial = Cell::new(0);
         let objects: Vec<u64> = (0x100..0x140).collect();
         for object in &objects {
-            fleet.origin.tags.borrow_mut().insert(*object, vec![Tag::new("seller-7").unwrap()]);
+            fleet
+                .origin
+                .surrogate_keys
+                .borrow_mut()
+                .insert(*object, vec![SurrogateKey::new("seller-7").unwrap()]);
             assert_eq!(fetch(leader.listen, *object, 7, &serial).await.map(|a| a.0), Some(200));
         }
-        for b in fleet.holders() {
+        for b in fleet.caches() {
             b.unreachable.set(true);
         }
-        // As a box with a bug would, one serves what it holds whatever the proxy's age bound says.
-        fleet.boxes[0].deaf.set(true);
+        // One ignores the age limit, as a faulty cache server would.
+        fleet.servers[0].ignores_age_limit.set(true);
         let purge = submit(leader.mgmt, "tag:seller-7").await.unwrap();
         let (mut served, mut failed) = (0, 0);
         let until = now_ms() + 3_000.0;
         while now_ms() < until {
             for object in &objects {
                 match fetch(leader.listen, *object, 7, &serial).await {
-                    Some((200, Some(born))) => {
-                        assert!(born > purge.issued_ms, "a copy older than the purge reached a client");
+                    Some((200, Some(generated_ms))) => {
+                        assert!(
+                            generated_ms > purge.issued_ms,
+                            "a copy older than the purge reached a client"
+                        );
                         served += 1;
                     }
                     Some(_) => failed += 1,
@@ -329,39 +334,43 @@
                 }
             }
         }
-        // The boxes were told nothing, and yet no client had a purged copy; the proxy asked again where one came.
-        assert!(fleet.holders().iter().all(|b| b.applied() == 0));
+        // The servers got no purge, and yet no client got a purged copy: the proxy retried.
+        assert!(fleet.caches().iter().all(|b| b.applied() == 0));
         assert!(served > 0, "served {served}, failed {failed}");
         let status = get(leader.mgmt, "/purges").await.unwrap();
         assert_eq!(status["done"].as_u64(), Some(0));
         let newer: Vec<Vec<(u64, f64)>> = fleet
-            .holders()
+            .caches()
             .iter()
             .map(|b| {
                 b.store
                     .borrow()
                     .iter()
-                    .filter(|(_, h)| h.born_ms > purge.issued_ms)
-                    .map(|(k, h)| (k.0, h.born_ms))
+                    .filter(|(_, h)| h.generated_ms > purge.issued_ms)
+                    .map(|(k, h)| (k.0, h.generated_ms))
                     .collect()
             })
             .collect();
-        assert!(newer.iter().any(|n| !n.is_empty()), "boxes that heed the age bound filled anew");
-        for b in fleet.holders() {
+        assert!(newer.iter().any(|n| !n.is_empty()), "servers that respect the age limit filled anew");
+        for b in fleet.caches() {
             b.unreachable.set(false);
         }
-        within(10, "the boxes are caught up", || fleet.holders().iter().all(|b| b.applied() == 1)).await;
-        for (b, newer) in fleet.holders().iter().zip(newer) {
+        within(10, "the servers have caught up", || fleet.caches().iter().all(|b| b.applied() == 1)).await;
+        for (b, newer) in fleet.caches().iter().zip(newer) {
             let store = b.store.borrow();
-            for (object, born) in newer {
+            for (object, generated_ms) in newer {
                 assert_eq!(
-                    store.get(&(object, 0)).map(|h| h.born_ms),
-                    Some(born),
-                    "{} lost a newer copy",
+                    store.get(&(object, 0)).map(|h| h.generated_ms),
+                    Some(generated_ms),
+                    "{} dropped a newer copy",
                     b.name
                 );
             }
-            assert!(store.values().all(|h| h.born_ms > purge.issued_ms), "{} kept a purged copy", b.name);
+            assert!(
+                store.values().all(|h| h.generated_ms > purge.issued_ms),
+                "{} retained a purged copy",
+                b.name
+            );
         }
         let mut done = None;
         for _ in 0..300 {
@@ -375,7 +384,7 @@
     });
 }
 
-fn book_file(dir: &Path, role: &str, targets: &str) -> PurgeConfig {
+fn purge_config(dir: &Path, role: &str, targets: &str) -> PurgeConfig {
     let path = dir.join(format!("{role}.json"));
     let text =
         format!("{{\"role\":\"{role}\",\"name\":\"me\",\"state\":\"{role}.log\",\"targets\":[{targets}]}}");
@@ -383,76 +392,77 @@
     PurgeConfig::read(&path).unwrap()
 }
 
-/// A target as the book sees it: its own ledger, applying what it is sent.
-fn tell(book: &mut Book, ledger: &mut Ledger, target: &mut Ledger, now: f64) {
-    for out in book.due(now) {
-        if let Some(floor) = out.batch.floor.filter(|f| f.seq >= target.applied()) {
-            target.apply_floor(floor);
+/// Sends the due batches to a target, which applies and acknowledges them.
+fn replicate(leader: &mut Leader, active: &mut ActivePurges, target: &mut ActivePurges, now: f64) {
+    for outgoing in leader.due(now) {
+        if let Some(cutoff) = outgoing.batch.cutoff.filter(|cutoff| cutoff.seq >= target.applied()) {
+            target.apply_cutoff(cutoff);
         }
-        for purge in &out.batch.entries {
-            assert_ne!(target.apply(purge), Applied::Gap { expected: target.applied() + 1 });
+        for purge in &outgoing.batch.purges {
+            assert_ne!(target.apply(purge), ApplyOutcome::Gap { expected: target.applied() + 1 });
         }
-        book.answered(&out.target, target.applied(), ledger, now).unwrap();
+        leader.acknowledge(&outgoing.target, target.applied(), active, now).unwrap();
     }
 }
 
 #[test]
-fn a_torn_or_corrupt_log_keeps_its_whole_prefix_and_gives_no_number_twice() {
+fn a_torn_or_corrupt_log_retains_its_intact_prefix_and_issues_no_number_twice() {
     let dir = folder("purges-log");
-    let config = book_file(&dir, "leader", "{\"name\":\"a\",\"address\":\"127.0.0.1:9\"}");
+    let config = purge_config(&dir, "leader", "{\"name\":\"a\",\"address\":\"127.0.0.1:9\"}");
     let path = config.state.clone().unwrap();
     let _ = std::fs::remove_file(&path);
-    let (mut ledger, mut target) =
-        (Ledger::new(LedgerBounds::default()), Ledger::new(LedgerBounds::default()));
-    let mut book = Book::open(&config, &mut ledger, 1_000.0, 1).unwrap();
+    let (mut active, mut target) =
+        (ActivePurges::new(RetentionLimits::default()), ActivePurges::new(RetentionLimits::default()));
+    let mut leader = Leader::open(&config, &mut active, 1_000.0, 1).unwrap();
     for k in 1..=5 {
-        book.submit(format!("tag:t{k}").parse().unwrap(), &mut ledger, 1_000.0 + k as f64).unwrap();
+        leader.submit(format!("tag:t{k}").parse().unwrap(), &mut active, 1_000.0 + k as f64).unwrap();
     }
-    tell(&mut book, &mut ledger, &mut target, 2_000.0);
-    tell(&mut book, &mut ledger, &mut target, 2_001.0);
-    tell(&mut book, &mut ledger, &mut target, 2_002.0);
+    replicate(&mut leader, &mut active, &mut target, 2_000.0);
+    replicate(&mut leader, &mut active, &mut target, 2_001.0);
+    replicate(&mut leader, &mut active, &mut target, 2_002.0);
     assert_eq!(target.applied(), 5);
-    drop(book);
+    drop(leader);
 
-    // A write that never ended: it is cut off and nothing else changes.
-    let whole = std::fs::read(&path).unwrap();
-    std::fs::write(&path, &whole[..whole.len() - 3]).unwrap();
-    let mut ledger = Ledger::new(LedgerBounds::default());
-    let mut book = Book::open(&config, &mut ledger, 3_000.0, 1).unwrap();
-    let status = book.status(&ledger);
-    let fault = status.fault.clone().expect("the torn tail is found");
-    assert!(
-        fault.is_torn_write() && fault.offset as usize == std::fs::metadata(&path).unwrap().len() as usize
-    );
-    assert_eq!((status.last, ledger.applied(), ledger.floor()), (5, 5, None));
-    assert_eq!(book.submit("tag:t6".parse().unwrap(), &mut ledger, 3_001.0).unwrap().seq, 6);
-    tell(&mut book, &mut ledger, &mut target, 3_002.0);
+    // An incomplete write is cut off, and nothing else changes.
+    let intact = std::fs::read(&path).unwrap();
+    std::fs::write(&path, &intact[..intact.len() - 3]).unwrap();
+    let mut active = ActivePurges::new(RetentionLimits::default());
+    let mut leader = Leader::open(&config, &mut active, 3_000.0, 1).unwrap();
+    let status = leader.status(&active);
+    let tail = status.truncated.clone().expect("the torn tail is detected");
+    assert!(tail.is_torn_write() && tail.offset as usize == std::fs::metadata(&path).unwrap().len() as usize);
+    assert_eq!((status.last_seq, active.applied(), active.cutoff()), (5, 5, None));
+    assert_eq!(leader.submit("tag:t6".parse().unwrap(), &mut active, 3_001.0).unwrap().seq, 6);
+    replicate(&mut leader, &mut active, &mut target, 3_002.0);
     assert_eq!(target.applied(), 6);
-    drop(book);
+    drop(leader);
 
-    // A record spoilt in the middle: what follows it is gone, with what it may have told.
+    // A corrupt record in the middle: what follows it is lost, with purges that may have been sent.
     let mut bytes = std::fs::read(&path).unwrap();
-    let spoilt = bytes.len() / 2;
-    bytes[spoilt] ^= 0x55;
+    let corrupt = bytes.len() / 2;
+    bytes[corrupt] ^= 0x55;
     std::fs::write(&path, &bytes).unwrap();
-    let mut ledger = Ledger::new(LedgerBounds::default());
-    let mut book = Book::open(&config, &mut ledger, 4_000.0, 1).unwrap();
-    let status = book.status(&ledger);
-    let fault = status.fault.clone().expect("the spoilt record is found");
-    assert!(!fault.is_torn_write(), "{fault:?}");
-    assert!((fault.offset as usize) <= spoilt && std::fs::metadata(&path).unwrap().len() > 8);
-    assert!(status.last > 6, "numbers that may have been given out are skipped, last {}", status.last);
-    assert!(ledger.floor().is_some_and(|f| f.issued_ms >= 4_000.0), "every older copy counts as purged");
-    let next = book.submit("tag:t7".parse().unwrap(), &mut ledger, 4_001.0).unwrap().seq;
+    let mut active = ActivePurges::new(RetentionLimits::default());
+    let mut leader = Leader::open(&config, &mut active, 4_000.0, 1).unwrap();
+    let status = leader.status(&active);
+    let tail = status.truncated.clone().expect("the corrupt record is detected");
+    assert!(!tail.is_torn_write(), "{tail:?}");
+    assert!((tail.offset as usize) <= corrupt && std::fs::metadata(&path).unwrap().len() > 8);
+    assert!(status.last_seq > 6, "numbers that may have been issued are skipped, last {}", status.last_seq);
+    assert!(
+        active.cutoff().is_some_and(|cutoff| cutoff.issued_ms >= 4_000.0),
+        "every older copy counts as purged"
+    );
+    let next = leader.submit("tag:t7".parse().unwrap(), &mut active, 4_001.0).unwrap().seq;
     assert!(next > 6);
-    tell(&mut book, &mut ledger, &mut target, 4_002.0);
-    tell(&mut book, &mut ledger, &mut target, 4_003.0);
-    assert_eq!(target.applied(), next, "the target took the floor and the new purge, nothing twice");
-    assert!(target.floor().is_some_and(|f| f.issued_ms >= 4_000.0));
+    replicate(&mut leader, &mut active, &mut target, 4_002.0);
+    replicate(&mut leader, &mut active, &mut target, 4_003.0);
+    assert_eq!(target.applied(), next, "the target applied the cutoff and the new purge, nothing twice");
+    assert!(target.cutoff().is_some_and(|cutoff| cutoff.issued_ms >= 4_000.0));
 }
 
 #[test]
-fn bad_input_to_purge_submit_is_refused_and_changes_nothing() {
+fn invalid_input_to_purge_submit_is_rejected_and_changes_nothing() {
     run(async {
         let fleet = Fleet::start(44).await;
         let dir = folder("purges-bad");
@@ -484,19 +494,19 @@
         let log = dir.join("bad-state.log");
         let out = Command::new(PROGRAM).args(["purge", "log", log.to_str().unwrap()]).output().unwrap();
         assert!(out.status.success() && out.stdout.is_empty(), "{}", String::from_utf8_lossy(&out.stderr));
-        // A good one after all that gets the first number.
+        // A valid purge after that gets the first number.
         let out = Command::new(PROGRAM).args(["purge", "submit", "--at", &at, "group:3"]).output().unwrap();
         assert!(String::from_utf8_lossy(&out.stdout).contains("\"seq\":1"), "{out:?}");
     });
 }
 
-/// A thousand targets that take calls and never answer: no more calls are out at once than have descriptors of their own,
+/// A thousand targets accept calls and never answer: the calls in flight are bounded by the descriptors reserved for them,
 /// all targets get their turn, and clients are served meanwhile.
 #[test]
-fn a_thousand_hanging_targets_leave_descriptors_to_clients_and_members() {
+fn a_thousand_hanging_targets_leave_descriptors_to_clients_and_endpoints() {
     const TARGETS: usize = 1_024;
-    // The watch's dials and the second address's calls, which come and go.
-    const PASSING: usize = 8;
+    // Short-lived connections of the watch and of admin calls.
+    const SHORT_LIVED: usize = 8;
     run(async {
         let fleet = Fleet::start(47).await;
         let dir = folder("purges-hanging");
@@ -512,17 +522,17 @@
             let list = std::fs::read_dir(format!("/proc/{}/fd", leader.child.id())).unwrap();
             list.count()
         };
-        let (mut most, mut held, serial) = (0, Vec::new(), Cell::new(0));
+        let (mut max, mut open, serial) = (0, Vec::new(), Cell::new(0));
         for calls in 0..3 * MAX_CALLS {
-            // Kept open here: only the proxy ends a call.
-            held.push(hanging.accept().await.unwrap());
-            most = most.max(descriptors());
+            // Stays open: only the proxy ends a call.
+            open.push(hanging.accept().await.unwrap());
+            max = max.max(descriptors());
             if calls % MAX_CALLS == 0 {
                 assert_eq!(fetch(leader.listen, calls as u64, 17, &serial).await.unwrap().0, 200);
             }
         }
-        assert!(most >= MAX_CALLS, "all places are used: {most} descriptors");
+        assert!(max >= MAX_CALLS, "all permits are used: {max} descriptors");
         // Standard streams, the runtime, listeners, the log: fewer than the calls.
-        assert!(most < 2 * MAX_CALLS + PASSING, "{most} descriptors while {TARGETS} targets hang");
+        assert!(max < 2 * MAX_CALLS + SHORT_LIVED, "{max} descriptors while {TARGETS} targets hang");
     });
 }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -26,7 +26,7 @@
 pub mod device;
 pub mod grpc;
 pub mod probed;
-pub mod purge_box;
+pub mod purge_target;
 pub mod registry;
 pub mod running;
 pub mod slow_box;
--- /dev/null
+++ b/tests/stand_ins/purge_target.rs
@@ -0,0 +1,262 @@
+//! A stand-in cache server for fleet purges, on loopback. It caches copies with surrogate keys, answers the cache
+//! protocol with each copy's generation time (`t0`) and keys, fills what it lacks or may not serve from a shared
+//! stand-in origin, and applies the batches of `POST /purges/apply` in order at a second address. It can be made
+//! unreachable, slow to acknowledge, or made to ignore `agelim`. The body of every answer names its copy, so that a
+//! client can check the copy's age.
+#![allow(dead_code)]
+
+use edge_proxy::purge::active_purges::{ActivePurges, ApplyOutcome, RetentionLimits};
+use edge_proxy::purge::selector::{copy_name, CachedCopy};
+use edge_proxy::purge::wire::{from_json, to_json, Acknowledgement, Batch};
+use edge_proxy::surrogate_key::SurrogateKey;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::spawn_local;
+
+/// The system's Unix time in milliseconds, as the proxy's clock gives it.
+pub fn now_ms() -> f64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64() * 1_000.0
+}
+
+/// The stand-in origin: the surrogate keys of objects, the same for every cache server.
+#[derive(Default)]
+pub struct Origin {
+    pub surrogate_keys: RefCell<HashMap<u64, Vec<SurrogateKey>>>,
+    /// Copies generated.
+    pub fills: Cell<u64>,
+}
+
+/// A cached copy.
+#[derive(Clone, Debug)]
+pub struct StoredCopy {
+    pub name: String,
+    pub generated_ms: f64,
+    pub surrogate_keys: Vec<SurrogateKey>,
+    pub group: u32,
+}
+
+/// What a cache server has done, for the checks of a test.
+#[derive(Default)]
+pub struct Observed {
+    /// The numbers of the purges it applied, in the order applied.
+    pub applied: RefCell<Vec<u64>>,
+    /// How often each number arrived in a batch, repeats included.
+    pub received: RefCell<HashMap<u64, u32>>,
+    /// Batches received.
+    pub batches: Cell<u64>,
+    /// Cutoffs applied.
+    pub cutoffs: Cell<u64>,
+    /// Reads answered.
+    pub reads: Cell<u64>,
+}
+
+/// A stand-in cache server.
+pub struct PurgeTarget {
+    pub name: String,
+    /// The address of the cache protocol.
+    pub cache_address: SocketAddr,
+    /// The address of `POST /purges/apply`.
+    pub purge_address: SocketAddr,
+    pub store: Rc<RefCell<HashMap<(u64, u32), StoredCopy>>>,
+    pub active: Rc<RefCell<ActivePurges>>,
+    pub observed: Rc<Observed>,
+    /// Connections to its purge address are closed at once.
+    pub unreachable: Rc<Cell<bool>>,
+    /// The delay before the acknowledgement of a batch, in milliseconds.
+    pub ack_delay_ms: Rc<Cell<u64>>,
+    /// Ignores `agelim`, as a faulty cache server would.
+    pub ignores_age_limit: Rc<Cell<bool>>,
+    /// Caches nothing and generates every copy anew, as the origin does.
+    pub always_generates: Rc<Cell<bool>>,
+}
+
+impl PurgeTarget {
+    /// Starts one with its two listeners at `ip`, the purge one at `purge_port` (0 for any).
+    pub async fn start(name: &str, ip: &str, purge_port: u16, origin: Rc<Origin>) -> Self {
+        let cache_listener = TcpListener::bind(format!("{ip}:0")).await.unwrap();
+        let purge_listener = TcpListener::bind(format!("{ip}:{purge_port}")).await.unwrap();
+        let server = Self {
+            name: name.to_string(),
+            cache_address: cache_listener.local_addr().unwrap(),
+            purge_address: purge_listener.local_addr().unwrap(),
+            store: Rc::default(),
+            active: Rc::new(RefCell::new(ActivePurges::new(RetentionLimits::default()))),
+            observed: Rc::default(),
+            unreachable: Rc::default(),
+            ack_delay_ms: Rc::default(),
+            ignores_age_limit: Rc::default(),
+            always_generates: Rc::default(),
+        };
+        let (store, active, observed) =
+            (server.store.clone(), server.active.clone(), server.observed.clone());
+        let modes = (server.ignores_age_limit.clone(), server.always_generates.clone());
+        spawn_local(async move {
+            while let Ok((stream, _)) = cache_listener.accept().await {
+                let (store, active, observed, modes) =
+                    (store.clone(), active.clone(), observed.clone(), modes.clone());
+                spawn_local(Self::serve(stream, store, active, observed, modes, origin.clone()));
+            }
+        });
+        let (store, active, observed) =
+            (server.store.clone(), server.active.clone(), server.observed.clone());
+        let (unreachable, delay) = (server.unreachable.clone(), server.ack_delay_ms.clone());
+        spawn_local(async move {
+            while let Ok((stream, _)) = purge_listener.accept().await {
+                if unreachable.get() {
+                    drop(stream);
+                    continue;
+                }
+                spawn_local(Self::apply(
+                    stream,
+                    store.clone(),
+                    active.clone(),
+                    observed.clone(),
+                    delay.get(),
+                ));
+            }
+        });
+        server
+    }
+
+    /// The highest number applied.
+    pub fn applied(&self) -> u64 {
+        self.active.borrow().applied()
+    }
+
+    async fn serve(
+        stream: TcpStream,
+        store: Rc<RefCell<HashMap<(u64, u32), StoredCopy>>>,
+        active: Rc<RefCell<ActivePurges>>,
+        observed: Rc<Observed>,
+        (ignores_age_limit, always_generates): (Rc<Cell<bool>>, Rc<Cell<bool>>),
+        origin: Rc<Origin>,
+    ) {
+        let (read, mut write) = stream.into_split();
+        let mut read = BufReader::new(read);
+        let mut line = String::new();
+        while read.read_line(&mut line).await.is_ok_and(|n| n > 0) {
+            let fields: Vec<String> = line.split_whitespace().map(String::from).collect();
+            line.clear();
+            if fields.len() != 4 || fields[0] != "GET" {
+                continue;
+            }
+            let mut body = vec![0; fields[3].parse::<usize>().unwrap() + 2];
+            if read.read_exact(&mut body).await.is_err() {
+                return;
+            }
+            let options: HashMap<&str, &str> =
+                fields[2].split(',').filter_map(|f| f.split_once('=')).collect();
+            let object = u64::from_str_radix(options["k"], 16).unwrap();
+            let part: u32 = options["p"].parse().unwrap();
+            let group: u32 = options.get("g").map_or(0, |g| g.parse().unwrap());
+            let max_age_ms: f64 = options.get("agelim").map_or(0.0, |a| a.parse().unwrap());
+            let name = copy_name(options["c"], object, part);
+            let now = now_ms();
+            let usable = |copy: &StoredCopy| {
+                let cached = CachedCopy {
+                    name: &name,
+                    object,
+                    group: copy.group,
+                    surrogate_keys: &copy.surrogate_keys,
+                };
+                let young = max_age_ms == 0.0 || now - copy.generated_ms <= max_age_ms;
+                (young || ignores_age_limit.get())
+                    && active.borrow().purge_of(&cached, copy.generated_ms).is_none()
+            };
+            let stored =
+                store.borrow().get(&(object, part)).filter(|h| !always_generates.get() && usable(h)).cloned();
+            let copy = stored.unwrap_or_else(|| {
+                origin.fills.set(origin.fills.get() + 1);
+                let surrogate_keys = origin.surrogate_keys.borrow().get(&object).cloned().unwrap_or_default();
+                let copy = StoredCopy { name: name.clone(), generated_ms: now, surrogate_keys, group };
+                store.borrow_mut().insert((object, part), copy.clone());
+                copy
+            });
+            observed.reads.set(observed.reads.get() + 1);
+            let bytes = format!("object={object:016x} part={part} born={:.3}", copy.generated_ms);
+            let keys: Vec<&str> = copy.surrogate_keys.iter().map(SurrogateKey::as_str).collect();
+            let keys = if keys.is_empty() { String::new() } else { format!(",tags={}", keys.join("+")) };
+            let head = format!(
+                "{} ACK sum={:x},t0={:.3}{keys} {}\r\n",
+                fields[1],
+                copy.generated_ms.to_bits() ^ object,
+                copy.generated_ms,
+                bytes.len()
+            );
+            let answer = [head.as_bytes(), bytes.as_bytes(), b"\r\n"].concat();
+            if write.write_all(&answer).await.is_err() {
+                return;
+            }
+        }
+    }
+
+    async fn apply(
+        mut stream: TcpStream,
+        store: Rc<RefCell<HashMap<(u64, u32), StoredCopy>>>,
+        active: Rc<RefCell<ActivePurges>>,
+        observed: Rc<Observed>,
+        delay_ms: u64,
+    ) {
+        let Some(body) = read_call(&mut stream).await else { return };
+        let Ok(batch) = from_json::<Batch>(&body) else {
+            let _ = stream.write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
+            return;
+        };
+        observed.batches.set(observed.batches.get() + 1);
+        {
+            let mut active = active.borrow_mut();
+            if let Some(cutoff) =
+                batch.cutoff.filter(|f| f.seq >= active.applied() && batch.from == f.seq + 1)
+            {
+                active.apply_cutoff(cutoff);
+                observed.cutoffs.set(observed.cutoffs.get() + 1);
+            }
+            for purge in &batch.purges {
+                *observed.received.borrow_mut().entry(purge.seq).or_default() += 1;
+                if active.apply(purge) == ApplyOutcome::Applied {
+                    observed.applied.borrow_mut().push(purge.seq);
+                }
+            }
+            // A purge removes the copies that it covers and that are not newer; newer copies remain.
+            store.borrow_mut().retain(|(object, _), copy| {
+                let cached = CachedCopy {
+                    name: &copy.name,
+                    object: *object,
+                    group: copy.group,
+                    surrogate_keys: &copy.surrogate_keys,
+                };
+                active.purge_of(&cached, copy.generated_ms).is_none()
+            });
+            active.advance_low_water_mark(batch.low_water_mark, now_ms());
+        }
+        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+        let body = to_json(&Acknowledgement { applied: active.borrow().applied() });
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n", body.len());
+        let _ = stream.write_all(&[head.as_bytes(), &body].concat()).await;
+    }
+}
+
+/// Reads the body of one HTTP request, by its `Content-Length`.
+pub async fn read_call(stream: &mut TcpStream) -> Option<Vec<u8>> {
+    let mut bytes = Vec::new();
+    let mut chunk = [0u8; 8_192];
+    loop {
+        let n = stream.read(&mut chunk).await.ok()?;
+        if n == 0 {
+            return None;
+        }
+        bytes.extend_from_slice(&chunk[..n]);
+        let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else { continue };
+        let head = String::from_utf8_lossy(&bytes[..end]).to_lowercase();
+        let length: usize =
+            head.lines().find_map(|l| l.strip_prefix("content-length:"))?.trim().parse().ok()?;
+        if bytes.len() >= end + 4 + length {
+            return Some(bytes[end + 4..end + 4 + length].to_vec());
+        }
+    }
+}
