--- a/src/lib.rs
+++ b/src/lib.rs
@@ -60,6 +60,7 @@
 pub mod backoff;
 pub mod clock;
 pub mod config_file;
+pub mod endpoint_list;
 pub mod engine;
 pub mod grpc;
 pub mod health_check;
@@ -76,6 +77,7 @@
 pub mod state;
 mod stats;
 pub mod surrogate_key;
+pub mod text;
 pub mod vrrp;
 pub mod wire;
 
