--- a/src/lifecycle/subsystems/purges.rs
+++ b/src/lifecycle/subsystems/purges.rs
@@ -4,7 +4,7 @@
 use crate::lifecycle::subsystem::{AdminCalls, Context, Starting, Subsystem};
 use crate::lifecycle::supervisor::supervise;
 use crate::purge::config::PurgeConfig;
-use crate::purge::driver::{answer, open, run, PurgeService};
+use crate::purge::service::PurgeService;
 use crate::purge::wire::MAX_CALL;
 use futures_util::future::{ready, FutureExt};
 use std::rc::Rc;
@@ -27,7 +27,7 @@
             let reason = "fleet purges are called at the second address, and there is none";
             return Err(ServeError::field("mgmt")(reason));
         }
-        self.service = Some(open(&context.executor, self.config.clone(), context.seed)?);
+        self.service = Some(PurgeService::open(&context.executor, self.config.clone(), context.seed)?);
         Ok(())
     }
 }
@@ -39,15 +39,14 @@
 
     fn start<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
         if let Some(service) = self.service.clone() {
-            let executor = context.executor.clone();
-            supervise(&context.executor, "fleet purges", move || run(executor.clone(), service.clone()));
+            supervise(&context.executor, "fleet purges", move || service.clone().run());
         }
         ready(Ok(())).boxed_local()
     }
 
     fn admin_calls(&self) -> Option<AdminCalls> {
         let service = self.service.clone()?;
-        let handler = Box::new(move |executor: &_, call: &_| answer(executor, &service, call));
+        let handler = Box::new(move |_: &_, call: &_| service.answer(call));
         Some(AdminCalls { handler, max_body: MAX_CALL })
     }
 }
