--- a/src/engine/answers.rs
+++ b/src/engine/answers.rs
@@ -68,7 +68,7 @@
         else {
             return false;
         };
-        let removed = guard.removes(class, ask.object, ask.part, ask.group, reply.born, &reply.tags);
+        let removed = guard.check_answer(class, ask.object, ask.part, ask.group, reply.born, &reply.tags);
         if let Some(mark) = removed {
             tracing::debug!(
                 id = ask.id_text,
