--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -71,7 +71,7 @@
         let peers: BTreeMap<InstanceId, SocketAddr> = config.peer_addresses().collect();
         let times = config.scheduler_times();
         let scheduler = Scheduler::new(host.clock.now(), config.id, peers.keys().copied(), times);
-        host.with(|engine| engine.share_probes());
+        host.with(|engine| engine.delegate_health_checks());
         Ok(Rc::new(Self {
             scheduler: RefCell::new(scheduler),
             health: RefCell::new(HealthStatus::new(config.thresholds())),
@@ -103,7 +103,7 @@
 
     /// Applies the endpoint list if it changed.
     fn update_endpoints(&self) {
-        let version = self.host.roster_changes();
+        let version = self.host.endpoint_list_changes();
         if self.endpoints_version.replace(version) == version {
             return;
         }
@@ -176,7 +176,7 @@
                 healthy,
                 "health checks: an endpoint's health changed"
             );
-            self.host.with(|engine| engine.probed(endpoint, healthy));
+            self.host.with(|engine| engine.report_health_check(endpoint, healthy));
         }
     }
 
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -78,7 +78,7 @@
     for subsystem in &mut *subsystems {
         subsystem.prepare(context).await?;
         if let Some(metrics) = subsystem.metrics() {
-            context.executor.add_figures(metrics);
+            context.executor.add_metrics(metrics);
         }
         context.admin_calls.borrow_mut().extend(subsystem.admin_calls());
     }
@@ -104,7 +104,7 @@
     let executor = &context.executor;
     tracing::info!("{} stops", context.config.name);
     advance_stop(subsystems, StopStage::Announce);
-    let request_time = executor.env().longest_deadline_ms().max(MIN_REQUEST_TIME_MS);
+    let request_time = executor.settings().longest_deadline_ms().max(MIN_REQUEST_TIME_MS);
     let until = executor.clock.now() + ACCEPT_AFTER_SIGNAL_MS + request_time + LAST_RESPONSES_MS;
     if context.config.handed_over {
         // Whoever connects from now on is the new process's: the socket stays open there.
@@ -133,7 +133,9 @@
         virtual_addresses + context.stop.holds()
     };
     tokio::time::sleep(duration_from_ms(BACKLOG_MS)).await;
-    while (connections() > 0 || executor.with(|engine| engine.owed()) > 0) && executor.clock.now() < until {
+    while (connections() > 0 || executor.with(|engine| engine.open_requests()) > 0)
+        && executor.clock.now() < until
+    {
         tokio::time::sleep(duration_from_ms(DRAIN_CHECK_MS)).await;
     }
 }
--- a/src/lifecycle/subsystems/engine_timer.rs
+++ b/src/lifecycle/subsystems/engine_timer.rs
@@ -10,7 +10,7 @@
 impl Subsystem for EngineTimer {
     fn start<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
         let executor = context.executor.clone();
-        supervise(&context.executor, "the engine's timer", move || executor.clone().keep_time());
+        supervise(&context.executor, "the engine's timer", move || executor.clone().run_timers());
         ready(Ok(())).boxed_local()
     }
 }
--- a/src/purge/recovery.rs
+++ b/src/purge/recovery.rs
@@ -44,7 +44,7 @@
             recovered.journal.truncated = truncated;
             records.into_iter().for_each(|record| recovered.replay(record, active));
         }
-        active.skip_to(recovered.journal.last_seq);
+        active.skip_events_to(recovered.journal.last_seq);
         let corrupt = recovered.journal.truncated.as_ref().filter(|tail| !tail.is_torn_write());
         if let Some(removed) = corrupt.map(|tail| tail.removed) {
             recovered.replace_lost_purges(removed, active, now_ms)?;
