--- a/src/grpc/pool.rs
+++ b/src/grpc/pool.rs
@@ -145,8 +145,8 @@
         Action::Forward { id: of, to, timeout, .. } if of == id => {
             Some(Decision::Forward { to, timeout_ms: ms_from_micros(timeout) })
         }
-        Action::Reject { id: of, retry_after: wait } if of == id => {
-            Some(Decision::Reject { retry_after_ms: ms_from_micros(wait) })
+        Action::Reject { id: of, retry_after } if of == id => {
+            Some(Decision::Reject { retry_after_ms: ms_from_micros(retry_after) })
         }
         Action::Fail { id: of } if of == id => Some(Decision::Fail),
         _ => None,
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -54,11 +54,11 @@
 
 impl Upstream {
     /// No connections.
-    pub fn new(clock: Clock, limits: GrpcLimits, bounds: ConnectionLimits) -> Rc<Self> {
+    pub fn new(clock: Clock, limits: GrpcLimits, connection_limits: ConnectionLimits) -> Rc<Self> {
         Rc::new(Self {
             clock,
             limits,
-            connections: RefCell::new(Connections::new(bounds)),
+            connections: RefCell::new(Connections::new(connection_limits)),
             handles: RefCell::default(),
             addresses: RefCell::default(),
         })
