--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -118,7 +118,7 @@
 
     /// Takes other settings. Requests under way keep their class.
     pub fn reconfigure(&mut self, fresh: PlatformSettings) {
-        self.settings = Rc::new(fresh.after(&self.settings, |class| self.requests.uses_class(class)));
+        self.settings = Rc::new(fresh.carrying_over(&self.settings, |class| self.requests.uses_class(class)));
         self.router.reconfigure(self.settings.policy_settings());
         self.connections.set_stream_limit(self.settings.streams_per_connection());
         let targets = self.membership.all_listed().cloned().collect();
--- /dev/null
+++ b/src/settings/check.rs
@@ -0,0 +1,61 @@
+//! Checks of settings before a proxy uses them.
+
+use super::PlatformSettings;
+use crate::text::is_value;
+use thiserror::Error;
+
+/// Settings with which a proxy cannot work. Keys are named as the platform spells them.
+#[derive(Debug, Error, PartialEq, Eq)]
+pub enum SettingsError {
+    /// There is no class.
+    #[error("`classes` is empty")]
+    NoClasses,
+    /// A request may have no attempt.
+    #[error("`policyLimits.sendCap` is 0")]
+    NoAttempts,
+    /// Two classes have one name.
+    #[error("`classes[].name` {0:?} comes twice")]
+    DuplicateClass(String),
+    /// The name of a class cannot be a step of a path.
+    #[error("`classes[].name` {0:?} can't stand in a path")]
+    ClassName(String),
+    /// The clients of a class do not wait.
+    #[error("`classes[].deadlineUs` of {0:?} is 0")]
+    NoDeadline(String),
+    /// This proxy's zone is not among the zones.
+    #[error("`locality` {0:?} is none of `localities`")]
+    UnknownZone(String),
+}
+
+impl PlatformSettings {
+    /// Checks that a proxy can work with these settings.
+    pub fn check(&self) -> Result<(), SettingsError> {
+        if self.classes.is_empty() {
+            return Err(SettingsError::NoClasses);
+        }
+        if self.policy.max_attempts == 0 {
+            return Err(SettingsError::NoAttempts);
+        }
+        for index in 0..self.classes.len() {
+            self.check_class(index)?;
+        }
+        if !self.zones.contains(&self.zone) {
+            return Err(SettingsError::UnknownZone(self.zone.clone()));
+        }
+        Ok(())
+    }
+
+    fn check_class(&self, index: usize) -> Result<(), SettingsError> {
+        let class = &self.classes[index];
+        if self.classes[..index].iter().any(|other| other.name == class.name) {
+            return Err(SettingsError::DuplicateClass(class.name.clone()));
+        }
+        if !is_value(&class.name) || class.name.contains('/') {
+            return Err(SettingsError::ClassName(class.name.clone()));
+        }
+        if class.policy.deadline == 0 {
+            return Err(SettingsError::NoDeadline(class.name.clone()));
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/settings/classes.rs
@@ -0,0 +1,32 @@
+//! Classes across reloads: requests refer to their class by index, so an unchanged class keeps its index.
+
+use super::PlatformSettings;
+
+impl PlatformSettings {
+    /// These settings as the successor of `old`. Each class that is unchanged keeps its index. A class that
+    /// they drop or change is retired at its index, which another class takes over only at a later reload,
+    /// and only if `in_use` does not hold for it.
+    pub fn carrying_over(mut self, old: &Self, in_use: impl Fn(usize) -> bool) -> Self {
+        let mut added: Vec<_> = std::mem::take(&mut self.classes).into_iter().map(Some).collect();
+        let mut classes = old.classes.clone();
+        let mut free = Vec::new();
+        for (index, class) in classes.iter_mut().enumerate() {
+            let was_retired = std::mem::replace(&mut class.retired, false);
+            match added.iter_mut().find(|other| other.as_ref() == Some(&*class)) {
+                Some(unchanged) => *unchanged = None,
+                None => class.retired = true,
+            }
+            if was_retired && class.retired && !in_use(index) {
+                free.push(index);
+            }
+        }
+        for class in added.into_iter().flatten() {
+            match free.pop() {
+                Some(index) => classes[index] = class,
+                None => classes.push(class),
+            }
+        }
+        self.classes = classes;
+        self
+    }
+}
--- /dev/null
+++ b/src/settings/endpoints.rs
@@ -0,0 +1,45 @@
+//! Endpoints as the settings classify them.
+
+use super::PlatformSettings;
+use crate::endpoint_list::EndpointRecord;
+use crate::{Endpoint, Tier};
+
+/// Weight of an endpoint whose record has no capacity hint.
+const DEFAULT_WEIGHT: f64 = 1.0;
+/// Number of a zone that the settings do not list.
+const UNKNOWN_ZONE: u32 = u32::MAX;
+
+impl PlatformSettings {
+    /// An endpoint as the decision module knows it.
+    pub fn endpoint(&self, record: &EndpointRecord) -> Endpoint {
+        let zone = self.zones.iter().position(|zone| *zone == record.zone);
+        Endpoint {
+            id: record.id,
+            tier: self.tier(record),
+            state: record.state,
+            started_at: record.started_at,
+            weight: record.capacity_hint.unwrap_or(DEFAULT_WEIGHT),
+            zone: zone.map_or(UNKNOWN_ZONE, |zone| zone as u32),
+            cell: record.cell,
+        }
+    }
+
+    /// Whether an endpoint is a cache, in whatever zone.
+    pub fn is_cache(&self, record: &EndpointRecord) -> bool {
+        matches!(self.tier(record), Tier::Cache | Tier::RemoteCache)
+    }
+
+    /// The tier of an endpoint for a proxy of this zone.
+    fn tier(&self, record: &EndpointRecord) -> Tier {
+        let is_kind = |kind: &Option<String>| kind.as_ref() == Some(&record.kind);
+        if is_kind(&self.origin_kind) {
+            Tier::Origin
+        } else if is_kind(&self.parent_kind) {
+            Tier::Parent
+        } else if record.zone == self.zone {
+            Tier::Cache
+        } else {
+            Tier::RemoteCache
+        }
+    }
+}
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -505,11 +505,11 @@
     let mut now = env("a");
     for round in 0..50 {
         let name = format!("b{round}");
-        now = env(&name).after(&now, |_| false);
+        now = env(&name).carrying_over(&now, |_| false);
         assert_eq!(now.class_index("clip"), Some(0));
         let place = now.class_index(&name).unwrap();
         assert!(place < 4 && now.is_write(place) && !now.is_write(0), "{place}");
     }
-    let kept = env("z").after(&now, |_| true);
+    let kept = env("z").carrying_over(&now, |_| true);
     assert_eq!(kept.class_index("z"), Some((0..).take_while(|k| now.class_name(*k).is_some()).count()));
 }
