--- a/src/engine/figures.rs
+++ b/src/engine/figures.rs
@@ -2,7 +2,7 @@
 
 use super::Engine;
 use crate::clock::micros_from_ms;
-use crate::wire::discovery_codec::Target;
+use crate::wire::discovery_event::DiscoveredEndpoint;
 use crate::EndpointId;
 
 impl Engine {
@@ -29,11 +29,11 @@
     /// The share of this location's caches that take new work and that the module does not leave for their failures;
     /// none where it has none.
     pub fn pool_share(&self) -> Option<f64> {
-        let mine = |t: &&Target| {
+        let mine = |t: &&DiscoveredEndpoint| {
             self.env.listing(&t.row).is_ok_and(|line| line.tier == crate::Tier::Cache)
                 && t.row.lifecycle != "dead"
         };
-        let mine: Vec<&Target> = self.roster.all_listed().filter(mine).collect();
+        let mine: Vec<&DiscoveredEndpoint> = self.roster.all_listed().filter(mine).collect();
         let able = mine.iter().filter(|t| self.roster.address(t.row.cache).is_some()).count();
         let avoided = self.router.avoided(micros_from_ms(self.clock.now()));
         (!mine.is_empty()).then(|| able.saturating_sub(avoided) as f64 / mine.len() as f64)
--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -5,8 +5,8 @@
 use crate::purge::fanout::Standing;
 use crate::state::maintenance::{Maintenance, Mark};
 use crate::state::requests::IncomingRequest;
-use crate::wire::cache_codec::endpoint_text;
-use crate::wire::discovery_codec::{Sequenced, Target, WatchEvent};
+use crate::wire::discovery_event::{DiscoveredEndpoint, Sequenced, WatchEvent};
+use crate::wire::identifiers::format_endpoint_id;
 use crate::{AttemptOutcome, EndpointId, Event};
 use std::net::{SocketAddr, SocketAddrV4};
 
@@ -17,13 +17,13 @@
     }
 
     /// Takes a list of endpoints, or changes of it, from a registry: the same rules as the bulletin's lists, at once.
-    pub fn hear_roster(&mut self, full: bool, targets: Vec<Target>) {
+    pub fn hear_roster(&mut self, full: bool, targets: Vec<DiscoveredEndpoint>) {
         self.roster.hear(full, &targets);
         self.list(full, targets);
     }
 
     /// Takes the endpoints that can be read in an event of the bulletin that can't be read whole. Its number stays open.
-    pub fn hear_part(&mut self, targets: Vec<Target>) {
+    pub fn hear_part(&mut self, targets: Vec<DiscoveredEndpoint>) {
         if !self.registry && !targets.is_empty() {
             self.hear_roster(false, targets);
         }
@@ -55,12 +55,12 @@
 
     /// Takes an event of the bulletin. One that was taken before is skipped.
     pub fn news(&mut self, item: Sequenced) {
-        if matches!(item.news, WatchEvent::Heartbeat) || item.no <= self.last_no {
+        if matches!(item.event, WatchEvent::Heartbeat) || item.sequence <= self.last_no {
             return;
         }
-        self.last_no = item.no;
+        self.last_no = item.sequence;
         self.counters.bulletin_events += 1;
-        match item.news {
+        match item.event {
             WatchEvent::Heartbeat => {}
             WatchEvent::Endpoints { .. } if self.registry => {}
             WatchEvent::Endpoints { full, targets } => {
@@ -80,7 +80,7 @@
     }
 
     /// Takes a list, or changes of it, as maintenance by hand leaves it.
-    pub(super) fn list(&mut self, full: bool, mut targets: Vec<Target>) {
+    pub(super) fn list(&mut self, full: bool, mut targets: Vec<DiscoveredEndpoint>) {
         targets.iter_mut().for_each(|target| self.maintenance.apply(&mut target.row));
         let entries: Result<Vec<_>, _> = targets.iter().map(|t| self.env.listing(&t.row)).collect();
         // The codec makes only states that the settings type knows.
@@ -136,7 +136,7 @@
             let origin = self.env.listing(&t.row).ok()?.tier == crate::Tier::Origin;
             let standing = if t.row.lifecycle == "live" { Standing::Listed } else { Standing::Draining };
             let address = SocketAddr::new((*t.address.ip()).into(), port);
-            (!origin).then(|| (endpoint_text(t.row.cache), address, standing))
+            (!origin).then(|| (format_endpoint_id(t.row.cache), address, standing))
         });
         let mut targets: Vec<_> = targets.collect();
         targets.sort_by(|a, b| a.0.cmp(&b.0));
--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -11,8 +11,8 @@
 use crate::admission::control::AdmissionControl;
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
-use crate::wire::http::{HttpAnswer, HttpRequest};
-use crate::wire::listener::Stop;
+use crate::wire::http::{HttpRequest, HttpResponse};
+use crate::wire::shutdown::GracefulShutdown;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, SocketAddr};
@@ -174,12 +174,12 @@
     }
 
     /// The front's state for the second address, `GET /grpc`.
-    pub fn answer(&self, request: &HttpRequest) -> Option<HttpAnswer> {
+    pub fn answer(&self, request: &HttpRequest) -> Option<HttpResponse> {
         if request.target != "/grpc" {
             return None;
         }
         if request.method != "GET" {
-            return Some(HttpAnswer::status(405).with("Allow", "GET"));
+            return Some(HttpResponse::status(405).with("Allow", "GET"));
         }
         let calls = self.calls.borrow();
         let pools = calls.figures().enumerate().map(|(place, (name, f, live))| PoolStatus {
@@ -199,7 +199,7 @@
         let status = Status { open: calls.open(), connections: self.upstream.len(), pools: pools.collect() };
         let body = simd_json::to_vec(&status).unwrap_or_default();
         Some(
-            HttpAnswer { body: body.into(), ..HttpAnswer::status(200) }
+            HttpResponse { body: body.into(), ..HttpResponse::status(200) }
                 .with("Content-Type", "application/json"),
         )
     }
@@ -291,14 +291,19 @@
 }
 
 /// Ends what is still under way some time after the stop has begun.
-pub async fn cut_at_stop(front: Rc<GrpcFront>, stop: Rc<Stop>) {
+pub async fn cut_at_stop(front: Rc<GrpcFront>, stop: Rc<GracefulShutdown>) {
     stop.begun().await;
     tokio::time::sleep(duration_from_ms(front.limits.stop_ms)).await;
     front.cut_all();
 }
 
 /// Accepts clients until `closing`.
-pub async fn accept(front: Rc<GrpcFront>, listener: TcpListener, stop: Rc<Stop>, closing: Rc<Notify>) {
+pub async fn accept(
+    front: Rc<GrpcFront>,
+    listener: TcpListener,
+    stop: Rc<GracefulShutdown>,
+    closing: Rc<Notify>,
+) {
     let places = std::sync::Arc::new(Semaphore::new(front.limits.clients));
     let mut last = false;
     loop {
@@ -333,7 +338,7 @@
             Ok((stream, peer)) => {
                 front.host.with(|engine| engine.counters.clients += 1);
                 let (own, stop) = (front.clone(), stop.clone());
-                let open = stop.enter();
+                let open = stop.track_connection();
                 front.host.spawn("a gRPC client's connection", async move {
                     let (_open, _place) = (open, place);
                     if let Err(error) = serve(&own, stream, peer.ip(), &stop).await {
@@ -364,7 +369,7 @@
     front: &Rc<GrpcFront>,
     stream: TcpStream,
     peer: IpAddr,
-    stop: &Rc<Stop>,
+    stop: &Rc<GracefulShutdown>,
 ) -> Result<(), h2::Error> {
     let _ = stream.set_nodelay(true);
     let l = &front.limits;
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -8,8 +8,8 @@
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::vrrp::auth::Seals;
-use crate::wire::cache_codec::endpoint_text;
-use crate::wire::http::{HttpAnswer, HttpRequest};
+use crate::wire::http::{HttpRequest, HttpResponse};
+use crate::wire::identifiers::format_endpoint_id;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -158,7 +158,7 @@
         }
         let turned = self.board.borrow_mut().hear(self.now(), duty, slot, ok, took_ms);
         if let Some(up) = turned {
-            tracing::warn!(endpoint = %endpoint_text(duty), up, "duties: a member turned by its probes");
+            tracing::warn!(endpoint = %format_endpoint_id(duty), up, "duties: a member turned by its probes");
             self.host.with(|engine| engine.probed(duty, up));
         }
     }
@@ -209,12 +209,12 @@
     }
 
     /// Answers `GET /duties` at the second address.
-    pub fn answer(&self, request: &HttpRequest) -> Option<HttpAnswer> {
+    pub fn answer(&self, request: &HttpRequest) -> Option<HttpResponse> {
         if request.target != "/duties" {
             return None;
         }
         if request.method != "GET" {
-            return Some(HttpAnswer::status(405).with("Allow", "GET"));
+            return Some(HttpResponse::status(405).with("Allow", "GET"));
         }
         let (plan, board, now) = (self.plan.borrow(), self.board.borrow(), self.now());
         let status = Status {
@@ -223,11 +223,11 @@
             living: plan.living(now).collect(),
             figures: plan.figures,
             ignored: self.ignored.get(),
-            servers: board.all().map(|(duty, standing)| (endpoint_text(duty), *standing)).collect(),
+            servers: board.all().map(|(duty, standing)| (format_endpoint_id(duty), *standing)).collect(),
         };
         let body = simd_json::to_vec(&status).unwrap_or_default();
         Some(
-            HttpAnswer { body: body.into(), ..HttpAnswer::status(200) }
+            HttpResponse { body: body.into(), ..HttpResponse::status(200) }
                 .with("Content-Type", "application/json"),
         )
     }
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -6,8 +6,8 @@
 use super::session::Sessions;
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse};
-use crate::wire::http::{HttpAnswer, HttpRequest};
-use crate::wire::listener::{Context, Front, Intake, Limits};
+use crate::wire::front::{ConnectionLimits, Disposition, Front, ResponseContext};
+use crate::wire::http::{HttpRequest, HttpResponse};
 use crate::wire::signed::{range, Range};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,14 +18,19 @@
 /// The front.
 pub struct Http3Front {
     inner: Rc<dyn Front>,
-    limits: Limits,
+    limits: ConnectionLimits,
     sessions: RefCell<Sessions>,
     keeper: Rc<CallRegistry>,
 }
 
 impl Http3Front {
     /// A front for another one's requests.
-    pub fn new(inner: Rc<dyn Front>, limits: Limits, sessions: Sessions, keeper: Rc<CallRegistry>) -> Self {
+    pub fn new(
+        inner: Rc<dyn Front>,
+        limits: ConnectionLimits,
+        sessions: Sessions,
+        keeper: Rc<CallRegistry>,
+    ) -> Self {
         Self { inner, limits, sessions: RefCell::new(sessions), keeper }
     }
 
@@ -53,7 +58,7 @@
 }
 
 /// A part of a whole answer, where one was asked for and the copy is still the same.
-fn part(context: &Context, answer: HttpAnswer) -> HttpAnswer {
+fn part(context: &ResponseContext, answer: HttpResponse) -> HttpResponse {
     let Some(text) = context.range.as_deref().filter(|_| answer.status == 200) else { return answer };
     let tag = answer.headers.iter().find(|(name, _)| *name == "ETag").map(|(_, tag)| tag.as_str());
     // RFC 9110, section 13.1.5: another copy than the one that the client has a part of is sent whole.
@@ -66,45 +71,45 @@
         Range::Part(from, to) => {
             let body = answer.body.slice(from..to);
             let shown = format!("bytes {from}-{}/{length}", to - 1);
-            HttpAnswer { status: 206, body, ..answer }.with("Content-Range", shown)
+            HttpResponse { status: 206, body, ..answer }.with("Content-Range", shown)
         }
         Range::Outside => {
-            let empty = HttpAnswer { status: 416, body: Default::default(), ..answer };
+            let empty = HttpResponse { status: 416, body: Default::default(), ..answer };
             empty.with("Content-Range", format!("bytes */{length}"))
         }
     }
 }
 
 impl Front for Http3Front {
-    fn limits(&self) -> &Limits {
+    fn limits(&self) -> &ConnectionLimits {
         &self.limits
     }
 
-    fn take(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Intake {
-        match self.inner.take(host, request, now) {
-            Intake::IncomingRequest(ask, mut context) => {
+    fn interpret(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Disposition {
+        match self.inner.interpret(host, request, now) {
+            Disposition::Forward(ask, mut context) => {
                 let header = |name| request.single(name).ok().flatten().map(String::from);
                 if request.method == "GET" {
                     (context.range, context.if_range) = (header("range"), header("if-range"));
                 }
                 let (id, token) = self.session(request, now);
                 (context.session, context.session_token) = (Some(id), token);
-                Intake::IncomingRequest(ask, context)
+                Disposition::Forward(ask, context)
             }
             now => now,
         }
     }
 
-    fn word(&self, context: &Context, answer: FinalResponse) -> HttpAnswer {
-        let answer = part(context, self.inner.word(context, answer)).with("Accept-Ranges", "bytes");
+    fn respond(&self, context: &ResponseContext, answer: FinalResponse) -> HttpResponse {
+        let answer = part(context, self.inner.respond(context, answer)).with("Accept-Ranges", "bytes");
         match &context.session_token {
             Some(token) => answer.with(SESSION, token.clone()),
             None => answer,
         }
     }
 
-    fn not_taken(&self, reason: AdmitError) -> HttpAnswer {
-        self.inner.not_taken(reason)
+    fn reject(&self, reason: AdmitError) -> HttpResponse {
+        self.inner.reject(reason)
     }
 
     fn keeper(&self) -> Option<&Rc<CallRegistry>> {
--- a/src/http3/server.rs
+++ b/src/http3/server.rs
@@ -10,8 +10,9 @@
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::state::requests::FinalResponse;
-use crate::wire::http::{HttpAnswer, HttpRequest};
-use crate::wire::listener::{Front, Intake, Open, Stop};
+use crate::wire::front::{Disposition, Front};
+use crate::wire::http::{HttpRequest, HttpResponse};
+use crate::wire::shutdown::{ConnectionGuard, GracefulShutdown};
 use bytes::{Buf, Bytes, BytesMut};
 use h3::server::RequestStream;
 use h3_quinn::BidiStream;
@@ -158,7 +159,12 @@
 }
 
 /// Takes connections until `closing`; those that are open go on to their end.
-pub async fn accept(driver: Rc<Driver>, endpoint: quinn::Endpoint, stop: Rc<Stop>, closing: Rc<Notify>) {
+pub async fn accept(
+    driver: Rc<Driver>,
+    endpoint: quinn::Endpoint,
+    stop: Rc<GracefulShutdown>,
+    closing: Rc<Notify>,
+) {
     loop {
         let incoming = tokio::select! {
             biased;
@@ -180,7 +186,7 @@
         driver.open.set(open + 1);
         driver.count(|f| f.connections += 1);
         driver.host.with(|engine| engine.counters.clients += 1);
-        let (own, stop, held) = (driver.clone(), stop.clone(), stop.enter());
+        let (own, stop, held) = (driver.clone(), stop.clone(), stop.track_connection());
         driver.host.spawn("a QUIC connection", async move {
             let _place = Place(own.clone(), held);
             let handshake = timeout(duration_from_ms(own.limits.handshake_ms), incoming).await;
@@ -197,7 +203,7 @@
     endpoint.wait_idle().await;
 }
 
-struct Place(Rc<Driver>, #[allow(dead_code)] Open);
+struct Place(Rc<Driver>, #[allow(dead_code)] ConnectionGuard);
 
 impl Drop for Place {
     fn drop(&mut self) {
@@ -234,7 +240,7 @@
     }
 }
 
-async fn serve(driver: &Rc<Driver>, connection: quinn::Connection, stop: &Stop) {
+async fn serve(driver: &Rc<Driver>, connection: quinn::Connection, stop: &GracefulShutdown) {
     let shared = Rc::new(Shared {
         driver: driver.clone(),
         connection: connection.clone(),
@@ -341,12 +347,12 @@
 }
 
 /// What a request's answer is, and how urgent; none where its client left.
-async fn answered(shared: &Shared, request: &HttpRequest, peer: IpAddr) -> Option<(HttpAnswer, Priority)> {
+async fn answered(shared: &Shared, request: &HttpRequest, peer: IpAddr) -> Option<(HttpResponse, Priority)> {
     let driver = &shared.driver;
     let now = driver.host.clock.now();
-    let (mut ask, context) = match driver.front.take(&driver.host, request, now) {
-        Intake::Now(answer) => return Some((answer, Priority { urgency: 0, incremental: false })),
-        Intake::IncomingRequest(ask, context) => (ask, context),
+    let (mut ask, context) = match driver.front.interpret(&driver.host, request, now) {
+        Disposition::Respond(answer) => return Some((answer, Priority { urgency: 0, incremental: false })),
+        Disposition::Forward(ask, context) => (ask, context),
     };
     let env = driver.host.env();
     // Writes first, then what is small; a clip's parts share what is left. The client's own word counts more.
@@ -359,9 +365,9 @@
     let priority = said.map_or(base, |text| Priority::parse(text, base));
     ask.client = Some(peer);
     ask.give_up_ms = shared.sample().give_up_ms(now, ask.give_up_ms, ask.size_kb * 1_024.0);
-    let Some(session) = context.session else { return Some((HttpAnswer::status(500), base)) };
+    let Some(session) = context.session else { return Some((HttpResponse::status(500), base)) };
     let last = match driver.keeper.ask(session, *ask) {
-        Err(reason) => return Some((driver.front.not_taken(reason), priority)),
+        Err(reason) => return Some((driver.front.reject(reason), priority)),
         Ok(Kept::Now(last)) => last,
         Ok(Kept::Wait(heard, hold)) => tokio::select! {
             biased;
@@ -378,7 +384,7 @@
             }
         },
     };
-    Some((driver.front.word(&context, last), priority))
+    Some((driver.front.respond(&context, last), priority))
 }
 
 async fn answer(shared: &Rc<Shared>, request: Request<()>, mut stream: Stream, peer: IpAddr) {
@@ -393,7 +399,7 @@
         Err(status) => {
             driver.count(|f| f.malformed += 1);
             driver.host.with(|engine| engine.counters.malformed_requests += 1);
-            (HttpAnswer::status(status), Priority { urgency: 0, incremental: false })
+            (HttpResponse::status(status), Priority { urgency: 0, incremental: false })
         }
     };
     let mut response = Response::builder().status(answer.status);
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -2,7 +2,7 @@
 
 use crate::config_file::{parse_address, read_json, AddressError, ConfigError};
 use crate::settings::PlatformSettings;
-use crate::wire::discovery_codec::InitialState;
+use crate::wire::discovery_json::InitialState;
 use serde::Deserialize;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
--- a/src/lifecycle/front.rs
+++ b/src/lifecycle/front.rs
@@ -2,8 +2,8 @@
 
 use crate::config_file::{parse_address, read_json, AddressError, ConfigError};
 use crate::engine::executor::Executor;
+use crate::wire::front::ConnectionLimits;
 use crate::wire::keys::{self, Key, KeyRing};
-use crate::wire::listener::Limits;
 use crate::wire::signed::{SignedUrls, Verifier};
 use serde::Deserialize;
 use std::collections::HashMap;
@@ -39,7 +39,7 @@
     overlap_ms: f64,
     /// Bounds of the connections.
     #[serde(default = "limits")]
-    limits: Limits,
+    limits: ConnectionLimits,
 }
 
 fn http() -> String {
@@ -54,8 +54,8 @@
     60_000.0
 }
 
-fn limits() -> Limits {
-    Limits { connections: 128, body_bytes: 0, write_ms: 30_000.0, ..Limits::default() }
+fn limits() -> ConnectionLimits {
+    ConnectionLimits { connections: 128, body_bytes: 0, write_ms: 30_000.0, ..ConnectionLimits::default() }
 }
 
 fn read_keys(path: &Path) -> Result<(Vec<u8>, HashMap<String, Key>), String> {
--- a/src/lifecycle/maintenance.rs
+++ b/src/lifecycle/maintenance.rs
@@ -5,7 +5,7 @@
 use crate::config_file::read_json;
 use crate::engine::executor::Executor;
 use crate::state::maintenance::Mark;
-use crate::wire::cache_codec::{endpoint_id, endpoint_text};
+use crate::wire::identifiers::{format_endpoint_id, parse_endpoint_id};
 use crate::EndpointId;
 use serde::Deserialize;
 use std::path::PathBuf;
@@ -46,7 +46,7 @@
             Ok(lines) => {
                 let marks = lines.into_iter().filter_map(|line| {
                     let mark = Mark { out: line.out, at_ms: line.at_ms };
-                    Some((endpoint_id(&line.endpoint)?, mark))
+                    Some((parse_endpoint_id(&line.endpoint)?, mark))
                 });
                 let marks: Vec<(EndpointId, Mark)> = marks.collect();
                 host.with(|engine| engine.adopt(marks));
@@ -59,7 +59,7 @@
     pub fn write(&self, host: &Rc<Executor>) -> Result<(), std::io::Error> {
         let Some(path) = &self.0 else { return Ok(()) };
         let line = |(id, mark): (EndpointId, Mark)| {
-            let (endpoint, out, at_ms) = (endpoint_text(id), mark.out, mark.at_ms);
+            let (endpoint, out, at_ms) = (format_endpoint_id(id), mark.out, mark.at_ms);
             format!("{{\"member\":\"{endpoint}\",\"out\":{out},\"at_ms\":{at_ms}}}")
         };
         let lines: Vec<String> = host.with(|engine| engine.maintenance().iter().map(line).collect());
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -32,8 +32,10 @@
 use crate::wire::admin::AdminFront;
 use crate::wire::cache_connection::CacheDriver;
 use crate::wire::discovery;
-use crate::wire::listener::{accept, Front, Limits, Stop};
+use crate::wire::front::{ConnectionLimits, Front};
+use crate::wire::listener::accept;
 use crate::wire::platform::{self, Platform};
+use crate::wire::shutdown::GracefulShutdown;
 use std::cell::RefCell;
 use std::future::Future;
 use std::io::ErrorKind;
@@ -218,7 +220,7 @@
     let platform: Rc<dyn Front> = own;
     let fronts = Fronts::default();
     fronts.borrow_mut().push((FrontKind::Platform, platform.clone()));
-    let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
+    let (stop, closing) = (Rc::new(GracefulShutdown::default()), Rc::new(Notify::new()));
     host.spawn("accepting", accept(host.clone(), platform, listener, stop.clone(), closing.clone()));
     let mgmt = config.mgmt().map_err(|reason| ServeError::field("mgmt", reason))?;
     let link = registry.as_ref().map(|_| Rc::new(RefCell::new(RegistryStatus::default())));
@@ -428,7 +430,7 @@
         host.clock.now() + ACCEPT_ON_MS + host.env().longest_deadline_ms().max(3_000.0) + STOP_MORE_MS;
     if config.handed_over {
         // Whoever connects from now on is the new process's: the socket stays open there.
-        stop.turn_away();
+        stop.close_after_response();
         closing.notify_one();
         second.notify_one();
         third.notify_one();
@@ -446,7 +448,7 @@
         edge.closing.iter().for_each(|closing| closing.notify_one());
     }
     stop.begin();
-    let busy = || router.as_ref().map_or(0, |(router, _)| router.busy()) + stop.holds();
+    let busy = || router.as_ref().map_or(0, |(router, _)| router.busy()) + stop.open_or_lingering();
     // A moment for connections that the machine had accepted and this process not yet.
     tokio::time::sleep(duration_from_ms(4.0 * STOP_LOOK_MS)).await;
     while (busy() > 0 || host.with(|engine| engine.owed()) > 0) && host.clock.now() < until {
@@ -481,14 +483,17 @@
     host: &Rc<Executor>,
     config: &Http3Config,
     inner: Rc<dyn Front>,
-    stop: &Rc<Stop>,
+    stop: &Rc<GracefulShutdown>,
 ) -> Result<Http3Edge, ServeError> {
     let l = &config.limits;
     let field = |name| move |reason| ServeError::field(name, reason);
     let keeper = CallRegistry::new(host.clone(), config.shelf());
     let sessions = config.sessions().map_err(field("session_keys"))?;
-    let limits =
-        Limits { idle_ms: l.idle_ms, body_bytes: l.body_bytes, ..platform::limits(l.tcp_connections) };
+    let limits = ConnectionLimits {
+        idle_ms: l.idle_ms,
+        body_bytes: l.body_bytes,
+        ..platform::limits(l.tcp_connections)
+    };
     let front = Rc::new(Http3Front::new(inner, limits, sessions, keeper.clone()));
     let listen = config.at();
     let server = server::server_config(config).map_err(field("certificate"))?;
--- a/src/purge/driver.rs
+++ b/src/purge/driver.rs
@@ -8,7 +8,7 @@
 use super::wire::{call, from_json, to_json, Ack, Batch, Fault, Submit};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
-use crate::wire::http::{HttpAnswer, HttpRequest};
+use crate::wire::http::{HttpRequest, HttpResponse};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::{Notify, Semaphore};
@@ -110,16 +110,17 @@
     desk.wake.notify_one();
 }
 
-fn json(status: u16, body: Vec<u8>) -> HttpAnswer {
-    HttpAnswer { body: body.into(), ..HttpAnswer::status(status) }.with("Content-Type", "application/json")
+fn json(status: u16, body: Vec<u8>) -> HttpResponse {
+    HttpResponse { body: body.into(), ..HttpResponse::status(status) }
+        .with("Content-Type", "application/json")
 }
 
-fn fault(status: u16, error: impl ToString) -> HttpAnswer {
+fn fault(status: u16, error: impl ToString) -> HttpResponse {
     json(status, to_json(&Fault { error: error.to_string() }))
 }
 
 /// Answers the purge calls of the second address; none for a call that is not one of them.
-pub fn answer(host: &Rc<Executor>, desk: &Rc<PurgeService>, request: &HttpRequest) -> Option<HttpAnswer> {
+pub fn answer(host: &Rc<Executor>, desk: &Rc<PurgeService>, request: &HttpRequest) -> Option<HttpResponse> {
     let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
     let allowed = match path {
         "/purges" => "GET, POST",
@@ -128,7 +129,7 @@
         _ => return None,
     };
     if !allowed.split(", ").any(|m| m == request.method) {
-        return Some(HttpAnswer::status(405).with("Allow", allowed));
+        return Some(HttpResponse::status(405).with("Allow", allowed));
     }
     let now = host.clock.now();
     let answer = match (request.method.as_str(), path) {
--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -7,7 +7,7 @@
 use super::wire::{range, RegistryError, Told, Watch};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
-use crate::wire::http::{HttpAnswer, HttpRequest};
+use crate::wire::http::{HttpRequest, HttpResponse};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -39,7 +39,7 @@
         tracing::error!(key, reason, "registry: a member's value can't be read; it stays as it was");
     }
     for id in &update.drains {
-        tracing::info!(endpoint = %crate::wire::cache_codec::endpoint_text(*id), "registry: a member drains");
+        tracing::info!(endpoint = %crate::wire::identifiers::format_endpoint_id(*id), "registry: a member drains");
     }
     let now = host.clock.now();
     if !update.is_empty() {
@@ -135,13 +135,16 @@
 }
 
 /// Answers `GET /registry` at the second address: the link's state.
-pub fn answer(link: &Rc<RefCell<RegistryStatus>>, request: &HttpRequest) -> Option<HttpAnswer> {
+pub fn answer(link: &Rc<RefCell<RegistryStatus>>, request: &HttpRequest) -> Option<HttpResponse> {
     if request.target != "/registry" {
         return None;
     }
     if request.method != "GET" {
-        return Some(HttpAnswer::status(405).with("Allow", "GET"));
+        return Some(HttpResponse::status(405).with("Allow", "GET"));
     }
     let body = simd_json::to_vec(&*link.borrow()).unwrap_or_default();
-    Some(HttpAnswer { body: body.into(), ..HttpAnswer::status(200) }.with("Content-Type", "application/json"))
+    Some(
+        HttpResponse { body: body.into(), ..HttpResponse::status(200) }
+            .with("Content-Type", "application/json"),
+    )
 }
--- a/src/registry/view.rs
+++ b/src/registry/view.rs
@@ -9,7 +9,8 @@
 //! that tells of a revision below the view's (restored from an older copy, say) has begun a new history: a watch
 //! there would wait for revisions that may be years away, so the next step is a full read as well.
 
-use crate::wire::discovery_codec::{Line, Target};
+use crate::wire::discovery_event::DiscoveredEndpoint;
+use crate::wire::discovery_json::EndpointJson;
 use std::collections::BTreeMap;
 
 /// A key's value at a revision, as a read gives it.
@@ -45,7 +46,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Update {
     /// Endpoints that are new or changed, and those that are gone (as gone), since the last update.
-    pub targets: Vec<Target>,
+    pub targets: Vec<DiscoveredEndpoint>,
     /// The whole list: endpoints absent from it have gone.
     pub full: bool,
     /// Endpoints that began to drain, by id.
@@ -83,7 +84,7 @@
 /// The view. See the module's page.
 #[derive(Clone, Debug, Default)]
 pub struct MemberView {
-    endpoints: BTreeMap<String, (Target, i64)>,
+    endpoints: BTreeMap<String, (DiscoveredEndpoint, i64)>,
     /// The last revision of each key that is deleted, since the last full read.
     tombstones: BTreeMap<String, i64>,
     /// The revision up to which the view is whole.
@@ -95,7 +96,7 @@
     pub figures: ViewFigures,
 }
 
-fn lifecycle(target: &Target) -> &str {
+fn lifecycle(target: &DiscoveredEndpoint) -> &str {
     &target.row.lifecycle
 }
 
@@ -111,7 +112,7 @@
     }
 
     /// The endpoints held.
-    pub fn endpoints(&self) -> impl Iterator<Item = &Target> {
+    pub fn endpoints(&self) -> impl Iterator<Item = &DiscoveredEndpoint> {
         self.endpoints.values().map(|(target, _)| target)
     }
 
@@ -150,7 +151,7 @@
         let mut update = Update { full: true, ..Update::default() };
         let mut fresh = BTreeMap::new();
         for kv in kvs {
-            match Line::parse(&kv.value) {
+            match EndpointJson::parse(&kv.value) {
                 Ok(target) => {
                     fresh.insert(kv.key, (target, kv.mod_revision));
                 }
@@ -202,7 +203,7 @@
             }
             self.figures.changes += 1;
             match change {
-                Change::Put(kv) => match Line::parse(&kv.value) {
+                Change::Put(kv) => match EndpointJson::parse(&kv.value) {
                     Ok(target) => {
                         let was = self.endpoints.get(&key).map(|(old, _)| lifecycle(old).to_string());
                         if lifecycle(&target) == "quiescing" && was.as_deref() != Some("quiescing") {
--- a/src/rules/evaluator.rs
+++ b/src/rules/evaluator.rs
@@ -191,7 +191,7 @@
                 let plain = (1..=9).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_digit());
                 Value::Int(is(plain.then(|| text.parse().ok()).flatten())?)
             }
-            Function::Hex => Value::Key(is(crate::wire::cache_codec::hex16(&text))?),
+            Function::Hex => Value::Key(is(crate::wire::identifiers::parse_hex16(&text))?),
             Function::Hash => {
                 let digest = Sha256::digest(text.as_bytes());
                 Value::Key(u64::from_be_bytes(digest[..8].try_into().expect("32 bytes")))
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,8 +2,8 @@
 //!
 //! Unknown keys are skipped; what may be absent reads as its type's default.
 
-use crate::wire::cache_codec::is_value;
-use crate::wire::discovery_codec::{Sequenced, WatchEvent};
+use crate::wire::discovery_event::{Sequenced, WatchEvent};
+use crate::wire::identifiers::is_field_value;
 use crate::{Endpoint, EndpointState, Idempotency, KeyScope, PolicySettings, RequestClass, SlowStart, Tier};
 use serde::{Deserialize, Deserializer};
 
@@ -267,7 +267,7 @@
             if self.classes[..k].iter().any(|other| other.name == class.name) {
                 return Err(format!("`classes[].name` {:?} comes twice", class.name));
             }
-            if !is_value(&class.name) || class.name.contains('/') {
+            if !is_field_value(&class.name) || class.name.contains('/') {
                 return Err(format!("`classes[].name` {:?} can't stand in a path", class.name));
             }
             if class.deadline_us == 0 {
@@ -282,7 +282,7 @@
 
     /// What a proxy could not take of an event, if anything.
     pub fn check_event(&self, event: &Sequenced) -> Result<(), String> {
-        let WatchEvent::Endpoints { targets, .. } = &event.news else { return Ok(()) };
+        let WatchEvent::Endpoints { targets, .. } = &event.event else { return Ok(()) };
         targets.iter().try_for_each(|target| self.listing(&target.row).map(|_| ()))
     }
 
--- a/src/state/membership.rs
+++ b/src/state/membership.rs
@@ -1,6 +1,6 @@
 //! The members by id, with their addresses and when this proxy was told that they drain or are gone.
 
-use crate::wire::discovery_codec::Target;
+use crate::wire::discovery_event::DiscoveredEndpoint;
 use crate::EndpointId;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
@@ -9,13 +9,13 @@
 #[derive(Debug, Default)]
 pub struct Roster {
     /// Endpoints that are listed, as told, whatever their state.
-    listed: HashMap<EndpointId, Target>,
+    listed: HashMap<EndpointId, DiscoveredEndpoint>,
     live: HashMap<EndpointId, SocketAddrV4>,
 }
 
 impl Roster {
     /// Notes a list or its changes as told.
-    pub fn hear(&mut self, full: bool, targets: &[Target]) {
+    pub fn hear(&mut self, full: bool, targets: &[DiscoveredEndpoint]) {
         if full {
             self.listed.clear();
         }
@@ -29,17 +29,17 @@
     }
 
     /// An endpoint's line as last told.
-    pub fn listed(&self, id: EndpointId) -> Option<&Target> {
+    pub fn listed(&self, id: EndpointId) -> Option<&DiscoveredEndpoint> {
         self.listed.get(&id)
     }
 
     /// All of them.
-    pub fn all_listed(&self) -> impl Iterator<Item = &Target> {
+    pub fn all_listed(&self) -> impl Iterator<Item = &DiscoveredEndpoint> {
         self.listed.values()
     }
 
     /// Takes a list or its changes; tells which endpoints may get nothing new from now on, or have moved.
-    pub fn update(&mut self, full: bool, targets: &[Target]) -> Vec<EndpointId> {
+    pub fn update(&mut self, full: bool, targets: &[DiscoveredEndpoint]) -> Vec<EndpointId> {
         let before: Vec<(EndpointId, SocketAddrV4)> = self.live.iter().map(|(id, at)| (*id, *at)).collect();
         if full {
             let listed: HashSet<EndpointId> = targets.iter().map(|t| t.row.cache).collect();
--- a/src/state/membership/tests.rs
+++ b/src/state/membership/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::settings::EndpointRecord;
 
-fn target(cache: u32, lifecycle: &str, port: u16) -> Target {
+fn target(cache: u32, lifecycle: &str, port: u16) -> DiscoveredEndpoint {
     let row = EndpointRecord {
         zone: String::new(),
         model: String::new(),
@@ -11,7 +11,7 @@
         power_hint: None,
         cohort: 0,
     };
-    Target { row, address: SocketAddrV4::new([127, 0, 0, 1].into(), port) }
+    DiscoveredEndpoint { row, address: SocketAddrV4::new([127, 0, 0, 1].into(), port) }
 }
 
 #[test]
--- a/src/vrrp/driver.rs
+++ b/src/vrrp/driver.rs
@@ -9,8 +9,8 @@
 use super::track::{standing, Rate, Track, What};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
-use crate::wire::http::{HttpAnswer, HttpRequest};
-use crate::wire::listener::Stop;
+use crate::wire::http::{HttpRequest, HttpResponse};
+use crate::wire::shutdown::GracefulShutdown;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,14 +24,14 @@
 const BACKLOG: u32 = 1_024;
 
 /// Serves a front's clients on a listener until `closing`; `stop` ends what it has taken.
-pub type Accept = Box<dyn Fn(FrontKind, TcpListener, Rc<Stop>, Rc<Notify>)>;
+pub type Accept = Box<dyn Fn(FrontKind, TcpListener, Rc<GracefulShutdown>, Rc<Notify>)>;
 
 /// Tells the number of a thing that is tracked, at this time, where it says anything now.
 pub type Ask = Box<dyn Fn(&What) -> Option<f64>>;
 
 /// A virtual address's listener as long as it is open, and what it has taken after that.
 struct Opened {
-    stop: Rc<Stop>,
+    stop: Rc<GracefulShutdown>,
     closing: Rc<Notify>,
 }
 
@@ -80,7 +80,7 @@
     peers: RefCell<BTreeMap<SocketAddr, Peer>>,
     opened: RefCell<BTreeMap<usize, Opened>>,
     /// Listeners that were closed and whose clients still have answers to come.
-    closed: RefCell<Vec<Rc<Stop>>>,
+    closed: RefCell<Vec<Rc<GracefulShutdown>>>,
     accept: Accept,
     ask: Ask,
     /// Its operator said that it is to stand aside.
@@ -164,9 +164,9 @@
 
     /// Clients' connections of the virtual addresses, open and closed, that still have answers to come.
     pub fn busy(&self) -> usize {
-        self.closed.borrow_mut().retain(|stop| stop.open.get() > 0);
-        let open: usize = self.opened.borrow().values().map(|o| o.stop.open.get()).sum();
-        open + self.closed.borrow().iter().map(|stop| stop.open.get()).sum::<usize>()
+        self.closed.borrow_mut().retain(|stop| stop.open_connections() > 0);
+        let open: usize = self.opened.borrow().values().map(|o| o.stop.open_connections()).sum();
+        open + self.closed.borrow().iter().map(|stop| stop.open_connections()).sum::<usize>()
     }
 
     fn close(&self, k: usize) {
@@ -174,7 +174,7 @@
             // What the machine has taken counts as taken; idle clients go, the others with their answer.
             closing.notify_one();
             stop.begin();
-            self.closed.borrow_mut().retain(|stop| stop.open.get() > 0);
+            self.closed.borrow_mut().retain(|stop| stop.open_connections() > 0);
             self.closed.borrow_mut().push(stop);
         }
     }
@@ -183,7 +183,7 @@
         let listener = self.config.borrow().serve[k].clone();
         match bind(listener.at()) {
             Ok(socket) => {
-                let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
+                let (stop, closing) = (Rc::new(GracefulShutdown::default()), Rc::new(Notify::new()));
                 (self.accept)(listener.front, socket, stop.clone(), closing.clone());
                 self.opened.borrow_mut().insert(k, Opened { stop, closing });
                 tracing::info!(address = listener.address, "virtual router: the address is served");
@@ -284,7 +284,7 @@
     }
 
     /// Answers calls at the second address: `GET /vrrp`, `POST /vrrp/aside`, `POST /vrrp/back`.
-    pub fn answer(&self, request: &HttpRequest) -> Option<HttpAnswer> {
+    pub fn answer(&self, request: &HttpRequest) -> Option<HttpResponse> {
         let post = match request.target.as_str() {
             "/vrrp" => false,
             "/vrrp/aside" | "/vrrp/back" => true,
@@ -292,14 +292,14 @@
         };
         let allowed = if post { "POST" } else { "GET" };
         if request.method != allowed {
-            return Some(HttpAnswer::status(405).with("Allow", allowed));
+            return Some(HttpResponse::status(405).with("Allow", allowed));
         }
         if post {
             self.put_aside(request.target == "/vrrp/aside");
         }
         let body = simd_json::to_vec(&self.status()).unwrap_or_default();
         Some(
-            HttpAnswer { body: body.into(), ..HttpAnswer::status(200) }
+            HttpResponse { body: body.into(), ..HttpResponse::status(200) }
                 .with("Content-Type", "application/json"),
         )
     }
--- a/src/wire/admin.rs
+++ b/src/wire/admin.rs
@@ -1,8 +1,8 @@
 //! The second address, for the platform and its staff: one call on a connection, and a 2xx means yes.
 
-use super::cache_codec::endpoint_id;
-use super::http::{HttpAnswer, HttpRequest};
-use super::listener::{Context, Front, Intake, Limits};
+use super::front::{ConnectionLimits, Disposition, Front, ResponseContext};
+use super::http::{HttpRequest, HttpResponse};
+use super::identifiers::parse_endpoint_id;
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse};
 use std::rc::Rc;
@@ -18,11 +18,11 @@
 pub type Keep = Box<dyn Fn(&Rc<Executor>) -> Result<(), std::io::Error>>;
 
 /// Further calls of a subsystem that is on, such as fleet purges: an answer for the calls that are its own.
-pub type Calls = Box<dyn Fn(&Rc<Executor>, &HttpRequest) -> Option<HttpAnswer>>;
+pub type Calls = Box<dyn Fn(&Rc<Executor>, &HttpRequest) -> Option<HttpResponse>>;
 
 /// The front of the second address.
 pub struct AdminFront {
-    limits: Limits,
+    limits: ConnectionLimits,
     keep: Keep,
     calls: Vec<Calls>,
 }
@@ -32,8 +32,15 @@
     pub fn new(keep: Keep) -> Self {
         let (connections, body_bytes) = (CALLERS, MAX_BODY);
         let (first_ms, idle_ms, head_ms, body_ms) = (CALL_MS, CALL_MS, CALL_MS, CALL_MS);
-        let limits =
-            Limits { connections, first_ms, idle_ms, head_ms, body_ms, body_bytes, ..Limits::default() };
+        let limits = ConnectionLimits {
+            connections,
+            first_ms,
+            idle_ms,
+            head_ms,
+            body_ms,
+            body_bytes,
+            ..ConnectionLimits::default()
+        };
         Self { limits, keep, calls: Vec::new() }
     }
 
@@ -50,7 +57,7 @@
         self
     }
 
-    fn answer(&self, host: &Rc<Executor>, request: &HttpRequest) -> HttpAnswer {
+    fn answer(&self, host: &Rc<Executor>, request: &HttpRequest) -> HttpResponse {
         if let Some(answer) = self.calls.iter().find_map(|calls| calls(host, request)) {
             return answer;
         }
@@ -59,15 +66,15 @@
         let allowed = match steps[..] {
             ["healthcheck" | "stats"] => "GET",
             ["pop-caches", _, "maint" | "ready"] => "POST",
-            _ => return HttpAnswer::status(404),
+            _ => return HttpResponse::status(404),
         };
         if request.method != allowed {
-            return HttpAnswer::status(405).with("Allow", allowed);
+            return HttpResponse::status(405).with("Allow", allowed);
         }
         match steps[..] {
-            ["pop-caches", id, word] => match endpoint_id(id) {
+            ["pop-caches", id, word] => match parse_endpoint_id(id) {
                 Some(id) => self.maintain(host, id, word == "maint"),
-                None => HttpAnswer::status(404),
+                None => HttpResponse::status(404),
             },
             ["stats"] => text(host.figures()),
             _ => text("ok\n".into()),
@@ -75,39 +82,39 @@
     }
 
     /// Takes an endpoint out of use, or puts it back; a yes says that this holds already, and is written down.
-    fn maintain(&self, host: &Rc<Executor>, id: u32, out: bool) -> HttpAnswer {
+    fn maintain(&self, host: &Rc<Executor>, id: u32, out: bool) -> HttpResponse {
         if !host.with(|engine| engine.maintain(id, out)) {
-            return HttpAnswer::status(404);
+            return HttpResponse::status(404);
         }
         match (self.keep)(host) {
             Ok(()) => text("ok\n".into()),
             Err(error) => {
                 tracing::error!(%error, "maintenance can't be written down");
-                HttpAnswer::status(500)
+                HttpResponse::status(500)
             }
         }
     }
 }
 
-fn text(body: String) -> HttpAnswer {
-    let answer = HttpAnswer { body: body.into(), ..HttpAnswer::status(200) };
+fn text(body: String) -> HttpResponse {
+    let answer = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
     answer.with("Content-Type", "text/plain; charset=utf-8")
 }
 
 impl Front for AdminFront {
-    fn limits(&self) -> &Limits {
+    fn limits(&self) -> &ConnectionLimits {
         &self.limits
     }
 
-    fn take(&self, host: &Rc<Executor>, request: &HttpRequest, _: f64) -> Intake {
-        Intake::Now(HttpAnswer { close: true, ..self.answer(host, request) })
+    fn interpret(&self, host: &Rc<Executor>, request: &HttpRequest, _: f64) -> Disposition {
+        Disposition::Respond(HttpResponse { close: true, ..self.answer(host, request) })
     }
 
-    fn word(&self, _: &Context, _: FinalResponse) -> HttpAnswer {
-        HttpAnswer::closing(404)
+    fn respond(&self, _: &ResponseContext, _: FinalResponse) -> HttpResponse {
+        HttpResponse::closing(404)
     }
 
-    fn not_taken(&self, _: AdmitError) -> HttpAnswer {
-        HttpAnswer::closing(404)
+    fn reject(&self, _: AdmitError) -> HttpResponse {
+        HttpResponse::closing(404)
     }
 }
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -1,5 +1,6 @@
 //! The pop caches' protocol: lines of words that end in CR LF, with bodies of a stated length.
 
+use super::identifiers::{format_endpoint_id, parse_hex16};
 use super::response_path::PathNote;
 use super::WireError;
 use crate::purge::selector::Tag;
@@ -92,29 +93,6 @@
     Drop(String),
 }
 
-/// The text of an endpoint's id.
-pub fn endpoint_text(id: u32) -> String {
-    format!("s-{id:08x}")
-}
-
-/// An endpoint's id from its text.
-pub fn endpoint_id(text: &str) -> Option<u32> {
-    let digits = text.strip_prefix("s-")?;
-    (digits.len() == 8 && digits.bytes().all(|b| b.is_ascii_hexdigit()))
-        .then(|| u32::from_str_radix(digits, 16).ok())?
-}
-
-/// A number of exactly 16 hex digits.
-pub fn hex16(text: &str) -> Option<u64> {
-    (text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit()))
-        .then(|| u64::from_str_radix(text, 16).ok())?
-}
-
-/// Whether a text can stand as a field's value.
-pub fn is_value(text: &str) -> bool {
-    !text.is_empty() && text.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'=')
-}
-
 /// Both directions of a connection to a pop cache.
 #[derive(Debug, Default)]
 pub struct LineCodec {
@@ -146,7 +124,7 @@
             "READY" => return Ok(None),
             _ => return Err(WireError::Malformed("an unknown answer")),
         };
-        let id = hex16(id).ok_or(WireError::Malformed("an answer's id"))?;
+        let id = parse_hex16(id).ok_or(WireError::Malformed("an answer's id"))?;
         let (fields, length) = (words.next().unwrap_or("-"), words.next().unwrap_or("0"));
         if words.next().is_some() {
             return Err(WireError::Malformed("too many words"));
@@ -256,7 +234,7 @@
             field("i", key);
         }
         if let Some(source) = get.source {
-            field("next", &endpoint_text(source));
+            field("next", &format_endpoint_id(source));
         }
         if get.keep > 0 {
             field("admit", &get.keep.to_string());
--- a/src/wire/cache_codec/tests.rs
+++ b/src/wire/cache_codec/tests.rs
@@ -130,11 +130,3 @@
                GET 000000000000000a c=,k=,p=0,w=5,ways=ride+have-only 0\r\n\r\n"[..]
     );
 }
-
-#[test]
-fn ids_and_values_are_checked() {
-    assert_eq!(endpoint_id("s-00c41f7a"), Some(0xc41f7a));
-    assert_eq!(endpoint_id("s-0c41f7a"), None);
-    assert_eq!(hex16("+000000000000001"), None);
-    assert!(is_value("4be0") && !is_value("a,b") && !is_value("a b") && !is_value(""));
-}
--- a/src/wire/cache_connection.rs
+++ b/src/wire/cache_connection.rs
@@ -1,6 +1,7 @@
 //! The driver of a connection to a pop cache.
 
-use super::cache_codec::{hex16, Command, LineCodec};
+use super::cache_codec::{Command, LineCodec};
+use super::identifiers::parse_hex16;
 use super::WireError;
 use crate::clock::duration_from_ms;
 use crate::engine::executor::{ConnectionDriver, Dial, Executor};
@@ -134,7 +135,7 @@
             Next::Close => return Ok(()),
         };
         let request = match &command {
-            Command::Get(get) => hex16(&get.id),
+            Command::Get(get) => parse_hex16(&get.id),
             Command::Drop(_) => None,
         };
         codec.encode(command, &mut bytes)?;
--- a/src/wire/client_connection.rs
+++ b/src/wire/client_connection.rs
@@ -1,7 +1,7 @@
 //! A client's connection over TCP as one piece: what is read, whether the client has left, what is written, and the
 //! one way in which a connection ends.
 
-use super::http::{BadRequest, HttpAnswer, HttpCodec, HttpRequest, Phase, MAX_HEAD, MAX_INLINE};
+use super::http::{BadRequest, HttpCodec, HttpRequest, HttpResponse, Phase, MAX_HEAD, MAX_INLINE};
 use super::WireError;
 use crate::clock::duration_from_ms;
 use futures_util::{FutureExt, SinkExt, StreamExt};
@@ -130,7 +130,7 @@
     }
 
     /// Writes an answer whole, within `ms` milliseconds.
-    pub async fn write(&mut self, answer: HttpAnswer, ms: f64) -> Result<(), WireError> {
+    pub async fn write(&mut self, answer: HttpResponse, ms: f64) -> Result<(), WireError> {
         let body = Some(answer.wire_body()).filter(|body| body.len() > MAX_INLINE);
         let all = async {
             self.framed.send(answer).await?;
--- a/src/wire/discovery_codec.rs
+++ b/src/wire/discovery_codec.rs
@@ -1,10 +1,9 @@
 //! The bulletin's frames, and the same events as JSON in the configuration.
 
-use super::cache_codec::{endpoint_id, hex16};
+use super::discovery_event::{DiscoveredEndpoint, Sequenced, WatchEvent};
 use super::WireError;
 use crate::settings::{EndpointRecord, PlatformSettings};
 use bytes::{Buf, BufMut, BytesMut};
-use serde::Deserialize;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use tokio_util::codec::{Decoder, Encoder};
 
@@ -12,47 +11,6 @@
 pub const MAX_FRAME: usize = 262_144;
 const RECORD: usize = 27;
 
-/// An endpoint with the address at which it listens.
-#[derive(Clone, Debug)]
-pub struct Target {
-    /// Its line of the list.
-    pub row: EndpointRecord,
-    /// Where it listens.
-    pub address: SocketAddrV4,
-}
-
-/// What an event says.
-#[derive(Clone, Debug)]
-pub enum WatchEvent {
-    /// Nothing new; the link works.
-    Heartbeat,
-    /// The list: all of it, or what changed.
-    Endpoints {
-        /// Endpoints that are absent have gone.
-        full: bool,
-        /// The endpoints.
-        targets: Vec<Target>,
-    },
-    /// A purge of an object, or of a group.
-    Purge {
-        /// The object, or none for the group.
-        object: Option<u64>,
-        /// The group.
-        group: u32,
-        /// The Unix millisecond of the purge.
-        issued: f64,
-    },
-}
-
-/// A numbered event.
-#[derive(Clone, Debug)]
-pub struct Sequenced {
-    /// Its number.
-    pub no: u64,
-    /// What it says.
-    pub news: WatchEvent,
-}
-
 /// A frame as read: places in the settings' lists are not yet names.
 #[derive(Clone, Debug)]
 pub struct Frame {
@@ -85,11 +43,11 @@
             // A kind of a later day: its number counts, its text is skipped.
             _ => WatchEvent::Heartbeat,
         };
-        Ok(Sequenced { no: self.no, news })
+        Ok(Sequenced { sequence: self.no, event: news })
     }
 
     /// The endpoints that can be read in a list or changes of it, whatever stands beside them.
-    pub fn readable(&self, env: &PlatformSettings) -> Vec<Target> {
+    pub fn readable(&self, env: &PlatformSettings) -> Vec<DiscoveredEndpoint> {
         self.records().filter_map(|r| target(r, env).ok()).collect()
     }
 
@@ -100,7 +58,7 @@
     }
 }
 
-fn target(mut buf: &[u8], env: &PlatformSettings) -> Result<Target, WireError> {
+fn target(mut buf: &[u8], env: &PlatformSettings) -> Result<DiscoveredEndpoint, WireError> {
     let cache = buf.get_u32();
     let address = SocketAddrV4::new(Ipv4Addr::from(buf.get_u32()), buf.get_u16());
     let lifecycle = match buf.get_u8() {
@@ -117,7 +75,7 @@
     let ready_at_us = buf.get_u64().saturating_mul(1_000);
     let row =
         EndpointRecord { zone, model, lifecycle: lifecycle.into(), ready_at_us, cache, power_hint, cohort };
-    Ok(Target { row, address })
+    Ok(DiscoveredEndpoint { row, address })
 }
 
 /// Both directions of the connection to the bulletin: frames come in, numbers go out.
@@ -158,116 +116,5 @@
     }
 }
 
-/// `known` of the configuration: the events of the start.
-#[derive(Clone, Debug, Default, Deserialize)]
-pub struct InitialState {
-    /// Number of the last of them.
-    #[serde(default)]
-    pub no: u64,
-    /// The events.
-    #[serde(default)]
-    items: Vec<Item>,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-struct Item {
-    no: u64,
-    roster: Option<Listed>,
-    recall: Option<Recall>,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-struct Listed {
-    #[serde(default)]
-    all: bool,
-    #[serde(default)]
-    targets: Vec<Line>,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-struct Recall {
-    item: Option<String>,
-    lot: Option<u32>,
-    issued: f64,
-}
-
-/// One endpoint as JSON, as the configuration's `known` and a registry's values word it:
-/// `{"uid":"s-00c41f7a","endpoint":"10.1.0.9:5050","az":"east","model":"std","pod_group":2,"state":"Ready",
-/// "capacity_hint":4,"boot_ms":0}`.
-#[derive(Clone, Debug, Deserialize)]
-pub struct Line {
-    uid: String,
-    endpoint: String,
-    #[serde(default)]
-    az: String,
-    #[serde(default)]
-    model: String,
-    #[serde(default)]
-    pod_group: u32,
-    state: String,
-    capacity_hint: Option<f64>,
-    #[serde(default)]
-    boot_ms: f64,
-}
-
-impl InitialState {
-    /// The events, in order; else what is wrong with which of them.
-    pub fn events(&self) -> Result<Vec<Sequenced>, String> {
-        self.items.iter().map(|item| item.event().map_err(|e| format!("event {}: {e}", item.no))).collect()
-    }
-}
-
-impl Item {
-    fn event(&self) -> Result<Sequenced, String> {
-        let news = match (&self.roster, &self.recall) {
-            (Some(list), _) => {
-                let targets = list.targets.iter().map(Line::target).collect::<Result<_, _>>()?;
-                WatchEvent::Endpoints { full: list.all, targets }
-            }
-            (None, Some(recall)) => match (&recall.item, recall.lot) {
-                (Some(item), _) => {
-                    let object = hex16(item).ok_or_else(|| format!("object {item:?}"))?;
-                    WatchEvent::Purge { object: Some(object), group: 0, issued: recall.issued }
-                }
-                (None, Some(lot)) => WatchEvent::Purge { object: None, group: lot, issued: recall.issued },
-                (None, None) => return Err("a purge of nothing".into()),
-            },
-            (None, None) => WatchEvent::Heartbeat,
-        };
-        Ok(Sequenced { no: self.no, news })
-    }
-}
-
-impl Line {
-    /// An endpoint from its JSON; what is wrong, where it can't be used.
-    pub fn parse(bytes: &[u8]) -> Result<Target, String> {
-        let mut bytes = bytes.to_vec();
-        let line: Line = simd_json::from_slice(&mut bytes).map_err(|e| e.to_string())?;
-        line.target()
-    }
-
-    /// The endpoint that it names.
-    pub fn target(&self) -> Result<Target, String> {
-        let cache = endpoint_id(&self.uid).ok_or_else(|| format!("uid {:?}", self.uid))?;
-        let address = self.endpoint.parse().map_err(|_| format!("endpoint {:?}", self.endpoint))?;
-        let lifecycle = match self.state.as_str() {
-            "Ready" => "live",
-            "Terminating" => "quiescing",
-            "Gone" => "dead",
-            other => return Err(format!("state {other:?}")),
-        };
-        let row = EndpointRecord {
-            zone: self.az.clone(),
-            model: self.model.clone(),
-            lifecycle: lifecycle.into(),
-            ready_at_us: crate::clock::micros_from_ms(self.boot_ms),
-            cache,
-            power_hint: self.capacity_hint,
-            cohort: self.pod_group,
-        };
-        Ok(Target { row, address })
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/wire/discovery_codec/tests.rs
+++ b/src/wire/discovery_codec/tests.rs
@@ -38,14 +38,14 @@
                 got.push(frame.event(&env()).unwrap());
             }
         }
-        assert_eq!(got.iter().map(|n| n.no).collect::<Vec<_>>(), [7, 7, 8]);
-        let WatchEvent::Endpoints { full: false, targets } = &got[0].news else { panic!("{got:?}") };
+        assert_eq!(got.iter().map(|n| n.sequence).collect::<Vec<_>>(), [7, 7, 8]);
+        let WatchEvent::Endpoints { full: false, targets } = &got[0].event else { panic!("{got:?}") };
         assert_eq!(targets[0].address.to_string(), "10.1.0.9:5050");
         let row = &targets[0].row;
         assert_eq!((row.cache, row.zone.as_str(), row.lifecycle.as_str()), (0xc41f7a, "east", "quiescing"));
         assert_eq!((row.ready_at_us, row.power_hint), (1_764_576_000_123_000, Some(4.5)));
-        assert!(matches!(got[1].news, WatchEvent::Heartbeat));
-        assert!(matches!(got[2].news, WatchEvent::Purge { object: None, group: 17, issued: 99.0 }));
+        assert!(matches!(got[1].event, WatchEvent::Heartbeat));
+        assert!(matches!(got[2].event, WatchEvent::Purge { object: None, group: 17, issued: 99.0 }));
     }
 }
 
@@ -64,18 +64,3 @@
         assert!(FrameCodec.decode(&mut BytesMut::from(&length.to_be_bytes()[..])).is_err());
     }
 }
-
-#[test]
-fn known_events_are_read_from_json_and_faults_are_named() {
-    let text = r#"{"no":42,"items":[{"no":41,"roster":{"rev":7,"all":true,"targets":[{"uid":"s-00c41f7a",
-            "endpoint":"10.1.0.9:5050","az":"east","model":"std","pod_group":2,"state":"Ready",
-            "capacity_hint":4,"boot_ms":0}]}},{"no":42,"recall":{"item":"7f3a9c21e0b4d655","issued":5}}]}"#;
-    let read =
-        |text: &str| simd_json::from_slice::<InitialState>(&mut text.as_bytes().to_vec()).unwrap().events();
-    let events = read(text).unwrap();
-    assert!(matches!(&events[0].news, WatchEvent::Endpoints { full: true, targets } if targets.len() == 1));
-    let object = 0x7f3a_9c21_e0b4_d655;
-    assert!(matches!(events[1].news, WatchEvent::Purge { object: Some(o), issued: 5.0, .. } if o == object));
-    let fault = read(&text.replace("10.1.0.9:5050", "nowhere")).unwrap_err();
-    assert!(fault.contains("event 41") && fault.contains("endpoint"), "{fault}");
-}
--- a/src/wire/http.rs
+++ b/src/wire/http.rs
@@ -44,7 +44,7 @@
 
 /// An answer, whole.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// Status code.
     pub status: u16,
     /// Headers besides those of the connection and the length.
@@ -57,7 +57,7 @@
     pub close: bool,
 }
 
-impl HttpAnswer {
+impl HttpResponse {
     /// An answer of a status alone.
     pub fn status(status: u16) -> Self {
         Self { status, ..Self::default() }
@@ -263,10 +263,10 @@
     }
 }
 
-impl Encoder<HttpAnswer> for HttpCodec {
+impl Encoder<HttpResponse> for HttpCodec {
     type Error = WireError;
 
-    fn encode(&mut self, answer: HttpAnswer, out: &mut BytesMut) -> Result<(), WireError> {
+    fn encode(&mut self, answer: HttpResponse, out: &mut BytesMut) -> Result<(), WireError> {
         let mut head = format!("HTTP/1.1 {} {}\r\n", answer.status, reason(answer.status));
         for (name, value) in &answer.headers {
             let _ = write!(head, "{name}: {value}\r\n");
--- a/src/wire/http/tests.rs
+++ b/src/wire/http/tests.rs
@@ -86,15 +86,15 @@
         codec().encode(answer, &mut out).unwrap();
         String::from_utf8(out.to_vec()).unwrap()
     };
-    let full = HttpAnswer { body: Bytes::from_static(b"abc"), ..HttpAnswer::status(200) };
+    let full = HttpResponse { body: Bytes::from_static(b"abc"), ..HttpResponse::status(200) };
     assert_eq!(write(full.clone()), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc");
-    let head = HttpAnswer { head_only: true, ..full };
+    let head = HttpResponse { head_only: true, ..full };
     assert_eq!(write(head), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n");
     assert_eq!(
-        write(HttpAnswer::status(304).with("ETag", "\"x\"")),
+        write(HttpResponse::status(304).with("ETag", "\"x\"")),
         "HTTP/1.1 304 Not Modified\r\nETag: \"x\"\r\n\r\n"
     );
-    let long = HttpAnswer { body: vec![b'x'; MAX_INLINE + 1].into(), ..HttpAnswer::status(200) };
+    let long = HttpResponse { body: vec![b'x'; MAX_INLINE + 1].into(), ..HttpResponse::status(200) };
     assert!(write(long).ends_with("Content-Length: 4097\r\n\r\n"), "its body is written by the driver");
-    assert!(write(HttpAnswer::closing(400)).contains("Connection: close\r\n"));
+    assert!(write(HttpResponse::closing(400)).contains("Connection: close\r\n"));
 }
--- a/src/wire/listener.rs
+++ b/src/wire/listener.rs
@@ -2,14 +2,15 @@
 //! and writes the one answer that each gets.
 
 use super::client_connection::{Link, Read};
-use super::http::{BadRequest, HttpAnswer, HttpCodec, HttpRequest, Phase};
+use super::front::{ConnectionLimits, Disposition, Front};
+use super::http::{BadRequest, HttpCodec, HttpResponse, Phase};
+use super::shutdown::{ConnectionGuard, GracefulShutdown};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::http3::call_registry::{CallRegistry, Kept};
 use crate::http3::response_store::SessionId;
 use crate::state::client_slots::{PlaceId, Places};
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
-use serde::Deserialize;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -27,135 +28,6 @@
 /// to another.
 const LATE_WRITE_MS: f64 = 500.0;
 
-/// Bounds of a front's connections; times are in milliseconds.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct Limits {
-    /// Connections at once.
-    pub connections: usize,
-    /// Wait for a connection's whole first request, from when it was accepted.
-    pub first_ms: f64,
-    /// Wait for the first byte of a further request.
-    pub idle_ms: f64,
-    /// Wait for a whole head from its first byte.
-    pub head_ms: f64,
-    /// Wait for a whole body from its first byte.
-    pub body_ms: f64,
-    /// Wait for a client to take a whole answer.
-    pub write_ms: f64,
-    /// Clients send one request at a time and say how long they wait for its answer: none is written for longer than
-    /// that and half a second, and what is sent far ahead of it is no request.
-    #[serde(skip)]
-    pub one_at_a_time: bool,
-    /// The longest body.
-    pub body_bytes: usize,
-}
-
-impl Default for Limits {
-    fn default() -> Self {
-        Self {
-            connections: 400,
-            first_ms: 5_000.0,
-            idle_ms: 30_000.0,
-            head_ms: 5_000.0,
-            body_ms: 5_000.0,
-            write_ms: 10_000.0,
-            one_at_a_time: false,
-            body_bytes: 48_000,
-        }
-    }
-}
-
-/// What the answer to a request depends on besides its end.
-#[derive(Clone, Debug, Default)]
-pub struct Context {
-    /// Only the head is wanted.
-    pub head_only: bool,
-    /// The range that is wanted, as it came.
-    pub range: Option<String>,
-    /// `If-Range`, as it came.
-    pub if_range: Option<String>,
-    /// `If-None-Match`, as it came.
-    pub if_none_match: Option<String>,
-    /// A cookie to be set with an answer that gives something.
-    pub set_cookie: Option<String>,
-    /// `If-Match`, as it came.
-    pub if_match: Option<String>,
-    /// The session that the request belongs to, where the front has sessions ...
-    pub session: Option<SessionId>,
-    /// ... and its token, where the client is to be told it.
-    pub session_token: Option<String>,
-}
-
-/// What a request means to a front.
-pub enum Intake {
-    /// It is answered without the engine.
-    Now(HttpAnswer),
-    /// It is for the engine.
-    IncomingRequest(Box<IncomingRequest>, Context),
-}
-
-/// A front: what differs between the protocols that clients speak.
-pub trait Front {
-    /// Its bounds.
-    fn limits(&self) -> &Limits;
-    /// Parses and authenticates a request that was whole at `now`.
-    fn take(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Intake;
-    /// Words a final answer.
-    fn word(&self, context: &Context, answer: FinalResponse) -> HttpAnswer;
-    /// Words that a request could not be taken.
-    fn not_taken(&self, reason: AdmitError) -> HttpAnswer;
-    /// Where calls outlive their connection, who keeps them.
-    fn keeper(&self) -> Option<&Rc<CallRegistry>> {
-        None
-    }
-}
-
-/// The state of a stop, shared by all connections.
-#[derive(Default)]
-pub struct Stop {
-    stopping: Cell<bool>,
-    /// Connections end after their answer.
-    turning_away: Cell<bool>,
-    /// Wakes connections that wait for a request.
-    wake: Notify,
-    /// Connections that are open.
-    pub open: Cell<usize>,
-    /// Connections that are ended on this side, whose clients may still be taking their last bytes.
-    lingering: Cell<usize>,
-}
-
-impl Stop {
-    /// Counts a connection as open until what comes back is dropped.
-    pub fn enter(self: &Rc<Self>) -> Open {
-        Open::new(self.clone())
-    }
-
-    /// How many connections keep the process from its end.
-    pub fn holds(&self) -> usize {
-        self.open.get() + self.lingering.get()
-    }
-
-    /// Waits until the stop has begun.
-    pub async fn begun(&self) {
-        while !self.stopping.get() {
-            self.wake.notified().await;
-        }
-    }
-
-    /// From now on connections end after their answer.
-    pub fn turn_away(&self) {
-        self.turning_away.set(true);
-    }
-
-    /// From now on connections end after their answer, and those without an open request at once.
-    pub fn begin(&self) {
-        self.turn_away();
-        self.stopping.set(true);
-        self.wake.notify_waiters();
-    }
-}
-
 /// A front's places, with how to end the connection at each.
 struct Door {
     places: RefCell<Places>,
@@ -232,7 +104,7 @@
     host: Rc<Executor>,
     front: Rc<dyn Front>,
     listener: TcpListener,
-    stop: Rc<Stop>,
+    stop: Rc<GracefulShutdown>,
     closing: Rc<Notify>,
 ) {
     let door = Door::new(front.limits().connections);
@@ -257,7 +129,7 @@
         match accepted {
             Ok((stream, peer)) => {
                 host.with(|engine| engine.counters.clients += 1);
-                let open = Open::new(stop.clone());
+                let open = stop.track_connection();
                 // Above the cap one client waits here, the others in the machine's queue.
                 let seat = door.enter(&host).await;
                 let (task_host, front, stop) = (host.clone(), front.clone(), stop.clone());
@@ -274,38 +146,6 @@
     }
 }
 
-/// A connection that a stop waits for.
-pub struct Open(Rc<Stop>);
-
-impl Open {
-    fn new(stop: Rc<Stop>) -> Self {
-        stop.open.set(stop.open.get() + 1);
-        Self(stop)
-    }
-}
-
-impl Drop for Open {
-    fn drop(&mut self) {
-        self.0.open.set(self.0.open.get().saturating_sub(1));
-    }
-}
-
-/// A connection that lingers: its client may still be taking its last bytes.
-struct Lingering<'a>(&'a Stop);
-
-impl<'a> Lingering<'a> {
-    fn new(stop: &'a Stop) -> Self {
-        stop.lingering.set(stop.lingering.get() + 1);
-        Self(stop)
-    }
-}
-
-impl Drop for Lingering<'_> {
-    fn drop(&mut self) {
-        self.0.lingering.set(self.0.lingering.get().saturating_sub(1));
-    }
-}
-
 /// How a connection ended.
 enum End {
     /// The client is gone: nothing can be owed.
@@ -319,7 +159,7 @@
     front: &dyn Front,
     stream: TcpStream,
     peer: std::net::IpAddr,
-    (stop, open): (&Rc<Stop>, Open),
+    (stop, open): (&Rc<GracefulShutdown>, ConnectionGuard),
     seat: &Seat,
 ) {
     let codec = HttpCodec::new(host.clock.clone(), front.limits().body_bytes);
@@ -328,7 +168,7 @@
     // Nothing is owed here any more; a stop waits for it apart, so that its last bytes arrive.
     drop(open);
     if let End::Closed = end {
-        let _lingering = Lingering::new(stop);
+        let _lingering = stop.track_lingering();
         seat.done();
         let needed = seat.displaced.get();
         link.end(async {
@@ -345,7 +185,7 @@
     front: &dyn Front,
     link: &mut Link,
     peer: std::net::IpAddr,
-    stop: &Stop,
+    stop: &GracefulShutdown,
     seat: &Seat,
 ) -> End {
     let limits = front.limits();
@@ -368,9 +208,9 @@
         seat.busy();
         whole_by = None;
         let mut write_ms = limits.write_ms;
-        let mut answer = match front.take(host, &request, host.clock.now()) {
-            Intake::Now(answer) => answer,
-            Intake::IncomingRequest(ask, context) => {
+        let mut answer = match front.interpret(host, &request, host.clock.now()) {
+            Disposition::Respond(answer) => answer,
+            Disposition::Forward(ask, context) => {
                 let ask = IncomingRequest { client: Some(peer), ..*ask };
                 let give_up_ms = ask.give_up_ms;
                 // One that waited for its place, or behind another request, may have come from a client long gone.
@@ -387,12 +227,12 @@
                 }
                 match waited {
                     Waited::Left => return End::Gone,
-                    Waited::AdmitError(reason) => front.not_taken(reason),
-                    Waited::Answer(answer) => front.word(&context, answer),
+                    Waited::AdmitError(reason) => front.reject(reason),
+                    Waited::Answer(answer) => front.respond(&context, answer),
                 }
             }
         };
-        answer.close |= !request.keep_alive || stop.turning_away.get() || link.overrun();
+        answer.close |= !request.keep_alive || stop.closes_after_response() || link.overrun();
         let close = answer.close;
         if link.write(answer, write_ms).await.is_err() {
             host.with(|engine| engine.counters.unwritten += 1);
@@ -415,9 +255,9 @@
 /// or the proxy stops.
 async fn next(
     host: &Rc<Executor>,
-    limits: &Limits,
+    limits: &ConnectionLimits,
     link: &mut Link,
-    stop: &Stop,
+    stop: &GracefulShutdown,
     seat: &Seat,
     whole_by: Option<f64>,
 ) -> Result<Read, Phase> {
@@ -430,7 +270,7 @@
             read = timeout(duration_from_ms(look), link.next()) => if let Ok(read) = read {
                 return Ok(read);
             },
-            () = stop.wake.notified() => {}
+            () = stop.begins() => {}
             () = seat.end.notified() => seat.displaced.set(true),
         }
         let (phase, since) = link.phase();
@@ -445,7 +285,7 @@
         let now = host.clock.now();
         let too_slow = whole_by.is_some_and(|by| now >= by);
         host.with(|engine| engine.counters.clients_too_slow += u64::from(too_slow));
-        let idle_ends = phase == Phase::Idle && stop.stopping.get();
+        let idle_ends = phase == Phase::Idle && stop.has_begun();
         if too_slow || now - since > most || idle_ends || seat.displaced.get() {
             // Guards a request that came in this very moment: the machine may hold it already.
             return link.last_look().await.ok_or(phase);
@@ -454,9 +294,15 @@
 }
 
 /// Answers a fault, after which nothing more can be read.
-async fn part(host: &Rc<Executor>, limits: &Limits, link: &mut Link, seat: &Seat, status: u16) -> End {
+async fn part(
+    host: &Rc<Executor>,
+    limits: &ConnectionLimits,
+    link: &mut Link,
+    seat: &Seat,
+    status: u16,
+) -> End {
     seat.busy();
-    match link.write(HttpAnswer::closing(status), limits.write_ms).await {
+    match link.write(HttpResponse::closing(status), limits.write_ms).await {
         Ok(()) => End::Closed,
         Err(_) => {
             host.with(|engine| engine.counters.unwritten += 1);
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -7,11 +7,16 @@
 pub mod client_connection;
 pub mod discovery;
 pub mod discovery_codec;
+pub mod discovery_event;
+pub mod discovery_json;
+pub mod front;
 pub mod http;
+pub mod identifiers;
 pub mod keys;
 pub mod listener;
 pub mod platform;
 pub mod response_path;
+pub mod shutdown;
 pub mod signed;
 
 use thiserror::Error;
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -1,8 +1,8 @@
 //! The platform's front: what its clients' requests mean, and how its answers are worded.
 
-use super::cache_codec::{hex16, is_value};
-use super::http::{HttpAnswer, HttpRequest};
-use super::listener::{Context, Front, Intake, Limits};
+use super::front::{ConnectionLimits, Disposition, Front, ResponseContext};
+use super::http::{HttpRequest, HttpResponse};
+use super::identifiers::{is_field_value, parse_hex16};
 use crate::engine::executor::Executor;
 use crate::rules::table::{Rules, Said, Target};
 use crate::settings::PlatformSettings;
@@ -29,21 +29,29 @@
 
 /// The bounds of the platform's clients: one that sends nothing of use is owed an end within 3 s of connecting,
 /// and those that ask end an idle connection after 4 s themselves.
-pub fn limits(connections: usize) -> Limits {
+pub fn limits(connections: usize) -> ConnectionLimits {
     let (first_ms, head_ms, body_ms, idle_ms) = (2_500.0, 2_500.0, 2_500.0, 6_000.0);
-    Limits { connections, first_ms, idle_ms, head_ms, body_ms, one_at_a_time: true, ..Limits::default() }
+    ConnectionLimits {
+        connections,
+        first_ms,
+        idle_ms,
+        head_ms,
+        body_ms,
+        one_at_a_time: true,
+        ..ConnectionLimits::default()
+    }
 }
 
 /// The platform's front.
 pub struct Platform {
-    limits: Limits,
+    limits: ConnectionLimits,
     /// What says which class a request is of, and its keys; without it the platform's own spelling does.
     rules: RefCell<Option<Rc<Rules>>>,
 }
 
 impl Platform {
     /// A front with these bounds.
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: ConnectionLimits) -> Self {
         Self { limits, rules: RefCell::default() }
     }
 
@@ -71,7 +79,7 @@
             Ok(text) => text.map_or(Some(0), |text| whole(text, u32::MAX)),
             Err(_) => None,
         };
-        match (hex16(object), part, group) {
+        match (parse_hex16(object), part, group) {
             (Some(object), Some(part), Some(group)) => {
                 Said::Target(Target { class: class.to_string(), object, part, group })
             }
@@ -86,9 +94,9 @@
         env: &PlatformSettings,
         request: &HttpRequest,
         now: f64,
-    ) -> Result<Box<IncomingRequest>, HttpAnswer> {
-        let bad = || HttpAnswer::closing(400);
-        let unknown = || HttpAnswer::closing(404);
+    ) -> Result<Box<IncomingRequest>, HttpResponse> {
+        let bad = || HttpResponse::closing(400);
+        let unknown = || HttpResponse::closing(404);
         let rules = self.rules.borrow().clone();
         let said = match &rules {
             Some(rules) => rules.of(request, &mut 0),
@@ -116,14 +124,14 @@
         let writes = env.is_write(class);
         let method = if writes { "PUT" } else { "GET" };
         if request.method != method {
-            return Err(HttpAnswer::closing(405).with("Allow", method));
+            return Err(HttpResponse::closing(405).with("Allow", method));
         }
         if !writes && !request.body.is_empty() {
             return Err(bad());
         }
         let header = |name| request.single(name).map_err(|_| bad());
         let id_text = header("x-call-id")?.ok_or_else(bad)?;
-        let id = hex16(id_text).ok_or_else(bad)?;
+        let id = parse_hex16(id_text).ok_or_else(bad)?;
         let number = |name, most| match header(name)? {
             None => Ok(None),
             Some(text) => decimal(text).filter(|v| *v <= most).map(Some).ok_or_else(bad),
@@ -172,49 +180,51 @@
 /// The one tag of an `If-None-Match`, without its quotes; none where there are several or it is of no use.
 pub fn bare_tag(text: &str) -> Option<String> {
     let tag = text.strip_prefix("W/").unwrap_or(text).strip_prefix('"')?.strip_suffix('"')?;
-    (is_value(tag) && !tag.contains('"') && tag.len() <= 128).then(|| tag.to_string())
+    (is_field_value(tag) && !tag.contains('"') && tag.len() <= 128).then(|| tag.to_string())
 }
 
-fn refused(wait_ms: f64) -> HttpAnswer {
-    HttpAnswer::status(503).with("X-Come-Back-Ms", format!("{}", wait_ms.ceil()))
+fn refused(wait_ms: f64) -> HttpResponse {
+    HttpResponse::status(503).with("X-Come-Back-Ms", format!("{}", wait_ms.ceil()))
 }
 
 impl Front for Platform {
-    fn limits(&self) -> &Limits {
+    fn limits(&self) -> &ConnectionLimits {
         &self.limits
     }
 
-    fn take(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Intake {
+    fn interpret(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Disposition {
         if request.target == "/alive" {
-            return Intake::Now(match request.method.as_str() {
-                "GET" => HttpAnswer::status(200),
-                _ => HttpAnswer::status(405).with("Allow", "GET"),
+            return Disposition::Respond(match request.method.as_str() {
+                "GET" => HttpResponse::status(200),
+                _ => HttpResponse::status(405).with("Allow", "GET"),
             });
         }
         match self.ask(&host.env(), request, now) {
-            Ok(ask) => Intake::IncomingRequest(ask, Context::default()),
-            Err(answer) => Intake::Now(answer),
+            Ok(ask) => Disposition::Forward(ask, ResponseContext::default()),
+            Err(answer) => Disposition::Respond(answer),
         }
     }
 
-    fn word(&self, _: &Context, answer: FinalResponse) -> HttpAnswer {
+    fn respond(&self, _: &ResponseContext, answer: FinalResponse) -> HttpResponse {
         match answer {
             FinalResponse::Served { tag, body } => {
-                let answer = HttpAnswer { body, ..HttpAnswer::status(200) };
+                let answer = HttpResponse { body, ..HttpResponse::status(200) };
                 match tag {
                     Some(tag) => answer.with("ETag", format!("\"{tag}\"")),
                     None => answer,
                 }
             }
-            FinalResponse::NotModified { tag } => HttpAnswer::status(304).with("ETag", format!("\"{tag}\"")),
+            FinalResponse::NotModified { tag } => {
+                HttpResponse::status(304).with("ETag", format!("\"{tag}\""))
+            }
             FinalResponse::Rejected { wait_ms, .. } => refused(wait_ms),
-            FinalResponse::Failed { overdue } => HttpAnswer::status(if overdue { 504 } else { 502 }),
+            FinalResponse::Failed { overdue } => HttpResponse::status(if overdue { 504 } else { 502 }),
         }
     }
 
-    fn not_taken(&self, reason: AdmitError) -> HttpAnswer {
+    fn reject(&self, reason: AdmitError) -> HttpResponse {
         match reason {
-            AdmitError::Duplicate => HttpAnswer::status(409),
+            AdmitError::Duplicate => HttpResponse::status(409),
             AdmitError::Full => refused(FULL_WAIT_MS),
         }
     }
--- a/src/wire/signed.rs
+++ b/src/wire/signed.rs
@@ -4,10 +4,10 @@
 //! parameter, `URISigningPackage`, with a signed JWT. Nothing else of a request says what is fetched. A path
 //! has one spelling only, so that a signature for one object can't be stretched to another.
 
-use super::cache_codec::hex16;
-use super::http::{HttpAnswer, HttpRequest};
+use super::front::{ConnectionLimits, Disposition, Front, ResponseContext};
+use super::http::{HttpRequest, HttpResponse};
+use super::identifiers::parse_hex16;
 use super::keys::{Key, KeyRing};
-use super::listener::{Context, Front, Intake, Limits};
 use super::platform::bare_tag;
 use crate::engine::executor::Executor;
 use crate::settings::PlatformSettings;
@@ -257,7 +257,7 @@
         let class = env.class(class).filter(|class| !env.is_write(*class)).ok_or(404u16)?;
         let group = number(group).filter(|g| *g <= 255).ok_or(400u16)?;
         let lower = !object.bytes().any(|b| b.is_ascii_uppercase());
-        let object = hex16(object).filter(|_| lower).ok_or(400u16)?;
+        let object = parse_hex16(object).filter(|_| lower).ok_or(400u16)?;
         let part = number(part).ok_or(400u16)?;
         let size_kb = match size {
             None => 0.0,
@@ -283,7 +283,7 @@
 
 /// The front.
 pub struct SignedUrls {
-    limits: Limits,
+    limits: ConnectionLimits,
     scheme: String,
     /// What tokens are checked against.
     pub verifier: RefCell<Verifier>,
@@ -293,7 +293,7 @@
 
 impl SignedUrls {
     /// A front with these bounds. `salt` keeps its requests' ids apart from those of its last start.
-    pub fn new(limits: Limits, scheme: String, verifier: Verifier, salt: u64) -> Self {
+    pub fn new(limits: ConnectionLimits, scheme: String, verifier: Verifier, salt: u64) -> Self {
         Self { limits, scheme, verifier: RefCell::new(verifier), salt, asked: Cell::new(0) }
     }
 
@@ -302,17 +302,17 @@
         env: &PlatformSettings,
         request: &HttpRequest,
         now: f64,
-    ) -> Result<(Box<IncomingRequest>, Context), HttpAnswer> {
-        let status = |status| move |_| HttpAnswer::status(status);
-        let bad = || HttpAnswer::status(400);
+    ) -> Result<(Box<IncomingRequest>, ResponseContext), HttpResponse> {
+        let status = |status| move |_| HttpResponse::status(status);
+        let bad = || HttpResponse::status(400);
         let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
         // One spelling: nothing is decoded, and no step is empty or a dot.
         if path.contains('%') || path.split('/').skip(1).any(|s| matches!(s, "" | "." | "..")) {
             return Err(bad());
         }
-        let link = Link::read(path, env).map_err(HttpAnswer::status)?;
+        let link = Link::read(path, env).map_err(HttpResponse::status)?;
         if !matches!(request.method.as_str(), "GET" | "HEAD") {
-            return Err(HttpAnswer::status(405).with("Allow", "GET, HEAD"));
+            return Err(HttpResponse::status(405).with("Allow", "GET, HEAD"));
         }
         // Guards against parameters that the signature doesn't cover: there is the token, and no other.
         let token = match query.strip_prefix(PACKAGE).and_then(|rest| rest.strip_prefix('=')) {
@@ -327,10 +327,10 @@
         let other = Link { group: (link.group + 1) % 256, ..link.clone() }.path(env);
         let other = format!("{}://{host}{other}", self.scheme);
         let checked = self.verifier.borrow().check(token, &uri, Some(&other), now);
-        let renewal = checked.map_err(|denied| HttpAnswer::status(denied.status()))?;
+        let renewal = checked.map_err(|denied| HttpResponse::status(denied.status()))?;
         let header = |name| request.single(name).map_err(status(400));
         let if_none_match = header("if-none-match")?.map(String::from);
-        let context = Context {
+        let context = ResponseContext {
             session: None,
             session_token: None,
             head_only: request.method == "HEAD",
@@ -363,14 +363,14 @@
 }
 
 /// The token of a request's cookie.
-fn cookie(request: &HttpRequest) -> Result<&str, HttpAnswer> {
+fn cookie(request: &HttpRequest) -> Result<&str, HttpResponse> {
     let pairs = request.headers.iter().filter(|(name, _)| name == "cookie").flat_map(|(_, v)| v.split(';'));
     let mut tokens = pairs.filter_map(|pair| pair.trim().strip_prefix(PACKAGE)?.strip_prefix('='));
     match (tokens.next(), tokens.next()) {
         (Some(token), None) => Ok(token),
-        (None, _) => Err(HttpAnswer::status(403)),
+        (None, _) => Err(HttpResponse::status(403)),
         // Which of two would count is a guess that an attacker could make, too.
-        (Some(_), Some(_)) => Err(HttpAnswer::status(400)),
+        (Some(_), Some(_)) => Err(HttpResponse::status(400)),
     }
 }
 
@@ -422,47 +422,47 @@
 }
 
 impl Front for SignedUrls {
-    fn limits(&self) -> &Limits {
+    fn limits(&self) -> &ConnectionLimits {
         &self.limits
     }
 
-    fn take(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Intake {
+    fn interpret(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Disposition {
         match self.ask(&host.env(), request, now) {
-            Ok((ask, context)) => Intake::IncomingRequest(ask, context),
+            Ok((ask, context)) => Disposition::Forward(ask, context),
             Err(answer) => {
                 host.with(|engine| match answer.status {
                     403 => engine.counters.forbidden_requests += 1,
                     400 => engine.counters.malformed_requests += 1,
                     _ => {}
                 });
-                Intake::Now(answer)
+                Disposition::Respond(answer)
             }
         }
     }
 
-    fn word(&self, context: &Context, answer: FinalResponse) -> HttpAnswer {
+    fn respond(&self, context: &ResponseContext, answer: FinalResponse) -> HttpResponse {
         let quoted = |tag: &str| format!("\"{tag}\"");
         let mut worded = match answer {
-            FinalResponse::NotModified { tag } => HttpAnswer::status(304).with("ETag", quoted(&tag)),
+            FinalResponse::NotModified { tag } => HttpResponse::status(304).with("ETag", quoted(&tag)),
             FinalResponse::Served { tag, body } => {
                 let tag = tag.unwrap_or_default();
                 let holds = |list: &Option<String>, weak| list.as_deref().map(|list| lists(list, &tag, weak));
                 let whole = context.if_range.is_some() && holds(&context.if_range, false) != Some(true);
                 let asked = context.range.as_deref().filter(|_| !whole);
                 if holds(&context.if_match, false) == Some(false) {
-                    HttpAnswer::status(412)
+                    HttpResponse::status(412)
                 } else if holds(&context.if_none_match, true) == Some(true) {
-                    HttpAnswer::status(304).with("ETag", quoted(&tag))
+                    HttpResponse::status(304).with("ETag", quoted(&tag))
                 } else {
                     let length = body.len();
                     let answer = match asked.map_or(Range::All, |text| range(text, length)) {
-                        Range::All => HttpAnswer { body, ..HttpAnswer::status(200) },
+                        Range::All => HttpResponse { body, ..HttpResponse::status(200) },
                         Range::Part(from, to) => {
-                            HttpAnswer { body: body.slice(from..to), ..HttpAnswer::status(206) }
+                            HttpResponse { body: body.slice(from..to), ..HttpResponse::status(206) }
                                 .with("Content-Range", format!("bytes {from}-{}/{length}", to - 1))
                         }
                         Range::Outside => {
-                            HttpAnswer::status(416).with("Content-Range", format!("bytes */{length}"))
+                            HttpResponse::status(416).with("Content-Range", format!("bytes */{length}"))
                         }
                     };
                     let answer = if tag.is_empty() { answer } else { answer.with("ETag", quoted(&tag)) };
@@ -470,10 +470,10 @@
                 }
             }
             FinalResponse::Rejected { overdue: true, .. } | FinalResponse::Failed { overdue: true } => {
-                HttpAnswer::status(504)
+                HttpResponse::status(504)
             }
             FinalResponse::Rejected { wait_ms, .. } => refused(wait_ms),
-            FinalResponse::Failed { .. } => HttpAnswer::status(502),
+            FinalResponse::Failed { .. } => HttpResponse::status(502),
         };
         worded.head_only = context.head_only;
         if let Some(cookie) = context.set_cookie.as_ref().filter(|_| matches!(worded.status, 200 | 206 | 304))
@@ -484,14 +484,14 @@
         worded.with("Cache-Control", "private")
     }
 
-    fn not_taken(&self, reason: AdmitError) -> HttpAnswer {
+    fn reject(&self, reason: AdmitError) -> HttpResponse {
         match reason {
             AdmitError::Full => refused(0.0),
-            AdmitError::Duplicate => HttpAnswer::status(502),
+            AdmitError::Duplicate => HttpResponse::status(502),
         }
     }
 }
 
-fn refused(wait_ms: f64) -> HttpAnswer {
-    HttpAnswer::status(503).with("Retry-After", format!("{}", (wait_ms / 1_000.0).ceil().max(1.0)))
+fn refused(wait_ms: f64) -> HttpResponse {
+    HttpResponse::status(503).with("Retry-After", format!("{}", (wait_ms / 1_000.0).ceil().max(1.0)))
 }
--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -4,7 +4,7 @@
 
 use edge_proxy::lifecycle::maintenance::Store;
 use edge_proxy::wire::admin::AdminFront;
-use edge_proxy::wire::listener::Front;
+use edge_proxy::wire::front::Front;
 use edge_proxy::wire::platform::{limits, Platform};
 use stand_ins::*;
 use std::net::SocketAddr;
@@ -113,9 +113,11 @@
             cohort: 0,
         };
         let SocketAddr::V4(address) = site.endpoints[&first].address else { panic!() };
-        let targets = vec![edge_proxy::wire::discovery_codec::Target { row: line, address }];
-        let news = edge_proxy::wire::discovery_codec::WatchEvent::Endpoints { full: false, targets };
-        site.host.with(|engine| engine.news(edge_proxy::wire::discovery_codec::Sequenced { no: 99, news }));
+        let targets = vec![edge_proxy::wire::discovery_event::DiscoveredEndpoint { row: line, address }];
+        let news = edge_proxy::wire::discovery_event::WatchEvent::Endpoints { full: false, targets };
+        site.host.with(|engine| {
+            engine.news(edge_proxy::wire::discovery_event::Sequenced { sequence: 99, event: news })
+        });
         clips(at, 100..120).await;
         assert_eq!(site.asked(first), before);
         let asked = site.endpoints[&CACHES[1]].asked.borrow()[later..].to_vec();
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -6,8 +6,8 @@
 use edge_proxy::clock::Clock;
 use edge_proxy::state::requests::IncomingRequest;
 use edge_proxy::wire::client_connection::{Link, MAX_AHEAD};
+use edge_proxy::wire::front::{ConnectionLimits, Front};
 use edge_proxy::wire::http::HttpCodec;
-use edge_proxy::wire::listener::{Front, Limits};
 use edge_proxy::wire::platform::{limits, Platform};
 use socket2::SockRef;
 use stand_ins::*;
@@ -22,7 +22,7 @@
 
 const CLIP: &str = "/ops/clip/7f3a9c21e0b4d655/slice-3";
 
-async fn open_with(name: &str, limits: Limits) -> (Site, SocketAddr) {
+async fn open_with(name: &str, limits: ConnectionLimits) -> (Site, SocketAddr) {
     let site = Site::start(name).await;
     let front: Rc<dyn Front> = Rc::new(Platform::new(limits));
     let at = site.open(front).await;
@@ -105,7 +105,7 @@
 fn a_client_that_left_behind_a_flood_before_its_turn_is_never_sent_on() {
     for pipelines in [false, true] {
         run(async move {
-            let limits = Limits { one_at_a_time: !pipelines, ..limits(1) };
+            let limits = ConnectionLimits { one_at_a_time: !pipelines, ..limits(1) };
             let (site, at) = open_with(&format!("before_turn{pipelines}"), limits).await;
             site.all(silent());
             let mut first = Client::connect(at).await;
@@ -118,7 +118,7 @@
             drop(second);
             until(|| site.host.with(|e| e.counters.clients) == 2).await;
             drop(first);
-            until(|| site.stop.holds() == 0).await;
+            until(|| site.stop.open_or_lingering() == 0).await;
             assert_eq!(site.host.with(|e| (e.counters.left, e.counters.requests)), (2, 1));
             assert_eq!(site.asked_in_all(), 1);
         });
@@ -271,7 +271,7 @@
 fn a_client_that_leaves_behind_a_flood_is_noticed_on_either_front() {
     for (pipelines, reset) in [(false, false), (false, true), (true, false), (true, true)] {
         run(async move {
-            let limits = Limits { one_at_a_time: !pipelines, ..limits(400) };
+            let limits = ConnectionLimits { one_at_a_time: !pipelines, ..limits(400) };
             let (site, at) = open_with(&format!("behind_flood{pipelines}{reset}"), limits).await;
             site.all(silent());
             let mut stream = Blocking::connect(at).unwrap();
@@ -335,7 +335,7 @@
         let (length, mut client) = read.await.unwrap();
         assert!(length > 0);
         site.stop.begin();
-        until(|| site.stop.open.get() == 0).await;
+        until(|| site.stop.open_connections() == 0).await;
         // The proxy has shut its side down.
         for id in 1..=50 {
             client.write_all(get(id).as_bytes()).expect("no reset");
@@ -344,7 +344,7 @@
         assert_eq!(client.read(&mut [0; 64]).expect("a clean end"), 0);
         assert_eq!(site.asked_in_all(), 0);
         drop(client);
-        until(|| site.stop.holds() == 0).await;
+        until(|| site.stop.open_or_lingering() == 0).await;
     });
 }
 
@@ -434,7 +434,7 @@
 #[test]
 fn a_client_that_does_not_read_its_answer_gives_its_place_up() {
     run(async {
-        let (site, at) = open_with("unread", Limits { write_ms: 1e7, ..limits(400) }).await;
+        let (site, at) = open_with("unread", ConnectionLimits { write_ms: 1e7, ..limits(400) }).await;
         let body = vec![b'y'; 240_000];
         site.all(Rc::new(move |_| Some(("ACK", "sum=t1,t0=5".into(), body.clone()))));
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
@@ -446,7 +446,7 @@
             stream.write_all(ask(id).as_bytes()).await.unwrap();
         }
         until(|| site.host.with(|e| e.counters.unwritten) == 1).await;
-        until(|| site.stop.holds() == 0).await;
+        until(|| site.stop.open_or_lingering() == 0).await;
     });
 }
 
--- a/tests/endpoints/mod.rs
+++ b/tests/endpoints/mod.rs
@@ -1,7 +1,7 @@
 //! The members that the engine's tests know: caches 1 to 6, parents 7 and 8, the origin 9.
 
 use edge_proxy::settings::EndpointRecord;
-use edge_proxy::wire::discovery_codec::Target;
+use edge_proxy::wire::discovery_event::DiscoveredEndpoint;
 use std::net::SocketAddrV4;
 
 /// The parent that both tests use.
@@ -9,7 +9,7 @@
 pub const PARENT: u32 = 8;
 
 /// An endpoint's line; its port tells its id.
-pub fn target(id: u32, lifecycle: &str) -> Target {
+pub fn target(id: u32, lifecycle: &str) -> DiscoveredEndpoint {
     let (zone, model) = match id {
         PARENT | 7 => ("hub", "parent"),
         9 => ("hub", "origin"),
@@ -24,5 +24,5 @@
         power_hint: Some(4.0),
         cohort: 0,
     };
-    Target { row, address: SocketAddrV4::new([127, 0, 0, 1].into(), 5_000 + id as u16) }
+    DiscoveredEndpoint { row, address: SocketAddrV4::new([127, 0, 0, 1].into(), 5_000 + id as u16) }
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -8,7 +8,7 @@
 use edge_proxy::state::connections::{Bounds, ConnId};
 use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
 use edge_proxy::wire::cache_codec::{Command, Get, Reply, Word};
-use edge_proxy::wire::discovery_codec::{Sequenced, WatchEvent};
+use edge_proxy::wire::discovery_event::{Sequenced, WatchEvent};
 use edge_proxy::wire::response_path::PathNote;
 use endpoints::{target, PARENT};
 use std::rc::Rc;
@@ -49,7 +49,7 @@
 
     fn news(&mut self, news: WatchEvent) {
         self.no += 1;
-        self.engine.news(Sequenced { no: self.no, news });
+        self.engine.news(Sequenced { sequence: self.no, event: news });
     }
 
     fn ask(&mut self, id: u64, class: usize) {
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -10,7 +10,7 @@
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::lifecycle::serve::engine;
 use edge_proxy::wire::cache_connection::CacheDriver;
-use edge_proxy::wire::listener::Stop;
+use edge_proxy::wire::shutdown::GracefulShutdown;
 use stand_ins::grpc::{finish, msg, Caller, GrpcBox};
 use stand_ins::{folder, run, START_MS};
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 struct Edge {
     front: Rc<GrpcFront>,
     at: SocketAddr,
-    stop: Rc<Stop>,
+    stop: Rc<GracefulShutdown>,
     closing: Rc<Notify>,
     boxes: Vec<GrpcBox>,
     dir: std::path::PathBuf,
@@ -88,7 +88,7 @@
         }
         let config = file(&dir, at, &backends, limits);
         let front = GrpcFront::new(host(clock), config, 5).unwrap();
-        let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
+        let (stop, closing) = (Rc::new(GracefulShutdown::default()), Rc::new(Notify::new()));
         spawn_local(accept(front.clone(), listener, stop.clone(), closing.clone()));
         spawn_local(keep(front.clone()));
         spawn_local(cut_at_stop(front.clone(), stop.clone()));
@@ -524,7 +524,7 @@
             let got = finish(response).await;
             assert_eq!((got.status(), got.body.len()), (14, 905), "a final answer, at the stop too: {got:?}");
         }
-        soon("every connection ends", || edge.stop.open.get() == 0).await;
+        soon("every connection ends", || edge.stop.open_connections() == 0).await;
     });
 }
 
@@ -549,7 +549,7 @@
             let text = format!(
                 r#"{{"uid":"s-{uid:08x}","endpoint":"{ip}:7001","az":"town","model":"box","state":"{state}"}}"#
             );
-            edge_proxy::wire::discovery_codec::Line::parse(text.as_bytes()).unwrap()
+            edge_proxy::wire::discovery_json::EndpointJson::parse(text.as_bytes()).unwrap()
         };
         host.with(|engine| engine.hear_roster(true, vec![line(0xc1, "Ready"), line(0xc2, "Ready")]));
         edge.front.reconfigure(GrpcConfig::read(&edge.dir.join("grpc.json")).unwrap()).unwrap();
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -12,8 +12,10 @@
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::lifecycle::serve::engine;
 use edge_proxy::wire::cache_connection::CacheDriver;
-use edge_proxy::wire::listener::{accept, Front, Limits, Stop};
+use edge_proxy::wire::front::{ConnectionLimits, Front};
+use edge_proxy::wire::listener::accept;
 use edge_proxy::wire::platform::{self, Platform};
+use edge_proxy::wire::shutdown::GracefulShutdown;
 use stand_ins::device::{certify, Device, Impaired};
 use stand_ins::slow_box::SlowFleet;
 use stand_ins::{folder, run, Killed};
@@ -34,7 +36,7 @@
     tcp: SocketAddr,
     driver: Rc<Driver>,
     keeper: Rc<CallRegistry>,
-    stop: Rc<Stop>,
+    stop: Rc<GracefulShutdown>,
     closing: Rc<Notify>,
 }
 
@@ -72,10 +74,10 @@
         let at = endpoint.local_addr().unwrap();
         let keeper = CallRegistry::new(host.clone(), config.shelf());
         let inner: Rc<dyn Front> = Rc::new(Platform::new(platform::limits(64)));
-        let limits = Limits { idle_ms: 5_000.0, ..platform::limits(64) };
+        let limits = ConnectionLimits { idle_ms: 5_000.0, ..platform::limits(64) };
         let front = Rc::new(Http3Front::new(inner, limits, config.sessions().unwrap(), keeper.clone()));
         let driver = Driver::new(host.clone(), front.clone(), keeper.clone(), config.limits.clone());
-        let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
+        let (stop, closing) = (Rc::new(GracefulShutdown::default()), Rc::new(Notify::new()));
         spawn_local(server::accept(driver.clone(), endpoint, stop.clone(), closing.clone()));
         spawn_local(keeper.clone().keep());
         let listener = TcpListener::bind(format!("127.0.{net}.9:0")).await.unwrap();
@@ -424,7 +426,7 @@
         edge.closing.notify_one();
         edge.stop.begin();
         assert_eq!(last.await.unwrap().unwrap().status, 200);
-        soon("every connection ends", || edge.stop.open.get() == 0).await;
+        soon("every connection ends", || edge.stop.open_connections() == 0).await;
         assert!(Device::connect(edge.at, &edge.config, None).await.is_none(), "nobody new is taken");
     });
 }
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -9,7 +9,8 @@
 use edge_proxy::state::connections::{Bounds, ConnId};
 use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
 use edge_proxy::wire::cache_codec::{Command, LineCodec, Reply, Word, MAX_LINE};
-use edge_proxy::wire::discovery_codec::{FrameCodec, Sequenced, WatchEvent, MAX_FRAME};
+use edge_proxy::wire::discovery_codec::{FrameCodec, MAX_FRAME};
+use edge_proxy::wire::discovery_event::{Sequenced, WatchEvent};
 use edge_proxy::wire::http::{HttpCodec, Phase};
 use endpoints::target;
 use proptest::prelude::*;
@@ -67,7 +68,7 @@
 
     fn news(&mut self, news: WatchEvent) {
         self.next_no += 1;
-        self.engine.news(Sequenced { no: self.next_no, news });
+        self.engine.news(Sequenced { sequence: self.next_no, event: news });
     }
 
     /// Does one step; `a` and `b` choose among what there is.
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -3,7 +3,7 @@
 mod stand_ins;
 
 use edge_proxy::lifecycle::serve::reload_config;
-use edge_proxy::wire::listener::{Front, Limits};
+use edge_proxy::wire::front::{ConnectionLimits, Front};
 use edge_proxy::wire::platform::{limits, Platform};
 use stand_ins::*;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
     open_with(name, limits(400)).await
 }
 
-async fn open_with(name: &str, limits: Limits) -> (Site, SocketAddr) {
+async fn open_with(name: &str, limits: ConnectionLimits) -> (Site, SocketAddr) {
     let site = Site::start(name).await;
     let front: Rc<dyn Front> = Rc::new(Platform::new(limits));
     let at = site.open(front).await;
@@ -226,7 +226,7 @@
         site.stop.begin();
         assert_eq!(queued.read(false).await.unwrap().status, 200);
         assert!(idle.read(false).await.is_none(), "an idle connection ends");
-        assert_eq!(site.stop.open.get(), 1, "the busy one stays");
+        assert_eq!(site.stop.open_connections(), 1, "the busy one stays");
         let waits = spawn_local(async move { busy.read(false).await.unwrap() });
         while !waits.is_finished() {
             site.pass(20.0);
@@ -234,7 +234,7 @@
         }
         let answer = waits.await.unwrap();
         assert!(answer.closed && matches!(answer.status, 503 | 504), "{answer:?}");
-        until(|| site.stop.open.get() == 0).await;
+        until(|| site.stop.open_connections() == 0).await;
         go.set(true);
     });
 }
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -410,8 +410,8 @@
         }
         // A failed end, as the front words it: the module refuses what may be repeated, so none comes by itself.
         use edge_proxy::state::requests::FinalResponse;
-        use edge_proxy::wire::listener::{Context, Front};
-        let word = |end| f.front.word(&Context::default(), end).status;
+        use edge_proxy::wire::front::{Front, ResponseContext};
+        let word = |end| f.front.respond(&ResponseContext::default(), end).status;
         assert_eq!(word(FinalResponse::Failed { overdue: false }), 502);
         assert_eq!(word(FinalResponse::Failed { overdue: true }), 504);
         assert_eq!(word(FinalResponse::Rejected { wait_ms: 5.0, overdue: true }), 504);
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -10,7 +10,9 @@
 use edge_proxy::settings::PlatformSettings;
 use edge_proxy::wire::cache_connection::CacheDriver;
 use edge_proxy::wire::discovery;
-use edge_proxy::wire::listener::{accept, Front, Stop};
+use edge_proxy::wire::front::Front;
+use edge_proxy::wire::listener::accept;
+use edge_proxy::wire::shutdown::GracefulShutdown;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
@@ -262,7 +264,7 @@
     pub config: Config,
     /// Where the bulletin is, as the configuration says.
     pub moves: watch::Sender<SocketAddr>,
-    pub stop: Rc<Stop>,
+    pub stop: Rc<GracefulShutdown>,
     pub closing: Rc<Notify>,
 }
 
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -212,7 +212,7 @@
         drop(gone);
         site.moves.send(at).unwrap();
         until(|| site.host.with(|e| e.counters.bulletin_faults) >= 4).await;
-        let front: Rc<dyn edge_proxy::wire::listener::Front> =
+        let front: Rc<dyn edge_proxy::wire::front::Front> =
             Rc::new(edge_proxy::wire::platform::Platform::new(edge_proxy::wire::platform::limits(400)));
         let listen = site.open(front).await;
         let headers =
