--- a/src/lifecycle/maintenance.rs
+++ b/src/lifecycle/maintenance.rs
@@ -5,7 +5,7 @@
 use crate::config_file::read_json;
 use crate::engine::executor::Executor;
 use crate::state::maintenance::Mark;
-use crate::wire::identifiers::{format_endpoint_id, parse_endpoint_id};
+use crate::text::{format_endpoint_id, parse_endpoint_id};
 use crate::EndpointId;
 use serde::Deserialize;
 use std::path::PathBuf;
--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -39,7 +39,7 @@
         tracing::error!(key, reason, "registry: a member's value can't be read; it stays as it was");
     }
     for id in &update.drains {
-        tracing::info!(endpoint = %crate::wire::identifiers::format_endpoint_id(*id), "registry: a member drains");
+        tracing::info!(endpoint = %crate::text::format_endpoint_id(*id), "registry: a member drains");
     }
     let now = host.clock.now();
     if !update.is_empty() {
--- a/src/wire/admin.rs
+++ b/src/wire/admin.rs
@@ -2,9 +2,9 @@
 
 use super::front::{ConnectionLimits, Disposition, Front, ResponseContext};
 use super::http::{HttpRequest, HttpResponse};
-use super::identifiers::parse_endpoint_id;
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse};
+use crate::text::parse_endpoint_id;
 use std::rc::Rc;
 
 /// Connections at once. At the cap a caller that says nothing gives its place to the next.
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -1,9 +1,9 @@
 //! The pop caches' protocol: lines of words that end in CR LF, with bodies of a stated length.
 
-use super::identifiers::{format_endpoint_id, parse_hex16};
 use super::response_path::PathNote;
 use super::WireError;
 use crate::purge::selector::Tag;
+use crate::text::{format_endpoint_id, parse_hex16};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::fmt::Write as _;
 use tokio_util::codec::{Decoder, Encoder};
--- a/src/wire/cache_connection.rs
+++ b/src/wire/cache_connection.rs
@@ -1,12 +1,12 @@
 //! The driver of a connection to a pop cache.
 
 use super::cache_codec::{Command, LineCodec};
-use super::identifiers::parse_hex16;
 use super::WireError;
 use crate::clock::duration_from_ms;
 use crate::engine::executor::{ConnectionDriver, Dial, Executor};
 use crate::engine::Next;
 use crate::state::connections::ConnId;
+use crate::text::parse_hex16;
 use bytes::BytesMut;
 use futures_util::future::LocalBoxFuture;
 use futures_util::StreamExt;
--- a/src/wire/discovery_codec.rs
+++ b/src/wire/discovery_codec.rs
@@ -1,8 +1,9 @@
 //! The bulletin's frames, and the same events as JSON in the configuration.
 
-use super::discovery_event::{DiscoveredEndpoint, Sequenced, WatchEvent};
 use super::WireError;
-use crate::settings::{EndpointRecord, PlatformSettings};
+use crate::endpoint_list::{EndpointRecord, ListedEndpoint, Sequenced, WatchEvent};
+use crate::settings::PlatformSettings;
+use crate::EndpointState;
 use bytes::{Buf, BufMut, BytesMut};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use tokio_util::codec::{Decoder, Encoder};
@@ -25,29 +26,29 @@
     /// The event that a frame means under these settings.
     pub fn event(&self, env: &PlatformSettings) -> Result<Sequenced, WireError> {
         let mut payload = &self.payload[..];
-        let news = match (self.kind, payload.len()) {
+        let event = match (self.kind, payload.len()) {
             (0, 0) => WatchEvent::Heartbeat,
             (1 | 2, n) if n % RECORD == 0 => {
-                let targets = self.records().map(|r| target(r, env)).collect::<Result<_, _>>()?;
-                WatchEvent::Endpoints { full: self.kind == 1, targets }
+                let endpoints = self.records().map(|r| target(r, env)).collect::<Result<_, _>>()?;
+                WatchEvent::Endpoints { full: self.kind == 1, endpoints }
             }
             (3, 16) => {
                 let object = Some(payload.get_u64());
-                WatchEvent::Purge { object, group: 0, issued: payload.get_u64() as f64 }
+                WatchEvent::Purge { object, group: 0, issued_ms: payload.get_u64() as f64 }
             }
             (4, 10) => {
                 let group = u32::from(payload.get_u16());
-                WatchEvent::Purge { object: None, group, issued: payload.get_u64() as f64 }
+                WatchEvent::Purge { object: None, group, issued_ms: payload.get_u64() as f64 }
             }
             (0..=4, _) => return Err(WireError::Malformed("a frame's length")),
             // A kind of a later day: its number counts, its text is skipped.
             _ => WatchEvent::Heartbeat,
         };
-        Ok(Sequenced { sequence: self.no, event: news })
+        Ok(Sequenced { number: self.no, event })
     }
 
     /// The endpoints that can be read in a list or changes of it, whatever stands beside them.
-    pub fn readable(&self, env: &PlatformSettings) -> Vec<DiscoveredEndpoint> {
+    pub fn readable(&self, env: &PlatformSettings) -> Vec<ListedEndpoint> {
         self.records().filter_map(|r| target(r, env).ok()).collect()
     }
 
@@ -58,24 +59,23 @@
     }
 }
 
-fn target(mut buf: &[u8], env: &PlatformSettings) -> Result<DiscoveredEndpoint, WireError> {
-    let cache = buf.get_u32();
+fn target(mut buf: &[u8], env: &PlatformSettings) -> Result<ListedEndpoint, WireError> {
+    let id = buf.get_u32();
     let address = SocketAddrV4::new(Ipv4Addr::from(buf.get_u32()), buf.get_u16());
-    let lifecycle = match buf.get_u8() {
-        0 => "live",
-        1 => "quiescing",
-        2 => "dead",
+    let state = match buf.get_u8() {
+        0 => EndpointState::Active,
+        1 => EndpointState::Draining,
+        2 => EndpointState::Removed,
         _ => return Err(WireError::Malformed("a member's state")),
     };
     let (zone, kind) = (usize::from(buf.get_u8()), usize::from(buf.get_u8()));
     let zone = env.zone_name(zone).ok_or(WireError::Malformed("a member's zone"))?.to_string();
-    let model = env.kind_name(kind).ok_or(WireError::Malformed("a member's kind"))?.to_string();
-    let cohort = u32::from(buf.get_u16());
-    let power_hint = Some(f64::from(buf.get_u32()) / 1_000.0);
-    let ready_at_us = buf.get_u64().saturating_mul(1_000);
-    let row =
-        EndpointRecord { zone, model, lifecycle: lifecycle.into(), ready_at_us, cache, power_hint, cohort };
-    Ok(DiscoveredEndpoint { row, address })
+    let kind = env.kind_name(kind).ok_or(WireError::Malformed("a member's kind"))?.to_string();
+    let cell = u32::from(buf.get_u16());
+    let capacity_hint = Some(f64::from(buf.get_u32()) / 1_000.0);
+    let started_at = buf.get_u64().saturating_mul(1_000);
+    let record = EndpointRecord { id, zone, kind, state, started_at, capacity_hint, cell };
+    Ok(ListedEndpoint { record, address })
 }
 
 /// Both directions of the connection to the bulletin: frames come in, numbers go out.
--- a/src/wire/discovery_codec/tests.rs
+++ b/src/wire/discovery_codec/tests.rs
@@ -38,14 +38,17 @@
                 got.push(frame.event(&env()).unwrap());
             }
         }
-        assert_eq!(got.iter().map(|n| n.sequence).collect::<Vec<_>>(), [7, 7, 8]);
-        let WatchEvent::Endpoints { full: false, targets } = &got[0].event else { panic!("{got:?}") };
-        assert_eq!(targets[0].address.to_string(), "10.1.0.9:5050");
-        let row = &targets[0].row;
-        assert_eq!((row.cache, row.zone.as_str(), row.lifecycle.as_str()), (0xc41f7a, "east", "quiescing"));
-        assert_eq!((row.ready_at_us, row.power_hint), (1_764_576_000_123_000, Some(4.5)));
+        assert_eq!(got.iter().map(|event| event.number).collect::<Vec<_>>(), [7, 7, 8]);
+        let WatchEvent::Endpoints { full: false, endpoints } = &got[0].event else { panic!("{got:?}") };
+        assert_eq!(endpoints[0].address.to_string(), "10.1.0.9:5050");
+        let record = &endpoints[0].record;
+        assert_eq!(
+            (record.id, record.zone.as_str(), record.state),
+            (0xc41f7a, "east", EndpointState::Draining)
+        );
+        assert_eq!((record.started_at, record.capacity_hint), (1_764_576_000_123_000, Some(4.5)));
         assert!(matches!(got[1].event, WatchEvent::Heartbeat));
-        assert!(matches!(got[2].event, WatchEvent::Purge { object: None, group: 17, issued: 99.0 }));
+        assert!(matches!(got[2].event, WatchEvent::Purge { object: None, group: 17, issued_ms: 99.0 }));
     }
 }
 
--- a/src/wire/discovery_json.rs
+++ b/src/wire/discovery_json.rs
@@ -1,8 +1,8 @@
 //! The events of the discovery stream as JSON, as the configuration and a registry's values hold them.
 
-use super::discovery_event::{DiscoveredEndpoint, Sequenced, WatchEvent};
-use super::identifiers::{parse_endpoint_id, parse_hex16};
-use crate::settings::EndpointRecord;
+use crate::endpoint_list::{EndpointRecord, ListedEndpoint, Sequenced, WatchEvent};
+use crate::text::{parse_endpoint_id, parse_hex16};
+use crate::EndpointState;
 use serde::Deserialize;
 
 /// `known` of the configuration: the events of the start.
@@ -66,53 +66,53 @@
 
 impl Item {
     fn event(&self) -> Result<Sequenced, String> {
-        let news = match (&self.roster, &self.recall) {
+        let event = match (&self.roster, &self.recall) {
             (Some(list), _) => {
-                let targets = list.targets.iter().map(EndpointJson::target).collect::<Result<_, _>>()?;
-                WatchEvent::Endpoints { full: list.all, targets }
+                let endpoints = list.targets.iter().map(EndpointJson::target).collect::<Result<_, _>>()?;
+                WatchEvent::Endpoints { full: list.all, endpoints }
             }
             (None, Some(recall)) => match (&recall.item, recall.lot) {
                 (Some(item), _) => {
                     let object = parse_hex16(item).ok_or_else(|| format!("object {item:?}"))?;
-                    WatchEvent::Purge { object: Some(object), group: 0, issued: recall.issued }
+                    WatchEvent::Purge { object: Some(object), group: 0, issued_ms: recall.issued }
                 }
-                (None, Some(lot)) => WatchEvent::Purge { object: None, group: lot, issued: recall.issued },
+                (None, Some(lot)) => WatchEvent::Purge { object: None, group: lot, issued_ms: recall.issued },
                 (None, None) => return Err("a purge of nothing".into()),
             },
             (None, None) => WatchEvent::Heartbeat,
         };
-        Ok(Sequenced { sequence: self.no, event: news })
+        Ok(Sequenced { number: self.no, event })
     }
 }
 
 impl EndpointJson {
     /// An endpoint from its JSON; what is wrong, where it can't be used.
-    pub fn parse(bytes: &[u8]) -> Result<DiscoveredEndpoint, String> {
+    pub fn parse(bytes: &[u8]) -> Result<ListedEndpoint, String> {
         let mut bytes = bytes.to_vec();
         let line: EndpointJson = simd_json::from_slice(&mut bytes).map_err(|e| e.to_string())?;
         line.target()
     }
 
     /// The endpoint that it names.
-    pub fn target(&self) -> Result<DiscoveredEndpoint, String> {
-        let cache = parse_endpoint_id(&self.uid).ok_or_else(|| format!("uid {:?}", self.uid))?;
+    pub fn target(&self) -> Result<ListedEndpoint, String> {
+        let id = parse_endpoint_id(&self.uid).ok_or_else(|| format!("uid {:?}", self.uid))?;
         let address = self.endpoint.parse().map_err(|_| format!("endpoint {:?}", self.endpoint))?;
-        let lifecycle = match self.state.as_str() {
-            "Ready" => "live",
-            "Terminating" => "quiescing",
-            "Gone" => "dead",
+        let state = match self.state.as_str() {
+            "Ready" => EndpointState::Active,
+            "Terminating" => EndpointState::Draining,
+            "Gone" => EndpointState::Removed,
             other => return Err(format!("state {other:?}")),
         };
-        let row = EndpointRecord {
+        let record = EndpointRecord {
+            id,
             zone: self.az.clone(),
-            model: self.model.clone(),
-            lifecycle: lifecycle.into(),
-            ready_at_us: crate::clock::micros_from_ms(self.boot_ms),
-            cache,
-            power_hint: self.capacity_hint,
-            cohort: self.pod_group,
+            kind: self.model.clone(),
+            state,
+            started_at: crate::clock::micros_from_ms(self.boot_ms),
+            capacity_hint: self.capacity_hint,
+            cell: self.pod_group,
         };
-        Ok(DiscoveredEndpoint { row, address })
+        Ok(ListedEndpoint { record, address })
     }
 }
 
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -2,11 +2,11 @@
 
 use super::front::{ConnectionLimits, Disposition, Front, ResponseContext};
 use super::http::{HttpRequest, HttpResponse};
-use super::identifiers::{is_field_value, parse_hex16};
 use crate::engine::executor::Executor;
 use crate::rules::table::{Rules, Said, Target};
 use crate::settings::PlatformSettings;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::text::{is_field_value, parse_hex16};
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/src/wire/signed.rs
+++ b/src/wire/signed.rs
@@ -6,12 +6,12 @@
 
 use super::front::{ConnectionLimits, Disposition, Front, ResponseContext};
 use super::http::{HttpRequest, HttpResponse};
-use super::identifiers::parse_hex16;
 use super::keys::{Key, KeyRing};
 use super::platform::bare_tag;
 use crate::engine::executor::Executor;
 use crate::settings::PlatformSettings;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::text::parse_hex16;
 use jsonwebtoken::{decode, decode_header, encode, Header, Validation};
 use regex::RegexBuilder;
 use serde::Deserialize;
