--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -139,7 +139,7 @@
     for event in config.known.events().map_err(|reason| ServeError::field("known", reason))? {
         engine.news(event);
     }
-    engine.skip_to(config.known.no);
+    engine.skip_to(config.known.last_number);
     Ok((engine, env))
 }
 
--- a/src/registry/view.rs
+++ b/src/registry/view.rs
@@ -158,7 +158,7 @@
                     if let Some(old) = self.endpoints.get(&kv.key) {
                         fresh.insert(kv.key.clone(), old.clone());
                     }
-                    update.faults.push((kv.key, reason));
+                    update.faults.push((kv.key, reason.to_string()));
                 }
             }
         }
@@ -214,7 +214,7 @@
                     }
                     Err(reason) => {
                         self.figures.faults += 1;
-                        update.faults.push((key, reason));
+                        update.faults.push((key, reason.to_string()));
                     }
                 },
                 Change::Delete { .. } => {
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -1,145 +1,212 @@
-//! The driver of the link to the bulletin.
+//! The watch on the discovery service: a connection over which endpoint lists and purges arrive as sequenced events.
+//!
+//! The platform counts an event as known to the proxy once the service has it, connected or not. So the watch is always
+//! re-established, from the number of the last event that was applied.
 
-use super::discovery_codec::FrameCodec;
-use super::WireError;
+use super::discovery_codec::{Frame, FrameCodec, FrameError};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use futures_util::{SinkExt, StreamExt};
+use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// Silence that says the link is broken, in milliseconds: a frame comes each second. Each link draws its own within
-/// these bounds, so that a fleet whose watches fall silent together does not call for the list in step.
+/// Bounds of the silence, in milliseconds, after which a connection counts as broken: a frame is due each second. Each
+/// connection draws its own, so that a fleet whose watches fall silent together does not reconnect in step.
 pub const SILENCE_MS: (f64, f64) = (1_600.0, 2_000.0);
-/// How long a connect to the bulletin may take, in milliseconds.
+/// Time limit of a connect and of the first write, in milliseconds.
 const CONNECT_MS: f64 = 700.0;
-/// The wait after a frame that can't be read, in milliseconds.
-const MALFORMED_MS: f64 = 200.0;
-/// The wait after a link that brought nothing, in milliseconds: it doubles with each such link ...
-const AGAIN_MS: f64 = 50.0;
-/// ... up to this: what the bulletin holds counts as told, and a drain binds within 250 ms. A random part of up to half
-/// is taken off every wait.
-const AGAIN_MOST_MS: f64 = 240.0;
-/// How often the same frame may fail before it is skipped: one that was garbled on its way comes whole the next time.
-const MAX_SAME_FRAME: u32 = 3;
+/// The least backoff after a frame that cannot be read, in milliseconds.
+const MALFORMED_BACKOFF_MS: f64 = 200.0;
+/// The backoff after the first connection that brought no event, in milliseconds. It doubles with each further one.
+const INITIAL_BACKOFF_MS: f64 = 50.0;
+/// The longest backoff, in milliseconds: a drain takes effect within 250 ms.
+const MAX_BACKOFF_MS: f64 = 240.0;
+/// The largest random part that is taken off a backoff.
+const BACKOFF_JITTER: f64 = 0.5;
+/// After this many failures of the same event it is skipped; a frame that was corrupted on its way arrives intact the
+/// next time.
+const MAX_EVENT_FAILURES: u32 = 3;
 
-/// How far the links have come, over all of them.
+/// Why a connection to the discovery service ended.
+#[derive(Debug, Error)]
+enum WatchError {
+    /// The connection failed or fell silent.
+    #[error("socket: {0}")]
+    Io(std::io::Error),
+    /// A frame cannot be read.
+    #[error(transparent)]
+    Frame(FrameError),
+    /// Events between the last one applied and the one received are missing.
+    #[error("event {received} follows event {last}")]
+    Gap {
+        /// The number of the last event that was applied.
+        last: u64,
+        /// The number of the event received.
+        received: u64,
+    },
+}
+
+impl From<std::io::Error> for WatchError {
+    fn from(error: std::io::Error) -> Self {
+        Self::Io(error)
+    }
+}
+
+impl From<FrameError> for WatchError {
+    fn from(error: FrameError) -> Self {
+        match error {
+            FrameError::Io(error) => Self::Io(error),
+            error => Self::Frame(error),
+        }
+    }
+}
+
+impl WatchError {
+    fn timed_out() -> Self {
+        Self::Io(ErrorKind::TimedOut.into())
+    }
+}
+
+/// What the watch remembers from one connection to the next.
 #[derive(Default)]
 struct Progress {
-    /// Links in a row that brought nothing.
-    vain: u32,
-    /// The number at which the last link failed ...
-    stuck_at: u64,
-    /// ... and how often.
-    times: u32,
+    /// Connections in a row that brought no event.
+    fruitless: u32,
+    /// The event that failed last, and how often in a row.
+    failed_event: u64,
+    failures: u32,
 }
 
 impl Progress {
-    /// A link failed at this number; how often by now.
-    fn stuck(&mut self, no: u64) -> u32 {
-        self.times = if self.stuck_at == no { self.times + 1 } else { 1 };
-        self.stuck_at = no;
-        self.times
+    /// Counts a failure of an event; returns how often it has failed in a row.
+    fn count_failure(&mut self, number: u64) -> u32 {
+        self.failures = if self.failed_event == number { self.failures + 1 } else { 1 };
+        self.failed_event = number;
+        self.failures
     }
 
-    /// The wait before the next link, in milliseconds; `draw` is a random number in 0..1.
-    fn wait_ms(&self, draw: f64) -> f64 {
-        match self.vain {
-            // One that has worked is made anew at once, but not by the whole fleet in the same moment.
-            0 => AGAIN_MS * draw,
-            vain => (AGAIN_MS * f64::from(1u32 << (vain - 1).min(8))).min(AGAIN_MOST_MS) * (1.0 - 0.5 * draw),
+    /// The backoff before the next connection, in milliseconds; `random` is uniform in 0..1.
+    fn backoff_ms(&self, random: f64) -> f64 {
+        match self.fruitless {
+            // One that has worked is replaced at once, but not by the whole fleet in the same moment.
+            0 => INITIAL_BACKOFF_MS * random,
+            fruitless => {
+                let doubled = INITIAL_BACKOFF_MS * f64::from(1u32 << (fruitless - 1).min(8));
+                doubled.min(MAX_BACKOFF_MS) * (1.0 - BACKOFF_JITTER * random)
+            }
         }
     }
 }
 
-/// Keeps a link to the bulletin for ever. A link that ends is made anew from the last number: what the bulletin holds
-/// counts as told, so every moment without a link is one in which a rule may be broken unseen. Where the bulletin
-/// moves, the link goes to its new address at once: the old one tells nothing more.
-pub async fn run(host: Rc<Executor>, mut address: watch::Receiver<SocketAddr>) {
+/// Keeps a watch on the discovery service at `address` for ever, and reconnects where it ends. Where the service moves
+/// to another address, the old connection is dropped at once.
+pub async fn run(executor: Rc<Executor>, mut address: watch::Receiver<SocketAddr>) {
     let mut progress = Progress::default();
     loop {
-        let at = *address.borrow_and_update();
-        let followed = tokio::select! {
-            // What an old link still brings is not read under settings that may have come with the move.
+        let current = *address.borrow_and_update();
+        let ended = tokio::select! {
+            // What an old connection still brings is not read under settings that may have come with the move.
             biased;
             Ok(()) = address.changed() => {
-                host.with(|engine| engine.counters.bulletin_moves += 1);
+                executor.with(|engine| engine.counters.bulletin_moves += 1);
                 progress = Progress::default();
                 continue;
             }
-            followed = follow(&host, at, &mut progress) => followed,
+            ended = follow(&executor, current, &mut progress) => ended,
         };
-        let mut wait_ms = progress.wait_ms(rand::random());
-        if let Err(error) = followed {
-            host.with(|engine| engine.counters.bulletin_faults += 1);
-            if !matches!(error, WireError::Socket(_)) {
-                tracing::warn!(%error, "the bulletin's link failed");
-                // What can't be read will most likely come again: not at full speed.
-                wait_ms = wait_ms.max(MALFORMED_MS);
+        let mut backoff_ms = progress.backoff_ms(rand::random());
+        if let Err(error) = ended {
+            executor.with(|engine| engine.counters.bulletin_faults += 1);
+            if !matches!(error, WatchError::Io(_)) {
+                tracing::warn!(%error, "the watch on the discovery service failed");
+                backoff_ms = backoff_ms.max(MALFORMED_BACKOFF_MS);
             }
         }
         tokio::select! {
             biased;
             Ok(()) = async { address.changed().await.map(|()| address.mark_changed()) } => {}
-            () = sleep(duration_from_ms(wait_ms)) => {}
+            () = sleep(duration_from_ms(backoff_ms)) => {}
         }
     }
 }
 
-async fn follow(host: &Rc<Executor>, address: SocketAddr, progress: &mut Progress) -> Result<(), WireError> {
-    let silent = || WireError::Socket(std::io::ErrorKind::TimedOut.into());
-    progress.vain += 1;
-    let stream =
-        timeout(duration_from_ms(CONNECT_MS), TcpStream::connect(address)).await.map_err(|_| silent())??;
+/// Applies the events of one connection until it ends.
+async fn follow(
+    executor: &Rc<Executor>,
+    address: SocketAddr,
+    progress: &mut Progress,
+) -> Result<(), WatchError> {
+    progress.fruitless += 1;
+    let mut frames = connect(executor, address).await?;
+    let silence_ms = SILENCE_MS.0 + (SILENCE_MS.1 - SILENCE_MS.0) * rand::random::<f64>();
+    loop {
+        let next = timeout(duration_from_ms(silence_ms), frames.next()).await;
+        match next.map_err(|_| WatchError::timed_out())? {
+            Some(frame) => apply(executor, &frame?, progress)?,
+            None => return Ok(()),
+        }
+    }
+}
+
+/// Connects, and asks for the events after the last one that was applied.
+async fn connect(
+    executor: &Rc<Executor>,
+    address: SocketAddr,
+) -> Result<Framed<TcpStream, FrameCodec>, WatchError> {
+    let limit = duration_from_ms(CONNECT_MS);
+    let stream = timeout(limit, TcpStream::connect(address)).await.map_err(|_| WatchError::timed_out())??;
     let _ = stream.set_nodelay(true);
-    let mut link = Framed::new(stream, FrameCodec);
-    let last = host.with(|engine| {
+    let mut frames = Framed::new(stream, FrameCodec);
+    let last = executor.with(|engine| {
         engine.counters.bulletin_links += 1;
         engine.last_no()
     });
-    timeout(duration_from_ms(CONNECT_MS), link.send(last)).await.map_err(|_| silent())??;
-    let silence_ms = SILENCE_MS.0 + (SILENCE_MS.1 - SILENCE_MS.0) * rand::random::<f64>();
-    loop {
-        let Some(frame) = timeout(duration_from_ms(silence_ms), link.next()).await.map_err(|_| silent())?
-        else {
-            return Ok(());
-        };
-        let frame = frame?;
-        let (no, last) = (frame.no, host.with(|engine| engine.last_no()));
-        // Guards against a number that was garbled, after which all that follows would count as old, and against events
-        // that got lost: the numbers follow each other. One that stays is taken, and what is missing is missing.
-        if frame.kind != 0 && no > last + 1 && progress.stuck(no) < MAX_SAME_FRAME {
-            host.with(|engine| engine.counters.bulletin_gaps += 1);
-            return Err(WireError::Malformed("a gap in the events' numbers"));
+    timeout(limit, frames.send(last)).await.map_err(|_| WatchError::timed_out())??;
+    Ok(frames)
+}
+
+/// Applies the event of a frame. One that cannot be read is an error until it has failed [`MAX_EVENT_FAILURES`] times;
+/// then it is skipped, so that the events behind it are not held up for ever.
+fn apply(executor: &Rc<Executor>, frame: &Frame, progress: &mut Progress) -> Result<(), WatchError> {
+    let (number, last) = (frame.number, executor.with(|engine| engine.last_no()));
+    // Numbers are consecutive. A larger one may be corrupted, after which all later events would count as old, or
+    // events may be lost. One that stays is applied: what is missing is missing.
+    let gap = !frame.is_heartbeat() && number > last + 1;
+    if gap && progress.count_failure(number) < MAX_EVENT_FAILURES {
+        executor.with(|engine| engine.counters.bulletin_gaps += 1);
+        return Err(WatchError::Gap { last, received: number });
+    }
+    match frame.event(&executor.env()) {
+        Ok(event) => {
+            progress.fruitless = 0;
+            executor.with(|engine| {
+                engine.news(event);
+                if !frame.is_heartbeat() {
+                    // The number of an unknown kind counts too.
+                    engine.skip_to(number);
+                }
+            });
         }
-        match frame.event(&host.env()) {
-            Ok(event) => {
-                progress.vain = 0;
-                host.with(|engine| {
-                    engine.news(event);
-                    // The number of a kind of a later day counts too.
-                    engine.skip_to(if frame.kind == 0 { 0 } else { no });
-                });
-            }
-            Err(error) if no > last && progress.stuck(no) < MAX_SAME_FRAME => {
-                // Guards the rule on drains: one that stands beside what can't be read was told all the same.
-                host.with(|engine| engine.hear_part(frame.readable(&engine.env())));
-                return Err(error);
-            }
-            // Guards all that comes after it against one frame that nobody can read.
-            Err(error) => {
-                tracing::warn!(%error, no, "an event of the bulletin is skipped");
-                host.with(|engine| {
-                    engine.counters.bulletin_skipped += 1;
-                    engine.skip_to(no);
-                });
-            }
+        Err(error) if number > last && progress.count_failure(number) < MAX_EVENT_FAILURES => {
+            // A drain beside a record that cannot be read takes effect all the same.
+            executor.with(|engine| engine.hear_part(frame.readable_endpoints(&engine.env())));
+            return Err(error.into());
+        }
+        Err(error) => {
+            tracing::warn!(%error, number, "an event of the discovery service is skipped");
+            executor.with(|engine| {
+                engine.counters.bulletin_skipped += 1;
+                engine.skip_to(number);
+            });
         }
     }
+    Ok(())
 }
 
 #[cfg(test)]
--- a/src/wire/discovery_codec.rs
+++ b/src/wire/discovery_codec.rs
@@ -1,117 +1,182 @@
-//! The bulletin's frames, and the same events as JSON in the configuration.
+//! The frames of the discovery service's watch: their bytes, and the events that they mean under the settings.
+//!
+//! A frame is `length:4 number:8 kind:1 payload`, all numbers unsigned and big-endian; `length` counts the bytes that
+//! follow it. The proxy sends the number of the last event that it has, 8 bytes, and nothing else.
 
-use super::WireError;
 use crate::endpoint_list::{EndpointRecord, ListedEndpoint, Sequenced, WatchEvent};
 use crate::settings::PlatformSettings;
 use crate::EndpointState;
 use bytes::{Buf, BufMut, BytesMut};
 use std::net::{Ipv4Addr, SocketAddrV4};
+use thiserror::Error;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The longest frame: some thousands of records.
+/// The longest frame, in bytes behind its length: some thousands of records.
 pub const MAX_FRAME: usize = 262_144;
-const RECORD: usize = 27;
+/// Bytes of the length before a frame.
+const LENGTH_BYTES: usize = 4;
+/// Bytes of a frame's number and kind.
+const HEADER_BYTES: usize = 9;
+/// Bytes of one endpoint's record.
+const RECORD_BYTES: usize = 27;
+/// Bytes of the purge of an object: the object and the time.
+const OBJECT_PURGE_BYTES: usize = 16;
+/// Bytes of the purge of a group: the group and the time.
+const GROUP_PURGE_BYTES: usize = 10;
 
-/// A frame as read: places in the settings' lists are not yet names.
+/// The kinds of frames.
+mod kind {
+    pub const HEARTBEAT: u8 = 0;
+    pub const FULL_LIST: u8 = 1;
+    pub const CHANGES: u8 = 2;
+    pub const OBJECT_PURGE: u8 = 3;
+    pub const GROUP_PURGE: u8 = 4;
+}
+
+/// A frame that cannot be read.
+#[derive(Debug, Error)]
+pub enum FrameError {
+    /// The connection failed.
+    #[error("socket: {0}")]
+    Io(#[from] std::io::Error),
+    /// The stated length is less than a number and a kind need.
+    #[error("a frame of {0} bytes is too short")]
+    TooShort(usize),
+    /// The stated length is above [`MAX_FRAME`].
+    #[error("a frame of {0} bytes is too large")]
+    TooLarge(usize),
+    /// The payload does not have the length of its kind.
+    #[error("a frame of kind {kind} with a payload of {length} bytes")]
+    PayloadLength {
+        /// The kind.
+        kind: u8,
+        /// The payload's length in bytes.
+        length: usize,
+    },
+    /// A field of an endpoint's record has a value that is unknown here.
+    #[error("endpoint {id:08x}: unknown {field} {value}")]
+    RecordField {
+        /// The endpoint's id.
+        id: u32,
+        /// The field.
+        field: &'static str,
+        /// Its value.
+        value: u8,
+    },
+}
+
+/// A frame as read. Its records refer to zones and kinds by their index in the settings.
 #[derive(Clone, Debug)]
 pub struct Frame {
-    /// The event's number.
-    pub no: u64,
-    /// What kind of event.
-    pub kind: u8,
+    /// The event's sequence number.
+    pub number: u64,
+    kind: u8,
     payload: BytesMut,
 }
 
 impl Frame {
-    /// The event that a frame means under these settings.
-    pub fn event(&self, env: &PlatformSettings) -> Result<Sequenced, WireError> {
+    /// Whether the frame only shows that the connection works. Its number is that of the last event.
+    pub fn is_heartbeat(&self) -> bool {
+        self.kind == kind::HEARTBEAT
+    }
+
+    /// The event that the frame means under these settings. A frame of an unknown kind, of a later version of the
+    /// protocol, is read as a heartbeat.
+    pub fn event(&self, settings: &PlatformSettings) -> Result<Sequenced, FrameError> {
         let mut payload = &self.payload[..];
         let event = match (self.kind, payload.len()) {
-            (0, 0) => WatchEvent::Heartbeat,
-            (1 | 2, n) if n % RECORD == 0 => {
-                let endpoints = self.records().map(|r| target(r, env)).collect::<Result<_, _>>()?;
-                WatchEvent::Endpoints { full: self.kind == 1, endpoints }
+            (kind::HEARTBEAT, 0) => WatchEvent::Heartbeat,
+            (kind::FULL_LIST | kind::CHANGES, length) if length % RECORD_BYTES == 0 => {
+                let endpoints = self.records().map(|record| decode_record(record, settings));
+                WatchEvent::Endpoints {
+                    full: self.kind == kind::FULL_LIST,
+                    endpoints: endpoints.collect::<Result<_, _>>()?,
+                }
             }
-            (3, 16) => {
+            (kind::OBJECT_PURGE, OBJECT_PURGE_BYTES) => {
                 let object = Some(payload.get_u64());
                 WatchEvent::Purge { object, group: 0, issued_ms: payload.get_u64() as f64 }
             }
-            (4, 10) => {
+            (kind::GROUP_PURGE, GROUP_PURGE_BYTES) => {
                 let group = u32::from(payload.get_u16());
                 WatchEvent::Purge { object: None, group, issued_ms: payload.get_u64() as f64 }
             }
-            (0..=4, _) => return Err(WireError::Malformed("a frame's length")),
-            // A kind of a later day: its number counts, its text is skipped.
+            (kind @ ..=kind::GROUP_PURGE, length) => return Err(FrameError::PayloadLength { kind, length }),
             _ => WatchEvent::Heartbeat,
         };
-        Ok(Sequenced { number: self.no, event })
+        Ok(Sequenced { number: self.number, event })
     }
 
-    /// The endpoints that can be read in a list or changes of it, whatever stands beside them.
-    pub fn readable(&self, env: &PlatformSettings) -> Vec<ListedEndpoint> {
-        self.records().filter_map(|r| target(r, env).ok()).collect()
+    /// The endpoints of a list whose records can be read, whatever else is in the frame.
+    pub fn readable_endpoints(&self, settings: &PlatformSettings) -> Vec<ListedEndpoint> {
+        self.records().filter_map(|record| decode_record(record, settings).ok()).collect()
     }
 
-    /// The records of a list or of changes of it.
+    /// The complete records of a list or of its changes.
     fn records(&self) -> impl Iterator<Item = &[u8]> {
-        let payload = if matches!(self.kind, 1 | 2) { &self.payload[..] } else { &[] };
-        payload.chunks_exact(RECORD)
+        let is_list = matches!(self.kind, kind::FULL_LIST | kind::CHANGES);
+        let payload = if is_list { &self.payload[..] } else { &[] };
+        payload.chunks_exact(RECORD_BYTES)
     }
 }
 
-fn target(mut buf: &[u8], env: &PlatformSettings) -> Result<ListedEndpoint, WireError> {
-    let id = buf.get_u32();
-    let address = SocketAddrV4::new(Ipv4Addr::from(buf.get_u32()), buf.get_u16());
-    let state = match buf.get_u8() {
+/// Decodes a record: `id:4 address:4 port:2 state:1 zone:1 kind:1 cell:2 weight:4 started:8`, the weight in thousandths
+/// and the start in Unix milliseconds.
+fn decode_record(mut record: &[u8], settings: &PlatformSettings) -> Result<ListedEndpoint, FrameError> {
+    let id = record.get_u32();
+    let unknown = |field, value| FrameError::RecordField { id, field, value };
+    let address = SocketAddrV4::new(Ipv4Addr::from(record.get_u32()), record.get_u16());
+    let state = match record.get_u8() {
         0 => EndpointState::Active,
         1 => EndpointState::Draining,
         2 => EndpointState::Removed,
-        _ => return Err(WireError::Malformed("a member's state")),
+        other => return Err(unknown("state", other)),
     };
-    let (zone, kind) = (usize::from(buf.get_u8()), usize::from(buf.get_u8()));
-    let zone = env.zone_name(zone).ok_or(WireError::Malformed("a member's zone"))?.to_string();
-    let kind = env.kind_name(kind).ok_or(WireError::Malformed("a member's kind"))?.to_string();
-    let cell = u32::from(buf.get_u16());
-    let capacity_hint = Some(f64::from(buf.get_u32()) / 1_000.0);
-    let started_at = buf.get_u64().saturating_mul(1_000);
+    let (zone, kind) = (record.get_u8(), record.get_u8());
+    let zone_name = settings.zone_name(zone.into()).ok_or_else(|| unknown("zone", zone))?;
+    let kind_name = settings.kind_name(kind.into()).ok_or_else(|| unknown("kind", kind))?;
+    let cell = u32::from(record.get_u16());
+    let capacity_hint = Some(f64::from(record.get_u32()) / 1_000.0);
+    let started_at = record.get_u64().saturating_mul(1_000);
+    let (zone, kind) = (zone_name.to_string(), kind_name.to_string());
     let record = EndpointRecord { id, zone, kind, state, started_at, capacity_hint, cell };
     Ok(ListedEndpoint { record, address })
 }
 
-/// Both directions of the connection to the bulletin: frames come in, numbers go out.
+/// The codec of a watch: decodes frames, encodes the number of the last event.
 #[derive(Debug, Default)]
 pub struct FrameCodec;
 
 impl Decoder for FrameCodec {
     type Item = Frame;
-    type Error = WireError;
+    type Error = FrameError;
 
-    fn decode(&mut self, buf: &mut BytesMut) -> Result<Option<Frame>, WireError> {
-        let Some(head) = buf.first_chunk::<4>() else { return Ok(None) };
-        let length = u32::from_be_bytes(*head) as usize;
-        if length < 9 {
-            return Err(WireError::Malformed("a frame's length"));
+    fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
+        let Some(length) = buffer.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+        let length = u32::from_be_bytes(*length) as usize;
+        if length < HEADER_BYTES {
+            return Err(FrameError::TooShort(length));
         }
         if length > MAX_FRAME {
-            return Err(WireError::TooLarge("a frame"));
+            return Err(FrameError::TooLarge(length));
         }
-        if buf.len() < 4 + length {
-            buf.reserve(4 + length - buf.len());
+        if buffer.len() < LENGTH_BYTES + length {
+            buffer.reserve(LENGTH_BYTES + length - buffer.len());
             return Ok(None);
         }
-        buf.advance(4);
-        let mut payload = buf.split_to(length);
-        let no = payload.get_u64();
+        buffer.advance(LENGTH_BYTES);
+        let mut payload = buffer.split_to(length);
+        let number = payload.get_u64();
         let kind = payload.get_u8();
-        Ok(Some(Frame { no, kind, payload }))
+        Ok(Some(Frame { number, kind, payload }))
     }
 }
 
 impl Encoder<u64> for FrameCodec {
-    type Error = WireError;
+    type Error = FrameError;
 
-    fn encode(&mut self, last: u64, out: &mut BytesMut) -> Result<(), WireError> {
-        out.put_u64(last);
+    fn encode(&mut self, last_number: u64, out: &mut BytesMut) -> Result<(), FrameError> {
+        out.put_u64(last_number);
         Ok(())
     }
 }
--- a/src/wire/discovery_json.rs
+++ b/src/wire/discovery_json.rs
@@ -1,116 +1,187 @@
-//! The events of the discovery stream as JSON, as the configuration and a registry's values hold them.
+//! The events of the discovery service as JSON: the platform's spelling in the configuration's `known` and in the
+//! values of a registry, mapped to [`WatchEvent`] and [`ListedEndpoint`].
 
 use crate::endpoint_list::{EndpointRecord, ListedEndpoint, Sequenced, WatchEvent};
 use crate::text::{parse_endpoint_id, parse_hex16};
 use crate::EndpointState;
 use serde::Deserialize;
+use thiserror::Error;
 
-/// `known` of the configuration: the events of the start.
+/// An endpoint's JSON that cannot be used.
+#[derive(Debug, Error)]
+pub enum EndpointJsonError {
+    /// The text is no JSON of the expected type.
+    #[error("{0}")]
+    Malformed(#[from] simd_json::Error),
+    /// The value of a field cannot be used.
+    #[error("{field} {value:?}")]
+    Field {
+        /// The field.
+        field: &'static str,
+        /// Its value.
+        value: String,
+    },
+}
+
+impl EndpointJsonError {
+    fn field(field: &'static str, value: &str) -> Self {
+        Self::Field { field, value: value.to_string() }
+    }
+}
+
+/// What is wrong with an event of the initial state.
+#[derive(Debug, Error)]
+pub enum EventFault {
+    /// An endpoint of the list cannot be used.
+    #[error(transparent)]
+    Endpoint(#[from] EndpointJsonError),
+    /// The id of a purged object is not 16 hex digits.
+    #[error("object {0:?}")]
+    PurgedObject(String),
+    /// A purge names neither an object nor a group.
+    #[error("a purge of nothing")]
+    EmptyPurge,
+}
+
+/// An event of the initial state that cannot be used.
+#[derive(Debug, Error)]
+#[error("event {number}: {source}")]
+pub struct InitialStateError {
+    /// The event's sequence number.
+    pub number: u64,
+    /// What is wrong with it.
+    pub source: EventFault,
+}
+
+/// The events that the configuration holds at a start, under `known`.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct InitialState {
-    /// Number of the last of them.
-    #[serde(default)]
-    pub no: u64,
-    /// The events.
-    #[serde(default)]
-    items: Vec<Item>,
+    /// The sequence number of the last event.
+    #[serde(rename = "no", default)]
+    pub last_number: u64,
+    #[serde(rename = "items", default)]
+    events: Vec<EventJson>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-struct Item {
-    no: u64,
-    roster: Option<Listed>,
-    recall: Option<Recall>,
+struct EventJson {
+    #[serde(rename = "no")]
+    number: u64,
+    #[serde(rename = "roster")]
+    list: Option<ListJson>,
+    #[serde(rename = "recall")]
+    purge: Option<PurgeJson>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-struct Listed {
-    #[serde(default)]
-    all: bool,
-    #[serde(default)]
-    targets: Vec<EndpointJson>,
+struct ListJson {
+    #[serde(rename = "all", default)]
+    full: bool,
+    #[serde(rename = "targets", default)]
+    endpoints: Vec<EndpointJson>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-struct Recall {
-    item: Option<String>,
-    lot: Option<u32>,
-    issued: f64,
+struct PurgeJson {
+    #[serde(rename = "item")]
+    object: Option<String>,
+    #[serde(rename = "lot")]
+    group: Option<u32>,
+    #[serde(rename = "issued")]
+    issued_ms: f64,
 }
 
-/// One endpoint as JSON, as the configuration's `known` and a registry's values word it:
-/// `{"uid":"s-00c41f7a","endpoint":"10.1.0.9:5050","az":"east","model":"std","pod_group":2,"state":"Ready",
-/// "capacity_hint":4,"boot_ms":0}`.
+/// One endpoint as JSON: `{"uid":"s-00c41f7a","endpoint":"10.1.0.9:5050","az":"east","model":"std","pod_group":2,
+/// "state":"Ready","capacity_hint":4,"boot_ms":0}`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointJson {
-    uid: String,
-    endpoint: String,
-    #[serde(default)]
-    az: String,
-    #[serde(default)]
-    model: String,
-    #[serde(default)]
-    pod_group: u32,
+    #[serde(rename = "uid")]
+    id: String,
+    #[serde(rename = "endpoint")]
+    address: String,
+    #[serde(rename = "az", default)]
+    zone: String,
+    #[serde(rename = "model", default)]
+    kind: String,
+    #[serde(rename = "pod_group", default)]
+    cell: u32,
     state: String,
     capacity_hint: Option<f64>,
-    #[serde(default)]
-    boot_ms: f64,
+    #[serde(rename = "boot_ms", default)]
+    started_at_ms: f64,
 }
 
 impl InitialState {
-    /// The events, in order; else what is wrong with which of them.
-    pub fn events(&self) -> Result<Vec<Sequenced>, String> {
-        self.items.iter().map(|item| item.event().map_err(|e| format!("event {}: {e}", item.no))).collect()
+    /// The events in their order.
+    pub fn events(&self) -> Result<Vec<Sequenced>, InitialStateError> {
+        self.events.iter().map(EventJson::sequenced).collect()
     }
 }
 
-impl Item {
-    fn event(&self) -> Result<Sequenced, String> {
-        let event = match (&self.roster, &self.recall) {
-            (Some(list), _) => {
-                let endpoints = list.targets.iter().map(EndpointJson::target).collect::<Result<_, _>>()?;
-                WatchEvent::Endpoints { full: list.all, endpoints }
-            }
-            (None, Some(recall)) => match (&recall.item, recall.lot) {
-                (Some(item), _) => {
-                    let object = parse_hex16(item).ok_or_else(|| format!("object {item:?}"))?;
-                    WatchEvent::Purge { object: Some(object), group: 0, issued_ms: recall.issued }
-                }
-                (None, Some(lot)) => WatchEvent::Purge { object: None, group: lot, issued_ms: recall.issued },
-                (None, None) => return Err("a purge of nothing".into()),
-            },
-            (None, None) => WatchEvent::Heartbeat,
-        };
-        Ok(Sequenced { number: self.no, event })
+impl EventJson {
+    fn sequenced(&self) -> Result<Sequenced, InitialStateError> {
+        let number = self.number;
+        let event = self.event().map_err(|source| InitialStateError { number, source })?;
+        Ok(Sequenced { number, event })
+    }
+
+    fn event(&self) -> Result<WatchEvent, EventFault> {
+        match (&self.list, &self.purge) {
+            (Some(list), _) => list.event(),
+            (None, Some(purge)) => purge.event(),
+            (None, None) => Ok(WatchEvent::Heartbeat),
+        }
+    }
+}
+
+impl ListJson {
+    fn event(&self) -> Result<WatchEvent, EventFault> {
+        let endpoints = self.endpoints.iter().map(ListedEndpoint::try_from).collect::<Result<_, _>>()?;
+        Ok(WatchEvent::Endpoints { full: self.full, endpoints })
+    }
+}
+
+impl PurgeJson {
+    fn event(&self) -> Result<WatchEvent, EventFault> {
+        let issued_ms = self.issued_ms;
+        if let Some(text) = &self.object {
+            let object = parse_hex16(text).ok_or_else(|| EventFault::PurgedObject(text.clone()))?;
+            return Ok(WatchEvent::Purge { object: Some(object), group: 0, issued_ms });
+        }
+        let group = self.group.ok_or(EventFault::EmptyPurge)?;
+        Ok(WatchEvent::Purge { object: None, group, issued_ms })
     }
 }
 
 impl EndpointJson {
-    /// An endpoint from its JSON; what is wrong, where it can't be used.
-    pub fn parse(bytes: &[u8]) -> Result<ListedEndpoint, String> {
-        let mut bytes = bytes.to_vec();
-        let line: EndpointJson = simd_json::from_slice(&mut bytes).map_err(|e| e.to_string())?;
-        line.target()
+    /// Parses the JSON of one endpoint.
+    pub fn parse(bytes: &[u8]) -> Result<ListedEndpoint, EndpointJsonError> {
+        let json: Self = simd_json::from_slice(&mut bytes.to_vec())?;
+        ListedEndpoint::try_from(&json)
     }
+}
+
+impl TryFrom<&EndpointJson> for ListedEndpoint {
+    type Error = EndpointJsonError;
 
-    /// The endpoint that it names.
-    pub fn target(&self) -> Result<ListedEndpoint, String> {
-        let id = parse_endpoint_id(&self.uid).ok_or_else(|| format!("uid {:?}", self.uid))?;
-        let address = self.endpoint.parse().map_err(|_| format!("endpoint {:?}", self.endpoint))?;
-        let state = match self.state.as_str() {
+    fn try_from(json: &EndpointJson) -> Result<Self, EndpointJsonError> {
+        let id = parse_endpoint_id(&json.id).ok_or_else(|| EndpointJsonError::field("uid", &json.id))?;
+        let address =
+            json.address.parse().map_err(|_| EndpointJsonError::field("endpoint", &json.address))?;
+        let state = match json.state.as_str() {
             "Ready" => EndpointState::Active,
             "Terminating" => EndpointState::Draining,
             "Gone" => EndpointState::Removed,
-            other => return Err(format!("state {other:?}")),
+            other => return Err(EndpointJsonError::field("state", other)),
         };
         let record = EndpointRecord {
             id,
-            zone: self.az.clone(),
-            kind: self.model.clone(),
+            zone: json.zone.clone(),
+            kind: json.kind.clone(),
             state,
-            started_at: crate::clock::micros_from_ms(self.boot_ms),
-            capacity_hint: self.capacity_hint,
-            cell: self.pod_group,
+            started_at: crate::clock::micros_from_ms(json.started_at_ms),
+            capacity_hint: json.capacity_hint,
+            cell: json.cell,
         };
         Ok(ListedEndpoint { record, address })
     }
--- a/tests/endpoints/mod.rs
+++ b/tests/endpoints/mod.rs
@@ -21,7 +21,7 @@
         kind: kind.into(),
         state,
         started_at: 0,
-        id: id,
+        id,
         capacity_hint: Some(4.0),
         cell: 0,
     };
