--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -2,7 +2,7 @@
 
 use edge_proxy::endpoint_list::EndpointRecord;
 use edge_proxy::settings::{lenient, PlatformSettings};
-use edge_proxy::wire::response_path::PathNote;
+use edge_proxy::wire::response_path::ResponsePath;
 use edge_proxy::{Action, AttemptOutcome, EndpointState, Event};
 use serde::{Deserialize, Serialize};
 
@@ -215,7 +215,7 @@
                 id: request_id.0,
                 attempt: hop,
                 outcome: outcome(&status)?,
-                cache_status: PathNote::from_number(detail).into(),
+                cache_status: ResponsePath::from_number(detail).into(),
                 elapsed: took_us,
                 closed,
             },
--- a/src/engine/answers.rs
+++ b/src/engine/answers.rs
@@ -3,7 +3,7 @@
 use super::{Effect, Engine};
 use crate::state::connections::ConnId;
 use crate::state::requests::{FinalResponse, IncomingRequest};
-use crate::wire::cache_codec::{Reply, Word};
+use crate::wire::cache_message::{CacheReply, ReplyStatus};
 use crate::{AttemptOutcome, RequestId};
 
 /// With less than this left of its time, in milliseconds, a request that ends has ended for want of it: the module
@@ -12,23 +12,25 @@
 
 impl Engine {
     /// An endpoint answered.
-    pub fn answered(&mut self, conn: ConnId, reply: Reply) {
+    pub fn answered(&mut self, conn: ConnId, reply: CacheReply) {
         let now = self.clock.now();
         let Some(c) = self.connections.get_mut(conn) else { return };
         (c.read_ms, c.used_ms, c.unheard) = (now, now, 0);
-        let Some(id) = c.out.remove(&reply.id) else {
+        let Some(id) = c.out.remove(&reply.request_id) else {
             // An answer that crossed a DROP, a second one, or one to nothing that was asked here: no client gets it.
             self.counters.member_late += 1;
             return;
         };
         // Guards a later attempt of the same request, which has the same id: the answer may come a second time.
         c.close_to(id.0);
-        let (outcome, counter) = match reply.word {
-            Word::Ack | Word::Nomod => (AttemptOutcome::Served, &mut self.counters.member_ok),
-            Word::Noent => (AttemptOutcome::CacheMiss, &mut self.counters.member_miss),
-            Word::Again => (AttemptOutcome::Rejected, &mut self.counters.member_full),
-            Word::Eio => (AttemptOutcome::Error, &mut self.counters.member_error),
-            Word::Stale => (AttemptOutcome::NotSent, &mut self.counters.member_miss),
+        let (outcome, counter) = match reply.status {
+            ReplyStatus::Served | ReplyStatus::NotModified => {
+                (AttemptOutcome::Served, &mut self.counters.member_ok)
+            }
+            ReplyStatus::Miss => (AttemptOutcome::CacheMiss, &mut self.counters.member_miss),
+            ReplyStatus::Overloaded => (AttemptOutcome::Rejected, &mut self.counters.member_full),
+            ReplyStatus::Error => (AttemptOutcome::Error, &mut self.counters.member_error),
+            ReplyStatus::Expired => (AttemptOutcome::NotSent, &mut self.counters.member_miss),
         };
         *counter += 1;
         if outcome == AttemptOutcome::Served && self.purged(id.0, &reply) {
@@ -38,9 +40,9 @@
             return self.effects.push_back(Effect::Wake(conn));
         }
         if outcome == AttemptOutcome::Served {
-            let tag = reply.tag;
+            let tag = reply.entity_tag;
             // An endpoint says that the client's copy holds only where the request named that very copy.
-            let same = reply.word == Word::Nomod;
+            let same = reply.status == ReplyStatus::NotModified;
             let named = |ask: &IncomingRequest| ask.cached.is_some() && (tag.is_none() || tag == ask.cached);
             if same && self.requests.get(id.0).is_some_and(|ask| !named(ask)) {
                 self.settle(id, AttemptOutcome::Malformed);
@@ -54,18 +56,25 @@
             };
             self.finish(id.0, answer);
         }
-        self.settle_noted(id, outcome, reply.note.into());
+        self.settle_noted(id, outcome, reply.path.into());
         self.run();
         self.effects.push_back(Effect::Wake(conn));
     }
 
     /// Whether a read's answer carries a copy that a fleet purge removed.
-    fn purged(&mut self, id: RequestId, reply: &Reply) -> bool {
+    fn purged(&mut self, id: RequestId, reply: &CacheReply) -> bool {
         let (Some(guard), Some(ask)) = (&mut self.purge, self.requests.get(id)) else { return false };
         let Some(class) = self.env.class_name(ask.class).filter(|_| !self.env.is_write(ask.class)) else {
             return false;
         };
-        let removed = guard.removes(class, ask.object, ask.part, ask.group, reply.born, &reply.tags);
+        let removed = guard.removes(
+            class,
+            ask.object,
+            ask.part,
+            ask.group,
+            reply.generated_at_ms,
+            &reply.surrogate_keys,
+        );
         if let Some(mark) = removed {
             tracing::debug!(
                 id = ask.id_text,
--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -5,7 +5,7 @@
 use crate::state::attempts::{Attempt, AttemptId, Stage};
 use crate::state::connections::{ConnId, Place};
 use crate::state::requests::IncomingRequest;
-use crate::wire::cache_codec::Get;
+use crate::wire::cache_message::CacheRequest;
 use crate::{AttemptOutcome, CacheStatus, EndpointId, Event, RequestId};
 
 /// Silence on a connection, in milliseconds, after which an attempt that timed out there says that the path is
@@ -53,7 +53,7 @@
     }
 
     /// Marks an attempt as written from now on, and words it; none if it is stale.
-    pub(super) fn written(&mut self, now: f64, id: AttemptId) -> Option<Get> {
+    pub(super) fn written(&mut self, now: f64, id: AttemptId) -> Option<CacheRequest> {
         let ask = self.requests.get(id.0)?;
         let attempt = self.attempts.get_mut(id)?;
         let able = |endpoint: EndpointId| self.roster.address(endpoint).is_some();
@@ -83,20 +83,20 @@
         attempt.stage = Stage::Written(now);
         self.counters.attempts_written += 1;
         self.tallies.of(self.env.class_name(ask.class)?).tries += 1;
-        Some(Get {
+        Some(CacheRequest {
             id: ask.id_text.clone(),
             class: self.env.class_name(ask.class)?.to_string(),
             object: ask.object_text.clone(),
             part: ask.part,
-            wait_ms: (left as u64).max(1),
-            key: ask.key.clone(),
-            source: attempt.source,
-            keep: attempt.keep,
+            timeout_ms: (left as u64).max(1),
+            idempotency_key: ask.key.clone(),
+            fill_source: attempt.source,
+            retention_rank: attempt.keep,
             max_age_ms,
-            join: attempt.join,
+            join_fill: attempt.join,
             only_if_cached: attempt.only_if_cached,
-            revalidate: attempt.revalidate,
-            cached: ask.cached.clone(),
+            background_refresh: attempt.revalidate,
+            client_tag: ask.cached.clone(),
             group,
             body: ask.body.clone(),
         })
--- a/src/engine/effects.rs
+++ b/src/engine/effects.rs
@@ -2,7 +2,7 @@
 
 use crate::state::connections::ConnId;
 use crate::state::requests::FinalResponse;
-use crate::wire::cache_codec::Command;
+use crate::wire::cache_message::CacheCommand;
 use crate::RequestId;
 use std::net::SocketAddrV4;
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Next {
     /// This, beginning now.
-    Write(Command),
+    Write(CacheCommand),
     /// Nothing for now.
     Idle,
     /// Nothing any more: the connection is to be closed.
--- a/src/engine/upstream.rs
+++ b/src/engine/upstream.rs
@@ -3,7 +3,7 @@
 use super::{Effect, Engine, Next};
 use crate::state::attempts::{Attempt, AttemptId};
 use crate::state::connections::ConnId;
-use crate::wire::cache_codec::Command;
+use crate::wire::cache_message::CacheCommand;
 use crate::AttemptOutcome;
 use std::collections::VecDeque;
 
@@ -79,13 +79,13 @@
             let Some(c) = self.connections.get_mut(conn) else { return Next::Close };
             if let Some(text) = c.drops.pop_front() {
                 c.used_ms = now;
-                return Next::Write(Command::Drop(text));
+                return Next::Write(CacheCommand::Cancel(text));
             }
             let Some(id) = c.queue.pop_front() else {
                 return if c.closing && c.load() == 0 { Next::Close } else { Next::Idle };
             };
             if let Some(get) = self.written(now, id) {
-                return Next::Write(Command::Get(Box::new(get)));
+                return Next::Write(CacheCommand::Send(Box::new(get)));
             }
             self.counters.attempts_stale += 1;
             self.settle(id, AttemptOutcome::NotSent);
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -1,266 +1,338 @@
-//! The pop caches' protocol: lines of words that end in CR LF, with bodies of a stated length.
+//! The platform's cache protocol: lines of words that end in CR LF, with bodies of a stated length. Its words and field
+//! names are mapped here, and nowhere else, to the messages of [`cache_message`](super::cache_message).
 
-use super::response_path::PathNote;
-use super::WireError;
+use super::cache_message::{CacheCommand, CacheReply, CacheRequest, ReplyStatus};
+use super::response_path::ResponsePath;
 use crate::purge::selector::Tag;
 use crate::text::{format_endpoint_id, parse_hex16};
-use bytes::{Buf, BufMut, Bytes, BytesMut};
+use bytes::{Buf, BufMut, BytesMut};
 use std::fmt::Write as _;
+use thiserror::Error;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The longest line that a pop cache may send.
+/// The longest line of a reply, in bytes.
 pub const MAX_LINE: usize = 4_096;
-/// The largest body that a pop cache may send: the largest object.
+/// The longest body of a reply, in bytes: the largest object.
 pub const MAX_BODY: usize = 240_000;
 
-/// How a pop cache ended a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
-    /// The bytes.
-    Ack,
-    /// The client's copy is the one.
-    Nomod,
-    /// A miss: it never ran.
-    Noent,
-    /// Full: it never ran.
-    Again,
-    /// An error: it may have run.
-    Eio,
-    /// Over before it came: it never ran.
-    Stale,
+const LINE_END: &[u8] = b"\r\n";
+/// Stands for an empty list of fields.
+const NO_FIELDS: &str = "-";
+
+/// The words of the protocol.
+mod word {
+    pub const SEND: &str = "GET";
+    pub const CANCEL: &str = "DROP";
+    pub const SERVED: &str = "ACK";
+    pub const NOT_MODIFIED: &str = "NOMOD";
+    pub const MISS: &str = "NOENT";
+    pub const OVERLOADED: &str = "AGAIN";
+    pub const ERROR: &str = "EIO";
+    pub const EXPIRED: &str = "STALE";
+    /// The reply to a ping, which carries no message.
+    pub const PING_REPLY: &str = "READY";
+}
+
+/// The names of a request's fields.
+mod request_field {
+    pub const CLASS: &str = "c";
+    pub const OBJECT: &str = "k";
+    pub const PART: &str = "p";
+    pub const TIMEOUT: &str = "w";
+    pub const IDEMPOTENCY_KEY: &str = "i";
+    pub const FILL_SOURCE: &str = "next";
+    pub const RETENTION_RANK: &str = "admit";
+    pub const MAX_AGE: &str = "agelim";
+    pub const OPTIONS: &str = "ways";
+    pub const CLIENT_TAG: &str = "cached";
+    pub const GROUP: &str = "g";
 }
 
-/// An answer.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Reply {
-    /// Id of the request.
-    pub id: u64,
-    /// How it ended.
-    pub word: Word,
-    /// Tag of the copy, where there is one.
-    pub tag: Option<String>,
-    /// The Unix millisecond at which the origin gave out this copy.
-    pub born: Option<f64>,
-    /// The copy's surrogate keys, where the endpoint tells them (`tags=a+b`, boxes that take fleet purges).
-    pub tags: Vec<Tag>,
-    /// What it says of the path it took; none where it says nothing that is known.
-    pub note: Option<PathNote>,
-    /// The bytes.
-    pub body: Bytes,
+/// The options of a request, joined by `+`.
+mod request_option {
+    pub const JOIN_FILL: &str = "ride";
+    pub const ONLY_IF_CACHED: &str = "have-only";
+    pub const BACKGROUND_REFRESH: &str = "update";
 }
 
-/// A request to a pop cache.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Get {
-    /// Id, as the client wrote it.
-    pub id: String,
-    /// Class.
-    pub class: String,
-    /// Object, as the client wrote it.
-    pub object: String,
-    /// Part.
-    pub part: u32,
-    /// How long an answer is waited for, in milliseconds.
-    pub wait_ms: u64,
-    /// Idempotency key.
-    pub key: Option<String>,
-    /// Where a miss is filled from.
-    pub source: Option<u32>,
-    /// Rank at which the object is kept.
-    pub keep: u8,
-    /// The oldest copy that will do, in milliseconds; 0 is the class's own bound.
-    pub max_age_ms: u64,
-    /// Join a fill under way.
-    pub join: bool,
-    /// The source gives only what it holds.
-    pub only_if_cached: bool,
-    /// Renew an ageing copy behind.
-    pub revalidate: bool,
-    /// Bare tag of the client's copy.
-    pub cached: Option<String>,
-    /// The object's group, told to boxes that take fleet purges by group; none on the platform.
-    pub group: Option<u32>,
-    /// Body of a write.
-    pub body: Bytes,
+/// The names of a reply's fields.
+mod reply_field {
+    pub const ENTITY_TAG: &str = "sum";
+    pub const GENERATED_AT: &str = "t0";
+    pub const SURROGATE_KEYS: &str = "tags";
+    pub const PATH: &str = "note";
 }
 
-/// What is written to a pop cache.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Command {
-    /// A request.
-    Get(Box<Get>),
-    /// Gives a request up.
-    Drop(String),
+/// What a cache sent that cannot be read.
+#[derive(Debug, Error)]
+pub enum ReplyError {
+    /// The connection failed.
+    #[error("socket: {0}")]
+    Io(#[from] std::io::Error),
+    /// A line is longer than [`MAX_LINE`].
+    #[error("a line is longer than {MAX_LINE} bytes")]
+    LineTooLong,
+    /// A line is not UTF-8.
+    #[error("a line is not UTF-8")]
+    NotUtf8,
+    /// A line has a single word.
+    #[error("a reply without a status")]
+    MissingStatus,
+    /// A line has words behind the length of the body.
+    #[error("words behind the length of the body")]
+    TooManyWords,
+    /// The status is unknown.
+    #[error("unknown status {0:?}")]
+    UnknownStatus(String),
+    /// The request's id is not 16 hex digits.
+    #[error("request id {0:?}")]
+    RequestId(String),
+    /// The length of the body is no number.
+    #[error("body length {0:?}")]
+    BodyLength(String),
+    /// The body is longer than [`MAX_BODY`].
+    #[error("a body of {0} bytes is too large")]
+    BodyTooLarge(usize),
+    /// A status that carries no bytes came with a body.
+    #[error("a body of {0} bytes where the status allows none")]
+    UnexpectedBody(usize),
+    /// The body does not end where its length says.
+    #[error("a body does not end at its stated length")]
+    BodyEnd,
+    /// The value of a field cannot be read.
+    #[error("field {0:?}")]
+    Field(String),
 }
 
-/// Both directions of a connection to a pop cache.
+/// The codec of a connection to a cache: decodes replies, encodes commands.
 #[derive(Debug, Default)]
 pub struct LineCodec {
-    /// An answer whose body is not whole yet, with the body's length.
-    partial: Option<(Reply, usize)>,
-    /// How much of the buffer holds no line's end, so that no byte is searched twice.
+    /// A reply whose body is not complete yet.
+    partial: Option<PartialReply>,
+    /// Length of the buffer's start that contains no line end, so that no byte is searched twice.
     searched: usize,
 }
 
+/// A reply without its body.
+#[derive(Debug)]
+struct PartialReply {
+    reply: CacheReply,
+    body_length: usize,
+}
+
 impl LineCodec {
-    /// Whether it is in the middle of an answer; `buf` is what is read and not yet decoded.
-    pub fn within(&self, buf: &[u8]) -> bool {
-        // The end of an empty body may come with the next answer.
-        self.partial.is_some() || !b"\r\n".starts_with(buf)
+    /// Whether the codec is in the middle of a reply; `buffer` has been read and not yet decoded.
+    pub fn is_within_reply(&self, buffer: &[u8]) -> bool {
+        // The end of an empty body may come with the next reply.
+        self.partial.is_some() || !LINE_END.starts_with(buffer)
     }
 
-    fn line(&mut self, text: &str) -> Result<Option<(Reply, usize)>, WireError> {
-        let mut words = text.split(' ');
-        let (Some(id), Some(word)) = (words.next(), words.next()) else {
-            return Err(WireError::Malformed("an answer of one word"));
-        };
-        let word = match word {
-            "ACK" => Word::Ack,
-            "NOMOD" => Word::Nomod,
-            "NOENT" => Word::Noent,
-            "AGAIN" => Word::Again,
-            "EIO" => Word::Eio,
-            "STALE" => Word::Stale,
-            "READY" => return Ok(None),
-            _ => return Err(WireError::Malformed("an unknown answer")),
+    /// Takes the next line, without its end, out of the buffer.
+    fn next_line(&mut self, buffer: &mut BytesMut) -> Result<Option<BytesMut>, ReplyError> {
+        let start = self.searched.saturating_sub(1);
+        let end = buffer[start..].windows(LINE_END.len()).position(|bytes| bytes == LINE_END);
+        let length = end.map_or(buffer.len(), |offset| start + offset);
+        if length > MAX_LINE {
+            return Err(ReplyError::LineTooLong);
+        }
+        if end.is_none() {
+            self.searched = buffer.len();
+            return Ok(None);
+        }
+        self.searched = 0;
+        let line = buffer.split_to(length);
+        buffer.advance(LINE_END.len());
+        Ok(Some(line))
+    }
+}
+
+impl PartialReply {
+    /// Parses the line of a reply; none for the reply to a ping.
+    fn parse(line: &str) -> Result<Option<Self>, ReplyError> {
+        let mut words = line.split(' ');
+        let (Some(id), Some(status)) = (words.next(), words.next()) else {
+            return Err(ReplyError::MissingStatus);
         };
-        let id = parse_hex16(id).ok_or(WireError::Malformed("an answer's id"))?;
-        let (fields, length) = (words.next().unwrap_or("-"), words.next().unwrap_or("0"));
+        let Some(status) = parse_status(status)? else { return Ok(None) };
+        let request_id = parse_hex16(id).ok_or_else(|| ReplyError::RequestId(id.to_string()))?;
+        let (fields, body_length) = (words.next().unwrap_or(NO_FIELDS), words.next().unwrap_or("0"));
         if words.next().is_some() {
-            return Err(WireError::Malformed("too many words"));
-        }
-        let length: usize = length.parse().map_err(|_| WireError::Malformed("an answer's length"))?;
-        if length > MAX_BODY {
-            return Err(WireError::TooLarge("an answer's body"));
+            return Err(ReplyError::TooManyWords);
         }
-        let (mut tag, mut born, mut tags, mut note) = (None, None, Vec::new(), None);
-        for field in fields.split(',').filter(|f| *f != "-") {
-            // A note only helps to place blame: one that can't be read, even without a value, costs no answer.
-            if field == "note" {
-                continue;
-            }
-            let (name, value) = field.split_once('=').ok_or(WireError::Malformed("a field"))?;
-            match name {
-                "note" => note = PathNote::from_word(value),
-                "sum" => tag = Some(value.to_string()),
-                "t0" => born = Some(value.parse().map_err(|_| WireError::Malformed("t0"))?),
-                "tags" => {
-                    let each = value
-                        .split('+')
-                        .map(|text| Tag::new(text).map_err(|_| WireError::Malformed("a tag")));
-                    tags = each.collect::<Result<_, _>>()?;
-                }
-                _ => {}
-            }
+        let body_length = parse_body_length(body_length, status)?;
+        let mut reply = CacheReply::new(request_id, status);
+        fields.split(',').filter(|field| *field != NO_FIELDS).try_for_each(|field| {
+            parse_field(field, &mut reply).ok_or_else(|| ReplyError::Field(field.to_string()))
+        })?;
+        Ok(Some(Self { reply, body_length }))
+    }
+
+    /// Bytes of the body with its end that are not in the buffer yet.
+    fn missing(&self, buffer: &BytesMut) -> usize {
+        (self.body_length + LINE_END.len()).saturating_sub(buffer.len())
+    }
+
+    /// Takes the body and its end out of a buffer that holds both.
+    fn complete(self, buffer: &mut BytesMut) -> Result<CacheReply, ReplyError> {
+        let body = buffer.split_to(self.body_length).freeze();
+        if !buffer.starts_with(LINE_END) {
+            return Err(ReplyError::BodyEnd);
         }
-        if word != Word::Ack && length > 0 {
-            return Err(WireError::Malformed("a body where none belongs"));
+        buffer.advance(LINE_END.len());
+        Ok(CacheReply { body, ..self.reply })
+    }
+}
+
+/// The status of a reply; none for the reply to a ping.
+fn parse_status(text: &str) -> Result<Option<ReplyStatus>, ReplyError> {
+    Ok(Some(match text {
+        word::SERVED => ReplyStatus::Served,
+        word::NOT_MODIFIED => ReplyStatus::NotModified,
+        word::MISS => ReplyStatus::Miss,
+        word::OVERLOADED => ReplyStatus::Overloaded,
+        word::ERROR => ReplyStatus::Error,
+        word::EXPIRED => ReplyStatus::Expired,
+        word::PING_REPLY => return Ok(None),
+        _ => return Err(ReplyError::UnknownStatus(text.to_string())),
+    }))
+}
+
+fn parse_body_length(text: &str, status: ReplyStatus) -> Result<usize, ReplyError> {
+    let length = text.parse().map_err(|_| ReplyError::BodyLength(text.to_string()))?;
+    if length > MAX_BODY {
+        return Err(ReplyError::BodyTooLarge(length));
+    }
+    if status != ReplyStatus::Served && length > 0 {
+        return Err(ReplyError::UnexpectedBody(length));
+    }
+    Ok(length)
+}
+
+/// Sets the field of a reply; none where its value cannot be read. Unknown fields are ignored.
+fn parse_field(field: &str, reply: &mut CacheReply) -> Option<()> {
+    // The path only helps to place blame: one that cannot be read, even without a value, spoils no reply.
+    if field == reply_field::PATH {
+        return Some(());
+    }
+    let (name, value) = field.split_once('=')?;
+    match name {
+        reply_field::PATH => reply.path = ResponsePath::from_name(value),
+        reply_field::ENTITY_TAG => reply.entity_tag = Some(value.to_string()),
+        reply_field::GENERATED_AT => reply.generated_at_ms = Some(value.parse().ok()?),
+        reply_field::SURROGATE_KEYS => {
+            let keys = value.split('+').map(|text| Tag::new(text).ok());
+            reply.surrogate_keys = keys.collect::<Option<_>>()?;
         }
-        Ok(Some((Reply { id, word, tag, born, tags, note, body: Bytes::new() }, length)))
+        _ => {}
     }
+    Some(())
 }
 
 impl Decoder for LineCodec {
-    type Item = Reply;
-    type Error = WireError;
+    type Item = CacheReply;
+    type Error = ReplyError;
 
-    fn decode(&mut self, buf: &mut BytesMut) -> Result<Option<Reply>, WireError> {
+    fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<CacheReply>, ReplyError> {
         loop {
-            if let Some((reply, length)) = self.partial.take() {
-                if buf.len() < length + 2 {
-                    buf.reserve(length + 2 - buf.len());
-                    self.partial = Some((reply, length));
-                    return Ok(None);
-                }
-                let body = buf.split_to(length).freeze();
-                if &buf[..2] != b"\r\n" {
-                    return Err(WireError::Malformed("a body's end"));
-                }
-                buf.advance(2);
-                return Ok(Some(Reply { body, ..reply }));
-            }
-            let from = self.searched.saturating_sub(1);
-            let Some(end) = buf[from..].windows(2).position(|w| w == b"\r\n").map(|k| from + k) else {
-                self.searched = buf.len();
-                if buf.len() > MAX_LINE {
-                    return Err(WireError::TooLarge("a line"));
-                }
+            let missing = self.partial.as_ref().map_or(0, |partial| partial.missing(buffer));
+            if missing > 0 {
+                buffer.reserve(missing);
                 return Ok(None);
-            };
-            self.searched = 0;
-            if end > MAX_LINE {
-                return Err(WireError::TooLarge("a line"));
             }
-            let line = buf.split_to(end + 2);
-            if end == 0 {
+            if let Some(partial) = self.partial.take() {
+                return partial.complete(buffer).map(Some);
+            }
+            let Some(line) = self.next_line(buffer)? else { return Ok(None) };
+            if line.is_empty() {
                 continue;
             }
-            let text =
-                std::str::from_utf8(&line[..end]).map_err(|_| WireError::Malformed("a line's bytes"))?;
-            match self.line(text)? {
+            let text = std::str::from_utf8(&line).map_err(|_| ReplyError::NotUtf8)?;
+            match PartialReply::parse(text)? {
                 // The end of an empty body is skipped as an empty line, so nothing is waited for.
-                Some((reply, 0)) => return Ok(Some(reply)),
-                other => self.partial = other,
+                Some(PartialReply { reply, body_length: 0 }) => return Ok(Some(reply)),
+                partial => self.partial = partial,
             }
         }
     }
 
-    fn decode_eof(&mut self, buf: &mut BytesMut) -> Result<Option<Reply>, WireError> {
-        // A cut answer is none: what is left at the end of a connection is dropped with it.
-        self.decode(buf)
+    fn decode_eof(&mut self, buffer: &mut BytesMut) -> Result<Option<CacheReply>, ReplyError> {
+        // A truncated reply is dropped with its connection.
+        self.decode(buffer)
     }
 }
 
-impl Encoder<Command> for LineCodec {
-    type Error = WireError;
+impl Encoder<CacheCommand> for LineCodec {
+    type Error = ReplyError;
 
-    fn encode(&mut self, command: Command, out: &mut BytesMut) -> Result<(), WireError> {
-        let get = match command {
-            Command::Drop(id) => {
-                out.reserve(id.len() + 8);
-                out.put_slice(b"DROP ");
+    fn encode(&mut self, command: CacheCommand, out: &mut BytesMut) -> Result<(), ReplyError> {
+        match command {
+            CacheCommand::Cancel(id) => {
+                out.reserve(word::CANCEL.len() + 1 + id.len() + LINE_END.len());
+                out.put_slice(word::CANCEL.as_bytes());
+                out.put_u8(b' ');
                 out.put_slice(id.as_bytes());
-                out.put_slice(b"\r\n");
-                return Ok(());
+                out.put_slice(LINE_END);
+            }
+            CacheCommand::Send(request) => {
+                let line = request_line(&request);
+                out.reserve(line.len() + request.body.len() + LINE_END.len());
+                out.put_slice(line.as_bytes());
+                out.put_slice(&request.body);
+                out.put_slice(LINE_END);
             }
-            Command::Get(get) => get,
-        };
-        let mut head =
-            format!("GET {} c={},k={},p={},w={}", get.id, get.class, get.object, get.part, get.wait_ms);
-        let mut field = |name: &str, value: &str| {
-            let _ = write!(head, ",{name}={value}");
-        };
-        if let Some(key) = &get.key {
-            field("i", key);
-        }
-        if let Some(source) = get.source {
-            field("next", &format_endpoint_id(source));
-        }
-        if get.keep > 0 {
-            field("admit", &get.keep.to_string());
-        }
-        if get.max_age_ms > 0 {
-            field("agelim", &get.max_age_ms.to_string());
-        }
-        let words = [(get.join, "ride"), (get.only_if_cached, "have-only"), (get.revalidate, "update")];
-        let ways: Vec<&str> = words.iter().filter(|(on, _)| *on).map(|(_, word)| *word).collect();
-        if !ways.is_empty() {
-            field("ways", &ways.join("+"));
-        }
-        if let Some(tag) = &get.cached {
-            field("cached", tag);
-        }
-        if let Some(group) = get.group {
-            field("g", &group.to_string());
         }
-        let _ = write!(head, " {}\r\n", get.body.len());
-        out.reserve(head.len() + get.body.len() + 2);
-        out.put_slice(head.as_bytes());
-        out.put_slice(&get.body);
-        out.put_slice(b"\r\n");
         Ok(())
     }
 }
 
+/// The line of a request, with its end. Optional fields are written only where they have a value.
+fn request_line(request: &CacheRequest) -> String {
+    let CacheRequest { id, class, object, part, timeout_ms, .. } = request;
+    let mut line = format!(
+        "{} {id} {}={class},{}={object},{}={part},{}={timeout_ms}",
+        word::SEND,
+        request_field::CLASS,
+        request_field::OBJECT,
+        request_field::PART,
+        request_field::TIMEOUT,
+    );
+    let mut field = |name: &str, value: &str| {
+        let _ = write!(line, ",{name}={value}");
+    };
+    if let Some(key) = &request.idempotency_key {
+        field(request_field::IDEMPOTENCY_KEY, key);
+    }
+    if let Some(source) = request.fill_source {
+        field(request_field::FILL_SOURCE, &format_endpoint_id(source));
+    }
+    if request.retention_rank > 0 {
+        field(request_field::RETENTION_RANK, &request.retention_rank.to_string());
+    }
+    if request.max_age_ms > 0 {
+        field(request_field::MAX_AGE, &request.max_age_ms.to_string());
+    }
+    let options = request_options(request);
+    if !options.is_empty() {
+        field(request_field::OPTIONS, &options.join("+"));
+    }
+    if let Some(tag) = &request.client_tag {
+        field(request_field::CLIENT_TAG, tag);
+    }
+    if let Some(group) = request.group {
+        field(request_field::GROUP, &group.to_string());
+    }
+    let _ = write!(line, " {}\r\n", request.body.len());
+    line
+}
+
+fn request_options(request: &CacheRequest) -> Vec<&'static str> {
+    let options = [
+        (request.join_fill, request_option::JOIN_FILL),
+        (request.only_if_cached, request_option::ONLY_IF_CACHED),
+        (request.background_refresh, request_option::BACKGROUND_REFRESH),
+    ];
+    options.into_iter().filter_map(|(is_set, name)| is_set.then_some(name)).collect()
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/wire/cache_codec/tests.rs
+++ b/src/wire/cache_codec/tests.rs
@@ -1,52 +1,55 @@
 use super::*;
 
-fn all(codec: &mut LineCodec, bytes: &[u8]) -> Result<Vec<Reply>, WireError> {
-    let mut buf = BytesMut::from(bytes);
+fn decode_all(codec: &mut LineCodec, bytes: &[u8]) -> Result<Vec<CacheReply>, ReplyError> {
+    let mut buffer = BytesMut::from(bytes);
     let mut out = Vec::new();
-    while let Some(reply) = codec.decode(&mut buf)? {
+    while let Some(reply) = codec.decode(&mut buffer)? {
         out.push(reply);
     }
     Ok(out)
 }
 
 #[test]
-fn answers_come_in_any_order_and_split_at_any_byte() {
+fn replies_decode_in_any_order_and_split_at_any_byte() {
     let text = b"000000000000000a ACK sum=4be0,t0=1764576000123,load=inflight:7;util:0.61 5\r\na\r\nbc\r\n\
                      000000000000000b NOENT - 0\r\n\r\n000000000000000c NOMOD sum=9,t0=5 0\r\n\r\n";
-    let whole = all(&mut LineCodec::default(), text).unwrap();
+    let expected = decode_all(&mut LineCodec::default(), text).unwrap();
     assert_eq!(
-        whole.iter().map(|r| (r.id, r.word)).collect::<Vec<_>>(),
-        [(10, Word::Ack), (11, Word::Noent), (12, Word::Nomod)]
+        expected.iter().map(|r| (r.request_id, r.status)).collect::<Vec<_>>(),
+        [(10, ReplyStatus::Served), (11, ReplyStatus::Miss), (12, ReplyStatus::NotModified)]
+    );
+    assert_eq!(
+        (&expected[0].body[..], expected[0].generated_at_ms),
+        (&b"a\r\nbc"[..], Some(1_764_576_000_123.0))
     );
-    assert_eq!((&whole[0].body[..], whole[0].born), (&b"a\r\nbc"[..], Some(1_764_576_000_123.0)));
     for cut in 0..text.len() {
-        let (mut codec, mut buf, mut got) = (LineCodec::default(), BytesMut::new(), Vec::new());
+        let (mut codec, mut buffer, mut replies) = (LineCodec::default(), BytesMut::new(), Vec::new());
         for part in [&text[..cut], &text[cut..]] {
-            buf.extend_from_slice(part);
-            while let Some(reply) = codec.decode(&mut buf).unwrap() {
-                got.push(reply);
+            buffer.extend_from_slice(part);
+            while let Some(reply) = codec.decode(&mut buffer).unwrap() {
+                replies.push(reply);
             }
         }
-        assert_eq!(got, whole, "cut at {cut}");
+        assert_eq!(replies, expected, "cut at {cut}");
     }
 }
 
-/// Guards what waits behind an answer that stops short: the codec tells that it is in the middle of one.
+/// The stall check relies on it: replies behind an incomplete one would wait for ever.
 #[test]
-fn the_middle_of_an_answer_is_told_from_its_end() {
+fn incomplete_replies_are_recognised() {
     let text = b"000000000000000a ACK sum=1,t0=1 3\r\nabc\r\n000000000000000b NOENT - 0\r\n\r\n";
     for cut in 0..=text.len() {
-        let (mut codec, mut buf) = (LineCodec::default(), BytesMut::from(&text[..cut]));
-        while codec.decode(&mut buf).unwrap().is_some() {}
+        let (mut codec, mut buffer) = (LineCodec::default(), BytesMut::from(&text[..cut]));
+        while codec.decode(&mut buffer).unwrap().is_some() {}
         let first = text.iter().position(|b| *b == b'c').unwrap() + 3;
         let between = [0, first, text.len() - 2, text.len() - 1, text.len()].contains(&cut);
-        assert_eq!(codec.within(&buf), !between, "cut at {cut}");
+        assert_eq!(codec.is_within_reply(&buffer), !between, "cut at {cut}");
     }
 }
 
-/// Guards against a pop cache whose bytes can't be read: the connection ends, nothing is guessed.
+/// A cache whose bytes cannot be read: the connection is closed, nothing is guessed.
 #[test]
-fn what_is_malformed_or_too_large_is_an_error() {
+fn malformed_and_oversized_replies_are_errors() {
     let long = vec![b'x'; MAX_LINE + 10];
     let bad: [&[u8]; 9] = [
         b"nonsense\r\n",
@@ -60,69 +63,85 @@
         &long,
     ];
     for bytes in bad {
-        assert!(all(&mut LineCodec::default(), bytes).is_err(), "{:?}", String::from_utf8_lossy(bytes));
+        assert!(
+            decode_all(&mut LineCodec::default(), bytes).is_err(),
+            "{:?}",
+            String::from_utf8_lossy(bytes)
+        );
     }
 }
 
-/// Guards against taking the answer to a write for malformed: no copy is kept, so it may have no tag.
+/// No copy of a write is stored, so its reply may have no entity tag.
 #[test]
-fn an_answer_to_a_write_needs_no_tag() {
-    let got = all(&mut LineCodec::default(), b"000000000000000a ACK - 2\r\nok\r\n").unwrap();
-    assert_eq!((got[0].word, &got[0].body[..], &got[0].tag), (Word::Ack, &b"ok"[..], &None));
+fn a_reply_to_a_write_needs_no_entity_tag() {
+    let replies = decode_all(&mut LineCodec::default(), b"000000000000000a ACK - 2\r\nok\r\n").unwrap();
+    assert_eq!(
+        (replies[0].status, &replies[0].body[..], &replies[0].entity_tag),
+        (ReplyStatus::Served, &b"ok"[..], &None)
+    );
 }
 
 #[test]
-fn an_answers_note_is_read() {
+fn the_path_of_a_reply_is_parsed() {
     let text = b"000000000000000a ACK sum=1,t0=5,note=COLLAPSED,slow=31 1\r\nx\r\n\
                  000000000000000b EIO note=ORIGIN_ERR,slow=140 0\r\n\r\n\
                  000000000000000c NOENT note=UP_MISS 0\r\n\r\n\
                  000000000000000d AGAIN - 0\r\n\r\n";
-    let got = all(&mut LineCodec::default(), text).unwrap();
+    let replies = decode_all(&mut LineCodec::default(), text).unwrap();
     assert_eq!(
-        got.iter().map(|reply| (reply.word, reply.note)).collect::<Vec<_>>(),
+        replies.iter().map(|reply| (reply.status, reply.path)).collect::<Vec<_>>(),
         [
-            (Word::Ack, Some(PathNote::Collapsed)),
-            (Word::Eio, Some(PathNote::OriginError)),
-            (Word::Noent, Some(PathNote::SourceMiss)),
-            (Word::Again, None),
+            (ReplyStatus::Served, Some(ResponsePath::Collapsed)),
+            (ReplyStatus::Error, Some(ResponsePath::OriginFailed)),
+            (ReplyStatus::Miss, Some(ResponsePath::NotAtSource)),
+            (ReplyStatus::Overloaded, None),
         ]
     );
 }
 
-/// Guards a good answer against its note: the bytes do not depend on it.
+/// The bytes of a reply do not depend on its path.
 #[test]
-fn an_unknown_or_garbled_note_spoils_no_answer() {
+fn an_unknown_or_malformed_path_spoils_no_reply() {
     for note in ["note=", "note", "note=hit", "note=HIT=MISS", "note=7", "note=\u{e9}"] {
         let text = format!("000000000000000a ACK sum=4be0,{note},t0=5 2\r\nok\r\n");
-        let got = all(&mut LineCodec::default(), text.as_bytes()).unwrap();
-        let [reply] = &got[..] else { panic!("{note}: {got:?}") };
-        assert_eq!((reply.word, reply.note, &reply.body[..]), (Word::Ack, None, &b"ok"[..]), "{note}");
-        assert_eq!((reply.tag.as_deref(), reply.born), (Some("4be0"), Some(5.0)), "{note}");
+        let replies = decode_all(&mut LineCodec::default(), text.as_bytes()).unwrap();
+        let [reply] = &replies[..] else { panic!("{note}: {replies:?}") };
+        assert_eq!(
+            (reply.status, reply.path, &reply.body[..]),
+            (ReplyStatus::Served, None, &b"ok"[..]),
+            "{note}"
+        );
+        assert_eq!((reply.entity_tag.as_deref(), reply.generated_at_ms), (Some("4be0"), Some(5.0)), "{note}");
     }
 }
 
 #[test]
-fn requests_are_written_with_the_fields_that_they_have() {
+fn requests_are_encoded_with_the_fields_that_are_set() {
     let mut out = BytesMut::new();
-    let get = Get {
+    let request = CacheRequest {
         id: "9b1f03aa5c7e2d41".into(),
         class: "segment".into(),
         object: "7f3a9c21e0b4d655".into(),
         part: 3,
-        wait_ms: 900,
-        source: Some(0xc41f7a),
-        keep: 2,
+        timeout_ms: 900,
+        fill_source: Some(0xc41f7a),
+        retention_rank: 2,
         max_age_ms: 1_500,
-        join: true,
-        revalidate: true,
-        cached: Some("4be0".into()),
-        ..Get::default()
+        join_fill: true,
+        background_refresh: true,
+        client_tag: Some("4be0".into()),
+        ..CacheRequest::default()
+    };
+    LineCodec::default().encode(CacheCommand::Send(Box::new(request)), &mut out).unwrap();
+    LineCodec::default().encode(CacheCommand::Cancel("9b1f03aa5c7e2d41".into()), &mut out).unwrap();
+    let conditional = CacheRequest {
+        id: "000000000000000a".into(),
+        join_fill: true,
+        only_if_cached: true,
+        timeout_ms: 5,
+        ..CacheRequest::default()
     };
-    LineCodec::default().encode(Command::Get(Box::new(get)), &mut out).unwrap();
-    LineCodec::default().encode(Command::Drop("9b1f03aa5c7e2d41".into()), &mut out).unwrap();
-    let held =
-        Get { id: "000000000000000a".into(), join: true, only_if_cached: true, wait_ms: 5, ..Get::default() };
-    LineCodec::default().encode(Command::Get(Box::new(held)), &mut out).unwrap();
+    LineCodec::default().encode(CacheCommand::Send(Box::new(conditional)), &mut out).unwrap();
     assert_eq!(
         &out[..],
         &b"GET 9b1f03aa5c7e2d41 c=segment,k=7f3a9c21e0b4d655,p=3,w=900,next=s-00c41f7a,admit=2,agelim=1500,\
--- a/src/wire/cache_connection.rs
+++ b/src/wire/cache_connection.rs
@@ -1,7 +1,8 @@
-//! The driver of a connection to a pop cache.
+//! The driver of a connection to a cache, a parent or the origin: connects, writes what the engine has, and hands it the
+//! replies.
 
-use super::cache_codec::{Command, LineCodec};
-use super::WireError;
+use super::cache_codec::{LineCodec, ReplyError};
+use super::cache_message::CacheCommand;
 use crate::clock::duration_from_ms;
 use crate::engine::executor::{ConnectionDriver, Dial, Executor};
 use crate::engine::Next;
@@ -11,7 +12,9 @@
 use futures_util::future::LocalBoxFuture;
 use futures_util::StreamExt;
 use std::io::ErrorKind;
+use std::net::SocketAddrV4;
 use std::rc::Rc;
+use thiserror::Error;
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
@@ -19,17 +22,38 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Encoder, FramedRead};
 
-/// How long one write may take, in milliseconds: an endpoint that reads nothing for so long is as good as gone.
+/// Time limit of one write, in milliseconds: an endpoint that reads nothing for so long counts as gone.
 const WRITE_MS: f64 = 2_000.0;
-
-/// How long, in milliseconds, what came before a connection broke is still read: the machine holds it already.
+/// How long replies that arrived before a connection broke are still read, in milliseconds.
 const LAST_READ_MS: f64 = 100.0;
+/// Interval of the stall check, in milliseconds. A reply that has made no progress between two checks will not go on,
+/// and neither will the replies behind it.
+const STALL_CHECK_MS: f64 = 200.0;
 
-/// How often a connection on which nothing whole comes is looked at, in milliseconds. An answer that has stopped in
-/// its middle between two looks will not go on, and neither will those that wait behind it.
-const STALL_LOOK_MS: f64 = 200.0;
+/// Why a connection to a cache ended.
+#[derive(Debug, Error)]
+enum ConnectionError {
+    /// The connection failed.
+    #[error("socket: {0}")]
+    Io(#[from] std::io::Error),
+    /// A reply cannot be read.
+    #[error(transparent)]
+    Reply(ReplyError),
+    /// A reply stopped in its middle.
+    #[error("a reply stalled")]
+    Stalled,
+}
 
-/// Speaks the pop caches' protocol to endpoints.
+impl From<ReplyError> for ConnectionError {
+    fn from(error: ReplyError) -> Self {
+        match error {
+            ReplyError::Io(error) => Self::Io(error),
+            error => Self::Reply(error),
+        }
+    }
+}
+
+/// The driver of the cache protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheDriver;
 
@@ -39,7 +63,7 @@
     }
 }
 
-/// Connects, writes what the engine has and hands it what comes, until either side ends.
+/// Connects, and serves the connection until either side ends it.
 async fn drive(executor: &Rc<Executor>, dial: Dial) {
     let Dial { conn, address, within_ms, waker } = dial;
     let stream = match timeout(duration_from_ms(within_ms), TcpStream::connect(address)).await {
@@ -49,81 +73,102 @@
     };
     let _ = stream.set_nodelay(true);
     executor.with(|engine| engine.connected(conn));
+    let ended = serve(executor, conn, stream, &waker).await;
+    report_end(executor, conn, address, ended);
+}
+
+/// Reads and writes until either side ends the connection.
+async fn serve(
+    executor: &Rc<Executor>,
+    conn: ConnId,
+    stream: TcpStream,
+    waker: &Notify,
+) -> Result<(), ConnectionError> {
     let (source, sink) = stream.into_split();
     let source = FramedRead::new(source, LineCodec::default());
     let mut reading = Box::pin(read(executor, conn, source));
-    let end = tokio::select! {
+    tokio::select! {
         biased;
-        end = &mut reading => end,
-        end = write(executor, conn, sink, &waker) => match end {
-            Ok(()) => Ok(()),
-            // Guards answers that came whole before the connection broke: what they answer has not been lost.
-            Err(broken) => match timeout(duration_from_ms(LAST_READ_MS), &mut reading).await {
+        ended = &mut reading => ended,
+        ended = write(executor, conn, sink, waker) => {
+            let Err(broken) = ended else { return Ok(()) };
+            // Replies that arrived before the connection broke still count.
+            match timeout(duration_from_ms(LAST_READ_MS), &mut reading).await {
                 Ok(Err(error)) => Err(error),
                 Ok(Ok(())) | Err(_) => Err(broken),
-            },
-        },
-    };
-    match &end {
-        Err(error @ (WireError::Malformed(_) | WireError::TooLarge(_))) => {
-            let told = executor.with(|engine| {
+            }
+        }
+    }
+}
+
+/// Reports to the engine how a connection ended.
+fn report_end(
+    executor: &Rc<Executor>,
+    conn: ConnId,
+    address: SocketAddrV4,
+    ended: Result<(), ConnectionError>,
+) {
+    match ended {
+        Ok(()) | Err(ConnectionError::Io(_)) => executor.with(|engine| engine.broken(conn)),
+        Err(ConnectionError::Stalled) => executor.with(|engine| {
+            engine.counters.stalled_members += 1;
+            engine.spoilt(conn);
+        }),
+        Err(error @ ConnectionError::Reply(_)) => {
+            let count = executor.with(|engine| {
                 engine.counters.malformed_members += 1;
                 engine.counters.malformed_members
             });
-            // Guards the log against endpoints that spoil all they send: each doubling is told.
-            if told.is_power_of_two() {
-                tracing::warn!(endpoint = %address, %error, told, "a member's connection failed");
+            // Only each doubling is logged: an endpoint may send nothing that can be read.
+            if count.is_power_of_two() {
+                tracing::warn!(endpoint = %address, %error, count, "malformed reply; the connection is closed");
             }
             executor.with(|engine| engine.spoilt(conn));
         }
-        Err(WireError::Stalled) => executor.with(|engine| {
-            engine.counters.stalled_members += 1;
-            engine.spoilt(conn);
-        }),
-        Ok(()) | Err(WireError::Socket(_)) => executor.with(|engine| engine.broken(conn)),
     }
 }
 
-/// Whether a connect failed for want of something on this machine, such as descriptors.
+/// Whether a connect failed for want of a resource of this machine, such as descriptors.
 pub(crate) fn is_local(error: &std::io::Error) -> bool {
     // EMFILE, ENFILE, EADDRNOTAVAIL, ENOBUFS, ENOMEM.
     matches!(error.raw_os_error(), Some(24 | 23 | 99 | 105 | 12))
 }
 
+/// Hands replies to the engine until the endpoint ends the connection.
 async fn read(
     executor: &Rc<Executor>,
     conn: ConnId,
     mut source: FramedRead<OwnedReadHalf, LineCodec>,
-) -> Result<(), WireError> {
-    // How much of an answer was there at the last look.
-    let mut held = None;
+) -> Result<(), ConnectionError> {
+    // Bytes of an incomplete reply at the last check.
+    let mut partial_bytes = None;
     loop {
-        match timeout(duration_from_ms(STALL_LOOK_MS), source.next()).await {
+        match timeout(duration_from_ms(STALL_CHECK_MS), source.next()).await {
             Ok(Some(reply)) => {
                 let reply = reply?;
-                held = None;
+                partial_bytes = None;
                 executor.with(|engine| engine.answered(conn, reply));
             }
             Ok(None) => return Ok(()),
-            // Guards all that waits on this connection against an answer that has stopped short.
             Err(_) => {
                 let buffer = source.read_buffer();
-                let now = source.decoder().within(buffer).then_some(buffer.len());
-                if now.is_some() && now == held {
-                    return Err(WireError::Stalled);
+                let now = source.decoder().is_within_reply(buffer).then_some(buffer.len());
+                if now.is_some() && now == partial_bytes {
+                    return Err(ConnectionError::Stalled);
                 }
-                held = now;
+                partial_bytes = now;
             }
         }
     }
 }
 
+/// Writes the engine's commands until the engine closes the connection.
 async fn write(
     executor: &Rc<Executor>,
     conn: ConnId,
     mut sink: OwnedWriteHalf,
     waker: &Notify,
-) -> Result<(), WireError> {
+) -> Result<(), ConnectionError> {
     let (mut codec, mut bytes) = (LineCodec::default(), BytesMut::new());
     loop {
         let command = match executor.with(|engine| engine.next_write(conn)) {
@@ -134,18 +179,18 @@
             }
             Next::Close => return Ok(()),
         };
-        let request = match &command {
-            Command::Get(get) => parse_hex16(&get.id),
-            Command::Drop(_) => None,
+        let request_id = match &command {
+            CacheCommand::Send(request) => parse_hex16(&request.id),
+            CacheCommand::Cancel(_) => None,
         };
         codec.encode(command, &mut bytes)?;
-        match (sink.try_write(&bytes), request) {
+        match (sink.try_write(&bytes), request_id) {
             (Ok(written), _) => drop(bytes.split_to(written)),
-            // Guards the rules on drains, leavings and deadlines against an endpoint that reads nothing: what has no byte
-            // out yet goes back, and is looked at again when there is room for it.
-            (Err(error), Some(request)) if error.kind() == ErrorKind::WouldBlock => {
+            // A request of which no byte could be written goes back, and is checked again once there is room for it:
+            // meanwhile its deadline may pass, or its endpoint drain.
+            (Err(error), Some(request_id)) if error.kind() == ErrorKind::WouldBlock => {
                 bytes.clear();
-                executor.with(|engine| engine.unwritten(conn, request));
+                executor.with(|engine| engine.unwritten(conn, request_id));
                 match timeout(duration_from_ms(WRITE_MS), sink.writable()).await {
                     Ok(room) => room?,
                     Err(_) => return Ok(()),
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -4,6 +4,7 @@
 pub mod admin;
 pub mod cache_codec;
 pub mod cache_connection;
+pub mod cache_message;
 pub mod client_connection;
 pub mod discovery;
 pub mod discovery_codec;
--- a/src/wire/response_path.rs
+++ b/src/wire/response_path.rs
@@ -1,76 +1,75 @@
-//! What a cache says of the path that an answer took: where its bytes came from, or where a fill failed.
+//! The path of a response: where a cache's bytes came from, or where a fill failed.
 //!
-//! The cache protocol writes it as a word in the field `note`; the simulator's wire counts the same words from 1. The
-//! settings (`familyInfo.notesGiven`) announce how much is told: all of it, only hits and fills, or nothing. A note
-//! that was not announced is taken like one that was.
+//! The cache protocol names it in the field `note`, the simulator numbers the same names from 1. The settings
+//! (`familyInfo.notesGiven`) announce how much of it caches report; a path that was not announced is used all the same.
 
 use crate::CacheStatus;
 
-/// What one answer says of its path.
+/// The path of one response, in the terms of RFC 9211 where it has them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PathNote {
-    /// The cache held a fresh copy.
+pub enum ResponsePath {
+    /// The cache had a fresh copy.
     Hit,
-    /// Filled from the source's copy.
-    Miss,
-    /// Filled, and the origin was asked for it.
-    MissOrigin,
-    /// Joined a fill under way; with a miss, one is under way.
+    /// The cache filled the copy from its source's copy.
+    FilledFromSource,
+    /// The cache filled the copy, and the source forwarded to the origin.
+    FilledFromOrigin,
+    /// The request joined a fill in progress; on a miss, there is one.
     Collapsed,
-    /// The cache held a copy past its fresh time, and served that.
-    Stale,
-    /// The source refused the fill.
+    /// The cache served a copy that was no longer fresh.
+    StaleHit,
+    /// The source rejected the fill.
     SourceBusy,
     /// The source was not reached, broke off or was too slow.
-    SourceDown,
-    /// The source lacks the object.
-    SourceMiss,
-    /// The cache has no place for a further fill.
-    NoFill,
+    SourceUnreachable,
+    /// The source has no copy.
+    NotAtSource,
+    /// The cache is at its limit of concurrent fills.
+    FillLimitReached,
     /// The origin failed behind the parent.
-    OriginError,
+    OriginFailed,
 }
 
-impl PathNote {
-    /// Each note with its word in the cache protocol, in the order of the simulator's numbers, which begin at 1.
-    const WORDS: [(&'static str, Self); 10] = [
+impl ResponsePath {
+    /// Each path with its name in the cache protocol, in the order of the simulator's numbers, which begin at 1.
+    const NAMES: [(&'static str, Self); 10] = [
         ("HIT", Self::Hit),
-        ("MISS", Self::Miss),
-        ("MISS_ORIGIN", Self::MissOrigin),
+        ("MISS", Self::FilledFromSource),
+        ("MISS_ORIGIN", Self::FilledFromOrigin),
         ("COLLAPSED", Self::Collapsed),
-        ("STALE", Self::Stale),
+        ("STALE", Self::StaleHit),
         ("UP_BUSY", Self::SourceBusy),
-        ("UP_DOWN", Self::SourceDown),
-        ("UP_MISS", Self::SourceMiss),
-        ("NO_FILL", Self::NoFill),
-        ("ORIGIN_ERR", Self::OriginError),
+        ("UP_DOWN", Self::SourceUnreachable),
+        ("UP_MISS", Self::NotAtSource),
+        ("NO_FILL", Self::FillLimitReached),
+        ("ORIGIN_ERR", Self::OriginFailed),
     ];
 
-    /// The note of a word of the cache protocol; none where the word is unknown.
-    pub fn from_word(word: &str) -> Option<Self> {
-        let entry = Self::WORDS.iter().find(|(known, _)| *known == word)?;
-        Some(entry.1)
+    /// The path of a name in the cache protocol; none for an unknown name.
+    pub fn from_name(name: &str) -> Option<Self> {
+        Self::NAMES.iter().find(|(known, _)| *known == name).map(|(_, path)| *path)
     }
 
-    /// The note of a number of the simulator's wire; none for 0 and for numbers past the last.
+    /// The path of a number of the simulator; none for 0 and for numbers past the last.
     pub fn from_number(number: u64) -> Option<Self> {
         let index = usize::try_from(number.checked_sub(1)?).ok()?;
-        let entry = Self::WORDS.get(index)?;
-        Some(entry.1)
+        Self::NAMES.get(index).map(|(_, path)| *path)
     }
 }
 
-impl From<Option<PathNote>> for CacheStatus {
-    /// What the decision module is told; [`CacheStatus::Unknown`] where an answer carries no note that is known.
-    fn from(note: Option<PathNote>) -> Self {
-        let Some(note) = note else { return Self::Unknown };
-        match note {
-            PathNote::Hit | PathNote::Stale => Self::Hit,
-            PathNote::Miss | PathNote::MissOrigin | PathNote::Collapsed => Self::Filled,
-            PathNote::SourceBusy | PathNote::SourceDown => Self::SourceFailed,
-            PathNote::SourceMiss => Self::NotAtSource,
-            PathNote::NoFill => Self::FillLimitReached,
-            PathNote::OriginError => Self::OriginFailed,
+impl From<Option<ResponsePath>> for CacheStatus {
+    /// The status for the policy; [`CacheStatus::Unknown`] where a response has no known path.
+    fn from(path: Option<ResponsePath>) -> Self {
+        let Some(path) = path else { return Self::Unknown };
+        match path {
+            ResponsePath::Hit | ResponsePath::StaleHit => Self::Hit,
+            ResponsePath::FilledFromSource | ResponsePath::FilledFromOrigin | ResponsePath::Collapsed => {
+                Self::Filled
+            }
+            ResponsePath::SourceBusy | ResponsePath::SourceUnreachable => Self::SourceFailed,
+            ResponsePath::NotAtSource => Self::NotAtSource,
+            ResponsePath::FillLimitReached => Self::FillLimitReached,
+            ResponsePath::OriginFailed => Self::OriginFailed,
         }
     }
 }
--- a/src/wire/response_path/tests.rs
+++ b/src/wire/response_path/tests.rs
@@ -1,9 +1,9 @@
-use super::PathNote;
+use super::ResponsePath;
 use crate::CacheStatus;
 
-/// Every word stands at the simulator's number of the same meaning, and both lead to the same note of the module.
+/// Each name has the simulator's number of the same meaning, and both map to the same status.
 #[test]
-fn words_and_numbers_name_the_same_notes() {
+fn names_and_numbers_map_to_the_same_status() {
     let expected = [
         ("HIT", CacheStatus::Hit),
         ("MISS", CacheStatus::Filled),
@@ -16,20 +16,20 @@
         ("NO_FILL", CacheStatus::FillLimitReached),
         ("ORIGIN_ERR", CacheStatus::OriginFailed),
     ];
-    for (number, (word, note)) in (1..).zip(expected) {
-        let by_word = PathNote::from_word(word);
-        assert!(by_word.is_some(), "{word}");
-        assert_eq!(by_word, PathNote::from_number(number), "{word}");
-        assert_eq!(CacheStatus::from(by_word), note, "{word}");
+    for (number, (name, status)) in (1..).zip(expected) {
+        let by_name = ResponsePath::from_name(name);
+        assert!(by_name.is_some(), "{name}");
+        assert_eq!(by_name, ResponsePath::from_number(number), "{name}");
+        assert_eq!(CacheStatus::from(by_name), status, "{name}");
     }
 }
 
 #[test]
-fn what_is_unknown_says_nothing() {
+fn unknown_paths_have_unknown_status() {
     for number in [0, 11, u64::MAX] {
-        assert_eq!(CacheStatus::from(PathNote::from_number(number)), CacheStatus::Unknown, "{number}");
+        assert_eq!(CacheStatus::from(ResponsePath::from_number(number)), CacheStatus::Unknown, "{number}");
     }
-    for word in ["", "hit", "HITS", "1", "ORIGIN_ERR "] {
-        assert_eq!(CacheStatus::from(PathNote::from_word(word)), CacheStatus::Unknown, "{word:?}");
+    for name in ["", "hit", "HITS", "1", "ORIGIN_ERR "] {
+        assert_eq!(CacheStatus::from(ResponsePath::from_name(name)), CacheStatus::Unknown, "{name:?}");
     }
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -8,8 +8,8 @@
 use edge_proxy::settings::PlatformSettings;
 use edge_proxy::state::connections::{Bounds, ConnId};
 use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
-use edge_proxy::wire::cache_codec::{Command, Get, Reply, Word};
-use edge_proxy::wire::response_path::PathNote;
+use edge_proxy::wire::cache_message::{CacheCommand, CacheReply, CacheRequest, ReplyStatus};
+use edge_proxy::wire::response_path::ResponsePath;
 use edge_proxy::EndpointState;
 use endpoints::{target, PARENT};
 use std::rc::Rc;
@@ -94,25 +94,25 @@
         answers.collect()
     }
 
-    fn get(&mut self, conn: ConnId) -> Option<Get> {
+    fn get(&mut self, conn: ConnId) -> Option<CacheRequest> {
         match self.engine.next_write(conn) {
-            Next::Write(Command::Get(get)) => Some(*get),
+            Next::Write(CacheCommand::Send(get)) => Some(*get),
             _ => None,
         }
     }
 
-    fn reply(&mut self, conn: ConnId, id: u64, word: Word) {
-        self.reply_noted(conn, id, word, None);
+    fn reply(&mut self, conn: ConnId, id: u64, status: ReplyStatus) {
+        self.reply_with_path(conn, id, status, None);
     }
 
-    fn reply_noted(&mut self, conn: ConnId, id: u64, word: Word, note: Option<PathNote>) {
-        let (tag, body) = (Some("t".to_string()), "bytes".into());
-        self.engine.answered(conn, Reply { id, word, tag, born: None, tags: Vec::new(), note, body });
+    fn reply_with_path(&mut self, conn: ConnId, id: u64, status: ReplyStatus, path: Option<ResponsePath>) {
+        let (entity_tag, body) = (Some("t".to_string()), "bytes".into());
+        self.engine.answered(conn, CacheReply { entity_tag, path, body, ..CacheReply::new(id, status) });
     }
 
     /// Connects all that is opened, and answers each attempt that is written: with an error and this note where it
     /// names the source `failing`, else with the bytes.
-    fn answer_all(&mut self, failing: Option<u32>, note: Option<PathNote>) {
+    fn answer_all(&mut self, failing: Option<u32>, note: Option<ResponsePath>) {
         loop {
             let conns: Vec<ConnId> = self.effects().iter().filter_map(driven).collect();
             if conns.is_empty() {
@@ -122,10 +122,10 @@
                 self.engine.connected(conn);
                 while let Some(get) = self.get(conn) {
                     let id = u64::from_str_radix(&get.id, 16).unwrap();
-                    if get.source == failing {
-                        self.reply_noted(conn, id, Word::Eio, note);
+                    if get.fill_source == failing {
+                        self.reply_with_path(conn, id, ReplyStatus::Error, note);
                     } else {
-                        self.reply(conn, id, Word::Ack);
+                        self.reply(conn, id, ReplyStatus::Served);
                     }
                 }
             }
@@ -138,7 +138,7 @@
         let conns: Vec<ConnId> = self.effects().iter().filter_map(driven).collect();
         conns.iter().for_each(|conn| self.engine.connected(*conn));
         let written = conns.iter().find_map(|conn| self.get(*conn));
-        written.expect("an attempt is written").source
+        written.expect("an attempt is written").fill_source
     }
 }
 
@@ -154,7 +154,11 @@
 /// parent leave the object's parent in use, and the same errors without a note, or blaming the source, do not.
 #[test]
 fn errors_of_the_origin_leave_the_parent_in_use() {
-    let notes = [(Some(PathNote::OriginError), true), (None, false), (Some(PathNote::SourceDown), false)];
+    let notes = [
+        (Some(ResponsePath::OriginFailed), true),
+        (None, false),
+        (Some(ResponsePath::SourceUnreachable), false),
+    ];
     for (note, stays) in notes {
         let mut b = Bench::new(&[1, 2, 7, PARENT, 9]);
         let home = b.first_source(1);
@@ -180,7 +184,7 @@
     let get = b.get(conn).unwrap();
     // 1,000 ms ago, less the module's margin of 10 and the 300 in the queue.
     assert_eq!(get.max_age_ms, 690);
-    assert!(get.wait_ms <= 1_700);
+    assert!(get.timeout_ms <= 1_700);
 }
 
 #[test]
@@ -220,7 +224,7 @@
                 b.ask_for(1, object);
                 let (conn, endpoint) = b.opened()[0];
                 b.engine.connected(conn);
-                let source = b.get(conn).and_then(|get| get.source);
+                let source = b.get(conn).and_then(|get| get.fill_source);
                 (endpoint == 1 && source == Some(PARENT)).then_some((b, conn, object))
             })
             .unwrap();
@@ -235,7 +239,7 @@
         let (other, _) = b.opened().first().copied().unwrap_or((conn, 1));
         b.engine.connected(other);
         let get = b.get(other).unwrap();
-        assert!(get.id.ends_with('2') && get.source != Some(drained));
+        assert!(get.id.ends_with('2') && get.fill_source != Some(drained));
     }
 }
 
@@ -266,8 +270,8 @@
     b.engine.connected(conn);
     b.get(conn).unwrap();
     b.engine.left(1);
-    b.reply(conn, 1, Word::Ack);
-    b.reply(conn, 77, Word::Ack);
+    b.reply(conn, 1, ReplyStatus::Served);
+    b.reply(conn, 77, ReplyStatus::Served);
     assert!(b.answers().is_empty());
     assert_eq!((b.engine.counters.member_late, b.engine.counters.served), (2, 0));
 }
@@ -280,7 +284,7 @@
     let (conn, _) = b.opened()[0];
     b.engine.connected(conn);
     b.get(conn).unwrap();
-    b.reply(conn, 1, Word::Nomod);
+    b.reply(conn, 1, ReplyStatus::NotModified);
     assert!(b.answers().iter().all(|(_, answer)| !matches!(answer, FinalResponse::NotModified { .. })));
 }
 
@@ -297,8 +301,8 @@
         });
         let (conn, _) = b.opened()[0];
         b.engine.connected(conn);
-        assert_eq!(b.get(conn).unwrap().cached.as_deref(), Some(told));
-        b.reply(conn, 1, Word::Nomod);
+        assert_eq!(b.get(conn).unwrap().client_tag.as_deref(), Some(told));
+        b.reply(conn, 1, ReplyStatus::NotModified);
         assert_eq!(
             b.answers().iter().any(|(_, a)| matches!(a, FinalResponse::NotModified { .. })),
             holds,
@@ -317,16 +321,16 @@
     b.engine.connected(conn);
     b.get(conn).unwrap();
     // Nothing was named, so it is spoilt, and the same cache is asked again.
-    b.reply(conn, 1, Word::Nomod);
+    b.reply(conn, 1, ReplyStatus::NotModified);
     let (second, again) = b.opened()[0];
     assert_eq!((endpoint, again), (1, 1));
     assert_ne!(second, conn);
     assert_eq!(b.get(conn), None);
     b.engine.connected(second);
     b.get(second).unwrap();
-    b.reply(conn, 1, Word::Ack);
+    b.reply(conn, 1, ReplyStatus::Served);
     assert!(b.answers().is_empty(), "it crossed the end of its attempt");
-    b.reply(second, 1, Word::Ack);
+    b.reply(second, 1, ReplyStatus::Served);
     assert_eq!(b.answers().len(), 1);
     assert_eq!((b.engine.counters.member_late, b.engine.owed()), (1, 0));
 }
@@ -343,7 +347,7 @@
     assert!(b.get(conn).is_some_and(|get| get.id.ends_with('2')), "the dial was for both");
     b.engine.left(2);
     assert!(
-        matches!(b.engine.next_write(conn), Next::Write(Command::Drop(_))),
+        matches!(b.engine.next_write(conn), Next::Write(CacheCommand::Cancel(_))),
         "it was written, and is called off"
     );
     assert_eq!((b.engine.next_write(conn), b.engine.owed(), b.answers().len()), (Next::Idle, 0, 0));
@@ -373,7 +377,7 @@
     assert_eq!(b.engine.next_write(conn), Next::Idle, "its client left, and nothing is to be called off");
     let (mut b, conn) = waiting();
     b.pass(1_999.5);
-    assert!(!matches!(b.engine.next_write(conn), Next::Write(Command::Get(_))), "its time is over");
+    assert!(!matches!(b.engine.next_write(conn), Next::Write(CacheCommand::Send(_))), "its time is over");
 }
 
 /// A keyed write that may have run is repeated only as long as its key is remembered, counted to the first byte.
@@ -386,7 +390,7 @@
         b.engine.connected(first);
         b.get(first).unwrap();
         b.pass(300.0);
-        b.reply(first, 1, Word::Eio);
+        b.reply(first, 1, ReplyStatus::Error);
         // 300 of the window's 400 ms are gone. The connection for the repeat comes up late.
         let (second, _) = b.opened()[0];
         b.pass(waits_ms);
@@ -433,7 +437,7 @@
     let opened = b.opened();
     assert!(opened.iter().all(|(fresh, _)| *fresh != conn));
     let mut next = b.engine.next_write(conn);
-    while matches!(next, Next::Write(Command::Drop(_))) {
+    while matches!(next, Next::Write(CacheCommand::Cancel(_))) {
         next = b.engine.next_write(conn);
     }
     assert_eq!(next, Next::Close);
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -9,7 +9,8 @@
 use edge_proxy::settings::PlatformSettings;
 use edge_proxy::state::connections::{Bounds, ConnId};
 use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
-use edge_proxy::wire::cache_codec::{Command, LineCodec, Reply, Word, MAX_LINE};
+use edge_proxy::wire::cache_codec::{LineCodec, MAX_LINE};
+use edge_proxy::wire::cache_message::{CacheCommand, CacheReply, ReplyStatus};
 use edge_proxy::wire::discovery_codec::{FrameCodec, MAX_FRAME};
 use edge_proxy::wire::http::{HttpCodec, Phase};
 use edge_proxy::EndpointState;
@@ -147,18 +148,23 @@
     /// An endpoint answers something on a connection: what is out, or what was given up.
     fn answer(&mut self, conn: ConnId, b: u16) {
         let Some(link) = self.links.get_mut(&conn) else { return };
-        let words = [Word::Ack, Word::Ack, Word::Noent, Word::Again, Word::Eio, Word::Stale];
+        let words = [
+            ReplyStatus::Served,
+            ReplyStatus::Served,
+            ReplyStatus::Miss,
+            ReplyStatus::Overloaded,
+            ReplyStatus::Error,
+            ReplyStatus::Expired,
+        ];
         let late = b % 5 == 0 && !link.late.is_empty();
         let from = if late { &mut link.late } else { &mut link.out };
         let Some(id) = from.iter().nth(usize::from(b) % from.len().max(1)).copied() else { return };
         from.remove(&id);
-        let word = words[usize::from(b / 8) % words.len()];
+        let status = words[usize::from(b / 8) % words.len()];
         let body = format!("{conn}:{id}").into();
         let before = self.engine.owed();
-        self.engine.answered(
-            conn,
-            Reply { id, word, tag: Some("t".into()), born: None, tags: Vec::new(), note: None, body },
-        );
+        self.engine
+            .answered(conn, CacheReply { entity_tag: Some("t".into()), body, ..CacheReply::new(id, status) });
         assert!(!late || self.engine.owed() == before, "a late answer ended a request");
     }
 
@@ -205,19 +211,19 @@
                     self.links.remove(&conn);
                     return self.engine.broken(conn);
                 }
-                Next::Write(Command::Drop(text)) => {
+                Next::Write(CacheCommand::Cancel(text)) => {
                     let id = u64::from_str_radix(&text, 16).unwrap();
                     assert!(link.out.remove(&id), "gave up what was not asked for");
                     link.late.insert(id);
                 }
-                Next::Write(Command::Get(get)) => {
+                Next::Write(CacheCommand::Send(get)) => {
                     let id = u64::from_str_radix(&get.id, 16).unwrap();
                     let endpoint = u32::from(link.port - 5_000);
                     assert!(self.live.contains(&endpoint), "a request to a member that drains");
-                    assert!(get.source.is_none_or(|s| self.live.contains(&s)), "a source that drains");
+                    assert!(get.fill_source.is_none_or(|s| self.live.contains(&s)), "a source that drains");
                     let left =
                         self.owed.get(&id).expect("written for a request that has ended") - self.clock.now();
-                    assert!(get.wait_ms as f64 <= left.max(1.0), "waits longer than the client");
+                    assert!(get.timeout_ms as f64 <= left.max(1.0), "waits longer than the client");
                     assert!(!link.late.contains(&id), "again on a connection where it was given up");
                     assert!(link.out.insert(id) && link.out.len() <= 4);
                 }
