--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -6,7 +6,7 @@
 use crate::purge::fanout::TargetStatus;
 use crate::state::maintenance::{Maintenance, Mark};
 use crate::state::requests::IncomingRequest;
-use crate::text::endpoint_text;
+use crate::text::format_endpoint_id;
 use crate::{AttemptOutcome, EndpointId, EndpointState, Event};
 use std::net::{SocketAddr, SocketAddrV4};
 
@@ -142,7 +142,7 @@
                 TargetStatus::Draining
             };
             let address = SocketAddr::new((*t.address.ip()).into(), port);
-            (!origin).then(|| (endpoint_text(t.record.id), address, standing))
+            (!origin).then(|| (format_endpoint_id(t.record.id), address, standing))
         });
         let mut targets: Vec<_> = targets.collect();
         targets.sort_by(|a, b| a.0.cmp(&b.0));
--- a/src/engine/upstream.rs
+++ b/src/engine/upstream.rs
@@ -3,7 +3,7 @@
 use super::{Effect, Engine, NextWrite};
 use crate::state::attempts::{Attempt, AttemptId};
 use crate::state::connections::ConnectionId;
-use crate::wire::cache_codec::Command;
+use crate::wire::cache_message::CacheCommand;
 use crate::AttemptOutcome;
 use std::collections::VecDeque;
 
@@ -81,13 +81,13 @@
             let Some(c) = self.connections.get_mut(conn) else { return NextWrite::Close };
             if let Some(text) = c.abandoned.pop_front() {
                 c.used_ms = now;
-                return NextWrite::Write(Command::Drop(text));
+                return NextWrite::Write(CacheCommand::Cancel(text));
             }
             let Some(id) = c.queue.pop_front() else {
                 return if c.closing && c.load() == 0 { NextWrite::Close } else { NextWrite::Idle };
             };
             if let Some(get) = self.begin_write(now, id) {
-                return NextWrite::Write(Command::Get(Box::new(get)));
+                return NextWrite::Write(CacheCommand::Send(Box::new(get)));
             }
             self.counters.attempts_stale += 1;
             self.end_attempt(id, AttemptOutcome::NotSent);
--- a/src/lifecycle/subsystem.rs
+++ b/src/lifecycle/subsystem.rs
@@ -9,8 +9,9 @@
 use crate::rules::table::Rules;
 use crate::vrrp::config::FrontKind;
 use crate::wire::admin::Calls;
-use crate::wire::listener::{Front, Stop};
+use crate::wire::front::Front;
 use crate::wire::platform::Platform;
+use crate::wire::shutdown::GracefulShutdown;
 use futures_util::future::{ready, FutureExt, LocalBoxFuture};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -84,7 +85,7 @@
     /// How many connections of each kind there may be.
     pub budget: DescriptorBudget,
     /// The state of the stop, shared with clients' connections.
-    pub stop: Rc<Stop>,
+    pub stop: Rc<GracefulShutdown>,
     /// The routing rules and the fronts that follow them.
     pub rules: RoutingRules,
     /// The fronts that virtual addresses may serve.
--- a/src/purge/service.rs
+++ b/src/purge/service.rs
@@ -11,7 +11,7 @@
 use super::wire::{call, from_json, to_json, Acknowledgement, Batch, Fault, SubmitRequest};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
-use crate::wire::http::{HttpAnswer, HttpRequest};
+use crate::wire::http::{HttpRequest, HttpResponse};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -142,7 +142,7 @@
     }
 
     /// Answers a call of fleet purges at the admin address; `None` for any other path.
-    pub fn answer(&self, request: &HttpRequest) -> Option<HttpAnswer> {
+    pub fn answer(&self, request: &HttpRequest) -> Option<HttpResponse> {
         let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
         let method = request.method.as_str();
         Some(match (path, method) {
@@ -150,14 +150,14 @@
             ("/purges", "GET") => self.status(),
             ("/purges/log", "GET") => self.list(query),
             ("/purges/apply", "POST") => self.receive(&request.body),
-            ("/purges", _) => HttpAnswer::status(405).with("Allow", "GET, POST"),
-            ("/purges/log", _) => HttpAnswer::status(405).with("Allow", "GET"),
-            ("/purges/apply", _) => HttpAnswer::status(405).with("Allow", "POST"),
+            ("/purges", _) => HttpResponse::status(405).with("Allow", "GET, POST"),
+            ("/purges/log", _) => HttpResponse::status(405).with("Allow", "GET"),
+            ("/purges/apply", _) => HttpResponse::status(405).with("Allow", "POST"),
             _ => return None,
         })
     }
 
-    fn submit(&self, body: &[u8]) -> HttpAnswer {
+    fn submit(&self, body: &[u8]) -> HttpResponse {
         let request: SubmitRequest = match from_json(body) {
             Ok(request) => request,
             Err(error) => return error_answer(400, error),
@@ -178,7 +178,7 @@
         }
     }
 
-    fn receive(&self, body: &[u8]) -> HttpAnswer {
+    fn receive(&self, body: &[u8]) -> HttpResponse {
         let batch: Batch = match from_json(body) {
             Ok(batch) => batch,
             Err(error) => return error_answer(400, error),
@@ -196,13 +196,13 @@
         }
     }
 
-    fn list(&self, query: &str) -> HttpAnswer {
+    fn list(&self, query: &str) -> HttpResponse {
         let from = query_number(query, "from").unwrap_or(1);
         let max = query_number(query, "most").map_or(MAX_LISTED, |max| (max as usize).min(MAX_LISTED));
         json_answer(200, &self.with_replica(|replica, limiter| replica.list(&limiter.active, from, max)))
     }
 
-    fn status(&self) -> HttpAnswer {
+    fn status(&self) -> HttpResponse {
         let status = self.with_replica(|replica, limiter| PurgeStatus {
             replica: replica.status(&limiter.active),
             age_limits: limiter.metrics,
@@ -212,12 +212,12 @@
     }
 }
 
-fn json_answer<T: Serialize>(status: u16, body: &T) -> HttpAnswer {
-    let answer = HttpAnswer { body: to_json(body).into(), ..HttpAnswer::status(status) };
+fn json_answer<T: Serialize>(status: u16, body: &T) -> HttpResponse {
+    let answer = HttpResponse { body: to_json(body).into(), ..HttpResponse::status(status) };
     answer.with("Content-Type", "application/json")
 }
 
-fn error_answer(status: u16, error: impl ToString) -> HttpAnswer {
+fn error_answer(status: u16, error: impl ToString) -> HttpResponse {
     json_answer(status, &Fault { error: error.to_string() })
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -3,7 +3,7 @@
 //! Unknown keys are skipped; what may be absent reads as its type's default.
 
 use crate::endpoint_list::EndpointRecord;
-use crate::text::is_value;
+use crate::text::is_field_value;
 use crate::{Endpoint, Idempotency, KeyScope, PolicySettings, RequestClass, SlowStart, Tier};
 use serde::{Deserialize, Deserializer};
 
@@ -242,7 +242,7 @@
             if self.classes[..k].iter().any(|other| other.name == class.name) {
                 return Err(format!("`classes[].name` {:?} comes twice", class.name));
             }
-            if !is_value(&class.name) || class.name.contains('/') {
+            if !is_field_value(&class.name) || class.name.contains('/') {
                 return Err(format!("`classes[].name` {:?} can't stand in a path", class.name));
             }
             if class.deadline_us == 0 {
--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -4,7 +4,7 @@
 
 use edge_proxy::lifecycle::maintenance::Store;
 use edge_proxy::wire::admin::AdminFront;
-use edge_proxy::wire::listener::Front;
+use edge_proxy::wire::front::Front;
 use edge_proxy::wire::platform::{limits, Platform};
 use stand_ins::*;
 use std::net::SocketAddr;
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -11,7 +11,7 @@
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::lifecycle::engine_setup::engine;
 use edge_proxy::wire::cache_connection::CacheDriver;
-use edge_proxy::wire::listener::Stop;
+use edge_proxy::wire::shutdown::GracefulShutdown;
 use stand_ins::grpc::{finish, msg, Caller, GrpcBox};
 use stand_ins::{folder, run, START_MS};
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
 struct Edge {
     front: Rc<GrpcFront>,
     at: SocketAddr,
-    stop: Rc<Stop>,
+    stop: Rc<GracefulShutdown>,
     closing: Rc<Notify>,
     boxes: Vec<GrpcBox>,
     dir: std::path::PathBuf,
@@ -89,7 +89,7 @@
         }
         let config = file(&dir, at, &backends, limits);
         let front = GrpcFront::new(host(clock), config, 5).unwrap();
-        let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
+        let (stop, closing) = (Rc::new(GracefulShutdown::default()), Rc::new(Notify::new()));
         spawn_local(accept(front.clone(), listener, stop.clone(), closing.clone()));
         spawn_local(run_housekeeping(front.clone()));
         spawn_local(abort_calls_at_shutdown(front.clone(), stop.clone()));
@@ -525,7 +525,7 @@
             let got = finish(response).await;
             assert_eq!((got.status(), got.body.len()), (14, 905), "a final answer, at the stop too: {got:?}");
         }
-        soon("every connection ends", || edge.stop.open.get() == 0).await;
+        soon("every connection ends", || edge.stop.open_connections() == 0).await;
     });
 }
 
@@ -550,7 +550,7 @@
             let text = format!(
                 r#"{{"uid":"s-{uid:08x}","endpoint":"{ip}:7001","az":"town","model":"box","state":"{state}"}}"#
             );
-            edge_proxy::wire::discovery_codec::Line::parse(text.as_bytes()).unwrap()
+            edge_proxy::wire::discovery_json::EndpointJson::parse(text.as_bytes()).unwrap()
         };
         host.with(|engine| engine.apply_endpoints(true, vec![line(0xc1, "Ready"), line(0xc2, "Ready")]));
         edge.front.reconfigure(GrpcConfig::read(&edge.dir.join("grpc.json")).unwrap()).unwrap();
