--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -4,7 +4,7 @@
 use super::call_driver::drive_call;
 use super::front::GrpcFront;
 use crate::clock::duration_from_ms;
-use crate::wire::listener::Stop;
+use crate::wire::shutdown::GracefulShutdown;
 use bytes::Bytes;
 use std::cell::Cell;
 use std::net::IpAddr;
@@ -54,14 +54,19 @@
 }
 
 /// Aborts the calls that are still open some time after the stop has begun.
-pub async fn abort_calls_at_shutdown(front: Rc<GrpcFront>, stop: Rc<Stop>) {
+pub async fn abort_calls_at_shutdown(front: Rc<GrpcFront>, stop: Rc<GracefulShutdown>) {
     stop.begun().await;
     tokio::time::sleep(duration_from_ms(front.limits().stop_ms)).await;
     front.abort_calls();
 }
 
 /// Accepts clients until `closing` is notified.
-pub async fn accept(front: Rc<GrpcFront>, listener: TcpListener, stop: Rc<Stop>, closing: Rc<Notify>) {
+pub async fn accept(
+    front: Rc<GrpcFront>,
+    listener: TcpListener,
+    stop: Rc<GracefulShutdown>,
+    closing: Rc<Notify>,
+) {
     let slots = Arc::new(Semaphore::new(front.limits().clients));
     let mut last = false;
     loop {
@@ -102,12 +107,12 @@
     front: &Rc<GrpcFront>,
     stream: TcpStream,
     peer: IpAddr,
-    stop: &Rc<Stop>,
+    stop: &Rc<GracefulShutdown>,
     slot: OwnedSemaphorePermit,
 ) {
     front.executor.with(|engine| engine.counters.clients += 1);
     let (own, stop) = (front.clone(), stop.clone());
-    let open = stop.enter();
+    let open = stop.track_connection();
     front.executor.spawn("a gRPC client's connection", async move {
         let (_open, _slot) = (open, slot);
         if let Err(error) = serve(&own, stream, peer, &stop).await {
@@ -147,7 +152,7 @@
     front: &Rc<GrpcFront>,
     stream: TcpStream,
     peer: IpAddr,
-    stop: &Rc<Stop>,
+    stop: &Rc<GracefulShutdown>,
 ) -> Result<(), h2::Error> {
     let _ = stream.set_nodelay(true);
     let limits = front.limits();
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,7 +1,7 @@
 //! Checks of settings before a proxy uses them.
 
 use super::PlatformSettings;
-use crate::text::is_value;
+use crate::text::is_field_value;
 use thiserror::Error;
 
 /// Settings with which a proxy cannot work. Keys are named as the platform spells them.
@@ -50,7 +50,7 @@
         if self.classes[..index].iter().any(|other| other.name == class.name) {
             return Err(SettingsError::DuplicateClass(class.name.clone()));
         }
-        if !is_value(&class.name) || class.name.contains('/') {
+        if !is_field_value(&class.name) || class.name.contains('/') {
             return Err(SettingsError::ClassName(class.name.clone()));
         }
         if class.policy.deadline == 0 {
