--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,4 +1,5 @@
-//! Exponential backoff with jitter, for the retries of connections and calls that failed. No I/O and no clock.
+//! Exponential backoff with jitter, for the retries of connections and calls that failed. No I/O and no
+//! clock.
 
 use rand::{Rng, RngExt};
 
@@ -24,7 +25,8 @@
 }
 
 impl Backoff {
-    /// The bounds that [`Self::is_valid`] checks, for error messages; fields by their names in operator files.
+    /// The bounds that [`Self::is_valid`] checks, for error messages; fields by their names in operator
+    /// files.
     pub const BOUNDS: &'static str = "first_ms 1 to most_ms, factor 1 to 10, jitter 0 to 1";
 
     /// Whether every value is within its bounds.
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -1,8 +1,8 @@
 //! The wire's messages, typed, and their translation.
 
 use edge_proxy::endpoint_list::EndpointRecord;
+use edge_proxy::response_path::ResponsePath;
 use edge_proxy::settings::{lenient, PlatformSettings};
-use edge_proxy::wire::response_path::ResponsePath;
 use edge_proxy::{Action, AttemptOutcome, EndpointState, Event};
 use serde::{Deserialize, Serialize};
 
--- a/src/wire/cache_message.rs
+++ b/src/cache_message.rs
@@ -1,6 +1,6 @@
 //! The messages between the proxy and a cache, a parent or the origin, in a form that no protocol shapes.
 
-use super::response_path::ResponsePath;
+use crate::response_path::ResponsePath;
 use crate::surrogate_key::SurrogateKey;
 use crate::EndpointId;
 use bytes::Bytes;
--- a/src/config_file.rs
+++ b/src/config_file.rs
@@ -1,5 +1,5 @@
-//! Reading and checking of JSON files that operators write: the errors that all of them share, and the forms of values
-//! that several of them contain.
+//! Reading and checking of JSON files that operators write: the errors that all of them share, and the forms
+//! of values that several of them contain.
 
 use crate::message_auth::{KeyError, MessageKeys};
 use serde::de::DeserializeOwned;
--- a/src/datagram_auth.rs
+++ b/src/datagram_auth.rs
@@ -1,7 +1,8 @@
 //! Authenticated datagrams between proxies: HMAC-SHA256 (RFC 2104) with replay protection. No I/O.
 //!
 //! A datagram is a message with a trailer of [`TRAILER_BYTES`] bytes: a sequence number that only grows (Unix
-//! microseconds at the sender, 8 bytes, big-endian) and a signature over a label, the message and the sequence number.
+//! microseconds at the sender, 8 bytes, big-endian) and a signature over a label, the message and the
+//! sequence number.
 
 use crate::message_auth::{MessageKeys, SIGNATURE_BYTES};
 use std::collections::HashMap;
@@ -44,8 +45,8 @@
 impl DatagramAuth {
     /// Creates the authentication of one protocol.
     ///
-    /// `label` separates protocols that use the same keys. `max_clock_skew_ms` is how far a peer's clock may be from
-    /// this proxy's clock, in milliseconds.
+    /// `label` separates protocols that use the same keys. `max_clock_skew_ms` is how far a peer's clock may
+    /// be from this proxy's clock, in milliseconds.
     pub fn new(keys: MessageKeys, max_clock_skew_ms: f64, label: &'static [u8]) -> Self {
         Self { keys, max_clock_skew_ms, label, last_sent: 0, last_received: HashMap::new() }
     }
@@ -66,7 +67,8 @@
         message
     }
 
-    /// Returns the message of a datagram from the peer at `from`, without its trailer. `now` is in Unix milliseconds.
+    /// Returns the message of a datagram from the peer at `from`, without its trailer. `now` is in Unix
+    /// milliseconds.
     pub fn verify<'d>(
         &mut self,
         now: f64,
@@ -80,7 +82,8 @@
             return Err(AuthError::WrongSignature);
         }
         let sequence = u64::from_be_bytes(*sequence);
-        // A proxy that has just started knows no sequence numbers: the clock protects it against old datagrams.
+        // A proxy that has just started knows no sequence numbers: the clock protects it against old
+        // datagrams.
         if (sequence as f64 / 1_000.0 - now).abs() > self.max_clock_skew_ms {
             return Err(AuthError::ClockSkew);
         }
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The list of endpoints as the platform's discovery service, a registry or the simulator publishes it, in a form that
-//! no protocol shapes: records, and the sequenced events that change the list.
+//! The list of endpoints as the platform's discovery service, a registry or the simulator publishes it, in a
+//! form that no protocol shapes: records, and the sequenced events that change the list.
 
 use crate::{EndpointId, EndpointState, Micros, ObjectId};
 use std::net::SocketAddrV4;
--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -1,142 +1,209 @@
-//! Attempts, from their place on a connection to their end: placing, wording, time-outs, outcomes.
+//! Attempts, from their placement on a connection to their end.
 
+use super::purge_filter::RequestedCopy;
 use super::{Effect, Engine};
-use crate::clock::micros_from_ms;
-use crate::state::attempts::{Attempt, AttemptId, Stage};
-use crate::state::connections::{ConnectionId, Placement};
+use crate::cache_message::CacheRequest;
+use crate::clock::{micros_from_ms, ms_from_micros};
+use crate::settings::PlatformSettings;
+use crate::state::attempts::{Attempt, Stage};
+use crate::state::connections::Placement;
+use crate::state::ids::{AttemptId, ConnectionId};
 use crate::state::requests::IncomingRequest;
-use crate::wire::cache_message::CacheRequest;
-use crate::{AttemptOutcome, CacheStatus, EndpointId, Event, RequestId};
+use crate::{AttemptOutcome, CacheStatus, EndpointId, Event, Micros, RequestId};
 
-/// Silence on a connection, in milliseconds, after which an attempt that timed out there says that the path is
-/// dead: nothing more goes onto it, and a new connection tells at once whether the machine still answers.
+/// Silence on a connection, in milliseconds, after which a time-out there closes it: a new connection shows
+/// at once whether the machine still responds.
 const SILENCE_MS: f64 = 1_500.0;
-/// Attempts that time out one after another on a connection with nothing read between, which say the same.
+/// Time-outs in a row on a connection with nothing read between, which close it as well.
 const MAX_TIMEOUTS_SINCE_READ: u32 = 2;
+/// Least time left for writing an attempt, in milliseconds.
+const MIN_WRITE_MS: f64 = 1.0;
+/// The number of no connection.
+const NO_CONNECTION: ConnectionId = 0;
+
+/// An attempt as the decision module orders it.
+pub(super) struct AttemptOrder {
+    pub(super) to: EndpointId,
+    pub(super) source: Option<EndpointId>,
+    pub(super) join_fill: bool,
+    pub(super) only_if_cached: bool,
+    pub(super) revalidate: bool,
+    pub(super) max_age: Micros,
+    pub(super) retention_rank: u8,
+    pub(super) timeout: Micros,
+    pub(super) first_byte_by: Micros,
+}
 
 impl Engine {
-    /// Queues an attempt on a connection to its endpoint, opening one where none has room; without any place it was
-    /// never sent.
+    /// Starts an attempt of a request.
+    pub(super) fn start_attempt(&mut self, now: f64, request: RequestId, order: AttemptOrder) {
+        let Some(number) = self.requests.next_attempt_number(request) else { return };
+        self.counters.attempts += 1;
+        let id_text = self.requests.get(request).map(|request| request.id_text.clone()).unwrap_or_default();
+        let attempt = Attempt {
+            id_text,
+            to: order.to,
+            source: order.source.filter(|source| *source != order.to),
+            join_fill: order.join_fill,
+            only_if_cached: order.only_if_cached,
+            revalidate: order.revalidate,
+            max_age_ms: ms_from_micros(order.max_age),
+            retention_rank: order.retention_rank,
+            sent_ms: now,
+            due_ms: now + ms_from_micros(order.timeout),
+            first_byte_by_ms: ms_from_micros(order.first_byte_by),
+            conn: NO_CONNECTION,
+            stage: Stage::Queued,
+            migrations: 0,
+        };
+        self.place_attempt(now, AttemptId { request, number }, attempt);
+    }
+
+    /// Queues an attempt on a connection to its endpoint, opening one where none has capacity. Without a
+    /// connection it ends as not sent.
     pub(super) fn place_attempt(&mut self, now: f64, id: AttemptId, mut attempt: Attempt) {
         let endpoint = attempt.to;
         let Some(address) = self.membership.address(endpoint) else {
             self.attempts.insert(id, attempt);
             return self.end_attempt(id, AttemptOutcome::NotSent);
         };
-        let mut place = self.connections.place(endpoint, id.0, now);
-        if place == Placement::Unavailable {
-            if let Some(idle) = self.connections.evict(endpoint) {
-                self.effects.push_back(Effect::Wake(idle));
-                place = self.connections.place(endpoint, id.0, now);
-            }
-        }
-        match place {
-            Placement::Existing(conn) | Placement::New(conn) => {
-                attempt.conn = conn;
-                self.attempts.insert(id, attempt);
-                if let Some(c) = self.connections.get_mut(conn) {
-                    c.queue.push_back(id);
-                }
+        let placement = self.find_connection(endpoint, id.request, now);
+        let (conn, effect) = match placement {
+            Placement::Existing(conn) => (conn, Effect::Wake(conn)),
+            Placement::New(conn) => {
+                self.counters.connections += 1;
                 let within_ms = self.settings.connect_timeout_ms();
-                self.effects.push_back(match place {
-                    Placement::New(_) => Effect::Open { conn, address, within_ms },
-                    _ => Effect::Wake(conn),
-                });
-                self.counters.connections += u64::from(matches!(place, Placement::New(_)));
+                (conn, Effect::Open { conn, address, within_ms })
             }
             Placement::Unavailable => {
                 self.counters.attempts_unplaced += 1;
                 self.attempts.insert(id, attempt);
-                self.end_attempt(id, AttemptOutcome::NotSent);
+                return self.end_attempt(id, AttemptOutcome::NotSent);
             }
+        };
+        attempt.conn = conn;
+        self.attempts.insert(id, attempt);
+        if let Some(connection) = self.connections.get_mut(conn) {
+            connection.queue.push_back(id);
         }
+        self.effects.push_back(effect);
     }
 
-    /// Marks an attempt as written from now on, and words it; none if it is stale.
+    /// Finds a connection for a request; an idle one to another endpoint is closed for an endpoint that has
+    /// none.
+    fn find_connection(&mut self, endpoint: EndpointId, request: RequestId, now: f64) -> Placement {
+        let placement = self.connections.place(endpoint, request, now);
+        if placement != Placement::Unavailable {
+            return placement;
+        }
+        let Some(evicted) = self.connections.evict(endpoint) else { return placement };
+        self.effects.push_back(Effect::Wake(evicted));
+        self.connections.place(endpoint, request, now)
+    }
+
+    /// Marks an attempt as written and returns its message; none if it is stale.
     pub(super) fn begin_write(&mut self, now: f64, id: AttemptId) -> Option<CacheRequest> {
-        let ask = self.requests.get(id.0)?;
+        let request = self.requests.get(id.request)?;
         let attempt = self.attempts.get_mut(id)?;
-        let able = |endpoint: EndpointId| self.membership.address(endpoint).is_some();
-        let left = attempt.due_ms.min(ask.deadline_ms) - now;
-        if !able(attempt.to)
-            || !attempt.source.is_none_or(able)
-            || left < 1.0
-            || now >= attempt.first_byte_by_ms
-        {
+        let is_usable = |endpoint: EndpointId| self.membership.is_usable(endpoint);
+        let time_left = attempt.due_ms.min(request.deadline_ms) - now;
+        let in_time = time_left >= MIN_WRITE_MS && now < attempt.first_byte_by_ms;
+        if !is_usable(attempt.to) || !attempt.source.is_none_or(is_usable) || !in_time {
             return None;
         }
-        // A copy ages while the attempt waits; 0 would say any age that the class allows.
-        let max_age_ms = match attempt.max_age_ms {
-            0.0 => 0,
-            age => ((age - (now - attempt.sent_ms)) as u64).max(1),
-        };
-        let class = self.settings.class_name(ask.class)?;
-        let (max_age_ms, group) = match &mut self.purge {
-            Some(guard) if !self.settings.is_write(ask.class) => {
-                (guard.limit(now, class, ask.object, ask.part, ask.group, max_age_ms), Some(ask.group))
-            }
-            _ => (max_age_ms, None),
-        };
-        let c = self.connections.get_mut(attempt.conn)?;
-        c.used_ms = now;
-        c.in_flight.insert(id.0, id);
+        let class = self.settings.class_name(request.class)?;
+        let copy = Self::requested_copy(&self.settings, request);
+        let mut max_age_ms = remaining_age_ms(now, attempt);
+        let mut group = None;
+        if let (Some(filter), Some(copy)) = (&self.purge_filter, copy) {
+            max_age_ms = filter.borrow_mut().max_age_ms(now, copy, max_age_ms);
+            group = Some(request.group);
+        }
+        let connection = self.connections.get_mut(attempt.conn)?;
+        connection.used_ms = now;
+        connection.in_flight.insert(id.request, id);
         attempt.stage = Stage::Written(now);
         self.counters.attempts_written += 1;
-        self.class_counters.of(self.settings.class_name(ask.class)?).tries += 1;
+        self.class_counters.of(class).attempts += 1;
         Some(CacheRequest {
-            id: ask.id_text.clone(),
-            class: self.settings.class_name(ask.class)?.to_string(),
-            object: ask.object_text.clone(),
-            part: ask.part,
-            timeout_ms: (left as u64).max(1),
-            idempotency_key: ask.key.clone(),
+            id: request.id_text.clone(),
+            class: class.to_string(),
+            object: request.object_text.clone(),
+            part: request.part,
+            timeout_ms: (time_left as u64).max(1),
+            idempotency_key: request.key.clone(),
             fill_source: attempt.source,
             retention_rank: attempt.retention_rank,
             max_age_ms,
             join_fill: attempt.join_fill,
             only_if_cached: attempt.only_if_cached,
             background_refresh: attempt.revalidate,
-            client_tag: ask.client_etag.clone(),
+            client_tag: request.client_etag.clone(),
             group,
-            body: ask.body.clone(),
+            body: request.body.clone(),
         })
     }
 
-    /// The driver could not write the first byte of what [`Self::next_write`] gave it last: the attempt waits on, and is
-    /// looked at once more before its first byte. What else it was is to be written as it is.
+    /// The copy that a request asks for; none for a write.
+    pub(super) fn requested_copy<'a>(
+        settings: &'a PlatformSettings,
+        request: &IncomingRequest,
+    ) -> Option<RequestedCopy<'a>> {
+        if settings.is_write(request.class) {
+            return None;
+        }
+        let class = settings.class_name(request.class)?;
+        Some(RequestedCopy { class, object: request.object, part: request.part, group: request.group })
+    }
+
+    /// The first byte of the request that [`Self::next_write`] returned last could not be written: its
+    /// attempt is queued again, and checked once more before its first byte.
     pub fn write_blocked(&mut self, conn: ConnectionId, request: RequestId) {
-        let Some(c) = self.connections.get_mut(conn) else { return };
-        let Some(id) = c.in_flight.remove(&request) else { return };
-        c.queue.push_front(id);
+        let Some(connection) = self.connections.get_mut(conn) else { return };
+        let Some(id) = connection.in_flight.remove(&request) else { return };
+        connection.queue.push_front(id);
         if let Some(attempt) = self.attempts.get_mut(id) {
             attempt.stage = Stage::Queued;
             self.counters.attempts_written -= 1;
         }
     }
 
-    /// Ends an attempt whose time is over, and its connection for new ones where that has been silent for too long.
+    /// Ends an attempt that timed out, and closes its connection where that has been silent for too long.
     pub(super) fn expire_attempt(&mut self, now: f64, id: AttemptId) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let (conn, stage) = (attempt.conn, attempt.stage);
         self.counters.attempts_timed_out += 1;
         self.detach_attempt(id, true);
-        if let (Stage::Written(at), Some(c)) = (stage, self.connections.get_mut(conn)) {
-            c.timeouts_since_read += 1;
-            c.closing |=
-                c.timeouts_since_read >= MAX_TIMEOUTS_SINCE_READ || now - c.read_ms.max(at) > SILENCE_MS;
+        if let (Stage::Written(written_ms), Some(connection)) = (stage, self.connections.get_mut(conn)) {
+            connection.timeouts_since_read += 1;
+            let silent_ms = now - connection.read_ms.max(written_ms);
+            connection.closing |=
+                connection.timeouts_since_read >= MAX_TIMEOUTS_SINCE_READ || silent_ms > SILENCE_MS;
         }
-        // One that still waited for its connection has not run.
-        let outcome =
-            if stage == Stage::Queued { AttemptOutcome::NoConnection } else { AttemptOutcome::TimedOut };
+        let outcome = match stage {
+            // It did not run.
+            Stage::Queued => AttemptOutcome::NoConnection,
+            Stage::Written(_) => AttemptOutcome::TimedOut,
+        };
         self.end_attempt(id, outcome);
     }
 
-    /// Ends an attempt of whose path nothing is told, and tells the module at the next [`Self::process_events`].
+    /// Cancels an attempt for the decision module.
+    pub(super) fn cancel_attempt(&mut self, id: AttemptId) {
+        if self.attempts.get(id).is_some() {
+            self.counters.attempts_cancelled += 1;
+            self.detach_attempt(id, true);
+            self.end_attempt(id, AttemptOutcome::Cancelled);
+        }
+    }
+
+    /// Ends an attempt without a cache status. The decision module gets the event at the next
+    /// [`Self::process_events`].
     pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: AttemptOutcome) {
         self.end_attempt_with_status(id, outcome, CacheStatus::Unknown);
     }
 
-    /// Ends an attempt, and tells the module at the next [`Self::process_events`], with what is told of the path.
+    /// Ends an attempt. The decision module gets the event at the next [`Self::process_events`].
     pub(super) fn end_attempt_with_status(
         &mut self,
         id: AttemptId,
@@ -144,44 +211,53 @@
         cache_status: CacheStatus,
     ) {
         let Some(attempt) = self.attempts.remove(id) else { return };
-        let elapsed = micros_from_ms(self.clock.now() - attempt.sent_ms);
-        let closed = self.requests.get(id.0).is_none();
         self.events.push_back(Event::AttemptEnded {
-            id: id.0,
-            attempt: id.1,
+            id: id.request,
+            attempt: id.number,
             outcome,
             cache_status,
-            elapsed,
-            closed,
+            elapsed: micros_from_ms(self.clock.now() - attempt.sent_ms),
+            closed: self.requests.get(id.request).is_none(),
         });
     }
 
-    /// Takes an attempt off its connection; what was written is given up there.
+    /// Takes an attempt off its connection; one that was written is cancelled at the endpoint.
     pub(super) fn detach_attempt(&mut self, id: AttemptId, wake: bool) {
         let Some(attempt) = self.attempts.get(id) else { return };
-        let (conn, written, text) = (attempt.conn, attempt.stage != Stage::Queued, attempt.id_text.clone());
-        let Some(c) = self.connections.get_mut(conn) else { return };
-        if written {
-            c.in_flight.remove(&id.0);
-            c.abandon(id.0, text);
+        let conn = attempt.conn;
+        let Some(connection) = self.connections.get_mut(conn) else { return };
+        if attempt.stage == Stage::Queued {
+            connection.queue.retain(|queued| *queued != id);
         } else {
-            c.queue.retain(|queued| *queued != id);
+            connection.in_flight.remove(&id.request);
+            connection.abandon(id.request, attempt.id_text.clone());
         }
         if wake {
             self.effects.push_back(Effect::Wake(conn));
         }
     }
 
-    /// Ends the attempts that wait for a connection and that a change has made stale.
-    pub(super) fn end_stale_attempts(&mut self, is: impl Fn(&IncomingRequest, &Attempt) -> bool) {
-        let waits = self.attempts.iter().filter(|(_, a)| a.stage == Stage::Queued);
-        let hit = waits.filter(|(id, a)| self.requests.get(id.0).is_some_and(|ask| is(ask, a)));
-        let mut hit: Vec<AttemptId> = hit.map(|(id, _)| *id).collect();
-        hit.sort_unstable();
-        for id in hit {
+    /// Ends the queued attempts that a change has made stale, so that the decision module orders others.
+    pub(super) fn end_stale_attempts(&mut self, is_stale: impl Fn(&IncomingRequest, &Attempt) -> bool) {
+        let queued = self.attempts.iter().filter(|(_, attempt)| attempt.stage == Stage::Queued);
+        let stale = queued.filter(|(id, attempt)| {
+            self.requests.get(id.request).is_some_and(|request| is_stale(request, attempt))
+        });
+        let mut stale: Vec<AttemptId> = stale.map(|(id, _)| *id).collect();
+        stale.sort_unstable();
+        for id in stale {
             self.counters.attempts_stale += 1;
             self.detach_attempt(id, false);
             self.end_attempt(id, AttemptOutcome::NotSent);
         }
     }
 }
+
+/// The greatest age of a copy for an attempt written now, in milliseconds: a copy ages while the attempt is
+/// queued. 0 stands for the class's own limit.
+fn remaining_age_ms(now: f64, attempt: &Attempt) -> u64 {
+    if attempt.max_age_ms == 0.0 {
+        return 0;
+    }
+    ((attempt.max_age_ms - (now - attempt.sent_ms)) as u64).max(1)
+}
--- /dev/null
+++ b/src/engine/connections.rs
@@ -0,0 +1,113 @@
+//! Connections to endpoints: how they are established, what is written next, and how they end.
+
+use super::{Effect, Engine, NextWrite};
+use crate::cache_message::CacheCommand;
+use crate::state::attempts::Attempt;
+use crate::state::ids::{AttemptId, ConnectionId};
+use crate::AttemptOutcome;
+use std::collections::VecDeque;
+
+/// Part of the time for which an endpoint keeps an idle connection, after which this side closes it.
+const IDLE_TIMEOUT_OF_KEEPALIVE: f64 = 0.8;
+/// How often an attempt changes to another connection at once when its own ends before its first byte.
+const MAX_MIGRATIONS: u32 = 2;
+
+impl Engine {
+    /// A connection was established.
+    pub fn connection_established(&mut self, conn: ConnectionId) {
+        let now = self.clock.now();
+        if let Some(connection) = self.connections.get_mut(conn) {
+            connection.up = true;
+            connection.read_ms = now;
+            connection.used_ms = now;
+        }
+    }
+
+    /// A connection could not be established. `local` marks a fault of this machine, such as no free
+    /// descriptor.
+    pub fn connection_failed(&mut self, conn: ConnectionId, local: bool) {
+        self.counters.connection_failures += 1;
+        let outcome = if local { AttemptOutcome::NotSent } else { AttemptOutcome::NoConnection };
+        for id in self.remove_connection(conn, AttemptOutcome::ConnectionLost) {
+            self.end_attempt(id, outcome);
+        }
+        self.process_events();
+    }
+
+    /// An established connection ended.
+    pub fn connection_lost(&mut self, conn: ConnectionId) {
+        self.end_connection(conn, AttemptOutcome::ConnectionLost);
+    }
+
+    /// A connection was dropped because of malformed data: nothing that may still come over it is usable.
+    pub fn connection_malformed(&mut self, conn: ConnectionId) {
+        self.counters.connections_dropped += 1;
+        self.end_connection(conn, AttemptOutcome::Malformed);
+    }
+
+    /// Ends a connection. Attempts that were written may have run. Queued ones migrate to another connection
+    /// at once: only a failed connect shows that the process is down, not the end of an idle connection.
+    fn end_connection(&mut self, conn: ConnectionId, outcome_of_written: AttemptOutcome) {
+        let queued = self.remove_connection(conn, outcome_of_written);
+        let now = self.clock.now();
+        for id in queued {
+            let Some(attempt) = self.attempts.remove(id) else { continue };
+            if attempt.migrations < MAX_MIGRATIONS {
+                self.counters.attempts_migrated += 1;
+                let migrations = attempt.migrations + 1;
+                self.place_attempt(now, id, Attempt { migrations, ..attempt });
+            } else {
+                self.attempts.insert(id, attempt);
+                self.end_attempt(id, AttemptOutcome::NoConnection);
+            }
+        }
+        self.process_events();
+    }
+
+    /// Removes a connection and ends the attempts in flight on it; returns those that were queued.
+    fn remove_connection(&mut self, conn: ConnectionId, outcome: AttemptOutcome) -> VecDeque<AttemptId> {
+        let Some(connection) = self.connections.remove(conn) else { return VecDeque::new() };
+        if !connection.in_flight.is_empty() {
+            self.counters.connections_lost += 1;
+        }
+        let mut in_flight: Vec<AttemptId> = connection.in_flight.into_values().collect();
+        in_flight.sort_unstable();
+        for id in in_flight {
+            self.end_attempt(id, outcome);
+        }
+        connection.queue
+    }
+
+    /// What a connection's driver writes next. A queued attempt is checked again here, before its first byte:
+    /// its endpoint may be draining by now, its copy purged, or its request answered.
+    pub fn next_write(&mut self, conn: ConnectionId) -> NextWrite {
+        loop {
+            let now = self.clock.now();
+            let Some(connection) = self.connections.get_mut(conn) else { return NextWrite::Close };
+            if let Some(id_text) = connection.abandoned.pop_front() {
+                connection.used_ms = now;
+                return NextWrite::Write(CacheCommand::Cancel(id_text));
+            }
+            let Some(id) = connection.queue.pop_front() else {
+                return if connection.is_finished() { NextWrite::Close } else { NextWrite::Idle };
+            };
+            if let Some(request) = self.begin_write(now, id) {
+                return NextWrite::Write(CacheCommand::Send(Box::new(request)));
+            }
+            self.counters.attempts_stale += 1;
+            self.end_attempt(id, AttemptOutcome::NotSent);
+            self.process_events();
+        }
+    }
+
+    /// Closes connections that have been idle for so long that their endpoints may soon close them.
+    pub(super) fn close_idle_connections(&mut self, now: f64) {
+        let idle_timeout_ms = self.settings.keepalive_ms() * IDLE_TIMEOUT_OF_KEEPALIVE;
+        for (id, connection) in self.connections.iter_mut() {
+            connection.closing |= now - connection.used_ms > idle_timeout_ms && connection.load() == 0;
+            if connection.is_finished() {
+                self.effects.push_back(Effect::Wake(*id));
+            }
+        }
+    }
+}
--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -1,12 +1,12 @@
-//! Carries out the engine's effects on sockets: one thread, one engine, a task for each connection. It knows no
-//! protocol: what speaks to members is a [`ConnectionDriver`] that it is given.
+//! Carries out the engine's effects on sockets: one thread, one engine, a task for each connection. It knows
+//! no protocol: a [`ConnectionDriver`] speaks to endpoints.
 
-use super::{Effect, Engine};
+use super::{Effect, EndpointOfKind, Engine};
 use crate::admission::control::AdmissionControl;
 use crate::admission::fair::Verdict;
 use crate::clock::{duration_from_ms, Clock};
 use crate::settings::PlatformSettings;
-use crate::state::connections::ConnectionId;
+use crate::state::ids::ConnectionId;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use crate::{EndpointId, RequestId};
 use futures_util::future::LocalBoxFuture;
@@ -17,6 +17,9 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
+/// When a client is to retry because the table of requests is full, in milliseconds.
+const FULL_RETRY_AFTER_MS: f64 = 300.0;
+
 /// An endpoint as a backend of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
@@ -34,19 +37,19 @@
 pub struct Dial {
     /// Its number.
     pub conn: ConnectionId,
-    /// Where to.
+    /// The endpoint's address.
     pub address: SocketAddrV4,
-    /// How long it may take to come up, in milliseconds.
+    /// Time within which it must be established, in milliseconds.
     pub within_ms: f64,
-    /// Notified when there may be something to ask [`Engine::next_write`] for.
+    /// Notified when [`Engine::next_write`] may have something.
     pub waker: Rc<Notify>,
 }
 
-/// Speaks to endpoints: opens a connection, writes what the engine has and hands it what comes.
+/// Speaks to endpoints: opens a connection, writes the engine's commands and passes replies to it.
 pub trait ConnectionDriver {
     /// Serves one connection until either side ends it, and reports to the executor's engine how it came up
-    /// ([`Engine::connection_established`] or [`Engine::connection_failed`]) and how it ended ([`Engine::connection_lost`] or
-    /// [`Engine::connection_malformed`]).
+    /// ([`Engine::connection_established`] or [`Engine::connection_failed`]) and how it ended
+    /// ([`Engine::connection_lost`] or [`Engine::connection_malformed`]).
     fn drive(&self, executor: Rc<Executor>, dial: Dial) -> LocalBoxFuture<'static, ()>;
 }
 
@@ -59,13 +62,14 @@
     wakers: RefCell<HashMap<ConnectionId, Rc<Notify>>>,
     waiting: RefCell<HashMap<RequestId, oneshot::Sender<FinalResponse>>>,
     due: Notify,
-    /// The door's fair queues, where they are on.
+    /// Admission control, where it is on.
     admission: RefCell<Option<AdmissionControl>>,
-    figures: RefCell<Vec<Figures>>,
+    /// Metrics of other subsystems.
+    metrics_sources: RefCell<Vec<MetricsSource>>,
 }
 
-/// A subsystem's figures, in the Prometheus text format.
-pub type Figures = Box<dyn Fn() -> String>;
+/// Returns a subsystem's metrics in the Prometheus text format.
+pub type MetricsSource = Box<dyn Fn() -> String>;
 
 impl Executor {
     /// An executor for an engine, whose connections `driver` serves. It runs on a `LocalSet`.
@@ -78,40 +82,41 @@
             waiting: RefCell::default(),
             due: Notify::new(),
             admission: RefCell::default(),
-            figures: RefCell::default(),
+            metrics_sources: RefCell::default(),
         })
     }
 
-    /// Puts fair queues at the door: from now on every request goes through them.
+    /// Turns admission control on: from now on every request passes it.
     pub fn set_admission(&self, admission: AdmissionControl) {
         *self.admission.borrow_mut() = Some(admission);
     }
 
-    /// Adds a subsystem's figures to those that the platform reads.
-    pub fn add_metrics(&self, figures: Figures) {
-        self.figures.borrow_mut().push(figures);
+    /// Adds a subsystem's metrics to those that the platform reads.
+    pub fn add_metrics(&self, source: MetricsSource) {
+        self.metrics_sources.borrow_mut().push(source);
     }
 
-    /// Lets the door's queues do something, where they are on.
+    /// Runs `act` on admission control, where it is on.
     pub fn with_admission<R>(&self, act: impl FnOnce(&mut AdmissionControl) -> R) -> Option<R> {
         self.admission.borrow_mut().as_mut().map(act)
     }
 
-    /// The figures that the platform reads, with the door's where it is on.
+    /// The metrics that the platform reads, of the engine and of all subsystems.
     pub fn metrics(self: &Rc<Self>) -> String {
         let engine = self.with(|engine| engine.metrics());
-        let more: String = self.figures.borrow().iter().map(|figures| figures()).collect();
-        engine + &self.with_admission(AdmissionControl::figures).unwrap_or_default() + &more
+        let admission = self.with_admission(AdmissionControl::figures).unwrap_or_default();
+        let subsystems: String = self.metrics_sources.borrow().iter().map(|source| source()).collect();
+        engine + &admission + &subsystems
     }
 
-    /// Lets the engine do something, and carries out what it wants.
+    /// Runs `act` on the engine, and carries out the effects.
     pub fn with<R>(self: &Rc<Self>, act: impl FnOnce(&mut Engine) -> R) -> R {
         let result = act(&mut self.engine.borrow_mut());
         self.run_effects();
         result
     }
 
-    /// The settings as they are by now.
+    /// The present settings.
     pub fn settings(&self) -> Rc<PlatformSettings> {
         self.engine.borrow().settings()
     }
@@ -122,82 +127,90 @@
     }
 
     /// The listed endpoints of a kind as backends, at their own addresses with `port`, by id.
-    pub fn backends(&self, model: &str, port: u16) -> Vec<Backend> {
+    pub fn backends(&self, kind: &str, port: u16) -> Vec<Backend> {
         let engine = self.engine.borrow();
-        let mut all: Vec<Backend> = engine
-            .endpoints_of_kind(model)
-            .map(|(id, at, live)| Backend {
-                id,
-                address: SocketAddr::new((*at.ip()).into(), port),
-                live,
-                weight: 1.0,
-            })
-            .collect();
-        all.sort_by_key(|b| b.id);
-        all
+        let backends = engine.endpoints_of_kind(kind).map(|endpoint| Backend {
+            id: endpoint.id,
+            address: SocketAddr::new((*endpoint.address.ip()).into(), port),
+            live: endpoint.usable,
+            weight: 1.0,
+        });
+        let mut backends: Vec<Backend> = backends.collect();
+        backends.sort_by_key(|backend| backend.id);
+        backends
     }
 
     /// The listed endpoints of a kind, whatever their state, with their own addresses.
-    pub fn endpoints(&self, model: &str) -> Vec<(EndpointId, SocketAddr)> {
-        let engine = self.engine.borrow();
-        let endpoints = engine.endpoints_of_kind(model).map(|(id, at, _)| (id, SocketAddr::V4(at)));
-        endpoints.collect()
+    pub fn endpoints_of_kind(&self, kind: &str) -> Vec<EndpointOfKind> {
+        self.engine.borrow().endpoints_of_kind(kind).collect()
     }
 
+    /// Carries out the engine's effects until there is none left.
     fn run_effects(self: &Rc<Self>) {
         loop {
             let effect = self.engine.borrow_mut().take_effect();
             match effect {
                 None => break,
                 Some(Effect::Open { conn, address, within_ms }) => {
-                    let waker = Rc::new(Notify::new());
-                    self.wakers.borrow_mut().insert(conn, waker.clone());
-                    let dial = Dial { conn, address, within_ms, waker };
-                    let executor = self.clone();
-                    self.spawn("a member's connection", async move {
-                        // Guards against a panic in the driver leaving its attempts out for ever.
-                        let _end = ConnectionGuard { executor: executor.clone(), conn };
-                        executor.driver.drive(executor.clone(), dial).await;
-                    });
+                    self.open_connection(conn, address, within_ms);
                 }
                 Some(Effect::Wake(conn)) => {
                     if let Some(waker) = self.wakers.borrow().get(&conn) {
                         waker.notify_one();
                     }
                 }
-                Some(Effect::Respond(id, answer)) => {
-                    let now = self.clock.now();
-                    let released = self.with_admission(|admission| admission.ended(now, id, Some(&answer)));
-                    self.deliver(id, answer);
-                    released.into_iter().flatten().for_each(|ask| self.admit_queued(ask));
-                }
+                Some(Effect::Respond(id, response)) => self.finish(id, response),
             }
         }
         self.due.notify_one();
     }
 
-    fn deliver(&self, id: RequestId, answer: FinalResponse) {
+    /// Starts the task of a connection.
+    fn open_connection(self: &Rc<Self>, conn: ConnectionId, address: SocketAddrV4, within_ms: f64) {
+        let waker = Rc::new(Notify::new());
+        self.wakers.borrow_mut().insert(conn, waker.clone());
+        let dial = Dial { conn, address, within_ms, waker };
+        let executor = self.clone();
+        self.spawn("an endpoint's connection", async move {
+            let _guard = ConnectionGuard { executor: executor.clone(), conn };
+            executor.driver.drive(executor.clone(), dial).await;
+        });
+    }
+
+    /// Delivers a final response, and admits the requests for which it makes room.
+    fn finish(self: &Rc<Self>, id: RequestId, response: FinalResponse) {
+        let now = self.clock.now();
+        let admitted = self.with_admission(|admission| admission.ended(now, id, Some(&response)));
+        self.deliver(id, response);
+        admitted.into_iter().flatten().for_each(|request| self.admit_queued(request));
+    }
+
+    /// Sends a final response to the client that waits for it.
+    fn deliver(&self, id: RequestId, response: FinalResponse) {
         if let Some(client) = self.waiting.borrow_mut().remove(&id) {
-            // A client that has just left needs none.
-            let _ = client.send(answer);
+            // The client may have disconnected just now.
+            let _ = client.send(response);
         }
     }
 
-    /// Takes a request in and gives the place where its answer will be. Where the door's queues are on, it
-    /// may wait there first, or be refused at once with a time to come back.
+    /// Submits a request; its final response comes by the receiver. Admission control may queue it first, or
+    /// reject it at once.
+    ///
+    /// # Errors
+    ///
+    /// [`AdmitError`] where its id is open already or the table of requests is full.
     pub fn submit(
         self: &Rc<Self>,
-        ask: IncomingRequest,
+        request: IncomingRequest,
     ) -> Result<oneshot::Receiver<FinalResponse>, AdmitError> {
-        let (id, (sender, receiver)) = (ask.id, oneshot::channel());
+        let id = request.id;
+        let (sender, receiver) = oneshot::channel();
         let now = self.clock.now();
-        let mut admission = self.admission.borrow_mut();
-        let (verdict, ask) = match admission.as_mut() {
-            Some(admission) => admission.arrive(now, ask),
-            None => (Verdict::Admit, Some(ask)),
+        let (verdict, request) = match self.admission.borrow_mut().as_mut() {
+            Some(admission) => admission.arrive(now, request),
+            None => (Verdict::Admit, Some(request)),
         };
-        drop(admission);
-        match (verdict, ask) {
+        match (verdict, request) {
             (Verdict::Duplicate, _) => Err(AdmitError::Duplicate),
             (Verdict::Refuse { come_back_ms, .. }, _) => {
                 let _ = sender.send(FinalResponse::Rejected { retry_after_ms: come_back_ms, overdue: false });
@@ -207,48 +220,49 @@
                 self.waiting.borrow_mut().insert(id, sender);
                 Ok(receiver)
             }
-            (Verdict::Admit, Some(ask)) => {
-                let taken = self.engine.borrow_mut().submit(ask);
-                match taken {
+            (Verdict::Admit, Some(request)) => {
+                let accepted = self.engine.borrow_mut().submit(request);
+                match accepted {
                     Ok(()) => drop(self.waiting.borrow_mut().insert(id, sender)),
-                    Err(_) => self.release_admission(id, None),
+                    Err(_) => self.release_admission(id),
                 }
                 self.run_effects();
-                taken.map(|()| receiver)
+                accepted.map(|()| receiver)
             }
         }
     }
 
-    /// Hands a request that waited at the door to the engine.
-    fn admit_queued(self: &Rc<Self>, ask: IncomingRequest) {
-        let id = ask.id;
-        if let Err(reason) = self.engine.borrow_mut().submit(ask) {
-            let retry_after_ms = if reason == AdmitError::Full { 300.0 } else { 0.0 };
+    /// Submits a request that admission control had queued to the engine.
+    fn admit_queued(self: &Rc<Self>, request: IncomingRequest) {
+        let id = request.id;
+        if let Err(error) = self.engine.borrow_mut().submit(request) {
+            let retry_after_ms = if error == AdmitError::Full { FULL_RETRY_AFTER_MS } else { 0.0 };
             self.deliver(id, FinalResponse::Rejected { retry_after_ms, overdue: false });
-            self.release_admission(id, None);
+            self.release_admission(id);
         }
     }
 
-    /// Tells the door that an admitted request ended without an answer of the engine, and lets in who is next.
-    fn release_admission(self: &Rc<Self>, id: RequestId, answer: Option<&FinalResponse>) {
+    /// Notes that an admitted request ended without a response of the engine, and admits the next ones.
+    fn release_admission(self: &Rc<Self>, id: RequestId) {
         let now = self.clock.now();
-        let released = self.with_admission(|admission| admission.ended(now, id, answer));
-        released.into_iter().flatten().for_each(|ask| self.admit_queued(ask));
+        let admitted = self.with_admission(|admission| admission.ended(now, id, None));
+        admitted.into_iter().flatten().for_each(|request| self.admit_queued(request));
     }
 
-    /// A client left before its answer. One that waited at the door is forgotten there; nothing was sent.
+    /// A client disconnected before its response. A request that was queued by admission control is dropped
+    /// there.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         self.waiting.borrow_mut().remove(&id);
         if self.with_admission(|admission| admission.left(id)) == Some(true) {
             return;
         }
         self.with(|engine| engine.client_disconnected(id));
-        self.release_admission(id, None);
+        self.release_admission(id);
         self.run_effects();
     }
 
-    /// Refuses, at once, what waited at the door and whose time is over.
-    fn admission_tick(self: &Rc<Self>) {
+    /// Rejects the queued requests whose time is over.
+    fn reject_expired(self: &Rc<Self>) {
         let now = self.clock.now();
         for (id, come_back_ms) in self.with_admission(|admission| admission.expired(now)).unwrap_or_default()
         {
@@ -256,7 +270,7 @@
         }
     }
 
-    /// Runs a task beside the others. A panic in it is counted and ends nothing else.
+    /// Spawns a task. A panic in it is counted and affects no other task.
     pub fn spawn(self: &Rc<Self>, what: &'static str, task: impl Future<Output = ()> + 'static) {
         let task = tokio::task::spawn_local(task);
         let executor = self.clone();
@@ -270,16 +284,16 @@
         });
     }
 
-    /// Keeps the engine's time: whatever is due is done.
+    /// Runs whatever is due, for ever.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
-            let door =
-                self.with_admission(|admission| admission.next_due()).flatten().unwrap_or(f64::INFINITY);
-            let due = self.engine.borrow_mut().next_due().min(door);
+            let admission_due = self.with_admission(|admission| admission.next_due()).flatten();
+            let engine_due = self.engine.borrow_mut().next_due();
+            let due = engine_due.min(admission_due.unwrap_or(f64::INFINITY));
             let wait = duration_from_ms(due - self.clock.now());
             tokio::select! {
                 () = tokio::time::sleep(wait) => {
-                    self.admission_tick();
+                    self.reject_expired();
                     self.with(Engine::tick);
                 }
                 () = self.due.notified() => {}
@@ -288,7 +302,8 @@
     }
 }
 
-/// Ends a connection for the engine when its driver is gone, however that came.
+/// Forgets a connection when its driver ends; after a panic of the driver, also ends its attempts at the
+/// engine.
 struct ConnectionGuard {
     executor: Rc<Executor>,
     conn: ConnectionId,
--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -1,31 +1,53 @@
-//! The list of members, from the bulletin or a registry, with what operators say of members by hand.
+//! The list of endpoints, from the discovery service or a registry, with operators' maintenance.
 
 use super::{Effect, Engine};
 use crate::clock::micros_from_ms;
 use crate::endpoint_list::{ListedEndpoint, Sequenced, WatchEvent};
-use crate::purge::fanout::TargetStatus;
 use crate::state::maintenance::{Maintenance, Mark};
-use crate::state::requests::IncomingRequest;
 use crate::text::format_endpoint_id;
-use crate::{AttemptOutcome, EndpointId, EndpointState, Event};
+use crate::{AttemptOutcome, EndpointId, EndpointState, Event, ObjectId, Tier};
 use std::net::{SocketAddr, SocketAddrV4};
 
+/// A listed endpoint of a kind.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EndpointOfKind {
+    /// Its id.
+    pub id: EndpointId,
+    /// Where it listens.
+    pub address: SocketAddrV4,
+    /// It may get new requests.
+    pub usable: bool,
+}
+
+/// A listed endpoint that holds copies.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct CopyHolder {
+    /// The text of its id.
+    pub name: String,
+    /// Its address, with the port that was asked for.
+    pub address: SocketAddr,
+    /// Whether it may get new requests.
+    pub state: EndpointState,
+}
+
 impl Engine {
-    /// From now on the list of endpoints is a registry's: the bulletin brings purges alone.
+    /// From now on a registry publishes the list of endpoints; the discovery service's events bring purges
+    /// only.
     pub fn use_registry(&mut self) {
         self.registry = true;
     }
 
-    /// Takes a list of endpoints, or changes of it, from a registry: the same rules as the bulletin's lists, at once.
-    pub fn apply_endpoints(&mut self, full: bool, targets: Vec<ListedEndpoint>) {
-        self.membership.record_listed(full, &targets);
-        self.update_endpoints(full, targets);
+    /// Applies a list of endpoints, or changes of it.
+    pub fn apply_endpoints(&mut self, full: bool, endpoints: Vec<ListedEndpoint>) {
+        self.membership.record_listed(full, &endpoints);
+        self.update_endpoints(full, endpoints);
     }
 
-    /// Takes the endpoints that can be read in an event of the bulletin that can't be read whole. Its number stays open.
-    pub fn apply_readable_endpoints(&mut self, targets: Vec<ListedEndpoint>) {
-        if !self.registry && !targets.is_empty() {
-            self.apply_endpoints(false, targets);
+    /// Applies the readable endpoints of a discovery event that is malformed otherwise. Its number stays
+    /// open.
+    pub fn apply_readable_endpoints(&mut self, endpoints: Vec<ListedEndpoint>) {
+        if !self.registry && !endpoints.is_empty() {
+            self.apply_endpoints(false, endpoints);
         }
     }
 
@@ -34,75 +56,83 @@
         self.endpoint_list_changes
     }
 
-    /// The listed endpoints of a kind: id, address, and whether they take new work.
-    pub fn endpoints_of_kind<'e>(
-        &'e self,
-        model: &'e str,
-    ) -> impl Iterator<Item = (EndpointId, SocketAddrV4, bool)> + 'e {
-        let listed = self.membership.all_listed().filter(move |t| t.record.kind == model);
-        listed.map(|t| (t.record.id, t.address, self.membership.address(t.record.id).is_some()))
+    /// The listed endpoints of a kind.
+    pub fn endpoints_of_kind<'e>(&'e self, kind: &'e str) -> impl Iterator<Item = EndpointOfKind> + 'e {
+        let listed = self.membership.all_listed().filter(move |endpoint| endpoint.record.kind == kind);
+        listed.map(|endpoint| EndpointOfKind {
+            id: endpoint.record.id,
+            address: endpoint.address,
+            usable: self.membership.is_usable(endpoint.record.id),
+        })
     }
 
-    /// Number of the bulletin's last event that was taken.
+    /// Number of the last discovery event that was applied.
     pub fn last_event_number(&self) -> u64 {
         self.last_event_number
     }
 
-    /// Counts all events up to this number as taken.
-    pub fn skip_events_to(&mut self, no: u64) {
-        self.last_event_number = self.last_event_number.max(no);
+    /// Counts all discovery events up to this number as applied.
+    pub fn skip_events_to(&mut self, number: u64) {
+        self.last_event_number = self.last_event_number.max(number);
     }
 
-    /// Takes an event of the bulletin. One that was taken before is skipped.
-    pub fn apply_event(&mut self, item: Sequenced) {
-        if matches!(item.event, WatchEvent::Heartbeat) || item.number <= self.last_event_number {
+    /// Applies a discovery event. One that was applied before is ignored.
+    pub fn apply_event(&mut self, event: Sequenced) {
+        if matches!(event.event, WatchEvent::Heartbeat) || event.number <= self.last_event_number {
             return;
         }
-        self.last_event_number = item.number;
-        self.counters.bulletin_events += 1;
-        match item.event {
+        self.last_event_number = event.number;
+        self.counters.discovery_events += 1;
+        match event.event {
             WatchEvent::Heartbeat => {}
             WatchEvent::Endpoints { .. } if self.registry => {}
-            WatchEvent::Endpoints { full, endpoints } => {
-                self.membership.record_listed(full, &endpoints);
-                self.update_endpoints(full, endpoints);
-            }
-            WatchEvent::Purge { object, group, issued_ms } => {
-                let ago = micros_from_ms(self.clock.now() - issued_ms);
-                self.events.push_back(Event::Purged { object, group, age: ago });
-                self.process_events();
-                // Guards the rule on purges: what waits for a connection was bounded before this purge.
-                let hit = |ask: &IncomingRequest| object.map_or(ask.group == group, |o| ask.object == o);
-                self.end_stale_attempts(|ask, _| hit(ask));
-            }
+            WatchEvent::Endpoints { full, endpoints } => self.apply_endpoints(full, endpoints),
+            WatchEvent::Purge { object, group, issued_ms } => self.apply_purge(object, group, issued_ms),
         }
         self.process_events();
     }
 
-    /// Takes a list, or changes of it, as maintenance by hand leaves it.
-    pub(super) fn update_endpoints(&mut self, full: bool, mut targets: Vec<ListedEndpoint>) {
-        targets.iter_mut().for_each(|target| self.maintenance.apply(&mut target.record));
-        let entries = targets.iter().map(|t| self.settings.endpoint(&t.record)).collect();
-        let gone = self.membership.update_usable(full, &targets);
+    /// Applies a purge. Attempts that are queued have an age limit from before, so they end.
+    fn apply_purge(&mut self, object: Option<ObjectId>, group: u32, issued_ms: f64) {
+        let age = micros_from_ms(self.clock.now() - issued_ms);
+        self.events.push_back(Event::Purged { object, group, age });
+        self.process_events();
+        self.end_stale_attempts(|request, _| match object {
+            Some(object) => request.object == object,
+            None => request.group == group,
+        });
+    }
+
+    /// Applies a list, or changes of it, with maintenance.
+    pub(super) fn update_endpoints(&mut self, full: bool, mut endpoints: Vec<ListedEndpoint>) {
+        for endpoint in &mut endpoints {
+            self.maintenance.apply(&mut endpoint.record);
+        }
+        let entries = endpoints.iter().map(|endpoint| self.settings.endpoint(&endpoint.record)).collect();
+        let changed = self.membership.update_usable(full, &endpoints);
         self.endpoint_list_changes += 1;
-        // The module learns of it first: asked anew before, it would name the same endpoint again.
+        // The decision module gets the list first: otherwise it could choose the same endpoints again.
         self.events.push_back(Event::EndpointsChanged { full, entries });
         self.process_events();
-        gone.into_iter().for_each(|endpoint| self.retire_endpoint(endpoint));
+        for endpoint in changed {
+            self.retire_endpoint(endpoint);
+        }
         self.process_events();
     }
 
-    /// An endpoint drains, is gone or has moved: nothing new goes there, whatever waits for it is asked of the
-    /// module again, and its connections end once they have nothing out. Its address may be another's soon.
+    /// An endpoint is draining, removed or has another address: its queued attempts end, and its connections
+    /// close once none is in flight. Its address may soon be another endpoint's.
     fn retire_endpoint(&mut self, endpoint: EndpointId) {
-        for (conn, c) in self.connections.iter_mut().filter(|(_, c)| c.endpoint == endpoint) {
-            c.closing = true;
-            self.effects.push_back(Effect::Wake(*conn));
+        for (id, connection) in self.connections.iter_mut() {
+            if connection.endpoint == endpoint {
+                connection.closing = true;
+                self.effects.push_back(Effect::Wake(*id));
+            }
         }
         self.end_stale_attempts(|_, attempt| attempt.to == endpoint || attempt.source == Some(endpoint));
     }
 
-    /// Takes an endpoint out of use by hand, or puts it back; false where nobody has that id.
+    /// Takes an endpoint out of use for maintenance, or puts it back; false where no endpoint has that id.
     pub fn set_out_of_use(&mut self, id: EndpointId, out: bool) -> bool {
         if self.membership.listed(id).is_none() && !self.maintenance.is_out(id) {
             return false;
@@ -111,50 +141,47 @@
         true
     }
 
-    /// Takes words on endpoints that another process of this proxy may have been given.
+    /// Merges maintenance calls that another process of this proxy may have got.
     pub fn merge_maintenance(&mut self, marks: impl IntoIterator<Item = (EndpointId, Mark)>) {
         for (id, mark) in marks {
-            if self.maintenance.record(id, mark) {
-                self.counters.maintenance += 1;
-                self.membership
-                    .listed(id)
-                    .cloned()
-                    .into_iter()
-                    .for_each(|target| self.update_endpoints(false, vec![target]));
+            if !self.maintenance.record(id, mark) {
+                continue;
+            }
+            self.counters.maintenance_changes += 1;
+            if let Some(endpoint) = self.membership.listed(id).cloned() {
+                self.update_endpoints(false, vec![endpoint]);
             }
         }
     }
 
-    /// What operators said of endpoints.
+    /// The maintenance calls held.
     pub fn maintenance(&self) -> &Maintenance {
         &self.maintenance
     }
 
-    /// The caches and parents of the membership as targets of fleet purges, by name, at their own address with
-    /// `port`: the origin holds no copies, and an endpoint that is gone is none.
-    pub fn purge_targets(&self, port: u16) -> Vec<(String, SocketAddr, TargetStatus)> {
-        let listed = self.membership.all_listed().filter(|t| t.record.state != EndpointState::Removed);
-        let targets = listed.filter_map(|t| {
-            let origin = self.settings.endpoint(&t.record).tier == crate::Tier::Origin;
-            let standing = if t.record.state == EndpointState::Active {
-                TargetStatus::Listed
-            } else {
-                TargetStatus::Draining
-            };
-            let address = SocketAddr::new((*t.address.ip()).into(), port);
-            (!origin).then(|| (format_endpoint_id(t.record.id), address, standing))
+    /// The listed caches and parents by name, at their own address with `port`. The origin holds no copies.
+    pub fn copy_holders(&self, port: u16) -> Vec<CopyHolder> {
+        let listed = self.membership.all_listed();
+        let present = listed.filter(|endpoint| endpoint.record.state != EndpointState::Removed);
+        let holding =
+            present.filter(|endpoint| self.settings.endpoint(&endpoint.record).tier != Tier::Origin);
+        let holders = holding.map(|endpoint| CopyHolder {
+            name: format_endpoint_id(endpoint.record.id),
+            address: SocketAddr::new((*endpoint.address.ip()).into(), port),
+            state: endpoint.record.state,
         });
-        let mut targets: Vec<_> = targets.collect();
-        targets.sort_by(|a, b| a.0.cmp(&b.0));
-        targets
+        let mut holders: Vec<CopyHolder> = holders.collect();
+        holders.sort_by(|a, b| a.name.cmp(&b.name));
+        holders
     }
 
-    /// From now on endpoints are probed as shared duties, and what the module would probe is left to those.
+    /// From now on the fleet shares health checks, whose results come by [`Self::report_health_check`]; those
+    /// that the decision module orders are left to them.
     pub fn delegate_health_checks(&mut self) {
         self.health_checks_delegated = true;
     }
 
-    /// Probes found an endpoint down, or up again: the module is told, and decides what follows.
+    /// Health checks found an endpoint down, or up again.
     pub fn report_health_check(&mut self, endpoint: EndpointId, up: bool) {
         let outcome = if up { AttemptOutcome::Served } else { AttemptOutcome::NoConnection };
         self.events.push_back(Event::HealthChecked { endpoint, outcome });
--- a/src/engine/metrics.rs
+++ b/src/engine/metrics.rs
@@ -1,45 +1,50 @@
-//! The figures that the platform reads.
+//! The metrics that the platform reads.
 
 use super::Engine;
 use crate::clock::micros_from_ms;
-use crate::endpoint_list::ListedEndpoint;
-use crate::{EndpointId, EndpointState};
+use crate::{EndpointId, EndpointState, Tier};
+use std::fmt::Write as _;
 
 impl Engine {
-    /// The figures that the platform reads.
+    /// The metrics that the platform reads, as lines of `NAME NUMBER`.
     pub fn metrics(&mut self) -> String {
-        for name in (0..).map_while(|k| self.settings.class_name(k)) {
-            self.class_counters.of(name);
+        // Every class is listed, also before its first request.
+        for class in (0..).map_while(|index| self.settings.class_name(index)) {
+            self.class_counters.of(class);
         }
-        let pool: Vec<EndpointId> = self
-            .membership
-            .all_listed()
-            .filter(|t| self.settings.is_cache(&t.record))
-            .map(|t| t.record.id)
-            .collect();
-        let out = pool.iter().filter(|id| self.maintenance.is_out(**id)).count();
-        let avoided = out + self.router.ejected_caches(micros_from_ms(self.clock.now()));
-        let figures = [
+        let listed = self.membership.all_listed().map(|endpoint| &endpoint.record);
+        let caches = listed.filter(|record| self.settings.is_cache(record)).map(|record| record.id);
+        let caches: Vec<EndpointId> = caches.collect();
+        let out_of_use = caches.iter().filter(|id| self.maintenance.is_out(**id)).count();
+        let metrics = [
             ("active", self.requests.len() as u64),
-            ("pool_size", pool.len() as u64),
-            ("pool_ejected", avoided as u64),
+            ("pool_size", caches.len() as u64),
+            ("pool_ejected", (out_of_use + self.ejected_caches()) as u64),
             ("config_applied_total", self.counters.reloads),
-            ("config_rejected_total", self.counters.reload_faults),
+            ("config_rejected_total", self.counters.reload_failures),
         ];
-        let lines = figures.map(|(name, figure)| format!("app_{name} {figure}\n"));
-        self.class_counters.lines() + &lines.concat()
+        let mut text = self.class_counters.to_string();
+        for (name, value) in metrics {
+            let _ = writeln!(text, "app_{name} {value}");
+        }
+        text
     }
 
-    /// The share of this location's caches that take new work and that the module does not leave for their failures;
-    /// none where it has none.
+    /// The share of this zone's caches that get new attempts, in 0 to 1; none where there is no cache.
     pub fn usable_cache_share(&self) -> Option<f64> {
-        let mine = |t: &&ListedEndpoint| {
-            self.settings.endpoint(&t.record).tier == crate::Tier::Cache
-                && t.record.state != EndpointState::Removed
-        };
-        let mine: Vec<&ListedEndpoint> = self.membership.all_listed().filter(mine).collect();
-        let able = mine.iter().filter(|t| self.membership.address(t.record.id).is_some()).count();
-        let avoided = self.router.ejected_caches(micros_from_ms(self.clock.now()));
-        (!mine.is_empty()).then(|| able.saturating_sub(avoided) as f64 / mine.len() as f64)
+        let listed = self.membership.all_listed().map(|endpoint| &endpoint.record);
+        let present = listed.filter(|record| record.state != EndpointState::Removed);
+        let caches = present.filter(|record| self.settings.endpoint(record).tier == Tier::Cache);
+        let caches: Vec<EndpointId> = caches.map(|record| record.id).collect();
+        if caches.is_empty() {
+            return None;
+        }
+        let usable = caches.iter().filter(|id| self.membership.is_usable(**id)).count();
+        Some(usable.saturating_sub(self.ejected_caches()) as f64 / caches.len() as f64)
+    }
+
+    /// Caches that the decision module has ejected.
+    fn ejected_caches(&self) -> usize {
+        self.router.ejected_caches(micros_from_ms(self.clock.now()))
     }
 }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,39 +1,47 @@
-//! The engine behind both fronts: it turns what happens into the module's [`Event`]s and carries out its
-//! [`Action`]s. It decides nothing that the module decides, and knows no socket: what is to be done on
-//! sockets comes out as [`Effect`]s.
+//! The engine behind all fronts: it turns what happens into [`Event`]s of the decision module and carries out
+//! its [`Action`]s. It makes no decision itself, and knows no socket: what is to be done on sockets comes out
+//! as [`Effect`]s.
+//!
+//! `requests` accepts requests; `attempts` and `connections` carry attempts to endpoints; `replies` handles
+//! what comes back; `membership` applies the list of endpoints; `executor` carries out the effects.
 
-mod answers;
 mod attempts;
+mod connections;
 mod effects;
 pub mod executor;
-mod intake;
 mod membership;
 mod metrics;
-mod upstream;
+pub mod purge_filter;
+mod replies;
+mod requests;
 
 pub use effects::{Effect, NextWrite};
+pub use membership::{CopyHolder, EndpointOfKind};
 
 use crate::clock::{micros_from_ms, ms_from_micros, Clock};
-use crate::purge::age_limit::AgeLimiter;
 use crate::settings::PlatformSettings;
-use crate::state::attempts::{Attempt, Attempts, Stage};
+use crate::state::attempts::Attempts;
 use crate::state::connections::{ConnectionLimits, Connections};
 use crate::state::counters::{Counters, CountersByClass};
 use crate::state::deadlines::Deadlines;
+use crate::state::ids::AttemptId;
 use crate::state::maintenance::Maintenance;
 use crate::state::membership::Membership;
 use crate::state::requests::{FinalResponse, Requests};
 use crate::{Action, AttemptOutcome, Event, Router};
+use attempts::AttemptOrder;
+use purge_filter::PurgeFilter;
+use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// How often idle connections are looked for, in milliseconds.
-const HOUSEKEEPING_MS: f64 = 1_000.0;
+/// Interval of housekeeping, in milliseconds.
+const HOUSEKEEPING_INTERVAL_MS: f64 = 1_000.0;
 
-/// The bounds of what an engine holds.
+/// Limits on what an engine holds.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineLimits {
-    /// Requests that owe an answer.
+    /// Open requests.
     pub requests: usize,
     /// Connections to endpoints.
     pub connections: ConnectionLimits,
@@ -44,7 +52,7 @@
     clock: Clock,
     settings: Rc<PlatformSettings>,
     router: Router,
-    /// Counters of what passed.
+    /// Counters of the whole proxy.
     pub counters: Counters,
     class_counters: CountersByClass,
     requests: Requests,
@@ -52,36 +60,37 @@
     connections: Connections,
     membership: Membership,
     maintenance: Maintenance,
+    /// Timers of the decision module, by token.
     timers: Deadlines<u64>,
+    /// Events that the decision module has not got yet.
     events: VecDeque<Event>,
+    /// An empty list of actions, kept for its allocation.
     actions: Vec<Action>,
     effects: VecDeque<Effect>,
     last_event_number: u64,
+    /// When housekeeping was last done, in Unix milliseconds.
     housekept_ms: f64,
     /// Fleet purges, where they are on.
-    purge: Option<AgeLimiter>,
-    /// The list of endpoints comes from a registry: the bulletin's lists are not taken.
+    purge_filter: Option<Rc<RefCell<dyn PurgeFilter>>>,
+    /// A registry publishes the list of endpoints: the discovery service's lists are ignored.
     registry: bool,
-    /// How often the list of endpoints has changed.
     endpoint_list_changes: u64,
-    /// Probes are shared duties: their results come by [`Self::report_health_check`].
     health_checks_delegated: bool,
 }
 
 impl Engine {
-    /// An engine that knows its settings and no endpoint yet.
-    pub fn new(clock: Clock, settings: Rc<PlatformSettings>, seed: u64, bounds: EngineLimits) -> Self {
-        let router = Router::new(settings.policy_settings(), seed);
+    /// An engine that knows its settings and no endpoint.
+    pub fn new(clock: Clock, settings: Rc<PlatformSettings>, seed: u64, limits: EngineLimits) -> Self {
         Self {
             housekept_ms: clock.now(),
             clock,
+            router: Router::new(settings.policy_settings(), seed),
             settings,
-            router,
             counters: Counters::default(),
             class_counters: CountersByClass::default(),
-            requests: Requests::new(bounds.requests),
+            requests: Requests::new(limits.requests),
             attempts: Attempts::default(),
-            connections: Connections::new(bounds.connections),
+            connections: Connections::new(limits.connections),
             membership: Membership::default(),
             maintenance: Maintenance::default(),
             timers: Deadlines::default(),
@@ -89,43 +98,39 @@
             actions: Vec::new(),
             effects: VecDeque::new(),
             last_event_number: 0,
-            purge: None,
+            purge_filter: None,
             registry: false,
             endpoint_list_changes: 0,
             health_checks_delegated: false,
         }
     }
 
-    /// Turns fleet purges on: from now on they limit the age of every attempt, and every answer is checked.
-    pub fn set_age_limiter(&mut self, limiter: AgeLimiter) -> &mut AgeLimiter {
-        self.purge.insert(limiter)
+    /// Turns fleet purges on: from now on the filter limits the age of every attempt and checks every reply.
+    pub fn set_purge_filter(&mut self, filter: Rc<RefCell<dyn PurgeFilter>>) {
+        self.purge_filter = Some(filter);
     }
 
-    /// The age limiter of fleet purges, where they are on.
-    pub fn age_limiter(&mut self) -> Option<&mut AgeLimiter> {
-        self.purge.as_mut()
-    }
-
-    /// What is to be done on sockets, in order.
+    /// Takes the next effect, in order.
     pub fn take_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// The settings as they are by now.
+    /// The present settings.
     pub fn settings(&self) -> Rc<PlatformSettings> {
         self.settings.clone()
     }
 
-    /// Takes other settings. Requests under way keep their class.
-    pub fn reconfigure(&mut self, fresh: PlatformSettings) {
-        self.settings = Rc::new(fresh.carrying_over(&self.settings, |class| self.requests.uses_class(class)));
+    /// Replaces the settings. Open requests keep their class.
+    pub fn reconfigure(&mut self, settings: PlatformSettings) {
+        let in_use = |class| self.requests.uses_class(class);
+        self.settings = Rc::new(settings.carrying_over(&self.settings, in_use));
         self.router.reconfigure(self.settings.policy_settings());
         self.connections.set_stream_limit(self.settings.streams_per_connection());
-        let targets = self.membership.all_listed().cloned().collect();
-        self.update_endpoints(true, targets);
+        let listed = self.membership.all_listed().cloned().collect();
+        self.update_endpoints(true, listed);
     }
 
-    /// How many requests owe an answer.
+    /// How many requests are owed a response.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
@@ -141,42 +146,43 @@
             self.events.push_back(Event::Timer { token });
             self.process_events();
         }
-        // Guards the rule that each request is answered in time, should the module ever forget one.
+        // The decision module concludes every request in time; this holds even if it should not.
         while let Some(id) = self.requests.pop_overdue(now) {
             self.counters.overdue += 1;
             self.respond(id, FinalResponse::Failed { overdue: true });
             self.events.push_back(Event::ClientDisconnected { id });
             self.process_events();
         }
-        if now >= self.housekept_ms + HOUSEKEEPING_MS {
+        if now >= self.housekept_ms + HOUSEKEEPING_INTERVAL_MS {
             self.housekept_ms = now;
+            self.maintenance.forget_old_returns(now);
             self.close_idle_connections(now);
         }
     }
 
-    /// When there is something to do next.
+    /// When [`Self::tick`] is due next, in Unix milliseconds.
     pub fn next_due(&mut self) -> f64 {
-        let tidy = self.housekept_ms + HOUSEKEEPING_MS;
+        let housekeeping = self.housekept_ms + HOUSEKEEPING_INTERVAL_MS;
         let attempt = self.attempts.next_due().unwrap_or(f64::INFINITY);
         let timer = self.timers.next_due(|_, _| true).unwrap_or(f64::INFINITY);
         let request = self.requests.next_due().unwrap_or(f64::INFINITY);
-        tidy.min(attempt).min(timer).min(request)
+        housekeeping.min(attempt).min(timer).min(request)
     }
 
-    /// Hands the module all that happened, and carries out what it wants, until there is nothing more.
+    /// Passes all events to the decision module and carries out its actions, until there is no event left.
     fn process_events(&mut self) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             let now = micros_from_ms(self.clock.now());
             self.router.handle(now, &event, &mut actions);
-            // What a replay of a day counts over all proxies; off unless `CALICOBEAM_LOG` asks for this target.
+            // For replays of a day's decisions; off unless the log's filter names this target.
             tracing::trace!(target: "decisions", now, ?event, ?actions);
             actions.drain(..).for_each(|action| self.apply_action(action));
             self.actions = actions;
         }
     }
 
-    /// Carries out one of the module's actions: on the state here, or as an effect.
+    /// Carries out one action of the decision module: on the state, or as an effect.
     fn apply_action(&mut self, action: Action) {
         let now = self.clock.now();
         match action {
@@ -184,51 +190,46 @@
                 id,
                 to,
                 source,
-                join_fill: join,
+                join_fill,
                 only_if_cached,
                 revalidate,
                 max_age,
-                retention_rank: keep,
+                retention_rank,
                 timeout,
                 first_byte_by,
             } => {
-                let Some(number) = self.requests.next_attempt_number(id) else { return };
-                self.counters.attempts += 1;
-                let (max_age_ms, due_ms) = (ms_from_micros(max_age), now + ms_from_micros(timeout));
-                let first_byte_by_ms = ms_from_micros(first_byte_by);
-                let source = source.filter(|s| *s != to);
-                let (conn, stage, sent_ms, moves) = (0, Stage::Queued, now, 0);
-                let id_text = self.requests.get(id).map(|ask| ask.id_text.clone()).unwrap_or_default();
-                #[rustfmt::skip]
-                let attempt = Attempt {
-                    id_text, to, source, join_fill: join, only_if_cached, revalidate, max_age_ms, retention_rank: keep, sent_ms, due_ms, first_byte_by_ms,
-                    conn, stage, migrations: moves,
+                let order = AttemptOrder {
+                    to,
+                    source,
+                    join_fill,
+                    only_if_cached,
+                    revalidate,
+                    max_age,
+                    retention_rank,
+                    timeout,
+                    first_byte_by,
                 };
-                self.place_attempt(now, (id, number), attempt);
+                self.start_attempt(now, id, order);
             }
-            Action::Reject { id, retry_after: wait } => {
+            Action::Reject { id, retry_after } => {
                 let overdue = self.is_overdue(now, id);
-                self.respond(id, FinalResponse::Rejected { retry_after_ms: ms_from_micros(wait), overdue });
+                let retry_after_ms = ms_from_micros(retry_after);
+                self.respond(id, FinalResponse::Rejected { retry_after_ms, overdue });
             }
             Action::Fail { id } => {
                 let overdue = self.is_overdue(now, id);
                 self.respond(id, FinalResponse::Failed { overdue });
             }
             Action::Cancel { id, attempt } => {
-                let id = (id, attempt);
-                if self.attempts.get(id).is_some() {
-                    self.counters.attempts_cancelled += 1;
-                    self.detach_attempt(id, true);
-                    self.end_attempt(id, AttemptOutcome::Cancelled);
-                }
+                self.cancel_attempt(AttemptId { request: id, number: attempt });
             }
             Action::SetTimer { token, at } => self.timers.push(ms_from_micros(at), token),
-            // Probes are not allowed on this platform, and its PING tells only that a connection works.
             Action::CheckHealth { .. } if self.health_checks_delegated => {}
+            // The platform has no health check of its own: its PING shows only that a connection works.
             Action::CheckHealth { endpoint } => {
                 self.events.push_back(Event::HealthChecked { endpoint, outcome: AttemptOutcome::NotSent });
             }
-            // The bulletin tells all changes unasked.
+            // The discovery service publishes all changes unasked.
             Action::Watch => {}
         }
     }
--- /dev/null
+++ b/src/engine/replies.rs
@@ -0,0 +1,109 @@
+//! Replies of endpoints to attempts, and the one final response of a request.
+
+use super::{Effect, Engine};
+use crate::cache_message::{CacheReply, ReplyStatus};
+use crate::state::ids::ConnectionId;
+use crate::state::requests::FinalResponse;
+use crate::{AttemptOutcome, RequestId};
+
+/// Time left, in milliseconds, below which a request that ends counts as overdue: the decision module sends
+/// no attempt with so little left.
+const OVERDUE_MARGIN_MS: f64 = 50.0;
+
+impl Engine {
+    /// Applies a reply that came over a connection.
+    pub fn handle_response(&mut self, conn: ConnectionId, reply: CacheReply) {
+        let now = self.clock.now();
+        let Some(connection) = self.connections.get_mut(conn) else { return };
+        connection.read_ms = now;
+        connection.used_ms = now;
+        connection.timeouts_since_read = 0;
+        let Some(id) = connection.in_flight.remove(&reply.request_id) else {
+            // It crossed the attempt's cancellation, is a repetition, or belongs to no request of this
+            // connection.
+            self.counters.replies_late += 1;
+            return;
+        };
+        connection.bar(id.request);
+        let cache_status = reply.path.into();
+        let outcome = self.count_reply(reply.status);
+        if outcome != AttemptOutcome::Served {
+            self.end_attempt_with_status(id, outcome, cache_status);
+        } else if self.is_purged(id.request, &reply) || !self.is_plausible(id.request, &reply) {
+            self.end_attempt(id, AttemptOutcome::Malformed);
+        } else {
+            self.respond(id.request, final_response(reply));
+            self.end_attempt_with_status(id, outcome, cache_status);
+        }
+        self.process_events();
+        self.effects.push_back(Effect::Wake(conn));
+    }
+
+    /// Counts a reply; returns the outcome of its attempt.
+    fn count_reply(&mut self, status: ReplyStatus) -> AttemptOutcome {
+        let counters = &mut self.counters;
+        let (outcome, counter) = match status {
+            ReplyStatus::Served | ReplyStatus::NotModified => {
+                (AttemptOutcome::Served, &mut counters.replies_served)
+            }
+            ReplyStatus::Miss => (AttemptOutcome::CacheMiss, &mut counters.replies_miss),
+            ReplyStatus::Overloaded => (AttemptOutcome::Rejected, &mut counters.replies_overloaded),
+            ReplyStatus::Error => (AttemptOutcome::Error, &mut counters.replies_error),
+            ReplyStatus::Expired => (AttemptOutcome::NotSent, &mut counters.replies_miss),
+        };
+        *counter += 1;
+        outcome
+    }
+
+    /// Whether a reply fits its request: an endpoint may confirm only the client's copy that the request
+    /// named.
+    fn is_plausible(&self, id: RequestId, reply: &CacheReply) -> bool {
+        if reply.status != ReplyStatus::NotModified {
+            return true;
+        }
+        self.requests.get(id).is_none_or(|request| {
+            let client_etag = &request.client_etag;
+            client_etag.is_some() && (reply.entity_tag.is_none() || reply.entity_tag == *client_etag)
+        })
+    }
+
+    /// Whether the reply to a read carries a copy that a fleet purge removed. Such a copy reaches no client.
+    fn is_purged(&mut self, id: RequestId, reply: &CacheReply) -> bool {
+        let (Some(filter), Some(request)) = (&self.purge_filter, self.requests.get(id)) else { return false };
+        let Some(copy) = Self::requested_copy(&self.settings, request) else { return false };
+        let purge = filter.borrow_mut().purge_of_reply(copy, reply);
+        if let Some(seq) = purge {
+            tracing::debug!(id = request.id_text, seq, "a reply carries a purged copy; it is not passed on");
+        }
+        purge.is_some()
+    }
+
+    /// Gives a request its final response, if it is still owed one.
+    pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) {
+        let Some(request) = self.requests.remove(id) else { return };
+        let class = self.settings.class_name(request.class).unwrap_or_default();
+        let of_class = self.class_counters.of(class);
+        let (counter, class_counter) = match &response {
+            FinalResponse::Served { .. } => (&mut self.counters.served, &mut of_class.served),
+            FinalResponse::NotModified { .. } => (&mut self.counters.not_modified, &mut of_class.served),
+            FinalResponse::Rejected { .. } => (&mut self.counters.rejected, &mut of_class.rejected),
+            FinalResponse::Failed { .. } => (&mut self.counters.failed, &mut of_class.failed),
+        };
+        *counter += 1;
+        *class_counter += 1;
+        self.effects.push_back(Effect::Respond(id, response));
+    }
+
+    /// Whether a request that ends now ends for want of time.
+    pub(super) fn is_overdue(&self, now: f64, id: RequestId) -> bool {
+        self.requests.get(id).is_some_and(|request| now + OVERDUE_MARGIN_MS >= request.deadline_ms)
+    }
+}
+
+/// The response to the client of a reply that was served.
+fn final_response(reply: CacheReply) -> FinalResponse {
+    match reply.status {
+        ReplyStatus::NotModified => FinalResponse::NotModified { tag: reply.entity_tag.unwrap_or_default() },
+        _ => FinalResponse::Served { tag: reply.entity_tag, body: reply.body },
+    }
+}
--- /dev/null
+++ b/src/engine/requests.rs
@@ -0,0 +1,48 @@
+//! Requests of clients: accepting them, and dropping those whose client has disconnected.
+
+use super::Engine;
+use crate::clock::micros_from_ms;
+use crate::state::requests::{AdmitError, IncomingRequest};
+use crate::{Event, RequestId};
+
+impl Engine {
+    /// Accepts a request. It gets exactly one [`Effect::Respond`](super::Effect::Respond), unless its client
+    /// disconnects before.
+    ///
+    /// # Errors
+    ///
+    /// [`AdmitError`] where its id is open already or the table is full.
+    pub fn submit(&mut self, request: IncomingRequest) -> Result<(), AdmitError> {
+        let class = request.class;
+        let event = Event::Request {
+            id: request.id,
+            class,
+            object: request.object,
+            group: request.group,
+            part: request.part,
+            size_kb: request.size_kb,
+            deadline_at: micros_from_ms(request.deadline_ms),
+        };
+        if let Err(error) = self.requests.admit(request) {
+            let counters = self.class_counters.of(self.settings.class_name(class).unwrap_or_default());
+            match error {
+                AdmitError::Duplicate => counters.failed += 1,
+                AdmitError::Full => counters.rejected += 1,
+            }
+            return Err(error);
+        }
+        self.counters.requests += 1;
+        self.events.push_back(event);
+        self.process_events();
+        Ok(())
+    }
+
+    /// A client disconnected: no response is owed to it, and its attempts are cancelled.
+    pub fn client_disconnected(&mut self, id: RequestId) {
+        if self.requests.remove(id).is_some() {
+            self.counters.clients_disconnected += 1;
+            self.events.push_back(Event::ClientDisconnected { id });
+            self.process_events();
+        }
+    }
+}
--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -110,7 +110,7 @@
     stop: &Rc<GracefulShutdown>,
     slot: OwnedSemaphorePermit,
 ) {
-    front.executor.with(|engine| engine.counters.clients += 1);
+    front.executor.with(|engine| engine.counters.client_connections += 1);
     let (own, stop) = (front.clone(), stop.clone());
     let open = stop.track_connection();
     front.executor.spawn("a gRPC client's connection", async move {
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -4,7 +4,8 @@
 use super::config::GrpcLimits;
 use super::server::connection_window_bytes;
 use crate::clock::{duration_from_ms, Clock};
-use crate::state::connections::{ConnectionId, ConnectionLimits, Connections, Placement};
+use crate::state::connections::{ConnectionLimits, Connections, Placement};
+use crate::state::ids::{AttemptId, ConnectionId};
 use crate::wire::cache_connection::is_local;
 use crate::EndpointId;
 use bytes::Bytes;
@@ -112,7 +113,7 @@
             }
         };
         let c = all.get_mut(conn)?;
-        c.in_flight.insert(call, (call, attempt));
+        c.in_flight.insert(call, AttemptId { request: call, number: attempt });
         c.used_ms = now;
         let state = self.handles.borrow().get(&conn)?.state.clone();
         Some(StreamPermit { upstream: self.clone(), conn, call, state })
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -108,9 +108,13 @@
             return;
         }
         let checked = &self.config.endpoints;
-        let listed = checked.models.iter().flat_map(|model| self.host.endpoints(model));
+        let listed = checked.models.iter().flat_map(|model| self.host.endpoints_of_kind(model));
         let endpoints: BTreeMap<_, _> = listed
-            .map(|(id, address)| (id, SocketAddr::new(address.ip(), checked.port.unwrap_or(address.port()))))
+            .map(|endpoint| {
+                let address = endpoint.address;
+                let port = checked.port.unwrap_or(address.port());
+                (endpoint.id, SocketAddr::new((*address.ip()).into(), port))
+            })
             .collect();
         self.scheduler.borrow_mut().set_endpoints(self.now(), endpoints.keys().copied());
         self.health.borrow_mut().retain(|endpoint| endpoints.contains_key(&endpoint));
--- a/src/http3/server.rs
+++ b/src/http3/server.rs
@@ -185,7 +185,7 @@
         }
         driver.open.set(open + 1);
         driver.count(|f| f.connections += 1);
-        driver.host.with(|engine| engine.counters.clients += 1);
+        driver.host.with(|engine| engine.counters.client_connections += 1);
         let (own, stop, held) = (driver.clone(), stop.clone(), stop.track_connection());
         driver.host.spawn("a QUIC connection", async move {
             let _place = Place(own.clone(), held);
@@ -413,7 +413,7 @@
     let Ok(response) = response.body(()) else { return };
     if write(shared, response, body, priority, &mut stream).await.is_err() {
         driver.count(|f| f.unwritten += 1);
-        driver.host.with(|engine| engine.counters.unwritten += 1);
+        driver.host.with(|engine| engine.counters.responses_unwritten += 1);
     }
 }
 
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -97,7 +97,8 @@
     }
 }
 
-/// The response, once its head and all of its body have arrived. Only responses with `Content-Length` are understood.
+/// The response, once its head and all of its body have arrived. Only responses with `Content-Length` are
+/// understood.
 fn parse_complete(received: &[u8]) -> Option<Response> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -218,7 +218,8 @@
         matches!(self, Self::Served | Self::CacheMiss | Self::Rejected | Self::Error)
     }
 
-    /// Whether the attempt was lost on its way to or from an endpoint, which proves no load and no fault there.
+    /// Whether the attempt was lost on its way to or from an endpoint, which proves no load and no fault
+    /// there.
     pub fn is_lost(self) -> bool {
         matches!(self, Self::ConnectionLost | Self::Malformed | Self::NoConnection | Self::NotSent)
     }
@@ -345,7 +346,8 @@
         retention_rank: u8,
         /// Time-out of the attempt.
         timeout: Micros,
-        /// When its first byte must be out: later it could run again what has run. The host sends it no later.
+        /// When its first byte must be out: later it could run again what has run. The host sends it no
+        /// later.
         first_byte_by: Micros,
     },
     /// Final answer: refused; trying again does no harm.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,38 +1,28 @@
 //! Calicobeam decides for a request router that stands before tiers of caches with one origin behind them.
 //!
-//! It is sans-I/O: the host owns clock, threads and network. It makes a [`Router`] from [`PolicySettings`] and a
-//! seed, hands it each [`Event`] with the time, and carries out the [`Action`]s that it gets back, in order.
-//! The same events at the same times with the same seed give the same actions.
+//! It is sans-I/O: the host owns clock, threads and network. It makes a [`Router`] from [`PolicySettings`]
+//! and a seed, hands it each [`Event`] with the time, and carries out the [`Action`]s that it gets back, in
+//! order. The same events at the same times with the same seed give the same actions.
 //!
-//! The host owes the router: one [`Event::AttemptEnded`] for each [`Action::Forward`], one [`Event::HealthChecked`] for each
-//! [`Action::CheckHealth`] and one [`Event::Timer`] for each [`Action::SetTimer`]; time that never runs
-//! backwards; attempts numbered from 0 for each request in the order sent; and no event of a request after a
-//! restart. Every request gets one [`Action::Reject`] or [`Action::Fail`], or is concluded by an outcome
-//! with `closed` set or by [`Event::ClientDisconnected`].
+//! The host owes the router: one [`Event::AttemptEnded`] for each [`Action::Forward`], one
+//! [`Event::HealthChecked`] for each [`Action::CheckHealth`] and one [`Event::Timer`] for each
+//! [`Action::SetTimer`]; time that never runs backwards; attempts numbered from 0 for each request in the
+//! order sent; and no event of a request after a restart. Every request gets one [`Action::Reject`] or
+//! [`Action::Fail`], or is concluded by an outcome with `closed` set or by [`Event::ClientDisconnected`].
 //!
 //! ```
-//! use edge_proxy::*;
-//! # fn settings() -> PolicySettings {
-//! #     let cold = SlowStart { initial_capacity: 0.2, ramp_duration: 15_000_000, overload_multiple: 3.0, overload_window: 2_000_000 };
-//! #     PolicySettings {
-//! #         classes: vec![RequestClass {
-//! #             latency_objective: 400_000, latency_stretch: 2.0, deadline: 2_500_000, idempotency: Idempotency::Idempotent,
-//! #             key_scope: KeyScope::All, key_window: 0, priority_weight: 1.0,
-//! #             fresh_lifetime: 0, stale_while_revalidate: 0, uncacheable: false,
-//! #         }],
-//! #         fleet_size: 1, local_fleet_size: 1, client_kb_per_s: 5_000.0, weights_known: true,
-//! #         can_join_fills: true, can_bypass_caches: true, reports_cache_status: false,
-//! #         purge_completion: 6_000_000, max_attempts: 6,
-//! #         can_cancel: true, can_check_health: false, max_retry_after: 500_000, watch_endpoints: false,
-//! #         cache_slow_start: cold, parent_slow_start: cold,
-//! #     }
-//! # }
-//! # fn listing(id: u32, tier: Tier) -> Endpoint {
-//! #     Endpoint { id, tier, state: EndpointState::Active, started_at: 0, weight: 5.0, zone: 0, cell: 0 }
-//! # }
-//! let mut router = Router::new(settings(), 7);
-//! let mut actions = Vec::new();
-//! let entries = vec![
+//! use edge_proxy::*; # fn settings() -> PolicySettings { #     let cold = SlowStart { initial_capacity: 0.2,
+//! ramp_duration: 15_000_000, overload_multiple: 3.0, overload_window: 2_000_000 }; #     PolicySettings { #
+//! classes: vec![RequestClass { #             latency_objective: 400_000, latency_stretch: 2.0, deadline:
+//! 2_500_000, idempotency: Idempotency::Idempotent, #             key_scope: KeyScope::All, key_window: 0,
+//! priority_weight: 1.0, #             fresh_lifetime: 0, stale_while_revalidate: 0, uncacheable: false, #
+//! }], #         fleet_size: 1, local_fleet_size: 1, client_kb_per_s: 5_000.0, weights_known: true, #
+//! can_join_fills: true, can_bypass_caches: true, reports_cache_status: false, #         purge_completion:
+//! 6_000_000, max_attempts: 6, #         can_cancel: true, can_check_health: false, max_retry_after: 500_000,
+//! watch_endpoints: false, #         cache_slow_start: cold, parent_slow_start: cold, #     } # } # fn
+//! listing(id: u32, tier: Tier) -> Endpoint { #     Endpoint { id, tier, state: EndpointState::Active,
+//! started_at: 0, weight: 5.0, zone: 0, cell: 0 } # } let mut router = Router::new(settings(), 7); let mut
+//! actions = Vec::new(); let entries = vec![
 //!     listing(1, Tier::Cache), listing(2, Tier::Cache), listing(8, Tier::Parent), listing(9, Tier::Origin),
 //! ];
 //! router.handle(0, &Event::EndpointsChanged { full: true, entries }, &mut actions);
@@ -58,6 +48,7 @@
 
 pub mod admission;
 pub mod backoff;
+pub mod cache_message;
 pub mod clock;
 pub mod config_file;
 pub mod datagram_auth;
@@ -73,6 +64,7 @@
 mod policy;
 pub mod purge;
 pub mod registry;
+pub mod response_path;
 pub mod rules;
 pub mod settings;
 pub mod state;
--- a/src/lifecycle/subsystem.rs
+++ b/src/lifecycle/subsystem.rs
@@ -3,7 +3,7 @@
 use super::config::Config;
 use super::descriptors::DescriptorBudget;
 use super::error::ServeError;
-use crate::engine::executor::{Executor, Figures};
+use crate::engine::executor::{Executor, MetricsSource};
 use crate::grpc::front::GrpcFront;
 use crate::registry::driver::RegistryStatus;
 use crate::rules::table::Rules;
@@ -34,7 +34,7 @@
     }
 
     /// The source of its metrics, if it has any; called once, when it is prepared.
-    fn metrics(&self) -> Option<Figures> {
+    fn metrics(&self) -> Option<MetricsSource> {
         None
     }
 
--- a/src/lifecycle/subsystems/grpc.rs
+++ b/src/lifecycle/subsystems/grpc.rs
@@ -1,7 +1,7 @@
 //! gRPC pass-through.
 
 use crate::config_file::BoxError;
-use crate::engine::executor::Figures;
+use crate::engine::executor::MetricsSource;
 use crate::grpc::config::GrpcConfig;
 use crate::grpc::front::GrpcFront;
 use crate::grpc::server::{abort_calls_at_shutdown, accept, expire_queued_calls, run_housekeeping};
@@ -63,7 +63,7 @@
         self.open(context).boxed_local()
     }
 
-    fn metrics(&self) -> Option<Figures> {
+    fn metrics(&self) -> Option<MetricsSource> {
         let front = self.front.clone()?;
         Some(Box::new(move || front.metrics()))
     }
--- a/src/lifecycle/subsystems/health_checks.rs
+++ b/src/lifecycle/subsystems/health_checks.rs
@@ -1,6 +1,6 @@
 //! Health checks of endpoints, shared among the instances of an installation.
 
-use crate::engine::executor::Figures;
+use crate::engine::executor::MetricsSource;
 use crate::health_check::config::HealthCheckConfig;
 use crate::health_check::driver::{run, HealthChecker};
 use crate::lifecycle::bind::bind_udp;
@@ -40,7 +40,7 @@
         self.open(context).boxed_local()
     }
 
-    fn metrics(&self) -> Option<Figures> {
+    fn metrics(&self) -> Option<MetricsSource> {
         let checker = self.checker.clone()?;
         Some(Box::new(move || checker.metrics()))
     }
--- a/src/lifecycle/subsystems/http3.rs
+++ b/src/lifecycle/subsystems/http3.rs
@@ -1,7 +1,7 @@
 //! HTTP/3: a QUIC endpoint, and HTTP/1.1 over TCP with the same sessions where the file names an address.
 
 use crate::config_file::BoxError;
-use crate::engine::executor::Figures;
+use crate::engine::executor::MetricsSource;
 use crate::http3::call_registry::CallRegistry;
 use crate::http3::config::Http3Config;
 use crate::http3::front::Http3Front;
@@ -106,7 +106,7 @@
         self.open(context).boxed_local()
     }
 
-    fn metrics(&self) -> Option<Figures> {
+    fn metrics(&self) -> Option<MetricsSource> {
         let driver = self.prepared.as_ref()?.driver.clone();
         Some(Box::new(move || driver.metrics()))
     }
--- a/src/lifecycle/subsystems/settings.rs
+++ b/src/lifecycle/subsystems/settings.rs
@@ -44,7 +44,7 @@
             tracing::info!(bulletin = %address, moved, "configuration read again");
         }
         Err(reason) => {
-            executor.with(|engine| engine.counters.reload_faults += 1);
+            executor.with(|engine| engine.counters.reload_failures += 1);
             tracing::warn!(%reason, "the old configuration stays");
         }
     }
--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -1,7 +1,7 @@
 //! A virtual router (VRRP): addresses that one of several instances serves at a time.
 
 use crate::config_file::BoxError;
-use crate::engine::executor::{Executor, Figures};
+use crate::engine::executor::{Executor, MetricsSource};
 use crate::grpc::server as grpc_server;
 use crate::lifecycle::bind::bind_udp;
 use crate::lifecycle::error::ServeError;
@@ -109,7 +109,7 @@
         self.open(context).boxed_local()
     }
 
-    fn metrics(&self) -> Option<Figures> {
+    fn metrics(&self) -> Option<MetricsSource> {
         let router = self.router.clone()?;
         Some(Box::new(move || router.metrics()))
     }
--- a/src/message_auth.rs
+++ b/src/message_auth.rs
@@ -1,7 +1,7 @@
 //! Keys for message authentication (HMAC-SHA256, RFC 2104) that can be rotated. No I/O.
 //!
-//! A key file has one key in base64 on each line. The first key signs, and all keys verify. Empty lines and lines that
-//! begin with `#` are skipped.
+//! A key file has one key in base64 on each line. The first key signs, and all keys verify. Empty lines and
+//! lines that begin with `#` are skipped.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
@@ -71,12 +71,14 @@
         Self(vec![[half(), half()].concat()])
     }
 
-    /// The signature of the first key over a label, which separates uses of the keys, and parts of fixed lengths.
+    /// The signature of the first key over a label, which separates uses of the keys, and parts of fixed
+    /// lengths.
     pub fn sign(&self, label: &[u8], parts: &[&[u8]]) -> [u8; SIGNATURE_BYTES] {
         authenticator(&self.0[0], label, parts).finalize().into_bytes().into()
     }
 
-    /// Whether `signature`, or a signature cut off to its length, is that of any key. Compares in constant time.
+    /// Whether `signature`, or a signature cut off to its length, is that of any key. Compares in constant
+    /// time.
     pub fn verify(&self, label: &[u8], parts: &[&[u8]], signature: &[u8]) -> bool {
         self.0.iter().any(|key| authenticator(key, label, parts).verify_truncated_left(signature).is_ok())
     }
--- a/src/purge/age_limit.rs
+++ b/src/purge/age_limit.rs
@@ -7,6 +7,8 @@
 
 use super::active_purges::{ActivePurges, PurgeStamp, RetentionLimits};
 use super::selector::{copy_name, CachedCopy};
+use crate::cache_message::CacheReply;
+use crate::engine::purge_filter::{PurgeFilter, RequestedCopy};
 use crate::surrogate_key::SurrogateKey;
 use crate::ObjectId;
 use lru::LruCache;
@@ -96,5 +98,18 @@
     }
 }
 
+impl PurgeFilter for AgeLimiter {
+    fn max_age_ms(&mut self, now_ms: f64, copy: RequestedCopy<'_>, requested_ms: u64) -> u64 {
+        self.limit(now_ms, copy.class, copy.object, copy.part, copy.group, requested_ms)
+    }
+
+    fn purge_of_reply(&mut self, copy: RequestedCopy<'_>, reply: &CacheReply) -> Option<u64> {
+        let RequestedCopy { class, object, part, group } = copy;
+        let (generated_ms, keys) = (reply.generated_at_ms, &reply.surrogate_keys);
+        let purge = self.check_answer(class, object, part, group, generated_ms, keys)?;
+        Some(purge.seq)
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/purge/config.rs
+++ b/src/purge/config.rs
@@ -5,6 +5,8 @@
 use super::fanout::{FanOutLimits, TargetStatus};
 use crate::backoff::Backoff;
 use crate::config_file::{parse_address, read_json, resolve_beside, ConfigError, FieldError};
+use crate::engine::CopyHolder;
+use crate::EndpointState;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -46,6 +48,16 @@
     pub status: TargetStatus,
 }
 
+impl From<CopyHolder> for Target {
+    fn from(holder: CopyHolder) -> Self {
+        let status = match holder.state {
+            EndpointState::Active => TargetStatus::Listed,
+            EndpointState::Draining | EndpointState::Removed => TargetStatus::Draining,
+        };
+        Self { name: holder.name, address: holder.address, status }
+    }
+}
+
 /// The operator file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/src/purge/service.rs
+++ b/src/purge/service.rs
@@ -29,6 +29,8 @@
 /// The fleet-purge service of one proxy.
 pub struct PurgeService {
     host: Rc<Executor>,
+    /// The engine's filter as well.
+    limiter: Rc<RefCell<AgeLimiter>>,
     replica: RefCell<Replica>,
     config: PurgeConfig,
     /// Wakes the task: a purge was issued, or a target answered.
@@ -41,13 +43,13 @@
     /// Recovers the replica from its log and puts its purges in force at the engine, before anything is served.
     pub fn open(host: &Rc<Executor>, config: PurgeConfig, seed: u64) -> Result<Rc<Self>, LogError> {
         let now_ms = host.clock.now();
-        let limiter = AgeLimiter::new(config.retention_limits(), config.max_tagged_objects);
-        let replica = host.with(|engine| {
-            let limiter = engine.set_age_limiter(limiter);
-            Replica::open(&config, &mut limiter.active, now_ms, seed)
-        })?;
+        let mut limiter = AgeLimiter::new(config.retention_limits(), config.max_tagged_objects);
+        let replica = Replica::open(&config, &mut limiter.active, now_ms, seed)?;
+        let limiter = Rc::new(RefCell::new(limiter));
+        host.with(|engine| engine.set_purge_filter(limiter.clone()));
         Ok(Rc::new(Self {
             host: host.clone(),
+            limiter,
             replica: RefCell::new(replica),
             config,
             wake: Notify::new(),
@@ -55,12 +57,9 @@
         }))
     }
 
-    /// Runs `f` on the replica and the engine's age limiter.
+    /// Runs `f` on the replica and the age limiter.
     fn with_replica<T>(&self, f: impl FnOnce(&mut Replica, &mut AgeLimiter) -> T) -> T {
-        self.host.with(|engine| {
-            let limiter = engine.age_limiter().expect("set when the service was opened");
-            f(&mut self.replica.borrow_mut(), limiter)
-        })
+        f(&mut self.replica.borrow_mut(), &mut self.limiter.borrow_mut())
     }
 
     /// Sends due batches (leader only) and synchronises the log to disk, for ever.
@@ -94,9 +93,8 @@
     /// Updates the leader's targets from the endpoint list.
     fn refresh_targets(&self, now_ms: f64) {
         let port = self.config.endpoint_port;
-        let listed = port.map(|port| self.host.with(|engine| engine.purge_targets(port)));
-        let target = |(name, address, status)| Target { name, address, status };
-        let targets = listed.into_iter().flatten().map(target).collect();
+        let holders = port.map(|port| self.host.with(|engine| engine.copy_holders(port)));
+        let targets = holders.into_iter().flatten().map(Target::from).collect();
         if let Some(leader) = self.replica.borrow_mut().leader() {
             leader.set_listed_targets(now_ms, targets);
         }
--- a/src/wire/response_path.rs
+++ b/src/response_path.rs
@@ -1,7 +1,8 @@
 //! The path of a response: where a cache's bytes came from, or where a fill failed.
 //!
 //! The cache protocol names it in the field `note`, the simulator numbers the same names from 1. The settings
-//! (`familyInfo.notesGiven`) announce how much of it caches report; a path that was not announced is used all the same.
+//! (`familyInfo.notesGiven`) announce how much of it caches report; a path that was not announced is used all
+//! the same.
 
 use crate::CacheStatus;
 
@@ -31,7 +32,8 @@
 }
 
 impl ResponsePath {
-    /// Each path with its name in the cache protocol, in the order of the simulator's numbers, which begin at 1.
+    /// Each path with its name in the cache protocol, in the order of the simulator's numbers, which begin at
+    /// 1.
     const NAMES: [(&'static str, Self); 10] = [
         ("HIT", Self::Hit),
         ("MISS", Self::FilledFromSource),
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -1,96 +1,94 @@
-//! Attempts that are out: queued for a connection, or written to one.
+//! Attempts in flight: queued for a connection, or written to one.
 
-use super::connections::ConnectionId;
 use super::deadlines::Deadlines;
-use crate::{EndpointId, RequestId};
+use super::ids::{AttemptId, ConnectionId};
+use crate::EndpointId;
 use std::collections::HashMap;
 
-/// An attempt: its request and its number there.
-pub type AttemptId = (RequestId, u32);
-
-/// Where an attempt stands.
+/// The progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
     /// It waits for its connection; no byte has been written.
     Queued,
-    /// Its first byte was written at this time.
+    /// Its first byte was written at this time, in Unix milliseconds.
     Written(f64),
 }
 
-/// An attempt with what the module asked of it.
+/// An attempt, as the decision module ordered it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its request's id as it is passed on.
+    /// The text of its request's id, as it is forwarded.
     pub id_text: String,
-    /// Where it goes.
+    /// The endpoint to which it is sent.
     pub to: EndpointId,
-    /// Where a miss is filled from, if anywhere.
+    /// The endpoint from which a miss is filled, if any.
     pub source: Option<EndpointId>,
-    /// Join a fill under way.
+    /// Join a fill in progress.
     pub join_fill: bool,
     /// The source gives only what it holds.
     pub only_if_cached: bool,
-    /// Renew an ageing copy behind.
+    /// Revalidate a stale copy in the background.
     pub revalidate: bool,
-    /// Oldest copy that will do, in milliseconds from when it was asked for; 0 for the class's own bound.
+    /// Greatest age of a copy when the attempt was ordered, in milliseconds; 0 for the class's own limit.
     pub max_age_ms: f64,
-    /// Rank at which a copy is kept.
+    /// Rank at which a cache retains the copy.
     pub retention_rank: u8,
-    /// When the module sent it.
+    /// When it was ordered, in Unix milliseconds.
     pub sent_ms: f64,
-    /// When its time is over.
+    /// When it times out, in Unix milliseconds.
     pub due_ms: f64,
-    /// When its first byte must be out: later it might run what has run before.
+    /// When its first byte must be written at the latest, in Unix milliseconds: later it might repeat a
+    /// request that has taken effect.
     pub first_byte_by_ms: f64,
     /// Its connection.
     pub conn: ConnectionId,
-    /// Where it stands.
+    /// Its progress.
     pub stage: Stage,
-    /// How often it went to another connection unwritten.
+    /// How often it changed to another connection before its first byte.
     pub migrations: u32,
 }
 
-/// All attempts that are out.
+/// All attempts in flight.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    out: HashMap<AttemptId, Attempt>,
-    due: Deadlines<AttemptId>,
+    in_flight: HashMap<AttemptId, Attempt>,
+    timeouts: Deadlines<AttemptId>,
 }
 
 impl Attempts {
-    /// Puts an attempt out.
+    /// Adds an attempt.
     pub fn insert(&mut self, id: AttemptId, attempt: Attempt) {
-        self.due.push(attempt.due_ms, id);
-        self.out.insert(id, attempt);
+        self.timeouts.push(attempt.due_ms, id);
+        self.in_flight.insert(id, attempt);
     }
 
-    /// An attempt that is out.
+    /// An attempt in flight.
     pub fn get(&self, id: AttemptId) -> Option<&Attempt> {
-        self.out.get(&id)
+        self.in_flight.get(&id)
     }
 
-    /// The same, to change it.
+    /// An attempt in flight, mutably.
     pub fn get_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
-        self.out.get_mut(&id)
+        self.in_flight.get_mut(&id)
     }
 
-    /// Ends an attempt; only the first caller gets it.
+    /// Removes an attempt; only the first caller gets it.
     pub fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
-        self.out.remove(&id)
+        self.in_flight.remove(&id)
     }
 
-    /// Attempts that are out.
+    /// All attempts in flight.
     pub fn iter(&self) -> impl Iterator<Item = (&AttemptId, &Attempt)> {
-        self.out.iter()
+        self.in_flight.iter()
     }
 
-    /// When the next one's time is over.
+    /// When the next attempt times out, in Unix milliseconds.
     pub fn next_due(&mut self) -> Option<f64> {
-        self.due.next_due(|id, _| self.out.contains_key(&id))
+        self.timeouts.next_due(|id, _| self.in_flight.contains_key(&id))
     }
 
-    /// One whose time is over.
+    /// An attempt that timed out by `now`; it stays in flight until it is removed.
     pub fn pop_overdue(&mut self, now: f64) -> Option<AttemptId> {
-        self.due.pop_due(now, |id, _| self.out.contains_key(&id))
+        self.timeouts.pop_due(now, |id, _| self.in_flight.contains_key(&id))
     }
 }
--- a/src/state/client_slots.rs
+++ b/src/state/client_slots.rs
@@ -1,104 +1,144 @@
-//! The slots of a front's clients: how many there may be, and whose is given up for a newcomer.
+//! The slots of a front's client connections: how many there may be, and which one is evicted for a new
+//! connection.
 
 use std::collections::BTreeMap;
 
-/// A place's number; never used again.
+/// A slot's number; never used again.
 pub type SlotId = u64;
 
-/// How long a connection that has sent nothing keeps its place in any case, in milliseconds: its first request
-/// is most likely on its way.
+/// How long a new connection that has sent nothing keeps its slot, in milliseconds.
 const FIRST_BYTE_MS: f64 = 100.0;
-/// How long a request may be on its way in before its place may go to a newcomer, in milliseconds: an honest one is
-/// sent in one go, and none is owed an answer before its last byte.
-const READING_MS: f64 = 500.0;
+/// How long a request may take to arrive before its connection may be evicted, in milliseconds: a
+/// well-behaved client sends it in one go.
+const REQUEST_ARRIVAL_MS: f64 = 500.0;
+
+/// What a client connection does; times in Unix milliseconds.
+#[derive(Clone, Copy, Debug)]
+enum Activity {
+    /// It waits for a request since this time.
+    Idle(f64),
+    /// A request is arriving since this time.
+    Reading(f64),
+    /// A request is open or its response is being written.
+    Open,
+}
 
 #[derive(Clone, Copy, Debug)]
 struct Slot {
-    /// A request came over it and was answered.
-    asked: bool,
-    /// Since when it waits with no byte of a request read; none while a request is open.
-    idle: Option<f64>,
-    /// Since when a request is on its way in; none once it is whole.
-    reading: Option<f64>,
-    /// It was told to end.
-    ending: bool,
+    activity: Activity,
+    /// A request of this connection was answered.
+    has_requested: bool,
+    /// The connection has been evicted and is closing.
+    closing: bool,
+}
+
+/// Which connections are evicted first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionRank {
+    /// It never sent a request.
+    NeverRequested,
+    /// It is idle after a request.
+    Idle,
+    /// Its request is slow to arrive.
+    SlowRequest,
+}
+
+impl Slot {
+    /// The order in which the slot may be evicted at `now`: its rank, then the time since when; none where it
+    /// may not.
+    fn eviction_order(&self, now: f64) -> Option<(EvictionRank, f64)> {
+        match self.activity {
+            Activity::Idle(since) if self.has_requested => Some((EvictionRank::Idle, since)),
+            Activity::Idle(since) if now - since >= FIRST_BYTE_MS => {
+                Some((EvictionRank::NeverRequested, since))
+            }
+            Activity::Reading(since) if now - since >= REQUEST_ARRIVAL_MS => {
+                Some((EvictionRank::SlowRequest, since))
+            }
+            _ => None,
+        }
+    }
 }
 
 /// The slots of one front.
 #[derive(Debug)]
 pub struct ClientSlots {
     held: BTreeMap<SlotId, Slot>,
-    next: SlotId,
-    most: usize,
+    last: SlotId,
+    max: usize,
 }
 
 impl ClientSlots {
-    /// At most `most` slots.
-    pub fn new(most: usize) -> Self {
-        Self { held: BTreeMap::new(), next: 0, most: most.max(1) }
+    /// At most `max` slots, at least one.
+    pub fn new(max: usize) -> Self {
+        Self { held: BTreeMap::new(), last: 0, max: max.max(1) }
     }
 
-    /// Gives a new connection a place, if there is one.
+    /// Gives a new connection a slot, if one is free.
     pub fn claim(&mut self, now: f64) -> Option<SlotId> {
-        if self.held.len() >= self.most {
+        if self.held.len() >= self.max {
             return None;
         }
-        self.next += 1;
-        self.held.insert(self.next, Slot { asked: false, idle: Some(now), reading: None, ending: false });
-        Some(self.next)
+        self.last += 1;
+        let slot = Slot { activity: Activity::Idle(now), has_requested: false, closing: false };
+        self.held.insert(self.last, slot);
+        Some(self.last)
     }
 
-    /// A request is on its way in since its first byte.
+    /// A request is arriving since its first byte at `since`.
     pub fn request_started(&mut self, id: SlotId, since: f64) {
-        if let Some(place) = self.held.get_mut(&id) {
-            (place.idle, place.reading) = (None, Some(since));
-        }
+        self.set_activity(id, Activity::Reading(since));
     }
 
-    /// A request is whole, or an answer on its way: the place is kept.
+    /// A request is complete, or its response is being written: the slot is not evicted.
     pub fn request_open(&mut self, id: SlotId) {
-        if let Some(place) = self.held.get_mut(&id) {
-            (place.idle, place.reading) = (None, None);
-        }
+        self.set_activity(id, Activity::Open);
     }
 
-    /// Its request is answered, and it waits for the next.
+    /// The request has been answered, and the connection waits for the next.
     pub fn idle(&mut self, id: SlotId, now: f64) {
-        if let Some(place) = self.held.get_mut(&id) {
-            (place.asked, place.idle, place.reading) = (true, Some(now), None);
-        }
+        self.set_activity(id, Activity::Idle(now));
+        self.set_requested(id, true);
     }
 
-    /// It is owed nothing more, and only takes in what is still on its way.
+    /// The connection is owed nothing more: it may be evicted first.
     pub fn finished(&mut self, id: SlotId) {
-        if let Some(place) = self.held.get_mut(&id) {
-            (place.asked, place.idle, place.reading) = (false, Some(f64::MIN), None);
-        }
+        self.set_activity(id, Activity::Idle(f64::MIN));
+        self.set_requested(id, false);
     }
 
-    /// It has ended.
+    /// The connection has ended: its slot is free.
     pub fn release(&mut self, id: SlotId) {
         self.held.remove(&id);
     }
 
-    /// Whose place a newcomer gets: guards clients that ask against those that connect and say nothing, ask once and
-    /// stay, or send a request a byte at a time. One that never asked goes first, then the one that is idle for
-    /// longest, then the request that is on its way in for longest; never one with a request open, and never a second
-    /// one for the same newcomer while the first is still ending.
+    /// Evicts a connection for a new one; the caller closes it, and it keeps its slot until then. Protects
+    /// clients that send requests from those that connect and send nothing, remain idle, or send a request a
+    /// byte at a time. A connection with an open request is never evicted, and no second one while the first
+    /// is closing.
     pub fn evict_one(&mut self, now: f64) -> Option<SlotId> {
-        if self.held.values().any(|p| p.ending) {
+        if self.held.values().any(|slot| slot.closing) {
             return None;
         }
-        let order = |p: &Slot| match (p.idle, p.reading) {
-            (Some(since), _) if p.asked || now - since >= FIRST_BYTE_MS => Some((u8::from(p.asked), since)),
-            (_, Some(since)) if now - since >= READING_MS => Some((2, since)),
-            _ => None,
-        };
-        let settled = self.held.iter_mut().filter_map(|(id, p)| order(p).map(|order| (order, id, p)));
-        let (_, id, place) = settled.min_by(|a, b| a.0 .0.cmp(&b.0 .0).then(a.0 .1.total_cmp(&b.0 .1)))?;
-        place.ending = true;
+        let slots = self.held.iter_mut();
+        let evictable = slots.filter_map(|(id, slot)| Some((slot.eviction_order(now)?, id, slot)));
+        let first = evictable.min_by(|(a, ..), (b, ..)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+        let (_, id, slot) = first?;
+        slot.closing = true;
         Some(*id)
     }
+
+    fn set_activity(&mut self, id: SlotId, activity: Activity) {
+        if let Some(slot) = self.held.get_mut(&id) {
+            slot.activity = activity;
+        }
+    }
+
+    fn set_requested(&mut self, id: SlotId, has_requested: bool) {
+        if let Some(slot) = self.held.get_mut(&id) {
+            slot.has_requested = has_requested;
+        }
+    }
 }
 
 #[cfg(test)]
--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -1,33 +1,31 @@
-//! Connections to members, with what waits for them and what is out on them.
+//! Connections to endpoints, with the attempts that wait for them and those in flight on them.
 
-use super::attempts::AttemptId;
+use super::ids::{AttemptId, ConnectionId};
 use crate::{EndpointId, RequestId};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// A connection's number; never used again.
-pub type ConnectionId = u64;
-
-/// Requests whose attempt on a connection is over that are remembered there.
+/// Most requests that a connection bars.
 const MAX_BARRED: usize = 256;
 
-/// A connection as the engine sees it.
+/// A connection to an endpoint; times in Unix milliseconds.
 #[derive(Debug, Default)]
 pub struct Connection {
     /// The endpoint at its other end.
     pub endpoint: EndpointId,
-    /// It has come up.
+    /// It is established.
     pub up: bool,
-    /// Nothing new goes onto it; it is closed once nothing is out on it.
+    /// It gets no new attempts, and is closed once none is in flight.
     pub closing: bool,
     /// Attempts that wait to be written.
     pub queue: VecDeque<AttemptId>,
-    /// Attempts that were written, by the id on the wire.
+    /// Attempts that were written, by the request's id on the wire.
     pub in_flight: HashMap<RequestId, AttemptId>,
-    /// Requests to be given up.
+    /// Texts of the requests' ids that are to be cancelled at the endpoint.
     pub abandoned: VecDeque<String>,
-    /// Requests whose attempt here is over while they may be asked again: an answer to it may still come, for the first
-    /// time or once more.
+    /// Requests whose attempt here has ended: a response to it may still come, for the first time or once
+    /// more.
     barred: HashSet<RequestId>,
+    /// The same, oldest first.
     barred_order: VecDeque<RequestId>,
     /// When something was last written or read.
     pub used_ms: f64,
@@ -38,58 +36,63 @@
 }
 
 impl Connection {
-    /// What it has to do.
+    /// Attempts queued and in flight.
     pub fn load(&self) -> usize {
         self.queue.len() + self.in_flight.len()
     }
 
-    /// Whether a request can go onto it: guards against an answer to an earlier attempt, late or a second time, being
-    /// taken for that of a later attempt of the same request, which has the same id.
+    /// Whether nothing is queued or in flight and no new attempt may come.
+    pub fn is_finished(&self) -> bool {
+        self.closing && self.load() == 0
+    }
+
+    /// Whether a request can be sent on it. A request is sent at most once on a connection, since its
+    /// attempts have one id on the wire: a late or repeated response to one would pass for that of another.
     fn accepts(&self, id: RequestId) -> bool {
-        let queued = || self.queue.iter().any(|(queued, _)| *queued == id);
-        !self.closing && !self.in_flight.contains_key(&id) && !self.barred.contains(&id) && !queued()
+        let is_queued = || self.queue.iter().any(|queued| queued.request == id);
+        !self.closing && !self.in_flight.contains_key(&id) && !self.barred.contains(&id) && !is_queued()
     }
 
-    /// Remembers that a request's attempt here is over.
+    /// Bars a request from this connection, as its attempt here has ended. The oldest of too many is dropped.
     pub fn bar(&mut self, id: RequestId) {
         if self.barred.insert(id) {
             self.barred_order.push_back(id);
         }
         while self.barred_order.len() > MAX_BARRED {
-            if let Some(old) = self.barred_order.pop_front() {
-                self.barred.remove(&old);
+            if let Some(oldest) = self.barred_order.pop_front() {
+                self.barred.remove(&oldest);
             }
         }
     }
 
-    /// Remembers that a request was given up here, and that the endpoint is to be told.
-    pub fn abandon(&mut self, id: RequestId, text: String) {
-        self.abandoned.push_back(text);
+    /// Bars a request whose attempt here was abandoned, and has it cancelled at the endpoint.
+    pub fn abandon(&mut self, id: RequestId, id_text: String) {
+        self.abandoned.push_back(id_text);
         self.bar(id);
     }
 }
 
-/// How many connections there may be, and how many requests on each.
+/// Limits on the number of connections and on the requests of each.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
     /// Connections to all endpoints.
     pub total: usize,
     /// Connections to one endpoint.
     pub per_endpoint: usize,
-    /// Requests on a connection from which on a further one is opened.
+    /// Requests on a connection from which on another one is opened.
     pub spread_above: usize,
     /// Requests on a connection.
     pub streams: usize,
 }
 
-/// Where an attempt goes.
+/// The connection found for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// Onto this connection.
+    /// A connection that exists.
     Existing(ConnectionId),
-    /// Onto a new one.
+    /// A new connection, which is to be opened.
     New(ConnectionId),
-    /// Nowhere: every connection is full.
+    /// None: every connection is full.
     Unavailable,
 }
 
@@ -97,77 +100,94 @@
 #[derive(Debug)]
 pub struct Connections {
     all: BTreeMap<ConnectionId, Connection>,
-    next: ConnectionId,
+    last: ConnectionId,
     limits: ConnectionLimits,
 }
 
 impl Connections {
-    /// None yet.
+    /// No connections yet.
     pub fn new(limits: ConnectionLimits) -> Self {
-        Self { all: BTreeMap::new(), next: 0, limits }
+        Self { all: BTreeMap::new(), last: 0, limits }
     }
 
-    /// Finds a connection to an endpoint for a request, the least busy one first.
+    /// Finds a connection to an endpoint for a request: the least loaded one, or a new one where that has
+    /// many requests and the limits allow it.
     pub fn place(&mut self, endpoint: EndpointId, id: RequestId, now: f64) -> Placement {
-        let mine = || self.all.iter().filter(|(_, c)| c.endpoint == endpoint);
-        let best = mine().filter(|(_, c)| c.accepts(id)).min_by_key(|(k, c)| (c.load(), !c.up, **k));
-        let best = best.map(|(k, c)| (*k, c.load()));
+        let can_open = self.can_open(endpoint);
         let ConnectionLimits { spread_above, streams, .. } = self.limits;
-        // What is idle and closing ends at once, and counts no more.
-        let held = self.all.values().filter(|c| !(c.closing && c.up && c.load() == 0)).count();
-        let room = held < self.limits.total && mine().count() < self.limits.per_endpoint;
-        match best {
-            Some((conn, load)) if load < streams && (load < spread_above || !room) => {
+        match self.least_loaded(endpoint, id) {
+            Some((conn, load)) if load < streams && (load < spread_above || !can_open) => {
                 Placement::Existing(conn)
             }
-            _ if room => {
-                self.next += 1;
-                let fresh = Connection { endpoint, used_ms: now, read_ms: now, ..Connection::default() };
-                self.all.insert(self.next, fresh);
-                Placement::New(self.next)
-            }
+            _ if can_open => Placement::New(self.add(endpoint, now)),
             _ => Placement::Unavailable,
         }
     }
 
-    /// Makes room for an endpoint that has no connection: the one that was idle for longest is to be closed. Guards
-    /// a cache that has just started against idle connections to all others holding every place.
+    /// The least loaded connection to an endpoint that accepts a request, with its load; an established one
+    /// first.
+    fn least_loaded(&self, endpoint: EndpointId, id: RequestId) -> Option<(ConnectionId, usize)> {
+        let to_endpoint = self.all.iter().filter(|(_, connection)| connection.endpoint == endpoint);
+        let accepting = to_endpoint.filter(|(_, connection)| connection.accepts(id));
+        let least = accepting.min_by_key(|(id, connection)| (connection.load(), !connection.up, **id))?;
+        Some((*least.0, least.1.load()))
+    }
+
+    /// Whether the limits allow another connection to an endpoint. An established one that is finished closes
+    /// at once and does not count in total.
+    fn can_open(&self, endpoint: EndpointId) -> bool {
+        let held = self.all.values().filter(|connection| !(connection.is_finished() && connection.up));
+        let to_endpoint = self.all.values().filter(|connection| connection.endpoint == endpoint);
+        held.count() < self.limits.total && to_endpoint.count() < self.limits.per_endpoint
+    }
+
+    fn add(&mut self, endpoint: EndpointId, now: f64) -> ConnectionId {
+        self.last += 1;
+        let connection = Connection { endpoint, used_ms: now, read_ms: now, ..Connection::default() };
+        self.all.insert(self.last, connection);
+        self.last
+    }
+
+    /// Closes the connection that was idle for longest, for an endpoint that has none: otherwise idle
+    /// connections could keep a cache that has just started without any.
     pub fn evict(&mut self, endpoint: EndpointId) -> Option<ConnectionId> {
-        if self.all.values().any(|c| c.endpoint == endpoint) {
+        if self.all.values().any(|connection| connection.endpoint == endpoint) {
             return None;
         }
-        let idle = self.all.iter_mut().filter(|(_, c)| c.up && !c.closing && c.load() == 0);
-        let (conn, c) = idle.min_by(|a, b| a.1.used_ms.total_cmp(&b.1.used_ms))?;
-        c.closing = true;
-        Some(*conn)
+        let all = self.all.iter_mut();
+        let idle =
+            all.filter(|(_, connection)| connection.up && !connection.closing && connection.load() == 0);
+        let (id, connection) = idle.min_by(|a, b| a.1.used_ms.total_cmp(&b.1.used_ms))?;
+        connection.closing = true;
+        Some(*id)
     }
 
-    /// Takes another bound on the requests of a connection.
+    /// Changes the limit on the requests of a connection.
     pub fn set_stream_limit(&mut self, streams: usize) {
         self.limits.streams = streams;
     }
 
     /// A connection.
-    pub fn get_mut(&mut self, conn: ConnectionId) -> Option<&mut Connection> {
-        self.all.get_mut(&conn)
+    pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+        self.all.get_mut(&id)
     }
 
-    /// Forgets a connection that has ended.
-    pub fn remove(&mut self, conn: ConnectionId) -> Option<Connection> {
-        self.all.remove(&conn)
+    /// Removes a connection that has ended.
+    pub fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
+        self.all.remove(&id)
     }
 
-    /// All of them.
+    /// All connections.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&ConnectionId, &mut Connection)> {
         self.all.iter_mut()
     }
 
-    /// How many there are.
+    /// How many connections there are.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether there is none.
+    /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
--- a/src/state/connections/tests.rs
+++ b/src/state/connections/tests.rs
@@ -7,7 +7,7 @@
     let mut put = |endpoint, id: u64| {
         let place = all.place(endpoint, id, 0.0);
         if let Placement::Existing(conn) | Placement::New(conn) = place {
-            all.get_mut(conn).unwrap().queue.push_back((id, 0));
+            all.get_mut(conn).unwrap().queue.push_back(AttemptId { request: id, number: 0 });
         }
         place
     };
@@ -32,7 +32,7 @@
     assert_eq!(all.evict(7), None, "it has one");
     assert_eq!(all.evict(9), Some(2), "idle for longest");
     assert_eq!(all.place(9, 1, 9.0), Placement::New(3));
-    all.get_mut(1).unwrap().queue.push_back((1, 0));
+    all.get_mut(1).unwrap().queue.push_back(AttemptId { request: 1, number: 0 });
     assert_eq!(all.evict(10), None, "nothing else is idle");
 }
 
--- a/src/state/counters.rs
+++ b/src/state/counters.rs
@@ -1,60 +1,65 @@
-//! Counters of what is taken in, sent and answered, by kind.
+//! Counters of the proxy, and their names in the output of the admin calls.
 
 use std::collections::BTreeMap;
 use std::fmt;
-use std::fmt::Write as _;
 
 /// What became of one class's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Served.
-    pub ok: u64,
-    /// Refused.
-    pub shed: u64,
-    /// Failed.
-    pub errors: u64,
+    /// Requests served.
+    pub served: u64,
+    /// Requests rejected.
+    pub rejected: u64,
+    /// Requests failed.
+    pub failed: u64,
     /// Attempts written to endpoints.
-    pub tries: u64,
+    pub attempts: u64,
 }
 
-/// Tallies by the class's name, since the start of the process.
+/// Counters by the class's name, since the start of the process. Displayed as lines of `NAME{kind="CLASS"}
+/// NUMBER`.
 #[derive(Clone, Debug, Default)]
 pub struct CountersByClass(BTreeMap<String, ClassCounters>);
 
 impl CountersByClass {
-    /// A class's tally; from now on it is listed.
+    /// A class's counters; the class is displayed from now on.
     pub fn of(&mut self, class: &str) -> &mut ClassCounters {
         if !self.0.contains_key(class) {
             self.0.insert(class.to_string(), ClassCounters::default());
         }
         self.0.entry(class.to_string()).or_default()
     }
+}
 
-    /// As lines of `NAME{kind="CLASS"} NUMBER`.
-    pub fn lines(&self) -> String {
-        let mut out = String::new();
-        for (class, tally) in &self.0 {
-            let figures =
-                [("ok", tally.ok), ("shed", tally.shed), ("errors", tally.errors), ("tries", tally.tries)];
-            for (name, figure) in figures {
-                let _ = writeln!(out, "app_{name}_total{{kind=\"{class}\"}} {figure}");
+impl fmt::Display for CountersByClass {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (class, counters) in &self.0 {
+            let values = [
+                ("ok", counters.served),
+                ("shed", counters.rejected),
+                ("errors", counters.failed),
+                ("tries", counters.attempts),
+            ];
+            for (name, value) in values {
+                writeln!(f, "app_{name}_total{{kind=\"{class}\"}} {value}")?;
             }
         }
-        out
+        Ok(())
     }
 }
 
+/// Defines the counters, each with the name under which it is displayed.
 macro_rules! counters {
-    ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// Counts since the start.
+    ($($(#[$doc:meta])* $field:ident => $name:literal,)*) => {
+        /// Counters since the start of the process. Displayed as lines of `NAME NUMBER`.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
         pub struct Counters {
-            $($(#[$doc])* pub $name: u64,)*
+            $($(#[$doc])* pub $field: u64,)*
         }
 
         impl fmt::Display for Counters {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                $(writeln!(f, "{} {}", stringify!($name), self.$name)?;)*
+                $(writeln!(f, "{} {}", $name, self.$field)?;)*
                 Ok(())
             }
         }
@@ -63,95 +68,95 @@
 
 counters! {
     /// Client connections accepted.
-    clients,
-    /// Client connections ended while idle, to make room for others.
-    clients_displaced,
-    /// Client connections ended because their first request was not whole in time.
-    clients_too_slow,
+    client_connections => "clients",
+    /// Idle client connections evicted for new ones.
+    client_connections_evicted => "clients_displaced",
+    /// Client connections closed because their first request was not complete in time.
+    client_connections_too_slow => "clients_too_slow",
     /// Client connections that could not be accepted.
-    accept_failures,
-    /// Requests taken in.
-    requests,
-    /// Requests that could not be read.
-    malformed_requests,
-    /// Requests with no valid token.
-    forbidden_requests,
-    /// Requests whose client left before the answer.
-    left,
-    /// Answers: served.
-    served,
-    /// Answers: the client's copy is the one.
-    unchanged,
-    /// Answers: refused.
-    refused,
-    /// Answers: failed.
-    failed,
-    /// Answers that the request table gave because the module had not in time.
-    overdue,
-    /// Answers that could not be written whole.
-    unwritten,
+    accept_failures => "accept_failures",
+    /// Requests accepted.
+    requests => "requests",
+    /// Requests that could not be parsed.
+    malformed_requests => "malformed_requests",
+    /// Requests without a valid token.
+    forbidden_requests => "forbidden_requests",
+    /// Requests whose client disconnected before the response.
+    clients_disconnected => "left",
+    /// Responses: served.
+    served => "served",
+    /// Responses: the client's copy is current.
+    not_modified => "unchanged",
+    /// Responses: rejected.
+    rejected => "refused",
+    /// Responses: failed.
+    failed => "failed",
+    /// Responses given by the request table because the decision module gave none in time.
+    overdue => "overdue",
+    /// Responses that could not be written completely.
+    responses_unwritten => "unwritten",
     /// Connections opened to endpoints.
-    connections,
-    /// Connections to endpoints that did not come up.
-    connect_failures,
-    /// Connections to endpoints that broke with requests on them.
-    broken,
-    /// Connections to endpoints dropped for what came over them.
-    malformed_members,
-    /// Connections to endpoints dropped because an answer stopped in its middle.
-    stalled_members,
-    /// Connections to endpoints dropped for either.
-    spoilt,
-    /// Attempts asked for by the module.
-    attempts,
+    connections => "connections",
+    /// Connections to endpoints that could not be established.
+    connection_failures => "connect_failures",
+    /// Connections to endpoints lost with requests in flight.
+    connections_lost => "broken",
+    /// Connections to endpoints dropped because of malformed data.
+    connections_malformed => "malformed_members",
+    /// Connections to endpoints dropped because a reply stalled.
+    connections_stalled => "stalled_members",
+    /// Connections to endpoints dropped for either reason.
+    connections_dropped => "spoilt",
+    /// Attempts ordered by the decision module.
+    attempts => "attempts",
     /// Attempts written.
-    attempts_written,
+    attempts_written => "attempts_written",
     /// Attempts found stale before their first byte.
-    attempts_stale,
-    /// Attempts that went to another connection, since theirs ended before their first byte.
-    attempts_moved,
-    /// Attempts called off.
-    attempts_cancelled,
-    /// Attempts that ran out of time.
-    attempts_timed_out,
-    /// Attempts that no connection had room for.
-    attempts_unplaced,
-    /// Endpoints' answers: the bytes, or that the client's copy holds.
-    member_ok,
-    /// Endpoints' answers: a miss.
-    member_miss,
-    /// Endpoints' answers: full.
-    member_full,
-    /// Endpoints' answers: an error.
-    member_error,
-    /// Endpoints' answers that nobody waited for any more.
-    member_late,
-    /// Links to the bulletin made.
-    bulletin_links,
-    /// Links to the bulletin dropped for silence or for what came over them.
-    bulletin_faults,
-    /// Events of the bulletin skipped, since no link brought them in a form that can be read.
-    bulletin_skipped,
-    /// Gaps in the numbers of the bulletin's events.
-    bulletin_gaps,
-    /// Moves of the bulletin to another address.
-    bulletin_moves,
-    /// Configurations read again on SIGHUP and taken.
-    reloads,
-    /// Configurations read again on SIGHUP that could not be used.
-    reload_faults,
-    /// Endpoints taken out of use by hand, or put back.
-    maintenance,
-    /// Events of the bulletin.
-    bulletin_events,
+    attempts_stale => "attempts_stale",
+    /// Attempts that changed to another connection, since theirs ended before their first byte.
+    attempts_migrated => "attempts_moved",
+    /// Attempts cancelled.
+    attempts_cancelled => "attempts_cancelled",
+    /// Attempts that timed out.
+    attempts_timed_out => "attempts_timed_out",
+    /// Attempts for which no connection had capacity.
+    attempts_unplaced => "attempts_unplaced",
+    /// Replies of endpoints: served, or the client's copy is current.
+    replies_served => "member_ok",
+    /// Replies of endpoints: a miss.
+    replies_miss => "member_miss",
+    /// Replies of endpoints: overloaded.
+    replies_overloaded => "member_full",
+    /// Replies of endpoints: an error.
+    replies_error => "member_error",
+    /// Replies of endpoints for which no attempt waited any more.
+    replies_late => "member_late",
+    /// Connections made to the discovery service.
+    discovery_connections => "bulletin_links",
+    /// Connections to the discovery service dropped for silence or malformed data.
+    discovery_faults => "bulletin_faults",
+    /// Discovery events skipped, since no connection brought them in a readable form.
+    discovery_skipped => "bulletin_skipped",
+    /// Gaps in the numbers of discovery events.
+    discovery_gaps => "bulletin_gaps",
+    /// Changes of the discovery service's address.
+    discovery_moves => "bulletin_moves",
+    /// Configurations reloaded on SIGHUP.
+    reloads => "reloads",
+    /// Configurations that could not be reloaded on SIGHUP.
+    reload_failures => "reload_faults",
+    /// Endpoints taken out of use by operators, or put back.
+    maintenance_changes => "maintenance",
+    /// Discovery events applied.
+    discovery_events => "bulletin_events",
     /// VRRP advertisements sent.
-    vrrp_sent,
-    /// VRRP advertisements of peers.
-    vrrp_received,
-    /// VRRP messages of peers that can't be read.
-    vrrp_malformed,
+    vrrp_sent => "vrrp_sent",
+    /// VRRP advertisements received from peers.
+    vrrp_received => "vrrp_received",
+    /// VRRP messages of peers that are malformed.
+    vrrp_malformed => "vrrp_malformed",
     /// Changes of the VRRP state.
-    vrrp_changes,
+    vrrp_changes => "vrrp_changes",
     /// Tasks that ended in a panic.
-    panics,
+    panics => "panics",
 }
--- a/src/state/deadlines.rs
+++ b/src/state/deadlines.rs
@@ -1,28 +1,33 @@
-//! Times at which something is due, the earliest first.
+//! A queue of deadlines, the earliest first.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
+/// An item with its deadline in Unix milliseconds; ordered so that a max-heap has the earliest first.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Due<T>(f64, T);
+struct Entry<T> {
+    at: f64,
+    item: T,
+}
 
-impl<T: PartialEq> Eq for Due<T> {}
+impl<T: PartialEq> Eq for Entry<T> {}
 
-impl<T: PartialEq> PartialOrd for Due<T> {
+impl<T: PartialEq> PartialOrd for Entry<T> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T: PartialEq> Ord for Due<T> {
+impl<T: PartialEq> Ord for Entry<T> {
     fn cmp(&self, other: &Self) -> Ordering {
-        other.0.total_cmp(&self.0)
+        other.at.total_cmp(&self.at)
     }
 }
 
-/// Times with what is due at each. What has ended before its time stays until its time, or until it is first.
+/// Deadlines of items. One that has become obsolete is dropped when it is the earliest; callers tell obsolete
+/// ones by a predicate of the item and its deadline.
 #[derive(Debug)]
-pub struct Deadlines<T>(BinaryHeap<Due<T>>);
+pub struct Deadlines<T>(BinaryHeap<Entry<T>>);
 
 impl<T: PartialEq> Default for Deadlines<T> {
     fn default() -> Self {
@@ -31,15 +36,15 @@
 }
 
 impl<T: PartialEq + Copy> Deadlines<T> {
-    /// Something is due at a time, in milliseconds.
-    pub fn push(&mut self, at: f64, what: T) {
-        self.0.push(Due(at, what));
+    /// Adds an item with its deadline in Unix milliseconds.
+    pub fn push(&mut self, at: f64, item: T) {
+        self.0.push(Entry { at, item });
     }
 
-    /// The first time at which something is due that `stands` still, asked with its time.
-    pub fn next_due(&mut self, stands: impl Fn(T, f64) -> bool) -> Option<f64> {
-        while let Some(Due(at, what)) = self.0.peek() {
-            if stands(*what, *at) {
+    /// The earliest deadline that is current.
+    pub fn next_due(&mut self, is_current: impl Fn(T, f64) -> bool) -> Option<f64> {
+        while let Some(Entry { at, item }) = self.0.peek() {
+            if is_current(*item, *at) {
                 return Some(*at);
             }
             self.0.pop();
@@ -47,22 +52,22 @@
         None
     }
 
-    /// Entries held, those that no longer stand included.
+    /// How many deadlines are held, obsolete ones included.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether none is held.
+    /// Whether no deadline is held.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Takes one that is due by `now` and `stands` still.
-    pub fn pop_due(&mut self, now: f64, stands: impl Fn(T, f64) -> bool) -> Option<T> {
-        if self.next_due(stands)? > now {
+    /// Removes the item of the earliest current deadline, if it is due by `now`.
+    pub fn pop_due(&mut self, now: f64, is_current: impl Fn(T, f64) -> bool) -> Option<T> {
+        if self.next_due(is_current)? > now {
             return None;
         }
-        self.0.pop().map(|Due(_, what)| what)
+        self.0.pop().map(|entry| entry.item)
     }
 }
 
--- a/src/state/maintenance/tests.rs
+++ b/src/state/maintenance/tests.rs
@@ -9,8 +9,8 @@
     assert!(!all.record(7, at(true, 3.0)));
     assert!(!all.record(7, at(false, 1.0)), "an older word");
     assert!(all.record(7, at(false, 4.0)) && !all.is_out(7));
-    all.forget_old_returns(4.0 + BACK_MS - 1.0);
+    all.forget_old_returns(4.0 + RETURN_RETENTION_MS - 1.0);
     assert_eq!(all.iter().count(), 1);
-    all.forget_old_returns(4.0 + BACK_MS);
+    all.forget_old_returns(4.0 + RETURN_RETENTION_MS);
     assert_eq!(all.iter().count(), 0);
 }
--- a/src/state/membership.rs
+++ b/src/state/membership.rs
@@ -1,64 +1,74 @@
-//! The members by id, with their addresses and when this proxy was told that they drain or are gone.
+//! The endpoints by id: their records as last published, and the addresses of those that may get new
+//! attempts.
 
 use crate::endpoint_list::ListedEndpoint;
 use crate::{EndpointId, EndpointState};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
 
-/// The list as last told.
+/// The endpoints known to a proxy.
 #[derive(Debug, Default)]
 pub struct Membership {
-    /// Endpoints that are listed, as told, whatever their state.
+    /// Endpoints as published, without maintenance by operators.
     listed: HashMap<EndpointId, ListedEndpoint>,
-    live: HashMap<EndpointId, SocketAddrV4>,
+    /// Addresses of endpoints that may get new attempts.
+    usable: HashMap<EndpointId, SocketAddrV4>,
 }
 
 impl Membership {
-    /// Notes a list or its changes as told.
-    pub fn record_listed(&mut self, full: bool, targets: &[ListedEndpoint]) {
+    /// Records a list of endpoints, or changes of it, as published.
+    pub fn record_listed(&mut self, full: bool, endpoints: &[ListedEndpoint]) {
         if full {
             self.listed.clear();
         }
-        for target in targets {
-            if target.record.state == EndpointState::Removed {
-                self.listed.remove(&target.record.id);
+        for endpoint in endpoints {
+            let id = endpoint.record.id;
+            if endpoint.record.state == EndpointState::Removed {
+                self.listed.remove(&id);
             } else {
-                self.listed.insert(target.record.id, target.clone());
+                self.listed.insert(id, endpoint.clone());
             }
         }
     }
 
-    /// An endpoint's line as last told.
+    /// An endpoint as last published.
     pub fn listed(&self, id: EndpointId) -> Option<&ListedEndpoint> {
         self.listed.get(&id)
     }
 
-    /// All of them.
+    /// All endpoints as last published.
     pub fn all_listed(&self) -> impl Iterator<Item = &ListedEndpoint> {
         self.listed.values()
     }
 
-    /// Takes a list or its changes; tells which endpoints may get nothing new from now on, or have moved.
-    pub fn update_usable(&mut self, full: bool, targets: &[ListedEndpoint]) -> Vec<EndpointId> {
-        let before: Vec<(EndpointId, SocketAddrV4)> = self.live.iter().map(|(id, at)| (*id, *at)).collect();
+    /// Applies a list, or changes of it, with maintenance; returns the endpoints that may get nothing new
+    /// from now on or have another address.
+    pub fn update_usable(&mut self, full: bool, endpoints: &[ListedEndpoint]) -> Vec<EndpointId> {
+        let before = self.usable.clone();
         if full {
-            let listed: HashSet<EndpointId> = targets.iter().map(|t| t.record.id).collect();
-            self.live.retain(|id, _| listed.contains(id));
+            let listed: HashSet<EndpointId> = endpoints.iter().map(|endpoint| endpoint.record.id).collect();
+            self.usable.retain(|id, _| listed.contains(id));
         }
-        for target in targets {
-            if target.record.state == EndpointState::Active {
-                self.live.insert(target.record.id, target.address);
+        for endpoint in endpoints {
+            let id = endpoint.record.id;
+            if endpoint.record.state == EndpointState::Active {
+                self.usable.insert(id, endpoint.address);
             } else {
-                self.live.remove(&target.record.id);
+                self.usable.remove(&id);
             }
         }
-        let moved = before.into_iter().filter(|(id, at)| self.live.get(id) != Some(at));
-        moved.map(|(id, _)| id).collect()
+        let changed = before.into_iter().filter(|(id, address)| self.usable.get(id) != Some(address));
+        changed.map(|(id, _)| id).collect()
     }
 
-    /// The address of an endpoint that may get new work.
+    /// The address of an endpoint that may get new attempts.
     pub fn address(&self, id: EndpointId) -> Option<SocketAddrV4> {
-        self.live.get(&id).copied()
+        self.usable.get(&id).copied()
+    }
+
+    /// Whether an endpoint may get new attempts.
+    pub fn is_usable(&self, id: EndpointId) -> bool {
+        self.usable.contains_key(&id)
     }
 }
 
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -1,149 +1,163 @@
-//! The table of requests that are owed one final answer.
+//! The table of requests that are owed one final response.
 
 use super::deadlines::Deadlines;
 use crate::RequestId;
 use bytes::Bytes;
 use std::collections::HashMap;
+use std::net::IpAddr;
 
-/// A client's request as a front hands it to the engine.
+/// A client's request as a front submits it to the engine.
 #[derive(Clone, Debug, Default)]
 pub struct IncomingRequest {
     /// Its id, new to this proxy.
     pub id: RequestId,
-    /// The id as it is passed on.
+    /// The text of the id, as it is forwarded.
     pub id_text: String,
-    /// Place of its class in the settings.
+    /// Index of its class in the settings.
     pub class: usize,
     /// The object.
     pub object: u64,
-    /// The object as it is passed on.
+    /// The text of the object, as it is forwarded.
     pub object_text: String,
     /// The part.
     pub part: u32,
     /// The object's group.
     pub group: u32,
-    /// KB of the part; 0 where unknown.
+    /// Size of the part in KB; 0 where unknown.
     pub size_kb: f64,
-    /// When the answer must be on its way, in Unix milliseconds.
+    /// When the response must be on its way, in Unix milliseconds.
     pub deadline_ms: f64,
     /// Idempotency key.
     pub key: Option<String>,
-    /// Bare tag of the client's copy.
+    /// Entity tag of the client's copy, without quotes.
     pub client_etag: Option<String>,
     /// Body of a write.
     pub body: Bytes,
-    /// The client's address, where the front knows it: the door shares by it.
-    pub client: Option<std::net::IpAddr>,
+    /// The client's address, where the front knows it; admission control is fair by it.
+    pub client: Option<IpAddr>,
 }
 
-/// The one final answer.
+/// The one final response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
-    /// The bytes of the part, from an endpoint's answer to this request.
+    /// The bytes of the part, from an endpoint's response to this request.
     Served {
-        /// Tag of the copy, where it has one.
+        /// Entity tag of the copy, without quotes, where it has one.
         tag: Option<String>,
         /// The bytes.
         body: Bytes,
     },
-    /// The client's copy would be served.
+    /// The client's copy is current.
     NotModified {
-        /// Tag of the copy.
+        /// Entity tag of the copy, without quotes.
         tag: String,
     },
-    /// Refused: trying again does no harm.
+    /// Rejected: a retry of the client does no harm.
     Rejected {
-        /// How long to stay away, in milliseconds; 0 for no advice.
+        /// When the client is to retry, in milliseconds from now; 0 for no advice.
         retry_after_ms: f64,
         /// The request's time was over.
         overdue: bool,
     },
-    /// Failed; nothing is promised.
+    /// Failed: the request may have taken effect.
     Failed {
         /// The request's time was over.
         overdue: bool,
     },
 }
 
-/// Why a request was not taken.
+/// Why a request was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmitError {
-    /// Another with its id is open.
+    /// Another request with its id is open.
     Duplicate,
     /// The table is full.
     Full,
 }
 
-/// Requests that owe an answer, at most `most` of them.
+/// An open request.
+#[derive(Debug)]
+struct OpenRequest {
+    request: IncomingRequest,
+    /// Number of its next attempt.
+    next_attempt: u32,
+}
+
+/// Requests that are owed a response.
 #[derive(Debug)]
 pub struct Requests {
-    open: HashMap<RequestId, (IncomingRequest, u32)>,
-    due: Deadlines<RequestId>,
-    most: usize,
+    open: HashMap<RequestId, OpenRequest>,
+    deadlines: Deadlines<RequestId>,
+    max: usize,
 }
 
 impl Requests {
-    /// An empty table.
-    pub fn new(most: usize) -> Self {
-        Self { open: HashMap::new(), due: Deadlines::default(), most }
+    /// An empty table of at most `max` requests.
+    pub fn new(max: usize) -> Self {
+        Self { open: HashMap::new(), deadlines: Deadlines::default(), max }
     }
 
-    /// Takes a request in: from now on it owes an answer.
-    pub fn admit(&mut self, ask: IncomingRequest) -> Result<(), AdmitError> {
-        if self.open.contains_key(&ask.id) {
+    /// Adds a request, which is owed a response from now on.
+    ///
+    /// # Errors
+    ///
+    /// [`AdmitError`] where its id is open already or the table is full.
+    pub fn admit(&mut self, request: IncomingRequest) -> Result<(), AdmitError> {
+        if self.open.contains_key(&request.id) {
             return Err(AdmitError::Duplicate);
         }
-        if self.open.len() >= self.most {
+        if self.open.len() >= self.max {
             return Err(AdmitError::Full);
         }
-        self.due.push(ask.deadline_ms, ask.id);
-        self.open.insert(ask.id, (ask, 0));
+        self.deadlines.push(request.deadline_ms, request.id);
+        self.open.insert(request.id, OpenRequest { request, next_attempt: 0 });
         Ok(())
     }
 
-    /// A request that still owes its answer.
+    /// An open request.
     pub fn get(&self, id: RequestId) -> Option<&IncomingRequest> {
-        self.open.get(&id).map(|(ask, _)| ask)
+        self.open.get(&id).map(|open| &open.request)
     }
 
-    /// The number of a request's next attempt, as the module counts them too.
+    /// The number of a request's next attempt, counted as the decision module counts them.
     pub fn next_attempt_number(&mut self, id: RequestId) -> Option<u32> {
-        let (_, next) = self.open.get_mut(&id)?;
-        *next += 1;
-        Some(*next - 1)
+        let open = self.open.get_mut(&id)?;
+        let number = open.next_attempt;
+        open.next_attempt += 1;
+        Some(number)
     }
 
     /// Whether a request of this class is open.
     pub fn uses_class(&self, class: usize) -> bool {
-        self.open.values().any(|(ask, _)| ask.class == class)
+        self.open.values().any(|open| open.request.class == class)
     }
 
-    /// When the next request's time is over.
+    /// When the next request's time is over, in Unix milliseconds.
     pub fn next_due(&mut self) -> Option<f64> {
-        self.due.next_due(|id, at| Self::is_current(&self.open, id, at))
+        self.deadlines.next_due(|id, at| Self::is_current(&self.open, id, at))
     }
 
-    /// A request whose time was over by `now`; it is told once, and is to be ended then.
+    /// A request whose time was over by `now`; the caller removes it.
     pub fn pop_overdue(&mut self, now: f64) -> Option<RequestId> {
-        self.due.pop_due(now, |id, at| Self::is_current(&self.open, id, at))
+        self.deadlines.pop_due(now, |id, at| Self::is_current(&self.open, id, at))
     }
 
-    /// Guards against an id that comes again being ended at the time of the request that had it before.
-    fn is_current(open: &HashMap<RequestId, (IncomingRequest, u32)>, id: RequestId, at: f64) -> bool {
-        open.get(&id).is_some_and(|(ask, _)| ask.deadline_ms == at)
+    /// Whether a deadline is that of the request which has its id now: an id may be used again.
+    fn is_current(open: &HashMap<RequestId, OpenRequest>, id: RequestId, at: f64) -> bool {
+        open.get(&id).is_some_and(|open| open.request.deadline_ms == at)
     }
 
-    /// Ends a request. Only the first caller gets it, and with it the right to answer.
+    /// Removes a request. Only the first caller gets it, and with it the right to respond.
     pub fn remove(&mut self, id: RequestId) -> Option<IncomingRequest> {
-        self.open.remove(&id).map(|(ask, _)| ask)
+        self.open.remove(&id).map(|open| open.request)
     }
 
-    /// How many owe an answer.
+    /// How many requests are open.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether none does.
+    /// Whether no request is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
--- a/src/vrrp/driver.rs
+++ b/src/vrrp/driver.rs
@@ -409,7 +409,7 @@
         What::Refused => {
             let (all, those) = host.with(|engine| {
                 let c = &engine.counters;
-                (c.served + c.unchanged + c.refused + c.failed, c.refused + c.failed)
+                (c.served + c.not_modified + c.rejected + c.failed, c.rejected + c.failed)
             });
             rate.borrow_mut().share(now, all, those)
         }
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -1,8 +1,8 @@
 //! The platform's cache protocol: lines of words that end in CR LF, with bodies of a stated length. Its words and field
-//! names are mapped here, and nowhere else, to the messages of [`cache_message`](super::cache_message).
+//! names are mapped here, and nowhere else, to the messages of [`cache_message`](crate::cache_message).
 
-use super::cache_message::{CacheCommand, CacheReply, CacheRequest, ReplyStatus};
-use super::response_path::ResponsePath;
+use crate::cache_message::{CacheCommand, CacheReply, CacheRequest, ReplyStatus};
+use crate::response_path::ResponsePath;
 use crate::surrogate_key::SurrogateKey;
 use crate::text::{format_endpoint_id, parse_hex16};
 use bytes::{Buf, BufMut, BytesMut};
--- a/src/wire/cache_connection.rs
+++ b/src/wire/cache_connection.rs
@@ -2,11 +2,11 @@
 //! replies.
 
 use super::cache_codec::{LineCodec, ReplyError};
-use super::cache_message::CacheCommand;
+use crate::cache_message::CacheCommand;
 use crate::clock::duration_from_ms;
 use crate::engine::executor::{ConnectionDriver, Dial, Executor};
 use crate::engine::NextWrite;
-use crate::state::connections::ConnectionId;
+use crate::state::ids::ConnectionId;
 use crate::text::parse_hex16;
 use bytes::BytesMut;
 use futures_util::future::LocalBoxFuture;
@@ -111,13 +111,13 @@
     match ended {
         Ok(()) | Err(ConnectionError::Io(_)) => executor.with(|engine| engine.connection_lost(conn)),
         Err(ConnectionError::Stalled) => executor.with(|engine| {
-            engine.counters.stalled_members += 1;
+            engine.counters.connections_stalled += 1;
             engine.connection_malformed(conn);
         }),
         Err(error @ ConnectionError::Reply(_)) => {
             let count = executor.with(|engine| {
-                engine.counters.malformed_members += 1;
-                engine.counters.malformed_members
+                engine.counters.connections_malformed += 1;
+                engine.counters.connections_malformed
             });
             // Only each doubling is logged: an endpoint may send nothing that can be read.
             if count.is_power_of_two() {
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -114,7 +114,7 @@
             // What an old connection still brings is not read under settings that may have come with the move.
             biased;
             Ok(()) = address.changed() => {
-                executor.with(|engine| engine.counters.bulletin_moves += 1);
+                executor.with(|engine| engine.counters.discovery_moves += 1);
                 progress = Progress::default();
                 continue;
             }
@@ -122,7 +122,7 @@
         };
         let mut backoff_ms = progress.backoff_ms(rand::random());
         if let Err(error) = ended {
-            executor.with(|engine| engine.counters.bulletin_faults += 1);
+            executor.with(|engine| engine.counters.discovery_faults += 1);
             if !matches!(error, WatchError::Io(_)) {
                 tracing::warn!(%error, "the watch on the discovery service failed");
                 backoff_ms = backoff_ms.max(MALFORMED_BACKOFF_MS);
@@ -164,7 +164,7 @@
     let _ = stream.set_nodelay(true);
     let mut frames = Framed::new(stream, FrameCodec);
     let last = executor.with(|engine| {
-        engine.counters.bulletin_links += 1;
+        engine.counters.discovery_connections += 1;
         engine.last_event_number()
     });
     timeout(limit, frames.send(last)).await.map_err(|_| WatchError::timed_out())??;
@@ -179,7 +179,7 @@
     // events may be lost. One that stays is applied: what is missing is missing.
     let gap = !frame.is_heartbeat() && number > last + 1;
     if gap && progress.count_failure(number) < MAX_EVENT_FAILURES {
-        executor.with(|engine| engine.counters.bulletin_gaps += 1);
+        executor.with(|engine| engine.counters.discovery_gaps += 1);
         return Err(WatchError::Gap { last, received: number });
     }
     match frame.event(&executor.settings()) {
@@ -202,7 +202,7 @@
         Err(error) => {
             tracing::warn!(%error, number, "an event of the discovery service is skipped");
             executor.with(|engine| {
-                engine.counters.bulletin_skipped += 1;
+                engine.counters.discovery_skipped += 1;
                 engine.skip_events_to(number);
             });
         }
--- a/src/wire/listener.rs
+++ b/src/wire/listener.rs
@@ -53,7 +53,7 @@
             }
             let idle = self.places.borrow_mut().evict_one(now);
             if let Some(end) = idle.and_then(|id| self.ends.borrow().get(&id).cloned()) {
-                host.with(|engine| engine.counters.clients_displaced += 1);
+                host.with(|engine| engine.counters.client_connections_evicted += 1);
                 end.notify_one();
             }
             let _ = timeout(duration_from_ms(ROOM_LOOK_MS), self.change.notified()).await;
@@ -128,7 +128,7 @@
         };
         match accepted {
             Ok((stream, peer)) => {
-                host.with(|engine| engine.counters.clients += 1);
+                host.with(|engine| engine.counters.client_connections += 1);
                 let open = stop.track_connection();
                 // Above the cap one client waits here, the others in the machine's queue.
                 let seat = door.enter(&host).await;
@@ -215,7 +215,7 @@
                 let give_up_ms = ask.deadline_ms;
                 // One that waited for its place, or behind another request, may have come from a client long gone.
                 if link.has_left().await {
-                    host.with(|engine| engine.counters.left += 1);
+                    host.with(|engine| engine.counters.clients_disconnected += 1);
                     return End::Gone;
                 }
                 let waited = match (front.keeper(), context.session) {
@@ -235,7 +235,7 @@
         answer.close |= !request.keep_alive || stop.closes_after_response() || link.overrun();
         let close = answer.close;
         if link.write(answer, write_ms).await.is_err() {
-            host.with(|engine| engine.counters.unwritten += 1);
+            host.with(|engine| engine.counters.responses_unwritten += 1);
             return End::Gone;
         }
         if close {
@@ -284,7 +284,7 @@
         };
         let now = host.clock.now();
         let too_slow = whole_by.is_some_and(|by| now >= by);
-        host.with(|engine| engine.counters.clients_too_slow += u64::from(too_slow));
+        host.with(|engine| engine.counters.client_connections_too_slow += u64::from(too_slow));
         let idle_ends = phase == Phase::Idle && stop.has_begun();
         if too_slow || now - since > most || idle_ends || seat.displaced.get() {
             // Guards a request that came in this very moment: the machine may hold it already.
@@ -305,7 +305,7 @@
     match link.write(HttpResponse::closing(status), limits.write_ms).await {
         Ok(()) => End::Closed,
         Err(_) => {
-            host.with(|engine| engine.counters.unwritten += 1);
+            host.with(|engine| engine.counters.responses_unwritten += 1);
             End::Gone
         }
     }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -4,7 +4,6 @@
 pub mod admin;
 pub mod cache_codec;
 pub mod cache_connection;
-pub mod cache_message;
 pub mod client_connection;
 pub mod discovery;
 pub mod discovery_codec;
@@ -14,7 +13,6 @@
 pub mod keys;
 pub mod listener;
 pub mod platform;
-pub mod response_path;
 pub mod shutdown;
 pub mod signed;
 
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -59,7 +59,7 @@
             client.write(ahead.as_bytes()).await;
             drop(client);
             until(|| dropped(&site) == 1).await;
-            assert_eq!(site.host.with(|e| (e.counters.left, e.open_requests())), (1, 0));
+            assert_eq!(site.host.with(|e| (e.counters.clients_disconnected, e.open_requests())), (1, 0));
             assert_eq!(site.asked_in_all(), 1, "nothing of what came ahead is sent on");
         });
     }
@@ -76,10 +76,14 @@
         until(|| site.asked_in_all() == 1).await;
         stream.write_all(b"\r\n\r\nGET").unwrap();
         tokio::task::yield_now().await;
-        assert_eq!(site.host.with(|e| (e.counters.left, e.open_requests())), (0, 1), "bytes are no leaving");
+        assert_eq!(
+            site.host.with(|e| (e.counters.clients_disconnected, e.open_requests())),
+            (0, 1),
+            "bytes are no leaving"
+        );
         stream.shutdown(std::net::Shutdown::Write).unwrap();
         until(|| dropped(&site) == 1).await;
-        assert_eq!(site.host.with(|e| e.counters.left), 1);
+        assert_eq!(site.host.with(|e| e.counters.clients_disconnected), 1);
     });
 }
 
@@ -93,7 +97,7 @@
             let mut stream = Blocking::connect(at).unwrap();
             stream.write_all(get(id).as_bytes()).unwrap();
         }
-        until(|| site.host.with(|e| e.counters.left) == 20).await;
+        until(|| site.host.with(|e| e.counters.clients_disconnected) == 20).await;
         assert_eq!((site.asked_in_all(), site.host.with(|e| e.counters.requests)), (0, 0));
         assert_eq!(ask(at, "GET", "/alive", "").await.status, 200);
     });
@@ -116,10 +120,10 @@
             second.write_all(get(2).as_bytes()).unwrap();
             flood(&mut second).await;
             drop(second);
-            until(|| site.host.with(|e| e.counters.clients) == 2).await;
+            until(|| site.host.with(|e| e.counters.client_connections) == 2).await;
             drop(first);
             until(|| site.stop.open_or_lingering() == 0).await;
-            assert_eq!(site.host.with(|e| (e.counters.left, e.counters.requests)), (2, 1));
+            assert_eq!(site.host.with(|e| (e.counters.clients_disconnected, e.counters.requests)), (2, 1));
             assert_eq!(site.asked_in_all(), 1);
         });
     }
@@ -167,19 +171,19 @@
                 })
                 .collect();
             until(|| site.host.with(|e| e.counters.attempts) == 2).await;
-            assert_eq!(site.host.with(|e| e.counters.connect_failures), 0, "the dial is under way");
+            assert_eq!(site.host.with(|e| e.counters.connection_failures), 0, "the dial is under way");
             for stream in clients {
                 if reset {
                     SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
                 }
             }
-            until(|| site.host.with(|e| e.counters.left) == 2).await;
+            until(|| site.host.with(|e| e.counters.clients_disconnected) == 2).await;
             assert_eq!(
-                site.host.with(|e| (e.open_requests(), e.counters.connect_failures)),
+                site.host.with(|e| (e.open_requests(), e.counters.connection_failures)),
                 (0, 0),
                 "before the dial ends"
             );
-            until(|| site.host.with(|e| e.counters.connect_failures) > 0).await;
+            until(|| site.host.with(|e| e.counters.connection_failures) > 0).await;
             tokio::task::yield_now().await;
             assert_eq!((site.asked_in_all(), site.host.with(|e| e.counters.attempts)), (0, 2));
         });
@@ -241,7 +245,7 @@
         }
         let answer = answer.await.unwrap();
         assert!(answer.closed && matches!(answer.status, 429 | 503 | 504), "{answer:?}");
-        assert_eq!(site.host.with(|e| e.counters.left), 0);
+        assert_eq!(site.host.with(|e| e.counters.clients_disconnected), 0);
     });
 }
 
@@ -279,7 +283,7 @@
             until(|| site.asked_in_all() == 1).await;
             flood(&mut stream).await;
             assert_eq!(
-                site.host.with(|e| (e.counters.left, e.open_requests())),
+                site.host.with(|e| (e.counters.clients_disconnected, e.open_requests())),
                 (0, 1),
                 "a flood is no leaving"
             );
@@ -288,7 +292,7 @@
             }
             drop(stream);
             until(|| dropped(&site) == 1).await;
-            assert_eq!(site.host.with(|e| (e.counters.left, e.open_requests())), (1, 0));
+            assert_eq!(site.host.with(|e| (e.counters.clients_disconnected, e.open_requests())), (1, 0));
             assert_eq!(site.asked_in_all(), 1, "nothing further was sent");
         });
     }
@@ -333,7 +337,7 @@
         let mut client = Blocking::connect(at).unwrap();
         client.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
         client.write_all(b"GET /alive HTTP/1.1\r\nHost: o\r\n\r\n").unwrap();
-        until(|| site.host.with(|e| e.counters.clients) == 1).await;
+        until(|| site.host.with(|e| e.counters.client_connections) == 1).await;
         let mut answer = [0; 4_096];
         let read = spawn_local(async move { (client.read(&mut answer).unwrap(), client) });
         let (length, mut client) = read.await.unwrap();
@@ -425,12 +429,12 @@
             drip.write(b"GET /al").await;
             drips.push(drip);
         }
-        until(|| site.host.with(|e| e.counters.clients) == 3).await;
+        until(|| site.host.with(|e| e.counters.client_connections) == 3).await;
         tokio::task::yield_now().await;
         site.pass(600.0);
         let mut honest = Client::connect(at).await;
         assert_eq!(honest.ask("GET", "/alive", "").await.status, 200);
-        assert_eq!(site.host.with(|e| e.counters.clients_displaced), 1);
+        assert_eq!(site.host.with(|e| e.counters.client_connections_evicted), 1);
     });
 }
 
@@ -449,7 +453,7 @@
         for id in 1..=40 {
             stream.write_all(ask(id).as_bytes()).await.unwrap();
         }
-        until(|| site.host.with(|e| e.counters.unwritten) == 1).await;
+        until(|| site.host.with(|e| e.counters.responses_unwritten) == 1).await;
         until(|| site.stop.open_or_lingering() == 0).await;
     });
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -2,14 +2,15 @@
 
 mod endpoints;
 
+use edge_proxy::cache_message::{CacheCommand, CacheReply, CacheRequest, ReplyStatus};
 use edge_proxy::clock::Clock;
 use edge_proxy::endpoint_list::{Sequenced, WatchEvent};
 use edge_proxy::engine::{Effect, Engine, EngineLimits, NextWrite};
+use edge_proxy::response_path::ResponsePath;
 use edge_proxy::settings::PlatformSettings;
-use edge_proxy::state::connections::{ConnectionId, ConnectionLimits};
+use edge_proxy::state::connections::ConnectionLimits;
+use edge_proxy::state::ids::ConnectionId;
 use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
-use edge_proxy::wire::cache_message::{CacheCommand, CacheReply, CacheRequest, ReplyStatus};
-use edge_proxy::wire::response_path::ResponsePath;
 use edge_proxy::EndpointState;
 use endpoints::{target, PARENT};
 use std::rc::Rc;
@@ -280,7 +281,7 @@
     b.reply(conn, 1, ReplyStatus::Served);
     b.reply(conn, 77, ReplyStatus::Served);
     assert!(b.answers().is_empty());
-    assert_eq!((b.engine.counters.member_late, b.engine.counters.served), (2, 0));
+    assert_eq!((b.engine.counters.replies_late, b.engine.counters.served), (2, 0));
 }
 
 /// Guards against bytes for a client that no cache gave for this request.
@@ -339,7 +340,7 @@
     assert!(b.answers().is_empty(), "it crossed the end of its attempt");
     b.reply(second, 1, ReplyStatus::Served);
     assert_eq!(b.answers().len(), 1);
-    assert_eq!((b.engine.counters.member_late, b.engine.open_requests()), (1, 0));
+    assert_eq!((b.engine.counters.replies_late, b.engine.open_requests()), (1, 0));
 }
 
 /// A client that leaves while its request waits for a dial, or behind others on a connection: never sent on.
@@ -361,7 +362,7 @@
         (b.engine.next_write(conn), b.engine.open_requests(), b.answers().len()),
         (NextWrite::Idle, 0, 0)
     );
-    assert_eq!((b.engine.counters.attempts_written, b.engine.counters.left), (1, 2));
+    assert_eq!((b.engine.counters.attempts_written, b.engine.counters.clients_disconnected), (1, 2));
 }
 
 /// An endpoint that reads nothing: what has no byte out waits on, and every rule is looked at again before its first byte.
@@ -498,11 +499,14 @@
         let (conn, endpoint) = b.opened()[0];
         b.engine.connection_established(conn);
         b.engine.connection_lost(conn);
-        assert_eq!((endpoint, b.engine.counters.attempts_moved, b.engine.counters.attempts), (1, moves, 1));
+        assert_eq!(
+            (endpoint, b.engine.counters.attempts_migrated, b.engine.counters.attempts),
+            (1, moves, 1)
+        );
     }
     let (conn, endpoint) = b.opened()[0];
     b.engine.connection_lost(conn);
-    assert_eq!((endpoint, b.engine.counters.attempts_moved, b.engine.counters.attempts), (1, 2, 2));
+    assert_eq!((endpoint, b.engine.counters.attempts_migrated, b.engine.counters.attempts), (1, 2, 2));
     assert_eq!(b.engine.open_requests(), 1, "the module has sent it elsewhere");
 }
 
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -3,14 +3,15 @@
 mod endpoints;
 
 use bytes::BytesMut;
+use edge_proxy::cache_message::{CacheCommand, CacheReply, ReplyStatus};
 use edge_proxy::clock::Clock;
 use edge_proxy::endpoint_list::{Sequenced, WatchEvent};
 use edge_proxy::engine::{Effect, Engine, EngineLimits, NextWrite};
 use edge_proxy::settings::PlatformSettings;
-use edge_proxy::state::connections::{ConnectionId, ConnectionLimits};
+use edge_proxy::state::connections::ConnectionLimits;
+use edge_proxy::state::ids::ConnectionId;
 use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
 use edge_proxy::wire::cache_codec::{LineCodec, MAX_LINE};
-use edge_proxy::wire::cache_message::{CacheCommand, CacheReply, ReplyStatus};
 use edge_proxy::wire::discovery_codec::{FrameCodec, MAX_FRAME};
 use edge_proxy::wire::http::{HttpCodec, Phase};
 use edge_proxy::EndpointState;
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -142,7 +142,7 @@
         drop(client);
         let dropped = || site.endpoints.values().map(|m| m.dropped.borrow().len()).sum::<usize>();
         until(|| dropped() == 1).await;
-        let (left, owed) = site.host.with(|e| (e.counters.left, e.open_requests()));
+        let (left, owed) = site.host.with(|e| (e.counters.clients_disconnected, e.open_requests()));
         assert_eq!((left, owed), (1, 0));
     });
 }
@@ -159,7 +159,7 @@
             assert_eq!(ask(at, "GET", &target, &headers(id)).await.status, 200);
         }
         assert!(site.asked(CACHES[0]) > 0);
-        assert!(site.host.with(|e| e.counters.malformed_members) > 0);
+        assert!(site.host.with(|e| e.counters.connections_malformed) > 0);
     });
 }
 
@@ -172,7 +172,7 @@
         CACHES.iter().for_each(|id| site.endpoints[id].cuts.set(true));
         let answer = ask(at, "GET", CLIP, &headers(1)).await;
         assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
-        let (broken, served) = site.host.with(|e| (e.counters.broken, e.counters.served));
+        let (broken, served) = site.host.with(|e| (e.counters.connections_lost, e.counters.served));
         assert_eq!((broken, served), (4, 1), "each cache is asked twice: a break is not its fault");
         site.endpoints.values().for_each(|m| m.cuts.set(true));
         let answer = ask(at, "GET", CLIP, &headers(2)).await;
@@ -187,8 +187,8 @@
         let (site, _) = open("silent_bulletin").await;
         // The stand-in never sends the empty frame of each second.
         until(|| site.bulletin.links.borrow().len() == 1).await;
-        until(|| site.host.with(|e| e.counters.bulletin_links) >= 2).await;
-        assert!(site.host.with(|e| e.counters.bulletin_faults) >= 1);
+        until(|| site.host.with(|e| e.counters.discovery_connections) >= 2).await;
+        assert!(site.host.with(|e| e.counters.discovery_faults) >= 1);
     });
 }
 
@@ -204,7 +204,7 @@
         let no = site.bulletin.purge(18, START_MS as u64);
         until(|| site.host.with(|e| e.last_event_number()) == no).await;
         assert_eq!(*site.bulletin.links.borrow(), [1, no - 1]);
-        assert_eq!(site.host.with(|e| e.counters.bulletin_events), 3);
+        assert_eq!(site.host.with(|e| e.counters.discovery_events), 3);
     });
 }
 
@@ -262,7 +262,7 @@
         let mut parked = Client::connect(at).await;
         assert_eq!(parked.ask("GET", "/alive", "").await.status, 200);
         let mut quiet = Client::connect(at).await;
-        until(|| site.host.with(|e| e.counters.clients) == 3).await;
+        until(|| site.host.with(|e| e.counters.client_connections) == 3).await;
         site.pass(150.0);
         let mut third = Client::connect(at).await;
         assert_eq!(third.ask("GET", "/alive", "").await.status, 200);
@@ -271,7 +271,10 @@
         assert_eq!(fourth.ask("GET", "/alive", "").await.status, 200);
         assert!(parked.read(false).await.is_none(), "then the one that is idle for longest");
         assert_eq!(third.ask("GET", "/alive", "").await.status, 200);
-        assert_eq!(site.host.with(|e| (e.counters.clients_displaced, e.counters.left)), (2, 0));
+        assert_eq!(
+            site.host.with(|e| (e.counters.client_connections_evicted, e.counters.clients_disconnected)),
+            (2, 0)
+        );
         drop(busy);
     });
 }
@@ -289,11 +292,11 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         drip.write(b"ps/post/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: o\r\nContent-Length: 9\r\n\r\n").await;
-        until(|| site.host.with(|e| e.counters.clients) == 2).await;
+        until(|| site.host.with(|e| e.counters.client_connections) == 2).await;
         site.pass(380.0);
         assert!(quiet.read(false).await.is_none());
         assert_eq!(drip.read(false).await.unwrap().status, 408);
-        assert_eq!(site.host.with(|e| e.counters.clients_too_slow), 2);
+        assert_eq!(site.host.with(|e| e.counters.client_connections_too_slow), 2);
     });
 }
 
@@ -325,7 +328,7 @@
         let text = std::fs::read_to_string(&path).unwrap();
         std::fs::write(&path, "{").unwrap();
         reload_config(&site.host, &site.config, &site.moves);
-        assert_eq!(site.host.with(|e| e.counters.reload_faults), 1);
+        assert_eq!(site.host.with(|e| e.counters.reload_failures), 1);
         let other = Bulletin::start().await;
         let (from, to) = (site.bulletin.address.to_string(), other.address.to_string());
         std::fs::write(&path, text.replace(&from, &to)).unwrap();
@@ -334,7 +337,7 @@
         assert_eq!(*other.links.borrow(), [no]);
         assert_eq!(site.bulletin.links.borrow().len(), 1);
         assert_eq!(ask(at, "GET", CLIP, &headers(1)).await.status, 200);
-        assert_eq!(site.host.with(|e| (e.counters.bulletin_moves, e.counters.bulletin_faults)), (1, 0));
+        assert_eq!(site.host.with(|e| (e.counters.discovery_moves, e.counters.discovery_faults)), (1, 0));
     });
 }
 
@@ -357,7 +360,7 @@
             fresh.replacen("\"pure\"", "\"side_effect\"", 1).replace("\"sendCap\":8", "\"sendCap\":1");
         std::fs::write(&path, fresh).unwrap();
         reload_config(&site.host, &site.config, &site.moves);
-        assert_eq!(site.host.with(|e| (e.counters.reloads, e.counters.reload_faults)), (1, 0));
+        assert_eq!(site.host.with(|e| (e.counters.reloads, e.counters.reload_failures)), (1, 0));
         site.all(says("EIO"));
         assert_eq!(ask(at, "GET", CLIP, &headers(2)).await.status, 404);
         let film = CLIP.replace("clip", "film");
@@ -410,7 +413,7 @@
             assert_ne!(*case, fresh, "case {k} changes nothing");
             std::fs::write(&path, case).unwrap();
             reload_config(&site.host, &site.config, &site.moves);
-            assert_eq!(site.host.with(|e| e.counters.reload_faults), k as u64 + 1, "{case}");
+            assert_eq!(site.host.with(|e| e.counters.reload_failures), k as u64 + 1, "{case}");
         }
         assert_eq!(ask(at, "GET", CLIP, &headers(1)).await.status, 200);
         std::fs::write(&path, fresh).unwrap();
@@ -440,7 +443,10 @@
         site.endpoints.values().for_each(|m| m.stops.set(1));
         let answer = ask(at, "GET", CLIP, &headers(1)).await;
         assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
-        assert_eq!(site.host.with(|e| (e.counters.stalled_members, e.counters.attempts_timed_out)), (1, 0));
+        assert_eq!(
+            site.host.with(|e| (e.counters.connections_stalled, e.counters.attempts_timed_out)),
+            (1, 0)
+        );
         let asked: Vec<_> = CACHES.iter().map(|id| site.asked(*id)).collect();
         assert!(asked.contains(&2), "twice at the same cache: {asked:?}");
     });
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -472,7 +472,7 @@
         // A head that never ends is answered when its time is over, by the clock.
         let mut slow = Client::connect(f.at).await;
         slow.write(b"GET /media/clip").await;
-        until(|| f.site.host.with(|e| e.counters.clients) == 1).await;
+        until(|| f.site.host.with(|e| e.counters.client_connections) == 1).await;
         let reads = spawn_local(async move { slow.read(false).await.unwrap() });
         while !reads.is_finished() {
             f.site.pass(100.0);
@@ -523,7 +523,7 @@
         let mut client = Client::connect(f.at).await;
         // Enough requests ahead that their answers fill every buffer on the way.
         client.write(text.repeat(100).as_bytes()).await;
-        until(|| f.site.host.with(|e| e.counters.unwritten) == 1).await;
+        until(|| f.site.host.with(|e| e.counters.responses_unwritten) == 1).await;
         let mut whole = 0;
         while let Some(answer) = client.read(false).await {
             assert_eq!((answer.status, answer.body.len()), (200, 240_000));
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -80,7 +80,7 @@
         let (site, links) = watched("half_frame", vec![half, says(&[purge(3, 18)])]).await;
         until(|| last(&site) == 3).await;
         assert_eq!(links.borrow()[..2], [1, 2]);
-        assert_eq!(site.host.with(|e| (e.counters.bulletin_events, e.counters.bulletin_skipped)), (3, 0));
+        assert_eq!(site.host.with(|e| (e.counters.discovery_events, e.counters.discovery_skipped)), (3, 0));
     });
 }
 
@@ -104,7 +104,7 @@
         let (site, links) = watched("unreadable", vec![says(&[bad, purge(3, 18)])]).await;
         until(|| last(&site) == 3).await;
         assert_eq!(*links.borrow(), [1, 1, 1], "so often it may come whole");
-        assert_eq!(site.host.with(|e| (e.counters.bulletin_skipped, e.counters.bulletin_events)), (1, 2));
+        assert_eq!(site.host.with(|e| (e.counters.discovery_skipped, e.counters.discovery_events)), (1, 2));
     });
 }
 
@@ -128,7 +128,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to = listener.local_addr().unwrap();
         let links = scripted(listener, vec![says(&[frame(2, 2, &changes), purge(3, 18)])]);
-        let live = |site: &Site| site.host.endpoints("box").len();
+        let live = |site: &Site| site.host.endpoints_of_kind("box").len();
         let takes = |site: &Site| site.host.backends("box", 1).iter().filter(|b| b.live).count();
         assert_eq!((live(&site), takes(&site)), (2, 2));
         site.moves.send(to).unwrap();
@@ -149,7 +149,7 @@
     run(async {
         let (site, links) = watched("later_kind", vec![says(&[frame(2, 77, b"later"), purge(3, 18)])]).await;
         until(|| last(&site) == 3).await;
-        assert_eq!((links.borrow().len(), site.host.with(|e| e.counters.bulletin_gaps)), (1, 0));
+        assert_eq!((links.borrow().len(), site.host.with(|e| e.counters.discovery_gaps)), (1, 0));
     });
 }
 
@@ -160,7 +160,7 @@
         let scripts = vec![says(&[frame(2, 3, b"nonsense")]), says(&[purge(2, 17)])];
         let (site, _) = watched("garbled_once", scripts).await;
         until(|| last(&site) == 2).await;
-        assert_eq!(site.host.with(|e| (e.counters.bulletin_skipped, e.counters.bulletin_events)), (0, 2));
+        assert_eq!(site.host.with(|e| (e.counters.discovery_skipped, e.counters.discovery_events)), (0, 2));
     });
 }
 
@@ -172,7 +172,7 @@
         let (site, links) = watched("garbled_number", scripts).await;
         until(|| last(&site) == 3).await;
         assert_eq!(*links.borrow(), [1, 1]);
-        assert_eq!(site.host.with(|e| (e.counters.bulletin_gaps, e.counters.bulletin_events)), (1, 3));
+        assert_eq!(site.host.with(|e| (e.counters.discovery_gaps, e.counters.discovery_events)), (1, 3));
     });
 }
 
@@ -183,7 +183,7 @@
         let (site, links) = watched("gap", vec![says(&[purge(5, 17), purge(6, 18)])]).await;
         until(|| last(&site) == 6).await;
         assert_eq!(*links.borrow(), [1, 1, 1]);
-        assert_eq!(site.host.with(|e| e.counters.bulletin_gaps), 2);
+        assert_eq!(site.host.with(|e| e.counters.discovery_gaps), 2);
     });
 }
 
@@ -198,7 +198,7 @@
         let (site, links) = watched("old_numbers", scripts).await;
         until(|| last(&site) == 4).await;
         assert_eq!(*links.borrow(), [1, 3]);
-        assert_eq!(site.host.with(|e| e.counters.bulletin_events), 4);
+        assert_eq!(site.host.with(|e| e.counters.discovery_events), 4);
     });
 }
 
@@ -211,7 +211,7 @@
         let at: SocketAddr = gone.local_addr().unwrap();
         drop(gone);
         site.moves.send(at).unwrap();
-        until(|| site.host.with(|e| e.counters.bulletin_faults) >= 4).await;
+        until(|| site.host.with(|e| e.counters.discovery_faults) >= 4).await;
         let front: Rc<dyn edge_proxy::wire::front::Front> =
             Rc::new(edge_proxy::wire::platform::Platform::new(edge_proxy::wire::platform::limits(400)));
         let listen = site.open(front).await;
@@ -238,7 +238,7 @@
         until(|| last(&site) == 2).await;
         assert_eq!((first.borrow().len(), second.borrow().clone()), (1, vec![1]));
         assert_eq!(
-            site.host.with(|e| e.counters.bulletin_faults),
+            site.host.with(|e| e.counters.discovery_faults),
             0,
             "it did not wait for the silence to end"
         );
