--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -109,7 +109,7 @@
     let mut command = Command::new(&program);
     command.args(["serve", "--config", config.to_str().unwrap(), "--registry", file.to_str().unwrap()]);
     let _proxy = Running(
-        command.env("CALICOBEAM_LOG", "warn").stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap(),
+        command.env("EDGE_PROXY_LOG", "warn").stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap(),
     );
     while state(mgmt).await.and_then(|s| s["revision"].as_i64()).unwrap_or(0) < 4 {
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -205,7 +205,7 @@
     let mut links = Vec::new();
     for n in 0..proxies {
         let clock = Clock::system();
-        let (engine, _) = edge_proxy::lifecycle::serve::engine(&config, &clock, 0).unwrap();
+        let (engine, _) = edge_proxy::lifecycle::engine_setup::engine(&config, &clock, 0).unwrap();
         let host = Executor::new(clock, engine, CacheDriver);
         host.with(|engine| engine.take_roster_from_registry());
         let link = Rc::new(RefCell::new(RegistryStatus::default()));
--- a/src/engine/answers.rs
+++ b/src/engine/answers.rs
@@ -67,7 +67,7 @@
         let Some(class) = self.env.class_name(ask.class).filter(|_| !self.env.is_write(ask.class)) else {
             return false;
         };
-        let removed = guard.removes(
+        let removed = guard.check_answer(
             class,
             ask.object,
             ask.part,
--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -3,7 +3,7 @@
 use super::{Effect, Engine};
 use crate::clock::micros_from_ms;
 use crate::endpoint_list::{ListedEndpoint, Sequenced, WatchEvent};
-use crate::purge::fanout::Standing;
+use crate::purge::fanout::TargetStatus;
 use crate::state::maintenance::{Maintenance, Mark};
 use crate::state::requests::IncomingRequest;
 use crate::text::format_endpoint_id;
@@ -128,12 +128,15 @@
 
     /// The caches and parents of the roster as targets of fleet purges, by name, at their own address with
     /// `port`: the origin holds no copies, and an endpoint that is gone is none.
-    pub fn purge_targets(&self, port: u16) -> Vec<(String, SocketAddr, Standing)> {
+    pub fn purge_targets(&self, port: u16) -> Vec<(String, SocketAddr, TargetStatus)> {
         let listed = self.roster.all_listed().filter(|t| t.record.state != EndpointState::Removed);
         let targets = listed.filter_map(|t| {
             let origin = self.env.endpoint(&t.record).tier == crate::Tier::Origin;
-            let standing =
-                if t.record.state == EndpointState::Active { Standing::Listed } else { Standing::Draining };
+            let standing = if t.record.state == EndpointState::Active {
+                TargetStatus::Listed
+            } else {
+                TargetStatus::Draining
+            };
             let address = SocketAddr::new((*t.address.ip()).into(), port);
             (!origin).then(|| (format_endpoint_id(t.record.id), address, standing))
         });
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -3,7 +3,7 @@
 
 use super::cache_message::{CacheCommand, CacheReply, CacheRequest, ReplyStatus};
 use super::response_path::ResponsePath;
-use crate::purge::selector::Tag;
+use crate::surrogate_key::SurrogateKey;
 use crate::text::{format_endpoint_id, parse_hex16};
 use bytes::{Buf, BufMut, BytesMut};
 use std::fmt::Write as _;
@@ -220,7 +220,7 @@
         reply_field::ENTITY_TAG => reply.entity_tag = Some(value.to_string()),
         reply_field::GENERATED_AT => reply.generated_at_ms = Some(value.parse().ok()?),
         reply_field::SURROGATE_KEYS => {
-            let keys = value.split('+').map(|text| Tag::new(text).ok());
+            let keys = value.split('+').map(|text| SurrogateKey::new(text).ok());
             reply.surrogate_keys = keys.collect::<Option<_>>()?;
         }
         _ => {}
--- a/src/wire/cache_message.rs
+++ b/src/wire/cache_message.rs
@@ -1,7 +1,7 @@
 //! The messages between the proxy and a cache, a parent or the origin, in a form that no protocol shapes.
 
 use super::response_path::ResponsePath;
-use crate::purge::selector::Tag;
+use crate::surrogate_key::SurrogateKey;
 use crate::EndpointId;
 use bytes::Bytes;
 
@@ -34,7 +34,7 @@
     /// When the origin generated the copy, in Unix milliseconds.
     pub generated_at_ms: Option<f64>,
     /// The copy's surrogate keys, from caches that support fleet purges.
-    pub surrogate_keys: Vec<Tag>,
+    pub surrogate_keys: Vec<SurrogateKey>,
     /// Where the bytes came from, or where a fill failed; none where the cache does not report it.
     pub path: Option<ResponsePath>,
     /// The bytes.
--- a/tests/admission_loopback.rs
+++ b/tests/admission_loopback.rs
@@ -114,7 +114,7 @@
     std::fs::write(dir.join("door.json"), door).unwrap();
     let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
     let (config, file) = (dir.join("config.json"), dir.join("door.json"));
-    let args = ["serve", "--config", config.to_str().unwrap(), "--door", file.to_str().unwrap()];
+    let args = ["serve", "--config", config.to_str().unwrap(), "--admission", file.to_str().unwrap()];
     let proxy = Proxy(Command::new(PROGRAM).args(args).stderr(Stdio::from(log)).spawn().unwrap());
     for _ in 0..500 {
         if tokio::net::TcpStream::connect(listen).await.is_ok() {
@@ -341,6 +341,6 @@
         assert!(ratio(after) > 2.2, "three to one within a second: {after:?}");
         assert!(got.iter().all(|(_, _, status)| status.is_some()), "every request had its answer");
         let log = std::fs::read_to_string(folder("door-reweigh").join("proxy.log")).unwrap();
-        assert!(log.contains("the door's file read again"), "{log}");
+        assert!(log.contains("the admission file read again"), "{log}");
     });
 }
