--- a/src/http3/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -5,6 +5,7 @@
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::wire::submission::ResponseWait;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -130,6 +131,12 @@
     }
 }
 
+impl ResponseWait for Hold {
+    fn completed(self: Box<Self>) {
+        self.heard();
+    }
+}
+
 impl Drop for Hold {
     fn drop(&mut self) {
         if let Some(key) = self.key.take() {
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -1,14 +1,15 @@
 //! The front of the edge for poor links: another front's requests and answers, with a session by which a device's
 //! calls outlive its connections, and with ranges, so that a clip that stopped halfway goes on from there.
 
-use super::call_registry::CallRegistry;
+use super::call_registry::{CallRegistry, Kept};
 use super::response_store::SessionId;
 use super::session::Sessions;
 use crate::engine::executor::Executor;
-use crate::state::requests::{AdmitError, FinalResponse};
+use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use crate::wire::front::{ConnectionLimits, Disposition, Front, ResponseContext};
 use crate::wire::http::{HttpRequest, HttpResponse};
 use crate::wire::signed::{range, Range};
+use crate::wire::submission::{PendingResponse, Submission};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -112,7 +113,16 @@
         self.inner.reject(reason)
     }
 
-    fn keeper(&self) -> Option<&Rc<CallRegistry>> {
-        Some(&self.keeper)
+    fn submit(
+        &self,
+        host: &Rc<Executor>,
+        context: &ResponseContext,
+        request: IncomingRequest,
+    ) -> Result<Submission, AdmitError> {
+        let Some(session) = context.session else { return Submission::to_engine(host, request) };
+        Ok(match self.keeper.ask(session, request)? {
+            Kept::Now(result) => Submission::Completed(result),
+            Kept::Wait(receiver, hold) => Submission::Pending(PendingResponse::new(receiver, Box::new(hold))),
+        })
     }
 }
--- a/src/http3/response_store.rs
+++ b/src/http3/response_store.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// A session's number.
-pub type SessionId = u128;
+pub use crate::wire::front::SessionId;
 /// A call within a session.
 pub type Key = (SessionId, u64);
 
--- a/src/wire/client_connection.rs
+++ b/src/wire/client_connection.rs
@@ -1,162 +1,229 @@
-//! A client's connection over TCP as one piece: what is read, whether the client has left, what is written, and the
-//! one way in which a connection ends.
-
-use super::http::{BadRequest, HttpCodec, HttpRequest, HttpResponse, Phase, MAX_HEAD, MAX_INLINE};
-use super::WireError;
+//! The life of a client's connection: reads requests one after another, has each answered by its front or the engine,
+//! and closes the connection.
+
+use super::client_stream::{ClientStream, Received};
+use super::connection_slots::ConnectionSlot;
+use super::front::{Disposition, Front};
+use super::http::{BadRequest, HttpCodec, HttpRequest, HttpResponse, Phase};
+use super::shutdown::{ConnectionGuard, GracefulShutdown};
+use super::submission::Submission;
 use crate::clock::duration_from_ms;
-use futures_util::{FutureExt, SinkExt, StreamExt};
-use std::future::Future;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use crate::engine::executor::Executor;
+use crate::state::requests::{FinalResponse, IncomingRequest};
+use std::net::IpAddr;
+use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
-use tokio_util::codec::{Decoder, Framed};
 
-/// What is held of a client that goes on sending while its request is open, in bytes.
-pub const MAX_AHEAD: usize = MAX_HEAD;
-/// How often a client that goes on sending is looked at before its request is taken: the machine holds some hundreds of
-/// kilobytes of one that nobody read yet, and a look takes in as many.
-const MAX_LOOKS: u32 = 64;
-/// How long, in milliseconds, what a client still sends after the end is taken in (lingering close).
-const LINGER_MS: f64 = 1_500.0;
-/// How much is read at once while nothing is decoded, in bytes.
-const SCRAP: usize = 2_048;
+/// How often a connection that waits for bytes checks its deadlines, in milliseconds.
+const DEADLINE_CHECK_MS: f64 = 250.0;
+/// How long after its client has given a request up its response is still written, in milliseconds: then another
+/// connection gets the slot.
+const LATE_WRITE_MS: f64 = 500.0;
+
+/// How a connection ends.
+enum End {
+    /// The client is gone: no response can be owed.
+    ClientGone,
+    /// This side closes it, in good order.
+    Close,
+}
 
-/// A request, a fault in its place, or the end of what the client sends.
-pub type Read = Option<Result<Result<HttpRequest, BadRequest>, WireError>>;
+/// A response with the time limit of its write.
+struct TimedResponse {
+    response: HttpResponse,
+    write_ms: f64,
+}
 
 /// A client's connection.
-#[derive(Debug)]
-pub struct Link {
-    framed: Framed<TcpStream, HttpCodec>,
-    /// Clients may send requests ahead of their answers as they like (RFC 9112, section 9.3.2).
-    pipelines: bool,
-    /// More came ahead of an answer than is held, and was thrown away.
-    overrun: bool,
-    /// Bytes that came ahead of answers, held or thrown away.
-    came_ahead: u64,
+pub(super) struct ClientConnection {
+    executor: Rc<Executor>,
+    front: Rc<dyn Front>,
+    shutdown: Rc<GracefulShutdown>,
+    stream: ClientStream,
+    /// Declared, and so dropped, after the stream: the slot is free once the socket is closed.
+    slot: ConnectionSlot,
+    peer: IpAddr,
 }
 
-impl Link {
-    /// A connection that was just accepted. Small writes leave at once (`TCP_NODELAY`). What clients send ahead of an
-    /// answer beyond [`MAX_AHEAD`] is thrown away. Where they do not pipeline, the connection ends with that answer;
-    /// where they do, with the answer to the last request that is held whole.
-    pub fn new(stream: TcpStream, codec: HttpCodec, pipelines: bool) -> Self {
-        let _ = stream.set_nodelay(true);
-        Self { framed: Framed::new(stream, codec), pipelines, overrun: false, came_ahead: 0 }
-    }
-
-    /// The next request. Cancel safe.
-    pub async fn next(&mut self) -> Read {
-        self.framed.next().await
-    }
-
-    /// What is whole by now, as far as the machine has been told, where the reader is about to give up.
-    pub async fn last_look(&mut self) -> Option<Read> {
-        // What came since the last look is told at the machine's next turn.
-        tokio::task::yield_now().await;
-        self.next().now_or_never()
-    }
-
-    /// What the reader waits for, and since when.
-    pub fn phase(&self) -> (Phase, f64) {
-        self.framed.codec().phase()
-    }
-
-    /// Starts the wait for the next request anew, once the last one is answered.
-    pub fn answered(&mut self) {
-        self.framed.codec_mut().answered();
-    }
-
-    /// Whether more came ahead of an answer than is held, and no whole request is left of that: nothing that is read
-    /// from now on can be understood.
-    pub fn overrun(&self) -> bool {
-        self.overrun && !self.holds_request()
-    }
-
-    /// Whether the next request is held whole, or a fault in its place. Decodes a copy.
-    fn holds_request(&self) -> bool {
-        let mut held = self.framed.read_buffer().clone();
-        matches!(self.framed.codec().clone().decode(&mut held), Ok(Some(_)))
+impl ClientConnection {
+    /// A connection that was just accepted.
+    pub(super) fn new(
+        executor: Rc<Executor>,
+        front: Rc<dyn Front>,
+        shutdown: Rc<GracefulShutdown>,
+        slot: ConnectionSlot,
+        socket: TcpStream,
+        peer: IpAddr,
+    ) -> Self {
+        let limits = front.limits();
+        let codec = HttpCodec::new(executor.clock.clone(), limits.body_bytes);
+        let stream = ClientStream::new(socket, codec, !limits.one_at_a_time);
+        Self { executor, front, shutdown, slot, stream, peer }
     }
 
-    /// Whether bytes came ahead of an answer: another request is most likely among them.
-    pub fn is_ahead(&self) -> bool {
-        !self.framed.read_buffer().is_empty()
+    /// Serves the connection to its end. A shutdown waits for `open` first, and then for the lingering close, so that
+    /// the last response arrives.
+    pub(super) async fn serve(mut self, open: ConnectionGuard) {
+        let end = self.serve_requests().await;
+        drop(open);
+        if let End::ClientGone = end {
+            return;
+        }
+        let _lingering = self.shutdown.track_lingering();
+        self.slot.set_lingering();
+        let slot = &self.slot;
+        let needed_by_another = async {
+            if !slot.is_evicted() {
+                slot.evicted().await;
+            }
+        };
+        self.stream.close(needed_by_another).await;
     }
 
-    /// Waits until the client leaves: it closed or reset the connection, or ended its side. Whatever it sends
-    /// meanwhile is held for the next request, within bounds, so that it neither hides the leaving nor counts as one.
-    /// Reading never pauses: the end of the client's side arrives behind its last byte, which a full receive window
-    /// would keep out. To be called between a request and its answer only. Cancel safe.
-    pub async fn left(&mut self) {
-        let mut scrap = [0u8; SCRAP];
+    /// Serves requests until the connection ends.
+    async fn serve_requests(&mut self) -> End {
+        // Bounds the first request, so that a client that sends nothing, or a byte at a time, keeps no slot.
+        let mut first_deadline = Some(self.executor.clock.now() + self.front.limits().first_ms);
         loop {
-            let read = self.framed.get_mut().read(&mut scrap).await;
-            let Ok(length @ 1..) = read else { return };
-            self.hold(&scrap[..length]);
+            let request = match self.next_request(first_deadline.take()).await {
+                Ok(request) => request,
+                Err(end) => return end,
+            };
+            self.slot.set_busy();
+            let Some(TimedResponse { mut response, write_ms }) = self.respond(&request).await else {
+                return End::ClientGone;
+            };
+            response.close |=
+                !request.keep_alive || self.shutdown.closes_after_response() || self.stream.is_overrun();
+            let close = response.close;
+            if !self.write(response, write_ms).await {
+                return End::ClientGone;
+            }
+            if close {
+                return End::Close;
+            }
+            self.stream.restart_wait();
+            let now = self.executor.clock.now();
+            if self.stream.has_bytes_ahead() {
+                self.slot.set_reading(now);
+            } else {
+                self.slot.set_idle(now);
+            }
         }
     }
 
-    /// Holds bytes that came ahead of an answer. After the first that find no room none are held any more, so that
-    /// what is held has no gap.
-    fn hold(&mut self, bytes: &[u8]) {
-        self.came_ahead += bytes.len() as u64;
-        let ahead = self.framed.read_buffer_mut();
-        if !self.overrun && ahead.len() + bytes.len() <= MAX_AHEAD {
-            ahead.extend_from_slice(bytes);
-            return;
-        }
-        self.overrun = true;
-        if !self.pipelines {
-            ahead.clear();
+    /// The next request, or the end of the connection, after a response to a client that is too slow or sent no
+    /// request.
+    async fn next_request(&mut self, deadline: Option<f64>) -> Result<HttpRequest, End> {
+        match self.receive(deadline).await {
+            Ok(Received::Request(request)) => Ok(request),
+            Ok(Received::Bad(BadRequest(status))) => {
+                self.executor.with(|engine| engine.counters.malformed_requests += 1);
+                Err(self.fail(status).await)
+            }
+            Ok(Received::End) => Err(End::ClientGone),
+            Err(Phase::Idle) => Err(End::Close),
+            Err(Phase::Head | Phase::Body) => Err(self.fail(408).await),
         }
     }
 
-    /// Whether the client has left by now, as far as the machine has been told: what waited for its place may have
-    /// come from one that is long gone. Its end may stand behind more than one look takes in.
-    pub async fn has_left(&mut self) -> bool {
-        for _ in 0..MAX_LOOKS {
-            // What came together with the request is told at the machine's next turn.
-            tokio::task::yield_now().await;
-            let before = self.came_ahead;
-            if self.left().now_or_never().is_some() {
-                return true;
+    /// Waits for the next request. `Err` gives the phase in which the wait ended without one: the client was too slow,
+    /// its slot is needed, or the proxy shuts down.
+    async fn receive(&mut self, deadline: Option<f64>) -> Result<Received, Phase> {
+        loop {
+            let now = self.executor.clock.now();
+            let check_ms =
+                deadline.map_or(DEADLINE_CHECK_MS, |due| (due - now).clamp(1.0, DEADLINE_CHECK_MS));
+            tokio::select! {
+                // What has arrived is read first: a request may cross the loss of its slot.
+                biased;
+                received = timeout(duration_from_ms(check_ms), self.stream.next()) => if let Ok(received) = received {
+                    return Ok(received);
+                },
+                () = self.shutdown.begins() => {}
+                () = self.slot.evicted() => {}
+            }
+            let (phase, since) = self.stream.phase();
+            if phase != Phase::Idle {
+                self.slot.set_reading(since);
             }
-            if self.came_ahead == before {
-                return false;
+            if self.wait_is_over(phase, since, deadline) {
+                // A request that came in this very moment: the machine may have it already.
+                return self.stream.next_now().await.ok_or(phase);
             }
         }
-        false
     }
 
-    /// Writes an answer whole, within `ms` milliseconds.
-    pub async fn write(&mut self, answer: HttpResponse, ms: f64) -> Result<(), WireError> {
-        let body = Some(answer.wire_body()).filter(|body| body.len() > MAX_INLINE);
-        let all = async {
-            self.framed.send(answer).await?;
-            if let Some(body) = body {
-                self.framed.get_mut().write_all(&body).await?;
+    /// Whether the wait for a request ends, in a phase that began at `since`.
+    fn wait_is_over(&self, phase: Phase, since: f64, deadline: Option<f64>) -> bool {
+        let limits = self.front.limits();
+        let limit_ms = match phase {
+            Phase::Idle => limits.idle_ms,
+            Phase::Head => limits.head_ms,
+            Phase::Body => limits.body_ms,
+        };
+        let now = self.executor.clock.now();
+        let is_late = deadline.is_some_and(|due| now >= due);
+        self.executor.with(|engine| engine.counters.clients_too_slow += u64::from(is_late));
+        let idle_at_shutdown = phase == Phase::Idle && self.shutdown.has_begun();
+        is_late || now - since > limit_ms || idle_at_shutdown || self.slot.is_evicted()
+    }
+
+    /// The response to a request; none where the client left.
+    async fn respond(&mut self, request: &HttpRequest) -> Option<TimedResponse> {
+        let (executor, front) = (self.executor.clone(), self.front.clone());
+        let mut write_ms = front.limits().write_ms;
+        let (request, context) = match front.interpret(&executor, request, executor.clock.now()) {
+            Disposition::Respond(response) => return Some(TimedResponse { response, write_ms }),
+            Disposition::Forward(request, context) => {
+                (IncomingRequest { client: Some(self.peer), ..*request }, context)
             }
-            Ok(())
         };
-        let late = |_| Err(WireError::Socket(std::io::ErrorKind::TimedOut.into()));
-        timeout(duration_from_ms(ms), all).await.unwrap_or_else(late)
+        let give_up_ms = request.give_up_ms;
+        // A request that waited for its slot, or behind another, may have come from a client that is long gone.
+        if self.stream.has_left().await {
+            executor.with(|engine| engine.counters.left += 1);
+            return None;
+        }
+        let response = match front.submit(&executor, &context, request) {
+            Ok(submission) => front.respond(&context, self.wait(submission).await?),
+            Err(reason) => front.reject(reason),
+        };
+        if front.limits().one_at_a_time {
+            write_ms = (give_up_ms + LATE_WRITE_MS - executor.clock.now()).clamp(1.0, write_ms);
+        }
+        Some(TimedResponse { response, write_ms })
     }
 
-    /// Ends the connection: nothing more is sent, and what the client still sends is taken in unread, so that no
-    /// answer is lost to a reset (RFC 9112, section 9.6). Bounded in time, and by `sooner`. What is taken in here is
-    /// never a request: its client gets no answer and is told so by the end of the connection.
-    pub async fn end(mut self, sooner: impl Future<Output = ()>) {
-        let stream = self.framed.get_mut();
-        if stream.shutdown().await.is_err() {
-            return;
+    /// Waits for the result of a request; none where the client leaves first.
+    async fn wait(&mut self, submission: Submission) -> Option<FinalResponse> {
+        match submission {
+            Submission::Completed(result) => Some(result),
+            Submission::Pending(pending) => tokio::select! {
+                biased;
+                result = pending.result() => Some(result),
+                () = self.stream.left() => None,
+            },
         }
-        let mut scrap = [0u8; SCRAP];
-        let drain = async { while matches!(stream.read(&mut scrap).await, Ok(1..)) {} };
-        tokio::select! {
-            biased;
-            _ = timeout(duration_from_ms(LINGER_MS), drain) => {}
-            () = sooner => {}
+    }
+
+    /// Responds to a fault, after which nothing more can be read.
+    async fn fail(&mut self, status: u16) -> End {
+        self.slot.set_busy();
+        let write_ms = self.front.limits().write_ms;
+        match self.write(HttpResponse::closing(status), write_ms).await {
+            true => End::Close,
+            false => End::ClientGone,
+        }
+    }
+
+    /// Writes a response; returns whether that succeeded.
+    async fn write(&mut self, response: HttpResponse, limit_ms: f64) -> bool {
+        let written = self.stream.write(response, limit_ms).await.is_ok();
+        if !written {
+            self.executor.with(|engine| engine.counters.unwritten += 1);
         }
+        written
     }
 }
--- /dev/null
+++ b/src/wire/connection_slots.rs
@@ -0,0 +1,106 @@
+//! The slots of a listener's connections. At the limit, the connection that has been idle for longest gives up its slot.
+
+use crate::clock::duration_from_ms;
+use crate::engine::executor::Executor;
+use crate::state::client_slots::{PlaceId, Places};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+use tokio::sync::Notify;
+use tokio::time::timeout;
+
+/// How often a new connection without a slot tries again, in milliseconds.
+const RETRY_MS: f64 = 20.0;
+
+/// A listener's slots.
+pub(super) struct ConnectionSlots {
+    slots: RefCell<Places>,
+    evictions: RefCell<HashMap<PlaceId, Rc<Notify>>>,
+    /// A slot has become free or idle.
+    changed: Notify,
+}
+
+impl ConnectionSlots {
+    /// `max` free slots.
+    pub(super) fn new(max: usize) -> Rc<Self> {
+        Rc::new(Self {
+            slots: RefCell::new(Places::new(max)),
+            evictions: RefCell::default(),
+            changed: Notify::new(),
+        })
+    }
+
+    /// Waits for a slot.
+    pub(super) async fn acquire(self: &Rc<Self>, executor: &Rc<Executor>) -> ConnectionSlot {
+        loop {
+            let now = executor.clock.now();
+            if let Some(slot) = self.try_acquire(now) {
+                return slot;
+            }
+            let idle = self.slots.borrow_mut().make_room(now);
+            if let Some(eviction) = idle.and_then(|id| self.evictions.borrow().get(&id).cloned()) {
+                executor.with(|engine| engine.counters.clients_displaced += 1);
+                eviction.notify_one();
+            }
+            let _ = timeout(duration_from_ms(RETRY_MS), self.changed.notified()).await;
+        }
+    }
+
+    fn try_acquire(self: &Rc<Self>, now: f64) -> Option<ConnectionSlot> {
+        let id = self.slots.borrow_mut().take(now)?;
+        let eviction = Rc::new(Notify::new());
+        self.evictions.borrow_mut().insert(id, eviction.clone());
+        Some(ConnectionSlot { slots: self.clone(), id, eviction, evicted: Cell::new(false) })
+    }
+}
+
+/// The slot of one connection. It is free again once this is dropped.
+pub(super) struct ConnectionSlot {
+    slots: Rc<ConnectionSlots>,
+    id: PlaceId,
+    eviction: Rc<Notify>,
+    evicted: Cell<bool>,
+}
+
+impl ConnectionSlot {
+    /// The bytes of a request arrive, the first of them at `since`.
+    pub(super) fn set_reading(&self, since: f64) {
+        self.slots.slots.borrow_mut().reading(self.id, since);
+    }
+
+    /// A request is open: the slot cannot be taken away.
+    pub(super) fn set_busy(&self) {
+        self.slots.slots.borrow_mut().busy(self.id);
+    }
+
+    /// The connection waits for the next request.
+    pub(super) fn set_idle(&self, now: f64) {
+        self.slots.slots.borrow_mut().idle(self.id, now);
+        self.slots.changed.notify_one();
+    }
+
+    /// The connection is closed on this side and lingers.
+    pub(super) fn set_lingering(&self) {
+        self.slots.slots.borrow_mut().done(self.id);
+        self.slots.changed.notify_one();
+    }
+
+    /// Waits for the moment at which the slot is needed for another connection.
+    pub(super) async fn evicted(&self) {
+        self.eviction.notified().await;
+        self.evicted.set(true);
+    }
+
+    /// Whether the connection knows that its slot is needed.
+    pub(super) fn is_evicted(&self) -> bool {
+        self.evicted.get()
+    }
+}
+
+impl Drop for ConnectionSlot {
+    fn drop(&mut self) {
+        self.slots.slots.borrow_mut().leave(self.id);
+        self.slots.evictions.borrow_mut().remove(&self.id);
+        self.slots.changed.notify_one();
+    }
+}
--- a/src/wire/front.rs
+++ b/src/wire/front.rs
@@ -1,9 +1,8 @@
 //! A front: what differs between the protocols that clients speak.
 
 use super::http::{HttpRequest, HttpResponse};
+use super::submission::Submission;
 use crate::engine::executor::Executor;
-use crate::http3::call_registry::CallRegistry;
-use crate::http3::response_store::SessionId;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use serde::Deserialize;
 use std::rc::Rc;
@@ -12,23 +11,23 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ConnectionLimits {
-    /// Connections at once.
+    /// Concurrent connections.
     pub connections: usize,
-    /// Wait for a connection's whole first request, from when it was accepted.
+    /// Time limit of a connection's complete first request, from when it was accepted.
     pub first_ms: f64,
-    /// Wait for the first byte of a further request.
+    /// Time limit of the first byte of a further request.
     pub idle_ms: f64,
-    /// Wait for a whole head from its first byte.
+    /// Time limit of a complete head, from its first byte.
     pub head_ms: f64,
-    /// Wait for a whole body from its first byte.
+    /// Time limit of a complete body, from its first byte.
     pub body_ms: f64,
-    /// Wait for a client to take a whole answer.
+    /// Time limit of the write of a complete response.
     pub write_ms: f64,
-    /// Clients send one request at a time and say how long they wait for its answer: none is written for longer than
-    /// that and half a second, and what is sent far ahead of it is no request.
+    /// Clients do not pipeline requests (RFC 9112, section 9.3.2), and state how long they wait for a response: none is
+    /// written for longer than that and half a second, and what is sent far ahead of a response is no request.
     #[serde(skip)]
     pub one_at_a_time: bool,
-    /// The longest body.
+    /// The longest body, in bytes.
     pub body_bytes: usize,
 }
 
@@ -47,24 +46,27 @@
     }
 }
 
-/// What the answer to a request depends on besides its end.
+/// The id of a client's session, in which calls outlive connections.
+pub type SessionId = u128;
+
+/// What the response to a request depends on besides its result.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseContext {
-    /// Only the head is wanted.
+    /// Only the head is sent: the method is HEAD.
     pub head_only: bool,
-    /// The range that is wanted, as it came.
+    /// The value of `Range`.
     pub range: Option<String>,
-    /// `If-Range`, as it came.
+    /// The value of `If-Range`.
     pub if_range: Option<String>,
-    /// `If-None-Match`, as it came.
+    /// The value of `If-None-Match`.
     pub if_none_match: Option<String>,
-    /// A cookie to be set with an answer that gives something.
-    pub set_cookie: Option<String>,
-    /// `If-Match`, as it came.
+    /// The value of `If-Match`.
     pub if_match: Option<String>,
-    /// The session that the request belongs to, where the front has sessions ...
+    /// A cookie that a successful response sets.
+    pub set_cookie: Option<String>,
+    /// The session that the request belongs to, where the front has sessions.
     pub session: Option<SessionId>,
-    /// ... and its token, where the client is to be told it.
+    /// The session's token, where the client needs a new one.
     pub session_token: Option<String>,
 }
 
@@ -78,16 +80,25 @@
 
 /// A front: what differs between the protocols that clients speak.
 pub trait Front {
-    /// Its bounds.
+    /// The bounds of its connections.
     fn limits(&self) -> &ConnectionLimits;
-    /// Parses and authenticates a request that was whole at `now`.
-    fn interpret(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Disposition;
-    /// Words a final answer.
-    fn respond(&self, context: &ResponseContext, answer: FinalResponse) -> HttpResponse;
-    /// Words that a request could not be taken.
-    fn reject(&self, reason: AdmitError) -> HttpResponse;
-    /// Where calls outlive their connection, who keeps them.
-    fn keeper(&self) -> Option<&Rc<CallRegistry>> {
-        None
+
+    /// Parses and authenticates a request that was complete at `now`, in Unix milliseconds.
+    fn interpret(&self, executor: &Rc<Executor>, request: &HttpRequest, now: f64) -> Disposition;
+
+    /// Submits a request that [`Self::interpret`] forwards.
+    fn submit(
+        &self,
+        executor: &Rc<Executor>,
+        _context: &ResponseContext,
+        request: IncomingRequest,
+    ) -> Result<Submission, AdmitError> {
+        Submission::to_engine(executor, request)
     }
+
+    /// The response for a final result.
+    fn respond(&self, context: &ResponseContext, result: FinalResponse) -> HttpResponse;
+
+    /// The response to a request that was not admitted.
+    fn reject(&self, reason: AdmitError) -> HttpResponse;
 }
--- a/src/wire/http.rs
+++ b/src/wire/http.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1 as a server speaks it: one request at a time, with a bound on everything.
 
-use super::WireError;
 use crate::clock::Clock;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::fmt::Write as _;
+use std::io;
 use tokio_util::codec::{Decoder, Encoder};
 
 /// The longest head of a request.
@@ -149,8 +149,8 @@
         (self.phase, self.since)
     }
 
-    /// Starts the wait for the next request anew, once the last one is answered.
-    pub fn answered(&mut self) {
+    /// Restarts the wait for the next request, after a response.
+    pub fn restart_wait(&mut self) {
         self.since = self.clock.now();
     }
 
@@ -242,9 +242,9 @@
 
 impl Decoder for HttpCodec {
     type Item = Result<HttpRequest, BadRequest>;
-    type Error = WireError;
+    type Error = io::Error;
 
-    fn decode(&mut self, buf: &mut BytesMut) -> Result<Option<Self::Item>, WireError> {
+    fn decode(&mut self, buf: &mut BytesMut) -> Result<Option<Self::Item>, io::Error> {
         if self.faulty {
             buf.clear();
             return Ok(None);
@@ -258,15 +258,15 @@
         }
     }
 
-    fn decode_eof(&mut self, buf: &mut BytesMut) -> Result<Option<Self::Item>, WireError> {
+    fn decode_eof(&mut self, buf: &mut BytesMut) -> Result<Option<Self::Item>, io::Error> {
         self.decode(buf)
     }
 }
 
 impl Encoder<HttpResponse> for HttpCodec {
-    type Error = WireError;
+    type Error = io::Error;
 
-    fn encode(&mut self, answer: HttpResponse, out: &mut BytesMut) -> Result<(), WireError> {
+    fn encode(&mut self, answer: HttpResponse, out: &mut BytesMut) -> Result<(), io::Error> {
         let mut head = format!("HTTP/1.1 {} {}\r\n", answer.status, reason(answer.status));
         for (name, value) in &answer.headers {
             let _ = write!(head, "{name}: {value}\r\n");
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -5,7 +5,9 @@
 pub mod cache_codec;
 pub mod cache_connection;
 pub mod cache_message;
-pub mod client_connection;
+mod client_connection;
+pub mod client_stream;
+mod connection_slots;
 pub mod discovery;
 pub mod discovery_codec;
 pub mod discovery_json;
@@ -17,22 +19,4 @@
 pub mod response_path;
 pub mod shutdown;
 pub mod signed;
-
-use thiserror::Error;
-
-/// Why a connection can't go on.
-#[derive(Debug, Error)]
-pub enum WireError {
-    /// The socket failed.
-    #[error("socket: {0}")]
-    Socket(#[from] std::io::Error),
-    /// The other side sent what its protocol doesn't allow.
-    #[error("malformed: {0}")]
-    Malformed(&'static str),
-    /// A message stopped in its middle.
-    #[error("stalled")]
-    Stalled,
-    /// More came than may be held.
-    #[error("too large: {0}")]
-    TooLarge(&'static str),
-}
+pub mod submission;
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -5,7 +5,7 @@
 
 use edge_proxy::clock::Clock;
 use edge_proxy::state::requests::IncomingRequest;
-use edge_proxy::wire::client_connection::{Link, MAX_AHEAD};
+use edge_proxy::wire::client_stream::{ClientStream, Received, MAX_AHEAD};
 use edge_proxy::wire::front::{ConnectionLimits, Front};
 use edge_proxy::wire::http::HttpCodec;
 use edge_proxy::wire::platform::{limits, Platform};
@@ -297,7 +297,7 @@
     run(async {
         let (mut client, theirs) = pair().await;
         let codec = HttpCodec::new(Clock::manual(START_MS), 100);
-        let mut link = Link::new(theirs, codec, true);
+        let mut link = ClientStream::new(theirs, codec, true);
         let length = get(1).len();
         let sent: String = (1..=4 * (MAX_AHEAD / length) as u64).map(get).collect();
         client.write_all(sent.as_bytes()).await.unwrap();
@@ -305,11 +305,11 @@
         // Its end says that all was read.
         let mut answered = 0;
         loop {
-            let request = link.next().await.unwrap().unwrap().unwrap();
+            let Received::Request(request) = link.next().await else { panic!("no request") };
             answered += 1;
             assert_eq!(request.single("x-call-id"), Ok(Some(&*format!("{answered:016x}"))));
             link.left().await;
-            if link.overrun() {
+            if link.is_overrun() {
                 break;
             }
         }
@@ -397,7 +397,7 @@
         // A second descriptor of the same socket.
         let same = theirs.as_fd().try_clone_to_owned().unwrap();
         let codec = HttpCodec::new(site.clock.clone(), 100);
-        let _link = Link::new(theirs, codec, false);
+        let _link = ClientStream::new(theirs, codec, false);
         assert!(SockRef::from(&same).tcp_nodelay().unwrap());
     });
 }
