--- a/src/http3/server.rs
+++ b/src/http3/server.rs
@@ -354,7 +354,7 @@
         Disposition::Respond(answer) => return Some((answer, Priority { urgency: 0, incremental: false })),
         Disposition::Forward(ask, context) => (ask, context),
     };
-    let env = driver.host.env();
+    let env = driver.host.settings();
     // Writes first, then what is small; a clip's parts share what is left. The client's own word counts more.
     let base = match (env.is_write(ask.class), ask.part) {
         (true, _) => Priority { urgency: 1, incremental: false },
@@ -364,7 +364,7 @@
     let said = request.single("priority").ok().flatten();
     let priority = said.map_or(base, |text| Priority::parse(text, base));
     ask.client = Some(peer);
-    ask.give_up_ms = shared.sample().give_up_ms(now, ask.give_up_ms, ask.size_kb * 1_024.0);
+    ask.deadline_ms = shared.sample().give_up_ms(now, ask.deadline_ms, ask.size_kb * 1_024.0);
     let Some(session) = context.session else { return Some((HttpResponse::status(500), base)) };
     let last = match driver.keeper.ask(session, *ask) {
         Err(reason) => return Some((driver.front.reject(reason), priority)),
--- a/src/lifecycle/engine_setup.rs
+++ b/src/lifecycle/engine_setup.rs
@@ -4,9 +4,9 @@
 use super::descriptors::{DescriptorBudget, DescriptorDemand, Descriptors};
 use super::error::ServeError;
 use crate::clock::Clock;
-use crate::engine::{Engine, EngineBounds};
+use crate::engine::{Engine, EngineLimits};
 use crate::settings::PlatformSettings;
-use crate::state::connections::Bounds;
+use crate::state::connections::ConnectionLimits;
 use std::rc::Rc;
 
 /// Connections to one endpoint: one for each 64 descriptors, within these bounds.
@@ -44,18 +44,18 @@
     let settings = Rc::new(config.settings.clone());
     let seed = config.seed().map_err(ServeError::field("seed"))?;
     let sockets = config.limits.sockets;
-    let connections = Bounds {
+    let connections = ConnectionLimits {
         total: budget.endpoints,
-        endpoint: (sockets / DESCRIPTORS_PER_ENDPOINT_CONNECTION)
+        per_endpoint: (sockets / DESCRIPTORS_PER_ENDPOINT_CONNECTION)
             .clamp(MIN_ENDPOINT_CONNECTIONS, MAX_ENDPOINT_CONNECTIONS),
-        spread: ENDPOINT_SPREAD,
+        spread_above: ENDPOINT_SPREAD,
         streams: settings.streams_per_connection(),
     };
-    let bounds = EngineBounds { requests: sockets * 2 / 5 + signed_connections, connections };
+    let bounds = EngineLimits { requests: sockets * 2 / 5 + signed_connections, connections };
     let mut engine = Engine::new(clock.clone(), settings.clone(), seed, bounds);
     for event in config.known.events().map_err(ServeError::field("known"))? {
-        engine.news(event);
+        engine.apply_event(event);
     }
-    engine.skip_to(config.known.last_number);
+    engine.skip_events_to(config.known.last_number);
     Ok((engine, settings))
 }
--- a/src/purge/active_purges.rs
+++ b/src/purge/active_purges.rs
@@ -170,7 +170,7 @@
     }
 
     /// Counts all purges up to `seq` as applied without activating them: they were dropped before a restart.
-    pub fn skip_to(&mut self, seq: u64) {
+    pub fn skip_events_to(&mut self, seq: u64) {
         self.applied = self.applied.max(seq);
     }
 
--- a/src/wire/admin.rs
+++ b/src/wire/admin.rs
@@ -73,17 +73,17 @@
         }
         match steps[..] {
             ["pop-caches", id, word] => match parse_endpoint_id(id) {
-                Some(id) => self.maintain(host, id, word == "maint"),
+                Some(id) => self.set_out_of_use(host, id, word == "maint"),
                 None => HttpResponse::status(404),
             },
-            ["stats"] => text(host.figures()),
+            ["stats"] => text(host.metrics()),
             _ => text("ok\n".into()),
         }
     }
 
     /// Takes an endpoint out of use, or puts it back; a yes says that this holds already, and is written down.
-    fn maintain(&self, host: &Rc<Executor>, id: u32, out: bool) -> HttpResponse {
-        if !host.with(|engine| engine.maintain(id, out)) {
+    fn set_out_of_use(&self, host: &Rc<Executor>, id: u32, out: bool) -> HttpResponse {
+        if !host.with(|engine| engine.set_out_of_use(id, out)) {
             return HttpResponse::status(404);
         }
         match (self.keep)(host) {
--- a/src/wire/cache_connection.rs
+++ b/src/wire/cache_connection.rs
@@ -5,8 +5,8 @@
 use super::cache_message::CacheCommand;
 use crate::clock::duration_from_ms;
 use crate::engine::executor::{ConnectionDriver, Dial, Executor};
-use crate::engine::Next;
-use crate::state::connections::ConnId;
+use crate::engine::NextWrite;
+use crate::state::connections::ConnectionId;
 use crate::text::parse_hex16;
 use bytes::BytesMut;
 use futures_util::future::LocalBoxFuture;
@@ -68,11 +68,11 @@
     let Dial { conn, address, within_ms, waker } = dial;
     let stream = match timeout(duration_from_ms(within_ms), TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(error)) => return executor.with(|engine| engine.connect_failed(conn, is_local(&error))),
-        Err(_) => return executor.with(|engine| engine.connect_failed(conn, false)),
+        Ok(Err(error)) => return executor.with(|engine| engine.connection_failed(conn, is_local(&error))),
+        Err(_) => return executor.with(|engine| engine.connection_failed(conn, false)),
     };
     let _ = stream.set_nodelay(true);
-    executor.with(|engine| engine.connected(conn));
+    executor.with(|engine| engine.connection_established(conn));
     let ended = serve(executor, conn, stream, &waker).await;
     report_end(executor, conn, address, ended);
 }
@@ -80,7 +80,7 @@
 /// Reads and writes until either side ends the connection.
 async fn serve(
     executor: &Rc<Executor>,
-    conn: ConnId,
+    conn: ConnectionId,
     stream: TcpStream,
     waker: &Notify,
 ) -> Result<(), ConnectionError> {
@@ -91,11 +91,11 @@
         biased;
         ended = &mut reading => ended,
         ended = write(executor, conn, sink, waker) => {
-            let Err(broken) = ended else { return Ok(()) };
+            let Err(connection_lost) = ended else { return Ok(()) };
             // Replies that arrived before the connection broke still count.
             match timeout(duration_from_ms(LAST_READ_MS), &mut reading).await {
                 Ok(Err(error)) => Err(error),
-                Ok(Ok(())) | Err(_) => Err(broken),
+                Ok(Ok(())) | Err(_) => Err(connection_lost),
             }
         }
     }
@@ -104,15 +104,15 @@
 /// Reports to the engine how a connection ended.
 fn report_end(
     executor: &Rc<Executor>,
-    conn: ConnId,
+    conn: ConnectionId,
     address: SocketAddrV4,
     ended: Result<(), ConnectionError>,
 ) {
     match ended {
-        Ok(()) | Err(ConnectionError::Io(_)) => executor.with(|engine| engine.broken(conn)),
+        Ok(()) | Err(ConnectionError::Io(_)) => executor.with(|engine| engine.connection_lost(conn)),
         Err(ConnectionError::Stalled) => executor.with(|engine| {
             engine.counters.stalled_members += 1;
-            engine.spoilt(conn);
+            engine.connection_malformed(conn);
         }),
         Err(error @ ConnectionError::Reply(_)) => {
             let count = executor.with(|engine| {
@@ -123,7 +123,7 @@
             if count.is_power_of_two() {
                 tracing::warn!(endpoint = %address, %error, count, "malformed reply; the connection is closed");
             }
-            executor.with(|engine| engine.spoilt(conn));
+            executor.with(|engine| engine.connection_malformed(conn));
         }
     }
 }
@@ -137,7 +137,7 @@
 /// Hands replies to the engine until the endpoint ends the connection.
 async fn read(
     executor: &Rc<Executor>,
-    conn: ConnId,
+    conn: ConnectionId,
     mut source: FramedRead<OwnedReadHalf, LineCodec>,
 ) -> Result<(), ConnectionError> {
     // Bytes of an incomplete reply at the last check.
@@ -147,7 +147,7 @@
             Ok(Some(reply)) => {
                 let reply = reply?;
                 partial_bytes = None;
-                executor.with(|engine| engine.answered(conn, reply));
+                executor.with(|engine| engine.handle_response(conn, reply));
             }
             Ok(None) => return Ok(()),
             Err(_) => {
@@ -165,19 +165,19 @@
 /// Writes the engine's commands until the engine closes the connection.
 async fn write(
     executor: &Rc<Executor>,
-    conn: ConnId,
+    conn: ConnectionId,
     mut sink: OwnedWriteHalf,
     waker: &Notify,
 ) -> Result<(), ConnectionError> {
     let (mut codec, mut bytes) = (LineCodec::default(), BytesMut::new());
     loop {
         let command = match executor.with(|engine| engine.next_write(conn)) {
-            Next::Write(command) => command,
-            Next::Idle => {
+            NextWrite::Write(command) => command,
+            NextWrite::Idle => {
                 waker.notified().await;
                 continue;
             }
-            Next::Close => return Ok(()),
+            NextWrite::Close => return Ok(()),
         };
         let request_id = match &command {
             CacheCommand::Send(request) => parse_hex16(&request.id),
@@ -190,7 +190,7 @@
             // meanwhile its deadline may pass, or its endpoint drain.
             (Err(error), Some(request_id)) if error.kind() == ErrorKind::WouldBlock => {
                 bytes.clear();
-                executor.with(|engine| engine.unwritten(conn, request_id));
+                executor.with(|engine| engine.write_blocked(conn, request_id));
                 match timeout(duration_from_ms(WRITE_MS), sink.writable()).await {
                     Ok(room) => room?,
                     Err(_) => return Ok(()),
--- a/src/wire/client_connection.rs
+++ b/src/wire/client_connection.rs
@@ -180,7 +180,7 @@
                 (IncomingRequest { client: Some(self.peer), ..*request }, context)
             }
         };
-        let give_up_ms = request.give_up_ms;
+        let deadline_ms = request.deadline_ms;
         // A request that waited for its slot, or behind another, may have come from a client that is long gone.
         if self.stream.has_left().await {
             executor.with(|engine| engine.counters.left += 1);
@@ -191,7 +191,7 @@
             Err(reason) => front.reject(reason),
         };
         if front.limits().one_at_a_time {
-            write_ms = (give_up_ms + LATE_WRITE_MS - executor.clock.now()).clamp(1.0, write_ms);
+            write_ms = (deadline_ms + LATE_WRITE_MS - executor.clock.now()).clamp(1.0, write_ms);
         }
         Some(TimedResponse { response, write_ms })
     }
--- a/src/wire/connection_slots.rs
+++ b/src/wire/connection_slots.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
-use crate::state::client_slots::{PlaceId, Places};
+use crate::state::client_slots::{ClientSlots, SlotId};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -14,8 +14,8 @@
 
 /// A listener's slots.
 pub(super) struct ConnectionSlots {
-    slots: RefCell<Places>,
-    evictions: RefCell<HashMap<PlaceId, Rc<Notify>>>,
+    slots: RefCell<ClientSlots>,
+    evictions: RefCell<HashMap<SlotId, Rc<Notify>>>,
     /// A slot has become free or idle.
     changed: Notify,
 }
@@ -24,7 +24,7 @@
     /// `max` free slots.
     pub(super) fn new(max: usize) -> Rc<Self> {
         Rc::new(Self {
-            slots: RefCell::new(Places::new(max)),
+            slots: RefCell::new(ClientSlots::new(max)),
             evictions: RefCell::default(),
             changed: Notify::new(),
         })
@@ -37,7 +37,7 @@
             if let Some(slot) = self.try_acquire(now) {
                 return slot;
             }
-            let idle = self.slots.borrow_mut().make_room(now);
+            let idle = self.slots.borrow_mut().evict_one(now);
             if let Some(eviction) = idle.and_then(|id| self.evictions.borrow().get(&id).cloned()) {
                 executor.with(|engine| engine.counters.clients_displaced += 1);
                 eviction.notify_one();
@@ -47,7 +47,7 @@
     }
 
     fn try_acquire(self: &Rc<Self>, now: f64) -> Option<ConnectionSlot> {
-        let id = self.slots.borrow_mut().take(now)?;
+        let id = self.slots.borrow_mut().claim(now)?;
         let eviction = Rc::new(Notify::new());
         self.evictions.borrow_mut().insert(id, eviction.clone());
         Some(ConnectionSlot { slots: self.clone(), id, eviction, evicted: Cell::new(false) })
@@ -57,7 +57,7 @@
 /// The slot of one connection. It is free again once this is dropped.
 pub(super) struct ConnectionSlot {
     slots: Rc<ConnectionSlots>,
-    id: PlaceId,
+    id: SlotId,
     eviction: Rc<Notify>,
     evicted: Cell<bool>,
 }
@@ -65,12 +65,12 @@
 impl ConnectionSlot {
     /// The bytes of a request arrive, the first of them at `since`.
     pub(super) fn set_reading(&self, since: f64) {
-        self.slots.slots.borrow_mut().reading(self.id, since);
+        self.slots.slots.borrow_mut().request_started(self.id, since);
     }
 
     /// A request is open: the slot cannot be taken away.
     pub(super) fn set_busy(&self) {
-        self.slots.slots.borrow_mut().busy(self.id);
+        self.slots.slots.borrow_mut().request_open(self.id);
     }
 
     /// The connection waits for the next request.
@@ -81,7 +81,7 @@
 
     /// The connection is closed on this side and lingers.
     pub(super) fn set_lingering(&self) {
-        self.slots.slots.borrow_mut().done(self.id);
+        self.slots.slots.borrow_mut().finished(self.id);
         self.slots.changed.notify_one();
     }
 
@@ -99,7 +99,7 @@
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.slots.slots.borrow_mut().leave(self.id);
+        self.slots.slots.borrow_mut().release(self.id);
         self.slots.evictions.borrow_mut().remove(&self.id);
         self.slots.changed.notify_one();
     }
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -165,7 +165,7 @@
     let mut frames = Framed::new(stream, FrameCodec);
     let last = executor.with(|engine| {
         engine.counters.bulletin_links += 1;
-        engine.last_no()
+        engine.last_event_number()
     });
     timeout(limit, frames.send(last)).await.map_err(|_| WatchError::timed_out())??;
     Ok(frames)
@@ -174,7 +174,7 @@
 /// Applies the event of a frame. One that cannot be read is an error until it has failed [`MAX_EVENT_FAILURES`] times;
 /// then it is skipped, so that the events behind it are not held up for ever.
 fn apply(executor: &Rc<Executor>, frame: &Frame, progress: &mut Progress) -> Result<(), WatchError> {
-    let (number, last) = (frame.number, executor.with(|engine| engine.last_no()));
+    let (number, last) = (frame.number, executor.with(|engine| engine.last_event_number()));
     // Numbers are consecutive. A larger one may be corrupted, after which all later events would count as old, or
     // events may be lost. One that stays is applied: what is missing is missing.
     let gap = !frame.is_heartbeat() && number > last + 1;
@@ -182,27 +182,28 @@
         executor.with(|engine| engine.counters.bulletin_gaps += 1);
         return Err(WatchError::Gap { last, received: number });
     }
-    match frame.event(&executor.env()) {
+    match frame.event(&executor.settings()) {
         Ok(event) => {
             progress.fruitless = 0;
             executor.with(|engine| {
-                engine.news(event);
+                engine.apply_event(event);
                 if !frame.is_heartbeat() {
                     // The number of an unknown kind counts too.
-                    engine.skip_to(number);
+                    engine.skip_events_to(number);
                 }
             });
         }
         Err(error) if number > last && progress.count_failure(number) < MAX_EVENT_FAILURES => {
             // A drain beside a record that cannot be read takes effect all the same.
-            executor.with(|engine| engine.hear_part(frame.readable_endpoints(&engine.env())));
+            executor
+                .with(|engine| engine.apply_readable_endpoints(frame.readable_endpoints(&engine.settings())));
             return Err(error.into());
         }
         Err(error) => {
             tracing::warn!(%error, number, "an event of the discovery service is skipped");
             executor.with(|engine| {
                 engine.counters.bulletin_skipped += 1;
-                engine.skip_to(number);
+                engine.skip_events_to(number);
             });
         }
     }
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -107,12 +107,12 @@
             Said::Malformed => {
                 // A class that nobody knows is told before what else is wrong.
                 let class = request.target.split(['/', '?']).nth(2).unwrap_or_default();
-                let known = rules.is_some() || env.class(class).is_some();
+                let known = rules.is_some() || env.class_index(class).is_some();
                 return Err(if known { bad() } else { unknown() });
             }
             Said::Nothing => return Err(unknown()),
         };
-        let class = env.class(&class).ok_or_else(unknown)?;
+        let class = env.class_index(&class).ok_or_else(unknown)?;
         if part > MAX_PART || group > MAX_GROUP {
             return Err(bad());
         }
@@ -156,9 +156,9 @@
             part,
             group,
             size_kb,
-            give_up_ms: now + patience - MARGIN_MS.min(MARGIN_SHARE * patience),
+            deadline_ms: now + patience - MARGIN_MS.min(MARGIN_SHARE * patience),
             key: key.map(String::from),
-            cached: header("if-none-match")?.and_then(bare_tag),
+            client_etag: header("if-none-match")?.and_then(bare_tag),
             body: request.body.clone(),
             client: None,
         }))
@@ -199,7 +199,7 @@
                 _ => HttpResponse::status(405).with("Allow", "GET"),
             });
         }
-        match self.ask(&host.env(), request, now) {
+        match self.ask(&host.settings(), request, now) {
             Ok(ask) => Disposition::Forward(ask, ResponseContext::default()),
             Err(answer) => Disposition::Respond(answer),
         }
@@ -217,7 +217,7 @@
             FinalResponse::NotModified { tag } => {
                 HttpResponse::status(304).with("ETag", format!("\"{tag}\""))
             }
-            FinalResponse::Rejected { wait_ms, .. } => refused(wait_ms),
+            FinalResponse::Rejected { retry_after_ms: wait_ms, .. } => refused(wait_ms),
             FinalResponse::Failed { overdue } => HttpResponse::status(if overdue { 504 } else { 502 }),
         }
     }
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -18,7 +18,7 @@
     /// Submits a request to the engine. Dropping the wait tells the engine that the client left.
     pub fn to_engine(executor: &Rc<Executor>, request: IncomingRequest) -> Result<Self, AdmitError> {
         let id = request.id;
-        let receiver = executor.ask(request)?;
+        let receiver = executor.submit(request)?;
         let wait = EngineWait { executor: executor.clone(), id: Some(id) };
         Ok(Self::Pending(PendingResponse::new(receiver, Box::new(wait))))
     }
@@ -68,7 +68,7 @@
 impl Drop for EngineWait {
     fn drop(&mut self) {
         if let Some(id) = self.id {
-            self.executor.left(id);
+            self.executor.client_disconnected(id);
         }
     }
 }
