--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -92,7 +92,7 @@
 async fn run_until_stop(subsystems: &mut [Box<dyn Subsystem>], context: &Context, signals: &mut Signals) {
     loop {
         match signals.next().await {
-            Request::GracefulShutdown => return,
+            Request::Stop => return,
             Request::ReportCounters => log_counters(&context.executor),
             Request::Reload => subsystems.iter_mut().for_each(|subsystem| subsystem.reload(context)),
         }
--- a/src/lifecycle/signals.rs
+++ b/src/lifecycle/signals.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Request {
     /// SIGTERM or SIGINT: stop gracefully.
-    GracefulShutdown,
+    Stop,
     /// SIGHUP: read the configuration files again.
     Reload,
     /// SIGUSR1: log the counters.
@@ -37,8 +37,8 @@
     /// Waits for the next signal.
     pub async fn next(&mut self) -> Request {
         tokio::select! {
-            _ = self.terminate.recv() => Request::GracefulShutdown,
-            _ = self.interrupt.recv() => Request::GracefulShutdown,
+            _ = self.terminate.recv() => Request::Stop,
+            _ = self.interrupt.recv() => Request::Stop,
             _ = self.hangup.recv() => Request::Reload,
             _ = self.user1.recv() => Request::ReportCounters,
         }
