--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,11 +1,11 @@
-//! The one clock: Unix time in milliseconds as a floating-point number, which tests set by hand.
+//! The clock of the proxy: Unix time in milliseconds as a floating-point number. Tests set it by hand.
 
 use crate::Micros;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A clock that all parts of a proxy share. Clones tell the same time.
+/// A clock that all parts of a proxy share. Clones have the same time.
 #[derive(Clone, Debug)]
 pub struct Clock {
     source: Rc<Source>,
@@ -13,7 +13,7 @@
 
 #[derive(Debug)]
 enum Source {
-    /// The system's clock, with the latest time that it told.
+    /// The system's clock, with the latest time that was read.
     System(Cell<f64>),
     /// A time set by a test.
     Manual(Cell<f64>),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Moves a manual clock on; the system's clock is not to be moved.
+    /// Advances a manual clock by `ms`; the system's clock is not affected.
     pub fn advance(&self, ms: f64) {
         if let Source::Manual(at) = &*self.source {
             at.set(at.get() + ms.max(0.0));
@@ -51,17 +51,17 @@
     }
 }
 
-/// Milliseconds as the decision module's microseconds: the only place where the two meet.
+/// Converts milliseconds to the decision module's microseconds.
 pub fn micros_from_ms(ms: f64) -> Micros {
     (ms.max(0.0) * 1_000.0) as Micros
 }
 
-/// The module's microseconds as milliseconds.
+/// Converts the decision module's microseconds to milliseconds.
 pub fn ms_from_micros(us: Micros) -> f64 {
     us as f64 / 1_000.0
 }
 
-/// A span of the clock as the runtime's timers take it; none is negative or endless.
+/// Converts milliseconds to a duration for the runtime's timers, clamped to between 0 and one day.
 pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::from_secs_f64((ms / 1_000.0).clamp(0.0, 86_400.0))
 }
--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_manual_clock_moves_only_when_told() {
+fn a_manual_clock_moves_only_when_advanced() {
     let clock = Clock::manual(1_000.5);
     let twin = clock.clone();
     assert_eq!(clock.now(), 1_000.5);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,79 +1,81 @@
-//! What goes into a [`Router`](crate::Router) and what comes out of it.
+//! The interface of the decision module: the settings, events and actions of a [`Router`](crate::Router).
 //!
-//! These types know nothing of any wire. A host translates its own messages to [`Event`]s, hands them
-//! over with the time, and carries out the [`Action`]s in the order in which they were written.
+//! These types depend on no protocol. A host translates its own messages to [`Event`]s, passes them with the
+//! time, and carries out the [`Action`]s in their order.
 
-/// A point in time or a span, in microseconds. Only differences matter; it never runs backwards.
+/// A point in time or a duration, in microseconds. Points in time count from any fixed origin and never run
+/// backwards.
 pub type Micros = u64;
-/// A cache, a parent or the origin, by the id that the host's list gives it.
+/// Id of a cache, a parent or the origin in the host's list of endpoints.
 pub type EndpointId = u32;
-/// A client's request, as one try of the client.
+/// Id of a client's request. A retry of the client is another request.
 pub type RequestId = u64;
-/// An object, whatever its part.
+/// Id of an object. All parts of an object share it.
 pub type ObjectId = u64;
 
 /// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeats do no harm.
+    /// It may be repeated without harm.
     Idempotent,
-    /// Carries a key by which the caches of the class's [`KeyScope`] drop repeats for a while.
+    /// It carries an idempotency key, by which the endpoints of the class's [`KeyScope`] drop repeats for a
+    /// time.
     WithKey,
-    /// May take effect once only.
+    /// It must take effect at most once.
     NotIdempotent,
 }
 
-/// Which endpoints drop the repeats of a keyed request.
+/// The endpoints that drop the repeats of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// Every endpoint.
     All,
-    /// Those of the zone of the first endpoint that may have run it.
+    /// The endpoints in the zone of the first endpoint that may have run it.
     Zone,
-    /// Those of that endpoint's cell.
+    /// The endpoints in that endpoint's cell.
     Cell,
 }
 
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Answers within this span earn the full worth.
+    /// Time within which a response is to arrive.
     pub latency_objective: Micros,
-    /// The aim grows by this multiple of the request's own sending time.
+    /// Multiple of the request's own transfer time that is added to the latency objective.
     pub latency_stretch: f64,
-    /// How long a client waits over all its tries.
+    /// Time for which a client waits over all its attempts.
     pub deadline: Micros,
     /// Whether it may be repeated.
     pub idempotency: Idempotency,
-    /// Who drops repeats of a keyed request.
+    /// The endpoints that drop repeats by the idempotency key.
     pub key_scope: KeyScope,
-    /// For how long repeats are dropped, from the first attempt that may have run.
+    /// Time for which repeats are dropped, from the first attempt that may have run.
     pub key_window: Micros,
-    /// Worth of one answer in time.
+    /// Value of one timely response relative to other classes'.
     pub priority_weight: f64,
-    /// How long a copy is fresh; 0 is without limit.
+    /// Time for which a copy is fresh; 0 for no limit.
     pub fresh_lifetime: Micros,
-    /// How long past that a copy may still be served.
+    /// Time beyond it for which a stale copy may be served while it is revalidated (RFC 5861).
     pub stale_while_revalidate: Micros,
-    /// Never kept; it runs at the origin.
+    /// Responses are never cached: the requests are writes, which run at the origin.
     pub uncacheable: bool,
 }
 
-/// How a kind of endpoint behaves after its start.
+/// How the capacity of an endpoint grows after its start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Least share of its capacity at the start.
+    /// Share of its capacity at the start.
     pub initial_capacity: f64,
-    /// When it is warm at the latest.
+    /// Time after which it has its full capacity.
     pub ramp_duration: Micros,
-    /// The multiple of its present capacity that pushes it over ...
+    /// Multiple of its present capacity that overloads it when it lasts for the overload window.
     pub overload_multiple: f64,
-    /// ... if it lasts this long.
+    /// Duration of an overload that makes it fail.
     pub overload_window: Micros,
 }
 
 impl SlowStart {
-    /// Share of its full capacity that it has `since_start` after its start.
+    /// The share of its full capacity at `since_start` after its start, in 0 to 1.
     pub fn capacity(&self, since_start: Micros) -> f64 {
         if self.ramp_duration == 0 {
             return 1.0;
@@ -83,45 +85,45 @@
     }
 }
 
-/// What a router is told once, at its start.
+/// The settings of a router.
 #[derive(Clone, Debug)]
 pub struct PolicySettings {
-    /// The request classes; requests name them by place.
+    /// The request classes; requests name them by index.
     pub classes: Vec<RequestClass>,
-    /// Routers in all.
+    /// Number of routers in the fleet.
     pub fleet_size: u32,
-    /// Routers that serve this router's location.
+    /// Number of routers that serve this router's location.
     pub local_fleet_size: u32,
-    /// KB a second of one transfer to a client; 0 where unknown.
+    /// Rate of one transfer to a client, in KB a second; 0 where unknown.
     pub client_kb_per_s: f64,
-    /// Endpoints' weights say how many transfers fit on their link.
+    /// Endpoints' weights are the numbers of transfers that their links bear.
     pub weights_known: bool,
-    /// A request may join a fill under way.
+    /// A request may join a fill in progress.
     pub can_join_fills: bool,
-    /// Requests may pass the caches by.
+    /// Requests may be sent to parents and the origin directly.
     pub can_bypass_caches: bool,
-    /// Outcomes tell hits from fills.
+    /// Outcomes report whether a response was a hit or a fill.
     pub reports_cache_status: bool,
-    /// When every older copy is gone, from the purge.
+    /// Time after a purge by which every older copy is gone.
     pub purge_completion: Micros,
     /// The most attempts for a request.
     pub max_attempts: u32,
-    /// Attempts may be called off.
+    /// Attempts may be cancelled.
     pub can_cancel: bool,
-    /// Endpoints may be probed.
+    /// Endpoints may be checked by [`Action::CheckHealth`].
     pub can_check_health: bool,
-    /// The longest wait hint that clients honour; 0 where they get none.
+    /// Longest `retry_after` that clients honour; 0 where they get none.
     pub max_retry_after: Micros,
-    /// The list of endpoints must be subscribed to.
+    /// The list of endpoints is published only after [`Action::Watch`].
     pub watch_endpoints: bool,
-    /// Caches after a start.
+    /// Slow start of caches.
     pub cache_slow_start: SlowStart,
-    /// Parents after a start.
+    /// Slow start of parents.
     pub parent_slow_start: SlowStart,
 }
 
 impl PolicySettings {
-    /// How an endpoint of a role behaves after its start; the origin's start is not told of.
+    /// The slow start of a tier's endpoints; the origin has none.
     pub fn slow_start(&self, tier: Tier) -> &SlowStart {
         match tier {
             Tier::Parent => &self.parent_slow_start,
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Time that the sending of `size_kb` to a client takes, us; 0 where the size or the flow is unknown.
+    /// Time to send `size_kb` to a client, in microseconds; 0 where the size or the rate is unknown.
     pub fn sending_time(&self, size_kb: f64) -> f64 {
         if size_kb > 0.0 && self.client_kb_per_s > 0.0 {
             size_kb / self.client_kb_per_s * 1e6
@@ -139,12 +141,12 @@
     }
 }
 
-/// What an endpoint is to this router.
+/// The tier of an endpoint for this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tier {
     /// A cache of this router's location.
     Cache,
-    /// A cache elsewhere; never used.
+    /// A cache of another location, which gets no requests.
     RemoteCache,
     /// A parent cache.
     Parent,
@@ -152,29 +154,29 @@
     Origin,
 }
 
-/// Where an endpoint stands in its life, as far as the list knows.
+/// The state of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes work.
+    /// It accepts requests.
     Active,
-    /// Finishes what it has; must get nothing new.
+    /// It completes its requests and must get no new one.
     Draining,
-    /// Withdrawn.
+    /// It has left.
     Removed,
 }
 
-/// A line of the list of endpoints.
+/// An endpoint.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     /// Its id.
     pub id: EndpointId,
-    /// What it is here.
+    /// Its tier.
     pub tier: Tier,
     /// Its state.
     pub state: EndpointState,
-    /// When it started; 0 is long ago.
+    /// When its process started; 0 for long ago.
     pub started_at: Micros,
-    /// Its size, comparable across endpoints.
+    /// Its capacity relative to other endpoints.
     pub weight: f64,
     /// Number of its zone.
     pub zone: u32,
@@ -185,92 +187,91 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Answered; the client has it.
+    /// A response was delivered to the client.
     Served,
-    /// An error; it may have run.
+    /// The endpoint failed; the request may have run.
     Error,
-    /// Not taken; it did not run.
+    /// The endpoint rejected the request; it did not run.
     Rejected,
-    /// No answer in time; it may have run.
+    /// No response within the time-out; the request may have run.
     TimedOut,
-    /// No connection; it did not run.
+    /// No connection could be established; the request did not run.
     NoConnection,
-    /// The connection broke; it may have run.
+    /// The connection was lost; the request may have run.
     ConnectionLost,
-    /// What came over its connection can't be used; it may have run.
+    /// The response is malformed; the request may have run.
     Malformed,
-    /// Called off; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was not sent.
     NotSent,
-    /// Nothing suitable held; it did not run.
+    /// The endpoint has no suitable copy and did not fill one; the request did not run.
     CacheMiss,
 }
 
 impl AttemptOutcome {
-    /// Whether the attempt surely had no effect.
+    /// Whether the request surely did not run.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::NoConnection | Self::NotSent | Self::CacheMiss)
     }
 
-    /// Whether the endpoint itself answered, whatever it said.
+    /// Whether the endpoint itself responded.
     pub fn is_answer(self) -> bool {
         matches!(self, Self::Served | Self::CacheMiss | Self::Rejected | Self::Error)
     }
 
-    /// Whether the attempt was lost on its way to or from an endpoint, which proves no load and no fault
-    /// there.
+    /// Whether the attempt was lost on its way, which shows neither load nor a fault of the endpoint.
     pub fn is_lost(self) -> bool {
         matches!(self, Self::ConnectionLost | Self::Malformed | Self::NoConnection | Self::NotSent)
     }
 }
 
-/// What an outcome says of the path it took, where the settings promise any such note.
+/// How a cache handled an attempt, where it reports that (compare `Cache-Status`, RFC 9211).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatus {
-    /// Nothing is told.
+    /// Not reported.
     Unknown,
-    /// From the cache's own copy.
+    /// Served from the cache's own copy.
     Hit,
-    /// Filled from the source, or joined such a fill.
+    /// Filled from the source, or joined to such a fill.
     Filled,
-    /// The source refused, was not reached, broke off, was too slow or failed.
+    /// The source rejected the fill, could not be reached, was too slow or failed.
     SourceFailed,
-    /// The source lacks the object.
+    /// The source has no copy of the object.
     NotAtSource,
-    /// The cache has no place for a further fill.
+    /// The cache allows no further concurrent fill.
     FillLimitReached,
     /// The origin failed behind the parent.
     OriginFailed,
 }
 
-/// What a router is told. All of it is news to this router alone.
+/// What happens to a router. Each router gets its own events.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of endpoints: all of it, or what changed.
+    /// The list of endpoints, or changes of it.
     EndpointsChanged {
-        /// Endpoints that are absent have gone.
+        /// The list is complete: endpoints absent from it are removed.
         full: bool,
-        /// The lines.
+        /// The endpoints.
         entries: Vec<Endpoint>,
     },
-    /// A call to the list failed, or the subscription broke.
+    /// The watch of the list of endpoints was lost.
     WatchLost,
-    /// A client's request, now owed one final answer.
+    /// A client's request, which is owed one final response from now on.
     Request {
         /// Its id, new to this router.
         id: RequestId,
-        /// Place of its class in the settings.
+        /// Index of its class in the settings.
         class: usize,
         /// The object.
         object: ObjectId,
         /// The object's group.
         group: u32,
-        /// Number of the part that is asked for.
+        /// Number of the part.
         part: u32,
-        /// KB of this part; 0 where unknown.
+        /// Size of the part in KB; 0 where unknown.
         size_kb: f64,
-        /// When the client gives this try up.
+        /// When the client gives up.
         deadline_at: Micros,
     },
     /// An attempt ended.
@@ -281,106 +282,105 @@
         attempt: u32,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// What is told of the path.
+        /// How the cache handled it.
         cache_status: CacheStatus,
         /// Time since it was sent.
         elapsed: Micros,
-        /// The request is concluded; nothing is owed.
+        /// The request is concluded: no response is owed.
         closed: bool,
     },
-    /// An attempt's answer has begun to stream; the attempt is the client's now.
+    /// The response to an attempt is being sent to the client.
     ResponseStarted {
         /// The request.
         id: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// The client left; nothing is owed.
+    /// The client disconnected: no response is owed.
     ClientDisconnected {
         /// The request.
         id: RequestId,
     },
-    /// A timer came due.
+    /// A timer is due.
     Timer {
         /// The token of [`Action::SetTimer`].
         token: u64,
     },
-    /// Copies from before a moment are out of date.
+    /// A purge: older copies are out of date.
     Purged {
-        /// The object, or none for the whole group.
+        /// The object; none for the whole group.
         object: Option<ObjectId>,
         /// The group.
         group: u32,
-        /// How long ago the purge was.
+        /// Time since the purge was issued.
         age: Micros,
     },
-    /// A probe came back.
+    /// A health check has ended.
     HealthChecked {
         /// The endpoint.
         endpoint: EndpointId,
-        /// How the probe ended.
+        /// How it ended.
         outcome: AttemptOutcome,
     },
 }
 
-/// What the host is to do, at the time of the event.
+/// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt. The next outcome number of the request belongs to it.
+    /// Send an attempt. The host numbers a request's attempts from 0.
     Forward {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The endpoint.
         to: EndpointId,
-        /// Source of a fill; `None` for an attempt that passes through untouched.
+        /// The endpoint from which a miss is filled; none for a request that is forwarded untouched.
         source: Option<EndpointId>,
-        /// Join a fill under way.
+        /// Join a fill in progress.
         join_fill: bool,
-        /// The source gives only what it holds, and asks nobody for what it lacks.
+        /// The source serves only a copy that it has, and fills nothing.
         only_if_cached: bool,
-        /// Serve an ageing copy and renew it behind.
+        /// Serve a stale copy and revalidate it in the background.
         revalidate: bool,
-        /// Oldest copy that will do; 0 is the class's fresh time.
+        /// Greatest age of a copy; 0 for the class's fresh lifetime.
         max_age: Micros,
-        /// Rank at which a copy is kept; 0 passes it through.
+        /// Rank at which the cache retains the copy; 0 retains none.
         retention_rank: u8,
-        /// Time-out of the attempt.
+        /// Time-out of the attempt, from now.
         timeout: Micros,
-        /// When its first byte must be out: later it could run again what has run. The host sends it no
-        /// later.
+        /// When its first byte must be sent at the latest: afterwards it could repeat a request that has run.
         first_byte_by: Micros,
     },
-    /// Final answer: refused; trying again does no harm.
+    /// Final response: rejected. A retry of the client does no harm.
     Reject {
         /// The request.
         id: RequestId,
-        /// Wait hint; 0 for none.
+        /// Time after which the client is to retry; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed; nothing is promised.
+    /// Final response: failed. The request may have run.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Call off an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Probe an endpoint.
+    /// Check whether an endpoint's process responds.
     CheckHealth {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Ask for [`Event::Timer`].
+    /// Set a timer, which ends in [`Event::Timer`].
     SetTimer {
-        /// Handed back.
+        /// Identifies the timer in its event.
         token: u64,
-        /// When.
+        /// When it is due.
         at: Micros,
     },
-    /// Subscribe to the list of endpoints.
+    /// Watch the list of endpoints.
     Watch,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,29 +1,46 @@
-//! Calicobeam decides for a request router that stands before tiers of caches with one origin behind them.
+//! A caching reverse proxy in front of tiers of caches with one origin behind them.
 //!
-//! It is sans-I/O: the host owns clock, threads and network. It makes a [`Router`] from [`PolicySettings`]
-//! and a seed, hands it each [`Event`] with the time, and carries out the [`Action`]s that it gets back, in
-//! order. The same events at the same times with the same seed give the same actions.
+//! The decision module, [`Router`], chooses caches, sources of fills, time-outs, retries and rejections. It
+//! does no I/O: its host owns clock, threads and network. The host makes a [`Router`] from [`PolicySettings`]
+//! and a seed, passes it each [`Event`] with the time, and carries out the [`Action`]s that it returns, in
+//! order. The same events at the same times with the same seed give the same actions. In the proxy the
+//! [`engine`] is the host; the simulator's adapter is another.
 //!
-//! The host owes the router: one [`Event::AttemptEnded`] for each [`Action::Forward`], one
-//! [`Event::HealthChecked`] for each [`Action::CheckHealth`] and one [`Event::Timer`] for each
-//! [`Action::SetTimer`]; time that never runs backwards; attempts numbered from 0 for each request in the
-//! order sent; and no event of a request after a restart. Every request gets one [`Action::Reject`] or
-//! [`Action::Fail`], or is concluded by an outcome with `closed` set or by [`Event::ClientDisconnected`].
+//! The host must
+//!
+//! - pass one [`Event::AttemptEnded`] for each [`Action::Forward`], one [`Event::HealthChecked`] for each
+//!   [`Action::CheckHealth`] and one [`Event::Timer`] for each [`Action::SetTimer`];
+//! - pass times that never run backwards;
+//! - number the attempts of each request from 0 in the order in which they are sent;
+//! - pass no event of a request from before a restart.
+//!
+//! Every request gets one [`Action::Reject`] or [`Action::Fail`], unless it is concluded by an
+//! [`Event::AttemptEnded`] with `closed` set or by an [`Event::ClientDisconnected`].
 //!
 //! ```
-//! use edge_proxy::*; # fn settings() -> PolicySettings { #     let cold = SlowStart { initial_capacity: 0.2,
-//! ramp_duration: 15_000_000, overload_multiple: 3.0, overload_window: 2_000_000 }; #     PolicySettings { #
-//! classes: vec![RequestClass { #             latency_objective: 400_000, latency_stretch: 2.0, deadline:
-//! 2_500_000, idempotency: Idempotency::Idempotent, #             key_scope: KeyScope::All, key_window: 0,
-//! priority_weight: 1.0, #             fresh_lifetime: 0, stale_while_revalidate: 0, uncacheable: false, #
-//! }], #         fleet_size: 1, local_fleet_size: 1, client_kb_per_s: 5_000.0, weights_known: true, #
-//! can_join_fills: true, can_bypass_caches: true, reports_cache_status: false, #         purge_completion:
-//! 6_000_000, max_attempts: 6, #         can_cancel: true, can_check_health: false, max_retry_after: 500_000,
-//! watch_endpoints: false, #         cache_slow_start: cold, parent_slow_start: cold, #     } # } # fn
-//! listing(id: u32, tier: Tier) -> Endpoint { #     Endpoint { id, tier, state: EndpointState::Active,
-//! started_at: 0, weight: 5.0, zone: 0, cell: 0 } # } let mut router = Router::new(settings(), 7); let mut
-//! actions = Vec::new(); let entries = vec![
-//!     listing(1, Tier::Cache), listing(2, Tier::Cache), listing(8, Tier::Parent), listing(9, Tier::Origin),
+//! use edge_proxy::*;
+//! # fn settings() -> PolicySettings {
+//! #     let cold = SlowStart { initial_capacity: 0.2, ramp_duration: 15_000_000, overload_multiple: 3.0, overload_window: 2_000_000 };
+//! #     PolicySettings {
+//! #         classes: vec![RequestClass {
+//! #             latency_objective: 400_000, latency_stretch: 2.0, deadline: 2_500_000, idempotency: Idempotency::Idempotent,
+//! #             key_scope: KeyScope::All, key_window: 0, priority_weight: 1.0,
+//! #             fresh_lifetime: 0, stale_while_revalidate: 0, uncacheable: false,
+//! #         }],
+//! #         fleet_size: 1, local_fleet_size: 1, client_kb_per_s: 5_000.0, weights_known: true,
+//! #         can_join_fills: true, can_bypass_caches: true, reports_cache_status: false,
+//! #         purge_completion: 6_000_000, max_attempts: 6,
+//! #         can_cancel: true, can_check_health: false, max_retry_after: 500_000, watch_endpoints: false,
+//! #         cache_slow_start: cold, parent_slow_start: cold,
+//! #     }
+//! # }
+//! # fn endpoint(id: u32, tier: Tier) -> Endpoint {
+//! #     Endpoint { id, tier, state: EndpointState::Active, started_at: 0, weight: 5.0, zone: 0, cell: 0 }
+//! # }
+//! let mut router = Router::new(settings(), 7);
+//! let mut actions = Vec::new();
+//! let entries = vec![
+//!     endpoint(1, Tier::Cache), endpoint(2, Tier::Cache), endpoint(8, Tier::Parent), endpoint(9, Tier::Origin),
 //! ];
 //! router.handle(0, &Event::EndpointsChanged { full: true, entries }, &mut actions);
 //!
@@ -37,7 +54,7 @@
 //! });
 //! let first = sent.expect("an attempt, filled from the parent");
 //!
-//! // The cache's machine is down: the host reports it, and the router tries the other cache at once.
+//! // The cache's machine is down: the router sends the next attempt to the other cache.
 //! actions.clear();
 //! let outcome = Event::AttemptEnded {
 //!     id: 1, attempt: 0, outcome: AttemptOutcome::NoConnection, cache_status: CacheStatus::Unknown, elapsed: 2_000, closed: false,
--- a/src/state/connections/tests.rs
+++ b/src/state/connections/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_idle_connection_makes_room_for_a_member_without_one() {
+fn an_idle_connection_is_evicted_for_an_endpoint_without_one() {
     let mut all =
         Connections::new(ConnectionLimits { total: 2, per_endpoint: 2, spread_above: 1, streams: 1 });
     for (endpoint, used) in [(7, 5.0), (8, 3.0)] {
@@ -38,7 +38,7 @@
 
 /// Guards against a late answer to the first attempt ending the second.
 #[test]
-fn a_request_given_up_on_a_connection_does_not_go_there_again() {
+fn an_abandoned_request_is_barred_from_its_connection() {
     let mut all =
         Connections::new(ConnectionLimits { total: 9, per_endpoint: 9, spread_above: 9, streams: 9 });
     let Placement::New(conn) = all.place(7, 1, 0.0) else { panic!() };
--- a/src/state/deadlines/tests.rs
+++ b/src/state/deadlines/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_earliest_comes_first_and_what_has_ended_never() {
+fn the_earliest_is_first_and_obsolete_ones_are_dropped() {
     let mut times = Deadlines::default();
     [(30.0, 3), (10.0, 1), (20.0, 2)].into_iter().for_each(|(at, what)| times.push(at, what));
     let stands = |what, _| what != 1;
--- a/src/state/maintenance/tests.rs
+++ b/src/state/maintenance/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_later_word_counts_and_a_return_is_forgotten_in_time() {
+fn the_latest_call_counts_and_old_returns_are_forgotten() {
     let mut all = Maintenance::default();
     let at = |out, at_ms| Mark { out, at_ms };
     assert!(!all.record(7, at(false, 1.0)), "it was in use");
--- a/src/state/membership/tests.rs
+++ b/src/state/membership/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn drained_absent_and_moved_members_are_told() {
+fn drained_absent_and_moved_endpoints_are_returned() {
     let mut membership = Membership::default();
     let start: Vec<_> = [1, 2, 3, 4].map(|id| target(id, EndpointState::Active, 100 + id as u16)).into();
     assert!(membership.update_usable(true, &start).is_empty());
--- a/src/state/requests/tests.rs
+++ b/src/state/requests/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn an_id_that_comes_again_has_its_own_time() {
+fn a_reused_id_has_its_own_deadline() {
     let ask = |deadline_ms| IncomingRequest { id: 1, deadline_ms, ..IncomingRequest::default() };
     let mut table = Requests::new(2);
     table.admit(ask(10.0)).unwrap();
--- a/src/stats/hash.rs
+++ b/src/stats/hash.rs
@@ -13,8 +13,9 @@
     ((mix(a, b) >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// The score of a node for a key; the node with the least score comes first. A node is first for a share of the keys
-/// in proportion to its weight, and a new node takes its share from all others without moving any other key.
+/// The score of a node for a key; the node with the least score comes first. A node is first for a share of
+/// the keys in proportion to its weight, and a new node takes its share from all others without moving any
+/// other key.
 fn rendezvous(key: u64, node: u32, weight: f64) -> f64 {
     -unit(key, u64::from(node)).ln() / weight
 }
@@ -25,7 +26,7 @@
     scored.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, node)| node)
 }
 
-/// Nodes in a key's order, of nodes, their weights and whatever else is told of them, which is handed back.
+/// Nodes in a key's order, of nodes, their weights and values that are returned with them.
 pub fn rendezvous_order<T>(key: u64, nodes: impl Iterator<Item = (u32, f64, T)>) -> Vec<(u32, T)> {
     let scored = nodes.map(|(node, weight, rest)| (rendezvous(key, node, weight), node, rest));
     let mut order: Vec<(f64, u32, T)> = scored.collect();
--- a/src/stats/mean_deviation.rs
+++ b/src/stats/mean_deviation.rs
@@ -13,7 +13,7 @@
         Self { mean, deviation }
     }
 
-    /// Takes a sample, with `gain` as its weight.
+    /// Adds a sample, with `gain` as its weight.
     pub fn add(&mut self, x: f64, gain: f64) {
         self.deviation += gain * ((x - self.mean).abs() - self.deviation);
         self.mean += gain * (x - self.mean);
--- a/src/stats/mod.rs
+++ b/src/stats/mod.rs
@@ -1,4 +1,4 @@
-//! Statistics and hashes that decide nothing: every constant and every choice made by them belongs to the caller.
+//! Statistics and hashes of the decision module. They make no decisions: all constants are the caller's.
 
 mod decay;
 mod draws;
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn hashes_stay_the_same_in_every_build() {
+fn hashes_are_the_same_in_every_build() {
     assert_eq!(mix(0, 0), 0x8209_B480_FAED_1B10);
     assert_eq!(mix(42, 7), 0x6CCA_0C5A_6227_74C3);
     assert!((0..10_000).all(|n| unit(n, 1) > 0.0 && unit(n, 1) < 1.0));
--- a/src/stats/timed_share.rs
+++ b/src/stats/timed_share.rs
@@ -1,21 +1,21 @@
-//! A share that outcomes move by the time for which they speak.
+//! A share in 0 to 1 that outcomes move in proportion to the time since the outcome before.
 
 use crate::Micros;
 
-/// How outcomes of one kind move a [`TimedShare`], for each second for which they speak.
+/// How outcomes of one kind move a [`TimedShare`], for each second since the one before.
 #[derive(Clone, Copy, Debug)]
 pub struct Pressure {
-    /// What a good outcome adds.
+    /// What a good outcome adds to the share.
     pub up: f64,
-    /// The power of e by which a bad one divides.
+    /// The power of e by which a bad outcome divides the share.
     pub down: f64,
-    /// The most seconds that one outcome speaks for.
+    /// Most seconds for which one outcome counts.
     pub max_gap: f64,
 }
 
-/// A share in 0 to 1, all at first, that good outcomes raise and bad ones cut. An outcome counts for the time since
-/// the one before it of its kind, so that the mean share of a fleet does not depend on how many endpoints share the
-/// same outcomes. `KINDS` kinds of outcomes are timed apart.
+/// A share in 0 to 1, initially 1, that good outcomes raise and bad ones reduce. An outcome counts for the
+/// time since the one before it of its kind, so that the mean share of a fleet does not depend on how many
+/// endpoints share the same outcomes. `KINDS` kinds of outcomes are timed apart.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedShare<const KINDS: usize> {
     value: f64,
@@ -34,7 +34,8 @@
         self.value
     }
 
-    /// Takes an outcome of a kind: good, bad, or one that only takes its time up. The share stays at `min` or above.
+    /// Adds an outcome of a kind: good, bad, or inconclusive, which only restarts the time. The share remains
+    /// at `min` or above.
     pub fn add(&mut self, now: Micros, kind: usize, pressure: &Pressure, min: f64, good: Option<bool>) {
         let since = now.saturating_sub(self.last[kind]) as f64 / 1e6;
         let seconds = since.min(pressure.max_gap);
