--- a/src/rules/type_check.rs
+++ b/src/rules/type_check.rs
@@ -17,7 +17,7 @@
 /// How deep they may nest: a program's run needs as much of the stack.
 pub const MAX_NEST: usize = 160;
 /// The longest text that a request brings, in bytes: its whole head.
-const MAX_INPUT: u64 = crate::wire::http::MAX_HEAD as u64;
+const MAX_INPUT: u64 = crate::wire::http_codec::MAX_HEAD as u64;
 /// The longest name of a header.
 const MAX_HEADER: usize = 64;
 
@@ -394,7 +394,7 @@
                 return fail(format!("{header:?} is no header's name in lower case"));
             }
             // Every header's name may be looked at.
-            let cost = 1 + crate::wire::http::MAX_HEADERS as u64 * MAX_HEADER as u64;
+            let cost = 1 + crate::wire::http_codec::MAX_HEADERS as u64 * MAX_HEADER as u64;
             return Ok(match name {
                 "has" => Made { node: Node::Has(header.clone()), of: Type::Bool, cost, length: 0 },
                 _ => Made { node: Node::Header(header.clone()), of: Type::Str, cost, length: MAX_INPUT },
--- a/src/wire/client_connection.rs
+++ b/src/wire/client_connection.rs
@@ -4,7 +4,8 @@
 use super::client_stream::{ClientStream, Received};
 use super::connection_slots::ConnectionSlot;
 use super::front::{Disposition, Front};
-use super::http::{BadRequest, HttpCodec, HttpRequest, HttpResponse, Phase};
+use super::http::{HttpRequest, HttpResponse};
+use super::http_codec::{BadRequest, HttpCodec, Phase};
 use super::shutdown::{ConnectionGuard, GracefulShutdown};
 use super::submission::Submission;
 use crate::clock::duration_from_ms;
--- a/src/wire/client_stream.rs
+++ b/src/wire/client_stream.rs
@@ -1,7 +1,8 @@
 //! The byte stream of a client's connection over TCP: reads requests, notices when the client leaves, writes responses,
 //! and closes the connection so that the last response arrives.
 
-use super::http::{BadRequest, HttpCodec, HttpRequest, HttpResponse, Phase, MAX_HEAD, MAX_INLINE};
+use super::http::{HttpRequest, HttpResponse};
+use super::http_codec::{BadRequest, HttpCodec, Phase, MAX_HEAD, MAX_INLINE};
 use crate::clock::duration_from_ms;
 use futures_util::{FutureExt, SinkExt, StreamExt};
 use std::future::Future;
--- /dev/null
+++ b/src/wire/http_codec.rs
@@ -0,0 +1,217 @@
+//! The codec of the server's side of HTTP/1.1 (RFC 9112), with a bound on everything: one request at a time.
+
+use super::http::{reason_phrase, HttpRequest, HttpResponse};
+use crate::clock::Clock;
+use bytes::{Buf, BufMut, BytesMut};
+use std::fmt::Write as _;
+use std::io;
+use tokio_util::codec::{Decoder, Encoder};
+
+/// The longest head of a request, in bytes.
+pub const MAX_HEAD: usize = 16_384;
+/// The most header fields of a request.
+pub const MAX_HEADERS: usize = 64;
+/// The longest body that is copied behind its head, in bytes. A longer one is written from where it is, so that a
+/// response that waits for a slow client is in memory once.
+pub const MAX_INLINE: usize = 4_096;
+
+/// Bytes that are no request: the status to respond with before the connection is closed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BadRequest(pub u16);
+
+/// What the reader of a connection waits for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Phase {
+    /// The first byte of a request.
+    Idle,
+    /// The rest of a head.
+    Head,
+    /// The rest of a body.
+    Body,
+}
+
+/// The server's side of a connection. After a [`BadRequest`] it reads nothing more.
+#[derive(Clone, Debug)]
+pub struct HttpCodec {
+    clock: Clock,
+    max_body: usize,
+    phase: Phase,
+    since: f64,
+    pending: Option<PendingRequest>,
+    failed: bool,
+}
+
+/// A request whose body is not complete yet.
+#[derive(Clone, Debug)]
+struct PendingRequest {
+    request: HttpRequest,
+    body_length: usize,
+}
+
+impl HttpCodec {
+    /// A connection whose requests have bodies of at most `max_body` bytes.
+    pub fn new(clock: Clock, max_body: usize) -> Self {
+        let since = clock.now();
+        Self { clock, max_body, phase: Phase::Idle, since, pending: None, failed: false }
+    }
+
+    /// The present phase, and since when it lasts, in Unix milliseconds.
+    pub fn phase(&self) -> (Phase, f64) {
+        (self.phase, self.since)
+    }
+
+    /// Restarts the wait for the next request, after a response.
+    pub fn restart_wait(&mut self) {
+        self.since = self.clock.now();
+    }
+
+    fn enter(&mut self, phase: Phase) {
+        if self.phase != phase {
+            (self.phase, self.since) = (phase, self.clock.now());
+        }
+    }
+
+    fn next_request(&mut self, buffer: &mut BytesMut) -> Result<Option<HttpRequest>, BadRequest> {
+        if self.pending.is_none() {
+            self.pending = self.next_head(buffer)?;
+        }
+        let Some(PendingRequest { mut request, body_length }) = self.pending.take() else { return Ok(None) };
+        if buffer.len() < body_length {
+            self.enter(Phase::Body);
+            buffer.reserve(body_length - buffer.len());
+            self.pending = Some(PendingRequest { request, body_length });
+            return Ok(None);
+        }
+        request.body = buffer.split_to(body_length).freeze();
+        self.enter(Phase::Idle);
+        Ok(Some(request))
+    }
+
+    fn next_head(&mut self, buffer: &mut BytesMut) -> Result<Option<PendingRequest>, BadRequest> {
+        // Empty lines before a request are skipped (RFC 9112, section 2.2).
+        while buffer.starts_with(b"\r\n") {
+            buffer.advance(2);
+        }
+        if buffer.is_empty() {
+            self.enter(Phase::Idle);
+            return Ok(None);
+        }
+        self.enter(Phase::Head);
+        let Some(Head { mut request, is_http_1_1 }) = Head::parse(buffer)? else { return Ok(None) };
+        request.keep_alive = is_persistent(&request, is_http_1_1);
+        if single(&request, "host")?.is_none() && is_http_1_1 {
+            return Err(BadRequest(400));
+        }
+        let body_length = body_length(&request)?;
+        if body_length > self.max_body {
+            return Err(BadRequest(413));
+        }
+        Ok(Some(PendingRequest { request, body_length }))
+    }
+}
+
+/// The head of a request.
+struct Head {
+    request: HttpRequest,
+    is_http_1_1: bool,
+}
+
+impl Head {
+    /// Takes a head out of the buffer; none where it is not complete.
+    fn parse(buffer: &mut BytesMut) -> Result<Option<Self>, BadRequest> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut parsed = httparse::Request::new(&mut headers);
+        let length = match parsed.parse(buffer) {
+            Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD => length,
+            Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD => return Ok(None),
+            Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(BadRequest(431)),
+            Err(_) => return Err(BadRequest(400)),
+        };
+        let mut request = HttpRequest {
+            method: parsed.method.unwrap_or_default().to_string(),
+            target: parsed.path.unwrap_or_default().to_string(),
+            ..HttpRequest::default()
+        };
+        for header in parsed.headers.iter() {
+            let value = std::str::from_utf8(header.value).map_err(|_| BadRequest(400))?.trim();
+            request.headers.push((header.name.to_ascii_lowercase(), value.to_string()));
+        }
+        let is_http_1_1 = parsed.version == Some(1);
+        buffer.advance(length);
+        Ok(Some(Self { request, is_http_1_1 }))
+    }
+}
+
+fn single<'r>(request: &'r HttpRequest, name: &str) -> Result<Option<&'r str>, BadRequest> {
+    request.single(name).map_err(|_| BadRequest(400))
+}
+
+/// Whether the connection persists after the response (RFC 9112, section 9.3).
+fn is_persistent(request: &HttpRequest, is_http_1_1: bool) -> bool {
+    let fields = request.headers.iter().filter(|(name, _)| name == "connection");
+    let (mut close, mut keep_alive) = (false, false);
+    for option in fields.flat_map(|(_, value)| value.split(',')).map(str::trim) {
+        close |= option.eq_ignore_ascii_case("close");
+        keep_alive |= option.eq_ignore_ascii_case("keep-alive");
+    }
+    !close && (is_http_1_1 || keep_alive)
+}
+
+/// The length of a request's body (RFC 9112, section 6.3). Transfer codings are not supported: a request that two
+/// parsers could delimit differently is never read, so that none is smuggled past.
+fn body_length(request: &HttpRequest) -> Result<usize, BadRequest> {
+    let has_coding = single(request, "transfer-encoding")?.is_some();
+    let length = single(request, "content-length")?;
+    match length {
+        Some(_) if has_coding => Err(BadRequest(400)),
+        None if has_coding => Err(BadRequest(501)),
+        None => Ok(0),
+        Some(text) if !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit()) => {
+            text.parse().map_err(|_| BadRequest(413))
+        }
+        Some(_) => Err(BadRequest(400)),
+    }
+}
+
+impl Decoder for HttpCodec {
+    type Item = Result<HttpRequest, BadRequest>;
+    type Error = io::Error;
+
+    fn decode(&mut self, buffer: &mut BytesMut) -> io::Result<Option<Self::Item>> {
+        if self.failed {
+            buffer.clear();
+            return Ok(None);
+        }
+        let next = self.next_request(buffer);
+        self.failed = next.is_err();
+        Ok(next.transpose())
+    }
+
+    fn decode_eof(&mut self, buffer: &mut BytesMut) -> io::Result<Option<Self::Item>> {
+        self.decode(buffer)
+    }
+}
+
+impl Encoder<HttpResponse> for HttpCodec {
+    type Error = io::Error;
+
+    fn encode(&mut self, response: HttpResponse, out: &mut BytesMut) -> io::Result<()> {
+        let mut head = format!("HTTP/1.1 {} {}\r\n", response.status, reason_phrase(response.status));
+        for (name, value) in &response.headers {
+            let _ = write!(head, "{name}: {value}\r\n");
+        }
+        if response.status != 304 {
+            let _ = write!(head, "Content-Length: {}\r\n", response.body.len());
+        }
+        head.push_str(if response.close { "Connection: close\r\n\r\n" } else { "\r\n" });
+        let body = response.wire_body();
+        let inline = if body.len() <= MAX_INLINE { &body[..] } else { &[] };
+        out.reserve(head.len() + inline.len());
+        out.put_slice(head.as_bytes());
+        out.put_slice(inline);
+        Ok(())
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -13,6 +13,7 @@
 pub mod discovery_json;
 pub mod front;
 pub mod http;
+pub mod http_codec;
 pub mod keys;
 pub mod listener;
 pub mod platform;
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -7,7 +7,7 @@
 use edge_proxy::state::requests::IncomingRequest;
 use edge_proxy::wire::client_stream::{ClientStream, Received, MAX_AHEAD};
 use edge_proxy::wire::front::{ConnectionLimits, Front};
-use edge_proxy::wire::http::HttpCodec;
+use edge_proxy::wire::http_codec::HttpCodec;
 use edge_proxy::wire::platform::{limits, Platform};
 use socket2::SockRef;
 use stand_ins::*;
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -12,7 +12,7 @@
 use edge_proxy::wire::cache_codec::{LineCodec, MAX_LINE};
 use edge_proxy::wire::cache_message::{CacheCommand, CacheReply, ReplyStatus};
 use edge_proxy::wire::discovery_codec::{FrameCodec, MAX_FRAME};
-use edge_proxy::wire::http::{HttpCodec, Phase};
+use edge_proxy::wire::http_codec::{HttpCodec, Phase};
 use edge_proxy::EndpointState;
 use endpoints::target;
 use proptest::prelude::*;
