--- a/src/lifecycle/descriptors.rs
+++ b/src/lifecycle/descriptors.rs
@@ -1,7 +1,7 @@
 //! How the file descriptors that a process may hold are shared: each kind of connection has its own, so that idle clients
 //! can't take those of the membership watch, the dials to members or the second address.
 
-use crate::wire::admin::CALLERS;
+use crate::wire::admin::MAX_CLIENTS;
 use rlimit::Resource;
 
 /// Descriptors that a serving process opens besides connections that are counted here: listeners, the endpointship watch
@@ -12,7 +12,7 @@
 const HELD_AT_START: usize = 8;
 /// The fewest connections of clients, and of endpoints, with which anything can be served.
 const MIN_CONNECTIONS: usize = 1;
-/// The second address has this part of all descriptors, and [`CALLERS`] at most.
+/// The second address has this part of all descriptors, and [`MAX_CLIENTS`] at most.
 const CALLERS_PART: usize = 16;
 /// Where the operating system's list of this process's descriptors stands.
 const LIST: &str = "/proc/self/fd";
@@ -78,7 +78,7 @@
     /// Shares the descriptors: two fifths to clients, two fifths to endpoints, where that leaves enough for all else.
     pub fn of(descriptors: Descriptors, demand: DescriptorDemand) -> Self {
         let Descriptors { most, held } = descriptors;
-        let callers = CALLERS.min(most / CALLERS_PART).max(1);
+        let callers = MAX_CLIENTS.min(most / CALLERS_PART).max(1);
         let taken = held + OWN + callers + demand.signed + demand.others;
         let spare = most.saturating_sub(taken);
         let members_part = if demand.handed_over { most / 4 } else { most * 2 / 5 };
--- a/src/lifecycle/subsystem.rs
+++ b/src/lifecycle/subsystem.rs
@@ -8,7 +8,7 @@
 use crate::registry::driver::RegistryStatus;
 use crate::rules::table::Rules;
 use crate::vrrp::config::FrontKind;
-use crate::wire::admin::Calls;
+use crate::wire::admin::AdminHandler;
 use crate::wire::front::Front;
 use crate::wire::platform::Platform;
 use crate::wire::shutdown::GracefulShutdown;
@@ -69,7 +69,7 @@
 /// A subsystem's calls at the admin address.
 pub struct AdminCalls {
     /// Answers the calls that are the subsystem's own.
-    pub handler: Calls,
+    pub handler: Box<dyn AdminHandler>,
     /// The longest body of a call, in bytes.
     pub max_body: usize,
 }
--- a/src/lifecycle/subsystems/admin.rs
+++ b/src/lifecycle/subsystems/admin.rs
@@ -36,14 +36,14 @@
 
 /// The front of the admin address, with the calls of all prepared subsystems.
 fn admin_front(context: &Context, store: Store) -> AdminFront {
-    let front = AdminFront::new(Box::new(move |executor| {
+    let front = AdminFront::new(Box::new(move |executor: &_| {
         // Maintenance that another process wrote meanwhile is kept.
         store.take_over(executor);
         store.write(executor)
     }));
     let calls = context.admin_calls.take();
-    calls.into_iter().fold(front.with_callers(context.budget.callers), |front, calls| {
-        front.with_calls(calls.handler, calls.max_body)
+    calls.into_iter().fold(front.with_max_clients(context.budget.callers), |front, calls| {
+        front.with_handler(calls.handler, calls.max_body)
     })
 }
 
--- a/src/lifecycle/subsystems/grpc.rs
+++ b/src/lifecycle/subsystems/grpc.rs
@@ -70,7 +70,7 @@
 
     fn admin_calls(&self) -> Option<AdminCalls> {
         let front = self.front.clone()?;
-        Some(AdminCalls { handler: Box::new(move |_, call| front.answer(call)), max_body: 0 })
+        Some(AdminCalls { handler: Box::new(move |call: &_| front.answer(call)), max_body: 0 })
     }
 
     fn reload(&mut self, _: &Context) {
--- a/src/lifecycle/subsystems/health_checks.rs
+++ b/src/lifecycle/subsystems/health_checks.rs
@@ -47,7 +47,7 @@
 
     fn admin_calls(&self) -> Option<AdminCalls> {
         let checker = self.checker.clone()?;
-        Some(AdminCalls { handler: Box::new(move |_, call| checker.answer(call)), max_body: 0 })
+        Some(AdminCalls { handler: Box::new(move |call: &_| checker.answer(call)), max_body: 0 })
     }
 
     fn reload(&mut self, _: &Context) {
--- a/src/lifecycle/subsystems/purges.rs
+++ b/src/lifecycle/subsystems/purges.rs
@@ -46,7 +46,7 @@
 
     fn admin_calls(&self) -> Option<AdminCalls> {
         let service = self.service.clone()?;
-        let handler = Box::new(move |_: &_, call: &_| service.answer(call));
+        let handler = Box::new(move |call: &_| service.answer(call));
         Some(AdminCalls { handler, max_body: MAX_CALL })
     }
 }
--- a/src/lifecycle/subsystems/registry.rs
+++ b/src/lifecycle/subsystems/registry.rs
@@ -33,6 +33,6 @@
 
     fn admin_calls(&self) -> Option<AdminCalls> {
         let status = self.status.clone();
-        Some(AdminCalls { handler: Box::new(move |_, call| answer(&status, call)), max_body: 0 })
+        Some(AdminCalls { handler: Box::new(move |call: &_| answer(&status, call)), max_body: 0 })
     }
 }
--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -116,7 +116,7 @@
 
     fn admin_calls(&self) -> Option<AdminCalls> {
         let router = self.router.clone()?;
-        Some(AdminCalls { handler: Box::new(move |_, call| router.answer(call)), max_body: 0 })
+        Some(AdminCalls { handler: Box::new(move |call: &_| router.answer(call)), max_body: 0 })
     }
 
     fn reload(&mut self, _: &Context) {
--- a/src/wire/admin.rs
+++ b/src/wire/admin.rs
@@ -1,104 +1,149 @@
-//! The second address, for the platform and its staff: one call on a connection, and a 2xx means yes.
+//! The front of the admin address: health of the process, metrics, maintenance of endpoints, and the calls of other
+//! subsystems. One call on a connection; a status of 2xx means that it was carried out.
 
 use super::front::{ConnectionLimits, Disposition, Front, ResponseContext};
 use super::http::{HttpRequest, HttpResponse};
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse};
 use crate::text::parse_endpoint_id;
+use crate::EndpointId;
+use std::io;
 use std::rc::Rc;
 
-/// Connections at once. At the cap a caller that says nothing gives its place to the next.
-pub const CALLERS: usize = 16;
-/// Wait for a whole call, in milliseconds.
+/// Concurrent connections. At the limit a client that sends nothing loses its connection to the next.
+pub const MAX_CLIENTS: usize = 16;
+/// Time limit of a complete call, in milliseconds.
 const CALL_MS: f64 = 6_000.0;
-/// The longest body of a call; what it says is not looked at.
+/// The longest body of a call, in bytes; the calls of this module ignore theirs.
 const MAX_BODY: usize = 4_096;
 
-/// Writes maintenance down, so that it outlives this process.
-pub type Keep = Box<dyn Fn(&Rc<Executor>) -> Result<(), std::io::Error>>;
+/// Stores the maintenance in force, so that it outlives this process.
+pub trait MaintenanceStore {
+    /// Stores it.
+    fn save(&self, executor: &Rc<Executor>) -> io::Result<()>;
+}
+
+impl<F: Fn(&Rc<Executor>) -> io::Result<()>> MaintenanceStore for F {
+    fn save(&self, executor: &Rc<Executor>) -> io::Result<()> {
+        self(executor)
+    }
+}
+
+/// The admin calls of a subsystem.
+pub trait AdminHandler {
+    /// The response to a call, where it is one of the subsystem's own.
+    fn answer(&self, call: &HttpRequest) -> Option<HttpResponse>;
+}
+
+impl<F: Fn(&HttpRequest) -> Option<HttpResponse>> AdminHandler for F {
+    fn answer(&self, call: &HttpRequest) -> Option<HttpResponse> {
+        self(call)
+    }
+}
+
+/// A call that this module answers itself.
+enum AdminCall {
+    /// Whether the process is alive.
+    HealthCheck,
+    /// The metrics, in the Prometheus text format.
+    Metrics,
+    /// Takes an endpoint out of use, or puts it back.
+    Maintenance { endpoint: Option<EndpointId>, out_of_use: bool },
+}
+
+impl AdminCall {
+    /// The call of a path.
+    fn parse(path: &str) -> Option<Self> {
+        let segments: Vec<&str> = path.split('/').skip(1).collect();
+        match segments[..] {
+            ["healthcheck"] => Some(Self::HealthCheck),
+            ["stats"] => Some(Self::Metrics),
+            ["pop-caches", id, action @ ("maint" | "ready")] => {
+                Some(Self::Maintenance { endpoint: parse_endpoint_id(id), out_of_use: action == "maint" })
+            }
+            _ => None,
+        }
+    }
 
-/// Further calls of a subsystem that is on, such as fleet purges: an answer for the calls that are its own.
-pub type Calls = Box<dyn Fn(&Rc<Executor>, &HttpRequest) -> Option<HttpResponse>>;
+    fn method(&self) -> &'static str {
+        match self {
+            Self::HealthCheck | Self::Metrics => "GET",
+            Self::Maintenance { .. } => "POST",
+        }
+    }
+}
 
-/// The front of the second address.
+/// The front of the admin address.
 pub struct AdminFront {
     limits: ConnectionLimits,
-    keep: Keep,
-    calls: Vec<Calls>,
+    store: Box<dyn MaintenanceStore>,
+    handlers: Vec<Box<dyn AdminHandler>>,
 }
 
 impl AdminFront {
-    /// A front that writes maintenance down by `keep`.
-    pub fn new(keep: Keep) -> Self {
-        let (connections, body_bytes) = (CALLERS, MAX_BODY);
-        let (first_ms, idle_ms, head_ms, body_ms) = (CALL_MS, CALL_MS, CALL_MS, CALL_MS);
+    /// A front that keeps maintenance in `store`.
+    pub fn new(store: Box<dyn MaintenanceStore>) -> Self {
         let limits = ConnectionLimits {
-            connections,
-            first_ms,
-            idle_ms,
-            head_ms,
-            body_ms,
-            body_bytes,
+            connections: MAX_CLIENTS,
+            first_ms: CALL_MS,
+            idle_ms: CALL_MS,
+            head_ms: CALL_MS,
+            body_ms: CALL_MS,
+            body_bytes: MAX_BODY,
             ..ConnectionLimits::default()
         };
-        Self { limits, keep, calls: Vec::new() }
+        Self { limits, store, handlers: Vec::new() }
     }
 
-    /// Takes fewer callers at once, where descriptors are short.
-    pub fn with_callers(mut self, callers: usize) -> Self {
-        self.limits.connections = callers.min(CALLERS);
+    /// Allows fewer concurrent connections, where descriptors are short.
+    pub fn with_max_clients(mut self, clients: usize) -> Self {
+        self.limits.connections = clients.min(MAX_CLIENTS);
         self
     }
 
-    /// Takes further calls, whose bodies may be as long as `body_bytes`.
-    pub fn with_calls(mut self, calls: Calls, body_bytes: usize) -> Self {
-        self.calls.push(calls);
-        self.limits.body_bytes = self.limits.body_bytes.max(body_bytes);
+    /// Adds the calls of a subsystem, whose bodies may have `max_body` bytes.
+    pub fn with_handler(mut self, handler: Box<dyn AdminHandler>, max_body: usize) -> Self {
+        self.handlers.push(handler);
+        self.limits.body_bytes = self.limits.body_bytes.max(max_body);
         self
     }
 
-    fn answer(&self, host: &Rc<Executor>, request: &HttpRequest) -> HttpResponse {
-        if let Some(answer) = self.calls.iter().find_map(|calls| calls(host, request)) {
-            return answer;
+    fn answer(&self, executor: &Rc<Executor>, request: &HttpRequest) -> HttpResponse {
+        if let Some(response) = self.handlers.iter().find_map(|handler| handler.answer(request)) {
+            return response;
         }
-        let path = request.target.split('?').next().unwrap_or_default();
-        let steps: Vec<&str> = path.split('/').skip(1).collect();
-        let allowed = match steps[..] {
-            ["healthcheck" | "stats"] => "GET",
-            ["pop-caches", _, "maint" | "ready"] => "POST",
-            _ => return HttpResponse::status(404),
-        };
-        if request.method != allowed {
-            return HttpResponse::status(405).with("Allow", allowed);
+        let Some(call) = AdminCall::parse(request.path()) else { return HttpResponse::status(404) };
+        if request.method != call.method() {
+            return HttpResponse::status(405).with("Allow", call.method());
         }
-        match steps[..] {
-            ["pop-caches", id, word] => match parse_endpoint_id(id) {
-                Some(id) => self.set_out_of_use(host, id, word == "maint"),
-                None => HttpResponse::status(404),
-            },
-            ["stats"] => text(host.metrics()),
-            _ => text("ok\n".into()),
+        match call {
+            AdminCall::HealthCheck => plain_text("ok\n".into()),
+            AdminCall::Metrics => plain_text(executor.metrics()),
+            AdminCall::Maintenance { endpoint: None, .. } => HttpResponse::status(404),
+            AdminCall::Maintenance { endpoint: Some(id), out_of_use } => {
+                self.set_out_of_use(executor, id, out_of_use)
+            }
         }
     }
 
-    /// Takes an endpoint out of use, or puts it back; a yes says that this holds already, and is written down.
-    fn set_out_of_use(&self, host: &Rc<Executor>, id: u32, out: bool) -> HttpResponse {
-        if !host.with(|engine| engine.set_out_of_use(id, out)) {
+    /// Takes an endpoint out of use, or puts it back. A success means that this is in force and stored.
+    fn set_out_of_use(&self, executor: &Rc<Executor>, id: EndpointId, out_of_use: bool) -> HttpResponse {
+        if !executor.with(|engine| engine.set_out_of_use(id, out_of_use)) {
             return HttpResponse::status(404);
         }
-        match (self.keep)(host) {
-            Ok(()) => text("ok\n".into()),
+        match self.store.save(executor) {
+            Ok(()) => plain_text("ok\n".into()),
             Err(error) => {
-                tracing::error!(%error, "maintenance can't be written down");
+                tracing::error!(%error, "maintenance cannot be stored");
                 HttpResponse::status(500)
             }
         }
     }
 }
 
-fn text(body: String) -> HttpResponse {
-    let answer = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
-    answer.with("Content-Type", "text/plain; charset=utf-8")
+fn plain_text(body: String) -> HttpResponse {
+    let response = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
+    response.with("Content-Type", "text/plain; charset=utf-8")
 }
 
 impl Front for AdminFront {
@@ -106,8 +151,8 @@
         &self.limits
     }
 
-    fn interpret(&self, host: &Rc<Executor>, request: &HttpRequest, _: f64) -> Disposition {
-        Disposition::Respond(HttpResponse { close: true, ..self.answer(host, request) })
+    fn interpret(&self, executor: &Rc<Executor>, request: &HttpRequest, _now: f64) -> Disposition {
+        Disposition::Respond(HttpResponse { close: true, ..self.answer(executor, request) })
     }
 
     fn respond(&self, _: &ResponseContext, _: FinalResponse) -> HttpResponse {
--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -13,7 +13,7 @@
 async fn open(name: &str) -> (Site, SocketAddr, SocketAddr) {
     let site = Site::start(name).await;
     let store = Store::at(folder(name).join("maintenance.json"));
-    let front: Rc<dyn Front> = Rc::new(AdminFront::new(Box::new(move |host| store.write(host))));
+    let front: Rc<dyn Front> = Rc::new(AdminFront::new(Box::new(move |host: &_| store.write(host))));
     let calls = site.open(front).await;
     let front: Rc<dyn Front> = Rc::new(Platform::new(limits(400)));
     let at = site.open(front).await;
