--- a/src/wire/listener.rs
+++ b/src/wire/listener.rs
@@ -49,7 +49,7 @@
             sleep(duration_from_ms(ACCEPT_RETRY_MS)).await;
             continue;
         };
-        executor.with(|engine| engine.counters.clients += 1);
+        executor.with(|engine| engine.counters.client_connections += 1);
         let open = shutdown.track_connection();
         let slot = slots.acquire(&executor).await;
         let (front, shutdown) = (front.clone(), shutdown.clone());
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -4,7 +4,6 @@
 pub mod admin;
 pub mod cache_codec;
 pub mod cache_connection;
-pub mod cache_message;
 mod client_connection;
 pub mod client_stream;
 mod connection_slots;
@@ -17,7 +16,6 @@
 pub mod keys;
 pub mod listener;
 pub mod platform;
-pub mod response_path;
 pub mod shutdown;
 pub mod signed;
 pub mod submission;
