--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -1,8 +1,8 @@
-//! The registry client measured on loopback. First, one proxy process and a stand-in registry that breaks at
-//! random (connections cut, history compacted, silence of up to two seconds): drain after drain, the time from
-//! its writing to the proxy hearing it, and whether its box was asked 250 ms after that. Then a hundred
-//! simulated proxies (the same client, each with an engine of its own, in this process) against one registry
-//! for twenty seconds: what each asks of it.
+//! Measurements of the registry client on loopback. First, one proxy process and a stand-in registry that fails at
+//! random (closed connections, compacted history, silence of up to two seconds): the time from the write of each
+//! `Terminating` to the proxy applying it, and whether the server got requests 250 ms after that. Then a hundred
+//! simulated proxies (the same client, each with its own engine, in this process) and one registry for twenty seconds:
+//! the calls of each.
 //!
 //!     cargo build --release && cargo run --release --example registry_drains -- [DRAINS]
 
@@ -15,7 +15,7 @@
 use edge_proxy::engine::executor::Executor;
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::registry::config::RegistryConfig;
-use edge_proxy::registry::driver::{keep, RegistryStatus};
+use edge_proxy::registry::service::{run, RegistryStatus};
 use edge_proxy::wire::cache_connection::CacheDriver;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -31,15 +31,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 const PREFIX: &str = "/calicobeam/members/";
-const MEMBERS: [(&str, &str, &str); 4] = [
+const ENDPOINTS: [(&str, &str, &str); 4] = [
     ("s-000000c1", "town", "box"),
     ("s-000000c2", "town", "box"),
     ("s-000000a0", "hub", "parent"),
     ("s-000000b0", "hub", "origin"),
 ];
 
-fn line(k: usize, at: SocketAddr, state: &str) -> String {
-    let (uid, az, model) = MEMBERS[k];
+fn endpoint_json(k: usize, at: SocketAddr, state: &str) -> String {
+    let (uid, az, model) = ENDPOINTS[k];
     format!(
         r#"{{"uid":"{uid}","endpoint":"{at}","az":"{az}","model":"{model}","pod_group":0,"state":"{state}","capacity_hint":4,"boot_ms":0}}"#
     )
@@ -90,7 +90,7 @@
 
 async fn state(mgmt: SocketAddr) -> Option<simd_json::OwnedValue> {
     let answer =
-        edge_proxy::purge::wire::call(mgmt, "GET", "/registry", b"", Duration::from_secs(1)).await.ok()?;
+        edge_proxy::http_client::call(mgmt, "GET", "/registry", b"", Duration::from_secs(1)).await.ok()?;
     let mut body = answer.body;
     simd_json::to_owned_value(&mut body).ok()
 }
@@ -101,7 +101,7 @@
     let fleet = SlowFleet::start(82, 4, 64, 2).await;
     let registry = Registry::start("127.0.82.100").await;
     for (k, at) in fleet.addresses.iter().enumerate() {
-        registry.put(&format!("{PREFIX}{}", MEMBERS[k].0), &line(k, *at, "Ready"));
+        registry.put(&format!("{PREFIX}{}", ENDPOINTS[k].0), &endpoint_json(k, *at, "Ready"));
     }
     let port = || TcpListener::bind("127.0.82.10:0").unwrap().local_addr().unwrap();
     let (listen, mgmt) = (port(), port());
@@ -109,7 +109,7 @@
     let mut command = Command::new(&program);
     command.args(["serve", "--config", config.to_str().unwrap(), "--registry", file.to_str().unwrap()]);
     let _proxy = Running(
-        command.env("CALICOBEAM_LOG", "warn").stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap(),
+        command.env("EDGE_PROXY_LOG", "warn").stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap(),
     );
     while state(mgmt).await.and_then(|s| s["revision"].as_i64()).unwrap_or(0) < 4 {
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -133,7 +133,7 @@
         });
     }
     let mut rng = SmallRng::seed_from_u64(5);
-    let (mut delays, mut asked_after, mut breaks) = (Vec::new(), 0usize, [0u32; 3]);
+    let (mut delays, mut requests_after, mut breaks) = (Vec::new(), 0usize, [0u32; 3]);
     for n in 0..drains {
         let k = n % 2;
         let mut compacts = false;
@@ -154,32 +154,34 @@
             _ => {}
         }
         let written = unix_ms();
-        let rev =
-            registry.put(&format!("{PREFIX}{}", MEMBERS[k].0), &line(k, fleet.addresses[k], "Terminating"));
+        let rev = registry.put(
+            &format!("{PREFIX}{}", ENDPOINTS[k].0),
+            &endpoint_json(k, fleet.addresses[k], "Terminating"),
+        );
         if compacts {
-            // The drain is written and compacted away while the proxy is cut off: only a full read can find it.
+            // The change is compacted away while the proxy has no connection: only a full read has it.
             registry.compact();
         }
-        let heard = loop {
+        let applied = loop {
             let s = state(mgmt).await;
             if s.as_ref().and_then(|s| s["revision"].as_i64()).unwrap_or(0) >= rev {
                 break s.and_then(|s| s["heard_ms"].as_f64()).unwrap_or(0.0);
             }
             tokio::time::sleep(Duration::from_millis(1)).await;
         };
-        delays.push(heard - written);
+        delays.push(applied - written);
         tokio::time::sleep(Duration::from_millis(400)).await;
-        asked_after +=
-            fleet.arrivals.borrow().iter().filter(|(b, at)| *b == k && *at > heard + 250.0).count();
-        registry.put(&format!("{PREFIX}{}", MEMBERS[k].0), &line(k, fleet.addresses[k], "Ready"));
+        requests_after +=
+            fleet.arrivals.borrow().iter().filter(|(b, at)| *b == k && *at > applied + 250.0).count();
+        registry.put(&format!("{PREFIX}{}", ENDPOINTS[k].0), &endpoint_json(k, fleet.addresses[k], "Ready"));
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     delays.sort_by(f64::total_cmp);
     let s = state(mgmt).await.unwrap();
-    println!("| drains | cut / compacted / silent before | written to heard p50 ms | p99 ms | max ms | asked 250 ms after hearing | full reads (resyncs) |");
+    println!("| drains | closed / compacted / silent before | written to applied p50 ms | p99 ms | max ms | asked 250 ms after hearing | full reads (resyncs) |");
     println!("| ---: | --- | ---: | ---: | ---: | ---: | ---: |");
     println!(
-        "| {drains} | {} / {} / {} | {:.1} | {:.1} | {:.1} | {asked_after} | {} ({}) |",
+        "| {drains} | {} / {} / {} | {:.1} | {:.1} | {:.1} | {requests_after} | {} ({}) |",
         breaks[0],
         breaks[1],
         breaks[2],
@@ -196,21 +198,21 @@
     let dir = std::env::temp_dir().join(format!("edge-proxy-registry-many-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let registry = Registry::start("127.0.83.100").await;
-    for (k, endpoint) in MEMBERS.iter().enumerate() {
+    for (k, endpoint) in ENDPOINTS.iter().enumerate() {
         let at: SocketAddr = format!("127.0.83.{}:7000", k + 1).parse().unwrap();
-        registry.put(&format!("{PREFIX}{}", endpoint.0), &line(k, at, "Ready"));
+        registry.put(&format!("{PREFIX}{}", endpoint.0), &endpoint_json(k, at, "Ready"));
     }
     let (config, file) = files(&dir, registry.address, "127.0.83.10:1", None);
     let (config, file) = (Config::read(&config).unwrap(), RegistryConfig::read(&file).unwrap());
-    let mut links = Vec::new();
+    let mut statuses = Vec::new();
     for n in 0..proxies {
         let clock = Clock::system();
         let (engine, _) = edge_proxy::lifecycle::serve::engine(&config, &clock, 0).unwrap();
         let host = Executor::new(clock, engine, CacheDriver);
         host.with(|engine| engine.take_roster_from_registry());
-        let link = Rc::new(RefCell::new(RegistryStatus::default()));
-        links.push(link.clone());
-        tokio::task::spawn_local(keep(host, file.clone(), link, n as u64));
+        let status = Rc::new(RefCell::new(RegistryStatus::default()));
+        statuses.push(status.clone());
+        tokio::task::spawn_local(run(host, file.clone(), status, n as u64));
     }
     let start = std::time::Instant::now();
     let (ranges, watches) = (registry.store.ranges.get(), registry.store.watches.get());
@@ -221,7 +223,7 @@
         let k = rng.random_range(0..2);
         let at: SocketAddr = format!("127.0.83.{}:7000", k + 1).parse().unwrap();
         let state = if rng.random_range(0..2) == 0 { "Terminating" } else { "Ready" };
-        registry.put(&format!("{PREFIX}{}", MEMBERS[k].0), &line(k, at, state));
+        registry.put(&format!("{PREFIX}{}", ENDPOINTS[k].0), &endpoint_json(k, at, state));
         changes += 1;
         if rng.random_range(0..4) == 0 {
             registry.drop_all();
@@ -233,9 +235,10 @@
     let wall = start.elapsed().as_secs_f64();
     let ranges = registry.store.ranges.get() - ranges;
     let watches = registry.store.watches.get() - watches;
-    let behind = links.iter().filter(|l| l.borrow().revision < registry.store.revision.get() - 1).count();
+    let behind =
+        statuses.iter().filter(|status| status.borrow().revision < registry.store.revision.get() - 1).count();
     println!();
-    println!("| simulated proxies | seconds | changes | cuts and compactions | ranges | watches made | calls a second per proxy | behind at the end |");
+    println!("| simulated proxies | seconds | changes | closed connections and compactions | ranges | watches | calls a second per proxy | behind at the end |");
     println!("| ---: | ---: | ---: | --- | ---: | ---: | ---: | ---: |");
     println!(
         "| {proxies} | {wall:.0} | {changes} | random | {ranges} | {watches} | {:.3} | {behind} |",
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -24,7 +24,7 @@
 use crate::purge::service::{self as purge_service, PurgeService};
 use crate::purge::wire::MAX_CALL;
 use crate::registry::config::RegistryConfig;
-use crate::registry::driver::{self as registry_driver, RegistryStatus};
+use crate::registry::service::{self as registry_service, RegistryStatus};
 use crate::rules::config::RulesConfig;
 use crate::rules::table::Rules;
 use crate::state::connections::Bounds;
@@ -227,7 +227,7 @@
     if let (Some(registry), Some(link)) = (registry, link.clone()) {
         host.with(|engine| engine.take_roster_from_registry());
         tracing::info!(at = registry.address, "members come from the registry");
-        host.spawn("the registry", registry_driver::keep(host.clone(), registry, link, seed));
+        host.spawn("the registry", registry_service::run(host.clone(), registry, link, seed));
     }
     let grpc = match grpc {
         None => None,
@@ -292,7 +292,7 @@
             manage = manage.with_calls(Box::new(move |_, call| desk.answer(call)), MAX_CALL);
         }
         if let Some(link) = link.clone() {
-            manage = manage.with_calls(Box::new(move |_, call| registry_driver::answer(&link, call)), 0);
+            manage = manage.with_calls(Box::new(move |_, call| registry_service::answer(&link, call)), 0);
         }
         if let Some((front, _)) = &grpc {
             let front = front.clone();
@@ -535,7 +535,7 @@
     let (host, rate) = (host.clone(), RefCell::new(Rate::default()));
     Box::new(move |what| match what {
         What::Registry => {
-            let answered = link.as_ref()?.borrow().answered_ms;
+            let answered = link.as_ref()?.borrow().last_answer_ms;
             Some(host.clock.now() - answered).filter(|_| answered > 0.0)
         }
         What::Grpc(pool) => grpc.as_ref()?.usable_share(pool),
--- /dev/null
+++ b/src/registry/codec.rs
@@ -0,0 +1,202 @@
+//! The JSON bodies of etcd's v3 API, as its JSON gateway encodes them: keys and values are base64, 64-bit numbers are
+//! strings, and a watch is answered with one JSON object a line.
+//!
+//! | call | body | answer |
+//! | --- | --- | --- |
+//! | `POST /v3/kv/range` | `{"key", "range_end"}` | `{"header":{"revision"}, "kvs":[{"key","value","mod_revision"}]}` |
+//! | `POST /v3/watch` | `{"create_request":{"key","range_end","start_revision","progress_notify"}}` | lines of `{"result":{"header","created"|"events"|"canceled","compact_revision"}}` |
+
+use super::error::ProtocolError;
+use super::view::{Change, KeyValue};
+use base64::engine::general_purpose::STANDARD;
+use base64::Engine as _;
+use serde::{Deserialize, Deserializer};
+
+/// The type of an event that deletes a key; a missing type means that the key was written.
+const DELETE_EVENT: &str = "DELETE";
+
+#[derive(Debug, Default, Deserialize)]
+struct HeaderJson {
+    #[serde(default, deserialize_with = "int64")]
+    revision: i64,
+}
+
+#[derive(Debug, Deserialize)]
+struct KeyValueJson {
+    key: String,
+    #[serde(default)]
+    value: String,
+    #[serde(default, deserialize_with = "int64")]
+    mod_revision: i64,
+}
+
+#[derive(Debug, Deserialize)]
+struct RangeJson {
+    #[serde(default)]
+    header: HeaderJson,
+    #[serde(default)]
+    kvs: Vec<KeyValueJson>,
+}
+
+#[derive(Debug, Deserialize)]
+struct EventJson {
+    #[serde(default, rename = "type")]
+    kind: Option<String>,
+    kv: KeyValueJson,
+}
+
+#[derive(Debug, Deserialize)]
+struct WatchResultJson {
+    #[serde(default)]
+    header: HeaderJson,
+    #[serde(default)]
+    created: bool,
+    #[serde(default)]
+    canceled: bool,
+    #[serde(default, deserialize_with = "int64")]
+    compact_revision: i64,
+    #[serde(default)]
+    events: Vec<EventJson>,
+}
+
+#[derive(Debug, Deserialize)]
+struct WatchLineJson {
+    result: Option<WatchResultJson>,
+    error: Option<simd_json::OwnedValue>,
+}
+
+/// Deserializes a 64-bit number from a string or a number; 0 where it is null.
+fn int64<'de, D: Deserializer<'de>>(deserializer: D) -> Result<i64, D::Error> {
+    #[derive(Deserialize)]
+    #[serde(untagged)]
+    enum TextOrNumber {
+        Text(String),
+        Number(i64),
+    }
+    match Option::<TextOrNumber>::deserialize(deserializer)? {
+        None => Ok(0),
+        Some(TextOrNumber::Number(number)) => Ok(number),
+        Some(TextOrNumber::Text(text)) => text.parse().map_err(serde::de::Error::custom),
+    }
+}
+
+impl TryFrom<KeyValueJson> for KeyValue {
+    type Error = ProtocolError;
+
+    fn try_from(json: KeyValueJson) -> Result<Self, ProtocolError> {
+        let value = STANDARD.decode(&json.value)?;
+        let key = String::from_utf8(STANDARD.decode(&json.key)?).map_err(|_| ProtocolError::KeyNotUtf8)?;
+        Ok(Self { key, value, mod_revision: json.mod_revision })
+    }
+}
+
+impl TryFrom<EventJson> for Change {
+    type Error = ProtocolError;
+
+    fn try_from(json: EventJson) -> Result<Self, ProtocolError> {
+        let is_delete = json.kind.as_deref() == Some(DELETE_EVENT);
+        let entry = KeyValue::try_from(json.kv)?;
+        Ok(match is_delete {
+            true => Self::Delete { key: entry.key, revision: entry.mod_revision },
+            false => Self::Put(entry),
+        })
+    }
+}
+
+/// All keys under a prefix, at a revision.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RangeResponse {
+    /// The revision of the registry at the read.
+    pub revision: i64,
+    /// The keys with their values.
+    pub entries: Vec<KeyValue>,
+}
+
+/// A message of a watch.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum WatchResponse {
+    /// The watch was created.
+    Created {
+        /// The revision of the registry.
+        revision: i64,
+    },
+    /// Keys were changed.
+    Changes {
+        /// The revision up to which the changes are complete.
+        revision: i64,
+        /// The changes.
+        changes: Vec<Change>,
+    },
+    /// A progress notification: there are no further changes up to a revision.
+    Progress {
+        /// The revision.
+        revision: i64,
+    },
+    /// The revisions from which the watch was to start were compacted away.
+    Compacted {
+        /// The revision up to which they were.
+        revision: i64,
+    },
+    /// The registry ended the watch for another reason.
+    Canceled,
+}
+
+/// The body of a call that reads every key under a prefix.
+pub fn range_request(prefix: &str) -> String {
+    let (key, end) = (STANDARD.encode(prefix), STANDARD.encode(range_end(prefix)));
+    format!(r#"{{"key":"{key}","range_end":"{end}"}}"#)
+}
+
+/// The body of a call that watches every key under a prefix from a revision on, with progress notifications.
+pub fn watch_request(prefix: &str, from_revision: i64) -> String {
+    let (key, end) = (STANDARD.encode(prefix), STANDARD.encode(range_end(prefix)));
+    format!(
+        r#"{{"create_request":{{"key":"{key}","range_end":"{end}","start_revision":"{from_revision}","progress_notify":true}}}}"#
+    )
+}
+
+/// The end of a prefix's range: the prefix with its last byte increased, or 0 for all keys.
+pub fn range_end(prefix: &str) -> Vec<u8> {
+    let mut end = prefix.as_bytes().to_vec();
+    while let Some(last) = end.pop() {
+        if last < 0xff {
+            end.push(last + 1);
+            return end;
+        }
+    }
+    vec![0]
+}
+
+/// Decodes the answer to a range call. The bytes are used as scratch space.
+pub fn decode_range(body: &mut [u8]) -> Result<RangeResponse, ProtocolError> {
+    let range: RangeJson = simd_json::from_slice(body)?;
+    let entries = range.kvs.into_iter().map(KeyValue::try_from).collect::<Result<_, _>>()?;
+    Ok(RangeResponse { revision: range.header.revision, entries })
+}
+
+/// Decodes a line of a watch. The bytes are used as scratch space.
+pub fn decode_watch_line(line: &mut [u8]) -> Result<WatchResponse, ProtocolError> {
+    let line: WatchLineJson = simd_json::from_slice(line)?;
+    if let Some(error) = line.error {
+        return Err(ProtocolError::WatchFailed(error.to_string()));
+    }
+    let result = line.result.ok_or(ProtocolError::MissingResult)?;
+    let revision = result.header.revision;
+    if result.canceled {
+        return Ok(match result.compact_revision {
+            0 => WatchResponse::Canceled,
+            compacted => WatchResponse::Compacted { revision: compacted },
+        });
+    }
+    if result.created {
+        return Ok(WatchResponse::Created { revision });
+    }
+    if result.events.is_empty() {
+        return Ok(WatchResponse::Progress { revision });
+    }
+    let changes = result.events.into_iter().map(Change::try_from).collect::<Result<_, _>>()?;
+    Ok(WatchResponse::Changes { revision, changes })
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/registry/config.rs
+++ b/src/registry/config.rs
@@ -1,5 +1,5 @@
-//! The operator file of the registry client, `serve --registry FILE`. Without it the list of members comes
-//! from the bulletin alone.
+//! The operator file of the registry client, `serve --registry FILE`. Without it the endpoint list comes from the
+//! discovery service only.
 
 use crate::backoff::Backoff;
 use crate::config_file::{parse_address, read_json, ConfigError};
@@ -11,26 +11,26 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RegistryConfig {
-    /// Where the registry's JSON gateway listens.
+    /// The address of the registry's JSON gateway.
     pub address: String,
-    /// The prefix under which each endpoint is a key, its value the endpoint's JSON line.
+    /// The prefix of the endpoints' keys. Each value is an endpoint's JSON.
     pub prefix: String,
-    /// How long a call may take, in milliseconds.
-    #[serde(default = "timeout_ms")]
+    /// Time-out of a call, in milliseconds.
+    #[serde(default = "default_timeout_ms")]
     pub timeout_ms: f64,
-    /// Silence on a watch after which it counts as broken, in milliseconds; the registry is asked for progress
-    /// notes, which must come more often.
-    #[serde(default = "stall_ms")]
-    pub stall_ms: f64,
-    /// The wait after failures.
+    /// Time without a message after which a watch counts as broken, in milliseconds. The registry's interval of progress
+    /// notifications must be shorter.
+    #[serde(default = "default_silence_timeout_ms", rename = "stall_ms")]
+    pub silence_timeout_ms: f64,
+    /// The delays between retries.
     #[serde(default)]
     pub backoff: Backoff,
 }
 
-fn timeout_ms() -> f64 {
+fn default_timeout_ms() -> f64 {
     2_000.0
 }
-fn stall_ms() -> f64 {
+fn default_silence_timeout_ms() -> f64 {
     3_000.0
 }
 
@@ -38,7 +38,7 @@
     /// Reads and checks the file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let config: Self = read_json(path)?;
-        parse_address(&config.address).map_err(|reason| ConfigError::field(path, "address", reason))?;
+        parse_address(&config.address).map_err(|error| ConfigError::field(path, "address", error))?;
         if config.prefix.is_empty() || config.prefix.len() > 256 {
             return Err(ConfigError::field(path, "prefix", "1 to 256 bytes"));
         }
@@ -46,7 +46,7 @@
         if !within(config.timeout_ms, 10.0, 60_000.0) {
             return Err(ConfigError::field(path, "timeout_ms", "10 to 60,000"));
         }
-        if !within(config.stall_ms, 100.0, 3_600_000.0) {
+        if !within(config.silence_timeout_ms, 100.0, 3_600_000.0) {
             return Err(ConfigError::field(path, "stall_ms", "100 to 3,600,000"));
         }
         if !config.backoff.is_valid() {
@@ -55,8 +55,8 @@
         Ok(config)
     }
 
-    /// The registry's address.
-    pub fn at(&self) -> SocketAddr {
-        parse_address(&self.address).expect("checked when read")
+    /// The address of the registry.
+    pub fn socket_address(&self) -> SocketAddr {
+        parse_address(&self.address).expect("checked when the file was read")
     }
 }
--- a/src/registry/mod.rs
+++ b/src/registry/mod.rs
@@ -1,19 +1,23 @@
-//! Membership from a key-value registry with revisions and watches, as etcd's v3 API has them: a full read, then
-//! a watch from the revision after it, a full read again where revisions were compacted away, and the engine
-//! hears every change at once, through the same drain rule as the bulletin's lists.
+//! The endpoint list from a key-value registry with revisions and watches, as in etcd's v3 API: a full read, then a watch
+//! from the revision after it, and a full read again where revisions were compacted away. The engine applies every change
+//! as it applies those of the discovery service.
 //!
-//! | part | what it does | I/O |
+//! | module | concern | I/O |
 //! | --- | --- | --- |
-//! | [`view`] | members by revision: doubled, late and compacted changes, what a full read finds | none |
-//! | [`session`] | what comes next, backoff, silence | none |
-//! | [`wire`] | the JSON gateway's calls: range and watch | sockets |
-//! | [`driver`] | the task that keeps the link | sockets |
+//! | [`view`] | endpoints by revision: duplicate, outdated and compacted changes | none |
+//! | [`session`] | the next step, and backoff | none |
+//! | [`codec`] | the JSON bodies of range and watch | none |
+//! | [`client`] | the calls over HTTP/1.1 | sockets |
+//! | [`service`] | the task, and its status | sockets |
 //! | [`config`] | the operator file | a file |
+//! | [`error`] | errors of calls | none |
 //!
-//! The design note is `docs/design-registry.md`; operators read `docs/registry.md`.
+//! The design note is `docs/design-registry.md`, the operators' page `docs/registry.md`.
 
+pub mod client;
+pub mod codec;
 pub mod config;
-pub mod driver;
+pub mod error;
+pub mod service;
 pub mod session;
 pub mod view;
-pub mod wire;
--- /dev/null
+++ b/src/registry/service.rs
@@ -0,0 +1,186 @@
+//! The registry client's task: a full read, then a watch from the revision after it, for ever. Every change is passed to
+//! the engine at once.
+
+use super::client::{read_range, Watch};
+use super::codec::WatchResponse;
+use super::config::RegistryConfig;
+use super::error::{CallFailure, RegistryError};
+use super::session::{Session, Step};
+use super::view::{EndpointView, Update, ViewMetrics};
+use crate::clock::duration_from_ms;
+use crate::engine::executor::Executor;
+use crate::text::endpoint_text;
+use crate::wire::http::{HttpAnswer, HttpRequest};
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::timeout;
+
+/// The status of the client, as `GET /registry` reports it.
+#[derive(Debug, Default, serde::Serialize)]
+pub struct RegistryStatus {
+    /// The revision up to which the endpoint list is complete.
+    pub revision: i64,
+    /// When the endpoint list last changed, in Unix milliseconds.
+    #[serde(rename = "heard_ms")]
+    pub last_change_ms: f64,
+    /// When the registry last answered, in Unix milliseconds.
+    #[serde(rename = "answered_ms")]
+    pub last_answer_ms: f64,
+    /// Endpoints in the list.
+    #[serde(rename = "members")]
+    pub endpoints: usize,
+    /// Watches opened.
+    pub watches: u64,
+    /// Calls and watches that failed.
+    pub failures: u64,
+    /// The last failure.
+    pub last_error: Option<String>,
+    /// The counters of the endpoint view.
+    #[serde(rename = "view")]
+    pub view_metrics: ViewMetrics,
+}
+
+/// Reads and watches the endpoints of a registry, for ever.
+pub async fn run(host: Rc<Executor>, config: RegistryConfig, status: Rc<RefCell<RegistryStatus>>, seed: u64) {
+    let mut client = Client {
+        host,
+        status,
+        address: config.socket_address(),
+        call_timeout: duration_from_ms(config.timeout_ms),
+        view: EndpointView::new(),
+        session: Session::new(config.backoff, config.silence_timeout_ms, seed),
+        prefix: config.prefix,
+    };
+    loop {
+        if let Err(error) = client.step().await {
+            let delay_ms = client.record_failure(&error);
+            tokio::time::sleep(duration_from_ms(delay_ms)).await;
+        }
+    }
+}
+
+struct Client {
+    host: Rc<Executor>,
+    status: Rc<RefCell<RegistryStatus>>,
+    address: SocketAddr,
+    prefix: String,
+    call_timeout: Duration,
+    view: EndpointView,
+    session: Session,
+}
+
+impl Client {
+    /// Reads all endpoints, or follows a watch until it ends.
+    async fn step(&mut self) -> Result<(), RegistryError> {
+        match self.session.next_step(&self.view) {
+            Step::ReadAll => self.read_all().await,
+            Step::Watch { from_revision } => {
+                let watch = Watch::open(self.address, &self.prefix, from_revision, self.call_timeout).await?;
+                self.status.borrow_mut().watches += 1;
+                self.follow(watch).await
+            }
+        }
+    }
+
+    async fn read_all(&mut self) -> Result<(), RegistryError> {
+        let range = read_range(self.address, &self.prefix, self.call_timeout).await?;
+        self.session.record_answer();
+        let update = self.view.replace_all(range.revision, range.entries);
+        tracing::info!(
+            revision = range.revision,
+            endpoints = update.endpoints.len(),
+            "registry: all endpoints read"
+        );
+        self.publish(update);
+        Ok(())
+    }
+
+    /// Follows a watch until it fails or a full read is due.
+    async fn follow(&mut self, mut watch: Watch) -> Result<(), RegistryError> {
+        let silence_timeout = duration_from_ms(self.session.silence_timeout_ms);
+        let error = |source| RegistryError { address: self.address, source };
+        loop {
+            let message = timeout(silence_timeout, watch.next()).await;
+            let response = message.map_err(|_| error(CallFailure::Silent))??;
+            // A watch that is created and then fails is not evidence that the registry works.
+            if !matches!(response, WatchResponse::Created { .. }) {
+                self.session.record_answer();
+            }
+            match response {
+                WatchResponse::Created { revision } | WatchResponse::Progress { revision }
+                    if self.view.detect_reset(revision) =>
+                {
+                    return Ok(());
+                }
+                WatchResponse::Created { .. } => self.publish(Update::default()),
+                WatchResponse::Progress { revision } => {
+                    let update = self.view.apply_changes(revision, Vec::new());
+                    self.publish(update);
+                }
+                WatchResponse::Changes { revision, changes } => {
+                    let update = self.view.apply_changes(revision, changes);
+                    self.publish(update);
+                }
+                WatchResponse::Compacted { revision } => {
+                    self.view.record_compaction(revision);
+                    return Ok(());
+                }
+                WatchResponse::Canceled => return Err(error(CallFailure::Canceled)),
+            }
+        }
+    }
+
+    /// Passes an update to the engine and updates the status.
+    fn publish(&self, update: Update) {
+        for value in &update.rejected {
+            tracing::error!(
+                key = value.key,
+                error = %value.error,
+                "registry: an endpoint's value can't be used; the endpoint remains as it was"
+            );
+        }
+        for id in &update.draining {
+            tracing::info!(endpoint = %endpoint_text(*id), "registry: an endpoint is draining");
+        }
+        let now_ms = self.host.clock.now();
+        let changed = !update.is_empty();
+        if changed {
+            self.host.with(|engine| engine.hear_roster(update.full, update.endpoints));
+        }
+        let mut status = self.status.borrow_mut();
+        if changed {
+            status.last_change_ms = now_ms;
+        }
+        status.last_answer_ms = now_ms;
+        status.revision = self.view.revision();
+        status.endpoints = self.view.endpoints().count();
+        status.view_metrics = self.view.metrics;
+    }
+
+    /// Records a failure; returns the delay before the next attempt, in milliseconds.
+    fn record_failure(&mut self, error: &RegistryError) -> f64 {
+        let delay_ms = self.session.record_failure();
+        let failures = self.session.failures;
+        let mut status = self.status.borrow_mut();
+        status.failures += 1;
+        status.last_error = Some(error.to_string());
+        if failures.is_power_of_two() {
+            tracing::warn!(%error, failures, delay_ms, "registry: the connection failed; retrying");
+        }
+        delay_ms
+    }
+}
+
+/// Answers `GET /registry` at the admin address; `None` for any other path.
+pub fn answer(status: &Rc<RefCell<RegistryStatus>>, request: &HttpRequest) -> Option<HttpAnswer> {
+    if request.target != "/registry" {
+        return None;
+    }
+    if request.method != "GET" {
+        return Some(HttpAnswer::status(405).with("Allow", "GET"));
+    }
+    let body = simd_json::to_vec(&*status.borrow()).unwrap_or_default();
+    Some(HttpAnswer { body: body.into(), ..HttpAnswer::status(200) }.with("Content-Type", "application/json"))
+}
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -1,6 +1,6 @@
-//! Members from a registry, in the program itself: a proxy process with `--registry`, a stand-in registry that
-//! compacts, falls silent for ten seconds, tells changes twice and out of order, and answers garbage, and a
-//! stand-in fleet that notes which box each request reached and when.
+//! The endpoint list from a registry, in the program: a proxy process with `--registry`, a stand-in registry that
+//! compacts, falls silent for ten seconds, sends duplicate and reordered changes, and answers with malformed bodies, and
+//! a stand-in fleet that records which server each request reached and when.
 
 mod stand_ins;
 
@@ -18,15 +18,15 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-proxy");
 const PREFIX: &str = "/calicobeam/members/";
-const MEMBERS: [(&str, &str, &str); 4] = [
+const ENDPOINTS: [(&str, &str, &str); 4] = [
     ("s-000000c1", "town", "box"),
     ("s-000000c2", "town", "box"),
     ("s-000000a0", "hub", "parent"),
     ("s-000000b0", "hub", "origin"),
 ];
 
-fn line(k: usize, at: SocketAddr, state: &str) -> String {
-    let (uid, az, model) = MEMBERS[k];
+fn endpoint_json(k: usize, at: SocketAddr, state: &str) -> String {
+    let (uid, az, model) = ENDPOINTS[k];
     format!(
         r#"{{"uid":"{uid}","endpoint":"{at}","az":"{az}","model":"{model}","pod_group":0,"state":"{state}","capacity_hint":4,"boot_ms":0}}"#
     )
@@ -52,7 +52,7 @@
     let (listen, mgmt) = (port(), port());
     let mut text =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
-    // What the configuration knows at the start is not where the fleet is: the registry must tell.
+    // The addresses in the configuration are not those of the fleet: only the registry has them.
     let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
     text = text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses);
     std::fs::write(dir.join("config.json"), text).unwrap();
@@ -69,29 +69,29 @@
     Proxy { child, listen, mgmt }
 }
 
-/// The link's state as the proxy tells it.
-async fn link(mgmt: SocketAddr) -> Option<simd_json::OwnedValue> {
+/// The status of the proxy's registry client.
+async fn status(mgmt: SocketAddr) -> Option<simd_json::OwnedValue> {
     let answer =
-        edge_proxy::purge::wire::call(mgmt, "GET", "/registry", b"", Duration::from_secs(1)).await.ok()?;
+        edge_proxy::http_client::call(mgmt, "GET", "/registry", b"", Duration::from_secs(1)).await.ok()?;
     let mut body = answer.body;
     simd_json::to_owned_value(&mut body).ok()
 }
 
-/// Waits until the proxy has heard up to `revision`; returns when it heard it, Unix milliseconds.
-async fn heard(mgmt: SocketAddr, revision: i64, seconds: u64) -> f64 {
+/// Waits until the proxy has applied `revision`; returns when its list last changed, in Unix milliseconds.
+async fn wait_for_revision(mgmt: SocketAddr, revision: i64, seconds: u64) -> f64 {
     let end = unix_ms() + seconds as f64 * 1_000.0;
     while unix_ms() < end {
-        if let Some(state) = link(mgmt).await {
+        if let Some(state) = status(mgmt).await {
             if state["revision"].as_i64().unwrap_or(0) >= revision {
                 return state["heard_ms"].as_f64().unwrap_or(0.0);
             }
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    panic!("the proxy did not hear revision {revision} within {seconds} s");
+    panic!("the proxy did not apply revision {revision} within {seconds} s");
 }
 
-/// Reads through the proxy, for ever, so that every box is asked.
+/// Sends reads through the proxy, for ever, so that every server gets requests.
 fn load(listen: SocketAddr, served: Rc<Cell<u64>>) {
     for k in 0..4u64 {
         let served = served.clone();
@@ -119,54 +119,56 @@
     }
 }
 
-/// Requests that reached box `k` after `ms`.
+/// Requests that reached server `k` after a time, in Unix milliseconds.
 fn reached_after(fleet: &SlowFleet, k: usize, ms: f64) -> usize {
     fleet.arrivals.borrow().iter().filter(|(b, at)| *b == k && *at > ms).count()
 }
 
 #[test]
-fn drains_hold_at_once_and_after_ten_seconds_of_silence_and_a_compaction() {
+fn draining_takes_effect_at_once_and_after_ten_seconds_of_silence_and_a_compaction() {
     run(async {
         let fleet = SlowFleet::start(80, 4, 64, 2).await;
         let registry = Registry::start("127.0.80.100").await;
         for (k, at) in fleet.addresses.iter().enumerate() {
-            registry.put(&format!("{PREFIX}{}", MEMBERS[k].0), &line(k, *at, "Ready"));
+            registry.put(&format!("{PREFIX}{}", ENDPOINTS[k].0), &endpoint_json(k, *at, "Ready"));
         }
         let proxy = start(80, "registry-drains", &registry).await;
-        heard(proxy.mgmt, 4, 10).await;
+        wait_for_revision(proxy.mgmt, 4, 10).await;
         let served = Rc::new(Cell::new(0));
         load(proxy.listen, served.clone());
         tokio::time::sleep(Duration::from_millis(500)).await;
         assert!(
             reached_after(&fleet, 0, 0.0) > 0 && reached_after(&fleet, 1, 0.0) > 0,
-            "both caches are asked"
+            "both caches get requests"
         );
 
-        // A drain, told at once.
+        // An endpoint begins to drain.
         let written = unix_ms();
-        let rev = registry.put(&format!("{PREFIX}s-000000c1"), &line(0, fleet.addresses[0], "Terminating"));
-        let at = heard(proxy.mgmt, rev, 5).await;
+        let rev = registry
+            .put(&format!("{PREFIX}s-000000c1"), &endpoint_json(0, fleet.addresses[0], "Terminating"));
+        let at = wait_for_revision(proxy.mgmt, rev, 5).await;
         tokio::time::sleep(Duration::from_millis(600)).await;
-        assert_eq!(reached_after(&fleet, 0, at + 250.0), 0, "the drained box was asked after 250 ms");
-        assert!(at - written < 250.0, "heard {:.0} ms after it was written", at - written);
+        assert_eq!(reached_after(&fleet, 0, at + 250.0), 0, "the draining server got a request after 250 ms");
+        assert!(at - written < 250.0, "applied {:.0} ms after it was written", at - written);
 
-        // Ten seconds of silence, while the other cache drains and the registry compacts its history.
+        // Ten seconds of silence, in which the other cache begins to drain and the registry compacts its history.
         registry.fall_silent(Duration::from_secs(10));
         tokio::time::sleep(Duration::from_millis(200)).await;
-        let rev = registry.put(&format!("{PREFIX}s-000000c2"), &line(1, fleet.addresses[1], "Terminating"));
-        registry.put(&format!("{PREFIX}s-000000c1"), &line(0, fleet.addresses[0], "Ready"));
+        let rev = registry
+            .put(&format!("{PREFIX}s-000000c2"), &endpoint_json(1, fleet.addresses[1], "Terminating"));
+        registry.put(&format!("{PREFIX}s-000000c1"), &endpoint_json(0, fleet.addresses[0], "Ready"));
         registry.compact();
         let before = served.get();
-        let at = heard(proxy.mgmt, rev + 1, 20).await;
+        let at = wait_for_revision(proxy.mgmt, rev + 1, 20).await;
         tokio::time::sleep(Duration::from_millis(600)).await;
         assert_eq!(
             reached_after(&fleet, 1, at + 250.0),
             0,
-            "the box drained meanwhile was asked after 250 ms"
+            "the server that began to drain meanwhile got a request after 250 ms"
         );
-        assert!(reached_after(&fleet, 0, at + 250.0) > 0, "the box back in service is asked again");
-        assert!(served.get() > before, "requests were served all along");
-        let state = link(proxy.mgmt).await.unwrap();
+        assert!(reached_after(&fleet, 0, at + 250.0) > 0, "the server that is active again gets requests");
+        assert!(served.get() > before, "requests were served throughout");
+        let state = status(proxy.mgmt).await.unwrap();
         assert!(state["view"]["resyncs"].as_u64() >= Some(1), "{state:?}");
         assert!(
             state["view"]["found"].as_u64() >= Some(2),
@@ -176,82 +178,89 @@
 }
 
 #[test]
-fn doubled_late_and_garbled_changes_leave_the_members_whole() {
+fn duplicate_reordered_and_malformed_changes_leave_the_endpoint_list_intact() {
     run(async {
         let fleet = SlowFleet::start(81, 4, 64, 2).await;
         let registry = Registry::start("127.0.81.100").await;
         for (k, at) in fleet.addresses.iter().enumerate() {
-            registry.put(&format!("{PREFIX}{}", MEMBERS[k].0), &line(k, *at, "Ready"));
+            registry.put(&format!("{PREFIX}{}", ENDPOINTS[k].0), &endpoint_json(k, *at, "Ready"));
         }
-        let proxy = start(81, "registry-garbage", &registry).await;
-        heard(proxy.mgmt, 4, 10).await;
+        let proxy = start(81, "registry-malformed", &registry).await;
+        wait_for_revision(proxy.mgmt, 4, 10).await;
         let served = Rc::new(Cell::new(0));
         load(proxy.listen, served.clone());
-        // Each change comes twice, the later first: the drain must stand, not the Ready before it.
-        registry.store.doubled.set(true);
+        // Each change arrives twice, the later one first: the endpoint must remain draining.
+        registry.store.duplicates.set(true);
         let key = format!("{PREFIX}s-000000c1");
-        registry.put(&key, &line(0, fleet.addresses[0], "Ready"));
-        let rev = registry.put(&key, &line(0, fleet.addresses[0], "Terminating"));
-        let at = heard(proxy.mgmt, rev, 5).await;
+        registry.put(&key, &endpoint_json(0, fleet.addresses[0], "Ready"));
+        let rev = registry.put(&key, &endpoint_json(0, fleet.addresses[0], "Terminating"));
+        let at = wait_for_revision(proxy.mgmt, rev, 5).await;
         tokio::time::sleep(Duration::from_millis(600)).await;
-        assert_eq!(reached_after(&fleet, 0, at + 250.0), 0, "a doubled, reordered change undid the drain");
-        let state = link(proxy.mgmt).await.unwrap();
+        assert_eq!(
+            reached_after(&fleet, 0, at + 250.0),
+            0,
+            "a duplicate, reordered change ended the draining"
+        );
+        let state = status(proxy.mgmt).await.unwrap();
         assert!(state["view"]["stale"].as_u64() >= Some(2), "{state:?}");
-        // A value that can't be read changes nothing; then a registry that answers only garbage.
-        registry.store.doubled.set(false);
+        // A malformed value has no effect; then every answer of the registry is malformed.
+        registry.store.duplicates.set(false);
         let rev = registry.put(&format!("{PREFIX}s-000000c2"), "{not json");
-        heard(proxy.mgmt, rev, 5).await;
-        registry.store.garbage.set(true);
+        wait_for_revision(proxy.mgmt, rev, 5).await;
+        registry.store.malformed.set(true);
         registry.drop_all();
         let before = served.get();
         tokio::time::sleep(Duration::from_millis(1_500)).await;
-        assert!(served.get() > before, "the old members kept serving");
+        assert!(served.get() > before, "the endpoints of before continue to serve");
         assert!(
             reached_after(&fleet, 1, unix_ms() - 1_000.0) > 0,
-            "the box with a garbled line is still used"
+            "the server with a malformed value still gets requests"
         );
-        let state = link(proxy.mgmt).await.unwrap();
+        let state = status(proxy.mgmt).await.unwrap();
         assert!(state["failures"].as_u64() >= Some(1) && state["last_error"].as_str().is_some(), "{state:?}");
         assert!(state["view"]["faults"].as_u64() >= Some(1), "{state:?}");
-        assert_eq!(reached_after(&fleet, 0, unix_ms() - 1_000.0), 0, "the drain stands");
-        registry.store.garbage.set(false);
-        let rev = registry.put(&key, &line(0, fleet.addresses[0], "Ready"));
-        heard(proxy.mgmt, rev, 10).await;
+        assert_eq!(reached_after(&fleet, 0, unix_ms() - 1_000.0), 0, "the endpoint remains draining");
+        registry.store.malformed.set(false);
+        let rev = registry.put(&key, &endpoint_json(0, fleet.addresses[0], "Ready"));
+        wait_for_revision(proxy.mgmt, rev, 10).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
-        assert!(reached_after(&fleet, 0, unix_ms() - 250.0) > 0, "back in service once the registry mends");
+        assert!(
+            reached_after(&fleet, 0, unix_ms() - 250.0) > 0,
+            "active again once the registry has recovered"
+        );
     });
 }
 
-/// A registry restored from an older copy tells of revisions below the proxy's: a watch there would wait for ever.
+/// A registry restored from an older copy has revisions below the proxy's, where a watch would wait for ever.
 #[test]
-fn a_registry_that_begins_anew_is_read_whole() {
+fn a_registry_restored_from_an_older_copy_is_read_completely() {
     run(async {
         let fleet = SlowFleet::start(84, 4, 64, 2).await;
         let registry = Registry::start("127.0.84.100").await;
-        let key = |k: usize| format!("{PREFIX}{}", MEMBERS[k].0);
+        let key = |k: usize| format!("{PREFIX}{}", ENDPOINTS[k].0);
         for _ in 0..20 {
             for (k, at) in fleet.addresses.iter().enumerate() {
-                registry.put(&key(k), &line(k, *at, "Ready"));
+                registry.put(&key(k), &endpoint_json(k, *at, "Ready"));
             }
         }
-        let proxy = start(84, "registry-anew", &registry).await;
-        heard(proxy.mgmt, 80, 10).await;
+        let proxy = start(84, "registry-restored", &registry).await;
+        wait_for_revision(proxy.mgmt, 80, 10).await;
         load(proxy.listen, Rc::new(Cell::new(0)));
         tokio::time::sleep(Duration::from_millis(300)).await;
-        assert!(reached_after(&fleet, 0, 0.0) > 0, "the cache is asked");
+        assert!(reached_after(&fleet, 0, 0.0) > 0, "the cache gets requests");
         let state = |k| if k == 0 { "Terminating" } else { "Ready" };
-        let kvs: Vec<_> = (0..4).map(|k| (key(k), line(k, fleet.addresses[k], state(k)))).collect();
+        let kvs: Vec<_> = (0..4).map(|k| (key(k), endpoint_json(k, fleet.addresses[k], state(k)))).collect();
         let rev = registry.restore(&kvs);
         let end = unix_ms() + 5_000.0;
-        while link(proxy.mgmt).await.is_none_or(|s| s["revision"].as_i64() != Some(rev)) {
+        while status(proxy.mgmt).await.is_none_or(|s| s["revision"].as_i64() != Some(rev)) {
             assert!(unix_ms() < end, "the new history was not read");
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        let told = link(proxy.mgmt).await.unwrap();
-        assert_eq!(told["view"]["resets"].as_u64(), Some(1), "{told:?}");
-        let at = told["heard_ms"].as_f64().unwrap();
+        let reported = status(proxy.mgmt).await.unwrap();
+        assert_eq!(reported["view"]["resets"].as_u64(), Some(1), "{reported:?}");
+        let at = reported["heard_ms"].as_f64().unwrap();
         tokio::time::sleep(Duration::from_millis(600)).await;
-        assert_eq!(reached_after(&fleet, 0, at + 250.0), 0, "the drain of the new history holds");
+        assert_eq!(reached_after(&fleet, 0, at + 250.0), 0, "the draining state of the new history applies");
         assert!(reached_after(&fleet, 1, at + 250.0) > 0, "the other one serves");
     });
 }
--- a/tests/stand_ins/registry.rs
+++ b/tests/stand_ins/registry.rs
@@ -1,6 +1,6 @@
-//! A stand-in key-value registry on loopback, speaking the part of etcd's v3 JSON gateway that the proxy uses:
-//! range, watch with progress notes, and compaction. It can compact at any time, drop every connection, fall
-//! silent for a while, answer garbage, and tell each change twice and out of order.
+//! A stand-in key-value registry on loopback, with the part of etcd's v3 JSON gateway that the proxy uses: range, watch
+//! with progress notifications, and compaction. It can compact at any time, drop every connection, fall silent for a
+//! while, answer with malformed bodies, and send each change twice and out of order.
 #![allow(dead_code)]
 
 use base64::engine::general_purpose::STANDARD;
@@ -30,21 +30,22 @@
     kv: RefCell<BTreeMap<String, (Vec<u8>, i64)>>,
     history: RefCell<Vec<Event>>,
     pub compacted: Cell<i64>,
-    /// Every connection is cut when this moves.
+    /// Every connection is closed when this changes.
     generation: Cell<u64>,
-    /// Until then nothing is answered and no watch says anything.
+    /// Until then no call is answered and no watch sends a message.
     silent_until: Cell<Option<Instant>>,
-    /// Ranges and watches answer what can't be read.
-    pub garbage: Cell<bool>,
-    /// Each change is told twice, the later one first.
-    pub doubled: Cell<bool>,
-    /// Ranges asked, watches made.
+    /// Whether ranges and watches have malformed answers.
+    pub malformed: Cell<bool>,
+    /// Whether each change is sent twice, the later one first.
+    pub duplicates: Cell<bool>,
+    /// Range calls.
     pub ranges: Cell<u64>,
+    /// Watches opened.
     pub watches: Cell<u64>,
-    news: Notify,
+    changed: Notify,
 }
 
-/// The stand-in.
+/// A stand-in registry.
 pub struct Registry {
     pub address: SocketAddr,
     pub store: Rc<Store>,
@@ -70,7 +71,7 @@
         s.revision.set(rev);
         s.kv.borrow_mut().insert(key.into(), (value.as_bytes().to_vec(), rev));
         s.history.borrow_mut().push(Event { rev, key: key.into(), value: Some(value.as_bytes().to_vec()) });
-        s.news.notify_waiters();
+        s.changed.notify_waiters();
         rev
     }
 
@@ -81,11 +82,11 @@
         s.revision.set(rev);
         s.kv.borrow_mut().remove(key);
         s.history.borrow_mut().push(Event { rev, key: key.into(), value: None });
-        s.news.notify_waiters();
+        s.changed.notify_waiters();
         rev
     }
 
-    /// Forgets the history up to the revision as it stands now.
+    /// Drops the history up to the present revision.
     pub fn compact(&self) {
         let s = &self.store;
         s.compacted.set(s.revision.get());
@@ -93,7 +94,7 @@
         s.history.borrow_mut().retain(|e| e.rev > at);
     }
 
-    /// Loses its history and begins anew from a copy that stood at revision 0, with these keys.
+    /// Replaces the store by a copy of revision 0 with these keys, without the history.
     pub fn restore(&self, kvs: &[(String, String)]) -> i64 {
         let s = &self.store;
         s.revision.set(0);
@@ -107,15 +108,15 @@
         s.revision.get()
     }
 
-    /// Cuts every connection.
+    /// Closes every connection.
     pub fn drop_all(&self) {
         self.store.generation.set(self.store.generation.get() + 1);
-        self.store.news.notify_waiters();
+        self.store.changed.notify_waiters();
     }
 
-    /// Answers nothing for so long, and cuts what stands.
-    pub fn fall_silent(&self, for_how_long: Duration) {
-        self.store.silent_until.set(Some(Instant::now() + for_how_long));
+    /// Closes every connection and answers nothing for a time.
+    pub fn fall_silent(&self, duration: Duration) {
+        self.store.silent_until.set(Some(Instant::now() + duration));
         self.drop_all();
     }
 }
@@ -136,8 +137,8 @@
     )
 }
 
-/// The key and range end of a call's body, decoded.
-fn span_of(body: &str) -> Option<(String, String)> {
+/// The key and range end in the body of a call.
+fn key_range(body: &str) -> Option<(String, String)> {
     let field = |name: &str| {
         let from = body.find(&format!("\"{name}\":\""))? + name.len() + 4;
         let to = body[from..].find('"')? + from;
@@ -182,11 +183,11 @@
     match target.as_str() {
         "/v3/kv/range" => {
             store.ranges.set(store.ranges.get() + 1);
-            let Some((key, end)) = span_of(&body) else { return };
+            let Some((key, end)) = key_range(&body) else { return };
             let rev = store.revision.get();
             let kvs: Vec<String> =
                 store.kv.borrow().range(key..end).map(|(k, (v, r))| kv_json(k, v, *r)).collect();
-            let json = if store.garbage.get() {
+            let json = if store.malformed.get() {
                 "{\"header\":{\"revision\":".to_string()
             } else {
                 format!(
@@ -203,7 +204,7 @@
         }
         "/v3/watch" => {
             store.watches.set(store.watches.get() + 1);
-            let Some((key, end)) = span_of(&body) else { return };
+            let Some((key, end)) = key_range(&body) else { return };
             watch(stream, store, key, end, start_of(&body)).await;
         }
         _ => {
@@ -255,12 +256,12 @@
                 .cloned()
                 .collect();
             let rev = store.revision.get();
-            let line = if store.garbage.get() {
+            let line = if store.malformed.get() {
                 "{\"result\":{\"events\":[{\"kv\":".to_string()
             } else if events.is_empty() {
                 format!(r#"{{"result":{{"header":{{"revision":"{rev}"}}}}}}"#)
             } else {
-                let mut told: Vec<String> = events
+                let mut encoded: Vec<String> = events
                     .iter()
                     .map(|e| match &e.value {
                         Some(v) => format!(r#"{{"kv":{}}}"#, kv_json(&e.key, v, e.rev)),
@@ -271,11 +272,14 @@
                         ),
                     })
                     .collect();
-                if store.doubled.get() {
-                    let again: Vec<String> = told.iter().rev().cloned().collect();
-                    told = again.into_iter().chain(told).collect();
+                if store.duplicates.get() {
+                    let reversed: Vec<String> = encoded.iter().rev().cloned().collect();
+                    encoded = reversed.into_iter().chain(encoded).collect();
                 }
-                format!(r#"{{"result":{{"header":{{"revision":"{rev}"}},"events":[{}]}}}}"#, told.join(","))
+                format!(
+                    r#"{{"result":{{"header":{{"revision":"{rev}"}},"events":[{}]}}}}"#,
+                    encoded.join(",")
+                )
             };
             next = rev + 1;
             if !chunk(&mut stream, &line).await {
@@ -283,7 +287,7 @@
             }
         }
         tokio::select! {
-            () = store.news.notified() => {}
+            () = store.changed.notified() => {}
             () = tokio::time::sleep(Duration::from_millis(500)) => {}
         }
     }
