--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -207,9 +207,9 @@
     let mut statuses = Vec::new();
     for n in 0..proxies {
         let clock = Clock::system();
-        let (engine, _) = edge_proxy::lifecycle::serve::engine(&config, &clock, 0).unwrap();
+        let (engine, _) = edge_proxy::lifecycle::engine_setup::engine(&config, &clock, 0).unwrap();
         let host = Executor::new(clock, engine, CacheDriver);
-        host.with(|engine| engine.take_roster_from_registry());
+        host.with(|engine| engine.use_registry());
         let status = Rc::new(RefCell::new(RegistryStatus::default()));
         statuses.push(status.clone());
         tokio::task::spawn_local(run(host, file.clone(), status, n as u64));
--- a/src/grpc/admission.rs
+++ b/src/grpc/admission.rs
@@ -70,7 +70,7 @@
         let request = IncomingRequest {
             id,
             group: tenant,
-            give_up_ms: deadline_ms,
+            deadline_ms,
             client: Some(client),
             ..IncomingRequest::default()
         };
@@ -132,7 +132,9 @@
         }
         let response = match self.outcome.get() {
             Some(CallOutcome::Served) => Some(FinalResponse::Served { tag: None, body: Default::default() }),
-            Some(CallOutcome::Rejected) => Some(FinalResponse::Rejected { wait_ms: 0.0, overdue: false }),
+            Some(CallOutcome::Rejected) => {
+                Some(FinalResponse::Rejected { retry_after_ms: 0.0, overdue: false })
+            }
             Some(CallOutcome::Failed) => Some(FinalResponse::Failed { overdue: false }),
             Some(CallOutcome::ClientDisconnected) | None => None,
         };
--- a/src/grpc/front.rs
+++ b/src/grpc/front.rs
@@ -114,13 +114,13 @@
 
     /// Takes the list of endpoints as it is by now, where it has changed.
     pub fn sync_backends(&self) {
-        if self.list_version.get() != self.executor.roster_changes() {
+        if self.list_version.get() != self.executor.endpoint_list_changes() {
             self.list_backends();
         }
     }
 
     fn list_backends(&self) {
-        self.list_version.set(self.executor.roster_changes());
+        self.list_version.set(self.executor.endpoint_list_changes());
         let config = self.config.borrow();
         for pool in &config.pools {
             let Some(index) = self.with(|calls| calls.pool_index(&pool.name)) else { continue };
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -60,6 +60,7 @@
 pub mod backoff;
 pub mod clock;
 pub mod config_file;
+pub mod datagram_auth;
 pub mod endpoint_list;
 pub mod engine;
 pub mod grpc;
--- a/src/registry/service.rs
+++ b/src/registry/service.rs
@@ -147,7 +147,7 @@
         let now_ms = self.host.clock.now();
         let changed = !update.is_empty();
         if changed {
-            self.host.with(|engine| engine.hear_roster(update.full, update.endpoints));
+            self.host.with(|engine| engine.apply_endpoints(update.full, update.endpoints));
         }
         let mut status = self.status.borrow_mut();
         if changed {
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -7,9 +7,9 @@
 use edge_proxy::engine::executor::Executor;
 use edge_proxy::grpc::config::GrpcConfig;
 use edge_proxy::grpc::front::GrpcFront;
-use edge_proxy::grpc::server::{accept, cut_at_stop, keep};
+use edge_proxy::grpc::server::{abort_calls_at_shutdown, accept, run_housekeeping};
 use edge_proxy::lifecycle::config::Config;
-use edge_proxy::lifecycle::serve::engine;
+use edge_proxy::lifecycle::engine_setup::engine;
 use edge_proxy::wire::cache_connection::CacheDriver;
 use edge_proxy::wire::listener::Stop;
 use stand_ins::grpc::{finish, msg, Caller, GrpcBox};
@@ -91,8 +91,8 @@
         let front = GrpcFront::new(host(clock), config, 5).unwrap();
         let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
         spawn_local(accept(front.clone(), listener, stop.clone(), closing.clone()));
-        spawn_local(keep(front.clone()));
-        spawn_local(cut_at_stop(front.clone(), stop.clone()));
+        spawn_local(run_housekeeping(front.clone()));
+        spawn_local(abort_calls_at_shutdown(front.clone(), stop.clone()));
         Self { front, at, stop, closing, boxes: all, dir }
     }
 
@@ -552,7 +552,7 @@
             );
             edge_proxy::wire::discovery_codec::Line::parse(text.as_bytes()).unwrap()
         };
-        host.with(|engine| engine.hear_roster(true, vec![line(0xc1, "Ready"), line(0xc2, "Ready")]));
+        host.with(|engine| engine.apply_endpoints(true, vec![line(0xc1, "Ready"), line(0xc2, "Ready")]));
         edge.front.reconfigure(GrpcConfig::read(&edge.dir.join("grpc.json")).unwrap()).unwrap();
         let caller = Caller::connect(edge.at).await;
         let go = |n: usize| {
@@ -565,12 +565,12 @@
         };
         go(40).await;
         assert!(one.count() > 5 && two.count() > 5, "both are asked: {} and {}", one.count(), two.count());
-        host.with(|engine| engine.hear_roster(false, vec![line(0xc1, "Terminating")]));
+        host.with(|engine| engine.apply_endpoints(false, vec![line(0xc1, "Terminating")]));
         let before = one.count();
         go(40).await;
         assert_eq!(one.count(), before, "a drained member was asked");
-        host.with(|engine| engine.hear_roster(false, vec![line(0xc1, "Ready")]));
-        host.with(|engine| engine.maintain(0xc2, true));
+        host.with(|engine| engine.apply_endpoints(false, vec![line(0xc1, "Ready")]));
+        host.with(|engine| engine.set_out_of_use(0xc2, true));
         let before = two.count();
         go(40).await;
         assert_eq!(two.count(), before, "maintenance by hand counts as well");
@@ -704,6 +704,6 @@
         assert_eq!((got.status(), got.body), (0, msg(5)));
         program.ends_well().await;
         let log = std::fs::read_to_string(dir.join("proxy.log")).unwrap();
-        assert!(log.contains("gRPC's old file stays"), "{log}");
+        assert!(log.contains("the old gRPC file stays"), "{log}");
     });
 }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -6,7 +6,7 @@
 use edge_proxy::engine::executor::Executor;
 use edge_proxy::engine::Engine;
 use edge_proxy::lifecycle::config::Config;
-use edge_proxy::lifecycle::serve::engine;
+use edge_proxy::lifecycle::engine_setup::engine;
 use edge_proxy::settings::PlatformSettings;
 use edge_proxy::wire::cache_connection::CacheDriver;
 use edge_proxy::wire::discovery;
@@ -23,9 +23,9 @@
 use tokio::sync::{watch, Notify};
 use tokio::task::spawn_local;
 
+pub mod checked_endpoint;
 pub mod device;
 pub mod grpc;
-pub mod probed;
 pub mod purge_target;
 pub mod registry;
 pub mod running;
@@ -323,7 +323,7 @@
         let clock = Clock::manual(START_MS);
         let (engine, env) = engine(&config, &clock, 0).unwrap();
         let host = Executor::new(clock.clone(), engine, CacheDriver);
-        spawn_local(host.clone().keep_time());
+        spawn_local(host.clone().run_timers());
         let (moves, told) = watch::channel(config.bulletin().unwrap());
         spawn_local(discovery::run(host.clone(), told));
         let (stop, closing) = Default::default();
