--- a/examples/rules_load.rs
+++ b/examples/rules_load.rs
@@ -1,6 +1,6 @@
-//! What rules cost: a million requests asked of the deployed rules and of the platform's own code, the same keys and
-//! the steps against the bound; then requests over loopback through the program, without rules and with them, turn by
-//! turn. Bounded in count; ends by itself.
+//! The cost of rules: a million requests classified by the deployed rules and by the platform's code, their keys compared
+//! and the steps checked against the bound; then requests over loopback through the program, without rules and with them,
+//! in turns. The number of requests is bounded.
 //!
 //!     cargo build --release && cargo run --release --example rules_load -- [LOOPBACK]
 
@@ -48,12 +48,12 @@
             ..HttpRequest::default()
         })
         .collect();
-    let (mut most, mut other) = (0u64, 0u64);
+    let (mut max_steps, mut different) = (0u64, 0u64);
     let start = Instant::now();
     for n in 0..EVALUATIONS {
         let mut steps = 0;
-        std::hint::black_box(rules.of(&requests[(n % 4_096) as usize], &mut steps));
-        most = most.max(steps);
+        std::hint::black_box(rules.classify(&requests[(n % 4_096) as usize], &mut steps));
+        max_steps = max_steps.max(steps);
     }
     let by_rules = start.elapsed();
     let start = Instant::now();
@@ -62,18 +62,18 @@
     }
     let by_code = start.elapsed();
     for request in &requests {
-        other += u64::from(rules.of(request, &mut 0) != Platform::target(request));
+        different += u64::from(rules.classify(request, &mut 0) != Platform::target(request));
     }
     let ns = |d: Duration| d.as_nanos() as f64 / EVALUATIONS as f64;
     println!(
-        "{EVALUATIONS} requests: {:.0} ns by rules, {:.0} ns by code; {most} steps at most, bound {}; {other} with other keys",
+        "{EVALUATIONS} requests: {:.0} ns by rules, {:.0} ns by code; {max_steps} steps at most, bound {}; {different} with other keys",
         ns(by_rules),
         ns(by_code),
-        rules.cost()
+        rules.max_cost()
     );
 }
 
-async fn turn(at: SocketAddr, requests: u64, ids: u64) -> (Histogram<u64>, Duration, u64) {
+async fn measure(at: SocketAddr, requests: u64, ids: u64) -> (Histogram<u64>, Duration, u64) {
     let seen = Rc::new(RefCell::new((Histogram::<u64>::new(3).unwrap(), 0)));
     let start = Instant::now();
     let callers: Vec<_> = (0..CALLERS)
@@ -138,12 +138,12 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         }
-        println!("| way | requests | a second | p50 / p99 us | not served |");
+        println!("| classification | requests | a second | p50 / p99 us | not served |");
         println!("| --- | ---: | ---: | --- | ---: |");
         let mut sums: Vec<(Histogram<u64>, Duration, u64)> = Vec::new();
         for round in 0..4u64 {
             for (k, (_, at)) in programs.iter().enumerate() {
-                let got = turn(*at, requests / 4, round * 2 + k as u64 + 1).await;
+                let got = measure(*at, requests / 4, round * 2 + k as u64 + 1).await;
                 match sums.get_mut(k) {
                     None => sums.push(got),
                     Some(sum) => {
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -60,7 +60,7 @@
         };
         let subsystems = SubsystemConfigs::read(&files, config.limits.sockets)?;
         if let Some((_, rules)) = subsystems.rules {
-            println!("{PROGRAM}: {} rules, at most {} steps a request", rules.0.len(), rules.cost());
+            println!("{PROGRAM}: {} rules, at most {} steps a request", rules.0.len(), rules.max_cost());
         }
         println!("{PROGRAM}: the configuration of {:?} is in order", config.name);
         Ok(())
--- a/src/cli/rule.rs
+++ b/src/cli/rule.rs
@@ -3,7 +3,7 @@
 use super::error::CliError;
 use argh::FromArgs;
 use edge_proxy::rules::config::RulesConfig;
-use edge_proxy::rules::table::Said;
+use edge_proxy::rules::table::Classification;
 use edge_proxy::wire::http::HttpRequest;
 use std::path::PathBuf;
 
@@ -33,13 +33,13 @@
         let request =
             HttpRequest { method: self.method, target: self.target, headers, ..HttpRequest::default() };
         let mut steps = 0;
-        match rules.of(&request, &mut steps) {
-            Said::Target(t) => println!(
+        match rules.classify(&request, &mut steps) {
+            Classification::Target(t) => println!(
                 "class {}  object {:016x}  part {}  group {}  steps {steps}",
                 t.class, t.object, t.part, t.group
             ),
-            Said::Malformed => println!("malformed: 400  steps {steps}"),
-            Said::Nothing => println!("no rule: 404  steps {steps}"),
+            Classification::Malformed => println!("malformed: 400  steps {steps}"),
+            Classification::NoMatch => println!("no rule: 404  steps {steps}"),
         }
         Ok(())
     }
--- a/src/lifecycle/subsystems/rules.rs
+++ b/src/lifecycle/subsystems/rules.rs
@@ -31,9 +31,9 @@
         match RulesConfig::read(&self.config.path) {
             Ok((_, rules)) => {
                 context.rules.replace(rules);
-                tracing::info!(file = %self.config.path.display(), "rules read again");
+                tracing::info!(file = %self.config.path.display(), "rules reloaded");
             }
-            Err(reason) => tracing::warn!(%reason, "the old rules stay"),
+            Err(error) => tracing::warn!(%error, "the rules were not reloaded"),
         }
     }
 }
--- a/src/rules/config.rs
+++ b/src/rules/config.rs
@@ -1,34 +1,39 @@
-//! The operator file of rules, `serve --rules FILE`. Without it the platform's own spelling of targets counts.
+//! The operator file of rules, `serve --rules FILE`. Without it the platform's own form of targets applies.
 
+use super::definitions::Definitions;
+use super::error::RulesError;
+use super::program::{Program, Type};
 use super::table::{Rule, Rules};
-use super::type_check::{BadExpression, Definitions, Type};
-use crate::config_file::{read_json, ConfigError, FieldError};
+use crate::config_file::{read_json, ConfigError};
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
-/// A rule, its parts as expressions.
+/// The most rules of a file.
+const MAX_RULES: usize = 256;
+
+/// A rule, its fields as expressions.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RuleConfig {
-    /// Whether it is for a request: a bool.
+    /// Whether it applies to a request: a bool.
     pub when: String,
     /// The name of the class: a str.
     pub class: String,
     /// The object: a key.
     pub object: String,
     /// The part: an int.
-    #[serde(default = "nought")]
+    #[serde(default = "zero")]
     pub part: String,
     /// The object's group: an int.
-    #[serde(default = "nought")]
+    #[serde(default = "zero")]
     pub group: String,
 }
 
-fn nought() -> String {
+fn zero() -> String {
     "0".into()
 }
 
-fn cost() -> u64 {
+fn default_max_cost() -> u64 {
     500_000
 }
 
@@ -36,15 +41,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RulesConfig {
-    /// The greatest cost that any request may come to, in steps (about one for a byte that is looked at).
-    #[serde(default = "cost")]
-    pub cost_most: u64,
-    /// `name(parameter: type, ...) = body`.
-    #[serde(default)]
-    pub define: Vec<String>,
-    /// The rules, the first that holds counts.
+    /// The greatest cost of a request, in steps (about one for each byte that is read or written).
+    #[serde(default = "default_max_cost", rename = "cost_most")]
+    pub max_cost: u64,
+    /// Definitions, `name(parameter: type, ...) = body`.
+    #[serde(default, rename = "define")]
+    pub definitions: Vec<String>,
+    /// The rules; the first that applies is used.
     pub rules: Vec<RuleConfig>,
-    /// The file.
+    /// The path of this file.
     #[serde(skip)]
     pub path: PathBuf,
 }
@@ -54,36 +59,43 @@
     pub fn read(path: &Path) -> Result<(Self, Rules), ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        let field = |reason: String| FieldError::new("rules", reason).in_file(path);
-        let rules = config.compile().map_err(field)?;
+        let rules = config.compile().map_err(|error| ConfigError::field(path, "rules", error))?;
         Ok((config, rules))
     }
 
-    /// The rules compiled.
-    pub fn compile(&self) -> Result<Rules, String> {
-        if self.rules.is_empty() || self.rules.len() > 256 {
-            return Err(format!("{} are not within 1 to 256", self.rules.len()));
-        }
-        let definitions = Definitions::read(&self.define).map_err(|e| e.to_string())?;
-        let mut rules = Rules::default();
-        for (k, line) in self.rules.iter().enumerate() {
-            let part = |name: &str, text: &str, of| {
-                let reason = |e: BadExpression| format!("rule {}, `{name}`: {e}", k + 1);
-                definitions.compile(text, of, self.cost_most).map_err(reason)
-            };
-            rules.0.push(Rule {
-                when: part("when", &line.when, Type::Bool)?,
-                class: part("class", &line.class, Type::Str)?,
-                object: part("object", &line.object, Type::Key)?,
-                part: part("part", &line.part, Type::Int)?,
-                group: part("group", &line.group, Type::Int)?,
-            });
+    /// Compiles the rules.
+    pub fn compile(&self) -> Result<Rules, RulesError> {
+        let count = self.rules.len();
+        if !(1..=MAX_RULES).contains(&count) {
+            return Err(RulesError::Count { count, max: MAX_RULES });
         }
-        match rules.cost() {
-            cost if cost > self.cost_most => {
-                Err(format!("a request may cost {cost} steps, above `cost_most` {}", self.cost_most))
-            }
+        let definitions = Definitions::parse(&self.definitions).map_err(RulesError::Definitions)?;
+        let compiled = self.rules.iter().enumerate();
+        let compiled = compiled.map(|(index, rule)| self.compile_rule(index + 1, rule, &definitions));
+        let rules = Rules(compiled.collect::<Result<_, _>>()?);
+        match rules.max_cost() {
+            cost if cost > self.max_cost => Err(RulesError::Cost { cost, max: self.max_cost }),
             _ => Ok(rules),
         }
     }
+
+    /// Compiles the rule with a number, from 1.
+    fn compile_rule(
+        &self,
+        number: usize,
+        rule: &RuleConfig,
+        definitions: &Definitions,
+    ) -> Result<Rule, RulesError> {
+        let compile = |field, text: &str, expected| -> Result<Program, RulesError> {
+            let compiled = definitions.compile(text, expected, self.max_cost);
+            compiled.map_err(|source| RulesError::Rule { number, field, source })
+        };
+        Ok(Rule {
+            when: compile("when", &rule.when, Type::Bool)?,
+            class: compile("class", &rule.class, Type::Str)?,
+            object: compile("object", &rule.object, Type::Key)?,
+            part: compile("part", &rule.part, Type::Int)?,
+            group: compile("group", &rule.group, Type::Int)?,
+        })
+    }
 }
--- a/src/rules/evaluator.rs
+++ b/src/rules/evaluator.rs
@@ -1,10 +1,16 @@
-//! A program on a request. No I/O. It can only end: a program is a tree without loops, and each node is looked at once.
+//! Evaluation of programs on requests. No I/O. A program is a tree without loops, and each node is evaluated at most
+//! once.
 
-use super::parser::Op;
-use super::type_check::{Function, Input, Node, Program};
+use super::parser::BinaryOperator;
+use super::program::{Function, Input, Node, Program};
+use crate::text::hex16;
 use crate::wire::http::HttpRequest;
 use sha2::{Digest, Sha256};
 use std::borrow::Cow;
+use thiserror::Error;
+
+/// The most digits of a number in a text.
+const MAX_DIGITS: usize = 9;
 
 /// A value.
 #[derive(Clone, Debug, PartialEq)]
@@ -13,199 +19,228 @@
     Bool(bool),
     /// A whole number.
     Int(i64),
-    /// An object's key.
+    /// The key of an object.
     Key(u64),
     /// A text.
     Str(Cow<'r, str>),
 }
 
-/// A value could not be had: a text that is no number, a header that came twice. The request is at fault, never the
-/// program.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Failed;
+/// The request has no such value: for instance a text that is no number, or a header that is repeated.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+#[error("the request has no such value")]
+pub struct EvaluationError;
+
+/// The result of an evaluation.
+type Evaluation<T> = Result<T, EvaluationError>;
 
-/// Runs a program on a request; counts its steps, about one for a byte that is looked at.
-pub fn run<'r>(program: &'r Program, request: &'r HttpRequest, steps: &mut u64) -> Result<Value<'r>, Failed> {
-    Run { request, locals: Vec::new(), steps }.node(&program.root)
+/// Evaluates a program on a request. Adds its cost to `steps`: about one for each byte that is read or written, and one
+/// for each node.
+pub fn evaluate<'r>(
+    program: &'r Program,
+    request: &'r HttpRequest,
+    steps: &mut u64,
+) -> Evaluation<Value<'r>> {
+    Evaluator { request, locals: Vec::new(), steps }.value(&program.root)
 }
 
-struct Run<'r, 's> {
+struct Evaluator<'r, 's> {
     request: &'r HttpRequest,
+    /// The values of the enclosing `let`s, outermost first.
     locals: Vec<Value<'r>>,
     steps: &'s mut u64,
 }
 
-fn is<'r, T>(value: Option<T>) -> Result<T, Failed>
-where
-    T: 'r,
-{
-    value.ok_or(Failed)
-}
-
-impl<'r> Run<'r, '_> {
-    fn bool(&mut self, node: &'r Node) -> Result<bool, Failed> {
-        match self.node(node)? {
+impl<'r> Evaluator<'r, '_> {
+    fn bool(&mut self, node: &'r Node) -> Evaluation<bool> {
+        match self.value(node)? {
             Value::Bool(value) => Ok(value),
-            _ => Err(Failed),
+            _ => Err(EvaluationError),
         }
     }
 
-    fn int(&mut self, node: &'r Node) -> Result<i64, Failed> {
-        match self.node(node)? {
+    fn int(&mut self, node: &'r Node) -> Evaluation<i64> {
+        match self.value(node)? {
             Value::Int(value) => Ok(value),
-            _ => Err(Failed),
+            _ => Err(EvaluationError),
         }
     }
 
-    fn str(&mut self, node: &'r Node) -> Result<Cow<'r, str>, Failed> {
-        match self.node(node)? {
+    fn str(&mut self, node: &'r Node) -> Evaluation<Cow<'r, str>> {
+        match self.value(node)? {
             Value::Str(value) => Ok(value),
-            _ => Err(Failed),
+            _ => Err(EvaluationError),
         }
     }
 
-    fn node(&mut self, node: &'r Node) -> Result<Value<'r>, Failed> {
+    /// A text that is read completely.
+    fn read_str(&mut self, node: &'r Node) -> Evaluation<Cow<'r, str>> {
+        let text = self.str(node)?;
+        *self.steps += text.len() as u64;
+        Ok(text)
+    }
+
+    fn value(&mut self, node: &'r Node) -> Evaluation<Value<'r>> {
         *self.steps += 1;
         Ok(match node {
             Node::Bool(value) => Value::Bool(*value),
             Node::Int(value) => Value::Int(*value),
             Node::Str(text) => Value::Str(Cow::Borrowed(text)),
-            Node::Input(input) => {
-                let (path, query) = self.request.target.split_once('?').unwrap_or((&self.request.target, ""));
-                Value::Str(Cow::Borrowed(match input {
-                    Input::Method => &self.request.method,
-                    Input::Path => path,
-                    Input::Query => query,
-                }))
-            }
-            Node::Header(name) => {
-                *self.steps += self.request.headers.len() as u64;
-                Value::Str(Cow::Borrowed(self.request.single(name).map_err(|_| Failed)?.unwrap_or("")))
-            }
-            Node::Has(name) => {
-                *self.steps += self.request.headers.len() as u64;
-                Value::Bool(self.request.headers.iter().any(|(n, _)| n == name))
-            }
-            Node::Local(place) => {
-                let value = is(self.locals.get(*place).cloned())?;
-                if let Value::Str(Cow::Owned(text)) = &value {
-                    *self.steps += text.len() as u64;
-                }
-                value
-            }
+            Node::Input(input) => Value::Str(Cow::Borrowed(self.input(*input))),
+            Node::Header(name) => Value::Str(Cow::Borrowed(self.header(name)?)),
+            Node::HasHeader(name) => Value::Bool(self.has_header(name)),
+            Node::Local(index) => self.local(*index)?,
             Node::Call(function, arguments) => self.call(*function, arguments)?,
-            Node::Try(first, second) => {
-                let depth = self.locals.len();
-                match self.node(first) {
-                    Ok(value) => value,
-                    Err(Failed) => {
-                        self.locals.truncate(depth);
-                        self.node(second)?
-                    }
-                }
-            }
-            Node::Not(inner) => Value::Bool(!self.bool(inner)?),
-            Node::Neg(inner) => Value::Int(is(self.int(inner)?.checked_neg())?),
-            Node::Logic(and, left, right) => {
-                let left = self.bool(left)?;
-                Value::Bool(if left == *and { self.bool(right)? } else { left })
-            }
-            Node::Compare(op, left, right) => {
-                let (left, right) = (self.node(left)?, self.node(right)?);
-                if let (Value::Str(a), Value::Str(b)) = (&left, &right) {
-                    *self.steps += a.len().min(b.len()) as u64;
-                }
-                Value::Bool(match (op, &left, &right) {
-                    (Op::Eq, a, b) => a == b,
-                    (Op::Ne, a, b) => a != b,
-                    (Op::Lt, Value::Int(a), Value::Int(b)) => a < b,
-                    (Op::Le, Value::Int(a), Value::Int(b)) => a <= b,
-                    (Op::Gt, Value::Int(a), Value::Int(b)) => a > b,
-                    (Op::Ge, Value::Int(a), Value::Int(b)) => a >= b,
-                    _ => return Err(Failed),
-                })
-            }
-            Node::Sum(op, left, right) => {
-                let (a, b) = (self.int(left)?, self.int(right)?);
-                Value::Int(is(if *op == Op::Add { a.checked_add(b) } else { a.checked_sub(b) })?)
-            }
+            Node::Try { first, fallback } => self.first_or(first, fallback)?,
+            Node::Not(operand) => Value::Bool(!self.bool(operand)?),
+            Node::Neg(operand) => Value::Int(self.int(operand)?.checked_neg().ok_or(EvaluationError)?),
+            Node::And(left, right) => Value::Bool(self.bool(left)? && self.bool(right)?),
+            Node::Or(left, right) => Value::Bool(self.bool(left)? || self.bool(right)?),
+            Node::Compare(operator, left, right) => Value::Bool(self.compare(*operator, left, right)?),
+            Node::Arithmetic(operator, left, right) => Value::Int(self.arithmetic(*operator, left, right)?),
             Node::Concat(left, right) => {
-                let (a, b) = (self.str(left)?, self.str(right)?);
-                *self.steps += (a.len() + b.len()) as u64;
-                Value::Str(Cow::Owned(a.into_owned() + &b))
+                let (left, right) = (self.str(left)?, self.str(right)?);
+                *self.steps += (left.len() + right.len()) as u64;
+                Value::Str(Cow::Owned(left.into_owned() + &right))
             }
-            Node::If(condition, yes, no) => {
-                let branch = if self.bool(condition)? { yes } else { no };
-                self.node(branch)?
+            Node::If { condition, then, otherwise } => {
+                let branch = if self.bool(condition)? { then } else { otherwise };
+                self.value(branch)?
             }
-            Node::Let(value, body) => {
-                let value = self.node(value)?;
+            Node::Let { value, body } => {
+                let value = self.value(value)?;
                 self.locals.push(value);
-                let body = self.node(body)?;
+                let body = self.value(body)?;
                 self.locals.pop();
                 body
             }
         })
     }
 
-    fn call(&mut self, function: Function, arguments: &'r [Node]) -> Result<Value<'r>, Failed> {
+    fn input(&self, input: Input) -> &'r str {
+        let (path, query) = self.request.target.split_once('?').unwrap_or((&self.request.target, ""));
+        match input {
+            Input::Method => &self.request.method,
+            Input::Path => path,
+            Input::Query => query,
+        }
+    }
+
+    fn header(&mut self, name: &str) -> Evaluation<&'r str> {
+        *self.steps += self.request.headers.len() as u64;
+        Ok(self.request.single(name).map_err(|_| EvaluationError)?.unwrap_or(""))
+    }
+
+    fn has_header(&mut self, name: &str) -> bool {
+        *self.steps += self.request.headers.len() as u64;
+        self.request.headers.iter().any(|(header, _)| header == name)
+    }
+
+    fn local(&mut self, index: usize) -> Evaluation<Value<'r>> {
+        let value = self.locals.get(index).cloned().ok_or(EvaluationError)?;
+        if let Value::Str(Cow::Owned(text)) = &value {
+            *self.steps += text.len() as u64;
+        }
+        Ok(value)
+    }
+
+    fn first_or(&mut self, first: &'r Node, fallback: &'r Node) -> Evaluation<Value<'r>> {
+        let depth = self.locals.len();
+        self.value(first).or_else(|EvaluationError| {
+            self.locals.truncate(depth);
+            self.value(fallback)
+        })
+    }
+
+    fn compare(&mut self, operator: BinaryOperator, left: &'r Node, right: &'r Node) -> Evaluation<bool> {
+        let (left, right) = (self.value(left)?, self.value(right)?);
+        if let (Value::Str(a), Value::Str(b)) = (&left, &right) {
+            *self.steps += a.len().min(b.len()) as u64;
+        }
+        Ok(match (operator, &left, &right) {
+            (BinaryOperator::Eq, a, b) => a == b,
+            (BinaryOperator::Ne, a, b) => a != b,
+            (BinaryOperator::Lt, Value::Int(a), Value::Int(b)) => a < b,
+            (BinaryOperator::Le, Value::Int(a), Value::Int(b)) => a <= b,
+            (BinaryOperator::Gt, Value::Int(a), Value::Int(b)) => a > b,
+            (BinaryOperator::Ge, Value::Int(a), Value::Int(b)) => a >= b,
+            _ => return Err(EvaluationError),
+        })
+    }
+
+    fn arithmetic(&mut self, operator: BinaryOperator, left: &'r Node, right: &'r Node) -> Evaluation<i64> {
+        let (a, b) = (self.int(left)?, self.int(right)?);
+        let result = if operator == BinaryOperator::Add { a.checked_add(b) } else { a.checked_sub(b) };
+        result.ok_or(EvaluationError)
+    }
+
+    fn call(&mut self, function: Function, arguments: &'r [Node]) -> Evaluation<Value<'r>> {
         if function == Function::Between {
-            let [low, value, high] = [1, 0, 2].map(|k| self.int(&arguments[k]));
-            let (value, low, high) = (value?, low?, high?);
-            return Ok(Value::Bool((low..=high).contains(&value)));
+            return self.between(arguments);
         }
-        let text = self.str(&arguments[0])?;
-        *self.steps += text.len() as u64;
-        let mut other = || {
-            let other = self.str(&arguments[1])?;
-            *self.steps += other.len() as u64;
-            Ok::<_, Failed>(other)
-        };
+        let text = self.read_str(&arguments[0])?;
         Ok(match function {
-            Function::Seg => {
-                let n = usize::try_from(self.int(&arguments[1])?).unwrap_or(0);
-                Value::Str(match text {
-                    Cow::Borrowed(text) => Cow::Borrowed(segment(text, n)),
-                    Cow::Owned(text) => Cow::Owned(segment(&text, n).to_string()),
-                })
+            Function::Segment => {
+                let number = usize::try_from(self.int(&arguments[1])?).unwrap_or(0);
+                Value::Str(slice(text, |text| segment(text, number)))
             }
-            Function::Segs => {
+            Function::SegmentCount => {
                 Value::Int(text.strip_prefix('/').map_or(0, |rest| rest.split('/').count() as i64))
             }
-            Function::Starts => Value::Bool(text.starts_with(&*other()?)),
-            Function::Ends => Value::Bool(text.ends_with(&*other()?)),
-            Function::Contains => Value::Bool(text.contains(&*other()?)),
-            Function::Strip => {
-                let prefix = other()?;
-                Value::Str(match text {
-                    Cow::Borrowed(text) => Cow::Borrowed(is(text.strip_prefix(&*prefix))?),
-                    Cow::Owned(text) => Cow::Owned(is(text.strip_prefix(&*prefix))?.to_string()),
-                })
+            Function::StartsWith => Value::Bool(text.starts_with(&*self.read_str(&arguments[1])?)),
+            Function::EndsWith => Value::Bool(text.ends_with(&*self.read_str(&arguments[1])?)),
+            Function::Contains => Value::Bool(text.contains(&*self.read_str(&arguments[1])?)),
+            Function::StripPrefix => {
+                let prefix = self.read_str(&arguments[1])?;
+                if !text.starts_with(&*prefix) {
+                    return Err(EvaluationError);
+                }
+                Value::Str(slice(text, |text| &text[prefix.len()..]))
             }
             Function::Default => {
-                let second = other()?;
-                Value::Str(if text.is_empty() { second } else { text })
-            }
-            Function::Len => Value::Int(text.len() as i64),
-            Function::Int => {
-                let plain = (1..=9).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_digit());
-                Value::Int(is(plain.then(|| text.parse().ok()).flatten())?)
-            }
-            Function::Hex => Value::Key(is(crate::wire::cache_codec::hex16(&text))?),
-            Function::Hash => {
-                let digest = Sha256::digest(text.as_bytes());
-                Value::Key(u64::from_be_bytes(digest[..8].try_into().expect("32 bytes")))
-            }
-            Function::Lower => Value::Str(Cow::Owned(text.to_ascii_lowercase())),
-            Function::Between => return Err(Failed),
+                let default = self.read_str(&arguments[1])?;
+                Value::Str(if text.is_empty() { default } else { text })
+            }
+            Function::Length => Value::Int(text.len() as i64),
+            Function::ParseInt => Value::Int(parse_int(&text)?),
+            Function::ParseHex => Value::Key(hex16(&text).ok_or(EvaluationError)?),
+            Function::Hash => Value::Key(hash(&text)),
+            Function::Lowercase => Value::Str(Cow::Owned(text.to_ascii_lowercase())),
+            Function::Between => return Err(EvaluationError),
         })
     }
+
+    /// `between(value, low, high)`. All arguments are evaluated before the first failure is returned.
+    fn between(&mut self, arguments: &'r [Node]) -> Evaluation<Value<'r>> {
+        let (low, value, high) = (self.int(&arguments[1]), self.int(&arguments[0]), self.int(&arguments[2]));
+        Ok(Value::Bool((low?..=high?).contains(&value?)))
+    }
+}
+
+/// A part of a text, borrowed where the text is.
+fn slice<'r>(text: Cow<'r, str>, part: impl Fn(&str) -> &str) -> Cow<'r, str> {
+    match text {
+        Cow::Borrowed(text) => Cow::Borrowed(part(text)),
+        Cow::Owned(text) => Cow::Owned(part(&text).to_string()),
+    }
+}
+
+/// The segment of a path with a number, from 1; empty where there is none.
+fn segment(path: &str, number: usize) -> &str {
+    let Some(rest) = path.strip_prefix('/').filter(|_| number > 0) else { return "" };
+    rest.split('/').nth(number - 1).unwrap_or("")
+}
+
+/// The number that a text of 1 to [`MAX_DIGITS`] decimal digits denotes.
+fn parse_int(text: &str) -> Evaluation<i64> {
+    let well_formed =
+        (1..=MAX_DIGITS).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_digit());
+    well_formed.then(|| text.parse().ok()).flatten().ok_or(EvaluationError)
 }
 
-/// The n-th step of a path, from 1; empty where there is none.
-fn segment(path: &str, n: usize) -> &str {
-    let Some(rest) = path.strip_prefix('/').filter(|_| n > 0) else { return "" };
-    rest.split('/').nth(n - 1).unwrap_or("")
+/// The first 8 bytes of a text's SHA-256.
+fn hash(text: &str) -> u64 {
+    let digest = Sha256::digest(text.as_bytes());
+    u64::from_be_bytes(digest[..8].try_into().expect("a digest has 32 bytes"))
 }
 
 #[cfg(test)]
--- a/src/rules/evaluator/tests.rs
+++ b/src/rules/evaluator/tests.rs
@@ -1,4 +1,6 @@
-use super::super::type_check::{Definitions, Type, MAX_LENGTH};
+use super::super::definitions::Definitions;
+use super::super::program::Type;
+use super::super::type_check::MAX_LENGTH;
 use super::*;
 use proptest::prelude::*;
 
@@ -7,23 +9,23 @@
     HttpRequest { method: "GET".into(), target: target.into(), headers, ..HttpRequest::default() }
 }
 
-fn value(text: &str, of: Type) -> Result<String, Failed> {
-    let definitions = Definitions::read(&[
+fn value(text: &str, expected: Type) -> Result<String, EvaluationError> {
+    let definitions = Definitions::parse(&[
         "slice(s: str) = int(strip(s, \"slice-\"))".to_string(),
         "twice(n: int, m: int) = let n = n + n in n + m".to_string(),
     ])
     .unwrap();
-    let program = definitions.compile(text, of, u64::MAX).unwrap();
+    let program = definitions.compile(text, expected, u64::MAX).unwrap();
     let request =
         request("/ops/clip/7f3a9c21e0b4d655/slice-3?a=1", &[("x-set", "17"), ("x-two", "1"), ("x-two", "2")]);
     let mut steps = 0;
-    let value = run(&program, &request, &mut steps);
-    assert!(steps <= program.cost, "{text}: {steps} steps of {}", program.cost);
+    let value = evaluate(&program, &request, &mut steps);
+    assert!(steps <= program.max_cost, "{text}: {steps} steps of {}", program.max_cost);
     value.map(|v| format!("{v:?}"))
 }
 
 #[test]
-fn expressions_say_what_they_should() {
+fn expressions_have_their_values() {
     for (text, want) in [
         (r#"seg(path, 2) == "clip" && segs(path) == 4 && query == "a=1" && method == "GET""#, true),
         (r#"slice(seg(path, 4)) == 3 && int(header("x-set")) == 17 && !has("x-none")"#, true),
@@ -42,16 +44,16 @@
         r#"strip(path, "/no") == "" "#,
         "9223372036854775807 + 1 == 0",
     ] {
-        assert_eq!(value(failing, Type::Bool), Err(Failed), "{failing}");
+        assert_eq!(value(failing, Type::Bool), Err(EvaluationError), "{failing}");
     }
     assert_eq!(value(r#"hash("")"#, Type::Key), Ok(format!("Key({})", 0xe3b0_c442_98fc_1c14u64)));
 }
 
-/// What could loop, grow or go wrong by its type is refused when it is read.
+/// Loops, unbounded growth and wrong types are rejected when an expression is compiled.
 #[test]
-fn what_could_loop_grow_or_mismatch_is_refused_when_it_is_read() {
-    let plain = Definitions::default();
-    for bad in [
+fn loops_unbounded_growth_and_wrong_types_are_rejected_at_compilation() {
+    let none = Definitions::default();
+    for invalid in [
         "1",
         "path",
         "method && true",
@@ -72,18 +74,18 @@
         "let x = 1 in y",
         "x",
     ] {
-        assert!(plain.compile(bad, Type::Bool, u64::MAX).is_err(), "{bad}");
+        assert!(none.compile(invalid, Type::Bool, u64::MAX).is_err(), "{invalid}");
     }
-    // A text that doubles with each line is refused long before it is long.
+    // A text that doubles with each `let` is rejected before it is built.
     let doubling = (0..40).map(|k| format!("let a{} = a{k} + a{k} in ", k + 1)).collect::<String>();
     let text = format!("let a0 = path in {doubling} a40 == path");
-    let reason = plain.compile(&text, Type::Bool, u64::MAX).unwrap_err().to_string();
-    assert!(reason.contains("length") && reason.contains(&MAX_LENGTH.to_string()), "{reason}");
-    // So are definitions that call themselves, through whatever others, and calls that multiply.
-    let read = |lines: &[&str]| Definitions::read(&lines.iter().map(|l| l.to_string()).collect::<Vec<_>>());
-    let reason = read(&["f(n: int) = g(n)", "g(n: int) = f(n) + 1"]).unwrap_err().to_string();
-    assert!(reason.contains("calls itself"), "{reason}");
-    assert!(read(&["f(n: int) = f(n)"]).is_err());
+    let error = none.compile(&text, Type::Bool, u64::MAX).unwrap_err().to_string();
+    assert!(error.contains("length") && error.contains(&MAX_LENGTH.to_string()), "{error}");
+    // So are definitions that call themselves, directly or through others, and calls that multiply.
+    let parse = |lines: &[&str]| Definitions::parse(&lines.iter().map(|l| l.to_string()).collect::<Vec<_>>());
+    let error = parse(&["f(n: int) = g(n)", "g(n: int) = f(n) + 1"]).unwrap_err().to_string();
+    assert!(error.contains("calls itself"), "{error}");
+    assert!(parse(&["f(n: int) = f(n)"]).is_err());
     let many: Vec<String> = (0..30)
         .map(|k| {
             if k == 0 {
@@ -93,9 +95,9 @@
             }
         })
         .collect();
-    let reason = Definitions::read(&many).unwrap_err().to_string();
-    assert!(reason.contains("nodes"), "{reason}");
-    for bad in [
+    let error = Definitions::parse(&many).unwrap_err().to_string();
+    assert!(error.contains("nodes"), "{error}");
+    for invalid in [
         "f",
         "f(x) = 1",
         "f(x: text) = 1",
@@ -104,10 +106,10 @@
         "f(x: int) = y",
         "1f() = 1",
     ] {
-        assert!(read(&[bad]).is_err(), "{bad}");
+        assert!(parse(&[invalid]).is_err(), "{invalid}");
     }
-    assert!(read(&["f() = 1", "f() = 2"]).is_err());
-    let costly = plain.compile(r#"contains(path, "a") && contains(path, "b")"#, Type::Bool, 20_000);
+    assert!(parse(&["f() = 1", "f() = 2"]).is_err());
+    let costly = none.compile(r#"contains(path, "a") && contains(path, "b")"#, Type::Bool, 20_000);
     assert!(costly.unwrap_err().to_string().contains("cost"));
 }
 
@@ -118,16 +120,16 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever a request brings, a program ends within the cost that was known before.
+    /// A program ends within its greatest cost, whatever the request.
     #[test]
-    fn no_request_costs_more_than_was_known(target in "/[a-z0-9/?-]{0,300}", set in "[0-9a-z]{0,40}") {
-        let definitions = Definitions::read(&["last(p: str) = seg(p, segs(p))".to_string()]).unwrap();
+    fn no_request_exceeds_the_greatest_cost(target in "/[a-z0-9/?-]{0,300}", set in "[0-9a-z]{0,40}") {
+        let definitions = Definitions::parse(&["last(p: str) = seg(p, segs(p))".to_string()]).unwrap();
         let text = r#"let x = lower(path) + header("x-set") in
             if contains(x, "clip") then hash(x + last(path)) else try(hex(seg(path, 2)), hash(query + x))"#;
         let program = definitions.compile(text, Type::Key, u64::MAX).unwrap();
         let request = request(&target, &[("x-set", &set)]);
         let mut steps = 0;
-        prop_assert!(run(&program, &request, &mut steps).is_ok());
-        prop_assert!(steps <= program.cost, "{} of {}", steps, program.cost);
+        prop_assert!(evaluate(&program, &request, &mut steps).is_ok());
+        prop_assert!(steps <= program.max_cost, "{} of {}", steps, program.max_cost);
     }
 }
--- /dev/null
+++ b/src/rules/lexer.rs
@@ -0,0 +1,103 @@
+//! The tokens of an expression. No I/O.
+
+use super::error::{SyntaxError, SyntaxErrorKind};
+use std::fmt;
+
+/// The longest expression, in bytes.
+pub const MAX_TEXT: usize = 4_096;
+
+/// The operators and punctuation, longer ones before those with which they begin.
+const SYMBOLS: [&str; 17] =
+    ["&&", "||", "==", "!=", "<=", ">=", "<", ">", "+", "-", "!", "(", ")", ",", "=", "|", "&"];
+
+/// A token.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) enum Token {
+    /// A whole number.
+    Int(i64),
+    /// A string literal, without its quotes and escapes.
+    Str(String),
+    /// A name or keyword.
+    Word(String),
+    /// An operator or punctuation.
+    Symbol(&'static str),
+    /// The end of the text.
+    End,
+}
+
+impl fmt::Display for Token {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Int(number) => write!(f, "`{number}`"),
+            Self::Str(text) => write!(f, "{text:?}"),
+            Self::Word(word) => write!(f, "`{word}`"),
+            Self::Symbol(symbol) => write!(f, "`{symbol}`"),
+            Self::End => f.write_str("the end"),
+        }
+    }
+}
+
+/// A token with its place.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct PlacedToken {
+    /// The byte at which it begins.
+    pub(super) at: usize,
+    pub(super) token: Token,
+}
+
+/// The tokens of a text, the last of them [`Token::End`].
+pub(super) fn tokenize(text: &str) -> Result<Vec<PlacedToken>, SyntaxError> {
+    if text.len() > MAX_TEXT {
+        return Err(SyntaxError { at: MAX_TEXT, kind: SyntaxErrorKind::TooLong });
+    }
+    let mut tokens = Vec::new();
+    let mut at = 0;
+    while let Some(first) = text[at..].chars().next() {
+        if first.is_ascii_whitespace() {
+            at += first.len_utf8();
+            continue;
+        }
+        let (token, length) = first_token(&text[at..], first).map_err(|kind| SyntaxError { at, kind })?;
+        tokens.push(PlacedToken { at, token });
+        at += length;
+    }
+    tokens.push(PlacedToken { at, token: Token::End });
+    Ok(tokens)
+}
+
+/// The first token of a text that begins with the character `first`, and its length in bytes.
+fn first_token(text: &str, first: char) -> Result<(Token, usize), SyntaxErrorKind> {
+    let prefix = |matches: fn(char) -> bool| &text[..text.find(|c| !matches(c)).unwrap_or(text.len())];
+    if first.is_ascii_digit() {
+        let digits = prefix(|c| c.is_ascii_alphanumeric());
+        let number = digits.parse().map_err(|_| SyntaxErrorKind::InvalidNumber)?;
+        return Ok((Token::Int(number), digits.len()));
+    }
+    if first.is_ascii_alphabetic() || first == '_' {
+        let word = prefix(|c| c.is_ascii_alphanumeric() || c == '_');
+        return Ok((Token::Word(word.to_string()), word.len()));
+    }
+    if first == '"' {
+        return string_literal(text);
+    }
+    let symbol = SYMBOLS.iter().find(|symbol| text.starts_with(**symbol));
+    let symbol = symbol.ok_or(SyntaxErrorKind::UnknownCharacter)?;
+    Ok((Token::Symbol(symbol), symbol.len()))
+}
+
+/// The string literal with which a text begins, and its length in bytes with quotes.
+fn string_literal(text: &str) -> Result<(Token, usize), SyntaxErrorKind> {
+    let mut value = String::new();
+    let mut chars = text.char_indices().skip(1);
+    while let Some((offset, c)) = chars.next() {
+        match c {
+            '"' => return Ok((Token::Str(value), offset + 1)),
+            '\\' => match chars.next() {
+                Some((_, escaped @ ('"' | '\\'))) => value.push(escaped),
+                _ => return Err(SyntaxErrorKind::InvalidEscape),
+            },
+            c => value.push(c),
+        }
+    }
+    Err(SyntaxErrorKind::UnterminatedString)
+}
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -1,18 +1,25 @@
-//! Expressions that say which class a request is of and what its keys are: typed, bounded in cost, compiled once when
-//! the operator file is read. What could loop or grow without limit is refused there, not while traffic runs.
+//! Routing rules: expressions over a request that give its class and keys. They are typed, compiled once when the
+//! operator file is read, and bounded in cost: loops and unbounded growth are rejected then, not while serving.
 //!
-//! | part | what it does | I/O |
+//! | module | concern | I/O |
 //! | --- | --- | --- |
-//! | [`parser`] | text to tree | none |
-//! | [`type_check`] | types, definitions without recursion, bounds of length and cost; the program that comes of it | none |
+//! | [`parser`], `lexer` | text to syntax tree | none |
+//! | [`definitions`] | functions of the operator file | none |
+//! | [`type_check`] | types, names, expansion of definitions, bounds of length and cost | none |
+//! | [`program`] | compiled expressions, types and built-in functions | none |
 //! | [`evaluator`] | a program on a request | none |
-//! | [`table`] | the rules of an operator file: the first that holds says class and keys | none |
+//! | [`table`] | the rules: the first that applies gives class and keys | none |
 //! | [`config`] | the operator file | a file |
+//! | [`error`] | errors with their places | none |
 //!
-//! The design note is `docs/design-rules.md`; operators read `docs/rules.md`.
+//! The design note is `docs/design-rules.md`, the operators' page `docs/rules.md`.
 
 pub mod config;
+pub mod definitions;
+pub mod error;
 pub mod evaluator;
+mod lexer;
 pub mod parser;
+pub mod program;
 pub mod table;
 pub mod type_check;
--- a/src/rules/parser.rs
+++ b/src/rules/parser.rs
@@ -1,172 +1,123 @@
-//! The expressions' syntax: text to tree. Precedence from the loosest: `if`/`let`, `||`, `&&`, comparisons (which do
-//! not chain), `+` and `-`, `!` and unary `-`, calls. No I/O.
+//! The syntax of expressions: text to syntax tree. Precedence from the lowest: `if` and `let`, `||`, `&&`, comparisons
+//! (which do not chain), `+` and `-`, `!` and unary `-`, calls. No I/O.
 
-use thiserror::Error;
+use super::error::{SyntaxError, SyntaxErrorKind};
+use super::lexer::{tokenize, PlacedToken, Token};
 
-/// The longest expression, in bytes.
-pub const MAX_TEXT: usize = 4_096;
-/// How deep expressions may nest.
+/// The greatest depth of nested expressions, and the most operators of one precedence in a row.
 pub const MAX_DEPTH: usize = 64;
+/// Words that are no names.
+const KEYWORDS: [&str; 5] = ["if", "then", "else", "let", "in"];
 
-/// What is wrong with a text, and at which byte.
-#[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("at byte {at}: {reason}")]
-pub struct BadSyntax {
-    /// Where.
-    pub at: usize,
-    /// What.
-    pub reason: String,
-}
-
-/// Operators with two sides.
+/// Operators with two operands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[allow(missing_docs)]
-pub enum Op {
+pub enum BinaryOperator {
+    /// `&&`
     And,
+    /// `||`
     Or,
+    /// `==`
     Eq,
+    /// `!=`
     Ne,
+    /// `<`
     Lt,
+    /// `<=`
     Le,
+    /// `>`
     Gt,
+    /// `>=`
     Ge,
+    /// `+`
     Add,
+    /// `-`
     Sub,
 }
 
-/// A tree, each node with the byte at which it begins.
+/// The binary operators by precedence, lowest first.
+const PRECEDENCE: [&[(&str, BinaryOperator)]; 4] = [
+    &[("||", BinaryOperator::Or)],
+    &[("&&", BinaryOperator::And)],
+    &[
+        ("==", BinaryOperator::Eq),
+        ("!=", BinaryOperator::Ne),
+        ("<=", BinaryOperator::Le),
+        (">=", BinaryOperator::Ge),
+        ("<", BinaryOperator::Lt),
+        (">", BinaryOperator::Gt),
+    ],
+    &[("+", BinaryOperator::Add), ("-", BinaryOperator::Sub)],
+];
+/// The precedence of comparisons.
+const COMPARISON: usize = 2;
+
+/// A syntax tree.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Tree {
-    /// Where its text begins.
+pub struct Expression {
+    /// The byte at which its text begins.
     pub at: usize,
-    /// What it is.
-    pub kind: Kind,
+    /// Its kind.
+    pub kind: ExpressionKind,
 }
 
-/// What a node is.
+/// The kinds of expressions.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
+pub enum ExpressionKind {
     /// `true`, `false`.
     Bool(bool),
     /// A whole number.
     Int(i64),
-    /// A text in double quotes.
+    /// A string literal.
     Str(String),
     /// A name.
     Name(String),
-    /// `name(argument, ...)`.
-    Call(String, Vec<Tree>),
+    /// `name(argument, …)`.
+    Call(String, Vec<Expression>),
     /// `! e`.
-    Not(Box<Tree>),
+    Not(Box<Expression>),
     /// `- e`.
-    Neg(Box<Tree>),
+    Neg(Box<Expression>),
     /// `a op b`.
-    Binary(Op, Box<Tree>, Box<Tree>),
-    /// `if c then a else b`.
-    If(Box<Tree>, Box<Tree>, Box<Tree>),
+    Binary(BinaryOperator, Box<Expression>, Box<Expression>),
+    /// `if condition then a else b`.
+    If(Box<Expression>, Box<Expression>, Box<Expression>),
     /// `let name = value in body`.
-    Let(String, Box<Tree>, Box<Tree>),
-}
-
-#[derive(Clone, Debug, PartialEq)]
-enum Token {
-    Int(i64),
-    Str(String),
-    Word(String),
-    Sign(&'static str),
-    End,
+    Let(String, Box<Expression>, Box<Expression>),
 }
 
-const SIGNS: [&str; 17] =
-    ["&&", "||", "==", "!=", "<=", ">=", "<", ">", "+", "-", "!", "(", ")", ",", "=", "|", "&"];
-
-fn tokens(text: &str) -> Result<Vec<(usize, Token)>, BadSyntax> {
-    if text.len() > MAX_TEXT {
-        return Err(BadSyntax { at: MAX_TEXT, reason: format!("longer than {MAX_TEXT} bytes") });
-    }
-    let (mut at, mut all) = (0, Vec::new());
-    while at < text.len() {
-        let rest = &text[at..];
-        let first = rest.chars().next().expect("not at the end");
-        let bad = |reason: &str| Err(BadSyntax { at, reason: reason.to_string() });
-        let run = |is: fn(char) -> bool| rest.find(|c| !is(c)).unwrap_or(rest.len());
-        let (token, n) = match first {
-            c if c.is_ascii_whitespace() => {
-                at += 1;
-                continue;
-            }
-            c if c.is_ascii_digit() => {
-                let n = run(|c| c.is_ascii_alphanumeric());
-                match rest[..n].parse() {
-                    Ok(number) => (Token::Int(number), n),
-                    Err(_) => return bad("no whole number, or one too large"),
-                }
-            }
-            c if c.is_ascii_alphabetic() || c == '_' => {
-                let n = run(|c| c.is_ascii_alphanumeric() || c == '_');
-                (Token::Word(rest[..n].to_string()), n)
-            }
-            '"' => {
-                let (mut value, mut chars, mut end) = (String::new(), rest.char_indices().skip(1), None);
-                while let Some((k, c)) = chars.next() {
-                    match c {
-                        '"' => {
-                            end = Some(k + 1);
-                            break;
-                        }
-                        '\\' => match chars.next() {
-                            Some((_, c @ ('"' | '\\'))) => value.push(c),
-                            _ => return bad("after a backslash only \\ and \" may come"),
-                        },
-                        c => value.push(c),
-                    }
-                }
-                match end {
-                    Some(n) => (Token::Str(value), n),
-                    None => return bad("a text without its end"),
-                }
-            }
-            _ => match SIGNS.iter().find(|sign| rest.starts_with(**sign)) {
-                Some(sign) => (Token::Sign(sign), sign.len()),
-                None => return bad("no sign of this language"),
-            },
-        };
-        all.push((at, token));
-        at += n;
+/// Parses an expression.
+pub fn parse(text: &str) -> Result<Expression, SyntaxError> {
+    let mut parser = Parser { tokens: tokenize(text)?, next: 0, depth: 0 };
+    let expression = parser.expression()?;
+    match parser.peek() {
+        Token::End => Ok(expression),
+        other => Err(parser.error(SyntaxErrorKind::TrailingToken { found: other.to_string() })),
     }
-    all.push((text.len(), Token::End));
-    Ok(all)
 }
 
 struct Parser {
-    tokens: Vec<(usize, Token)>,
+    tokens: Vec<PlacedToken>,
+    /// The index of the next token.
     next: usize,
     depth: usize,
 }
 
-/// Reads an expression.
-pub fn parse(text: &str) -> Result<Tree, BadSyntax> {
-    let mut parser = Parser { tokens: tokens(text)?, next: 0, depth: 0 };
-    let tree = parser.expression()?;
-    match parser.peek() {
-        Token::End => Ok(tree),
-        other => parser.fail(format!("{other:?} where the expression should end")),
-    }
-}
-
 impl Parser {
     fn peek(&self) -> &Token {
-        &self.tokens[self.next].1
+        &self.tokens[self.next].token
     }
 
+    /// The place of the next token.
     fn at(&self) -> usize {
-        self.tokens[self.next].0
+        self.tokens[self.next].at
     }
 
-    fn fail<T>(&self, reason: String) -> Result<T, BadSyntax> {
-        Err(BadSyntax { at: self.at(), reason })
+    /// An error at the next token.
+    fn error(&self, kind: SyntaxErrorKind) -> SyntaxError {
+        SyntaxError { at: self.at(), kind }
     }
 
+    /// Consumes the next token.
     fn take(&mut self) -> Token {
         let token = self.peek().clone();
         if token != Token::End {
@@ -175,135 +126,150 @@
         token
     }
 
-    fn sign(&mut self, sign: &str) -> bool {
-        let is = matches!(self.peek(), Token::Sign(s) if *s == sign);
-        self.next += usize::from(is);
-        is
+    /// Consumes a symbol, if it is next; whether it was.
+    fn take_symbol(&mut self, symbol: &str) -> bool {
+        let is_next = matches!(self.peek(), Token::Symbol(s) if *s == symbol);
+        self.next += usize::from(is_next);
+        is_next
     }
 
-    fn word(&mut self, word: &str) -> bool {
-        let is = matches!(self.peek(), Token::Word(w) if w == word);
-        self.next += usize::from(is);
-        is
+    /// Consumes a keyword, if it is next; whether it was.
+    fn take_keyword(&mut self, keyword: &str) -> bool {
+        let is_next = matches!(self.peek(), Token::Word(word) if word == keyword);
+        self.next += usize::from(is_next);
+        is_next
     }
 
-    fn must(&mut self, what: &str, found: bool) -> Result<(), BadSyntax> {
-        if found {
-            return Ok(());
+    fn expect_symbol(&mut self, expected: &'static str) -> Result<(), SyntaxError> {
+        match self.take_symbol(expected) {
+            true => Ok(()),
+            false => Err(self.error(SyntaxErrorKind::Expected { expected })),
         }
-        self.fail(format!("{what:?} should come here"))
     }
 
-    fn expression(&mut self) -> Result<Tree, BadSyntax> {
+    fn expect_keyword(&mut self, expected: &'static str) -> Result<(), SyntaxError> {
+        match self.take_keyword(expected) {
+            true => Ok(()),
+            false => Err(self.error(SyntaxErrorKind::Expected { expected })),
+        }
+    }
+
+    fn descend(&mut self) -> Result<(), SyntaxError> {
         self.depth += 1;
-        if self.depth > MAX_DEPTH {
-            return self.fail(format!("nested deeper than {MAX_DEPTH}"));
+        match self.depth > MAX_DEPTH {
+            true => Err(self.error(SyntaxErrorKind::TooDeep)),
+            false => Ok(()),
         }
+    }
+
+    fn expression(&mut self) -> Result<Expression, SyntaxError> {
+        self.descend()?;
         let at = self.at();
-        let tree = if self.word("if") {
-            let condition = self.expression()?;
-            let found = self.word("then");
-            self.must("then", found)?;
-            let yes = self.expression()?;
-            let found = self.word("else");
-            self.must("else", found)?;
-            let no = self.expression()?;
-            Tree { at, kind: Kind::If(condition.into(), yes.into(), no.into()) }
-        } else if self.word("let") {
-            let Token::Word(name) = self.take() else { return self.fail("a name should come here".into()) };
-            let found = self.sign("=");
-            self.must("=", found)?;
-            let value = self.expression()?;
-            let found = self.word("in");
-            self.must("in", found)?;
-            let body = self.expression()?;
-            Tree { at, kind: Kind::Let(name, value.into(), body.into()) }
+        let expression = if self.take_keyword("if") {
+            Expression { at, kind: self.conditional()? }
+        } else if self.take_keyword("let") {
+            Expression { at, kind: self.binding()? }
         } else {
             self.binary(0)?
         };
         self.depth -= 1;
-        Ok(tree)
+        Ok(expression)
+    }
+
+    /// The rest of a conditional after `if`.
+    fn conditional(&mut self) -> Result<ExpressionKind, SyntaxError> {
+        let condition = self.expression()?;
+        self.expect_keyword("then")?;
+        let then = self.expression()?;
+        self.expect_keyword("else")?;
+        let otherwise = self.expression()?;
+        Ok(ExpressionKind::If(condition.into(), then.into(), otherwise.into()))
+    }
+
+    /// The rest of a binding after `let`.
+    fn binding(&mut self) -> Result<ExpressionKind, SyntaxError> {
+        let Token::Word(name) = self.take() else {
+            return Err(self.error(SyntaxErrorKind::ExpectedName));
+        };
+        self.expect_symbol("=")?;
+        let value = self.expression()?;
+        self.expect_keyword("in")?;
+        let body = self.expression()?;
+        Ok(ExpressionKind::Let(name, value.into(), body.into()))
     }
 
-    fn binary(&mut self, level: usize) -> Result<Tree, BadSyntax> {
-        const LEVELS: [&[(&str, Op)]; 4] = [
-            &[("||", Op::Or)],
-            &[("&&", Op::And)],
-            &[("==", Op::Eq), ("!=", Op::Ne), ("<=", Op::Le), (">=", Op::Ge), ("<", Op::Lt), (">", Op::Gt)],
-            &[("+", Op::Add), ("-", Op::Sub)],
-        ];
-        let Some(operators) = LEVELS.get(level) else { return self.unary() };
-        let (at, mut left) = (self.at(), self.binary(level + 1)?);
-        let mut sides = 1;
-        while let Some((_, op)) = operators.iter().find(|(sign, _)| self.sign(sign)) {
-            if level == 2 && sides == 2 {
-                return self.fail("comparisons do not chain".into());
+    /// Binary operators of a precedence or higher. A chain nests to the left, so its length is bounded like the depth.
+    fn binary(&mut self, precedence: usize) -> Result<Expression, SyntaxError> {
+        let Some(operators) = PRECEDENCE.get(precedence) else { return self.unary() };
+        let at = self.at();
+        let mut left = self.binary(precedence + 1)?;
+        let mut operands = 1;
+        while let Some((_, operator)) = operators.iter().find(|(symbol, _)| self.take_symbol(symbol)) {
+            if precedence == COMPARISON && operands == 2 {
+                return Err(self.error(SyntaxErrorKind::ChainedComparison));
             }
-            let right = self.binary(level + 1)?;
-            left = Tree { at, kind: Kind::Binary(*op, left.into(), right.into()) };
-            sides += 1;
-            // Long chains nest as well, to the left.
-            if sides > MAX_DEPTH {
-                return self.fail(format!("more than {MAX_DEPTH} operators in a row"));
+            let right = self.binary(precedence + 1)?;
+            left = Expression { at, kind: ExpressionKind::Binary(*operator, left.into(), right.into()) };
+            operands += 1;
+            if operands > MAX_DEPTH {
+                return Err(self.error(SyntaxErrorKind::TooManyOperators));
             }
         }
         Ok(left)
     }
 
-    fn unary(&mut self) -> Result<Tree, BadSyntax> {
+    fn unary(&mut self) -> Result<Expression, SyntaxError> {
         let at = self.at();
-        self.depth += 1;
-        if self.depth > MAX_DEPTH {
-            return self.fail(format!("nested deeper than {MAX_DEPTH}"));
-        }
-        let tree = if self.sign("!") {
-            Tree { at, kind: Kind::Not(self.unary()?.into()) }
-        } else if self.sign("-") {
-            Tree { at, kind: Kind::Neg(self.unary()?.into()) }
+        self.descend()?;
+        let expression = if self.take_symbol("!") {
+            Expression { at, kind: ExpressionKind::Not(self.unary()?.into()) }
+        } else if self.take_symbol("-") {
+            Expression { at, kind: ExpressionKind::Neg(self.unary()?.into()) }
         } else {
             self.primary()?
         };
         self.depth -= 1;
-        Ok(tree)
+        Ok(expression)
     }
 
-    fn primary(&mut self) -> Result<Tree, BadSyntax> {
+    fn primary(&mut self) -> Result<Expression, SyntaxError> {
         let at = self.at();
         let kind = match self.take() {
-            Token::Int(number) => Kind::Int(number),
-            Token::Str(text) => Kind::Str(text),
-            Token::Word(word) if word == "true" || word == "false" => Kind::Bool(word == "true"),
-            Token::Word(word) if ["if", "then", "else", "let", "in"].contains(&word.as_str()) => {
+            Token::Int(number) => ExpressionKind::Int(number),
+            Token::Str(text) => ExpressionKind::Str(text),
+            Token::Word(word) if word == "true" || word == "false" => ExpressionKind::Bool(word == "true"),
+            Token::Word(word) if KEYWORDS.contains(&word.as_str()) => {
                 self.next -= 1;
-                return self.fail(format!("{word:?} can't stand here"));
-            }
-            Token::Word(name) if self.sign("(") => {
-                let mut arguments = Vec::new();
-                if !self.sign(")") {
-                    loop {
-                        arguments.push(self.expression()?);
-                        if self.sign(")") {
-                            break;
-                        }
-                        let found = self.sign(",");
-                        self.must(",", found)?;
-                    }
-                }
-                Kind::Call(name, arguments)
+                return Err(self.error(SyntaxErrorKind::UnexpectedKeyword(word)));
             }
-            Token::Word(name) => Kind::Name(name),
-            Token::Sign("(") => {
-                let tree = self.expression()?;
-                let found = self.sign(")");
-                self.must(")", found)?;
-                return Ok(tree);
+            Token::Word(name) if self.take_symbol("(") => ExpressionKind::Call(name, self.arguments()?),
+            Token::Word(name) => ExpressionKind::Name(name),
+            Token::Symbol("(") => {
+                let expression = self.expression()?;
+                self.expect_symbol(")")?;
+                return Ok(expression);
             }
             other => {
                 self.next = self.next.saturating_sub(usize::from(other != Token::End));
-                return self.fail(format!("{other:?} where a value should be"));
+                return Err(self.error(SyntaxErrorKind::ExpectedValue { found: other.to_string() }));
             }
         };
-        Ok(Tree { at, kind })
+        Ok(Expression { at, kind })
+    }
+
+    /// The arguments of a call after `(`, up to and with `)`.
+    fn arguments(&mut self) -> Result<Vec<Expression>, SyntaxError> {
+        let mut arguments = Vec::new();
+        if self.take_symbol(")") {
+            return Ok(arguments);
+        }
+        loop {
+            arguments.push(self.expression()?);
+            if self.take_symbol(")") {
+                return Ok(arguments);
+            }
+            self.expect_symbol(",")?;
+        }
     }
 }
 
--- a/src/rules/parser/tests.rs
+++ b/src/rules/parser/tests.rs
@@ -1,14 +1,15 @@
+use super::super::lexer::MAX_TEXT;
 use super::*;
 
 #[test]
-fn operators_bind_as_they_should() {
-    fn show(tree: &Tree) -> String {
-        match &tree.kind {
-            Kind::Not(a) => format!("(! {})", show(a)),
-            Kind::Neg(a) => format!("(- {})", show(a)),
-            Kind::Binary(op, a, b) => format!("({op:?} {} {})", show(a), show(b)),
-            Kind::If(a, b, c) => format!("(if {} {} {})", show(a), show(b), show(c)),
-            Kind::Let(name, a, b) => format!("(let {name} {} {})", show(a), show(b)),
+fn operators_have_their_precedence() {
+    fn show(expression: &Expression) -> String {
+        match &expression.kind {
+            ExpressionKind::Not(a) => format!("(! {})", show(a)),
+            ExpressionKind::Neg(a) => format!("(- {})", show(a)),
+            ExpressionKind::Binary(op, a, b) => format!("({op:?} {} {})", show(a), show(b)),
+            ExpressionKind::If(a, b, c) => format!("(if {} {} {})", show(a), show(b), show(c)),
+            ExpressionKind::Let(name, a, b) => format!("(let {name} {} {})", show(a), show(b)),
             other => format!("{other:?}"),
         }
     }
@@ -17,11 +18,13 @@
     assert_eq!(shape("!a && -1 + 2 < 3"), shape("(!a) && (((-1) + 2) < 3)"));
     assert_eq!(shape("if a then b else c || d"), shape("if a then b else (c || d)"));
     assert_eq!(shape("let x = 1 in x + x"), shape("let x = (1) in (x + x)"));
-    assert!(matches!(parse(r#"f("a\"\\é", g())"#).unwrap().kind, Kind::Call(_, args) if args.len() == 2));
+    assert!(
+        matches!(parse(r#"f("a\"\\é", g())"#).unwrap().kind, ExpressionKind::Call(_, args) if args.len() == 2)
+    );
 }
 
 #[test]
-fn what_cannot_be_read_is_told_with_its_place() {
+fn syntax_errors_have_their_place() {
     for (text, at) in [
         ("", 0),
         ("a b", 2),
@@ -39,8 +42,8 @@
         ("let 1 = 2 in 3", 5),
         ("then", 0),
     ] {
-        let bad = parse(text).expect_err(text);
-        assert!(bad.at.abs_diff(at) <= 2, "{text:?}: {bad}");
+        let error = parse(text).expect_err(text);
+        assert!(error.at.abs_diff(at) <= 2, "{text:?}: {error}");
     }
     for deep in [
         "(".repeat(5_000),
--- a/src/rules/table.rs
+++ b/src/rules/table.rs
@@ -1,14 +1,13 @@
-//! The rules of an operator file: the first whose condition holds says which class a request is of, and what its keys
-//! are. No I/O.
+//! The rules of an operator file: the first whose condition is true gives a request's class and keys. No I/O.
 
-use super::evaluator::{run, Failed, Value};
-use super::type_check::Program;
+use super::evaluator::{evaluate, EvaluationError, Value};
+use super::program::Program;
 use crate::wire::http::HttpRequest;
 
 /// A rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// Whether it is for a request; one that fails is not.
+    /// Whether it applies to a request; it does not where the evaluation fails.
     pub when: Program,
     /// The name of the class.
     pub class: Program,
@@ -20,7 +19,33 @@
     pub group: Program,
 }
 
-/// What a request asks for.
+impl Rule {
+    fn applies(&self, request: &HttpRequest, steps: &mut u64) -> bool {
+        matches!(evaluate(&self.when, request, steps), Ok(Value::Bool(true)))
+    }
+
+    fn target(&self, request: &HttpRequest, steps: &mut u64) -> Result<Target, EvaluationError> {
+        let Value::Str(class) = evaluate(&self.class, request, steps)? else { return Err(EvaluationError) };
+        let Value::Key(object) = evaluate(&self.object, request, steps)? else { return Err(EvaluationError) };
+        let part = evaluate_u32(&self.part, request, steps)?;
+        let group = evaluate_u32(&self.group, request, steps)?;
+        Ok(Target { class: class.into_owned(), object, part, group })
+    }
+
+    /// The greatest cost of [`Self::target`], in steps.
+    fn max_target_cost(&self) -> u64 {
+        self.class.max_cost + self.object.max_cost + self.part.max_cost + self.group.max_cost
+    }
+}
+
+fn evaluate_u32(program: &Program, request: &HttpRequest, steps: &mut u64) -> Result<u32, EvaluationError> {
+    match evaluate(program, request, steps)? {
+        Value::Int(number) => u32::try_from(number).map_err(|_| EvaluationError),
+        _ => Err(EvaluationError),
+    }
+}
+
+/// The class and keys of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The name of its class.
@@ -33,53 +58,36 @@
     pub group: u32,
 }
 
-/// What the rules say of a request.
+/// The result of the rules for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said {
-    /// What it asks for.
+pub enum Classification {
+    /// Its class and keys.
     Target(Target),
-    /// A rule is for it, and its keys can't be had of it.
+    /// A rule applies, but the request lacks a key or class.
     Malformed,
-    /// No rule is for it.
-    Nothing,
+    /// No rule applies.
+    NoMatch,
 }
 
-/// The rules.
+/// The rules in their order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules(pub Vec<Rule>);
 
 impl Rules {
-    /// What they say of a request; counts the steps.
-    pub fn of(&self, request: &HttpRequest, steps: &mut u64) -> Said {
-        for rule in &self.0 {
-            match run(&rule.when, request, steps) {
-                Ok(Value::Bool(true)) => {}
-                _ => continue,
-            }
-            return match Self::target(rule, request, steps) {
-                Ok(target) => Said::Target(target),
-                Err(Failed) => Said::Malformed,
-            };
-        }
-        Said::Nothing
-    }
-
-    fn target(rule: &Rule, request: &HttpRequest, steps: &mut u64) -> Result<Target, Failed> {
-        let Value::Str(class) = run(&rule.class, request, steps)? else { return Err(Failed) };
-        let Value::Key(object) = run(&rule.object, request, steps)? else { return Err(Failed) };
-        let mut number = |program| match run(program, request, steps)? {
-            Value::Int(n) => u32::try_from(n).map_err(|_| Failed),
-            _ => Err(Failed),
+    /// Classifies a request by the first rule that applies. Adds the cost to `steps`.
+    pub fn classify(&self, request: &HttpRequest, steps: &mut u64) -> Classification {
+        let Some(rule) = self.0.iter().find(|rule| rule.applies(request, steps)) else {
+            return Classification::NoMatch;
         };
-        let (part, group) = (number(&rule.part)?, number(&rule.group)?);
-        Ok(Target { class: class.into_owned(), object, part, group })
+        match rule.target(request, steps) {
+            Ok(target) => Classification::Target(target),
+            Err(EvaluationError) => Classification::Malformed,
+        }
     }
 
-    /// The greatest cost of any request, in steps.
-    pub fn cost(&self) -> u64 {
-        let own = |r: &Rule| r.class.cost + r.object.cost + r.part.cost + r.group.cost;
-        // Each condition may be asked; one rule says the rest.
-        let when: u64 = self.0.iter().map(|r| r.when.cost).sum();
-        when + self.0.iter().map(own).max().unwrap_or(0)
+    /// The greatest cost of a request, in steps: that of all conditions and of one rule's values.
+    pub fn max_cost(&self) -> u64 {
+        let conditions: u64 = self.0.iter().map(|rule| rule.when.max_cost).sum();
+        conditions + self.0.iter().map(Rule::max_target_cost).max().unwrap_or(0)
     }
 }
--- a/src/rules/type_check.rs
+++ b/src/rules/type_check.rs
@@ -1,492 +1,413 @@
-//! Types, definitions and bounds: from a tree to a program that can only end, within a cost that is known before any
-//! request comes. No I/O.
+//! Type checking, and compilation to programs that end within a known cost. No I/O.
 //!
-//! There are no loops; definitions are put in place of their calls, and one that calls itself, through whatever
-//! others, is refused. Each text has a longest length that follows from the bounds of a request, and each node a
-//! greatest cost in steps, about one for a byte that is looked at. What exceeds [`MAX_LENGTH`], [`MAX_NODES`] or the
-//! cost that is allowed is refused.
+//! There are no loops. Calls of definitions are replaced by their bodies, and a definition that calls itself, directly
+//! or through others, is rejected. The greatest length of each text follows from the limits of a request, and each node
+//! has a greatest cost. Programs beyond [`MAX_LENGTH`], [`MAX_NODES`], [`MAX_NESTING`] or the allowed cost are rejected.
 
-use super::parser::{parse, BadSyntax, Kind, Op, Tree};
-use std::collections::BTreeMap;
-use thiserror::Error;
+use super::definitions::{Definition, Definitions};
+use super::error::{CompileError, DefinitionError, Quantity, TypeError};
+use super::parser::{parse, BinaryOperator, Expression, ExpressionKind};
+use super::program::{Function, Input, Node, Program, Signature, Type};
+use crate::wire::http::{MAX_HEAD, MAX_HEADERS};
 
-/// The longest text that may come about, in bytes.
+/// The greatest length of a text, in bytes.
 pub const MAX_LENGTH: u64 = 65_536;
-/// The most nodes of a program, its definitions put in place.
+/// The most nodes of a program, with its definitions expanded.
 pub const MAX_NODES: usize = 4_096;
-/// How deep they may nest: a program's run needs as much of the stack.
-pub const MAX_NEST: usize = 160;
-/// The longest text that a request brings, in bytes: its whole head.
-const MAX_INPUT: u64 = crate::wire::http::MAX_HEAD as u64;
-/// The longest name of a header.
-const MAX_HEADER: usize = 64;
+/// The greatest depth of a program's nodes, which bounds the stack of its evaluation.
+pub const MAX_NESTING: usize = 160;
+/// The greatest length of a text from a request, in bytes: that of its head.
+const MAX_INPUT_LENGTH: u64 = MAX_HEAD as u64;
+/// The greatest length of a header's name, in bytes.
+const MAX_HEADER_NAME: usize = 64;
+/// The greatest cost of the search for a header, in steps: every header's name may be compared.
+const HEADER_COST: u64 = 1 + MAX_HEADERS as u64 * MAX_HEADER_NAME as u64;
 
-/// A value's type.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Type {
-    /// True or false.
-    Bool,
-    /// A whole number.
-    Int,
-    /// An object's key, 64 bits.
-    Key,
-    /// A text.
-    Str,
-}
-
-/// What is wrong with an expression.
-#[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum BadExpression {
-    /// It can't be read.
-    #[error("{0}")]
-    Syntax(#[from] BadSyntax),
-    /// It has no type, or another one than is wanted.
-    #[error("at byte {at}: {reason}")]
-    Type {
-        /// Where.
-        at: usize,
-        /// What.
-        reason: String,
-    },
-    /// A definition is none, or can't be used.
-    #[error("definition {name:?}: {reason}")]
-    Definition {
-        /// Its name.
-        name: String,
-        /// What.
-        reason: String,
-    },
-    /// It could grow or cost beyond what is allowed.
-    #[error("{what} may come to {came}, above {most}")]
-    Bound {
-        /// What.
-        what: &'static str,
-        /// How much.
-        came: u64,
-        /// How much may be.
-        most: u64,
-    },
-}
-
-/// What a request has.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Input {
-    /// The method.
-    Method,
-    /// The target up to its `?`.
-    Path,
-    /// What follows the `?`; empty without one.
-    Query,
-}
-
-/// Functions of values.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[allow(missing_docs)]
-pub enum Function {
-    Seg,
-    Segs,
-    Starts,
-    Ends,
-    Contains,
-    Strip,
-    Len,
-    Int,
-    Hex,
-    Hash,
-    Lower,
-    Between,
-    Default,
-}
+/// The form `header("name")`.
+const HEADER: &str = "header";
+/// The form `has("name")`.
+const HAS: &str = "has";
+/// The form `try(value, fallback)`.
+const TRY: &str = "try";
+/// Forms that look like calls of functions, and whose names are taken.
+pub(super) const FORMS: [&str; 3] = [HEADER, HAS, TRY];
 
-/// A node of a program.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Node {
-    /// A value.
-    Bool(bool),
-    /// A value.
-    Int(i64),
-    /// A value.
-    Str(String),
-    /// Of the request.
-    Input(Input),
-    /// A header's value; empty where it is absent, a failure where it comes twice.
-    Header(String),
-    /// Whether a header is there.
-    Has(String),
-    /// A name's value, by its place from the outermost.
-    Local(usize),
-    /// A function's value.
-    Call(Function, Vec<Node>),
-    /// The first, or where that fails the second.
-    Try(Box<Node>, Box<Node>),
-    /// Not.
-    Not(Box<Node>),
-    /// The negative.
-    Neg(Box<Node>),
-    /// Both, or either; the second only where it counts.
-    Logic(bool, Box<Node>, Box<Node>),
-    /// A comparison.
-    Compare(Op, Box<Node>, Box<Node>),
-    /// A sum or difference.
-    Sum(Op, Box<Node>, Box<Node>),
-    /// Two texts, one behind the other.
-    Concat(Box<Node>, Box<Node>),
-    /// One or the other.
-    If(Box<Node>, Box<Node>, Box<Node>),
-    /// A name for a value.
-    Let(Box<Node>, Box<Node>),
+/// Compiles an expression that must have a type, and cost at most `max_cost` steps.
+pub(super) fn compile(
+    definitions: &Definitions,
+    text: &str,
+    expected: Type,
+    max_cost: u64,
+) -> Result<Program, CompileError> {
+    let expression = parse(text)?;
+    let checked = Checker::new(definitions).expect(&expression, expected, &mut Vec::new())?;
+    check_limit(Quantity::Cost, checked.max_cost, max_cost)?;
+    Ok(Program {
+        root: checked.node,
+        value_type: checked.value_type,
+        max_cost: checked.max_cost,
+        max_length: checked.max_length,
+    })
 }
 
-/// A program with what is known of it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Program {
-    /// Its root.
-    pub root: Node,
-    /// Its value's type.
-    pub of: Type,
-    /// The greatest cost, in steps.
-    pub cost: u64,
-    /// The longest text that it gives, in bytes.
-    pub length: u64,
+/// Checks the body of a definition, with texts of the greatest length as arguments.
+pub(super) fn check_definition(
+    definitions: &Definitions,
+    name: &str,
+    definition: &Definition,
+) -> Result<(), CompileError> {
+    let mut checker = Checker { expanding: vec![name.to_string()], ..Checker::new(definitions) };
+    let parameters = definition.parameters.iter();
+    let mut scope = parameters.map(|p| Binding::new(&p.name, p.value_type, MAX_INPUT_LENGTH)).collect();
+    checker.check(&definition.body, &mut scope)?;
+    Ok(())
 }
 
-/// A definition: `name(parameter: type, ...) = body`.
-#[derive(Clone, Debug, PartialEq)]
-struct Definition {
-    parameters: Vec<(String, Type)>,
-    body: Tree,
+fn check_limit(quantity: Quantity, value: u64, limit: u64) -> Result<(), CompileError> {
+    match value > limit {
+        true => Err(CompileError::Limit { quantity, value, limit }),
+        false => Ok(()),
+    }
 }
 
-/// The definitions of a file.
-#[derive(Clone, Debug, Default)]
-pub struct Definitions(BTreeMap<String, Definition>);
-
-fn of_word(word: &str) -> Option<Type> {
-    [("bool", Type::Bool), ("int", Type::Int), ("key", Type::Key), ("str", Type::Str)]
-        .into_iter()
-        .find(|(name, _)| *name == word)
-        .map(|(_, of)| of)
+fn type_error<T>(at: usize, source: TypeError) -> Result<T, CompileError> {
+    Err(CompileError::Type { at, source })
 }
 
-fn is_name(text: &str) -> bool {
-    let plain = |c: u8| c.is_ascii_alphanumeric() || c == b'_';
-    !text.is_empty() && text.bytes().all(plain) && !text.as_bytes()[0].is_ascii_digit()
+/// A name in scope.
+#[derive(Clone, Debug)]
+struct Binding {
+    /// The name; empty where the present expression can't refer to it.
+    name: String,
+    value_type: Type,
+    max_length: u64,
 }
 
-impl Definitions {
-    /// Reads definitions, each used in those after and before it, but never in itself.
-    pub fn read(texts: &[String]) -> Result<Self, BadExpression> {
-        let mut all = Self::default();
-        for text in texts {
-            let head = text.split('(').next().unwrap_or_default().trim().to_string();
-            let bad =
-                |reason: &str| BadExpression::Definition { name: head.clone(), reason: reason.to_string() };
-            let (front, body) = text.split_once('=').ok_or_else(|| bad("`name(x: type) = body`"))?;
-            let front = front.trim().strip_suffix(')').and_then(|f| f.split_once('('));
-            let (name, list) = front.ok_or_else(|| bad("`name(x: type) = body`"))?;
-            let name = name.trim();
-            if !is_name(name) || function(name).is_some() || SPECIAL.contains(&name) {
-                return Err(bad("no name, or one that is taken"));
-            }
-            let mut parameters: Vec<(String, Type)> = Vec::new();
-            for one in list.split(',').map(str::trim).filter(|one| !one.is_empty()) {
-                let (word, of) = one.split_once(':').ok_or_else(|| bad("a parameter is `x: type`"))?;
-                let of = of_word(of.trim()).ok_or_else(|| bad("a type is bool, int, key or str"))?;
-                if !is_name(word.trim()) || parameters.iter().any(|(p, _)| p == word.trim()) {
-                    return Err(bad("a parameter's name is none, or comes twice"));
-                }
-                parameters.push((word.trim().to_string(), of));
-            }
-            let body = parse(body).map_err(|e| bad(&e.to_string()))?;
-            if all.0.insert(name.to_string(), Definition { parameters, body }).is_some() {
-                return Err(bad("it comes twice"));
-            }
-        }
-        for (name, definition) in &all.0 {
-            // Each is checked by itself, so that one that nobody calls is no hiding place.
-            let mut checker = Checker { all: &all, calling: vec![name.clone()], nodes: 0, nest: 0 };
-            let mut scope: Vec<Bound> =
-                definition.parameters.iter().map(|(p, of)| Bound::new(p, *of, MAX_INPUT)).collect();
-            checker.node(&definition.body, &mut scope).map_err(|e| match e {
-                own @ BadExpression::Definition { .. } => own,
-                other => BadExpression::Definition { name: name.clone(), reason: other.to_string() },
-            })?;
-        }
-        Ok(all)
+impl Binding {
+    fn new(name: &str, value_type: Type, max_length: u64) -> Self {
+        let max_length = if value_type == Type::Str { max_length } else { 0 };
+        Self { name: name.to_string(), value_type, max_length }
     }
 
-    /// Reads an expression that must give a type, and cost at most so many steps.
-    pub fn compile(&self, text: &str, want: Type, cost_most: u64) -> Result<Program, BadExpression> {
-        let tree = parse(text)?;
-        let mut checker = Checker { all: self, calling: Vec::new(), nodes: 0, nest: 0 };
-        let made = checker.node(&tree, &mut Vec::new())?;
-        if made.of != want {
-            let reason = format!("it gives {:?} where {want:?} is wanted", made.of);
-            return Err(BadExpression::Type { at: tree.at, reason });
-        }
-        if made.cost > cost_most {
-            return Err(BadExpression::Bound { what: "its cost in steps", came: made.cost, most: cost_most });
-        }
-        Ok(Program { root: made.node, of: made.of, cost: made.cost, length: made.length })
+    fn hidden(&self) -> Self {
+        Self { name: String::new(), ..self.clone() }
     }
 }
 
-/// Names that look like functions and are forms of their own.
-const SPECIAL: [&str; 3] = ["header", "has", "try"];
+/// The names in scope, outermost first. The index of a binding is that of its value at evaluation.
+type Scope = Vec<Binding>;
 
-/// A function with the types of its arguments and of its value.
-fn function(name: &str) -> Option<(Function, &'static [Type], Type)> {
-    use Type::{Bool, Int, Key, Str};
-    Some(match name {
-        "seg" => (Function::Seg, &[Str, Int], Str),
-        "segs" => (Function::Segs, &[Str], Int),
-        "starts" => (Function::Starts, &[Str, Str], Bool),
-        "ends" => (Function::Ends, &[Str, Str], Bool),
-        "contains" => (Function::Contains, &[Str, Str], Bool),
-        "strip" => (Function::Strip, &[Str, Str], Str),
-        "len" => (Function::Len, &[Str], Int),
-        "int" => (Function::Int, &[Str], Int),
-        "hex" => (Function::Hex, &[Str], Key),
-        "hash" => (Function::Hash, &[Str], Key),
-        "lower" => (Function::Lower, &[Str], Str),
-        "between" => (Function::Between, &[Int, Int, Int], Bool),
-        "default" => (Function::Default, &[Str, Str], Str),
-        _ => return None,
-    })
+/// A checked and compiled expression.
+struct Checked {
+    node: Node,
+    value_type: Type,
+    max_cost: u64,
+    max_length: u64,
 }
 
-/// A name in scope.
-#[derive(Clone, Debug)]
-struct Bound {
-    name: String,
-    of: Type,
-    length: u64,
-}
+impl Checked {
+    /// A node of cost 1 that is no text.
+    fn simple(node: Node, value_type: Type) -> Self {
+        Self { node, value_type, max_cost: 1, max_length: 0 }
+    }
 
-impl Bound {
-    fn new(name: &str, of: Type, length: u64) -> Self {
-        Self { name: name.to_string(), of, length: if of == Type::Str { length } else { 0 } }
+    fn with_cost(self, max_cost: u64) -> Self {
+        Self { max_cost, ..self }
     }
-}
 
-struct Made {
-    node: Node,
-    of: Type,
-    cost: u64,
-    length: u64,
+    fn with_length(self, max_length: u64) -> Self {
+        Self { max_length, ..self }
+    }
 }
 
 struct Checker<'a> {
-    all: &'a Definitions,
-    /// Definitions that are being put in place.
-    calling: Vec<String>,
+    definitions: &'a Definitions,
+    /// The names of the definitions that are being expanded, outermost first.
+    expanding: Vec<String>,
     nodes: usize,
-    nest: usize,
+    nesting: usize,
 }
 
-impl Checker<'_> {
-    fn node(&mut self, tree: &Tree, scope: &mut Vec<Bound>) -> Result<Made, BadExpression> {
-        self.nest += 1;
-        if self.nest > MAX_NEST {
-            let (came, most) = (self.nest as u64, MAX_NEST as u64);
-            return Err(BadExpression::Bound { what: "its depth", came, most });
-        }
-        let made = self.one(tree, scope);
-        self.nest -= 1;
-        made
+impl<'a> Checker<'a> {
+    fn new(definitions: &'a Definitions) -> Self {
+        Self { definitions, expanding: Vec::new(), nodes: 0, nesting: 0 }
     }
 
-    fn one(&mut self, tree: &Tree, scope: &mut Vec<Bound>) -> Result<Made, BadExpression> {
+    /// Checks an expression of any type.
+    fn check(&mut self, expression: &Expression, scope: &mut Scope) -> Result<Checked, CompileError> {
+        self.nesting += 1;
+        check_limit(Quantity::Depth, self.nesting as u64, MAX_NESTING as u64)?;
         self.nodes += 1;
-        if self.nodes > MAX_NODES {
-            let (came, most) = (self.nodes as u64, MAX_NODES as u64);
-            return Err(BadExpression::Bound { what: "its nodes", came, most });
+        check_limit(Quantity::Nodes, self.nodes as u64, MAX_NODES as u64)?;
+        let checked = self.check_kind(expression, scope)?;
+        self.nesting -= 1;
+        check_limit(Quantity::TextLength, checked.max_length, MAX_LENGTH)?;
+        Ok(checked)
+    }
+
+    /// Checks an expression that must have a type.
+    fn expect(
+        &mut self,
+        expression: &Expression,
+        expected: Type,
+        scope: &mut Scope,
+    ) -> Result<Checked, CompileError> {
+        let checked = self.check(expression, scope)?;
+        match checked.value_type {
+            found if found == expected => Ok(checked),
+            found => type_error(expression.at, TypeError::Mismatch { found, expected }),
         }
-        let at = tree.at;
-        let fail = |reason: String| Err(BadExpression::Type { at, reason });
-        let plain = |node, of| Made { node, of, cost: 1, length: 0 };
-        let made = match &tree.kind {
-            Kind::Bool(value) => plain(Node::Bool(*value), Type::Bool),
-            Kind::Int(value) => plain(Node::Int(*value), Type::Int),
-            Kind::Str(text) => {
-                Made { length: text.len() as u64, ..plain(Node::Str(text.clone()), Type::Str) }
-            }
-            Kind::Name(name) => {
-                if let Some(place) = scope.iter().rposition(|b| b.name == *name) {
-                    let Bound { of, length, .. } = scope[place];
-                    Made { length, cost: 1 + length, ..plain(Node::Local(place), of) }
-                } else {
-                    let input = match name.as_str() {
-                        "method" => Input::Method,
-                        "path" => Input::Path,
-                        "query" => Input::Query,
-                        _ => return fail(format!("nothing is named {name:?}")),
-                    };
-                    Made { length: MAX_INPUT, ..plain(Node::Input(input), Type::Str) }
-                }
+    }
+
+    fn check_kind(&mut self, expression: &Expression, scope: &mut Scope) -> Result<Checked, CompileError> {
+        let at = expression.at;
+        match &expression.kind {
+            ExpressionKind::Bool(value) => Ok(Checked::simple(Node::Bool(*value), Type::Bool)),
+            ExpressionKind::Int(value) => Ok(Checked::simple(Node::Int(*value), Type::Int)),
+            ExpressionKind::Str(text) => {
+                let node = Node::Str(text.clone());
+                Ok(Checked::simple(node, Type::Str).with_length(text.len() as u64))
             }
-            Kind::Call(name, arguments) => self.call(at, name, arguments, scope)?,
-            Kind::Not(inner) => {
-                let made = self.want(inner, Type::Bool, scope)?;
-                Made { cost: made.cost + 1, ..plain(Node::Not(made.node.into()), Type::Bool) }
+            ExpressionKind::Name(name) => check_name(at, name, scope),
+            ExpressionKind::Call(name, arguments) => self.check_call(at, name, arguments, scope),
+            ExpressionKind::Not(operand) => {
+                let operand = self.expect(operand, Type::Bool, scope)?;
+                let node = Node::Not(operand.node.into());
+                Ok(Checked::simple(node, Type::Bool).with_cost(operand.max_cost + 1))
             }
-            Kind::Neg(inner) => {
-                let made = self.want(inner, Type::Int, scope)?;
-                Made { cost: made.cost + 1, ..plain(Node::Neg(made.node.into()), Type::Int) }
+            ExpressionKind::Neg(operand) => {
+                let operand = self.expect(operand, Type::Int, scope)?;
+                let node = Node::Neg(operand.node.into());
+                Ok(Checked::simple(node, Type::Int).with_cost(operand.max_cost + 1))
             }
-            Kind::Binary(op, left, right) => self.binary(at, *op, left, right, scope)?,
-            Kind::If(condition, yes, no) => {
-                let condition = self.want(condition, Type::Bool, scope)?;
-                let yes = self.node(yes, scope)?;
-                let no = self.want(no, yes.of, scope)?;
-                Made {
-                    node: Node::If(condition.node.into(), yes.node.into(), no.node.into()),
-                    of: yes.of,
-                    cost: 1 + condition.cost + yes.cost.max(no.cost),
-                    length: yes.length.max(no.length),
-                }
+            ExpressionKind::Binary(operator, left, right) => {
+                self.check_binary(at, *operator, left, right, scope)
             }
-            Kind::Let(name, value, body) => {
-                let value = self.node(value, scope)?;
-                scope.push(Bound::new(name, value.of, value.length));
-                let body = self.node(body, scope);
-                scope.pop();
-                let body = body?;
-                let node = Node::Let(value.node.into(), body.node.into());
-                Made { node, of: body.of, cost: 1 + value.cost + body.cost, length: body.length }
+            ExpressionKind::If(condition, then, otherwise) => {
+                self.check_conditional(condition, then, otherwise, scope)
             }
-        };
-        if made.length > MAX_LENGTH {
-            let (came, most) = (made.length, MAX_LENGTH);
-            return Err(BadExpression::Bound { what: "a text's length in bytes", came, most });
+            ExpressionKind::Let(name, value, body) => self.check_let(name, value, body, scope),
         }
-        Ok(made)
     }
 
-    fn want(&mut self, tree: &Tree, of: Type, scope: &mut Vec<Bound>) -> Result<Made, BadExpression> {
-        let made = self.node(tree, scope)?;
-        if made.of != of {
-            let reason = format!("{:?} where {of:?} is wanted", made.of);
-            return Err(BadExpression::Type { at: tree.at, reason });
-        }
-        Ok(made)
+    fn check_conditional(
+        &mut self,
+        condition: &Expression,
+        then: &Expression,
+        otherwise: &Expression,
+        scope: &mut Scope,
+    ) -> Result<Checked, CompileError> {
+        let condition = self.expect(condition, Type::Bool, scope)?;
+        let then = self.check(then, scope)?;
+        let otherwise = self.expect(otherwise, then.value_type, scope)?;
+        Ok(Checked {
+            node: Node::If {
+                condition: condition.node.into(),
+                then: then.node.into(),
+                otherwise: otherwise.node.into(),
+            },
+            value_type: then.value_type,
+            max_cost: 1 + condition.max_cost + then.max_cost.max(otherwise.max_cost),
+            max_length: then.max_length.max(otherwise.max_length),
+        })
     }
 
-    fn call(
+    fn check_let(
         &mut self,
-        at: usize,
         name: &str,
-        arguments: &[Tree],
-        scope: &mut Vec<Bound>,
-    ) -> Result<Made, BadExpression> {
-        let fail = |reason: String| Err(BadExpression::Type { at, reason });
-        let count = |n: usize| {
-            let reason = format!("{name:?} takes {n}, not {}", arguments.len());
-            (arguments.len() == n).then_some(()).ok_or(BadExpression::Type { at, reason })
-        };
-        if name == "header" || name == "has" {
-            count(1)?;
-            let Kind::Str(header) = &arguments[0].kind else {
-                return fail(format!("{name:?} takes a header's name in quotes"));
-            };
-            let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
-            if header.is_empty() || header.len() > MAX_HEADER || !header.bytes().all(plain) {
-                return fail(format!("{header:?} is no header's name in lower case"));
+        value: &Expression,
+        body: &Expression,
+        scope: &mut Scope,
+    ) -> Result<Checked, CompileError> {
+        let value = self.check(value, scope)?;
+        scope.push(Binding::new(name, value.value_type, value.max_length));
+        let body = self.check(body, scope)?;
+        scope.pop();
+        Ok(Checked {
+            node: Node::Let { value: value.node.into(), body: body.node.into() },
+            value_type: body.value_type,
+            max_cost: 1 + value.max_cost + body.max_cost,
+            max_length: body.max_length,
+        })
+    }
+
+    fn check_binary(
+        &mut self,
+        at: usize,
+        operator: BinaryOperator,
+        left: &Expression,
+        right: &Expression,
+        scope: &mut Scope,
+    ) -> Result<Checked, CompileError> {
+        use BinaryOperator::{Add, And, Eq, Ge, Gt, Le, Lt, Ne, Or, Sub};
+        let left = self.check(left, scope)?;
+        let operand = left.value_type;
+        let right = self.expect(right, operand, scope)?;
+        let cost = 1 + left.max_cost + right.max_cost;
+        let text_length = left.max_length + right.max_length;
+        let (a, b) = (left.node.into(), right.node.into());
+        Ok(match (operator, operand) {
+            (And, Type::Bool) => Checked::simple(Node::And(a, b), Type::Bool).with_cost(cost),
+            (Or, Type::Bool) => Checked::simple(Node::Or(a, b), Type::Bool).with_cost(cost),
+            (Eq | Ne, _) => {
+                Checked::simple(Node::Compare(operator, a, b), Type::Bool).with_cost(cost + text_length)
             }
-            // Every header's name may be looked at.
-            let cost = 1 + crate::wire::http::MAX_HEADERS as u64 * MAX_HEADER as u64;
-            return Ok(match name {
-                "has" => Made { node: Node::Has(header.clone()), of: Type::Bool, cost, length: 0 },
-                _ => Made { node: Node::Header(header.clone()), of: Type::Str, cost, length: MAX_INPUT },
-            });
-        }
-        if name == "try" {
-            count(2)?;
-            let first = self.node(&arguments[0], scope)?;
-            let second = self.want(&arguments[1], first.of, scope)?;
-            return Ok(Made {
-                node: Node::Try(first.node.into(), second.node.into()),
-                of: first.of,
-                cost: 1 + first.cost + second.cost,
-                length: first.length.max(second.length),
-            });
-        }
-        if let Some((function, types, of)) = function(name) {
-            count(types.len())?;
-            let mut made = Vec::new();
-            for (argument, of) in arguments.iter().zip(types) {
-                made.push(self.want(argument, *of, scope)?);
+            (Lt | Le | Gt | Ge, Type::Int) => {
+                Checked::simple(Node::Compare(operator, a, b), Type::Bool).with_cost(cost)
             }
-            // Every byte of every text may be looked at, and those of the value written.
-            let bytes: u64 = made.iter().map(|m| m.length).sum();
-            let length = match (of, function) {
-                (Type::Str, Function::Default) => made.iter().map(|m| m.length).max().unwrap_or(0),
-                (Type::Str, _) => made[0].length,
-                _ => 0,
-            };
-            let cost = 1 + bytes + length + made.iter().map(|m| m.cost).sum::<u64>();
-            let node = Node::Call(function, made.into_iter().map(|m| m.node).collect());
-            return Ok(Made { node, of, cost, length });
+            (Add | Sub, Type::Int) => {
+                Checked::simple(Node::Arithmetic(operator, a, b), Type::Int).with_cost(cost)
+            }
+            (Add, Type::Str) => Checked::simple(Node::Concat(a, b), Type::Str)
+                .with_cost(cost + text_length)
+                .with_length(text_length),
+            _ => return type_error(at, TypeError::Operator { operator, operand }),
+        })
+    }
+
+    fn check_call(
+        &mut self,
+        at: usize,
+        name: &str,
+        arguments: &[Expression],
+        scope: &mut Scope,
+    ) -> Result<Checked, CompileError> {
+        match name {
+            HEADER | HAS => return check_header(at, name, arguments),
+            TRY => return self.check_try(at, arguments, scope),
+            _ => {}
         }
-        let Some(definition) = self.all.0.get(name) else {
-            return fail(format!("nothing is called {name:?}"));
-        };
-        if self.calling.iter().any(|caller| caller == name) {
-            let way = self.calling.join(" calls ");
-            return Err(BadExpression::Definition {
-                name: name.into(),
-                reason: format!("it calls itself: {way} calls {name}"),
-            });
+        if let Some(signature) = Signature::by_name(name) {
+            check_argument_count(at, name, signature.parameters.len(), arguments)?;
+            return self.check_function(&signature, arguments, scope);
         }
-        count(definition.parameters.len())?;
-        // Its body sees its parameters and the request alone: they come last, and nothing else by name.
-        let base = scope.len();
-        let (mut values, mut own, mut cost) = (Vec::new(), Vec::new(), 1);
-        for (argument, (parameter, of)) in arguments.iter().zip(&definition.parameters) {
-            let made = self.want(argument, *of, scope)?;
-            cost += made.cost + 1;
-            own.push(Bound::new(parameter, *of, made.length));
-            values.push(made.node);
-            // The next argument stands within this one's `let`: its places move on by one.
-            scope.push(Bound::new("", *of, made.length));
+        let Some(definition) = self.definitions.get(name) else {
+            return type_error(at, TypeError::UnknownFunction(name.to_string()));
+        };
+        if self.expanding.iter().any(|expanding| expanding == name) {
+            let chain = format!("{} calls {name}", self.expanding.join(" calls "));
+            let source = DefinitionError::Recursive { chain };
+            return Err(CompileError::Definition { name: name.to_string(), source });
         }
-        let hidden: Vec<Bound> = std::mem::take(scope);
-        scope.extend(hidden[..base].iter().map(|b| Bound { name: String::new(), ..b.clone() }));
-        scope.extend(own);
-        self.calling.push(name.to_string());
-        let body = self.node(&definition.body, scope);
-        self.calling.pop();
-        scope.clear();
-        scope.extend(hidden.into_iter().take(base));
-        let body = body?;
-        let node =
-            values.into_iter().rev().fold(body.node, |body, value| Node::Let(value.into(), body.into()));
-        Ok(Made { node, of: body.of, cost: cost + body.cost, length: body.length })
+        check_argument_count(at, name, definition.parameters.len(), arguments)?;
+        self.expand(name, definition, arguments, scope)
     }
 
-    fn binary(
+    fn check_try(
         &mut self,
         at: usize,
-        op: Op,
-        left: &Tree,
-        right: &Tree,
-        scope: &mut Vec<Bound>,
-    ) -> Result<Made, BadExpression> {
-        let left = self.node(left, scope)?;
-        let right = self.want(right, left.of, scope)?;
-        let (of, texts) = (left.of, left.length + right.length);
-        let cost = 1 + left.cost + right.cost;
-        let (a, b) = (left.node.into(), right.node.into());
-        let made = |node, of, cost, length| Ok(Made { node, of, cost, length });
-        match (op, of) {
-            (Op::And | Op::Or, Type::Bool) => made(Node::Logic(op == Op::And, a, b), Type::Bool, cost, 0),
-            (Op::Eq | Op::Ne, _) => made(Node::Compare(op, a, b), Type::Bool, cost + texts, 0),
-            (Op::Lt | Op::Le | Op::Gt | Op::Ge, Type::Int) => {
-                made(Node::Compare(op, a, b), Type::Bool, cost, 0)
-            }
-            (Op::Add | Op::Sub, Type::Int) => made(Node::Sum(op, a, b), Type::Int, cost, 0),
-            (Op::Add, Type::Str) => made(Node::Concat(a, b), Type::Str, cost + texts, texts),
-            _ => Err(BadExpression::Type { at, reason: format!("{op:?} is not for {of:?}") }),
+        arguments: &[Expression],
+        scope: &mut Scope,
+    ) -> Result<Checked, CompileError> {
+        check_argument_count(at, TRY, 2, arguments)?;
+        let first = self.check(&arguments[0], scope)?;
+        let fallback = self.expect(&arguments[1], first.value_type, scope)?;
+        Ok(Checked {
+            node: Node::Try { first: first.node.into(), fallback: fallback.node.into() },
+            value_type: first.value_type,
+            max_cost: 1 + first.max_cost + fallback.max_cost,
+            max_length: first.max_length.max(fallback.max_length),
+        })
+    }
+
+    /// Checks a call of a built-in function. Its cost is that every byte of its arguments is read and every byte of its
+    /// result written.
+    fn check_function(
+        &mut self,
+        signature: &Signature,
+        arguments: &[Expression],
+        scope: &mut Scope,
+    ) -> Result<Checked, CompileError> {
+        let mut checked = Vec::with_capacity(arguments.len());
+        for (argument, parameter) in arguments.iter().zip(signature.parameters) {
+            checked.push(self.expect(argument, *parameter, scope)?);
+        }
+        let lengths = checked.iter().map(|argument| argument.max_length);
+        let max_length = match (signature.result, signature.function) {
+            (Type::Str, Function::Default) => lengths.clone().max().unwrap_or(0),
+            (Type::Str, _) => checked[0].max_length,
+            _ => 0,
+        };
+        let argument_costs: u64 = checked.iter().map(|argument| argument.max_cost).sum();
+        let max_cost = 1 + lengths.sum::<u64>() + max_length + argument_costs;
+        let nodes = checked.into_iter().map(|argument| argument.node).collect();
+        let node = Node::Call(signature.function, nodes);
+        Ok(Checked { node, value_type: signature.result, max_cost, max_length })
+    }
+
+    /// Replaces the call of a definition by its body, within a `let` for each argument. The body can refer to the
+    /// parameters only, not to the names at the call.
+    fn expand(
+        &mut self,
+        name: &str,
+        definition: &Definition,
+        arguments: &[Expression],
+        scope: &mut Scope,
+    ) -> Result<Checked, CompileError> {
+        let caller_depth = scope.len();
+        let mut body_scope: Scope = scope.iter().map(Binding::hidden).collect();
+        let mut values = Vec::with_capacity(arguments.len());
+        let mut max_cost = 1;
+        for (argument, parameter) in arguments.iter().zip(&definition.parameters) {
+            let argument = self.expect(argument, parameter.value_type, scope)?;
+            max_cost += argument.max_cost + 1;
+            let binding = Binding::new(&parameter.name, parameter.value_type, argument.max_length);
+            // The next argument is within the `let` of this one, and can't refer to it.
+            scope.push(binding.hidden());
+            body_scope.push(binding);
+            values.push(argument.node);
         }
+        scope.truncate(caller_depth);
+        self.expanding.push(name.to_string());
+        let body = self.check(&definition.body, &mut body_scope)?;
+        self.expanding.pop();
+        let bind = |body: Node, value: Node| Node::Let { value: value.into(), body: body.into() };
+        Ok(Checked {
+            node: values.into_iter().rev().fold(body.node, bind),
+            value_type: body.value_type,
+            max_cost: max_cost + body.max_cost,
+            max_length: body.max_length,
+        })
+    }
+}
+
+/// Resolves a name: the innermost binding, or a property of the request.
+fn check_name(at: usize, name: &str, scope: &Scope) -> Result<Checked, CompileError> {
+    if let Some(index) = scope.iter().rposition(|binding| binding.name == name) {
+        let Binding { value_type, max_length, .. } = scope[index];
+        return Ok(Checked { node: Node::Local(index), value_type, max_cost: 1 + max_length, max_length });
+    }
+    match Input::by_name(name) {
+        Some(input) => Ok(Checked::simple(Node::Input(input), Type::Str).with_length(MAX_INPUT_LENGTH)),
+        None => type_error(at, TypeError::UnknownName(name.to_string())),
+    }
+}
+
+/// Checks `header("name")` or `has("name")`.
+fn check_header(at: usize, form: &str, arguments: &[Expression]) -> Result<Checked, CompileError> {
+    check_argument_count(at, form, 1, arguments)?;
+    let ExpressionKind::Str(header) = &arguments[0].kind else {
+        return type_error(at, TypeError::HeaderNotLiteral(form.to_string()));
+    };
+    let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
+    if header.is_empty() || header.len() > MAX_HEADER_NAME || !header.bytes().all(allowed) {
+        return type_error(at, TypeError::InvalidHeaderName(header.clone()));
+    }
+    let checked = match form {
+        HAS => Checked::simple(Node::HasHeader(header.clone()), Type::Bool),
+        _ => Checked::simple(Node::Header(header.clone()), Type::Str).with_length(MAX_INPUT_LENGTH),
+    };
+    Ok(checked.with_cost(HEADER_COST))
+}
+
+fn check_argument_count(
+    at: usize,
+    function: &str,
+    expected: usize,
+    arguments: &[Expression],
+) -> Result<(), CompileError> {
+    match arguments.len() {
+        found if found == expected => Ok(()),
+        found => type_error(at, TypeError::ArgumentCount { function: function.to_string(), expected, found }),
     }
 }
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -4,7 +4,7 @@
 use super::http::{HttpAnswer, HttpRequest};
 use super::listener::{Context, Front, Intake, Limits};
 use crate::engine::executor::Executor;
-use crate::rules::table::{Rules, Said, Target};
+use crate::rules::table::{Classification, Rules, Target};
 use crate::settings::PlatformSettings;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use std::cell::RefCell;
@@ -53,19 +53,21 @@
     }
 
     /// What a request asks for, as the platform spells it.
-    pub fn target(request: &HttpRequest) -> Said {
+    pub fn target(request: &HttpRequest) -> Classification {
         let path = request.target.split('?').next().unwrap_or_default();
         let Some(mut steps) = path.strip_prefix("/ops/").map(|rest| rest.split('/')) else {
-            return Said::Nothing;
+            return Classification::NoMatch;
+        };
+        let (Some(class), Some(object)) = (steps.next(), steps.next()) else {
+            return Classification::NoMatch;
         };
-        let (Some(class), Some(object)) = (steps.next(), steps.next()) else { return Said::Nothing };
         let part = match steps.next().map(|text| text.strip_prefix("slice-")) {
             None => Some(0),
-            Some(None) => return Said::Nothing,
+            Some(None) => return Classification::NoMatch,
             Some(Some(digits)) => whole(digits, u32::MAX),
         };
         if steps.next().is_some() {
-            return Said::Nothing;
+            return Classification::NoMatch;
         }
         let group = match request.single("x-set") {
             Ok(text) => text.map_or(Some(0), |text| whole(text, u32::MAX)),
@@ -73,9 +75,9 @@
         };
         match (hex16(object), part, group) {
             (Some(object), Some(part), Some(group)) => {
-                Said::Target(Target { class: class.to_string(), object, part, group })
+                Classification::Target(Target { class: class.to_string(), object, part, group })
             }
-            _ => Said::Malformed,
+            _ => Classification::Malformed,
         }
     }
 
@@ -91,18 +93,18 @@
         let unknown = || HttpAnswer::closing(404);
         let rules = self.rules.borrow().clone();
         let said = match &rules {
-            Some(rules) => rules.of(request, &mut 0),
+            Some(rules) => rules.classify(request, &mut 0),
             None => Self::target(request),
         };
         let Target { class, object, part, group } = match said {
-            Said::Target(target) => target,
-            Said::Malformed => {
+            Classification::Target(target) => target,
+            Classification::Malformed => {
                 // A class that nobody knows is told before what else is wrong.
                 let class = request.target.split(['/', '?']).nth(2).unwrap_or_default();
                 let known = rules.is_some() || env.class_index(class).is_some();
                 return Err(if known { bad() } else { unknown() });
             }
-            Said::Nothing => return Err(unknown()),
+            Classification::NoMatch => return Err(unknown()),
         };
         let class = env.class_index(&class).ok_or_else(unknown)?;
         if part > MAX_PART || group > MAX_GROUP {
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -1,10 +1,10 @@
-//! The rules' language against the platform's own code: the same class and keys for every request, a cost that is
-//! known before, and the program serving by rules of its own.
+//! The rules' language compared with the platform's code: the same class and keys for every request, within the known
+//! cost; and the program with rules of its own.
 
 mod stand_ins;
 
 use edge_proxy::rules::config::RulesConfig;
-use edge_proxy::rules::table::{Rules, Said};
+use edge_proxy::rules::table::{Classification, Rules};
 use edge_proxy::wire::http::HttpRequest;
 use edge_proxy::wire::platform::Platform;
 use rand::rngs::SmallRng;
@@ -20,7 +20,7 @@
     RulesConfig::read(Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/rules.json"))).unwrap().1
 }
 
-/// Requests as clients send them, and as they should not.
+/// Requests as clients send them, and malformed ones.
 fn request(rng: &mut SmallRng) -> HttpRequest {
     let mut pick = |list: &[&str]| list[rng.random_range(0..list.len())].to_string();
     let base = pick(&["/ops/", "/ops/", "/ops/", "/ops/", "/ops", "/op/", "ops/", "//ops/", ""]);
@@ -64,28 +64,28 @@
 fn the_deployed_rules_give_the_same_keys_as_the_code() {
     let rules = deployed();
     let mut rng = SmallRng::seed_from_u64(21);
-    let (mut targets, mut malformed, mut nothing) = (0, 0, 0);
+    let (mut targets, mut malformed, mut unmatched) = (0, 0, 0);
     for _ in 0..200_000 {
         let request = request(&mut rng);
         let mut steps = 0;
-        let (by_rules, by_code) = (rules.of(&request, &mut steps), Platform::target(&request));
-        // An `X-Set` that is there and empty is malformed for the code, and absent for `default`.
+        let (by_rules, by_code) = (rules.classify(&request, &mut steps), Platform::target(&request));
+        // An empty `X-Set` is malformed for the code, and absent for `default`.
         let empty = request.headers.iter().any(|(n, v)| n == "x-set" && v.is_empty());
         if !empty {
             assert_eq!(by_rules, by_code, "{request:?}");
         }
-        assert!(steps <= rules.cost(), "{steps} of {}", rules.cost());
+        assert!(steps <= rules.max_cost(), "{steps} of {}", rules.max_cost());
         match by_code {
-            Said::Target(_) => targets += 1,
-            Said::Malformed => malformed += 1,
-            Said::Nothing => nothing += 1,
+            Classification::Target(_) => targets += 1,
+            Classification::Malformed => malformed += 1,
+            Classification::NoMatch => unmatched += 1,
         }
     }
-    assert!(targets > 2_000 && malformed > 2_000 && nothing > 2_000, "{targets} {malformed} {nothing}");
+    assert!(targets > 2_000 && malformed > 2_000 && unmatched > 2_000, "{targets} {malformed} {unmatched}");
 }
 
 #[test]
-fn files_that_cannot_work_are_refused_with_the_rule_and_the_place() {
+fn invalid_files_are_rejected_with_the_rule_and_the_place() {
     let file = folder("rules-bad").join("rules.json");
     let check = |rule: &str, more: &str| {
         std::fs::write(&file, format!(r#"{{{more}"rules":[{rule}]}}"#)).unwrap();
@@ -109,10 +109,10 @@
     }
 }
 
-/// The program by rules of its own: other paths for the same classes, read again at SIGHUP; a file that can't be used
-/// changes nothing.
+/// The program with rules of its own: other paths for the same classes, reloaded at SIGHUP; an invalid file changes
+/// nothing.
 #[test]
-fn the_program_serves_by_its_rules() {
+fn the_program_classifies_requests_by_its_rules() {
     run(async {
         let dir = folder("rules-program");
         let fleet = SlowFleet::start(125, 4, 64, 2).await;
@@ -141,7 +141,7 @@
         while TcpStream::connect(listen).await.is_err() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let ask = |target: &'static str, id: u64| async move {
+        let get = |target: &'static str, id: u64| async move {
             let mut stream = TcpStream::connect(listen).await.unwrap();
             let text = format!(
                 "GET {target} HTTP/1.1\r\nHost: t\r\nX-Call-Id: {id:016x}\r\nConnection: close\r\n\r\n"
@@ -151,22 +151,22 @@
             stream.read_to_string(&mut answer).await.unwrap();
             answer.get(9..12).unwrap_or_default().to_string()
         };
-        assert_eq!(ask("/photos/Cat.jpg", 1).await, "200");
-        assert_eq!(ask("/ops/small-object/7f3a9c21e0b4d655", 2).await, "404", "the rules alone count");
+        assert_eq!(get("/photos/Cat.jpg", 1).await, "200");
+        assert_eq!(get("/ops/small-object/7f3a9c21e0b4d655", 2).await, "404", "only the rules apply");
         rules("/pictures/");
         program.signal("-HUP");
         let end = Instant::now() + Duration::from_secs(5);
         let mut id = 10;
-        while ask("/pictures/cat.jpg", id).await != "200" {
-            assert!(Instant::now() < end, "the rules were not read again");
+        while get("/pictures/cat.jpg", id).await != "200" {
+            assert!(Instant::now() < end, "the rules were not reloaded");
             id += 1;
         }
         std::fs::write(dir.join("rules.json"), r#"{"rules":[{"when":"1","class":"1","object":"1"}]}"#)
             .unwrap();
         program.signal("-HUP");
         tokio::time::sleep(Duration::from_millis(200)).await;
-        assert_eq!(ask("/pictures/cat.jpg", 99).await, "200", "the old rules stay");
+        assert_eq!(get("/pictures/cat.jpg", 99).await, "200", "the old rules remain in force");
         let log = std::fs::read_to_string(dir.join("proxy.log")).unwrap();
-        assert!(log.contains("the old rules stay") && log.contains("rule 1, `when`"), "{log}");
+        assert!(log.contains("the rules were not reloaded") && log.contains("rule 1, `when`"), "{log}");
     });
 }
