--- a/src/health_check/admin.rs
+++ b/src/health_check/admin.rs
@@ -5,8 +5,8 @@
 use super::health_status::EndpointHealth;
 use super::lease::InstanceId;
 use super::scheduler::SchedulerMetrics;
-use crate::wire::cache_codec::endpoint_text;
-use crate::wire::http::{HttpAnswer, HttpRequest};
+use crate::text::format_endpoint_id;
+use crate::wire::http::{HttpRequest, HttpResponse};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -30,15 +30,15 @@
 
 impl HealthChecker {
     /// Answers the admin call `GET /duties`. Returns none for other paths.
-    pub fn answer(&self, request: &HttpRequest) -> Option<HttpAnswer> {
+    pub fn answer(&self, request: &HttpRequest) -> Option<HttpResponse> {
         if request.target != STATUS_PATH {
             return None;
         }
         if request.method != "GET" {
-            return Some(HttpAnswer::status(405).with("Allow", "GET"));
+            return Some(HttpResponse::status(405).with("Allow", "GET"));
         }
         let body = simd_json::to_vec(&self.status()).unwrap_or_default();
-        let answer = HttpAnswer { body: body.into(), ..HttpAnswer::status(200) };
+        let answer = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
         Some(answer.with("Content-Type", "application/json"))
     }
 
@@ -50,7 +50,7 @@
             live_instances: scheduler.live_instances(self.now()).collect(),
             metrics: scheduler.metrics,
             rejected_datagrams: self.rejected_datagrams.get(),
-            endpoints: health.iter().map(|(id, health)| (endpoint_text(id), *health)).collect(),
+            endpoints: health.iter().map(|(id, health)| (format_endpoint_id(id), *health)).collect(),
         }
     }
 
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -11,7 +11,7 @@
 use crate::config_file::KeyFileError;
 use crate::datagram_auth::DatagramAuth;
 use crate::engine::executor::Executor;
-use crate::wire::cache_codec::endpoint_text;
+use crate::text::format_endpoint_id;
 use crate::EndpointId;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -172,7 +172,7 @@
         let changed = self.health.borrow_mut().apply(self.now(), result);
         if let Some(healthy) = changed {
             tracing::warn!(
-                endpoint = %endpoint_text(endpoint),
+                endpoint = %format_endpoint_id(endpoint),
                 healthy,
                 "health checks: an endpoint's health changed"
             );
--- a/src/lifecycle/engine_setup.rs
+++ b/src/lifecycle/engine_setup.rs
@@ -56,6 +56,6 @@
     for event in config.known.events().map_err(ServeError::field("known"))? {
         engine.apply_event(event);
     }
-    engine.skip_events_to(config.known.no);
+    engine.skip_events_to(config.known.last_number);
     Ok((engine, settings))
 }
--- a/src/registry/service.rs
+++ b/src/registry/service.rs
@@ -9,8 +9,8 @@
 use super::view::{EndpointView, Update, ViewMetrics};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
-use crate::text::endpoint_text;
-use crate::wire::http::{HttpAnswer, HttpRequest};
+use crate::text::format_endpoint_id;
+use crate::wire::http::{HttpRequest, HttpResponse};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -142,7 +142,7 @@
             );
         }
         for id in &update.draining {
-            tracing::info!(endpoint = %endpoint_text(*id), "registry: an endpoint is draining");
+            tracing::info!(endpoint = %format_endpoint_id(*id), "registry: an endpoint is draining");
         }
         let now_ms = self.host.clock.now();
         let changed = !update.is_empty();
@@ -174,13 +174,16 @@
 }
 
 /// Answers `GET /registry` at the admin address; `None` for any other path.
-pub fn answer(status: &Rc<RefCell<RegistryStatus>>, request: &HttpRequest) -> Option<HttpAnswer> {
+pub fn answer(status: &Rc<RefCell<RegistryStatus>>, request: &HttpRequest) -> Option<HttpResponse> {
     if request.target != "/registry" {
         return None;
     }
     if request.method != "GET" {
-        return Some(HttpAnswer::status(405).with("Allow", "GET"));
+        return Some(HttpResponse::status(405).with("Allow", "GET"));
     }
     let body = simd_json::to_vec(&*status.borrow()).unwrap_or_default();
-    Some(HttpAnswer { body: body.into(), ..HttpAnswer::status(200) }.with("Content-Type", "application/json"))
+    Some(
+        HttpResponse { body: body.into(), ..HttpResponse::status(200) }
+            .with("Content-Type", "application/json"),
+    )
 }
--- a/src/registry/view.rs
+++ b/src/registry/view.rs
@@ -12,9 +12,8 @@
 //! restored from an older copy and has begun a new history, in which a watch from the old revision would stay silent,
 //! so the next step is a full read as well.
 
-use crate::config_file::BoxError;
 use crate::endpoint_list::ListedEndpoint;
-use crate::wire::discovery_codec::Line;
+use crate::wire::discovery_json::{EndpointJson, EndpointJsonError};
 use crate::{EndpointId, EndpointState};
 use std::collections::BTreeMap;
 
@@ -68,7 +67,7 @@
     /// The key.
     pub key: String,
     /// What is wrong with the value.
-    pub error: BoxError,
+    pub error: EndpointJsonError,
 }
 
 /// A change of the endpoint list.
@@ -218,7 +217,7 @@
     fn read_entries(&mut self, values: Vec<KeyValue>, update: &mut Update) -> BTreeMap<String, Entry> {
         let mut entries = BTreeMap::new();
         for KeyValue { key, value, mod_revision } in values {
-            match Line::parse(&value) {
+            match EndpointJson::parse(&value) {
                 Ok(endpoint) => {
                     entries.insert(key, Entry { endpoint, revision: mod_revision });
                 }
@@ -276,7 +275,7 @@
     }
 
     fn put(&mut self, KeyValue { key, value, mod_revision }: KeyValue, update: &mut Update) {
-        let endpoint = match Line::parse(&value) {
+        let endpoint = match EndpointJson::parse(&value) {
             Ok(endpoint) => endpoint,
             Err(error) => return self.reject(key, error, update),
         };
@@ -299,9 +298,9 @@
         self.tombstones.insert(key, revision);
     }
 
-    fn reject(&mut self, key: String, error: impl Into<BoxError>, update: &mut Update) {
+    fn reject(&mut self, key: String, error: EndpointJsonError, update: &mut Update) {
         self.metrics.rejected_values += 1;
-        update.rejected.push(RejectedValue { key, error: error.into() });
+        update.rejected.push(RejectedValue { key, error });
     }
 
     /// Drops the older half of too many tombstones.
--- a/src/rules/evaluator.rs
+++ b/src/rules/evaluator.rs
@@ -3,7 +3,7 @@
 
 use super::parser::BinaryOperator;
 use super::program::{Function, Input, Node, Program};
-use crate::text::hex16;
+use crate::text::parse_hex16;
 use crate::wire::http::HttpRequest;
 use sha2::{Digest, Sha256};
 use std::borrow::Cow;
@@ -202,7 +202,7 @@
             }
             Function::Length => Value::Int(text.len() as i64),
             Function::ParseInt => Value::Int(parse_int(&text)?),
-            Function::ParseHex => Value::Key(hex16(&text).ok_or(EvaluationError)?),
+            Function::ParseHex => Value::Key(parse_hex16(&text).ok_or(EvaluationError)?),
             Function::Hash => Value::Key(hash(&text)),
             Function::Lowercase => Value::Str(Cow::Owned(text.to_ascii_lowercase())),
             Function::Between => return Err(EvaluationError),
