--- a/src/lifecycle/subsystem.rs
+++ b/src/lifecycle/subsystem.rs
@@ -5,7 +5,7 @@
 use super::error::ServeError;
 use crate::engine::executor::{Executor, MetricsSource};
 use crate::grpc::front::GrpcFront;
-use crate::registry::driver::RegistryStatus;
+use crate::registry::service::RegistryStatus;
 use crate::rules::table::Rules;
 use crate::vrrp::config::FrontKind;
 use crate::wire::admin::AdminHandler;
--- a/src/lifecycle/subsystems/registry.rs
+++ b/src/lifecycle/subsystems/registry.rs
@@ -2,7 +2,7 @@
 
 use crate::lifecycle::subsystem::{AdminCalls, Context, Starting, Subsystem};
 use crate::registry::config::RegistryConfig;
-use crate::registry::driver::{answer, keep, RegistryStatus};
+use crate::registry::service::{answer, run, RegistryStatus};
 use futures_util::future::{ready, FutureExt};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -26,7 +26,7 @@
         *context.registry.borrow_mut() = Some(self.status.clone());
         executor.with(|engine| engine.use_registry());
         tracing::info!(at = self.config.address, "endpoints come from the registry");
-        let client = keep(executor.clone(), self.config.clone(), self.status.clone(), context.seed);
+        let client = run(executor.clone(), self.config.clone(), self.status.clone(), context.seed);
         executor.spawn("the registry", client);
         ready(Ok(())).boxed_local()
     }
--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -89,7 +89,7 @@
     let (executor, rate) = (context.executor.clone(), RefCell::new(Rate::default()));
     let (registry, grpc) = (context.registry.borrow().clone(), context.grpc.borrow().clone());
     Box::new(move |what| match what {
-        What::Registry => ms_since(&executor, registry.as_ref()?.borrow().answered_ms),
+        What::Registry => ms_since(&executor, registry.as_ref()?.borrow().last_answer_ms),
         What::Grpc(pool) => grpc.as_ref()?.usable_share(pool),
         what => host_value(&executor, &rate, what),
     })
