--- a/src/admission/config.rs
+++ b/src/admission/config.rs
@@ -1,35 +1,61 @@
-//! The operator file of the door, `serve --door FILE`. Without it every request that a front takes goes to the
-//! engine at once, as before.
+//! The operator file of admission control, `serve --admission FILE`. Without it every request goes to the engine at
+//! once. The keys of the file are mapped to the names of this module here.
 
-use super::fair::{AdmissionBounds, ClientKey, Limit};
+use super::bounds::AdmissionBounds;
+use super::concurrency_limit::LimitSettings;
+use super::decision::{ClientKey, TenantId};
+use super::round_robin::Weights;
 use crate::config_file::{read_json, ConfigError, FieldError};
-use ahash::AHashMap;
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use iprange::IpRange;
 use serde::Deserialize;
+use std::collections::BTreeSet;
 use std::net::IpAddr;
+use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
-/// The concurrency limit as the file words it.
-#[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct LimitConfig {
-    /// Requests at once where it starts.
-    pub first: f64,
-    /// The least.
-    pub least: f64,
-    /// The most.
-    pub most: f64,
-    /// Whether it moves with outcomes.
-    #[serde(default)]
-    pub adaptive: bool,
+/// The weights that a tenant may have.
+const WEIGHTS: RangeInclusive<f64> = 0.01..=100.0;
+/// The highest concurrency limit, in requests.
+const MAX_LIMIT: f64 = 100_000.0;
+/// The most requests that may be queued.
+const MAX_QUEUED: usize = 1_000_000;
+/// The most bytes of bodies that may be queued.
+const MAX_QUEUED_BYTES: usize = 1 << 32;
+/// The most reservations that may be held.
+const MAX_RESERVATIONS: usize = 10_000_000;
+/// The longest retry-after time, in milliseconds.
+const MAX_RETRY_AFTER_MS: f64 = 3_600_000.0;
+/// The longest time before a deadline in which nothing is queued, in milliseconds.
+const MAX_MIN_SERVICE_MS: f64 = 60_000.0;
+/// The largest share of the limit that may be set aside for light clients.
+const MAX_LIGHT_CLIENT_SHARE: f64 = 0.9;
+/// Marks the keys of IPv4 clients, apart from those of IPv6 addresses.
+const IPV4_CLIENT: ClientKey = 1 << 96;
+
+/// What is wrong with a value of the file.
+#[derive(Debug, Error)]
+pub enum BadValue {
+    /// A tenant without groups, or with a weight out of bounds.
+    #[error("each has groups and a weight from 0.01 to 100")]
+    Tenant,
+    /// A group of two tenants.
+    #[error("group {0} stands in two tenants")]
+    GroupOfTwoTenants(u32),
+    /// A prefix longer than its addresses.
+    #[error("at most 32, and 128 for client_prefix_v6")]
+    Prefix,
+    /// A number out of its bounds, which the text gives.
+    #[error("out of bounds: {0}")]
+    OutOfBounds(&'static str),
 }
 
-/// Tenants that weigh other than the default, by the groups that are theirs.
+/// A tenant with a weight of its own.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantConfig {
-    /// The groups (`X-Set`, or the group of a signed link) that make up the tenant.
+    /// The groups (`X-Set`, or the group of a signed URL) that make up the tenant.
     pub groups: Vec<u32>,
     /// Its weight.
     pub weight: f64,
@@ -40,50 +66,50 @@
 #[serde(deny_unknown_fields)]
 pub struct AdmissionConfig {
     /// The concurrency limit.
-    pub limit: LimitConfig,
+    pub limit: LimitSettings,
     /// Requests queued at most.
-    #[serde(default = "queue_most")]
-    pub queue_most: usize,
+    #[serde(rename = "queue_most", default = "max_queued")]
+    pub max_queued: usize,
     /// Requests queued at most for one client.
-    #[serde(default = "per_client_most")]
-    pub per_client_most: usize,
+    #[serde(rename = "per_client_most", default = "max_queued_per_client")]
+    pub max_queued_per_client: usize,
     /// Requests queued at most for one tenant.
-    #[serde(default = "per_tenant_most")]
-    pub per_tenant_most: usize,
+    #[serde(rename = "per_tenant_most", default = "max_queued_per_tenant")]
+    pub max_queued_per_tenant: usize,
     /// Bytes of queued bodies at most.
-    #[serde(default = "bytes_most")]
-    pub bytes_most: usize,
-    /// Tickets held at most.
-    #[serde(default = "tickets_most")]
-    pub tickets_most: usize,
-    /// Share of the door's capacity that tickets may book.
-    #[serde(default = "ticket_share")]
-    pub ticket_share: f64,
-    /// Share of the limit kept for clients with nothing open and nothing waiting.
-    #[serde(default = "reserve_share")]
-    pub reserve_share: f64,
-    /// The least come-back told, in milliseconds.
-    #[serde(default = "come_back_least_ms")]
-    pub come_back_least_ms: f64,
-    /// The longest come-back told, in milliseconds.
-    #[serde(default = "come_back_most_ms")]
-    pub come_back_most_ms: f64,
-    /// Time left below which a request is not queued, in milliseconds.
-    #[serde(default = "least_service_ms")]
-    pub least_service_ms: f64,
+    #[serde(rename = "bytes_most", default = "max_queued_bytes")]
+    pub max_queued_bytes: usize,
+    /// Reservations held at most.
+    #[serde(rename = "tickets_most", default = "max_reservations")]
+    pub max_reservations: usize,
+    /// The share of the capacity that reservations may take.
+    #[serde(rename = "ticket_share", default = "reservation_share")]
+    pub reservation_share: f64,
+    /// The share of the limit that only clients with nothing in flight and nothing queued may take.
+    #[serde(rename = "reserve_share", default = "light_client_share")]
+    pub light_client_share: f64,
+    /// The shortest retry-after time, in milliseconds.
+    #[serde(rename = "come_back_least_ms", default = "min_retry_after_ms")]
+    pub min_retry_after_ms: f64,
+    /// The longest retry-after time, in milliseconds.
+    #[serde(rename = "come_back_most_ms", default = "max_retry_after_ms")]
+    pub max_retry_after_ms: f64,
+    /// A request is not queued beyond this time before its deadline, in milliseconds.
+    #[serde(rename = "least_service_ms", default = "min_service_ms")]
+    pub min_service_ms: f64,
     /// IPv4 addresses count as one client per network of this prefix.
-    #[serde(default = "prefix_v4")]
+    #[serde(default = "client_prefix_v4")]
     pub client_prefix_v4: u8,
-    /// IPv6 addresses the same.
-    #[serde(default = "prefix_v6")]
+    /// IPv6 addresses count as one client per network of this prefix.
+    #[serde(default = "client_prefix_v6")]
     pub client_prefix_v6: u8,
-    /// Networks whose clients pass the door by, such as the platform's own checks.
+    /// Networks whose clients are always admitted, such as the platform's own checks.
     #[serde(default)]
     pub exempt: Vec<IpNet>,
     /// The weight of a tenant that `tenants` does not name.
-    #[serde(default = "weight")]
-    pub weight: f64,
-    /// Tenants that weigh otherwise.
+    #[serde(rename = "weight", default = "default_weight")]
+    pub default_weight: f64,
+    /// Tenants with weights of their own.
     #[serde(default)]
     pub tenants: Vec<TenantConfig>,
     /// The file that it was read from.
@@ -91,47 +117,47 @@
     pub path: PathBuf,
 }
 
-fn queue_most() -> usize {
+fn max_queued() -> usize {
     2_048
 }
-fn per_client_most() -> usize {
+fn max_queued_per_client() -> usize {
     16
 }
-fn per_tenant_most() -> usize {
+fn max_queued_per_tenant() -> usize {
     512
 }
-fn bytes_most() -> usize {
+fn max_queued_bytes() -> usize {
     8 << 20
 }
-fn tickets_most() -> usize {
+fn max_reservations() -> usize {
     8_192
 }
-fn ticket_share() -> f64 {
+fn reservation_share() -> f64 {
     0.25
 }
-fn reserve_share() -> f64 {
+fn light_client_share() -> f64 {
     0.25
 }
-fn come_back_least_ms() -> f64 {
+fn min_retry_after_ms() -> f64 {
     100.0
 }
-fn come_back_most_ms() -> f64 {
+fn max_retry_after_ms() -> f64 {
     10_000.0
 }
-fn least_service_ms() -> f64 {
+fn min_service_ms() -> f64 {
     50.0
 }
-fn prefix_v4() -> u8 {
+fn client_prefix_v4() -> u8 {
     32
 }
-fn prefix_v6() -> u8 {
+fn client_prefix_v6() -> u8 {
     64
 }
-fn weight() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// Who passes the door by.
+/// The networks whose clients are always admitted.
 #[derive(Clone, Debug, Default)]
 pub struct Exempt {
     v4: IpRange<Ipv4Net>,
@@ -139,8 +165,22 @@
 }
 
 impl Exempt {
-    /// Whether an address passes by.
-    pub fn covers(&self, ip: IpAddr) -> bool {
+    /// The union of networks.
+    fn new(networks: &[IpNet]) -> Self {
+        let mut exempt = Self::default();
+        for network in networks {
+            match network {
+                IpNet::V4(network) => drop(exempt.v4.add(network.trunc())),
+                IpNet::V6(network) => drop(exempt.v6.add(network.trunc())),
+            }
+        }
+        exempt.v4.simplify();
+        exempt.v6.simplify();
+        exempt
+    }
+
+    /// Whether an address is in one of the networks.
+    pub fn contains(&self, ip: IpAddr) -> bool {
         match ip {
             IpAddr::V4(ip) => self.v4.contains(&ip),
             IpAddr::V6(ip) => self.v6.contains(&ip),
@@ -148,6 +188,10 @@
     }
 }
 
+fn is_within(value: f64, min: f64, max: f64) -> bool {
+    value.is_finite() && value >= min && value <= max
+}
+
 impl AdmissionConfig {
     /// Reads and checks the file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
@@ -157,117 +201,112 @@
         Ok(config)
     }
 
-    /// The same file read again, for SIGHUP.
+    /// Reads and checks the same file as it stands by now.
     pub fn again(&self) -> Result<Self, ConfigError> {
         Self::read(&self.path)
     }
 
-    /// What is wrong, by field.
+    /// Checks all values; the error names the first field that cannot be used.
     pub fn check(&self) -> Result<(), FieldError> {
-        let l = self.limit;
-        let weight_ok = |w: f64| w.is_finite() && (0.01..=100.0).contains(&w);
-        let mut groups = std::collections::BTreeSet::new();
+        self.check_tenants().map_err(|reason| FieldError::new("tenants", reason))?;
+        if self.client_prefix_v4 > 32 || self.client_prefix_v6 > 128 {
+            return Err(FieldError::new("client_prefix_v4", BadValue::Prefix));
+        }
+        self.check_queues()?;
+        self.check_shares_and_times()
+    }
+
+    fn check_tenants(&self) -> Result<(), BadValue> {
+        let mut groups = BTreeSet::new();
         for tenant in &self.tenants {
-            if !weight_ok(tenant.weight) || tenant.groups.is_empty() {
-                return Err(FieldError::new("tenants", "each has groups and a weight from 0.01 to 100"));
+            if !WEIGHTS.contains(&tenant.weight) || tenant.groups.is_empty() {
+                return Err(BadValue::Tenant);
             }
-            if let Some(twice) = tenant.groups.iter().find(|g| !groups.insert(**g)) {
-                return Err(FieldError::new("tenants", format!("group {twice} stands in two tenants")));
+            if let Some(group) = tenant.groups.iter().find(|group| !groups.insert(**group)) {
+                return Err(BadValue::GroupOfTwoTenants(*group));
             }
         }
-        let within = |v: f64, low: f64, high: f64| v.is_finite() && v >= low && v <= high;
-        let checks: [(&'static str, bool, &str); 12] = [
-            (
-                "limit",
-                l.least >= 1.0 && l.least <= l.first && l.first <= l.most && l.most <= 100_000.0,
-                "1 <= least <= first <= most <= 100,000",
-            ),
-            ("queue_most", (1..=1_000_000).contains(&self.queue_most), "1 to 1,000,000"),
-            ("per_client_most", (1..=self.queue_most).contains(&self.per_client_most), "1 to queue_most"),
-            ("per_tenant_most", (1..=self.queue_most).contains(&self.per_tenant_most), "1 to queue_most"),
-            ("bytes_most", (1..=1 << 32).contains(&self.bytes_most), "1 to 4 GiB"),
-            ("tickets_most", (1..=10_000_000).contains(&self.tickets_most), "1 to 10,000,000"),
-            ("ticket_share", within(self.ticket_share, 0.0, 1.0), "0 to 1"),
-            ("reserve_share", within(self.reserve_share, 0.0, 0.9), "0 to 0.9"),
-            (
-                "come_back_least_ms",
-                within(self.come_back_least_ms, 1.0, self.come_back_most_ms),
-                "1 to come_back_most_ms",
-            ),
-            ("come_back_most_ms", within(self.come_back_most_ms, 1.0, 3_600_000.0), "1 to 3,600,000"),
-            ("least_service_ms", within(self.least_service_ms, 0.0, 60_000.0), "0 to 60,000"),
-            ("weight", weight_ok(self.weight), "0.01 to 100"),
-        ];
-        if self.client_prefix_v4 > 32 || self.client_prefix_v6 > 128 {
-            return Err(FieldError::new("client_prefix_v4", "at most 32, and 128 for client_prefix_v6"));
-        }
-        match checks.into_iter().find(|(_, ok, _)| !ok) {
-            Some((field, _, bound)) => Err(FieldError::new(field, format!("out of bounds: {bound}"))),
-            None => Ok(()),
-        }
+        Ok(())
     }
 
-    /// The door's bounds.
+    fn check_queues(&self) -> Result<(), FieldError> {
+        let LimitSettings { initial, min, max, .. } = self.limit;
+        let limit_is_ordered = min >= 1.0 && min <= initial && initial <= max && max <= MAX_LIMIT;
+        let per_queue = 1..=self.max_queued;
+        require("limit", limit_is_ordered, "1 <= least <= first <= most <= 100,000")?;
+        require("queue_most", (1..=MAX_QUEUED).contains(&self.max_queued), "1 to 1,000,000")?;
+        require("per_client_most", per_queue.contains(&self.max_queued_per_client), "1 to queue_most")?;
+        require("per_tenant_most", per_queue.contains(&self.max_queued_per_tenant), "1 to queue_most")?;
+        require("bytes_most", (1..=MAX_QUEUED_BYTES).contains(&self.max_queued_bytes), "1 to 4 GiB")?;
+        require("tickets_most", (1..=MAX_RESERVATIONS).contains(&self.max_reservations), "1 to 10,000,000")
+    }
+
+    fn check_shares_and_times(&self) -> Result<(), FieldError> {
+        let (min_retry, max_retry) = (self.min_retry_after_ms, self.max_retry_after_ms);
+        require("ticket_share", is_within(self.reservation_share, 0.0, 1.0), "0 to 1")?;
+        require(
+            "reserve_share",
+            is_within(self.light_client_share, 0.0, MAX_LIGHT_CLIENT_SHARE),
+            "0 to 0.9",
+        )?;
+        require("come_back_least_ms", is_within(min_retry, 1.0, max_retry), "1 to come_back_most_ms")?;
+        require("come_back_most_ms", is_within(max_retry, 1.0, MAX_RETRY_AFTER_MS), "1 to 3,600,000")?;
+        require("least_service_ms", is_within(self.min_service_ms, 0.0, MAX_MIN_SERVICE_MS), "0 to 60,000")?;
+        require("weight", WEIGHTS.contains(&self.default_weight), "0.01 to 100")
+    }
+
+    /// The bounds.
     pub fn bounds(&self) -> AdmissionBounds {
         AdmissionBounds {
-            queue_most: self.queue_most,
-            per_client_most: self.per_client_most,
-            per_tenant_most: self.per_tenant_most,
-            bytes_most: self.bytes_most,
-            tickets_most: self.tickets_most,
-            ticket_share: self.ticket_share,
-            reserve_share: self.reserve_share,
-            come_back_least_ms: self.come_back_least_ms,
-            come_back_most_ms: self.come_back_most_ms,
-            least_service_ms: self.least_service_ms,
+            max_queued: self.max_queued,
+            max_queued_per_client: self.max_queued_per_client,
+            max_queued_per_tenant: self.max_queued_per_tenant,
+            max_queued_bytes: self.max_queued_bytes,
+            max_reservations: self.max_reservations,
+            reservation_share: self.reservation_share,
+            light_client_share: self.light_client_share,
+            min_retry_after_ms: self.min_retry_after_ms,
+            max_retry_after_ms: self.max_retry_after_ms,
+            min_service_ms: self.min_service_ms,
         }
     }
 
-    /// The concurrency limit.
-    pub fn limit(&self) -> Limit {
-        let l = self.limit;
-        Limit { first: l.first, least: l.least, most: l.most, adaptive: l.adaptive }
-    }
-
-    /// Weights by tenant, a tenant being known by its first group.
-    pub fn weights(&self) -> AHashMap<u32, f64> {
-        self.tenants.iter().map(|t| (t.groups[0], t.weight)).collect()
+    /// The weights of tenants.
+    pub fn weights(&self) -> Weights {
+        let by_tenant = self.tenants.iter().map(|tenant| (tenant.groups[0], tenant.weight)).collect();
+        Weights { default: self.default_weight, by_tenant }
     }
 
-    /// The tenant of a group: the first group of a tenant that names it, or the group itself.
-    pub fn tenant_of(&self, group: u32) -> u32 {
-        self.tenants.iter().find(|t| t.groups.contains(&group)).map_or(group, |t| t.groups[0])
+    /// The tenant of a group: the first group of the tenant that names it, or else the group itself.
+    pub fn tenant_of(&self, group: u32) -> TenantId {
+        let tenant = self.tenants.iter().find(|tenant| tenant.groups.contains(&group));
+        tenant.map_or(group, |tenant| tenant.groups[0])
     }
 
-    /// The exempt networks as sets.
+    /// The exempt networks.
     pub fn exempt(&self) -> Exempt {
-        let mut exempt = Exempt::default();
-        for net in &self.exempt {
-            match net {
-                IpNet::V4(net) => {
-                    exempt.v4.add(net.trunc());
-                }
-                IpNet::V6(net) => {
-                    exempt.v6.add(net.trunc());
-                }
-            }
-        }
-        exempt.v4.simplify();
-        exempt.v6.simplify();
-        exempt
+        Exempt::new(&self.exempt)
     }
 
     /// The client of an address: its network at the operator's prefix.
     pub fn client_of(&self, ip: IpAddr) -> ClientKey {
         match ip {
             IpAddr::V4(ip) => {
-                let net = Ipv4Net::new(ip, self.client_prefix_v4).map_or(ip, |n| n.network());
-                (1u128 << 96) | u128::from(u32::from(net))
+                let network = Ipv4Net::new(ip, self.client_prefix_v4).map_or(ip, |net| net.network());
+                IPV4_CLIENT | ClientKey::from(u32::from(network))
             }
             IpAddr::V6(ip) => {
-                let net = Ipv6Net::new(ip, self.client_prefix_v6).map_or(ip, |n| n.network());
-                u128::from(net)
+                let network = Ipv6Net::new(ip, self.client_prefix_v6).map_or(ip, |net| net.network());
+                ClientKey::from(network)
             }
         }
     }
 }
+
+/// An error of the field `field` where its value is out of the bounds that `bounds` gives.
+fn require(field: &'static str, is_in_bounds: bool, bounds: &'static str) -> Result<(), FieldError> {
+    if is_in_bounds {
+        return Ok(());
+    }
+    Err(FieldError::new(field, BadValue::OutOfBounds(bounds)))
+}
--- /dev/null
+++ b/src/admission/fair_queue.rs
@@ -0,0 +1,365 @@
+//! Admission decisions: admit a request now, queue it, or shed it at once with a retry-after time that is kept. No I/O
+//! and no clock but the time that it is given, in Unix milliseconds.
+//!
+//! **Fairness.** Queued requests are released by [`RoundRobin`], between tenants by weight and within a tenant between
+//! clients.
+//!
+//! **Light clients.** A share of the limit ([`AdmissionBounds::light_client_share`]) is for clients that have nothing in
+//! flight and nothing queued, which take it at once: the backlog of a heavy client never stands between a light one and
+//! free capacity. Round robin releases into the rest of the limit.
+//!
+//! **Capacity.** At most [`ConcurrencyLimit`] admitted requests are in flight.
+//!
+//! **Memory.** Only clients with requests queued or in flight have state. The queue is bounded in requests and bytes, the
+//! reservations in number: see [`FairQueue::heap_bytes`] and [`AdmissionBounds::max_heap_bytes`].
+//!
+//! **Retry after.** A request that cannot be served before its deadline is shed at once, with the time at which its
+//! client's share will have capacity. That time is reserved ([`ReservationTable`]): a client that retries then goes ahead
+//! of the queues. Where none can be reserved, the longest time is given and nothing is promised.
+
+use super::bounds::AdmissionBounds;
+use super::concurrency_limit::{ConcurrencyLimit, LimitSettings};
+use super::decision::{
+    AdmissionCounters, AdmissionDecision, Arrival, ClientKey, Completion, ExpiredRequest, ShedReason,
+    TenantId,
+};
+use super::reservations::{Booking, Reservation, ReservationTable, SLOT_MS};
+use super::round_robin::{ExpectedShare, RoundRobin, Weights};
+use crate::RequestId;
+use ahash::AHashMap;
+use std::collections::{BTreeSet, VecDeque};
+use std::mem::size_of;
+
+/// Bytes of a deadline in the ordered set, at most: its key and its share of the tree's nodes.
+pub const DEADLINE_BYTES: usize = 2 * size_of::<(u64, RequestId)>();
+/// The smallest rate of a client by which a wait is estimated, in requests per millisecond.
+const MIN_RATE_PER_MS: f64 = 1e-9;
+
+/// The queue in which a request waits.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Queue {
+    /// First come, first served, for clients that use a reservation.
+    Reserved,
+    /// Round robin.
+    Fair,
+}
+
+/// A queued request.
+#[derive(Clone, Copy, Debug)]
+pub struct QueuedRequest {
+    client: ClientKey,
+    tenant: TenantId,
+    body_bytes: usize,
+    queue: Queue,
+    /// Its key in the deadlines.
+    deadline: u64,
+}
+
+/// An admitted request.
+#[derive(Clone, Copy, Debug)]
+pub struct InFlight {
+    since_ms: f64,
+    client: ClientKey,
+    /// It was admitted into the share of light clients.
+    is_light: bool,
+}
+
+/// Admission control's queues and decisions. See the module's page.
+#[derive(Debug)]
+pub struct FairQueue {
+    bounds: AdmissionBounds,
+    limit: ConcurrencyLimit,
+    in_flight: AHashMap<RequestId, InFlight>,
+    in_flight_by_client: AHashMap<ClientKey, u32>,
+    /// Requests in flight that were admitted into the share of light clients.
+    light_in_flight: usize,
+    queued: AHashMap<RequestId, QueuedRequest>,
+    queued_bytes: usize,
+    round_robin: RoundRobin,
+    /// Requests of clients that use a reservation.
+    reserved_queue: VecDeque<RequestId>,
+    /// Queued requests by deadline, as the bits of the time, which order as the times do.
+    deadlines: BTreeSet<(u64, RequestId)>,
+    reservations: ReservationTable,
+    /// Its counters.
+    pub counters: AdmissionCounters,
+}
+
+impl FairQueue {
+    /// An empty queue.
+    pub fn new(bounds: AdmissionBounds, limit: LimitSettings, weights: Weights) -> Self {
+        Self {
+            bounds,
+            limit: ConcurrencyLimit::new(limit),
+            in_flight: AHashMap::new(),
+            in_flight_by_client: AHashMap::new(),
+            light_in_flight: 0,
+            queued: AHashMap::new(),
+            queued_bytes: 0,
+            round_robin: RoundRobin::new(weights),
+            reserved_queue: VecDeque::new(),
+            deadlines: BTreeSet::new(),
+            reservations: ReservationTable::new(bounds.max_reservations),
+            counters: AdmissionCounters::default(),
+        }
+    }
+
+    /// Puts other weights in force from the next round; what is queued stays queued.
+    pub fn set_weights(&mut self, weights: Weights) {
+        self.round_robin.set_weights(weights);
+    }
+
+    /// Admitted requests in flight.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
+    }
+
+    /// Requests queued.
+    pub fn queued(&self) -> usize {
+        self.queued.len()
+    }
+
+    /// Reservations held.
+    pub fn reservations(&self) -> usize {
+        self.reservations.len()
+    }
+
+    /// The concurrency limit as it stands.
+    pub fn limit(&self) -> f64 {
+        self.limit.current()
+    }
+
+    /// Requests queued by tenant.
+    pub fn depths(&self) -> impl Iterator<Item = (TenantId, usize)> + '_ {
+        self.round_robin.depths()
+    }
+
+    /// Decides on a request that arrives.
+    pub fn arrive(&mut self, now_ms: f64, arrival: Arrival) -> AdmissionDecision {
+        if self.queued.contains_key(&arrival.id) || self.in_flight.contains_key(&arrival.id) {
+            return AdmissionDecision::Duplicate;
+        }
+        self.counters.reservations_expired += self.reservations.expire(now_ms);
+        let reservation = self.reservations.get(arrival.client);
+        if reservation.is_some_and(|reservation| reservation.is_valid(now_ms)) {
+            return self.use_reservation(now_ms, arrival);
+        }
+        if self.has_fair_capacity() && self.queued.is_empty() {
+            return self.admit(now_ms, &arrival, false);
+        }
+        if self.is_light(arrival.client) && self.has_capacity() && self.reserved_queue.is_empty() {
+            return self.admit(now_ms, &arrival, true);
+        }
+        match self.shed_reason(now_ms, &arrival) {
+            None => self.enqueue(arrival, Queue::Fair),
+            Some(reason) => {
+                let retry_after_ms = self.reserve(now_ms, arrival.client, arrival.tenant, reservation);
+                self.counters.shed[reason as usize] += 1;
+                AdmissionDecision::Shed { retry_after_ms, reason }
+            }
+        }
+    }
+
+    fn use_reservation(&mut self, now_ms: f64, arrival: Arrival) -> AdmissionDecision {
+        self.reservations.remove(arrival.client);
+        self.counters.reservations_used += 1;
+        if self.has_capacity() {
+            return self.admit(now_ms, &arrival, false);
+        }
+        self.enqueue(arrival, Queue::Reserved)
+    }
+
+    /// Why a request cannot be queued, if it cannot.
+    fn shed_reason(&self, now_ms: f64, arrival: &Arrival) -> Option<ShedReason> {
+        let client_depth = self.round_robin.client_depth(arrival.client);
+        let wait_ms = self.expected_wait_ms(arrival.client, arrival.tenant, client_depth + 1);
+        if client_depth >= self.bounds.max_queued_per_client {
+            Some(ShedReason::ClientQueueFull)
+        } else if self.round_robin.tenant_depth(arrival.tenant) >= self.bounds.max_queued_per_tenant {
+            Some(ShedReason::TenantQueueFull)
+        } else if self.queued.len() >= self.bounds.max_queued
+            || self.queued_bytes + arrival.body_bytes > self.bounds.max_queued_bytes
+        {
+            Some(ShedReason::QueueFull)
+        } else if now_ms + wait_ms + self.bounds.min_service_ms > arrival.give_up_ms {
+            Some(ShedReason::DeadlineTooClose)
+        } else {
+            None
+        }
+    }
+
+    fn admit(&mut self, now_ms: f64, arrival: &Arrival, is_light: bool) -> AdmissionDecision {
+        self.begin(now_ms, arrival.id, arrival.client, is_light);
+        self.counters.admitted += 1;
+        AdmissionDecision::Admit
+    }
+
+    fn begin(&mut self, now_ms: f64, id: RequestId, client: ClientKey, is_light: bool) {
+        self.in_flight.insert(id, InFlight { since_ms: now_ms, client, is_light });
+        *self.in_flight_by_client.entry(client).or_default() += 1;
+        self.light_in_flight += usize::from(is_light);
+    }
+
+    fn enqueue(&mut self, arrival: Arrival, queue: Queue) -> AdmissionDecision {
+        let Arrival { id, client, tenant, give_up_ms, body_bytes } = arrival;
+        let deadline = (give_up_ms - self.bounds.min_service_ms).max(0.0).to_bits();
+        self.queued.insert(id, QueuedRequest { client, tenant, body_bytes, queue, deadline });
+        self.queued_bytes += body_bytes;
+        self.deadlines.insert((deadline, id));
+        match queue {
+            Queue::Reserved => self.reserved_queue.push_back(id),
+            Queue::Fair => self.round_robin.push(client, tenant, id),
+        }
+        AdmissionDecision::Queue
+    }
+
+    /// A client with nothing in flight and nothing queued.
+    fn is_light(&self, client: ClientKey) -> bool {
+        !self.in_flight_by_client.contains_key(&client) && self.round_robin.client_depth(client) == 0
+    }
+
+    fn has_capacity(&self) -> bool {
+        self.in_flight.len() < self.limit.capacity()
+    }
+
+    /// Whether there is capacity outside the share of light clients.
+    fn has_fair_capacity(&self) -> bool {
+        let capacity = self.limit.capacity();
+        let light_share = (self.bounds.light_client_share * capacity as f64).ceil() as usize;
+        let fair_in_flight = self.in_flight.len() - self.light_in_flight;
+        self.has_capacity() && fair_in_flight + light_share.min(capacity - 1) < capacity
+    }
+
+    /// How long a request in place `place` of its client's queue waits, in milliseconds.
+    fn expected_wait_ms(&self, client: ClientKey, tenant: TenantId, place: usize) -> f64 {
+        let ExpectedShare { tenant: share, clients } = self.round_robin.expected_share(client, tenant);
+        let rate_per_ms = self.limit.rate_per_ms() * share / clients as f64;
+        (place as f64 + self.reserved_queue.len() as f64 * share) / rate_per_ms.max(MIN_RATE_PER_MS)
+    }
+
+    /// The retry-after time of a shed request's client, in milliseconds, reserved where the calendar has room.
+    fn reserve(
+        &mut self,
+        now_ms: f64,
+        client: ClientKey,
+        tenant: TenantId,
+        held: Option<Reservation>,
+    ) -> f64 {
+        let (min_ms, max_ms) = (self.bounds.min_retry_after_ms, self.bounds.max_retry_after_ms);
+        if let Some(held) = held.filter(|held| held.until_ms >= now_ms) {
+            return (held.from_ms - now_ms).clamp(min_ms, max_ms);
+        }
+        let place = self.round_robin.client_depth(client).max(1);
+        let earliest_ms = self.expected_wait_ms(client, tenant, place).max(min_ms);
+        if earliest_ms > max_ms {
+            self.counters.unreserved += 1;
+            return max_ms;
+        }
+        let slot_rate = self.bounds.reservation_share * self.limit.rate_per_ms() * SLOT_MS;
+        let slot_capacity = slot_rate.floor().max(1.0) as u32;
+        match self.reservations.book(now_ms, Booking { client, earliest_ms, slot_capacity, min_ms, max_ms }) {
+            Some(wait_ms) => {
+                self.counters.reserved += 1;
+                wait_ms
+            }
+            None => {
+                self.counters.unreserved += 1;
+                max_ms
+            }
+        }
+    }
+
+    /// Takes the queued request whose turn it is: reservations first, then round robin.
+    fn next_released(&mut self) -> Option<RequestId> {
+        if let Some(id) = self.reserved_queue.pop_front() {
+            return Some(id);
+        }
+        if self.has_fair_capacity() {
+            return self.round_robin.pop();
+        }
+        None
+    }
+
+    /// Removes a queued request from all queues.
+    fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
+        let request = self.queued.remove(&id)?;
+        self.queued_bytes -= request.body_bytes;
+        self.deadlines.remove(&(request.deadline, id));
+        match request.queue {
+            Queue::Reserved => self.reserved_queue.retain(|queued| *queued != id),
+            Queue::Fair => self.round_robin.remove(request.client, request.tenant, id),
+        }
+        Some(request)
+    }
+
+    /// The client of a request disconnected. Returns whether the request was queued.
+    pub fn disconnected(&mut self, id: RequestId) -> bool {
+        let was_queued = self.remove(id).is_some();
+        self.counters.abandoned += u64::from(was_queued);
+        was_queued
+    }
+
+    /// An admitted request ended. Returns the queued requests that go to the engine now, in order.
+    pub fn completed(&mut self, now_ms: f64, id: RequestId, completion: Completion) -> Vec<RequestId> {
+        if let Some(InFlight { since_ms, client, is_light }) = self.in_flight.remove(&id) {
+            self.light_in_flight -= usize::from(is_light);
+            if let Some(count) = self.in_flight_by_client.get_mut(&client) {
+                *count -= 1;
+                if *count == 0 {
+                    self.in_flight_by_client.remove(&client);
+                }
+            }
+            self.limit.completed(now_ms, now_ms - since_ms, completion, !self.queued.is_empty());
+        }
+        self.release(now_ms)
+    }
+
+    /// Releases the queued requests that may go to the engine now, in order.
+    pub fn release(&mut self, now_ms: f64) -> Vec<RequestId> {
+        let mut released = Vec::new();
+        while self.has_capacity() {
+            let Some(id) = self.next_released() else { break };
+            let Some(request) = self.queued.remove(&id) else { continue };
+            self.queued_bytes -= request.body_bytes;
+            self.deadlines.remove(&(request.deadline, id));
+            self.begin(now_ms, id, request.client, false);
+            self.counters.released += 1;
+            released.push(id);
+        }
+        released
+    }
+
+    /// Sheds the queued requests whose deadline has come; returns each with its retry-after time.
+    pub fn expire(&mut self, now_ms: f64) -> Vec<ExpiredRequest> {
+        let mut expired = Vec::new();
+        while let Some(&(deadline, id)) = self.deadlines.first() {
+            if f64::from_bits(deadline) > now_ms {
+                break;
+            }
+            let Some(request) = self.remove(id) else {
+                self.deadlines.remove(&(deadline, id));
+                continue;
+            };
+            let retry_after_ms = self.reserve(now_ms, request.client, request.tenant, None);
+            self.counters.shed[ShedReason::DeadlinePassed as usize] += 1;
+            expired.push(ExpiredRequest { id, retry_after_ms });
+        }
+        expired
+    }
+
+    /// When the next queued request's deadline comes, Unix milliseconds.
+    pub fn next_deadline(&self) -> Option<f64> {
+        self.deadlines.first().map(|(deadline, _)| f64::from_bits(*deadline))
+    }
+
+    /// A close estimate of the bytes held on the heap, without bodies.
+    pub fn heap_bytes(&self) -> usize {
+        self.in_flight.capacity() * (size_of::<(RequestId, InFlight)>() + 1)
+            + self.in_flight_by_client.capacity() * (size_of::<(ClientKey, u32)>() + 1)
+            + self.queued.capacity() * (size_of::<(RequestId, QueuedRequest)>() + 1)
+            + self.round_robin.heap_bytes()
+            + self.reserved_queue.capacity() * size_of::<RequestId>()
+            + self.deadlines.len() * DEADLINE_BYTES
+            + self.reservations.heap_bytes()
+    }
+}
--- /dev/null
+++ b/src/admission/round_robin.rs
@@ -0,0 +1,201 @@
+//! Deficit round robin (Shreedhar and Varghese, SIGCOMM 1995) at two levels: tenants in a ring, each with its weight as
+//! quantum per round, and within a tenant its clients in a ring, one request each per turn. A request costs one.
+//!
+//! Only tenants and clients with queued requests have state.
+
+use super::decision::{ClientKey, TenantId};
+use crate::RequestId;
+use ahash::AHashMap;
+use std::collections::VecDeque;
+use std::mem::size_of;
+
+/// The cost of a request, against which a tenant's deficit is counted.
+const REQUEST_COST: f64 = 1.0;
+/// The smallest weight that bounds the rounds of a search.
+const MIN_WEIGHT: f64 = 0.01;
+
+/// The weights of tenants.
+#[derive(Clone, Debug)]
+pub struct Weights {
+    /// The weight of a tenant that is not named.
+    pub default: f64,
+    /// Weights by tenant.
+    pub by_tenant: AHashMap<TenantId, f64>,
+}
+
+impl Weights {
+    /// The weight of a tenant.
+    pub fn of(&self, tenant: TenantId) -> f64 {
+        self.by_tenant.get(&tenant).copied().unwrap_or(self.default)
+    }
+
+    fn min(&self) -> f64 {
+        self.by_tenant.values().copied().chain([self.default]).fold(f64::INFINITY, f64::min)
+    }
+}
+
+/// A client's queued requests.
+#[derive(Clone, Debug, Default)]
+pub struct ClientQueue {
+    requests: VecDeque<RequestId>,
+}
+
+/// A tenant's clients with queued requests.
+#[derive(Clone, Debug, Default)]
+pub struct TenantQueue {
+    ring: VecDeque<ClientKey>,
+    deficit: f64,
+    queued: usize,
+}
+
+/// The share of the capacity that a request of a client may expect.
+#[derive(Clone, Copy, Debug)]
+pub struct ExpectedShare {
+    /// The tenant's share.
+    pub tenant: f64,
+    /// The tenant's clients with queued requests, and the client itself.
+    pub clients: usize,
+}
+
+/// The two levels of rings.
+#[derive(Debug)]
+pub struct RoundRobin {
+    weights: Weights,
+    clients: AHashMap<ClientKey, ClientQueue>,
+    tenants: AHashMap<TenantId, TenantQueue>,
+    ring: VecDeque<TenantId>,
+}
+
+impl RoundRobin {
+    /// Empty rings.
+    pub fn new(weights: Weights) -> Self {
+        Self { weights, clients: AHashMap::new(), tenants: AHashMap::new(), ring: VecDeque::new() }
+    }
+
+    /// Puts other weights in force from the next round; what is queued stays queued.
+    pub fn set_weights(&mut self, weights: Weights) {
+        self.weights = weights;
+        for tenant in self.tenants.values_mut() {
+            tenant.deficit = tenant.deficit.min(REQUEST_COST);
+        }
+    }
+
+    /// Requests queued for a client.
+    pub fn client_depth(&self, client: ClientKey) -> usize {
+        self.clients.get(&client).map_or(0, |queue| queue.requests.len())
+    }
+
+    /// Requests queued for a tenant.
+    pub fn tenant_depth(&self, tenant: TenantId) -> usize {
+        self.tenants.get(&tenant).map_or(0, |queue| queue.queued)
+    }
+
+    /// Requests queued by tenant.
+    pub fn depths(&self) -> impl Iterator<Item = (TenantId, usize)> + '_ {
+        self.tenants.iter().map(|(tenant, queue)| (*tenant, queue.queued))
+    }
+
+    /// The share that a request of this client and tenant may expect.
+    pub fn expected_share(&self, client: ClientKey, tenant: TenantId) -> ExpectedShare {
+        let queued_weight: f64 = self.ring.iter().map(|queued| self.weights.of(*queued)).sum();
+        let weight = self.weights.of(tenant);
+        let joining_weight = if self.ring.contains(&tenant) { 0.0 } else { weight };
+        let clients = self.tenants.get(&tenant).map_or(0, |queue| queue.ring.len())
+            + usize::from(!self.clients.contains_key(&client));
+        ExpectedShare {
+            tenant: weight / (queued_weight + joining_weight).max(f64::MIN_POSITIVE),
+            clients: clients.max(1),
+        }
+    }
+
+    /// Queues a request.
+    pub fn push(&mut self, client: ClientKey, tenant: TenantId, id: RequestId) {
+        let client_queue = self.clients.entry(client).or_default();
+        client_queue.requests.push_back(id);
+        let is_first = client_queue.requests.len() == 1;
+        let tenant_queue = self.tenants.entry(tenant).or_default();
+        tenant_queue.queued += 1;
+        if is_first {
+            tenant_queue.ring.push_back(client);
+            if tenant_queue.ring.len() == 1 {
+                self.ring.push_back(tenant);
+            }
+        }
+    }
+
+    /// Takes the request whose turn it is.
+    pub fn pop(&mut self) -> Option<RequestId> {
+        let rounds_per_tenant = (1.0 / self.weights.min().max(MIN_WEIGHT)).ceil() as usize;
+        let max_turns = self.ring.len() * rounds_per_tenant + 2;
+        for _ in 0..max_turns {
+            let &tenant = self.ring.front()?;
+            if self.begin_turn(tenant) {
+                return Some(self.pop_from(tenant));
+            }
+            self.ring.rotate_left(1);
+        }
+        None
+    }
+
+    /// Adds a tenant's quantum where its deficit does not cover a request; returns whether it does now.
+    fn begin_turn(&mut self, tenant: TenantId) -> bool {
+        let weight = self.weights.of(tenant);
+        let queue = self.tenants.get_mut(&tenant).expect("a tenant in the ring has a queue");
+        if queue.deficit < REQUEST_COST {
+            queue.deficit += weight;
+        }
+        queue.deficit >= REQUEST_COST
+    }
+
+    /// Takes the next request of the tenant at the front of the ring, and ends its turn where it is over.
+    fn pop_from(&mut self, tenant: TenantId) -> RequestId {
+        let tenant_queue = self.tenants.get_mut(&tenant).expect("a tenant in the ring has a queue");
+        let client = tenant_queue.ring.pop_front().expect("a tenant in the ring has clients");
+        let client_queue = self.clients.get_mut(&client).expect("a client in a ring has a queue");
+        let id = client_queue.requests.pop_front().expect("a client in a ring has requests");
+        tenant_queue.deficit -= REQUEST_COST;
+        tenant_queue.queued -= 1;
+        if client_queue.requests.is_empty() {
+            self.clients.remove(&client);
+        } else {
+            tenant_queue.ring.push_back(client);
+        }
+        if tenant_queue.ring.is_empty() {
+            self.tenants.remove(&tenant);
+            self.ring.pop_front();
+        } else if tenant_queue.deficit < REQUEST_COST {
+            self.ring.rotate_left(1);
+        }
+        id
+    }
+
+    /// Removes a queued request: its client disconnected, or its deadline came.
+    pub fn remove(&mut self, client: ClientKey, tenant: TenantId, id: RequestId) {
+        let Some(client_queue) = self.clients.get_mut(&client) else { return };
+        client_queue.requests.retain(|queued| *queued != id);
+        let is_last = client_queue.requests.is_empty();
+        if is_last {
+            self.clients.remove(&client);
+        }
+        let Some(tenant_queue) = self.tenants.get_mut(&tenant) else { return };
+        tenant_queue.queued -= 1;
+        if is_last {
+            tenant_queue.ring.retain(|queued| *queued != client);
+        }
+        if tenant_queue.ring.is_empty() {
+            self.tenants.remove(&tenant);
+            self.ring.retain(|queued| *queued != tenant);
+        }
+    }
+
+    /// A close estimate of the bytes held on the heap.
+    pub fn heap_bytes(&self) -> usize {
+        let client_requests: usize = self.clients.values().map(|queue| queue.requests.capacity()).sum();
+        let tenant_clients: usize = self.tenants.values().map(|queue| queue.ring.capacity()).sum();
+        self.clients.capacity() * (size_of::<(ClientKey, ClientQueue)>() + 1)
+            + client_requests * size_of::<RequestId>()
+            + self.tenants.capacity() * (size_of::<(TenantId, TenantQueue)>() + 1)
+            + tenant_clients * size_of::<ClientKey>()
+            + self.ring.capacity() * size_of::<TenantId>()
+    }
+}
--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -2,8 +2,7 @@
 //! protocol: what speaks to members is a [`ConnectionDriver`] that it is given.
 
 use super::{Effect, Engine};
-use crate::admission::control::AdmissionControl;
-use crate::admission::fair::Verdict;
+use crate::admission::control::{AdmissionControl, NotAdmitted};
 use crate::clock::{duration_from_ms, Clock};
 use crate::grpc::calls::Backend;
 use crate::settings::PlatformSettings;
@@ -89,7 +88,7 @@
     pub fn figures(self: &Rc<Self>) -> String {
         let engine = self.with(|engine| engine.figures());
         let more: String = self.figures.borrow().iter().map(|figures| figures()).collect();
-        engine + &self.with_admission(AdmissionControl::figures).unwrap_or_default() + &more
+        engine + &self.with_admission(AdmissionControl::metrics).unwrap_or_default() + &more
     }
 
     /// Lets the engine do something, and carries out what it wants.
@@ -155,7 +154,8 @@
                 }
                 Some(Effect::Answer(id, answer)) => {
                     let now = self.clock.now();
-                    let released = self.with_admission(|admission| admission.ended(now, id, Some(&answer)));
+                    let released =
+                        self.with_admission(|admission| admission.completed(now, id, Some(&answer)));
                     self.answer(id, answer);
                     released.into_iter().flatten().for_each(|ask| self.let_in(ask));
                 }
@@ -180,22 +180,22 @@
         let (id, (sender, receiver)) = (ask.id, oneshot::channel());
         let now = self.clock.now();
         let mut admission = self.admission.borrow_mut();
-        let (verdict, ask) = match admission.as_mut() {
+        let decision = match admission.as_mut() {
             Some(admission) => admission.arrive(now, ask),
-            None => (Verdict::Admit, Some(ask)),
+            None => Ok(Some(ask)),
         };
         drop(admission);
-        match (verdict, ask) {
-            (Verdict::Duplicate, _) => Err(AdmitError::Duplicate),
-            (Verdict::Refuse { come_back_ms, .. }, _) => {
-                let _ = sender.send(FinalResponse::Rejected { wait_ms: come_back_ms, overdue: false });
+        match decision {
+            Err(NotAdmitted::Duplicate) => Err(AdmitError::Duplicate),
+            Err(NotAdmitted::Shed { retry_after_ms }) => {
+                let _ = sender.send(FinalResponse::Rejected { wait_ms: retry_after_ms, overdue: false });
                 Ok(receiver)
             }
-            (Verdict::Queue, _) | (_, None) => {
+            Ok(None) => {
                 self.waiting.borrow_mut().insert(id, sender);
                 Ok(receiver)
             }
-            (Verdict::Admit, Some(ask)) => {
+            Ok(Some(ask)) => {
                 let taken = self.engine.borrow_mut().request(ask);
                 match taken {
                     Ok(()) => drop(self.waiting.borrow_mut().insert(id, sender)),
@@ -220,14 +220,14 @@
     /// Tells the door that an admitted request ended without an answer of the engine, and lets in who is next.
     fn release(self: &Rc<Self>, id: RequestId, answer: Option<&FinalResponse>) {
         let now = self.clock.now();
-        let released = self.with_admission(|admission| admission.ended(now, id, answer));
+        let released = self.with_admission(|admission| admission.completed(now, id, answer));
         released.into_iter().flatten().for_each(|ask| self.let_in(ask));
     }
 
     /// A client left before its answer. One that waited at the door is forgotten there; nothing was sent.
     pub fn left(self: &Rc<Self>, id: RequestId) {
         self.waiting.borrow_mut().remove(&id);
-        if self.with_admission(|admission| admission.left(id)) == Some(true) {
+        if self.with_admission(|admission| admission.disconnected(id)) == Some(true) {
             return;
         }
         self.with(|engine| engine.left(id));
@@ -238,9 +238,9 @@
     /// Refuses, at once, what waited at the door and whose time is over.
     fn admission_tick(self: &Rc<Self>) {
         let now = self.clock.now();
-        for (id, come_back_ms) in self.with_admission(|admission| admission.expired(now)).unwrap_or_default()
-        {
-            self.answer(id, FinalResponse::Rejected { wait_ms: come_back_ms, overdue: false });
+        for expired in self.with_admission(|admission| admission.expire(now)).unwrap_or_default() {
+            let wait_ms = expired.retry_after_ms;
+            self.answer(expired.id, FinalResponse::Rejected { wait_ms, overdue: false });
         }
     }
 
@@ -262,7 +262,7 @@
     pub async fn keep_time(self: Rc<Self>) {
         loop {
             let door =
-                self.with_admission(|admission| admission.next_due()).flatten().unwrap_or(f64::INFINITY);
+                self.with_admission(|admission| admission.next_deadline()).flatten().unwrap_or(f64::INFINITY);
             let due = self.engine.borrow_mut().next_due().min(door);
             let wait = duration_from_ms(due - self.clock.now());
             tokio::select! {
--- a/src/grpc/admission.rs
+++ b/src/grpc/admission.rs
@@ -3,8 +3,7 @@
 //! the bounds of calls and of streams a client hold them.
 
 use super::calls::CallOutcome;
-use crate::admission::control::AdmissionControl;
-use crate::admission::fair::Verdict;
+use crate::admission::control::{AdmissionControl, NotAdmitted};
 use crate::state::requests::{FinalResponse, IncomingRequest};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -74,31 +73,29 @@
             |id| AdmissionPermit { door: self.clone(), id, now: Box::new(now), outcome: Cell::new(None) };
         match self.with(|admission| admission.arrive(at, ask)) {
             None => AdmissionResult::Admitted(pass(None)),
-            Some((Verdict::Admit, _)) => AdmissionResult::Admitted(pass(Some(id))),
-            Some((Verdict::Queue, _)) => {
+            Some(Ok(Some(_))) => AdmissionResult::Admitted(pass(Some(id))),
+            Some(Ok(None)) => {
                 let (tell, heard) = oneshot::channel();
                 self.waiting.borrow_mut().insert(id, tell);
                 self.due.notify_one();
                 AdmissionResult::Queued(heard, pass(Some(id)))
             }
-            Some((Verdict::Refuse { come_back_ms: retry_after_ms, .. }, _)) => {
-                AdmissionResult::Rejected(retry_after_ms)
-            }
+            Some(Err(NotAdmitted::Shed { retry_after_ms })) => AdmissionResult::Rejected(retry_after_ms),
             // Its ids are the door's own: none comes twice.
-            Some((Verdict::Duplicate, _)) => AdmissionResult::Rejected(0.0),
+            Some(Err(NotAdmitted::Duplicate)) => AdmissionResult::Rejected(0.0),
         }
     }
 
     /// Refuses what waited until its time was nearly over.
     pub fn tick(&self, now: f64) {
-        for (id, retry_after_ms) in self.with(|admission| admission.expired(now)).unwrap_or_default() {
-            self.tell(id, Some(retry_after_ms));
+        for expired in self.with(|admission| admission.expire(now)).unwrap_or_default() {
+            self.tell(expired.id, Some(expired.retry_after_ms));
         }
     }
 
     /// When [`Self::tick`] has something to do.
     pub fn next_due(&self) -> f64 {
-        self.with(AdmissionControl::next_due).flatten().unwrap_or(f64::INFINITY)
+        self.with(|admission| admission.next_deadline()).flatten().unwrap_or(f64::INFINITY)
     }
 
     fn tell(&self, id: u64, refused: Option<f64>) {
@@ -121,7 +118,7 @@
         let Some(id) = self.id else { return };
         let (now, door) = ((self.now)(), &self.door);
         if door.waiting.borrow_mut().remove(&id).is_some() {
-            door.with(|admission| admission.left(id));
+            door.with(|admission| admission.disconnected(id));
             return;
         }
         let answer = match self.outcome.get() {
@@ -130,7 +127,8 @@
             Some(CallOutcome::Failed) => Some(FinalResponse::Failed { overdue: false }),
             _ => None,
         };
-        let released = door.with(|admission| admission.ended(now, id, answer.as_ref())).unwrap_or_default();
+        let released =
+            door.with(|admission| admission.completed(now, id, answer.as_ref())).unwrap_or_default();
         released.into_iter().for_each(|ask| door.tell(ask.id, None));
     }
 }
--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -161,7 +161,7 @@
         let (other, unrouted) = (self.not_grpc.get(), self.unrouted.get());
         let text = text.trim_end().trim_end_matches("# EOF").to_string();
         let own = format!("grpc_not_grpc_total {other}\ngrpc_unrouted_total {unrouted}\n# EOF\n");
-        text + &own + &self.door.with(AdmissionControl::figures).unwrap_or_default()
+        text + &own + &self.door.with(AdmissionControl::metrics).unwrap_or_default()
     }
 
     /// The share of a pool's backends that take calls and that the module does not leave; none for no such pool.
--- a/src/vrrp/driver.rs
+++ b/src/vrrp/driver.rs
@@ -414,7 +414,7 @@
             });
             rate.borrow_mut().share(now, all, those)
         }
-        What::Door => host.with_admission(|gate| gate.fullness()),
+        What::Door => host.with_admission(|admission| admission.queue_fill()),
         What::File(path) => Some(f64::from(u8::from(path.exists()))),
         What::Registry | What::Grpc(_) => None,
     }
