--- a/src/lifecycle/subsystem.rs
+++ b/src/lifecycle/subsystem.rs
@@ -4,7 +4,7 @@
 use super::descriptors::DescriptorBudget;
 use super::error::ServeError;
 use crate::engine::executor::{Executor, Figures};
-use crate::grpc::server::GrpcFront;
+use crate::grpc::front::GrpcFront;
 use crate::registry::driver::RegistryStatus;
 use crate::rules::table::Rules;
 use crate::vrrp::config::FrontKind;
--- a/src/lifecycle/subsystems/grpc.rs
+++ b/src/lifecycle/subsystems/grpc.rs
@@ -3,7 +3,8 @@
 use crate::config_file::BoxError;
 use crate::engine::executor::Figures;
 use crate::grpc::config::GrpcConfig;
-use crate::grpc::server::{accept, cut_at_stop, keep, keep_admission, GrpcFront};
+use crate::grpc::front::GrpcFront;
+use crate::grpc::server::{abort_calls_at_shutdown, accept, expire_queued_calls, run_housekeeping};
 use crate::lifecycle::bind::bind_tcp;
 use crate::lifecycle::error::ServeError;
 use crate::lifecycle::subsystem::{AdminCalls, Context, Starting, StopStage, Subsystem};
@@ -41,9 +42,9 @@
         let accepting = accept(front.clone(), listener, context.stop.clone(), self.closing.clone());
         executor.spawn("accepting", accepting);
         let (housekeeper, admission) = (front.clone(), front.clone());
-        supervise(executor, "gRPC housekeeping", move || keep(housekeeper.clone()));
-        supervise(executor, "gRPC admission", move || keep_admission(admission.clone()));
-        executor.spawn("the stop of calls", cut_at_stop(front, context.stop.clone()));
+        supervise(executor, "gRPC housekeeping", move || run_housekeeping(housekeeper.clone()));
+        supervise(executor, "gRPC admission", move || expire_queued_calls(admission.clone()));
+        executor.spawn("the stop of calls", abort_calls_at_shutdown(front, context.stop.clone()));
         tracing::info!(%listen, "gRPC calls are passed through");
         Ok(())
     }
@@ -64,7 +65,7 @@
 
     fn metrics(&self) -> Option<Figures> {
         let front = self.front.clone()?;
-        Some(Box::new(move || front.figures()))
+        Some(Box::new(move || front.metrics()))
     }
 
     fn admin_calls(&self) -> Option<AdminCalls> {
--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -90,7 +90,7 @@
     let (registry, grpc) = (context.registry.borrow().clone(), context.grpc.borrow().clone());
     Box::new(move |what| match what {
         What::Registry => ms_since(&executor, registry.as_ref()?.borrow().answered_ms),
-        What::Grpc(pool) => grpc.as_ref()?.usable(pool),
+        What::Grpc(pool) => grpc.as_ref()?.usable_share(pool),
         what => host_value(&executor, &rate, what),
     })
 }
