--- a/src/admission/config.rs
+++ b/src/admission/config.rs
@@ -202,7 +202,7 @@
     }
 
     /// Reads and checks the same file as it stands by now.
-    pub fn again(&self) -> Result<Self, ConfigError> {
+    pub fn reload(&self) -> Result<Self, ConfigError> {
         Self::read(&self.path)
     }
 
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -58,7 +58,7 @@
             health_checks: self.health_checks,
             rules: self.rules,
         };
-        let subsystems = SubsystemConfigs::read(&files, config.limits.sockets)?;
+        let subsystems = SubsystemConfigs::read(&files, config.limits.max_descriptors)?;
         if let Some((_, rules)) = subsystems.rules {
             println!("{PROGRAM}: {} rules, at most {} steps a request", rules.0.len(), rules.cost());
         }
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -60,7 +60,7 @@
             health_checks: self.health_checks,
             rules: self.rules,
         };
-        let subsystems = SubsystemConfigs::read(&files, config.limits.sockets)?;
+        let subsystems = SubsystemConfigs::read(&files, config.limits.max_descriptors)?;
         logging::start();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(CliError::Runtime)?;
--- a/src/lifecycle/descriptors/tests.rs
+++ b/src/lifecycle/descriptors/tests.rs
@@ -1,53 +1,55 @@
 use super::*;
 
-fn taken(most: usize, shares: DescriptorBudget, demand: DescriptorDemand) -> usize {
-    let counted = shares.clients + shares.endpoints + shares.callers + demand.signed + demand.others;
-    assert!(counted + HELD_AT_START + OWN <= most, "{most}: {shares:?} and {demand:?}");
-    counted
+fn assert_within_limit(max: usize, budget: DescriptorBudget, demand: DescriptorDemand) {
+    let counted = budget.clients + budget.endpoints + budget.admin_clients + demand.subsystems();
+    assert!(counted + OPEN_AT_START + UNCOUNTED <= max, "{max}: {budget:?} and {demand:?}");
 }
 
-/// Whatever the limit, the shares and what is held back fit into it.
+/// Whatever the limit, the budget and what is set aside fit into it.
 #[test]
-fn the_shares_never_exceed_the_limit() {
-    for most in 24..4_096 {
-        for others in [0, 64, 320] {
+fn the_budget_never_exceeds_the_limit() {
+    for max in 24..4_096 {
+        for other_subsystems in [0, 64, 320] {
             for handed_over in [false, true] {
-                let demand = DescriptorDemand { signed: others / 2, others, handed_over };
-                let shares = DescriptorBudget::of(Descriptors::planned(most), demand);
-                if !shares.short {
-                    taken(most, shares, demand);
+                let signed_url_clients = other_subsystems / 2;
+                let demand = DescriptorDemand { signed_url_clients, other_subsystems, handed_over };
+                let budget = DescriptorBudget::new(Descriptors::expected(max), demand);
+                if !budget.is_insufficient {
+                    assert_within_limit(max, budget, demand);
                 }
             }
         }
     }
 }
 
-/// A usual limit is shared as ever: what is held back comes out of the fifth that was nobody's.
+/// A usual limit is divided in fifths: what is set aside comes out of the last fifth.
 #[test]
-fn a_usual_limit_is_shared_in_fifths() {
-    let shares = DescriptorBudget::of(Descriptors::planned(1_024), DescriptorDemand::default());
-    assert_eq!(shares, DescriptorBudget { clients: 409, endpoints: 409, callers: 16, short: false });
-    let beside = DescriptorDemand { handed_over: true, ..DescriptorDemand::default() };
-    assert_eq!(DescriptorBudget::of(Descriptors::planned(1_024), beside).endpoints, 256);
+fn a_usual_limit_is_divided_in_fifths() {
+    let descriptors = Descriptors::expected(1_024);
+    let budget = DescriptorBudget::new(descriptors, DescriptorDemand::default());
+    let fifths = DescriptorBudget { clients: 409, endpoints: 409, admin_clients: 16, is_insufficient: false };
+    assert_eq!(budget, fifths);
+    let handed_over = DescriptorDemand { handed_over: true, ..DescriptorDemand::default() };
+    assert_eq!(DescriptorBudget::new(descriptors, handed_over).endpoints, 256);
 }
 
-/// Want of descriptors is told, and still leaves something to each.
+/// A lack of descriptors is reported, and still leaves something to each.
 #[test]
-fn want_of_descriptors_is_told() {
-    let shares = DescriptorBudget::of(
-        Descriptors::planned(64),
-        DescriptorDemand { others: 60, ..DescriptorDemand::default() },
-    );
-    assert!(shares.short && shares.clients == 1 && shares.endpoints == 1 && shares.callers == 4);
-    assert!(!DescriptorBudget::of(Descriptors::planned(24), DescriptorDemand::default()).short);
+fn a_lack_of_descriptors_is_reported() {
+    let demand = DescriptorDemand { other_subsystems: 60, ..DescriptorDemand::default() };
+    let budget = DescriptorBudget::new(Descriptors::expected(64), demand);
+    assert!(budget.is_insufficient);
+    assert!(budget.clients == 1 && budget.endpoints == 1 && budget.admin_clients == 4);
+    let budget = DescriptorBudget::new(Descriptors::expected(24), DescriptorDemand::default());
+    assert!(!budget.is_insufficient);
 }
 
-/// The machine's limit counts where it is lower than the configuration's.
+/// The system's limit counts where it is lower than the configuration's.
 #[test]
-fn the_machines_limit_counts_too() {
+fn the_systems_limit_counts_too() {
     let (soft, _) = Resource::NOFILE.get().unwrap();
     let descriptors = Descriptors::of_process(usize::MAX);
-    assert_eq!(descriptors.most as u64, soft);
-    assert!((3..descriptors.most).contains(&descriptors.held));
-    assert_eq!(Descriptors::of_process(20).most, 20);
+    assert_eq!(descriptors.max as u64, soft);
+    assert!((3..descriptors.max).contains(&descriptors.open));
+    assert_eq!(Descriptors::of_process(20).max, 20);
 }
--- a/src/lifecycle/engine_setup.rs
+++ b/src/lifecycle/engine_setup.rs
@@ -26,11 +26,11 @@
     signed_connections: usize,
 ) -> Result<(Engine, Rc<PlatformSettings>), ServeError> {
     let demand = DescriptorDemand {
-        signed: signed_connections,
+        signed_url_clients: signed_connections,
         handed_over: config.handed_over,
         ..DescriptorDemand::default()
     };
-    let budget = DescriptorBudget::of(Descriptors::planned(config.limits.sockets), demand);
+    let budget = DescriptorBudget::new(Descriptors::expected(config.limits.max_descriptors), demand);
     engine_within(config, clock, signed_connections, budget)
 }
 
@@ -43,19 +43,19 @@
 ) -> Result<(Engine, Rc<PlatformSettings>), ServeError> {
     let settings = Rc::new(config.settings.clone());
     let seed = config.seed().map_err(ServeError::field("seed"))?;
-    let sockets = config.limits.sockets;
+    let max_descriptors = config.limits.max_descriptors;
     let connections = Bounds {
         total: budget.endpoints,
-        endpoint: (sockets / DESCRIPTORS_PER_ENDPOINT_CONNECTION)
+        endpoint: (max_descriptors / DESCRIPTORS_PER_ENDPOINT_CONNECTION)
             .clamp(MIN_ENDPOINT_CONNECTIONS, MAX_ENDPOINT_CONNECTIONS),
         spread: ENDPOINT_SPREAD,
         streams: settings.streams_per_connection(),
     };
-    let bounds = EngineBounds { requests: sockets * 2 / 5 + signed_connections, connections };
+    let bounds = EngineBounds { requests: max_descriptors * 2 / 5 + signed_connections, connections };
     let mut engine = Engine::new(clock.clone(), settings.clone(), seed, bounds);
-    for event in config.known.events().map_err(ServeError::field("known"))? {
+    for event in config.initial_state.events().map_err(ServeError::field("known"))? {
         engine.news(event);
     }
-    engine.skip_to(config.known.no);
+    engine.skip_to(config.initial_state.no);
     Ok((engine, settings))
 }
--- a/src/lifecycle/maintenance.rs
+++ b/src/lifecycle/maintenance.rs
@@ -1,5 +1,5 @@
-//! The file in which maintenance of members outlives a process: a new version of the program takes it over, and both
-//! read it while they serve side by side.
+//! The file in which maintenance of endpoints outlives a process: a new version of the program loads it, and both
+//! versions read it while they serve side by side.
 
 use crate::clock::duration_from_ms;
 use crate::config_file::read_json;
@@ -11,68 +11,79 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// How often the file is looked at, in milliseconds: a word given to the other process must hold here within 1 s.
-const LOOK_MS: f64 = 200.0;
+/// How often the file is read, in milliseconds: what the other process wrote must hold here within 1 s.
+const READ_INTERVAL_MS: f64 = 200.0;
+/// The environment variable that names the folder of the file.
+const FOLDER_VARIABLE: &str = "TMPDIR";
 
+/// An endpoint's maintenance, as the file holds it.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct StoredMark {
     #[serde(rename = "member")]
     endpoint: String,
     out: bool,
     at_ms: f64,
 }
 
+impl StoredMark {
+    /// The endpoint and its mark; `None` where its id cannot be read.
+    fn decode(self) -> Option<(EndpointId, Mark)> {
+        Some((endpoint_id(&self.endpoint)?, Mark { out: self.out, at_ms: self.at_ms }))
+    }
+
+    /// The JSON of an endpoint's mark.
+    fn encode((id, mark): (EndpointId, Mark)) -> String {
+        let (endpoint, out, at_ms) = (endpoint_text(id), mark.out, mark.at_ms);
+        format!("{{\"member\":\"{endpoint}\",\"out\":{out},\"at_ms\":{at_ms}}}")
+    }
+}
+
 /// The file; none where the platform gives no folder.
 #[derive(Clone, Debug)]
-pub struct Store(Option<PathBuf>);
+pub struct MaintenanceFile(Option<PathBuf>);
 
-impl Store {
+impl MaintenanceFile {
     /// The file of the proxy of this name in `$TMPDIR`.
-    pub fn of(name: &str) -> Self {
-        let plain: String = name.chars().filter(char::is_ascii_alphanumeric).collect();
-        let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty());
-        Self(folder.map(|folder| PathBuf::from(folder).join(format!("calicobeam-{plain}-maintenance.json"))))
+    pub fn of_proxy(name: &str) -> Self {
+        let plain_name: String = name.chars().filter(char::is_ascii_alphanumeric).collect();
+        let folder = std::env::var_os(FOLDER_VARIABLE).filter(|folder| !folder.is_empty());
+        let file = format!("calicobeam-{plain_name}-maintenance.json");
+        Self(folder.map(|folder| PathBuf::from(folder).join(file)))
     }
 
-    /// A file of this name.
+    /// The file at a path.
     pub fn at(path: PathBuf) -> Self {
         Self(Some(path))
     }
 
-    /// Takes over what the file says. An absent file says nothing, and neither does one that can't be read.
-    pub fn take_over(&self, host: &Rc<Executor>) {
+    /// Puts the maintenance in force that the file holds. A file that is absent or cannot be read changes nothing.
+    pub fn load(&self, executor: &Rc<Executor>) {
         let Some(path) = self.0.as_ref().filter(|path| path.exists()) else { return };
-        match read_json::<Vec<Line>>(path) {
-            Ok(lines) => {
-                let marks = lines.into_iter().filter_map(|line| {
-                    let mark = Mark { out: line.out, at_ms: line.at_ms };
-                    Some((endpoint_id(&line.endpoint)?, mark))
-                });
-                let marks: Vec<(EndpointId, Mark)> = marks.collect();
-                host.with(|engine| engine.adopt(marks));
+        match read_json::<Vec<StoredMark>>(path) {
+            Ok(stored) => {
+                let marks: Vec<_> = stored.into_iter().filter_map(StoredMark::decode).collect();
+                executor.with(|engine| engine.adopt(marks));
             }
-            Err(error) => tracing::error!(%error, "maintenance can't be read"),
+            Err(error) => tracing::error!(%error, "the maintenance file cannot be read"),
         }
     }
 
-    /// Writes down what holds by now. The file is replaced whole, so that the other process never reads half of it.
-    pub fn write(&self, host: &Rc<Executor>) -> Result<(), std::io::Error> {
+    /// Writes the maintenance in force. The file is replaced in one step, so that the other process never reads part of
+    /// it.
+    pub fn write(&self, executor: &Rc<Executor>) -> Result<(), std::io::Error> {
         let Some(path) = &self.0 else { return Ok(()) };
-        let line = |(id, mark): (EndpointId, Mark)| {
-            let (endpoint, out, at_ms) = (endpoint_text(id), mark.out, mark.at_ms);
-            format!("{{\"member\":\"{endpoint}\",\"out\":{out},\"at_ms\":{at_ms}}}")
-        };
-        let lines: Vec<String> = host.with(|engine| engine.maintenance().iter().map(line).collect());
-        let fresh = path.with_extension(std::process::id().to_string());
-        std::fs::write(&fresh, format!("[{}]\n", lines.join(",\n")))?;
-        std::fs::rename(&fresh, path)
+        let marks: Vec<String> =
+            executor.with(|engine| engine.maintenance().iter().map(StoredMark::encode).collect());
+        let temporary = path.with_extension(std::process::id().to_string());
+        std::fs::write(&temporary, format!("[{}]\n", marks.join(",\n")))?;
+        std::fs::rename(&temporary, path)
     }
 
-    /// Follows the file for ever.
-    pub async fn follow(self, host: Rc<Executor>) {
+    /// Loads the file every [`READ_INTERVAL_MS`].
+    pub async fn follow(self, executor: Rc<Executor>) {
         loop {
-            self.take_over(&host);
-            tokio::time::sleep(duration_from_ms(LOOK_MS)).await;
+            self.load(&executor);
+            tokio::time::sleep(duration_from_ms(READ_INTERVAL_MS)).await;
         }
     }
 }
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -9,7 +9,8 @@
 //! | [`descriptors`], [`engine_setup`] | the budget of file descriptors, and the engine within it |
 //! | [`bind`], [`inherit`] | sockets: opened here, or handed over by the platform |
 //! | [`maintenance`] | the file in which maintenance of endpoints outlives a process |
-//! | [`signals`], [`supervisor`] | signals of the process, and tasks that must never end |
+//! | [`signals`], [`reload`] | signals of the process, and the log lines of a reload |
+//! | [`supervisor`] | tasks that must never end |
 
 pub mod bind;
 pub mod config;
@@ -18,6 +19,7 @@
 pub mod error;
 pub mod inherit;
 pub mod maintenance;
+pub mod reload;
 pub mod serve;
 pub mod signals;
 pub mod signed_urls;
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -1,7 +1,7 @@
 //! The serving process: starts the subsystems, heeds signals and stops gracefully.
 
 use super::config::Config;
-use super::descriptors::{DescriptorBudget, DescriptorDemand, Descriptors};
+use super::descriptors::{DescriptorBudget, DescriptorDemand, Descriptors, InsufficientDescriptors};
 use super::engine_setup::engine_within;
 use super::error::ServeError;
 use super::inherit;
@@ -36,8 +36,8 @@
     let clock = Clock::system();
     let demand = configs.descriptor_demand(config.handed_over);
     let budget = share_descriptors(&config, demand)?;
-    let (engine, _) = engine_within(&config, &clock, demand.signed, budget)?;
-    let listen = config.listen().map_err(ServeError::field("listen"))?;
+    let (engine, _) = engine_within(&config, &clock, demand.signed_url_clients, budget)?;
+    let listen = config.listen_address().map_err(ServeError::field("listen"))?;
     let seed = config.seed().map_err(ServeError::field("seed"))?;
     let mut subsystems = configured(&config, configs, handed_over)?;
     let executor = Executor::new(clock, engine, CacheDriver);
@@ -53,22 +53,19 @@
 /// Shares the file descriptors of this process. Guards what an operator turned on beside the platform's front against a
 /// machine that allows too few; alone, that front makes do with what there is.
 fn share_descriptors(config: &Config, demand: DescriptorDemand) -> Result<DescriptorBudget, ServeError> {
-    let descriptors = Descriptors::of_process(config.limits.sockets);
-    let budget = DescriptorBudget::of(descriptors, demand);
-    if descriptors.most < config.limits.sockets {
+    let descriptors = Descriptors::of_process(config.limits.max_descriptors);
+    let budget = DescriptorBudget::new(descriptors, demand);
+    let Descriptors { max, .. } = descriptors;
+    if max < config.limits.max_descriptors {
         tracing::warn!(
-            descriptors.most,
-            configured = config.limits.sockets,
-            "the machine allows fewer descriptors"
+            allowed = max,
+            configured = config.limits.max_descriptors,
+            "the system allows fewer descriptors"
         );
     }
-    let needed = demand.signed + demand.others;
-    if budget.short && needed > 0 {
-        let reason = format!(
-            "{} are too few: what is on needs {needed} beside clients and endpoints",
-            descriptors.most
-        );
-        return Err(ServeError::field("limits.sockets")(reason));
+    let needed = demand.subsystems();
+    if budget.is_insufficient && needed > 0 {
+        return Err(ServeError::field("limits.sockets")(InsufficientDescriptors { max, needed }));
     }
     Ok(budget)
 }
--- a/src/lifecycle/signed_urls.rs
+++ b/src/lifecycle/signed_urls.rs
@@ -1,115 +1,158 @@
-//! The second front's file, and its keys while it runs.
+//! The operator file of signed URLs, `serve --signed-urls FILE`, and the reload of its key file while the process runs.
 
-use crate::config_file::{parse_address, read_json, AddressError, ConfigError};
+use crate::clock::duration_from_ms;
+use crate::config_file::{parse_address, read_json, resolve_beside, AddressError, ConfigError, FieldError};
 use crate::engine::executor::Executor;
-use crate::wire::keys::{self, Key, KeyRing};
+use crate::wire::keys::{self, Key, KeyRing, KeysError};
 use crate::wire::listener::Limits;
 use crate::wire::signed::{SignedUrls, Verifier};
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
+use thiserror::Error;
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// How often the key file is looked at, in milliseconds.
-const LOOK_MS: f64 = 500.0;
+/// How often the key file is read, in milliseconds.
+const KEY_FILE_INTERVAL_MS: f64 = 500.0;
 /// The longest key file, in bytes.
-const MAX_KEY_FILE: u64 = 65_536;
+const MAX_KEY_FILE_BYTES: u64 = 65_536;
+/// The longest clock leeway and key overlap, in milliseconds: a day.
+const MAX_TOLERANCE_MS: f64 = 86_400_000.0;
+/// The bounds of the timeouts of connections, in milliseconds: 1 ms to 1 hour.
+const TIMEOUTS_MS: RangeInclusive<f64> = 1.0..=3_600_000.0;
+/// The file descriptors per connection of a client: a fifth of them may be clients of signed URLs.
+const DESCRIPTORS_PER_CONNECTION: usize = 5;
 
-/// The front's file.
+/// A key file that cannot be used.
+#[derive(Debug, Error)]
+pub enum SignedUrlKeyError {
+    /// The file cannot be read.
+    #[error("{0}")]
+    Unreadable(#[from] std::io::Error),
+    /// The file is longer than any set of keys.
+    #[error("{0} bytes are too many")]
+    TooLong(u64),
+    /// The text is no usable set of keys.
+    #[error("{0}")]
+    Malformed(#[from] KeysError),
+}
+
+/// What is wrong with a value of the file.
+#[derive(Debug, Error)]
+enum BadValue {
+    #[error("{}: {source}", path.display())]
+    Keys { path: PathBuf, source: SignedUrlKeyError },
+    #[error("it is empty")]
+    EmptyIssuer,
+    #[error("{0:?} is neither http nor https")]
+    Scheme(String),
+    #[error("{0} is not within a day")]
+    Tolerance(f64),
+    #[error("a time is not within 1 ms to 1 hour")]
+    Timeout,
+    #[error("{connections} is not within 1 to {max}")]
+    Connections { connections: usize, max: usize },
+}
+
+/// The operator file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignedUrlConfig {
-    /// Where clients connect.
+    /// The address of the front.
     listen: String,
     /// The JWK set, beside this file unless the path is absolute.
     keys: PathBuf,
-    /// The issuer whose links are taken.
+    /// The issuer whose URLs are accepted.
     issuer: String,
-    /// The scheme of the links, as clients see it.
-    #[serde(default = "http")]
+    /// The scheme of the URLs, as clients see it.
+    #[serde(default = "default_scheme")]
     scheme: String,
     /// How far clocks may be apart, in milliseconds.
-    #[serde(default = "leeway")]
+    #[serde(default = "default_leeway_ms")]
     leeway_ms: f64,
-    /// For how long a key that was rotated out is still good, in milliseconds.
-    #[serde(default = "overlap")]
+    /// How long a key that was rotated out remains valid, in milliseconds.
+    #[serde(default = "default_overlap_ms")]
     overlap_ms: f64,
     /// Bounds of the connections.
-    #[serde(default = "limits")]
+    #[serde(default = "default_limits")]
     limits: Limits,
 }
 
-fn http() -> String {
+fn default_scheme() -> String {
     "http".into()
 }
 
-fn leeway() -> f64 {
+fn default_leeway_ms() -> f64 {
     2_000.0
 }
 
-fn overlap() -> f64 {
+fn default_overlap_ms() -> f64 {
     60_000.0
 }
 
-fn limits() -> Limits {
+fn default_limits() -> Limits {
     Limits { connections: 128, body_bytes: 0, write_ms: 30_000.0, ..Limits::default() }
 }
 
-fn read_keys(path: &Path) -> Result<(Vec<u8>, HashMap<String, Key>), String> {
-    let length = std::fs::metadata(path).map_err(|e| e.to_string())?.len();
-    if length > MAX_KEY_FILE {
-        return Err(format!("{length} bytes are too many"));
+/// A key file as it was read.
+struct KeyFile {
+    text: Vec<u8>,
+    keys: HashMap<String, Key>,
+}
+
+impl KeyFile {
+    fn read(path: &Path) -> Result<Self, SignedUrlKeyError> {
+        let length = std::fs::metadata(path)?.len();
+        if length > MAX_KEY_FILE_BYTES {
+            return Err(SignedUrlKeyError::TooLong(length));
+        }
+        let text = std::fs::read(path)?;
+        let keys = keys::read(&text)?;
+        Ok(Self { text, keys })
     }
-    let text = std::fs::read(path).map_err(|e| e.to_string())?;
-    let keys = keys::read(&text).map_err(|e| e.to_string())?;
-    Ok((text, keys))
 }
 
 impl SignedUrlConfig {
-    /// Reads and checks a front's file and its keys; the proxy has `sockets` descriptors.
-    pub fn read(path: &Path, sockets: usize) -> Result<Self, ConfigError> {
-        let mut front: Self = read_json(path)?;
-        parse_address(&front.listen).map_err(|reason| ConfigError::field(path, "listen", reason))?;
-        front.keys = path.parent().unwrap_or(Path::new("")).join(&front.keys);
-        read_keys(&front.keys).map_err(|reason| {
-            ConfigError::field(path, "keys", format!("{}: {reason}", front.keys.display()))
-        })?;
-        if front.issuer.is_empty() {
-            return Err(ConfigError::field(path, "issuer", "it is empty"));
+    /// Reads and checks the file and its keys, for a process that may hold `max_descriptors` file descriptors.
+    pub fn read(path: &Path, max_descriptors: usize) -> Result<Self, ConfigError> {
+        let mut config: Self = read_json(path)?;
+        parse_address(&config.listen).map_err(|reason| ConfigError::field(path, "listen", reason))?;
+        config.keys = resolve_beside(path, &config.keys);
+        config.check(max_descriptors).map_err(|error| error.in_file(path))?;
+        Ok(config)
+    }
+
+    fn check(&self, max_descriptors: usize) -> Result<(), FieldError> {
+        if let Err(source) = KeyFile::read(&self.keys) {
+            return Err(FieldError::new("keys", BadValue::Keys { path: self.keys.clone(), source }));
+        }
+        if self.issuer.is_empty() {
+            return Err(FieldError::new("issuer", BadValue::EmptyIssuer));
         }
-        if !matches!(front.scheme.as_str(), "http" | "https") {
-            return Err(ConfigError::field(
-                path,
-                "scheme",
-                format!("{:?} is neither http nor https", front.scheme),
-            ));
+        if !matches!(self.scheme.as_str(), "http" | "https") {
+            return Err(FieldError::new("scheme", BadValue::Scheme(self.scheme.clone())));
         }
-        for (name, ms) in [("leeway_ms", front.leeway_ms), ("overlap_ms", front.overlap_ms)] {
-            if !(0.0..=86_400_000.0).contains(&ms) {
-                return Err(ConfigError::field(path, name, format!("{ms} is not within a day")));
+        for (field, ms) in [("leeway_ms", self.leeway_ms), ("overlap_ms", self.overlap_ms)] {
+            if !(0.0..=MAX_TOLERANCE_MS).contains(&ms) {
+                return Err(FieldError::new(field, BadValue::Tolerance(ms)));
             }
         }
-        let l = &front.limits;
-        if [l.first_ms, l.idle_ms, l.head_ms, l.body_ms, l.write_ms]
-            .iter()
-            .any(|ms| !(1.0..=3_600_000.0).contains(ms))
-        {
-            return Err(ConfigError::field(path, "limits", "a time is not within 1 ms to 1 hour"));
+        let Limits { first_ms, idle_ms, head_ms, body_ms, write_ms, connections, .. } = self.limits;
+        if ![first_ms, idle_ms, head_ms, body_ms, write_ms].iter().all(|ms| TIMEOUTS_MS.contains(ms)) {
+            return Err(FieldError::new("limits", BadValue::Timeout));
         }
-        if l.connections == 0 || l.connections > sockets / 5 {
-            return Err(ConfigError::field(
-                path,
-                "limits.connections",
-                format!("{} is not within 1 to {}", l.connections, sockets / 5),
-            ));
+        let max = max_descriptors / DESCRIPTORS_PER_CONNECTION;
+        if connections == 0 || connections > max {
+            return Err(FieldError::new("limits.connections", BadValue::Connections { connections, max }));
         }
-        Ok(front)
+        Ok(())
     }
 
-    /// Where clients connect.
+    /// The address of the front.
     pub fn listen(&self) -> Result<SocketAddr, AddressError> {
         parse_address(&self.listen)
     }
@@ -119,39 +162,41 @@
         self.limits.connections
     }
 
-    /// The front that the file describes.
-    pub fn front(&self, salt: u64) -> Result<SignedUrls, String> {
-        let (_, keys) = read_keys(&self.keys)?;
-        let keys = KeyRing::new(keys, self.overlap_ms);
+    /// The front that the file describes; `salt` is random.
+    pub fn front(&self, salt: u64) -> Result<SignedUrls, SignedUrlKeyError> {
+        let keys = KeyRing::new(KeyFile::read(&self.keys)?.keys, self.overlap_ms);
         let verifier = Verifier { keys, issuer: self.issuer.clone(), leeway_ms: self.leeway_ms };
         Ok(SignedUrls::new(self.limits.clone(), self.scheme.clone(), verifier, salt))
     }
 }
 
-/// Keeps a front's keys as its file has them: at once when `reload` says so, else within [`LOOK_MS`]. A file
-/// that can't be used changes nothing; it is logged once, by its fault and never by its text.
-pub async fn keep_keys(
-    host: Rc<Executor>,
+/// Keeps a front's keys as its file has them: at once when `reload` is notified, else within [`KEY_FILE_INTERVAL_MS`].
+/// A file that cannot be used changes nothing; each fault is logged once, without the text of the file.
+pub async fn follow_key_file(
+    executor: Rc<Executor>,
     config: SignedUrlConfig,
     front: Rc<SignedUrls>,
     reload: Rc<Notify>,
 ) {
-    let mut last = std::fs::read(&config.keys).unwrap_or_default();
-    let mut fault = String::new();
+    let mut current = std::fs::read(&config.keys).unwrap_or_default();
+    let mut last_fault = String::new();
     loop {
-        let _ = timeout(crate::clock::duration_from_ms(LOOK_MS), reload.notified()).await;
-        match read_keys(&config.keys) {
-            Ok((text, _)) if text == last => fault.clear(),
-            Ok((text, keys)) => {
-                front.verifier.borrow_mut().keys.rotate(keys, host.clock.now());
-                tracing::info!("new keys for signed links");
-                last = text;
-                fault.clear();
+        let _ = timeout(duration_from_ms(KEY_FILE_INTERVAL_MS), reload.notified()).await;
+        match KeyFile::read(&config.keys) {
+            Ok(file) => {
+                last_fault.clear();
+                if file.text != current {
+                    front.verifier.borrow_mut().keys.rotate(file.keys, executor.clock.now());
+                    tracing::info!("signed URL keys reloaded");
+                    current = file.text;
+                }
             }
-            Err(reason) if reason == fault => {}
             Err(reason) => {
-                tracing::warn!(%reason, "the old keys for signed links stay");
-                fault = reason;
+                let fault = reason.to_string();
+                if fault != last_fault {
+                    tracing::warn!(%reason, "signed URL keys not reloaded");
+                    last_fault = fault;
+                }
             }
         }
     }
--- a/src/lifecycle/subsystem_configs.rs
+++ b/src/lifecycle/subsystem_configs.rs
@@ -71,10 +71,12 @@
 }
 
 impl SubsystemConfigs {
-    /// Reads and checks all files, for a process that may hold `max_sockets` file descriptors.
-    pub fn read(files: &SubsystemFiles, max_sockets: usize) -> Result<Self, ConfigError> {
+    /// Reads and checks all files, for a process that may hold `max_descriptors` file descriptors.
+    pub fn read(files: &SubsystemFiles, max_descriptors: usize) -> Result<Self, ConfigError> {
         Ok(Self {
-            signed_urls: read_optional(&files.signed_urls, |path| SignedUrlConfig::read(path, max_sockets))?,
+            signed_urls: read_optional(&files.signed_urls, |path| {
+                SignedUrlConfig::read(path, max_descriptors)
+            })?,
             vrrp: read_optional(&files.vrrp, VrrpConfig::read)?,
             purges: read_optional(&files.purges, PurgeConfig::read)?,
             admission: read_optional(&files.admission, AdmissionConfig::read)?,
@@ -94,7 +96,7 @@
 
     /// The file descriptors that the subsystems may hold.
     pub fn descriptor_demand(&self, handed_over: bool) -> DescriptorDemand {
-        let signed =
+        let signed_urls =
             self.signed_urls.as_ref().map_or(0, |c| c.connections() * self.listeners(FrontKind::Signed));
         let grpc = self
             .grpc
@@ -104,7 +106,11 @@
             self.http3.as_ref().and_then(|c| c.tcp_at().map(|_| c.limits.tcp_connections)).unwrap_or(0);
         let purges = if self.purges.is_some() { MAX_CALLS } else { 0 };
         let health_checks = if self.health_checks.is_some() { MAX_PROBES } else { 0 };
-        DescriptorDemand { signed, others: grpc + http3 + purges + health_checks, handed_over }
+        DescriptorDemand {
+            signed_url_clients: signed_urls,
+            other_subsystems: grpc + http3 + purges + health_checks,
+            handed_over,
+        }
     }
 
     /// The names of the gRPC pools.
--- a/src/lifecycle/subsystems/admin.rs
+++ b/src/lifecycle/subsystems/admin.rs
@@ -2,7 +2,7 @@
 
 use crate::lifecycle::bind::bind_tcp;
 use crate::lifecycle::error::ServeError;
-use crate::lifecycle::maintenance::Store;
+use crate::lifecycle::maintenance::MaintenanceFile;
 use crate::lifecycle::subsystem::{Context, Starting, Subsystem};
 use crate::lifecycle::supervisor::supervise;
 use crate::wire::admin::AdminFront;
@@ -15,19 +15,21 @@
 
 impl AdminAddress {
     async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
-        let Some(mgmt) = context.config.mgmt().map_err(ServeError::field("mgmt"))? else { return Ok(()) };
+        let Some(mgmt) = context.config.admin_address().map_err(ServeError::field("mgmt"))? else {
+            return Ok(());
+        };
         let executor = &context.executor;
-        let store = Store::of(&context.config.name);
+        let file = MaintenanceFile::of_proxy(&context.config.name);
         // Before this address and the other fronts open: an endpoint out of use stays so across an upgrade.
-        store.take_over(executor);
-        let front = Rc::new(admin_front(context, store.clone()));
+        file.load(executor);
+        let front = Rc::new(admin_front(context, file.clone()));
         let listener = bind_tcp(mgmt).await?;
         // Open until the process ends: a stop neither closes it nor waits for its callers.
         let (uncounted, never_closing) = Default::default();
         executor.spawn("calls", accept(executor.clone(), front, listener, uncounted, never_closing));
-        supervise(executor, "following maintenance", {
+        supervise(executor, "the maintenance file", {
             let executor = executor.clone();
-            move || store.clone().follow(executor.clone())
+            move || file.clone().follow(executor.clone())
         });
         tracing::info!(%mgmt, "admin calls are answered");
         Ok(())
@@ -35,14 +37,14 @@
 }
 
 /// The front of the admin address, with the calls of all prepared subsystems.
-fn admin_front(context: &Context, store: Store) -> AdminFront {
+fn admin_front(context: &Context, file: MaintenanceFile) -> AdminFront {
     let front = AdminFront::new(Box::new(move |executor| {
         // Maintenance that another process wrote meanwhile is kept.
-        store.take_over(executor);
-        store.write(executor)
+        file.load(executor);
+        file.write(executor)
     }));
     let calls = context.admin_calls.take();
-    calls.into_iter().fold(front.with_callers(context.budget.callers), |front, calls| {
+    calls.into_iter().fold(front.with_callers(context.budget.admin_clients), |front, calls| {
         front.with_calls(calls.handler, calls.max_body)
     })
 }
--- a/src/lifecycle/subsystems/admission.rs
+++ b/src/lifecycle/subsystems/admission.rs
@@ -2,7 +2,9 @@
 
 use crate::admission::config::AdmissionConfig;
 use crate::admission::control::AdmissionControl;
+use crate::config_file::BoxError;
 use crate::engine::executor::Executor;
+use crate::lifecycle::reload::log_reload;
 use crate::lifecycle::subsystem::{Context, Starting, Subsystem};
 use futures_util::future::{ready, FutureExt};
 use std::rc::Rc;
@@ -36,11 +38,8 @@
 /// Reads the file of admission control again: other weights hold from the next round. A file that cannot be used
 /// changes nothing.
 pub fn reload_admission(executor: &Rc<Executor>, config: &AdmissionConfig) {
-    match config.again() {
-        Ok(fresh) => {
-            executor.with_admission(|admission| admission.reconfigure(fresh));
-            tracing::info!(file = %config.path.display(), "the admission file read again");
-        }
-        Err(reason) => tracing::warn!(%reason, "the old admission file stays"),
-    }
+    let reloaded = config.reload().map(|fresh| {
+        executor.with_admission(|admission| admission.reconfigure(fresh));
+    });
+    log_reload("admission", &config.path, reloaded.map_err(BoxError::from));
 }
--- a/src/lifecycle/subsystems/grpc.rs
+++ b/src/lifecycle/subsystems/grpc.rs
@@ -7,6 +7,7 @@
 use crate::grpc::server::{abort_calls_at_shutdown, accept, expire_queued_calls, run_housekeeping};
 use crate::lifecycle::bind::bind_tcp;
 use crate::lifecycle::error::ServeError;
+use crate::lifecycle::reload::log_reload;
 use crate::lifecycle::subsystem::{AdminCalls, Context, Starting, StopStage, Subsystem};
 use crate::lifecycle::supervisor::supervise;
 use futures_util::future::{ready, FutureExt};
@@ -49,7 +50,7 @@
         Ok(())
     }
 
-    fn read_again(&self, front: &GrpcFront) -> Result<(), BoxError> {
+    fn reload_file(&self, front: &GrpcFront) -> Result<(), BoxError> {
         Ok(front.reconfigure(self.config.again()?)?)
     }
 }
@@ -75,10 +76,7 @@
 
     fn reload(&mut self, _: &Context) {
         let Some(front) = &self.front else { return };
-        match self.read_again(front) {
-            Ok(()) => tracing::info!(file = %self.config.path.display(), "the gRPC file read again"),
-            Err(reason) => tracing::warn!(%reason, "the old gRPC file stays"),
-        }
+        log_reload("gRPC", &self.config.path, self.reload_file(front));
     }
 
     fn stop(&mut self, stage: StopStage) {
--- a/src/lifecycle/subsystems/http3.rs
+++ b/src/lifecycle/subsystems/http3.rs
@@ -8,6 +8,7 @@
 use crate::http3::server::{self, Driver};
 use crate::lifecycle::bind::{bind_tcp, retry_while_in_use};
 use crate::lifecycle::error::ServeError;
+use crate::lifecycle::reload::log_reload;
 use crate::lifecycle::subsystem::{Context, Starting, StopStage, Subsystem};
 use crate::lifecycle::supervisor::supervise;
 use crate::wire::listener::{accept, Limits};
@@ -111,13 +112,7 @@
     }
 
     fn reload(&mut self, _: &Context) {
-        match self.reload_keys() {
-            Ok(()) => tracing::info!(
-                file = %self.config.file.display(),
-                "certificates and session keys read again"
-            ),
-            Err(reason) => tracing::warn!(%reason, "the old certificates and session keys stay"),
-        }
+        log_reload("HTTP/3", &self.config.file, self.reload_keys());
     }
 
     fn stop(&mut self, stage: StopStage) {
--- a/src/lifecycle/subsystems/mod.rs
+++ b/src/lifecycle/subsystems/mod.rs
@@ -40,7 +40,7 @@
     configs: SubsystemConfigs,
     handed_over: Option<TcpListener>,
 ) -> Result<Vec<Box<dyn Subsystem>>, ServeError> {
-    let address = config.bulletin().map_err(ServeError::field("bulletin"))?;
+    let address = config.discovery_address().map_err(ServeError::field("bulletin"))?;
     let (discovery_sender, discovery_address) = watch::channel(address);
     let platform_listeners = configs.listeners(FrontKind::Platform);
     let router_needs = vrrp::Prerequisites {
--- a/src/lifecycle/subsystems/platform.rs
+++ b/src/lifecycle/subsystems/platform.rs
@@ -27,7 +27,7 @@
     }
 
     async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
-        let address = context.config.listen().map_err(ServeError::field("listen"))?;
+        let address = context.config.listen_address().map_err(ServeError::field("listen"))?;
         let listener = match self.handed_over.take() {
             Some(listener) => TcpListener::from_std(listener).map_err(ServeError::HandedOverSocket)?,
             None => bind_tcp(address).await?,
--- a/src/lifecycle/subsystems/purges.rs
+++ b/src/lifecycle/subsystems/purges.rs
@@ -23,7 +23,7 @@
 
     /// Reads the purge log, before anything is served: the purges that it holds bind.
     fn open(&mut self, context: &Context) -> Result<(), ServeError> {
-        if context.config.mgmt().map_err(ServeError::field("mgmt"))?.is_none() {
+        if context.config.admin_address().map_err(ServeError::field("mgmt"))?.is_none() {
             let reason = "fleet purges are called at the second address, and there is none";
             return Err(ServeError::field("mgmt")(reason));
         }
--- a/src/lifecycle/subsystems/rules.rs
+++ b/src/lifecycle/subsystems/rules.rs
@@ -1,5 +1,7 @@
 //! Routing rules: which class and object a request of the platform's front is for.
 
+use crate::config_file::BoxError;
+use crate::lifecycle::reload::log_reload;
 use crate::lifecycle::subsystem::{Context, Starting, Subsystem};
 use crate::rules::config::RulesConfig;
 use crate::rules::table::Rules;
@@ -28,12 +30,8 @@
     }
 
     fn reload(&mut self, context: &Context) {
-        match RulesConfig::read(&self.config.path) {
-            Ok((_, rules)) => {
-                context.rules.replace(rules);
-                tracing::info!(file = %self.config.path.display(), "rules read again");
-            }
-            Err(reason) => tracing::warn!(%reason, "the old rules stay"),
-        }
+        let path = &self.config.path;
+        let reloaded = RulesConfig::read(path).map(|(_, rules)| context.rules.replace(rules));
+        log_reload("rules", path, reloaded.map_err(BoxError::from));
     }
 }
--- a/src/lifecycle/subsystems/settings.rs
+++ b/src/lifecycle/subsystems/settings.rs
@@ -34,23 +34,23 @@
     config: &Config,
     discovery_address: &watch::Sender<SocketAddr>,
 ) {
-    match read_again(config) {
+    match read_file(config) {
         Ok((address, settings)) => {
             executor.with(|engine| {
                 engine.counters.reloads += 1;
                 engine.reconfigure(settings);
             });
             let moved = discovery_address.send_if_modified(|old| std::mem::replace(old, address) != address);
-            tracing::info!(bulletin = %address, moved, "configuration read again");
+            tracing::info!(discovery_address = %address, moved, "configuration reloaded");
         }
         Err(reason) => {
             executor.with(|engine| engine.counters.reload_faults += 1);
-            tracing::warn!(%reason, "the old configuration stays");
+            tracing::warn!(%reason, "configuration not reloaded");
         }
     }
 }
 
-fn read_again(config: &Config) -> Result<(SocketAddr, PlatformSettings), BoxError> {
-    let fresh = config.again()?;
-    Ok((fresh.bulletin()?, fresh.settings))
+fn read_file(config: &Config) -> Result<(SocketAddr, PlatformSettings), BoxError> {
+    let fresh = config.reload()?;
+    Ok((fresh.discovery_address()?, fresh.settings))
 }
--- a/src/lifecycle/subsystems/signed_urls.rs
+++ b/src/lifecycle/subsystems/signed_urls.rs
@@ -2,7 +2,7 @@
 
 use crate::lifecycle::bind::bind_tcp;
 use crate::lifecycle::error::ServeError;
-use crate::lifecycle::signed_urls::{keep_keys, SignedUrlConfig};
+use crate::lifecycle::signed_urls::{follow_key_file, SignedUrlConfig};
 use crate::lifecycle::subsystem::{Context, Starting, StopStage, Subsystem};
 use crate::lifecycle::supervisor::supervise;
 use crate::vrrp::config::FrontKind;
@@ -35,9 +35,9 @@
         let accepting =
             accept(executor.clone(), front.clone(), listener, context.stop.clone(), self.closing.clone());
         executor.spawn("accepting", accepting);
-        supervise(executor, "keeping keys", {
+        supervise(executor, "the signed URL keys", {
             let (executor, config, reload) = (executor.clone(), self.config.clone(), self.reload.clone());
-            move || keep_keys(executor.clone(), config.clone(), front.clone(), reload.clone())
+            move || follow_key_file(executor.clone(), config.clone(), front.clone(), reload.clone())
         });
         tracing::info!(%listen, "signed URLs are served");
         Ok(())
--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -5,6 +5,7 @@
 use crate::grpc::server as grpc_server;
 use crate::lifecycle::bind::bind_udp;
 use crate::lifecycle::error::ServeError;
+use crate::lifecycle::reload::log_reload;
 use crate::lifecycle::subsystem::{AdminCalls, Context, Starting, StopStage, Subsystem};
 use crate::vrrp::config::{FrontKind, VrrpConfig};
 use crate::vrrp::driver::{host_value, run, Accept, Ask, VirtualRouter};
@@ -64,7 +65,7 @@
         Ok(())
     }
 
-    fn read_again(&self, router: &VirtualRouter) -> Result<(), BoxError> {
+    fn reload_file(&self, router: &VirtualRouter) -> Result<(), BoxError> {
         Ok(router.reconfigure(self.config.again()?)?)
     }
 }
@@ -121,12 +122,7 @@
 
     fn reload(&mut self, _: &Context) {
         let Some(router) = &self.router else { return };
-        match self.read_again(router) {
-            Ok(()) => {
-                tracing::info!(file = %self.config.path.display(), "the virtual router's file read again");
-            }
-            Err(reason) => tracing::warn!(%reason, "the virtual router's old file stays"),
-        }
+        log_reload("VRRP", &self.config.path, self.reload_file(router));
     }
 
     fn stop(&mut self, stage: StopStage) {
--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -2,7 +2,7 @@
 
 mod stand_ins;
 
-use edge_proxy::lifecycle::maintenance::Store;
+use edge_proxy::lifecycle::maintenance::MaintenanceFile;
 use edge_proxy::wire::admin::AdminFront;
 use edge_proxy::wire::listener::Front;
 use edge_proxy::wire::platform::{limits, Platform};
@@ -12,7 +12,7 @@
 
 async fn open(name: &str) -> (Site, SocketAddr, SocketAddr) {
     let site = Site::start(name).await;
-    let store = Store::at(folder(name).join("maintenance.json"));
+    let store = MaintenanceFile::at(folder(name).join("maintenance.json"));
     let front: Rc<dyn Front> = Rc::new(AdminFront::new(Box::new(move |host| store.write(host))));
     let calls = site.open(front).await;
     let front: Rc<dyn Front> = Rc::new(Platform::new(limits(400)));
@@ -123,15 +123,15 @@
         assert!(asked.len() >= 20 && asked.iter().all(|fields| fields["next"] != "s-000000a0"));
         // Another process of this proxy takes that over.
         let other = Site::start("maintenance_other").await;
-        let store = Store::at(folder("maintenance").join("maintenance.json"));
-        store.take_over(&other.host);
+        let store = MaintenanceFile::at(folder("maintenance").join("maintenance.json"));
+        store.load(&other.host);
         assert!(other.host.with(|engine| engine.maintenance().is_out(first)));
         site.pass(10_000.0);
         ask(calls, "POST", &format!("/pop-caches/s-{first:08x}/ready"), "").await;
         clips(at, 200..260).await;
         let back = site.asked(first) - before;
         assert!((1..20).contains(&back), "a part of its slice, not all at once: {back} of 60");
-        store.take_over(&other.host);
+        store.load(&other.host);
         assert!(!other.host.with(|engine| engine.maintenance().is_out(first)));
     });
 }
--- a/tests/admission_loopback.rs
+++ b/tests/admission_loopback.rs
@@ -341,6 +341,6 @@
         assert!(ratio(after) > 2.2, "three to one within a second: {after:?}");
         assert!(got.iter().all(|(_, _, status)| status.is_some()), "every request had its answer");
         let log = std::fs::read_to_string(folder("door-reweigh").join("proxy.log")).unwrap();
-        assert!(log.contains("the admission file read again"), "{log}");
+        assert!(log.contains("configuration reloaded subsystem=\"admission\""), "{log}");
     });
 }
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -704,6 +704,6 @@
         assert_eq!((got.status(), got.body), (0, msg(5)));
         program.ends_well().await;
         let log = std::fs::read_to_string(dir.join("proxy.log")).unwrap();
-        assert!(log.contains("the old gRPC file stays"), "{log}");
+        assert!(log.contains("configuration not reloaded subsystem=\"gRPC\""), "{log}");
     });
 }
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -477,6 +477,6 @@
         assert_eq!(slow.await.unwrap().unwrap().status, 200, "what was taken is answered");
         program.ends_well().await;
         let log = std::fs::read_to_string(dir.join("proxy.log")).unwrap();
-        assert!(log.contains("the old certificates and session keys stay"), "{log}");
+        assert!(log.contains("configuration not reloaded subsystem=\"HTTP/3\""), "{log}");
     });
 }
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -160,7 +160,7 @@
     let text = std::fs::read_to_string(&path).unwrap();
     std::fs::write(&path, "nonsense").unwrap();
     proxy.signal("-HUP");
-    proxy.until("the old configuration stays");
+    proxy.until("configuration not reloaded");
     let at = bulletin.local_addr().unwrap().to_string();
     std::fs::write(&path, text.replace("127.0.0.1:7070", &at)).unwrap();
     proxy.signal("-HUP");
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -167,6 +167,9 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
         assert_eq!(ask("/pictures/cat.jpg", 99).await, "200", "the old rules stay");
         let log = std::fs::read_to_string(dir.join("proxy.log")).unwrap();
-        assert!(log.contains("the old rules stay") && log.contains("rule 1, `when`"), "{log}");
+        assert!(
+            log.contains("configuration not reloaded subsystem=\"rules\"") && log.contains("rule 1, `when`"),
+            "{log}"
+        );
     });
 }
--- a/tests/scarcity.rs
+++ b/tests/scarcity.rs
@@ -193,7 +193,7 @@
             served_by(&proxy, &mut ids, "one");
         }
         proxy.signal("-HUP");
-        proxy.until("configuration read again");
+        proxy.until("configuration reloaded");
         tell(&mut stream, cache_record(drains, at, 1));
         served_by(&proxy, &mut ids, serves);
         // Told by now: nothing more goes to the one that drains.
@@ -202,7 +202,7 @@
             assert_eq!(ask(&mut proxy.connect(), ids), ("200".to_string(), serves.to_string()));
         }
         proxy.signal("-HUP");
-        proxy.until("configuration read again");
+        proxy.until("configuration reloaded");
         served_by(&proxy, &mut ids, serves);
     }
 }
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -2,7 +2,7 @@
 
 mod stand_ins;
 
-use edge_proxy::lifecycle::signed_urls::{keep_keys, SignedUrlConfig};
+use edge_proxy::lifecycle::signed_urls::{follow_key_file, SignedUrlConfig};
 use edge_proxy::wire::signed::SignedUrls;
 use jsonwebtoken::{encode, Algorithm, EncodingKey, Header};
 use p256::pkcs8::EncodePrivateKey;
@@ -117,7 +117,7 @@
     let config = SignedUrlConfig::read(&file, 1_024).unwrap();
     let front = Rc::new(config.front(77).unwrap());
     let reload = Rc::new(Notify::new());
-    spawn_local(keep_keys(site.host.clone(), config, front.clone(), reload.clone()));
+    spawn_local(follow_key_file(site.host.clone(), config, front.clone(), reload.clone()));
     let at = site.open(front.clone()).await;
     Front { site, at, keys, reload, front }
 }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -324,7 +324,7 @@
         let (engine, env) = engine(&config, &clock, 0).unwrap();
         let host = Executor::new(clock.clone(), engine, CacheDriver);
         spawn_local(host.clone().keep_time());
-        let (moves, told) = watch::channel(config.bulletin().unwrap());
+        let (moves, told) = watch::channel(config.discovery_address().unwrap());
         spawn_local(discovery::run(host.clone(), told));
         let (stop, closing) = Default::default();
         Self { clock, host, env, endpoints, bulletin, config, moves, stop, closing }
