--- a/examples/admission_heavy.rs
+++ b/examples/admission_heavy.rs
@@ -1,4 +1,4 @@
-//! The heavy client on loopback, with the door's fair queues and without: a proxy process before a stand-in
+//! The heavy client on loopback, with admission control and without: a proxy process before a stand-in
 //! fleet of 8 slots at 20 ms a request, ten clients at 10 requests a second each, and one client at a hundred
 //! times that. Prints the others' delay (p50, p99) and what the heavy client got, in each of four runs.
 //!
@@ -58,22 +58,22 @@
 }
 
 async fn run(program: PathBuf, seconds: f64) {
-    let dir = std::env::temp_dir().join(format!("edge-proxy-door-heavy-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("edge-proxy-admission-heavy-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let fleet = SlowFleet::start(74, 4, 8, 20).await;
-    println!("| door | heavy client | others p50 ms | others p99 ms | others served | heavy served | heavy refused |");
+    println!("| admission | heavy client | others p50 ms | others p99 ms | others served | heavy served | heavy shed |");
     println!("| --- | --- | ---: | ---: | ---: | ---: | ---: |");
     let ids = Rc::new(Cell::new(0u64));
-    for door in [false, true] {
+    for admission in [false, true] {
         for heavy in [false, true] {
-            let (others, heavy_got) = play(&program, &dir, &fleet, door, heavy, seconds, ids.clone()).await;
+            let (others, heavy_got) = play(&program, &dir, &fleet, admission, heavy, seconds, ids.clone()).await;
             let mut times: Vec<f64> = others.iter().filter(|(s, _)| *s == 200).map(|(_, t)| *t).collect();
             times.sort_by(f64::total_cmp);
             let served = heavy_got.iter().filter(|s| **s == 200).count();
-            let refused = heavy_got.iter().filter(|s| **s == 503 || **s == 429).count();
+            let shed = heavy_got.iter().filter(|s| **s == 503 || **s == 429).count();
             println!(
-                "| {} | {} | {:.1} | {:.1} | {} of {} | {served} | {refused} |",
-                if door { "on" } else { "off" },
+                "| {} | {} | {:.1} | {:.1} | {} of {} | {served} | {shed} |",
+                if admission { "on" } else { "off" },
                 if heavy { "yes" } else { "no" },
                 percentile(&times, 0.5),
                 percentile(&times, 0.99),
@@ -89,7 +89,7 @@
     program: &Path,
     dir: &Path,
     fleet: &SlowFleet,
-    door: bool,
+    admission: bool,
     heavy: bool,
     seconds: f64,
     ids: Rc<Cell<u64>>,
@@ -103,10 +103,10 @@
     let text = text.replace("127.0.0.1:5050", &listen.to_string());
     let config = dir.join("config.json");
     std::fs::write(&config, text).unwrap();
-    let file = dir.join("door.json");
+    let file = dir.join("admission.json");
     std::fs::write(&file, r#"{"limit":{"first":8,"least":8,"most":8},"per_client_most":16}"#).unwrap();
     let mut args = vec!["serve".to_string(), "--config".into(), config.display().to_string()];
-    if door {
+    if admission {
         args.extend(["--admission".into(), file.display().to_string()]);
     }
     let mut command = Command::new(program);
--- a/tests/admission_loopback.rs
+++ b/tests/admission_loopback.rs
@@ -1,4 +1,4 @@
-//! The door's fair queues in the program itself: a proxy process before a stand-in fleet of fixed capacity, a
+//! Admission control in the program itself: a proxy process before a stand-in fleet of fixed capacity, a
 //! heavy client sending a hundred times the others' rate, each client from an address of its own.
 
 mod stand_ins;
@@ -16,11 +16,11 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-proxy");
 
-/// What a client got: the status, the come-back time where one was told, and how long it took.
+/// What a client got: the status, the retry-after time where it was shed, and how long it took.
 #[derive(Clone, Copy, Debug)]
 struct Got {
     status: u16,
-    come_back_ms: Option<f64>,
+    retry_after_ms: Option<f64>,
     took_ms: f64,
 }
 
@@ -62,11 +62,11 @@
     tokio::time::timeout(Duration::from_secs(4), stream.read_to_end(&mut bytes)).await.ok()?.ok()?;
     let text = String::from_utf8_lossy(&bytes).to_string();
     let status = text.get(9..12)?.parse().ok()?;
-    let come_back_ms = text
+    let retry_after_ms = text
         .lines()
         .find_map(|l| l.strip_prefix("X-Come-Back-Ms: ").or_else(|| l.strip_prefix("x-come-back-ms: ")))
         .and_then(|v| v.trim().parse().ok());
-    Some(Got { status, come_back_ms, took_ms: start.elapsed().as_secs_f64() * 1_000.0 })
+    Some(Got { status, retry_after_ms, took_ms: start.elapsed().as_secs_f64() * 1_000.0 })
 }
 
 fn median(mut xs: Vec<f64>) -> f64 {
@@ -97,8 +97,8 @@
     }
 }
 
-/// A proxy process with a door before `fleet`, at `127.0.NET.10`; returns it with its two addresses.
-async fn proxy(fleet: &SlowFleet, net: u8, name: &str, door: &str) -> (Proxy, SocketAddr, SocketAddr) {
+/// A proxy process with admission control before `fleet`, at `127.0.NET.10`; returns it with its two addresses.
+async fn proxy(fleet: &SlowFleet, net: u8, name: &str, admission: &str) -> (Proxy, SocketAddr, SocketAddr) {
     let dir = folder(name);
     let ip = format!("127.0.{net}.10");
     let port = |ip: &str| TcpListener::bind(format!("{ip}:0")).unwrap().local_addr().unwrap();
@@ -111,9 +111,9 @@
     let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
     let text = text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses);
     std::fs::write(dir.join("config.json"), text).unwrap();
-    std::fs::write(dir.join("door.json"), door).unwrap();
+    std::fs::write(dir.join("admission.json"), admission).unwrap();
     let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
-    let (config, file) = (dir.join("config.json"), dir.join("door.json"));
+    let (config, file) = (dir.join("config.json"), dir.join("admission.json"));
     let args = ["serve", "--config", config.to_str().unwrap(), "--admission", file.to_str().unwrap()];
     let proxy = Proxy(Command::new(PROGRAM).args(args).stderr(Stdio::from(log)).spawn().unwrap());
     for _ in 0..500 {
@@ -126,12 +126,12 @@
 }
 
 #[test]
-fn a_heavy_client_leaves_the_others_their_pace_and_is_told_honestly_when_to_come_back() {
+fn a_heavy_client_leaves_other_clients_their_latency_and_its_retry_after_times_are_kept() {
     run(async {
         let fleet = SlowFleet::start(72, 4, 8, 20).await;
-        let door = r#"{"limit":{"first":8,"least":8,"most":8},"reserve_share":0.375,"per_client_most":16,
+        let admission = r#"{"limit":{"first":8,"least":8,"most":8},"reserve_share":0.375,"per_client_most":16,
             "come_back_least_ms":100,"come_back_most_ms":3000}"#;
-        let (_proxy, listen, mgmt) = proxy(&fleet, 72, "door-loopback", door).await;
+        let (_proxy, listen, mgmt) = proxy(&fleet, 72, "admission-loopback", admission).await;
         let ids = Ids::default();
         let next = || ids.next();
         // The others: ten clients, each a request every 100 ms.
@@ -179,7 +179,7 @@
             })
             .collect();
         tokio::time::sleep(Duration::from_millis(500)).await;
-        // A client that asks for too much at once is refused with a time to come back, and comes back then,
+        // A client that asks for too much at once is shed with a retry-after time, and retries then,
         // while the heavy client still presses.
         let returner = {
             let ids = ids.clone();
@@ -187,25 +187,25 @@
                 let from: IpAddr = "127.0.73.3".parse().unwrap();
                 let burst: Vec<_> =
                     (0..40).map(|_| spawn_local(ask(listen, from, ids.next(), false, false))).collect();
-                let mut told = Vec::new();
+                let mut waits = Vec::new();
                 for request in burst {
-                    told.extend(request.await.unwrap().and_then(|g| g.come_back_ms));
+                    waits.extend(request.await.unwrap().and_then(|g| g.retry_after_ms));
                 }
-                let wait = told.iter().copied().fold(0.0, f64::max);
+                let wait = waits.iter().copied().fold(0.0, f64::max);
                 tokio::time::sleep(Duration::from_secs_f64(wait / 1_000.0)).await;
                 let later = ask(listen, from, ids.next(), false, false).await;
-                (told.len(), wait, later)
+                (waits.len(), wait, later)
             })
         };
         let crowded: Rc<RefCell<Vec<Got>>> = Rc::default();
         let tasks: Vec<_> = others(3.0, crowded.clone()).collect();
-        // An ad-post of the heavy client, whose queue is full: a final refusal, and never sent.
-        let mut refused_posts = Vec::new();
+        // An ad-post of the heavy client, whose queue is full: a final rejection, and never forwarded.
+        let mut shed_posts = Vec::new();
         for _ in 0..5 {
             let id = next();
             let got = ask(listen, heavy_from, id, true, false).await.unwrap();
             if got.status == 503 {
-                refused_posts.push(id);
+                shed_posts.push(id);
             }
             assert!(got.status == 503 || got.status == 200, "{got:?}");
         }
@@ -221,12 +221,12 @@
             task.await.unwrap();
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let (refusals, wait, later) = returner.await.unwrap();
-        assert!(refusals > 0 && wait >= 100.0, "{refusals} refusals, come back in {wait} ms");
+        let (shed, wait, later) = returner.await.unwrap();
+        assert!(shed > 0 && wait >= 100.0, "{shed} shed, retry after {wait} ms");
         let later = later.expect("an answer");
-        assert_eq!(later.status, 200, "told to come back in {wait} ms, it came and got {later:?}");
-        let told: Vec<f64> = heavy_got.borrow().iter().filter_map(|g| g.come_back_ms).collect();
-        assert!(!told.is_empty(), "the heavy client was refused with a time to come back");
+        assert_eq!(later.status, 200, "given {wait} ms, it retried and got {later:?}");
+        let waits: Vec<f64> = heavy_got.borrow().iter().filter_map(|g| g.retry_after_ms).collect();
+        assert!(!waits.is_empty(), "the heavy client was shed with a retry-after time");
         let (alone, crowded) = (alone.borrow().clone(), crowded.borrow().clone());
         assert!(alone.iter().chain(&crowded).all(|g| g.status == 200), "the others were all served");
         let (base, with) = (
@@ -236,17 +236,17 @@
         let heavy_served = heavy_got.borrow().iter().filter(|g| g.status == 200).count();
         println!("others alone {base:.1} ms, beside the heavy client {with:.1} ms; heavy served {heavy_served} of {}", heavy_got.borrow().len());
         // A fifth of the delay is 5 ms, which a busy machine adds by itself: `examples/admission_heavy.rs` measures that. Here
-        // it is told from a door that does not hold, whose others wait behind a queue of a second and more.
+        // it is told apart from admission control that does not hold, where the others wait behind a queue of a second and more.
         assert!(
             with <= (1.2 * base).max(base + 60.0),
             "the others' median went from {base:.1} ms to {with:.1} ms"
         );
         assert!(heavy_served > 0, "the heavy client still had its share");
-        for id in refused_posts {
-            assert!(!fleet.seen.borrow().contains(&format!("{id:016x}")), "a refused ad-post was sent on");
+        for id in shed_posts {
+            assert!(!fleet.seen.borrow().contains(&format!("{id:016x}")), "a shed ad-post was forwarded");
         }
-        // Each abandoned request was sent on before its client left, called off in the engine, or freed at the
-        // door; whichever it was, it holds no place any more.
+        // Each abandoned request was forwarded before its client disconnected, cancelled in the engine, or dropped in
+        // the queue; whichever it was, it holds no place any more.
         let figures =
             edge_proxy::purge::wire::call(mgmt, "GET", "/stats", b"", Duration::from_secs(2)).await.unwrap();
         let figures = String::from_utf8_lossy(&figures.body).to_string();
@@ -259,14 +259,14 @@
     });
 }
 
-/// A client that closes while its request waits at the door: its place is free at once, the next one goes in, and
-/// nothing of it is ever sent on.
+/// A client that closes while its request is queued: its place is free at once, the next request is admitted, and
+/// nothing of it is ever forwarded.
 #[test]
-fn a_client_that_leaves_the_queue_at_the_door_is_never_sent_on() {
+fn a_request_whose_client_disconnects_in_the_queue_is_never_forwarded() {
     run(async {
         let fleet = SlowFleet::start(78, 4, 8, 600).await;
-        let door = r#"{"limit":{"first":1,"least":1,"most":1},"reserve_share":0}"#;
-        let (_proxy, listen, mgmt) = proxy(&fleet, 78, "door-left", door).await;
+        let admission = r#"{"limit":{"first":1,"least":1,"most":1},"reserve_share":0}"#;
+        let (_proxy, listen, mgmt) = proxy(&fleet, 78, "admission-disconnect", admission).await;
         let figure = |name: &'static str| async move {
             let got = edge_proxy::purge::wire::call(mgmt, "GET", "/stats", b"", Duration::from_secs(2)).await;
             let text = String::from_utf8_lossy(&got.unwrap().body).to_string();
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn a_weight_changed_by_sighup_holds_within_a_second_and_nothing_waiting_is_lost() {
+fn a_weight_reloaded_by_sighup_holds_within_a_second_and_no_queued_request_is_lost() {
     run(async {
         let fleet = SlowFleet::start(76, 4, 8, 20).await;
         let file = |w: f64| {
@@ -298,7 +298,7 @@
                 r#"{{"limit":{{"first":8,"least":8,"most":8}},"reserve_share":0,"tenants":[{{"groups":[1],"weight":{w}}}]}}"#
             )
         };
-        let (proxy, listen, _) = proxy(&fleet, 76, "door-reweigh", &file(1.0)).await;
+        let (proxy, listen, _) = proxy(&fleet, 76, "admission-reload", &file(1.0)).await;
         let ids = Ids::default();
         // Two tenants, 24 clients each, every client with one request out at all times: more than either is ever let in,
         // so that the queues decide, whatever a client takes to come again.
@@ -318,7 +318,7 @@
             })
             .collect();
         tokio::time::sleep(Duration::from_millis(1_500)).await;
-        std::fs::write(folder("door-reweigh").join("door.json"), file(3.0)).unwrap();
+        std::fs::write(folder("admission-reload").join("admission.json"), file(3.0)).unwrap();
         assert!(Command::new("kill").args(["-HUP", &proxy.0.id().to_string()]).status().unwrap().success());
         let reweighed = Instant::now();
         for task in loops {
@@ -340,7 +340,7 @@
         assert!((0.7..1.4).contains(&ratio(before)), "even shares before: {before:?}");
         assert!(ratio(after) > 2.2, "three to one within a second: {after:?}");
         assert!(got.iter().all(|(_, _, status)| status.is_some()), "every request had its answer");
-        let log = std::fs::read_to_string(folder("door-reweigh").join("proxy.log")).unwrap();
+        let log = std::fs::read_to_string(folder("admission-reload").join("proxy.log")).unwrap();
         assert!(log.contains("configuration reloaded subsystem=\"admission\""), "{log}");
     });
 }
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_second_fronts_file_is_checked_too() {
+fn the_signed_urls_file_is_checked_too() {
     let config = file("front-config.json", &example());
     let config = config.to_str().unwrap();
     let k = "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8";
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn signals_print_counters_and_end_the_process_well() {
+fn signals_log_counters_and_stop_the_process_gracefully() {
     let mut proxy = Running::start("signals.json", 256);
     let mut client = proxy.connect();
     assert!(proxy.alive(&mut client).starts_with("HTTP/1.1 200 OK"));
@@ -79,7 +79,7 @@
     proxy.signal("-HUP");
     proxy.signal("-TERM");
     proxy.until("stops");
-    // New connections are still taken for a while.
+    // New connections are still accepted for a while.
     assert!(proxy.alive(&mut proxy.connect()).starts_with("HTTP/1.1 200 OK"));
     assert_eq!(proxy.until("clients").trim(), "clients 2");
     assert_eq!(proxy.child.wait().unwrap().code(), Some(0));
@@ -106,7 +106,7 @@
     let (endpoint, _) = hanging.accept().unwrap();
     let mut line = String::new();
     BufReader::new(&endpoint).read_line(&mut line).unwrap();
-    assert!(line.starts_with("GET 0000000000000001 "), "it is at a member: {line}");
+    assert!(line.starts_with("GET 0000000000000001 "), "it is at an endpoint: {line}");
     let mut half = proxy.connect();
     half.write_all(&get(2).as_bytes()[..40]).unwrap();
     proxy.signal("-TERM");
@@ -132,9 +132,9 @@
 
 /// Guards the process against running out of descriptors: clients wait, and are served once there is room.
 #[test]
-fn want_of_descriptors_ends_nothing() {
+fn a_lack_of_descriptors_ends_nothing() {
     let mut proxy = Running::start("descriptors.json", 256);
-    // The machine allows fewer from now on than the process counted on.
+    // The system allows fewer from now on than the process counted on.
     rlimit::prlimit(proxy.id(), rlimit::Resource::NOFILE, Some((24, 24)), None).unwrap();
     let mut held: Vec<TcpStream> = (0..60).map(|_| proxy.connect()).collect();
     // The first is served; the last waits in the machine's queue until others leave.
@@ -153,7 +153,7 @@
 /// Guards a running proxy on SIGHUP: it takes the new address of the bulletin, keeps the old one where the file
 /// can't be used, and goes on serving.
 #[test]
-fn sighup_reads_the_configuration_again() {
+fn sighup_reloads_the_configuration() {
     let bulletin = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut proxy = Running::start("reload.json", 256);
     let path = stand_ins::folder("process").join("reload.json");
@@ -173,7 +173,7 @@
 /// Guards an upgrade: a new process serves on the socket that the platform holds while the old one still does, the
 /// old one ends after SIGTERM with all it had answered, and nobody who connects meanwhile is turned away.
 #[test]
-fn a_new_process_takes_over_the_socket_that_was_handed_over() {
+fn a_new_process_serves_on_the_socket_that_is_handed_over() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let port = listener.local_addr().unwrap().port();
     let config = file("handed.json", &example().replace("127.0.0.1:5050", &format!("127.0.0.1:{port}")));
--- a/tests/scarcity.rs
+++ b/tests/scarcity.rs
@@ -1,4 +1,4 @@
-//! The program as a process whose descriptors are few, whose membership watch is down or silent, and that
+//! The program as a process whose descriptors are few, whose endpoint watch is down or silent, and that
 //! is killed and started again: whatever the order, a request is served in the end, and what must not wait for
 //! anything else does not.
 
@@ -74,10 +74,10 @@
     line.trim().split(' ').next_back().unwrap().parse().unwrap()
 }
 
-/// Idle clients fill all that clients may hold while the endpointship watch is down: the dial to an endpoint, the second
+/// Idle clients fill all that clients may hold while the endpoint watch is down: the dial to an endpoint, the admin
 /// address and the watch, once it is back, get their descriptors. Nothing is ever accepted for which there is none.
 #[test]
-fn idle_clients_leave_descriptors_to_the_watch_the_members_and_the_second_address() {
+fn idle_clients_leave_descriptors_to_the_watch_the_endpoints_and_the_admin_address() {
     let endpoint = KnownEndpoint::start("one");
     let (watch, admin) = (free(), free());
     let mut proxy =
@@ -85,7 +85,7 @@
     let idle: Vec<TcpStream> = (0..IDLE).map(|_| proxy.connect()).collect();
     // The dial to the endpoint. An honest client waits for its place behind the others, and gets one.
     assert_eq!(ask(&mut proxy.connect(), 1), ("200".to_string(), "one".to_string()));
-    // The second address.
+    // The admin address.
     let mut call = TcpStream::connect(admin).unwrap();
     call.write_all(b"GET /healthcheck HTTP/1.1\r\nHost: o\r\n\r\n").unwrap();
     assert!(read(&mut call).0.starts_with("HTTP/1.1 200"));
@@ -102,7 +102,7 @@
     assert!(proxy.alive(&mut proxy.connect()).starts_with("HTTP/1.1 200"));
 }
 
-/// A process that starts with discovery down, or taking connections and never answering, and with few descriptors under a
+/// A process that starts with discovery down, or accepting connections and never answering, and with few descriptors under a
 /// flood of idle clients, is ready at once and serves from what its configuration knows.
 #[test]
 fn a_process_is_ready_at_once_whatever_discovery_does() {
@@ -110,7 +110,7 @@
         let endpoint = KnownEndpoint::start("known");
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let watch = listener.local_addr().unwrap();
-        // Taken by the machine and never answered; or refused.
+        // Accepted by the system and never answered; or refused.
         let _silent = silent.then_some(listener);
         let text = known(watch, &[(0xc1, endpoint.address)], None);
         let name = format!("ready{silent}.json");
@@ -210,7 +210,7 @@
 /// A watch that brings changes for a while and then falls silent with its connection up; and one that brings a whole list
 /// in the middle that replaces all endpoints. The last list told is served from, and the next link goes on from its number.
 #[test]
-fn a_whole_list_in_the_middle_and_a_silence_behind_it_leave_a_proxy_that_serves() {
+fn a_complete_list_and_a_silence_after_it_leave_a_proxy_that_serves() {
     let (old, new, last) =
         (KnownEndpoint::start("old"), KnownEndpoint::start("new"), KnownEndpoint::start("last"));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,4 +1,4 @@
-//! Large fleets: lists of a thousand members and of a thousand proxies pass everywhere, and threads and memory follow
+//! Large fleets: lists of a thousand endpoints and of a thousand proxies pass everywhere, and threads and memory follow
 //! what is needed. The last test prints what the process holds: `cargo test --test size -- --nocapture`.
 
 mod stand_ins;
@@ -19,9 +19,9 @@
 /// What the deployment allows one proxy, in kilobytes.
 const MEMORY_KB: u64 = 192 * 1_024;
 
-/// Operator files that name 1,024 other proxies are taken.
+/// Operator files that name 1,024 other proxies are accepted.
 #[test]
-fn a_thousand_proxies_may_share_duties_and_a_virtual_router() {
+fn a_thousand_proxies_may_share_health_checks_and_a_virtual_router() {
     let folder = stand_ins::folder("size");
     let at = |k: u32| format!("127.0.{}.{}:5100", 1 + k / 250, 1 + k % 250);
     let peers: Vec<String> =
@@ -30,9 +30,9 @@
         r#"{{"id":1,"listen":"127.0.0.1:1","servers":{{"models":["box"]}},"probe":"connect","step_ms":50,"peers":[{}]}}"#,
         peers.join(",")
     );
-    std::fs::write(folder.join("duties.json"), text).unwrap();
-    let duties = HealthCheckConfig::read(&folder.join("duties.json")).unwrap();
-    assert_eq!(duties.others().len(), LARGE as usize);
+    std::fs::write(folder.join("health-checks.json"), text).unwrap();
+    let health_checks = HealthCheckConfig::read(&folder.join("health-checks.json")).unwrap();
+    assert_eq!(health_checks.others().len(), LARGE as usize);
     let peers: Vec<String> = (0..LARGE).map(|k| format!("{:?}", at(k))).collect();
     let text = format!(
         r#"{{"listen":"127.0.0.1:5100","peers":[{}],"vrid":7,"priority":100,"addresses":["127.1.0.1"]}}"#,
@@ -95,10 +95,10 @@
     (proxy, stream)
 }
 
-/// A whole list of 1,024 endpoints in one event is taken and served from, with settings that tell of 1,024 siblings; the
+/// A complete list of 1,024 endpoints in one event is accepted and served from, with settings that tell of 1,024 siblings; the
 /// threads are those of ten endpoints, and the memory stays within what the deployment allows.
 #[test]
-fn a_thousand_members_cost_no_thread_and_little_memory() {
+fn a_thousand_endpoints_cost_no_thread_and_little_memory() {
     let endpoint = KnownEndpoint::start("large");
     let measure = |endpoints: u32| {
         let (mut proxy, _watch) = fleet(endpoints, endpoint.address);
@@ -111,8 +111,8 @@
         let connections: usize =
             proxy.until("connections ").trim().split(' ').next_back().unwrap().parse().unwrap();
         println!(
-            "{endpoints} members: idle {idle:?}, after {REQUESTS} requests {busy:?} (threads, resident KB, descriptors); \
-             {served} served over {connections} connections to members"
+            "{endpoints} endpoints: idle {idle:?}, after {REQUESTS} requests {busy:?} (threads, resident KB, descriptors); \
+             {served} served over {connections} connections to endpoints"
         );
         assert!(served as u64 > REQUESTS * 9 / 10, "{served} served");
         assert!(busy.1 < MEMORY_KB, "{} KB", busy.1);
@@ -120,5 +120,5 @@
     };
     let (small, large) = (measure(SMALL), measure(LARGE));
     assert_eq!((small.0 .0, small.1 .0), (large.0 .0, large.1 .0), "threads");
-    assert!(large.2 > 10 * small.2 / 2, "many of the thousand were asked: {} connections", large.2);
+    assert!(large.2 > 10 * small.2 / 2, "many of the thousand were connected to: {} connections", large.2);
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn members_out_of_use_stay_so_across_an_upgrade() {
+fn maintenance_of_endpoints_outlives_an_upgrade() {
     let folder = workspace("maintenance");
     let path = folder.join("calicobeam-toy-maintenance.json");
     std::fs::copy(fixture("maintenance.json"), &path).unwrap();
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn links_signed_with_stored_keys_are_accepted() {
+fn urls_signed_with_stored_keys_are_accepted() {
     let folder = workspace("links");
     let proxy = Proxy::start(&folder, Some(("--signed-urls", "signed-urls.json")), Some("127.0.0.1:8080"));
     let links: Value = serde_json::from_str(&text("keys/links.json")).unwrap();
