--- a/examples/admission_heavy.rs
+++ b/examples/admission_heavy.rs
@@ -66,7 +66,8 @@
     let ids = Rc::new(Cell::new(0u64));
     for admission in [false, true] {
         for heavy in [false, true] {
-            let (others, heavy_got) = play(&program, &dir, &fleet, admission, heavy, seconds, ids.clone()).await;
+            let (others, heavy_got) =
+                play(&program, &dir, &fleet, admission, heavy, seconds, ids.clone()).await;
             let mut times: Vec<f64> = others.iter().filter(|(s, _)| *s == 200).map(|(_, t)| *t).collect();
             times.sort_by(f64::total_cmp);
             let served = heavy_got.iter().filter(|s| **s == 200).count();
--- a/src/admission/control.rs
+++ b/src/admission/control.rs
@@ -67,7 +67,7 @@
             id: request.id,
             client: self.config.client_of(ip),
             tenant: self.config.tenant_of(request.group),
-            give_up_ms: request.give_up_ms,
+            give_up_ms: request.deadline_ms,
             body_bytes: request.body.len(),
         };
         match self.queue.arrive(now_ms, arrival) {
--- a/src/grpc/admin.rs
+++ b/src/grpc/admin.rs
@@ -2,7 +2,7 @@
 
 use super::front::GrpcFront;
 use super::pool::Pool;
-use crate::wire::http::{HttpAnswer, HttpRequest};
+use crate::wire::http::{HttpRequest, HttpResponse};
 use std::net::SocketAddr;
 
 /// The path of the front's state.
@@ -58,12 +58,12 @@
 
 impl GrpcFront {
     /// Answers an admin call about the front; none where the call is about something else.
-    pub fn answer(&self, request: &HttpRequest) -> Option<HttpAnswer> {
+    pub fn answer(&self, request: &HttpRequest) -> Option<HttpResponse> {
         if request.target != PATH {
             return None;
         }
         if request.method != "GET" {
-            return Some(HttpAnswer::status(405).with("Allow", "GET"));
+            return Some(HttpResponse::status(405).with("Allow", "GET"));
         }
         let status = self.with(|calls| Status {
             open: calls.open(),
@@ -71,7 +71,7 @@
             pools: calls.pools().iter().map(|pool| PoolStatus::of(self.now(), pool)).collect(),
         });
         let body = simd_json::to_vec(&status).unwrap_or_default();
-        let answer = HttpAnswer { body: body.into(), ..HttpAnswer::status(200) };
+        let answer = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
         Some(answer.with("Content-Type", "application/json"))
     }
 }
--- a/src/lifecycle/maintenance.rs
+++ b/src/lifecycle/maintenance.rs
@@ -5,7 +5,7 @@
 use crate::config_file::read_json;
 use crate::engine::executor::Executor;
 use crate::state::maintenance::Mark;
-use crate::wire::cache_codec::{endpoint_id, endpoint_text};
+use crate::text::{format_endpoint_id, parse_endpoint_id};
 use crate::EndpointId;
 use serde::Deserialize;
 use std::path::PathBuf;
@@ -28,12 +28,12 @@
 impl StoredMark {
     /// The endpoint and its mark; `None` where its id cannot be read.
     fn decode(self) -> Option<(EndpointId, Mark)> {
-        Some((endpoint_id(&self.endpoint)?, Mark { out: self.out, at_ms: self.at_ms }))
+        Some((parse_endpoint_id(&self.endpoint)?, Mark { out: self.out, at_ms: self.at_ms }))
     }
 
     /// The JSON of an endpoint's mark.
     fn encode((id, mark): (EndpointId, Mark)) -> String {
-        let (endpoint, out, at_ms) = (endpoint_text(id), mark.out, mark.at_ms);
+        let (endpoint, out, at_ms) = (format_endpoint_id(id), mark.out, mark.at_ms);
         format!("{{\"member\":\"{endpoint}\",\"out\":{out},\"at_ms\":{at_ms}}}")
     }
 }
@@ -62,7 +62,7 @@
         match read_json::<Vec<StoredMark>>(path) {
             Ok(stored) => {
                 let marks: Vec<_> = stored.into_iter().filter_map(StoredMark::decode).collect();
-                executor.with(|engine| engine.adopt(marks));
+                executor.with(|engine| engine.merge_maintenance(marks));
             }
             Err(error) => tracing::error!(%error, "the maintenance file cannot be read"),
         }
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -75,7 +75,7 @@
     for subsystem in &mut *subsystems {
         subsystem.prepare(context).await?;
         if let Some(metrics) = subsystem.metrics() {
-            context.executor.add_figures(metrics);
+            context.executor.add_metrics(metrics);
         }
         context.admin_calls.borrow_mut().extend(subsystem.admin_calls());
     }
@@ -89,7 +89,7 @@
 async fn run_until_stop(subsystems: &mut [Box<dyn Subsystem>], context: &Context, signals: &mut Signals) {
     loop {
         match signals.next().await {
-            Request::Stop => return,
+            Request::GracefulShutdown => return,
             Request::ReportCounters => log_counters(&context.executor),
             Request::Reload => subsystems.iter_mut().for_each(|subsystem| subsystem.reload(context)),
         }
@@ -101,11 +101,11 @@
     let executor = &context.executor;
     tracing::info!("{} stops", context.config.name);
     advance_stop(subsystems, StopStage::Announce);
-    let request_time = executor.env().longest_deadline_ms().max(MIN_REQUEST_TIME_MS);
+    let request_time = executor.settings().longest_deadline_ms().max(MIN_REQUEST_TIME_MS);
     let until = executor.clock.now() + ACCEPT_AFTER_SIGNAL_MS + request_time + LAST_RESPONSES_MS;
     if context.config.handed_over {
         // Whoever connects from now on is the new process's: the socket stays open there.
-        context.stop.turn_away();
+        context.stop.close_after_response();
         advance_stop(subsystems, StopStage::CloseListeners);
         tokio::time::sleep(duration_from_ms(KEEP_IDLE_MS)).await;
     } else {
@@ -127,10 +127,12 @@
     let executor = &context.executor;
     let connections = || -> usize {
         let virtual_addresses: usize = subsystems.iter().map(|subsystem| subsystem.open_connections()).sum();
-        virtual_addresses + context.stop.holds()
+        virtual_addresses + context.stop.open_or_lingering()
     };
     tokio::time::sleep(duration_from_ms(BACKLOG_MS)).await;
-    while (connections() > 0 || executor.with(|engine| engine.owed()) > 0) && executor.clock.now() < until {
+    while (connections() > 0 || executor.with(|engine| engine.open_requests()) > 0)
+        && executor.clock.now() < until
+    {
         tokio::time::sleep(duration_from_ms(DRAIN_CHECK_MS)).await;
     }
 }
--- a/src/lifecycle/signed_urls.rs
+++ b/src/lifecycle/signed_urls.rs
@@ -3,8 +3,8 @@
 use crate::clock::duration_from_ms;
 use crate::config_file::{parse_address, read_json, resolve_beside, AddressError, ConfigError, FieldError};
 use crate::engine::executor::Executor;
+use crate::wire::front::ConnectionLimits;
 use crate::wire::keys::{self, Key, KeyRing, KeysError};
-use crate::wire::listener::Limits;
 use crate::wire::signed::{SignedUrls, Verifier};
 use serde::Deserialize;
 use std::collections::HashMap;
@@ -79,7 +79,7 @@
     overlap_ms: f64,
     /// Bounds of the connections.
     #[serde(default = "default_limits")]
-    limits: Limits,
+    limits: ConnectionLimits,
 }
 
 fn default_scheme() -> String {
@@ -94,8 +94,8 @@
     60_000.0
 }
 
-fn default_limits() -> Limits {
-    Limits { connections: 128, body_bytes: 0, write_ms: 30_000.0, ..Limits::default() }
+fn default_limits() -> ConnectionLimits {
+    ConnectionLimits { connections: 128, body_bytes: 0, write_ms: 30_000.0, ..ConnectionLimits::default() }
 }
 
 /// A key file as it was read.
@@ -141,7 +141,7 @@
                 return Err(FieldError::new(field, BadValue::Tolerance(ms)));
             }
         }
-        let Limits { first_ms, idle_ms, head_ms, body_ms, write_ms, connections, .. } = self.limits;
+        let ConnectionLimits { first_ms, idle_ms, head_ms, body_ms, write_ms, connections, .. } = self.limits;
         if ![first_ms, idle_ms, head_ms, body_ms, write_ms].iter().all(|ms| TIMEOUTS_MS.contains(ms)) {
             return Err(FieldError::new("limits", BadValue::Timeout));
         }
--- a/src/lifecycle/subsystem_configs.rs
+++ b/src/lifecycle/subsystem_configs.rs
@@ -9,7 +9,7 @@
 use crate::health_check::driver::MAX_PROBES;
 use crate::http3::config::Http3Config;
 use crate::purge::config::PurgeConfig;
-use crate::purge::driver::MAX_CALLS;
+use crate::purge::service::MAX_CALLS;
 use crate::registry::config::RegistryConfig;
 use crate::rules::config::RulesConfig;
 use crate::rules::table::Rules;
--- a/src/lifecycle/subsystems/http3.rs
+++ b/src/lifecycle/subsystems/http3.rs
@@ -11,7 +11,8 @@
 use crate::lifecycle::reload::log_reload;
 use crate::lifecycle::subsystem::{Context, Starting, StopStage, Subsystem};
 use crate::lifecycle::supervisor::supervise;
-use crate::wire::listener::{accept, Limits};
+use crate::wire::front::ConnectionLimits;
+use crate::wire::listener::accept;
 use crate::wire::platform::{limits, Platform};
 use futures_util::future::{ready, FutureExt};
 use quinn::Endpoint;
@@ -53,7 +54,7 @@
         context.rules.attach(platform.clone());
         let calls = CallRegistry::new(executor.clone(), self.config.shelf());
         let sessions = self.config.sessions().map_err(ServeError::field("session_keys"))?;
-        let limits = Limits {
+        let limits = ConnectionLimits {
             idle_ms: bounds.idle_ms,
             body_bytes: bounds.body_bytes,
             ..limits(bounds.tcp_connections)
--- a/src/lifecycle/subsystems/registry.rs
+++ b/src/lifecycle/subsystems/registry.rs
@@ -24,7 +24,7 @@
     fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
         let executor = &context.executor;
         *context.registry.borrow_mut() = Some(self.status.clone());
-        executor.with(|engine| engine.take_roster_from_registry());
+        executor.with(|engine| engine.use_registry());
         tracing::info!(at = self.config.address, "endpoints come from the registry");
         let client = keep(executor.clone(), self.config.clone(), self.status.clone(), context.seed);
         executor.spawn("the registry", client);
--- a/src/registry/view.rs
+++ b/src/registry/view.rs
@@ -10,7 +10,7 @@
 //! there would wait for revisions that may be years away, so the next step is a full read as well.
 
 use crate::endpoint_list::ListedEndpoint;
-use crate::wire::discovery_codec::Line;
+use crate::wire::discovery_json::EndpointJson;
 use crate::EndpointState;
 use std::collections::BTreeMap;
 
@@ -148,7 +148,7 @@
         let mut update = Update { full: true, ..Update::default() };
         let mut fresh = BTreeMap::new();
         for kv in kvs {
-            match Line::parse(&kv.value) {
+            match EndpointJson::parse(&kv.value) {
                 Ok(target) => {
                     fresh.insert(kv.key, (target, kv.mod_revision));
                 }
@@ -158,7 +158,7 @@
                     if let Some(old) = self.endpoints.get(&kv.key) {
                         fresh.insert(kv.key.clone(), old.clone());
                     }
-                    update.faults.push((kv.key, reason));
+                    update.faults.push((kv.key, reason.to_string()));
                 }
             }
         }
@@ -200,7 +200,7 @@
             }
             self.figures.changes += 1;
             match change {
-                Change::Put(kv) => match Line::parse(&kv.value) {
+                Change::Put(kv) => match EndpointJson::parse(&kv.value) {
                     Ok(target) => {
                         let was = self.endpoints.get(&key).map(|(old, _)| old.record.state);
                         if target.record.state == EndpointState::Draining
@@ -214,7 +214,7 @@
                     }
                     Err(reason) => {
                         self.figures.faults += 1;
-                        update.faults.push((key, reason));
+                        update.faults.push((key, reason.to_string()));
                     }
                 },
                 Change::Delete { .. } => {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -3,7 +3,7 @@
 //! Unknown keys are skipped; what may be absent reads as its type's default.
 
 use crate::endpoint_list::EndpointRecord;
-use crate::text::is_value;
+use crate::text::is_field_value;
 use crate::{Endpoint, Idempotency, KeyScope, PolicySettings, RequestClass, SlowStart, Tier};
 use serde::{Deserialize, Deserializer};
 
@@ -168,7 +168,7 @@
     }
 
     /// Place of a class by its name.
-    pub fn class(&self, name: &str) -> Option<usize> {
+    pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|c| c.name == name && !c.retired)
     }
 
@@ -242,7 +242,7 @@
             if self.classes[..k].iter().any(|other| other.name == class.name) {
                 return Err(format!("`classes[].name` {:?} comes twice", class.name));
             }
-            if !is_value(&class.name) || class.name.contains('/') {
+            if !is_field_value(&class.name) || class.name.contains('/') {
                 return Err(format!("`classes[].name` {:?} can't stand in a path", class.name));
             }
             if class.deadline_us == 0 {
@@ -265,7 +265,7 @@
     }
 
     /// The settings in the library's words.
-    pub fn settings(&self) -> PolicySettings {
+    pub fn policy_settings(&self) -> PolicySettings {
         let (fam, limits, rules) = (&self.family_info, &self.policy_limits, &self.rules);
         let home = self.zone(&self.locality);
         let classes = self.classes.iter().enumerate().map(|(k, c)| RequestClass {
--- a/src/vrrp/driver.rs
+++ b/src/vrrp/driver.rs
@@ -1,16 +1,16 @@
 //! The router's task: its peers' datagrams, its timers, what is tracked, and the listeners of the virtual addresses.
 //! What is to be done is the [`Machine`]'s and the [`Service`]'s word.
 
-use super::auth::Seals;
 use super::config::{FrontKind, VrrpConfig};
 use super::machine::{Machine, State};
-use super::message::{Advertisement, STOPS};
+use super::message::{Advertisement, LABEL, STOPS};
 use super::service::{Command, Service};
 use super::track::{standing, Rate, Track, What};
 use crate::clock::duration_from_ms;
+use crate::datagram_auth::{AuthError, DatagramAuth};
 use crate::engine::executor::Executor;
-use crate::wire::http::{HttpAnswer, HttpRequest};
-use crate::wire::listener::Stop;
+use crate::wire::http::{HttpRequest, HttpResponse};
+use crate::wire::shutdown::GracefulShutdown;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,14 +24,14 @@
 const BACKLOG: u32 = 1_024;
 
 /// Serves a front's clients on a listener until `closing`; `stop` ends what it has taken.
-pub type Accept = Box<dyn Fn(FrontKind, TcpListener, Rc<Stop>, Rc<Notify>)>;
+pub type Accept = Box<dyn Fn(FrontKind, TcpListener, Rc<GracefulShutdown>, Rc<Notify>)>;
 
 /// Tells the number of a thing that is tracked, at this time, where it says anything now.
 pub type Ask = Box<dyn Fn(&What) -> Option<f64>>;
 
 /// A virtual address's listener as long as it is open, and what it has taken after that.
 struct Opened {
-    stop: Rc<Stop>,
+    stop: Rc<GracefulShutdown>,
     closing: Rc<Notify>,
 }
 
@@ -76,11 +76,11 @@
     machine: RefCell<Machine>,
     service: RefCell<Service>,
     tracks: RefCell<Vec<Track>>,
-    seals: RefCell<Option<Seals>>,
+    seals: RefCell<Option<DatagramAuth>>,
     peers: RefCell<BTreeMap<SocketAddr, Peer>>,
     opened: RefCell<BTreeMap<usize, Opened>>,
     /// Listeners that were closed and whose clients still have answers to come.
-    closed: RefCell<Vec<Rc<Stop>>>,
+    closed: RefCell<Vec<Rc<GracefulShutdown>>>,
     accept: Accept,
     ask: Ask,
     /// Its operator said that it is to stand aside.
@@ -98,7 +98,7 @@
         let seals = config
             .keys()
             .map_err(|error| error.to_string())?
-            .map(|keys| Seals::new(keys, config.clock_skew_ms));
+            .map(|keys| DatagramAuth::new(keys, config.clock_skew_ms, LABEL));
         let service = Service::new(config.serve.len(), config.open_patience_ms, config.aside_ms);
         Ok(Rc::new(Self {
             machine: RefCell::new(Machine::new(config.router())),
@@ -134,8 +134,8 @@
     pub fn reconfigure(&self, fresh: VrrpConfig) -> Result<(), String> {
         let keys = fresh.keys().map_err(|error| error.to_string())?;
         match (&mut *self.seals.borrow_mut(), keys) {
-            (Some(seals), Some(keys)) => seals.rekey(keys),
-            (seals, keys) => *seals = keys.map(|keys| Seals::new(keys, fresh.clock_skew_ms)),
+            (Some(seals), Some(keys)) => seals.set_keys(keys),
+            (seals, keys) => *seals = keys.map(|keys| DatagramAuth::new(keys, fresh.clock_skew_ms, LABEL)),
         }
         let mut tracks = self.tracks.borrow_mut();
         let fresh_tracks = fresh.track.iter().cloned().map(|spec| {
@@ -164,9 +164,9 @@
 
     /// Clients' connections of the virtual addresses, open and closed, that still have answers to come.
     pub fn busy(&self) -> usize {
-        self.closed.borrow_mut().retain(|stop| stop.open.get() > 0);
-        let open: usize = self.opened.borrow().values().map(|o| o.stop.open.get()).sum();
-        open + self.closed.borrow().iter().map(|stop| stop.open.get()).sum::<usize>()
+        self.closed.borrow_mut().retain(|stop| stop.open_connections() > 0);
+        let open: usize = self.opened.borrow().values().map(|o| o.stop.open_connections()).sum();
+        open + self.closed.borrow().iter().map(|stop| stop.open_connections()).sum::<usize>()
     }
 
     fn close(&self, k: usize) {
@@ -174,7 +174,7 @@
             // What the machine has taken counts as taken; idle clients go, the others with their answer.
             closing.notify_one();
             stop.begin();
-            self.closed.borrow_mut().retain(|stop| stop.open.get() > 0);
+            self.closed.borrow_mut().retain(|stop| stop.open_connections() > 0);
             self.closed.borrow_mut().push(stop);
         }
     }
@@ -183,7 +183,7 @@
         let listener = self.config.borrow().serve[k].clone();
         match bind(listener.at()) {
             Ok(socket) => {
-                let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
+                let (stop, closing) = (Rc::new(GracefulShutdown::default()), Rc::new(Notify::new()));
                 (self.accept)(listener.front, socket, stop.clone(), closing.clone());
                 self.opened.borrow_mut().insert(k, Opened { stop, closing });
                 tracing::info!(address = listener.address, "virtual router: the address is served");
@@ -240,11 +240,10 @@
         }
         let message = match &mut *self.seals.borrow_mut() {
             None => datagram,
-            Some(seals) => match seals.open(now, from, datagram) {
+            Some(seals) => match seals.verify(now, from, datagram) {
                 Ok(message) => message,
                 Err(reason) => {
-                    use super::auth::BadSeal::{Replayed, Skewed};
-                    let old = matches!(reason, Replayed | Skewed);
+                    let old = matches!(reason, AuthError::Replayed | AuthError::ClockSkew);
                     self.count(|f| if old { f.replayed += 1 } else { f.unsealed += 1 });
                     self.complain(from, &reason);
                     return None;
@@ -284,7 +283,7 @@
     }
 
     /// Answers calls at the second address: `GET /vrrp`, `POST /vrrp/aside`, `POST /vrrp/back`.
-    pub fn answer(&self, request: &HttpRequest) -> Option<HttpAnswer> {
+    pub fn answer(&self, request: &HttpRequest) -> Option<HttpResponse> {
         let post = match request.target.as_str() {
             "/vrrp" => false,
             "/vrrp/aside" | "/vrrp/back" => true,
@@ -292,14 +291,14 @@
         };
         let allowed = if post { "POST" } else { "GET" };
         if request.method != allowed {
-            return Some(HttpAnswer::status(405).with("Allow", allowed));
+            return Some(HttpResponse::status(405).with("Allow", allowed));
         }
         if post {
             self.put_aside(request.target == "/vrrp/aside");
         }
         let body = simd_json::to_vec(&self.status()).unwrap_or_default();
         Some(
-            HttpAnswer { body: body.into(), ..HttpAnswer::status(200) }
+            HttpResponse { body: body.into(), ..HttpResponse::status(200) }
                 .with("Content-Type", "application/json"),
         )
     }
@@ -406,7 +405,7 @@
 pub fn host_value(host: &Rc<Executor>, rate: &RefCell<Rate>, what: &What) -> Option<f64> {
     let now = host.clock.now();
     match what {
-        What::Pool => host.with(|engine| engine.pool_share()),
+        What::Pool => host.with(|engine| engine.usable_cache_share()),
         What::Refused => {
             let (all, those) = host.with(|engine| {
                 let c = &engine.counters;
@@ -482,7 +481,7 @@
         // Each datagram has a number of its own.
         let text = ad.encode();
         let text = match &mut *router.seals.borrow_mut() {
-            Some(seals) => seals.seal(router.host.clock.now(), text),
+            Some(seals) => seals.sign(router.host.clock.now(), text),
             None => text,
         };
         // A peer that is down is found out by its silence.
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -4,14 +4,18 @@
 pub mod admin;
 pub mod cache_codec;
 pub mod cache_connection;
+pub mod cache_message;
 pub mod client_connection;
 pub mod discovery;
 pub mod discovery_codec;
+pub mod discovery_json;
+pub mod front;
 pub mod http;
 pub mod keys;
 pub mod listener;
 pub mod platform;
 pub mod response_path;
+pub mod shutdown;
 pub mod signed;
 
 use thiserror::Error;
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -3,7 +3,7 @@
 mod stand_ins;
 
 use edge_proxy::lifecycle::subsystems::reload_config;
-use edge_proxy::wire::listener::{Front, Limits};
+use edge_proxy::wire::front::{ConnectionLimits, Front};
 use edge_proxy::wire::platform::{limits, Platform};
 use stand_ins::*;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
     open_with(name, limits(400)).await
 }
 
-async fn open_with(name: &str, limits: Limits) -> (Site, SocketAddr) {
+async fn open_with(name: &str, limits: ConnectionLimits) -> (Site, SocketAddr) {
     let site = Site::start(name).await;
     let front: Rc<dyn Front> = Rc::new(Platform::new(limits));
     let at = site.open(front).await;
@@ -142,7 +142,7 @@
         drop(client);
         let dropped = || site.endpoints.values().map(|m| m.dropped.borrow().len()).sum::<usize>();
         until(|| dropped() == 1).await;
-        let (left, owed) = site.host.with(|e| (e.counters.left, e.owed()));
+        let (left, owed) = site.host.with(|e| (e.counters.left, e.open_requests()));
         assert_eq!((left, owed), (1, 0));
     });
 }
@@ -198,11 +198,11 @@
     run(async {
         let (site, _) = open("bulletin").await;
         let no = site.bulletin.purge(17, START_MS as u64);
-        until(|| site.host.with(|e| e.last_no()) == no).await;
+        until(|| site.host.with(|e| e.last_event_number()) == no).await;
         site.bulletin.cut();
         until(|| site.bulletin.links.borrow().len() == 2).await;
         let no = site.bulletin.purge(18, START_MS as u64);
-        until(|| site.host.with(|e| e.last_no()) == no).await;
+        until(|| site.host.with(|e| e.last_event_number()) == no).await;
         assert_eq!(*site.bulletin.links.borrow(), [1, no - 1]);
         assert_eq!(site.host.with(|e| e.counters.bulletin_events), 3);
     });
@@ -226,7 +226,7 @@
         site.stop.begin();
         assert_eq!(queued.read(false).await.unwrap().status, 200);
         assert!(idle.read(false).await.is_none(), "an idle connection ends");
-        assert_eq!(site.stop.open.get(), 1, "the busy one stays");
+        assert_eq!(site.stop.open_connections(), 1, "the busy one stays");
         let waits = spawn_local(async move { busy.read(false).await.unwrap() });
         while !waits.is_finished() {
             site.pass(20.0);
@@ -234,7 +234,7 @@
         }
         let answer = waits.await.unwrap();
         assert!(answer.closed && matches!(answer.status, 503 | 504), "{answer:?}");
-        until(|| site.stop.open.get() == 0).await;
+        until(|| site.stop.open_connections() == 0).await;
         go.set(true);
     });
 }
@@ -320,7 +320,7 @@
     run(async {
         let (site, at) = open("moves").await;
         let no = site.bulletin.purge(17, START_MS as u64);
-        until(|| site.host.with(|e| e.last_no()) == no).await;
+        until(|| site.host.with(|e| e.last_event_number()) == no).await;
         let path = folder("moves").join("config.json");
         let text = std::fs::read_to_string(&path).unwrap();
         std::fs::write(&path, "{").unwrap();
@@ -377,7 +377,7 @@
         site.all(holds());
         std::fs::write(&path, &text).unwrap();
         reload_config(&site.host, &site.config, &site.moves);
-        assert_eq!(site.host.with(|e| e.env().class("clip")), Some(0));
+        assert_eq!(site.host.with(|e| e.settings().class_index("clip")), Some(0));
         assert_eq!(ask(at, "GET", CLIP, &headers(5)).await.status, 200);
         assert_eq!(ask(at, "GET", &film, &headers(6)).await.status, 404);
     });
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -32,7 +32,7 @@
     );
     std::fs::write(folder.join("health-checks.json"), text).unwrap();
     let health_checks = HealthCheckConfig::read(&folder.join("health-checks.json")).unwrap();
-    assert_eq!(health_checks.others().len(), LARGE as usize);
+    assert_eq!(health_checks.peer_addresses().count(), LARGE as usize);
     let peers: Vec<String> = (0..LARGE).map(|k| format!("{:?}", at(k))).collect();
     let text = format!(
         r#"{{"listen":"127.0.0.1:5100","peers":[{}],"vrid":7,"priority":100,"addresses":["127.1.0.1"]}}"#,
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -10,7 +10,9 @@
 use edge_proxy::settings::PlatformSettings;
 use edge_proxy::wire::cache_connection::CacheDriver;
 use edge_proxy::wire::discovery;
-use edge_proxy::wire::listener::{accept, Front, Stop};
+use edge_proxy::wire::front::Front;
+use edge_proxy::wire::listener::accept;
+use edge_proxy::wire::shutdown::GracefulShutdown;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
@@ -23,10 +25,10 @@
 use tokio::sync::{watch, Notify};
 use tokio::task::spawn_local;
 
+pub mod checked_endpoint;
 pub mod device;
 pub mod grpc;
-pub mod probed;
-pub mod purge_box;
+pub mod purge_target;
 pub mod registry;
 pub mod running;
 pub mod slow_box;
@@ -262,7 +264,7 @@
     pub config: Config,
     /// Where the bulletin is, as the configuration says.
     pub moves: watch::Sender<SocketAddr>,
-    pub stop: Rc<Stop>,
+    pub stop: Rc<GracefulShutdown>,
     pub closing: Rc<Notify>,
 }
 
@@ -323,7 +325,7 @@
         let clock = Clock::manual(START_MS);
         let (engine, env) = engine(&config, &clock, 0).unwrap();
         let host = Executor::new(clock.clone(), engine, CacheDriver);
-        spawn_local(host.clone().keep_time());
+        spawn_local(host.clone().run_timers());
         let (moves, told) = watch::channel(config.discovery_address().unwrap());
         spawn_local(discovery::run(host.clone(), told));
         let (stop, closing) = Default::default();
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -69,7 +69,7 @@
 }
 
 fn last(site: &Site) -> u64 {
-    site.host.with(|e| e.last_no())
+    site.host.with(|e| e.last_event_number())
 }
 
 /// Half a frame, then silence with the connection up: the link is given up and made anew from the last whole frame.
@@ -212,7 +212,7 @@
         drop(gone);
         site.moves.send(at).unwrap();
         until(|| site.host.with(|e| e.counters.bulletin_faults) >= 4).await;
-        let front: Rc<dyn edge_proxy::wire::listener::Front> =
+        let front: Rc<dyn edge_proxy::wire::front::Front> =
             Rc::new(edge_proxy::wire::platform::Platform::new(edge_proxy::wire::platform::limits(400)));
         let listen = site.open(front).await;
         let headers =
