--- a/src/admission/fair_queue.rs
+++ b/src/admission/fair_queue.rs
@@ -23,7 +23,7 @@
     AdmissionCounters, AdmissionDecision, Arrival, ClientKey, Completion, ExpiredRequest, ShedReason,
     TenantId,
 };
-use super::reservations::{Booking, Reservation, ReservationTable, SLOT_MS};
+use super::reservations::{Reservation, ReservationRequest, ReservationTable, SLOT_MS};
 use super::round_robin::{ExpectedShare, RoundRobin, Weights};
 use crate::RequestId;
 use ahash::AHashMap;
@@ -257,7 +257,10 @@
         }
         let slot_rate = self.bounds.reservation_share * self.limit.rate_per_ms() * SLOT_MS;
         let slot_capacity = slot_rate.floor().max(1.0) as u32;
-        match self.reservations.book(now_ms, Booking { client, earliest_ms, slot_capacity, min_ms, max_ms }) {
+        match self
+            .reservations
+            .reserve(now_ms, ReservationRequest { client, earliest_ms, slot_capacity, min_ms, max_ms })
+        {
             Some(wait_ms) => {
                 self.counters.reserved += 1;
                 wait_ms
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -6,7 +6,7 @@
 //! | [`fair_queue`] | decides: admit, queue or shed | none |
 //! | [`round_robin`] | the order in which queued requests are released | none |
 //! | [`concurrency_limit`] | how many requests may be in flight | none |
-//! | [`reservations`] | retry-after times that are booked for clients | none |
+//! | [`reservations`] | retry-after times that are reserved for clients | none |
 //! | [`bounds`] | the bounds, and the memory that they allow | none |
 //! | [`control`] | the decisions with the queued requests, as the executor uses them | none |
 //! | [`metrics`] | metrics in the Prometheus text format | none |
--- a/src/admission/reservations.rs
+++ b/src/admission/reservations.rs
@@ -1,4 +1,4 @@
-//! Reservations for clients whose requests were shed: the retry-after time that a client is given is booked for it.
+//! Reservations for clients whose requests were shed: the retry-after time that a client is given is reserved for it.
 //!
 //! A calendar of slots of [`SLOT_MS`] has room in each slot for a share of what is served in it, so that reservations
 //! cannot crowd out the queues. Reservations are kept in an LRU of fixed size.
@@ -32,7 +32,7 @@
     }
 }
 
-/// The reservations of clients, and the calendar in which they are booked.
+/// The reservations of clients, and the calendar in which they are counted.
 #[derive(Debug)]
 pub struct ReservationTable {
     by_client: LruCache<ClientKey, Reservation>,
@@ -42,18 +42,18 @@
     calendar_from_ms: f64,
 }
 
-/// A request to book a time.
+/// A request for a reservation.
 #[derive(Clone, Copy, Debug)]
-pub struct Booking {
+pub struct ReservationRequest {
     /// The client.
     pub client: ClientKey,
     /// The earliest time from now, in milliseconds.
     pub earliest_ms: f64,
     /// Reservations that a slot has room for.
     pub slot_capacity: u32,
-    /// The shortest time from now that may be booked, in milliseconds.
+    /// The shortest time from now that may be reserved, in milliseconds.
     pub min_ms: f64,
-    /// The longest time from now that may be booked, in milliseconds.
+    /// The longest time from now that may be reserved, in milliseconds.
     pub max_ms: f64,
 }
 
@@ -99,25 +99,25 @@
         expired
     }
 
-    /// Books the first slot with room; returns the time from now, in milliseconds, or `None` where all slots are full.
-    pub fn book(&mut self, now_ms: f64, booking: Booking) -> Option<f64> {
+    /// Reserves a time in the first slot with room; returns the time from now, in milliseconds, or `None` where all slots are full.
+    pub fn reserve(&mut self, now_ms: f64, request: ReservationRequest) -> Option<f64> {
         self.advance_calendar(now_ms);
-        let first = ((now_ms + booking.earliest_ms - self.calendar_from_ms) / SLOT_MS).ceil() as usize;
-        let last = ((booking.max_ms / SLOT_MS) as usize).max(first);
-        let slot = (first..=last).find(|slot| self.booked(*slot) < booking.slot_capacity);
+        let first = ((now_ms + request.earliest_ms - self.calendar_from_ms) / SLOT_MS).ceil() as usize;
+        let last = ((request.max_ms / SLOT_MS) as usize).max(first);
+        let slot = (first..=last).find(|slot| self.reserved(*slot) < request.slot_capacity);
         while self.calendar.len() <= slot.unwrap_or(last) {
             self.calendar.push_back(0);
         }
         let slot = slot?;
         self.calendar[slot] += 1;
         let slot_from_ms = self.calendar_from_ms + slot as f64 * SLOT_MS;
-        let wait_ms = (slot_from_ms - now_ms).clamp(booking.min_ms, booking.max_ms);
+        let wait_ms = (slot_from_ms - now_ms).clamp(request.min_ms, request.max_ms);
         let until_ms = now_ms + wait_ms + (wait_ms / 2.0).max(MIN_VALIDITY_MS);
-        self.by_client.put(booking.client, Reservation { from_ms: now_ms + wait_ms, until_ms });
+        self.by_client.put(request.client, Reservation { from_ms: now_ms + wait_ms, until_ms });
         Some(wait_ms)
     }
 
-    fn booked(&self, slot: usize) -> u32 {
+    fn reserved(&self, slot: usize) -> u32 {
         self.calendar.get(slot).copied().unwrap_or(0)
     }
 
--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -58,8 +58,8 @@
     #[argh(option, default = "1")]
     from: u64,
     /// how many at most
-    #[argh(option, default = "100")]
-    most: u64,
+    #[argh(option, long = "most", default = "100")]
+    limit: u64,
 }
 
 /// Read a purge log file and check every record, changing nothing.
@@ -77,8 +77,8 @@
         match self.command {
             PurgeCommand::Submit(command) => command.run(),
             PurgeCommand::Status(command) => print_get(command.at, "/purges"),
-            PurgeCommand::List(List { at, from, most }) => {
-                print_get(at, &format!("/purges/log?from={from}&most={most}"))
+            PurgeCommand::List(List { at, from, limit }) => {
+                print_get(at, &format!("/purges/log?from={from}&most={limit}"))
             }
             PurgeCommand::Log(command) => command.run(),
         }
--- a/src/lifecycle/bind.rs
+++ b/src/lifecycle/bind.rs
@@ -33,7 +33,7 @@
         match open().await {
             Err(error) if error.kind() == ErrorKind::AddrInUse => {
                 if retry == 0 {
-                    tracing::warn!(at = %address, "the address is in use; most likely by a process that is ending");
+                    tracing::warn!(at = %address, "the address is in use, probably by a process that is ending");
                 }
                 tokio::time::sleep(duration_from_ms(RETRY_INTERVAL_MS)).await;
             }
--- a/src/lifecycle/subsystems/health_checks.rs
+++ b/src/lifecycle/subsystems/health_checks.rs
@@ -52,7 +52,7 @@
 
     fn reload(&mut self, _: &Context) {
         if let Some(Err(reason)) = self.checker.as_ref().map(|checker| checker.rekey()) {
-            tracing::warn!(%reason, "the old keys of the health checks stay");
+            tracing::warn!(%reason, "health check keys not reloaded");
         }
     }
 }
--- a/src/lifecycle/subsystems/registry.rs
+++ b/src/lifecycle/subsystems/registry.rs
@@ -25,7 +25,7 @@
         let executor = &context.executor;
         *context.registry.borrow_mut() = Some(self.status.clone());
         executor.with(|engine| engine.use_registry());
-        tracing::info!(at = self.config.address, "endpoints come from the registry");
+        tracing::info!(at = self.config.address, "endpoints are read from the registry");
         let client = keep(executor.clone(), self.config.clone(), self.status.clone(), context.seed);
         executor.spawn("the registry", client);
         ready(Ok(())).boxed_local()
--- a/src/lifecycle/supervisor.rs
+++ b/src/lifecycle/supervisor.rs
@@ -20,7 +20,7 @@
             let task = tokio::task::spawn_local(make());
             if task.await.is_err() {
                 supervisor.with(|engine| engine.counters.panics += 1);
-                tracing::error!(what = name, "a task ended in a panic and starts again");
+                tracing::error!(what = name, "a task panicked and is restarted");
                 tokio::time::sleep(RESTART_DELAY).await;
             }
         }
