--- a/src/cli/old_spellings.rs
+++ b/src/cli/old_spellings.rs
@@ -23,13 +23,13 @@
         "show" => &SUBSYSTEMS,
         _ => return arguments,
     };
-    let mut is_value = false;
+    let mut is_field_value = false;
     for argument in rest {
-        let is_option = !is_value && argument.starts_with("--");
-        if !is_value {
+        let is_option = !is_field_value && argument.starts_with("--");
+        if !is_field_value {
             replace(argument, table);
         }
-        is_value = is_option;
+        is_field_value = is_option;
     }
     arguments
 }
