--- a/src/lifecycle/bind.rs
+++ b/src/lifecycle/bind.rs
@@ -23,7 +23,7 @@
     retry_while_in_use(address, || UdpSocket::bind(address)).await
 }
 
-/// Opens a socket by `open`, and tries again while another process holds the address, up to [`MAX_RETRIES`] times.
+/// Opens a socket by `open`, and tries again while another process holds the address, up to `MAX_RETRIES` times.
 pub async fn retry_while_in_use<O, F, S>(address: SocketAddr, open: O) -> Result<S, ServeError>
 where
     O: Fn() -> F,
--- a/src/lifecycle/maintenance.rs
+++ b/src/lifecycle/maintenance.rs
@@ -79,7 +79,7 @@
         std::fs::rename(&temporary, path)
     }
 
-    /// Loads the file every [`READ_INTERVAL_MS`].
+    /// Loads the file every `READ_INTERVAL_MS`.
     pub async fn follow(self, executor: Rc<Executor>) {
         loop {
             self.load(&executor);
--- a/src/lifecycle/signed_urls.rs
+++ b/src/lifecycle/signed_urls.rs
@@ -170,7 +170,7 @@
     }
 }
 
-/// Keeps a front's keys as its file has them: at once when `reload` is notified, else within [`KEY_FILE_INTERVAL_MS`].
+/// Keeps a front's keys as its file has them: at once when `reload` is notified, else within `KEY_FILE_INTERVAL_MS`.
 /// A file that cannot be used changes nothing; each fault is logged once, without the text of the file.
 pub async fn follow_key_file(
     executor: Rc<Executor>,
