--- a/src/grpc/admission.rs
+++ b/src/grpc/admission.rs
@@ -4,8 +4,7 @@
 //! limits on calls and on a client's streams bound them.
 
 use super::call::CallOutcome;
-use crate::admission::control::AdmissionControl;
-use crate::admission::fair::Verdict;
+use crate::admission::control::{AdmissionControl, NotAdmitted};
 use crate::clock::Clock;
 use crate::state::requests::{FinalResponse, IncomingRequest};
 use std::cell::{Cell, RefCell};
@@ -82,29 +81,29 @@
         };
         match self.with(|control| control.arrive(clock.now(), request)) {
             None => AdmissionResult::Admitted(permit(None)),
-            Some((Verdict::Admit, _)) => AdmissionResult::Admitted(permit(Some(id))),
-            Some((Verdict::Queue, _)) => {
+            Some(Ok(Some(_))) => AdmissionResult::Admitted(permit(Some(id))),
+            Some(Ok(None)) => {
                 let (sender, decision) = oneshot::channel();
                 self.queued.borrow_mut().insert(id, sender);
                 self.due.notify_one();
                 AdmissionResult::Queued(decision, permit(Some(id)))
             }
-            Some((Verdict::Refuse { come_back_ms, .. }, _)) => AdmissionResult::Rejected(come_back_ms),
+            Some(Err(NotAdmitted::Shed { retry_after_ms })) => AdmissionResult::Rejected(retry_after_ms),
             // The ids are made here, so that none repeats.
-            Some((Verdict::Duplicate, _)) => AdmissionResult::Rejected(0.0),
+            Some(Err(NotAdmitted::Duplicate)) => AdmissionResult::Rejected(0.0),
         }
     }
 
     /// Rejects queued calls whose time is nearly over.
     pub fn tick(&self, now: f64) {
-        for (id, retry_after_ms) in self.with(|control| control.expired(now)).unwrap_or_default() {
-            self.decide(id, Some(retry_after_ms));
+        for expired in self.with(|control| control.expire(now)).unwrap_or_default() {
+            self.decide(expired.id, Some(expired.retry_after_ms));
         }
     }
 
     /// When [`Self::tick`] has something to do.
     pub fn next_due(&self) -> f64 {
-        self.with(AdmissionControl::next_due).flatten().unwrap_or(f64::INFINITY)
+        self.with(|control| control.next_deadline()).flatten().unwrap_or(f64::INFINITY)
     }
 
     fn decide(&self, id: u64, decision: QueueDecision) {
@@ -127,7 +126,7 @@
         let Some(id) = self.id else { return };
         let (now, admission) = (self.clock.now(), &self.admission);
         if admission.queued.borrow_mut().remove(&id).is_some() {
-            admission.with(|control| control.left(id));
+            admission.with(|control| control.disconnected(id));
             return;
         }
         let response = match self.outcome.get() {
@@ -138,7 +137,7 @@
             Some(CallOutcome::Failed) => Some(FinalResponse::Failed { overdue: false }),
             Some(CallOutcome::ClientDisconnected) | None => None,
         };
-        let released = admission.with(|control| control.ended(now, id, response.as_ref()));
+        let released = admission.with(|control| control.completed(now, id, response.as_ref()));
         released.into_iter().flatten().for_each(|request| admission.decide(request.id, None));
     }
 }
--- a/src/lifecycle/subsystems/health_checks.rs
+++ b/src/lifecycle/subsystems/health_checks.rs
@@ -47,12 +47,12 @@
 
     fn admin_calls(&self) -> Option<AdminCalls> {
         let checker = self.checker.clone()?;
-        Some(AdminCalls { handler: Box::new(move |_, call| checker.answer(call)), max_body: 0 })
+        Some(AdminCalls { handler: Box::new(move |call: &_| checker.answer(call)), max_body: 0 })
     }
 
     fn reload(&mut self, _: &Context) {
         if let Some(Err(reason)) = self.checker.as_ref().map(|checker| checker.rekey()) {
-            tracing::warn!(%reason, "the old keys of the health checks stay");
+            tracing::warn!(%reason, "health check keys not reloaded");
         }
     }
 }
--- a/src/lifecycle/subsystems/purges.rs
+++ b/src/lifecycle/subsystems/purges.rs
@@ -23,7 +23,7 @@
 
     /// Reads the purge log, before anything is served: the purges that it holds bind.
     fn open(&mut self, context: &Context) -> Result<(), ServeError> {
-        if context.config.mgmt().map_err(ServeError::field("mgmt"))?.is_none() {
+        if context.config.admin_address().map_err(ServeError::field("mgmt"))?.is_none() {
             let reason = "fleet purges are called at the second address, and there is none";
             return Err(ServeError::field("mgmt")(reason));
         }
@@ -46,7 +46,7 @@
 
     fn admin_calls(&self) -> Option<AdminCalls> {
         let service = self.service.clone()?;
-        let handler = Box::new(move |_: &_, call: &_| service.answer(call));
+        let handler = Box::new(move |call: &_| service.answer(call));
         Some(AdminCalls { handler, max_body: MAX_CALL })
     }
 }
--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -5,6 +5,7 @@
 use crate::grpc::server as grpc_server;
 use crate::lifecycle::bind::bind_udp;
 use crate::lifecycle::error::ServeError;
+use crate::lifecycle::reload::log_reload;
 use crate::lifecycle::subsystem::{AdminCalls, Context, Starting, StopStage, Subsystem};
 use crate::vrrp::config::{FrontKind, VrrpConfig};
 use crate::vrrp::driver::{host_value, run, Accept, Ask, VirtualRouter};
@@ -64,7 +65,7 @@
         Ok(())
     }
 
-    fn read_again(&self, router: &VirtualRouter) -> Result<(), BoxError> {
+    fn reload_file(&self, router: &VirtualRouter) -> Result<(), BoxError> {
         Ok(router.reconfigure(self.config.again()?)?)
     }
 }
@@ -89,7 +90,7 @@
     let (executor, rate) = (context.executor.clone(), RefCell::new(Rate::default()));
     let (registry, grpc) = (context.registry.borrow().clone(), context.grpc.borrow().clone());
     Box::new(move |what| match what {
-        What::Registry => ms_since(&executor, registry.as_ref()?.borrow().answered_ms),
+        What::Registry => ms_since(&executor, registry.as_ref()?.borrow().last_answer_ms),
         What::Grpc(pool) => grpc.as_ref()?.usable_share(pool),
         what => host_value(&executor, &rate, what),
     })
@@ -116,17 +117,12 @@
 
     fn admin_calls(&self) -> Option<AdminCalls> {
         let router = self.router.clone()?;
-        Some(AdminCalls { handler: Box::new(move |_, call| router.answer(call)), max_body: 0 })
+        Some(AdminCalls { handler: Box::new(move |call: &_| router.answer(call)), max_body: 0 })
     }
 
     fn reload(&mut self, _: &Context) {
         let Some(router) = &self.router else { return };
-        match self.read_again(router) {
-            Ok(()) => {
-                tracing::info!(file = %self.config.path.display(), "the virtual router's file read again");
-            }
-            Err(reason) => tracing::warn!(%reason, "the virtual router's old file stays"),
-        }
+        log_reload("VRRP", &self.config.path, self.reload_file(router));
     }
 
     fn stop(&mut self, stage: StopStage) {
