--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -95,14 +95,79 @@
     simd_json::to_owned_value(&mut body).ok()
 }
 
+/// Sends reads to a proxy, for ever.
+async fn read_forever(listen: SocketAddr, first_id: u64) {
+    let mut id = first_id;
+    loop {
+        id += 1;
+        let request = format!(
+            "GET /ops/small-object/{:016x} HTTP/1.1\r\nHost: t\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: 1000\r\n\
+             Connection: close\r\n\r\n",
+            id % 97
+        );
+        if let Ok(mut stream) = tokio::net::TcpStream::connect(listen).await {
+            let mut answer = Vec::new();
+            let _ = stream.write_all(request.as_bytes()).await;
+            let _ = stream.read_to_end(&mut answer).await;
+        }
+        tokio::time::sleep(Duration::from_millis(4)).await;
+    }
+}
+
+/// The interruptions before drains, by kind.
+#[derive(Default)]
+struct Interruptions {
+    closed: u32,
+    compacted: u32,
+    silent: u32,
+}
+
+impl Interruptions {
+    /// Interrupts the registry at random; whether the next change is to be compacted away.
+    fn interrupt(&mut self, registry: &Registry, rng: &mut SmallRng) -> bool {
+        match rng.random_range(0..20) {
+            0..=4 => {
+                registry.drop_all();
+                self.closed += 1;
+            }
+            5..=7 => {
+                registry.fall_silent(Duration::from_millis(300));
+                self.compacted += 1;
+                return true;
+            }
+            8..=9 => {
+                registry.fall_silent(Duration::from_millis(rng.random_range(500..2_000)));
+                self.silent += 1;
+            }
+            _ => {}
+        }
+        false
+    }
+}
+
+/// Waits until the proxy has applied a revision; returns when its list last changed, in Unix milliseconds.
+async fn wait_for_revision(mgmt: SocketAddr, revision: i64) -> f64 {
+    loop {
+        let status = state(mgmt).await;
+        if status.as_ref().and_then(|s| s["revision"].as_i64()).unwrap_or(0) >= revision {
+            return status.and_then(|s| s["heard_ms"].as_f64()).unwrap_or(0.0);
+        }
+        tokio::time::sleep(Duration::from_millis(1)).await;
+    }
+}
+
 async fn one_proxy(program: PathBuf, drains: usize) {
     let dir = std::env::temp_dir().join(format!("edge-proxy-registry-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let fleet = SlowFleet::start(82, 4, 64, 2).await;
     let registry = Registry::start("127.0.82.100").await;
-    for (k, at) in fleet.addresses.iter().enumerate() {
-        registry.put(&format!("{PREFIX}{}", ENDPOINTS[k].0), &endpoint_json(k, *at, "Ready"));
-    }
+    let put = |k: usize, state| {
+        let key = format!("{PREFIX}{}", ENDPOINTS[k].0);
+        registry.put(&key, &endpoint_json(k, fleet.addresses[k], state))
+    };
+    (0..ENDPOINTS.len()).for_each(|k| {
+        put(k, "Ready");
+    });
     let port = || TcpListener::bind("127.0.82.10:0").unwrap().local_addr().unwrap();
     let (listen, mgmt) = (port(), port());
     let (config, file) = files(&dir, registry.address, &listen.to_string(), Some(&mgmt.to_string()));
@@ -111,87 +176,55 @@
     let _proxy = Running(
         command.env("EDGE_PROXY_LOG", "warn").stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap(),
     );
-    while state(mgmt).await.and_then(|s| s["revision"].as_i64()).unwrap_or(0) < 4 {
-        tokio::time::sleep(Duration::from_millis(10)).await;
-    }
+    wait_for_revision(mgmt, 4).await;
     for k in 0..4u64 {
-        tokio::task::spawn_local(async move {
-            let mut id = k << 40;
-            loop {
-                id += 1;
-                let request = format!(
-                    "GET /ops/small-object/{:016x} HTTP/1.1\r\nHost: t\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: 1000\r\nConnection: close\r\n\r\n",
-                    id % 97
-                );
-                if let Ok(mut stream) = tokio::net::TcpStream::connect(listen).await {
-                    let mut answer = Vec::new();
-                    let _ = stream.write_all(request.as_bytes()).await;
-                    let _ = stream.read_to_end(&mut answer).await;
-                }
-                tokio::time::sleep(Duration::from_millis(4)).await;
-            }
-        });
+        tokio::task::spawn_local(read_forever(listen, k << 40));
     }
     let mut rng = SmallRng::seed_from_u64(5);
-    let (mut delays, mut requests_after, mut breaks) = (Vec::new(), 0usize, [0u32; 3]);
+    let mut interruptions = Interruptions::default();
+    let (mut delays, mut requests_after) = (Vec::new(), 0usize);
     for n in 0..drains {
         let k = n % 2;
-        let mut compacts = false;
-        match rng.random_range(0..20) {
-            0..=4 => {
-                registry.drop_all();
-                breaks[0] += 1;
-            }
-            5..=7 => {
-                registry.fall_silent(Duration::from_millis(300));
-                compacts = true;
-                breaks[1] += 1;
-            }
-            8..=9 => {
-                registry.fall_silent(Duration::from_millis(rng.random_range(500..2_000)));
-                breaks[2] += 1;
-            }
-            _ => {}
-        }
+        let compacts = interruptions.interrupt(&registry, &mut rng);
         let written = unix_ms();
-        let rev = registry.put(
-            &format!("{PREFIX}{}", ENDPOINTS[k].0),
-            &endpoint_json(k, fleet.addresses[k], "Terminating"),
-        );
+        let revision = put(k, "Terminating");
         if compacts {
             // The change is compacted away while the proxy has no connection: only a full read has it.
             registry.compact();
         }
-        let applied = loop {
-            let s = state(mgmt).await;
-            if s.as_ref().and_then(|s| s["revision"].as_i64()).unwrap_or(0) >= rev {
-                break s.and_then(|s| s["heard_ms"].as_f64()).unwrap_or(0.0);
-            }
-            tokio::time::sleep(Duration::from_millis(1)).await;
-        };
+        let applied = wait_for_revision(mgmt, revision).await;
         delays.push(applied - written);
         tokio::time::sleep(Duration::from_millis(400)).await;
         requests_after +=
             fleet.arrivals.borrow().iter().filter(|(b, at)| *b == k && *at > applied + 250.0).count();
-        registry.put(&format!("{PREFIX}{}", ENDPOINTS[k].0), &endpoint_json(k, fleet.addresses[k], "Ready"));
+        put(k, "Ready");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     delays.sort_by(f64::total_cmp);
-    let s = state(mgmt).await.unwrap();
-    println!("| drains | closed / compacted / silent before | written to applied p50 ms | p99 ms | max ms | asked 250 ms after hearing | full reads (resyncs) |");
+    print_drains(&delays, &interruptions, requests_after, &state(mgmt).await.unwrap());
+    let _ = std::fs::remove_dir_all(&dir);
+}
+
+fn print_drains(
+    delays: &[f64],
+    interruptions: &Interruptions,
+    requests_after: usize,
+    status: &simd_json::OwnedValue,
+) {
+    println!("| drains | closed / compacted / silent before | written to applied p50 ms | p99 ms | max ms | requests 250 ms after | full reads (resyncs) |");
     println!("| ---: | --- | ---: | ---: | ---: | ---: | ---: |");
     println!(
-        "| {drains} | {} / {} / {} | {:.1} | {:.1} | {:.1} | {requests_after} | {} ({}) |",
-        breaks[0],
-        breaks[1],
-        breaks[2],
-        percentile(&delays, 0.5),
-        percentile(&delays, 0.99),
+        "| {} | {} / {} / {} | {:.1} | {:.1} | {:.1} | {requests_after} | {} ({}) |",
+        delays.len(),
+        interruptions.closed,
+        interruptions.compacted,
+        interruptions.silent,
+        percentile(delays, 0.5),
+        percentile(delays, 0.99),
         delays.last().copied().unwrap_or(0.0),
-        s["view"]["reads"].as_u64().unwrap_or(0),
-        s["view"]["resyncs"].as_u64().unwrap_or(0),
+        status["view"]["reads"].as_u64().unwrap_or(0),
+        status["view"]["resyncs"].as_u64().unwrap_or(0),
     );
-    let _ = std::fs::remove_dir_all(&dir);
 }
 
 async fn many_proxies(proxies: usize, seconds: u64) {
--- a/examples/rules_load.rs
+++ b/examples/rules_load.rs
@@ -73,7 +73,23 @@
     );
 }
 
-async fn measure(at: SocketAddr, requests: u64, ids: u64) -> (Histogram<u64>, Duration, u64) {
+/// The requests to one program.
+struct Measured {
+    latency_us: Histogram<u64>,
+    duration: Duration,
+    not_served: u64,
+}
+
+impl Measured {
+    fn add(&mut self, other: Measured) {
+        self.latency_us.add(other.latency_us).unwrap();
+        self.duration += other.duration;
+        self.not_served += other.not_served;
+    }
+}
+
+/// Sends requests over [`CALLERS`] connections.
+async fn measure(at: SocketAddr, requests: u64, ids: u64) -> Measured {
     let seen = Rc::new(RefCell::new((Histogram::<u64>::new(3).unwrap(), 0)));
     let start = Instant::now();
     let callers: Vec<_> = (0..CALLERS)
@@ -102,7 +118,7 @@
         caller.await.unwrap();
     }
     let seen = seen.borrow();
-    (seen.0.clone(), start.elapsed(), seen.1)
+    Measured { latency_us: seen.0.clone(), duration: start.elapsed(), not_served: seen.1 }
 }
 
 fn main() {
@@ -110,59 +126,61 @@
     let requests: u64 = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or(60_000);
     let program =
         PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    tokio::task::LocalSet::new().block_on(&runtime, loopback(&program, requests));
+}
+
+/// Starts a proxy with these servers, with or without rules.
+fn start(program: &Path, dir: &Path, fleet: &SlowFleet, rules: Option<&str>) -> (Running, SocketAddr) {
+    let listen = std::net::TcpListener::bind("127.0.126.9:0").unwrap().local_addr().unwrap();
+    let example = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json");
+    let mut config = std::fs::read_to_string(example).unwrap().replace("127.0.0.1:5050", &listen.to_string());
+    for (address, port) in fleet.addresses.iter().zip(7101..) {
+        config = config.replace(&format!("127.0.0.1:{port}"), &address.to_string());
+    }
+    let file = dir.join(format!("config-{}.json", listen.port()));
+    std::fs::write(&file, config).unwrap();
+    let mut command = Command::new(program);
+    command.arg("serve").arg("--config").arg(file);
+    if let Some(rules) = rules {
+        command.arg("--rules").arg(rules);
+    }
+    let child = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
+    (Running(child), listen)
+}
+
+/// Measures requests to a program without rules and one with them, in turns.
+async fn loopback(program: &Path, requests: u64) {
     let dir = std::env::temp_dir().join(format!("edge-proxy-rules-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&runtime, async {
-        let fleet = SlowFleet::start(126, 4, 256, 0).await;
-        let mut node =
-            std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
-        for (k, from) in (7101..=7104).enumerate() {
-            node = node.replace(&format!("127.0.0.1:{from}"), &fleet.addresses[k].to_string());
-        }
-        let start = |k: usize| {
-            let listen = std::net::TcpListener::bind("127.0.126.9:0").unwrap().local_addr().unwrap();
-            let config = dir.join(format!("config-{k}.json"));
-            std::fs::write(&config, node.replace("127.0.0.1:5050", &listen.to_string())).unwrap();
-            let mut command = Command::new(&program);
-            command.arg("serve").arg("--config").arg(config);
-            if k == 1 {
-                command.arg("--rules").arg(RULES);
-            }
-            let child = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
-            (Running(child), listen)
-        };
-        let programs = [start(0), start(1)];
-        for (_, at) in &programs {
-            while std::net::TcpStream::connect(at).is_err() {
-                tokio::time::sleep(Duration::from_millis(10)).await;
-            }
+    let fleet = SlowFleet::start(126, 4, 256, 0).await;
+    let programs = [start(program, &dir, &fleet, None), start(program, &dir, &fleet, Some(RULES))];
+    for (_, at) in &programs {
+        while std::net::TcpStream::connect(at).is_err() {
+            tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        println!("| classification | requests | a second | p50 / p99 us | not served |");
-        println!("| --- | ---: | ---: | --- | ---: |");
-        let mut sums: Vec<(Histogram<u64>, Duration, u64)> = Vec::new();
-        for round in 0..4u64 {
-            for (k, (_, at)) in programs.iter().enumerate() {
-                let got = measure(*at, requests / 4, round * 2 + k as u64 + 1).await;
-                match sums.get_mut(k) {
-                    None => sums.push(got),
-                    Some(sum) => {
-                        sum.0.add(got.0).unwrap();
-                        sum.1 += got.1;
-                        sum.2 += got.2;
-                    }
-                }
+    }
+    let mut totals: Vec<Measured> = Vec::new();
+    for round in 0..4u64 {
+        for (k, (_, at)) in programs.iter().enumerate() {
+            let measured = measure(*at, requests / 4, round * 2 + k as u64 + 1).await;
+            match totals.get_mut(k) {
+                None => totals.push(measured),
+                Some(total) => total.add(measured),
             }
         }
-        for (name, (times, took, failed)) in ["by code", "by rules"].iter().zip(&sums) {
-            println!(
-                "| {name} | {} | {:.0} | {} / {} | {failed} |",
-                times.len(),
-                times.len() as f64 / took.as_secs_f64(),
-                times.value_at_quantile(0.5),
-                times.value_at_quantile(0.99)
-            );
-        }
-    });
+    }
+    println!("| classification | requests | a second | p50 / p99 us | not served |");
+    println!("| --- | ---: | ---: | --- | ---: |");
+    for (name, total) in ["by code", "by rules"].iter().zip(&totals) {
+        println!(
+            "| {name} | {} | {:.0} | {} / {} | {} |",
+            total.latency_us.len(),
+            total.latency_us.len() as f64 / total.duration.as_secs_f64(),
+            total.latency_us.value_at_quantile(0.5),
+            total.latency_us.value_at_quantile(0.99),
+            total.not_served
+        );
+    }
     let _ = std::fs::remove_dir_all(&dir);
 }
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -61,6 +61,12 @@
         &self.servers[..3]
     }
 
+    /// Gives an object a surrogate key.
+    fn tag(&self, object: u64, key: &str) {
+        let keys = vec![SurrogateKey::new(key).unwrap()];
+        self.origin.surrogate_keys.borrow_mut().insert(object, keys);
+    }
+
     /// A proxy's configuration: the example with the addresses of this fleet.
     fn config(&self, listen: SocketAddr, mgmt: SocketAddr) -> String {
         let mut text =
@@ -293,6 +299,37 @@
     });
 }
 
+/// Reads the objects for a time; no copy may be older than a purge. Returns how many reads were served and failed.
+async fn read_copies_newer_than(
+    issued_ms: f64,
+    duration_ms: f64,
+    listen: SocketAddr,
+    objects: &[u64],
+    serial: &Cell<u64>,
+) -> (u32, u32) {
+    let (mut served, mut failed) = (0, 0);
+    let until = now_ms() + duration_ms;
+    while now_ms() < until {
+        for object in objects {
+            match fetch(listen, *object, 7, serial).await {
+                Some((200, Some(generated_ms))) => {
+                    assert!(generated_ms > issued_ms, "a copy older than the purge reached a client");
+                    served += 1;
+                }
+                _ => failed += 1,
+            }
+        }
+    }
+    (served, failed)
+}
+
+/// The objects of a server with copies newer than a time, and when those were generated.
+fn copies_newer_than(issued_ms: f64, server: &PurgeTarget) -> Vec<(u64, f64)> {
+    let store = server.store.borrow();
+    let copies = store.iter().map(|((object, _), copy)| (*object, copy.generated_ms));
+    copies.filter(|(_, generated_ms)| *generated_ms > issued_ms).collect()
+}
+
 #[test]
 fn a_target_unreachable_for_seconds_catches_up_and_retains_copies_newer_than_the_purge() {
     run(async {
@@ -304,11 +341,7 @@
         let serial = Cell::new(0);
         let objects: Vec<u64> = (0x100..0x140).collect();
         for object in &objects {
-            fleet
-                .origin
-                .surrogate_keys
-                .borrow_mut()
-                .insert(*object, vec![SurrogateKey::new("seller-7").unwrap()]);
+            fleet.tag(*object, "seller-7");
             assert_eq!(fetch(leader.listen, *object, 7, &serial).await.map(|a| a.0), Some(200));
         }
         for b in fleet.caches() {
@@ -317,40 +350,15 @@
         // One ignores the age limit, as a faulty cache server would.
         fleet.servers[0].ignores_age_limit.set(true);
         let purge = submit(leader.mgmt, "tag:seller-7").await.unwrap();
-        let (mut served, mut failed) = (0, 0);
-        let until = now_ms() + 3_000.0;
-        while now_ms() < until {
-            for object in &objects {
-                match fetch(leader.listen, *object, 7, &serial).await {
-                    Some((200, Some(generated_ms))) => {
-                        assert!(
-                            generated_ms > purge.issued_ms,
-                            "a copy older than the purge reached a client"
-                        );
-                        served += 1;
-                    }
-                    Some(_) => failed += 1,
-                    None => failed += 1,
-                }
-            }
-        }
+        let (served, failed) =
+            read_copies_newer_than(purge.issued_ms, 3_000.0, leader.listen, &objects, &serial).await;
         // The servers got no purge, and yet no client got a purged copy: the proxy retried.
         assert!(fleet.caches().iter().all(|b| b.applied() == 0));
         assert!(served > 0, "served {served}, failed {failed}");
         let status = get(leader.mgmt, "/purges").await.unwrap();
         assert_eq!(status["done"].as_u64(), Some(0));
-        let newer: Vec<Vec<(u64, f64)>> = fleet
-            .caches()
-            .iter()
-            .map(|b| {
-                b.store
-                    .borrow()
-                    .iter()
-                    .filter(|(_, h)| h.generated_ms > purge.issued_ms)
-                    .map(|(k, h)| (k.0, h.generated_ms))
-                    .collect()
-            })
-            .collect();
+        let newer: Vec<Vec<(u64, f64)>> =
+            fleet.caches().iter().map(|b| copies_newer_than(purge.issued_ms, b)).collect();
         assert!(newer.iter().any(|n| !n.is_empty()), "servers that respect the age limit filled anew");
         for b in fleet.caches() {
             b.unreachable.set(false);
--- a/tests/stand_ins/purge_target.rs
+++ b/tests/stand_ins/purge_target.rs
@@ -31,6 +31,16 @@
     pub fills: Cell<u64>,
 }
 
+impl Origin {
+    /// A new copy for a read.
+    fn generate(&self, read: &Read, now_ms: f64) -> StoredCopy {
+        self.fills.set(self.fills.get() + 1);
+        let surrogate_keys = self.surrogate_keys.borrow().get(&read.object).cloned().unwrap_or_default();
+        let name = copy_name(&read.class, read.object, read.part);
+        StoredCopy { name, generated_ms: now_ms, surrogate_keys, group: read.group }
+    }
+}
+
 /// A cached copy.
 #[derive(Clone, Debug)]
 pub struct StoredCopy {
@@ -40,6 +50,54 @@
     pub group: u32,
 }
 
+impl StoredCopy {
+    /// The copy as selectors see it.
+    fn cached(&self, object: u64) -> CachedCopy<'_> {
+        CachedCopy { name: &self.name, object, group: self.group, surrogate_keys: &self.surrogate_keys }
+    }
+}
+
+/// A read in the cache protocol.
+struct Read {
+    id: String,
+    class: String,
+    object: u64,
+    part: u32,
+    group: u32,
+    /// 0 for any age.
+    max_age_ms: f64,
+}
+
+impl Read {
+    fn parse(id: &str, options: &str) -> Self {
+        let options: HashMap<&str, &str> =
+            options.split(',').filter_map(|option| option.split_once('=')).collect();
+        Self {
+            id: id.to_string(),
+            class: options["c"].to_string(),
+            object: u64::from_str_radix(options["k"], 16).unwrap(),
+            part: options["p"].parse().unwrap(),
+            group: options.get("g").map_or(0, |group| group.parse().unwrap()),
+            max_age_ms: options.get("agelim").map_or(0.0, |age| age.parse().unwrap()),
+        }
+    }
+}
+
+/// The answer to a read, whose body names the copy.
+fn encode_answer(read: &Read, copy: &StoredCopy) -> Vec<u8> {
+    let body = format!("object={:016x} part={} born={:.3}", read.object, read.part, copy.generated_ms);
+    let keys: Vec<&str> = copy.surrogate_keys.iter().map(SurrogateKey::as_str).collect();
+    let keys = if keys.is_empty() { String::new() } else { format!(",tags={}", keys.join("+")) };
+    let head = format!(
+        "{} ACK sum={:x},t0={:.3}{keys} {}\r\n",
+        read.id,
+        copy.generated_ms.to_bits() ^ read.object,
+        copy.generated_ms,
+        body.len()
+    );
+    [head.as_bytes(), body.as_bytes(), b"\r\n"].concat()
+}
+
 /// What a cache server has done, for the checks of a test.
 #[derive(Default)]
 pub struct Observed {
@@ -149,47 +207,23 @@
             if read.read_exact(&mut body).await.is_err() {
                 return;
             }
-            let options: HashMap<&str, &str> =
-                fields[2].split(',').filter_map(|f| f.split_once('=')).collect();
-            let object = u64::from_str_radix(options["k"], 16).unwrap();
-            let part: u32 = options["p"].parse().unwrap();
-            let group: u32 = options.get("g").map_or(0, |g| g.parse().unwrap());
-            let max_age_ms: f64 = options.get("agelim").map_or(0.0, |a| a.parse().unwrap());
-            let name = copy_name(options["c"], object, part);
+            let request = Read::parse(&fields[1], &fields[2]);
             let now = now_ms();
-            let usable = |copy: &StoredCopy| {
-                let cached = CachedCopy {
-                    name: &name,
-                    object,
-                    group: copy.group,
-                    surrogate_keys: &copy.surrogate_keys,
-                };
-                let young = max_age_ms == 0.0 || now - copy.generated_ms <= max_age_ms;
-                (young || ignores_age_limit.get())
-                    && active.borrow().purge_of(&cached, copy.generated_ms).is_none()
+            let is_usable = |copy: &StoredCopy| {
+                let young = request.max_age_ms == 0.0 || now - copy.generated_ms <= request.max_age_ms;
+                let purge = active.borrow().purge_of(&copy.cached(request.object), copy.generated_ms);
+                (young || ignores_age_limit.get()) && purge.is_none()
             };
-            let stored =
-                store.borrow().get(&(object, part)).filter(|h| !always_generates.get() && usable(h)).cloned();
-            let copy = stored.unwrap_or_else(|| {
-                origin.fills.set(origin.fills.get() + 1);
-                let surrogate_keys = origin.surrogate_keys.borrow().get(&object).cloned().unwrap_or_default();
-                let copy = StoredCopy { name: name.clone(), generated_ms: now, surrogate_keys, group };
-                store.borrow_mut().insert((object, part), copy.clone());
+            let key = (request.object, request.part);
+            let stored = store.borrow().get(&key).cloned();
+            let usable = stored.filter(|copy| !always_generates.get() && is_usable(copy));
+            let copy = usable.unwrap_or_else(|| {
+                let copy = origin.generate(&request, now);
+                store.borrow_mut().insert(key, copy.clone());
                 copy
             });
             observed.reads.set(observed.reads.get() + 1);
-            let bytes = format!("object={object:016x} part={part} born={:.3}", copy.generated_ms);
-            let keys: Vec<&str> = copy.surrogate_keys.iter().map(SurrogateKey::as_str).collect();
-            let keys = if keys.is_empty() { String::new() } else { format!(",tags={}", keys.join("+")) };
-            let head = format!(
-                "{} ACK sum={:x},t0={:.3}{keys} {}\r\n",
-                fields[1],
-                copy.generated_ms.to_bits() ^ object,
-                copy.generated_ms,
-                bytes.len()
-            );
-            let answer = [head.as_bytes(), bytes.as_bytes(), b"\r\n"].concat();
-            if write.write_all(&answer).await.is_err() {
+            if write.write_all(&encode_answer(&request, &copy)).await.is_err() {
                 return;
             }
         }
@@ -224,13 +258,7 @@
             }
             // A purge removes the copies that it covers and that are not newer; newer copies remain.
             store.borrow_mut().retain(|(object, _), copy| {
-                let cached = CachedCopy {
-                    name: &copy.name,
-                    object: *object,
-                    group: copy.group,
-                    surrogate_keys: &copy.surrogate_keys,
-                };
-                active.purge_of(&cached, copy.generated_ms).is_none()
+                active.purge_of(&copy.cached(*object), copy.generated_ms).is_none()
             });
             active.advance_low_water_mark(batch.low_water_mark, now_ms());
         }
--- a/tests/stand_ins/registry.rs
+++ b/tests/stand_ins/registry.rs
@@ -220,11 +220,8 @@
 
 async fn watch(mut stream: TcpStream, store: Rc<Store>, key: String, end: String, start: i64) {
     let generation = store.generation.get();
-    if stream
-        .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
-        .await
-        .is_err()
-    {
+    let head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
+    if stream.write_all(head).await.is_err() {
         return;
     }
     let rev = store.revision.get();
@@ -237,51 +234,15 @@
         let _ = stream.write_all(b"0\r\n\r\n").await;
         return;
     }
-    if !chunk(&mut stream, &format!(r#"{{"result":{{"header":{{"revision":"{rev}"}},"created":true}}}}"#))
-        .await
-    {
+    let created = format!(r#"{{"result":{{"header":{{"revision":"{rev}"}},"created":true}}}}"#);
+    if !chunk(&mut stream, &created).await {
         return;
     }
     let mut next = start;
-    loop {
-        if store.generation.get() != generation {
-            return;
-        }
+    while store.generation.get() == generation {
         if !silent(&store) {
-            let events: Vec<Event> = store
-                .history
-                .borrow()
-                .iter()
-                .filter(|e| e.rev >= next && e.key >= key && e.key < end)
-                .cloned()
-                .collect();
-            let rev = store.revision.get();
-            let line = if store.malformed.get() {
-                "{\"result\":{\"events\":[{\"kv\":".to_string()
-            } else if events.is_empty() {
-                format!(r#"{{"result":{{"header":{{"revision":"{rev}"}}}}}}"#)
-            } else {
-                let mut encoded: Vec<String> = events
-                    .iter()
-                    .map(|e| match &e.value {
-                        Some(v) => format!(r#"{{"kv":{}}}"#, kv_json(&e.key, v, e.rev)),
-                        None => format!(
-                            r#"{{"type":"DELETE","kv":{{"key":"{}","mod_revision":"{}"}}}}"#,
-                            b64(e.key.as_bytes()),
-                            e.rev
-                        ),
-                    })
-                    .collect();
-                if store.duplicates.get() {
-                    let reversed: Vec<String> = encoded.iter().rev().cloned().collect();
-                    encoded = reversed.into_iter().chain(encoded).collect();
-                }
-                format!(
-                    r#"{{"result":{{"header":{{"revision":"{rev}"}},"events":[{}]}}}}"#,
-                    encoded.join(",")
-                )
-            };
-            next = rev + 1;
+            let line = watch_line(&store, &key, &end, next);
+            next = store.revision.get() + 1;
             if !chunk(&mut stream, &line).await {
                 return;
             }
@@ -292,3 +253,33 @@
         }
     }
 }
+
+/// The changes of a key range from a revision on, or a progress notification.
+fn watch_line(store: &Store, key: &str, end: &str, from: i64) -> String {
+    if store.malformed.get() {
+        return "{\"result\":{\"events\":[{\"kv\":".to_string();
+    }
+    let rev = store.revision.get();
+    let history = store.history.borrow();
+    let in_range = |e: &&Event| e.rev >= from && e.key.as_str() >= key && e.key.as_str() < end;
+    let mut events: Vec<String> = history.iter().filter(in_range).map(event_json).collect();
+    if events.is_empty() {
+        return format!(r#"{{"result":{{"header":{{"revision":"{rev}"}}}}}}"#);
+    }
+    if store.duplicates.get() {
+        let reversed: Vec<String> = events.iter().rev().cloned().collect();
+        events = reversed.into_iter().chain(events).collect();
+    }
+    format!(r#"{{"result":{{"header":{{"revision":"{rev}"}},"events":[{}]}}}}"#, events.join(","))
+}
+
+fn event_json(event: &Event) -> String {
+    match &event.value {
+        Some(value) => format!(r#"{{"kv":{}}}"#, kv_json(&event.key, value, event.rev)),
+        None => format!(
+            r#"{{"type":"DELETE","kv":{{"key":"{}","mod_revision":"{}"}}}}"#,
+            b64(event.key.as_bytes()),
+            event.rev
+        ),
+    }
+}
