--- a/src/lifecycle/subsystems/health_checks.rs
+++ b/src/lifecycle/subsystems/health_checks.rs
@@ -1,6 +1,6 @@
 //! Health checks of endpoints, shared among the instances of an installation.
 
-use crate::engine::executor::Figures;
+use crate::engine::executor::MetricsSource;
 use crate::health_check::config::HealthCheckConfig;
 use crate::health_check::driver::{run, HealthChecker};
 use crate::lifecycle::bind::bind_udp;
@@ -40,14 +40,14 @@
         self.open(context).boxed_local()
     }
 
-    fn metrics(&self) -> Option<Figures> {
+    fn metrics(&self) -> Option<MetricsSource> {
         let checker = self.checker.clone()?;
         Some(Box::new(move || checker.metrics()))
     }
 
     fn admin_calls(&self) -> Option<AdminCalls> {
         let checker = self.checker.clone()?;
-        Some(AdminCalls { handler: Box::new(move |_, call| checker.answer(call)), max_body: 0 })
+        Some(AdminCalls { handler: Box::new(move |call: &_| checker.answer(call)), max_body: 0 })
     }
 
     fn reload(&mut self, _: &Context) {
--- a/src/rules/type_check.rs
+++ b/src/rules/type_check.rs
@@ -8,7 +8,7 @@
 use super::error::{CompileError, DefinitionError, Quantity, TypeError};
 use super::parser::{parse, BinaryOperator, Expression, ExpressionKind};
 use super::program::{Function, Input, Node, Program, Signature, Type};
-use crate::wire::http::{MAX_HEAD, MAX_HEADERS};
+use crate::wire::http_codec::{MAX_HEAD, MAX_HEADERS};
 
 /// The greatest length of a text, in bytes.
 pub const MAX_LENGTH: u64 = 65_536;
