--- a/src/lifecycle/descriptors.rs
+++ b/src/lifecycle/descriptors.rs
@@ -1,7 +1,7 @@
 //! The budget of file descriptors: each kind of connection has its own part of those that a process may hold, so that
 //! idle clients cannot use up those of the endpoint watch, of connections to endpoints or of the admin address.
 
-use crate::wire::admin::CALLERS as MAX_ADMIN_CLIENTS;
+use crate::wire::admin::MAX_CLIENTS as MAX_ADMIN_CLIENTS;
 use rlimit::Resource;
 use thiserror::Error;
 
--- a/src/lifecycle/subsystem.rs
+++ b/src/lifecycle/subsystem.rs
@@ -3,12 +3,12 @@
 use super::config::Config;
 use super::descriptors::DescriptorBudget;
 use super::error::ServeError;
-use crate::engine::executor::{Executor, Figures};
+use crate::engine::executor::{Executor, MetricsSource};
 use crate::grpc::front::GrpcFront;
-use crate::registry::driver::RegistryStatus;
+use crate::registry::service::RegistryStatus;
 use crate::rules::table::Rules;
 use crate::vrrp::config::FrontKind;
-use crate::wire::admin::Calls;
+use crate::wire::admin::AdminHandler;
 use crate::wire::front::Front;
 use crate::wire::platform::Platform;
 use crate::wire::shutdown::GracefulShutdown;
@@ -34,7 +34,7 @@
     }
 
     /// The source of its metrics, if it has any; called once, when it is prepared.
-    fn metrics(&self) -> Option<Figures> {
+    fn metrics(&self) -> Option<MetricsSource> {
         None
     }
 
@@ -69,7 +69,7 @@
 /// A subsystem's calls at the admin address.
 pub struct AdminCalls {
     /// Answers the calls that are the subsystem's own.
-    pub handler: Calls,
+    pub handler: Box<dyn AdminHandler>,
     /// The longest body of a call, in bytes.
     pub max_body: usize,
 }
--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -1,7 +1,7 @@
 //! A virtual router (VRRP): addresses that one of several instances serves at a time.
 
 use crate::config_file::BoxError;
-use crate::engine::executor::{Executor, Figures};
+use crate::engine::executor::{Executor, MetricsSource};
 use crate::grpc::server as grpc_server;
 use crate::lifecycle::bind::bind_udp;
 use crate::lifecycle::error::ServeError;
@@ -90,7 +90,7 @@
     let (executor, rate) = (context.executor.clone(), RefCell::new(Rate::default()));
     let (registry, grpc) = (context.registry.borrow().clone(), context.grpc.borrow().clone());
     Box::new(move |what| match what {
-        What::Registry => ms_since(&executor, registry.as_ref()?.borrow().answered_ms),
+        What::Registry => ms_since(&executor, registry.as_ref()?.borrow().last_answer_ms),
         What::Grpc(pool) => grpc.as_ref()?.usable_share(pool),
         what => host_value(&executor, &rate, what),
     })
@@ -110,14 +110,14 @@
         self.open(context).boxed_local()
     }
 
-    fn metrics(&self) -> Option<Figures> {
+    fn metrics(&self) -> Option<MetricsSource> {
         let router = self.router.clone()?;
         Some(Box::new(move || router.metrics()))
     }
 
     fn admin_calls(&self) -> Option<AdminCalls> {
         let router = self.router.clone()?;
-        Some(AdminCalls { handler: Box::new(move |_, call| router.answer(call)), max_body: 0 })
+        Some(AdminCalls { handler: Box::new(move |call: &_| router.answer(call)), max_body: 0 })
     }
 
     fn reload(&mut self, _: &Context) {
--- a/src/wire/client_connection.rs
+++ b/src/wire/client_connection.rs
@@ -4,7 +4,8 @@
 use super::client_stream::{ClientStream, Received};
 use super::connection_slots::ConnectionSlot;
 use super::front::{Disposition, Front};
-use super::http::{BadRequest, HttpCodec, HttpRequest, HttpResponse, Phase};
+use super::http::{HttpRequest, HttpResponse};
+use super::http_codec::{BadRequest, HttpCodec, Phase};
 use super::shutdown::{ConnectionGuard, GracefulShutdown};
 use super::submission::Submission;
 use crate::clock::duration_from_ms;
@@ -165,7 +166,7 @@
         };
         let now = self.executor.clock.now();
         let is_late = deadline.is_some_and(|due| now >= due);
-        self.executor.with(|engine| engine.counters.clients_too_slow += u64::from(is_late));
+        self.executor.with(|engine| engine.counters.client_connections_too_slow += u64::from(is_late));
         let idle_at_shutdown = phase == Phase::Idle && self.shutdown.has_begun();
         is_late || now - since > limit_ms || idle_at_shutdown || self.slot.is_evicted()
     }
@@ -183,7 +184,7 @@
         let deadline_ms = request.deadline_ms;
         // A request that waited for its slot, or behind another, may have come from a client that is long gone.
         if self.stream.has_left().await {
-            executor.with(|engine| engine.counters.left += 1);
+            executor.with(|engine| engine.counters.clients_disconnected += 1);
             return None;
         }
         let response = match front.submit(&executor, &context, request) {
@@ -222,7 +223,7 @@
     async fn write(&mut self, response: HttpResponse, limit_ms: f64) -> bool {
         let written = self.stream.write(response, limit_ms).await.is_ok();
         if !written {
-            self.executor.with(|engine| engine.counters.unwritten += 1);
+            self.executor.with(|engine| engine.counters.responses_unwritten += 1);
         }
         written
     }
