--- a/examples/sign_link.rs
+++ b/examples/sign_link.rs
@@ -47,7 +47,7 @@
     let claims = Claims { iss: "toy-links", exp, cdniv: 1, cdniuc: format!("hash:sha-256;{hash}") };
     let header = Header { kid: Some("toy".into()), ..Header::new(Algorithm::HS256) };
     let key = EncodingKey::from_secret(
-        &edge_proxy::wire::keys::base64url(secret).ok_or("the key is not base64url")?,
+        &edge_proxy::wire::signed_urls::jwk::decode_base64url(secret).ok_or("the key is not base64url")?,
     );
     println!("http://127.0.0.1:8080{path}?URISigningPackage={}", encode(&header, &claims, &key)?);
     Ok(())
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -6,9 +6,9 @@
 use super::session::Sessions;
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::wire::byte_range::ByteRange;
 use crate::wire::front::{ConnectionLimits, Disposition, Front, ResponseContext};
 use crate::wire::http::{HttpRequest, HttpResponse};
-use crate::wire::signed::{range, Range};
 use crate::wire::submission::{PendingResponse, Submission};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -67,14 +67,14 @@
         return answer;
     }
     let length = answer.body.len();
-    match range(text, length) {
-        Range::All => answer,
-        Range::Part(from, to) => {
+    match ByteRange::parse(text, length) {
+        ByteRange::All => answer,
+        ByteRange::Part(from, to) => {
             let body = answer.body.slice(from..to);
             let shown = format!("bytes {from}-{}/{length}", to - 1);
             HttpResponse { status: 206, body, ..answer }.with("Content-Range", shown)
         }
-        Range::Outside => {
+        ByteRange::Unsatisfiable => {
             let empty = HttpResponse { status: 416, body: Default::default(), ..answer };
             empty.with("Content-Range", format!("bytes */{length}"))
         }
--- a/src/lifecycle/signed_urls.rs
+++ b/src/lifecycle/signed_urls.rs
@@ -3,10 +3,11 @@
 use crate::config_file::{parse_address, read_json, AddressError, ConfigError};
 use crate::engine::executor::Executor;
 use crate::wire::front::ConnectionLimits;
-use crate::wire::keys::{self, Key, KeyRing};
-use crate::wire::signed::{SignedUrls, Verifier};
+use crate::wire::signed_urls::front::SignedUrlFront;
+use crate::wire::signed_urls::jwk::{parse_key_set, KeySet};
+use crate::wire::signed_urls::key_ring::KeyRing;
+use crate::wire::signed_urls::verifier::TokenVerifier;
 use serde::Deserialize;
-use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -58,13 +59,13 @@
     ConnectionLimits { connections: 128, body_bytes: 0, write_ms: 30_000.0, ..ConnectionLimits::default() }
 }
 
-fn read_keys(path: &Path) -> Result<(Vec<u8>, HashMap<String, Key>), String> {
+fn read_keys(path: &Path) -> Result<(Vec<u8>, KeySet), String> {
     let length = std::fs::metadata(path).map_err(|e| e.to_string())?.len();
     if length > MAX_KEY_FILE {
         return Err(format!("{length} bytes are too many"));
     }
     let text = std::fs::read(path).map_err(|e| e.to_string())?;
-    let keys = keys::read(&text).map_err(|e| e.to_string())?;
+    let keys = parse_key_set(&text).map_err(|e| e.to_string())?;
     Ok((text, keys))
 }
 
@@ -120,11 +121,11 @@
     }
 
     /// The front that the file describes.
-    pub fn front(&self, salt: u64) -> Result<SignedUrls, String> {
+    pub fn front(&self, salt: u64) -> Result<SignedUrlFront, String> {
         let (_, keys) = read_keys(&self.keys)?;
         let keys = KeyRing::new(keys, self.overlap_ms);
-        let verifier = Verifier { keys, issuer: self.issuer.clone(), leeway_ms: self.leeway_ms };
-        Ok(SignedUrls::new(self.limits.clone(), self.scheme.clone(), verifier, salt))
+        let verifier = TokenVerifier { keys, issuer: self.issuer.clone(), leeway_ms: self.leeway_ms };
+        Ok(SignedUrlFront::new(self.limits.clone(), self.scheme.clone(), verifier, salt))
     }
 }
 
@@ -133,7 +134,7 @@
 pub async fn keep_keys(
     host: Rc<Executor>,
     config: SignedUrlConfig,
-    front: Rc<SignedUrls>,
+    front: Rc<SignedUrlFront>,
     reload: Rc<Notify>,
 ) {
     let mut last = std::fs::read(&config.keys).unwrap_or_default();
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -2,6 +2,7 @@
 //! and a thin driver that reads and writes.
 
 pub mod admin;
+pub mod byte_range;
 pub mod cache_codec;
 pub mod cache_connection;
 pub mod cache_message;
@@ -11,13 +12,13 @@
 pub mod discovery;
 pub mod discovery_codec;
 pub mod discovery_json;
+pub mod entity_tag;
 pub mod front;
 pub mod http;
 pub mod http_codec;
-pub mod keys;
 pub mod listener;
 pub mod platform;
 pub mod response_path;
 pub mod shutdown;
-pub mod signed;
+pub mod signed_urls;
 pub mod submission;
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -1,12 +1,13 @@
 //! The platform's front: what its clients' requests mean, and how its answers are worded.
 
+use super::entity_tag::parse_single;
 use super::front::{ConnectionLimits, Disposition, Front, ResponseContext};
 use super::http::{HttpRequest, HttpResponse};
 use crate::engine::executor::Executor;
 use crate::rules::table::{Rules, Said, Target};
 use crate::settings::PlatformSettings;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
-use crate::text::{is_field_value, parse_hex16};
+use crate::text::parse_hex16;
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -158,7 +159,7 @@
             size_kb,
             deadline_ms: now + patience - MARGIN_MS.min(MARGIN_SHARE * patience),
             key: key.map(String::from),
-            client_etag: header("if-none-match")?.and_then(bare_tag),
+            client_etag: header("if-none-match")?.and_then(parse_single),
             body: request.body.clone(),
             client: None,
         }))
@@ -177,12 +178,6 @@
     plain.then(|| text.parse().ok())?
 }
 
-/// The one tag of an `If-None-Match`, without its quotes; none where there are several or it is of no use.
-pub fn bare_tag(text: &str) -> Option<String> {
-    let tag = text.strip_prefix("W/").unwrap_or(text).strip_prefix('"')?.strip_suffix('"')?;
-    (is_field_value(tag) && !tag.contains('"') && tag.len() <= 128).then(|| tag.to_string())
-}
-
 fn refused(wait_ms: f64) -> HttpResponse {
     HttpResponse::status(503).with("X-Come-Back-Ms", format!("{}", wait_ms.ceil()))
 }
--- /dev/null
+++ b/src/wire/signed_urls/jwk.rs
@@ -0,0 +1,210 @@
+//! The keys that links are signed with, as a JWK set (RFC 7517).
+
+use base64::prelude::{Engine, BASE64_URL_SAFE_NO_PAD};
+use jsonwebtoken::{Algorithm, DecodingKey, EncodingKey};
+use serde::Deserialize;
+use std::collections::HashMap;
+use thiserror::Error;
+
+/// The most keys of a set, and the most retired keys of a ring.
+pub(super) const MAX_KEYS: usize = 64;
+/// The shortest secret of HS256, in bytes: the size of its hash (RFC 7518, section 3.2).
+const MIN_SECRET_BYTES: usize = 32;
+/// The size of a coordinate and of the private part of a P-256 key, in bytes.
+const P256_BYTES: usize = 32;
+
+/// The bytes before, and between, the numbers of a P-256 key in PKCS #8 (RFC 5208, RFC 5915).
+const P256_PREFIX: [u8; 36] = [
+    0x30, 0x81, 0x87, 0x02, 0x01, 0x00, 0x30, 0x13, 0x06, 0x07, 0x2a, 0x86, 0x48, 0xce, 0x3d, 0x02, 0x01,
+    0x06, 0x08, 0x2a, 0x86, 0x48, 0xce, 0x3d, 0x03, 0x01, 0x07, 0x04, 0x6d, 0x30, 0x6b, 0x02, 0x01, 0x01,
+    0x04, 0x20,
+];
+const P256_MIDDLE: [u8; 6] = [0xa1, 0x44, 0x03, 0x42, 0x00, 0x04];
+
+/// A set of keys that cannot be used.
+#[derive(Debug, Error)]
+pub enum JwkError {
+    /// The text is no JWK set.
+    #[error("not a JWK set: {0}")]
+    Malformed(simd_json::Error),
+    /// A key cannot be used.
+    #[error("key {index}: {fault}")]
+    Key {
+        /// Its index in the set.
+        index: usize,
+        /// What is wrong with it.
+        fault: KeyFault,
+    },
+    /// No key can be used.
+    #[error("no key that can be used")]
+    NoKeys,
+    /// There are more than [`MAX_KEYS`] keys.
+    #[error("too many keys")]
+    TooManyKeys,
+}
+
+/// What is wrong with a key.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum KeyFault {
+    /// The algorithm does not belong to the key's type.
+    #[error("`alg` is not that of its type")]
+    Algorithm,
+    /// It has no id.
+    #[error("no `kid`")]
+    MissingId,
+    /// Its id is that of another key.
+    #[error("a `kid` stands twice")]
+    DuplicateId,
+    /// A member is absent or not base64url.
+    #[error("`{0}` is not base64url")]
+    NotBase64url(&'static str),
+    /// The secret is shorter than [`MIN_SECRET_BYTES`].
+    #[error("`k` is too short")]
+    SecretTooShort,
+    /// A coordinate does not have the size of the curve.
+    #[error("a coordinate has not 32 bytes")]
+    CoordinateLength,
+    /// The coordinates are those of no point.
+    #[error("not a point")]
+    NotAPoint,
+    /// The private part does not have the size of the curve.
+    #[error("`d` has not 32 bytes")]
+    PrivateKeyLength,
+}
+
+/// Keys by their ids.
+pub type KeySet = HashMap<String, Key>;
+
+/// A key with the one algorithm that its type allows.
+#[derive(Clone)]
+pub struct Key {
+    /// Verifies signatures.
+    pub verifying: DecodingKey,
+    /// Signs renewed tokens, where the set has the private part.
+    pub signing: Option<EncodingKey>,
+    /// The algorithm.
+    pub algorithm: Algorithm,
+    /// The secret, or the coordinates of the public point.
+    material: Vec<u8>,
+}
+
+impl std::fmt::Debug for Key {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        // Never the key itself.
+        write!(f, "Key({:?})", self.algorithm)
+    }
+}
+
+impl Key {
+    /// Whether another key has the same material.
+    pub(super) fn is_same_key(&self, other: &Self) -> bool {
+        self.material == other.material
+    }
+}
+
+#[derive(Deserialize)]
+struct JwkSet {
+    keys: Vec<Jwk>,
+}
+
+#[derive(Deserialize)]
+struct Jwk {
+    #[serde(rename = "kty")]
+    key_type: String,
+    #[serde(rename = "kid")]
+    id: Option<String>,
+    #[serde(rename = "use")]
+    purpose: Option<String>,
+    #[serde(rename = "alg")]
+    algorithm: Option<String>,
+    #[serde(rename = "crv")]
+    curve: Option<String>,
+    #[serde(rename = "k")]
+    secret: Option<String>,
+    x: Option<String>,
+    y: Option<String>,
+    #[serde(rename = "d")]
+    private: Option<String>,
+}
+
+/// Decodes unpadded base64url, in its one spelling (RFC 4648, section 5).
+pub fn decode_base64url(text: &str) -> Option<Vec<u8>> {
+    BASE64_URL_SAFE_NO_PAD.decode(text).ok()
+}
+
+/// Decodes a member of a key.
+fn decode_member(text: &Option<String>, name: &'static str) -> Result<Vec<u8>, KeyFault> {
+    text.as_deref().and_then(decode_base64url).ok_or(KeyFault::NotBase64url(name))
+}
+
+impl Jwk {
+    /// The key with its id; none for a type or purpose that is not supported.
+    fn key(&self) -> Result<Option<(String, Key)>, KeyFault> {
+        let (algorithm, name) = match (self.key_type.as_str(), self.curve.as_deref()) {
+            ("oct", _) => (Algorithm::HS256, "HS256"),
+            ("EC", Some("P-256")) => (Algorithm::ES256, "ES256"),
+            _ => return Ok(None),
+        };
+        if self.purpose.as_deref().is_some_and(|purpose| purpose != "sig") {
+            return Ok(None);
+        }
+        if self.algorithm.as_deref().is_some_and(|stated| stated != name) {
+            return Err(KeyFault::Algorithm);
+        }
+        let id = self.id.clone().filter(|id| !id.is_empty()).ok_or(KeyFault::MissingId)?;
+        let key = if algorithm == Algorithm::HS256 { self.hmac_key()? } else { self.p256_key()? };
+        Ok(Some((id, key)))
+    }
+
+    fn hmac_key(&self) -> Result<Key, KeyFault> {
+        let secret = decode_member(&self.secret, "k")?;
+        if secret.len() < MIN_SECRET_BYTES {
+            return Err(KeyFault::SecretTooShort);
+        }
+        Ok(Key {
+            verifying: DecodingKey::from_secret(&secret),
+            signing: Some(EncodingKey::from_secret(&secret)),
+            algorithm: Algorithm::HS256,
+            material: secret,
+        })
+    }
+
+    fn p256_key(&self) -> Result<Key, KeyFault> {
+        let (x, y) = (decode_member(&self.x, "x")?, decode_member(&self.y, "y")?);
+        if x.len() != P256_BYTES || y.len() != P256_BYTES {
+            return Err(KeyFault::CoordinateLength);
+        }
+        let (x_text, y_text) = (self.x.as_deref().unwrap_or_default(), self.y.as_deref().unwrap_or_default());
+        let verifying = DecodingKey::from_ec_components(x_text, y_text).map_err(|_| KeyFault::NotAPoint)?;
+        let signing = self.private.as_deref().map(|text| {
+            let private = decode_base64url(text).filter(|private| private.len() == P256_BYTES);
+            let private = private.ok_or(KeyFault::PrivateKeyLength)?;
+            let der = [&P256_PREFIX[..], &private, &P256_MIDDLE, &x, &y].concat();
+            Ok(EncodingKey::from_ec_der(&der))
+        });
+        let signing = signing.transpose()?;
+        Ok(Key { verifying, signing, algorithm: Algorithm::ES256, material: [x, y].concat() })
+    }
+}
+
+/// Parses a JWK set. Keys of unsupported types are skipped (RFC 7517, section 5).
+pub fn parse_key_set(text: &[u8]) -> Result<KeySet, JwkError> {
+    let set: JwkSet = simd_json::from_slice(&mut text.to_vec()).map_err(JwkError::Malformed)?;
+    let mut keys = KeySet::new();
+    for (index, jwk) in set.keys.iter().enumerate() {
+        let fault = |fault| JwkError::Key { index, fault };
+        if let Some((id, key)) = jwk.key().map_err(fault)? {
+            if keys.insert(id, key).is_some() {
+                return Err(fault(KeyFault::DuplicateId));
+            }
+        }
+    }
+    match keys.len() {
+        0 => Err(JwkError::NoKeys),
+        count if count > MAX_KEYS => Err(JwkError::TooManyKeys),
+        _ => Ok(keys),
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/wire/signed_urls/key_ring/tests.rs
@@ -0,0 +1,30 @@
+use super::*;
+use crate::wire::signed_urls::jwk::{parse_key_set, JwkError};
+
+const K: &str = "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8";
+
+fn set(id: &str, secret: &str) -> Result<KeySet, JwkError> {
+    parse_key_set(
+        format!("{{\"keys\":[{{\"kty\":\"oct\",\"kid\":\"{id}\",\"k\":\"{secret}\"}}]}}").as_bytes(),
+    )
+}
+
+#[test]
+fn a_retired_key_is_accepted_for_the_overlap() {
+    let other = K.replace('A', "B");
+    let mut ring = KeyRing::new(set("a", K).unwrap(), 1_000.0);
+    ring.rotate(set("b", K).unwrap(), 5_000.0);
+    assert_eq!(ring.find("a", 5_999.0).count(), 1);
+    assert_eq!(ring.find("a", 6_000.0).count(), 0);
+    assert_eq!(ring.find("b", 9_000.0).count(), 1);
+    assert_eq!(
+        ring.signer("a").map(|signer| signer.key_id),
+        Some("b"),
+        "a renewal goes on across the rotation"
+    );
+    // The same id with another key: both are accepted for a while.
+    ring.rotate(set("b", &other).unwrap(), 9_000.0);
+    assert_eq!((ring.find("b", 9_500.0).count(), ring.find("b", 10_000.0).count()), (2, 1));
+    (0..200).for_each(|k| ring.rotate(set(&format!("k{k}"), K).unwrap(), 9_100.0));
+    assert!(ring.retired.len() <= MAX_KEYS);
+}
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -3,7 +3,7 @@
 mod stand_ins;
 
 use edge_proxy::lifecycle::signed_urls::{keep_keys, SignedUrlConfig};
-use edge_proxy::wire::signed::SignedUrls;
+use edge_proxy::wire::signed_urls::front::SignedUrlFront;
 use jsonwebtoken::{encode, Algorithm, EncodingKey, Header};
 use p256::pkcs8::EncodePrivateKey;
 use serde_json::{json, Value};
@@ -97,7 +97,7 @@
     at: SocketAddr,
     keys: PathBuf,
     reload: Rc<Notify>,
-    front: Rc<SignedUrls>,
+    front: Rc<SignedUrlFront>,
 }
 
 fn write_keys(path: &PathBuf, signers: &[&Signer]) {
