--- a/src/wire/connection_slots.rs
+++ b/src/wire/connection_slots.rs
@@ -39,7 +39,7 @@
             }
             let idle = self.slots.borrow_mut().evict_one(now);
             if let Some(eviction) = idle.and_then(|id| self.evictions.borrow().get(&id).cloned()) {
-                executor.with(|engine| engine.counters.clients_displaced += 1);
+                executor.with(|engine| engine.counters.client_connections_evicted += 1);
                 eviction.notify_one();
             }
             let _ = timeout(duration_from_ms(RETRY_MS), self.changed.notified()).await;
