--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -2,6 +2,7 @@
 //! and a thin driver that reads and writes.
 
 pub mod admin;
+pub mod byte_range;
 pub mod cache_codec;
 pub mod cache_connection;
 mod client_connection;
@@ -10,12 +11,12 @@
 pub mod discovery;
 pub mod discovery_codec;
 pub mod discovery_json;
+pub mod entity_tag;
 pub mod front;
 pub mod http;
 pub mod http_codec;
-pub mod keys;
 pub mod listener;
 pub mod platform;
 pub mod shutdown;
-pub mod signed;
+pub mod signed_urls;
 pub mod submission;
