--- a/examples/vrrp_takeover.rs
+++ b/examples/vrrp_takeover.rs
@@ -1,5 +1,5 @@
-//! Takeovers measured on loopback: two proxy processes share a virtual address under a load of callers; the active
-//! one is killed (SIGKILL) again and again, and started anew. Bounded in count; ends by itself.
+//! Measures takeovers on loopback: two proxy processes share a virtual address under a load of clients; the active one is
+//! killed (SIGKILL) over and over, and restarted. Bounded in count; ends by itself.
 //!
 //!     cargo build --release && cargo run --release --example vrrp_takeover -- [KILLS]
 
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 use vrrp_peer::Load;
 
-const PATIENCE: Duration = Duration::from_millis(5_000);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 struct Proxy {
     child: Child,
@@ -40,7 +40,7 @@
     k: usize,
     fleet: &SlowFleet,
     routers: [SocketAddr; 2],
-    virt: SocketAddr,
+    virtual_address: SocketAddr,
 ) -> Proxy {
     let (listen, mgmt) = (free("127.0.102.10"), free("127.0.102.10"));
     let mut text =
@@ -51,14 +51,14 @@
     let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
     let (config, file) = (dir.join(format!("config-{k}.json")), dir.join(format!("vrrp-{k}.json")));
     std::fs::write(&config, text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses)).unwrap();
-    // The better one waits before it takes the address back, so that each kill meets a settled pair.
+    // Without preemption each kill finds one active router and one backup.
     let text = format!(
         r#"{{"listen":"{}","peers":["{}"],"vrid":7,"priority":{},"interval_cs":20,"down_intervals":8,"preempt":false,
-            "addresses":["{}"],"serve":[{{"address":"{virt}","front":"platform"}}]}}"#,
+            "addresses":["{}"],"serve":[{{"address":"{virtual_address}","front":"platform"}}]}}"#,
         routers[k],
         routers[1 - k],
         [120, 100][k],
-        virt.ip()
+        virtual_address.ip()
     );
     std::fs::write(&file, text).unwrap();
     let mut command = Command::new(program);
@@ -69,11 +69,11 @@
 async fn state(proxy: &Proxy) -> Option<String> {
     let within = Duration::from_secs(1);
     let mut body = edge_proxy::purge::wire::call(proxy.mgmt, "GET", "/vrrp", b"", within).await.ok()?.body;
-    let told = simd_json::to_owned_value(&mut body).ok()?;
-    told["state"].as_str().map(String::from)
+    let status = simd_json::to_owned_value(&mut body).ok()?;
+    status["state"].as_str().map(String::from)
 }
 
-async fn until(proxy: &Proxy, wanted: &str) {
+async fn wait_for(proxy: &Proxy, wanted: &str) {
     let end = Instant::now() + Duration::from_secs(10);
     while state(proxy).await.as_deref() != Some(wanted) {
         assert!(Instant::now() < end, "not {wanted} in ten seconds");
@@ -94,47 +94,47 @@
         let dir = std::env::temp_dir().join(format!("edge-proxy-takeover-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
         let fleet = SlowFleet::start(102, 4, 512, 4).await;
-        let virt = free("127.1.102.1");
+        let virtual_address = free("127.1.102.1");
         let udp = || std::net::UdpSocket::bind("127.0.102.10:0").unwrap().local_addr().unwrap();
         let routers = [udp(), udp()];
-        let mut pair = [0, 1].map(|k| start(&program, &dir, k, &fleet, routers, virt));
-        until(&pair[0], "active").await;
-        until(&pair[1], "backup").await;
-        let load = Load::start(virt, 16, PATIENCE);
-        let (mut takeovers, mut first_answers, mut master) = (Vec::new(), Vec::new(), 0);
+        let mut pair = [0, 1].map(|k| start(&program, &dir, k, &fleet, routers, virtual_address));
+        wait_for(&pair[0], "active").await;
+        wait_for(&pair[1], "backup").await;
+        let load = Load::start(virtual_address, 16, CLIENT_TIMEOUT);
+        let (mut takeovers, mut first_responses, mut active) = (Vec::new(), Vec::new(), 0);
         for _ in 0..kills {
             tokio::time::sleep(Duration::from_millis(300)).await;
             let killed = Instant::now();
-            pair[master].child.kill().unwrap();
-            until(&pair[1 - master], "active").await;
+            pair[active].child.kill().unwrap();
+            wait_for(&pair[1 - active], "active").await;
             takeovers.push(killed.elapsed().as_secs_f64() * 1_000.0);
             tokio::time::sleep(Duration::from_millis(200)).await;
             let first = load.ended.borrow().iter().filter(|(_, _, e)| e.ended > killed).map(|(_, _, e)| e.ended).min();
-            first_answers.push(first.map_or(f64::NAN, |t| (t - killed).as_secs_f64() * 1_000.0));
-            let fresh = start(&program, &dir, master, &fleet, routers, virt);
-            pair[master] = fresh;
-            until(&pair[master], "backup").await;
-            master = 1 - master;
+            first_responses.push(first.map_or(f64::NAN, |t| (t - killed).as_secs_f64() * 1_000.0));
+            let fresh = start(&program, &dir, active, &fleet, routers, virtual_address);
+            pair[active] = fresh;
+            wait_for(&pair[active], "backup").await;
+            active = 1 - active;
         }
         let ended = load.stop().await;
         takeovers.sort_by(f64::total_cmp);
-        first_answers.sort_by(f64::total_cmp);
-        let lost = ended.iter().filter(|(_, _, e)| e.status != Some(200) || e.spoilt).count();
-        let again = ended.iter().filter(|(_, _, e)| e.asked_again > 0).count();
+        first_responses.sort_by(f64::total_cmp);
+        let lost = ended.iter().filter(|(_, _, e)| e.status != Some(200) || e.malformed).count();
+        let retried = ended.iter().filter(|(_, _, e)| e.retries > 0).count();
         let posts = ended.iter().filter(|(_, write, _)| *write).count();
         let keys = fleet.keys.borrow();
         let sends = |id: u64| keys.get(&format!("k{id:x}")).copied().unwrap_or(0);
-        let doubled = ended.iter().filter(|(id, write, e)| *write && e.asked_again == 0 && sends(*id) > 1).count();
-        let repeated = ended.iter().filter(|(id, write, e)| *write && e.asked_again > 0 && sends(*id) > 1).count();
-        println!("| kills | takeover p50 / p99 / max ms | first answer after the kill p50 / max ms | requests | lost | asked again | ad-posts | doubled | sent again under their key |");
+        let sent_twice = ended.iter().filter(|(id, write, e)| *write && e.retries == 0 && sends(*id) > 1).count();
+        let repeated = ended.iter().filter(|(id, write, e)| *write && e.retries > 0 && sends(*id) > 1).count();
+        println!("| kills | takeover p50 / p99 / max ms | first response after the kill p50 / max ms | requests | lost | retried | ad-posts | sent_twice | retried under their key |");
         println!("| ---: | --- | --- | ---: | ---: | ---: | ---: | ---: | ---: |");
         println!(
-            "| {kills} | {:.0} / {:.0} / {:.0} | {:.0} / {:.0} | {} | {lost} | {again} | {posts} | {doubled} | {repeated} |",
+            "| {kills} | {:.0} / {:.0} / {:.0} | {:.0} / {:.0} | {} | {lost} | {retried} | {posts} | {sent_twice} | {repeated} |",
             at(&takeovers, 0.5),
             at(&takeovers, 0.99),
             at(&takeovers, 1.0),
-            at(&first_answers, 0.5),
-            at(&first_answers, 1.0),
+            at(&first_responses, 0.5),
+            at(&first_responses, 1.0),
             ended.len(),
         );
         let _ = std::fs::remove_dir_all(&dir);
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -26,9 +26,12 @@
 use crate::rules::config::RulesConfig;
 use crate::rules::table::Rules;
 use crate::state::connections::Bounds;
-use crate::vrrp::config::{FrontKind, VrrpConfig};
-use crate::vrrp::driver::{self as vrrp, host_value};
-use crate::vrrp::track::{Rate, What};
+use crate::vrrp::config::{EnabledSubsystems, FrontKind, VrrpConfig};
+use crate::vrrp::driver as vrrp;
+use crate::vrrp::host_values::HostValues;
+use crate::vrrp::router::VirtualRouter;
+use crate::vrrp::track::{TrackedObject, TrackedValues};
+use crate::vrrp::virtual_addresses::VirtualFronts;
 use crate::wire::admin::AdminFront;
 use crate::wire::cache_connection::CacheDriver;
 use crate::wire::discovery;
@@ -144,7 +147,7 @@
 /// What takes descriptors besides the platform's front, with what is on.
 fn demand(config: &Config, extras: &Subsystems) -> DescriptorDemand {
     let at = |kind| {
-        let virtual_listeners = extras.router.iter().flat_map(|router| &router.serve);
+        let virtual_listeners = extras.router.iter().flat_map(|router| &router.listeners);
         1 + virtual_listeners.filter(|serve| serve.front == kind).count()
     };
     let signed = extras.front.as_ref().map_or(0, |f| f.connections() * at(FrontKind::Signed));
@@ -207,7 +210,7 @@
         None => bind(listen).await?,
     };
     // Each listener of the platform's front, at its own address and at virtual ones, has its part of the clients' share.
-    let virtual_listeners = router.iter().flat_map(|router| &router.serve);
+    let virtual_listeners = router.iter().flat_map(|router| &router.listeners);
     let listeners = 1 + virtual_listeners.filter(|serve| serve.front == FrontKind::Platform).count();
     let connections = (shares.clients / listeners).max(1);
     let own = Rc::new(Platform::new(platform::limits(connections)));
@@ -240,13 +243,20 @@
     let router = match router {
         None => None,
         Some(set) => {
-            let pools: Vec<String> =
-                grpc.iter().flat_map(|(_, g)| g.pools.iter().map(|p| p.name.clone())).collect();
-            set.check_with(front.is_some(), &pools, door.is_some(), link.is_some())
-                .map_err(|reason| ServeError::field("vrrp", reason))?;
-            let accept = accept_virtual(&host, &fronts, grpc.as_ref().map(|(front, _)| front.clone()));
-            let ask = tracked(&host, link.clone(), grpc.as_ref().map(|(front, _)| front.clone()));
-            let router = vrrp::VirtualRouter::new(host.clone(), set.clone(), accept, ask);
+            let grpc_pools =
+                grpc.iter().flat_map(|(_, g)| g.pools.iter().map(|pool| pool.name.clone())).collect();
+            let enabled = EnabledSubsystems {
+                signed_urls: front.is_some(),
+                grpc_pools,
+                admission: door.is_some(),
+                registry: link.is_some(),
+            };
+            set.check_dependencies(&enabled).map_err(|reason| ServeError::field("vrrp", reason))?;
+            let grpc = grpc.as_ref().map(|(front, _)| front.clone());
+            let served = ServedFronts { host: host.clone(), fronts: fronts.clone(), grpc: grpc.clone() };
+            let own = HostValues::new(host.clone());
+            let values = SubsystemValues { host: host.clone(), own, registry: link.clone(), grpc };
+            let router = VirtualRouter::new(host.clone(), set.clone(), Box::new(served), Box::new(values));
             let router = router.map_err(|reason| ServeError::field("key_file", reason))?;
             let figures = router.clone();
             host.add_figures(Box::new(move || figures.metrics()));
@@ -372,7 +382,7 @@
     });
     let router_stop = Rc::new(Notify::new());
     if let Some((router, set)) = &router {
-        let listen = set.router().listen;
+        let listen = set.router_settings().listen;
         let socket = bind_udp(listen).await?;
         host.spawn("the virtual router", vrrp::run(router.clone(), socket, router_stop.clone()));
     }
@@ -408,7 +418,8 @@
                     }
                 }
                 if let Some((router, config)) = &router {
-                    match config.again().map_err(|e| e.to_string()).and_then(|fresh| router.reconfigure(fresh)) {
+                    let reloaded = config.reload().map_err(|e| e.to_string());
+                    match reloaded.and_then(|fresh| router.reconfigure(fresh).map_err(|e| e.to_string())) {
                         Ok(()) => tracing::info!(file = %config.path.display(), "the virtual router's file read again"),
                         Err(reason) => tracing::warn!(%reason, "the virtual router's old file stays"),
                     }
@@ -446,7 +457,7 @@
         edge.closing.iter().for_each(|closing| closing.notify_one());
     }
     stop.begin();
-    let busy = || router.as_ref().map_or(0, |(router, _)| router.busy()) + stop.holds();
+    let busy = || router.as_ref().map_or(0, |(router, _)| router.open_connections()) + stop.holds();
     // A moment for connections that the machine had accepted and this process not yet.
     tokio::time::sleep(duration_from_ms(4.0 * STOP_LOOK_MS)).await;
     while (busy() > 0 || host.with(|engine| engine.owed()) > 0) && host.clock.now() < until {
@@ -514,35 +525,44 @@
 /// The fronts that are on, for virtual addresses.
 type Fronts = Rc<RefCell<Vec<(FrontKind, Rc<dyn Front>)>>>;
 
-/// How a virtual address's listener is served, by the fronts that are on.
-fn accept_virtual(host: &Rc<Executor>, fronts: &Fronts, grpc: Option<Rc<GrpcFront>>) -> vrrp::Accept {
-    let (host, fronts) = (host.clone(), fronts.clone());
-    Box::new(move |kind, listener, stop, closing| {
-        if let (FrontKind::Grpc, Some(front)) = (kind, &grpc) {
-            return host.spawn("accepting", grpc::accept(front.clone(), listener, stop, closing));
+/// Serves the listeners of virtual addresses by the fronts that are on.
+struct ServedFronts {
+    host: Rc<Executor>,
+    fronts: Fronts,
+    grpc: Option<Rc<GrpcFront>>,
+}
+
+impl VirtualFronts for ServedFronts {
+    fn serve(&self, kind: FrontKind, listener: TcpListener, stop: Rc<Stop>, closing: Rc<Notify>) {
+        if let (FrontKind::Grpc, Some(front)) = (kind, &self.grpc) {
+            return self.host.spawn("accepting", grpc::accept(front.clone(), listener, stop, closing));
         }
-        let front = fronts.borrow().iter().find(|(k, _)| *k == kind).map(|(_, front)| front.clone());
+        let front = self.fronts.borrow().iter().find(|(k, _)| *k == kind).map(|(_, front)| front.clone());
         if let Some(front) = front {
-            host.spawn("accepting", accept(host.clone(), front, listener, stop, closing));
+            self.host.spawn("accepting", accept(self.host.clone(), front, listener, stop, closing));
         }
-    })
+    }
 }
 
-/// The numbers of what a virtual router tracks.
-fn tracked(
-    host: &Rc<Executor>,
-    link: Option<Rc<RefCell<RegistryStatus>>>,
+/// The values that a virtual router tracks, from all subsystems.
+struct SubsystemValues {
+    host: Rc<Executor>,
+    own: HostValues,
+    registry: Option<Rc<RefCell<RegistryStatus>>>,
     grpc: Option<Rc<GrpcFront>>,
-) -> vrrp::Ask {
-    let (host, rate) = (host.clone(), RefCell::new(Rate::default()));
-    Box::new(move |what| match what {
-        What::Registry => {
-            let answered = link.as_ref()?.borrow().answered_ms;
-            Some(host.clock.now() - answered).filter(|_| answered > 0.0)
+}
+
+impl TrackedValues for SubsystemValues {
+    fn value(&self, object: &TrackedObject) -> Option<f64> {
+        match object {
+            TrackedObject::Registry => {
+                let answered = self.registry.as_ref()?.borrow().answered_ms;
+                Some(self.host.clock.now() - answered).filter(|_| answered > 0.0)
+            }
+            TrackedObject::GrpcPool(pool) => self.grpc.as_ref()?.usable(pool),
+            other => self.own.value(other),
         }
-        What::Grpc(pool) => grpc.as_ref()?.usable(pool),
-        what => host_value(&host, &rate, what),
-    })
+    }
 }
 
 /// Reads the configuration again, takes its settings and moves the bulletin's link where it says another address.
--- a/src/vrrp/config.rs
+++ b/src/vrrp/config.rs
@@ -1,21 +1,27 @@
-//! The operator file of a virtual router, `serve --vrrp FILE`. Without it no packet is sent.
+//! The operator file of a virtual router, `serve --vrrp FILE`. Without it no advertisement is sent.
+//!
+//! The keys of the file are those of the first version.
 
-use super::machine::Settings;
-use super::message::OWNER;
-use super::track::{TrackSpec, What};
+use super::machine::RouterSettings;
+use super::message::OWNER_PRIORITY;
+use super::track::{TrackRule, TrackedObject};
 use crate::config_file::{parse_address, read_json, read_keys_beside, ConfigError, FieldError, KeyFileError};
 use crate::message_auth::MessageKeys;
-use serde::Deserialize;
-use std::net::{Ipv4Addr, SocketAddr};
+use serde::{Deserialize, Serialize};
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
-/// Which front a listener of a virtual address belongs to.
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, serde::Serialize)]
+/// Longest duration in the file, in milliseconds.
+const MAX_DURATION_MS: f64 = 3_600_000.0;
+
+/// The front that a listener of a virtual address belongs to.
+#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FrontKind {
     /// The platform's front.
     Platform,
-    /// The second front, signed URLs.
+    /// The front for signed URLs.
     Signed,
     /// gRPC pass-through.
     Grpc,
@@ -24,16 +30,16 @@
 /// A listener of a virtual address.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ServeConfig {
-    /// Where it listens while the router is active.
+pub struct VirtualListenerConfig {
+    /// Socket address at which it listens while the router is active.
     pub address: String,
-    /// For which front.
+    /// Front that serves it.
     pub front: FrontKind,
 }
 
-impl ServeConfig {
-    /// Its address.
-    pub fn at(&self) -> SocketAddr {
+impl VirtualListenerConfig {
+    /// The parsed socket address.
+    pub fn socket_address(&self) -> SocketAddr {
         parse_address(&self.address).expect("checked when read")
     }
 }
@@ -46,61 +52,96 @@
     peers: Vec<SocketAddr>,
     vrid: u8,
     priority: u8,
-    #[serde(default = "interval")]
+    #[serde(default = "default_interval_cs")]
     interval_cs: u16,
-    #[serde(default = "yes")]
+    #[serde(default = "default_preempt")]
     preempt: bool,
     addresses: Vec<Ipv4Addr>,
     #[serde(default)]
     preempt_delay_ms: f64,
-    #[serde(default = "down")]
+    #[serde(default = "default_down_intervals")]
     down_intervals: u8,
-    #[serde(default)]
-    flaps_most: usize,
-    #[serde(default = "hold")]
+    #[serde(rename = "flaps_most", default)]
+    max_activations: usize,
+    #[serde(default = "default_hold_ms")]
     flap_hold_ms: f64,
-    /// The file with the keys that seal advertisements; without it they are the RFC's alone.
+    /// File with the keys that authenticate advertisements; without it they are those of the RFC.
     #[serde(default)]
     pub key_file: Option<PathBuf>,
-    /// How far a peer's clock may be from this one where advertisements are sealed, in milliseconds.
-    #[serde(default = "skew")]
+    /// How far a peer's clock may be from this one if advertisements are authenticated, in milliseconds.
+    #[serde(default = "default_clock_skew_ms")]
     pub clock_skew_ms: f64,
-    /// The listeners that are open while the router is active.
-    #[serde(default)]
-    pub serve: Vec<ServeConfig>,
-    /// How long not all of them may be open while it is active, in milliseconds, before it stands aside ...
-    #[serde(default = "patience")]
-    pub open_patience_ms: f64,
-    /// ... and for how long it does.
-    #[serde(default = "hold")]
-    pub aside_ms: f64,
-    /// What lowers the priority.
-    #[serde(default)]
-    pub track: Vec<TrackSpec>,
-    /// The file.
+    /// Listeners that are open while the router is active.
+    #[serde(rename = "serve", default)]
+    pub listeners: Vec<VirtualListenerConfig>,
+    /// Time for which not all listeners may be open while the router is active, in milliseconds.
+    #[serde(rename = "open_patience_ms", default = "default_open_timeout_ms")]
+    pub open_timeout_ms: f64,
+    /// Time for which the router steps down after that, in milliseconds.
+    #[serde(rename = "aside_ms", default = "default_hold_ms")]
+    pub step_down_ms: f64,
+    /// Rules that lower the priority or put the router into the fault state.
+    #[serde(rename = "track", default)]
+    pub track_rules: Vec<TrackRule>,
+    /// Path of the file.
     #[serde(skip)]
     pub path: PathBuf,
 }
 
-fn interval() -> u16 {
+fn default_interval_cs() -> u16 {
     100
 }
-fn yes() -> bool {
+
+fn default_preempt() -> bool {
     true
 }
-fn down() -> u8 {
+
+fn default_down_intervals() -> u8 {
     3
 }
-fn hold() -> f64 {
+
+fn default_hold_ms() -> f64 {
     10_000.0
 }
-fn skew() -> f64 {
+
+fn default_clock_skew_ms() -> f64 {
     5_000.0
 }
-fn patience() -> f64 {
+
+fn default_open_timeout_ms() -> f64 {
     2_000.0
 }
 
+/// The subsystems of a process that a virtual router may depend on.
+#[derive(Clone, Debug, Default)]
+pub struct EnabledSubsystems {
+    /// Whether the front for signed URLs is enabled.
+    pub signed_urls: bool,
+    /// Names of the gRPC pools; empty if gRPC is disabled.
+    pub grpc_pools: Vec<String>,
+    /// Whether admission control is enabled.
+    pub admission: bool,
+    /// Whether the registry client is enabled.
+    pub registry: bool,
+}
+
+/// A field that depends on a subsystem that is disabled.
+#[derive(Debug, Error, PartialEq, Eq)]
+pub enum DisabledSubsystem {
+    /// The front of a listener is disabled.
+    #[error("`serve`: the front of {address} is disabled")]
+    Front {
+        /// Address of the listener.
+        address: String,
+    },
+    /// The subsystem of a tracked object is disabled.
+    #[error("`track`: the subsystem of {object} is disabled")]
+    TrackedObject {
+        /// The object.
+        object: TrackedObject,
+    },
+}
+
 impl VrrpConfig {
     /// Reads and checks the file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
@@ -110,88 +151,93 @@
         Ok(config)
     }
 
-    /// Reads and checks the same file as it stands by now.
-    pub fn again(&self) -> Result<Self, ConfigError> {
-        let fresh = Self::read(&self.path)?;
-        let same = |c: &Self| (c.listen, c.vrid, c.serve.iter().map(ServeConfig::at).collect::<Vec<_>>());
-        if same(&fresh) != same(self) {
+    /// Reads and checks the same file again. Fields that need a new process must not have changed.
+    pub fn reload(&self) -> Result<Self, ConfigError> {
+        let reloaded = Self::read(&self.path)?;
+        if reloaded.fixed_fields() != self.fixed_fields() {
             let reason = "`listen`, `vrid` and `serve` need a new process";
             return Err(FieldError::new("listen", reason).in_file(&self.path));
         }
-        Ok(fresh)
+        Ok(reloaded)
+    }
+
+    /// The fields that cannot change while the process runs.
+    fn fixed_fields(&self) -> (SocketAddr, u8, Vec<SocketAddr>) {
+        let listeners = self.listeners.iter().map(VirtualListenerConfig::socket_address);
+        (self.listen, self.vrid, listeners.collect())
     }
 
     fn check(&self) -> Result<(), FieldError> {
-        self.router().check().map_err(|(field, reason)| FieldError::new(field, reason))?;
-        self.keys().map_err(|reason| FieldError::new("key_file", reason))?;
-        let mut seen = Vec::new();
-        for listener in &self.serve {
-            let at = parse_address(&listener.address).map_err(|reason| FieldError::new("serve", reason))?;
-            if !self.addresses.iter().any(|virt| at.ip() == std::net::IpAddr::V4(*virt)) {
-                return Err(FieldError::new("serve", format!("{at} is on none of `addresses`")));
-            }
-            if seen.contains(&at) || at.port() == 0 {
-                return Err(FieldError::new("serve", format!("{at} comes twice, or has no port")));
+        self.router_settings().check()?;
+        self.keys().map_err(|error| FieldError::new("key_file", error))?;
+        self.check_listeners()?;
+        self.check_track_rules()?;
+        let durations = [
+            ("clock_skew_ms", self.clock_skew_ms),
+            ("open_patience_ms", self.open_timeout_ms),
+            ("aside_ms", self.step_down_ms),
+        ];
+        for (field, ms) in durations {
+            if !ms.is_finite() || !(1.0..=MAX_DURATION_MS).contains(&ms) {
+                return Err(FieldError::new(field, format!("{ms} is not within 1 to {MAX_DURATION_MS}")));
             }
-            seen.push(at);
         }
-        for track in &self.track {
-            track.check().map_err(|reason| FieldError::new("track", reason))?;
-            if self.priority == OWNER && !track.fault {
-                return Err(FieldError::new(
-                    "track",
-                    "the owner's priority is fixed: only `fault` goes with 255",
-                ));
+        Ok(())
+    }
+
+    fn check_listeners(&self) -> Result<(), FieldError> {
+        let error = |reason: String| Err(FieldError::new("serve", reason));
+        let mut seen = Vec::new();
+        for listener in &self.listeners {
+            let address =
+                parse_address(&listener.address).map_err(|error| FieldError::new("serve", error))?;
+            if !self.addresses.iter().any(|virtual_ip| address.ip() == IpAddr::V4(*virtual_ip)) {
+                return error(format!("{address} is on none of `addresses`"));
             }
-        }
-        let within = |ms: f64| ms.is_finite() && (1.0..=3_600_000.0).contains(&ms);
-        for (field, ms) in [
-            ("clock_skew_ms", self.clock_skew_ms),
-            ("open_patience_ms", self.open_patience_ms),
-            ("aside_ms", self.aside_ms),
-        ] {
-            if !within(ms) {
-                return Err(FieldError::new(field, format!("{ms} is not within 1 to 3,600,000")));
+            if seen.contains(&address) || address.port() == 0 {
+                return error(format!("{address} is listed twice, or has no port"));
             }
+            seen.push(address);
         }
         Ok(())
     }
 
-    /// What the other parts of the configuration must bring for what is served and tracked, if anything lacks.
-    pub fn check_with(
-        &self,
-        signed: bool,
-        grpc: &[String],
-        door: bool,
-        registry: bool,
-    ) -> Result<(), String> {
-        for listener in &self.serve {
-            let there = match listener.front {
-                FrontKind::Platform => true,
-                FrontKind::Signed => signed,
-                FrontKind::Grpc => !grpc.is_empty(),
-            };
-            if !there {
-                return Err(format!("`serve`: {} is for a front that is off", listener.address));
+    fn check_track_rules(&self) -> Result<(), FieldError> {
+        for rule in &self.track_rules {
+            rule.check().map_err(|error| FieldError::new("track", error))?;
+            if self.priority == OWNER_PRIORITY && !rule.fault {
+                let reason = "the priority of the owner is fixed: only `fault` can be used with 255";
+                return Err(FieldError::new("track", reason));
             }
         }
-        for track in &self.track {
-            let there = match &track.what {
-                What::Door => door,
-                What::Registry => registry,
-                What::Grpc(pool) => grpc.contains(pool),
-                What::Pool | What::Refused | What::File(_) => true,
-            };
-            if !there {
-                return Err(format!("`track`: {:?} is of a subsystem that is off", track.what));
-            }
+        Ok(())
+    }
+
+    /// Checks that the subsystems that listeners and tracked objects depend on are enabled.
+    pub fn check_dependencies(&self, enabled: &EnabledSubsystems) -> Result<(), DisabledSubsystem> {
+        let is_served = |listener: &&VirtualListenerConfig| match listener.front {
+            FrontKind::Platform => true,
+            FrontKind::Signed => enabled.signed_urls,
+            FrontKind::Grpc => !enabled.grpc_pools.is_empty(),
+        };
+        if let Some(listener) = self.listeners.iter().find(|listener| !is_served(listener)) {
+            return Err(DisabledSubsystem::Front { address: listener.address.clone() });
+        }
+        let is_known = |rule: &&TrackRule| match &rule.object {
+            TrackedObject::AdmissionQueue => enabled.admission,
+            TrackedObject::Registry => enabled.registry,
+            TrackedObject::GrpcPool(pool) => enabled.grpc_pools.contains(pool),
+            TrackedObject::CachePool | TrackedObject::RejectedShare | TrackedObject::File(_) => true,
+        };
+        if let Some(rule) = self.track_rules.iter().find(|rule| !is_known(rule)) {
+            return Err(DisabledSubsystem::TrackedObject { object: rule.object.clone() });
         }
         Ok(())
     }
 
-    /// The router's own settings.
-    pub fn router(&self) -> Settings {
-        Settings {
+    /// Settings of the state machine.
+    pub fn router_settings(&self) -> RouterSettings {
+        RouterSettings {
             listen: self.listen,
             peers: self.peers.clone(),
             vrid: self.vrid,
@@ -201,12 +247,12 @@
             addresses: self.addresses.clone(),
             preempt_delay_ms: self.preempt_delay_ms,
             down_intervals: self.down_intervals,
-            flaps_most: self.flaps_most,
+            max_activations: self.max_activations,
             flap_hold_ms: self.flap_hold_ms,
         }
     }
 
-    /// The keys that seal advertisements, read anew, where there is a file for them.
+    /// Reads the keys that authenticate advertisements, if a file is configured.
     pub fn keys(&self) -> Result<Option<MessageKeys>, KeyFileError> {
         self.key_file.as_ref().map(|file| read_keys_beside(&self.path, file)).transpose()
     }
--- /dev/null
+++ b/src/vrrp/host_values.rs
@@ -0,0 +1,42 @@
+//! The values of tracked objects that the proxy itself knows.
+
+use super::track::{EndedRequests, RejectedShare, TrackedObject, TrackedValues};
+use crate::engine::executor::Executor;
+use std::cell::RefCell;
+use std::rc::Rc;
+
+/// Values of the engine, of admission control and of files. Values of other subsystems are unknown here.
+pub struct HostValues {
+    host: Rc<Executor>,
+    rejected_share: RefCell<RejectedShare>,
+}
+
+impl HostValues {
+    /// Creates the source of values of a host.
+    pub fn new(host: Rc<Executor>) -> Self {
+        Self { host, rejected_share: RefCell::default() }
+    }
+
+    fn ended_requests(&self) -> EndedRequests {
+        self.host.with(|engine| {
+            let counters = &engine.counters;
+            let rejected = counters.refused + counters.failed;
+            EndedRequests { total: counters.served + counters.unchanged + rejected, rejected }
+        })
+    }
+}
+
+impl TrackedValues for HostValues {
+    fn value(&self, object: &TrackedObject) -> Option<f64> {
+        match object {
+            TrackedObject::CachePool => self.host.with(|engine| engine.pool_share()),
+            TrackedObject::AdmissionQueue => self.host.with_admission(|admission| admission.fullness()),
+            TrackedObject::RejectedShare => {
+                let ended = self.ended_requests();
+                self.rejected_share.borrow_mut().sample(self.host.clock.now(), ended)
+            }
+            TrackedObject::File(path) => Some(f64::from(u8::from(path.exists()))),
+            TrackedObject::Registry | TrackedObject::GrpcPool(_) => None,
+        }
+    }
+}
--- /dev/null
+++ b/src/vrrp/listeners.rs
@@ -0,0 +1,156 @@
+//! Decides which listeners of the virtual addresses are open: all while the router is active, none otherwise. A listener
+//! that cannot be opened is retried with backoff. If that goes on for too long, the router steps down for a while,
+//! because a backup may be able to serve. No I/O.
+
+use super::machine::State;
+
+/// First backoff after a listener could not be opened, in milliseconds.
+const MIN_BACKOFF_MS: f64 = 20.0;
+/// Longest backoff, in milliseconds.
+const MAX_BACKOFF_MS: f64 = 500.0;
+
+/// A command to open or close the listener of an index.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListenerCommand {
+    /// Open the listener and report the result by [`ListenerSet::opened`].
+    Open(usize),
+    /// Accept no new connections and answer all open requests.
+    Close(usize),
+}
+
+/// State of one listener.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum ListenerState {
+    Closed,
+    /// The listener could not be opened and is retried.
+    Backoff {
+        retry_ms: f64,
+        next_backoff_ms: f64,
+    },
+    /// The command to open was given and its result is not yet reported.
+    Opening {
+        backoff_ms: f64,
+    },
+    Open,
+}
+
+/// The listeners of one virtual router.
+#[derive(Clone, Debug)]
+pub struct ListenerSet {
+    listeners: Vec<ListenerState>,
+    active: bool,
+    /// Since when the router is active and not all listeners are open.
+    incomplete_since_ms: Option<f64>,
+    open_timeout_ms: f64,
+    step_down_ms: f64,
+    stepped_down_until_ms: f64,
+    step_downs: u64,
+}
+
+impl ListenerSet {
+    /// Creates a set of closed listeners.
+    ///
+    /// `open_timeout_ms` is how long some of them may not be open while the router is active, and `step_down_ms` is how
+    /// long the router steps down after that.
+    pub fn new(listeners: usize, open_timeout_ms: f64, step_down_ms: f64) -> Self {
+        Self {
+            listeners: vec![ListenerState::Closed; listeners],
+            active: false,
+            incomplete_since_ms: None,
+            open_timeout_ms,
+            step_down_ms,
+            stepped_down_until_ms: f64::NEG_INFINITY,
+            step_downs: 0,
+        }
+    }
+
+    /// Applies the router's state. Returns the commands that follow from it.
+    pub fn follow(&mut self, now: f64, state: State) -> Vec<ListenerCommand> {
+        self.active = state == State::Active;
+        let active = self.active;
+        let commands = self
+            .listeners
+            .iter_mut()
+            .enumerate()
+            .filter_map(|(index, listener)| listener.follow(now, active, index))
+            .collect();
+        self.check_timeout(now);
+        commands
+    }
+
+    /// Has the router step down if not all listeners could be opened in time.
+    fn check_timeout(&mut self, now: f64) {
+        let incomplete = self.active && self.listeners.iter().any(|state| *state != ListenerState::Open);
+        self.incomplete_since_ms = incomplete.then(|| self.incomplete_since_ms.unwrap_or(now));
+        if self.incomplete_since_ms.is_some_and(|since| now - since >= self.open_timeout_ms) {
+            self.step_downs += 1;
+            self.incomplete_since_ms = None;
+            self.stepped_down_until_ms = now + self.step_down_ms;
+        }
+    }
+
+    /// Reports whether a listener could be opened.
+    pub fn opened(&mut self, now: f64, index: usize, success: bool) {
+        let Some(listener) = self.listeners.get_mut(index) else { return };
+        let ListenerState::Opening { backoff_ms } = *listener else { return };
+        *listener = if success {
+            ListenerState::Open
+        } else {
+            let next_backoff_ms = (backoff_ms * 2.0).min(MAX_BACKOFF_MS);
+            ListenerState::Backoff { retry_ms: now + backoff_ms, next_backoff_ms }
+        };
+    }
+
+    /// Whether the router has to step down because listeners could not be opened.
+    pub fn has_stepped_down(&self, now: f64) -> bool {
+        now < self.stepped_down_until_ms
+    }
+
+    /// How often the router stepped down because listeners could not be opened.
+    pub fn step_downs(&self) -> u64 {
+        self.step_downs
+    }
+
+    /// Whether a listener is open.
+    pub fn is_open(&self, index: usize) -> bool {
+        self.listeners.get(index) == Some(&ListenerState::Open)
+    }
+
+    /// When [`Self::follow`] has to be called next.
+    pub fn due_ms(&self) -> f64 {
+        let retries = self.listeners.iter().map(|listener| match listener {
+            ListenerState::Backoff { retry_ms, .. } if self.active => *retry_ms,
+            _ => f64::INFINITY,
+        });
+        let timeout = self.incomplete_since_ms.map_or(f64::INFINITY, |since| since + self.open_timeout_ms);
+        retries.fold(timeout, f64::min)
+    }
+}
+
+impl ListenerState {
+    /// Moves the listener towards being open while the router is active, and closed otherwise.
+    fn follow(&mut self, now: f64, active: bool, index: usize) -> Option<ListenerCommand> {
+        match (*self, active) {
+            (Self::Closed, true) => {
+                *self = Self::Opening { backoff_ms: MIN_BACKOFF_MS };
+                Some(ListenerCommand::Open(index))
+            }
+            (Self::Backoff { retry_ms, next_backoff_ms }, true) if now >= retry_ms => {
+                *self = Self::Opening { backoff_ms: next_backoff_ms };
+                Some(ListenerCommand::Open(index))
+            }
+            (Self::Open | Self::Opening { .. }, false) => {
+                *self = Self::Closed;
+                Some(ListenerCommand::Close(index))
+            }
+            (Self::Backoff { .. }, false) => {
+                *self = Self::Closed;
+                None
+            }
+            _ => None,
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/vrrp/machine.rs
+++ b/src/vrrp/machine.rs
@@ -1,66 +1,74 @@
-//! The state machine of one virtual router (RFC 9568, section 6.4). No I/O; time is what it is told.
+//! The state machine of one virtual router (RFC 9568, section 6.4). No I/O; time is given by the caller in milliseconds.
 //!
-//! Beyond the RFC, each off by its default: a priority that moves with what is tracked, a fault in which the router
-//! stands aside, a delay before it preempts, more lost advertisements before the active one counts as down, and a
-//! hold on preemption while the state flaps. A dead active router is replaced whatever the hold says.
+//! Beyond the RFC, each off by default: a priority that follows tracked objects, a fault state in which the router does
+//! not take part, a preemption delay, more missed advertisements before the active router counts as down, and no
+//! preemption for a while after flapping. A failed active router is replaced regardless of these.
 
-use super::message::{Advertisement, OWNER, STOPS};
+use super::message::{Advertisement, OWNER_PRIORITY, STOP_PRIORITY};
+use crate::config_file::FieldError;
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// The most other routers: as many proxies as an installation may have, several times over.
+/// Most other routers.
 pub const MAX_PEERS: usize = 4_096;
-/// The most virtual addresses of one router. An advertisement counts them in one byte.
+/// Most virtual addresses of one router.
 pub const MAX_ADDRESSES: usize = 16;
 
+/// Longest advertisement interval that a message holds, in centiseconds.
+const MAX_INTERVAL_CS: u16 = 4_095;
+/// Longest delay, in milliseconds.
+const MAX_DELAY_MS: f64 = 3_600_000.0;
+/// Most consecutive missed advertisements until the active router counts as down.
+const MAX_DOWN_INTERVALS: u8 = 100;
+/// Milliseconds in a centisecond.
 const CENTISECOND_MS: f64 = 10.0;
 
-/// The states of section 6.4, and one for standing aside.
+/// The states of RFC 9568, section 6.4, and a fault state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
     /// Not started.
     Initialize,
-    /// Another one is active, as far as is known.
+    /// Another router is active, or none is yet.
     Backup,
-    /// This one is active.
+    /// This router is active.
     Active,
-    /// Something that it needs is gone, or its operator said so: it is not to be active.
+    /// This router cannot serve, or its operator had it step down: it must not become active.
     Fault,
 }
 
-/// A virtual router as one proxy is configured for it.
+/// Configuration of one proxy for a virtual router.
 #[derive(Clone, Debug)]
-pub struct Settings {
-    /// Where this proxy listens; its address decides between equal priorities.
+pub struct RouterSettings {
+    /// Address at which this proxy receives advertisements; it decides between equal priorities.
     pub listen: SocketAddr,
-    /// The other proxies of the virtual router.
+    /// Addresses of the other proxies of the virtual router.
     pub peers: Vec<SocketAddr>,
-    /// The virtual router's number, from 1.
+    /// Identifier of the virtual router, from 1.
     pub vrid: u8,
-    /// 1 to 254, or 255 for the addresses' owner.
+    /// Priority: 1 to 254, or 255 for the owner of the addresses.
     pub priority: u8,
-    /// Between advertisements, in centiseconds.
+    /// Time between advertisements, in centiseconds.
     pub interval_cs: u16,
-    /// A higher priority takes over from a lower one that is active.
+    /// Whether this router takes over from an active router of a lower priority.
     pub preempt: bool,
     /// The virtual addresses.
     pub addresses: Vec<Ipv4Addr>,
-    /// How long a lower one must have been active before it is taken over from, in milliseconds.
+    /// Time for which a router of a lower priority must have been active before it is preempted, in milliseconds.
     pub preempt_delay_ms: f64,
-    /// Advertisements missed in a row after which the active one counts as down; the RFC says 3.
+    /// Consecutive missed advertisements after which the active router counts as down; 3 in the RFC.
     pub down_intervals: u8,
-    /// Times that it may become active within a minute before it preempts nobody for a while; 0 is no such bound.
-    pub flaps_most: usize,
-    /// For how long, in milliseconds.
+    /// Most times that this router may become active within a minute before it stops preempting; 0 for no bound.
+    pub max_activations: usize,
+    /// Time without preemption after too many activations, in milliseconds.
     pub flap_hold_ms: f64,
 }
 
-/// The time over which changes count as flapping, in milliseconds.
+/// Time over which activations are counted, in milliseconds.
 const FLAP_WINDOW_MS: f64 = 60_000.0;
 
-impl Settings {
-    /// A router as the RFC has it, with an advertisement a second.
+impl RouterSettings {
+    /// The defaults of the RFC, with one advertisement per second.
     pub fn new(
         listen: SocketAddr,
         peers: Vec<SocketAddr>,
@@ -78,47 +86,49 @@
             addresses,
             preempt_delay_ms: 0.0,
             down_intervals: 3,
-            flaps_most: 0,
+            max_activations: 0,
             flap_hold_ms: 10_000.0,
         }
     }
 
-    /// What is wrong with them, by field.
-    pub fn check(&self) -> Result<(), (&'static str, String)> {
+    /// Checks the values of all fields.
+    pub fn check(&self) -> Result<(), FieldError> {
+        let error = |field, reason: String| Err(FieldError::new(field, reason));
         let all = self.peers.iter().chain([&self.listen]);
-        if let Some(far) = all.into_iter().find(|a| !a.ip().is_loopback()) {
-            return Err(("peers", format!("{far}: it is carried over loopback only")));
+        if let Some(address) = all.into_iter().find(|address| !address.ip().is_loopback()) {
+            return error("peers", format!("{address} is not a loopback address"));
         }
         if self.peers.is_empty() || self.peers.len() > MAX_PEERS {
-            return Err(("peers", format!("{} are not within 1 to {MAX_PEERS}", self.peers.len())));
+            return error("peers", format!("{} are not within 1 to {MAX_PEERS}", self.peers.len()));
         }
         if self.vrid == 0 {
-            return Err(("vrid", "0 is none".into()));
+            return error("vrid", "0 is not an identifier".into());
         }
-        if self.priority == STOPS {
-            return Err(("priority", "0 is for stopping".into()));
+        if self.priority == STOP_PRIORITY {
+            return error("priority", "0 is reserved for a router that stops".into());
         }
-        if !(1..=4_095).contains(&self.interval_cs) {
-            return Err(("interval_cs", format!("{} is not within 1 to 4095", self.interval_cs)));
+        if !(1..=MAX_INTERVAL_CS).contains(&self.interval_cs) {
+            let reason = format!("{} is not within 1 to {MAX_INTERVAL_CS}", self.interval_cs);
+            return error("interval_cs", reason);
         }
         if self.addresses.is_empty() || self.addresses.len() > MAX_ADDRESSES {
-            return Err((
-                "addresses",
-                format!("{} are not within 1 to {MAX_ADDRESSES}", self.addresses.len()),
-            ));
+            let reason = format!("{} are not within 1 to {MAX_ADDRESSES}", self.addresses.len());
+            return error("addresses", reason);
         }
-        let within = |ms: f64| ms.is_finite() && (0.0..=3_600_000.0).contains(&ms);
-        if !within(self.preempt_delay_ms) || !within(self.flap_hold_ms) {
-            return Err(("preempt_delay_ms", "0 to 3,600,000, as `flap_hold_ms`".into()));
+        let is_valid = |ms: f64| ms.is_finite() && (0.0..=MAX_DELAY_MS).contains(&ms);
+        if !is_valid(self.preempt_delay_ms) || !is_valid(self.flap_hold_ms) {
+            let reason = format!("it and `flap_hold_ms` must be within 0 to {MAX_DELAY_MS}");
+            return error("preempt_delay_ms", reason);
         }
-        if !(1..=100).contains(&self.down_intervals) {
-            return Err(("down_intervals", format!("{} is not within 1 to 100", self.down_intervals)));
+        if !(1..=MAX_DOWN_INTERVALS).contains(&self.down_intervals) {
+            let reason = format!("{} is not within 1 to {MAX_DOWN_INTERVALS}", self.down_intervals);
+            return error("down_intervals", reason);
         }
         Ok(())
     }
 
-    /// The longest that a backup waits after the active one's last advertisement, in milliseconds, at a priority and
-    /// with the active one's interval as its own.
+    /// Time after the active router's last advertisement at which a backup of `priority` takes over, in milliseconds, if
+    /// the active router has the same interval.
     pub fn takeover_ms(&self, priority: u8) -> f64 {
         let interval = f64::from(self.interval_cs) * CENTISECOND_MS;
         f64::from(self.down_intervals) * interval + f64::from(256 - u16::from(priority)) * interval / 256.0
@@ -128,145 +138,154 @@
 /// The state machine of one virtual router.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    set: Settings,
+    settings: RouterSettings,
     state: State,
-    /// The priority by now.
+    /// Current priority.
     priority: u8,
-    /// The active one's interval, in milliseconds.
+    /// Advertisement interval of the active router, in milliseconds.
     active_interval_ms: f64,
-    /// When the advertisement (active) or the active one's end (backup) is due.
+    /// When the next advertisement (active) or the end of the active router (backup) is due.
     due_ms: f64,
-    /// Since when the wait for the active one's end runs.
-    waits_ms: f64,
-    /// Since when a lower one is known to be active.
-    lower_ms: Option<f64>,
-    /// When it became active lately.
+    /// When the wait for the end of the active router began.
+    wait_started_ms: f64,
+    /// Since when a router of a lower priority is active.
+    lower_active_since_ms: Option<f64>,
+    /// When this router became active within [`FLAP_WINDOW_MS`].
     activations: VecDeque<f64>,
-    /// Until then it preempts nobody.
-    hold_ms: f64,
+    /// No preemption before this time.
+    no_preemption_until_ms: f64,
 }
 
 impl Machine {
-    /// A machine that has not started.
-    pub fn new(set: Settings) -> Self {
-        let active_interval_ms = f64::from(set.interval_cs) * CENTISECOND_MS;
+    /// Creates a machine in the state [`State::Initialize`].
+    pub fn new(settings: RouterSettings) -> Self {
+        let active_interval_ms = f64::from(settings.interval_cs) * CENTISECOND_MS;
         Self {
-            priority: set.priority,
-            set,
+            priority: settings.priority,
+            settings,
             state: State::Initialize,
             active_interval_ms,
             due_ms: f64::INFINITY,
-            waits_ms: 0.0,
-            lower_ms: None,
+            wait_started_ms: 0.0,
+            lower_active_since_ms: None,
             activations: VecDeque::new(),
-            hold_ms: f64::NEG_INFINITY,
+            no_preemption_until_ms: f64::NEG_INFINITY,
         }
     }
 
-    /// The state.
+    /// Current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// The priority by now.
+    /// Current priority.
     pub fn priority(&self) -> u8 {
         self.priority
     }
 
-    /// Until when it preempts nobody, for flapping.
-    pub fn hold_ms(&self) -> f64 {
-        self.hold_ms
+    /// Time until which this router preempts no other, because of flapping.
+    pub fn no_preemption_until_ms(&self) -> f64 {
+        self.no_preemption_until_ms
     }
 
-    /// When [`Self::tick`] has something to do.
+    /// When [`Self::tick`] has to be called next.
     pub fn due_ms(&self) -> f64 {
         self.due_ms
     }
 
-    /// Takes other settings; the state stays, and so does the wait that runs.
-    pub fn reconfigure(&mut self, set: Settings) {
-        self.set = set;
+    /// Replaces the settings. The state and a wait in progress stay.
+    pub fn reconfigure(&mut self, settings: RouterSettings) {
+        self.settings = settings;
     }
 
+    /// `Skew_Time` of the RFC, in milliseconds.
     fn skew_ms(&self) -> f64 {
         f64::from(256 - u16::from(self.priority)) * self.active_interval_ms / 256.0
     }
 
-    fn down_ms(&self) -> f64 {
-        f64::from(self.set.down_intervals) * self.active_interval_ms + self.skew_ms()
+    /// `Active_Down_Interval` of the RFC, in milliseconds.
+    fn active_down_ms(&self) -> f64 {
+        f64::from(self.settings.down_intervals) * self.active_interval_ms + self.skew_ms()
     }
 
-    fn own(&self, priority: u8) -> Advertisement {
-        let (vrid, interval_cs) = (self.set.vrid, self.set.interval_cs);
-        Advertisement { vrid, priority, interval_cs, addresses: self.set.addresses.clone() }
+    fn advertisement(&self, priority: u8) -> Advertisement {
+        let (vrid, interval_cs) = (self.settings.vrid, self.settings.interval_cs);
+        Advertisement { vrid, priority, interval_cs, addresses: self.settings.addresses.clone() }
     }
 
     fn advertise(&mut self, now: f64) -> Option<Advertisement> {
-        self.due_ms = now + f64::from(self.set.interval_cs) * CENTISECOND_MS;
-        Some(self.own(self.priority))
+        self.due_ms = now + f64::from(self.settings.interval_cs) * CENTISECOND_MS;
+        Some(self.advertisement(self.priority))
     }
 
+    /// Starts the wait for the end of the active router.
     fn wait(&mut self, now: f64) {
-        (self.waits_ms, self.due_ms) = (now, now + self.down_ms());
+        (self.wait_started_ms, self.due_ms) = (now, now + self.active_down_ms());
     }
 
-    fn backup(&mut self, now: f64, interval_ms: f64) {
+    fn become_backup(&mut self, now: f64, interval_ms: f64) {
         self.active_interval_ms = interval_ms;
-        (self.state, self.lower_ms) = (State::Backup, None);
+        (self.state, self.lower_active_since_ms) = (State::Backup, None);
         self.wait(now);
     }
 
-    fn activate(&mut self, now: f64) -> Option<Advertisement> {
+    fn become_active(&mut self, now: f64) -> Option<Advertisement> {
         if self.state != State::Active {
             self.state = State::Active;
             self.activations.retain(|at| now - at < FLAP_WINDOW_MS);
             self.activations.push_back(now);
-            if self.set.flaps_most > 0 && self.activations.len() > self.set.flaps_most {
+            if self.settings.max_activations > 0 && self.activations.len() > self.settings.max_activations {
                 self.activations.pop_front();
-                self.hold_ms = now + self.set.flap_hold_ms;
+                self.no_preemption_until_ms = now + self.settings.flap_hold_ms;
             }
         }
         self.advertise(now)
     }
 
-    /// Starts; what comes back is to be sent.
+    /// Starts the router. Returns the advertisement to send, if any; so do the other methods.
     pub fn start(&mut self, now: f64) -> Option<Advertisement> {
         if self.state != State::Initialize {
             return None;
         }
-        if self.priority == OWNER {
-            return self.activate(now);
+        if self.priority == OWNER_PRIORITY {
+            return self.become_active(now);
         }
-        self.backup(now, f64::from(self.set.interval_cs) * CENTISECOND_MS);
+        self.become_backup(now, f64::from(self.settings.interval_cs) * CENTISECOND_MS);
         None
     }
 
-    /// Stops; an active one says so, that a backup need not wait for its silence.
+    /// Stops the router. An active one advertises priority 0, so that a backup takes over without waiting.
     pub fn stop(&mut self) -> Option<Advertisement> {
         self.leave(State::Initialize)
     }
 
+    /// Leaves the current state for one without timers.
     fn leave(&mut self, to: State) -> Option<Advertisement> {
         self.due_ms = f64::INFINITY;
-        let was = std::mem::replace(&mut self.state, to);
-        (was == State::Active).then(|| self.own(STOPS))
+        let previous = std::mem::replace(&mut self.state, to);
+        (previous == State::Active).then(|| self.advertisement(STOP_PRIORITY))
     }
 
-    /// Stands aside, or comes back as a backup. One that was active says that it stops.
+    /// Enters or leaves the fault state. An active router advertises priority 0; one that recovers becomes a backup.
     pub fn set_fault(&mut self, now: f64, fault: bool) -> Option<Advertisement> {
         match (self.state, fault) {
             (State::Backup | State::Active, true) => self.leave(State::Fault),
             (State::Fault, false) => {
-                self.backup(now, f64::from(self.set.interval_cs) * CENTISECOND_MS);
+                self.become_backup(now, f64::from(self.settings.interval_cs) * CENTISECOND_MS);
                 None
             }
             _ => None,
         }
     }
 
-    /// Takes another priority; an active one tells it at once, that a better one need not wait to hear of it.
+    /// Changes the priority. An active router advertises it at once, so that a router of a higher priority takes over
+    /// without waiting.
     pub fn set_priority(&mut self, now: f64, priority: u8) -> Option<Advertisement> {
-        let priority = if self.set.priority == OWNER { OWNER } else { priority.clamp(1, OWNER - 1) };
+        let priority = if self.settings.priority == OWNER_PRIORITY {
+            OWNER_PRIORITY
+        } else {
+            priority.clamp(1, OWNER_PRIORITY - 1)
+        };
         if priority == self.priority {
             return None;
         }
@@ -274,56 +293,58 @@
         match self.state {
             State::Active => self.advertise(now),
             State::Backup => {
-                // The wait that runs is measured anew: the skew follows the priority.
-                self.due_ms = self.waits_ms + self.down_ms();
+                // The skew of the wait in progress depends on the priority.
+                self.due_ms = self.wait_started_ms + self.active_down_ms();
                 None
             }
             State::Initialize | State::Fault => None,
         }
     }
 
-    /// Does what is due by `now`.
+    /// Handles timers that are due by `now`.
     pub fn tick(&mut self, now: f64) -> Option<Advertisement> {
         if now < self.due_ms || matches!(self.state, State::Initialize | State::Fault) {
             return None;
         }
-        self.activate(now)
+        self.become_active(now)
     }
 
-    /// Whether a lower one that is active may be taken over from.
-    fn preempts(&mut self, now: f64) -> bool {
-        let since = *self.lower_ms.get_or_insert(now);
-        self.set.preempt && now - since >= self.set.preempt_delay_ms && now >= self.hold_ms
+    /// Whether this router may preempt the active router, which has a lower priority.
+    fn may_preempt(&mut self, now: f64) -> bool {
+        let since = *self.lower_active_since_ms.get_or_insert(now);
+        self.settings.preempt
+            && now - since >= self.settings.preempt_delay_ms
+            && now >= self.no_preemption_until_ms
     }
 
-    /// Takes another's advertisement, from this address.
-    pub fn receive(&mut self, now: f64, from: SocketAddr, ad: &Advertisement) -> Option<Advertisement> {
-        if ad.vrid != self.set.vrid {
+    /// Handles an advertisement of the router at `from`.
+    pub fn receive(&mut self, now: f64, from: SocketAddr, received: &Advertisement) -> Option<Advertisement> {
+        if received.vrid != self.settings.vrid {
             return None;
         }
-        let interval_ms = f64::from(ad.interval_cs) * CENTISECOND_MS;
+        let interval_ms = f64::from(received.interval_cs) * CENTISECOND_MS;
         match self.state {
             State::Initialize | State::Fault => None,
             State::Backup => {
-                if ad.priority == STOPS {
-                    (self.waits_ms, self.due_ms, self.lower_ms) =
-                        (now - self.down_ms() + self.skew_ms(), now + self.skew_ms(), None);
-                } else if ad.priority >= self.priority {
-                    self.backup(now, interval_ms);
-                } else if !self.preempts(now) {
+                if received.priority == STOP_PRIORITY {
+                    (self.wait_started_ms, self.due_ms, self.lower_active_since_ms) =
+                        (now - self.active_down_ms() + self.skew_ms(), now + self.skew_ms(), None);
+                } else if received.priority >= self.priority {
+                    self.become_backup(now, interval_ms);
+                } else if !self.may_preempt(now) {
                     self.active_interval_ms = interval_ms;
                     self.wait(now);
                 }
                 None
             }
             State::Active => {
-                let theirs = (ad.priority, from.ip(), from.port());
-                let ours = (self.priority, self.set.listen.ip(), self.set.listen.port());
-                if ad.priority != STOPS && theirs > ours {
-                    self.backup(now, interval_ms);
+                let theirs = (received.priority, from.ip(), from.port());
+                let ours = (self.priority, self.settings.listen.ip(), self.settings.listen.port());
+                if received.priority != STOP_PRIORITY && theirs > ours {
+                    self.become_backup(now, interval_ms);
                     return None;
                 }
-                // To one that stops, and to one that must not be active, this one says that it is.
+                // A router that stops, or that must not be active, learns that this one is active.
                 self.advertise(now)
             }
         }
--- a/src/vrrp/machine/tests.rs
+++ b/src/vrrp/machine/tests.rs
@@ -4,10 +4,11 @@
     SocketAddr::from(([127, 0, 0, host], 5_100))
 }
 
-fn machine(priority: u8, change: impl FnOnce(&mut Settings)) -> Machine {
-    let mut set = Settings::new(at(1), vec![at(2)], 7, priority, vec![Ipv4Addr::new(127, 1, 0, 1)]);
-    change(&mut set);
-    Machine::new(set)
+fn machine(priority: u8, change: impl FnOnce(&mut RouterSettings)) -> Machine {
+    let mut settings =
+        RouterSettings::new(at(1), vec![at(2)], 7, priority, vec![Ipv4Addr::new(127, 1, 0, 1)]);
+    change(&mut settings);
+    Machine::new(settings)
 }
 
 fn ad(priority: u8) -> Advertisement {
@@ -15,39 +16,39 @@
 }
 
 #[test]
-fn a_lowered_priority_is_told_at_once_and_moves_the_wait() {
+fn a_lowered_priority_is_advertised_at_once_and_changes_the_wait() {
     let mut active = machine(200, |_| {});
     active.start(0.0);
     assert_eq!(active.tick(active.due_ms()).map(|a| a.priority), Some(200));
     assert_eq!(active.set_priority(4_000.0, 90).map(|a| a.priority), Some(90));
-    assert_eq!(active.set_priority(4_000.0, 90), None, "told once");
+    assert_eq!(active.set_priority(4_000.0, 90), None, "advertised once");
     let mut backup = machine(100, |_| {});
     backup.start(0.0);
     backup.receive(100.0, at(2), &ad(200));
     assert_eq!(backup.due_ms(), 100.0 + 3_000.0 + 156.0 * 1_000.0 / 256.0);
     backup.set_priority(2_000.0, 228);
-    assert_eq!(backup.due_ms(), 100.0 + 3_000.0 + 28.0 * 1_000.0 / 256.0, "from the last word on");
+    assert_eq!(backup.due_ms(), 100.0 + 3_000.0 + 28.0 * 1_000.0 / 256.0, "from the last advertisement on");
     backup.set_priority(2_000.0, 0);
-    assert_eq!(backup.priority(), 1, "a tracked priority never says that it stops");
-    assert_eq!(machine(OWNER, |_| {}).set_priority(0.0, 3), None, "the owner's is fixed");
+    assert_eq!(backup.priority(), 1, "a tracked priority is never that of a router that stops");
+    assert_eq!(machine(OWNER_PRIORITY, |_| {}).set_priority(0.0, 3), None, "the owner's is fixed");
 }
 
 #[test]
-fn a_router_in_fault_stands_aside_and_comes_back_as_a_backup() {
+fn a_router_in_fault_steps_down_and_recovers_as_a_backup() {
     let mut machine = machine(200, |_| {});
     machine.start(0.0);
     machine.tick(9_000.0);
-    assert_eq!(machine.set_fault(9_100.0, true).map(|a| a.priority), Some(STOPS));
+    assert_eq!(machine.set_fault(9_100.0, true).map(|a| a.priority), Some(STOP_PRIORITY));
     assert_eq!(machine.state(), State::Fault);
     assert!(machine.receive(9_200.0, at(2), &ad(1)).is_none() && machine.tick(99_999.0).is_none());
     assert_eq!(machine.set_fault(100_000.0, false), None);
     assert_eq!(machine.state(), State::Backup);
-    assert!(machine.due_ms() > 103_000.0, "it hears the others out first");
+    assert!(machine.due_ms() > 103_000.0, "it waits for the other routers first");
 }
 
 #[test]
-fn preemption_waits_for_its_delay_and_a_dead_one_does_not() {
-    let mut machine = machine(200, |set| set.preempt_delay_ms = 5_000.0);
+fn preemption_is_delayed_and_replacing_a_failed_router_is_not() {
+    let mut machine = machine(200, |settings| settings.preempt_delay_ms = 5_000.0);
     machine.start(0.0);
     let mut now = 0.0;
     while machine.tick(now).is_none() {
@@ -57,20 +58,21 @@
         }
         assert!(now < 20_000.0);
     }
-    // A lower one is heard from 1 s on; its adverts count until 6 s; then three go unheeded and the skew.
+    // A router of a lower priority advertises from 1 s on and holds preemption back until 6 s; then three intervals and
+    // the skew pass.
     assert!((8_000.0..9_500.0).contains(&now), "{now}");
-    let mut machine = self::machine(200, |set| set.preempt_delay_ms = 60_000.0);
+    let mut machine = self::machine(200, |settings| settings.preempt_delay_ms = 60_000.0);
     machine.start(0.0);
     machine.receive(1_000.0, at(2), &ad(100));
     assert!(machine.tick(4_300.0).is_some(), "silence is no preemption");
 }
 
 #[test]
-fn flapping_holds_preemption_back_but_not_the_takeover_from_a_dead_one() {
-    let mut machine = machine(150, |set| set.flaps_most = 3);
+fn flapping_holds_preemption_back_but_not_the_takeover_from_a_failed_router() {
+    let mut machine = machine(150, |settings| settings.max_activations = 3);
     machine.start(0.0);
     let (mut now, mut changes) = (0.0, 0);
-    // A peer that is better every other second, so that this one gains and loses the state again and again.
+    // A peer whose priority is alternately higher and lower, so that this router becomes active and backup in turn.
     while now < 60_000.0 {
         now += 100.0;
         let was = machine.state();
@@ -82,7 +84,7 @@
         changes += u32::from(machine.state() != was);
     }
     assert!(changes <= 10, "{changes} changes in a minute");
-    assert!(machine.hold_ms() > 0.0, "it was held back");
+    assert!(machine.no_preemption_until_ms() > 0.0, "it was held back");
     machine.receive(now, at(2), &ad(250));
-    assert!(machine.tick(now + 3_500.0).is_some(), "the peer is dead: no hold counts");
+    assert!(machine.tick(now + 3_500.0).is_some(), "the peer has failed: it is replaced all the same");
 }
--- a/src/vrrp/message.rs
+++ b/src/vrrp/message.rs
@@ -1,43 +1,50 @@
-//! The VRRP version 3 message for IPv4 (RFC 9568, section 5), carried in a UDP datagram, with the checksum over the
-//! message alone.
+//! The VRRP version 3 advertisement for IPv4 (RFC 9568, section 5), carried in a UDP datagram. The checksum covers the
+//! message alone, without a pseudo-header. No I/O.
 
 use std::net::Ipv4Addr;
 use thiserror::Error;
 
-/// The priority of the address's owner.
-pub const OWNER: u8 = 255;
-/// The priority that says that its sender stops.
-pub const STOPS: u8 = 0;
+/// Priority of the owner of the virtual addresses.
+pub const OWNER_PRIORITY: u8 = 255;
+/// Priority in the advertisement of an active router that gives up the addresses.
+pub const STOP_PRIORITY: u8 = 0;
 /// Label of the signatures of authenticated advertisements, which separates them from other protocols under the same
 /// keys.
 pub const LABEL: &[u8] = b"calicobeam vrrp 1";
-const HEAD: usize = 8;
+/// Length of a message before its addresses, in bytes.
+const HEADER_BYTES: usize = 8;
+/// Length of an IPv4 address, in bytes.
+const ADDRESS_BYTES: usize = 4;
+/// First byte of an advertisement: version 3, type 1.
+const VERSION_AND_TYPE: u8 = 0x31;
+/// Where the checksum is in a message.
+const CHECKSUM: std::ops::Range<usize> = 6..8;
 
-/// What is wrong with a message.
+/// A message that is not a valid advertisement.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum BadMessage {
-    /// Its length is not that of its addresses.
-    #[error("length")]
+pub enum DecodeError {
+    /// The length does not match the number of addresses, or there is no address.
+    #[error("the length does not match the addresses")]
     Length,
-    /// It is of another version or type.
-    #[error("version or type")]
+    /// The version is not 3, or the type is not an advertisement.
+    #[error("unknown version or type")]
     Version,
-    /// Its checksum is wrong.
-    #[error("checksum")]
+    /// The checksum is wrong.
+    #[error("wrong checksum")]
     Checksum,
-    /// Its interval is 0.
-    #[error("interval")]
+    /// The interval is 0.
+    #[error("the interval is 0")]
     Interval,
 }
 
 /// An advertisement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advertisement {
-    /// The virtual router.
+    /// Identifier of the virtual router.
     pub vrid: u8,
-    /// The sender's priority; [`STOPS`] says that it gives the state up.
+    /// Priority of the sender, or [`STOP_PRIORITY`] if it gives up the addresses.
     pub priority: u8,
-    /// The sender's interval, in centiseconds: 1 to 4095.
+    /// Advertisement interval of the sender, in centiseconds: 1 to 4095.
     pub interval_cs: u16,
     /// The virtual addresses.
     pub addresses: Vec<Ipv4Addr>,
@@ -54,35 +61,38 @@
 }
 
 impl Advertisement {
-    /// The message's bytes.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
-        let interval = (self.interval_cs & 0x0fff).to_be_bytes();
+        let [interval_high, interval_low] = (self.interval_cs & 0x0fff).to_be_bytes();
+        let count = self.addresses.len() as u8;
         let mut out =
-            vec![0x31, self.vrid, self.priority, self.addresses.len() as u8, interval[0], interval[1], 0, 0];
-        self.addresses.iter().for_each(|a| out.extend(a.octets()));
+            vec![VERSION_AND_TYPE, self.vrid, self.priority, count, interval_high, interval_low, 0, 0];
+        self.addresses.iter().for_each(|address| out.extend(address.octets()));
         let sum = checksum(&out).to_be_bytes();
-        out[6..8].copy_from_slice(&sum);
+        out[CHECKSUM].copy_from_slice(&sum);
         out
     }
 
-    /// Reads a message. Reserved bits are skipped, as the RFC asks.
-    pub fn decode(bytes: &[u8]) -> Result<Self, BadMessage> {
-        let Some(&[kind, vrid, priority, count, high, low, _, _]) = bytes.first_chunk::<HEAD>() else {
-            return Err(BadMessage::Length);
+    /// Decodes a message. Reserved bits are ignored, as the RFC requires.
+    pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
+        let Some(&[version_and_type, vrid, priority, count, high, low, _, _]) =
+            bytes.first_chunk::<HEADER_BYTES>()
+        else {
+            return Err(DecodeError::Length);
         };
-        if kind != 0x31 {
-            return Err(BadMessage::Version);
+        if version_and_type != VERSION_AND_TYPE {
+            return Err(DecodeError::Version);
         }
-        let addresses = bytes[HEAD..].chunks_exact(4);
-        if count == 0 || bytes.len() != HEAD + 4 * usize::from(count) {
-            return Err(BadMessage::Length);
+        let addresses = bytes[HEADER_BYTES..].chunks_exact(ADDRESS_BYTES);
+        if count == 0 || bytes.len() != HEADER_BYTES + ADDRESS_BYTES * usize::from(count) {
+            return Err(DecodeError::Length);
         }
         if checksum(bytes) != 0 {
-            return Err(BadMessage::Checksum);
+            return Err(DecodeError::Checksum);
         }
         let interval_cs = u16::from_be_bytes([high & 0x0f, low]);
         if interval_cs == 0 {
-            return Err(BadMessage::Interval);
+            return Err(DecodeError::Interval);
         }
         let addresses = addresses.map(|a| Ipv4Addr::new(a[0], a[1], a[2], a[3])).collect();
         Ok(Self { vrid, priority, interval_cs, addresses })
--- a/src/vrrp/mod.rs
+++ b/src/vrrp/mod.rs
@@ -1,20 +1,29 @@
-//! VRRP in service: one virtual router (RFC 9568) over unicast UDP, whose state opens and closes the virtual
-//! addresses' listeners, and whose priority follows what is tracked.
+//! A virtual router (VRRP version 3, RFC 9568) over unicast UDP: its state opens and closes the listeners of the virtual
+//! addresses, and its priority follows tracked objects.
 //!
-//! | part | what it does | I/O |
+//! | module | responsibility | I/O |
 //! | --- | --- | --- |
-//! | [`message`] | the advertisement's bytes | none |
-//! | [`machine`] | the state machine, with moving priority, fault, delay and hold | none |
-//! | [`track`] | what is tracked, and the priority that follows | none |
-//! | [`service`] | which listeners are to be open, and when to try again or stand aside | none |
+//! | [`message`] | the advertisement on the wire | none |
+//! | [`machine`] | the state machine | none |
+//! | [`track`] | tracked objects and the priority that follows | none |
+//! | [`listeners`] | which listeners are open, and backoff | none |
 //! | [`config`] | the operator file | a file |
-//! | [`driver`] | the router's task, its peers' datagrams, and the listeners | sockets |
+//! | [`host_values`] | values of tracked objects that the proxy itself knows | files |
+//! | [`virtual_addresses`] | opens and closes the listeners | TCP listeners |
+//! | [`router`] | the router: state machine, authentication, peers, counters | none |
+//! | [`driver`] | the task: datagrams and timers | a UDP socket |
+//! | `admin` | the admin calls and the metrics | none |
 //!
-//! The design note is `docs/design-vrrp.md`; operators read `docs/vrrp.md`.
+//! Datagrams are authenticated by [`crate::datagram_auth`]. Design note: `docs/design-vrrp.md`. Operator page:
+//! `docs/vrrp.md`.
 
+mod admin;
 pub mod config;
 pub mod driver;
+pub mod host_values;
+pub mod listeners;
 pub mod machine;
 pub mod message;
-pub mod service;
+pub mod router;
 pub mod track;
+pub mod virtual_addresses;
--- /dev/null
+++ b/src/vrrp/router.rs
@@ -0,0 +1,296 @@
+//! A virtual router in service: its state machine, its tracked objects, the authentication of its peers' datagrams and
+//! its listeners. The task in [`super::driver`] drives it.
+
+use super::config::VrrpConfig;
+use super::machine::{Machine, State};
+use super::message::{Advertisement, DecodeError, LABEL, STOP_PRIORITY};
+use super::track::{TrackedPriority, TrackedValues, Tracker};
+use super::virtual_addresses::{VirtualAddresses, VirtualFronts};
+use crate::config_file::KeyFileError;
+use crate::datagram_auth::{AuthError, DatagramAuth};
+use crate::engine::executor::Executor;
+use serde::Serialize;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use thiserror::Error;
+use tokio::sync::Notify;
+
+/// What is known of a peer, as the admin call shows it.
+#[derive(Clone, Copy, Debug, Serialize)]
+pub(super) struct Peer {
+    /// When its last advertisement was received, in Unix milliseconds.
+    #[serde(rename = "heard_ms")]
+    last_received_ms: f64,
+    /// Priority in its last advertisement.
+    priority: u8,
+}
+
+/// Counters of a virtual router, as the admin call shows them.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
+pub struct RouterMetrics {
+    /// Times that the router became active.
+    pub became_active: u64,
+    /// Times that the router ceased to be active.
+    #[serde(rename = "gave_up")]
+    pub ceased_active: u64,
+    /// Datagrams sent.
+    pub sent: u64,
+    /// Advertisements received.
+    pub received: u64,
+    /// Datagrams that are not a valid advertisement.
+    pub malformed: u64,
+    /// Datagrams without a signature or with a wrong one.
+    #[serde(rename = "unsealed")]
+    pub unauthenticated: u64,
+    /// Datagrams that are replayed or too old.
+    pub replayed: u64,
+    /// Datagrams from an address that is no peer's.
+    #[serde(rename = "strangers")]
+    pub unknown_senders: u64,
+    /// Advertisements of another virtual router, or of other addresses.
+    pub mismatched: u64,
+    /// Advertisements of another active router while this one was active.
+    #[serde(rename = "splits")]
+    pub active_conflicts: u64,
+    /// Times that a listener could not be opened.
+    pub open_failures: u64,
+}
+
+/// A datagram that is rejected.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+enum Rejection {
+    /// The sender's address is no peer's.
+    #[error("the sender is not a peer")]
+    UnknownSender,
+    /// The datagram is not authentic.
+    #[error(transparent)]
+    NotAuthentic(#[from] AuthError),
+    /// The message is not a valid advertisement.
+    #[error("malformed advertisement: {0}")]
+    Malformed(#[from] DecodeError),
+    /// The advertisement is of another virtual router, or of other addresses.
+    #[error("another virtual router, or other addresses")]
+    Mismatched,
+}
+
+/// A virtual router, shared by its task and the admin address.
+pub struct VirtualRouter {
+    pub(super) host: Rc<Executor>,
+    pub(super) config: RefCell<VrrpConfig>,
+    pub(super) machine: RefCell<Machine>,
+    pub(super) addresses: VirtualAddresses,
+    pub(super) trackers: RefCell<Vec<Tracker>>,
+    tracked_values: Box<dyn TrackedValues>,
+    auth: RefCell<Option<DatagramAuth>>,
+    pub(super) peers: RefCell<BTreeMap<SocketAddr, Peer>>,
+    /// Whether the operator had the router step down.
+    pub(super) stepped_down: Cell<bool>,
+    /// When the state last changed, in Unix milliseconds.
+    pub(super) state_since_ms: Cell<f64>,
+    /// Notified when the task has to sample the tracked objects at once.
+    pub(super) wake: Notify,
+    metrics: Cell<RouterMetrics>,
+}
+
+impl VirtualRouter {
+    /// Creates the router of an operator file, not yet started.
+    pub fn new(
+        host: Rc<Executor>,
+        config: VrrpConfig,
+        fronts: Box<dyn VirtualFronts>,
+        tracked_values: Box<dyn TrackedValues>,
+    ) -> Result<Rc<Self>, KeyFileError> {
+        let auth = config.keys()?.map(|keys| DatagramAuth::new(keys, config.clock_skew_ms, LABEL));
+        Ok(Rc::new(Self {
+            machine: RefCell::new(Machine::new(config.router_settings())),
+            addresses: VirtualAddresses::new(&config, fronts),
+            trackers: RefCell::new(config.track_rules.iter().cloned().map(Tracker::new).collect()),
+            tracked_values,
+            auth: RefCell::new(auth),
+            peers: RefCell::default(),
+            stepped_down: Cell::new(false),
+            state_since_ms: Cell::new(host.clock.now()),
+            wake: Notify::new(),
+            metrics: Cell::default(),
+            config: RefCell::new(config),
+            host,
+        }))
+    }
+
+    /// Applies a reloaded operator file: priority, keys, tracking rules and delays. If the keys cannot be read, nothing
+    /// changes.
+    pub fn reconfigure(&self, config: VrrpConfig) -> Result<(), KeyFileError> {
+        let keys = config.keys()?;
+        match (&mut *self.auth.borrow_mut(), keys) {
+            (Some(auth), Some(keys)) => auth.set_keys(keys),
+            (auth, keys) => *auth = keys.map(|keys| DatagramAuth::new(keys, config.clock_skew_ms, LABEL)),
+        }
+        self.replace_trackers(&config);
+        self.machine.borrow_mut().reconfigure(config.router_settings());
+        *self.config.borrow_mut() = config;
+        self.wake.notify_one();
+        Ok(())
+    }
+
+    /// Replaces the tracking rules. An object that is failed stays so until it recovers by its new rule.
+    fn replace_trackers(&self, config: &VrrpConfig) {
+        let mut trackers = self.trackers.borrow_mut();
+        let replaced = config.track_rules.iter().cloned().map(|rule| {
+            let previous = trackers.iter().find(|tracker| tracker.rule().object == rule.object);
+            Tracker::with_state(rule, previous.is_some_and(Tracker::is_failed))
+        });
+        *trackers = replaced.collect();
+    }
+
+    /// Current state.
+    pub fn state(&self) -> State {
+        self.machine.borrow().state()
+    }
+
+    /// Has the router step down until [`Self::resume`], by its operator's request.
+    pub fn step_down(&self) {
+        self.stepped_down.set(true);
+        self.wake.notify_one();
+    }
+
+    /// Has the router take part again, as a backup.
+    pub fn resume(&self) {
+        self.stepped_down.set(false);
+        self.wake.notify_one();
+    }
+
+    /// Closes the listeners of the virtual addresses. Open requests are answered.
+    pub fn close_all(&self) {
+        self.addresses.close_all();
+    }
+
+    /// Clients' connections at the virtual addresses.
+    pub fn open_connections(&self) -> usize {
+        self.addresses.open_connections()
+    }
+
+    /// The counters.
+    pub fn counters(&self) -> RouterMetrics {
+        RouterMetrics { open_failures: self.addresses.open_failures(), ..self.metrics.get() }
+    }
+
+    pub(super) fn count(&self, change: impl FnOnce(&mut RouterMetrics)) {
+        let mut metrics = self.metrics.get();
+        change(&mut metrics);
+        self.metrics.set(metrics);
+    }
+
+    /// Records a change of the state.
+    pub(super) fn state_changed(&self, now: f64, previous: State, state: State) {
+        self.state_since_ms.set(now);
+        self.host.with(|engine| engine.counters.vrrp_changes += 1);
+        self.count(|metrics| {
+            metrics.became_active += u64::from(state == State::Active);
+            metrics.ceased_active += u64::from(previous == State::Active);
+        });
+        tracing::info!(
+            vrid = self.config.borrow().router_settings().vrid,
+            ?state,
+            ?previous,
+            priority = self.machine.borrow().priority(),
+            "virtual router: the state changed"
+        );
+    }
+
+    /// Samples the tracked objects and applies the priority that follows. Returns the advertisements to send.
+    pub(super) fn sample_tracked_objects(&self) -> Vec<Advertisement> {
+        let now = self.host.clock.now();
+        self.update_trackers(now);
+        let configured = self.config.borrow().router_settings().priority;
+        let TrackedPriority { priority, fault } = TrackedPriority::of(configured, &self.trackers.borrow());
+        let fault = fault || self.stepped_down.get() || self.addresses.has_stepped_down(now);
+        let mut machine = self.machine.borrow_mut();
+        let advertisements = [machine.set_priority(now, priority), machine.set_fault(now, fault)];
+        advertisements.into_iter().flatten().collect()
+    }
+
+    fn update_trackers(&self, now: f64) {
+        for tracker in self.trackers.borrow_mut().iter_mut() {
+            let value = self.tracked_values.value(&tracker.rule().object);
+            if tracker.sample(now, value) {
+                tracing::warn!(
+                    object = %tracker.rule().object,
+                    value,
+                    failed = tracker.is_failed(),
+                    "virtual router: a tracked object failed or recovered"
+                );
+            }
+        }
+    }
+
+    /// Handles a datagram. Returns the advertisement to send, if any.
+    pub(super) fn receive(&self, from: SocketAddr, datagram: &[u8]) -> Option<Advertisement> {
+        let now = self.host.clock.now();
+        let advertisement = match self.accept(now, from, datagram) {
+            Ok(advertisement) => advertisement,
+            Err(rejection) => {
+                self.reject(from, rejection);
+                return None;
+            }
+        };
+        self.host.with(|engine| engine.counters.vrrp_received += 1);
+        let peer = Peer { last_received_ms: now, priority: advertisement.priority };
+        self.peers.borrow_mut().insert(from, peer);
+        let is_conflict = self.state() == State::Active && advertisement.priority != STOP_PRIORITY;
+        self.count(|metrics| {
+            metrics.received += 1;
+            metrics.active_conflicts += u64::from(is_conflict);
+        });
+        self.machine.borrow_mut().receive(now, from, &advertisement)
+    }
+
+    /// Authenticates, decodes and checks a datagram.
+    fn accept(&self, now: f64, from: SocketAddr, datagram: &[u8]) -> Result<Advertisement, Rejection> {
+        let settings = self.config.borrow().router_settings();
+        if !settings.peers.contains(&from) {
+            return Err(Rejection::UnknownSender);
+        }
+        let message = match &mut *self.auth.borrow_mut() {
+            Some(auth) => auth.verify(now, from, datagram)?,
+            None => datagram,
+        };
+        let advertisement = Advertisement::decode(message)?;
+        if advertisement.vrid != settings.vrid || advertisement.addresses != settings.addresses {
+            return Err(Rejection::Mismatched);
+        }
+        Ok(advertisement)
+    }
+
+    /// Counts a rejected datagram. Of those from peers, the first is logged and then each whose number is a power of
+    /// two.
+    fn reject(&self, from: SocketAddr, rejection: Rejection) {
+        self.count(|metrics| match rejection {
+            Rejection::UnknownSender => metrics.unknown_senders += 1,
+            Rejection::NotAuthentic(AuthError::Replayed | AuthError::ClockSkew) => metrics.replayed += 1,
+            Rejection::NotAuthentic(_) => metrics.unauthenticated += 1,
+            Rejection::Malformed(_) => metrics.malformed += 1,
+            Rejection::Mismatched => metrics.mismatched += 1,
+        });
+        match rejection {
+            Rejection::UnknownSender => return,
+            Rejection::Malformed(_) => self.host.with(|engine| engine.counters.vrrp_malformed += 1),
+            Rejection::NotAuthentic(_) | Rejection::Mismatched => {}
+        }
+        let metrics = self.metrics.get();
+        let rejected = metrics.malformed + metrics.unauthenticated + metrics.replayed + metrics.mismatched;
+        if rejected.is_power_of_two() {
+            tracing::warn!(%from, reason = %rejection, rejected, "virtual router: a datagram is rejected");
+        }
+    }
+
+    /// Encodes an advertisement, with a signature of its own if the datagrams are authenticated.
+    pub(super) fn encode(&self, advertisement: &Advertisement) -> Vec<u8> {
+        let message = advertisement.encode();
+        match &mut *self.auth.borrow_mut() {
+            Some(auth) => auth.sign(self.host.clock.now(), message),
+            None => message,
+        }
+    }
+}
--- /dev/null
+++ b/src/vrrp/virtual_addresses.rs
@@ -0,0 +1,154 @@
+//! Opens and closes the listeners of the virtual addresses as the router's state requires.
+
+use super::config::{FrontKind, VirtualListenerConfig, VrrpConfig};
+use super::listeners::{ListenerCommand, ListenerSet};
+use super::machine::State;
+use crate::wire::listener::Stop;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::net::{TcpListener, TcpSocket};
+use tokio::sync::Notify;
+
+/// Most connections that the kernel holds before they are accepted.
+const LISTEN_BACKLOG: u32 = 1_024;
+
+/// The fronts that serve clients at virtual addresses.
+pub trait VirtualFronts {
+    /// Serves the clients of a listener until `closing` is notified. `stop` ends the accepted connections.
+    fn serve(&self, front: FrontKind, listener: TcpListener, stop: Rc<Stop>, closing: Rc<Notify>);
+}
+
+/// An open listener.
+struct OpenListener {
+    stop: Rc<Stop>,
+    closing: Rc<Notify>,
+}
+
+/// The listeners of one virtual router.
+pub struct VirtualAddresses {
+    configs: Vec<VirtualListenerConfig>,
+    fronts: Box<dyn VirtualFronts>,
+    listeners: RefCell<ListenerSet>,
+    open: RefCell<BTreeMap<usize, OpenListener>>,
+    /// Connections of closed listeners.
+    draining: RefCell<Vec<Rc<Stop>>>,
+    open_failures: Cell<u64>,
+}
+
+impl VirtualAddresses {
+    /// Creates the listeners of an operator file, all closed.
+    pub fn new(config: &VrrpConfig, fronts: Box<dyn VirtualFronts>) -> Self {
+        let configs = config.listeners.clone();
+        let listeners = ListenerSet::new(configs.len(), config.open_timeout_ms, config.step_down_ms);
+        Self {
+            configs,
+            fronts,
+            listeners: RefCell::new(listeners),
+            open: RefCell::default(),
+            draining: RefCell::default(),
+            open_failures: Cell::new(0),
+        }
+    }
+
+    /// Opens and closes listeners by the router's state.
+    pub fn follow(&self, now: f64, state: State) {
+        let commands = self.listeners.borrow_mut().follow(now, state);
+        for command in commands {
+            match command {
+                ListenerCommand::Open(index) => {
+                    let success = self.open(index);
+                    self.listeners.borrow_mut().opened(now, index, success);
+                }
+                ListenerCommand::Close(index) => self.close(index),
+            }
+        }
+    }
+
+    fn open(&self, index: usize) -> bool {
+        let VirtualListenerConfig { address, front } = &self.configs[index];
+        let listener = match bind(self.configs[index].socket_address()) {
+            Ok(listener) => listener,
+            Err(error) => {
+                self.open_failures.set(self.open_failures.get() + 1);
+                tracing::warn!(%address, %error, "virtual router: a virtual address cannot be served");
+                return false;
+            }
+        };
+        let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
+        self.fronts.serve(*front, listener, stop.clone(), closing.clone());
+        self.open.borrow_mut().insert(index, OpenListener { stop, closing });
+        tracing::info!(%address, "virtual router: a virtual address is served");
+        true
+    }
+
+    /// Closes a listener. Connections that the kernel has accepted are served, idle ones end.
+    fn close(&self, index: usize) {
+        let closed = self.open.borrow_mut().remove(&index);
+        if let Some(OpenListener { stop, closing }) = closed {
+            closing.notify_one();
+            stop.begin();
+            self.forget_drained();
+            self.draining.borrow_mut().push(stop);
+        }
+    }
+
+    /// Closes all listeners.
+    pub fn close_all(&self) {
+        let open: Vec<usize> = self.open.borrow().keys().copied().collect();
+        open.into_iter().for_each(|index| self.close(index));
+    }
+
+    fn forget_drained(&self) {
+        self.draining.borrow_mut().retain(|stop| stop.open.get() > 0);
+    }
+
+    /// Connections of open and closed listeners that are not yet closed.
+    pub fn open_connections(&self) -> usize {
+        self.forget_drained();
+        let open: usize = self.open.borrow().values().map(|listener| listener.stop.open.get()).sum();
+        let draining: usize = self.draining.borrow().iter().map(|stop| stop.open.get()).sum();
+        open + draining
+    }
+
+    /// Whether the router has to step down because listeners could not be opened.
+    pub fn has_stepped_down(&self, now: f64) -> bool {
+        self.listeners.borrow().has_stepped_down(now)
+    }
+
+    /// How often the router stepped down because listeners could not be opened.
+    pub fn step_downs(&self) -> u64 {
+        self.listeners.borrow().step_downs()
+    }
+
+    /// How often a listener could not be opened.
+    pub fn open_failures(&self) -> u64 {
+        self.open_failures.get()
+    }
+
+    /// The configured listeners, each with whether it is open.
+    pub fn status(&self) -> Vec<(VirtualListenerConfig, bool)> {
+        let listeners = self.listeners.borrow();
+        let configs = self.configs.iter().cloned().enumerate();
+        configs.map(|(index, config)| (config, listeners.is_open(index))).collect()
+    }
+
+    /// When [`Self::follow`] has to be called next.
+    pub fn due_ms(&self) -> f64 {
+        self.listeners.borrow().due_ms()
+    }
+}
+
+/// Binds the listener of a virtual address.
+///
+/// Another active router on the same machine may bind the address too (`SO_REUSEPORT`), as two hosts may that both
+/// claim it; each connection then goes to one of them.
+fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    socket.set_reuseaddr(true)?;
+    socket.set_reuseport(true)?;
+    socket.bind(address)?;
+    socket.listen(LISTEN_BACKLOG)
+}
--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -1,7 +1,7 @@
 //! VRRP: its messages, and its state machine against a model.
 
-use edge_proxy::vrrp::machine::{Machine, Settings, State};
-use edge_proxy::vrrp::message::{Advertisement, BadMessage, OWNER};
+use edge_proxy::vrrp::machine::{Machine, RouterSettings, State};
+use edge_proxy::vrrp::message::{Advertisement, DecodeError, OWNER_PRIORITY};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -10,9 +10,9 @@
     SocketAddr::from(([127, 0, 0, host], 5_100))
 }
 
-fn settings(host: u8, priority: u8, preempt: bool) -> Settings {
+fn settings(host: u8, priority: u8, preempt: bool) -> RouterSettings {
     let (listen, peers, addresses) = (at(host), vec![at(9)], vec![Ipv4Addr::new(127, 1, 0, 1)]);
-    Settings { preempt, ..Settings::new(listen, peers, 7, priority, addresses) }
+    RouterSettings { preempt, ..RouterSettings::new(listen, peers, 7, priority, addresses) }
 }
 
 fn ad(priority: u8, interval_cs: u16) -> Advertisement {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn messages_are_those_of_the_rfc_and_faults_are_told() {
+fn messages_are_encoded_as_in_the_rfc_and_errors_are_typed() {
     let bytes = ad(100, 100).encode();
     // 0x3107 + 0x6401 + 0x0064 + 0x7f01 + 0x0001 is 0x1146e, folded 0x146f, and its complement 0xeb90.
     assert_eq!(bytes, [0x31, 7, 100, 1, 0, 100, 0xeb, 0x90, 127, 1, 0, 1]);
@@ -30,28 +30,28 @@
         bytes[place] = value;
         Advertisement::decode(&bytes)
     };
-    assert_eq!(changed(0, 0x21), Err(BadMessage::Version));
-    assert_eq!(changed(2, 101), Err(BadMessage::Checksum));
-    assert_eq!(changed(3, 2), Err(BadMessage::Length));
-    assert_eq!(Advertisement::decode(&bytes[..7]), Err(BadMessage::Length));
-    assert_eq!(Advertisement::decode(&ad(100, 0).encode()), Err(BadMessage::Interval));
+    assert_eq!(changed(0, 0x21), Err(DecodeError::Version));
+    assert_eq!(changed(2, 101), Err(DecodeError::Checksum));
+    assert_eq!(changed(3, 2), Err(DecodeError::Length));
+    assert_eq!(Advertisement::decode(&bytes[..7]), Err(DecodeError::Length));
+    assert_eq!(Advertisement::decode(&ad(100, 0).encode()), Err(DecodeError::Interval));
 }
 
 #[test]
-fn a_backup_takes_over_after_three_intervals_and_its_skew() {
+fn a_backup_takes_over_after_three_intervals_and_its_skew_time() {
     let mut machine = Machine::new(settings(1, 128, true));
     assert_eq!(machine.start(0.0), None);
     assert_eq!((machine.state(), machine.due_ms()), (State::Backup, 3_500.0));
-    // A higher one is heard: its interval counts from now on.
+    // A router of a higher priority advertises: its interval applies from now on.
     assert_eq!(machine.receive(1_000.0, at(2), &ad(200, 200)), None);
     assert_eq!(machine.due_ms(), 1_000.0 + 6_000.0 + 1_000.0);
-    // It says that it stops: only the skew is waited for.
+    // It stops: the backup waits for the skew time only.
     assert_eq!(machine.receive(2_000.0, at(2), &ad(0, 200)), None);
     assert_eq!(machine.due_ms(), 3_000.0);
     assert_eq!(machine.tick(2_999.0), None);
     assert_eq!(machine.tick(3_000.0).map(|ad| ad.priority), Some(128));
     assert_eq!((machine.state(), machine.due_ms()), (State::Active, 4_000.0));
-    // A lower one is told at once who is active; a higher one takes over.
+    // A router of a lower priority gets an advertisement at once; one of a higher priority takes over.
     assert!(machine.receive(3_100.0, at(2), &ad(100, 100)).is_some());
     assert_eq!(machine.receive(3_200.0, at(2), &ad(129, 100)), None);
     assert_eq!(machine.state(), State::Backup);
@@ -60,26 +60,29 @@
 
 #[test]
 fn equal_priorities_are_decided_by_address_and_preemption_can_be_off() {
-    let mut owner = Machine::new(settings(1, OWNER, true));
+    let mut owner = Machine::new(settings(1, OWNER_PRIORITY, true));
     assert!(owner.start(0.0).is_some());
     assert_eq!(owner.state(), State::Active);
     assert_eq!(owner.stop().map(|ad| ad.priority), Some(0));
     let mut machine = Machine::new(settings(3, 128, true));
     machine.start(0.0);
     machine.tick(3_500.0);
-    assert!(machine.receive(3_600.0, at(2), &ad(128, 100)).is_some(), "the lower address gives way");
+    assert!(machine.receive(3_600.0, at(2), &ad(128, 100)).is_some(), "the lower address does not win");
     assert_eq!(machine.receive(3_700.0, at(4), &ad(128, 100)), None);
     assert_eq!(machine.state(), State::Backup);
-    let mut meek = Machine::new(settings(1, 200, false));
-    meek.start(0.0);
-    meek.receive(3_000.0, at(2), &ad(1, 100));
-    assert!(meek.due_ms() > 6_000.0, "without preemption a lower one stays active");
+    let mut without_preemption = Machine::new(settings(1, 200, false));
+    without_preemption.start(0.0);
+    without_preemption.receive(3_000.0, at(2), &ad(1, 100));
+    assert!(
+        without_preemption.due_ms() > 6_000.0,
+        "without preemption a router of a lower priority stays active"
+    );
     let mut other = ad(255, 100);
     other.vrid = 8;
-    assert_eq!(meek.receive(3_100.0, at(2), &other), None);
+    assert_eq!(without_preemption.receive(3_100.0, at(2), &other), None);
 }
 
-/// The model: section 6.4 as a table of what each state does with each event.
+/// A model of section 6.4: what each state does with each event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Model {
     state: State,
@@ -91,7 +94,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn the_machine_does_what_the_table_says(
+    fn the_state_machine_agrees_with_a_model_of_the_rfc(
         priority in 1u8..=255, preempt: bool,
         steps in prop::collection::vec((0u8..6, 0u8..=255, 1u16..=4_095, 0f64..3_000.0, 1u8..5), 1..80),
     ) {
@@ -104,7 +107,7 @@
             let mut sent = None;
             let got = match kind {
                 0 => {
-                    if model.state == State::Initialize && priority == OWNER {
+                    if model.state == State::Initialize && priority == OWNER_PRIORITY {
                         model = Model { state: State::Active, send_at: now + 1_000.0, ..model };
                         sent = Some(priority);
                     } else if model.state == State::Initialize {
@@ -160,7 +163,7 @@
     }
 
     #[test]
-    fn no_bytes_are_too_strange(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
+    fn decoding_any_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
         if let Ok(ad) = Advertisement::decode(&bytes) {
             prop_assert_eq!(Advertisement::decode(&ad.encode()), Ok(ad));
         }
