--- /dev/null
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -0,0 +1,164 @@
+//! A virtual router (VRRP): addresses that one of several instances serves at a time.
+
+use crate::config_file::BoxError;
+use crate::engine::executor::{Executor, Figures};
+use crate::grpc::front::GrpcFront;
+use crate::grpc::server as grpc_server;
+use crate::lifecycle::bind::bind_udp;
+use crate::lifecycle::error::ServeError;
+use crate::lifecycle::subsystem::{AdminCalls, Context, FrontDirectory, Starting, StopStage, Subsystem};
+use crate::registry::driver::RegistryStatus;
+use crate::vrrp::config::{EnabledSubsystems, FrontKind, VrrpConfig};
+use crate::vrrp::driver::run;
+use crate::vrrp::host_values::HostValues;
+use crate::vrrp::router::VirtualRouter;
+use crate::vrrp::track::{TrackedObject, TrackedValues};
+use crate::vrrp::virtual_addresses::VirtualFronts;
+use crate::wire::listener::{accept, Stop};
+use futures_util::future::{ready, FutureExt};
+use std::cell::RefCell;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::sync::Notify;
+
+/// The virtual router.
+pub struct Vrrp {
+    config: VrrpConfig,
+    enabled: EnabledSubsystems,
+    router: Option<Rc<VirtualRouter>>,
+    resign: Rc<Notify>,
+}
+
+impl Vrrp {
+    /// The router of an operator file.
+    pub fn new(config: VrrpConfig, enabled: EnabledSubsystems) -> Self {
+        Self { config, enabled, router: None, resign: Rc::default() }
+    }
+
+    fn create_router(&mut self, context: &Context) -> Result<(), ServeError> {
+        self.config.check_dependencies(&self.enabled).map_err(ServeError::field("vrrp"))?;
+        let executor = context.executor.clone();
+        let router = VirtualRouter::new(
+            executor,
+            self.config.clone(),
+            Box::new(SubsystemFronts::new(context)),
+            Box::new(SubsystemValues::new(context)),
+        );
+        self.router = Some(router.map_err(ServeError::field("key_file"))?);
+        Ok(())
+    }
+
+    async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
+        let Some(router) = self.router.clone() else { return Ok(()) };
+        let socket = bind_udp(self.config.router_settings().listen).await?;
+        context.executor.spawn("the virtual router", run(router, socket, self.resign.clone()));
+        Ok(())
+    }
+
+    fn read_again(&self, router: &VirtualRouter) -> Result<(), BoxError> {
+        Ok(router.reconfigure(self.config.reload()?)?)
+    }
+}
+
+/// Serves the listeners of virtual addresses by the fronts of the process.
+struct SubsystemFronts {
+    executor: Rc<Executor>,
+    fronts: FrontDirectory,
+    grpc: Option<Rc<GrpcFront>>,
+}
+
+impl SubsystemFronts {
+    fn new(context: &Context) -> Self {
+        let (executor, fronts) = (context.executor.clone(), context.fronts.clone());
+        Self { executor, fronts, grpc: context.grpc.borrow().clone() }
+    }
+}
+
+impl VirtualFronts for SubsystemFronts {
+    fn serve(&self, kind: FrontKind, listener: TcpListener, stop: Rc<Stop>, closing: Rc<Notify>) {
+        if let (FrontKind::Grpc, Some(front)) = (kind, &self.grpc) {
+            let accepting = grpc_server::accept(front.clone(), listener, stop, closing);
+            return self.executor.spawn("accepting", accepting);
+        }
+        if let Some(front) = self.fronts.find(kind) {
+            self.executor.spawn("accepting", accept(self.executor.clone(), front, listener, stop, closing));
+        }
+    }
+}
+
+/// The values of tracked objects, from all subsystems.
+struct SubsystemValues {
+    executor: Rc<Executor>,
+    host: HostValues,
+    registry: Option<Rc<RefCell<RegistryStatus>>>,
+    grpc: Option<Rc<GrpcFront>>,
+}
+
+impl SubsystemValues {
+    fn new(context: &Context) -> Self {
+        let executor = context.executor.clone();
+        let (registry, grpc) = (context.registry.borrow().clone(), context.grpc.borrow().clone());
+        Self { host: HostValues::new(executor.clone()), executor, registry, grpc }
+    }
+}
+
+impl TrackedValues for SubsystemValues {
+    fn value(&self, object: &TrackedObject) -> Option<f64> {
+        match object {
+            TrackedObject::Registry => ms_since(&self.executor, self.registry.as_ref()?.borrow().answered_ms),
+            TrackedObject::GrpcPool(pool) => self.grpc.as_ref()?.usable_share(pool),
+            object => self.host.value(object),
+        }
+    }
+}
+
+/// Milliseconds since a time, which is 0 where there was none.
+fn ms_since(executor: &Executor, at_ms: f64) -> Option<f64> {
+    Some(executor.clock.now() - at_ms).filter(|_| at_ms > 0.0)
+}
+
+impl Subsystem for Vrrp {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+        ready(self.create_router(context)).boxed_local()
+    }
+
+    fn start<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+        self.open(context).boxed_local()
+    }
+
+    fn metrics(&self) -> Option<Figures> {
+        let router = self.router.clone()?;
+        Some(Box::new(move || router.metrics()))
+    }
+
+    fn admin_calls(&self) -> Option<AdminCalls> {
+        let router = self.router.clone()?;
+        Some(AdminCalls { handler: Box::new(move |_, call| router.answer(call)), max_body: 0 })
+    }
+
+    fn reload(&mut self, _: &Context) {
+        let Some(router) = &self.router else { return };
+        match self.read_again(router) {
+            Ok(()) => {
+                tracing::info!(file = %self.config.path.display(), "the virtual router's file read again");
+            }
+            Err(reason) => tracing::warn!(%reason, "the virtual router's old file stays"),
+        }
+    }
+
+    fn stop(&mut self, stage: StopStage) {
+        match stage {
+            StopStage::Announce => self.resign.notify_one(),
+            StopStage::CloseListeners => {}
+            StopStage::CloseRemaining => {
+                if let Some(router) = &self.router {
+                    router.close_all();
+                }
+            }
+        }
+    }
+
+    fn open_connections(&self) -> usize {
+        self.router.as_ref().map_or(0, |router| router.open_connections())
+    }
+}
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -10,7 +10,7 @@
 use edge_proxy::http3::front::Http3Front;
 use edge_proxy::http3::server::{self, Driver};
 use edge_proxy::lifecycle::config::Config;
-use edge_proxy::lifecycle::serve::engine;
+use edge_proxy::lifecycle::engine_setup::engine;
 use edge_proxy::wire::cache_connection::CacheDriver;
 use edge_proxy::wire::listener::{accept, Front, Limits, Stop};
 use edge_proxy::wire::platform::{self, Platform};
@@ -444,7 +444,7 @@
         let config = Http3Config::read(&file).unwrap();
         let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
         let node = dir.join("config.json");
-        let args = ["serve", "--config", node.to_str().unwrap(), "--poor", file.to_str().unwrap()];
+        let args = ["serve", "--config", node.to_str().unwrap(), "--http3", file.to_str().unwrap()];
         let child =
             std::process::Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(log).spawn();
         let mut program = Killed(child.unwrap());
