--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -3,9 +3,9 @@
 use super::admin_call::{print_answer, print_get};
 use super::error::CliError;
 use argh::FromArgs;
-use edge_proxy::purge::log::{decode, MAGIC};
+use edge_proxy::purge::log::{decode, DecodedLog, FaultAt, MAGIC};
 use edge_proxy::purge::selector::Selector;
-use edge_proxy::purge::wire::{to_json, Submit as SubmitBody};
+use edge_proxy::purge::wire::{to_json, SubmitRequest};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -88,8 +88,9 @@
 impl Submit {
     /// Checks the selector here first, so that a bad one is reported at once and changes nothing anywhere.
     fn run(self) -> Result<(), CliError> {
-        let sel: Selector = self.selector.parse().map_err(|error| CliError::Argument(Box::from(error)))?;
-        print_answer(self.at, "POST", "/purges", &to_json(&SubmitBody { sel }))
+        let selector: Selector =
+            self.selector.parse().map_err(|error| CliError::Argument(Box::from(error)))?;
+        print_answer(self.at, "POST", "/purges", &to_json(&SubmitRequest { selector }))
     }
 }
 
@@ -103,13 +104,13 @@
         let Some(records) = bytes.strip_prefix(MAGIC.as_slice()) else {
             return Err(CliError::NotAPurgeLog(path));
         };
-        let (records, fault) = decode(records);
+        let DecodedLog { records, fault } = decode(records);
         for record in &records {
             println!("{}", simd_json::to_string(record)?);
         }
         let complete = records.len();
-        if let Some((offset, reason)) = fault {
-            let (offset, reason) = (offset + MAGIC.len(), reason.to_string());
+        if let Some(FaultAt { offset, fault }) = fault {
+            let (offset, reason) = (offset + MAGIC.len(), fault.to_string());
             return Err(CliError::DamagedPurgeLog { path, complete, offset, reason });
         }
         eprintln!("{}: {complete} records, all whole", path.display());
--- a/src/grpc/config.rs
+++ b/src/grpc/config.rs
@@ -301,12 +301,12 @@
     }
 
     /// The bounds of connections to backends.
-    pub fn connections(&self) -> connections::Bounds {
+    pub fn connections(&self) -> connections::ConnectionLimits {
         let limits = &self.limits;
-        connections::Bounds {
+        connections::ConnectionLimits {
             total: limits.connections,
-            endpoint: limits.connections_per_backend,
-            spread: limits.spread.min(limits.streams_per_connection),
+            per_endpoint: limits.connections_per_backend,
+            spread_above: limits.spread.min(limits.streams_per_connection),
             streams: limits.streams_per_connection,
         }
     }
--- a/src/grpc/pool.rs
+++ b/src/grpc/pool.rs
@@ -127,7 +127,7 @@
 
     /// How many backends the decision module avoids though they accept new calls.
     pub fn avoided_backends(&self, now: f64) -> usize {
-        self.router.avoided(micros_from_ms(now))
+        self.router.ejected_caches(micros_from_ms(now))
     }
 
     /// Hands the decision module an event, and returns what it wants of the call `id`.
@@ -145,8 +145,8 @@
         Action::Forward { id: of, to, timeout, .. } if of == id => {
             Some(Decision::Forward { to, timeout_ms: ms_from_micros(timeout) })
         }
-        Action::Reject { id: of, wait } if of == id => {
-            Some(Decision::Reject { retry_after_ms: ms_from_micros(wait) })
+        Action::Reject { id: of, retry_after } if of == id => {
+            Some(Decision::Reject { retry_after_ms: ms_from_micros(retry_after) })
         }
         Action::Fail { id: of } if of == id => Some(Decision::Fail),
         _ => None,
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -4,7 +4,7 @@
 use super::config::GrpcLimits;
 use super::server::connection_window_bytes;
 use crate::clock::{duration_from_ms, Clock};
-use crate::state::connections::{Bounds, ConnId, Connections, Place};
+use crate::state::connections::{ConnectionId, ConnectionLimits, Connections, Placement};
 use crate::wire::cache_connection::is_local;
 use crate::EndpointId;
 use bytes::Bytes;
@@ -39,7 +39,7 @@
     clock: Clock,
     limits: GrpcLimits,
     connections: RefCell<Connections>,
-    handles: RefCell<HashMap<ConnId, ConnectionHandle>>,
+    handles: RefCell<HashMap<ConnectionId, ConnectionHandle>>,
     /// The ids under which the connections of an address are kept.
     addresses: RefCell<HashMap<SocketAddr, EndpointId>>,
 }
@@ -47,18 +47,18 @@
 /// A call's permit for a stream on a connection, returned when it is dropped.
 pub struct StreamPermit {
     upstream: Rc<Upstream>,
-    conn: ConnId,
+    conn: ConnectionId,
     call: u64,
     state: watch::Receiver<State>,
 }
 
 impl Upstream {
     /// No connections.
-    pub fn new(clock: Clock, limits: GrpcLimits, bounds: Bounds) -> Rc<Self> {
+    pub fn new(clock: Clock, limits: GrpcLimits, connection_limits: ConnectionLimits) -> Rc<Self> {
         Rc::new(Self {
             clock,
             limits,
-            connections: RefCell::new(Connections::new(bounds)),
+            connections: RefCell::new(Connections::new(connection_limits)),
             handles: RefCell::default(),
             addresses: RefCell::default(),
         })
@@ -90,16 +90,16 @@
         let (now, backend) = (self.clock.now(), self.endpoint_id(address));
         let mut all = self.connections.borrow_mut();
         let mut place = all.place(backend, call, now);
-        if place == Place::Nowhere {
+        if place == Placement::Unavailable {
             if let Some(idle) = all.evict(backend) {
                 self.handles.borrow().get(&idle).inspect(|handle| handle.close.notify_one());
                 place = all.place(backend, call, now);
             }
         }
         let conn = match place {
-            Place::Nowhere => return None,
-            Place::On(conn) => conn,
-            Place::New(conn) => {
+            Placement::Unavailable => return None,
+            Placement::Existing(conn) => conn,
+            Placement::New(conn) => {
                 let (sender, state) = watch::channel(State::Connecting);
                 let close = Rc::new(Notify::new());
                 self.handles.borrow_mut().insert(conn, ConnectionHandle { state, close: close.clone() });
@@ -112,7 +112,7 @@
             }
         };
         let c = all.get_mut(conn)?;
-        c.out.insert(call, (call, attempt));
+        c.in_flight.insert(call, (call, attempt));
         c.used_ms = now;
         let state = self.handles.borrow().get(&conn)?.state.clone();
         Some(StreamPermit { upstream: self.clone(), conn, call, state })
@@ -138,14 +138,14 @@
         }
     }
 
-    fn close_if_done(&self, conn: ConnId, load: usize) {
+    fn close_if_done(&self, conn: ConnectionId, load: usize) {
         if load == 0 {
             self.handles.borrow().get(&conn).inspect(|handle| handle.close.notify_one());
         }
     }
 
     /// A connection accepts no new streams any more.
-    fn mark_exhausted(&self, conn: ConnId) {
+    fn mark_exhausted(&self, conn: ConnectionId) {
         if let Some(c) = self.connections.borrow_mut().get_mut(conn) {
             c.closing = true;
         }
@@ -153,7 +153,7 @@
 
     async fn drive(
         &self,
-        conn: ConnId,
+        conn: ConnectionId,
         address: SocketAddr,
         sender: watch::Sender<State>,
         close: Rc<Notify>,
@@ -215,7 +215,7 @@
 /// Removes a connection when its task ends, also by a panic.
 struct ConnectionGuard {
     upstream: Rc<Upstream>,
-    conn: ConnId,
+    conn: ConnectionId,
 }
 
 impl Drop for ConnectionGuard {
@@ -270,7 +270,7 @@
         let now = self.upstream.clock.now();
         let mut all = self.upstream.connections.borrow_mut();
         let Some(c) = all.get_mut(self.conn) else { return };
-        c.out.remove(&self.call);
+        c.in_flight.remove(&self.call);
         c.used_ms = now;
         if c.closing {
             self.upstream.close_if_done(self.conn, c.load());
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -57,6 +57,7 @@
 //! ```
 
 pub mod admission;
+pub mod backoff;
 pub mod clock;
 pub mod config_file;
 pub mod datagram_auth;
@@ -65,6 +66,7 @@
 pub mod grpc;
 pub mod health_check;
 pub mod http3;
+pub mod http_client;
 mod interface;
 pub mod lifecycle;
 pub mod message_auth;
@@ -75,6 +77,7 @@
 pub mod settings;
 pub mod state;
 mod stats;
+pub mod surrogate_key;
 pub mod text;
 pub mod vrrp;
 pub mod wire;
--- a/src/vrrp/host_values.rs
+++ b/src/vrrp/host_values.rs
@@ -29,7 +29,7 @@
 impl TrackedValues for HostValues {
     fn value(&self, object: &TrackedObject) -> Option<f64> {
         match object {
-            TrackedObject::CachePool => self.host.with(|engine| engine.pool_share()),
+            TrackedObject::CachePool => self.host.with(|engine| engine.usable_cache_share()),
             TrackedObject::AdmissionQueue => self.host.with_admission(|admission| admission.fullness()),
             TrackedObject::RejectedShare => {
                 let ended = self.ended_requests();
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -26,7 +26,7 @@
 pub mod checked_endpoint;
 pub mod device;
 pub mod grpc;
-pub mod purge_box;
+pub mod purge_target;
 pub mod registry;
 pub mod running;
 pub mod slow_box;
@@ -323,7 +323,7 @@
         let clock = Clock::manual(START_MS);
         let (engine, env) = engine(&config, &clock, 0).unwrap();
         let host = Executor::new(clock.clone(), engine, CacheDriver);
-        spawn_local(host.clone().keep_time());
+        spawn_local(host.clone().run_timers());
         let (moves, told) = watch::channel(config.bulletin().unwrap());
         spawn_local(discovery::run(host.clone(), told));
         let (stop, closing) = Default::default();
