--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -1,19 +1,19 @@
-//! The edge for poor links measured on loopback: the program before a stand-in fleet, devices through a relay that
-//! loses 5 % of the datagrams and delays each by up to 300 ms, with several settings of the path. Bounded in count;
-//! ends by itself. Then what a claim of the shelf costs.
+//! Measures HTTP/3 on loopback: the program before a stand-in fleet, and clients through a relay that loses 5 % of the
+//! datagrams and delays each by up to 300 ms, with several path settings. Then the cost of a call in the response store.
+//! Bounded in count; ends by itself.
 //!
-//!     cargo build --release && cargo run --release --example poor_links -- [REQUESTS]
+//!     cargo build --release && cargo run --release --example http3_links -- [REQUESTS]
 
-#[path = "../tests/stand_ins/device.rs"]
-mod device;
+#[path = "../tests/stand_ins/http3_client.rs"]
+mod http3_client;
 #[path = "../tests/stand_ins/slow_box.rs"]
 mod slow_box;
 
-use device::{certify, Device, Impaired};
 use edge_proxy::http3::config::Http3Config;
-use edge_proxy::http3::response_store::{Claim, ResponseStore, ShelfBounds};
+use edge_proxy::resumable_calls::response_store::{Attachment, CallKey, ResponseStore, StoreLimits};
 use edge_proxy::state::requests::FinalResponse;
 use hdrhistogram::Histogram;
+use http3_client::{write_certificate, Http3Client, ImpairedLink};
 use slow_box::SlowFleet;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
@@ -22,7 +22,7 @@
 use std::time::{Duration, Instant};
 use tokio::task::{spawn_local, LocalSet};
 
-const DEVICES: u64 = 8;
+const CLIENTS: u64 = 8;
 
 struct Running(Child);
 
@@ -33,15 +33,15 @@
     }
 }
 
-/// What one setting gave.
+/// Results of one setting.
 struct Round {
     small: Histogram<u64>,
-    clips: Histogram<u64>,
-    /// Small objects asked for while a clip came on the same connection.
-    behind: Histogram<u64>,
+    large: Histogram<u64>,
+    /// Small objects requested during a large response on the same connection.
+    during_large: Histogram<u64>,
     all: u32,
     in_time: u32,
-    doubled: usize,
+    sent_twice: usize,
 }
 
 fn program(dir: &Path, fleet: &SlowFleet, at: std::net::SocketAddr, path: &str) -> (Running, Http3Config) {
@@ -54,7 +54,7 @@
         node = node.replace(&format!("127.0.0.1:{from}"), &fleet.addresses[k].to_string());
     }
     std::fs::write(dir.join("config.json"), node.replace("127.0.0.1:5050", &listen.to_string())).unwrap();
-    let file = dir.join("poor.json");
+    let file = dir.join("http3.json");
     let text = format!(r#"{{"listen":"{at}","certificate":"cert.pem","key":"key.pem","path":{path}}}"#);
     std::fs::write(&file, text).unwrap();
     let mut command = Command::new(program);
@@ -72,105 +72,109 @@
     fleet.part_bytes.set(120_000);
     let at = std::net::UdpSocket::bind("127.0.120.9:0").unwrap().local_addr().unwrap();
     let (_program, config) = program(dir, &fleet, at, path);
-    let link = Impaired::start("127.0.120.20", at, 5 + number).await;
+    let link = ImpairedLink::start("127.0.120.20", at, 5 + number).await;
     link.loss.set(loss);
     link.jitter_ms.set(jitter_ms);
     let new = || Histogram::<u64>::new(3).unwrap();
-    let round = Round { small: new(), clips: new(), behind: new(), all: 0, in_time: 0, doubled: 0 };
+    let round = Round { small: new(), large: new(), during_large: new(), all: 0, in_time: 0, sent_twice: 0 };
     let round = Rc::new(RefCell::new(round));
-    let devices: Vec<_> = (0..DEVICES)
+    let clients: Vec<_> = (0..CLIENTS)
         .map(|k| {
             let (round, config, at) = (round.clone(), config.clone(), link.address);
             spawn_local(async move {
-                let mut device = None;
-                while device.is_none() {
-                    device = Device::connect(at, &config, None).await;
+                let mut client = None;
+                while client.is_none() {
+                    client = Http3Client::connect(at, &config, None).await;
                 }
-                let device = Rc::new(device.unwrap());
+                let client = Rc::new(client.unwrap());
                 for n in 0..requests {
                     let id = number << 40 | k << 24 | n << 4;
                     let start = Instant::now();
-                    let (got, patience, kind) = match n % 3 {
-                        0 => (device.post(id, 3_000).await, 3_000, 0),
-                        1 => (device.small(id, 3_000).await, 3_000, 0),
+                    let (response, timeout_ms, kind) = match n % 3 {
+                        0 => (client.post(id, 3_000).await, 3_000, 0),
+                        1 => (client.small(id, 3_000).await, 3_000, 0),
                         _ => {
-                            // A clip, and a small object behind it on the same connection.
-                            let behind = spawn_local({
-                                let (device, round) = (device.clone(), round.clone());
+                            // A large response, and a small object during it on the same connection.
+                            let during_large = spawn_local({
+                                let (client, round) = (client.clone(), round.clone());
                                 async move {
                                     tokio::time::sleep(Duration::from_millis(50)).await;
                                     let start = Instant::now();
-                                    let got = device.small(id | 1, 3_000).await;
-                                    let ok = got.is_some_and(|g| g.status == 200);
+                                    let response = client.small(id | 1, 3_000).await;
+                                    let ok = response.is_some_and(|g| g.status == 200);
                                     let mut round = round.borrow_mut();
                                     round.all += 1;
                                     round.in_time +=
                                         u32::from(ok && start.elapsed() < Duration::from_millis(3_000));
-                                    round.behind.record(start.elapsed().as_millis() as u64).unwrap();
+                                    round.during_large.record(start.elapsed().as_millis() as u64).unwrap();
                                 }
                             });
                             let text = format!("{id:016x}");
                             let headers = [("x-call-id", text.as_str()), ("x-patience-ms", "5000")];
                             let path = format!("/ops/video-part/{text}/slice-1");
-                            let got = device.ask("GET", &path, &headers, b"").await;
-                            behind.await.unwrap();
-                            (got, 5_000, 1)
+                            let response = client.request("GET", &path, &headers, b"").await;
+                            during_large.await.unwrap();
+                            (response, 5_000, 1)
                         }
                     };
-                    let took = match &got {
-                        Some(got) => got.took_ms as u64,
+                    let elapsed_ms = match &response {
+                        Some(response) => response.elapsed_ms as u64,
                         None => start.elapsed().as_millis() as u64,
                     };
                     let mut round = round.borrow_mut();
                     round.all += 1;
-                    round.in_time += u32::from(got.is_some_and(|g| g.status == 200) && took < patience);
+                    round.in_time +=
+                        u32::from(response.is_some_and(|g| g.status == 200) && elapsed_ms < timeout_ms);
                     if kind == 0 {
-                        round.small.record(took).unwrap();
+                        round.small.record(elapsed_ms).unwrap();
                     } else {
-                        round.clips.record(took).unwrap();
+                        round.large.record(elapsed_ms).unwrap();
                     }
                 }
             })
         })
         .collect();
-    for device in devices {
-        device.await.unwrap();
+    for client in clients {
+        client.await.unwrap();
     }
-    round.borrow_mut().doubled = fleet.keys.borrow().values().filter(|n| **n > 1).count();
+    round.borrow_mut().sent_twice = fleet.keys.borrow().values().filter(|n| **n > 1).count();
     Rc::try_unwrap(round).ok().unwrap().into_inner()
 }
 
-fn claims() {
-    let bounds = ShelfBounds {
+fn measure_store() {
+    let limits = StoreLimits {
         calls: 8_192,
-        per_session: 64,
+        calls_per_session: 64,
         bytes: 64 << 20,
-        linger_ms: 5_000.0,
+        cancel_after_ms: 5_000.0,
         keep_read_ms: 10_000.0,
         keep_write_ms: 60_000.0,
     };
-    let (mut shelf, calls) = (ResponseStore::new(bounds), 400_000u64);
+    let (mut store, calls) = (ResponseStore::new(limits), 400_000u64);
     let answer = FinalResponse::Served { tag: None, body: vec![1u8; 600].into() };
-    let (start, mut most) = (Instant::now(), 0);
+    let (start, mut max_bytes) = (Instant::now(), 0);
     for n in 0..calls {
-        let (now, key) = (n as f64 / 4.0, (u128::from(n % 2_000), n));
-        assert_eq!(shelf.claim(now, key, n, n % 3 == 0), Claim::New);
-        shelf.finished(now + 0.1, key, &answer);
-        assert!(matches!(shelf.claim(now + 0.2, key, n, n % 3 == 0), Claim::Done(_)));
-        most = most.max(shelf.bytes());
+        let (now, key) = (n as f64 / 4.0, CallKey { session: u128::from(n % 2_000), call: n });
+        assert_eq!(store.attach(now, key, n, n % 3 == 0), Attachment::Started);
+        store.complete(now + 0.1, key, &answer);
+        assert!(matches!(store.attach(now + 0.2, key, n, n % 3 == 0), Attachment::Completed(_)));
+        max_bytes = max_bytes.max(store.bytes());
     }
     let ns = start.elapsed().as_nanos() as f64 / calls as f64;
-    println!("shelf: {ns:.0} ns for a call's claim, its answer and its second claim; {} calls and {most} bytes held at most", bounds.calls);
+    println!(
+        "store: {ns:.0} ns for a call, its response and a retry; {} calls and {max_bytes} bytes held at most",
+        limits.calls
+    );
 }
 
 fn main() {
     let requests: u64 = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or(24);
-    let dir = std::env::temp_dir().join(format!("edge-proxy-poor-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("edge-proxy-http3-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    certify(&dir);
+    write_certificate(&dir);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        println!("| link | path | requests | in time | small p50 / p99 ms | behind a clip p50 / p99 ms | clip of 120 KB p50 / p99 ms | ad-posts doubled |");
+        println!("| link | path | requests | in time | small p50 / p99 ms | during a large response p50 / p99 ms | response of 120 KB p50 / p99 ms | ad-posts sent twice |");
         println!("| --- | --- | ---: | ---: | --- | --- | --- | ---: |");
         let bbr = r#"{"congestion":"bbr"}"#;
         let cubic = r#"{"congestion":"cubic"}"#;
@@ -189,12 +193,12 @@
                 r.all,
                 f64::from(r.in_time) / f64::from(r.all),
                 two(&r.small),
-                two(&r.behind),
-                two(&r.clips),
-                r.doubled
+                two(&r.during_large),
+                two(&r.large),
+                r.sent_twice
             );
         }
     });
-    claims();
+    measure_store();
     let _ = std::fs::remove_dir_all(&dir);
 }
--- /dev/null
+++ b/src/http3/connection.rs
@@ -0,0 +1,153 @@
+//! One QUIC connection: accepts its requests and runs a task for each. If the client closes the connection, its reads
+//! are cancelled; if the connection is lost, its calls go on.
+
+use super::path_estimate::{PathEstimate, PathSample};
+use super::request;
+use super::send_scheduler::SendScheduler;
+use super::server::Http3Server;
+use crate::clock::duration_from_ms;
+use crate::wire::listener::Stop;
+use bytes::Bytes;
+use h3::server::RequestResolver;
+use quinn::ConnectionError;
+use std::cell::{Cell, RefCell};
+use std::net::IpAddr;
+use std::rc::Rc;
+use tokio::sync::Notify;
+use tokio::time::timeout;
+
+/// Error code of a connection that is closed without an error (RFC 9114, section 8.1).
+const H3_NO_ERROR: u32 = 0x100;
+/// Time for which a connection whose requests are answered waits for the last acknowledgements, in milliseconds.
+const FLUSH_TIMEOUT_MS: f64 = 400.0;
+
+type Http3Connection = h3::server::Connection<h3_quinn::Connection, Bytes>;
+
+/// A connection, shared by the tasks of its requests.
+pub(super) struct Connection {
+    pub(super) server: Rc<Http3Server>,
+    pub(super) quic: quinn::Connection,
+    pub(super) peer: IpAddr,
+    path: RefCell<PathEstimate>,
+    pub(super) scheduler: RefCell<SendScheduler>,
+    /// Notified when a body ended and others may be sent.
+    pub(super) scheduler_changed: Notify,
+    open_requests: Cell<usize>,
+    request_ended: Notify,
+}
+
+/// Serves a connection until it ends, or until its requests are answered once `stop` has begun.
+pub(super) async fn serve(server: &Rc<Http3Server>, quic: quinn::Connection, stop: &Stop) {
+    let connection = Rc::new(Connection {
+        server: server.clone(),
+        peer: quic.remote_address().ip(),
+        quic,
+        path: RefCell::default(),
+        scheduler: RefCell::default(),
+        scheduler_changed: Notify::new(),
+        open_requests: Cell::new(0),
+        request_ended: Notify::new(),
+    });
+    let mut builder = h3::server::builder();
+    builder.max_field_section_size(server.limits.header_bytes);
+    let transport = h3_quinn::Connection::new(connection.quic.clone());
+    let Ok(mut http3) = builder.build::<_, Bytes>(transport).await else { return };
+    connection.accept_requests(&mut http3, stop).await;
+    while connection.open_requests.get() > 0 {
+        connection.request_ended.notified().await;
+    }
+    connection.close().await;
+}
+
+impl Connection {
+    /// Accepts requests until the connection ends, or until all are answered once `stop` has begun.
+    async fn accept_requests(self: &Rc<Self>, http3: &mut Http3Connection, stop: &Stop) {
+        let mut stopping = false;
+        loop {
+            tokio::select! {
+                biased;
+                accepted = http3.accept() => match accepted {
+                    Ok(Some(resolver)) => self.spawn_request(resolver),
+                    Ok(None) | Err(_) => return,
+                },
+                () = stop.begun(), if !stopping => {
+                    stopping = true;
+                    // GOAWAY: accepted requests are answered, and no further ones are accepted.
+                    if http3.shutdown(0).await.is_err() {
+                        return;
+                    }
+                }
+                () = self.request_ended.notified(), if stopping => {}
+            }
+            if stopping && self.open_requests.get() == 0 {
+                return;
+            }
+        }
+    }
+
+    fn spawn_request(self: &Rc<Self>, resolver: RequestResolver<h3_quinn::Connection, Bytes>) {
+        let open_request = OpenRequest::new(self.clone());
+        self.server.host.spawn("a request over QUIC", async move {
+            let connection = &open_request.connection;
+            let head_timeout = duration_from_ms(connection.server.limits.body_ms);
+            match timeout(head_timeout, resolver.resolve_request()).await {
+                Ok(Ok((request, stream))) => request::serve(connection, request, stream).await,
+                _ => connection.server.count(|metrics| metrics.malformed_requests += 1),
+            }
+        });
+    }
+
+    /// Closes the connection after its last bytes are acknowledged, and counts it if it was lost.
+    async fn close(&self) {
+        match self.quic.close_reason() {
+            None => {
+                // A close would overtake the last bytes.
+                let _ = timeout(duration_from_ms(FLUSH_TIMEOUT_MS), self.quic.closed()).await;
+                self.quic.close(H3_NO_ERROR.into(), b"");
+            }
+            Some(ConnectionError::ApplicationClosed(_) | ConnectionError::LocallyClosed) => {}
+            Some(reason) => {
+                self.server.count(|metrics| metrics.connections_lost += 1);
+                tracing::debug!(peer = %self.peer, %reason, "HTTP/3: a connection was lost");
+            }
+        }
+    }
+
+    /// Updates the estimate of the path.
+    pub(super) fn estimate_path(&self) -> PathEstimate {
+        let stats = self.quic.stats().path;
+        let mut path = self.path.borrow_mut();
+        path.update(PathSample {
+            rtt_ms: self.quic.rtt().as_secs_f64() * 1_000.0,
+            sent_packets: stats.sent_packets,
+            lost_packets: stats.lost_packets,
+            window_bytes: stats.cwnd,
+        });
+        *path
+    }
+
+    /// Whether the client closed the connection.
+    pub(super) fn is_closed_by_client(&self) -> bool {
+        matches!(self.quic.close_reason(), Some(ConnectionError::ApplicationClosed(_)))
+    }
+}
+
+/// Counts a request as open until it is dropped.
+struct OpenRequest {
+    connection: Rc<Connection>,
+}
+
+impl OpenRequest {
+    fn new(connection: Rc<Connection>) -> Self {
+        connection.open_requests.set(connection.open_requests.get() + 1);
+        Self { connection }
+    }
+}
+
+impl Drop for OpenRequest {
+    fn drop(&mut self) {
+        let open_requests = &self.connection.open_requests;
+        open_requests.set(open_requests.get() - 1);
+        self.connection.request_ended.notify_one();
+    }
+}
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -1,76 +1,82 @@
-//! The front of the edge for poor links: another front's requests and answers, with a session by which a device's
-//! calls outlive its connections, and with ranges, so that a clip that stopped halfway goes on from there.
+//! The front of HTTP/3: the requests and responses of another front, with sessions, by which calls outlive their
+//! connections, and with ranges, by which a client resumes a response that was interrupted.
 
-use super::call_registry::CallRegistry;
-use super::response_store::SessionId;
-use super::session::Sessions;
+use super::session::SessionTokens;
 use crate::engine::executor::Executor;
+use crate::resumable_calls::call_registry::CallRegistry;
+use crate::resumable_calls::response_store::SessionId;
 use crate::state::requests::{AdmitError, FinalResponse};
 use crate::wire::http::{HttpAnswer, HttpRequest};
 use crate::wire::listener::{Context, Front, Intake, Limits};
 use crate::wire::signed::{range, Range};
+use bytes::Bytes;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The header with a session's token.
-pub const SESSION: &str = "X-Session";
+/// Response header with a session token.
+pub const SESSION_HEADER: &str = "X-Session";
+/// The same header in a request, in lower case.
+const SESSION_REQUEST_HEADER: &str = "x-session";
+
+/// The session of a request.
+struct RequestSession {
+    id: SessionId,
+    /// A token that the client has to be given.
+    new_token: Option<String>,
+}
 
 /// The front.
 pub struct Http3Front {
     inner: Rc<dyn Front>,
     limits: Limits,
-    sessions: RefCell<Sessions>,
-    keeper: Rc<CallRegistry>,
+    tokens: RefCell<SessionTokens>,
+    calls: Rc<CallRegistry>,
 }
 
 impl Http3Front {
-    /// A front for another one's requests.
-    pub fn new(inner: Rc<dyn Front>, limits: Limits, sessions: Sessions, keeper: Rc<CallRegistry>) -> Self {
-        Self { inner, limits, sessions: RefCell::new(sessions), keeper }
+    /// Creates a front for the requests of `inner`.
+    pub fn new(inner: Rc<dyn Front>, limits: Limits, tokens: SessionTokens, calls: Rc<CallRegistry>) -> Self {
+        Self { inner, limits, tokens: RefCell::new(tokens), calls }
     }
 
-    /// Takes other keys for sessions.
-    pub fn rekey(&self, sessions: Sessions) {
-        *self.sessions.borrow_mut() = sessions;
+    /// Replaces the session tokens, after their keys were reloaded.
+    pub fn set_tokens(&self, tokens: SessionTokens) {
+        *self.tokens.borrow_mut() = tokens;
     }
 
-    /// The session of a request, with a token to be told where it is new or its token old.
-    fn session(&self, request: &HttpRequest, now: f64) -> (SessionId, Option<String>) {
-        let sessions = self.sessions.borrow();
-        let token = request.single("x-session").ok().flatten();
-        match token.map(|text| sessions.open(now, text)) {
-            Some(Ok(session)) if sessions.is_old(now, &session) => {
-                (session.id, Some(sessions.token(now, session.id)))
-            }
-            Some(Ok(session)) => (session.id, None),
-            // One that opens nothing is no fault: its device gets a new one.
-            _ => {
-                let id = rand::random::<SessionId>();
-                (id, Some(sessions.token(now, id)))
-            }
-        }
+    /// The session of a request. A request without a valid token gets a new session.
+    fn session(&self, request: &HttpRequest, now: f64) -> RequestSession {
+        let tokens = self.tokens.borrow();
+        let token = request.single(SESSION_REQUEST_HEADER).ok().flatten();
+        let verified = token.and_then(|token| tokens.verify(now, token).ok());
+        let (id, is_token_due) = match verified {
+            Some(session) => (session.id, tokens.needs_renewal(now, &session)),
+            None => (rand::random::<SessionId>(), true),
+        };
+        RequestSession { id, new_token: is_token_due.then(|| tokens.issue(now, id)) }
     }
 }
 
-/// A part of a whole answer, where one was asked for and the copy is still the same.
-fn part(context: &Context, answer: HttpAnswer) -> HttpAnswer {
-    let Some(text) = context.range.as_deref().filter(|_| answer.status == 200) else { return answer };
-    let tag = answer.headers.iter().find(|(name, _)| *name == "ETag").map(|(_, tag)| tag.as_str());
-    // RFC 9110, section 13.1.5: another copy than the one that the client has a part of is sent whole.
-    if context.if_range.as_deref().is_some_and(|asked| tag != Some(asked) || asked.starts_with("W/")) {
+/// Reduces a complete response to the requested range, if the client's copy is still current.
+fn apply_range(context: &Context, answer: HttpAnswer) -> HttpAnswer {
+    let Some(requested) = context.range.as_deref().filter(|_| answer.status == 200) else { return answer };
+    let etag = answer.headers.iter().find(|(name, _)| *name == "ETag").map(|(_, etag)| etag.as_str());
+    // RFC 9110, section 13.1.5: if the client has a part of another copy, it gets the complete response.
+    let is_other_copy = |if_range: &str| etag != Some(if_range) || if_range.starts_with("W/");
+    if context.if_range.as_deref().is_some_and(is_other_copy) {
         return answer;
     }
     let length = answer.body.len();
-    match range(text, length) {
+    match range(requested, length) {
         Range::All => answer,
-        Range::Part(from, to) => {
-            let body = answer.body.slice(from..to);
-            let shown = format!("bytes {from}-{}/{length}", to - 1);
-            HttpAnswer { status: 206, body, ..answer }.with("Content-Range", shown)
+        Range::Part(start, end) => {
+            let content_range = format!("bytes {start}-{}/{length}", end - 1);
+            let body = answer.body.slice(start..end);
+            HttpAnswer { status: 206, body, ..answer }.with("Content-Range", content_range)
         }
         Range::Outside => {
-            let empty = HttpAnswer { status: 416, body: Default::default(), ..answer };
-            empty.with("Content-Range", format!("bytes */{length}"))
+            let unsatisfied = HttpAnswer { status: 416, body: Bytes::new(), ..answer };
+            unsatisfied.with("Content-Range", format!("bytes */{length}"))
         }
     }
 }
@@ -81,24 +87,23 @@
     }
 
     fn take(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Intake {
-        match self.inner.take(host, request, now) {
-            Intake::IncomingRequest(ask, mut context) => {
-                let header = |name| request.single(name).ok().flatten().map(String::from);
-                if request.method == "GET" {
-                    (context.range, context.if_range) = (header("range"), header("if-range"));
-                }
-                let (id, token) = self.session(request, now);
-                (context.session, context.session_token) = (Some(id), token);
-                Intake::IncomingRequest(ask, context)
-            }
-            now => now,
+        let (incoming, mut context) = match self.inner.take(host, request, now) {
+            Intake::IncomingRequest(incoming, context) => (incoming, context),
+            answered => return answered,
+        };
+        if request.method == "GET" {
+            let header = |name| request.single(name).ok().flatten().map(String::from);
+            (context.range, context.if_range) = (header("range"), header("if-range"));
         }
+        let session = self.session(request, now);
+        (context.session, context.session_token) = (Some(session.id), session.new_token);
+        Intake::IncomingRequest(incoming, context)
     }
 
     fn word(&self, context: &Context, answer: FinalResponse) -> HttpAnswer {
-        let answer = part(context, self.inner.word(context, answer)).with("Accept-Ranges", "bytes");
+        let answer = apply_range(context, self.inner.word(context, answer)).with("Accept-Ranges", "bytes");
         match &context.session_token {
-            Some(token) => answer.with(SESSION, token.clone()),
+            Some(token) => answer.with(SESSION_HEADER, token.clone()),
             None => answer,
         }
     }
@@ -107,7 +112,7 @@
         self.inner.not_taken(reason)
     }
 
-    fn keeper(&self) -> Option<&Rc<CallRegistry>> {
-        Some(&self.keeper)
+    fn resumable_calls(&self) -> Option<&Rc<CallRegistry>> {
+        Some(&self.calls)
     }
 }
--- a/src/http3/mod.rs
+++ b/src/http3/mod.rs
@@ -1,25 +1,31 @@
-//! Edge for poor links: HTTP/3 (RFC 9114) over QUIC (RFC 9000), where a lost packet holds up one stream and not the
-//! others, and plain HTTP/1.1 where UDP does not get through, both with calls that outlive a connection: a device
-//! whose link drops asks again under the same call id, and gets the answer of the one call that was taken.
+//! HTTP/3 (RFC 9114) over QUIC (RFC 9000), for clients on unreliable networks: a lost packet delays one stream and not
+//! the others, and calls outlive their connections. HTTP/1.1 over TCP serves clients that UDP does not reach, with the
+//! same sessions and calls.
 //!
-//! | part | what it does | I/O |
+//! | module | responsibility | I/O |
 //! | --- | --- | --- |
-//! | [`response_store`] | calls and answers that outlive their connection, bounded | none |
-//! | [`session`] | the tokens by which a device shows that a call is its own | none |
-//! | [`path_estimate`] | what a link is like, and how much earlier an answer must be on its way | none |
-//! | [`send_scheduler`] | whose body goes next on a connection (RFC 9218) | none |
-//! | [`config`] | the operator file | files |
-//! | [`front`] | the front: another front's requests, with sessions and ranges | none |
-//! | [`call_registry`] | the shelf between the fronts' drivers and the engine | none |
-//! | [`server`] | the HTTP/3 driver | sockets |
+//! | [`config`], [`settings`] | the operator file and its sections | files |
+//! | [`transport`] | configuration of QUIC and TLS | certificate files |
+//! | [`session`] | session tokens | none |
+//! | [`path_estimate`] | estimate of a network path | none |
+//! | [`send_scheduler`] | order of response bodies (RFC 9218) | none |
+//! | [`front`] | requests and responses, with sessions and ranges | none |
+//! | [`server`] | accepts connections | UDP |
+//! | `connection`, `request`, `response_body` | the tasks of connections and requests | UDP |
+//! | [`metrics`] | counters | none |
 //!
-//! The design note is `docs/design-http3.md`; operators read `docs/http3.md`.
+//! Calls that outlive their connections are those of [`crate::resumable_calls`]. Design note: `docs/design-http3.md`.
+//! Operator page: `docs/http3.md`.
 
-pub mod call_registry;
 pub mod config;
+mod connection;
 pub mod front;
+pub mod metrics;
 pub mod path_estimate;
-pub mod response_store;
+mod request;
+mod response_body;
 pub mod send_scheduler;
 pub mod server;
 pub mod session;
+pub mod settings;
+pub mod transport;
--- a/src/http3/path_estimate.rs
+++ b/src/http3/path_estimate.rs
@@ -1,80 +1,87 @@
-//! What a link is like, from what its transport measures, and how much earlier than on a good link an answer must be
-//! on its way to be there in time. No I/O.
+//! Estimates the network path to a client from the transport's measurements, and how much earlier than on a good path a
+//! response must be sent to arrive in time. No I/O.
 
-/// What the transport tells of a path now.
+/// Measurements of the transport.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sample {
-    /// The smoothed round trip, in milliseconds.
+pub struct PathSample {
+    /// Smoothed round-trip time, in milliseconds.
     pub rtt_ms: f64,
-    /// Packets sent and lost since the connection began.
-    pub sent: u64,
-    /// See `sent`.
-    pub lost: u64,
-    /// Bytes that may be under way at once.
-    pub window: u64,
+    /// Packets sent since the connection began.
+    pub sent_packets: u64,
+    /// Packets lost since the connection began.
+    pub lost_packets: u64,
+    /// Congestion window, in bytes.
+    pub window_bytes: u64,
 }
 
-/// Packets of which a share of losses says something.
+/// Least number of packets from which a loss rate is computed.
 const MIN_PACKETS: u64 = 20;
-/// Weight of a new sample in the round trip's deviation, as in RFC 9002.
+/// Weight of a new sample in the deviation of the round-trip time, as in RFC 9002.
 const DEVIATION_GAIN: f64 = 0.25;
-/// Share of lost packets from which on a further round trip is allowed for, since the last packet may be among them.
-const LOSSY: f64 = 0.01;
-/// The most of a request's patience that the way back may take: beyond that it is better to try.
-const MAX_SHARE: f64 = 0.5;
+/// Deviations of the round-trip time that are allowed for.
+const DEVIATIONS: f64 = 2.0;
+/// Loss rate from which one more round trip is allowed for, because the last packet may be lost.
+const LOSSY_RATE: f64 = 0.01;
+/// Most windows of bytes beyond the first that are allowed for.
+const MAX_FURTHER_WINDOWS: f64 = 64.0;
+/// Largest share of a request's remaining time that is reserved for the delivery of its response.
+const MAX_DELIVERY_SHARE: f64 = 0.5;
 
-/// A link.
+/// Estimate of one path.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Link {
+pub struct PathEstimate {
     rtt_ms: f64,
     deviation_ms: f64,
-    loss: f64,
-    window: u64,
+    loss_rate: f64,
+    window_bytes: u64,
     samples: u64,
 }
 
-impl Link {
-    /// Takes what the transport tells now.
-    pub fn sample(&mut self, sample: Sample) {
+impl PathEstimate {
+    /// Applies a sample.
+    pub fn update(&mut self, sample: PathSample) {
         if self.samples == 0 {
             self.deviation_ms = sample.rtt_ms / 2.0;
         } else {
-            let off = (sample.rtt_ms - self.rtt_ms).abs();
-            self.deviation_ms += DEVIATION_GAIN * (off - self.deviation_ms);
+            let difference_ms = (sample.rtt_ms - self.rtt_ms).abs();
+            self.deviation_ms += DEVIATION_GAIN * (difference_ms - self.deviation_ms);
         }
         self.samples += 1;
-        (self.rtt_ms, self.window) = (sample.rtt_ms, sample.window);
-        if sample.sent >= MIN_PACKETS {
-            self.loss = sample.lost as f64 / sample.sent as f64;
+        (self.rtt_ms, self.window_bytes) = (sample.rtt_ms, sample.window_bytes);
+        if sample.sent_packets >= MIN_PACKETS {
+            self.loss_rate = sample.lost_packets as f64 / sample.sent_packets as f64;
         }
     }
 
-    /// The share of packets that was lost.
-    pub fn loss(&self) -> f64 {
-        self.loss
+    /// Share of packets that were lost.
+    pub fn loss_rate(&self) -> f64 {
+        self.loss_rate
     }
 
-    /// The round trip, in milliseconds.
+    /// Smoothed round-trip time, in milliseconds.
     pub fn rtt_ms(&self) -> f64 {
         self.rtt_ms
     }
 
-    /// How long an answer of so many bytes takes to its client, in milliseconds: half a round trip and its deviation,
-    /// a round trip for each further window of bytes, and one more where packets get lost.
-    pub fn back_ms(&self, bytes: f64) -> f64 {
+    /// Time until a response of `bytes` has arrived at the client, in milliseconds: half a round trip and its deviation,
+    /// a round trip for each further window of bytes, and one more if packets are lost.
+    pub fn delivery_ms(&self, bytes: f64) -> f64 {
         if self.samples == 0 {
             return 0.0;
         }
-        let windows = (bytes / self.window.max(1) as f64).max(1.0) - 1.0;
-        let again = if self.loss >= LOSSY { self.rtt_ms } else { 0.0 };
-        self.rtt_ms / 2.0 + 2.0 * self.deviation_ms + windows.min(64.0) * self.rtt_ms + again
+        let further_windows = (bytes / self.window_bytes.max(1) as f64).max(1.0) - 1.0;
+        let retransmission_ms = if self.loss_rate >= LOSSY_RATE { self.rtt_ms } else { 0.0 };
+        self.rtt_ms / 2.0
+            + DEVIATIONS * self.deviation_ms
+            + further_windows.min(MAX_FURTHER_WINDOWS) * self.rtt_ms
+            + retransmission_ms
     }
 
-    /// When the answer to a request must be on its way, in place of `give_up_ms`, which allows for the way back over a
-    /// good link: never later, and never so early that less than half of the request's time is left for it.
-    pub fn give_up_ms(&self, now: f64, give_up_ms: f64, bytes: f64) -> f64 {
-        let patience = (give_up_ms - now).max(0.0);
-        give_up_ms - self.back_ms(bytes).min(MAX_SHARE * patience)
+    /// When the response of `bytes` to a request must be sent. `deadline_ms` is the time for a good path, which is never
+    /// exceeded; at least half of the remaining time is left for the request.
+    pub fn send_deadline_ms(&self, now: f64, deadline_ms: f64, bytes: f64) -> f64 {
+        let remaining_ms = (deadline_ms - now).max(0.0);
+        deadline_ms - self.delivery_ms(bytes).min(MAX_DELIVERY_SHARE * remaining_ms)
     }
 }
 
--- a/src/http3/send_scheduler.rs
+++ b/src/http3/send_scheduler.rs
@@ -1,111 +1,126 @@
-//! Whose body goes next on a connection: the urgency and incrementality of RFC 9218, so that a clip's part does not
-//! hold up the small objects behind it. The transport takes turns among streams by itself; here it is decided whose
-//! bytes are handed to it. No I/O.
+//! Decides which response body of a connection is sent next, by the urgency and incrementality of RFC 9218, so that a
+//! large response does not delay small ones. The transport serves its streams in turn; this module decides whose bytes
+//! are handed to it. No I/O.
 
 use std::collections::BTreeMap;
 
-/// A request's priority.
+/// Highest value of the urgency parameter: the least urgent.
+const MAX_URGENCY: u8 = 7;
+
+/// Priority of a response (RFC 9218, section 4).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Priority {
-    /// 0, the most urgent, to 7.
+    /// Urgency, from 0, the most urgent, to 7.
     pub urgency: u8,
-    /// Its bytes are of use one by one: it shares with its like.
+    /// Whether the response is useful in parts: it shares the connection with incremental responses of its urgency.
     pub incremental: bool,
 }
 
 impl Priority {
-    /// Where nothing is said: urgency 3, as the RFC has it.
+    /// The most urgent priority.
+    pub const HIGHEST: Self = Self { urgency: 0, incremental: false };
+    /// The default of the RFC.
     pub const DEFAULT: Self = Self { urgency: 3, incremental: false };
 
-    /// Reads a `Priority` header, a dictionary of structured fields (RFC 9651): what it does not say, or says in a way
-    /// that can't be read, is as in `base`.
+    /// Parses a `Priority` header, a dictionary of structured fields (RFC 9651). Parameters that are missing or invalid
+    /// are those of `base`.
     pub fn parse(text: &str, base: Self) -> Self {
-        let mut read = base;
+        let mut priority = base;
         let Ok(members) = sfv::Parser::new(text).parse::<sfv::Dictionary>() else { return base };
         for (key, member) in members {
-            // Parameters, and members that nobody knows, say nothing here.
+            // Unknown members are ignored, as the RFC requires.
             let sfv::ListEntry::Item(item) = member else { continue };
             match (key.as_str(), item.bare_item.as_integer(), item.bare_item.as_boolean()) {
                 ("u", Some(urgency), _) => {
-                    let urgency = i64::from(urgency);
-                    read.urgency = u8::try_from(urgency).ok().filter(|u| *u <= 7).unwrap_or(read.urgency);
+                    let urgency = u8::try_from(i64::from(urgency)).ok();
+                    priority.urgency =
+                        urgency.filter(|urgency| *urgency <= MAX_URGENCY).unwrap_or(priority.urgency);
                 }
-                ("i", _, Some(incremental)) => read.incremental = incremental,
+                ("i", _, Some(incremental)) => priority.incremental = incremental,
                 _ => {}
             }
         }
-        read
+        priority
+    }
+
+    /// Whether a body of this priority, begun earlier or not, is sent before one of `other`.
+    fn precedes(self, other: Self, begun_earlier: bool) -> bool {
+        if self.urgency != other.urgency {
+            return self.urgency < other.urgency;
+        }
+        match (self.incremental, other.incremental) {
+            (false, true) => true,
+            (false, false) => begun_earlier,
+            (true, _) => false,
+        }
     }
 }
 
-/// A body's number on its connection.
+/// Number of a body on its connection, in the order in which bodies begin.
 pub type BodyId = u64;
 
-/// How long a body may take nothing, in milliseconds, before the others stop waiting for it: its client may not read
-/// it, and must not hold up all others by that.
-const STUCK_MS: f64 = 200.0;
+/// Time without progress after which a body no longer delays others, in milliseconds: its client may not be reading.
+const STALL_TIMEOUT_MS: f64 = 200.0;
+/// Longest time after which a body that may not be sent asks again, in milliseconds.
+pub const RECHECK_INTERVAL_MS: f64 = STALL_TIMEOUT_MS / 4.0;
 
 #[derive(Clone, Copy, Debug)]
 struct Body {
     priority: Priority,
-    moved_ms: f64,
+    /// When bytes of the body were last accepted by the transport.
+    progress_ms: f64,
 }
 
-/// The bodies of one connection that are not yet handed over.
+impl Body {
+    fn is_stalled(&self, now: f64) -> bool {
+        now - self.progress_ms >= STALL_TIMEOUT_MS
+    }
+}
+
+/// The unfinished response bodies of one connection.
 #[derive(Clone, Debug, Default)]
-pub struct Turns {
+pub struct SendScheduler {
     bodies: BTreeMap<BodyId, Body>,
-    next: BodyId,
+    last_id: BodyId,
 }
 
-impl Turns {
-    /// A body begins.
-    pub fn begin(&mut self, now: f64, priority: Priority) -> BodyId {
-        self.next += 1;
-        self.bodies.insert(self.next, Body { priority, moved_ms: now });
-        self.next
+impl SendScheduler {
+    /// Adds a body.
+    pub fn add(&mut self, now: f64, priority: Priority) -> BodyId {
+        self.last_id += 1;
+        self.bodies.insert(self.last_id, Body { priority, progress_ms: now });
+        self.last_id
     }
 
-    /// Whether the next bytes of a body may go now: nothing more urgent waits to go, and among those as urgent the
-    /// first goes first, unless both are incremental.
-    pub fn may(&self, now: f64, id: BodyId) -> bool {
-        let Some(own) = self.bodies.get(&id) else { return true };
-        let ahead = |(k, other): (&BodyId, &Body)| {
-            let (a, b) = (other.priority, own.priority);
-            let first = a.urgency < b.urgency
-                || (a.urgency == b.urgency && !a.incremental && b.incremental)
-                || (a.urgency == b.urgency && a.incremental == b.incremental && !a.incremental && *k < id);
-            first && now - other.moved_ms < STUCK_MS
-        };
-        !self.bodies.iter().any(ahead)
+    /// Whether bytes of a body may be sent now: no body that precedes it is unfinished, except stalled ones.
+    pub fn may_send(&self, now: f64, id: BodyId) -> bool {
+        let Some(body) = self.bodies.get(&id) else { return true };
+        !self.bodies.iter().any(|(other_id, other)| {
+            other.priority.precedes(body.priority, *other_id < id) && !other.is_stalled(now)
+        })
     }
 
-    /// Some of a body's bytes were taken.
-    pub fn moved(&mut self, now: f64, id: BodyId) {
+    /// Records that bytes of a body were accepted by the transport.
+    pub fn progressed(&mut self, now: f64, id: BodyId) {
         if let Some(body) = self.bodies.get_mut(&id) {
-            body.moved_ms = now;
+            body.progress_ms = now;
         }
     }
 
-    /// A body is handed over whole, or is not wanted any more.
-    pub fn end(&mut self, id: BodyId) {
+    /// Removes a body that is complete or no longer wanted.
+    pub fn remove(&mut self, id: BodyId) {
         self.bodies.remove(&id);
     }
 
-    /// How many bodies are on their way.
+    /// Number of unfinished bodies.
     pub fn len(&self) -> usize {
         self.bodies.len()
     }
 
-    /// Whether none is.
+    /// Whether there is no unfinished body.
     pub fn is_empty(&self) -> bool {
         self.bodies.is_empty()
     }
-
-    /// How long one that may not go now waits at the most before it asks again, in milliseconds.
-    pub fn look_again_ms(&self) -> f64 {
-        STUCK_MS / 4.0
-    }
 }
 
 #[cfg(test)]
--- a/src/http3/session.rs
+++ b/src/http3/session.rs
@@ -1,80 +1,87 @@
-//! Sessions: by its token a device shows that a call is its own. A token is the session's number and its end under a
-//! tag (HMAC-SHA256, its first 16 bytes), in URL-safe base64; nothing is held for it here, and any proxy with the same
-//! keys takes it. No I/O.
+//! Session tokens, by which a client proves that a call is its own. No I/O.
+//!
+//! A token is the session's id (16 bytes), the end of its validity (Unix milliseconds, 8 bytes) and the first 16 bytes of
+//! an HMAC-SHA256 over them, in URL-safe base64. No state is kept for it: any proxy with the same keys accepts it.
 
-use super::response_store::SessionId;
 use crate::message_auth::MessageKeys;
+use crate::resumable_calls::response_store::SessionId;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine as _;
 use thiserror::Error;
 
+/// Label of the signatures, which separates them from other uses of the keys.
 const LABEL: &[u8] = b"calicobeam session 1";
-const TAG_BYTES: usize = 16;
-const BYTES: usize = 16 + 8 + TAG_BYTES;
+/// Length of a session id, in bytes.
+const ID_BYTES: usize = 16;
+/// Length of the end of validity, in bytes.
+const EXPIRY_BYTES: usize = 8;
+/// Length of the truncated signature, in bytes.
+const SIGNATURE_BYTES: usize = 16;
+/// Length of a token before base64, in bytes.
+const TOKEN_BYTES: usize = ID_BYTES + EXPIRY_BYTES + SIGNATURE_BYTES;
 
-/// Why a token opens no session.
+/// A token that is not valid.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum BadToken {
-    /// It is not spelled as one.
-    #[error("not a session's token")]
+pub enum TokenError {
+    /// The text is not a token.
+    #[error("the text is not a session token")]
     Malformed,
-    /// No key fits its tag.
-    #[error("a token that no key fits")]
-    Wrong,
-    /// Its end has passed.
-    #[error("a token past its end")]
+    /// The signature is that of no key.
+    #[error("the signature matches no key")]
+    WrongSignature,
+    /// The token has expired.
+    #[error("the token has expired")]
     Expired,
 }
 
-/// A session as its token tells it.
+/// A session, from its token.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Session {
-    /// Its number.
+    /// Identifier of the session.
     pub id: SessionId,
-    /// When its token ends, Unix milliseconds.
-    pub until_ms: f64,
+    /// When its token expires, in Unix milliseconds.
+    pub expires_ms: f64,
 }
 
-/// Makes and opens tokens.
+/// Issues and verifies tokens.
 #[derive(Clone, Debug)]
-pub struct Sessions {
+pub struct SessionTokens {
     keys: MessageKeys,
-    /// How long a token is good, in milliseconds.
-    last_ms: f64,
+    lifetime_ms: f64,
 }
 
-impl Sessions {
-    /// Sessions by these keys.
-    pub fn new(keys: MessageKeys, last_ms: f64) -> Self {
-        Self { keys, last_ms }
+impl SessionTokens {
+    /// Creates tokens that are signed by `keys` and valid for `lifetime_ms`.
+    pub fn new(keys: MessageKeys, lifetime_ms: f64) -> Self {
+        Self { keys, lifetime_ms }
     }
 
-    /// A token for a session, good from `now` on.
-    pub fn token(&self, now: f64, id: SessionId) -> String {
-        let (id, until) = (id.to_be_bytes(), ((now + self.last_ms) as u64).to_be_bytes());
-        let tag = self.keys.sign(LABEL, &[&id, &until]);
-        URL_SAFE_NO_PAD.encode([&id[..], &until, &tag[..TAG_BYTES]].concat())
+    /// Issues a token of a session at `now`, in Unix milliseconds.
+    pub fn issue(&self, now: f64, id: SessionId) -> String {
+        let (id, expiry) = (id.to_be_bytes(), ((now + self.lifetime_ms) as u64).to_be_bytes());
+        let signature = self.keys.sign(LABEL, &[&id, &expiry]);
+        URL_SAFE_NO_PAD.encode([&id[..], &expiry, &signature[..SIGNATURE_BYTES]].concat())
     }
 
-    /// The session of a token.
-    pub fn open(&self, now: f64, text: &str) -> Result<Session, BadToken> {
-        let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| BadToken::Malformed)?;
-        let bytes: [u8; BYTES] = bytes.try_into().map_err(|_| BadToken::Malformed)?;
-        let (id, rest) = bytes.split_at(16);
-        let (until, tag) = rest.split_at(8);
-        if !self.keys.verify(LABEL, &[id, until], tag) {
-            return Err(BadToken::Wrong);
+    /// Returns the session of a token.
+    pub fn verify(&self, now: f64, token: &str) -> Result<Session, TokenError> {
+        let bytes = URL_SAFE_NO_PAD.decode(token).map_err(|_| TokenError::Malformed)?;
+        let bytes: [u8; TOKEN_BYTES] = bytes.try_into().map_err(|_| TokenError::Malformed)?;
+        let (id, rest) = bytes.split_first_chunk::<ID_BYTES>().expect("a whole token");
+        let (expiry, signature) = rest.split_first_chunk::<EXPIRY_BYTES>().expect("a whole token");
+        if !self.keys.verify(LABEL, &[id, expiry], signature) {
+            return Err(TokenError::WrongSignature);
         }
-        let until_ms = u64::from_be_bytes(until.try_into().expect("8 bytes")) as f64;
-        if now >= until_ms {
-            return Err(BadToken::Expired);
+        let expires_ms = u64::from_be_bytes(*expiry) as f64;
+        if now >= expires_ms {
+            return Err(TokenError::Expired);
         }
-        Ok(Session { id: SessionId::from_be_bytes(id.try_into().expect("16 bytes")), until_ms })
+        Ok(Session { id: SessionId::from_be_bytes(*id), expires_ms })
     }
 
-    /// Whether a session's token is to be made anew: less than half of its time is left.
-    pub fn is_old(&self, now: f64, session: &Session) -> bool {
-        session.until_ms - now < self.last_ms / 2.0
+    /// Whether a new token of the session is due: less than half of the lifetime is left.
+    pub fn needs_renewal(&self, now: f64, session: &Session) -> bool {
+        session.expires_ms - now < self.lifetime_ms / 2.0
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -73,6 +73,7 @@
 mod policy;
 pub mod purge;
 pub mod registry;
+pub mod resumable_calls;
 pub mod rules;
 pub mod settings;
 pub mod state;
--- a/src/lifecycle/subsystem_configs.rs
+++ b/src/lifecycle/subsystem_configs.rs
@@ -101,7 +101,7 @@
             .as_ref()
             .map_or(0, |c| c.limits.clients * self.listeners(FrontKind::Grpc) + c.limits.connections);
         let http3 =
-            self.http3.as_ref().and_then(|c| c.tcp_at().map(|_| c.limits.tcp_connections)).unwrap_or(0);
+            self.http3.as_ref().and_then(|c| c.tcp_address().map(|_| c.limits.tcp_connections)).unwrap_or(0);
         let purges = if self.purges.is_some() { MAX_CALLS } else { 0 };
         let health_checks = if self.health_checks.is_some() { MAX_PROBES } else { 0 };
         DescriptorDemand { signed, others: grpc + http3 + purges + health_checks, handed_over }
--- a/src/lifecycle/subsystems/http3.rs
+++ b/src/lifecycle/subsystems/http3.rs
@@ -2,14 +2,14 @@
 
 use crate::config_file::BoxError;
 use crate::engine::executor::Figures;
-use crate::http3::call_registry::CallRegistry;
 use crate::http3::config::Http3Config;
 use crate::http3::front::Http3Front;
-use crate::http3::server::{self, Driver};
+use crate::http3::server::{accept as accept_quic, Http3Server};
 use crate::lifecycle::bind::{bind_tcp, retry_while_in_use};
 use crate::lifecycle::error::ServeError;
 use crate::lifecycle::subsystem::{Context, Starting, StopStage, Subsystem};
 use crate::lifecycle::supervisor::supervise;
+use crate::resumable_calls::call_registry::CallRegistry;
 use crate::wire::listener::{accept, Limits};
 use crate::wire::platform::{limits, Platform};
 use futures_util::future::{ready, FutureExt};
@@ -31,7 +31,7 @@
 struct Prepared {
     front: Rc<Http3Front>,
     calls: Rc<CallRegistry>,
-    driver: Rc<Driver>,
+    server: Rc<Http3Server>,
 }
 
 impl Http3 {
@@ -50,30 +50,30 @@
         let (executor, bounds) = (&context.executor, &self.config.limits);
         let platform = Rc::new(Platform::new(limits(bounds.tcp_connections)));
         context.rules.attach(platform.clone());
-        let calls = CallRegistry::new(executor.clone(), self.config.shelf());
-        let sessions = self.config.sessions().map_err(ServeError::field("session_keys"))?;
+        let calls = CallRegistry::new(executor.clone(), self.config.resumable_calls.store_limits());
+        let tokens = self.config.session_tokens().map_err(ServeError::field("session_keys"))?;
         let limits = Limits {
             idle_ms: bounds.idle_ms,
             body_bytes: bounds.body_bytes,
             ..limits(bounds.tcp_connections)
         };
-        let front = Rc::new(Http3Front::new(platform, limits, sessions, calls.clone()));
-        let driver = Driver::new(executor.clone(), front.clone(), calls.clone(), bounds.clone());
-        self.prepared = Some(Prepared { front, calls, driver });
+        let front = Rc::new(Http3Front::new(platform, limits, tokens, calls.clone()));
+        let server = Http3Server::new(executor.clone(), front.clone(), calls.clone(), bounds.clone());
+        self.prepared = Some(Prepared { front, calls, server });
         Ok(())
     }
 
     async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
-        let Some(Prepared { front, calls, driver }) = self.prepared.clone() else { return Ok(()) };
+        let Some(Prepared { front, calls, server }) = self.prepared.clone() else { return Ok(()) };
         let executor = &context.executor;
-        let listen = self.config.at();
-        let tls = server::server_config(&self.config).map_err(ServeError::field("certificate"))?;
+        let listen = self.config.quic_address();
+        let tls = self.config.server_config().map_err(ServeError::field("certificate"))?;
         let open_endpoint = || ready(Endpoint::server(tls.clone(), listen));
         let endpoint = retry_while_in_use(listen, open_endpoint).await?;
         let (stop, closing) = (context.stop.clone(), self.quic_closing.clone());
-        executor.spawn("accepting", server::accept(driver, endpoint.clone(), stop, closing));
+        executor.spawn("accepting", accept_quic(server, endpoint.clone(), stop, closing));
         supervise(executor, "the response store", move || calls.clone().keep());
-        if let Some(address) = self.config.tcp_at() {
+        if let Some(address) = self.config.tcp_address() {
             let listener = bind_tcp(address).await?;
             let (stop, closing) = (context.stop.clone(), self.tcp_closing.clone());
             executor.spawn("accepting", accept(executor.clone(), front, listener, stop, closing));
@@ -85,9 +85,9 @@
 
     /// Puts the certificates and session keys in force that their files hold by now.
     fn reload_keys(&self) -> Result<(), BoxError> {
-        let tls = server::server_config(&self.config)?;
+        let tls = self.config.server_config()?;
         if let (Some(_), Some(prepared)) = (&self.config.session_keys, &self.prepared) {
-            prepared.front.rekey(self.config.sessions()?);
+            prepared.front.set_tokens(self.config.session_tokens()?);
         }
         if let Some(endpoint) = &self.endpoint {
             endpoint.set_server_config(Some(tls));
@@ -106,8 +106,8 @@
     }
 
     fn metrics(&self) -> Option<Figures> {
-        let driver = self.prepared.as_ref()?.driver.clone();
-        Some(Box::new(move || driver.metrics()))
+        let server = self.prepared.as_ref()?.server.clone();
+        Some(Box::new(move || server.metrics()))
     }
 
     fn reload(&mut self, _: &Context) {
--- /dev/null
+++ b/src/resumable_calls/call_registry.rs
@@ -0,0 +1,187 @@
+//! Submits calls to the engine, keeps them while their clients reconnect, and hands each response to all clients that
+//! wait for it, whatever their connection.
+
+use super::response_store::{Attachment, CallKey, ResponseStore, SessionId, StoreLimits, StoreMetrics};
+use crate::clock::duration_from_ms;
+use crate::engine::executor::Executor;
+use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+use tokio::sync::{oneshot, Notify};
+
+/// `retry_after` of a client that is rejected because the store is full, in milliseconds.
+const FULL_RETRY_AFTER_MS: f64 = 500.0;
+/// The response of a call that ended without one.
+const NO_RESPONSE: FinalResponse = FinalResponse::Failed { overdue: false };
+
+/// The calls of all sessions.
+pub struct CallRegistry {
+    host: Rc<Executor>,
+    store: RefCell<ResponseStore>,
+    waiting: RefCell<HashMap<CallKey, Vec<oneshot::Sender<FinalResponse>>>>,
+    hasher: ahash::RandomState,
+    /// Notified when the next due time of the store may have changed.
+    due_changed: Notify,
+}
+
+/// A call that was submitted.
+pub enum SubmittedCall {
+    /// The call has completed.
+    Completed(FinalResponse),
+    /// The call is running.
+    Running(PendingCall),
+}
+
+/// One client's wait for a call. If it is dropped before the response, the client counts as lost and the call goes on.
+pub struct PendingCall {
+    registry: Rc<CallRegistry>,
+    key: CallKey,
+    response: oneshot::Receiver<FinalResponse>,
+    attached: bool,
+}
+
+/// Use of the store.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StoreUsage {
+    /// Number of calls.
+    pub calls: usize,
+    /// Memory of all calls and responses, in bytes.
+    pub bytes: usize,
+}
+
+impl CallRegistry {
+    /// Creates a registry without calls.
+    pub fn new(host: Rc<Executor>, limits: StoreLimits) -> Rc<Self> {
+        Rc::new(Self {
+            host,
+            store: RefCell::new(ResponseStore::new(limits)),
+            waiting: RefCell::default(),
+            hasher: ahash::RandomState::new(),
+            due_changed: Notify::new(),
+        })
+    }
+
+    /// Submits a request of a session. A request under the id of an earlier call is attached to that call.
+    pub fn submit(
+        self: &Rc<Self>,
+        session: SessionId,
+        request: IncomingRequest,
+    ) -> Result<SubmittedCall, AdmitError> {
+        let (key, now) = (CallKey { session, call: request.id }, self.host.clock.now());
+        let write = self.host.settings().is_write(request.class);
+        let digest = self.digest(&request);
+        let attachment = self.store.borrow_mut().attach(now, key, digest, write);
+        match attachment {
+            Attachment::Started => self.start(key, request)?,
+            Attachment::Running => {}
+            Attachment::Completed(response) => return Ok(SubmittedCall::Completed(response)),
+            Attachment::Conflict => return Err(AdmitError::Duplicate),
+            Attachment::Full => {
+                let rejected =
+                    FinalResponse::Rejected { retry_after_ms: FULL_RETRY_AFTER_MS, overdue: false };
+                return Ok(SubmittedCall::Completed(rejected));
+            }
+        }
+        let (sender, response) = oneshot::channel();
+        self.waiting.borrow_mut().entry(key).or_default().push(sender);
+        let registry = self.clone();
+        Ok(SubmittedCall::Running(PendingCall { registry, key, response, attached: true }))
+    }
+
+    /// Hash of what makes two requests the same.
+    fn digest(&self, request: &IncomingRequest) -> u64 {
+        self.hasher.hash_one((
+            request.class,
+            request.object,
+            request.part,
+            request.group,
+            &request.key,
+            &request.client_etag,
+            &request.body,
+        ))
+    }
+
+    /// Submits a new call to the engine.
+    fn start(self: &Rc<Self>, key: CallKey, request: IncomingRequest) -> Result<(), AdmitError> {
+        let response = self.host.submit(request).inspect_err(|_| self.store.borrow_mut().discard(key))?;
+        let registry = self.clone();
+        self.host.spawn("a resumable call", async move {
+            // A cancelled call has no response, and no client that waits for it.
+            let response = response.await.unwrap_or(NO_RESPONSE);
+            registry.complete(key, &response);
+        });
+        Ok(())
+    }
+
+    fn complete(&self, key: CallKey, response: &FinalResponse) {
+        let now = self.host.clock.now();
+        self.store.borrow_mut().complete(now, key, response);
+        let waiting = self.waiting.borrow_mut().remove(&key).unwrap_or_default();
+        for client in waiting {
+            // A client that has left gets the response when it retries.
+            let _ = client.send(response.clone());
+        }
+        self.due_changed.notify_one();
+    }
+
+    fn cancel(&self, key: CallKey) {
+        self.waiting.borrow_mut().remove(&key);
+        self.host.client_disconnected(key.call);
+    }
+
+    /// Removes expired responses and cancels reads without clients, without end.
+    pub async fn keep(self: Rc<Self>) {
+        loop {
+            let wait_ms = self.store.borrow().next_due_ms() - self.host.clock.now();
+            tokio::select! {
+                () = tokio::time::sleep(duration_from_ms(wait_ms)) => {
+                    let cancelled = self.store.borrow_mut().tick(self.host.clock.now());
+                    cancelled.into_iter().for_each(|key| self.cancel(key));
+                }
+                () = self.due_changed.notified() => {}
+            }
+        }
+    }
+
+    /// The counters of the store.
+    pub fn metrics(&self) -> StoreMetrics {
+        self.store.borrow().metrics()
+    }
+
+    /// The use of the store.
+    pub fn usage(&self) -> StoreUsage {
+        let store = self.store.borrow();
+        StoreUsage { calls: store.len(), bytes: store.bytes() }
+    }
+}
+
+impl PendingCall {
+    /// Waits for the response. Cancel safe.
+    pub async fn response(&mut self) -> FinalResponse {
+        let response = (&mut self.response).await.unwrap_or(NO_RESPONSE);
+        self.attached = false;
+        response
+    }
+
+    /// Ends the wait of a client that no longer wants the response. A read without other clients is cancelled.
+    pub fn cancel(mut self) {
+        self.attached = false;
+        let now = self.registry.host.clock.now();
+        let is_cancelled = self.registry.store.borrow_mut().cancel(now, self.key);
+        if is_cancelled {
+            self.registry.cancel(self.key);
+        }
+        self.registry.due_changed.notify_one();
+    }
+}
+
+impl Drop for PendingCall {
+    fn drop(&mut self) {
+        if self.attached {
+            let now = self.registry.host.clock.now();
+            self.registry.store.borrow_mut().detach(now, self.key);
+            self.registry.due_changed.notify_one();
+        }
+    }
+}
--- /dev/null
+++ b/src/resumable_calls/response_store.rs
@@ -0,0 +1,386 @@
+//! Running calls and the responses of completed ones. No I/O; time is given by the caller in Unix milliseconds.
+//!
+//! A call is identified by its session and its id. The first client starts it; a later one, whose earlier connection was
+//! lost, attaches to it while it runs and gets its response once it has completed. So a write is executed once however
+//! often it is retried. A read without clients is cancelled after a while; a write always runs to completion. The store
+//! is bounded in calls, calls per session and bytes.
+
+use crate::state::requests::FinalResponse;
+use std::collections::{BTreeSet, HashMap};
+
+/// Identifier of a session.
+pub type SessionId = u128;
+
+/// Memory of a call without the body of its response, in bytes.
+pub const CALL_BYTES: usize = 320;
+
+/// Identifies a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct CallKey {
+    /// Session of the client.
+    pub session: SessionId,
+    /// Call id, unique within the session.
+    pub call: u64,
+}
+
+impl CallKey {
+    const MIN: Self = Self { session: 0, call: 0 };
+}
+
+/// Bounds of the store.
+#[derive(Clone, Copy, Debug)]
+pub struct StoreLimits {
+    /// Most calls.
+    pub calls: usize,
+    /// Most calls of one session.
+    pub calls_per_session: usize,
+    /// Most bytes.
+    pub bytes: usize,
+    /// Time after which a read without clients is cancelled, in milliseconds.
+    pub cancel_after_ms: f64,
+    /// Time for which the response of a read is kept, in milliseconds.
+    pub keep_read_ms: f64,
+    /// Time for which the response of a write is kept, in milliseconds.
+    pub keep_write_ms: f64,
+}
+
+/// The result of attaching a client to a call.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Attachment {
+    /// The call is new and has to be started.
+    Started,
+    /// The call is running.
+    Running,
+    /// The call has completed with this response.
+    Completed(FinalResponse),
+    /// The call id belongs to a different request.
+    Conflict,
+    /// The store is full. The call was not started.
+    Full,
+}
+
+/// A time that is ordered as a key. Negative times count as 0.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct OrderedMs(u64);
+
+impl OrderedMs {
+    const MIN: Self = Self(0);
+
+    /// The bits of floats that are not negative are ordered as the floats are.
+    fn new(ms: f64) -> Self {
+        Self(ms.max(0.0).to_bits())
+    }
+
+    fn ms(self) -> f64 {
+        f64::from_bits(self.0)
+    }
+}
+
+/// Place of a completed call in the order of eviction: reads before writes, then by when they expire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct CompletedEntry {
+    write: bool,
+    expires: OrderedMs,
+    key: CallKey,
+}
+
+/// Place of a running read without clients in the order of cancellation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct DetachedEntry {
+    cancel: OrderedMs,
+    key: CallKey,
+}
+
+#[derive(Clone, Debug)]
+enum CallState {
+    Running {
+        clients: u32,
+        /// When the last client was lost, or infinity.
+        detached_ms: f64,
+    },
+    Completed {
+        response: FinalResponse,
+        expires_ms: f64,
+        body_bytes: usize,
+    },
+}
+
+#[derive(Clone, Debug)]
+struct Call {
+    /// Hash of the request, which distinguishes it from a different request with the same id.
+    digest: u64,
+    write: bool,
+    state: CallState,
+}
+
+/// Counters of the store.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct StoreMetrics {
+    /// Calls started.
+    pub started: u64,
+    /// Clients attached to a running call.
+    pub joined: u64,
+    /// Clients that got the response of a completed call.
+    pub replayed: u64,
+    /// Clients rejected because their call id belongs to a different request.
+    pub conflicts: u64,
+    /// Clients rejected because the store was full.
+    pub rejected_full: u64,
+    /// Running calls that lost their last client.
+    pub detached: u64,
+    /// Reads cancelled, by their client or after their time without clients.
+    pub cancelled: u64,
+    /// Responses of reads evicted before they expired.
+    pub evicted_reads: u64,
+    /// Responses of writes evicted before they expired.
+    pub evicted_writes: u64,
+}
+
+/// The store.
+#[derive(Debug)]
+pub struct ResponseStore {
+    limits: StoreLimits,
+    calls: HashMap<CallKey, Call>,
+    calls_of_session: HashMap<SessionId, usize>,
+    completed: BTreeSet<CompletedEntry>,
+    detached_reads: BTreeSet<DetachedEntry>,
+    bytes: usize,
+    metrics: StoreMetrics,
+}
+
+impl ResponseStore {
+    /// Creates an empty store.
+    pub fn new(limits: StoreLimits) -> Self {
+        Self {
+            limits,
+            calls: HashMap::new(),
+            calls_of_session: HashMap::new(),
+            completed: BTreeSet::new(),
+            detached_reads: BTreeSet::new(),
+            bytes: 0,
+            metrics: StoreMetrics::default(),
+        }
+    }
+
+    /// The counters.
+    pub fn metrics(&self) -> StoreMetrics {
+        self.metrics
+    }
+
+    /// Attaches a client to the call `key`, which is started if it is new. `digest` is the hash of the request.
+    pub fn attach(&mut self, now: f64, key: CallKey, digest: u64, write: bool) -> Attachment {
+        self.remove_expired(now);
+        if self.calls.contains_key(&key) {
+            return self.attach_to_known(key, digest, write);
+        }
+        let of_session = self.calls_of_session.get(&key.session).copied().unwrap_or(0);
+        let session_has_room = of_session < self.limits.calls_per_session
+            || self.evict(|entry| entry.key.session == key.session);
+        if !session_has_room || !self.make_room(1, CALL_BYTES) {
+            self.metrics.rejected_full += 1;
+            return Attachment::Full;
+        }
+        self.metrics.started += 1;
+        let state = CallState::Running { clients: 1, detached_ms: f64::INFINITY };
+        self.calls.insert(key, Call { digest, write, state });
+        *self.calls_of_session.entry(key.session).or_default() += 1;
+        self.bytes += CALL_BYTES;
+        Attachment::Started
+    }
+
+    fn attach_to_known(&mut self, key: CallKey, digest: u64, write: bool) -> Attachment {
+        let Some(call) = self.calls.get_mut(&key).filter(|call| call.digest == digest && call.write == write)
+        else {
+            self.metrics.conflicts += 1;
+            return Attachment::Conflict;
+        };
+        match &mut call.state {
+            CallState::Running { clients, detached_ms } => {
+                let cancel = OrderedMs::new(*detached_ms + self.limits.cancel_after_ms);
+                self.detached_reads.remove(&DetachedEntry { cancel, key });
+                *clients += 1;
+                self.metrics.joined += 1;
+                Attachment::Running
+            }
+            CallState::Completed { response, .. } => {
+                self.metrics.replayed += 1;
+                Attachment::Completed(response.clone())
+            }
+        }
+    }
+
+    /// Completes a running call. Its response is kept, depending on what it is.
+    pub fn complete(&mut self, now: f64, key: CallKey, response: &FinalResponse) {
+        let Some(call) = self.calls.get(&key) else { return };
+        let CallState::Running { detached_ms, .. } = call.state else { return };
+        let write = call.write;
+        let cancel = OrderedMs::new(detached_ms + self.limits.cancel_after_ms);
+        self.detached_reads.remove(&DetachedEntry { cancel, key });
+        let keep_ms = self.keep_ms(write, response);
+        if keep_ms <= 0.0 {
+            return self.remove(key);
+        }
+        let body_bytes = match response {
+            FinalResponse::Served { body, .. } => body.len(),
+            _ => 0,
+        };
+        let fits = body_bytes + CALL_BYTES <= self.limits.bytes && self.make_room(0, body_bytes);
+        let (response, body_bytes) = match (fits, write) {
+            (true, _) => (response.clone(), body_bytes),
+            // The write may have been executed: a retry must not start it again.
+            (false, true) => (FinalResponse::Failed { overdue: false }, 0),
+            (false, false) => return self.remove(key),
+        };
+        let expires_ms = now + keep_ms;
+        self.bytes += body_bytes;
+        self.completed.insert(CompletedEntry { write, expires: OrderedMs::new(expires_ms), key });
+        if let Some(call) = self.calls.get_mut(&key) {
+            call.state = CallState::Completed { response, expires_ms, body_bytes };
+        }
+    }
+
+    /// How long a response is kept, in milliseconds.
+    fn keep_ms(&self, write: bool, response: &FinalResponse) -> f64 {
+        match response {
+            // Nothing was executed: a retry is a new call.
+            FinalResponse::Rejected { .. } => 0.0,
+            FinalResponse::Failed { .. } if !write => 0.0,
+            _ if write => self.limits.keep_write_ms,
+            _ => self.limits.keep_read_ms,
+        }
+    }
+
+    /// Removes a call that the engine did not accept.
+    pub fn discard(&mut self, key: CallKey) {
+        self.remove(key);
+    }
+
+    /// Detaches a client whose connection was lost. It may attach again.
+    pub fn detach(&mut self, now: f64, key: CallKey) {
+        let Some(call) = self.calls.get_mut(&key) else { return };
+        let CallState::Running { clients, detached_ms } = &mut call.state else { return };
+        *clients = clients.saturating_sub(1);
+        if *clients > 0 {
+            return;
+        }
+        self.metrics.detached += 1;
+        *detached_ms = now;
+        if !call.write {
+            let cancel = OrderedMs::new(now + self.limits.cancel_after_ms);
+            self.detached_reads.insert(DetachedEntry { cancel, key });
+        }
+    }
+
+    /// Detaches a client that no longer wants the response. Returns whether the call has to be cancelled.
+    ///
+    /// A write is never cancelled: it may have been executed, and a retry must not start it again.
+    pub fn cancel(&mut self, now: f64, key: CallKey) -> bool {
+        self.detach(now, key);
+        let Some(call) = self.calls.get(&key) else { return false };
+        let has_no_clients = matches!(call.state, CallState::Running { clients: 0, .. });
+        if call.write || !has_no_clients {
+            return false;
+        }
+        self.metrics.cancelled += 1;
+        self.remove(key);
+        true
+    }
+
+    /// Removes what has expired by `now`. Returns the reads that have to be cancelled.
+    pub fn tick(&mut self, now: f64) -> Vec<CallKey> {
+        self.remove_expired(now);
+        let mut cancelled = Vec::new();
+        while let Some(entry) = self.detached_reads.first().copied().filter(|e| e.cancel.ms() <= now) {
+            self.detached_reads.remove(&entry);
+            self.remove(entry.key);
+            self.metrics.cancelled += 1;
+            cancelled.push(entry.key);
+        }
+        cancelled
+    }
+
+    /// When [`Self::tick`] has to be called next.
+    pub fn next_due_ms(&self) -> f64 {
+        let expiries = [false, true].into_iter().filter_map(|write| self.first_completed(write));
+        let expiries = expiries.map(|entry| entry.expires.ms());
+        let cancellation = self.detached_reads.first().map(|entry| entry.cancel.ms());
+        expiries.chain(cancellation).fold(f64::INFINITY, f64::min)
+    }
+
+    /// Number of calls.
+    pub fn len(&self) -> usize {
+        self.calls.len()
+    }
+
+    /// Whether there is no call.
+    pub fn is_empty(&self) -> bool {
+        self.calls.is_empty()
+    }
+
+    /// Memory of all calls and responses, in bytes.
+    pub fn bytes(&self) -> usize {
+        self.bytes
+    }
+
+    /// The read or write that expires first.
+    fn first_completed(&self, write: bool) -> Option<CompletedEntry> {
+        let from = CompletedEntry { write, expires: OrderedMs::MIN, key: CallKey::MIN };
+        self.completed.range(from..).next().copied().filter(|entry| entry.write == write)
+    }
+
+    fn remove_expired(&mut self, now: f64) {
+        for write in [false, true] {
+            while let Some(entry) = self.first_completed(write).filter(|entry| entry.expires.ms() <= now) {
+                self.remove(entry.key);
+            }
+        }
+    }
+
+    /// Evicts responses until there is room for further calls and bytes: reads before writes, the oldest first.
+    fn make_room(&mut self, calls: usize, bytes: usize) -> bool {
+        while self.calls.len() + calls > self.limits.calls || self.bytes + bytes > self.limits.bytes {
+            if !self.evict(|_| true) {
+                return false;
+            }
+        }
+        true
+    }
+
+    /// Evicts the first response of those for which `is_candidate` is true.
+    fn evict(&mut self, is_candidate: impl Fn(&CompletedEntry) -> bool) -> bool {
+        let Some(entry) = self.completed.iter().find(|entry| is_candidate(entry)).copied() else {
+            return false;
+        };
+        if entry.write {
+            self.metrics.evicted_writes += 1;
+        } else {
+            self.metrics.evicted_reads += 1;
+        }
+        self.remove(entry.key);
+        true
+    }
+
+    fn remove(&mut self, key: CallKey) {
+        let Some(Call { write, state, .. }) = self.calls.remove(&key) else { return };
+        self.bytes -= CALL_BYTES;
+        match state {
+            CallState::Completed { expires_ms, body_bytes, .. } => {
+                self.bytes -= body_bytes;
+                self.completed.remove(&CompletedEntry { write, expires: OrderedMs::new(expires_ms), key });
+            }
+            CallState::Running { detached_ms, .. } => {
+                let cancel = OrderedMs::new(detached_ms + self.limits.cancel_after_ms);
+                self.detached_reads.remove(&DetachedEntry { cancel, key });
+            }
+        }
+        if let Some(count) = self.calls_of_session.get_mut(&key.session) {
+            *count -= 1;
+            if *count == 0 {
+                self.calls_of_session.remove(&key.session);
+            }
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/resumable_calls/response_store/tests.rs
@@ -0,0 +1,162 @@
+use super::*;
+use bytes::Bytes;
+use proptest::prelude::*;
+
+fn limits() -> StoreLimits {
+    StoreLimits {
+        calls: 6,
+        calls_per_session: 4,
+        bytes: 6_000,
+        cancel_after_ms: 1_000.0,
+        keep_read_ms: 2_000.0,
+        keep_write_ms: 9_000.0,
+    }
+}
+
+fn key(session: SessionId, call: u64) -> CallKey {
+    CallKey { session, call }
+}
+
+fn served(n: usize) -> FinalResponse {
+    FinalResponse::Served { tag: Some("t".into()), body: Bytes::from(vec![1; n]) }
+}
+
+#[test]
+fn a_write_is_started_once_however_often_it_is_retried() {
+    let mut store = ResponseStore::new(limits());
+    let write = key(7, 1);
+    assert_eq!(store.attach(0.0, write, 5, true), Attachment::Started);
+    store.detach(10.0, write);
+    assert!(store.tick(500_000.0).is_empty(), "a write runs to its end");
+    assert_eq!(store.attach(20.0, write, 5, true), Attachment::Running);
+    assert_eq!(store.attach(20.0, write, 6, true), Attachment::Conflict, "another request under its id");
+    assert!(!store.cancel(25.0, write), "nor is it cancelled");
+    store.complete(30.0, write, &served(3));
+    assert_eq!(store.attach(9_029.0, write, 5, true), Attachment::Completed(served(3)));
+    assert_eq!(store.attach(9_030.0, write, 5, true), Attachment::Started, "expired");
+    // A failed write may have been executed: a retry gets the same response.
+    store.complete(9_040.0, write, &FinalResponse::Failed { overdue: false });
+    assert_eq!(
+        store.attach(9_050.0, write, 5, true),
+        Attachment::Completed(FinalResponse::Failed { overdue: false })
+    );
+    // A write whose response is too large for the store is not started again either.
+    store.attach(9_045.0, key(7, 3), 5, true);
+    store.complete(9_046.0, key(7, 3), &served(7_000));
+    assert_eq!(
+        store.attach(9_047.0, key(7, 3), 5, true),
+        Attachment::Completed(FinalResponse::Failed { overdue: false })
+    );
+    // A rejected write was not executed.
+    assert_eq!(store.attach(9_050.0, key(7, 2), 5, true), Attachment::Started);
+    store.complete(9_060.0, key(7, 2), &FinalResponse::Rejected { retry_after_ms: 1.0, overdue: false });
+    assert_eq!(store.attach(9_070.0, key(7, 2), 5, true), Attachment::Started);
+    assert_eq!(
+        store.attach(9_070.0, key(8, 2), 5, true),
+        Attachment::Started,
+        "the same id in another session"
+    );
+}
+
+#[test]
+fn a_read_without_clients_is_cancelled_after_a_while() {
+    let mut store = ResponseStore::new(limits());
+    store.attach(0.0, key(7, 1), 5, false);
+    store.detach(100.0, key(7, 1));
+    assert_eq!((store.next_due_ms(), store.tick(1_099.0)), (1_100.0, vec![]));
+    assert_eq!(store.attach(1_099.0, key(7, 1), 5, false), Attachment::Running);
+    assert_eq!(store.tick(5_000.0), vec![], "its client has attached again");
+    store.detach(5_000.0, key(7, 1));
+    assert_eq!(store.tick(6_000.0), vec![key(7, 1)]);
+    assert!(store.is_empty());
+    store.attach(7_000.0, key(7, 2), 5, false);
+    assert!(store.cancel(7_000.0, key(7, 2)) && store.is_empty(), "an explicit cancellation is immediate");
+    store.attach(7_000.0, key(7, 3), 5, false);
+    store.attach(7_000.0, key(7, 3), 5, false);
+    assert!(!store.cancel(7_000.0, key(7, 3)), "another client still waits for it");
+}
+
+#[test]
+fn responses_are_evicted_reads_first_and_running_calls_never() {
+    let mut store = ResponseStore::new(limits());
+    for id in 0..3 {
+        assert_eq!(store.attach(0.0, key(1, id), 0, id == 0), Attachment::Started);
+        store.complete(f64::from(id as u32), key(1, id), &served(1_000));
+    }
+    for id in 3..6 {
+        assert_eq!(store.attach(10.0, key(2, id), 0, false), Attachment::Started);
+    }
+    assert_eq!(
+        store.attach(11.0, key(3, 9), 0, false),
+        Attachment::Started,
+        "the oldest response of a read was evicted"
+    );
+    assert_eq!(
+        store.attach(11.0, key(1, 1), 0, false),
+        Attachment::Started,
+        "it was evicted, and the next one is"
+    );
+    assert_eq!(store.attach(11.0, key(4, 9), 0, false), Attachment::Started, "now the response of the write");
+    assert_eq!(store.attach(11.0, key(5, 9), 0, false), Attachment::Full, "running calls are not evicted");
+    assert_eq!((store.metrics().evicted_reads, store.metrics().evicted_writes), (2, 1));
+    for id in 0..4 {
+        store.attach(12.0, key(2, 100 + id), 0, false);
+    }
+    assert_eq!(store.len(), 6);
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        failure_persistence: None,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(7),
+        ..ProptestConfig::default()
+    })]
+
+    /// Whatever happens, the limits hold, each call is started once while it is kept, and nothing is left at the end.
+    #[test]
+    fn the_limits_hold(steps in prop::collection::vec((0u8..6, 0u64..12, 0f64..400.0, 0usize..2_500), 1..300)) {
+        let limits = limits();
+        let mut store = ResponseStore::new(limits);
+        let (mut now, mut running) = (0.0, HashMap::<CallKey, u32>::new());
+        for (kind, id, ms, bytes) in steps {
+            now += ms;
+            let key = key(u128::from(id % 3), id);
+            let write = id % 2 == 0;
+            match kind {
+                0 | 1 => match store.attach(now, key, id, write) {
+                    Attachment::Started => prop_assert!(running.insert(key, 1).is_none(), "started twice"),
+                    Attachment::Running => *running.get_mut(&key).unwrap() += 1,
+                    Attachment::Completed(_) => prop_assert!(!running.contains_key(&key)),
+                    Attachment::Conflict => prop_assert!(false, "the digest is the id's"),
+                    Attachment::Full => {}
+                },
+                2 => if running.get(&key).is_some_and(|n| *n > 0) {
+                    *running.get_mut(&key).unwrap() -= 1;
+                    store.detach(now, key);
+                },
+                3 => if running.remove(&key).is_some() {
+                    store.complete(now, key, &served(bytes));
+                },
+                4 => if running.get(&key).is_some_and(|n| *n > 0) {
+                    *running.get_mut(&key).unwrap() -= 1;
+                    if store.cancel(now, key) {
+                        prop_assert!(!write);
+                        running.remove(&key);
+                    }
+                },
+                _ => for cancelled in store.tick(now) {
+                    prop_assert_eq!(running.remove(&cancelled), Some(0), "cancelled with a client");
+                    prop_assert!(cancelled.call % 2 == 1, "a write was cancelled");
+                },
+            }
+            prop_assert!(store.len() <= limits.calls && store.bytes() <= limits.bytes);
+            prop_assert!(running.keys().all(|k| store.calls.contains_key(k)), "a running call was removed");
+        }
+        for key in running.into_keys() {
+            store.complete(now, key, &FinalResponse::Rejected { retry_after_ms: 0.0, overdue: false });
+        }
+        store.tick(now + 1e6);
+        prop_assert_eq!((store.len(), store.bytes(), store.calls_of_session.len()), (0, 0, 0));
+        prop_assert!(store.completed.is_empty() && store.detached_reads.is_empty());
+    }
+}
--- a/src/wire/listener.rs
+++ b/src/wire/listener.rs
@@ -5,8 +5,8 @@
 use super::http::{BadRequest, HttpAnswer, HttpCodec, HttpRequest, Phase};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
-use crate::http3::call_registry::{CallRegistry, Kept};
-use crate::http3::response_store::SessionId;
+use crate::resumable_calls::call_registry::{CallRegistry, SubmittedCall};
+use crate::resumable_calls::response_store::SessionId;
 use crate::state::client_slots::{ClientSlots, SlotId};
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use serde::Deserialize;
@@ -105,8 +105,8 @@
     fn word(&self, context: &Context, answer: FinalResponse) -> HttpAnswer;
     /// Words that a request could not be taken.
     fn not_taken(&self, reason: AdmitError) -> HttpAnswer;
-    /// Where calls outlive their connection, who keeps them.
-    fn keeper(&self) -> Option<&Rc<CallRegistry>> {
+    /// The calls that outlive their connections, if the front has sessions.
+    fn resumable_calls(&self) -> Option<&Rc<CallRegistry>> {
         None
     }
 }
@@ -378,8 +378,8 @@
                     host.with(|engine| engine.counters.left += 1);
                     return End::Gone;
                 }
-                let waited = match (front.keeper(), context.session) {
-                    (Some(keeper), Some(session)) => wait_kept(keeper, session, link, ask).await,
+                let waited = match (front.resumable_calls(), context.session) {
+                    (Some(calls), Some(session)) => wait_resumable(calls, session, link, ask).await,
                     _ => wait(host, link, ask).await,
                 };
                 if limits.one_at_a_time {
@@ -490,25 +490,22 @@
     }
 }
 
-/// The same where calls outlive their connection: over TCP a client that leaves can't be told from a link that was
-/// lost, so the call goes on for its time.
-async fn wait_kept(
-    keeper: &Rc<CallRegistry>,
+/// Waits for the response of a call that outlives its connection. Over TCP a client that leaves cannot be distinguished
+/// from a lost connection, so the call goes on.
+async fn wait_resumable(
+    calls: &Rc<CallRegistry>,
     session: SessionId,
     link: &mut Link,
     ask: IncomingRequest,
 ) -> Waited {
-    let (mut answer, hold) = match keeper.ask(session, ask) {
+    let mut pending = match calls.submit(session, ask) {
         Err(reason) => return Waited::AdmitError(reason),
-        Ok(Kept::Now(answer)) => return Waited::Answer(answer),
-        Ok(Kept::Wait(answer, hold)) => (answer, hold),
+        Ok(SubmittedCall::Completed(response)) => return Waited::Answer(response),
+        Ok(SubmittedCall::Running(pending)) => pending,
     };
     tokio::select! {
         biased;
-        done = &mut answer => {
-            hold.heard();
-            Waited::Answer(done.unwrap_or(FinalResponse::Failed { overdue: false }))
-        }
+        response = pending.response() => Waited::Answer(response),
         () = link.left() => Waited::Left,
     }
 }
--- a/tests/stand_ins/device.rs
+++ b/tests/stand_ins/http3_client.rs
@@ -1,10 +1,9 @@
-//! Stand-ins for devices on poor links: a UDP relay that loses, delays, reorders, slows and cuts, and a device that
-//! speaks HTTP/3 through it.
+//! Stand-ins for clients on unreliable networks: a UDP relay that loses, delays, reorders, throttles and cuts, and a client
+//! that uses HTTP/3 through it.
 #![allow(dead_code)]
 
 use bytes::{Buf, Bytes};
 use edge_proxy::http3::config::Http3Config;
-use edge_proxy::http3::server::transport;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rustls::pki_types::pem::PemObject;
@@ -19,24 +18,25 @@
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 
-/// A link's troubles; each way has them alike.
-pub struct Impaired {
-    /// Where devices send to.
+/// A relay with the impairments of a link, the same in both directions.
+pub struct ImpairedLink {
+    /// Address for clients.
     pub address: SocketAddr,
-    /// The share of datagrams that is lost.
+    /// Share of datagrams that is lost.
     pub loss: Rc<Cell<f64>>,
-    /// Each datagram is late by a random time up to this, in milliseconds.
+    /// Longest random delay of a datagram, in milliseconds.
     pub jitter_ms: Rc<Cell<f64>>,
-    /// Bytes a second; 0 is no bound.
+    /// Bytes per second; 0 for no limit.
     pub rate: Rc<Cell<f64>>,
-    /// Nothing passes.
+    /// Whether all datagrams are lost.
     pub cut: Rc<Cell<bool>>,
-    /// Datagrams passed and lost.
-    pub passed: Rc<Cell<u64>>,
+    /// Datagrams forwarded.
+    pub forwarded: Rc<Cell<u64>>,
+    /// Datagrams lost.
     pub lost: Rc<Cell<u64>>,
 }
 
-impl Impaired {
+impl ImpairedLink {
     pub async fn start(ip: &str, to: SocketAddr, seed: u64) -> Rc<Self> {
         let front = Rc::new(UdpSocket::bind(format!("{ip}:0")).await.unwrap());
         let relay = Rc::new(Self {
@@ -45,7 +45,7 @@
             jitter_ms: Rc::default(),
             rate: Rc::default(),
             cut: Rc::default(),
-            passed: Rc::default(),
+            forwarded: Rc::default(),
             lost: Rc::default(),
         });
         let (own, rng) = (relay.clone(), Rc::new(RefCell::new(SmallRng::seed_from_u64(seed))));
@@ -71,7 +71,7 @@
                             loop {
                                 let Ok(n) = from_edge.recv(&mut bytes).await else { continue };
                                 let (front, data) = (front.clone(), bytes[..n].to_vec());
-                                own.pass(&rng, &down_free, n, async move {
+                                own.forward(&rng, &down_free, n, async move {
                                     let _ = front.send_to(&data, from).await;
                                 });
                             }
@@ -80,7 +80,7 @@
                     }
                 };
                 let data = bytes[..n].to_vec();
-                own.pass(&rng, &up_free, n, async move {
+                own.forward(&rng, &up_free, n, async move {
                     let _ = back.send(&data).await;
                 });
             }
@@ -88,7 +88,7 @@
         relay
     }
 
-    fn pass(
+    fn forward(
         &self,
         rng: &RefCell<SmallRng>,
         free: &Cell<Instant>,
@@ -103,12 +103,12 @@
             at = free.get().max(now);
             free.set(at + Duration::from_secs_f64(bytes as f64 / self.rate.get()));
         }
-        // A queue of half a second at the most: what comes on top of it is lost.
+        // The queue holds half a second; further datagrams are lost.
         if self.cut.get() || dice < self.loss.get() || at - now > Duration::from_millis(500) {
             self.lost.set(self.lost.get() + 1);
             return;
         }
-        self.passed.set(self.passed.get() + 1);
+        self.forwarded.set(self.forwarded.get() + 1);
         let wait = (at - now) + Duration::from_secs_f64(late / 1_000.0);
         spawn_local(async move {
             tokio::time::sleep(wait).await;
@@ -117,23 +117,23 @@
     }
 }
 
-/// Writes a certificate for `edge` with its key into a folder.
-pub fn certify(dir: &Path) {
+/// Writes a certificate for `edge` and its key into a folder.
+pub fn write_certificate(dir: &Path) {
     let made = rcgen::generate_simple_self_signed(vec!["edge".to_string()]).unwrap();
     std::fs::write(dir.join("cert.pem"), made.cert.pem()).unwrap();
     std::fs::write(dir.join("key.pem"), made.signing_key.serialize_pem()).unwrap();
 }
 
-/// What a device got of a request.
+/// A response as the client received it.
 #[derive(Clone, Debug, Default)]
-pub struct Got {
+pub struct ClientResponse {
     pub status: u16,
     pub headers: http::HeaderMap,
     pub body: Vec<u8>,
-    pub took_ms: f64,
+    pub elapsed_ms: f64,
 }
 
-impl Got {
+impl ClientResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
@@ -141,19 +141,19 @@
 
 type Send = h3::client::SendRequest<h3_quinn::OpenStreams, Bytes>;
 
-/// A device's connection.
-pub struct Device {
+/// A client's connection.
+pub struct Http3Client {
     pub endpoint: quinn::Endpoint,
     pub connection: quinn::Connection,
     send: Send,
-    /// The session's token, once it was told one.
+    /// Session token, once the server has sent one.
     pub session: Rc<RefCell<Option<String>>>,
 }
 
-impl Device {
-    /// Connects to an address with the transport of an edge's file, trusting its certificate.
+impl Http3Client {
+    /// Connects to an address with the transport settings of an operator file, and trusts its certificate.
     pub async fn connect(at: SocketAddr, config: &Http3Config, session: Option<String>) -> Option<Self> {
-        let pem = std::fs::read(config.resolve_beside(&config.certificate)).unwrap();
+        let pem = std::fs::read(config.tls_files().certificate).unwrap();
         let mut roots = rustls::RootCertStore::empty();
         roots.add(CertificateDer::from_pem_slice(&pem).unwrap()).unwrap();
         let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -165,7 +165,7 @@
         tls.alpn_protocols = vec![b"h3".to_vec()];
         let crypto = quinn::crypto::rustls::QuicClientConfig::try_from(tls).unwrap();
         let mut client = quinn::ClientConfig::new(Arc::new(crypto));
-        let mut path = transport(config);
+        let mut path = config.transport_config();
         path.keep_alive_interval(Some(Duration::from_millis(300)));
         client.transport_config(Arc::new(path));
         let mut endpoint = quinn::Endpoint::client(SocketAddr::new(at.ip(), 0)).unwrap();
@@ -176,15 +176,15 @@
         Some(Self { endpoint, connection, send, session: Rc::new(RefCell::new(session)) })
     }
 
-    /// A request; reads at most `most` bytes of the answer's body, then stops. None where the link failed it.
-    pub async fn ask_some(
+    /// Sends a request and reads at max_bytes `max_bytes` of the response body. Returns none if the connection failed.
+    pub async fn request_part(
         &self,
         method: &str,
         path: &str,
         headers: &[(&str, &str)],
         body: &[u8],
-        most: usize,
-    ) -> Option<Got> {
+        max_bytes: usize,
+    ) -> Option<ClientResponse> {
         let start = Instant::now();
         let mut request = http::Request::builder().method(method).uri(format!("https://edge{path}"));
         for (name, value) in headers {
@@ -203,35 +203,45 @@
         if let Some(token) = parts.headers.get("x-session") {
             *self.session.borrow_mut() = token.to_str().ok().map(String::from);
         }
-        let mut got = Got { status: parts.status.as_u16(), headers: parts.headers, ..Got::default() };
-        while got.body.len() < most {
+        let mut response = ClientResponse {
+            status: parts.status.as_u16(),
+            headers: parts.headers,
+            ..ClientResponse::default()
+        };
+        while response.body.len() < max_bytes {
             let Some(mut chunk) = stream.recv_data().await.ok()? else { break };
-            got.body.extend_from_slice(&chunk.copy_to_bytes(chunk.remaining()));
+            response.body.extend_from_slice(&chunk.copy_to_bytes(chunk.remaining()));
         }
-        got.took_ms = start.elapsed().as_secs_f64() * 1_000.0;
-        Some(got)
+        response.elapsed_ms = start.elapsed().as_secs_f64() * 1_000.0;
+        Some(response)
     }
 
-    pub async fn ask(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]) -> Option<Got> {
-        self.ask_some(method, path, headers, body, usize::MAX).await
+    pub async fn request(
+        &self,
+        method: &str,
+        path: &str,
+        headers: &[(&str, &str)],
+        body: &[u8],
+    ) -> Option<ClientResponse> {
+        self.request_part(method, path, headers, body, usize::MAX).await
     }
 
-    /// A small object under a call id.
-    pub async fn small(&self, id: u64, patience_ms: u64) -> Option<Got> {
-        let (id, patience) = (format!("{id:016x}"), patience_ms.to_string());
-        let headers = [("x-call-id", id.as_str()), ("x-patience-ms", &patience)];
-        self.ask("GET", &format!("/ops/small-object/{id}"), &headers, b"").await
+    /// Requests a small object under a call id.
+    pub async fn small(&self, id: u64, timeout_ms: u64) -> Option<ClientResponse> {
+        let (id, timeout) = (format!("{id:016x}"), timeout_ms.to_string());
+        let headers = [("x-call-id", id.as_str()), ("x-patience-ms", &timeout)];
+        self.request("GET", &format!("/ops/small-object/{id}"), &headers, b"").await
     }
 
-    /// An ad-post under a call id, its key by the id.
-    pub async fn post(&self, id: u64, patience_ms: u64) -> Option<Got> {
-        let (key, id, patience) = (format!("k{id:x}"), format!("{id:016x}"), patience_ms.to_string());
+    /// Sends an ad-post under a call id, with an idempotency key derived from it.
+    pub async fn post(&self, id: u64, timeout_ms: u64) -> Option<ClientResponse> {
+        let (key, id, timeout) = (format!("k{id:x}"), format!("{id:016x}"), timeout_ms.to_string());
         let headers = [
             ("x-call-id", id.as_str()),
-            ("x-patience-ms", &patience),
+            ("x-patience-ms", &timeout),
             ("x-dedupe-key", &key),
             ("content-length", "2"),
         ];
-        self.ask("PUT", &format!("/ops/ad-post/{id}"), &headers, b"ad").await
+        self.request("PUT", &format!("/ops/ad-post/{id}"), &headers, b"ad").await
     }
 }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -24,8 +24,8 @@
 use tokio::task::spawn_local;
 
 pub mod checked_endpoint;
-pub mod device;
 pub mod grpc;
+pub mod http3_client;
 pub mod purge_target;
 pub mod registry;
 pub mod running;
