--- a/src/http3/connection.rs
+++ b/src/http3/connection.rs
@@ -6,7 +6,7 @@
 use super::send_scheduler::SendScheduler;
 use super::server::Http3Server;
 use crate::clock::duration_from_ms;
-use crate::wire::listener::Stop;
+use crate::wire::shutdown::GracefulShutdown;
 use bytes::Bytes;
 use h3::server::RequestResolver;
 use quinn::ConnectionError;
@@ -37,7 +37,7 @@
 }
 
 /// Serves a connection until it ends, or until its requests are answered once `stop` has begun.
-pub(super) async fn serve(server: &Rc<Http3Server>, quic: quinn::Connection, stop: &Stop) {
+pub(super) async fn serve(server: &Rc<Http3Server>, quic: quinn::Connection, stop: &GracefulShutdown) {
     let connection = Rc::new(Connection {
         server: server.clone(),
         peer: quic.remote_address().ip(),
@@ -61,7 +61,7 @@
 
 impl Connection {
     /// Accepts requests until the connection ends, or until all are answered once `stop` has begun.
-    async fn accept_requests(self: &Rc<Self>, http3: &mut Http3Connection, stop: &Stop) {
+    async fn accept_requests(self: &Rc<Self>, http3: &mut Http3Connection, stop: &GracefulShutdown) {
         let mut stopping = false;
         loop {
             tokio::select! {
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -6,8 +6,8 @@
 use crate::resumable_calls::call_registry::CallRegistry;
 use crate::resumable_calls::response_store::SessionId;
 use crate::state::requests::{AdmitError, FinalResponse};
-use crate::wire::http::{HttpAnswer, HttpRequest};
-use crate::wire::listener::{Context, Front, Intake, Limits};
+use crate::wire::front::{ConnectionLimits, Disposition, Front, ResponseContext};
+use crate::wire::http::{HttpRequest, HttpResponse};
 use crate::wire::signed::{range, Range};
 use bytes::Bytes;
 use std::cell::RefCell;
@@ -28,14 +28,19 @@
 /// The front.
 pub struct Http3Front {
     inner: Rc<dyn Front>,
-    limits: Limits,
+    limits: ConnectionLimits,
     tokens: RefCell<SessionTokens>,
     calls: Rc<CallRegistry>,
 }
 
 impl Http3Front {
     /// Creates a front for the requests of `inner`.
-    pub fn new(inner: Rc<dyn Front>, limits: Limits, tokens: SessionTokens, calls: Rc<CallRegistry>) -> Self {
+    pub fn new(
+        inner: Rc<dyn Front>,
+        limits: ConnectionLimits,
+        tokens: SessionTokens,
+        calls: Rc<CallRegistry>,
+    ) -> Self {
         Self { inner, limits, tokens: RefCell::new(tokens), calls }
     }
 
@@ -58,38 +63,40 @@
 }
 
 /// Reduces a complete response to the requested range, if the client's copy is still current.
-fn apply_range(context: &Context, answer: HttpAnswer) -> HttpAnswer {
-    let Some(requested) = context.range.as_deref().filter(|_| answer.status == 200) else { return answer };
-    let etag = answer.headers.iter().find(|(name, _)| *name == "ETag").map(|(_, etag)| etag.as_str());
+fn apply_range(context: &ResponseContext, response: HttpResponse) -> HttpResponse {
+    let Some(requested) = context.range.as_deref().filter(|_| response.status == 200) else {
+        return response;
+    };
+    let etag = response.headers.iter().find(|(name, _)| *name == "ETag").map(|(_, etag)| etag.as_str());
     // RFC 9110, section 13.1.5: if the client has a part of another copy, it gets the complete response.
     let is_other_copy = |if_range: &str| etag != Some(if_range) || if_range.starts_with("W/");
     if context.if_range.as_deref().is_some_and(is_other_copy) {
-        return answer;
+        return response;
     }
-    let length = answer.body.len();
+    let length = response.body.len();
     match range(requested, length) {
-        Range::All => answer,
+        Range::All => response,
         Range::Part(start, end) => {
             let content_range = format!("bytes {start}-{}/{length}", end - 1);
-            let body = answer.body.slice(start..end);
-            HttpAnswer { status: 206, body, ..answer }.with("Content-Range", content_range)
+            let body = response.body.slice(start..end);
+            HttpResponse { status: 206, body, ..response }.with("Content-Range", content_range)
         }
         Range::Outside => {
-            let unsatisfied = HttpAnswer { status: 416, body: Bytes::new(), ..answer };
+            let unsatisfied = HttpResponse { status: 416, body: Bytes::new(), ..response };
             unsatisfied.with("Content-Range", format!("bytes */{length}"))
         }
     }
 }
 
 impl Front for Http3Front {
-    fn limits(&self) -> &Limits {
+    fn limits(&self) -> &ConnectionLimits {
         &self.limits
     }
 
-    fn take(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Intake {
-        let (incoming, mut context) = match self.inner.take(host, request, now) {
-            Intake::IncomingRequest(incoming, context) => (incoming, context),
-            answered => return answered,
+    fn interpret(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Disposition {
+        let (incoming, mut context) = match self.inner.interpret(host, request, now) {
+            Disposition::Forward(incoming, context) => (incoming, context),
+            decided => return decided,
         };
         if request.method == "GET" {
             let header = |name| request.single(name).ok().flatten().map(String::from);
@@ -97,19 +104,20 @@
         }
         let session = self.session(request, now);
         (context.session, context.session_token) = (Some(session.id), session.new_token);
-        Intake::IncomingRequest(incoming, context)
+        Disposition::Forward(incoming, context)
     }
 
-    fn word(&self, context: &Context, answer: FinalResponse) -> HttpAnswer {
-        let answer = apply_range(context, self.inner.word(context, answer)).with("Accept-Ranges", "bytes");
+    fn respond(&self, context: &ResponseContext, response: FinalResponse) -> HttpResponse {
+        let response =
+            apply_range(context, self.inner.respond(context, response)).with("Accept-Ranges", "bytes");
         match &context.session_token {
-            Some(token) => answer.with(SESSION_HEADER, token.clone()),
-            None => answer,
+            Some(token) => response.with(SESSION_HEADER, token.clone()),
+            None => response,
         }
     }
 
-    fn not_taken(&self, reason: AdmitError) -> HttpAnswer {
-        self.inner.not_taken(reason)
+    fn reject(&self, reason: AdmitError) -> HttpResponse {
+        self.inner.reject(reason)
     }
 
     fn resumable_calls(&self) -> Option<&Rc<CallRegistry>> {
--- a/src/http3/request.rs
+++ b/src/http3/request.rs
@@ -6,8 +6,8 @@
 use crate::clock::duration_from_ms;
 use crate::resumable_calls::call_registry::SubmittedCall;
 use crate::state::requests::{FinalResponse, IncomingRequest};
-use crate::wire::http::{HttpAnswer, HttpRequest};
-use crate::wire::listener::{Front, Intake};
+use crate::wire::front::{Disposition, Front};
+use crate::wire::http::{HttpRequest, HttpResponse};
 use bytes::{Buf, Bytes, BytesMut};
 use h3::server::RequestStream;
 use h3_quinn::BidiStream;
@@ -48,15 +48,15 @@
 }
 
 /// A response with its priority.
-struct PrioritizedAnswer {
-    answer: HttpAnswer,
+struct PrioritizedResponse {
+    response: HttpResponse,
     priority: Priority,
 }
 
-impl PrioritizedAnswer {
+impl PrioritizedResponse {
     /// A response of the front itself, which is small.
-    fn immediate(answer: HttpAnswer) -> Self {
-        Self { answer, priority: Priority::HIGHEST }
+    fn immediate(response: HttpResponse) -> Self {
+        Self { response, priority: Priority::HIGHEST }
     }
 }
 
@@ -73,12 +73,12 @@
         Err(error) => {
             server.count(|metrics| metrics.malformed_requests += 1);
             server.host.with(|engine| engine.counters.malformed_requests += 1);
-            PrioritizedAnswer::immediate(HttpAnswer::status(error.status()))
+            PrioritizedResponse::immediate(HttpResponse::status(error.status()))
         }
     };
-    let PrioritizedAnswer { answer, priority } = answered;
-    let body = if is_head { Bytes::new() } else { answer.wire_body() };
-    let Some(head) = response_head(&answer) else { return };
+    let PrioritizedResponse { response, priority } = answered;
+    let body = if is_head { Bytes::new() } else { response.wire_body() };
+    let Some(head) = response_head(&response) else { return };
     if response_body::send(connection, head, body, priority, &mut stream).await.is_err() {
         server.count(|metrics| metrics.unsent_responses += 1);
         server.host.with(|engine| engine.counters.unwritten += 1);
@@ -132,12 +132,12 @@
 }
 
 /// Has a request answered. Returns none if the connection ended first.
-async fn answer(connection: &Connection, request: &HttpRequest) -> Option<PrioritizedAnswer> {
+async fn answer(connection: &Connection, request: &HttpRequest) -> Option<PrioritizedResponse> {
     let server = &connection.server;
     let now = server.host.clock.now();
-    let (mut incoming, context) = match server.front.take(&server.host, request, now) {
-        Intake::Now(answer) => return Some(PrioritizedAnswer::immediate(answer)),
-        Intake::IncomingRequest(incoming, context) => (incoming, context),
+    let (mut incoming, context) = match server.front.interpret(&server.host, request, now) {
+        Disposition::Respond(response) => return Some(PrioritizedResponse::immediate(response)),
+        Disposition::Forward(incoming, context) => (incoming, context),
     };
     let default_priority = default_priority(connection, &incoming);
     let requested = request.single("priority").ok().flatten();
@@ -147,15 +147,15 @@
     incoming.deadline_ms =
         connection.estimate_path().send_deadline_ms(now, incoming.deadline_ms, response_bytes);
     let Some(session) = context.session else {
-        return Some(PrioritizedAnswer { answer: HttpAnswer::status(500), priority: default_priority });
+        return Some(PrioritizedResponse { response: HttpResponse::status(500), priority: default_priority });
     };
     let response = match server.calls.submit(session, *incoming) {
         Err(reason) => {
-            return Some(PrioritizedAnswer { answer: server.front.not_taken(reason), priority });
+            return Some(PrioritizedResponse { response: server.front.reject(reason), priority });
         }
         Ok(call) => wait(connection, call).await?,
     };
-    Some(PrioritizedAnswer { answer: server.front.word(&context, response), priority })
+    Some(PrioritizedResponse { response: server.front.respond(&context, response), priority })
 }
 
 /// Waits for the response of a call. Returns none if the connection ended first.
@@ -187,13 +187,13 @@
     }
 }
 
-fn response_head(answer: &HttpAnswer) -> Option<Response<()>> {
-    let mut response = Response::builder().status(answer.status);
-    for (name, value) in &answer.headers {
-        response = response.header(*name, value);
+fn response_head(response: &HttpResponse) -> Option<Response<()>> {
+    let mut head = Response::builder().status(response.status);
+    for (name, value) in &response.headers {
+        head = head.header(*name, value);
     }
-    if answer.status != 304 {
-        response = response.header("content-length", answer.body.len());
+    if response.status != 304 {
+        head = head.header("content-length", response.body.len());
     }
-    response.body(()).ok()
+    head.body(()).ok()
 }
--- a/src/http3/server.rs
+++ b/src/http3/server.rs
@@ -7,7 +7,7 @@
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::resumable_calls::call_registry::CallRegistry;
-use crate::wire::listener::{Open, Stop};
+use crate::wire::shutdown::{ConnectionGuard, GracefulShutdown};
 use quinn::{Endpoint, Incoming};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -53,7 +53,11 @@
     }
 
     /// Accepts a connection, unless there are too many or the client has to prove its address first.
-    fn admit(self: &Rc<Self>, incoming: Incoming, stop: &Rc<Stop>) -> Option<(Incoming, ConnectionSlot)> {
+    fn admit(
+        self: &Rc<Self>,
+        incoming: Incoming,
+        stop: &Rc<GracefulShutdown>,
+    ) -> Option<(Incoming, ConnectionSlot)> {
         let (open, limit) = (self.open_connections.get(), self.limits.connections);
         if open >= limit {
             self.count(|metrics| metrics.connections_rejected += 1);
@@ -69,11 +73,16 @@
         }
         self.count(|metrics| metrics.connections += 1);
         self.host.with(|engine| engine.counters.clients += 1);
-        Some((incoming, ConnectionSlot::new(self.clone(), stop.enter())))
+        Some((incoming, ConnectionSlot::new(self.clone(), stop.track_connection())))
     }
 
     /// Runs the task of a connection.
-    fn spawn_connection(self: &Rc<Self>, incoming: Incoming, slot: ConnectionSlot, stop: Rc<Stop>) {
+    fn spawn_connection(
+        self: &Rc<Self>,
+        incoming: Incoming,
+        slot: ConnectionSlot,
+        stop: Rc<GracefulShutdown>,
+    ) {
         let server = self.clone();
         self.host.spawn("a QUIC connection", async move {
             let _slot = slot;
@@ -88,13 +97,13 @@
 /// Counts a connection as open until it is dropped.
 struct ConnectionSlot {
     server: Rc<Http3Server>,
-    _open: Open,
+    _guard: ConnectionGuard,
 }
 
 impl ConnectionSlot {
-    fn new(server: Rc<Http3Server>, open: Open) -> Self {
+    fn new(server: Rc<Http3Server>, guard: ConnectionGuard) -> Self {
         server.open_connections.set(server.open_connections.get() + 1);
-        Self { server, _open: open }
+        Self { server, _guard: guard }
     }
 }
 
@@ -106,7 +115,12 @@
 }
 
 /// Accepts connections until `closing` is notified, and returns when all have ended. `stop` ends them.
-pub async fn accept(server: Rc<Http3Server>, endpoint: Endpoint, stop: Rc<Stop>, closing: Rc<Notify>) {
+pub async fn accept(
+    server: Rc<Http3Server>,
+    endpoint: Endpoint,
+    stop: Rc<GracefulShutdown>,
+    closing: Rc<Notify>,
+) {
     loop {
         let incoming = tokio::select! {
             biased;
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -92,7 +92,7 @@
 async fn run_until_stop(subsystems: &mut [Box<dyn Subsystem>], context: &Context, signals: &mut Signals) {
     loop {
         match signals.next().await {
-            Request::Stop => return,
+            Request::GracefulShutdown => return,
             Request::ReportCounters => log_counters(&context.executor),
             Request::Reload => subsystems.iter_mut().for_each(|subsystem| subsystem.reload(context)),
         }
@@ -108,7 +108,7 @@
     let until = executor.clock.now() + ACCEPT_AFTER_SIGNAL_MS + request_time + LAST_RESPONSES_MS;
     if context.config.handed_over {
         // Whoever connects from now on is the new process's: the socket stays open there.
-        context.stop.turn_away();
+        context.stop.close_after_response();
         advance_stop(subsystems, StopStage::CloseListeners);
         tokio::time::sleep(duration_from_ms(KEEP_IDLE_MS)).await;
     } else {
@@ -130,7 +130,7 @@
     let executor = &context.executor;
     let connections = || -> usize {
         let virtual_addresses: usize = subsystems.iter().map(|subsystem| subsystem.open_connections()).sum();
-        virtual_addresses + context.stop.holds()
+        virtual_addresses + context.stop.open_or_lingering()
     };
     tokio::time::sleep(duration_from_ms(BACKLOG_MS)).await;
     while (connections() > 0 || executor.with(|engine| engine.open_requests()) > 0)
--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -14,7 +14,8 @@
 use crate::vrrp::router::VirtualRouter;
 use crate::vrrp::track::{TrackedObject, TrackedValues};
 use crate::vrrp::virtual_addresses::VirtualFronts;
-use crate::wire::listener::{accept, Stop};
+use crate::wire::listener::accept;
+use crate::wire::shutdown::GracefulShutdown;
 use futures_util::future::{ready, FutureExt};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -75,7 +76,7 @@
 }
 
 impl VirtualFronts for SubsystemFronts {
-    fn serve(&self, kind: FrontKind, listener: TcpListener, stop: Rc<Stop>, closing: Rc<Notify>) {
+    fn serve(&self, kind: FrontKind, listener: TcpListener, stop: Rc<GracefulShutdown>, closing: Rc<Notify>) {
         if let (FrontKind::Grpc, Some(front)) = (kind, &self.grpc) {
             let accepting = grpc_server::accept(front.clone(), listener, stop, closing);
             return self.executor.spawn("accepting", accepting);
--- a/src/vrrp/admin.rs
+++ b/src/vrrp/admin.rs
@@ -5,7 +5,7 @@
 use super::machine::State;
 use super::router::{Peer, RouterMetrics, VirtualRouter};
 use super::track::Tracker;
-use crate::wire::http::{HttpAnswer, HttpRequest};
+use crate::wire::http::{HttpRequest, HttpResponse};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -68,14 +68,14 @@
 
 impl VirtualRouter {
     /// Answers the admin calls `GET /vrrp`, `POST /vrrp/aside` and `POST /vrrp/back`. Returns none for other paths.
-    pub fn answer(&self, request: &HttpRequest) -> Option<HttpAnswer> {
+    pub fn answer(&self, request: &HttpRequest) -> Option<HttpResponse> {
         let method = match request.target.as_str() {
             STATUS_PATH => "GET",
             STEP_DOWN_PATH | RESUME_PATH => "POST",
             _ => return None,
         };
         if request.method != method {
-            return Some(HttpAnswer::status(405).with("Allow", method));
+            return Some(HttpResponse::status(405).with("Allow", method));
         }
         match request.target.as_str() {
             STEP_DOWN_PATH => self.step_down(),
@@ -83,7 +83,7 @@
             _ => {}
         }
         let body = simd_json::to_vec(&self.status()).unwrap_or_default();
-        let answer = HttpAnswer { body: body.into(), ..HttpAnswer::status(200) };
+        let answer = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
         Some(answer.with("Content-Type", "application/json"))
     }
 
--- a/src/vrrp/virtual_addresses.rs
+++ b/src/vrrp/virtual_addresses.rs
@@ -3,7 +3,7 @@
 use super::config::{FrontKind, VirtualListenerConfig, VrrpConfig};
 use super::listeners::{ListenerCommand, ListenerSet};
 use super::machine::State;
-use crate::wire::listener::Stop;
+use crate::wire::shutdown::GracefulShutdown;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -18,12 +18,12 @@
 /// The fronts that serve clients at virtual addresses.
 pub trait VirtualFronts {
     /// Serves the clients of a listener until `closing` is notified. `stop` ends the accepted connections.
-    fn serve(&self, front: FrontKind, listener: TcpListener, stop: Rc<Stop>, closing: Rc<Notify>);
+    fn serve(&self, front: FrontKind, listener: TcpListener, stop: Rc<GracefulShutdown>, closing: Rc<Notify>);
 }
 
 /// An open listener.
 struct OpenListener {
-    stop: Rc<Stop>,
+    stop: Rc<GracefulShutdown>,
     closing: Rc<Notify>,
 }
 
@@ -34,7 +34,7 @@
     listeners: RefCell<ListenerSet>,
     open: RefCell<BTreeMap<usize, OpenListener>>,
     /// Connections of closed listeners.
-    draining: RefCell<Vec<Rc<Stop>>>,
+    draining: RefCell<Vec<Rc<GracefulShutdown>>>,
     open_failures: Cell<u64>,
 }
 
@@ -77,7 +77,7 @@
                 return false;
             }
         };
-        let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
+        let (stop, closing) = (Rc::new(GracefulShutdown::default()), Rc::new(Notify::new()));
         self.fronts.serve(*front, listener, stop.clone(), closing.clone());
         self.open.borrow_mut().insert(index, OpenListener { stop, closing });
         tracing::info!(%address, "virtual router: a virtual address is served");
@@ -102,14 +102,14 @@
     }
 
     fn forget_drained(&self) {
-        self.draining.borrow_mut().retain(|stop| stop.open.get() > 0);
+        self.draining.borrow_mut().retain(|stop| stop.open_connections() > 0);
     }
 
     /// Connections of open and closed listeners that are not yet closed.
     pub fn open_connections(&self) -> usize {
         self.forget_drained();
-        let open: usize = self.open.borrow().values().map(|listener| listener.stop.open.get()).sum();
-        let draining: usize = self.draining.borrow().iter().map(|stop| stop.open.get()).sum();
+        let open: usize = self.open.borrow().values().map(|listener| listener.stop.open_connections()).sum();
+        let draining: usize = self.draining.borrow().iter().map(|stop| stop.open_connections()).sum();
         open + draining
     }
 
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -12,8 +12,10 @@
 use edge_proxy::lifecycle::engine_setup::engine;
 use edge_proxy::resumable_calls::call_registry::CallRegistry;
 use edge_proxy::wire::cache_connection::CacheDriver;
-use edge_proxy::wire::listener::{accept, Front, Limits, Stop};
+use edge_proxy::wire::front::{ConnectionLimits, Front};
+use edge_proxy::wire::listener::accept;
 use edge_proxy::wire::platform::{self, Platform};
+use edge_proxy::wire::shutdown::GracefulShutdown;
 use stand_ins::http3_client::{write_certificate, Http3Client, ImpairedLink};
 use stand_ins::slow_box::SlowFleet;
 use stand_ins::{folder, run, Killed};
@@ -34,7 +36,7 @@
     tcp: SocketAddr,
     server: Rc<Http3Server>,
     calls: Rc<CallRegistry>,
-    stop: Rc<Stop>,
+    stop: Rc<GracefulShutdown>,
     closing: Rc<Notify>,
 }
 
@@ -72,10 +74,10 @@
         let at = endpoint.local_addr().unwrap();
         let calls = CallRegistry::new(host.clone(), config.resumable_calls.store_limits());
         let inner: Rc<dyn Front> = Rc::new(Platform::new(platform::limits(64)));
-        let limits = Limits { idle_ms: 5_000.0, ..platform::limits(64) };
+        let limits = ConnectionLimits { idle_ms: 5_000.0, ..platform::limits(64) };
         let front = Rc::new(Http3Front::new(inner, limits, config.session_tokens().unwrap(), calls.clone()));
         let server = Http3Server::new(host.clone(), front.clone(), calls.clone(), config.limits.clone());
-        let (stop, closing) = (Rc::new(Stop::default()), Rc::new(Notify::new()));
+        let (stop, closing) = (Rc::new(GracefulShutdown::default()), Rc::new(Notify::new()));
         spawn_local(accept_quic(server.clone(), endpoint, stop.clone(), closing.clone()));
         spawn_local(calls.clone().keep());
         let listener = TcpListener::bind(format!("127.0.{net}.9:0")).await.unwrap();
@@ -454,7 +456,7 @@
         fixture.closing.notify_one();
         fixture.stop.begin();
         assert_eq!(last.await.unwrap().unwrap().status, 200);
-        wait_until("every connection ends", || fixture.stop.open.get() == 0).await;
+        wait_until("every connection ends", || fixture.stop.open_connections() == 0).await;
         assert!(
             Http3Client::connect(fixture.at, &fixture.config, None).await.is_none(),
             "no new connection is accepted"
