--- a/src/health_check/config.rs
+++ b/src/health_check/config.rs
@@ -185,7 +185,7 @@
     }
 
     /// Address at which this instance receives datagrams.
-    pub fn at(&self) -> SocketAddr {
+    pub fn listen_address(&self) -> SocketAddr {
         parse_address(&self.listen).expect("checked when read")
     }
 
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -26,7 +26,7 @@
 /// Time after which a result is sent once more, in milliseconds, because a datagram may get lost.
 const RESULT_RESEND_MS: f64 = 100.0;
 /// Most checks at once. Each needs a descriptor.
-pub const MAX_PROBES: usize = 64;
+pub const MAX_CONCURRENT_CHECKS: usize = 64;
 
 /// A datagram that is rejected.
 #[derive(Debug, Error)]
@@ -80,7 +80,7 @@
             endpoints_version: Cell::new(u64::MAX),
             rejected_datagrams: Cell::new(0),
             peers,
-            check_permits: Semaphore::new(MAX_PROBES),
+            check_permits: Semaphore::new(MAX_CONCURRENT_CHECKS),
             host,
             config,
             socket,
@@ -93,7 +93,7 @@
     }
 
     /// Reads the key file again. If it cannot be used, the old keys stay.
-    pub fn rekey(&self) -> Result<(), KeyFileError> {
+    pub fn reload_keys(&self) -> Result<(), KeyFileError> {
         let keys = self.config.keys()?;
         if let (Some(auth), Some(keys)) = (&mut *self.auth.borrow_mut(), keys) {
             auth.set_keys(keys);
--- a/src/health_check/quorum.rs
+++ b/src/health_check/quorum.rs
@@ -2,15 +2,15 @@
 //! votes for one candidate per slot: no two instances hold the same lease, and the minority side of a network partition
 //! holds none. No I/O.
 //!
-//! Votes are kept in memory. An instance that has just started does not know its earlier votes, so it rejects all
+//! Votes are in memory only. An instance that has just started does not know its earlier votes, so it rejects all
 //! candidates until those votes are out of date.
 
 use super::lease::{InstanceId, Lease, Slot};
 use crate::EndpointId;
 use std::collections::BTreeMap;
 
-/// Slots per endpoint whose votes are kept: the one that is due and those near it, for clocks that differ.
-const KEPT_SLOTS: usize = 4;
+/// Slots per endpoint whose votes are remembered: the one that is due and those near it, for clocks that differ.
+const REMEMBERED_SLOTS: usize = 4;
 /// How far a candidate's slot may be from the one that is due by this instance's clock.
 const MAX_SLOT_DISTANCE: u64 = 1;
 
@@ -52,7 +52,7 @@
             return false;
         }
         votes.push(Vote { slot, candidate });
-        if votes.len() > KEPT_SLOTS {
+        if votes.len() > REMEMBERED_SLOTS {
             votes.remove(0);
         }
         true
--- a/src/health_check/scheduler.rs
+++ b/src/health_check/scheduler.rs
@@ -91,8 +91,8 @@
     me: InstanceId,
     instances: BTreeSet<InstanceId>,
     times: SchedulerTimes,
-    /// When each instance was last heard of, in Unix milliseconds.
-    last_heard_ms: BTreeMap<InstanceId, f64>,
+    /// When the last message of each instance was received, in Unix milliseconds.
+    last_message_ms: BTreeMap<InstanceId, f64>,
     voter: Voter,
     endpoints: BTreeSet<EndpointId>,
     pending: BTreeMap<EndpointId, PendingLease>,
@@ -118,7 +118,7 @@
         Self {
             me,
             // All instances count as alive until their silence shows that they have failed.
-            last_heard_ms: instances.iter().map(|id| (*id, now)).collect(),
+            last_message_ms: instances.iter().map(|id| (*id, now)).collect(),
             instances,
             times,
             voter: Voter::new(now, silence_ms),
@@ -150,8 +150,8 @@
 
     /// Whether an instance counts as alive.
     pub fn is_alive(&self, now: f64, id: InstanceId) -> bool {
-        let heard_lately = |heard_ms: &f64| now - heard_ms < self.times.failure_timeout_ms;
-        id == self.me || self.last_heard_ms.get(&id).is_some_and(heard_lately)
+        let is_recent = |message_ms: &f64| now - message_ms < self.times.failure_timeout_ms;
+        id == self.me || self.last_message_ms.get(&id).is_some_and(is_recent)
     }
 
     /// Instances that count as alive.
@@ -242,7 +242,7 @@
         if from == self.me || !self.instances.contains(&from) {
             return actions;
         }
-        self.last_heard_ms.insert(from, now);
+        self.last_message_ms.insert(from, now);
         match *message {
             Message::Heartbeat => {}
             Message::VoteRequest(lease) => {
--- a/src/lifecycle/subsystem_configs.rs
+++ b/src/lifecycle/subsystem_configs.rs
@@ -6,7 +6,7 @@
 use crate::config_file::ConfigError;
 use crate::grpc::config::GrpcConfig;
 use crate::health_check::config::HealthCheckConfig;
-use crate::health_check::driver::MAX_PROBES;
+use crate::health_check::driver::MAX_CONCURRENT_CHECKS;
 use crate::http3::config::Http3Config;
 use crate::purge::config::PurgeConfig;
 use crate::purge::service::MAX_CALLS;
@@ -103,7 +103,7 @@
         let http3 =
             self.http3.as_ref().and_then(|c| c.tcp_address().map(|_| c.limits.tcp_connections)).unwrap_or(0);
         let purges = if self.purges.is_some() { MAX_CALLS } else { 0 };
-        let health_checks = if self.health_checks.is_some() { MAX_PROBES } else { 0 };
+        let health_checks = if self.health_checks.is_some() { MAX_CONCURRENT_CHECKS } else { 0 };
         DescriptorDemand { signed, others: grpc + http3 + purges + health_checks, handed_over }
     }
 
--- a/src/lifecycle/subsystems/health_checks.rs
+++ b/src/lifecycle/subsystems/health_checks.rs
@@ -23,7 +23,7 @@
     }
 
     async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
-        let listen = self.config.at();
+        let listen = self.config.listen_address();
         let socket = bind_udp(listen).await?;
         let checker = HealthChecker::new(context.executor.clone(), self.config.clone(), socket);
         let checker = checker.map_err(ServeError::field("key_file"))?;
@@ -51,8 +51,8 @@
     }
 
     fn reload(&mut self, _: &Context) {
-        if let Some(Err(reason)) = self.checker.as_ref().map(|checker| checker.rekey()) {
-            tracing::warn!(%reason, "the old keys of the health checks stay");
+        if let Some(Err(reason)) = self.checker.as_ref().map(|checker| checker.reload_keys()) {
+            tracing::warn!(%reason, "health checks: the keys cannot be reloaded, the old ones remain in use");
         }
     }
 }
--- a/src/lifecycle/subsystems/http3.rs
+++ b/src/lifecycle/subsystems/http3.rs
@@ -115,9 +115,11 @@
         match self.reload_keys() {
             Ok(()) => tracing::info!(
                 file = %self.config.file.display(),
-                "certificates and session keys read again"
+                "HTTP/3: certificates and session keys were reloaded"
             ),
-            Err(reason) => tracing::warn!(%reason, "the old certificates and session keys stay"),
+            Err(reason) => {
+                tracing::warn!(%reason, "HTTP/3: certificates or session keys cannot be reloaded, the old ones remain in use")
+            }
         }
     }
 
--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    fn read_again(&self, router: &VirtualRouter) -> Result<(), BoxError> {
+    fn reload_file(&self, router: &VirtualRouter) -> Result<(), BoxError> {
         Ok(router.reconfigure(self.config.reload()?)?)
     }
 }
@@ -139,11 +139,13 @@
 
     fn reload(&mut self, _: &Context) {
         let Some(router) = &self.router else { return };
-        match self.read_again(router) {
+        match self.reload_file(router) {
             Ok(()) => {
-                tracing::info!(file = %self.config.path.display(), "the virtual router's file read again");
+                tracing::info!(file = %self.config.path.display(), "virtual router: the file was reloaded");
+            }
+            Err(reason) => {
+                tracing::warn!(%reason, "virtual router: the file cannot be reloaded, the old one remains in use")
             }
-            Err(reason) => tracing::warn!(%reason, "the virtual router's old file stays"),
         }
     }
 
--- a/src/vrrp/machine.rs
+++ b/src/vrrp/machine.rs
@@ -4,7 +4,7 @@
 //! not take part, a preemption delay, more missed advertisements before the active router counts as down, and no
 //! preemption for a while after flapping. A failed active router is replaced regardless of these.
 
-use super::message::{Advertisement, OWNER_PRIORITY, STOP_PRIORITY};
+use super::message::{Advertisement, CENTISECOND_MS, OWNER_PRIORITY, STOP_PRIORITY};
 use crate::config_file::FieldError;
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -20,8 +20,6 @@
 const MAX_DELAY_MS: f64 = 3_600_000.0;
 /// Most consecutive missed advertisements until the active router counts as down.
 const MAX_DOWN_INTERVALS: u8 = 100;
-/// Milliseconds in a centisecond.
-const CENTISECOND_MS: f64 = 10.0;
 
 /// The states of RFC 9568, section 6.4, and a fault state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
@@ -130,9 +128,19 @@
     /// Time after the active router's last advertisement at which a backup of `priority` takes over, in milliseconds, if
     /// the active router has the same interval.
     pub fn takeover_ms(&self, priority: u8) -> f64 {
-        let interval = f64::from(self.interval_cs) * CENTISECOND_MS;
-        f64::from(self.down_intervals) * interval + f64::from(256 - u16::from(priority)) * interval / 256.0
+        let interval_ms = self.interval_ms();
+        f64::from(self.down_intervals) * interval_ms + skew_ms(priority, interval_ms)
     }
+
+    /// Time between advertisements, in milliseconds.
+    fn interval_ms(&self) -> f64 {
+        f64::from(self.interval_cs) * CENTISECOND_MS
+    }
+}
+
+/// `Skew_Time` of the RFC, in milliseconds: the lower the priority, the longer.
+fn skew_ms(priority: u8, interval_ms: f64) -> f64 {
+    f64::from(256 - u16::from(priority)) * interval_ms / 256.0
 }
 
 /// The state machine of one virtual router.
@@ -159,12 +167,11 @@
 impl Machine {
     /// Creates a machine in the state [`State::Initialize`].
     pub fn new(settings: RouterSettings) -> Self {
-        let active_interval_ms = f64::from(settings.interval_cs) * CENTISECOND_MS;
         Self {
             priority: settings.priority,
+            active_interval_ms: settings.interval_ms(),
             settings,
             state: State::Initialize,
-            active_interval_ms,
             due_ms: f64::INFINITY,
             wait_started_ms: 0.0,
             lower_active_since_ms: None,
@@ -200,7 +207,7 @@
 
     /// `Skew_Time` of the RFC, in milliseconds.
     fn skew_ms(&self) -> f64 {
-        f64::from(256 - u16::from(self.priority)) * self.active_interval_ms / 256.0
+        skew_ms(self.priority, self.active_interval_ms)
     }
 
     /// `Active_Down_Interval` of the RFC, in milliseconds.
@@ -214,7 +221,7 @@
     }
 
     fn advertise(&mut self, now: f64) -> Option<Advertisement> {
-        self.due_ms = now + f64::from(self.settings.interval_cs) * CENTISECOND_MS;
+        self.due_ms = now + self.settings.interval_ms();
         Some(self.advertisement(self.priority))
     }
 
@@ -250,7 +257,7 @@
         if self.priority == OWNER_PRIORITY {
             return self.become_active(now);
         }
-        self.become_backup(now, f64::from(self.settings.interval_cs) * CENTISECOND_MS);
+        self.become_backup(now, self.settings.interval_ms());
         None
     }
 
@@ -271,7 +278,7 @@
         match (self.state, fault) {
             (State::Backup | State::Active, true) => self.leave(State::Fault),
             (State::Fault, false) => {
-                self.become_backup(now, f64::from(self.settings.interval_cs) * CENTISECOND_MS);
+                self.become_backup(now, self.settings.interval_ms());
                 None
             }
             _ => None,
@@ -322,33 +329,45 @@
         if received.vrid != self.settings.vrid {
             return None;
         }
-        let interval_ms = f64::from(received.interval_cs) * CENTISECOND_MS;
         match self.state {
             State::Initialize | State::Fault => None,
             State::Backup => {
-                if received.priority == STOP_PRIORITY {
-                    (self.wait_started_ms, self.due_ms, self.lower_active_since_ms) =
-                        (now - self.active_down_ms() + self.skew_ms(), now + self.skew_ms(), None);
-                } else if received.priority >= self.priority {
-                    self.become_backup(now, interval_ms);
-                } else if !self.may_preempt(now) {
-                    self.active_interval_ms = interval_ms;
-                    self.wait(now);
-                }
+                self.receive_as_backup(now, received);
                 None
             }
-            State::Active => {
-                let theirs = (received.priority, from.ip(), from.port());
-                let ours = (self.priority, self.settings.listen.ip(), self.settings.listen.port());
-                if received.priority != STOP_PRIORITY && theirs > ours {
-                    self.become_backup(now, interval_ms);
-                    return None;
-                }
-                // A router that stops, or that must not be active, learns that this one is active.
-                self.advertise(now)
-            }
+            State::Active => self.receive_as_active(now, from, received),
         }
     }
+
+    fn receive_as_backup(&mut self, now: f64, received: &Advertisement) {
+        if received.priority == STOP_PRIORITY {
+            // Only the skew time of the wait is left.
+            self.wait_started_ms = now - self.active_down_ms() + self.skew_ms();
+            self.due_ms = now + self.skew_ms();
+            self.lower_active_since_ms = None;
+        } else if received.priority >= self.priority {
+            self.become_backup(now, received.interval_ms());
+        } else if !self.may_preempt(now) {
+            self.active_interval_ms = received.interval_ms();
+            self.wait(now);
+        }
+    }
+
+    fn receive_as_active(
+        &mut self,
+        now: f64,
+        from: SocketAddr,
+        received: &Advertisement,
+    ) -> Option<Advertisement> {
+        let theirs = (received.priority, from.ip(), from.port());
+        let ours = (self.priority, self.settings.listen.ip(), self.settings.listen.port());
+        if received.priority != STOP_PRIORITY && theirs > ours {
+            self.become_backup(now, received.interval_ms());
+            return None;
+        }
+        // A router that stops, or that must not be active, learns that this one is active.
+        self.advertise(now)
+    }
 }
 
 #[cfg(test)]
--- a/src/vrrp/message.rs
+++ b/src/vrrp/message.rs
@@ -11,6 +11,8 @@
 /// Label of the signatures of authenticated advertisements, which separates them from other protocols under the same
 /// keys.
 pub const LABEL: &[u8] = b"calicobeam vrrp 1";
+/// Milliseconds in a centisecond.
+pub const CENTISECOND_MS: f64 = 10.0;
 /// Length of a message before its addresses, in bytes.
 const HEADER_BYTES: usize = 8;
 /// Length of an IPv4 address, in bytes.
@@ -61,6 +63,11 @@
 }
 
 impl Advertisement {
+    /// Advertisement interval of the sender, in milliseconds.
+    pub fn interval_ms(&self) -> f64 {
+        f64::from(self.interval_cs) * CENTISECOND_MS
+    }
+
     /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         let [interval_high, interval_low] = (self.interval_cs & 0x0fff).to_be_bytes();
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -512,6 +512,9 @@
         assert_eq!(slow.await.unwrap().unwrap().status, 200, "an open request is answered");
         program.ends_well().await;
         let log = std::fs::read_to_string(dir.join("proxy.log")).unwrap();
-        assert!(log.contains("the old certificates and session keys stay"), "{log}");
+        assert!(
+            log.contains("certificates or session keys cannot be reloaded, the old ones remain in use"),
+            "{log}"
+        );
     });
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -21,7 +21,7 @@
 
 /// Operator files that name 1,024 other proxies are taken.
 #[test]
-fn a_thousand_proxies_may_share_duties_and_a_virtual_router() {
+fn a_thousand_proxies_may_share_health_checks_and_a_virtual_router() {
     let folder = stand_ins::folder("size");
     let at = |k: u32| format!("127.0.{}.{}:5100", 1 + k / 250, 1 + k % 250);
     let peers: Vec<String> =
@@ -30,9 +30,9 @@
         r#"{{"id":1,"listen":"127.0.0.1:1","servers":{{"models":["box"]}},"probe":"connect","step_ms":50,"peers":[{}]}}"#,
         peers.join(",")
     );
-    std::fs::write(folder.join("duties.json"), text).unwrap();
-    let duties = HealthCheckConfig::read(&folder.join("duties.json")).unwrap();
-    assert_eq!(duties.peer_addresses().count(), LARGE as usize);
+    std::fs::write(folder.join("health-checks.json"), text).unwrap();
+    let health_checks = HealthCheckConfig::read(&folder.join("health-checks.json")).unwrap();
+    assert_eq!(health_checks.peer_addresses().count(), LARGE as usize);
     let peers: Vec<String> = (0..LARGE).map(|k| format!("{:?}", at(k))).collect();
     let text = format!(
         r#"{{"listen":"127.0.0.1:5100","peers":[{}],"vrid":7,"priority":100,"addresses":["127.1.0.1"]}}"#,
