--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -10,7 +10,7 @@
 mod slow_box;
 
 use edge_proxy::http3::config::Http3Config;
-use edge_proxy::resumable_calls::response_store::{Attachment, CallKey, ResponseStore, StoreLimits};
+use edge_proxy::http3::response_store::{Attachment, CallKey, ResponseStore, StoreLimits};
 use edge_proxy::state::requests::FinalResponse;
 use hdrhistogram::Histogram;
 use http3_client::{write_certificate, Http3Client, ImpairedLink};
--- a/src/resumable_calls/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -1,10 +1,12 @@
 //! Submits calls to the engine, keeps them while their clients reconnect, and hands each response to all clients that
 //! wait for it, whatever their connection.
 
-use super::response_store::{Attachment, CallKey, ResponseStore, SessionId, StoreLimits, StoreMetrics};
+use super::response_store::{Attachment, CallKey, ResponseStore, StoreLimits, StoreMetrics};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::wire::front::SessionId;
+use crate::wire::submission::{PendingResponse, ResponseWait, Submission};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -35,10 +37,15 @@
 
 /// One client's wait for a call. If it is dropped before the response, the client counts as lost and the call goes on.
 pub struct PendingCall {
+    response: oneshot::Receiver<FinalResponse>,
+    attached: AttachedClient,
+}
+
+/// A client that is attached to a call, until the response has arrived or this is dropped.
+struct AttachedClient {
     registry: Rc<CallRegistry>,
     key: CallKey,
-    response: oneshot::Receiver<FinalResponse>,
-    attached: bool,
+    is_attached: bool,
 }
 
 /// Use of the store.
@@ -85,8 +92,8 @@
         }
         let (sender, response) = oneshot::channel();
         self.waiting.borrow_mut().entry(key).or_default().push(sender);
-        let registry = self.clone();
-        Ok(SubmittedCall::Running(PendingCall { registry, key, response, attached: true }))
+        let attached = AttachedClient { registry: self.clone(), key, is_attached: true };
+        Ok(SubmittedCall::Running(PendingCall { response, attached }))
     }
 
     /// Hash of what makes two requests the same.
@@ -160,13 +167,30 @@
     /// Waits for the response. Cancel safe.
     pub async fn response(&mut self) -> FinalResponse {
         let response = (&mut self.response).await.unwrap_or(NO_RESPONSE);
-        self.attached = false;
+        self.attached.is_attached = false;
         response
     }
 
     /// Ends the wait of a client that no longer wants the response. A read without other clients is cancelled.
-    pub fn cancel(mut self) {
-        self.attached = false;
+    pub fn cancel(self) {
+        self.attached.cancel();
+    }
+}
+
+impl From<SubmittedCall> for Submission {
+    fn from(call: SubmittedCall) -> Self {
+        match call {
+            SubmittedCall::Completed(response) => Self::Completed(response),
+            SubmittedCall::Running(PendingCall { response, attached }) => {
+                Self::Pending(PendingResponse::new(response, Box::new(attached)))
+            }
+        }
+    }
+}
+
+impl AttachedClient {
+    fn cancel(mut self) {
+        self.is_attached = false;
         let now = self.registry.host.clock.now();
         let is_cancelled = self.registry.store.borrow_mut().cancel(now, self.key);
         if is_cancelled {
@@ -176,9 +200,15 @@
     }
 }
 
-impl Drop for PendingCall {
+impl ResponseWait for AttachedClient {
+    fn completed(mut self: Box<Self>) {
+        self.is_attached = false;
+    }
+}
+
+impl Drop for AttachedClient {
     fn drop(&mut self) {
-        if self.attached {
+        if self.is_attached {
             let now = self.registry.host.clock.now();
             self.registry.store.borrow_mut().detach(now, self.key);
             self.registry.due_changed.notify_one();
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -1,14 +1,14 @@
 //! The front of HTTP/3: the requests and responses of another front, with sessions, by which calls outlive their
 //! connections, and with ranges, by which a client resumes a response that was interrupted.
 
+use super::call_registry::CallRegistry;
 use super::session::SessionTokens;
 use crate::engine::executor::Executor;
-use crate::resumable_calls::call_registry::CallRegistry;
-use crate::resumable_calls::response_store::SessionId;
-use crate::state::requests::{AdmitError, FinalResponse};
-use crate::wire::front::{ConnectionLimits, Disposition, Front, ResponseContext};
+use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::wire::front::{ConnectionLimits, Disposition, Front, ResponseContext, SessionId};
 use crate::wire::http::{HttpRequest, HttpResponse};
 use crate::wire::signed::{range, Range};
+use crate::wire::submission::Submission;
 use bytes::Bytes;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -120,7 +120,15 @@
         self.inner.reject(reason)
     }
 
-    fn resumable_calls(&self) -> Option<&Rc<CallRegistry>> {
-        Some(&self.calls)
+    fn submit(
+        &self,
+        executor: &Rc<Executor>,
+        context: &ResponseContext,
+        request: IncomingRequest,
+    ) -> Result<Submission, AdmitError> {
+        match context.session {
+            Some(session) => Ok(self.calls.submit(session, request)?.into()),
+            None => Submission::to_engine(executor, request),
+        }
     }
 }
--- a/src/http3/metrics.rs
+++ b/src/http3/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters of HTTP/3. The metric names are those of the first version.
 
-use crate::resumable_calls::call_registry::CallRegistry;
+use super::call_registry::CallRegistry;
 
 /// Counters of the server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/src/http3/mod.rs
+++ b/src/http3/mod.rs
@@ -6,6 +6,8 @@
 //! | --- | --- | --- |
 //! | [`config`], [`settings`] | the operator file and its sections | files |
 //! | [`transport`] | configuration of QUIC and TLS | certificate files |
+//! | [`response_store`] | running calls and kept responses | none |
+//! | [`call_registry`] | submits calls to the engine and hands responses to waiting clients | tasks |
 //! | [`session`] | session tokens | none |
 //! | [`path_estimate`] | estimate of a network path | none |
 //! | [`send_scheduler`] | order of response bodies (RFC 9218) | none |
@@ -14,9 +16,9 @@
 //! | `connection`, `request`, `response_body` | the tasks of connections and requests | UDP |
 //! | [`metrics`] | counters | none |
 //!
-//! Calls that outlive their connections are those of [`crate::resumable_calls`]. Design note: `docs/design-http3.md`.
-//! Operator page: `docs/http3.md`.
+//! Design note: `docs/design-http3.md`. Operator page: `docs/http3.md`.
 
+pub mod call_registry;
 pub mod config;
 mod connection;
 pub mod front;
@@ -24,6 +26,7 @@
 pub mod path_estimate;
 mod request;
 mod response_body;
+pub mod response_store;
 pub mod send_scheduler;
 pub mod server;
 pub mod session;
--- a/src/http3/request.rs
+++ b/src/http3/request.rs
@@ -1,10 +1,10 @@
 //! One HTTP/3 request: reads it, has it answered by the front or the engine, and sends the response.
 
+use super::call_registry::SubmittedCall;
 use super::connection::Connection;
 use super::response_body;
 use super::send_scheduler::Priority;
 use crate::clock::duration_from_ms;
-use crate::resumable_calls::call_registry::SubmittedCall;
 use crate::state::requests::{FinalResponse, IncomingRequest};
 use crate::wire::front::{Disposition, Front};
 use crate::wire::http::{HttpRequest, HttpResponse};
--- a/src/resumable_calls/response_store.rs
+++ b/src/http3/response_store.rs
@@ -6,11 +6,9 @@
 //! is bounded in calls, calls per session and bytes.
 
 use crate::state::requests::FinalResponse;
+use crate::wire::front::SessionId;
 use std::collections::{BTreeSet, HashMap};
 
-/// Identifier of a session.
-pub type SessionId = u128;
-
 /// Memory of a call without the body of its response, in bytes.
 pub const CALL_BYTES: usize = 320;
 
--- a/src/http3/server.rs
+++ b/src/http3/server.rs
@@ -1,12 +1,12 @@
 //! The HTTP/3 server: accepts QUIC connections within their limit and runs a task for each.
 
+use super::call_registry::CallRegistry;
 use super::connection;
 use super::front::Http3Front;
 use super::metrics::ServerMetrics;
 use super::settings::Http3Limits;
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
-use crate::resumable_calls::call_registry::CallRegistry;
 use crate::wire::shutdown::{ConnectionGuard, GracefulShutdown};
 use quinn::{Endpoint, Incoming};
 use std::cell::Cell;
--- a/src/http3/session.rs
+++ b/src/http3/session.rs
@@ -4,7 +4,7 @@
 //! an HMAC-SHA256 over them, in URL-safe base64. No state is kept for it: any proxy with the same keys accepts it.
 
 use crate::message_auth::MessageKeys;
-use crate::resumable_calls::response_store::SessionId;
+use crate::wire::front::SessionId;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine as _;
 use thiserror::Error;
--- a/src/http3/settings.rs
+++ b/src/http3/settings.rs
@@ -1,6 +1,6 @@
 //! The sections of the operator file: limits, kept calls and the network path. The keys are those of the first version.
 
-use crate::resumable_calls::response_store::StoreLimits;
+use super::response_store::StoreLimits;
 use serde::Deserialize;
 
 /// Limits of the front's connections; times are in milliseconds.
--- a/src/lifecycle/subsystems/http3.rs
+++ b/src/lifecycle/subsystems/http3.rs
@@ -2,6 +2,7 @@
 
 use crate::config_file::BoxError;
 use crate::engine::executor::Figures;
+use crate::http3::call_registry::CallRegistry;
 use crate::http3::config::Http3Config;
 use crate::http3::front::Http3Front;
 use crate::http3::server::{accept as accept_quic, Http3Server};
@@ -9,7 +10,6 @@
 use crate::lifecycle::error::ServeError;
 use crate::lifecycle::subsystem::{Context, Starting, StopStage, Subsystem};
 use crate::lifecycle::supervisor::supervise;
-use crate::resumable_calls::call_registry::CallRegistry;
 use crate::wire::front::ConnectionLimits;
 use crate::wire::listener::accept;
 use crate::wire::platform::{limits, Platform};
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -5,12 +5,12 @@
 
 use edge_proxy::clock::Clock;
 use edge_proxy::engine::executor::Executor;
+use edge_proxy::http3::call_registry::CallRegistry;
 use edge_proxy::http3::config::Http3Config;
 use edge_proxy::http3::front::Http3Front;
 use edge_proxy::http3::server::{accept as accept_quic, Http3Server};
 use edge_proxy::lifecycle::config::Config;
 use edge_proxy::lifecycle::engine_setup::engine;
-use edge_proxy::resumable_calls::call_registry::CallRegistry;
 use edge_proxy::wire::cache_connection::CacheDriver;
 use edge_proxy::wire::front::{ConnectionLimits, Front};
 use edge_proxy::wire::listener::accept;
