--- a/src/http3/request.rs
+++ b/src/http3/request.rs
@@ -81,7 +81,7 @@
     let Some(head) = response_head(&response) else { return };
     if response_body::send(connection, head, body, priority, &mut stream).await.is_err() {
         server.count(|metrics| metrics.unsent_responses += 1);
-        server.host.with(|engine| engine.counters.unwritten += 1);
+        server.host.with(|engine| engine.counters.responses_unwritten += 1);
     }
 }
 
--- a/src/http3/server.rs
+++ b/src/http3/server.rs
@@ -72,7 +72,7 @@
             return None;
         }
         self.count(|metrics| metrics.connections += 1);
-        self.host.with(|engine| engine.counters.clients += 1);
+        self.host.with(|engine| engine.counters.client_connections += 1);
         Some((incoming, ConnectionSlot::new(self.clone(), stop.track_connection())))
     }
 
--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -1,13 +1,13 @@
 //! A virtual router (VRRP): addresses that one of several instances serves at a time.
 
 use crate::config_file::BoxError;
-use crate::engine::executor::{Executor, Figures};
+use crate::engine::executor::{Executor, MetricsSource};
 use crate::grpc::front::GrpcFront;
 use crate::grpc::server as grpc_server;
 use crate::lifecycle::bind::bind_udp;
 use crate::lifecycle::error::ServeError;
 use crate::lifecycle::subsystem::{AdminCalls, Context, FrontDirectory, Starting, StopStage, Subsystem};
-use crate::registry::driver::RegistryStatus;
+use crate::registry::service::RegistryStatus;
 use crate::vrrp::config::{EnabledSubsystems, FrontKind, VrrpConfig};
 use crate::vrrp::driver::run;
 use crate::vrrp::host_values::HostValues;
@@ -106,7 +106,9 @@
 impl TrackedValues for SubsystemValues {
     fn value(&self, object: &TrackedObject) -> Option<f64> {
         match object {
-            TrackedObject::Registry => ms_since(&self.executor, self.registry.as_ref()?.borrow().answered_ms),
+            TrackedObject::Registry => {
+                ms_since(&self.executor, self.registry.as_ref()?.borrow().last_answer_ms)
+            }
             TrackedObject::GrpcPool(pool) => self.grpc.as_ref()?.usable_share(pool),
             object => self.host.value(object),
         }
@@ -127,14 +129,14 @@
         self.open(context).boxed_local()
     }
 
-    fn metrics(&self) -> Option<Figures> {
+    fn metrics(&self) -> Option<MetricsSource> {
         let router = self.router.clone()?;
         Some(Box::new(move || router.metrics()))
     }
 
     fn admin_calls(&self) -> Option<AdminCalls> {
         let router = self.router.clone()?;
-        Some(AdminCalls { handler: Box::new(move |_, call| router.answer(call)), max_body: 0 })
+        Some(AdminCalls { handler: Box::new(move |call: &_| router.answer(call)), max_body: 0 })
     }
 
     fn reload(&mut self, _: &Context) {
--- a/src/vrrp/host_values.rs
+++ b/src/vrrp/host_values.rs
@@ -20,8 +20,8 @@
     fn ended_requests(&self) -> EndedRequests {
         self.host.with(|engine| {
             let counters = &engine.counters;
-            let rejected = counters.refused + counters.failed;
-            EndedRequests { total: counters.served + counters.unchanged + rejected, rejected }
+            let rejected = counters.rejected + counters.failed;
+            EndedRequests { total: counters.served + counters.not_modified + rejected, rejected }
         })
     }
 }
