--- a/src/http3/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -1,151 +1,217 @@
-//! The shelf between the fronts' drivers and the engine: a call that is new goes to the engine, and its answer to all
-//! that wait for it, on whatever connection they came.
+//! Submits calls to the engine, keeps them while their clients reconnect, and hands each response to all clients that
+//! wait for it, whatever their connection.
 
-use super::response_store::{Claim, Key, ResponseStore, SessionId, ShelfBounds, ShelfFigures};
+use super::response_store::{Attachment, CallKey, ResponseStore, StoreLimits, StoreMetrics};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
-use crate::wire::submission::ResponseWait;
+use crate::wire::front::SessionId;
+use crate::wire::submission::{PendingResponse, ResponseWait, Submission};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// The come-back time, in milliseconds, where the shelf is full.
-const FULL_WAIT_MS: f64 = 500.0;
+/// `retry_after` of a client that is rejected because the store is full, in milliseconds.
+const FULL_RETRY_AFTER_MS: f64 = 500.0;
+/// The response of a call that ended without one.
+const NO_RESPONSE: FinalResponse = FinalResponse::Failed { overdue: false };
 
-/// The shelf in service.
+/// The calls of all sessions.
 pub struct CallRegistry {
-    /// The host.
-    pub host: Rc<Executor>,
-    shelf: RefCell<ResponseStore>,
-    waiting: RefCell<HashMap<Key, Vec<oneshot::Sender<FinalResponse>>>>,
+    host: Rc<Executor>,
+    store: RefCell<ResponseStore>,
+    waiting: RefCell<HashMap<CallKey, Vec<oneshot::Sender<FinalResponse>>>>,
     hasher: ahash::RandomState,
-    due: Notify,
+    /// Notified when the next due time of the store may have changed.
+    due_changed: Notify,
 }
 
-/// What an asked call comes to.
-pub enum Kept {
-    /// It has its answer.
-    Now(FinalResponse),
-    /// It is waited for.
-    Wait(oneshot::Receiver<FinalResponse>, Hold),
+/// A call that was submitted.
+pub enum SubmittedCall {
+    /// The call has completed.
+    Completed(FinalResponse),
+    /// The call is running.
+    Running(PendingCall),
 }
 
-/// One connection's wait for a call. Dropped without a word, the connection counts as lost, and the call goes on.
-pub struct Hold {
-    keeper: Rc<CallRegistry>,
-    key: Option<Key>,
+/// One client's wait for a call. If it is dropped before the response, the client counts as lost and the call goes on.
+pub struct PendingCall {
+    response: oneshot::Receiver<FinalResponse>,
+    attached: AttachedClient,
+}
+
+/// A client that is attached to a call, until the response has arrived or this is dropped.
+struct AttachedClient {
+    registry: Rc<CallRegistry>,
+    key: CallKey,
+    is_attached: bool,
+}
+
+/// Use of the store.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StoreUsage {
+    /// Number of calls.
+    pub calls: usize,
+    /// Memory of all calls and responses, in bytes.
+    pub bytes: usize,
 }
 
 impl CallRegistry {
-    /// A keeper with an empty shelf.
-    pub fn new(host: Rc<Executor>, bounds: ShelfBounds) -> Rc<Self> {
-        let (shelf, waiting) = (RefCell::new(ResponseStore::new(bounds)), RefCell::default());
-        Rc::new(Self { host, shelf, waiting, hasher: ahash::RandomState::new(), due: Notify::new() })
+    /// Creates a registry without calls.
+    pub fn new(host: Rc<Executor>, limits: StoreLimits) -> Rc<Self> {
+        Rc::new(Self {
+            host,
+            store: RefCell::new(ResponseStore::new(limits)),
+            waiting: RefCell::default(),
+            hasher: ahash::RandomState::new(),
+            due_changed: Notify::new(),
+        })
     }
 
-    /// A client asks for a call of its session.
-    pub fn ask(self: &Rc<Self>, session: SessionId, ask: IncomingRequest) -> Result<Kept, AdmitError> {
-        let (key, now) = ((session, ask.id), self.host.clock.now());
-        let write = self.host.settings().is_write(ask.class);
-        let same = (ask.class, ask.object, ask.part, ask.group, &ask.key, &ask.client_etag, &ask.body);
-        let digest = self.hasher.hash_one(same);
-        let claim = self.shelf.borrow_mut().claim(now, key, digest, write);
-        match claim {
-            Claim::Done(answer) => return Ok(Kept::Now(answer)),
-            Claim::Conflict => return Err(AdmitError::Duplicate),
-            Claim::Full => {
-                return Ok(Kept::Now(FinalResponse::Rejected {
-                    retry_after_ms: FULL_WAIT_MS,
-                    overdue: false,
-                }))
+    /// Submits a request of a session. A request under the id of an earlier call is attached to that call.
+    pub fn submit(
+        self: &Rc<Self>,
+        session: SessionId,
+        request: IncomingRequest,
+    ) -> Result<SubmittedCall, AdmitError> {
+        let (key, now) = (CallKey { session, call: request.id }, self.host.clock.now());
+        let write = self.host.settings().is_write(request.class);
+        let digest = self.digest(&request);
+        let attachment = self.store.borrow_mut().attach(now, key, digest, write);
+        match attachment {
+            Attachment::Started => self.start(key, request)?,
+            Attachment::Running => {}
+            Attachment::Completed(response) => return Ok(SubmittedCall::Completed(response)),
+            Attachment::Conflict => return Err(AdmitError::Duplicate),
+            Attachment::Full => {
+                let rejected =
+                    FinalResponse::Rejected { retry_after_ms: FULL_RETRY_AFTER_MS, overdue: false };
+                return Ok(SubmittedCall::Completed(rejected));
             }
-            Claim::Joined => {}
-            Claim::New => match self.host.submit(ask) {
-                Ok(answer) => {
-                    let own = self.clone();
-                    self.host.spawn("a kept call", async move {
-                        // A call that was called off has no answer, and nobody who waits for one.
-                        let answer = answer.await.unwrap_or(FinalResponse::Failed { overdue: false });
-                        own.finish(key, answer);
-                    });
-                }
-                Err(reason) => {
-                    self.shelf.borrow_mut().not_taken(key);
-                    return Err(reason);
-                }
-            },
         }
-        let (tell, heard) = oneshot::channel();
-        self.waiting.borrow_mut().entry(key).or_default().push(tell);
-        Ok(Kept::Wait(heard, Hold { keeper: self.clone(), key: Some(key) }))
+        let (sender, response) = oneshot::channel();
+        self.waiting.borrow_mut().entry(key).or_default().push(sender);
+        let attached = AttachedClient { registry: self.clone(), key, is_attached: true };
+        Ok(SubmittedCall::Running(PendingCall { response, attached }))
+    }
+
+    /// Hash of what makes two requests the same.
+    fn digest(&self, request: &IncomingRequest) -> u64 {
+        self.hasher.hash_one((
+            request.class,
+            request.object,
+            request.part,
+            request.group,
+            &request.key,
+            &request.client_etag,
+            &request.body,
+        ))
+    }
+
+    /// Submits a new call to the engine.
+    fn start(self: &Rc<Self>, key: CallKey, request: IncomingRequest) -> Result<(), AdmitError> {
+        let response = self.host.submit(request).inspect_err(|_| self.store.borrow_mut().discard(key))?;
+        let registry = self.clone();
+        self.host.spawn("a resumable call", async move {
+            // A cancelled call has no response, and no client that waits for it.
+            let response = response.await.unwrap_or(NO_RESPONSE);
+            registry.complete(key, &response);
+        });
+        Ok(())
     }
 
-    fn finish(&self, key: Key, answer: FinalResponse) {
+    fn complete(&self, key: CallKey, response: &FinalResponse) {
         let now = self.host.clock.now();
-        self.shelf.borrow_mut().finished(now, key, &answer);
-        for client in self.waiting.borrow_mut().remove(&key).unwrap_or_default() {
-            let _ = client.send(answer.clone());
+        self.store.borrow_mut().complete(now, key, response);
+        let waiting = self.waiting.borrow_mut().remove(&key).unwrap_or_default();
+        for client in waiting {
+            // A client that has left gets the response when it retries.
+            let _ = client.send(response.clone());
         }
-        self.due.notify_one();
+        self.due_changed.notify_one();
     }
 
-    fn call_off(&self, key: Key) {
+    fn cancel(&self, key: CallKey) {
         self.waiting.borrow_mut().remove(&key);
-        self.host.client_disconnected(key.1);
+        self.host.client_disconnected(key.call);
     }
 
-    /// Calls off what ran on without a client for its time, for ever.
+    /// Removes expired responses and cancels reads without clients, without end.
     pub async fn keep(self: Rc<Self>) {
         loop {
-            let left = self.shelf.borrow().next_due() - self.host.clock.now();
+            let wait_ms = self.store.borrow().next_due_ms() - self.host.clock.now();
             tokio::select! {
-                () = tokio::time::sleep(duration_from_ms(left)) => {
-                    let off = self.shelf.borrow_mut().tick(self.host.clock.now());
-                    off.into_iter().for_each(|key| self.call_off(key));
+                () = tokio::time::sleep(duration_from_ms(wait_ms)) => {
+                    let cancelled = self.store.borrow_mut().tick(self.host.clock.now());
+                    cancelled.into_iter().for_each(|key| self.cancel(key));
                 }
-                () = self.due.notified() => {}
+                () = self.due_changed.notified() => {}
             }
         }
     }
 
-    /// The shelf's figures, calls and bytes held.
-    pub fn figures(&self) -> (ShelfFigures, usize, usize) {
-        let shelf = self.shelf.borrow();
-        (shelf.figures, shelf.len(), shelf.bytes())
+    /// The counters of the store.
+    pub fn metrics(&self) -> StoreMetrics {
+        self.store.borrow().metrics()
+    }
+
+    /// The use of the store.
+    pub fn usage(&self) -> StoreUsage {
+        let store = self.store.borrow();
+        StoreUsage { calls: store.len(), bytes: store.bytes() }
+    }
+}
+
+impl PendingCall {
+    /// Waits for the response. Cancel safe.
+    pub async fn response(&mut self) -> FinalResponse {
+        let response = (&mut self.response).await.unwrap_or(NO_RESPONSE);
+        self.attached.is_attached = false;
+        response
+    }
+
+    /// Ends the wait of a client that no longer wants the response. A read without other clients is cancelled.
+    pub fn cancel(self) {
+        self.attached.cancel();
     }
 }
 
-impl Hold {
-    /// The answer was heard: nothing more is waited for.
-    pub fn heard(mut self) {
-        self.key = None;
+impl From<SubmittedCall> for Submission {
+    fn from(call: SubmittedCall) -> Self {
+        match call {
+            SubmittedCall::Completed(response) => Self::Completed(response),
+            SubmittedCall::Running(PendingCall { response, attached }) => {
+                Self::Pending(PendingResponse::new(response, Box::new(attached)))
+            }
+        }
     }
+}
 
-    /// The client said that it wants the call no more.
-    pub fn cancelled(mut self) {
-        let Some(key) = self.key.take() else { return };
-        let now = self.keeper.host.clock.now();
-        if self.keeper.shelf.borrow_mut().cancelled(now, key) {
-            self.keeper.call_off(key);
+impl AttachedClient {
+    fn cancel(mut self) {
+        self.is_attached = false;
+        let now = self.registry.host.clock.now();
+        let is_cancelled = self.registry.store.borrow_mut().cancel(now, self.key);
+        if is_cancelled {
+            self.registry.cancel(self.key);
         }
-        self.keeper.due.notify_one();
+        self.registry.due_changed.notify_one();
     }
 }
 
-impl ResponseWait for Hold {
-    fn completed(self: Box<Self>) {
-        self.heard();
+impl ResponseWait for AttachedClient {
+    fn completed(mut self: Box<Self>) {
+        self.is_attached = false;
     }
 }
 
-impl Drop for Hold {
+impl Drop for AttachedClient {
     fn drop(&mut self) {
-        if let Some(key) = self.key.take() {
-            let now = self.keeper.host.clock.now();
-            self.keeper.shelf.borrow_mut().lost(now, key);
-            self.keeper.due.notify_one();
+        if self.is_attached {
+            let now = self.registry.host.clock.now();
+            self.registry.store.borrow_mut().detach(now, self.key);
+            self.registry.due_changed.notify_one();
         }
     }
 }
--- a/src/http3/response_store/tests.rs
+++ b/src/http3/response_store/tests.rs
@@ -2,85 +2,107 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 
-fn bounds() -> ShelfBounds {
-    ShelfBounds {
+fn limits() -> StoreLimits {
+    StoreLimits {
         calls: 6,
-        per_session: 4,
+        calls_per_session: 4,
         bytes: 6_000,
-        linger_ms: 1_000.0,
+        cancel_after_ms: 1_000.0,
         keep_read_ms: 2_000.0,
         keep_write_ms: 9_000.0,
     }
 }
 
+fn key(session: SessionId, call: u64) -> CallKey {
+    CallKey { session, call }
+}
+
 fn served(n: usize) -> FinalResponse {
     FinalResponse::Served { tag: Some("t".into()), body: Bytes::from(vec![1; n]) }
 }
 
 #[test]
-fn a_write_is_taken_once_however_often_it_is_asked() {
-    let mut shelf = ResponseStore::new(bounds());
-    let key = (7, 1);
-    assert_eq!(shelf.claim(0.0, key, 5, true), Claim::New);
-    shelf.lost(10.0, key);
-    assert!(shelf.tick(500_000.0).is_empty(), "a write runs to its end");
-    assert_eq!(shelf.claim(20.0, key, 5, true), Claim::Joined);
-    assert_eq!(shelf.claim(20.0, key, 6, true), Claim::Conflict, "another request under its id");
-    assert!(!shelf.cancelled(25.0, key), "nor is it called off");
-    shelf.finished(30.0, key, &served(3));
-    assert_eq!(shelf.claim(9_029.0, key, 5, true), Claim::Done(served(3)));
-    assert_eq!(shelf.claim(9_030.0, key, 5, true), Claim::New, "past its time");
-    // A failed write may have run: asked again, it is the same end.
-    shelf.finished(9_040.0, key, &FinalResponse::Failed { overdue: false });
-    assert_eq!(shelf.claim(9_050.0, key, 5, true), Claim::Done(FinalResponse::Failed { overdue: false }));
-    // One whose answer is too large for the shelf is not taken for new either.
-    shelf.claim(9_045.0, (7, 3), 5, true);
-    shelf.finished(9_046.0, (7, 3), &served(7_000));
-    assert_eq!(shelf.claim(9_047.0, (7, 3), 5, true), Claim::Done(FinalResponse::Failed { overdue: false }));
-    // A refused one did not.
-    assert_eq!(shelf.claim(9_050.0, (7, 2), 5, true), Claim::New);
-    shelf.finished(9_060.0, (7, 2), &FinalResponse::Rejected { retry_after_ms: 1.0, overdue: false });
-    assert_eq!(shelf.claim(9_070.0, (7, 2), 5, true), Claim::New);
-    assert_eq!(shelf.claim(9_070.0, (8, 2), 5, true), Claim::New, "another session's call is another");
+fn a_write_is_started_once_however_often_it_is_retried() {
+    let mut store = ResponseStore::new(limits());
+    let write = key(7, 1);
+    assert_eq!(store.attach(0.0, write, 5, true), Attachment::Started);
+    store.detach(10.0, write);
+    assert!(store.tick(500_000.0).is_empty(), "a write runs to its end");
+    assert_eq!(store.attach(20.0, write, 5, true), Attachment::Running);
+    assert_eq!(store.attach(20.0, write, 6, true), Attachment::Conflict, "another request under its id");
+    assert!(!store.cancel(25.0, write), "nor is it cancelled");
+    store.complete(30.0, write, &served(3));
+    assert_eq!(store.attach(9_029.0, write, 5, true), Attachment::Completed(served(3)));
+    assert_eq!(store.attach(9_030.0, write, 5, true), Attachment::Started, "expired");
+    // A failed write may have been executed: a retry gets the same response.
+    store.complete(9_040.0, write, &FinalResponse::Failed { overdue: false });
+    assert_eq!(
+        store.attach(9_050.0, write, 5, true),
+        Attachment::Completed(FinalResponse::Failed { overdue: false })
+    );
+    // A write whose response is too large for the store is not started again either.
+    store.attach(9_045.0, key(7, 3), 5, true);
+    store.complete(9_046.0, key(7, 3), &served(7_000));
+    assert_eq!(
+        store.attach(9_047.0, key(7, 3), 5, true),
+        Attachment::Completed(FinalResponse::Failed { overdue: false })
+    );
+    // A rejected write was not executed.
+    assert_eq!(store.attach(9_050.0, key(7, 2), 5, true), Attachment::Started);
+    store.complete(9_060.0, key(7, 2), &FinalResponse::Rejected { retry_after_ms: 1.0, overdue: false });
+    assert_eq!(store.attach(9_070.0, key(7, 2), 5, true), Attachment::Started);
+    assert_eq!(
+        store.attach(9_070.0, key(8, 2), 5, true),
+        Attachment::Started,
+        "the same id in another session"
+    );
 }
 
 #[test]
-fn a_read_without_a_client_runs_on_for_a_while() {
-    let mut shelf = ResponseStore::new(bounds());
-    shelf.claim(0.0, (7, 1), 5, false);
-    shelf.lost(100.0, (7, 1));
-    assert_eq!((shelf.next_due(), shelf.tick(1_099.0)), (1_100.0, vec![]));
-    assert_eq!(shelf.claim(1_099.0, (7, 1), 5, false), Claim::Joined);
-    assert_eq!(shelf.tick(5_000.0), vec![], "its client is back");
-    shelf.lost(5_000.0, (7, 1));
-    assert_eq!(shelf.tick(6_000.0), vec![(7, 1)]);
-    assert!(shelf.is_empty());
-    shelf.claim(7_000.0, (7, 2), 5, false);
-    assert!(shelf.cancelled(7_000.0, (7, 2)) && shelf.is_empty(), "an explicit word calls it off at once");
-    shelf.claim(7_000.0, (7, 3), 5, false);
-    shelf.claim(7_000.0, (7, 3), 5, false);
-    assert!(!shelf.cancelled(7_000.0, (7, 3)), "another connection still waits for it");
+fn a_read_without_clients_is_cancelled_after_a_while() {
+    let mut store = ResponseStore::new(limits());
+    store.attach(0.0, key(7, 1), 5, false);
+    store.detach(100.0, key(7, 1));
+    assert_eq!((store.next_due_ms(), store.tick(1_099.0)), (1_100.0, vec![]));
+    assert_eq!(store.attach(1_099.0, key(7, 1), 5, false), Attachment::Running);
+    assert_eq!(store.tick(5_000.0), vec![], "its client has attached again");
+    store.detach(5_000.0, key(7, 1));
+    assert_eq!(store.tick(6_000.0), vec![key(7, 1)]);
+    assert!(store.is_empty());
+    store.attach(7_000.0, key(7, 2), 5, false);
+    assert!(store.cancel(7_000.0, key(7, 2)) && store.is_empty(), "an explicit cancellation is immediate");
+    store.attach(7_000.0, key(7, 3), 5, false);
+    store.attach(7_000.0, key(7, 3), 5, false);
+    assert!(!store.cancel(7_000.0, key(7, 3)), "another client still waits for it");
 }
 
 #[test]
-fn room_is_made_of_answers_reads_first_and_never_of_running_calls() {
-    let mut shelf = ResponseStore::new(bounds());
+fn responses_are_evicted_reads_first_and_running_calls_never() {
+    let mut store = ResponseStore::new(limits());
     for id in 0..3 {
-        assert_eq!(shelf.claim(0.0, (1, id), 0, id == 0), Claim::New);
-        shelf.finished(f64::from(id as u32), (1, id), &served(1_000));
+        assert_eq!(store.attach(0.0, key(1, id), 0, id == 0), Attachment::Started);
+        store.complete(f64::from(id as u32), key(1, id), &served(1_000));
     }
     for id in 3..6 {
-        assert_eq!(shelf.claim(10.0, (2, id), 0, false), Claim::New);
+        assert_eq!(store.attach(10.0, key(2, id), 0, false), Attachment::Started);
     }
-    assert_eq!(shelf.claim(11.0, (3, 9), 0, false), Claim::New, "the oldest read's answer made room");
-    assert_eq!(shelf.claim(11.0, (1, 1), 0, false), Claim::New, "it is gone, and made the next one go");
-    assert_eq!(shelf.claim(11.0, (4, 9), 0, false), Claim::New, "now the write's");
-    assert_eq!(shelf.claim(11.0, (5, 9), 0, false), Claim::Full, "running calls stay");
-    assert_eq!(shelf.figures.evicted, [2, 1]);
+    assert_eq!(
+        store.attach(11.0, key(3, 9), 0, false),
+        Attachment::Started,
+        "the oldest response of a read was evicted"
+    );
+    assert_eq!(
+        store.attach(11.0, key(1, 1), 0, false),
+        Attachment::Started,
+        "it was evicted, and the next one is"
+    );
+    assert_eq!(store.attach(11.0, key(4, 9), 0, false), Attachment::Started, "now the response of the write");
+    assert_eq!(store.attach(11.0, key(5, 9), 0, false), Attachment::Full, "running calls are not evicted");
+    assert_eq!((store.metrics().evicted_reads, store.metrics().evicted_writes), (2, 1));
     for id in 0..4 {
-        shelf.claim(12.0, (2, 100 + id), 0, false);
+        store.attach(12.0, key(2, 100 + id), 0, false);
     }
-    assert_eq!(shelf.len(), 6);
+    assert_eq!(store.len(), 6);
 }
 
 proptest! {
@@ -90,51 +112,51 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever comes, the bounds hold, each call is taken once while it is held, and nothing stays behind.
+    /// Whatever happens, the limits hold, each call is started once while it is kept, and nothing is left at the end.
     #[test]
-    fn the_bounds_hold(steps in prop::collection::vec((0u8..6, 0u64..12, 0f64..400.0, 0usize..2_500), 1..300)) {
-        let bounds = bounds();
-        let mut shelf = ResponseStore::new(bounds);
-        let (mut now, mut running) = (0.0, HashMap::<Key, u32>::new());
+    fn the_limits_hold(steps in prop::collection::vec((0u8..6, 0u64..12, 0f64..400.0, 0usize..2_500), 1..300)) {
+        let limits = limits();
+        let mut store = ResponseStore::new(limits);
+        let (mut now, mut running) = (0.0, HashMap::<CallKey, u32>::new());
         for (kind, id, ms, bytes) in steps {
             now += ms;
-            let key = (u128::from(id % 3), id);
+            let key = key(u128::from(id % 3), id);
             let write = id % 2 == 0;
             match kind {
-                0 | 1 => match shelf.claim(now, key, id, write) {
-                    Claim::New => prop_assert!(running.insert(key, 1).is_none(), "taken twice"),
-                    Claim::Joined => *running.get_mut(&key).unwrap() += 1,
-                    Claim::Done(_) => prop_assert!(!running.contains_key(&key)),
-                    Claim::Conflict => prop_assert!(false, "the digest is the id's"),
-                    Claim::Full => {}
+                0 | 1 => match store.attach(now, key, id, write) {
+                    Attachment::Started => prop_assert!(running.insert(key, 1).is_none(), "started twice"),
+                    Attachment::Running => *running.get_mut(&key).unwrap() += 1,
+                    Attachment::Completed(_) => prop_assert!(!running.contains_key(&key)),
+                    Attachment::Conflict => prop_assert!(false, "the digest is the id's"),
+                    Attachment::Full => {}
                 },
                 2 => if running.get(&key).is_some_and(|n| *n > 0) {
                     *running.get_mut(&key).unwrap() -= 1;
-                    shelf.lost(now, key);
+                    store.detach(now, key);
                 },
                 3 => if running.remove(&key).is_some() {
-                    shelf.finished(now, key, &served(bytes));
+                    store.complete(now, key, &served(bytes));
                 },
                 4 => if running.get(&key).is_some_and(|n| *n > 0) {
                     *running.get_mut(&key).unwrap() -= 1;
-                    if shelf.cancelled(now, key) {
+                    if store.cancel(now, key) {
                         prop_assert!(!write);
                         running.remove(&key);
                     }
                 },
-                _ => for off in shelf.tick(now) {
-                    prop_assert_eq!(running.remove(&off), Some(0), "called off with a client");
-                    prop_assert!(off.1 % 2 == 1, "a write was called off");
+                _ => for cancelled in store.tick(now) {
+                    prop_assert_eq!(running.remove(&cancelled), Some(0), "cancelled with a client");
+                    prop_assert!(cancelled.call % 2 == 1, "a write was cancelled");
                 },
             }
-            prop_assert!(shelf.len() <= bounds.calls && shelf.bytes() <= bounds.bytes);
-            prop_assert!(running.keys().all(|k| shelf.entries.contains_key(k)), "a running call was dropped");
+            prop_assert!(store.len() <= limits.calls && store.bytes() <= limits.bytes);
+            prop_assert!(running.keys().all(|k| store.calls.contains_key(k)), "a running call was removed");
         }
         for key in running.into_keys() {
-            shelf.finished(now, key, &FinalResponse::Rejected { retry_after_ms: 0.0, overdue: false });
+            store.complete(now, key, &FinalResponse::Rejected { retry_after_ms: 0.0, overdue: false });
         }
-        shelf.tick(now + 1e6);
-        prop_assert_eq!((shelf.len(), shelf.bytes(), shelf.sessions.len()), (0, 0, 0));
-        prop_assert!(shelf.done.is_empty() && shelf.lost.is_empty());
+        store.tick(now + 1e6);
+        prop_assert_eq!((store.len(), store.bytes(), store.calls_of_session.len()), (0, 0, 0));
+        prop_assert!(store.completed.is_empty() && store.detached_reads.is_empty());
     }
 }
--- a/src/lifecycle/subsystems/mod.rs
+++ b/src/lifecycle/subsystems/mod.rs
@@ -22,7 +22,7 @@
 use super::error::ServeError;
 use super::subsystem::Subsystem;
 use super::subsystem_configs::SubsystemConfigs;
-use crate::vrrp::config::FrontKind;
+use crate::vrrp::config::{EnabledSubsystems, FrontKind};
 use std::net::TcpListener;
 use tokio::sync::watch;
 
@@ -43,7 +43,7 @@
     let address = config.discovery_address().map_err(ServeError::field("bulletin"))?;
     let (discovery_sender, discovery_address) = watch::channel(address);
     let platform_listeners = configs.listeners(FrontKind::Platform);
-    let router_needs = vrrp::Prerequisites {
+    let enabled = EnabledSubsystems {
         signed_urls: configs.signed_urls.is_some(),
         grpc_pools: configs.grpc_pools(),
         admission: configs.admission.is_some(),
@@ -74,7 +74,7 @@
         grpc.map(|config| boxed(grpc::Grpc::new(config))),
         Some(Box::new(engine_timer::EngineTimer)),
         Some(Box::new(discovery::Discovery::new(discovery_address))),
-        vrrp.map(|config| boxed(vrrp::Vrrp::new(config, router_needs))),
+        vrrp.map(|config| boxed(vrrp::Vrrp::new(config, enabled))),
     ];
     Ok(all.into_iter().flatten().collect())
 }
