--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -120,7 +120,7 @@
 }
 
 /// The final answers among actions: the request and whether it was refused.
-pub fn finals(actions: &[Action]) -> Vec<(RequestId, bool)> {
+pub fn final_responses(actions: &[Action]) -> Vec<(RequestId, bool)> {
     let pick = |a: &Action| match a {
         Action::Reject { id, .. } => Some((*id, true)),
         Action::Fail { id } => Some((*id, false)),
@@ -145,7 +145,7 @@
     }
 
     /// A request of a class for an object; its deadline is three seconds away.
-    pub fn ask(&mut self, class: usize, object: ObjectId) -> Vec<Action> {
+    pub fn request(&mut self, class: usize, object: ObjectId) -> Vec<Action> {
         self.next += 1;
         self.event(Event::Request {
             id: self.next,
@@ -160,7 +160,7 @@
 
     /// The first attempt for an object, answered at once so that nothing stays out.
     pub fn path(&mut self, object: ObjectId) -> Sent {
-        let actions = self.ask(0, object);
+        let actions = self.request(0, object);
         let first = sent(&actions).first().cloned().expect("an attempt");
         self.outcome(first.id, 0, AttemptOutcome::Served, true);
         first
@@ -180,7 +180,7 @@
     }
 
     /// News of one endpoint.
-    pub fn tell(&mut self, listing: Endpoint) -> Vec<Action> {
+    pub fn update_endpoint(&mut self, listing: Endpoint) -> Vec<Action> {
         self.event(Event::EndpointsChanged { full: false, entries: vec![listing] })
     }
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -49,25 +49,25 @@
         bench
     }
 
-    fn apply_event(&mut self, news: WatchEvent) {
+    fn apply_event(&mut self, event: WatchEvent) {
         self.no += 1;
-        self.engine.apply_event(Sequenced { number: self.no, event: news });
+        self.engine.apply_event(Sequenced { number: self.no, event });
     }
 
-    fn ask(&mut self, id: u64, class: usize) {
-        self.take(IncomingRequest { id, class, object: 42, group: 17, ..IncomingRequest::default() });
+    fn request(&mut self, id: u64, class: usize) {
+        self.submit(IncomingRequest { id, class, object: 42, group: 17, ..IncomingRequest::default() });
     }
 
-    fn ask_for(&mut self, id: u64, object: u64) {
-        self.take(IncomingRequest { id, object, ..IncomingRequest::default() });
+    fn request_object(&mut self, id: u64, object: u64) {
+        self.submit(IncomingRequest { id, object, ..IncomingRequest::default() });
     }
 
-    fn take(&mut self, ask: IncomingRequest) {
+    fn submit(&mut self, ask: IncomingRequest) {
         let (deadline_ms, id_text) = (self.clock.now() + 2_000.0, format!("{:016x}", ask.id));
         self.engine.submit(IncomingRequest { id_text, deadline_ms, ..ask }).unwrap();
     }
 
-    fn pass(&mut self, ms: f64) {
+    fn advance(&mut self, ms: f64) {
         self.clock.advance(ms);
         self.engine.tick();
     }
@@ -87,7 +87,7 @@
         std::iter::from_fn(|| self.engine.take_effect()).collect()
     }
 
-    fn answers(&mut self) -> Vec<(u64, FinalResponse)> {
+    fn responses(&mut self) -> Vec<(u64, FinalResponse)> {
         let answers = self.effects().into_iter().filter_map(|e| match e {
             Effect::Respond(id, answer) => Some((id, answer)),
             _ => None,
@@ -122,7 +122,7 @@
     /// names the source `failing`, else with the bytes.
     fn answer_all(&mut self, failing: Option<u32>, note: Option<ResponsePath>) {
         loop {
-            let conns: Vec<ConnectionId> = self.effects().iter().filter_map(driven).collect();
+            let conns: Vec<ConnectionId> = self.effects().iter().filter_map(connection_of).collect();
             if conns.is_empty() {
                 return;
             }
@@ -142,8 +142,8 @@
 
     /// The source that the first attempt of a new request names.
     fn first_source(&mut self, id: u64) -> Option<u32> {
-        self.ask_for(id, 42);
-        let conns: Vec<ConnectionId> = self.effects().iter().filter_map(driven).collect();
+        self.request_object(id, 42);
+        let conns: Vec<ConnectionId> = self.effects().iter().filter_map(connection_of).collect();
         conns.iter().for_each(|conn| self.engine.connection_established(*conn));
         let written = conns.iter().find_map(|conn| self.get(*conn));
         written.expect("an attempt is written").fill_source
@@ -151,7 +151,7 @@
 }
 
 /// The connection that an effect opens or wakes.
-fn driven(effect: &Effect) -> Option<ConnectionId> {
+fn connection_of(effect: &Effect) -> Option<ConnectionId> {
     match effect {
         Effect::Open { conn, .. } | Effect::Wake(conn) => Some(*conn),
         Effect::Respond(..) => None,
@@ -172,9 +172,9 @@
         let home = b.first_source(1);
         b.engine.client_disconnected(1);
         for id in 2..=30 {
-            b.ask_for(id, 42);
+            b.request_object(id, 42);
             b.answer_all(home, note);
-            b.pass(50.0);
+            b.advance(50.0);
         }
         assert_eq!(b.first_source(31) == home, stays, "{note:?}");
     }
@@ -182,12 +182,12 @@
 
 /// Guards the rule on purges: a copy ages while the attempt waits for its connection.
 #[test]
-fn the_age_bound_shrinks_by_the_time_in_the_queue() {
+fn the_age_limit_shrinks_by_the_time_in_the_queue() {
     let mut b = Bench::new(&[1, PARENT, 9]);
     b.apply_event(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START - 1_000.0 });
-    b.ask(1, 0);
+    b.request(1, 0);
     let (conn, _) = b.opened()[0];
-    b.pass(300.0);
+    b.advance(300.0);
     b.engine.connection_established(conn);
     let get = b.get(conn).unwrap();
     // 1,000 ms ago, less the module's margin of 10 and the 300 in the queue.
@@ -196,21 +196,21 @@
 }
 
 #[test]
-fn the_age_bound_never_becomes_the_classs_own() {
+fn the_age_limit_never_becomes_the_classs_own() {
     let mut b = Bench::new(&[1, PARENT, 9]);
     b.apply_event(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START - 50.0 });
-    b.ask(1, 0);
+    b.request(1, 0);
     let (conn, _) = b.opened()[0];
-    b.pass(300.0);
+    b.advance(300.0);
     b.engine.connection_established(conn);
     assert_eq!(b.get(conn).unwrap().max_age_ms, 1, "0 would allow any age");
 }
 
 /// Guards the rule on purges: an attempt that waits was bounded before the purge was told.
 #[test]
-fn a_purge_sends_what_waits_back_to_the_module() {
+fn a_purge_returns_queued_attempts_to_the_decision_module() {
     let mut b = Bench::new(&[1, 2, PARENT, 9]);
-    b.ask(1, 0);
+    b.request(1, 0);
     let first = b.opened();
     b.apply_event(WatchEvent::Purge { object: None, group: 17, issued_ms: START - 100.0 });
     let second = b.opened();
@@ -223,20 +223,20 @@
 
 /// Guards the rule on drains, for the endpoint that an attempt waits for and for the source that it names.
 #[test]
-fn what_waits_for_a_drained_member_or_source_is_asked_anew() {
+fn attempts_queued_for_a_draining_endpoint_or_source_are_ordered_anew() {
     for drained in [1, PARENT] {
         // An object whose cache is 1 and whose home is the parent 8, found by looking at a first request for it.
         let (mut b, conn, object) = (1u64..)
             .find_map(|k| {
                 let (mut b, object) = (Bench::new(&[1, 2, 7, PARENT, 9]), k * 7_919);
-                b.ask_for(1, object);
+                b.request_object(1, object);
                 let (conn, endpoint) = b.opened()[0];
                 b.engine.connection_established(conn);
                 let source = b.get(conn).and_then(|get| get.fill_source);
                 (endpoint == 1 && source == Some(PARENT)).then_some((b, conn, object))
             })
             .unwrap();
-        b.ask_for(2, object);
+        b.request_object(2, object);
         b.apply_event(WatchEvent::Endpoints {
             full: false,
             endpoints: vec![target(drained, EndpointState::Draining)],
@@ -253,14 +253,14 @@
 
 /// Guards writes that may take effect once: what broke after its first byte may have run, what waited has not.
 #[test]
-fn a_break_tells_what_may_have_run_from_what_has_not() {
+fn a_lost_connection_separates_what_may_have_run_from_what_has_not() {
     let mut b = Bench::new(&[1, PARENT, 9]);
-    b.ask(1, 1);
+    b.request(1, 1);
     let (conn, endpoint) = b.opened()[0];
     assert_eq!(endpoint, 9);
     b.engine.connection_established(conn);
     assert!(b.get(conn).is_some());
-    b.ask(2, 1);
+    b.request(2, 1);
     b.engine.connection_lost(conn);
     let answers: Vec<_> = b.effects();
     let failed = Effect::Respond(1, FinalResponse::Failed { overdue: false });
@@ -271,37 +271,37 @@
 
 /// Guards against an answer that crosses the end of its request: nobody gets it, and nothing is counted twice.
 #[test]
-fn an_answer_after_the_end_is_dropped() {
+fn a_reply_after_the_end_is_dropped() {
     let mut b = Bench::new(&[1, PARENT, 9]);
-    b.ask(1, 0);
+    b.request(1, 0);
     let (conn, _) = b.opened()[0];
     b.engine.connection_established(conn);
     b.get(conn).unwrap();
     b.engine.client_disconnected(1);
     b.reply(conn, 1, ReplyStatus::Served);
     b.reply(conn, 77, ReplyStatus::Served);
-    assert!(b.answers().is_empty());
+    assert!(b.responses().is_empty());
     assert_eq!((b.engine.counters.replies_late, b.engine.counters.served), (2, 0));
 }
 
 /// Guards against bytes for a client that no cache gave for this request.
 #[test]
-fn a_member_cannot_say_that_a_copy_holds_which_was_not_named() {
+fn an_endpoint_cannot_confirm_a_copy_that_was_not_named() {
     let mut b = Bench::new(&[1, PARENT, 9]);
-    b.ask(1, 0);
+    b.request(1, 0);
     let (conn, _) = b.opened()[0];
     b.engine.connection_established(conn);
     b.get(conn).unwrap();
     b.reply(conn, 1, ReplyStatus::NotModified);
-    assert!(b.answers().iter().all(|(_, answer)| !matches!(answer, FinalResponse::NotModified { .. })));
+    assert!(b.responses().iter().all(|(_, answer)| !matches!(answer, FinalResponse::NotModified { .. })));
 }
 
 /// The copy that holds must be the very one that the request named.
 #[test]
-fn a_member_cannot_say_that_another_copy_holds_than_the_one_named() {
+fn an_endpoint_cannot_confirm_another_copy_than_the_one_named() {
     for (told, holds) in [("t", true), ("u", false)] {
         let mut b = Bench::new(&[1, PARENT, 9]);
-        b.take(IncomingRequest {
+        b.submit(IncomingRequest {
             id: 1,
             object: 42,
             client_etag: Some(told.into()),
@@ -312,7 +312,7 @@
         assert_eq!(b.get(conn).unwrap().client_tag.as_deref(), Some(told));
         b.reply(conn, 1, ReplyStatus::NotModified);
         assert_eq!(
-            b.answers().iter().any(|(_, a)| matches!(a, FinalResponse::NotModified { .. })),
+            b.responses().iter().any(|(_, a)| matches!(a, FinalResponse::NotModified { .. })),
             holds,
             "{told}"
         );
@@ -322,9 +322,9 @@
 /// An endpoint that answers twice: the second answer must not pass for that of a later attempt of the same request, which
 /// has the same id. So a request never goes twice onto one connection.
 #[test]
-fn a_second_answer_to_an_attempt_that_is_over_ends_no_later_attempt() {
+fn a_second_reply_to_an_ended_attempt_ends_no_later_attempt() {
     let mut b = Bench::new(&[1, PARENT, 9]);
-    b.ask(1, 0);
+    b.request(1, 0);
     let (conn, endpoint) = b.opened()[0];
     b.engine.connection_established(conn);
     b.get(conn).unwrap();
@@ -337,18 +337,18 @@
     b.engine.connection_established(second);
     b.get(second).unwrap();
     b.reply(conn, 1, ReplyStatus::Served);
-    assert!(b.answers().is_empty(), "it crossed the end of its attempt");
+    assert!(b.responses().is_empty(), "it crossed the end of its attempt");
     b.reply(second, 1, ReplyStatus::Served);
-    assert_eq!(b.answers().len(), 1);
+    assert_eq!(b.responses().len(), 1);
     assert_eq!((b.engine.counters.replies_late, b.engine.open_requests()), (1, 0));
 }
 
 /// A client that leaves while its request waits for a dial, or behind others on a connection: never sent on.
 #[test]
-fn a_request_whose_client_left_while_it_waited_is_never_written() {
+fn a_queued_request_whose_client_disconnected_is_never_written() {
     let mut b = Bench::new(&[1, PARENT, 9]);
-    b.ask(1, 0);
-    b.ask(2, 0);
+    b.request(1, 0);
+    b.request(2, 0);
     let (conn, _) = b.opened()[0];
     b.engine.client_disconnected(1);
     b.engine.connection_established(conn);
@@ -359,7 +359,7 @@
         "it was written, and is called off"
     );
     assert_eq!(
-        (b.engine.next_write(conn), b.engine.open_requests(), b.answers().len()),
+        (b.engine.next_write(conn), b.engine.open_requests(), b.responses().len()),
         (NextWrite::Idle, 0, 0)
     );
     assert_eq!((b.engine.counters.attempts_written, b.engine.counters.clients_disconnected), (1, 2));
@@ -367,10 +367,10 @@
 
 /// An endpoint that reads nothing: what has no byte out waits on, and every rule is looked at again before its first byte.
 #[test]
-fn what_could_not_be_written_is_looked_at_again_before_its_first_byte() {
+fn a_blocked_write_is_checked_again_before_its_first_byte() {
     let waiting = || {
         let mut b = Bench::new(&[1, PARENT, 9]);
-        b.ask(1, 0);
+        b.request(1, 0);
         let (conn, _) = b.opened()[0];
         b.engine.connection_established(conn);
         b.get(conn).unwrap();
@@ -391,7 +391,7 @@
         "its client left, and nothing is to be called off"
     );
     let (mut b, conn) = waiting();
-    b.pass(1_999.5);
+    b.advance(1_999.5);
     assert!(
         !matches!(b.engine.next_write(conn), NextWrite::Write(CacheCommand::Send(_))),
         "its time is over"
@@ -400,22 +400,22 @@
 
 /// A keyed write that may have run is repeated only as long as its key is remembered, counted to the first byte.
 #[test]
-fn a_keyed_repeat_whose_window_closes_while_it_waits_is_never_sent() {
+fn a_repeat_whose_key_window_closes_while_it_is_queued_is_never_sent() {
     for (waits_ms, sent) in [(90.0, true), (120.0, false)] {
         let mut b = Bench::new(&[1, PARENT, 9]);
-        b.ask(1, 2);
+        b.request(1, 2);
         let (first, _) = b.opened()[0];
         b.engine.connection_established(first);
         b.get(first).unwrap();
-        b.pass(300.0);
+        b.advance(300.0);
         b.reply(first, 1, ReplyStatus::Error);
         // 300 of the window's 400 ms are gone. The connection for the repeat comes up late.
         let (second, _) = b.opened()[0];
-        b.pass(waits_ms);
+        b.advance(waits_ms);
         b.engine.connection_established(second);
         assert_eq!(b.get(second).is_some(), sent, "{waits_ms} ms");
         if !sent {
-            let answers = b.answers();
+            let answers = b.responses();
             assert!(
                 matches!(answers[..], [(1, FinalResponse::Failed { .. })]),
                 "not refused, it may have run: {answers:?}"
@@ -426,32 +426,32 @@
 
 /// SIGHUP brings another bound on the requests of a connection: it holds for the connections that are up as well.
 #[test]
-fn the_bound_on_a_connections_requests_follows_the_settings() {
+fn the_limit_on_a_connections_requests_follows_the_settings() {
     let mut b = Bench::new(&[1]);
     b.engine.reconfigure(env(1));
     b.effects();
-    (1..=9).for_each(|id| b.ask(id, 0));
+    (1..=9).for_each(|id| b.request(id, 0));
     assert_eq!(b.opened().len(), 4, "so many as a member may have");
     assert!(b.engine.counters.attempts_unplaced >= 5, "each has one, the others none");
 }
 
 /// Guards against a machine that vanished: its open connections stay silent for ever, and only a new one tells.
 #[test]
-fn a_connection_on_which_attempts_time_out_takes_nothing_new() {
+fn a_connection_on_which_attempts_time_out_gets_nothing_new() {
     let mut b = Bench::new(&[1]);
     for id in 1..=2 {
-        b.ask(id, 0);
+        b.request(id, 0);
     }
     let (conn, _) = b.opened()[0];
     b.engine.connection_established(conn);
     while b.get(conn).is_some() {}
     for _ in 0..40 {
-        b.pass(50.0);
+        b.advance(50.0);
     }
     let timed_out = b.engine.counters.attempts_timed_out;
     assert!(timed_out >= 2, "{timed_out}");
     b.effects();
-    b.ask(3, 0);
+    b.request(3, 0);
     let opened = b.opened();
     assert!(opened.iter().all(|(fresh, _)| *fresh != conn));
     let mut next = b.engine.next_write(conn);
@@ -466,7 +466,7 @@
 fn each_request_is_answered_once_and_in_time() {
     let mut b = Bench::new(&[1, 2, PARENT, 9]);
     for id in 1..=5 {
-        b.ask(id, (id % 2) as usize);
+        b.request(id, (id % 2) as usize);
     }
     let mut answered = Vec::new();
     for _ in 0..200 {
@@ -481,9 +481,9 @@
         for conn in 1..40 {
             while b.get(conn).is_some() {}
         }
-        b.pass(10.0);
+        b.advance(10.0);
     }
-    answered.extend(b.answers().into_iter().map(|(id, _)| id));
+    answered.extend(b.responses().into_iter().map(|(id, _)| id));
     answered.sort_unstable();
     assert_eq!(answered, [1, 2, 3, 4, 5]);
     assert_eq!(b.engine.counters.overdue, 0, "the module itself ended them");
@@ -492,9 +492,9 @@
 /// Guards a request whose connection ends before its first byte: it never ran, and a fresh connection to the same
 /// endpoint tells whether that lives. Only so many times, though.
 #[test]
-fn what_was_never_written_goes_on_a_fresh_connection_at_once() {
+fn unwritten_attempts_migrate_to_a_new_connection_at_once() {
     let mut b = Bench::new(&[1, PARENT, 9]);
-    b.ask(1, 0);
+    b.request(1, 0);
     for moves in 1..=2 {
         let (conn, endpoint) = b.opened()[0];
         b.engine.connection_established(conn);
@@ -512,7 +512,7 @@
 
 /// Guards the memory against settings that change often: a place that nothing uses any more goes to the next class.
 #[test]
-fn places_of_classes_are_used_again() {
+fn indexes_of_classes_are_reused() {
     let env = |name: &str| -> PlatformSettings {
         let text = format!(
             r#"{{"classes":[{{"name":"clip","deadlineUs":5,"promiseUs":6,"semantics":"pure"}},
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -44,7 +44,7 @@
                 bench.path(object);
                 continue;
             }
-            let mut actions = bench.ask(2, object);
+            let mut actions = bench.request(2, object);
             let mut attempts = 0;
             while let Some(attempt) = sent(&actions).first().cloned() {
                 actions = bench.outcome(attempt.id, attempts, AttemptOutcome::Rejected, false);
@@ -61,7 +61,7 @@
 /// A router that meets a parent less than twice a second still held its failures against it half a minute after
 /// it was well again, and with it the whole fleet stayed away.
 #[test]
-fn a_parent_that_is_well_again_is_asked_within_seconds_also_at_quiet_routers() {
+fn a_recovered_parent_gets_requests_within_seconds_also_at_quiet_routers() {
     let mut fleet = fleet_size(&large(), &fleet(), 20);
     let mut waited = Vec::new();
     for (k, bench) in fleet.iter_mut().enumerate() {
@@ -70,7 +70,7 @@
         let mut turn = |failing: bool| {
             bench.now += 200 * MS;
             next += 1;
-            let mut actions = bench.ask(0, next);
+            let mut actions = bench.request(0, next);
             let (mut attempt, mut asked) = (0, false);
             while let Some(Sent { id, source, .. }) = sent(&actions).first().cloned() {
                 asked |= source == Some(11);
@@ -106,12 +106,12 @@
 /// One of eight routers that had eleven answers out at a cache took them for a sample of ninety, and refused one request
 /// in twenty on days without any fault: what a few tell by chance is not a load.
 #[test]
-fn a_few_answers_out_by_chance_are_no_load() {
+fn a_few_concurrent_attempts_by_chance_are_no_load() {
     let mut one = fleet_size(&large(), &fleet(), 1).remove(0);
     let mut refused_at = None;
     for n in 1..=40 {
         one.now += MS;
-        if sent(&one.ask(0, 77)).is_empty() {
+        if sent(&one.request(0, 77)).is_empty() {
             refused_at = Some(n);
             break;
         }
@@ -127,7 +127,7 @@
 fn the_fills_of_a_hundred_routers_fall_with_late_answers_and_leave_out_the_same_objects() {
     let mut fleet = fleet_size(&large(), &fleet(), 100);
     let answered = |bench: &mut Bench, class, object, elapsed| {
-        let first = sent(&bench.ask(class, object)).first().cloned()?;
+        let first = sent(&bench.request(class, object)).first().cloned()?;
         let (id, outcome, cache_status) = (first.id, AttemptOutcome::Served, CacheStatus::Unknown);
         bench.event(Event::AttemptEnded { id, attempt: 0, outcome, cache_status, elapsed, closed: true });
         Some(first)
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -69,9 +69,9 @@
         model
     }
 
-    fn apply_event(&mut self, news: WatchEvent) {
+    fn apply_event(&mut self, event: WatchEvent) {
         self.next_no += 1;
-        self.engine.apply_event(Sequenced { number: self.next_no, event: news });
+        self.engine.apply_event(Sequenced { number: self.next_no, event });
     }
 
     /// Does one step; `a` and `b` choose among what there is.
@@ -147,7 +147,7 @@
                 self.engine.tick();
             }
         }
-        self.end_attempt();
+        self.process_effects();
     }
 
     /// An endpoint answers something on a connection: what is out, or what was given up.
@@ -176,7 +176,7 @@
     }
 
     /// Carries out the effects and writes all there is, until nothing more comes of it.
-    fn end_attempt(&mut self) {
+    fn process_effects(&mut self) {
         loop {
             let up: Vec<ConnectionId> = self.links.iter().filter(|(_, l)| l.up).map(|(c, _)| *c).collect();
             up.into_iter().for_each(|conn| self.write(conn));
@@ -243,7 +243,7 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn random_steps_keep_every_promise(steps in prop::collection::vec((0u8..16, any::<u16>(), any::<u16>()), 1..250)) {
+    fn random_steps_keep_every_invariant(steps in prop::collection::vec((0u8..16, any::<u16>(), any::<u16>()), 1..250)) {
         let mut model = Model::new();
         for (kind, a, b) in steps {
             model.step(kind, a, b);
@@ -253,7 +253,7 @@
         // In the end everything is answered, whatever was left hanging.
         model.clock.advance(2_000.0);
         model.engine.tick();
-        model.end_attempt();
+        model.process_effects();
         prop_assert!(model.owed.is_empty());
     }
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -20,7 +20,7 @@
 ) {
     for object in objects {
         bench.now += step;
-        let mut actions = bench.ask(0, object);
+        let mut actions = bench.request(0, object);
         let mut attempts = 0;
         while let Some(attempt) = sent(&actions).first().cloned() {
             let outcome = outcome(&attempt);
@@ -53,7 +53,7 @@
 fn a_lost_parents_objects_go_to_the_next_listed_and_no_others_move() {
     let mut bench = Bench::new(settings(), fleet());
     let before: Vec<_> = (0..300).map(|o| bench.path(o).source).collect();
-    bench.tell(Endpoint { state: EndpointState::Removed, ..endpoint(12, Tier::Parent) });
+    bench.update_endpoint(Endpoint { state: EndpointState::Removed, ..endpoint(12, Tier::Parent) });
     for (object, source) in before.into_iter().enumerate() {
         let now = bench.path(object as u64).source;
         let next = if source == Some(12) { Some(13) } else { source };
@@ -71,17 +71,17 @@
 #[test]
 fn uncacheable_requests_pass_through() {
     let mut bench = Bench::new(settings(), fleet());
-    let first = sent(&bench.ask(2, 5))[0].clone();
+    let first = sent(&bench.request(2, 5))[0].clone();
     assert_eq!((first.to, first.source), (21, None));
     let mut set = settings();
     set.can_bypass_caches = false;
     let mut bench = Bench::new(set, fleet());
-    let first = sent(&bench.ask(2, 5))[0].clone();
+    let first = sent(&bench.request(2, 5))[0].clone();
     assert!(first.to <= 4 && first.source == Some(21));
 }
 
 #[test]
-fn an_object_stays_at_its_cache_until_it_is_often_asked() {
+fn an_object_remains_at_its_cache_until_it_is_popular() {
     let mut bench = Bench::new(settings(), fleet());
     let to = |bench: &mut Bench, part| {
         let id = 1_000_000 + u64::from(part) + bench.now;
@@ -111,8 +111,8 @@
     };
     let mut old = Bench::new(settings(), fleet());
     let before = home(&mut old, 0..600);
-    old.tell(Endpoint { state: EndpointState::Removed, ..endpoint(12, Tier::Parent) });
-    old.tell(endpoint(14, Tier::Parent));
+    old.update_endpoint(Endpoint { state: EndpointState::Removed, ..endpoint(12, Tier::Parent) });
+    old.update_endpoint(endpoint(14, Tier::Parent));
     let after = home(&mut old, 0..600);
     let moved = before.iter().zip(&after).filter(|(b, a)| b != a && **b != 12).count();
     assert!((90..200).contains(&moved), "{moved} of 600 moved to the new one, beside those of the lost one");
@@ -154,7 +154,7 @@
 
 /// At full size one router asks a parent less than once in two seconds, and must still leave a dead one.
 #[test]
-fn a_dead_parent_is_left_within_a_few_failures_at_a_thin_rate_and_gets_its_slice_back() {
+fn a_dead_parent_is_ejected_within_a_few_failures_at_a_low_rate_and_recovers() {
     let mut bench = Bench::new(settings(), fleet());
     let run = |bench: &mut Bench, objects: std::ops::Range<u64>, dead: bool| {
         let failures = std::cell::Cell::new(0);
@@ -181,7 +181,7 @@
 
 /// office-media big-2: a silent parent kept its slice for 8 s, since its good past hid a run of failures.
 #[test]
-fn a_source_that_fails_through_every_cache_loses_its_slice_fast() {
+fn a_source_that_fails_through_every_cache_is_ejected_fast() {
     let mut bench = Bench::new(settings(), fleet());
     drive(&mut bench, 0..500, |_| AttemptOutcome::Served);
     let ill = |a: &Sent| {
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_cache_that_fails_with_every_source_loses_its_slice_and_gets_it_back() {
+fn a_cache_that_fails_with_every_source_is_ejected_and_recovers() {
     for outcome in [
         AttemptOutcome::Error,
         AttemptOutcome::NoConnection,
@@ -240,7 +240,7 @@
     let mut bench = Bench::new(settings(), fleet());
     drive(&mut bench, 0..300, |_| AttemptOutcome::Error);
     // Part of it is refused for the sources' sake; what is sent goes to every cache still.
-    let first = |object| sent(&bench.ask(0, object)).first().map(|a| a.to);
+    let first = |object| sent(&bench.request(0, object)).first().map(|a| a.to);
     let caches: std::collections::BTreeSet<_> = (1_000..1_060).filter_map(first).collect();
     assert_eq!(caches.into_iter().collect::<Vec<_>>(), [1, 2, 3, 4]);
 }
@@ -265,7 +265,7 @@
 
 /// Incident ic22892: without notes, hits credited the dead parent that they named.
 #[test]
-fn without_notes_hits_do_not_hide_a_dead_source() {
+fn without_cache_status_hits_do_not_hide_a_dead_source() {
     let set = PolicySettings { reports_cache_status: false, ..settings() };
     let mut bench = Bench::new(set, fleet());
     let ill = |a: &Sent| {
@@ -277,7 +277,7 @@
     };
     for object in 0..400u64 {
         bench.now += 20 * MS;
-        let mut actions = bench.ask(0, object);
+        let mut actions = bench.request(0, object);
         let mut attempts = 0;
         while let Some(attempt) = sent(&actions).first().cloned() {
             let (id, outcome) = (attempt.id, ill(&attempt));
@@ -300,10 +300,10 @@
 
 /// The first incidents: under lasting load everything was admitted, and all of it came late.
 #[test]
-fn a_full_cache_refuses_at_once_and_the_cheap_class_last() {
+fn a_full_cache_rejects_at_once_and_the_cheap_class_last() {
     let mut bench = Bench::new(settings(), fleet());
     let refused = |bench: &mut Bench, object| {
-        let actions = bench.ask(0, object);
+        let actions = bench.request(0, object);
         match actions.as_slice() {
             [Action::Reject { retry_after: wait, .. }] => {
                 assert!(*wait > 0 && *wait <= 500 * MS, "a wait hint within what clients honour");
@@ -320,9 +320,9 @@
 
 /// Incident hc692b3: pages, late for a slow origin, had the videos refused; and fresh copies came too late.
 #[test]
-fn a_late_class_serves_ageing_copies_and_leaves_the_others_alone() {
+fn a_late_class_serves_stale_copies_and_does_not_affect_others() {
     let mut bench = Bench::new(settings(), fleet());
-    let age = |bench: &mut Bench, object| sent(&bench.ask(1, object)).first().map(|a| (a.id, a.max_age));
+    let age = |bench: &mut Bench, object| sent(&bench.request(1, object)).first().map(|a| (a.id, a.max_age));
     let (id, before) = age(&mut bench, 1).expect("an attempt");
     assert_eq!(before, 5 * S, "fresh copies only");
     bench.outcome(id, 0, AttemptOutcome::Served, true);
@@ -345,7 +345,7 @@
     let (mut first, mut again) = (0, 0);
     for object in 0..2_000 {
         bench.now += 20 * MS;
-        let mut actions = bench.ask(0, object);
+        let mut actions = bench.request(0, object);
         let mut attempts = 0;
         while let Some(attempt) = sent(&actions).first().cloned() {
             actions = bench.outcome(attempt.id, attempts, AttemptOutcome::Rejected, false);
@@ -360,7 +360,7 @@
 // ---- settings with parts absent ----
 
 #[test]
-fn bare_settings_still_answer_everything() {
+fn minimal_settings_still_answer_everything() {
     let zero =
         SlowStart { initial_capacity: 0.0, ramp_duration: 0, overload_multiple: 0.0, overload_window: 0 };
     let bare = PolicySettings {
@@ -385,14 +385,14 @@
         let mut bench = Bench::new(bare.clone(), entries);
         for class in 0..4 {
             for object in 0..20 {
-                let mut actions = bench.ask(class, object);
+                let mut actions = bench.request(class, object);
                 let mut attempts = 0;
                 while let Some(attempt) = sent(&actions).first().cloned() {
-                    assert_eq!(finals(&actions).len(), 0);
+                    assert_eq!(final_responses(&actions).len(), 0);
                     actions = bench.outcome(attempt.id, attempts, AttemptOutcome::NoConnection, false);
                     attempts += 1;
                 }
-                assert_eq!(finals(&actions).len(), 1);
+                assert_eq!(final_responses(&actions).len(), 1);
                 assert!(!actions
                     .iter()
                     .any(|a| matches!(a, Action::Cancel { .. } | Action::CheckHealth { .. })));
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn a_list_that_must_be_asked_for_is_subscribed_to_again_after_a_failure() {
+fn a_list_that_must_be_watched_is_watched_again_after_a_failure() {
     let set = PolicySettings { watch_endpoints: true, ..settings() };
     let mut router = Router::new(set, 1);
     let mut actions = Vec::new();
@@ -418,37 +418,40 @@
 }
 
 /// Attempts for new objects: how many are sent, and how many of them ask for no more than what is held.
-fn asks(bench: &mut Bench, objects: std::ops::Range<u64>) -> (usize, usize) {
+fn attempts_and_hits(bench: &mut Bench, objects: std::ops::Range<u64>) -> (usize, usize) {
     let firsts: Vec<Sent> =
-        objects.filter_map(|object| sent(&bench.ask(0, object)).first().cloned()).collect();
+        objects.filter_map(|object| sent(&bench.request(0, object)).first().cloned()).collect();
     (firsts.len(), firsts.iter().filter(|a| a.source == Some(a.to)).count())
 }
 
 /// Incidents i08ccdd, i64ce8f: where fills are late, what the caches hold must still be served.
 #[test]
-fn in_a_jam_of_fills_caches_are_asked_only_for_what_they_hold() {
+fn under_congestion_of_fills_caches_serve_only_their_copies() {
     let mut bench = Bench::new(settings(), fleet());
     for object in 1_000..1_060 {
         bench.now += 20 * MS;
-        if let Some(first) = sent(&bench.ask(0, object)).first() {
+        if let Some(first) = sent(&bench.request(0, object)).first() {
             let (id, outcome, cache_status, elapsed) =
                 (first.id, AttemptOutcome::Served, CacheStatus::Filled, 4 * S);
             bench.event(Event::AttemptEnded { id, attempt: 0, outcome, cache_status, elapsed, closed: true });
         }
     }
-    let (sent_, held) = asks(&mut bench, 2_000..2_060);
+    let (sent_, held) = attempts_and_hits(&mut bench, 2_000..2_060);
     assert!(held > 10, "{held} of {sent_} without a fill");
     // Which lacks it: the final answer comes at once, and no other cache is asked.
-    let id = bench.ask(0, 5_000);
+    let id = bench.request(0, 5_000);
     let first = sent(&id)[0].clone();
     assert_eq!(first.source, Some(first.to));
-    assert_eq!(finals(&bench.outcome(first.id, 0, AttemptOutcome::CacheMiss, false)), [(first.id, true)]);
+    assert_eq!(
+        final_responses(&bench.outcome(first.id, 0, AttemptOutcome::CacheMiss, false)),
+        [(first.id, true)]
+    );
 }
 
 /// A parent that came back cold, and of which nothing was known, made all others look ill: the fleet left them and
 /// filled from the origin for ten seconds.
 #[test]
-fn a_parent_of_which_nothing_is_known_does_not_make_its_peers_look_ill() {
+fn a_parent_without_evidence_does_not_make_its_peers_outliers() {
     let entries: Vec<_> = fleet().into_iter().filter(|e| e.tier != Tier::Origin).collect();
     let mut bench = Bench::new(settings(), entries);
     // The origin behind them is slow: half of all fills fail at every parent.
@@ -458,9 +461,9 @@
         |a| if a.id % 2 == 0 { AttemptOutcome::Rejected } else { AttemptOutcome::Served },
     );
     bench.now += S;
-    bench.tell(Endpoint { started_at: bench.now, ..endpoint(11, Tier::Parent) });
+    bench.update_endpoint(Endpoint { started_at: bench.now, ..endpoint(11, Tier::Parent) });
     let by = |bench: &mut Bench| {
-        let paths: Vec<_> = (1_000..1_100).map(|o| sent(&bench.ask(0, o))).collect();
+        let paths: Vec<_> = (1_000..1_100).map(|o| sent(&bench.request(0, o))).collect();
         paths.iter().flatten().filter(|a| [Some(12), Some(13)].contains(&a.source)).count()
     };
     assert!(by(&mut bench) > 60, "the others keep their slices");
@@ -475,7 +478,7 @@
         let mut fills = 0;
         for object in objects {
             bench.now += 100 * MS;
-            let Some(first) = sent(&bench.ask(0, object)).first().cloned() else { continue };
+            let Some(first) = sent(&bench.request(0, object)).first().cloned() else { continue };
             let held = first.source == Some(first.to);
             fills += u32::from(!held);
             let outcome = if held { AttemptOutcome::CacheMiss } else { outcome };
@@ -503,7 +506,7 @@
     let (mut hung, mut asked, mut fetched) = (0, 0, 0);
     for object in 0..120 {
         bench.now += 250 * MS;
-        let Some(first) = sent(&bench.ask(0, object)).first().cloned() else { continue };
+        let Some(first) = sent(&bench.request(0, object)).first().cloned() else { continue };
         asked += 1;
         fetched += u32::from(!first.only_if_cached);
         let hangs = [2, 3].contains(&first.to);
@@ -522,11 +525,11 @@
 
 /// office-media-later overload: two parents were back within two seconds, and the list told it later.
 #[test]
-fn a_member_that_does_not_answer_a_probe_is_left_and_is_cold_when_it_answers() {
+fn an_endpoint_that_fails_a_health_check_is_ejected_and_warms_up_after_it() {
     let mut bench = Bench::new(settings(), fleet());
     let before = (0..300).filter(|o| bench.path(*o).source == Some(12)).count();
     let object = (0..300).find(|o| bench.path(*o).source == Some(12)).expect("one of its objects");
-    let id = sent(&bench.ask(0, object))[0].id;
+    let id = sent(&bench.request(0, object))[0].id;
     let actions = bench.outcome(id, 0, AttemptOutcome::Rejected, false);
     assert!(actions.contains(&Action::CheckHealth { endpoint: 12 }), "one failure is enough to ask");
     bench.event(Event::ClientDisconnected { id });
@@ -542,7 +545,7 @@
     bench.now += 25 * S;
     assert_eq!((0..300).filter(|o| bench.path(*o).source == Some(12)).count(), before);
     // Results for endpoints that are gone, or never were, change nothing.
-    bench.tell(Endpoint { state: EndpointState::Removed, ..endpoint(12, Tier::Parent) });
+    bench.update_endpoint(Endpoint { state: EndpointState::Removed, ..endpoint(12, Tier::Parent) });
     for endpoint in [12, 99] {
         assert!(bench.event(Event::HealthChecked { endpoint, outcome: AttemptOutcome::TimedOut }).is_empty());
     }
@@ -567,7 +570,7 @@
 
 /// Many routers together: their first items for a cold endpoint must not come at once.
 #[test]
-fn many_routers_together_keep_a_cold_members_budget() {
+fn many_routers_together_keep_a_warming_endpoints_budget() {
     let mut set = settings();
     (set.fleet_size, set.local_fleet_size) = (200, 7);
     set.parent_slow_start.ramp_duration = 0;
@@ -606,7 +609,7 @@
 // ---- lists as they should not be ----
 
 #[test]
-fn odd_lists_are_taken_by_their_plain_meaning() {
+fn odd_lists_are_applied_by_their_plain_meaning() {
     let mut bench = Bench::new(settings(), fleet());
     // Listed twice in one list: the later line counts.
     let lines = vec![
@@ -616,19 +619,19 @@
     bench.event(Event::EndpointsChanged { full: false, entries: lines });
     assert!((0..200).all(|o| bench.path(o).to != 2));
     // A parent that becomes a cache is asked as one and named as a source no more, and the other way round.
-    bench.tell(endpoint(12, Tier::Cache));
+    bench.update_endpoint(endpoint(12, Tier::Cache));
     let paths: Vec<Sent> = (0..200).map(|o| bench.path(o)).collect();
     assert!(paths.iter().any(|p| p.to == 12) && paths.iter().all(|p| p.source != Some(12)));
-    bench.tell(endpoint(12, Tier::Parent));
+    bench.update_endpoint(endpoint(12, Tier::Parent));
     let paths: Vec<Sent> = (0..200).map(|o| bench.path(o)).collect();
     assert!(paths.iter().any(|p| p.source == Some(12)) && paths.iter().all(|p| p.to != 12));
     // A cache that moves to another location is not used there.
-    bench.tell(endpoint(3, Tier::RemoteCache));
+    bench.update_endpoint(endpoint(3, Tier::RemoteCache));
     assert!((0..200).all(|o| bench.path(o).to != 3));
 }
 
 #[test]
-fn an_id_taken_by_a_new_process_starts_cold_and_without_a_past() {
+fn an_id_reused_by_a_new_process_warms_up_without_evidence() {
     let mut bench = Bench::new(settings(), fleet());
     drive(&mut bench, 0..200, |a| {
         if a.to == 2 {
@@ -637,20 +640,24 @@
             AttemptOutcome::Served
         }
     });
-    bench.tell(Endpoint { started_at: bench.now, ..endpoint(2, Tier::Cache) });
+    bench.update_endpoint(Endpoint { started_at: bench.now, ..endpoint(2, Tier::Cache) });
     bench.now += 3 * S;
     let named = (1_000..1_200).filter(|o| bench.path(*o).to == 2).count();
     assert!((1..40).contains(&named), "{named} of 200 while cold, without the old one's failures");
 }
 
 #[test]
-fn hundreds_of_lines_may_come_and_go_at_once() {
+fn hundreds_of_endpoints_may_be_added_and_removed_at_once() {
     let far = |ids: std::ops::Range<u32>| ids.map(|id| endpoint(id, Tier::RemoteCache));
     let mut bench = Bench::new(settings(), fleet().into_iter().chain(far(1_000..1_400)).collect());
     let before: Vec<Sent> = (0..100).map(|o| bench.path(o)).collect();
     bench.event(Event::EndpointsChanged { full: true, entries: far(1_000..1_400).collect() });
-    let actions = bench.ask(0, 5);
-    assert_eq!((sent(&actions).len(), finals(&actions).len()), (0, 1), "nothing is left: refused at once");
+    let actions = bench.request(0, 5);
+    assert_eq!(
+        (sent(&actions).len(), final_responses(&actions).len()),
+        (0, 1),
+        "nothing is left: refused at once"
+    );
     bench.event(Event::EndpointsChanged { full: true, entries: fleet() });
     for (object, then) in before.iter().enumerate() {
         let now = bench.path(object as u64);
@@ -661,7 +668,7 @@
 /// Guards the endpoints against impatient clients: what a client's own time cut short says nothing of any endpoint,
 /// and requests of others go on being filled.
 #[test]
-fn a_wait_that_its_client_cut_short_blames_nobody() {
+fn a_timeout_shortened_by_its_client_blames_no_endpoint() {
     let mut bench = Bench::new(
         PolicySettings { weights_known: false, reports_cache_status: false, ..settings() },
         fleet(),
@@ -683,7 +690,7 @@
             elapsed,
             closed: false,
         });
-        assert_eq!(finals(&ends), [(id, true)]);
+        assert_eq!(final_responses(&ends), [(id, true)]);
     }
     let homes: Vec<_> = (0..100).map(|o| bench.path(o)).collect();
     let mut fresh = Bench::new(settings(), fleet());
@@ -695,7 +702,7 @@
 /// Guards requests against a guess: where weights are not told, a cache that answers in time has room, however
 /// many are out to it; once its answers are late the guess holds again.
 #[test]
-fn a_guess_at_a_caches_room_refuses_nothing_that_is_answered_in_time() {
+fn a_default_capacity_rejects_nothing_that_is_served_in_time() {
     let lone = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
     let mut bench =
         Bench::new(PolicySettings { weights_known: false, reports_cache_status: false, ..settings() }, lone);
@@ -703,8 +710,8 @@
     for (phase, elapsed) in [(0, 100 * MS), (1, 100 * MS), (2, 2_500 * MS)] {
         for k in 0..1_500 {
             let object = phase * 10_000 + k;
-            let asked = bench.ask(0, object);
-            refused[phase as usize] += finals(&asked).len();
+            let asked = bench.request(0, object);
+            refused[phase as usize] += final_responses(&asked).len();
             // Thirty-two are always out: eight times the guess.
             let id = (phase * 1_500 + k + 1).saturating_sub(32);
             let (attempt, outcome, cache_status, closed) =
@@ -721,7 +728,7 @@
 /// Guards copies, endpoints and the retry budget against peers that spoil answers or reset connections: nobody is
 /// blamed for long, the request goes back to the cache that holds its object, and no budget is spent.
 #[test]
-fn what_is_lost_on_its_way_is_asked_again_at_the_same_cache() {
+fn an_attempt_lost_on_its_way_is_retried_at_the_same_cache() {
     for (outcome, each) in [(AttemptOutcome::Malformed, 1), (AttemptOutcome::ConnectionLost, 5)] {
         let mut bench = Bench::new(PolicySettings { reports_cache_status: false, ..settings() }, fleet());
         let mut fresh = Bench::new(settings(), fleet());
@@ -731,7 +738,7 @@
                 assert_eq!(bench.path(object).to, fresh.path(object).to);
                 continue;
             }
-            let asked = bench.ask(0, object);
+            let asked = bench.request(0, object);
             let first = sent(&asked)[0].clone();
             let (id, cache_status, elapsed, closed) = (first.id, CacheStatus::Unknown, 50 * MS, false);
             let again =
@@ -753,9 +760,9 @@
 
 /// Guards requests against a cache that only ever breaks: after two breaks they go elsewhere.
 #[test]
-fn a_cache_that_only_breaks_is_left() {
+fn a_cache_that_only_loses_connections_is_ejected() {
     let mut bench = Bench::new(PolicySettings { reports_cache_status: false, ..settings() }, fleet());
-    let asked = bench.ask(0, 7);
+    let asked = bench.request(0, 7);
     let first = sent(&asked)[0].clone();
     bench.outcome(first.id, 0, AttemptOutcome::ConnectionLost, false);
     let third = bench.outcome(first.id, 1, AttemptOutcome::ConnectionLost, false);
@@ -765,10 +772,10 @@
 /// Guards requests of a location whose last cache fails fast: its errors spend no budget to speak of, and drown
 /// neither the parents' good name nor the way past it.
 #[test]
-fn a_lone_cache_that_fails_fast_is_passed_by() {
+fn a_lone_cache_that_fails_fast_is_bypassed() {
     let mut bench = Bench::new(PolicySettings { reports_cache_status: false, ..settings() }, fleet());
     let ask = |bench: &mut Bench, object: u64| {
-        let (mut actions, mut attempt) = (bench.ask(0, object), 0);
+        let (mut actions, mut attempt) = (bench.request(0, object), 0);
         while let Some(next) = sent(&actions).first().cloned() {
             let (id, cache_status) = (next.id, CacheStatus::Unknown);
             let ill = next.to == 1 && object % 8 != 0;
@@ -785,11 +792,11 @@
             attempt += 1;
         }
         bench.now += 5 * MS;
-        finals(&actions).len()
+        final_responses(&actions).len()
     };
     assert_eq!((0..1_000).map(|o| ask(&mut bench, o)).sum::<usize>(), 0);
     for id in 2..=4 {
-        bench.tell(Endpoint { state: EndpointState::Draining, ..endpoint(id, Tier::Cache) });
+        bench.update_endpoint(Endpoint { state: EndpointState::Draining, ..endpoint(id, Tier::Cache) });
     }
     assert_eq!((1_000..2_000).map(|o| ask(&mut bench, o)).sum::<usize>(), 0, "refused");
 }
@@ -797,14 +804,14 @@
 /// Guards a location against a burst of late answers of one cause, such as slow fills after a flush: it does not
 /// take a cache's room back to the guess at once, which would refuse most of what caches hold.
 #[test]
-fn a_burst_of_late_answers_cuts_a_caches_room_once() {
+fn a_burst_of_late_responses_reduces_a_caches_capacity_once() {
     let lone = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
     let mut bench =
         Bench::new(PolicySettings { weights_known: false, reports_cache_status: false, ..settings() }, lone);
     let mut refused = 0;
     for k in 0..1_600 {
-        let asked = bench.ask(0, k);
-        refused += if k < 1_500 { 0 } else { finals(&asked).len() };
+        let asked = bench.request(0, k);
+        refused += if k < 1_500 { 0 } else { final_responses(&asked).len() };
         let (id, attempt, outcome, cache_status, closed) =
             ((k + 1).saturating_sub(24), 0, AttemptOutcome::Served, CacheStatus::Unknown, true);
         // The last ones come late, thirty within a third of a second.
@@ -818,7 +825,7 @@
 /// Guards what a cache serves against a room that outgrows its cuts: asked for twice what it can do, it still
 /// answers a good part in time (a fifth where room grew by a share of itself).
 #[test]
-fn the_room_of_an_overloaded_cache_does_not_outgrow_its_cuts() {
+fn the_capacity_of_an_overloaded_cache_does_not_outgrow_its_reductions() {
     let lone = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
     let mut bench =
         Bench::new(PolicySettings { weights_known: false, reports_cache_status: false, ..settings() }, lone);
@@ -826,7 +833,7 @@
     let (mut in_time, mut late) = (0, 0);
     // It serves a request each 10 ms, in their order; two come in that time.
     for k in 0..8_000 {
-        for attempt in sent(&bench.ask(0, k)) {
+        for attempt in sent(&bench.request(0, k)) {
             out.push_back((attempt.id, bench.now));
         }
         bench.now += 5 * MS;
@@ -851,14 +858,14 @@
 fn evidence_does_not_outlive_its_cause() {
     let mut bench = Bench::new(PolicySettings { reports_cache_status: false, ..settings() }, fleet());
     // These stay out, so that a jam would count.
-    (0..40).for_each(|object| drop(bench.ask(0, object)));
+    (0..40).for_each(|object| drop(bench.request(0, object)));
     // A hundred requests a second; tells how many were asked only for what a cache holds.
     let mut second = |elapsed| {
         let mut held = 0;
         for _ in 0..100 {
             bench.now += 10 * MS;
             let object = bench.now / MS;
-            for attempt in sent(&bench.ask(0, object)) {
+            for attempt in sent(&bench.request(0, object)) {
                 held += u32::from(attempt.source == Some(attempt.to));
                 let (id, outcome, cache_status) = (attempt.id, AttemptOutcome::Served, CacheStatus::Unknown);
                 bench.event(Event::AttemptEnded {
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn random_days_keep_every_promise() {
+fn random_days_keep_every_invariant() {
     for seed in 1..40 {
         play(seed, seed % 2 == 0);
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -17,13 +17,13 @@
         AttemptOutcome::CacheMiss,
     ] {
         let mut bench = Bench::new(settings(), fleet());
-        let mut actions = bench.ask(0, 5);
+        let mut actions = bench.request(0, 5);
         let (mut attempts, mut answers) = (0, 0);
         while let Some(attempt) = sent(&actions).first().cloned() {
             bench.now += 50 * MS;
             actions = bench.outcome(attempt.id, attempts, outcome, false);
             attempts += 1;
-            answers += finals(&actions).len();
+            answers += final_responses(&actions).len();
         }
         assert_eq!(answers, 1, "{outcome:?}");
         assert!(attempts <= 6, "{outcome:?}: {attempts} attempts");
@@ -33,11 +33,11 @@
 #[test]
 fn the_time_out_at_the_deadline_is_answered_at_once() {
     let mut bench = Bench::new(settings(), fleet());
-    let actions = bench.ask(0, 5);
+    let actions = bench.request(0, 5);
     let id = sent(&actions)[0].id;
     bench.now += 3 * S;
     let actions = bench.outcome(id, 0, AttemptOutcome::TimedOut, false);
-    assert_eq!(finals(&actions), [(id, true)]);
+    assert_eq!(final_responses(&actions), [(id, true)]);
     assert!(sent(&actions).is_empty());
 }
 
@@ -45,13 +45,13 @@
 fn nothing_is_sent_or_answered_after_the_end() {
     // The client left: its attempt is called off, and its outcome changes nothing.
     let mut bench = Bench::new(settings(), fleet());
-    let actions = bench.ask(0, 5);
+    let actions = bench.request(0, 5);
     let id = sent(&actions)[0].id;
     assert_eq!(bench.event(Event::ClientDisconnected { id }), [Action::Cancel { id, attempt: 0 }]);
     let actions = bench.outcome(id, 0, AttemptOutcome::Rejected, false);
-    assert!(sent(&actions).is_empty() && finals(&actions).is_empty());
+    assert!(sent(&actions).is_empty() && final_responses(&actions).is_empty());
     // Served: a stray timer and a late outcome change nothing.
-    let actions = bench.ask(0, 6);
+    let actions = bench.request(0, 6);
     let id = sent(&actions)[0].id;
     assert!(bench.outcome(id, 0, AttemptOutcome::Served, true).is_empty());
     assert!(bench.outcome(id, 0, AttemptOutcome::TimedOut, false).is_empty());
@@ -59,16 +59,16 @@
 }
 
 #[test]
-fn an_empty_list_refuses_at_once() {
+fn an_empty_list_rejects_at_once() {
     let mut bench = Bench::new(settings(), Vec::new());
-    let actions = bench.ask(0, 5);
-    assert_eq!(finals(&actions).len(), 1);
+    let actions = bench.request(0, 5);
+    assert_eq!(final_responses(&actions).len(), 1);
 }
 
 // ---- no effect happens twice ----
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed_and_never_repeated() {
+fn a_request_that_is_not_idempotent_and_may_have_run_fails_and_is_never_repeated() {
     for outcome in [
         AttemptOutcome::TimedOut,
         AttemptOutcome::Error,
@@ -76,40 +76,44 @@
         AttemptOutcome::Cancelled,
     ] {
         let mut bench = Bench::new(settings(), fleet());
-        let id = sent(&bench.ask(3, 5))[0].id;
+        let id = sent(&bench.request(3, 5))[0].id;
         let actions = bench.outcome(id, 0, outcome, false);
         assert!(sent(&actions).is_empty(), "{outcome:?}");
-        assert_eq!(finals(&actions), [(id, false)], "{outcome:?}");
+        assert_eq!(final_responses(&actions), [(id, false)], "{outcome:?}");
     }
 }
 
 #[test]
-fn an_unsafe_request_that_never_ran_is_sent_again() {
+fn a_request_that_is_not_idempotent_and_never_ran_is_retried() {
     let mut bench = Bench::new(settings(), fleet());
-    let id = sent(&bench.ask(3, 5))[0].id;
+    let id = sent(&bench.request(3, 5))[0].id;
     assert_eq!(sent(&bench.outcome(id, 0, AttemptOutcome::NoConnection, false)).len(), 1);
 }
 
 #[test]
-fn a_keyed_request_stays_in_its_group_and_window() {
+fn a_request_with_a_key_is_repeated_only_in_its_scope_and_window() {
     // Every endpoint drops repeats, for two seconds: a repeat within them, none later.
     let mut set = settings();
     set.classes[2].key_window = 2 * S;
     let mut bench = Bench::new(set, fleet());
-    let id = sent(&bench.ask(2, 5))[0].id;
+    let id = sent(&bench.request(2, 5))[0].id;
     bench.now += 100 * MS;
     assert_eq!(sent(&bench.outcome(id, 0, AttemptOutcome::TimedOut, false)).len(), 1);
     bench.now += 2 * S;
     let actions = bench.outcome(id, 1, AttemptOutcome::TimedOut, false);
     assert!(sent(&actions).is_empty());
-    assert_eq!(finals(&actions), [(id, false)], "failed: nobody drops a client's repeat any more either");
+    assert_eq!(
+        final_responses(&actions),
+        [(id, false)],
+        "failed: nobody drops a client's repeat any more either"
+    );
     // One cell drops repeats: a repeat only within the cell, and a failure instead of a refusal.
     let mut set = settings();
     set.can_bypass_caches = false;
     set.classes[2].key_scope = KeyScope::Cell;
     let mut bench = Bench::new(set, fleet());
     for object in 0..40 {
-        let mut actions = bench.ask(2, object);
+        let mut actions = bench.request(2, object);
         let first = sent(&actions)[0].clone();
         let mut attempts = 0;
         while let Some(attempt) = sent(&actions).first().cloned() {
@@ -117,7 +121,7 @@
             actions = bench.outcome(attempt.id, attempts, AttemptOutcome::TimedOut, false);
             attempts += 1;
         }
-        assert_eq!(finals(&actions), [(first.id, false)]);
+        assert_eq!(final_responses(&actions), [(first.id, false)]);
     }
 }
 
@@ -125,7 +129,7 @@
 #[test]
 fn one_attempt_at_a_time() {
     let mut bench = Bench::new(settings(), fleet());
-    let actions = bench.ask(0, 5);
+    let actions = bench.request(0, 5);
     assert_eq!(sent(&actions).len(), 1);
     assert!(!actions.iter().any(|a| matches!(a, Action::SetTimer { .. })), "no hedge is planned");
 }
@@ -133,11 +137,11 @@
 // ---- drains are kept ----
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_gone_member() {
+fn nothing_new_goes_to_a_draining_or_removed_endpoint() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut bench = Bench::new(settings(), fleet());
-        bench.tell(Endpoint { state, ..endpoint(2, Tier::Cache) });
-        bench.tell(Endpoint { state, ..endpoint(12, Tier::Parent) });
+        bench.update_endpoint(Endpoint { state, ..endpoint(2, Tier::Cache) });
+        bench.update_endpoint(Endpoint { state, ..endpoint(12, Tier::Parent) });
         for object in 0..300 {
             let path = bench.path(object);
             assert_ne!(path.to, 2);
@@ -147,14 +151,14 @@
 }
 
 #[test]
-fn a_retry_does_not_go_to_a_member_that_drains_meanwhile() {
+fn a_retry_does_not_go_to_an_endpoint_that_drains_meanwhile() {
     for object in 0..100 {
         let mut bench = Bench::new(settings(), fleet());
-        let first = sent(&bench.ask(0, object))[0].clone();
+        let first = sent(&bench.request(0, object))[0].clone();
         for id in (1..=4).filter(|id| *id != first.to) {
-            bench.tell(Endpoint { state: EndpointState::Draining, ..endpoint(id, Tier::Cache) });
+            bench.update_endpoint(Endpoint { state: EndpointState::Draining, ..endpoint(id, Tier::Cache) });
         }
-        bench.tell(Endpoint {
+        bench.update_endpoint(Endpoint {
             state: EndpointState::Draining,
             ..endpoint(first.source.unwrap(), Tier::Parent)
         });
@@ -166,7 +170,7 @@
 }
 
 #[test]
-fn a_member_absent_from_a_full_list_has_gone() {
+fn an_endpoint_absent_from_a_full_list_is_removed() {
     let mut bench = Bench::new(settings(), fleet());
     let entries = fleet().into_iter().filter(|e| e.id != 3 && e.id != 13).collect();
     bench.event(Event::EndpointsChanged { full: true, entries });
@@ -191,13 +195,13 @@
 }
 
 #[test]
-fn a_cold_member_stays_within_its_budget() {
+fn a_warming_endpoint_remains_within_its_budget() {
     for (id, tier, floor, multiple, weight) in
         [(2, Tier::Cache, 0.2, 3.0, 6.0), (12, Tier::Parent, 0.08, 2.0, 20.0)]
     {
         let mut bench = Bench::new(settings(), fleet());
         let started_at = bench.now;
-        bench.tell(Endpoint { started_at, ..endpoint(id, tier) });
+        bench.update_endpoint(Endpoint { started_at, ..endpoint(id, tier) });
         // Far more than the location could ever serve.
         let asked = asked_of(&mut bench, id, 2_000);
         let limit = multiple * (floor + (1.0 - floor) * 0.1) * weight * 2.0;
@@ -207,7 +211,7 @@
 }
 
 #[test]
-fn a_restarted_member_gets_its_slice_back_gradually() {
+fn a_restarted_endpoint_gets_its_share_back_gradually() {
     for (id, tier) in [(2, Tier::Cache), (12, Tier::Parent)] {
         let mut bench = Bench::new(settings(), fleet());
         let slice = |bench: &mut Bench| {
@@ -217,7 +221,7 @@
         let warm = slice(&mut bench);
         bench.now += 60 * S;
         let started_at = bench.now;
-        bench.tell(Endpoint { started_at, ..endpoint(id, tier) });
+        bench.update_endpoint(Endpoint { started_at, ..endpoint(id, tier) });
         let mut last = 0;
         for wait in [1, 4, 8, 12, 22] {
             bench.now = started_at + wait * S;
@@ -236,12 +240,12 @@
 // ---- purges are kept ----
 
 #[test]
-fn every_attempt_after_a_purge_bounds_the_age() {
+fn every_attempt_after_a_purge_limits_the_age() {
     let mut bench = Bench::new(settings(), fleet());
     bench.event(Event::Purged { object: Some(5), group: 5, age: 100 * MS });
     for wait in [0, 200 * MS, S, 3 * S, 6 * S] {
         bench.now = 100 * S + wait;
-        let mut actions = bench.ask(0, 5);
+        let mut actions = bench.request(0, 5);
         let mut attempts = 0;
         while let Some(attempt) = sent(&actions).first().cloned() {
             assert!(attempt.max_age > 0 && attempt.max_age <= wait + 100 * MS, "{attempt:?} after {wait}");
@@ -260,7 +264,7 @@
 }
 
 #[test]
-fn a_group_purge_binds_all_its_objects_and_a_later_purge_counts() {
+fn a_group_purge_applies_to_all_its_objects_and_a_later_purge_counts() {
     let mut bench = Bench::new(settings(), fleet());
     bench.event(Event::Purged { object: None, group: 5, age: 2 * S });
     bench.now += S;
@@ -279,11 +283,11 @@
 }
 
 #[test]
-fn a_purge_also_bounds_a_class_with_a_fresh_time() {
+fn a_purge_also_limits_a_class_with_a_fresh_lifetime() {
     let mut bench = Bench::new(settings(), fleet());
     bench.event(Event::Purged { object: Some(5), group: 5, age: 0 });
     bench.now += 2 * S;
-    let actions = bench.ask(1, 5);
+    let actions = bench.request(1, 5);
     let first = sent(&actions)[0].clone();
     assert!(first.max_age <= 2 * S);
     for again in sent(&bench.outcome(first.id, 0, AttemptOutcome::TimedOut, false)) {
