--- a/src/lifecycle/signed_urls.rs
+++ b/src/lifecycle/signed_urls.rs
@@ -4,10 +4,11 @@
 use crate::config_file::{parse_address, read_json, resolve_beside, AddressError, ConfigError, FieldError};
 use crate::engine::executor::Executor;
 use crate::wire::front::ConnectionLimits;
-use crate::wire::keys::{self, Key, KeyRing, KeysError};
-use crate::wire::signed::{SignedUrls, Verifier};
+use crate::wire::signed_urls::front::SignedUrlFront;
+use crate::wire::signed_urls::jwk::{parse_key_set, JwkError, KeySet};
+use crate::wire::signed_urls::key_ring::KeyRing;
+use crate::wire::signed_urls::verifier::TokenVerifier;
 use serde::Deserialize;
-use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
@@ -38,7 +39,7 @@
     TooLong(u64),
     /// The text is no usable set of keys.
     #[error("{0}")]
-    Malformed(#[from] KeysError),
+    Malformed(#[from] JwkError),
 }
 
 /// What is wrong with a value of the file.
@@ -101,7 +102,7 @@
 /// A key file as it was read.
 struct KeyFile {
     text: Vec<u8>,
-    keys: HashMap<String, Key>,
+    keys: KeySet,
 }
 
 impl KeyFile {
@@ -111,7 +112,7 @@
             return Err(SignedUrlKeyError::TooLong(length));
         }
         let text = std::fs::read(path)?;
-        let keys = keys::read(&text)?;
+        let keys = parse_key_set(&text)?;
         Ok(Self { text, keys })
     }
 }
@@ -163,10 +164,10 @@
     }
 
     /// The front that the file describes; `salt` is random.
-    pub fn front(&self, salt: u64) -> Result<SignedUrls, SignedUrlKeyError> {
+    pub fn front(&self, salt: u64) -> Result<SignedUrlFront, SignedUrlKeyError> {
         let keys = KeyRing::new(KeyFile::read(&self.keys)?.keys, self.overlap_ms);
-        let verifier = Verifier { keys, issuer: self.issuer.clone(), leeway_ms: self.leeway_ms };
-        Ok(SignedUrls::new(self.limits.clone(), self.scheme.clone(), verifier, salt))
+        let verifier = TokenVerifier { keys, issuer: self.issuer.clone(), leeway_ms: self.leeway_ms };
+        Ok(SignedUrlFront::new(self.limits.clone(), self.scheme.clone(), verifier, salt))
     }
 }
 
@@ -175,7 +176,7 @@
 pub async fn follow_key_file(
     executor: Rc<Executor>,
     config: SignedUrlConfig,
-    front: Rc<SignedUrls>,
+    front: Rc<SignedUrlFront>,
     reload: Rc<Notify>,
 ) {
     let mut current = std::fs::read(&config.keys).unwrap_or_default();
