--- a/src/purge/age_limit.rs
+++ b/src/purge/age_limit.rs
@@ -46,52 +46,29 @@
         }
     }
 
-    /// The age limit of an attempt sent now, in milliseconds: `requested` (0 for the class's default), or less where
-    /// a purge covers the copy.
-    pub fn limit(
-        &mut self,
-        now_ms: f64,
-        class: &str,
-        object: ObjectId,
-        part: u32,
-        group: u32,
-        requested: u64,
-    ) -> u64 {
-        let name = copy_name(class, object, part);
-        let surrogate_keys = self.surrogate_keys.peek(&object).map_or(&[][..], |keys| &keys[..]);
-        let copy = CachedCopy { name: &name, object, group, surrogate_keys };
-        match self.active.max_age_ms(now_ms, &copy) {
-            Some(limit) if requested == 0 || limit < requested => {
-                self.metrics.limited_attempts += 1;
-                limit
-            }
-            _ => requested,
-        }
-    }
-
     /// The purge that removed the copy in an answer, if any. Caches the surrogate keys. A copy without a generation
     /// time can't be checked and passes.
     pub fn check_answer(
         &mut self,
-        class: &str,
-        object: ObjectId,
-        part: u32,
-        group: u32,
+        copy: RequestedCopy<'_>,
         generated_ms: Option<f64>,
         surrogate_keys: &[SurrogateKey],
     ) -> Option<PurgeStamp> {
-        if !surrogate_keys.is_empty()
-            && self.surrogate_keys.peek(&object).is_none_or(|known| known[..] != *surrogate_keys)
-        {
-            self.surrogate_keys.put(object, surrogate_keys.into());
-        }
-        let name = copy_name(class, object, part);
-        let copy = CachedCopy { name: &name, object, group, surrogate_keys };
+        self.cache_keys(copy.object, surrogate_keys);
+        let name = copy_name(copy.class, copy.object, copy.part);
+        let copy = CachedCopy { name: &name, object: copy.object, group: copy.group, surrogate_keys };
         let purge = self.active.purge_of(&copy, generated_ms?)?;
         self.metrics.purged_answers += 1;
         Some(purge)
     }
 
+    fn cache_keys(&mut self, object: ObjectId, surrogate_keys: &[SurrogateKey]) {
+        let is_known = self.surrogate_keys.peek(&object).is_some_and(|known| known[..] == *surrogate_keys);
+        if !surrogate_keys.is_empty() && !is_known {
+            self.surrogate_keys.put(object, surrogate_keys.into());
+        }
+    }
+
     /// The number of objects whose surrogate keys are cached.
     pub fn tagged_objects(&self) -> usize {
         self.surrogate_keys.len()
@@ -100,13 +77,20 @@
 
 impl PurgeFilter for AgeLimiter {
     fn max_age_ms(&mut self, now_ms: f64, copy: RequestedCopy<'_>, requested_ms: u64) -> u64 {
-        self.limit(now_ms, copy.class, copy.object, copy.part, copy.group, requested_ms)
+        let name = copy_name(copy.class, copy.object, copy.part);
+        let surrogate_keys = self.surrogate_keys.peek(&copy.object).map_or(&[][..], |keys| &keys[..]);
+        let copy = CachedCopy { name: &name, object: copy.object, group: copy.group, surrogate_keys };
+        match self.active.max_age_ms(now_ms, &copy) {
+            Some(limit_ms) if requested_ms == 0 || limit_ms < requested_ms => {
+                self.metrics.limited_attempts += 1;
+                limit_ms
+            }
+            _ => requested_ms,
+        }
     }
 
     fn purge_of_reply(&mut self, copy: RequestedCopy<'_>, reply: &CacheReply) -> Option<u64> {
-        let RequestedCopy { class, object, part, group } = copy;
-        let (generated_ms, keys) = (reply.generated_at_ms, &reply.surrogate_keys);
-        let purge = self.check_answer(class, object, part, group, generated_ms, keys)?;
+        let purge = self.check_answer(copy, reply.generated_at_ms, &reply.surrogate_keys)?;
         Some(purge.seq)
     }
 }
