--- a/src/rules/error.rs
+++ b/src/rules/error.rs
@@ -18,7 +18,7 @@
 /// What is wrong with the syntax of an expression.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SyntaxErrorKind {
-    /// The text is longer than [`MAX_TEXT`].
+    /// The text is too long.
     #[error("longer than {MAX_TEXT} bytes")]
     TooLong,
     /// The expression nests deeper than [`MAX_DEPTH`].
--- a/src/rules/lexer.rs
+++ b/src/rules/lexer.rs
@@ -18,7 +18,7 @@
     /// A string literal, without its quotes and escapes.
     Str(String),
     /// A name or keyword.
-    Word(String),
+    Identifier(String),
     /// An operator or punctuation.
     Symbol(&'static str),
     /// The end of the text.
@@ -30,7 +30,7 @@
         match self {
             Self::Int(number) => write!(f, "`{number}`"),
             Self::Str(text) => write!(f, "{text:?}"),
-            Self::Word(word) => write!(f, "`{word}`"),
+            Self::Identifier(word) => write!(f, "`{word}`"),
             Self::Symbol(symbol) => write!(f, "`{symbol}`"),
             Self::End => f.write_str("the end"),
         }
@@ -75,7 +75,7 @@
     }
     if first.is_ascii_alphabetic() || first == '_' {
         let word = prefix(|c| c.is_ascii_alphanumeric() || c == '_');
-        return Ok((Token::Word(word.to_string()), word.len()));
+        return Ok((Token::Identifier(word.to_string()), word.len()));
     }
     if first == '"' {
         return string_literal(text);
--- a/src/rules/parser.rs
+++ b/src/rules/parser.rs
@@ -135,7 +135,7 @@
 
     /// Consumes a keyword, if it is next; whether it was.
     fn take_keyword(&mut self, keyword: &str) -> bool {
-        let is_next = matches!(self.peek(), Token::Word(word) if word == keyword);
+        let is_next = matches!(self.peek(), Token::Identifier(word) if word == keyword);
         self.next += usize::from(is_next);
         is_next
     }
@@ -188,7 +188,7 @@
 
     /// The rest of a binding after `let`.
     fn binding(&mut self) -> Result<ExpressionKind, SyntaxError> {
-        let Token::Word(name) = self.take() else {
+        let Token::Identifier(name) = self.take() else {
             return Err(self.error(SyntaxErrorKind::ExpectedName));
         };
         self.expect_symbol("=")?;
@@ -237,13 +237,15 @@
         let kind = match self.take() {
             Token::Int(number) => ExpressionKind::Int(number),
             Token::Str(text) => ExpressionKind::Str(text),
-            Token::Word(word) if word == "true" || word == "false" => ExpressionKind::Bool(word == "true"),
-            Token::Word(word) if KEYWORDS.contains(&word.as_str()) => {
+            Token::Identifier(word) if word == "true" || word == "false" => {
+                ExpressionKind::Bool(word == "true")
+            }
+            Token::Identifier(word) if KEYWORDS.contains(&word.as_str()) => {
                 self.next -= 1;
                 return Err(self.error(SyntaxErrorKind::UnexpectedKeyword(word)));
             }
-            Token::Word(name) if self.take_symbol("(") => ExpressionKind::Call(name, self.arguments()?),
-            Token::Word(name) => ExpressionKind::Name(name),
+            Token::Identifier(name) if self.take_symbol("(") => ExpressionKind::Call(name, self.arguments()?),
+            Token::Identifier(name) => ExpressionKind::Name(name),
             Token::Symbol("(") => {
                 let expression = self.expression()?;
                 self.expect_symbol(")")?;
