--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -2,8 +2,7 @@
 //! no protocol: a [`ConnectionDriver`] speaks to endpoints.
 
 use super::{Effect, EndpointOfKind, Engine};
-use crate::admission::control::AdmissionControl;
-use crate::admission::fair::Verdict;
+use crate::admission::control::{AdmissionControl, NotAdmitted};
 use crate::clock::{duration_from_ms, Clock};
 use crate::settings::PlatformSettings;
 use crate::state::ids::ConnectionId;
@@ -104,7 +103,7 @@
     /// The metrics that the platform reads, of the engine and of all subsystems.
     pub fn metrics(self: &Rc<Self>) -> String {
         let engine = self.with(|engine| engine.metrics());
-        let admission = self.with_admission(AdmissionControl::figures).unwrap_or_default();
+        let admission = self.with_admission(AdmissionControl::metrics).unwrap_or_default();
         let subsystems: String = self.metrics_sources.borrow().iter().map(|source| source()).collect();
         engine + &admission + &subsystems
     }
@@ -180,7 +179,7 @@
     /// Delivers a final response, and admits the requests for which it makes room.
     fn finish(self: &Rc<Self>, id: RequestId, response: FinalResponse) {
         let now = self.clock.now();
-        let admitted = self.with_admission(|admission| admission.ended(now, id, Some(&response)));
+        let admitted = self.with_admission(|admission| admission.completed(now, id, Some(&response)));
         self.deliver(id, response);
         admitted.into_iter().flatten().for_each(|request| self.admit_queued(request));
     }
@@ -206,21 +205,21 @@
         let id = request.id;
         let (sender, receiver) = oneshot::channel();
         let now = self.clock.now();
-        let (verdict, request) = match self.admission.borrow_mut().as_mut() {
+        let decision = match self.admission.borrow_mut().as_mut() {
             Some(admission) => admission.arrive(now, request),
-            None => (Verdict::Admit, Some(request)),
+            None => Ok(Some(request)),
         };
-        match (verdict, request) {
-            (Verdict::Duplicate, _) => Err(AdmitError::Duplicate),
-            (Verdict::Refuse { come_back_ms, .. }, _) => {
-                let _ = sender.send(FinalResponse::Rejected { retry_after_ms: come_back_ms, overdue: false });
+        match decision {
+            Err(NotAdmitted::Duplicate) => Err(AdmitError::Duplicate),
+            Err(NotAdmitted::Shed { retry_after_ms }) => {
+                let _ = sender.send(FinalResponse::Rejected { retry_after_ms, overdue: false });
                 Ok(receiver)
             }
-            (Verdict::Queue, _) | (_, None) => {
+            Ok(None) => {
                 self.waiting.borrow_mut().insert(id, sender);
                 Ok(receiver)
             }
-            (Verdict::Admit, Some(request)) => {
+            Ok(Some(request)) => {
                 let accepted = self.engine.borrow_mut().submit(request);
                 match accepted {
                     Ok(()) => drop(self.waiting.borrow_mut().insert(id, sender)),
@@ -245,7 +244,7 @@
     /// Notes that an admitted request ended without a response of the engine, and admits the next ones.
     fn release_admission(self: &Rc<Self>, id: RequestId) {
         let now = self.clock.now();
-        let admitted = self.with_admission(|admission| admission.ended(now, id, None));
+        let admitted = self.with_admission(|admission| admission.completed(now, id, None));
         admitted.into_iter().flatten().for_each(|request| self.admit_queued(request));
     }
 
@@ -253,7 +252,7 @@
     /// there.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         self.waiting.borrow_mut().remove(&id);
-        if self.with_admission(|admission| admission.left(id)) == Some(true) {
+        if self.with_admission(|admission| admission.disconnected(id)) == Some(true) {
             return;
         }
         self.with(|engine| engine.client_disconnected(id));
@@ -264,9 +263,9 @@
     /// Rejects the queued requests whose time is over.
     fn reject_expired(self: &Rc<Self>) {
         let now = self.clock.now();
-        for (id, come_back_ms) in self.with_admission(|admission| admission.expired(now)).unwrap_or_default()
-        {
-            self.deliver(id, FinalResponse::Rejected { retry_after_ms: come_back_ms, overdue: false });
+        for expired in self.with_admission(|admission| admission.expire(now)).unwrap_or_default() {
+            let retry_after_ms = expired.retry_after_ms;
+            self.deliver(expired.id, FinalResponse::Rejected { retry_after_ms, overdue: false });
         }
     }
 
@@ -287,7 +286,7 @@
     /// Runs whatever is due, for ever.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
-            let admission_due = self.with_admission(|admission| admission.next_due()).flatten();
+            let admission_due = self.with_admission(|admission| admission.next_deadline()).flatten();
             let engine_due = self.engine.borrow_mut().next_due();
             let due = engine_due.min(admission_due.unwrap_or(f64::INFINITY));
             let wait = duration_from_ms(due - self.clock.now());
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -167,6 +167,9 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
         assert_eq!(get("/pictures/cat.jpg", 99).await, "200", "the old rules remain in force");
         let log = std::fs::read_to_string(dir.join("proxy.log")).unwrap();
-        assert!(log.contains("the rules were not reloaded") && log.contains("rule 1, `when`"), "{log}");
+        assert!(
+            log.contains("configuration not reloaded subsystem=\"rules\"") && log.contains("rule 1, `when`"),
+            "{log}"
+        );
     });
 }
