--- a/examples/rules_load.rs
+++ b/examples/rules_load.rs
@@ -8,8 +8,9 @@
 mod slow_box;
 
 use edge_proxy::rules::config::RulesConfig;
+use edge_proxy::wire::classification::RequestClassifier;
 use edge_proxy::wire::http::HttpRequest;
-use edge_proxy::wire::platform::Platform;
+use edge_proxy::wire::platform_path::PlatformPath;
 use hdrhistogram::Histogram;
 use slow_box::SlowFleet;
 use std::cell::RefCell;
@@ -58,11 +59,11 @@
     let by_rules = start.elapsed();
     let start = Instant::now();
     for n in 0..EVALUATIONS {
-        std::hint::black_box(Platform::target(&requests[(n % 4_096) as usize]));
+        std::hint::black_box(PlatformPath.classify(&requests[(n % 4_096) as usize]));
     }
     let by_code = start.elapsed();
     for request in &requests {
-        different += u64::from(rules.classify(request, &mut 0) != Platform::target(request));
+        different += u64::from(rules.classify(request, &mut 0) != PlatformPath.classify(request));
     }
     let ns = |d: Duration| d.as_nanos() as f64 / EVALUATIONS as f64;
     println!(
--- a/src/cli/rule.rs
+++ b/src/cli/rule.rs
@@ -3,7 +3,7 @@
 use super::error::CliError;
 use argh::FromArgs;
 use edge_proxy::rules::config::RulesConfig;
-use edge_proxy::rules::table::Classification;
+use edge_proxy::wire::classification::Classification;
 use edge_proxy::wire::http::HttpRequest;
 use std::path::PathBuf;
 
--- a/src/lifecycle/subsystem.rs
+++ b/src/lifecycle/subsystem.rs
@@ -9,6 +9,7 @@
 use crate::rules::table::Rules;
 use crate::vrrp::config::FrontKind;
 use crate::wire::admin::AdminHandler;
+use crate::wire::classification::RequestClassifier;
 use crate::wire::front::Front;
 use crate::wire::platform::Platform;
 use crate::wire::shutdown::GracefulShutdown;
@@ -126,15 +127,20 @@
 impl RoutingRules {
     /// Lets a front follow the rules from now on.
     pub fn attach(&self, front: Rc<Platform>) {
-        front.set_rules(self.current.borrow().clone());
+        front.set_classifier(self.classifier());
         self.fronts.borrow_mut().push(front);
     }
 
+    fn classifier(&self) -> Option<Rc<dyn RequestClassifier>> {
+        let current = self.current.borrow().clone();
+        current.map(|rules| rules as Rc<dyn RequestClassifier>)
+    }
+
     /// Puts other rules in force at all attached fronts.
     pub fn replace(&self, rules: Rules) {
         let rules = Some(Rc::new(rules));
-        self.fronts.borrow().iter().for_each(|front| front.set_rules(rules.clone()));
         *self.current.borrow_mut() = rules;
+        self.fronts.borrow().iter().for_each(|front| front.set_classifier(self.classifier()));
     }
 }
 
--- a/src/rules/table.rs
+++ b/src/rules/table.rs
@@ -2,6 +2,7 @@
 
 use super::evaluator::{evaluate, EvaluationError, Value};
 use super::program::Program;
+use crate::wire::classification::{Classification, RequestClassifier, Target};
 use crate::wire::http::HttpRequest;
 
 /// A rule.
@@ -45,30 +46,6 @@
     }
 }
 
-/// The class and keys of a request.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Target {
-    /// The name of its class.
-    pub class: String,
-    /// The object.
-    pub object: u64,
-    /// The part.
-    pub part: u32,
-    /// The object's group.
-    pub group: u32,
-}
-
-/// The result of the rules for a request.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Classification {
-    /// Its class and keys.
-    Target(Target),
-    /// A rule applies, but the request lacks a key or class.
-    Malformed,
-    /// No rule applies.
-    NoMatch,
-}
-
 /// The rules in their order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules(pub Vec<Rule>);
@@ -91,3 +68,9 @@
         conditions + self.0.iter().map(Rule::max_target_cost).max().unwrap_or(0)
     }
 }
+
+impl RequestClassifier for Rules {
+    fn classify(&self, request: &HttpRequest) -> Classification {
+        Self::classify(self, request, &mut 0)
+    }
+}
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -1,187 +1,201 @@
-//! The platform's front: what its clients' requests mean, and how its answers are worded.
+//! The platform's front: what its clients' requests mean, and its responses.
 
+use super::classification::{Classification, RequestClassifier, Target};
 use super::entity_tag::parse_single;
 use super::front::{ConnectionLimits, Disposition, Front, ResponseContext};
 use super::http::{HttpRequest, HttpResponse};
+use super::platform_path::PlatformPath;
 use crate::engine::executor::Executor;
-use crate::rules::table::{Classification, Rules, Target};
 use crate::settings::PlatformSettings;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use crate::text::parse_hex16;
 use std::cell::RefCell;
 use std::rc::Rc;
+use thiserror::Error;
 
-/// Taken off a client's patience, in milliseconds: the ways to and from the client, and the answer's bytes ...
-const MARGIN_MS: f64 = 40.0;
-/// ... and the most of it as a share: guards impatient clients against a margin that leaves no time at all.
-const MARGIN_SHARE: f64 = 0.1;
+/// The target by which the platform checks that the process is alive.
+const HEALTH_TARGET: &str = "/alive";
+/// Taken off the time that a client waits, in milliseconds: the ways to and from the client, and the response's bytes.
+const CLIENT_MARGIN_MS: f64 = 40.0;
+/// The largest share of the client's time that the margin takes, so that impatient clients are left some time.
+const MAX_MARGIN_SHARE: f64 = 0.1;
 /// The highest number of a part.
 const MAX_PART: u32 = 65_535;
 /// The highest number of a group.
 const MAX_GROUP: u32 = 255;
-/// The longest patience, in milliseconds.
-const MAX_PATIENCE: f64 = 3_600_000.0;
+/// The longest time that a client may wait, in milliseconds.
+const MAX_CLIENT_WAIT_MS: f64 = 3_600_000.0;
 /// The largest part, in KB.
-const MAX_SIZE: f64 = 10_000_000.0;
-/// The longest idempotency key.
-const MAX_KEY: usize = 64;
-/// How long a client stays away when the request table is full, in milliseconds.
-const FULL_WAIT_MS: f64 = 300.0;
-
-/// The bounds of the platform's clients: one that sends nothing of use is owed an end within 3 s of connecting,
-/// and those that ask end an idle connection after 4 s themselves.
+const MAX_SIZE_KB: f64 = 10_000_000.0;
+/// The longest idempotency key, in bytes.
+const MAX_IDEMPOTENCY_KEY: usize = 64;
+/// The longest text of a decimal number, in bytes.
+const MAX_DECIMAL: usize = 24;
+/// The `retry_after` where the request table is full, in milliseconds.
+const FULL_RETRY_AFTER_MS: f64 = 300.0;
+
+/// The platform's header fields: those of requests in lower case.
+mod header_field {
+    pub const REQUEST_ID: &str = "x-call-id";
+    pub const CLIENT_WAIT: &str = "x-patience-ms";
+    pub const SIZE: &str = "x-heap-kb";
+    pub const IDEMPOTENCY_KEY: &str = "x-dedupe-key";
+    pub const IF_NONE_MATCH: &str = "if-none-match";
+    pub const RETRY_AFTER: &str = "X-Come-Back-Ms";
+}
+
+/// The bounds of the platform's clients: a client that sends no request is due an end within 3 s of connecting, and
+/// clients close an idle connection after 4 s themselves.
 pub fn limits(connections: usize) -> ConnectionLimits {
-    let (first_ms, head_ms, body_ms, idle_ms) = (2_500.0, 2_500.0, 2_500.0, 6_000.0);
     ConnectionLimits {
         connections,
-        first_ms,
-        idle_ms,
-        head_ms,
-        body_ms,
+        first_ms: 2_500.0,
+        idle_ms: 6_000.0,
+        head_ms: 2_500.0,
+        body_ms: 2_500.0,
         one_at_a_time: true,
         ..ConnectionLimits::default()
     }
 }
 
+/// A request that is not forwarded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+enum RequestError {
+    /// A part of it is missing, has no valid value, or is out of bounds.
+    #[error("the request is malformed")]
+    Malformed,
+    /// Its target or class is unknown.
+    #[error("no such target or class")]
+    NotFound,
+    /// Its class is requested by another method.
+    #[error("the method is not {0}")]
+    Method(&'static str),
+}
+
+impl From<RequestError> for HttpResponse {
+    fn from(error: RequestError) -> Self {
+        match error {
+            RequestError::Malformed => Self::closing(400),
+            RequestError::NotFound => Self::closing(404),
+            RequestError::Method(allowed) => Self::closing(405).with("Allow", allowed),
+        }
+    }
+}
+
 /// The platform's front.
 pub struct Platform {
     limits: ConnectionLimits,
-    /// What says which class a request is of, and its keys; without it the platform's own spelling does.
-    rules: RefCell<Option<Rc<Rules>>>,
+    /// Classifies requests by an operator's rules; without it they are of the platform's own form.
+    classifier: RefCell<Option<Rc<dyn RequestClassifier>>>,
 }
 
 impl Platform {
     /// A front with these bounds.
     pub fn new(limits: ConnectionLimits) -> Self {
-        Self { limits, rules: RefCell::default() }
-    }
-
-    /// Takes other rules for what requests ask for.
-    pub fn set_rules(&self, rules: Option<Rc<Rules>>) {
-        *self.rules.borrow_mut() = rules;
+        Self { limits, classifier: RefCell::default() }
     }
 
-    /// What a request asks for, as the platform spells it.
-    pub fn target(request: &HttpRequest) -> Classification {
-        let path = request.target.split('?').next().unwrap_or_default();
-        let Some(mut steps) = path.strip_prefix("/ops/").map(|rest| rest.split('/')) else {
-            return Classification::NoMatch;
-        };
-        let (Some(class), Some(object)) = (steps.next(), steps.next()) else {
-            return Classification::NoMatch;
-        };
-        let part = match steps.next().map(|text| text.strip_prefix("slice-")) {
-            None => Some(0),
-            Some(None) => return Classification::NoMatch,
-            Some(Some(digits)) => whole(digits, u32::MAX),
-        };
-        if steps.next().is_some() {
-            return Classification::NoMatch;
-        }
-        let group = match request.single("x-set") {
-            Ok(text) => text.map_or(Some(0), |text| whole(text, u32::MAX)),
-            Err(_) => None,
-        };
-        match (parse_hex16(object), part, group) {
-            (Some(object), Some(part), Some(group)) => {
-                Classification::Target(Target { class: class.to_string(), object, part, group })
-            }
-            _ => Classification::Malformed,
-        }
+    /// Classifies requests by `classifier` from now on, or by the platform's own form of a target.
+    pub fn set_classifier(&self, classifier: Option<Rc<dyn RequestClassifier>>) {
+        *self.classifier.borrow_mut() = classifier;
     }
 
-    /// What a request asks for. Guards the endpoints, and all that shares a connection with it, against what they
-    /// could not read: nothing is passed on that is not spelled plainly and within its bounds.
-    fn ask(
+    /// Parses a request. Only values that are in plain spelling and within their bounds are passed on, since what an
+    /// endpoint cannot read ends all requests on its connection.
+    fn parse(
         &self,
-        env: &PlatformSettings,
+        settings: &PlatformSettings,
         request: &HttpRequest,
         now: f64,
-    ) -> Result<Box<IncomingRequest>, HttpResponse> {
-        let bad = || HttpResponse::closing(400);
-        let unknown = || HttpResponse::closing(404);
-        let rules = self.rules.borrow().clone();
-        let said = match &rules {
-            Some(rules) => rules.classify(request, &mut 0),
-            None => Self::target(request),
+    ) -> Result<IncomingRequest, RequestError> {
+        let classifier = self.classifier.borrow().clone();
+        let classification = match &classifier {
+            Some(classifier) => classifier.classify(request),
+            None => PlatformPath.classify(request),
         };
-        let Target { class, object, part, group } = match said {
+        let Target { class, object, part, group } = match classification {
             Classification::Target(target) => target,
-            Classification::Malformed => {
-                // A class that nobody knows is told before what else is wrong.
-                let class = request.target.split(['/', '?']).nth(2).unwrap_or_default();
-                let known = rules.is_some() || env.class_index(class).is_some();
-                return Err(if known { bad() } else { unknown() });
+            Classification::NoMatch => return Err(RequestError::NotFound),
+            // An unknown class is reported before any other fault.
+            Classification::Malformed if classifier.is_none() => {
+                let class = settings.class_index(PlatformPath::class_text(request));
+                return Err(class.map_or(RequestError::NotFound, |_| RequestError::Malformed));
             }
-            Classification::NoMatch => return Err(unknown()),
+            Classification::Malformed => return Err(RequestError::Malformed),
         };
-        let class = env.class_index(&class).ok_or_else(unknown)?;
+        let class = settings.class_index(&class).ok_or(RequestError::NotFound)?;
         if part > MAX_PART || group > MAX_GROUP {
-            return Err(bad());
-        }
-        // The platform's own spelling goes on as it came.
-        let object_text = match &rules {
-            None => request.target.split(['/', '?']).nth(3).unwrap_or_default().to_string(),
-            Some(_) => format!("{object:016x}"),
-        };
-        let writes = env.is_write(class);
-        let method = if writes { "PUT" } else { "GET" };
-        if request.method != method {
-            return Err(HttpResponse::closing(405).with("Allow", method));
-        }
-        if !writes && !request.body.is_empty() {
-            return Err(bad());
-        }
-        let header = |name| request.single(name).map_err(|_| bad());
-        let id_text = header("x-call-id")?.ok_or_else(bad)?;
-        let id = parse_hex16(id_text).ok_or_else(bad)?;
-        let number = |name, most| match header(name)? {
-            None => Ok(None),
-            Some(text) => decimal(text).filter(|v| *v <= most).map(Some).ok_or_else(bad),
-        };
-        let patience = number("x-patience-ms", MAX_PATIENCE)?.unwrap_or_else(|| env.deadline_ms(class));
-        let size_kb = number("x-heap-kb", MAX_SIZE)?.unwrap_or(0.0);
-        let key = header("x-dedupe-key")?;
-        let plain = |key: &str| key.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_');
-        if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY || !plain(key)) {
-            return Err(bad());
+            return Err(RequestError::Malformed);
         }
-        // Without its key a repeat could take effect twice.
-        if key.is_none() && env.is_keyed(class) {
-            return Err(bad());
+        check_method(request, settings.is_write(class))?;
+        let id_text = field(request, header_field::REQUEST_ID)?.ok_or(RequestError::Malformed)?;
+        let id = parse_hex16(id_text).ok_or(RequestError::Malformed)?;
+        let wait_ms = decimal_field(request, header_field::CLIENT_WAIT, MAX_CLIENT_WAIT_MS)?
+            .unwrap_or_else(|| settings.deadline_ms(class));
+        let size_kb = decimal_field(request, header_field::SIZE, MAX_SIZE_KB)?.unwrap_or(0.0);
+        let key = idempotency_key(request)?;
+        // Without its key a repeated request could take effect twice.
+        if key.is_none() && settings.is_keyed(class) {
+            return Err(RequestError::Malformed);
         }
-        Ok(Box::new(IncomingRequest {
+        Ok(IncomingRequest {
             id,
             id_text: id_text.to_string(),
             class,
             object,
-            object_text,
+            object_text: match classifier {
+                // The platform's own spelling is passed on as received.
+                None => PlatformPath::object_text(request).to_string(),
+                Some(_) => format!("{object:016x}"),
+            },
             part,
             group,
             size_kb,
-            deadline_ms: now + patience - MARGIN_MS.min(MARGIN_SHARE * patience),
+            deadline_ms: now + wait_ms - CLIENT_MARGIN_MS.min(MAX_MARGIN_SHARE * wait_ms),
             key: key.map(String::from),
-            client_etag: header("if-none-match")?.and_then(parse_single),
+            client_etag: field(request, header_field::IF_NONE_MATCH)?.and_then(parse_single),
             body: request.body.clone(),
             client: None,
-        }))
+        })
     }
 }
 
-/// A whole number in plain digits.
-fn whole(text: &str, most: u32) -> Option<u32> {
-    let plain = (1..=9).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_digit());
-    plain.then(|| text.parse().ok())?.filter(|n| *n <= most)
+/// Checks the method: writes are PUT with a body, reads are GET without one.
+fn check_method(request: &HttpRequest, is_write: bool) -> Result<(), RequestError> {
+    let method = if is_write { "PUT" } else { "GET" };
+    if request.method != method {
+        return Err(RequestError::Method(method));
+    }
+    if !is_write && !request.body.is_empty() {
+        return Err(RequestError::Malformed);
+    }
+    Ok(())
+}
+
+fn field<'r>(request: &'r HttpRequest, name: &str) -> Result<Option<&'r str>, RequestError> {
+    request.single(name).map_err(|_| RequestError::Malformed)
 }
 
-/// A number in plain digits with at most one point: no sign, no exponent, no name of what is not a number.
-fn decimal(text: &str) -> Option<f64> {
-    let plain = (1..=24).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    plain.then(|| text.parse().ok())?
+/// A field with a decimal number up to `max`: plain digits and at most one point, without sign or exponent.
+fn decimal_field(request: &HttpRequest, name: &str, max: f64) -> Result<Option<f64>, RequestError> {
+    let Some(text) = field(request, name)? else { return Ok(None) };
+    let is_plain =
+        (1..=MAX_DECIMAL).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    let number = text.parse().ok().filter(|number: &f64| is_plain && *number <= max);
+    number.map(Some).ok_or(RequestError::Malformed)
 }
 
-fn refused(wait_ms: f64) -> HttpResponse {
-    HttpResponse::status(503).with("X-Come-Back-Ms", format!("{}", wait_ms.ceil()))
+/// The idempotency key: letters, digits, `-` and `_`.
+fn idempotency_key(request: &HttpRequest) -> Result<Option<&str>, RequestError> {
+    let Some(key) = field(request, header_field::IDEMPOTENCY_KEY)? else { return Ok(None) };
+    let is_plain = key.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_');
+    let is_valid = is_plain && (1..=MAX_IDEMPOTENCY_KEY).contains(&key.len());
+    is_valid.then_some(Some(key)).ok_or(RequestError::Malformed)
+}
+
+/// A rejection: a retry after this time does no harm.
+fn rejected(retry_after_ms: f64) -> HttpResponse {
+    HttpResponse::status(503).with(header_field::RETRY_AFTER, format!("{}", retry_after_ms.ceil()))
 }
 
 impl Front for Platform {
@@ -189,32 +203,30 @@
         &self.limits
     }
 
-    fn interpret(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Disposition {
-        if request.target == "/alive" {
+    fn interpret(&self, executor: &Rc<Executor>, request: &HttpRequest, now: f64) -> Disposition {
+        if request.target == HEALTH_TARGET {
             return Disposition::Respond(match request.method.as_str() {
                 "GET" => HttpResponse::status(200),
                 _ => HttpResponse::status(405).with("Allow", "GET"),
             });
         }
-        match self.ask(&host.settings(), request, now) {
-            Ok(ask) => Disposition::Forward(ask, ResponseContext::default()),
-            Err(answer) => Disposition::Respond(answer),
+        match self.parse(&executor.settings(), request, now) {
+            Ok(request) => Disposition::Forward(Box::new(request), ResponseContext::default()),
+            Err(error) => Disposition::Respond(error.into()),
         }
     }
 
-    fn respond(&self, _: &ResponseContext, answer: FinalResponse) -> HttpResponse {
-        match answer {
+    fn respond(&self, _: &ResponseContext, result: FinalResponse) -> HttpResponse {
+        match result {
             FinalResponse::Served { tag, body } => {
-                let answer = HttpResponse { body, ..HttpResponse::status(200) };
+                let response = HttpResponse { body, ..HttpResponse::status(200) };
                 match tag {
-                    Some(tag) => answer.with("ETag", format!("\"{tag}\"")),
-                    None => answer,
+                    Some(tag) => response.with_entity_tag(&tag),
+                    None => response,
                 }
             }
-            FinalResponse::NotModified { tag } => {
-                HttpResponse::status(304).with("ETag", format!("\"{tag}\""))
-            }
-            FinalResponse::Rejected { retry_after_ms: wait_ms, .. } => refused(wait_ms),
+            FinalResponse::NotModified { tag } => HttpResponse::status(304).with_entity_tag(&tag),
+            FinalResponse::Rejected { retry_after_ms, .. } => rejected(retry_after_ms),
             FinalResponse::Failed { overdue } => HttpResponse::status(if overdue { 504 } else { 502 }),
         }
     }
@@ -222,7 +234,7 @@
     fn reject(&self, reason: AdmitError) -> HttpResponse {
         match reason {
             AdmitError::Duplicate => HttpResponse::status(409),
-            AdmitError::Full => refused(FULL_WAIT_MS),
+            AdmitError::Full => rejected(FULL_RETRY_AFTER_MS),
         }
     }
 }
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -4,9 +4,10 @@
 mod stand_ins;
 
 use edge_proxy::rules::config::RulesConfig;
-use edge_proxy::rules::table::{Classification, Rules};
+use edge_proxy::rules::table::Rules;
+use edge_proxy::wire::classification::{Classification, RequestClassifier};
 use edge_proxy::wire::http::HttpRequest;
-use edge_proxy::wire::platform::Platform;
+use edge_proxy::wire::platform_path::PlatformPath;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use stand_ins::slow_box::SlowFleet;
@@ -68,7 +69,7 @@
     for _ in 0..200_000 {
         let request = request(&mut rng);
         let mut steps = 0;
-        let (by_rules, by_code) = (rules.classify(&request, &mut steps), Platform::target(&request));
+        let (by_rules, by_code) = (rules.classify(&request, &mut steps), PlatformPath.classify(&request));
         // An empty `X-Set` is malformed for the code, and absent for `default`.
         let empty = request.headers.iter().any(|(n, v)| n == "x-set" && v.is_empty());
         if !empty {
