--- a/src/grpc/front.rs
+++ b/src/grpc/front.rs
@@ -161,7 +161,7 @@
         let text = text.trim_end().trim_end_matches("# EOF").to_string();
         let (not_grpc, unrouted) = (self.not_grpc.get(), self.unrouted.get());
         let own = format!("grpc_not_grpc_total {not_grpc}\ngrpc_unrouted_total {unrouted}\n# EOF\n");
-        text + &own + &self.admission.with(AdmissionControl::figures).unwrap_or_default()
+        text + &own + &self.admission.with(AdmissionControl::metrics).unwrap_or_default()
     }
 
     /// The share of a pool's backends that accept calls and that the decision module does not avoid; none where there is no
--- a/src/lifecycle/engine_setup.rs
+++ b/src/lifecycle/engine_setup.rs
@@ -26,11 +26,11 @@
     signed_connections: usize,
 ) -> Result<(Engine, Rc<PlatformSettings>), ServeError> {
     let demand = DescriptorDemand {
-        signed: signed_connections,
+        signed_url_clients: signed_connections,
         handed_over: config.handed_over,
         ..DescriptorDemand::default()
     };
-    let budget = DescriptorBudget::of(Descriptors::planned(config.limits.sockets), demand);
+    let budget = DescriptorBudget::new(Descriptors::expected(config.limits.max_descriptors), demand);
     engine_within(config, clock, signed_connections, budget)
 }
 
@@ -43,19 +43,19 @@
 ) -> Result<(Engine, Rc<PlatformSettings>), ServeError> {
     let settings = Rc::new(config.settings.clone());
     let seed = config.seed().map_err(ServeError::field("seed"))?;
-    let sockets = config.limits.sockets;
+    let max_descriptors = config.limits.max_descriptors;
     let connections = ConnectionLimits {
         total: budget.endpoints,
-        per_endpoint: (sockets / DESCRIPTORS_PER_ENDPOINT_CONNECTION)
+        per_endpoint: (max_descriptors / DESCRIPTORS_PER_ENDPOINT_CONNECTION)
             .clamp(MIN_ENDPOINT_CONNECTIONS, MAX_ENDPOINT_CONNECTIONS),
         spread_above: ENDPOINT_SPREAD,
         streams: settings.streams_per_connection(),
     };
-    let bounds = EngineLimits { requests: sockets * 2 / 5 + signed_connections, connections };
+    let bounds = EngineLimits { requests: max_descriptors * 2 / 5 + signed_connections, connections };
     let mut engine = Engine::new(clock.clone(), settings.clone(), seed, bounds);
-    for event in config.known.events().map_err(ServeError::field("known"))? {
+    for event in config.initial_state.events().map_err(ServeError::field("known"))? {
         engine.apply_event(event);
     }
-    engine.skip_events_to(config.known.last_number);
+    engine.skip_events_to(config.initial_state.last_number);
     Ok((engine, settings))
 }
