--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,5 +1,8 @@
-//! What is spoken: each protocol a state machine that is fed bytes and knows no socket, a codec round it,
-//! and a thin driver that reads and writes.
+//! The protocols of the proxy: with clients ([`front`], [`listener`], [`platform`], [`signed_urls`], [`admin`]), with
+//! caches ([`cache_connection`]) and with the discovery service ([`discovery`]).
+//!
+//! Codecs and parsers do no I/O. A driver around each reads and writes the socket, and hands messages to the engine. The
+//! spellings of a protocol are constants and serde renames of its codec; the messages have none of them.
 
 pub mod admin;
 pub mod byte_range;
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -11,19 +11,19 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// What a link brings once it has told its number; whether it ends then, or falls silent.
+/// What a connection brings once its first number is read, and whether it closes then or falls silent.
 #[derive(Clone)]
-struct Script {
+struct ScriptedWatch {
     bytes: Vec<u8>,
-    ends: bool,
+    closes: bool,
 }
 
-fn says(frames: &[Vec<u8>]) -> Script {
-    Script { bytes: frames.concat(), ends: false }
+fn sends(frames: &[Vec<u8>]) -> ScriptedWatch {
+    ScriptedWatch { bytes: frames.concat(), closes: false }
 }
 
-fn breaks(frames: &[Vec<u8>]) -> Script {
-    Script { ends: true, ..says(frames) }
+fn sends_and_closes(frames: &[Vec<u8>]) -> ScriptedWatch {
+    ScriptedWatch { closes: true, ..sends(frames) }
 }
 
 fn frame(no: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
@@ -38,72 +38,73 @@
     frame(no, 4, &[&group.to_be_bytes()[..], &(START_MS as u64).to_be_bytes()[..]].concat())
 }
 
-/// A watch whose k-th link brings the k-th script, the last one again and again; tells the numbers that links began with.
-fn scripted(listener: TcpListener, scripts: Vec<Script>) -> Rc<RefCell<Vec<u64>>> {
-    let links: Rc<RefCell<Vec<u64>>> = Rc::default();
-    let begun = links.clone();
+/// A watch whose k-th link brings the k-th script, the last one again and again; tells the numbers that connections began with.
+fn serve_scripts(listener: TcpListener, scripts: Vec<ScriptedWatch>) -> Rc<RefCell<Vec<u64>>> {
+    let connections: Rc<RefCell<Vec<u64>>> = Rc::default();
+    let started = connections.clone();
     spawn_local(async move {
         let mut held = Vec::new();
         loop {
             let (mut stream, _) = listener.accept().await.unwrap();
             let Ok(last) = stream.read_u64().await else { continue };
-            let k = begun.borrow().len().min(scripts.len() - 1);
-            begun.borrow_mut().push(last);
+            let k = started.borrow().len().min(scripts.len() - 1);
+            started.borrow_mut().push(last);
             let _ = stream.write_all(&scripts[k].bytes).await;
-            if !scripts[k].ends {
+            if !scripts[k].closes {
                 held.push(stream);
             }
         }
     });
-    links
+    connections
 }
 
-/// A site whose watch is such a script.
-async fn watched(name: &str, scripts: Vec<Script>) -> (Site, Rc<RefCell<Vec<u64>>>) {
+/// A site with a watch on such a service.
+async fn site_with_watch(name: &str, scripts: Vec<ScriptedWatch>) -> (Site, Rc<RefCell<Vec<u64>>>) {
     let site = Site::start(name).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
-    let links = scripted(listener, scripts);
+    let connections = serve_scripts(listener, scripts);
     site.moves.send(at).unwrap();
-    (site, links)
+    (site, connections)
 }
 
-fn last(site: &Site) -> u64 {
+fn last_event(site: &Site) -> u64 {
     site.host.with(|e| e.last_event_number())
 }
 
-/// Half a frame, then silence with the connection up: the link is given up and made anew from the last whole frame.
+/// Half a frame, then silence with the connection up: the watch reconnects from the last complete frame.
 #[test]
-fn half_a_frame_and_then_silence_is_noticed_and_asked_for_again() {
+fn a_partial_frame_followed_by_silence_is_requested_again() {
     run(async {
-        let half = Script { bytes: [purge(2, 17), purge(3, 18)[..10].to_vec()].concat(), ends: false };
-        let (site, links) = watched("half_frame", vec![half, says(&[purge(3, 18)])]).await;
-        until(|| last(&site) == 3).await;
-        assert_eq!(links.borrow()[..2], [1, 2]);
+        let half =
+            ScriptedWatch { bytes: [purge(2, 17), purge(3, 18)[..10].to_vec()].concat(), closes: false };
+        let (site, connections) = site_with_watch("half_frame", vec![half, sends(&[purge(3, 18)])]).await;
+        until(|| last_event(&site) == 3).await;
+        assert_eq!(connections.borrow()[..2], [1, 2]);
         assert_eq!(site.host.with(|e| (e.counters.discovery_events, e.counters.discovery_skipped)), (3, 0));
     });
 }
 
-/// The connection breaks in the middle of a frame: nothing of it is taken, and all of it the next time.
+/// The connection is lost in the middle of a frame: nothing of it is applied, and all of it the next time.
 #[test]
-fn a_break_in_the_middle_of_a_frame_loses_nothing() {
+fn a_connection_lost_within_a_frame_loses_no_event() {
     run(async {
-        let cut = Script { bytes: purge(2, 17)[..12].to_vec(), ends: true };
-        let (site, links) = watched("cut_frame", vec![cut, says(&[purge(2, 17)])]).await;
-        until(|| last(&site) == 2).await;
-        assert_eq!(links.borrow()[..2], [1, 1]);
+        let cut = ScriptedWatch { bytes: purge(2, 17)[..12].to_vec(), closes: true };
+        let (site, connections) = site_with_watch("cut_frame", vec![cut, sends(&[purge(2, 17)])]).await;
+        until(|| last_event(&site) == 2).await;
+        assert_eq!(connections.borrow()[..2], [1, 1]);
     });
 }
 
-/// One frame that nobody can read: asked for again in case it was garbled on its way, then skipped. Before, all that came
-/// behind it, drains among them, was never heard of.
+/// One frame that cannot be read: requested again in case it was corrupted on its way, then skipped. Before, all that came
+/// behind it, drains among them, was never applied.
 #[test]
-fn a_frame_that_stays_unreadable_is_skipped_and_what_follows_is_taken() {
+fn a_persistently_unreadable_frame_is_skipped_and_later_events_apply() {
     run(async {
         let bad = frame(2, 3, b"nonsense");
-        let (site, links) = watched("unreadable", vec![says(&[bad, purge(3, 18)])]).await;
-        until(|| last(&site) == 3).await;
-        assert_eq!(*links.borrow(), [1, 1, 1], "so often it may come whole");
+        let (site, connections) = site_with_watch("unreadable", vec![sends(&[bad, purge(3, 18)])]).await;
+        until(|| last_event(&site) == 3).await;
+        assert_eq!(*connections.borrow(), [1, 1, 1], "so often it may arrive intact");
         assert_eq!(site.host.with(|e| (e.counters.discovery_skipped, e.counters.discovery_events)), (1, 2));
     });
 }
@@ -118,93 +119,94 @@
     record
 }
 
-/// A drain that stands beside an endpoint of an unknown zone binds from the first time that it is told.
+/// A drain beside an endpoint of an unknown zone takes effect the first time that it arrives.
 #[test]
-fn a_drain_beside_a_record_that_cannot_be_read_binds_at_once() {
+fn a_drain_beside_an_unreadable_record_takes_effect_at_once() {
     run(async {
         let site = Site::start("beside").await;
         let at = site.endpoints[&CACHES[0]].address;
         let changes = [record(0xdd, 0, 99, at), record(CACHES[0], 1, 1, at)].concat();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to = listener.local_addr().unwrap();
-        let links = scripted(listener, vec![says(&[frame(2, 2, &changes), purge(3, 18)])]);
+        let connections = serve_scripts(listener, vec![sends(&[frame(2, 2, &changes), purge(3, 18)])]);
         let live = |site: &Site| site.host.endpoints_of_kind("box").len();
         let takes = |site: &Site| site.host.backends("box", 1).iter().filter(|b| b.live).count();
         assert_eq!((live(&site), takes(&site)), (2, 2));
         site.moves.send(to).unwrap();
         until(|| takes(&site) == 1).await;
         assert_eq!(
-            (links.borrow().len(), last(&site)),
+            (connections.borrow().len(), last_event(&site)),
             (1, 1),
-            "at the first time, though its number stays open"
+            "the first time, though its number stays open"
         );
-        until(|| last(&site) == 3).await;
+        until(|| last_event(&site) == 3).await;
         assert_eq!((live(&site), takes(&site)), (2, 1));
     });
 }
 
-/// A kind of event of a later day is passed over, and its number counts.
+/// An event of an unknown kind is ignored, and its number counts.
 #[test]
 fn an_unknown_kind_of_event_leaves_no_gap() {
     run(async {
-        let (site, links) = watched("later_kind", vec![says(&[frame(2, 77, b"later"), purge(3, 18)])]).await;
-        until(|| last(&site) == 3).await;
-        assert_eq!((links.borrow().len(), site.host.with(|e| e.counters.discovery_gaps)), (1, 0));
+        let (site, connections) =
+            site_with_watch("later_kind", vec![sends(&[frame(2, 77, b"later"), purge(3, 18)])]).await;
+        until(|| last_event(&site) == 3).await;
+        assert_eq!((connections.borrow().len(), site.host.with(|e| e.counters.discovery_gaps)), (1, 0));
     });
 }
 
-/// A frame that was garbled once is not skipped.
+/// A frame that was corrupted once is not skipped.
 #[test]
-fn a_frame_that_comes_whole_the_second_time_is_taken() {
+fn a_frame_corrupted_once_is_applied_on_retry() {
     run(async {
-        let scripts = vec![says(&[frame(2, 3, b"nonsense")]), says(&[purge(2, 17)])];
-        let (site, _) = watched("garbled_once", scripts).await;
-        until(|| last(&site) == 2).await;
+        let scripts = vec![sends(&[frame(2, 3, b"nonsense")]), sends(&[purge(2, 17)])];
+        let (site, _) = site_with_watch("garbled_once", scripts).await;
+        until(|| last_event(&site) == 2).await;
         assert_eq!(site.host.with(|e| (e.counters.discovery_skipped, e.counters.discovery_events)), (0, 2));
     });
 }
 
-/// A number far ahead, as one that was garbled is: taken at its word, all that follows would count as old.
+/// A number far ahead, as a corrupted one is: if it were accepted, all later events would count as stale.
 #[test]
-fn a_garbled_number_does_not_make_all_that_follows_old() {
+fn a_corrupted_sequence_number_does_not_discard_later_events() {
     run(async {
-        let scripts = vec![says(&[purge(1 << 40, 17)]), says(&[purge(2, 17), purge(3, 18)])];
-        let (site, links) = watched("garbled_number", scripts).await;
-        until(|| last(&site) == 3).await;
-        assert_eq!(*links.borrow(), [1, 1]);
+        let scripts = vec![sends(&[purge(1 << 40, 17)]), sends(&[purge(2, 17), purge(3, 18)])];
+        let (site, connections) = site_with_watch("garbled_number", scripts).await;
+        until(|| last_event(&site) == 3).await;
+        assert_eq!(*connections.borrow(), [1, 1]);
         assert_eq!(site.host.with(|e| (e.counters.discovery_gaps, e.counters.discovery_events)), (1, 3));
     });
 }
 
 /// Numbers that are really missing do not stop the watch.
 #[test]
-fn a_gap_that_stays_is_taken_as_it_is() {
+fn a_persistent_gap_is_accepted() {
     run(async {
-        let (site, links) = watched("gap", vec![says(&[purge(5, 17), purge(6, 18)])]).await;
-        until(|| last(&site) == 6).await;
-        assert_eq!(*links.borrow(), [1, 1, 1]);
+        let (site, connections) = site_with_watch("gap", vec![sends(&[purge(5, 17), purge(6, 18)])]).await;
+        until(|| last_event(&site) == 6).await;
+        assert_eq!(*connections.borrow(), [1, 1, 1]);
         assert_eq!(site.host.with(|e| e.counters.discovery_gaps), 2);
     });
 }
 
-/// Events told twice, and a watch that comes back with older numbers, change nothing; what is new is taken.
+/// Repeated events, and a watch that comes back with older numbers, change nothing; new events are applied.
 #[test]
-fn old_numbers_change_nothing() {
+fn stale_sequence_numbers_change_nothing() {
     run(async {
         let scripts = vec![
-            breaks(&[purge(2, 17), purge(2, 17), purge(3, 18)]),
-            says(&[purge(1, 16), purge(2, 17), purge(3, 18), purge(4, 19)]),
+            sends_and_closes(&[purge(2, 17), purge(2, 17), purge(3, 18)]),
+            sends(&[purge(1, 16), purge(2, 17), purge(3, 18), purge(4, 19)]),
         ];
-        let (site, links) = watched("old_numbers", scripts).await;
-        until(|| last(&site) == 4).await;
-        assert_eq!(*links.borrow(), [1, 3]);
+        let (site, connections) = site_with_watch("old_numbers", scripts).await;
+        until(|| last_event(&site) == 4).await;
+        assert_eq!(*connections.borrow(), [1, 3]);
         assert_eq!(site.host.with(|e| e.counters.discovery_events), 4);
     });
 }
 
-/// A watch that is down at the start: what the configuration knows is served from, and the link comes up once it can.
+/// A watch that is down at the start: requests are served from the configured list, and the watch is established later.
 #[test]
-fn a_watch_that_is_down_at_the_start_is_found_later() {
+fn a_watch_that_is_down_at_the_start_is_established_later() {
     run(async {
         let site = Site::start("down_at_start").await;
         let gone = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -219,23 +221,23 @@
             "X-Call-Id: 0000000000000001\r\nX-Patience-Ms: 1500\r\nX-Set: 17\r\nX-Heap-Kb: 412.5\r\n";
         assert_eq!(ask(listen, "GET", "/alive", "").await.status, 200);
         assert_eq!(ask(listen, "GET", "/ops/clip/7f3a9c21e0b4d655/slice-3", headers).await.status, 200);
-        let links = scripted(TcpListener::bind(at).await.unwrap(), vec![says(&[purge(2, 17)])]);
-        until(|| last(&site) == 2).await;
-        assert_eq!(*links.borrow(), [1]);
+        let connections = serve_scripts(TcpListener::bind(at).await.unwrap(), vec![sends(&[purge(2, 17)])]);
+        until(|| last_event(&site) == 2).await;
+        assert_eq!(*connections.borrow(), [1]);
     });
 }
 
-/// The configuration names another watch while the old one holds a connect or says nothing: the new one is asked at once.
+/// The configuration names another address while the old connection is silent or still connecting: the new one is used at once.
 #[test]
-fn a_move_ends_a_link_that_is_silent_or_waits() {
+fn an_address_change_ends_a_silent_or_connecting_watch() {
     run(async {
-        let (site, first) = watched("moves_away", vec![says(&[])]).await;
+        let (site, first) = site_with_watch("moves_away", vec![sends(&[])]).await;
         until(|| first.borrow().len() == 1).await;
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
-        let second = scripted(listener, vec![says(&[purge(2, 17)])]);
+        let second = serve_scripts(listener, vec![sends(&[purge(2, 17)])]);
         site.moves.send(at).unwrap();
-        until(|| last(&site) == 2).await;
+        until(|| last_event(&site) == 2).await;
         assert_eq!((first.borrow().len(), second.borrow().clone()), (1, vec![1]));
         assert_eq!(
             site.host.with(|e| e.counters.discovery_faults),
