--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -5,9 +5,9 @@
 use super::session::SessionTokens;
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::wire::byte_range::ByteRange;
 use crate::wire::front::{ConnectionLimits, Disposition, Front, ResponseContext, SessionId};
 use crate::wire::http::{HttpRequest, HttpResponse};
-use crate::wire::signed::{range, Range};
 use crate::wire::submission::Submission;
 use bytes::Bytes;
 use std::cell::RefCell;
@@ -74,14 +74,14 @@
         return response;
     }
     let length = response.body.len();
-    match range(requested, length) {
-        Range::All => response,
-        Range::Part(start, end) => {
+    match ByteRange::parse(requested, length) {
+        ByteRange::All => response,
+        ByteRange::Part(start, end) => {
             let content_range = format!("bytes {start}-{}/{length}", end - 1);
             let body = response.body.slice(start..end);
             HttpResponse { status: 206, body, ..response }.with("Content-Range", content_range)
         }
-        Range::Outside => {
+        ByteRange::Unsatisfiable => {
             let unsatisfied = HttpResponse { status: 416, body: Bytes::new(), ..response };
             unsatisfied.with("Content-Range", format!("bytes */{length}"))
         }
--- a/src/lifecycle/bind.rs
+++ b/src/lifecycle/bind.rs
@@ -23,7 +23,7 @@
     retry_while_in_use(address, || UdpSocket::bind(address)).await
 }
 
-/// Opens a socket by `open`, and tries again while another process holds the address, up to [`MAX_RETRIES`] times.
+/// Opens a socket by `open`, and tries again while another process holds the address, up to `MAX_RETRIES` times.
 pub async fn retry_while_in_use<O, F, S>(address: SocketAddr, open: O) -> Result<S, ServeError>
 where
     O: Fn() -> F,
@@ -33,7 +33,7 @@
         match open().await {
             Err(error) if error.kind() == ErrorKind::AddrInUse => {
                 if retry == 0 {
-                    tracing::warn!(at = %address, "the address is in use; most likely by a process that is ending");
+                    tracing::warn!(at = %address, "the address is in use, probably by a process that is ending");
                 }
                 tokio::time::sleep(duration_from_ms(RETRY_INTERVAL_MS)).await;
             }
--- a/src/lifecycle/subsystems/health_checks.rs
+++ b/src/lifecycle/subsystems/health_checks.rs
@@ -52,7 +52,7 @@
 
     fn reload(&mut self, _: &Context) {
         if let Some(Err(reason)) = self.checker.as_ref().map(|checker| checker.reload_keys()) {
-            tracing::warn!(%reason, "health checks: the keys cannot be reloaded, the old ones remain in use");
+            tracing::warn!(%reason, "health check keys not reloaded");
         }
     }
 }
--- a/src/lifecycle/subsystems/http3.rs
+++ b/src/lifecycle/subsystems/http3.rs
@@ -8,6 +8,7 @@
 use crate::http3::server::{accept as accept_quic, Http3Server};
 use crate::lifecycle::bind::{bind_tcp, retry_while_in_use};
 use crate::lifecycle::error::ServeError;
+use crate::lifecycle::reload::log_reload;
 use crate::lifecycle::subsystem::{Context, Starting, StopStage, Subsystem};
 use crate::lifecycle::supervisor::supervise;
 use crate::wire::front::ConnectionLimits;
@@ -112,15 +113,7 @@
     }
 
     fn reload(&mut self, _: &Context) {
-        match self.reload_keys() {
-            Ok(()) => tracing::info!(
-                file = %self.config.file.display(),
-                "HTTP/3: certificates and session keys were reloaded"
-            ),
-            Err(reason) => {
-                tracing::warn!(%reason, "HTTP/3: certificates or session keys cannot be reloaded, the old ones remain in use")
-            }
-        }
+        log_reload("HTTP/3", &self.config.file, self.reload_keys());
     }
 
     fn stop(&mut self, stage: StopStage) {
--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -6,6 +6,7 @@
 use crate::grpc::server as grpc_server;
 use crate::lifecycle::bind::bind_udp;
 use crate::lifecycle::error::ServeError;
+use crate::lifecycle::reload::log_reload;
 use crate::lifecycle::subsystem::{AdminCalls, Context, FrontDirectory, Starting, StopStage, Subsystem};
 use crate::registry::service::RegistryStatus;
 use crate::vrrp::config::{EnabledSubsystems, FrontKind, VrrpConfig};
@@ -141,14 +142,7 @@
 
     fn reload(&mut self, _: &Context) {
         let Some(router) = &self.router else { return };
-        match self.reload_file(router) {
-            Ok(()) => {
-                tracing::info!(file = %self.config.path.display(), "virtual router: the file was reloaded");
-            }
-            Err(reason) => {
-                tracing::warn!(%reason, "virtual router: the file cannot be reloaded, the old one remains in use")
-            }
-        }
+        log_reload("VRRP", &self.config.path, self.reload_file(router));
     }
 
     fn stop(&mut self, stage: StopStage) {
--- a/src/vrrp/host_values.rs
+++ b/src/vrrp/host_values.rs
@@ -30,7 +30,7 @@
     fn value(&self, object: &TrackedObject) -> Option<f64> {
         match object {
             TrackedObject::CachePool => self.host.with(|engine| engine.usable_cache_share()),
-            TrackedObject::AdmissionQueue => self.host.with_admission(|admission| admission.fullness()),
+            TrackedObject::AdmissionQueue => self.host.with_admission(|admission| admission.queue_fill()),
             TrackedObject::RejectedShare => {
                 let ended = self.ended_requests();
                 self.rejected_share.borrow_mut().sample(self.host.clock.now(), ended)
