--- a/src/wire/client_stream.rs
+++ b/src/wire/client_stream.rs
@@ -158,7 +158,7 @@
     }
 
     /// Closes the connection: sends nothing more, and discards what the client still sends, so that no response is lost
-    /// to a reset (lingering close, RFC 9112, section 9.6). Ends after [`LINGER_MS`], or when `cancelled` does.
+    /// to a reset (lingering close, RFC 9112, section 9.6). Ends after `LINGER_MS`, or when `cancelled` does.
     /// A request among the discarded bytes gets no response; the end of the connection tells its client so.
     pub async fn close(mut self, cancelled: impl Future<Output = ()>) {
         let stream = self.framed.get_mut();
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -171,7 +171,7 @@
     Ok(frames)
 }
 
-/// Applies the event of a frame. One that cannot be read is an error until it has failed [`MAX_EVENT_FAILURES`] times;
+/// Applies the event of a frame. One that cannot be read is an error until it has failed `MAX_EVENT_FAILURES` times;
 /// then it is skipped, so that the events behind it are not held up for ever.
 fn apply(executor: &Rc<Executor>, frame: &Frame, progress: &mut Progress) -> Result<(), WatchError> {
     let (number, last) = (frame.number, executor.with(|engine| engine.last_event_number()));
--- a/src/wire/signed_urls/jwk.rs
+++ b/src/wire/signed_urls/jwk.rs
@@ -38,7 +38,7 @@
     /// No key can be used.
     #[error("no key that can be used")]
     NoKeys,
-    /// There are more than [`MAX_KEYS`] keys.
+    /// There are more than `MAX_KEYS` keys.
     #[error("too many keys")]
     TooManyKeys,
 }
@@ -58,7 +58,7 @@
     /// A member is absent or not base64url.
     #[error("`{0}` is not base64url")]
     NotBase64url(&'static str),
-    /// The secret is shorter than [`MIN_SECRET_BYTES`].
+    /// The secret is shorter than `MIN_SECRET_BYTES`.
     #[error("`k` is too short")]
     SecretTooShort,
     /// A coordinate does not have the size of the curve.
