--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -1,82 +1,89 @@
-//! The front of the edge for poor links: another front's requests and answers, with a session by which a device's
-//! calls outlive its connections, and with ranges, so that a clip that stopped halfway goes on from there.
+//! The front of HTTP/3: the requests and responses of another front, with sessions, by which calls outlive their
+//! connections, and with ranges, by which a client resumes a response that was interrupted.
 
-use super::call_registry::{CallRegistry, Kept};
-use super::response_store::SessionId;
-use super::session::Sessions;
+use super::call_registry::CallRegistry;
+use super::session::SessionTokens;
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use crate::wire::byte_range::ByteRange;
-use crate::wire::front::{ConnectionLimits, Disposition, Front, ResponseContext};
+use crate::wire::front::{ConnectionLimits, Disposition, Front, ResponseContext, SessionId};
 use crate::wire::http::{HttpRequest, HttpResponse};
-use crate::wire::submission::{PendingResponse, Submission};
+use crate::wire::submission::Submission;
+use bytes::Bytes;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The header with a session's token.
-pub const SESSION: &str = "X-Session";
+/// Response header with a session token.
+pub const SESSION_HEADER: &str = "X-Session";
+/// The same header in a request, in lower case.
+const SESSION_REQUEST_HEADER: &str = "x-session";
+
+/// The session of a request.
+struct RequestSession {
+    id: SessionId,
+    /// A token that the client has to be given.
+    new_token: Option<String>,
+}
 
 /// The front.
 pub struct Http3Front {
     inner: Rc<dyn Front>,
     limits: ConnectionLimits,
-    sessions: RefCell<Sessions>,
-    keeper: Rc<CallRegistry>,
+    tokens: RefCell<SessionTokens>,
+    calls: Rc<CallRegistry>,
 }
 
 impl Http3Front {
-    /// A front for another one's requests.
+    /// Creates a front for the requests of `inner`.
     pub fn new(
         inner: Rc<dyn Front>,
         limits: ConnectionLimits,
-        sessions: Sessions,
-        keeper: Rc<CallRegistry>,
+        tokens: SessionTokens,
+        calls: Rc<CallRegistry>,
     ) -> Self {
-        Self { inner, limits, sessions: RefCell::new(sessions), keeper }
+        Self { inner, limits, tokens: RefCell::new(tokens), calls }
     }
 
-    /// Takes other keys for sessions.
-    pub fn rekey(&self, sessions: Sessions) {
-        *self.sessions.borrow_mut() = sessions;
+    /// Replaces the session tokens, after their keys were reloaded.
+    pub fn set_tokens(&self, tokens: SessionTokens) {
+        *self.tokens.borrow_mut() = tokens;
     }
 
-    /// The session of a request, with a token to be told where it is new or its token old.
-    fn session(&self, request: &HttpRequest, now: f64) -> (SessionId, Option<String>) {
-        let sessions = self.sessions.borrow();
-        let token = request.single("x-session").ok().flatten();
-        match token.map(|text| sessions.open(now, text)) {
-            Some(Ok(session)) if sessions.is_old(now, &session) => {
-                (session.id, Some(sessions.token(now, session.id)))
-            }
-            Some(Ok(session)) => (session.id, None),
-            // One that opens nothing is no fault: its device gets a new one.
-            _ => {
-                let id = rand::random::<SessionId>();
-                (id, Some(sessions.token(now, id)))
-            }
-        }
+    /// The session of a request. A request without a valid token gets a new session.
+    fn session(&self, request: &HttpRequest, now: f64) -> RequestSession {
+        let tokens = self.tokens.borrow();
+        let token = request.single(SESSION_REQUEST_HEADER).ok().flatten();
+        let verified = token.and_then(|token| tokens.verify(now, token).ok());
+        let (id, is_token_due) = match verified {
+            Some(session) => (session.id, tokens.needs_renewal(now, &session)),
+            None => (rand::random::<SessionId>(), true),
+        };
+        RequestSession { id, new_token: is_token_due.then(|| tokens.issue(now, id)) }
     }
 }
 
-/// A part of a whole answer, where one was asked for and the copy is still the same.
-fn part(context: &ResponseContext, answer: HttpResponse) -> HttpResponse {
-    let Some(text) = context.range.as_deref().filter(|_| answer.status == 200) else { return answer };
-    let tag = answer.headers.iter().find(|(name, _)| *name == "ETag").map(|(_, tag)| tag.as_str());
-    // RFC 9110, section 13.1.5: another copy than the one that the client has a part of is sent whole.
-    if context.if_range.as_deref().is_some_and(|asked| tag != Some(asked) || asked.starts_with("W/")) {
-        return answer;
+/// Reduces a complete response to the requested range, if the client's copy is still current.
+fn apply_range(context: &ResponseContext, response: HttpResponse) -> HttpResponse {
+    let Some(requested) = context.range.as_deref().filter(|_| response.status == 200) else {
+        return response;
+    };
+    let etag = response.headers.iter().find(|(name, _)| *name == "ETag").map(|(_, etag)| etag.as_str());
+    // RFC 9110, section 13.1.5: if the client has a part of another copy, it gets the complete response.
+    let is_other_copy = |if_range: &str| etag != Some(if_range) || if_range.starts_with("W/");
+    if context.if_range.as_deref().is_some_and(is_other_copy) {
+        return response;
     }
-    let length = answer.body.len();
-    match ByteRange::parse(text, length) {
-        ByteRange::All => answer,
-        ByteRange::Part(from, to) => {
-            let body = answer.body.slice(from..to);
-            let shown = format!("bytes {from}-{}/{length}", to - 1);
-            HttpResponse { status: 206, body, ..answer }.with("Content-Range", shown)
+    let length = response.body.len();
+    match ByteRange::parse(requested, length) {
+        ByteRange::All => response,
+        ByteRange::Part(start, end) => {
+            let content_range = format!("bytes {start}-{}/{length}", end - 1);
+            let body = response.body.slice(start..end);
+            HttpResponse { status: 206, body, ..response }.with("Content-Range", content_range)
         }
         ByteRange::Unsatisfiable => {
-            let empty = HttpResponse { status: 416, body: Default::default(), ..answer };
-            empty.with("Content-Range", format!("bytes */{length}"))
+            let unsatisfied = HttpResponse { status: 416, body: Bytes::new(), ..response };
+            unsatisfied.with("Content-Range", format!("bytes */{length}"))
         }
     }
 }
@@ -87,25 +94,25 @@
     }
 
     fn interpret(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Disposition {
-        match self.inner.interpret(host, request, now) {
-            Disposition::Forward(ask, mut context) => {
-                let header = |name| request.single(name).ok().flatten().map(String::from);
-                if request.method == "GET" {
-                    (context.range, context.if_range) = (header("range"), header("if-range"));
-                }
-                let (id, token) = self.session(request, now);
-                (context.session, context.session_token) = (Some(id), token);
-                Disposition::Forward(ask, context)
-            }
-            now => now,
+        let (incoming, mut context) = match self.inner.interpret(host, request, now) {
+            Disposition::Forward(incoming, context) => (incoming, context),
+            decided => return decided,
+        };
+        if request.method == "GET" {
+            let header = |name| request.single(name).ok().flatten().map(String::from);
+            (context.range, context.if_range) = (header("range"), header("if-range"));
         }
+        let session = self.session(request, now);
+        (context.session, context.session_token) = (Some(session.id), session.new_token);
+        Disposition::Forward(incoming, context)
     }
 
-    fn respond(&self, context: &ResponseContext, answer: FinalResponse) -> HttpResponse {
-        let answer = part(context, self.inner.respond(context, answer)).with("Accept-Ranges", "bytes");
+    fn respond(&self, context: &ResponseContext, response: FinalResponse) -> HttpResponse {
+        let response =
+            apply_range(context, self.inner.respond(context, response)).with("Accept-Ranges", "bytes");
         match &context.session_token {
-            Some(token) => answer.with(SESSION, token.clone()),
-            None => answer,
+            Some(token) => response.with(SESSION_HEADER, token.clone()),
+            None => response,
         }
     }
 
@@ -115,14 +122,13 @@
 
     fn submit(
         &self,
-        host: &Rc<Executor>,
+        executor: &Rc<Executor>,
         context: &ResponseContext,
         request: IncomingRequest,
     ) -> Result<Submission, AdmitError> {
-        let Some(session) = context.session else { return Submission::to_engine(host, request) };
-        Ok(match self.keeper.ask(session, request)? {
-            Kept::Now(result) => Submission::Completed(result),
-            Kept::Wait(receiver, hold) => Submission::Pending(PendingResponse::new(receiver, Box::new(hold))),
-        })
+        match context.session {
+            Some(session) => Ok(self.calls.submit(session, request)?.into()),
+            None => Submission::to_engine(executor, request),
+        }
     }
 }
--- a/src/http3/response_store.rs
+++ b/src/http3/response_store.rs
@@ -1,282 +1,342 @@
-//! Calls and answers that outlive their connection. No I/O.
+//! Running calls and the responses of completed ones. No I/O; time is given by the caller in Unix milliseconds.
 //!
-//! A call is known by its session and its id. The first claim of it is the call; a later one, from a connection that
-//! came after the first was lost, joins it while it runs and gets its answer once it has one. So an ad-post that was
-//! taken is never taken again for being asked again. A read whose client is gone runs on for a while only; a write
-//! always runs to its end. What is held is bounded in number, by session and in bytes.
+//! A call is identified by its session and its id. The first client starts it; a later one, whose earlier connection was
+//! lost, attaches to it while it runs and gets its response once it has completed. So a write is executed once however
+//! often it is retried. A read without clients is cancelled after a while; a write always runs to completion. The store
+//! is bounded in calls, calls per session and bytes.
 
 use crate::state::requests::FinalResponse;
+use crate::wire::front::SessionId;
 use std::collections::{BTreeSet, HashMap};
 
-/// A session's number.
-pub use crate::wire::front::SessionId;
-/// A call within a session.
-pub type Key = (SessionId, u64);
+/// Memory of a call without the body of its response, in bytes.
+pub const CALL_BYTES: usize = 320;
 
-/// What an entry costs beside its body, in bytes.
-pub const ENTRY_BYTES: usize = 320;
+/// Identifies a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct CallKey {
+    /// Session of the client.
+    pub session: SessionId,
+    /// Call id, unique within the session.
+    pub call: u64,
+}
+
+impl CallKey {
+    const MIN: Self = Self { session: 0, call: 0 };
+}
 
-/// Bounds and times, in milliseconds.
+/// Bounds of the store.
 #[derive(Clone, Copy, Debug)]
-pub struct ShelfBounds {
-    /// Calls held.
+pub struct StoreLimits {
+    /// Most calls.
     pub calls: usize,
-    /// Calls held of one session.
-    pub per_session: usize,
-    /// Bytes held.
+    /// Most calls of one session.
+    pub calls_per_session: usize,
+    /// Most bytes.
     pub bytes: usize,
-    /// How long a read runs on after its last client was lost.
-    pub linger_ms: f64,
-    /// How long the answer to a read is kept.
+    /// Time after which a read without clients is cancelled, in milliseconds.
+    pub cancel_after_ms: f64,
+    /// Time for which the response of a read is kept, in milliseconds.
     pub keep_read_ms: f64,
-    /// How long the answer to a write is kept.
+    /// Time for which the response of a write is kept, in milliseconds.
     pub keep_write_ms: f64,
 }
 
-/// What a claim of a call comes to.
+/// The result of attaching a client to a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Claim {
-    /// It is new: it is to be taken.
-    New,
-    /// It runs: its answer is to be waited for.
-    Joined,
-    /// It has its answer.
-    Done(FinalResponse),
-    /// Another request has the id.
+pub enum Attachment {
+    /// The call is new and has to be started.
+    Started,
+    /// The call is running.
+    Running,
+    /// The call has completed with this response.
+    Completed(FinalResponse),
+    /// The call id belongs to a different request.
     Conflict,
-    /// No room: trying again does no harm.
+    /// The store is full. The call was not started.
     Full,
 }
 
+/// A time that is ordered as a key. Negative times count as 0.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct OrderedMs(u64);
+
+impl OrderedMs {
+    const MIN: Self = Self(0);
+
+    /// The bits of floats that are not negative are ordered as the floats are.
+    fn new(ms: f64) -> Self {
+        Self(ms.max(0.0).to_bits())
+    }
+
+    fn ms(self) -> f64 {
+        f64::from_bits(self.0)
+    }
+}
+
+/// Place of a completed call in the order of eviction: reads before writes, then by when they expire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct CompletedEntry {
+    write: bool,
+    expires: OrderedMs,
+    key: CallKey,
+}
+
+/// Place of a running read without clients in the order of cancellation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct DetachedEntry {
+    cancel: OrderedMs,
+    key: CallKey,
+}
+
 #[derive(Clone, Debug)]
-enum State {
-    Running { attached: u32, lost_ms: f64 },
-    Done { answer: FinalResponse, until_ms: f64, bytes: usize },
+enum CallState {
+    Running {
+        clients: u32,
+        /// When the last client was lost, or infinity.
+        detached_ms: f64,
+    },
+    Completed {
+        response: FinalResponse,
+        expires_ms: f64,
+        body_bytes: usize,
+    },
 }
 
 #[derive(Clone, Debug)]
-struct Entry {
-    /// What the request was, so that another one under its id is told from it.
+struct Call {
+    /// Hash of the request, which distinguishes it from a different request with the same id.
     digest: u64,
     write: bool,
-    state: State,
+    state: CallState,
 }
 
-/// Figures of a shelf.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct ShelfFigures {
-    /// Calls taken.
-    pub taken: u64,
-    /// Claims that joined a running call.
+/// Counters of the store.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct StoreMetrics {
+    /// Calls started.
+    pub started: u64,
+    /// Clients attached to a running call.
     pub joined: u64,
-    /// Claims answered from the shelf.
-    pub answered: u64,
-    /// Claims under an id that another request has.
+    /// Clients that got the response of a completed call.
+    pub replayed: u64,
+    /// Clients rejected because their call id belongs to a different request.
     pub conflicts: u64,
-    /// Claims for which there was no room.
-    pub full: u64,
-    /// Calls whose last client was lost while they ran.
-    pub lost: u64,
-    /// Of them reads called off after their time.
-    pub called_off: u64,
-    /// Answers dropped before their time, for want of room: reads, and writes.
-    pub evicted: [u64; 2],
+    /// Clients rejected because the store was full.
+    pub rejected_full: u64,
+    /// Running calls that lost their last client.
+    pub detached: u64,
+    /// Reads cancelled, by their client or after their time without clients.
+    pub cancelled: u64,
+    /// Responses of reads evicted before they expired.
+    pub evicted_reads: u64,
+    /// Responses of writes evicted before they expired.
+    pub evicted_writes: u64,
 }
 
-/// The shelf. See the module's page.
+/// The store.
 #[derive(Debug)]
 pub struct ResponseStore {
-    bounds: ShelfBounds,
-    entries: HashMap<Key, Entry>,
-    sessions: HashMap<SessionId, usize>,
-    /// Done calls: writes last, then by when they are dropped (its bits order as the times do).
-    done: BTreeSet<(bool, u64, Key)>,
-    /// Running reads without a client, by when they are called off.
-    lost: BTreeSet<(u64, Key)>,
+    limits: StoreLimits,
+    calls: HashMap<CallKey, Call>,
+    calls_of_session: HashMap<SessionId, usize>,
+    completed: BTreeSet<CompletedEntry>,
+    detached_reads: BTreeSet<DetachedEntry>,
     bytes: usize,
-    /// Its figures.
-    pub figures: ShelfFigures,
-}
-
-fn bits(ms: f64) -> u64 {
-    ms.max(0.0).to_bits()
+    metrics: StoreMetrics,
 }
 
 impl ResponseStore {
-    /// An empty shelf.
-    pub fn new(bounds: ShelfBounds) -> Self {
+    /// Creates an empty store.
+    pub fn new(limits: StoreLimits) -> Self {
         Self {
-            bounds,
-            entries: HashMap::new(),
-            sessions: HashMap::new(),
-            done: BTreeSet::new(),
-            lost: BTreeSet::new(),
+            limits,
+            calls: HashMap::new(),
+            calls_of_session: HashMap::new(),
+            completed: BTreeSet::new(),
+            detached_reads: BTreeSet::new(),
             bytes: 0,
-            figures: ShelfFigures::default(),
+            metrics: StoreMetrics::default(),
         }
     }
 
-    /// A client asks for a call.
-    pub fn claim(&mut self, now: f64, key: Key, digest: u64, write: bool) -> Claim {
-        self.drop_old(now);
-        if let Some(entry) = self.entries.get_mut(&key) {
-            if entry.digest != digest || entry.write != write {
-                self.figures.conflicts += 1;
-                return Claim::Conflict;
-            }
-            return match &mut entry.state {
-                State::Running { attached, lost_ms } => {
-                    self.lost.remove(&(bits(*lost_ms + self.bounds.linger_ms), key));
-                    *attached += 1;
-                    self.figures.joined += 1;
-                    Claim::Joined
-                }
-                State::Done { answer, .. } => {
-                    self.figures.answered += 1;
-                    Claim::Done(answer.clone())
-                }
-            };
+    /// The counters.
+    pub fn metrics(&self) -> StoreMetrics {
+        self.metrics
+    }
+
+    /// Attaches a client to the call `key`, which is started if it is new. `digest` is the hash of the request.
+    pub fn attach(&mut self, now: f64, key: CallKey, digest: u64, write: bool) -> Attachment {
+        self.remove_expired(now);
+        if self.calls.contains_key(&key) {
+            return self.attach_to_known(key, digest, write);
         }
-        let mine = self.sessions.get(&key.0).copied().unwrap_or(0);
-        let room = mine < self.bounds.per_session || self.evict(|(_, _, held)| held.0 == key.0);
-        if !room || !self.make_room(1, ENTRY_BYTES) {
-            self.figures.full += 1;
-            return Claim::Full;
+        let of_session = self.calls_of_session.get(&key.session).copied().unwrap_or(0);
+        let session_has_room = of_session < self.limits.calls_per_session
+            || self.evict(|entry| entry.key.session == key.session);
+        if !session_has_room || !self.make_room(1, CALL_BYTES) {
+            self.metrics.rejected_full += 1;
+            return Attachment::Full;
         }
-        self.figures.taken += 1;
-        let state = State::Running { attached: 1, lost_ms: f64::INFINITY };
-        self.entries.insert(key, Entry { digest, write, state });
-        *self.sessions.entry(key.0).or_default() += 1;
-        self.bytes += ENTRY_BYTES;
-        Claim::New
+        self.metrics.started += 1;
+        let state = CallState::Running { clients: 1, detached_ms: f64::INFINITY };
+        self.calls.insert(key, Call { digest, write, state });
+        *self.calls_of_session.entry(key.session).or_default() += 1;
+        self.bytes += CALL_BYTES;
+        Attachment::Started
     }
 
-    /// A call has its answer. Whether the shelf keeps it depends on what it is.
-    pub fn finished(&mut self, now: f64, key: Key, answer: &FinalResponse) {
-        let Some(entry) = self.entries.get(&key) else { return };
-        let State::Running { lost_ms, .. } = entry.state else { return };
-        self.lost.remove(&(bits(lost_ms + self.bounds.linger_ms), key));
-        let write = entry.write;
-        let (keep_ms, bytes) = match answer {
-            // Nothing ran: asked again it is a new call, as it would be for a client that heard of it.
-            FinalResponse::Rejected { .. } => (0.0, 0),
-            FinalResponse::Failed { .. } if !write => (0.0, 0),
-            FinalResponse::Failed { .. } | FinalResponse::NotModified { .. } => (self.kept_ms(write), 0),
-            FinalResponse::Served { body, .. } => (self.kept_ms(write), body.len()),
+    fn attach_to_known(&mut self, key: CallKey, digest: u64, write: bool) -> Attachment {
+        let Some(call) = self.calls.get_mut(&key).filter(|call| call.digest == digest && call.write == write)
+        else {
+            self.metrics.conflicts += 1;
+            return Attachment::Conflict;
         };
+        match &mut call.state {
+            CallState::Running { clients, detached_ms } => {
+                let cancel = OrderedMs::new(*detached_ms + self.limits.cancel_after_ms);
+                self.detached_reads.remove(&DetachedEntry { cancel, key });
+                *clients += 1;
+                self.metrics.joined += 1;
+                Attachment::Running
+            }
+            CallState::Completed { response, .. } => {
+                self.metrics.replayed += 1;
+                Attachment::Completed(response.clone())
+            }
+        }
+    }
+
+    /// Completes a running call. Its response is kept, depending on what it is.
+    pub fn complete(&mut self, now: f64, key: CallKey, response: &FinalResponse) {
+        let Some(call) = self.calls.get(&key) else { return };
+        let CallState::Running { detached_ms, .. } = call.state else { return };
+        let write = call.write;
+        let cancel = OrderedMs::new(detached_ms + self.limits.cancel_after_ms);
+        self.detached_reads.remove(&DetachedEntry { cancel, key });
+        let keep_ms = self.keep_ms(write, response);
         if keep_ms <= 0.0 {
             return self.remove(key);
         }
-        let fits = bytes + ENTRY_BYTES <= self.bounds.bytes && self.make_room(0, bytes);
-        // A write whose answer has no room stays as one that may have run: it must not be taken for new.
-        let failed = FinalResponse::Failed { overdue: false };
-        let (answer, bytes) = match fits {
-            true => (answer, bytes),
-            false if write => (&failed, 0),
-            false => return self.remove(key),
+        let body_bytes = match response {
+            FinalResponse::Served { body, .. } => body.len(),
+            _ => 0,
+        };
+        let fits = body_bytes + CALL_BYTES <= self.limits.bytes && self.make_room(0, body_bytes);
+        let (response, body_bytes) = match (fits, write) {
+            (true, _) => (response.clone(), body_bytes),
+            // The write may have been executed: a retry must not start it again.
+            (false, true) => (FinalResponse::Failed { overdue: false }, 0),
+            (false, false) => return self.remove(key),
         };
-        let until_ms = now + keep_ms;
-        self.bytes += bytes;
-        self.done.insert((write, bits(until_ms), key));
-        if let Some(entry) = self.entries.get_mut(&key) {
-            entry.state = State::Done { answer: answer.clone(), until_ms, bytes };
+        let expires_ms = now + keep_ms;
+        self.bytes += body_bytes;
+        self.completed.insert(CompletedEntry { write, expires: OrderedMs::new(expires_ms), key });
+        if let Some(call) = self.calls.get_mut(&key) {
+            call.state = CallState::Completed { response, expires_ms, body_bytes };
         }
     }
 
-    /// A call was not taken after all.
-    pub fn not_taken(&mut self, key: Key) {
-        self.remove(key);
+    /// How long a response is kept, in milliseconds.
+    fn keep_ms(&self, write: bool, response: &FinalResponse) -> f64 {
+        match response {
+            // Nothing was executed: a retry is a new call.
+            FinalResponse::Rejected { .. } => 0.0,
+            FinalResponse::Failed { .. } if !write => 0.0,
+            _ if write => self.limits.keep_write_ms,
+            _ => self.limits.keep_read_ms,
+        }
     }
 
-    fn kept_ms(&self, write: bool) -> f64 {
-        if write {
-            self.bounds.keep_write_ms
-        } else {
-            self.bounds.keep_read_ms
-        }
+    /// Removes a call that the engine did not accept.
+    pub fn discard(&mut self, key: CallKey) {
+        self.remove(key);
     }
 
-    /// A client of a running call was lost: it may come back.
-    pub fn lost(&mut self, now: f64, key: Key) {
-        let linger = self.bounds.linger_ms;
-        let Some(entry) = self.entries.get_mut(&key) else { return };
-        let State::Running { attached, lost_ms } = &mut entry.state else { return };
-        *attached = attached.saturating_sub(1);
-        if *attached > 0 {
+    /// Detaches a client whose connection was lost. It may attach again.
+    pub fn detach(&mut self, now: f64, key: CallKey) {
+        let Some(call) = self.calls.get_mut(&key) else { return };
+        let CallState::Running { clients, detached_ms } = &mut call.state else { return };
+        *clients = clients.saturating_sub(1);
+        if *clients > 0 {
             return;
         }
-        self.figures.lost += 1;
-        *lost_ms = now;
-        if !entry.write {
-            self.lost.insert((bits(now + linger), key));
+        self.metrics.detached += 1;
+        *detached_ms = now;
+        if !call.write {
+            let cancel = OrderedMs::new(now + self.limits.cancel_after_ms);
+            self.detached_reads.insert(DetachedEntry { cancel, key });
         }
     }
 
-    /// A client of a running call said that it wants it no more. Returns whether the call is to be called off: a
-    /// write never is, since it may have run, and is not to be taken for new when it is asked again.
-    pub fn cancelled(&mut self, now: f64, key: Key) -> bool {
-        self.lost(now, key);
-        let Some(entry) = self.entries.get(&key) else { return false };
-        let idle = matches!(entry.state, State::Running { attached: 0, .. });
-        if entry.write || !idle {
+    /// Detaches a client that no longer wants the response. Returns whether the call has to be cancelled.
+    ///
+    /// A write is never cancelled: it may have been executed, and a retry must not start it again.
+    pub fn cancel(&mut self, now: f64, key: CallKey) -> bool {
+        self.detach(now, key);
+        let Some(call) = self.calls.get(&key) else { return false };
+        let has_no_clients = matches!(call.state, CallState::Running { clients: 0, .. });
+        if call.write || !has_no_clients {
             return false;
         }
-        self.figures.called_off += 1;
+        self.metrics.cancelled += 1;
         self.remove(key);
         true
     }
 
-    /// Drops what is past its time; the reads that come back are to be called off.
-    pub fn tick(&mut self, now: f64) -> Vec<Key> {
-        self.drop_old(now);
-        let mut off = Vec::new();
-        while let Some((at, key)) = self.lost.first().copied().filter(|(at, _)| f64::from_bits(*at) <= now) {
-            self.lost.remove(&(at, key));
-            self.remove(key);
-            self.figures.called_off += 1;
-            off.push(key);
+    /// Removes what has expired by `now`. Returns the reads that have to be cancelled.
+    pub fn tick(&mut self, now: f64) -> Vec<CallKey> {
+        self.remove_expired(now);
+        let mut cancelled = Vec::new();
+        while let Some(entry) = self.detached_reads.first().copied().filter(|e| e.cancel.ms() <= now) {
+            self.detached_reads.remove(&entry);
+            self.remove(entry.key);
+            self.metrics.cancelled += 1;
+            cancelled.push(entry.key);
         }
-        off
+        cancelled
     }
 
-    /// When there is something to do next.
-    pub fn next_due(&self) -> f64 {
-        let first = |write| self.done.range((write, 0, (0, 0))..).next().filter(|(w, _, _)| *w == write);
-        let done = [false, true].into_iter().filter_map(first).map(|(_, at, _)| f64::from_bits(*at));
-        let lost = self.lost.first().map(|(at, _)| f64::from_bits(*at));
-        done.chain(lost).fold(f64::INFINITY, f64::min)
+    /// When [`Self::tick`] has to be called next.
+    pub fn next_due_ms(&self) -> f64 {
+        let expiries = [false, true].into_iter().filter_map(|write| self.first_completed(write));
+        let expiries = expiries.map(|entry| entry.expires.ms());
+        let cancellation = self.detached_reads.first().map(|entry| entry.cancel.ms());
+        expiries.chain(cancellation).fold(f64::INFINITY, f64::min)
     }
 
-    /// Calls held.
+    /// Number of calls.
     pub fn len(&self) -> usize {
-        self.entries.len()
+        self.calls.len()
     }
 
-    /// Whether none is.
+    /// Whether there is no call.
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.calls.is_empty()
     }
 
-    /// Bytes held.
+    /// Memory of all calls and responses, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    fn drop_old(&mut self, now: f64) {
+    /// The read or write that expires first.
+    fn first_completed(&self, write: bool) -> Option<CompletedEntry> {
+        let from = CompletedEntry { write, expires: OrderedMs::MIN, key: CallKey::MIN };
+        self.completed.range(from..).next().copied().filter(|entry| entry.write == write)
+    }
+
+    fn remove_expired(&mut self, now: f64) {
         for write in [false, true] {
-            let next = |done: &BTreeSet<(bool, u64, Key)>| {
-                let first = done.range((write, 0, (0, 0))..).next().copied();
-                first.filter(|(w, at, _)| *w == write && f64::from_bits(*at) <= now)
-            };
-            while let Some((_, _, key)) = next(&self.done) {
-                self.remove(key);
+            while let Some(entry) = self.first_completed(write).filter(|entry| entry.expires.ms() <= now) {
+                self.remove(entry.key);
             }
         }
     }
 
-    /// Makes room for so many more entries and bytes by dropping answers, reads before writes, the oldest first.
-    fn make_room(&mut self, entries: usize, bytes: usize) -> bool {
-        while self.entries.len() + entries > self.bounds.calls || self.bytes + bytes > self.bounds.bytes {
+    /// Evicts responses until there is room for further calls and bytes: reads before writes, the oldest first.
+    fn make_room(&mut self, calls: usize, bytes: usize) -> bool {
+        while self.calls.len() + calls > self.limits.calls || self.bytes + bytes > self.limits.bytes {
             if !self.evict(|_| true) {
                 return false;
             }
@@ -284,29 +344,37 @@
         true
     }
 
-    fn evict(&mut self, which: impl Fn(&(bool, u64, Key)) -> bool) -> bool {
-        let Some((write, _, key)) = self.done.iter().find(|held| which(held)).copied() else { return false };
-        self.figures.evicted[usize::from(write)] += 1;
-        self.remove(key);
+    /// Evicts the first response of those for which `is_candidate` is true.
+    fn evict(&mut self, is_candidate: impl Fn(&CompletedEntry) -> bool) -> bool {
+        let Some(entry) = self.completed.iter().find(|entry| is_candidate(entry)).copied() else {
+            return false;
+        };
+        if entry.write {
+            self.metrics.evicted_writes += 1;
+        } else {
+            self.metrics.evicted_reads += 1;
+        }
+        self.remove(entry.key);
         true
     }
 
-    fn remove(&mut self, key: Key) {
-        let Some(entry) = self.entries.remove(&key) else { return };
-        self.bytes -= ENTRY_BYTES;
-        match entry.state {
-            State::Done { until_ms, bytes, .. } => {
-                self.bytes -= bytes;
-                self.done.remove(&(entry.write, bits(until_ms), key));
+    fn remove(&mut self, key: CallKey) {
+        let Some(Call { write, state, .. }) = self.calls.remove(&key) else { return };
+        self.bytes -= CALL_BYTES;
+        match state {
+            CallState::Completed { expires_ms, body_bytes, .. } => {
+                self.bytes -= body_bytes;
+                self.completed.remove(&CompletedEntry { write, expires: OrderedMs::new(expires_ms), key });
             }
-            State::Running { lost_ms, .. } => {
-                self.lost.remove(&(bits(lost_ms + self.bounds.linger_ms), key));
+            CallState::Running { detached_ms, .. } => {
+                let cancel = OrderedMs::new(detached_ms + self.limits.cancel_after_ms);
+                self.detached_reads.remove(&DetachedEntry { cancel, key });
             }
         }
-        if let Some(n) = self.sessions.get_mut(&key.0) {
-            *n -= 1;
-            if *n == 0 {
-                self.sessions.remove(&key.0);
+        if let Some(count) = self.calls_of_session.get_mut(&key.session) {
+            *count -= 1;
+            if *count == 0 {
+                self.calls_of_session.remove(&key.session);
             }
         }
     }
--- a/src/lifecycle/subsystem_configs.rs
+++ b/src/lifecycle/subsystem_configs.rs
@@ -6,7 +6,7 @@
 use crate::config_file::ConfigError;
 use crate::grpc::config::GrpcConfig;
 use crate::health_check::config::HealthCheckConfig;
-use crate::health_check::driver::MAX_PROBES;
+use crate::health_check::driver::MAX_CONCURRENT_CHECKS;
 use crate::http3::config::Http3Config;
 use crate::purge::config::PurgeConfig;
 use crate::purge::service::MAX_CALLS;
@@ -90,7 +90,7 @@
 
     /// How many listeners a front has: its own and those at virtual addresses.
     pub fn listeners(&self, front: FrontKind) -> usize {
-        let virtual_listeners = self.vrrp.iter().flat_map(|vrrp| &vrrp.serve);
+        let virtual_listeners = self.vrrp.iter().flat_map(|vrrp| &vrrp.listeners);
         1 + virtual_listeners.filter(|listener| listener.front == front).count()
     }
 
@@ -103,9 +103,9 @@
             .as_ref()
             .map_or(0, |c| c.limits.clients * self.listeners(FrontKind::Grpc) + c.limits.connections);
         let http3 =
-            self.http3.as_ref().and_then(|c| c.tcp_at().map(|_| c.limits.tcp_connections)).unwrap_or(0);
+            self.http3.as_ref().and_then(|c| c.tcp_address().map(|_| c.limits.tcp_connections)).unwrap_or(0);
         let purges = if self.purges.is_some() { MAX_CALLS } else { 0 };
-        let health_checks = if self.health_checks.is_some() { MAX_PROBES } else { 0 };
+        let health_checks = if self.health_checks.is_some() { MAX_CONCURRENT_CHECKS } else { 0 };
         DescriptorDemand {
             signed_url_clients: signed_urls,
             other_subsystems: grpc + http3 + purges + health_checks,
--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -2,57 +2,49 @@
 
 use crate::config_file::BoxError;
 use crate::engine::executor::{Executor, MetricsSource};
+use crate::grpc::front::GrpcFront;
 use crate::grpc::server as grpc_server;
 use crate::lifecycle::bind::bind_udp;
 use crate::lifecycle::error::ServeError;
 use crate::lifecycle::reload::log_reload;
-use crate::lifecycle::subsystem::{AdminCalls, Context, Starting, StopStage, Subsystem};
-use crate::vrrp::config::{FrontKind, VrrpConfig};
-use crate::vrrp::driver::{host_value, run, Accept, Ask, VirtualRouter};
-use crate::vrrp::track::{Rate, What};
+use crate::lifecycle::subsystem::{AdminCalls, Context, FrontDirectory, Starting, StopStage, Subsystem};
+use crate::registry::service::RegistryStatus;
+use crate::vrrp::config::{EnabledSubsystems, FrontKind, VrrpConfig};
+use crate::vrrp::driver::run;
+use crate::vrrp::host_values::HostValues;
+use crate::vrrp::router::VirtualRouter;
+use crate::vrrp::track::{TrackedObject, TrackedValues};
+use crate::vrrp::virtual_addresses::VirtualFronts;
 use crate::wire::listener::accept;
+use crate::wire::shutdown::GracefulShutdown;
 use futures_util::future::{ready, FutureExt};
 use std::cell::RefCell;
 use std::rc::Rc;
+use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// Subsystems that a virtual router's file may refer to.
-pub struct Prerequisites {
-    /// Signed URLs are on.
-    pub signed_urls: bool,
-    /// The gRPC pools.
-    pub grpc_pools: Vec<String>,
-    /// Admission control is on.
-    pub admission: bool,
-    /// The registry client is on.
-    pub registry: bool,
-}
-
 /// The virtual router.
 pub struct Vrrp {
     config: VrrpConfig,
-    prerequisites: Prerequisites,
+    enabled: EnabledSubsystems,
     router: Option<Rc<VirtualRouter>>,
     resign: Rc<Notify>,
 }
 
 impl Vrrp {
     /// The router of an operator file.
-    pub fn new(config: VrrpConfig, prerequisites: Prerequisites) -> Self {
-        Self { config, prerequisites, router: None, resign: Rc::default() }
+    pub fn new(config: VrrpConfig, enabled: EnabledSubsystems) -> Self {
+        Self { config, enabled, router: None, resign: Rc::default() }
     }
 
     fn create_router(&mut self, context: &Context) -> Result<(), ServeError> {
-        let on = &self.prerequisites;
-        self.config
-            .check_with(on.signed_urls, &on.grpc_pools, on.admission, on.registry)
-            .map_err(ServeError::field("vrrp"))?;
+        self.config.check_dependencies(&self.enabled).map_err(ServeError::field("vrrp"))?;
         let executor = context.executor.clone();
         let router = VirtualRouter::new(
             executor,
             self.config.clone(),
-            accept_at_virtual_address(context),
-            tracked_values(context),
+            Box::new(SubsystemFronts::new(context)),
+            Box::new(SubsystemValues::new(context)),
         );
         self.router = Some(router.map_err(ServeError::field("key_file"))?);
         Ok(())
@@ -60,40 +52,68 @@
 
     async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
         let Some(router) = self.router.clone() else { return Ok(()) };
-        let socket = bind_udp(self.config.router().listen).await?;
+        let socket = bind_udp(self.config.router_settings().listen).await?;
         context.executor.spawn("the virtual router", run(router, socket, self.resign.clone()));
         Ok(())
     }
 
     fn reload_file(&self, router: &VirtualRouter) -> Result<(), BoxError> {
-        Ok(router.reconfigure(self.config.again()?)?)
+        Ok(router.reconfigure(self.config.reload()?)?)
     }
 }
 
-/// Serves a virtual address's listener by the front of its kind.
-fn accept_at_virtual_address(context: &Context) -> Accept {
-    let (executor, fronts, grpc) =
-        (context.executor.clone(), context.fronts.clone(), context.grpc.borrow().clone());
-    Box::new(move |kind, listener, stop, closing| {
-        if let (FrontKind::Grpc, Some(front)) = (kind, &grpc) {
+/// Serves the listeners of virtual addresses by the fronts of the process.
+struct SubsystemFronts {
+    executor: Rc<Executor>,
+    fronts: FrontDirectory,
+    grpc: Option<Rc<GrpcFront>>,
+}
+
+impl SubsystemFronts {
+    fn new(context: &Context) -> Self {
+        let (executor, fronts) = (context.executor.clone(), context.fronts.clone());
+        Self { executor, fronts, grpc: context.grpc.borrow().clone() }
+    }
+}
+
+impl VirtualFronts for SubsystemFronts {
+    fn serve(&self, kind: FrontKind, listener: TcpListener, stop: Rc<GracefulShutdown>, closing: Rc<Notify>) {
+        if let (FrontKind::Grpc, Some(front)) = (kind, &self.grpc) {
             let accepting = grpc_server::accept(front.clone(), listener, stop, closing);
-            return executor.spawn("accepting", accepting);
+            return self.executor.spawn("accepting", accepting);
         }
-        if let Some(front) = fronts.find(kind) {
-            executor.spawn("accepting", accept(executor.clone(), front, listener, stop, closing));
+        if let Some(front) = self.fronts.find(kind) {
+            self.executor.spawn("accepting", accept(self.executor.clone(), front, listener, stop, closing));
         }
-    })
+    }
 }
 
-/// The present values of what a virtual router tracks.
-fn tracked_values(context: &Context) -> Ask {
-    let (executor, rate) = (context.executor.clone(), RefCell::new(Rate::default()));
-    let (registry, grpc) = (context.registry.borrow().clone(), context.grpc.borrow().clone());
-    Box::new(move |what| match what {
-        What::Registry => ms_since(&executor, registry.as_ref()?.borrow().last_answer_ms),
-        What::Grpc(pool) => grpc.as_ref()?.usable_share(pool),
-        what => host_value(&executor, &rate, what),
-    })
+/// The values of tracked objects, from all subsystems.
+struct SubsystemValues {
+    executor: Rc<Executor>,
+    host: HostValues,
+    registry: Option<Rc<RefCell<RegistryStatus>>>,
+    grpc: Option<Rc<GrpcFront>>,
+}
+
+impl SubsystemValues {
+    fn new(context: &Context) -> Self {
+        let executor = context.executor.clone();
+        let (registry, grpc) = (context.registry.borrow().clone(), context.grpc.borrow().clone());
+        Self { host: HostValues::new(executor.clone()), executor, registry, grpc }
+    }
+}
+
+impl TrackedValues for SubsystemValues {
+    fn value(&self, object: &TrackedObject) -> Option<f64> {
+        match object {
+            TrackedObject::Registry => {
+                ms_since(&self.executor, self.registry.as_ref()?.borrow().last_answer_ms)
+            }
+            TrackedObject::GrpcPool(pool) => self.grpc.as_ref()?.usable_share(pool),
+            object => self.host.value(object),
+        }
+    }
 }
 
 /// Milliseconds since a time, which is 0 where there was none.
@@ -138,6 +158,6 @@
     }
 
     fn open_connections(&self) -> usize {
-        self.router.as_ref().map_or(0, |router| router.busy())
+        self.router.as_ref().map_or(0, |router| router.open_connections())
     }
 }
