--- a/examples/purge_fleet.rs
+++ b/examples/purge_fleet.rs
@@ -11,8 +11,9 @@
 #[path = "../tests/stand_ins/purge_target.rs"]
 mod purge_target;
 
+use edge_proxy::http_client::call;
 use edge_proxy::purge::selector::{copy_name, CachedCopy, Selector};
-use edge_proxy::purge::wire::{call, from_json, Submitted};
+use edge_proxy::purge::wire::{from_json, Submitted};
 use edge_proxy::surrogate_key::SurrogateKey;
 use purge_target::{now_ms, Origin, PurgeTarget};
 use rand::rngs::SmallRng;
--- a/examples/vrrp_takeover.rs
+++ b/examples/vrrp_takeover.rs
@@ -68,7 +68,7 @@
 
 async fn state(proxy: &Proxy) -> Option<String> {
     let within = Duration::from_secs(1);
-    let mut body = edge_proxy::purge::wire::call(proxy.mgmt, "GET", "/vrrp", b"", within).await.ok()?.body;
+    let mut body = edge_proxy::http_client::call(proxy.mgmt, "GET", "/vrrp", b"", within).await.ok()?.body;
     let status = simd_json::to_owned_value(&mut body).ok()?;
     status["state"].as_str().map(String::from)
 }
--- a/src/cli/admin_call.rs
+++ b/src/cli/admin_call.rs
@@ -1,7 +1,8 @@
 //! Calls to a running proxy's admin address.
 
 use super::error::CliError;
-use edge_proxy::purge::wire::{call, from_json, Fault};
+use edge_proxy::http_client::call;
+use edge_proxy::purge::wire::{from_json, Fault};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/src/grpc/frames.rs
+++ b/src/grpc/frames.rs
@@ -1,10 +1,10 @@
-//! Length-prefixed messages in a stream of bytes: a byte that says whether it is compressed, four of length, and
-//! the message. The tracker is fed bytes as they pass and keeps none of them.
+//! Length-prefixed messages in a stream of bytes (gRPC over HTTP/2): a compressed flag of one byte, a length of four, and
+//! the message. The tracker reads bytes as they pass and keeps none of them.
 
 /// Bytes of a message's prefix.
 pub const PREFIX: usize = 5;
 
-/// What is wrong with a stream of messages.
+/// A stream that is no sequence of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
     /// The first byte of a prefix is neither 0 nor 1.
@@ -15,62 +15,62 @@
     TooLong(u32),
 }
 
-/// Where a stream of messages stands.
+/// The position within a stream of messages.
 #[derive(Clone, Debug)]
 pub struct MessageTracker {
     prefix: [u8; PREFIX],
-    /// Bytes of the prefix that came.
-    have: usize,
+    /// Bytes of the prefix that were read.
+    prefix_bytes: usize,
     /// Bytes of the message that are still to come.
-    left: u32,
-    most: u32,
-    /// Whole messages that passed.
+    remaining: u32,
+    max_message_bytes: u32,
+    /// Complete messages so far.
     pub messages: u64,
-    /// Bytes that passed.
+    /// Bytes so far.
     pub bytes: u64,
 }
 
 impl MessageTracker {
-    /// At a stream's start; messages may have at most `most` bytes.
-    pub fn new(most: u32) -> Self {
-        Self { prefix: [0; PREFIX], have: 0, left: 0, most, messages: 0, bytes: 0 }
+    /// A tracker at a stream's start; messages may have at most `max_message_bytes`.
+    pub fn new(max_message_bytes: u32) -> Self {
+        Self { prefix: [0; PREFIX], prefix_bytes: 0, remaining: 0, max_message_bytes, messages: 0, bytes: 0 }
     }
 
-    /// Takes the next bytes of the stream.
+    /// Reads the next bytes of the stream.
     pub fn feed(&mut self, mut bytes: &[u8]) -> Result<(), MessageError> {
         self.bytes += bytes.len() as u64;
         while !bytes.is_empty() {
-            if self.have < PREFIX {
-                let n = (PREFIX - self.have).min(bytes.len());
-                self.prefix[self.have..self.have + n].copy_from_slice(&bytes[..n]);
-                self.have += n;
+            if self.prefix_bytes < PREFIX {
+                let n = (PREFIX - self.prefix_bytes).min(bytes.len());
+                self.prefix[self.prefix_bytes..self.prefix_bytes + n].copy_from_slice(&bytes[..n]);
+                self.prefix_bytes += n;
                 bytes = &bytes[n..];
                 if self.prefix[0] > 1 {
                     return Err(MessageError::Flag(self.prefix[0]));
                 }
-                if self.have < PREFIX {
+                if self.prefix_bytes < PREFIX {
                     return Ok(());
                 }
                 let [_, a, b, c, d] = self.prefix;
-                self.left = u32::from_be_bytes([a, b, c, d]);
-                if self.left > self.most {
-                    return Err(MessageError::TooLong(self.left));
+                self.remaining = u32::from_be_bytes([a, b, c, d]);
+                if self.remaining > self.max_message_bytes {
+                    return Err(MessageError::TooLong(self.remaining));
                 }
             }
-            let n = (self.left as usize).min(bytes.len());
-            self.left -= n as u32;
+            let n = (self.remaining as usize).min(bytes.len());
+            self.remaining -= n as u32;
             bytes = &bytes[n..];
-            if self.left == 0 {
-                self.have = 0;
+            if self.remaining == 0 {
+                self.prefix_bytes = 0;
                 self.messages += 1;
             }
         }
         Ok(())
     }
 
-    /// Whether the stream stands within a message: one that ends here was cut.
+    /// Whether the position is within a message, so that a stream that ends here is truncated.
     pub fn within(&self) -> bool {
-        self.have > 0
+        self.prefix_bytes > 0
     }
 }
 
--- a/src/grpc/front.rs
+++ b/src/grpc/front.rs
@@ -3,8 +3,10 @@
 
 use super::admission::CallAdmission;
 use super::call_table::CallTable;
-use super::config::{GrpcConfig, GrpcLimits, RouteError};
+use super::config::GrpcConfig;
+use super::limits::GrpcLimits;
 use super::metrics::Metrics;
+use super::route_compiler::RouteError;
 use super::routes::Routes;
 use super::upstream::Upstream;
 use crate::admission::control::AdmissionControl;
@@ -49,11 +51,12 @@
     /// The front of an operator file, with its backends listed.
     pub fn new(executor: Rc<Executor>, config: GrpcConfig, seed: u64) -> Result<Rc<Self>, RouteError> {
         let (routes, pools) = config.compile()?;
-        let upstream = Upstream::new(executor.clock.clone(), config.limits.clone(), config.connections());
+        let upstream =
+            Upstream::new(executor.clock.clone(), config.limits.clone(), config.limits.of_connections());
         let admission = config.admission.clone();
         let front = Rc::new(Self {
             upstream,
-            calls: RefCell::new(CallTable::new(pools, config.bounds(), seed)),
+            calls: RefCell::new(CallTable::new(pools, config.limits.of_calls(), seed)),
             routes: RefCell::new(Rc::new(routes)),
             limits: config.limits.clone(),
             config: RefCell::new(config),
@@ -125,7 +128,7 @@
         for pool in &config.pools {
             let Some(index) = self.with(|calls| calls.pool_index(&pool.name)) else { continue };
             let fresh = match &pool.discovered {
-                None => config.backends(pool),
+                None => pool.listed_backends(),
                 Some(from) => self.executor.backends(&from.model, from.port),
             };
             self.replace_backends(index, &pool.name, fresh);
--- a/src/grpc/mod.rs
+++ b/src/grpc/mod.rs
@@ -13,7 +13,7 @@
 //! | [`pool`] | a pool of backends with its decision module | none |
 //! | [`call_table`] | the open calls: attempts, deadlines, ends | none |
 //! | [`admission`] | fair queues ahead of unary calls | none |
-//! | [`config`] | the operator file | a file |
+//! | [`config`], [`limits`], [`pool_config`] | the operator file | a file |
 //! | [`metrics`] | metrics in the Prometheus text format | none |
 //! | [`front`] | the state that all tasks of the front share | none |
 //! | [`admin`] | the front's state at the second address | none |
@@ -37,8 +37,10 @@
 pub mod frames;
 pub mod front;
 pub mod headers;
+pub mod limits;
 pub mod metrics;
 pub mod pool;
+pub mod pool_config;
 pub mod request_stream;
 pub mod response_stream;
 pub mod route_compiler;
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -1,7 +1,7 @@
 //! Connections to backends: HTTP/2 by the `h2` crate, one task each. [`Connections`] decides which connection a call goes
 //! onto, and when another one is opened, as for the endpoints of the other fronts.
 
-use super::config::GrpcLimits;
+use super::limits::GrpcLimits;
 use super::server::connection_window_bytes;
 use crate::clock::{duration_from_ms, Clock};
 use crate::state::connections::{ConnectionLimits, Connections, Placement};
--- a/src/lifecycle/subsystems/grpc.rs
+++ b/src/lifecycle/subsystems/grpc.rs
@@ -51,7 +51,7 @@
     }
 
     fn reload_file(&self, front: &GrpcFront) -> Result<(), BoxError> {
-        Ok(front.reconfigure(self.config.again()?)?)
+        Ok(front.reconfigure(self.config.reload()?)?)
     }
 }
 
--- a/src/purge/wire.rs
+++ b/src/purge/wire.rs
@@ -13,7 +13,7 @@
 
 use super::active_purges::{Purge, PurgeStamp};
 use super::selector::Selector;
-pub use crate::http_client::{call, CallError};
+
 use serde::{Deserialize, Serialize};
 
 /// The largest body of a purge call, in bytes: a batch of 256 purges with the longest selectors.
--- a/tests/admission_loopback.rs
+++ b/tests/admission_loopback.rs
@@ -248,7 +248,7 @@
         // Each abandoned request was forwarded before its client disconnected, cancelled in the engine, or dropped in
         // the queue; whichever it was, it holds no place any more.
         let figures =
-            edge_proxy::purge::wire::call(mgmt, "GET", "/stats", b"", Duration::from_secs(2)).await.unwrap();
+            edge_proxy::http_client::call(mgmt, "GET", "/stats", b"", Duration::from_secs(2)).await.unwrap();
         let figures = String::from_utf8_lossy(&figures.body).to_string();
         let figure = |name: &str| -> Option<u64> {
             figures.lines().find_map(|l| l.strip_prefix(name)?.trim().parse().ok())
@@ -268,7 +268,7 @@
         let admission = r#"{"limit":{"first":1,"least":1,"most":1},"reserve_share":0}"#;
         let (_proxy, listen, mgmt) = proxy(&fleet, 78, "admission-disconnect", admission).await;
         let figure = |name: &'static str| async move {
-            let got = edge_proxy::purge::wire::call(mgmt, "GET", "/stats", b"", Duration::from_secs(2)).await;
+            let got = edge_proxy::http_client::call(mgmt, "GET", "/stats", b"", Duration::from_secs(2)).await;
             let text = String::from_utf8_lossy(&got.unwrap().body).to_string();
             text.lines().find_map(|l| l.strip_prefix(name)?.trim().parse::<u64>().ok()).unwrap_or(0)
         };
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -682,7 +682,7 @@
         assert_eq!(one.count(), before, "the file before stays");
         let ask = |path: &'static str| async move {
             let answer =
-                edge_proxy::purge::wire::call(mgmt, "GET", path, b"", Duration::from_secs(2)).await.unwrap();
+                edge_proxy::http_client::call(mgmt, "GET", path, b"", Duration::from_secs(2)).await.unwrap();
             String::from_utf8_lossy(&answer.body).to_string()
         };
         let figures = ask("/stats").await;
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -28,7 +28,7 @@
 impl Instance {
     async fn call(&self, path: &str) -> Option<String> {
         let within = Duration::from_secs(1);
-        let answer = edge_proxy::purge::wire::call(self.mgmt, "GET", path, b"", within).await.ok()?;
+        let answer = edge_proxy::http_client::call(self.mgmt, "GET", path, b"", within).await.ok()?;
         Some(String::from_utf8_lossy(&answer.body).to_string())
     }
 
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -500,7 +500,7 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
         assert!(Http3Client::connect(at, &config, None).await.is_some(), "the previous one stays");
         let within = Duration::from_secs(2);
-        let stats = edge_proxy::purge::wire::call(mgmt, "GET", "/stats", b"", within).await.unwrap();
+        let stats = edge_proxy::http_client::call(mgmt, "GET", "/stats", b"", within).await.unwrap();
         assert!(String::from_utf8_lossy(&stats.body).contains("poor_requests_total 2"));
         fleet.work_ms.set(900);
         let slow = spawn_local({
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -3,11 +3,12 @@
 
 mod stand_ins;
 
+use edge_proxy::http_client::call;
 use edge_proxy::purge::active_purges::{ActivePurges, ApplyOutcome, Purge, RetentionLimits};
 use edge_proxy::purge::config::PurgeConfig;
 use edge_proxy::purge::leader::Leader;
 use edge_proxy::purge::service::MAX_CALLS;
-use edge_proxy::purge::wire::{call, from_json, to_json, Batch, Submitted};
+use edge_proxy::purge::wire::{from_json, to_json, Batch, Submitted};
 use edge_proxy::surrogate_key::SurrogateKey;
 use simd_json::prelude::*;
 use stand_ins::purge_target::{now_ms, Origin, PurgeTarget};
--- a/tests/vrrp_service.rs
+++ b/tests/vrrp_service.rs
@@ -77,7 +77,7 @@
 impl Proxy {
     async fn call(&self, method: &str, path: &str) -> Option<simd_json::OwnedValue> {
         let within = Duration::from_secs(1);
-        let mut body = edge_proxy::purge::wire::call(self.mgmt, method, path, b"", within).await.ok()?.body;
+        let mut body = edge_proxy::http_client::call(self.mgmt, method, path, b"", within).await.ok()?.body;
         simd_json::to_owned_value(&mut body).ok()
     }
 
@@ -204,7 +204,7 @@
         for proxy in &proxies {
             let within = Duration::from_secs(1);
             let stats =
-                edge_proxy::purge::wire::call(proxy.mgmt, "GET", "/stats", b"", within).await.unwrap();
+                edge_proxy::http_client::call(proxy.mgmt, "GET", "/stats", b"", within).await.unwrap();
             let text = String::from_utf8_lossy(&stats.body).to_string();
             let ok = text
                 .lines()
@@ -446,7 +446,7 @@
             let within = Duration::from_secs(1);
             let path = format!("/pop-caches/{cache}/maint");
             let answer =
-                edge_proxy::purge::wire::call(proxies[0].mgmt, "POST", &path, b"", within).await.unwrap();
+                edge_proxy::http_client::call(proxies[0].mgmt, "POST", &path, b"", within).await.unwrap();
             assert_eq!(answer.status, 200);
         }
         proxies[1].until("active", true).await;
@@ -459,7 +459,7 @@
         for cache in ["s-000000c1", "s-000000c2"] {
             let within = Duration::from_secs(1);
             let path = format!("/pop-caches/{cache}/ready");
-            edge_proxy::purge::wire::call(proxies[0].mgmt, "POST", &path, b"", within).await.unwrap();
+            edge_proxy::http_client::call(proxies[0].mgmt, "POST", &path, b"", within).await.unwrap();
         }
         proxies[0].until("active", true).await;
         proxies[1].until("backup", true).await;
