--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -3,6 +3,9 @@
 //! One process hosts many routers, which share nothing. An invalid message ends the process with an error on standard
 //! error and exit code 1; the end of input ends it with 0.
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::cognitive_complexity))]
+#![cfg_attr(not(test), warn(clippy::unwrap_used))]
+
 mod error;
 mod host;
 mod input;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -63,6 +63,9 @@
 //! assert!(matches!(actions[0], Action::Forward { id: 1, to, .. } if to != first));
 //! ```
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::cognitive_complexity))]
+#![cfg_attr(not(test), warn(clippy::unwrap_used))]
+
 pub mod admission;
 pub mod backoff;
 pub mod cache_message;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,8 @@
 //! The edge proxy's program: see [`cli`].
 
+#![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::cognitive_complexity))]
+#![cfg_attr(not(test), warn(clippy::unwrap_used))]
+
 mod cli;
 
 use std::process::ExitCode;
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -56,13 +56,16 @@
     for k in 1..=3 {
         endpoints.push(CheckedEndpoint::start(&format!("127.0.{net}.{k}:{port}")).await);
     }
-    let udp = || std::net::UdpSocket::bind(format!("127.0.{net}.10:0")).unwrap().local_addr().unwrap();
-    let instance_addresses = [udp(), udp(), udp()];
+    // All sockets are held until every address is drawn, so that no port is drawn twice.
+    let udp = [(); 3].map(|()| std::net::UdpSocket::bind(format!("127.0.{net}.10:0")).unwrap());
+    let tcp = [(); 6].map(|()| std::net::TcpListener::bind(format!("127.0.{net}.10:0")).unwrap());
+    let instance_addresses = udp.each_ref().map(|socket| socket.local_addr().unwrap());
+    let tcp_addresses = tcp.each_ref().map(|listener| listener.local_addr().unwrap());
+    drop((udp, tcp));
     let key = base64::engine::general_purpose::STANDARD.encode([9; 32]);
     let instances = (0..3).map(|k| {
         let dir = folder(&format!("{name}-{k}"));
-        let free = || std::net::TcpListener::bind(format!("127.0.{net}.10:0")).unwrap().local_addr().unwrap();
-        let (listen, mgmt) = (free(), free());
+        let (listen, mgmt) = (tcp_addresses[2 * k], tcp_addresses[2 * k + 1]);
         let mut text =
             std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
         for (n, at) in (7101..=7104).enumerate() {
