--- a/src/grpc/attempt.rs
+++ b/src/grpc/attempt.rs
@@ -1,6 +1,7 @@
 //! One attempt of a call: a stream on a connection to its backend, with both directions forwarded under each side's flow
 //! control, until it ends or its time is over.
 
+use super::attempt_result::AttemptResult;
 use super::call::{AttemptTarget, CallId, LocalStatus};
 use super::front::GrpcFront;
 use super::headers::{end_to_end, PREVIOUS_ATTEMPTS, TIMEOUT};
@@ -11,26 +12,9 @@
 use super::upstream::ConnectionError;
 use crate::clock::duration_from_ms;
 use h2::Reason;
-use http::{request, HeaderMap, HeaderName, HeaderValue, Method, Request, Uri, Version};
+use http::{request, HeaderName, HeaderValue, Method, Request, Uri, Version};
 use std::rc::Rc;
 
-/// How an attempt ended for its call.
-pub enum AttemptResult {
-    /// The backend or the connection ended it; with the backend's last headers, where it sent any.
-    Ended(AttemptEnd, Option<HeaderMap>),
-    /// The client disconnected.
-    ClientDisconnected,
-    /// The call cannot go on, for its client's or the proxy's own reasons.
-    Aborted(LocalStatus),
-}
-
-impl AttemptResult {
-    /// An end without headers of the backend.
-    pub fn ended(end: AttemptEnd) -> Self {
-        Self::Ended(end, None)
-    }
-}
-
 /// The two halves of a call at its client, and the head of its request.
 pub struct ClientStreams<'c> {
     /// The head of the request.
@@ -154,17 +138,3 @@
     let uri = Uri::builder().scheme("http").authority(authority).path_and_query(uri.path());
     uri.build().unwrap_or_default()
 }
-
-/// What an HTTP/2 error tells about the attempt.
-pub fn end_of(error: &h2::Error) -> AttemptEnd {
-    if error.is_go_away() && error.is_remote() {
-        // `h2` reports a GOAWAY only to streams above its last stream id, which the backend did not process.
-        return AttemptEnd::Unprocessed;
-    }
-    match error.reason() {
-        Some(Reason::REFUSED_STREAM) if error.is_remote() => AttemptEnd::Unprocessed,
-        Some(reason) if error.is_reset() && error.is_remote() => AttemptEnd::Reset(reason.into()),
-        Some(_) if !error.is_io() => AttemptEnd::Malformed,
-        _ => AttemptEnd::ConnectionLost,
-    }
-}
--- a/src/grpc/call_driver.rs
+++ b/src/grpc/call_driver.rs
@@ -1,7 +1,8 @@
 //! Drives one call from its head to its end: admission, attempts as [`super::call_table`] directs them, and the status.
 
 use super::admission::{AdmissionPermit, AdmissionResult};
-use super::attempt::{run_attempt, AttemptResult, ClientStreams};
+use super::attempt::{run_attempt, ClientStreams};
+use super::attempt_result::AttemptResult;
 use super::call::{affinity_hash, CallId, Directive, LocalStatus, NewCall};
 use super::front::GrpcFront;
 use super::headers::{add_pushback, is_grpc, single, trailers_of, TIMEOUT};
--- a/src/grpc/mod.rs
+++ b/src/grpc/mod.rs
@@ -13,14 +13,14 @@
 //! | [`pool`] | a pool of backends with its decision module | none |
 //! | [`call_table`] | the open calls: attempts, deadlines, ends | none |
 //! | [`admission`] | fair queues ahead of unary calls | none |
-//! | [`config`], [`limits`], [`pool_config`] | the operator file | a file |
+//! | [`config`], [`limits`], [`pool_config`], [`route_config`] | the operator file | a file |
 //! | [`metrics`] | metrics in the Prometheus text format | none |
 //! | [`front`] | the state that all tasks of the front share | none |
 //! | [`admin`] | the front's state at the second address | none |
 //! | [`upstream`] | connections to backends | sockets |
 //! | [`flow_control`] | sending within the receiver's window | sockets |
 //! | [`request_stream`], [`response_stream`] | the two halves of a call at its client | sockets |
-//! | [`attempt`] | one attempt of a call | sockets |
+//! | [`attempt`], [`attempt_result`] | one attempt of a call, and how it ended | sockets |
 //! | [`call_driver`] | one call, from its head to its end | sockets |
 //! | [`server`] | clients' connections | sockets |
 //!
@@ -29,6 +29,7 @@
 pub mod admin;
 pub mod admission;
 pub mod attempt;
+pub mod attempt_result;
 pub mod call;
 pub mod call_driver;
 pub mod call_table;
@@ -44,6 +45,7 @@
 pub mod request_stream;
 pub mod response_stream;
 pub mod route_compiler;
+pub mod route_config;
 pub mod routes;
 pub mod server;
 pub mod status;
--- a/src/grpc/request_stream.rs
+++ b/src/grpc/request_stream.rs
@@ -1,6 +1,6 @@
 //! The client's half of a call that sends: its request, kept as far as the bounds allow, so that a retry can send it again.
 
-use super::attempt::AttemptResult;
+use super::attempt_result::AttemptResult;
 use super::call::{CallId, LocalStatus};
 use super::flow_control::send_chunk;
 use super::frames::{MessageError, MessageTracker};
--- a/src/grpc/response_stream.rs
+++ b/src/grpc/response_stream.rs
@@ -1,6 +1,6 @@
 //! The client's half of a call that receives: its response, from one attempt or from the proxy itself.
 
-use super::attempt::{end_of, AttemptResult};
+use super::attempt_result::{end_of, AttemptResult};
 use super::call::CallId;
 use super::flow_control::send_chunk;
 use super::frames::MessageTracker;
--- a/src/grpc/route_compiler.rs
+++ b/src/grpc/route_compiler.rs
@@ -1,8 +1,8 @@
 //! Compiles the routes of an operator file into the table of methods and each pool's request classes. No I/O.
 
-use super::config::{IdempotencyConfig, RouteConfig};
 use super::pool::PoolSpec;
 use super::pool_config::PoolConfig;
+use super::route_config::{IdempotencyConfig, RouteConfig};
 use super::routes::{Affinity, MethodKind, PatternError, Route, Routes};
 use super::status::Code;
 use crate::clock::micros_from_ms;
--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -2,6 +2,7 @@
 //! and each call. What `h2` finds malformed ends the stream or the connection as RFC 9113 requires.
 
 use super::call_driver::drive_call;
+use super::flow_control::connection_window_bytes;
 use super::front::GrpcFront;
 use crate::clock::duration_from_ms;
 use crate::wire::shutdown::GracefulShutdown;
@@ -23,16 +24,6 @@
 const HOUSEKEEPING_INTERVAL_MS: u64 = 100;
 /// How long a connection to a backend may be without a call, in milliseconds.
 const UPSTREAM_IDLE_MS: f64 = 60_000.0;
-/// A connection's flow-control window, in multiples of a stream's.
-const CONNECTION_WINDOW_STREAMS: u32 = 4;
-/// The greatest flow-control window of a connection, in bytes.
-const MAX_CONNECTION_WINDOW_BYTES: u32 = 1 << 30;
-
-/// The flow-control window of a connection whose streams have `stream_bytes`.
-pub(super) fn connection_window_bytes(stream_bytes: u32) -> u32 {
-    stream_bytes.saturating_mul(CONNECTION_WINDOW_STREAMS).min(MAX_CONNECTION_WINDOW_BYTES)
-}
-
 /// Follows the list of endpoints and closes idle connections to backends, for ever.
 pub async fn run_housekeeping(front: Rc<GrpcFront>) {
     loop {
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -1,8 +1,8 @@
 //! Connections to backends: HTTP/2 by the `h2` crate, one task each. [`Connections`] decides which connection a call goes
 //! onto, and when another one is opened, as for the endpoints of the other fronts.
 
+use super::flow_control::connection_window_bytes;
 use super::limits::GrpcLimits;
-use super::server::connection_window_bytes;
 use crate::clock::{duration_from_ms, Clock};
 use crate::state::connections::{ConnectionLimits, Connections, Placement};
 use crate::state::ids::{AttemptId, ConnectionId};
