--- a/src/purge/active_purges.rs
+++ b/src/purge/active_purges.rs
@@ -1,14 +1,15 @@
-//! The purges that are in force at one proxy, in the order of their sequence numbers. No I/O and no clock: callers pass
-//! the time, in Unix milliseconds.
+//! The active purges of one proxy, ordered by sequence number. No I/O and no clock: callers pass the time, in
+//! Unix milliseconds.
 //!
-//! A purge covers a copy when its selector matches the copy and the origin generated the copy (`t0`) no later than the
-//! purge was issued.
+//! A purge removes a copy when its selector matches the copy and the origin generated the copy (`t0`) at or
+//! before the purge's issue time.
 //!
-//! Purges apply strictly in order, so that two overlapping purges take effect in the same order at every proxy. A purge
-//! stays active until the whole fleet has applied it (the low-water mark) and for at least
-//! [`RetentionLimits::min_retention_ms`] after its issue, because a slow fill may still bring an older copy. Beyond
-//! [`RetentionLimits::max_active`] the oldest purges are merged into a cutoff: every copy generated until then counts as
-//! purged. A cutoff purges too much, never too little.
+//! Purges apply strictly in order, so that two overlapping purges take effect in the same order at every
+//! proxy. A purge stays active until the whole fleet has applied it (the low-water mark) and for at least
+//! [`RetentionLimits::min_retention_ms`] after its issue, because a slow fill may still bring an older copy.
+//! Beyond [`RetentionLimits::max_active`] the oldest purges are merged into a cutoff: every copy generated at
+//! or before its issue time counts as purged. A cutoff may remove more copies than the purges it replaces,
+//! never fewer.
 
 use super::index::PurgeIndex;
 use super::selector::{CachedCopy, Selector};
@@ -16,19 +17,20 @@
 use std::collections::BTreeMap;
 use std::mem::size_of;
 
-/// Subtracted from an age limit, in milliseconds: the clocks of proxies, cache servers and the origin differ.
+/// The clock skew allowed between proxies, cache servers and the origin, in milliseconds; age limits are
+/// lower by it.
 pub const CLOCK_SKEW_MS: f64 = 10.0;
-/// Estimated bytes of a pattern's compiled form beside its text.
+/// Estimated size of a pattern's compiled segments without their text, in bytes.
 const GLOB_STEPS_BYTES: usize = 64;
 
-/// One purge, as the fleet's log stores it.
+/// One purge, as stored in the log and sent to targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Purge {
-    /// Its sequence number in the fleet, from 1.
+    /// The sequence number that the leader assigned, from 1.
     pub seq: u64,
-    /// When it was issued, in Unix milliseconds: copies generated until then are removed.
+    /// The issue time, in Unix milliseconds: matching copies generated at or before it are removed.
     pub issued_ms: f64,
-    /// The copies that it removes.
+    /// Which copies it covers.
     #[serde(rename = "sel")]
     pub selector: Selector,
 }
@@ -50,7 +52,7 @@
 }
 
 impl PurgeStamp {
-    /// The one issued later; `a` where both were issued at the same time.
+    /// The one with the later issue time; `a` if they are equal.
     pub(super) fn newest(a: Option<Self>, b: Option<Self>) -> Option<Self> {
         match (a, b) {
             (Some(a), Some(b)) => Some(if b.issued_ms > a.issued_ms { b } else { a }),
@@ -64,21 +66,22 @@
 pub enum ApplyOutcome {
     /// The purge is active from now on.
     Applied,
-    /// A purge with this number was applied before; nothing changed.
+    /// A purge with this or a higher sequence number was applied before; nothing changed.
     Duplicate,
     /// Purges before it are missing; nothing changed.
     Gap {
-        /// The number that must come next.
+        /// The sequence number of the next purge to apply.
         expected: u64,
     },
 }
 
-/// How long purges stay active, and how many.
+/// Limits on how long purges stay active and on their number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetentionLimits {
-    /// Active purges at most; beyond it the oldest are merged into the cutoff.
+    /// Maximum number of active purges; beyond it the oldest are merged into the cutoff.
     pub max_active: usize,
-    /// How long a purge stays active after its issue at least, in milliseconds, even once the fleet has applied it.
+    /// Minimum time that a purge stays active after its issue, in milliseconds, even once the fleet has
+    /// applied it.
     pub min_retention_ms: f64,
 }
 
@@ -107,7 +110,7 @@
 }
 
 impl ActivePurges {
-    /// No purges, with these limits.
+    /// Creates an empty set with these limits.
     pub fn new(limits: RetentionLimits) -> Self {
         Self { limits, ..Self::default() }
     }
@@ -117,7 +120,7 @@
         self.applied
     }
 
-    /// The highest sequence number that the whole fleet has applied, as far as is known here.
+    /// The highest sequence number known to be applied by the whole fleet.
     pub fn low_water_mark(&self) -> u64 {
         self.low_water_mark
     }
@@ -132,17 +135,17 @@
         self.purges.is_empty()
     }
 
-    /// How many purges have been merged into the cutoff.
+    /// The number of purges merged into the cutoff.
     pub fn merged(&self) -> u64 {
         self.merged
     }
 
-    /// The cutoff: every copy generated until its issue time counts as purged.
+    /// The cutoff: every copy generated at or before its issue time counts as purged.
     pub fn cutoff(&self) -> Option<PurgeStamp> {
         self.cutoff
     }
 
-    /// Applies a purge, if it is the next in order.
+    /// Applies a purge if it is the next in sequence.
     pub fn apply(&mut self, purge: &Purge) -> ApplyOutcome {
         if purge.seq <= self.applied {
             return ApplyOutcome::Duplicate;
@@ -154,7 +157,7 @@
         ApplyOutcome::Applied
     }
 
-    /// Applies a purge read from a log, where purges dropped before the restart leave gaps.
+    /// Applies a purge read from a log, in which purges dropped by compaction leave gaps.
     pub fn restore(&mut self, purge: &Purge) {
         if !self.purges.contains_key(&purge.seq) {
             self.activate(purge);
@@ -169,7 +172,8 @@
         self.enforce_max_active();
     }
 
-    /// Counts all purges up to `seq` as applied without activating them: they were dropped before a restart.
+    /// Marks all purges up to `seq` as applied without activating them, because they were dropped before a
+    /// restart.
     pub fn skip_to(&mut self, seq: u64) {
         self.applied = self.applied.max(seq);
     }
@@ -180,7 +184,8 @@
         self.applied = self.applied.max(cutoff.seq);
     }
 
-    /// Records that the whole fleet has applied the purges up to `seq`, and drops those past their retention time.
+    /// Records that the whole fleet has applied the purges up to `seq`, and drops those past their retention
+    /// time.
     pub fn advance_low_water_mark(&mut self, seq: u64, now_ms: f64) {
         self.low_water_mark = self.low_water_mark.max(seq.min(self.applied));
         while let Some((&seq, purge)) = self.purges.first_key_value() {
@@ -199,7 +204,7 @@
         seq <= self.low_water_mark && issued_ms + self.limits.min_retention_ms <= now_ms
     }
 
-    /// Sets other limits; a lower `max_active` takes effect at once.
+    /// Replaces the limits; a lower `max_active` takes effect at once.
     pub fn set_limits(&mut self, limits: RetentionLimits) {
         self.limits = limits;
         self.enforce_max_active();
@@ -216,24 +221,26 @@
         }
     }
 
-    /// The newest purge whose selector matches a copy, or the cutoff where that is newer, whenever the copy was generated.
+    /// The newest purge whose selector matches a copy, or the cutoff if that is newer. The copy's generation
+    /// time is not considered.
     pub fn newest(&self, copy: &CachedCopy<'_>) -> Option<PurgeStamp> {
         self.index.newest(copy, self.cutoff)
     }
 
-    /// The greatest age of a copy that may serve a request sent now, in milliseconds, at least 1; `None` where no purge
-    /// covers the copy.
+    /// The maximum age of a copy that may answer a request sent now, in milliseconds, at least 1; `None` if
+    /// no purge covers the copy.
     pub fn max_age_ms(&self, now_ms: f64, copy: &CachedCopy<'_>) -> Option<u64> {
         let newest = self.newest(copy)?;
         Some(((now_ms - newest.issued_ms - CLOCK_SKEW_MS).floor() as i64).max(1) as u64)
     }
 
-    /// The purge that removes a copy generated at `generated_ms`: the newest one, if it was issued then or later.
+    /// The newest purge that covers a copy, if it was issued at or after `generated_ms`, when the copy was
+    /// generated.
     pub fn purge_of(&self, copy: &CachedCopy<'_>, generated_ms: f64) -> Option<PurgeStamp> {
         self.newest(copy).filter(|newest| generated_ms <= newest.issued_ms)
     }
 
-    /// The active purges, in order.
+    /// The active purges, by sequence number.
     pub fn iter(&self) -> impl Iterator<Item = Purge> + '_ {
         self.purges.iter().map(|(seq, purge)| Purge {
             seq: *seq,
--- a/src/purge/age_limit.rs
+++ b/src/purge/age_limit.rs
@@ -1,9 +1,9 @@
-//! The effect of fleet purges on requests: the age limit of each attempt, and whether the copy in an answer has been
-//! purged. No I/O.
+//! The effect of fleet purges on requests: the age limit of each attempt, and whether the copy in an answer
+//! has been purged. No I/O.
 //!
-//! The surrogate keys of a copy are known only from answers, so the keys of the objects answered last are cached. Where
-//! they are unknown, the answer is still checked: a copy that a purge covers is not passed on, the attempt counts as
-//! malformed, and the age limit of the next attempt takes the keys into account.
+//! The surrogate keys of a copy are known only from answers, so they are kept in an LRU cache by object. If
+//! they are not cached when an attempt is sent, the answer is still checked: a purged copy is not passed on,
+//! the attempt counts as malformed, and the age limit of the next attempt takes the keys into account.
 
 use super::active_purges::{ActivePurges, PurgeStamp, RetentionLimits};
 use super::selector::{copy_name, CachedCopy};
@@ -14,10 +14,10 @@
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// Counters of the age limits and answer checks.
+/// Counters of age limits and answer checks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct AgeLimitMetrics {
-    /// Attempts whose age limit a purge lowered.
+    /// Attempts whose age limit was set or lowered because of a purge.
     #[serde(rename = "bounded")]
     pub limited_attempts: u64,
     /// Answers that were not passed on because their copy had been purged.
@@ -25,18 +25,18 @@
     pub purged_answers: u64,
 }
 
-/// Limits the age of attempts and checks answers by the active purges.
+/// Limits the age of the copies that attempts accept, and checks answers against the active purges.
 #[derive(Debug)]
 pub struct AgeLimiter {
     /// The active purges.
     pub active: ActivePurges,
     surrogate_keys: LruCache<ObjectId, Box<[SurrogateKey]>>,
-    /// Its counters.
+    /// The counters.
     pub metrics: AgeLimitMetrics,
 }
 
 impl AgeLimiter {
-    /// A limiter without purges, which caches the surrogate keys of `max_tagged_objects` objects.
+    /// A limiter without purges that caches the surrogate keys of at most `max_tagged_objects` objects.
     pub fn new(limits: RetentionLimits, max_tagged_objects: usize) -> Self {
         let capacity = NonZeroUsize::new(max_tagged_objects).unwrap_or(NonZeroUsize::MIN);
         Self {
@@ -46,8 +46,8 @@
         }
     }
 
-    /// The purge that removed the copy in an answer, if any. Caches the surrogate keys. A copy without a generation
-    /// time can't be checked and passes.
+    /// The purge that removed the copy in an answer, if any. Caches the surrogate keys. A copy without a
+    /// generation time can't be checked and is accepted.
     pub fn check_answer(
         &mut self,
         copy: RequestedCopy<'_>,
--- a/src/purge/config.rs
+++ b/src/purge/config.rs
@@ -1,5 +1,5 @@
-//! The operator file of fleet purges, `serve --purges FILE`. Without it a proxy gets the platform's purges from the
-//! discovery stream only.
+//! The configuration file of fleet purges, `serve --purges FILE`. Without it a proxy applies only the
+//! platform's purges, which arrive on the discovery stream.
 
 use super::active_purges::RetentionLimits;
 use super::fanout::{FanOutLimits, TargetStatus};
@@ -12,26 +12,26 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The longest name of a proxy or target, in bytes.
+/// Maximum length of the name of a proxy or target, in bytes.
 const MAX_NAME: usize = 64;
-/// The longest delay between retries, in milliseconds.
+/// Maximum configurable delay between retries, in milliseconds.
 const MAX_BACKOFF_MS: f64 = 600_000.0;
 
 /// The role of a proxy in its fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Numbers the purges, keeps the log, and replicates it.
+    /// Assigns sequence numbers, writes the log, and replicates it.
     Leader,
     /// Applies the leader's purges in order.
     Follower,
 }
 
-/// A target in the operator file.
+/// A target in the configuration file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetConfig {
-    /// Its name, unique among the targets.
+    /// The target's name, unique among the targets.
     pub name: String,
     /// The address of its `POST /purges/apply`: a proxy's admin address, or a cache server's purge address.
     pub address: String,
@@ -40,11 +40,11 @@
 /// A target of the leader: a cache server or another proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Its name, unique among the targets.
+    /// The target's name, unique among the targets.
     pub name: String,
     /// The address of its `POST /purges/apply`.
     pub address: SocketAddr,
-    /// Its state.
+    /// Whether it is listed or draining.
     pub status: TargetStatus,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// The operator file.
+/// The configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PurgeConfig {
@@ -66,40 +66,42 @@
     pub role: Role,
     /// The name of this proxy in batches and log lines.
     pub name: String,
-    /// The log file; without it all state is in memory and lost at a restart.
+    /// The path of the purge log; without it all state is in memory and lost at a restart.
     #[serde(default)]
     pub state: Option<PathBuf>,
-    /// The leader's targets beside those of the endpoint list.
+    /// The leader's targets in addition to those of the endpoint list.
     #[serde(default)]
     pub targets: Vec<TargetConfig>,
-    /// If set, every cache and parent of the endpoint list is a target too, at its own address with this port.
+    /// If set, every cache and parent in the endpoint list is a target too, at its own IP address and this
+    /// port.
     #[serde(default, rename = "roster_port")]
     pub endpoint_port: Option<u16>,
-    /// How long a purge stays active after its issue at least, in milliseconds.
+    /// Minimum time that a purge stays active after its issue, in milliseconds.
     #[serde(default = "default_min_retention_ms", rename = "hold_ms")]
     pub min_retention_ms: f64,
-    /// Active purges at most; beyond it the oldest are merged into a cutoff.
+    /// Maximum number of active purges; beyond it the oldest are merged into a cutoff.
     #[serde(default = "default_max_active", rename = "held_most")]
     pub max_active: usize,
-    /// Purges that the leader retains for its targets at most; a target that lacks older ones gets a cutoff.
+    /// Maximum number of purges that the leader retains for its targets; a target that lacks older ones gets
+    /// a cutoff.
     #[serde(default = "default_max_retained", rename = "queue_most")]
     pub max_retained: usize,
-    /// Purges in one batch at most.
+    /// Maximum number of purges in a batch.
     #[serde(default = "default_max_batch", rename = "batch_most")]
     pub max_batch: usize,
     /// Time between heartbeats to a target that is up to date, in milliseconds.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: f64,
-    /// Time-out of a call to a target, in milliseconds.
+    /// Timeout of a call to a target, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: f64,
-    /// The delays between retries to a target that fails.
+    /// The delays between retries to a failing target.
     #[serde(default)]
     pub backoff: Backoff,
-    /// The size beyond which the log is rewritten, in bytes.
+    /// The size beyond which the log is compacted, in bytes.
     #[serde(default = "default_compact_bytes")]
     pub compact_bytes: u64,
-    /// Objects whose surrogate keys are cached from answers, at most.
+    /// Maximum number of objects whose surrogate keys are cached from answers.
     #[serde(default = "default_max_tagged_objects", rename = "tags_most")]
     pub max_tagged_objects: usize,
     /// The path of this file.
@@ -133,7 +135,7 @@
 }
 
 impl PurgeConfig {
-    /// Reads and checks the file. A relative path of the log is resolved beside the file.
+    /// Reads and checks the file. A relative log path is resolved against the file's directory.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
@@ -190,7 +192,7 @@
         }
     }
 
-    /// The targets of the file.
+    /// The targets listed in the file.
     pub fn configured_targets(&self) -> Vec<Target> {
         let target = |configured: &TargetConfig| {
             let address = parse_address(&configured.address).ok()?;
@@ -214,7 +216,7 @@
     }
 }
 
-/// Whether a text is a name: 1 to [`MAX_NAME`] ASCII letters, digits or `-._:`.
+/// Whether a string is a valid name: 1 to [`MAX_NAME`] ASCII letters, digits or `-._:`.
 fn is_valid_name(name: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-._:".contains(&b);
     !name.is_empty() && name.len() <= MAX_NAME && name.bytes().all(allowed)
--- a/src/purge/fanout.rs
+++ b/src/purge/fanout.rs
@@ -1,31 +1,32 @@
-//! Replication of the leader's log to its targets: which batch each target gets and when. No I/O and no clock: callers
-//! pass the time, in Unix milliseconds.
+//! Replication of the leader's log to its targets: which batch each target gets and when. No I/O and no
+//! clock: callers pass the time, in Unix milliseconds.
 //!
-//! Each target acknowledges the highest sequence number that it has applied, all before it included. The leader sends
-//! a target what follows its acknowledgement, one batch at a time and at most [`FanOutLimits::max_batch`] purges in a
-//! batch. A target that is up to date gets an empty batch every [`FanOutLimits::heartbeat_ms`] as a heartbeat, which
-//! carries the low-water mark.
+//! Acknowledgements are cumulative: each target acknowledges the highest sequence number up to which it has
+//! applied every purge. The leader sends the purges after that number, one batch at a time and at most
+//! [`FanOutLimits::max_batch`] purges in a batch. A target that is up to date gets an empty batch every
+//! [`FanOutLimits::heartbeat_ms`] as a heartbeat, which carries the low-water mark.
 //!
-//! A target that fails is retried with backoff and jitter, and is never dropped for failing. Only a target that is
-//! removed from the endpoint list no longer holds back the low-water mark; one that is listed again starts from
-//! nothing and gets all purges that are still retained, or a cutoff in place of those that are not.
+//! A failing target is retried with backoff and jitter, and is never dropped for failing. Only a target that
+//! is removed from the endpoint list no longer holds back the low-water mark. A target that is listed again
+//! starts at sequence number 0: it gets all purges that are still retained, and a cutoff in place of those
+//! that are not.
 
 use crate::backoff::{Backoff, BackoffDelay};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use std::collections::BTreeMap;
 
-/// A batch without an answer fails after this many time-outs.
+/// A batch without an answer counts as failed after this multiple of the timeout.
 const LOST_AFTER_TIMEOUTS: f64 = 2.0;
 
 /// The limits of a fan-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FanOutLimits {
-    /// Purges in one batch at most.
+    /// Maximum number of purges in a batch.
     pub max_batch: usize,
     /// Time between heartbeats to a target that is up to date, in milliseconds.
     pub heartbeat_ms: f64,
-    /// Time-out of a call, in milliseconds; a batch in flight for twice as long counts as failed.
+    /// Timeout of a call, in milliseconds; a batch in flight for twice as long counts as failed.
     pub timeout_ms: f64,
 }
 
@@ -35,17 +36,17 @@
     }
 }
 
-/// The state of a target by the endpoint list or the operator file.
+/// The state of a target in the endpoint list or the configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TargetStatus {
-    /// It serves.
+    /// It is active.
     Listed,
-    /// It is draining. It may still hold copies and gets purges.
+    /// It is draining. It may still cache copies, so it still gets purges.
     Draining,
 }
 
-/// A batch to send: the purges `from..=through`, none where `through < from`.
+/// A batch to send: the purges `from..=through`, empty if `through < from`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BatchRange {
     /// The name of the target.
@@ -54,7 +55,8 @@
     pub from: u64,
     /// The last sequence number in the batch.
     pub through: u64,
-    /// Whether the target lacks purges that are no longer retained and gets a cutoff in their place first.
+    /// Whether the batch carries a cutoff in place of purges that the target lacks and the log no longer
+    /// retains.
     pub with_cutoff: bool,
 }
 
@@ -67,53 +69,52 @@
 /// The effect of an acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AckOutcome {
-    /// The target's acknowledgement advanced, or stayed the same.
+    /// The acknowledgement advanced or is unchanged.
     Advanced {
-        /// The acknowledgement before.
+        /// The previous acknowledgement.
         from: u64,
-        /// The acknowledgement now.
+        /// The new acknowledgement.
         to: u64,
     },
-    /// The target acknowledged less than before: it lost its state, and gets the purges again.
+    /// The target acknowledged less than before, so it has lost its state; its purges are sent again.
     Regressed {
-        /// The acknowledgement before.
+        /// The previous acknowledgement.
         from: u64,
-        /// The acknowledgement now.
+        /// The new acknowledgement.
         to: u64,
     },
-    /// The target acknowledged more than the log has: numbers up to it were issued from a log that was lost.
+    /// The target acknowledged a sequence number beyond the log, issued from a log that has been lost.
     BeyondLog {
-        /// The number that it acknowledged.
+        /// The acknowledged sequence number.
         acknowledged: u64,
     },
-    /// No batch was in flight to it, or it is no target.
+    /// No batch was in flight to the target, or the target is unknown.
     Unexpected,
 }
 
-/// A batch in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct InFlight {
     sent_ms: f64,
 }
 
-/// The leader's state of one target.
+/// The replication state of one target.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct TargetState {
-    /// The highest sequence number that it acknowledged.
+    /// The highest acknowledged sequence number.
     #[serde(rename = "acked")]
     pub acknowledged: u64,
-    /// Its state by the endpoint list.
+    /// Whether it is listed or draining.
     #[serde(rename = "standing")]
     pub status: TargetStatus,
-    /// Failures since its last answer.
+    /// Consecutive failures since its last answer.
     pub failures: u32,
     /// When it last answered, in Unix milliseconds.
     #[serde(rename = "heard_ms")]
     pub last_answer_ms: Option<f64>,
-    /// When the next batch is due, in Unix milliseconds.
+    /// The earliest time of the next batch, in Unix milliseconds.
     #[serde(rename = "next_ms")]
     pub next_due_ms: f64,
-    /// Purges sent to it, repeats included.
+    /// Purges sent to it, including repeats.
     pub sent: u64,
     #[serde(skip)]
     in_flight: Option<InFlight>,
@@ -150,7 +151,7 @@
 #[derive(Clone, Debug)]
 pub struct FanOut {
     targets: BTreeMap<String, TargetState>,
-    /// Acknowledgements from before a restart, of targets that are not listed yet.
+    /// Acknowledgements from the log, of targets that have not been listed since the restart.
     restored: BTreeMap<String, u64>,
     retained: RetainedRange,
     backoff: Backoff,
@@ -159,7 +160,7 @@
 }
 
 impl FanOut {
-    /// A fan-out without targets, of an empty log.
+    /// Creates a fan-out of an empty log without targets.
     pub fn new(backoff: Backoff, limits: FanOutLimits, seed: u64) -> Self {
         Self {
             targets: BTreeMap::new(),
@@ -176,7 +177,7 @@
         self.retained = RetainedRange { first: first.max(1), last };
     }
 
-    /// Records a purge that was appended to the log: targets that are up to date are due at once.
+    /// Records a purge that was appended to the log: it is due at once to idle targets that are not failing.
     pub fn purge_appended(&mut self, seq: u64, now_ms: f64) {
         self.retained.last = self.retained.last.max(seq);
         for target in self.targets.values_mut().filter(|t| t.in_flight.is_none() && t.failures == 0) {
@@ -184,7 +185,8 @@
         }
     }
 
-    /// Replaces the list of targets. A new target has applied nothing; one that is absent is forgotten.
+    /// Replaces the list of targets. A new target starts from its restored acknowledgement or 0; the state of
+    /// an absent target is dropped.
     pub fn set_targets(&mut self, now_ms: f64, listed: impl IntoIterator<Item = (String, TargetStatus)>) {
         let mut targets = BTreeMap::new();
         for (name, status) in listed {
@@ -196,7 +198,7 @@
         self.targets = targets;
     }
 
-    /// Restores an acknowledgement from the log, also of a target that is listed only later.
+    /// Restores an acknowledgement from the log; the target may be listed later.
     pub fn restore_acknowledgement(&mut self, target: &str, acknowledged: u64) {
         match self.targets.get_mut(target) {
             Some(target) => {
@@ -208,7 +210,7 @@
         }
     }
 
-    /// Every known acknowledgement, by target, those of targets that are not listed yet included.
+    /// Every known acknowledgement by target, including targets that are not listed yet.
     pub fn acknowledgements(&self) -> BTreeMap<String, u64> {
         let listed = self.targets.iter().map(|(name, target)| (name.clone(), target.acknowledged));
         self.restored.clone().into_iter().chain(listed).collect()
@@ -219,7 +221,8 @@
         &self.targets
     }
 
-    /// The highest sequence number that every target has acknowledged; the last one where there are no targets.
+    /// The highest sequence number that every target has acknowledged; the last one issued if there are no
+    /// targets.
     pub fn low_water_mark(&self) -> u64 {
         let last = self.retained.last;
         self.targets.values().map(|target| target.acknowledged).min().unwrap_or(last).min(last)
@@ -266,7 +269,7 @@
         }
     }
 
-    /// Records that a batch to a target failed: no connection, no answer in time, or an unusable one.
+    /// Records that a batch to a target failed: no connection, no answer in time, or an error answer.
     pub fn record_failure(&mut self, target: &str, now_ms: f64) {
         let Some(target) = self.targets.get_mut(target) else { return };
         target.in_flight = None;
@@ -274,7 +277,8 @@
         target.next_due_ms = now_ms + target.retry_delay.next_ms(&mut self.rng);
     }
 
-    /// When the next batch is due, in Unix milliseconds; `None` without targets.
+    /// The time of the next batch or of the next expiry of a batch in flight, in Unix milliseconds; `None`
+    /// without targets.
     pub fn next_due_ms(&self) -> Option<f64> {
         let lost_after_ms = self.lost_after_ms();
         let due = |target: &TargetState| {
--- a/src/purge/fanout/tests.rs
+++ b/src/purge/fanout/tests.rs
@@ -32,7 +32,7 @@
     fanout.record_failure("a", 100.0);
     assert!(fanout.due(299.0).is_empty());
     assert_eq!(fanout.due(300.0).len(), 1);
-    // No answer: after twice the time-out the batch counts as failed.
+    // Without an answer the batch counts as failed after twice the timeout.
     assert!(fanout.due(450.0).is_empty());
     assert_eq!(fanout.due(501.0).len(), 0);
     assert_eq!(fanout.targets()["a"].failures, 3);
--- a/src/purge/follower.rs
+++ b/src/purge/follower.rs
@@ -1,4 +1,4 @@
-//! A follower: applies the leader's batches in order and logs what it has applied before it acknowledges.
+//! A follower: applies the leader's batches in order, and logs the purges before it acknowledges them.
 
 use super::active_purges::{ActivePurges, Purge, PurgeStamp};
 use super::config::{PurgeConfig, Role};
@@ -13,7 +13,8 @@
 /// A batch that was rejected or not applied completely.
 #[derive(Debug, Error)]
 pub enum ReceiveError {
-    /// This proxy is a leader. Two leaders would issue the same sequence numbers.
+    /// This proxy is a leader. Accepting batches would allow two leaders that issue the same sequence
+    /// numbers.
     #[error("this proxy is a leader and takes no batches")]
     NotFollower,
     /// The purges of the batch are not in order.
@@ -29,19 +30,19 @@
 pub struct Follower {
     name: String,
     journal: Journal,
-    /// Acknowledgements in the log, kept for a proxy that becomes leader with it.
+    /// Acknowledgements in the log, from a time as leader; kept in case this proxy becomes the leader again.
     acknowledged: BTreeMap<String, u64>,
 }
 
 impl Follower {
-    /// Recovers a follower from the log of its operator file and puts its purges in force.
+    /// Recovers a follower from its log and activates the logged purges.
     pub fn open(config: &PurgeConfig, active: &mut ActivePurges, now_ms: f64) -> Result<Self, LogError> {
         let Recovered { journal, acknowledged, .. } = Recovered::read(config, active, now_ms)?;
         Ok(Self { name: config.name.clone(), journal, acknowledged })
     }
 
-    /// Applies a batch from the leader: the purges that follow those applied, in order, up to a gap. They are on disk
-    /// when this returns. Returns the highest sequence number applied.
+    /// Applies a batch from the leader, in order and up to the first gap, skipping duplicates. The applied
+    /// purges are on disk when this returns. Returns the highest sequence number applied.
     pub fn receive(
         &mut self,
         batch: &Batch,
@@ -68,7 +69,7 @@
         Ok(active.applied())
     }
 
-    /// Applies a cutoff if it replaces purges that are missing here; whether it does.
+    /// Applies a cutoff if it replaces purges that this follower lacks; returns whether it was applied.
     fn apply_cutoff(
         &mut self,
         cutoff: PurgeStamp,
@@ -90,7 +91,7 @@
         Ok(true)
     }
 
-    /// Applies purges up to a gap; whether any was new.
+    /// Applies purges up to the first gap; returns whether any was new.
     fn apply_purges(&mut self, purges: &[Purge], active: &mut ActivePurges) -> Result<bool, LogError> {
         let applied_before = active.applied();
         for purge in purges {
@@ -111,7 +112,7 @@
         Ok(active.applied() > applied_before)
     }
 
-    /// Synchronises the log to disk.
+    /// Flushes the log to disk.
     pub fn sync(&mut self) -> Result<(), LogError> {
         self.journal.sync()
     }
@@ -122,13 +123,13 @@
         PurgeList { purges, last_seq: self.journal.last_seq }
     }
 
-    /// The status.
+    /// The status of this follower.
     pub fn status(&self, active: &ActivePurges) -> ReplicaStatus {
         self.journal.status(Role::Follower, &self.name, active)
     }
 }
 
-/// Whether the purges of a batch are consecutive and begin where the batch says.
+/// Whether the purges of a batch have consecutive sequence numbers that start at `from`.
 fn is_in_order(batch: &Batch) -> bool {
     let begins_at_from = batch.purges.first().is_none_or(|purge| purge.seq == batch.from);
     begins_at_from && batch.purges.windows(2).all(|pair| pair[1].seq == pair[0].seq + 1)
--- a/src/purge/glob.rs
+++ b/src/purge/glob.rs
@@ -1,18 +1,19 @@
-//! Glob patterns over the names of copies, with bounded cost.
+//! Glob patterns over the names of copies, with a bounded cost of matching.
 //!
-//! A copy's name is `/CLASS/OBJECT/PART` (see [`super::selector::copy_name`]). `*` matches any characters within one
-//! segment of the name, `?` one character, and a last segment `**` the rest of the name. Character classes, braces and
-//! escapes are rejected. A pattern has at most [`MAX_WILDCARDS`] wildcards and [`MAX_PATTERN`] bytes, which is checked
-//! when it is compiled, so that matching a name costs at most a few hundred steps.
+//! A copy's name is `/CLASS/OBJECT/PART` (see [`super::selector::copy_name`]). `*` matches any characters
+//! within one segment of the name, `?` one character, and a last segment `**` the rest of the name. Character
+//! classes, braces and escapes are rejected. A pattern has at most [`MAX_WILDCARDS`] wildcards and
+//! [`MAX_PATTERN`] bytes, which is checked when it is compiled, so that matching a name costs at most a few
+//! hundred steps.
 
 use thiserror::Error;
 
-/// The longest pattern, in bytes.
+/// Maximum length of a pattern, in bytes.
 pub const MAX_PATTERN: usize = 256;
-/// The most wildcards in a pattern: `*`, `?` and a final `**` count one each.
+/// Maximum number of wildcards in a pattern: `*`, `?` and a final `**` count one each.
 pub const MAX_WILDCARDS: usize = 8;
 
-/// A pattern that is rejected.
+/// Why a pattern is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum GlobError {
     /// The pattern is empty or does not begin with `/`.
@@ -108,12 +109,12 @@
         &self.text[..end]
     }
 
-    /// Whether the pattern has no wildcard and names one copy.
+    /// Whether the pattern has no wildcards, so that it matches a single name.
     pub fn is_exact(&self) -> bool {
         !self.matches_rest && self.segments.iter().all(|segment| matches!(segment, Segment::Literal(_)))
     }
 
-    /// Whether a copy's name matches. The cost is at most the name's length times the wildcards of a segment.
+    /// Whether a copy's name matches. The cost is at most the name's length times the number of wildcards.
     pub fn matches(&self, name: &str) -> bool {
         let Some(name) = name.strip_prefix('/') else { return false };
         let mut parts = name.split('/');
@@ -152,11 +153,11 @@
     Ok(if count == 0 { Segment::Literal(part.into()) } else { Segment::Wildcard(part.into()) })
 }
 
-/// Matches `*` and `?` within one segment, greedily with one backtracking point: linear for one `*`, and at most the
-/// text's length times the number of wildcards otherwise.
+/// Matches `*` and `?` within one segment, greedily with one backtracking point: linear for one `*`, and at
+/// most the text's length times the number of wildcards otherwise.
 fn wildcard_match(pattern: &[u8], text: &[u8]) -> bool {
     let (mut p, mut t) = (0, 0);
-    // The place after the last `*`, and the text matched by that `*` so far.
+    // The pattern position after the last `*`, and the end of the text that this `*` matches so far.
     let mut backtrack: Option<(usize, usize)> = None;
     while t < text.len() {
         if p < pattern.len() && (pattern[p] == b'?' || pattern[p] == text[t]) {
--- a/src/purge/index.rs
+++ b/src/purge/index.rs
@@ -1,8 +1,8 @@
-//! Lookup of the newest purge that covers a copy, by what the purges select.
+//! An index of the active purges by selector, for the lookup of the newest purge that covers a copy.
 //!
-//! Of the purges with the same selector only the newest matters, so each selector has one entry. A lookup costs a few
-//! hash lookups, a walk along the copy's name in a PATRICIA trie of the patterns' literal prefixes, and a match of
-//! bounded cost against each pattern whose prefix begins the name.
+//! Of the purges with the same selector only the newest matters, so each selector has one entry. A lookup
+//! costs a few hash lookups, a walk along the copy's name in a PATRICIA trie of the patterns' literal
+//! prefixes, and a match of bounded cost against each pattern whose literal prefix is a prefix of the name.
 
 use super::active_purges::PurgeStamp;
 use super::glob::Glob;
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::mem::size_of;
 
-/// Estimated bytes of a trie node beside its value.
+/// Estimated size of a trie node without its value, in bytes.
 const TRIE_NODE_BYTES: usize = 48;
 
 /// A pattern with wildcards and its newest purge.
@@ -26,18 +26,18 @@
     objects: AHashMap<ObjectId, PurgeStamp>,
     groups: AHashMap<u32, PurgeStamp>,
     surrogate_keys: AHashMap<SurrogateKey, PurgeStamp>,
-    /// Patterns without wildcards, which name one copy.
+    /// Patterns without wildcards, each the name of one copy.
     exact_names: AHashMap<Box<str>, PurgeStamp>,
-    /// Patterns with wildcards, by the text before their first wildcard.
+    /// Patterns with wildcards, by literal prefix.
     patterns: StringPatriciaMap<Vec<PatternEntry>>,
-    /// Patterns in `patterns`.
+    /// The number of entries in `patterns`, over all prefixes.
     pattern_count: usize,
     /// Issue times of purges of everything, in Unix milliseconds, by sequence number.
     purges_of_everything: BTreeMap<u64, f64>,
 }
 
 impl PurgeIndex {
-    /// Adds a purge; an older one with the same selector is replaced.
+    /// Adds a purge, replacing an older one with the same selector.
     pub(super) fn insert(&mut self, selector: &Selector, stamp: PurgeStamp) {
         match selector {
             Selector::Object(object) => replace_older(&mut self.objects, *object, stamp),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The newest purge that covers a copy, or `cutoff` where that is newer.
+    /// The newest purge that covers a copy, or `cutoff` if that is newer.
     pub(super) fn newest(&self, copy: &CachedCopy<'_>, cutoff: Option<PurgeStamp>) -> Option<PurgeStamp> {
         let mut newest = cutoff;
         for (seq, issued_ms) in &self.purges_of_everything {
@@ -111,7 +111,7 @@
         self.newest_pattern(copy.name, newest)
     }
 
-    /// The newer of `newest` and the newest pattern that matches a name.
+    /// The newer of `newest` and the newest purge whose pattern matches a name.
     fn newest_pattern(&self, name: &str, mut newest: Option<PurgeStamp>) -> Option<PurgeStamp> {
         if self.pattern_count == 0 {
             return newest;
@@ -142,7 +142,7 @@
     }
 }
 
-/// Sets a key's purge unless the map holds a newer one.
+/// Sets a key's purge unless the map has a newer one.
 fn replace_older<K: std::hash::Hash + Eq>(map: &mut AHashMap<K, PurgeStamp>, key: K, stamp: PurgeStamp) {
     let newest = map.entry(key).or_insert(stamp);
     if stamp.issued_ms >= newest.issued_ms {
--- a/src/purge/journal.rs
+++ b/src/purge/journal.rs
@@ -1,4 +1,5 @@
-//! The log of a leader or follower with the positions that it stores. Without a log file everything is in memory only.
+//! The purge log of a leader or follower, with the positions stored in it. Without a log file, all state is
+//! in memory only.
 
 use super::active_purges::{ActivePurges, Purge, PurgeStamp};
 use super::config::{PurgeConfig, Role};
@@ -20,7 +21,7 @@
 pub(super) struct Journal {
     pub(super) log: Option<PurgeLog>,
     pub(super) truncated: Option<TruncatedTail>,
-    /// The size beyond which the log is rewritten, in bytes.
+    /// The size beyond which the log is compacted, in bytes.
     compact_bytes: u64,
     /// The highest sequence number issued or applied.
     pub(super) last_seq: u64,
@@ -34,7 +35,7 @@
 }
 
 impl Journal {
-    /// An empty journal without a log.
+    /// Creates an empty journal without a log.
     pub(super) fn new(config: &PurgeConfig) -> Self {
         Self {
             log: None,
@@ -56,12 +57,13 @@
         }
     }
 
-    /// Synchronises deferred records to disk.
+    /// Flushes deferred records to disk.
     pub(super) fn sync(&mut self) -> Result<(), LogError> {
         self.log.as_mut().map_or(Ok(()), PurgeLog::sync)
     }
 
-    /// Records that the whole fleet has applied the purges up to `seq`; whether that is an advance.
+    /// Records that the whole fleet has applied the purges up to `seq`; returns whether the low-water mark
+    /// advanced.
     pub(super) fn advance_low_water_mark(
         &mut self,
         seq: u64,
@@ -77,12 +79,12 @@
         Ok(true)
     }
 
-    /// Whether the log has grown beyond its size.
+    /// Whether the log has grown beyond `compact_bytes`.
     pub(super) fn needs_compaction(&self) -> bool {
         self.log.as_ref().is_some_and(|log| log.bytes() > self.compact_bytes)
     }
 
-    /// Rewrites the log from the present state: the retained and the active purges, each once and in order.
+    /// Rewrites the log as a snapshot followed by the retained and the active purges, each once and in order.
     pub(super) fn compact(
         &mut self,
         active: &ActivePurges,
@@ -114,7 +116,7 @@
         Ok(())
     }
 
-    /// The status of a replica without targets and retained purges.
+    /// The status of a replica; the leader adds its targets and retained purges.
     pub(super) fn status(&self, role: Role, name: &str, active: &ActivePurges) -> ReplicaStatus {
         let log_file =
             |log: &PurgeLog| LogFile { path: log.path().display().to_string(), bytes: log.bytes() };
--- a/src/purge/leader.rs
+++ b/src/purge/leader.rs
@@ -1,4 +1,5 @@
-//! The leader: numbers purges, logs them before any target gets them, and decides which batches to send.
+//! The leader: assigns sequence numbers to purges, logs them before they are sent, and builds the batches to
+//! send.
 
 use super::active_purges::{ActivePurges, ApplyOutcome, Purge, PurgeStamp};
 use super::config::{PurgeConfig, Role, Target};
@@ -14,10 +15,10 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Failures of one target between warnings.
+/// A failing target is logged at its first failure and then once in this many.
 const FAILURES_PER_WARNING: u32 = 20;
 
-/// A purge that was not issued. Nothing changed.
+/// Why a purge was not issued. Nothing has changed.
 #[derive(Debug, Error)]
 pub enum SubmitError {
     /// This proxy is a follower.
@@ -28,7 +29,7 @@
     Log(#[from] LogError),
 }
 
-/// A batch that got no acknowledgement.
+/// Why a batch got no acknowledgement.
 #[derive(Debug, Error)]
 pub enum SendError {
     /// The call failed.
@@ -37,7 +38,7 @@
     /// The target answered with an error status.
     #[error("status {0}")]
     Status(u16),
-    /// The target's answer is no acknowledgement.
+    /// The target's answer is not a valid acknowledgement.
     #[error(transparent)]
     Malformed(#[from] simd_json::Error),
 }
@@ -65,12 +66,12 @@
     last_issued_ms: f64,
     fanout: FanOut,
     addresses: BTreeMap<String, SocketAddr>,
-    /// The targets of the operator file.
+    /// The targets listed in the configuration file.
     configured_targets: Vec<Target>,
 }
 
 impl Leader {
-    /// Recovers a leader from the log of its operator file and puts its purges in force.
+    /// Recovers a leader from its log and activates the logged purges.
     pub fn open(
         config: &PurgeConfig,
         active: &mut ActivePurges,
@@ -96,14 +97,14 @@
         Ok(leader)
     }
 
-    /// Replaces the targets of the endpoint list; those of the operator file always remain.
+    /// Replaces the targets of the endpoint list; those of the configuration file always remain.
     pub fn set_listed_targets(&mut self, now_ms: f64, listed: Vec<Target>) {
         let targets: Vec<Target> = self.configured_targets.iter().cloned().chain(listed).collect();
         self.addresses = targets.iter().map(|target| (target.name.clone(), target.address)).collect();
         self.fanout.set_targets(now_ms, targets.into_iter().map(|target| (target.name, target.status)));
     }
 
-    /// Issues a purge: numbers it, logs it durably, and puts it in force here. It is due to all targets at once.
+    /// Issues a purge: assigns its sequence number, logs it durably, and activates it at this proxy.
     pub fn submit(
         &mut self,
         selector: Selector,
@@ -126,8 +127,9 @@
         Ok(submitted)
     }
 
-    /// Drops the oldest purges beyond the limit, and, once the log has grown beyond its size, those that every target
-    /// has applied. A target that lacks a dropped purge gets a cutoff.
+    /// Once too many purges are retained or the log has grown beyond its size, drops the purges that every
+    /// target has applied and the oldest beyond the limit, and compacts the log. A target that lacks a
+    /// dropped purge gets a cutoff.
     fn drop_old_purges(&mut self, active: &ActivePurges) -> Result<(), LogError> {
         if self.retained.len() <= self.max_retained && !self.journal.needs_compaction() {
             return Ok(());
@@ -199,8 +201,9 @@
         self.drop_old_purges(active)
     }
 
-    /// A target acknowledged sequence numbers beyond this log, which were issued from a log that was lost. Replaces
-    /// the unknown purges by a cutoff at the present time, and continues numbering after them.
+    /// Handles an acknowledgement beyond this log, whose purges were issued from a log that has been lost.
+    /// Replaces the unknown purges by a cutoff at the current time, and continues the sequence numbers after
+    /// them.
     fn replace_unknown_purges(
         &mut self,
         acknowledged: u64,
@@ -234,12 +237,12 @@
         }
     }
 
-    /// When the next batch is due, in Unix milliseconds.
+    /// The time at which to call [`Self::due`] next, in Unix milliseconds.
     pub fn next_due_ms(&self) -> Option<f64> {
         self.fanout.next_due_ms()
     }
 
-    /// Synchronises the log to disk.
+    /// Flushes the log to disk.
     pub fn sync(&mut self) -> Result<(), LogError> {
         self.journal.sync()
     }
@@ -250,7 +253,7 @@
         PurgeList { purges, last_seq: self.journal.last_seq }
     }
 
-    /// The status.
+    /// The status of this leader.
     pub fn status(&self, active: &ActivePurges) -> ReplicaStatus {
         ReplicaStatus {
             retained: self.retained.len(),
--- a/src/purge/log.rs
+++ b/src/purge/log.rs
@@ -1,18 +1,19 @@
-//! The purge log on disk: an append-only file of records, each with its length and a CRC-32 of its bytes, so that a torn
-//! or corrupt tail is found when the file is opened again.
+//! The purge log on disk: an append-only file of records, each with its length and a CRC-32 of its bytes, so
+//! that a torn or corrupt tail is found when the file is opened again.
 //!
 //! ```text
 //! file   = magic:8 ("CBPURGE1") record*
 //! record = length:4 crc32:4 kind:1 payload      length counts kind and payload; little-endian
 //! ```
 //!
-//! The payload is JSON. Opening reads the records up to the first whose length or checksum is wrong, truncates the file
-//! there, and logs and returns the fault. A purge is synchronised to disk before any target gets it, so a torn tail
-//! holds only a purge that was never sent. Other records may be written without waiting for the disk: they survive
-//! SIGKILL, and one lost to a power cut only causes a repeat, which the target skips by its sequence number.
+//! The payload is JSON. Opening reads the records up to the first invalid one, truncates the file there, and
+//! logs and returns the fault. The leader flushes a purge to disk before sending it, so a torn tail contains
+//! only a purge that was never sent. Other records may be written without waiting for the disk: they survive
+//! SIGKILL, and one lost in a power failure only causes a repeat, which the target skips by its sequence
+//! number.
 //!
-//! A file that has grown beyond its bound is rewritten beside the old one and renamed over it. The rename is atomic, so
-//! a crash leaves either file complete.
+//! Compaction writes a new file next to the old one and renames it over the old one. The rename is atomic, so
+//! a crash leaves one of the two files complete.
 
 use super::active_purges::{Purge, PurgeStamp};
 use serde::{Deserialize, Serialize};
@@ -24,15 +25,15 @@
 
 /// The first bytes of a purge log.
 pub const MAGIC: &[u8; 8] = b"CBPURGE1";
-/// The longest record, in bytes.
+/// Maximum length of a record, in bytes.
 pub const MAX_RECORD: usize = 1 << 20;
-/// The largest file that is read, in bytes.
+/// Maximum size of a log file, in bytes.
 pub const MAX_FILE: u64 = 1 << 30;
-/// The shortest record of a purge, in bytes: bounds the number of purges in a tail that was cut off.
+/// Minimum length of a purge record, in bytes: bounds the number of purges in a truncated tail.
 pub const MIN_PURGE_RECORD: u64 = 40;
-/// The longest record of a purge, in bytes: a torn tail up to this length is one incomplete write.
+/// Maximum length of a purge record, in bytes: a torn tail of at most this length is one incomplete write.
 pub const MAX_PURGE_RECORD: u64 = 1_024;
-/// Bytes of a record's length and checksum.
+/// Size of a record's length and checksum, in bytes.
 const RECORD_HEADER: usize = 8;
 /// The only kind of record.
 const KIND_JSON: u8 = 1;
@@ -59,11 +60,11 @@
     /// A cutoff replaced the purges up to its sequence number.
     #[serde(rename = "Floor")]
     Cutoff(PurgeStamp),
-    /// The state at the start of a rewritten file.
+    /// The state at the start of a compacted file.
     Snapshot(Snapshot),
 }
 
-/// The state at the start of a rewritten file; the purges that are retained follow it.
+/// The state at the start of a compacted file; the retained and active purges follow it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The highest sequence number issued or applied.
@@ -75,7 +76,7 @@
     /// The lowest sequence number that is retained.
     #[serde(rename = "first")]
     pub first_retained: u64,
-    /// The newest purge that is no longer retained: the cutoff of targets that lack it.
+    /// The newest purge that is no longer retained: sent as the cutoff to targets that lack it.
     #[serde(default, rename = "let_go")]
     pub last_dropped: Option<PurgeStamp>,
     /// The cutoff of the active purges.
@@ -86,7 +87,7 @@
     pub acknowledged: BTreeMap<String, u64>,
 }
 
-/// A log that can't be opened or written.
+/// Why a log can't be opened or written.
 #[derive(Debug, Error)]
 pub enum LogError {
     /// A file operation failed.
@@ -96,10 +97,10 @@
         path: PathBuf,
         /// The operation.
         operation: &'static str,
-        /// The error of the system.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The file is not a purge log and is left alone.
+    /// The file is not a purge log; it is left unchanged.
     #[error("purge log {0}: not a purge log (its first bytes are not CBPURGE1)")]
     NotPurgeLog(PathBuf),
     /// The file is larger than [`MAX_FILE`].
@@ -110,7 +111,7 @@
     Encode(#[from] simd_json::Error),
 }
 
-/// What is wrong with a record.
+/// Why a record is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RecordFault {
     /// The file ends within the record's length or checksum.
@@ -139,54 +140,54 @@
     }
 }
 
-/// A fault at a place in a log.
+/// The first invalid record of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultAt {
-    /// Offset of the record from the first one, in bytes.
+    /// Offset of the record from the end of the magic, in bytes.
     pub offset: usize,
-    /// The fault.
+    /// Why it is invalid.
     pub fault: RecordFault,
 }
 
-/// The records of a log up to the first fault.
+/// The records of a log up to the first invalid one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedLog {
-    /// The records before the fault.
+    /// The valid records.
     pub records: Vec<Record>,
-    /// The fault, if there is one.
+    /// The first invalid record, if any.
     pub fault: Option<FaultAt>,
 }
 
-/// The fault at which a log was truncated.
+/// The part of a log that was removed when it was opened.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TruncatedTail {
-    /// Offset in the file, in bytes, where the file now ends.
+    /// Offset in the file at which it was truncated, in bytes.
     pub offset: u64,
-    /// Bytes cut off.
+    /// Bytes removed.
     #[serde(rename = "cut")]
     pub removed: u64,
-    /// What was wrong with the first record cut off.
+    /// Why the first removed record is invalid.
     #[serde(rename = "why")]
     pub fault: RecordFault,
 }
 
 impl TruncatedTail {
-    /// Whether the tail was one incomplete write, which no target has seen. Anything else is corruption, which may
-    /// have removed purges that were sent.
+    /// Whether the tail was one incomplete write, which was never sent. Anything else is corruption, and the
+    /// tail may have contained purges that were sent.
     pub fn is_torn_write(&self) -> bool {
         matches!(self.fault, RecordFault::TornHeader | RecordFault::TornBody)
             && self.removed <= MAX_PURGE_RECORD
     }
 }
 
-/// A log that was opened, and what it contained.
+/// A log that was opened, and its contents.
 #[derive(Debug)]
 pub struct OpenedLog {
     /// The log, to append to.
     pub log: PurgeLog,
-    /// Its records.
+    /// The valid records.
     pub records: Vec<Record>,
-    /// The fault at which it was truncated, if any.
+    /// The tail that was removed, if any.
     pub truncated: Option<TruncatedTail>,
 }
 
@@ -198,7 +199,7 @@
     bytes: u64,
 }
 
-/// Converts an error of the system.
+/// Adds the file and the operation to an I/O error.
 fn io<'a>(path: &'a Path, operation: &'static str) -> impl FnOnce(std::io::Error) -> LogError + 'a {
     move |source| LogError::Io { path: path.to_path_buf(), operation, source }
 }
@@ -216,7 +217,7 @@
     Ok(framed)
 }
 
-/// Decodes the records after the magic, up to the first fault.
+/// Decodes the records that follow the magic, up to the first invalid one.
 pub fn decode(bytes: &[u8]) -> DecodedLog {
     let mut records = Vec::new();
     let mut offset = 0;
@@ -255,7 +256,7 @@
 }
 
 impl PurgeLog {
-    /// Opens a log, or creates an empty one. Reads its records, and truncates it at the first fault.
+    /// Opens a log, or creates an empty one. Reads its records, and truncates it at the first invalid one.
     pub fn open(path: &Path) -> Result<OpenedLog, LogError> {
         let mut file =
             OpenOptions::new().read(true).append(true).create(true).open(path).map_err(io(path, "open"))?;
@@ -310,7 +311,7 @@
         Ok(())
     }
 
-    /// Synchronises to disk what was appended without waiting for it.
+    /// Flushes the records appended without `durable` to disk.
     pub fn sync(&mut self) -> Result<(), LogError> {
         self.file.sync_data().map_err(io(&self.path, "fsync"))
     }
@@ -346,7 +347,7 @@
     }
 }
 
-/// Synchronises the folder of a file to disk, with a name that was created or replaced in it.
+/// Flushes the directory of a file to disk, so that a created or renamed file survives a power failure.
 fn sync_folder(path: &Path) -> Result<(), LogError> {
     let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
     File::open(folder).and_then(|f| f.sync_all()).map_err(io(folder, "fsync the folder"))
--- a/src/purge/metrics.rs
+++ b/src/purge/metrics.rs
@@ -15,20 +15,20 @@
     pub issued: u64,
     /// Purges applied from the leader's batches.
     pub received: u64,
-    /// Purges in batches that had been applied before.
+    /// Received purges that had been applied before.
     pub repeats: u64,
-    /// Batches with a gap before a purge.
+    /// Received batches with a gap in the sequence.
     pub gaps: u64,
-    /// Batches sent.
+    /// Batches sent to targets.
     pub batches: u64,
-    /// Batches that failed.
+    /// Batches to targets that failed.
     pub failures: u64,
     /// Cutoffs sent in place of purges that are no longer retained.
     #[serde(rename = "floors")]
     pub cutoffs: u64,
-    /// Rewrites of the log.
+    /// Compactions of the log.
     pub compactions: u64,
-    /// Targets that acknowledged less than before.
+    /// Acknowledgements lower than the target's previous one.
     #[serde(rename = "lost")]
     pub regressions: u64,
 }
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "(String, u64)")]
 pub struct LogFile {
-    /// The path.
+    /// The path of the file.
     pub path: String,
     /// The size, in bytes.
     pub bytes: u64,
@@ -84,7 +84,7 @@
     pub targets: BTreeMap<String, TargetState>,
     /// The log, if there is one.
     pub log: Option<LogFile>,
-    /// The tail of the log that was truncated at the start, if any.
+    /// The tail of the log that was removed at startup, if any.
     #[serde(rename = "fault")]
     pub truncated: Option<TruncatedTail>,
     /// The counters.
@@ -95,7 +95,7 @@
 /// The answer to `GET /purges`.
 #[derive(Clone, Debug, Serialize)]
 pub struct PurgeStatus {
-    /// The leader or follower.
+    /// The status of the leader or follower.
     #[serde(flatten)]
     pub replica: ReplicaStatus,
     /// The counters of age limits and answer checks.
--- a/src/purge/mod.rs
+++ b/src/purge/mod.rs
@@ -1,19 +1,19 @@
-//! Fleet purges: purges by object, group, surrogate key or pattern for every cache server and proxy of an installation.
-//! One leader numbers them, logs them before any target gets them, and replicates the log; every follower and cache
-//! server applies them in order.
+//! Fleet purges: invalidation of cached copies by object, group, surrogate key or pattern, at every cache
+//! server and proxy of an installation. One leader assigns sequence numbers, writes each purge to its log
+//! before sending it, and replicates the log; followers and cache servers apply the purges in that order.
 //!
 //! | module | concern | I/O |
 //! | --- | --- | --- |
-//! | [`selector`], [`glob`] | the copies that a purge removes | none |
-//! | [`active_purges`], `index` | the purges in force, retention, lookup by copy | none |
+//! | [`selector`], [`glob`] | which cached copies a purge covers | none |
+//! | [`active_purges`], `index` | the active purges, their retention, lookup by copy | none |
 //! | [`age_limit`] | the age limit of attempts and the check of answers | none |
 //! | [`fanout`] | replication: batches, acknowledgements, backoff, the low-water mark | none |
 //! | [`log`] | the append-only log with checksums | a file |
 //! | [`leader`], [`follower`], [`replica`] | issuing, applying and acknowledging purges | the log |
-//! | `journal`, `recovery` | the log with its positions, and the state after a restart | the log |
-//! | [`wire`] | the JSON bodies of the calls | none |
+//! | `journal`, `recovery` | the log with the positions stored in it, and recovery from it at startup | the log |
+//! | [`wire`] | the JSON bodies of the HTTP calls | none |
 //! | [`service`] | the calls at the admin address and the sending task | sockets |
-//! | [`config`] | the operator file | a file |
+//! | [`config`] | the configuration file | a file |
 //! | [`metrics`] | counters and status | none |
 //!
 //! The design note is `docs/design-fleet-purges.md`, the operators' page `docs/fleet-purges.md`.
--- a/src/purge/recovery.rs
+++ b/src/purge/recovery.rs
@@ -1,9 +1,10 @@
-//! The state of a leader or follower at its start, from its log.
+//! Recovers the state of a leader or follower from its log at startup.
 //!
-//! A restart resumes from the highest sequence number issued or applied (none is issued twice), the retained and
-//! active purges (they are in force before the first request), the low-water mark, and each target's acknowledgement,
-//! so that a target gets exactly the purges that it lacks. An acknowledgement is written without waiting for the disk;
-//! one lost to a power cut only causes a repeat, which the target skips by its sequence number.
+//! A restart resumes from the highest sequence number issued or applied (none is issued twice), the retained
+//! and active purges (they take effect before the first request), the low-water mark, and each target's
+//! acknowledgement, so that a target gets only the purges that it lacks. An acknowledgement is written
+//! without waiting for the disk; one lost in a power failure only causes a repeat, which the target skips by
+//! its sequence number.
 
 use super::active_purges::{ActivePurges, Purge, PurgeStamp};
 use super::config::{PurgeConfig, Role};
@@ -25,7 +26,7 @@
 }
 
 impl Recovered {
-    /// Reads the log of an operator file, if it names one, and puts its purges in force.
+    /// Reads the log, if the configuration names one, and activates the logged purges.
     pub(super) fn read(
         config: &PurgeConfig,
         active: &mut ActivePurges,
@@ -101,8 +102,9 @@
         self.acknowledged = snapshot.acknowledged;
     }
 
-    /// Replaces the purges that a corrupt tail of `removed` bytes may have contained by a cutoff at the present time.
-    /// A leader skips the sequence numbers that may have been issued, at most one for each [`MIN_PURGE_RECORD`] bytes.
+    /// Replaces the purges that a corrupt tail of `removed` bytes may have contained by a cutoff at the
+    /// current time. A leader skips the sequence numbers that they may have had, at most one for each
+    /// [`MIN_PURGE_RECORD`] bytes.
     fn replace_lost_purges(
         &mut self,
         removed: u64,
--- a/src/purge/replica.rs
+++ b/src/purge/replica.rs
@@ -1,4 +1,4 @@
-//! A proxy's copy of the fleet's purge log: a leader or a follower.
+//! A proxy's replica of the purge log: a leader or a follower.
 
 use super::active_purges::ActivePurges;
 use super::config::{PurgeConfig, Role};
@@ -19,7 +19,7 @@
 }
 
 impl Replica {
-    /// Recovers the replica of an operator file from its log and puts its purges in force.
+    /// Recovers the replica from its log and activates the logged purges.
     pub fn open(
         config: &PurgeConfig,
         active: &mut ActivePurges,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Issues a purge, at a leader only.
+    /// Issues a purge; fails at a follower.
     pub fn submit(
         &mut self,
         selector: Selector,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Applies a batch, at a follower only; returns the highest sequence number applied.
+    /// Applies a batch and returns the highest sequence number applied; fails at a leader.
     pub fn receive(
         &mut self,
         batch: &Batch,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Synchronises the log to disk.
+    /// Flushes the log to disk.
     pub fn sync(&mut self) -> Result<(), LogError> {
         match self {
             Self::Leader(leader) => leader.sync(),
@@ -74,8 +74,8 @@
         }
     }
 
-    /// The purges from sequence number `from` on, at most `max`: those retained at a leader, the active ones at a
-    /// follower.
+    /// At most `max` purges from sequence number `from` on: the retained ones at a leader, the active ones at
+    /// a follower.
     pub fn list(&self, active: &ActivePurges, from: u64, max: usize) -> PurgeList {
         match self {
             Self::Leader(leader) => leader.list(from, max),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The status.
+    /// The status of the leader or follower.
     pub fn status(&self, active: &ActivePurges) -> ReplicaStatus {
         match self {
             Self::Leader(leader) => leader.status(active),
--- a/src/purge/selector.rs
+++ b/src/purge/selector.rs
@@ -1,7 +1,9 @@
-//! The selector of a purge: one object, a group, a surrogate key, a pattern over the names of copies, or every copy.
+//! The selector of a purge: one object, a group, a surrogate key, a pattern over the names of copies, or
+//! every copy.
 //!
-//! A copy's name is `/CLASS/OBJECT/PART`, the object in 16 lower-case hex digits, the part in decimal: for instance
-//! `/video-part/7f3a9c21e0b4d655/3`. It is derived from the request and so the same at every proxy and cache server.
+//! A copy's name is `/CLASS/OBJECT/PART`, the object in 16 lower-case hex digits, the part in decimal: for
+//! instance `/video-part/7f3a9c21e0b4d655/3`. It is derived from the request, so it is the same at every
+//! proxy and cache server.
 
 use super::glob::{Glob, GlobError};
 use crate::surrogate_key::{SurrogateKey, SurrogateKeyError};
@@ -10,17 +12,17 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// The highest group number.
+/// The highest valid group number.
 pub const MAX_GROUP: u32 = 65_535;
-/// Hex digits of an object.
+/// Number of hex digits of an object.
 const OBJECT_DIGITS: usize = 16;
-/// The most digits of a group.
+/// Maximum number of digits of a group.
 const MAX_GROUP_DIGITS: usize = 5;
 
-/// A text that is no selector.
+/// Why a string is not a valid selector.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SelectorError {
-    /// The text is empty, or nothing follows the kind.
+    /// The string is empty, or nothing follows the kind.
     #[error("an empty selector: give object:HEX16, group:N, tag:KEY, pattern:/GLOB or everything")]
     Empty,
     /// The kind before the colon is unknown.
@@ -45,7 +47,7 @@
     },
 }
 
-/// The copies that a purge removes.
+/// Which copies a purge covers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Selector {
     /// Every part of one object.
@@ -54,7 +56,7 @@
     Group(u32),
     /// Every copy with this surrogate key.
     SurrogateKey(SurrogateKey),
-    /// Every copy whose name matches.
+    /// Every copy whose name matches this pattern.
     Pattern(Glob),
     /// Every copy.
     Everything,
@@ -142,7 +144,7 @@
     }
 }
 
-/// The properties of a cached copy that selectors match.
+/// The properties of a cached copy that selectors match on.
 #[derive(Clone, Copy, Debug)]
 pub struct CachedCopy<'a> {
     /// Its name, `/CLASS/OBJECT/PART`.
--- a/src/purge/service.rs
+++ b/src/purge/service.rs
@@ -1,5 +1,6 @@
-//! The fleet-purge service of a proxy: the calls at the admin address, and the task that sends the leader's batches.
-//! Which batches to send, when, and the effect of an answer are decided in [`super::leader`] and [`super::fanout`].
+//! The fleet-purge service of a proxy: the calls at the admin address, and the task that sends the leader's
+//! batches. [`super::leader`] and [`super::fanout`] decide which batches to send and when, and handle the
+//! answers.
 
 use super::age_limit::AgeLimiter;
 use super::config::{PurgeConfig, Target};
@@ -18,30 +19,31 @@
 use std::rc::Rc;
 use tokio::sync::{Notify, Semaphore};
 
-/// How often the endpoint list is read for targets, in milliseconds.
+/// Interval at which the targets are updated from the endpoint list, in milliseconds.
 const TARGET_REFRESH_MS: f64 = 1_000.0;
-/// How often deferred log records are synchronised to disk, in milliseconds.
+/// Interval at which deferred log records are flushed to disk, in milliseconds.
 const SYNC_INTERVAL_MS: f64 = 1_000.0;
-/// Calls to targets at once. Each has a file descriptor, and there may be more targets.
+/// Maximum number of concurrent calls to targets. Each needs a file descriptor, and there may be thousands of
+/// targets.
 pub const MAX_CALLS: usize = 64;
-/// Purges in one answer to `GET /purges/log` at most.
+/// Maximum number of purges in an answer to `GET /purges/log`.
 const MAX_LISTED: usize = 1_000;
 
 /// The fleet-purge service of one proxy.
 pub struct PurgeService {
     host: Rc<Executor>,
-    /// The engine's filter as well.
+    /// Shared with the engine, which uses it as its purge filter.
     limiter: Rc<RefCell<AgeLimiter>>,
     replica: RefCell<Replica>,
     config: PurgeConfig,
-    /// Wakes the task: a purge was issued, or a target answered.
+    /// Wakes the sending task when a purge was issued or a target answered.
     wake: Notify,
-    /// Permits of calls to targets.
+    /// Limits the concurrent calls to targets.
     calls: Semaphore,
 }
 
 impl PurgeService {
-    /// Recovers the replica from its log and puts its purges in force at the engine, before anything is served.
+    /// Recovers the replica from its log and sets the engine's purge filter. Must precede the first request.
     pub fn open(host: &Rc<Executor>, config: PurgeConfig, seed: u64) -> Result<Rc<Self>, LogError> {
         let now_ms = host.clock.now();
         let mut limiter = AgeLimiter::new(config.retention_limits(), config.max_tagged_objects);
@@ -63,7 +65,7 @@
         f(&mut self.replica.borrow_mut(), &mut self.limiter.borrow_mut())
     }
 
-    /// Sends due batches (leader only) and synchronises the log to disk, for ever.
+    /// Sends due batches (leader only) and flushes the log to disk periodically. Never returns.
     pub async fn run(self: Rc<Self>) {
         let is_leader = self.replica.borrow_mut().leader().is_some();
         let mut next_refresh_ms = if is_leader { f64::NEG_INFINITY } else { f64::INFINITY };
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Answers a call of fleet purges at the admin address; `None` for any other path.
+    /// Answers a fleet-purge call at the admin address; `None` for any other path.
     pub fn answer(&self, request: &HttpRequest) -> Option<HttpResponse> {
         let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
         let method = request.method.as_str();
@@ -220,7 +222,7 @@
     json_answer(status, &Fault { error: error.to_string() })
 }
 
-/// A number in a query such as `from=3&most=10`.
+/// Parses a numeric parameter of a query such as `from=3&most=10`.
 fn query_number(query: &str, name: &str) -> Option<u64> {
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
 }
--- a/src/purge/wire.rs
+++ b/src/purge/wire.rs
@@ -1,29 +1,32 @@
-//! The JSON bodies of purge calls, over HTTP/1.1 with one call on a connection.
+//! The JSON bodies of purge calls, over HTTP/1.1 with one call per connection.
 //!
 //! | call | body | answer |
 //! | --- | --- | --- |
-//! | `POST /purges` | [`SubmitRequest`] | 200 [`Submitted`]; 400 [`Fault`] for an invalid selector; 409 where this proxy is no leader; 500 where the log can't be written |
-//! | `GET /purges` | | 200 the status of this proxy's purges |
-//! | `GET /purges/log?from=N&most=M` | | 200 [`PurgeList`] of the retained purges from `N` on |
-//! | `POST /purges/apply` | [`Batch`] | 200 [`Acknowledgement`]; 400 for a malformed batch; 409 at a leader |
+//! | `POST /purges` | [`SubmitRequest`] | 200 [`Submitted`] |
+//! | `GET /purges` | | 200 [`super::metrics::PurgeStatus`] |
+//! | `GET /purges/log?from=N&most=M` | | 200 [`PurgeList`]: at most `M` purges from sequence number `N` on |
+//! | `POST /purges/apply` | [`Batch`] | 200 [`Acknowledgement`] |
 //!
-//! The leader calls `POST /purges/apply` on every target: proxies at their admin address, cache servers at the address
-//! that the operator file gives. A target applies the purges that follow those it has applied, in order, skips
-//! duplicates, stops at a gap, and answers with the highest sequence number that it has applied.
+//! Errors have a [`Fault`] body: 400 for a malformed body, 409 for a call that this proxy's role does not allow or
+//! a batch whose purges are out of order, 500 if the log can't be written.
+//!
+//! The leader calls `POST /purges/apply` on every target: proxies at their admin address, cache servers at
+//! the address that the configuration gives. A target applies the purges in order, skips duplicates, stops at
+//! the first gap, and answers with the highest sequence number that it has applied.
 
 use super::active_purges::{Purge, PurgeStamp};
 use super::selector::Selector;
 
 use serde::{Deserialize, Serialize};
 
-/// The largest body of a purge call, in bytes: a batch of 256 purges with the longest selectors.
+/// Maximum size of a call's body, in bytes: enough for a batch of 256 purges with the longest selectors.
 pub const MAX_CALL: usize = 262_144;
 
 /// A purge to issue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SubmitRequest {
-    /// The copies to remove.
+    /// Which copies to remove.
     #[serde(rename = "sel")]
     pub selector: Selector,
 }
@@ -31,25 +34,25 @@
 /// The sequence number and issue time of a new purge.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Submitted {
-    /// Its sequence number.
+    /// The sequence number.
     pub seq: u64,
-    /// Its issue time, in Unix milliseconds.
+    /// The issue time, in Unix milliseconds.
     pub issued_ms: f64,
 }
 
-/// Purges in order, from the leader to a target.
+/// Purges that the leader sends to a target, in order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Batch {
     /// The name of the leader.
     pub leader: String,
-    /// The sequence number of the first purge in `purges`, or of the next one where there is none.
+    /// The sequence number of the first purge in `purges`, or of the next purge if there is none.
     pub from: u64,
     /// The highest sequence number that every target has applied.
     #[serde(rename = "done")]
     pub low_water_mark: u64,
-    /// In place of the purges before `from` that the leader no longer retains: every copy generated until then is
-    /// purged.
+    /// Replaces the purges before `from` that the leader no longer retains: every copy generated at or before
+    /// its issue time counts as purged.
     #[serde(default, rename = "floor")]
     pub cutoff: Option<PurgeStamp>,
     /// The purges, in order.
@@ -60,7 +63,7 @@
 /// A target's answer to a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Acknowledgement {
-    /// The highest sequence number that it has applied, all before it included.
+    /// The highest sequence number up to which it has applied every purge.
     pub applied: u64,
 }
 
@@ -78,7 +81,7 @@
 /// The body of an answer with an error status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// The error, in a sentence.
+    /// A description of the error.
     pub error: String,
 }
 
