--- a/tests/purge_model.rs
+++ b/tests/purge_model.rs
@@ -1,5 +1,5 @@
-//! The active purges against a plain model, a list of every active purge that is searched in full. Random steps with
-//! a fixed seed, so that the result is reproducible.
+//! Compares the active purges with a model, a list of all active purges that is searched linearly, over random
+//! steps with a fixed seed.
 
 use edge_proxy::purge::active_purges::{ActivePurges, ApplyOutcome, Purge, RetentionLimits};
 use edge_proxy::purge::selector::{copy_name, CachedCopy, Selector};
@@ -39,7 +39,7 @@
     ]
 }
 
-/// The model: every active purge in order, and the cutoff that merging left.
+/// The model: every active purge in order, and the cutoff of the merged ones.
 #[derive(Default)]
 struct Model {
     purges: Vec<Purge>,
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -1,5 +1,5 @@
-//! Fleet purges of the program: a leader and followers in their own processes, stand-in cache servers on loopback, a
-//! log on a real disk, and a leader that is killed halfway.
+//! End-to-end tests of fleet purges: a leader and a follower as processes, stand-in cache servers on loopback,
+//! purge logs on disk, and a leader that is killed during replication.
 
 mod stand_ins;
 
@@ -23,7 +23,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-proxy");
 
-/// Waits for a condition, and fails after a time-out.
+/// Waits until a condition holds; panics after `seconds`.
 async fn within(seconds: u64, what: &str, test: impl Fn() -> bool) {
     let end = tokio::time::Instant::now() + Duration::from_secs(seconds);
     while !test() {
@@ -36,7 +36,7 @@
     TcpListener::bind(format!("{ip}:0")).unwrap().local_addr().unwrap().port()
 }
 
-/// Two caches, a parent and an origin, each at its own address, with their purge addresses on one port.
+/// Two caches, a parent and an origin, each at its own IP address, with their purge listeners on the same port.
 struct Fleet {
     servers: Vec<PurgeTarget>,
     origin: Rc<Origin>,
@@ -68,7 +68,7 @@
         self.origin.surrogate_keys.borrow_mut().insert(object, keys);
     }
 
-    /// A proxy's configuration: the example with the addresses of this fleet.
+    /// A proxy's configuration: the example file with the addresses of this fleet.
     fn config(&self, listen: SocketAddr, mgmt: SocketAddr) -> String {
         let mut text =
             std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
@@ -132,7 +132,7 @@
         panic!("the proxy did not come up");
     }
 
-    /// Ends the process with SIGKILL and starts it with the same files.
+    /// Kills the process with SIGKILL and restarts it with the same files.
     async fn kill_and_restart(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -174,7 +174,7 @@
     )
 }
 
-/// A client's read through the proxy: the status, and the generation time of the copy, from the body.
+/// Reads an object through the proxy. Returns the status, and the generation time of the copy from the body.
 async fn fetch(
     listen: SocketAddr,
     object: u64,
@@ -201,7 +201,7 @@
 fn a_leader_killed_halfway_resumes_where_it_stopped() {
     run(async {
         let fleet = Fleet::start(41).await;
-        // The parent acknowledges slowly: the leader is killed while the parent is behind.
+        // The parent acknowledges slowly, so that it lags when the leader is killed.
         fleet.servers[2].ack_delay_ms.set(400);
         let dir = folder("purges-kill");
         let _ = std::fs::remove_file(dir.join("edge-1-state.log"));
@@ -237,7 +237,7 @@
                 b.name
             );
         }
-        // At most the batch in flight at the kill is repeated; nothing before it, and nothing is skipped.
+        // Only the batch in flight at the kill may be repeated, and nothing is skipped.
         let received = slow.observed.received.borrow().clone();
         let repeats: u32 = received.values().map(|n| n - 1).sum();
         assert!(repeats <= 2, "the slow server got {repeats} purges again: {received:?}");
@@ -262,7 +262,7 @@
             fleet.port, follower.mgmt
         );
         let leader = Proxy::start(&dir, "lead", "127.0.42.10", &fleet, &leader_file("lead", &extra)).await;
-        // A follower applies nothing after a gap.
+        // A follower applies nothing beyond a gap.
         let early = Batch {
             leader: "lead".into(),
             from: 2,
@@ -274,7 +274,7 @@
             .await
             .unwrap();
         assert_eq!((answer.status, String::from_utf8_lossy(&answer.body).as_ref()), (200, "{\"applied\":0}"));
-        // A surrogate key and a pattern that cover the same objects.
+        // A surrogate key and a pattern that cover the same object.
         fleet.origin.surrogate_keys.borrow_mut().insert(0x11, vec![SurrogateKey::new("seller-1").unwrap()]);
         assert_eq!(submit(leader.mgmt, "tag:seller-1").await.unwrap().seq, 1);
         assert_eq!(submit(leader.mgmt, "pattern:/small-object/00000000000000*").await.unwrap().seq, 2);
@@ -300,7 +300,8 @@
     });
 }
 
-/// Reads the objects for a time; no copy may be older than a purge. Returns how many reads were served and failed.
+/// Reads the objects for `duration_ms` and asserts that no copy is older than the purge. Returns the numbers of
+/// served and failed reads.
 async fn read_copies_newer_than(
     issued_ms: f64,
     duration_ms: f64,
@@ -324,7 +325,7 @@
     (served, failed)
 }
 
-/// The objects of a server with copies newer than a time, and when those were generated.
+/// The objects of which a server caches copies newer than `issued_ms`, with their generation times.
 fn copies_newer_than(issued_ms: f64, server: &PurgeTarget) -> Vec<(u64, f64)> {
     let store = server.store.borrow();
     let copies = store.iter().map(|((object, _), copy)| (*object, copy.generated_ms));
@@ -348,12 +349,12 @@
         for b in fleet.caches() {
             b.unreachable.set(true);
         }
-        // One ignores the age limit, as a faulty cache server would.
+        // One server ignores the age limit, as a faulty cache server would.
         fleet.servers[0].ignores_age_limit.set(true);
         let purge = submit(leader.mgmt, "tag:seller-7").await.unwrap();
         let (served, failed) =
             read_copies_newer_than(purge.issued_ms, 3_000.0, leader.listen, &objects, &serial).await;
-        // The servers got no purge, and yet no client got a purged copy: the proxy retried.
+        // No server applied the purge, but clients got no purged copies because the proxy checks each answer.
         assert!(fleet.caches().iter().all(|b| b.applied() == 0));
         assert!(served > 0, "served {served}, failed {failed}");
         let status = get(leader.mgmt, "/purges").await.unwrap();
@@ -432,7 +433,7 @@
     assert_eq!(target.applied(), 5);
     drop(leader);
 
-    // An incomplete write is cut off, and nothing else changes.
+    // A torn write is truncated, and nothing else changes.
     let intact = std::fs::read(&path).unwrap();
     std::fs::write(&path, &intact[..intact.len() - 3]).unwrap();
     let mut active = ActivePurges::new(RetentionLimits::default());
@@ -446,7 +447,7 @@
     assert_eq!(target.applied(), 6);
     drop(leader);
 
-    // A corrupt record in the middle: what follows it is lost, with purges that may have been sent.
+    // A corrupt record in the middle: the records after it are lost, among them purges that may have been sent.
     let mut bytes = std::fs::read(&path).unwrap();
     let corrupt = bytes.len() / 2;
     bytes[corrupt] ^= 0x55;
@@ -503,18 +504,18 @@
         let log = dir.join("bad-state.log");
         let out = Command::new(PROGRAM).args(["purge", "log", log.to_str().unwrap()]).output().unwrap();
         assert!(out.status.success() && out.stdout.is_empty(), "{}", String::from_utf8_lossy(&out.stderr));
-        // A valid purge after that gets the first number.
+        // The next valid purge gets the first sequence number.
         let out = Command::new(PROGRAM).args(["purge", "submit", "--at", &at, "group:3"]).output().unwrap();
         assert!(String::from_utf8_lossy(&out.stdout).contains("\"seq\":1"), "{out:?}");
     });
 }
 
-/// A thousand targets accept calls and never answer: the calls in flight are bounded by the descriptors reserved for them,
-/// all targets get their turn, and clients are served meanwhile.
+/// Guards against calls to unresponsive targets using up the descriptors: concurrent calls stay within
+/// `MAX_CALLS`, and clients are served meanwhile.
 #[test]
 fn a_thousand_hanging_targets_leave_descriptors_to_clients_and_endpoints() {
     const TARGETS: usize = 1_024;
-    // Short-lived connections of the watch and of admin calls.
+    // Short-lived connections of the discovery stream and of admin calls.
     const SHORT_LIVED: usize = 8;
     run(async {
         let fleet = Fleet::start(47).await;
@@ -533,7 +534,7 @@
         };
         let (mut max, mut open, serial) = (0, Vec::new(), Cell::new(0));
         for calls in 0..3 * MAX_CALLS {
-            // Stays open: only the proxy ends a call.
+            // Kept open, so that a call ends only by the proxy's timeout.
             open.push(hanging.accept().await.unwrap());
             max = max.max(descriptors());
             if calls % MAX_CALLS == 0 {
@@ -541,7 +542,7 @@
             }
         }
         assert!(max >= MAX_CALLS, "all permits are used: {max} descriptors");
-        // Standard streams, the runtime, listeners, the log: fewer than the calls.
+        // The proxy's other descriptors (standard streams, runtime, listeners, log) are fewer than `MAX_CALLS`.
         assert!(max < 2 * MAX_CALLS + SHORT_LIVED, "{max} descriptors while {TARGETS} targets hang");
     });
 }
--- a/tests/stand_ins/purge_target.rs
+++ b/tests/stand_ins/purge_target.rs
@@ -1,8 +1,8 @@
-//! A stand-in cache server for fleet purges, on loopback. It caches copies with surrogate keys, answers the cache
-//! protocol with each copy's generation time (`t0`) and keys, fills what it lacks or may not serve from a shared
-//! stand-in origin, and applies the batches of `POST /purges/apply` in order at a second address. It can be made
-//! unreachable, slow to acknowledge, or made to ignore `agelim`. The body of every answer names its copy, so that a
-//! client can check the copy's age.
+//! A stand-in cache server for fleet purges, on loopback. It caches copies with surrogate keys, answers the
+//! cache protocol with each copy's generation time (`t0`) and keys, fills what it lacks or may not serve from
+//! a shared stand-in origin, and applies the batches of `POST /purges/apply` in order at a second address. It
+//! can be made unreachable, slow to acknowledge, or made to ignore `agelim`. The body of every answer names
+//! its copy, so that a client can check the copy's age.
 #![allow(dead_code)]
 
 use edge_proxy::purge::active_purges::{ActivePurges, ApplyOutcome, RetentionLimits};
@@ -27,12 +27,12 @@
 #[derive(Default)]
 pub struct Origin {
     pub surrogate_keys: RefCell<HashMap<u64, Vec<SurrogateKey>>>,
-    /// Copies generated.
+    /// The number of copies generated.
     pub fills: Cell<u64>,
 }
 
 impl Origin {
-    /// A new copy for a read.
+    /// Generates a new copy for a read.
     fn generate(&self, read: &Read, now_ms: f64) -> StoredCopy {
         self.fills.set(self.fills.get() + 1);
         let surrogate_keys = self.surrogate_keys.borrow().get(&read.object).cloned().unwrap_or_default();
@@ -51,7 +51,7 @@
 }
 
 impl StoredCopy {
-    /// The copy as selectors see it.
+    /// The properties that selectors match on.
     fn cached(&self, object: u64) -> CachedCopy<'_> {
         CachedCopy { name: &self.name, object, group: self.group, surrogate_keys: &self.surrogate_keys }
     }
@@ -64,7 +64,7 @@
     object: u64,
     part: u32,
     group: u32,
-    /// 0 for any age.
+    /// 0 accepts any age.
     max_age_ms: f64,
 }
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// The answer to a read, whose body names the copy.
+/// Encodes the answer to a read; the body identifies the copy.
 fn encode_answer(read: &Read, copy: &StoredCopy) -> Vec<u8> {
     let body = format!("object={:016x} part={} born={:.3}", read.object, read.part, copy.generated_ms);
     let keys: Vec<&str> = copy.surrogate_keys.iter().map(SurrogateKey::as_str).collect();
@@ -98,12 +98,12 @@
     [head.as_bytes(), body.as_bytes(), b"\r\n"].concat()
 }
 
-/// What a cache server has done, for the checks of a test.
+/// What a cache server has done, for assertions.
 #[derive(Default)]
 pub struct Observed {
-    /// The numbers of the purges it applied, in the order applied.
+    /// The sequence numbers of the applied purges, in the order of application.
     pub applied: RefCell<Vec<u64>>,
-    /// How often each number arrived in a batch, repeats included.
+    /// How often each sequence number arrived in a batch, including repeats.
     pub received: RefCell<HashMap<u64, u32>>,
     /// Batches received.
     pub batches: Cell<u64>,
@@ -123,7 +123,7 @@
     pub store: Rc<RefCell<HashMap<(u64, u32), StoredCopy>>>,
     pub active: Rc<RefCell<ActivePurges>>,
     pub observed: Rc<Observed>,
-    /// Connections to its purge address are closed at once.
+    /// Closes connections to its purge address at once.
     pub unreachable: Rc<Cell<bool>>,
     /// The delay before the acknowledgement of a batch, in milliseconds.
     pub ack_delay_ms: Rc<Cell<u64>>,
@@ -134,7 +134,7 @@
 }
 
 impl PurgeTarget {
-    /// Starts one with its two listeners at `ip`, the purge one at `purge_port` (0 for any).
+    /// Starts a server with its two listeners at `ip`, the purge listener at `purge_port` (0 for any port).
     pub async fn start(name: &str, ip: &str, purge_port: u16, origin: Rc<Origin>) -> Self {
         let cache_listener = TcpListener::bind(format!("{ip}:0")).await.unwrap();
         let purge_listener = TcpListener::bind(format!("{ip}:{purge_port}")).await.unwrap();
@@ -181,7 +181,7 @@
         server
     }
 
-    /// The highest number applied.
+    /// The highest sequence number applied.
     pub fn applied(&self) -> u64 {
         self.active.borrow().applied()
     }
@@ -256,7 +256,7 @@
                     observed.applied.borrow_mut().push(purge.seq);
                 }
             }
-            // A purge removes the copies that it covers and that are not newer; newer copies remain.
+            // Copies newer than the purge that covers them remain.
             store.borrow_mut().retain(|(object, _), copy| {
                 active.purge_of(&copy.cached(*object), copy.generated_ms).is_none()
             });
