--- a/src/cli/admin_call.rs
+++ b/src/cli/admin_call.rs
@@ -2,7 +2,7 @@
 
 use super::error::CliError;
 use edge_proxy::http_client::call;
-use edge_proxy::purge::wire::{from_json, Fault};
+use edge_proxy::purge::wire::{from_json, ErrorBody};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -30,6 +30,6 @@
     if (200..300).contains(&answer.status) {
         return Ok(text);
     }
-    let reason = from_json::<Fault>(&answer.body).map_or(text, |fault| fault.error);
+    let reason = from_json::<ErrorBody>(&answer.body).map_or(text, |fault| fault.error);
     Err(CliError::Answer { at, status: answer.status, reason })
 }
--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -3,7 +3,7 @@
 use super::admin_call::{print_answer, print_get};
 use super::error::CliError;
 use argh::FromArgs;
-use edge_proxy::purge::log::{decode, DecodedLog, FaultAt, MAGIC};
+use edge_proxy::purge::log::{decode, DecodedLog, InvalidRecord, MAGIC};
 use edge_proxy::purge::selector::Selector;
 use edge_proxy::purge::wire::{to_json, SubmitRequest};
 use std::net::SocketAddr;
@@ -109,7 +109,7 @@
             println!("{}", simd_json::to_string(record)?);
         }
         let complete = records.len();
-        if let Some(FaultAt { offset, fault }) = fault {
+        if let Some(InvalidRecord { offset, fault }) = fault {
             let (offset, reason) = (offset + MAGIC.len(), fault.to_string());
             return Err(CliError::DamagedPurgeLog { path, complete, offset, reason });
         }
--- a/src/lifecycle/subsystem_configs.rs
+++ b/src/lifecycle/subsystem_configs.rs
@@ -9,7 +9,7 @@
 use crate::health_check::driver::MAX_CONCURRENT_CHECKS;
 use crate::http3::config::Http3Config;
 use crate::purge::config::PurgeConfig;
-use crate::purge::service::MAX_CALLS;
+use crate::purge::service::MAX_CONCURRENT_CALLS;
 use crate::registry::config::RegistryConfig;
 use crate::rules::config::RulesConfig;
 use crate::rules::table::Rules;
@@ -104,7 +104,7 @@
             .map_or(0, |c| c.limits.clients * self.listeners(FrontKind::Grpc) + c.limits.connections);
         let http3 =
             self.http3.as_ref().and_then(|c| c.tcp_address().map(|_| c.limits.tcp_connections)).unwrap_or(0);
-        let purges = if self.purges.is_some() { MAX_CALLS } else { 0 };
+        let purges = if self.purges.is_some() { MAX_CONCURRENT_CALLS } else { 0 };
         let health_checks = if self.health_checks.is_some() { MAX_CONCURRENT_CHECKS } else { 0 };
         DescriptorDemand {
             signed_url_clients: signed_urls,
--- a/src/lifecycle/subsystems/purges.rs
+++ b/src/lifecycle/subsystems/purges.rs
@@ -5,7 +5,7 @@
 use crate::lifecycle::supervisor::supervise;
 use crate::purge::config::PurgeConfig;
 use crate::purge::service::PurgeService;
-use crate::purge::wire::MAX_CALL;
+use crate::purge::wire::MAX_BODY_BYTES;
 use futures_util::future::{ready, FutureExt};
 use std::rc::Rc;
 
@@ -47,6 +47,6 @@
     fn admin_calls(&self) -> Option<AdminCalls> {
         let service = self.service.clone()?;
         let handler = Box::new(move |call: &_| service.answer(call));
-        Some(AdminCalls { handler, max_body: MAX_CALL })
+        Some(AdminCalls { handler, max_body: MAX_BODY_BYTES })
     }
 }
--- a/src/purge/active_purges.rs
+++ b/src/purge/active_purges.rs
@@ -21,7 +21,7 @@
 /// lower by it.
 pub const CLOCK_SKEW_MS: f64 = 10.0;
 /// Estimated size of a pattern's compiled segments without their text, in bytes.
-const GLOB_STEPS_BYTES: usize = 64;
+const GLOB_SEGMENTS_BYTES: usize = 64;
 
 /// One purge, as stored in the log and sent to targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -254,7 +254,7 @@
         let entry_bytes = size_of::<u64>() + size_of::<ActivePurge>() + 2 * size_of::<usize>();
         let selector_bytes = |selector: &Selector| match selector {
             Selector::SurrogateKey(key) => key.as_str().len(),
-            Selector::Pattern(glob) => 2 * glob.as_str().len() + GLOB_STEPS_BYTES,
+            Selector::Pattern(glob) => 2 * glob.as_str().len() + GLOB_SEGMENTS_BYTES,
             _ => 0,
         };
         let texts: usize = self.purges.values().map(|purge| selector_bytes(&purge.selector)).sum();
--- a/src/purge/active_purges/tests.rs
+++ b/src/purge/active_purges/tests.rs
@@ -19,7 +19,7 @@
     assert_eq!(active.apply(&purge(1, 1_000.0, "tag:seller-77")), ApplyOutcome::Applied);
     assert_eq!(active.apply(&purge(2, 2_000.0, "pattern:/video-part/*/2")), ApplyOutcome::Applied);
     let c = copy(&name, &keys);
-    assert_eq!(active.newest(&c).map(|m| m.seq), Some(2));
+    assert_eq!(active.newest(&c).map(|stamp| stamp.seq), Some(2));
     assert!(active.purge_of(&c, 1_500.0).is_some());
     assert!(active.purge_of(&c, 2_000.0).is_some(), "a copy generated at that very time is removed too");
     assert!(active.purge_of(&c, 2_001.0).is_none(), "a copy newer than every purge remains");
@@ -45,7 +45,7 @@
     active.apply(&purge(2, 1_050.0, "object:0000000000007f3a"));
     let name = copy_name("video-part", 0x7f3a, 0);
     active.advance_low_water_mark(1, 1_120.0);
-    assert_eq!(active.newest(&copy(&name, &[])).map(|m| m.seq), Some(2));
+    assert_eq!(active.newest(&copy(&name, &[])).map(|stamp| stamp.seq), Some(2));
     active.advance_low_water_mark(2, 1_140.0);
     assert_eq!(active.len(), 1, "retained for its time after issue");
     active.advance_low_water_mark(2, 1_150.0);
--- a/src/purge/config.rs
+++ b/src/purge/config.rs
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 
 /// Maximum length of the name of a proxy or target, in bytes.
-const MAX_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 /// Maximum configurable delay between retries, in milliseconds.
 const MAX_BACKOFF_MS: f64 = 600_000.0;
 
@@ -67,8 +67,8 @@
     /// The name of this proxy in batches and log lines.
     pub name: String,
     /// The path of the purge log; without it all state is in memory and lost at a restart.
-    #[serde(default)]
-    pub state: Option<PathBuf>,
+    #[serde(default, rename = "state")]
+    pub log_path: Option<PathBuf>,
     /// The leader's targets in addition to those of the endpoint list.
     #[serde(default)]
     pub targets: Vec<TargetConfig>,
@@ -139,7 +139,7 @@
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        config.state = config.state.map(|state| resolve_beside(path, &state));
+        config.log_path = config.log_path.map(|log_path| resolve_beside(path, &log_path));
         config.check().map_err(|error| error.in_file(path))?;
         Ok(config)
     }
@@ -216,8 +216,8 @@
     }
 }
 
-/// Whether a string is a valid name: 1 to [`MAX_NAME`] ASCII letters, digits or `-._:`.
+/// Whether a string is a valid name: 1 to [`MAX_NAME_BYTES`] ASCII letters, digits or `-._:`.
 fn is_valid_name(name: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-._:".contains(&b);
-    !name.is_empty() && name.len() <= MAX_NAME && name.bytes().all(allowed)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(allowed)
 }
--- a/src/purge/fanout.rs
+++ b/src/purge/fanout.rs
@@ -17,7 +17,7 @@
 use std::collections::BTreeMap;
 
 /// A batch without an answer counts as failed after this multiple of the timeout.
-const LOST_AFTER_TIMEOUTS: f64 = 2.0;
+const IN_FLIGHT_TIMEOUT_FACTOR: f64 = 2.0;
 
 /// The limits of a fan-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -99,7 +99,7 @@
 
 /// The replication state of one target.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
-pub struct TargetState {
+pub struct TargetProgress {
     /// The highest acknowledged sequence number.
     #[serde(rename = "acked")]
     pub acknowledged: u64,
@@ -124,7 +124,7 @@
     last_sent_ms: f64,
 }
 
-impl TargetState {
+impl TargetProgress {
     fn new(status: TargetStatus, acknowledged: u64, backoff: &Backoff, now_ms: f64) -> Self {
         Self {
             acknowledged,
@@ -150,9 +150,9 @@
 /// The fan-out of one leader.
 #[derive(Clone, Debug)]
 pub struct FanOut {
-    targets: BTreeMap<String, TargetState>,
+    targets: BTreeMap<String, TargetProgress>,
     /// Acknowledgements from the log, of targets that have not been listed since the restart.
-    restored: BTreeMap<String, u64>,
+    restored_acknowledgements: BTreeMap<String, u64>,
     retained: RetainedRange,
     backoff: Backoff,
     limits: FanOutLimits,
@@ -164,7 +164,7 @@
     pub fn new(backoff: Backoff, limits: FanOutLimits, seed: u64) -> Self {
         Self {
             targets: BTreeMap::new(),
-            restored: BTreeMap::new(),
+            restored_acknowledgements: BTreeMap::new(),
             retained: RetainedRange { first: 1, last: 0 },
             backoff,
             limits,
@@ -190,10 +190,11 @@
     pub fn set_targets(&mut self, now_ms: f64, listed: impl IntoIterator<Item = (String, TargetStatus)>) {
         let mut targets = BTreeMap::new();
         for (name, status) in listed {
-            let restored = self.restored.remove(&name).unwrap_or(0).min(self.retained.last);
+            let restored = self.restored_acknowledgements.remove(&name).unwrap_or(0).min(self.retained.last);
             let known = self.targets.remove(&name);
-            let target = known.unwrap_or_else(|| TargetState::new(status, restored, &self.backoff, now_ms));
-            targets.insert(name, TargetState { status, ..target });
+            let target =
+                known.unwrap_or_else(|| TargetProgress::new(status, restored, &self.backoff, now_ms));
+            targets.insert(name, TargetProgress { status, ..target });
         }
         self.targets = targets;
     }
@@ -205,7 +206,7 @@
                 target.acknowledged = target.acknowledged.max(acknowledged.min(self.retained.last));
             }
             None => {
-                self.restored.insert(target.to_string(), acknowledged);
+                self.restored_acknowledgements.insert(target.to_string(), acknowledged);
             }
         }
     }
@@ -213,11 +214,11 @@
     /// Every known acknowledgement by target, including targets that are not listed yet.
     pub fn acknowledgements(&self) -> BTreeMap<String, u64> {
         let listed = self.targets.iter().map(|(name, target)| (name.clone(), target.acknowledged));
-        self.restored.clone().into_iter().chain(listed).collect()
+        self.restored_acknowledgements.clone().into_iter().chain(listed).collect()
     }
 
     /// The targets, by name.
-    pub fn targets(&self) -> &BTreeMap<String, TargetState> {
+    pub fn targets(&self) -> &BTreeMap<String, TargetProgress> {
         &self.targets
     }
 
@@ -229,19 +230,19 @@
     }
 
     /// The batches to send now. A target gets one batch at a time.
-    pub fn due(&mut self, now_ms: f64) -> Vec<BatchRange> {
+    pub fn take_due_batches(&mut self, now_ms: f64) -> Vec<BatchRange> {
         let (retained, limits) = (self.retained, self.limits);
-        let lost_after_ms = self.lost_after_ms();
+        let in_flight_timeout_ms = self.in_flight_timeout_ms();
         let mut batches = Vec::new();
-        let mut lost = Vec::new();
+        let mut expired = Vec::new();
         for (name, target) in &mut self.targets {
             match target.in_flight {
-                Some(batch) if now_ms - batch.sent_ms > lost_after_ms => lost.push(name.clone()),
+                Some(batch) if now_ms - batch.sent_ms > in_flight_timeout_ms => expired.push(name.clone()),
                 Some(_) => {}
                 None => batches.extend(target.next_batch(name, retained, &limits, now_ms)),
             }
         }
-        for name in lost {
+        for name in expired {
             self.record_failure(&name, now_ms);
         }
         batches
@@ -280,19 +281,19 @@
     /// The time of the next batch or of the next expiry of a batch in flight, in Unix milliseconds; `None`
     /// without targets.
     pub fn next_due_ms(&self) -> Option<f64> {
-        let lost_after_ms = self.lost_after_ms();
-        let due = |target: &TargetState| {
-            target.in_flight.map_or(target.next_due_ms, |batch| batch.sent_ms + lost_after_ms)
+        let in_flight_timeout_ms = self.in_flight_timeout_ms();
+        let due = |target: &TargetProgress| {
+            target.in_flight.map_or(target.next_due_ms, |batch| batch.sent_ms + in_flight_timeout_ms)
         };
         self.targets.values().map(due).min_by(f64::total_cmp)
     }
 
-    fn lost_after_ms(&self) -> f64 {
-        LOST_AFTER_TIMEOUTS * self.limits.timeout_ms
+    fn in_flight_timeout_ms(&self) -> f64 {
+        IN_FLIGHT_TIMEOUT_FACTOR * self.limits.timeout_ms
     }
 }
 
-impl TargetState {
+impl TargetProgress {
     /// The next batch to this target, if one is due, recorded as in flight.
     fn next_batch(
         &mut self,
--- a/src/purge/fanout/tests.rs
+++ b/src/purge/fanout/tests.rs
@@ -11,12 +11,12 @@
 fn each_target_gets_what_follows_its_acknowledgement_in_batches() {
     let mut fanout = fanout(&["a", "b"]);
     fanout.set_retained(1, 3);
-    let batches = fanout.due(0.0);
+    let batches = fanout.take_due_batches(0.0);
     assert_eq!(batches.len(), 2);
     assert_eq!((batches[0].from, batches[0].through), (1, 2));
-    assert!(fanout.due(1.0).is_empty(), "one batch at a time");
+    assert!(fanout.take_due_batches(1.0).is_empty(), "one batch at a time");
     assert_eq!(fanout.acknowledge("a", 2, 2.0), AckOutcome::Advanced { from: 0, to: 2 });
-    let next = fanout.due(2.0);
+    let next = fanout.take_due_batches(2.0);
     assert_eq!((next[0].target.as_str(), next[0].from, next[0].through), ("a", 3, 3));
     assert_eq!(fanout.low_water_mark(), 0, "b has acknowledged nothing yet");
 }
@@ -25,19 +25,19 @@
 fn a_failing_target_is_retried_with_backoff_and_not_dropped() {
     let mut fanout = fanout(&["a"]);
     fanout.set_retained(1, 1);
-    fanout.due(0.0);
+    fanout.take_due_batches(0.0);
     fanout.record_failure("a", 0.0);
-    assert!(fanout.due(99.0).is_empty());
-    assert_eq!(fanout.due(100.0).len(), 1);
+    assert!(fanout.take_due_batches(99.0).is_empty());
+    assert_eq!(fanout.take_due_batches(100.0).len(), 1);
     fanout.record_failure("a", 100.0);
-    assert!(fanout.due(299.0).is_empty());
-    assert_eq!(fanout.due(300.0).len(), 1);
+    assert!(fanout.take_due_batches(299.0).is_empty());
+    assert_eq!(fanout.take_due_batches(300.0).len(), 1);
     // Without an answer the batch counts as failed after twice the timeout.
-    assert!(fanout.due(450.0).is_empty());
-    assert_eq!(fanout.due(501.0).len(), 0);
+    assert!(fanout.take_due_batches(450.0).is_empty());
+    assert_eq!(fanout.take_due_batches(501.0).len(), 0);
     assert_eq!(fanout.targets()["a"].failures, 3);
-    assert!(fanout.due(900.0).is_empty());
-    assert_eq!(fanout.due(901.0).len(), 1, "retried 400 ms after the failure");
+    assert!(fanout.take_due_batches(900.0).is_empty());
+    assert_eq!(fanout.take_due_batches(901.0).len(), 1, "retried 400 ms after the failure");
     assert_eq!(fanout.acknowledge("a", 1, 902.0), AckOutcome::Advanced { from: 0, to: 1 });
     assert_eq!(fanout.low_water_mark(), 1);
 }
@@ -46,21 +46,21 @@
 fn a_target_behind_the_retained_purges_gets_a_cutoff_and_one_that_lost_its_state_gets_them_resent() {
     let mut fanout = fanout(&["a", "b"]);
     fanout.set_retained(5, 6);
-    let batches = fanout.due(0.0);
+    let batches = fanout.take_due_batches(0.0);
     assert!(batches.iter().all(|batch| batch.with_cutoff && batch.from == 5));
     fanout.acknowledge("a", 6, 1.0);
     fanout.acknowledge("b", 6, 1.0);
-    fanout.due(600.0);
+    fanout.take_due_batches(600.0);
     assert_eq!(fanout.acknowledge("a", 0, 601.0), AckOutcome::Regressed { from: 6, to: 0 });
     assert_eq!(fanout.acknowledge("b", 9, 601.0), AckOutcome::BeyondLog { acknowledged: 9 });
-    assert_eq!(fanout.due(601.0)[0].from, 5);
+    assert_eq!(fanout.take_due_batches(601.0)[0].from, 5);
 }
 
 #[test]
 fn a_removed_target_does_not_hold_back_the_low_water_mark_and_restarts_from_nothing() {
     let mut fanout = fanout(&["a", "b"]);
     fanout.set_retained(1, 1);
-    fanout.due(0.0);
+    fanout.take_due_batches(0.0);
     fanout.acknowledge("a", 1, 1.0);
     assert_eq!(fanout.low_water_mark(), 0);
     fanout.set_targets(2.0, [("a".to_string(), TargetStatus::Listed)]);
@@ -70,5 +70,5 @@
         [("a".to_string(), TargetStatus::Listed), ("b".to_string(), TargetStatus::Draining)],
     );
     assert_eq!(fanout.low_water_mark(), 0);
-    assert_eq!(fanout.due(3.0)[0].target, "b");
+    assert_eq!(fanout.take_due_batches(3.0)[0].target, "b");
 }
--- a/src/purge/glob.rs
+++ b/src/purge/glob.rs
@@ -3,13 +3,13 @@
 //! A copy's name is `/CLASS/OBJECT/PART` (see [`super::selector::copy_name`]). `*` matches any characters
 //! within one segment of the name, `?` one character, and a last segment `**` the rest of the name. Character
 //! classes, braces and escapes are rejected. A pattern has at most [`MAX_WILDCARDS`] wildcards and
-//! [`MAX_PATTERN`] bytes, which is checked when it is compiled, so that matching a name costs at most a few
-//! hundred steps.
+//! [`MAX_PATTERN_BYTES`] bytes, which is checked when it is compiled, so that matching a name costs at most a
+//! few hundred steps.
 
 use thiserror::Error;
 
 /// Maximum length of a pattern, in bytes.
-pub const MAX_PATTERN: usize = 256;
+pub const MAX_PATTERN_BYTES: usize = 256;
 /// Maximum number of wildcards in a pattern: `*`, `?` and a final `**` count one each.
 pub const MAX_WILDCARDS: usize = 8;
 
@@ -19,8 +19,8 @@
     /// The pattern is empty or does not begin with `/`.
     #[error("a pattern begins with `/`, as a copy's name does")]
     NoLeadingSlash,
-    /// The pattern has more than [`MAX_PATTERN`] bytes.
-    #[error("longer than {MAX_PATTERN} bytes")]
+    /// The pattern has more than [`MAX_PATTERN_BYTES`] bytes.
+    #[error("longer than {MAX_PATTERN_BYTES} bytes")]
     TooLong,
     /// The pattern has a space, a control character or a character beyond ASCII.
     #[error("only visible ASCII characters, no spaces")]
@@ -84,13 +84,13 @@
             if part.is_empty() {
                 return Err(GlobError::EmptySegment);
             }
-            segments.push(segment(part, &mut wildcards)?);
+            segments.push(compile_segment(part, &mut wildcards)?);
         }
         let matches_rest = *last == "**";
         if matches_rest {
             wildcards += 1;
         } else {
-            segments.push(segment(last, &mut wildcards)?);
+            segments.push(compile_segment(last, &mut wildcards)?);
         }
         if wildcards > MAX_WILDCARDS {
             return Err(GlobError::TooManyWildcards);
@@ -131,7 +131,7 @@
     if !text.starts_with('/') {
         return Err(GlobError::NoLeadingSlash);
     }
-    if text.len() > MAX_PATTERN {
+    if text.len() > MAX_PATTERN_BYTES {
         return Err(GlobError::TooLong);
     }
     if !text.bytes().all(|b| b.is_ascii_graphic()) {
@@ -144,7 +144,7 @@
 }
 
 /// Compiles a segment other than `**`, and adds its wildcards to `wildcards`.
-fn segment(part: &str, wildcards: &mut usize) -> Result<Segment, GlobError> {
+fn compile_segment(part: &str, wildcards: &mut usize) -> Result<Segment, GlobError> {
     if part.contains("**") {
         return Err(GlobError::PartialRest);
     }
--- a/src/purge/glob/tests.rs
+++ b/src/purge/glob/tests.rs
@@ -22,7 +22,7 @@
     for text in rejected {
         assert!(Glob::new(text).is_err(), "{text:?} was accepted");
     }
-    assert!(Glob::new(&format!("/{}", "a".repeat(MAX_PATTERN))).is_err());
+    assert!(Glob::new(&format!("/{}", "a".repeat(MAX_PATTERN_BYTES))).is_err());
     assert!(Glob::new("/*/*/*/*/*/*/*/*/*").is_err());
     assert!(Glob::new("/*/*/*/*/*/*/*/*").is_ok());
 }
--- a/src/purge/leader.rs
+++ b/src/purge/leader.rs
@@ -152,13 +152,13 @@
     }
 
     /// The batches to send now.
-    pub fn due(&mut self, now_ms: f64) -> Vec<OutgoingBatch> {
+    pub fn take_due_batches(&mut self, now_ms: f64) -> Vec<OutgoingBatch> {
         let low_water_mark = self.fanout.low_water_mark();
-        let ranges = self.fanout.due(now_ms);
-        ranges.into_iter().filter_map(|range| self.batch(range, low_water_mark)).collect()
+        let ranges = self.fanout.take_due_batches(now_ms);
+        ranges.into_iter().filter_map(|range| self.build_batch(range, low_water_mark)).collect()
     }
 
-    fn batch(&mut self, range: BatchRange, low_water_mark: u64) -> Option<OutgoingBatch> {
+    fn build_batch(&mut self, range: BatchRange, low_water_mark: u64) -> Option<OutgoingBatch> {
         let address = *self.addresses.get(&range.target)?;
         let purges = match range.through >= range.from {
             true => self.retained.range(range.from..=range.through).map(|(_, p)| p.clone()).collect(),
@@ -237,7 +237,7 @@
         }
     }
 
-    /// The time at which to call [`Self::due`] next, in Unix milliseconds.
+    /// The time at which to call [`Self::take_due_batches`] next, in Unix milliseconds.
     pub fn next_due_ms(&self) -> Option<f64> {
         self.fanout.next_due_ms()
     }
--- a/src/purge/log.rs
+++ b/src/purge/log.rs
@@ -26,15 +26,15 @@
 /// The first bytes of a purge log.
 pub const MAGIC: &[u8; 8] = b"CBPURGE1";
 /// Maximum length of a record, in bytes.
-pub const MAX_RECORD: usize = 1 << 20;
+pub const MAX_RECORD_BYTES: usize = 1 << 20;
 /// Maximum size of a log file, in bytes.
-pub const MAX_FILE: u64 = 1 << 30;
+pub const MAX_FILE_BYTES: u64 = 1 << 30;
 /// Minimum length of a purge record, in bytes: bounds the number of purges in a truncated tail.
-pub const MIN_PURGE_RECORD: u64 = 40;
+pub const MIN_PURGE_RECORD_BYTES: u64 = 40;
 /// Maximum length of a purge record, in bytes: a torn tail of at most this length is one incomplete write.
-pub const MAX_PURGE_RECORD: u64 = 1_024;
+pub const MAX_PURGE_RECORD_BYTES: u64 = 1_024;
 /// Size of a record's length and checksum, in bytes.
-const RECORD_HEADER: usize = 8;
+const RECORD_HEADER_BYTES: usize = 8;
 /// The only kind of record.
 const KIND_JSON: u8 = 1;
 
@@ -103,7 +103,7 @@
     /// The file is not a purge log; it is left unchanged.
     #[error("purge log {0}: not a purge log (its first bytes are not CBPURGE1)")]
     NotPurgeLog(PathBuf),
-    /// The file is larger than [`MAX_FILE`].
+    /// The file is larger than [`MAX_FILE_BYTES`].
     #[error("purge log {0}: larger than 1 GiB")]
     TooLarge(PathBuf),
     /// A record can't be encoded as JSON.
@@ -120,7 +120,7 @@
     /// The file ends within the record's body.
     #[error("a torn record")]
     TornBody,
-    /// The length is 0 or beyond [`MAX_RECORD`].
+    /// The length is 0 or beyond [`MAX_RECORD_BYTES`].
     #[error("a record's length out of bounds")]
     LengthOutOfBounds,
     /// The checksum does not match.
@@ -142,7 +142,7 @@
 
 /// The first invalid record of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FaultAt {
+pub struct InvalidRecord {
     /// Offset of the record from the end of the magic, in bytes.
     pub offset: usize,
     /// Why it is invalid.
@@ -155,7 +155,7 @@
     /// The valid records.
     pub records: Vec<Record>,
     /// The first invalid record, if any.
-    pub fault: Option<FaultAt>,
+    pub fault: Option<InvalidRecord>,
 }
 
 /// The part of a log that was removed when it was opened.
@@ -176,7 +176,7 @@
     /// tail may have contained purges that were sent.
     pub fn is_torn_write(&self) -> bool {
         matches!(self.fault, RecordFault::TornHeader | RecordFault::TornBody)
-            && self.removed <= MAX_PURGE_RECORD
+            && self.removed <= MAX_PURGE_RECORD_BYTES
     }
 }
 
@@ -200,7 +200,7 @@
 }
 
 /// Adds the file and the operation to an I/O error.
-fn io<'a>(path: &'a Path, operation: &'static str) -> impl FnOnce(std::io::Error) -> LogError + 'a {
+fn io_error<'a>(path: &'a Path, operation: &'static str) -> impl FnOnce(std::io::Error) -> LogError + 'a {
     move |source| LogError::Io { path: path.to_path_buf(), operation, source }
 }
 
@@ -210,7 +210,7 @@
     let mut body = Vec::with_capacity(payload.len() + 1);
     body.push(KIND_JSON);
     body.extend_from_slice(&payload);
-    let mut framed = Vec::with_capacity(body.len() + RECORD_HEADER);
+    let mut framed = Vec::with_capacity(body.len() + RECORD_HEADER_BYTES);
     framed.extend_from_slice(&(body.len() as u32).to_le_bytes());
     framed.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
     framed.extend_from_slice(&body);
@@ -227,7 +227,7 @@
                 records.push(record);
                 offset += length;
             }
-            Err(fault) => return DecodedLog { records, fault: Some(FaultAt { offset, fault }) },
+            Err(fault) => return DecodedLog { records, fault: Some(InvalidRecord { offset, fault }) },
         }
     }
     DecodedLog { records, fault: None }
@@ -235,12 +235,12 @@
 
 /// Decodes the first record; returns it with its length in bytes.
 fn decode_record(bytes: &[u8]) -> Result<(Record, usize), RecordFault> {
-    let Some((header, rest)) = bytes.split_at_checked(RECORD_HEADER) else {
+    let Some((header, rest)) = bytes.split_at_checked(RECORD_HEADER_BYTES) else {
         return Err(RecordFault::TornHeader);
     };
     let length = u32::from_le_bytes(header[..4].try_into().expect("four bytes")) as usize;
     let checksum = u32::from_le_bytes(header[4..].try_into().expect("four bytes"));
-    if length == 0 || length > MAX_RECORD {
+    if length == 0 || length > MAX_RECORD_BYTES {
         return Err(RecordFault::LengthOutOfBounds);
     }
     let body = rest.get(..length).ok_or(RecordFault::TornBody)?;
@@ -252,20 +252,24 @@
     }
     let mut payload = body[1..].to_vec();
     let record = simd_json::from_slice(&mut payload).map_err(|_| RecordFault::MalformedPayload)?;
-    Ok((record, RECORD_HEADER + length))
+    Ok((record, RECORD_HEADER_BYTES + length))
 }
 
 impl PurgeLog {
     /// Opens a log, or creates an empty one. Reads its records, and truncates it at the first invalid one.
     pub fn open(path: &Path) -> Result<OpenedLog, LogError> {
-        let mut file =
-            OpenOptions::new().read(true).append(true).create(true).open(path).map_err(io(path, "open"))?;
-        let size = file.metadata().map_err(io(path, "stat"))?.len();
-        if size > MAX_FILE {
+        let mut file = OpenOptions::new()
+            .read(true)
+            .append(true)
+            .create(true)
+            .open(path)
+            .map_err(io_error(path, "open"))?;
+        let size = file.metadata().map_err(io_error(path, "stat"))?.len();
+        if size > MAX_FILE_BYTES {
             return Err(LogError::TooLarge(path.to_path_buf()));
         }
         let mut bytes = Vec::with_capacity(size as usize);
-        file.read_to_end(&mut bytes).map_err(io(path, "read"))?;
+        file.read_to_end(&mut bytes).map_err(io_error(path, "read"))?;
         if bytes.is_empty() {
             let log = Self::create(path, file)?;
             return Ok(OpenedLog { log, records: Vec::new(), truncated: None });
@@ -275,27 +279,31 @@
         };
         let DecodedLog { records, fault } = decode(encoded);
         let mut log = Self { path: path.to_path_buf(), file, bytes: size };
-        let truncated = fault.map(|at| log.truncate_at(at, records.len())).transpose()?;
+        let truncated = fault.map(|invalid| log.truncate_at(invalid, records.len())).transpose()?;
         Ok(OpenedLog { log, records, truncated })
     }
 
     /// Writes the magic to an empty file.
     fn create(path: &Path, mut file: File) -> Result<Self, LogError> {
-        file.write_all(MAGIC).map_err(io(path, "write"))?;
-        file.sync_all().map_err(io(path, "fsync"))?;
+        file.write_all(MAGIC).map_err(io_error(path, "write"))?;
+        file.sync_all().map_err(io_error(path, "fsync"))?;
         sync_folder(path)?;
         Ok(Self { path: path.to_path_buf(), file, bytes: MAGIC.len() as u64 })
     }
 
-    fn truncate_at(&mut self, at: FaultAt, intact_records: usize) -> Result<TruncatedTail, LogError> {
-        let offset = (MAGIC.len() + at.offset) as u64;
-        let tail = TruncatedTail { offset, removed: self.bytes - offset, fault: at.fault };
+    fn truncate_at(
+        &mut self,
+        invalid: InvalidRecord,
+        intact_records: usize,
+    ) -> Result<TruncatedTail, LogError> {
+        let offset = (MAGIC.len() + invalid.offset) as u64;
+        let tail = TruncatedTail { offset, removed: self.bytes - offset, fault: invalid.fault };
         tracing::error!(
             log = %self.path.display(), offset, removed = tail.removed, fault = %tail.fault, intact_records,
             "purge log: truncated after its last intact record"
         );
-        self.file.set_len(offset).map_err(io(&self.path, "truncate"))?;
-        self.file.sync_all().map_err(io(&self.path, "fsync"))?;
+        self.file.set_len(offset).map_err(io_error(&self.path, "truncate"))?;
+        self.file.sync_all().map_err(io_error(&self.path, "fsync"))?;
         self.bytes = offset;
         Ok(tail)
     }
@@ -303,9 +311,9 @@
     /// Appends a record; with `durable`, returns once it is on disk.
     pub fn append(&mut self, record: &Record, durable: bool) -> Result<(), LogError> {
         let framed = encode(record)?;
-        self.file.write_all(&framed).map_err(io(&self.path, "write"))?;
+        self.file.write_all(&framed).map_err(io_error(&self.path, "write"))?;
         if durable {
-            self.file.sync_data().map_err(io(&self.path, "fsync"))?;
+            self.file.sync_data().map_err(io_error(&self.path, "fsync"))?;
         }
         self.bytes += framed.len() as u64;
         Ok(())
@@ -313,7 +321,7 @@
 
     /// Flushes the records appended without `durable` to disk.
     pub fn sync(&mut self) -> Result<(), LogError> {
-        self.file.sync_data().map_err(io(&self.path, "fsync"))
+        self.file.sync_data().map_err(io_error(&self.path, "fsync"))
     }
 
     /// Replaces the log with these records, atomically.
@@ -325,13 +333,16 @@
         for record in records {
             bytes.extend(encode(record)?);
         }
-        let mut file = File::create(&replacement).map_err(io(&replacement, "create"))?;
-        file.write_all(&bytes).map_err(io(&replacement, "write"))?;
-        file.sync_all().map_err(io(&replacement, "fsync"))?;
-        std::fs::rename(&replacement, &self.path).map_err(io(&self.path, "rename"))?;
+        let mut file = File::create(&replacement).map_err(io_error(&replacement, "create"))?;
+        file.write_all(&bytes).map_err(io_error(&replacement, "write"))?;
+        file.sync_all().map_err(io_error(&replacement, "fsync"))?;
+        std::fs::rename(&replacement, &self.path).map_err(io_error(&self.path, "rename"))?;
         sync_folder(&self.path)?;
-        self.file =
-            OpenOptions::new().read(true).append(true).open(&self.path).map_err(io(&self.path, "open"))?;
+        self.file = OpenOptions::new()
+            .read(true)
+            .append(true)
+            .open(&self.path)
+            .map_err(io_error(&self.path, "open"))?;
         self.bytes = bytes.len() as u64;
         Ok(())
     }
@@ -350,7 +361,7 @@
 /// Flushes the directory of a file to disk, so that a created or renamed file survives a power failure.
 fn sync_folder(path: &Path) -> Result<(), LogError> {
     let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    File::open(folder).and_then(|f| f.sync_all()).map_err(io(folder, "fsync the folder"))
+    File::open(folder).and_then(|f| f.sync_all()).map_err(io_error(folder, "fsync the folder"))
 }
 
 #[cfg(test)]
--- a/src/purge/log/tests.rs
+++ b/src/purge/log/tests.rs
@@ -10,8 +10,8 @@
     bytes[second + 12] ^= 0x20;
     let DecodedLog { records: intact, fault } = decode(&bytes);
     assert_eq!(intact, records[..1].to_vec());
-    assert_eq!(fault, Some(FaultAt { offset: second, fault: RecordFault::ChecksumMismatch }));
+    assert_eq!(fault, Some(InvalidRecord { offset: second, fault: RecordFault::ChecksumMismatch }));
     let DecodedLog { records: intact, fault } = decode(&bytes[..second + 5]);
-    let torn = FaultAt { offset: second, fault: RecordFault::TornHeader };
+    let torn = InvalidRecord { offset: second, fault: RecordFault::TornHeader };
     assert_eq!((intact.len(), fault), (1, Some(torn)));
 }
--- a/src/purge/metrics.rs
+++ b/src/purge/metrics.rs
@@ -3,7 +3,7 @@
 use super::active_purges::PurgeStamp;
 use super::age_limit::AgeLimitMetrics;
 use super::config::Role;
-use super::fanout::TargetState;
+use super::fanout::TargetProgress;
 use super::log::TruncatedTail;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -81,7 +81,7 @@
     #[serde(rename = "ledger_bytes")]
     pub active_bytes: usize,
     /// The targets (leader only).
-    pub targets: BTreeMap<String, TargetState>,
+    pub targets: BTreeMap<String, TargetProgress>,
     /// The log, if there is one.
     pub log: Option<LogFile>,
     /// The tail of the log that was removed at startup, if any.
--- a/src/purge/mod.rs
+++ b/src/purge/mod.rs
@@ -7,7 +7,7 @@
 //! | [`selector`], [`glob`] | which cached copies a purge covers | none |
 //! | [`active_purges`], `index` | the active purges, their retention, lookup by copy | none |
 //! | [`age_limit`] | the age limit of attempts and the check of answers | none |
-//! | [`fanout`] | replication: batches, acknowledgements, backoff, the low-water mark | none |
+//! | [`fanout`] | replication: batches, acknowledgements, retries, low-water mark | none |
 //! | [`log`] | the append-only log with checksums | a file |
 //! | [`leader`], [`follower`], [`replica`] | issuing, applying and acknowledging purges | the log |
 //! | `journal`, `recovery` | the log with the positions stored in it, and recovery from it at startup | the log |
--- a/src/purge/recovery.rs
+++ b/src/purge/recovery.rs
@@ -9,7 +9,7 @@
 use super::active_purges::{ActivePurges, Purge, PurgeStamp};
 use super::config::{PurgeConfig, Role};
 use super::journal::{Durability, Journal};
-use super::log::{LogError, OpenedLog, PurgeLog, Record, Snapshot, MIN_PURGE_RECORD};
+use super::log::{LogError, OpenedLog, PurgeLog, Record, Snapshot, MIN_PURGE_RECORD_BYTES};
 use std::collections::BTreeMap;
 
 /// The recovered state.
@@ -39,7 +39,7 @@
             acknowledged: BTreeMap::new(),
             last_issued_ms: 0.0,
         };
-        if let Some(path) = &config.state {
+        if let Some(path) = &config.log_path {
             let OpenedLog { log, records, truncated } = PurgeLog::open(path)?;
             recovered.journal.log = Some(log);
             recovered.journal.truncated = truncated;
@@ -104,14 +104,14 @@
 
     /// Replaces the purges that a corrupt tail of `removed` bytes may have contained by a cutoff at the
     /// current time. A leader skips the sequence numbers that they may have had, at most one for each
-    /// [`MIN_PURGE_RECORD`] bytes.
+    /// [`MIN_PURGE_RECORD_BYTES`] bytes.
     fn replace_lost_purges(
         &mut self,
         removed: u64,
         active: &mut ActivePurges,
         now_ms: f64,
     ) -> Result<(), LogError> {
-        let skipped = if self.role == Role::Leader { removed / MIN_PURGE_RECORD + 1 } else { 0 };
+        let skipped = if self.role == Role::Leader { removed / MIN_PURGE_RECORD_BYTES + 1 } else { 0 };
         let cutoff =
             PurgeStamp { seq: self.journal.last_seq + skipped, issued_ms: now_ms.max(self.last_issued_ms) };
         tracing::error!(
--- a/src/purge/service.rs
+++ b/src/purge/service.rs
@@ -9,7 +9,7 @@
 use super::log::LogError;
 use super::metrics::PurgeStatus;
 use super::replica::Replica;
-use super::wire::{from_json, to_json, Acknowledgement, Batch, Fault, SubmitRequest};
+use super::wire::{from_json, to_json, Acknowledgement, Batch, ErrorBody, SubmitRequest};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::http_client::call;
@@ -25,13 +25,13 @@
 const SYNC_INTERVAL_MS: f64 = 1_000.0;
 /// Maximum number of concurrent calls to targets. Each needs a file descriptor, and there may be thousands of
 /// targets.
-pub const MAX_CALLS: usize = 64;
+pub const MAX_CONCURRENT_CALLS: usize = 64;
 /// Maximum number of purges in an answer to `GET /purges/log`.
-const MAX_LISTED: usize = 1_000;
+const MAX_LIST_LENGTH: usize = 1_000;
 
 /// The fleet-purge service of one proxy.
 pub struct PurgeService {
-    host: Rc<Executor>,
+    executor: Rc<Executor>,
     /// Shared with the engine, which uses it as its purge filter.
     limiter: Rc<RefCell<AgeLimiter>>,
     replica: RefCell<Replica>,
@@ -39,24 +39,24 @@
     /// Wakes the sending task when a purge was issued or a target answered.
     wake: Notify,
     /// Limits the concurrent calls to targets.
-    calls: Semaphore,
+    call_permits: Semaphore,
 }
 
 impl PurgeService {
     /// Recovers the replica from its log and sets the engine's purge filter. Must precede the first request.
-    pub fn open(host: &Rc<Executor>, config: PurgeConfig, seed: u64) -> Result<Rc<Self>, LogError> {
-        let now_ms = host.clock.now();
+    pub fn open(executor: &Rc<Executor>, config: PurgeConfig, seed: u64) -> Result<Rc<Self>, LogError> {
+        let now_ms = executor.clock.now();
         let mut limiter = AgeLimiter::new(config.retention_limits(), config.max_tagged_objects);
         let replica = Replica::open(&config, &mut limiter.active, now_ms, seed)?;
         let limiter = Rc::new(RefCell::new(limiter));
-        host.with(|engine| engine.set_purge_filter(limiter.clone()));
+        executor.with(|engine| engine.set_purge_filter(limiter.clone()));
         Ok(Rc::new(Self {
-            host: host.clone(),
+            executor: executor.clone(),
             limiter,
             replica: RefCell::new(replica),
             config,
             wake: Notify::new(),
-            calls: Semaphore::new(MAX_CALLS),
+            call_permits: Semaphore::new(MAX_CONCURRENT_CALLS),
         }))
     }
 
@@ -69,14 +69,14 @@
     pub async fn run(self: Rc<Self>) {
         let is_leader = self.replica.borrow_mut().leader().is_some();
         let mut next_refresh_ms = if is_leader { f64::NEG_INFINITY } else { f64::INFINITY };
-        let mut next_sync_ms = self.host.clock.now() + SYNC_INTERVAL_MS;
+        let mut next_sync_ms = self.executor.clock.now() + SYNC_INTERVAL_MS;
         loop {
-            let now_ms = self.host.clock.now();
+            let now_ms = self.executor.clock.now();
             if now_ms >= next_refresh_ms {
                 self.refresh_targets(now_ms);
                 next_refresh_ms = now_ms + TARGET_REFRESH_MS;
             }
-            let due = self.replica.borrow_mut().leader().map(|leader| leader.due(now_ms));
+            let due = self.replica.borrow_mut().leader().map(|leader| leader.take_due_batches(now_ms));
             for batch in due.into_iter().flatten() {
                 tokio::task::spawn_local(self.clone().send(batch));
             }
@@ -96,7 +96,7 @@
     /// Updates the leader's targets from the endpoint list.
     fn refresh_targets(&self, now_ms: f64) {
         let port = self.config.endpoint_port;
-        let holders = port.map(|port| self.host.with(|engine| engine.copy_holders(port)));
+        let holders = port.map(|port| self.executor.with(|engine| engine.copy_holders(port)));
         let targets = holders.into_iter().flatten().map(Target::from).collect();
         if let Some(leader) = self.replica.borrow_mut().leader() {
             leader.set_listed_targets(now_ms, targets);
@@ -112,7 +112,7 @@
     /// Sends a batch to its target and records the answer.
     async fn send(self: Rc<Self>, outgoing: OutgoingBatch) {
         let answer = self.call_target(&outgoing).await;
-        let now_ms = self.host.clock.now();
+        let now_ms = self.executor.clock.now();
         let target = outgoing.target.as_str();
         let recorded = self.with_replica(|replica, limiter| {
             let Some(leader) = replica.leader() else { return Ok(()) };
@@ -133,7 +133,7 @@
     async fn call_target(&self, outgoing: &OutgoingBatch) -> Result<Acknowledgement, SendError> {
         let body = to_json(&outgoing.batch);
         let timeout = duration_from_ms(self.config.timeout_ms);
-        let permit = self.calls.acquire().await;
+        let permit = self.call_permits.acquire().await;
         let answer = call(outgoing.address, "POST", "/purges/apply", &body, timeout).await?;
         drop(permit);
         match answer.status {
@@ -163,7 +163,7 @@
             Ok(request) => request,
             Err(error) => return error_answer(400, error),
         };
-        let now_ms = self.host.clock.now();
+        let now_ms = self.executor.clock.now();
         let issued = self
             .with_replica(|replica, limiter| replica.submit(request.selector, &mut limiter.active, now_ms));
         match issued {
@@ -184,7 +184,7 @@
             Ok(batch) => batch,
             Err(error) => return error_answer(400, error),
         };
-        let now_ms = self.host.clock.now();
+        let now_ms = self.executor.clock.now();
         let received =
             self.with_replica(|replica, limiter| replica.receive(&batch, &mut limiter.active, now_ms));
         match received {
@@ -199,7 +199,8 @@
 
     fn list(&self, query: &str) -> HttpResponse {
         let from = query_number(query, "from").unwrap_or(1);
-        let max = query_number(query, "most").map_or(MAX_LISTED, |max| (max as usize).min(MAX_LISTED));
+        let max =
+            query_number(query, "most").map_or(MAX_LIST_LENGTH, |max| (max as usize).min(MAX_LIST_LENGTH));
         json_answer(200, &self.with_replica(|replica, limiter| replica.list(&limiter.active, from, max)))
     }
 
@@ -219,7 +220,7 @@
 }
 
 fn error_answer(status: u16, error: impl ToString) -> HttpResponse {
-    json_answer(status, &Fault { error: error.to_string() })
+    json_answer(status, &ErrorBody { error: error.to_string() })
 }
 
 /// Parses a numeric parameter of a query such as `from=3&most=10`.
--- a/src/purge/wire.rs
+++ b/src/purge/wire.rs
@@ -4,10 +4,10 @@
 //! | --- | --- | --- |
 //! | `POST /purges` | [`SubmitRequest`] | 200 [`Submitted`] |
 //! | `GET /purges` | | 200 [`super::metrics::PurgeStatus`] |
-//! | `GET /purges/log?from=N&most=M` | | 200 [`PurgeList`]: at most `M` purges from sequence number `N` on |
+//! | `GET /purges/log?from=N&most=M` | | 200 [`PurgeList`]: at most `M` purges, from `N` on |
 //! | `POST /purges/apply` | [`Batch`] | 200 [`Acknowledgement`] |
 //!
-//! Errors have a [`Fault`] body: 400 for a malformed body, 409 for a call that this proxy's role does not allow or
+//! Errors have a [`ErrorBody`] body: 400 for a malformed body, 409 for a call that this proxy's role does not allow or
 //! a batch whose purges are out of order, 500 if the log can't be written.
 //!
 //! The leader calls `POST /purges/apply` on every target: proxies at their admin address, cache servers at
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum size of a call's body, in bytes: enough for a batch of 256 purges with the longest selectors.
-pub const MAX_CALL: usize = 262_144;
+pub const MAX_BODY_BYTES: usize = 262_144;
 
 /// A purge to issue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -80,7 +80,7 @@
 
 /// The body of an answer with an error status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Fault {
+pub struct ErrorBody {
     /// A description of the error.
     pub error: String,
 }
--- a/tests/purge_model.rs
+++ b/tests/purge_model.rs
@@ -1,5 +1,5 @@
-//! Compares the active purges with a model, a list of all active purges that is searched linearly, over random
-//! steps with a fixed seed.
+//! Compares the active purges with a model, a list of all active purges that is searched linearly, over
+//! random steps with a fixed seed.
 
 use edge_proxy::purge::active_purges::{ActivePurges, ApplyOutcome, Purge, RetentionLimits};
 use edge_proxy::purge::selector::{copy_name, CachedCopy, Selector};
@@ -14,7 +14,7 @@
 enum Step {
     Purge(u8, u8),
     AdvanceLowWaterMark(u8),
-    Lookup { class: bool, object: u8, part: u8, group: u8, keys: u8, generated: u8 },
+    Lookup { class: bool, object: u8, part: u8, group: u8, keys: u8, age: u8 },
     Wait(u16),
 }
 
@@ -34,7 +34,7 @@
         4 => (any::<u8>(), any::<u8>()).prop_map(|(k, v)| Step::Purge(k, v)),
         1 => any::<u8>().prop_map(Step::AdvanceLowWaterMark),
         6 => (any::<bool>(), 0u8..4, 0u8..3, 0u8..3, 0u8..16, any::<u8>())
-            .prop_map(|(class, object, part, group, keys, generated)| Step::Lookup { class, object, part, group, keys, generated }),
+            .prop_map(|(class, object, part, group, keys, age)| Step::Lookup { class, object, part, group, keys, age }),
         2 => (1u16..400).prop_map(Step::Wait),
     ]
 }
@@ -50,7 +50,7 @@
 impl Model {
     fn newest(&self, copy: &CachedCopy<'_>) -> Option<f64> {
         let active = self.purges.iter().filter(|p| p.selector.covers(copy)).map(|p| p.issued_ms);
-        active.chain(self.cutoff.map(|f| f.1)).max_by(f64::total_cmp)
+        active.chain(self.cutoff.map(|cutoff| cutoff.1)).max_by(f64::total_cmp)
     }
 }
 
@@ -73,23 +73,24 @@
                         prop_assert_eq!(active.apply(&purge), ApplyOutcome::Applied);
                         prop_assert_eq!(active.apply(&purge), ApplyOutcome::Duplicate);
                         if let Selector::Everything = purge.selector {
-                            model.cutoff =
-                                Some(
-                                    model
-                                        .cutoff
-                                        .map_or((seq, now), |f| if now > f.1 { (seq, now) } else { f }),
-                                );
+                            model.cutoff = Some(model.cutoff.map_or((seq, now), |cutoff| {
+                                if now > cutoff.1 {
+                                    (seq, now)
+                                } else {
+                                    cutoff
+                                }
+                            }));
                         }
                         model.purges.push(purge);
                         if model.purges.len() > limits.max_active {
                             let oldest = model.purges.remove(0);
-                            let newer = model.cutoff.is_none_or(|f| oldest.issued_ms > f.1);
+                            let newer = model.cutoff.is_none_or(|cutoff| oldest.issued_ms > cutoff.1);
                             model.cutoff =
                                 if newer { Some((oldest.seq, oldest.issued_ms)) } else { model.cutoff };
                         }
                     }
-                    Step::AdvanceLowWaterMark(back) => {
-                        let through = seq.saturating_sub(u64::from(back % 4));
+                    Step::AdvanceLowWaterMark(lag) => {
+                        let through = seq.saturating_sub(u64::from(lag % 4));
                         active.advance_low_water_mark(through, now);
                         model.low_water_mark = model.low_water_mark.max(through);
                         let (low_water_mark, retention) = (model.low_water_mark, limits.min_retention_ms);
@@ -100,12 +101,15 @@
                         {
                             model.purges.remove(0);
                         }
-                        if model.cutoff.is_some_and(|f| f.0 <= low_water_mark && f.1 + retention <= now) {
+                        if model
+                            .cutoff
+                            .is_some_and(|cutoff| cutoff.0 <= low_water_mark && cutoff.1 + retention <= now)
+                        {
                             model.cutoff = None;
                         }
                     }
                     Step::Wait(ms) => now += f64::from(ms),
-                    Step::Lookup { class, object, part, group, keys, generated } => {
+                    Step::Lookup { class, object, part, group, keys, age } => {
                         let name =
                             copy_name(if class { "a" } else { "b" }, u64::from(object), u32::from(part));
                         let keys: Vec<SurrogateKey> = (0..4)
@@ -119,10 +123,15 @@
                             surrogate_keys: &keys,
                         };
                         let expected = model.newest(&copy);
-                        prop_assert_eq!(active.newest(&copy).map(|m| m.issued_ms), expected, "{:?}", copy);
-                        let generated = now - f64::from(generated) * 4.0;
-                        let removed = expected.is_some_and(|issued| generated <= issued);
-                        prop_assert_eq!(active.purge_of(&copy, generated).is_some(), removed);
+                        prop_assert_eq!(
+                            active.newest(&copy).map(|stamp| stamp.issued_ms),
+                            expected,
+                            "{:?}",
+                            copy
+                        );
+                        let generated_ms = now - f64::from(age) * 4.0;
+                        let removed = expected.is_some_and(|issued_ms| generated_ms <= issued_ms);
+                        prop_assert_eq!(active.purge_of(&copy, generated_ms).is_some(), removed);
                     }
                 }
                 prop_assert_eq!(active.len(), model.purges.len());
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -1,5 +1,5 @@
-//! End-to-end tests of fleet purges: a leader and a follower as processes, stand-in cache servers on loopback,
-//! purge logs on disk, and a leader that is killed during replication.
+//! End-to-end tests of fleet purges: a leader and a follower as processes, stand-in cache servers on
+//! loopback, purge logs on disk, and a leader that is killed during replication.
 
 mod stand_ins;
 
@@ -7,7 +7,7 @@
 use edge_proxy::purge::active_purges::{ActivePurges, ApplyOutcome, Purge, RetentionLimits};
 use edge_proxy::purge::config::PurgeConfig;
 use edge_proxy::purge::leader::Leader;
-use edge_proxy::purge::service::MAX_CALLS;
+use edge_proxy::purge::service::MAX_CONCURRENT_CALLS;
 use edge_proxy::purge::wire::{from_json, to_json, Batch, Submitted};
 use edge_proxy::surrogate_key::SurrogateKey;
 use simd_json::prelude::*;
@@ -24,7 +24,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-proxy");
 
 /// Waits until a condition holds; panics after `seconds`.
-async fn within(seconds: u64, what: &str, test: impl Fn() -> bool) {
+async fn wait_until(seconds: u64, what: &str, test: impl Fn() -> bool) {
     let end = tokio::time::Instant::now() + Duration::from_secs(seconds);
     while !test() {
         assert!(tokio::time::Instant::now() < end, "not within {seconds} s: {what}");
@@ -36,7 +36,8 @@
     TcpListener::bind(format!("{ip}:0")).unwrap().local_addr().unwrap().port()
 }
 
-/// Two caches, a parent and an origin, each at its own IP address, with their purge listeners on the same port.
+/// Two caches, a parent and an origin, each at its own IP address, with their purge listeners on the same
+/// port.
 struct Fleet {
     servers: Vec<PurgeTarget>,
     origin: Rc<Origin>,
@@ -44,13 +45,13 @@
 }
 
 impl Fleet {
-    async fn start(net: u8) -> Self {
+    async fn start(subnet: u8) -> Self {
         let origin = Rc::new(Origin::default());
-        let port = free_port(&format!("127.0.{net}.1"));
+        let port = free_port(&format!("127.0.{subnet}.1"));
         let mut servers = Vec::new();
         for (k, name) in ["s-000000c1", "s-000000c2", "s-000000a0", "s-000000b0"].iter().enumerate() {
             servers.push(
-                PurgeTarget::start(name, &format!("127.0.{net}.{}", k + 1), port, origin.clone()).await,
+                PurgeTarget::start(name, &format!("127.0.{subnet}.{}", k + 1), port, origin.clone()).await,
             );
         }
         servers[3].always_generates.set(true);
@@ -69,13 +70,13 @@
     }
 
     /// A proxy's configuration: the example file with the addresses of this fleet.
-    fn config(&self, listen: SocketAddr, mgmt: SocketAddr) -> String {
+    fn config(&self, listen: SocketAddr, admin: SocketAddr) -> String {
         let mut text =
             std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
         for (k, port) in (7101..=7104).enumerate() {
             text = text.replace(&format!("127.0.0.1:{port}"), &self.servers[k].cache_address.to_string());
         }
-        let listen = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
+        let listen = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{admin}\",");
         text.replace("\"listen\": \"127.0.0.1:5050\",", &listen)
     }
 }
@@ -84,48 +85,54 @@
 struct Proxy {
     child: Child,
     listen: SocketAddr,
-    mgmt: SocketAddr,
-    config: PathBuf,
-    purges: PathBuf,
-    log: PathBuf,
+    admin: SocketAddr,
+    config_path: PathBuf,
+    purge_config_path: PathBuf,
+    stderr_path: PathBuf,
 }
 
 impl Proxy {
-    async fn start(dir: &Path, name: &str, ip: &str, fleet: &Fleet, purges: &str) -> Self {
+    async fn start(dir: &Path, name: &str, ip: &str, fleet: &Fleet, purge_config: &str) -> Self {
         let listen: SocketAddr = format!("{ip}:{}", free_port(ip)).parse().unwrap();
-        let mgmt: SocketAddr = format!("{ip}:{}", free_port(ip)).parse().unwrap();
-        let config = dir.join(format!("{name}.json"));
-        std::fs::write(&config, fleet.config(listen, mgmt)).unwrap();
-        let file = dir.join(format!("{name}-purges.json"));
-        std::fs::write(&file, purges).unwrap();
-        let log = dir.join(format!("{name}.log"));
-        let _ = std::fs::remove_file(&log);
-        let child = Self::spawn(&config, &file, &log);
-        let mut proxy = Self { child, listen, mgmt, config, purges: file, log };
-        proxy.ready().await;
+        let admin: SocketAddr = format!("{ip}:{}", free_port(ip)).parse().unwrap();
+        let config_path = dir.join(format!("{name}.json"));
+        std::fs::write(&config_path, fleet.config(listen, admin)).unwrap();
+        let purge_config_path = dir.join(format!("{name}-purges.json"));
+        std::fs::write(&purge_config_path, purge_config).unwrap();
+        let stderr_path = dir.join(format!("{name}.log"));
+        let _ = std::fs::remove_file(&stderr_path);
+        let child = Self::spawn(&config_path, &purge_config_path, &stderr_path);
+        let mut proxy = Self { child, listen, admin, config_path, purge_config_path, stderr_path };
+        proxy.wait_until_ready().await;
         proxy
     }
 
-    fn spawn(config: &Path, purges: &Path, log: &Path) -> Child {
-        let errors = std::fs::OpenOptions::new().create(true).append(true).open(log).unwrap();
+    fn spawn(config_path: &Path, purge_config_path: &Path, stderr_path: &Path) -> Child {
+        let stderr = std::fs::OpenOptions::new().create(true).append(true).open(stderr_path).unwrap();
         Command::new(PROGRAM)
-            .args(["serve", "--config", config.to_str().unwrap(), "--purges", purges.to_str().unwrap()])
+            .args([
+                "serve",
+                "--config",
+                config_path.to_str().unwrap(),
+                "--purges",
+                purge_config_path.to_str().unwrap(),
+            ])
             .env_remove("NODE_CONFIG")
             .env("EDGE_PROXY_LOG", "info")
-            .stderr(Stdio::from(errors))
+            .stderr(Stdio::from(stderr))
             .spawn()
             .unwrap()
     }
 
-    async fn ready(&mut self) {
+    async fn wait_until_ready(&mut self) {
         for _ in 0..500 {
-            if get(self.mgmt, "/purges").await.is_some() {
+            if get(self.admin, "/purges").await.is_some() {
                 return;
             }
             assert!(
                 self.child.try_wait().unwrap().is_none(),
                 "{}",
-                std::fs::read_to_string(&self.log).unwrap()
+                std::fs::read_to_string(&self.stderr_path).unwrap()
             );
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -136,8 +143,8 @@
     async fn kill_and_restart(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
-        self.child = Self::spawn(&self.config, &self.purges, &self.log);
-        self.ready().await;
+        self.child = Self::spawn(&self.config_path, &self.purge_config_path, &self.stderr_path);
+        self.wait_until_ready().await;
     }
 }
 
@@ -145,7 +152,7 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let log = std::fs::read_to_string(&self.log).unwrap_or_default();
+        let log = std::fs::read_to_string(&self.stderr_path).unwrap_or_default();
         if !std::thread::panicking() {
             assert!(!log.contains("panicked"), "the proxy panicked: {log}");
         }
@@ -158,8 +165,8 @@
     (answer.status == 200).then(|| simd_json::to_owned_value(&mut body).ok())?
 }
 
-async fn submit(at: SocketAddr, sel: &str) -> Result<Submitted, (u16, String)> {
-    let body = format!("{{\"sel\":\"{sel}\"}}");
+async fn submit(at: SocketAddr, selector: &str) -> Result<Submitted, (u16, String)> {
+    let body = format!("{{\"sel\":\"{selector}\"}}");
     let answer = call(at, "POST", "/purges", body.as_bytes(), Duration::from_secs(2)).await.unwrap();
     match answer.status {
         200 => Ok(from_json(&answer.body).unwrap()),
@@ -167,7 +174,7 @@
     }
 }
 
-fn leader_file(name: &str, extra: &str) -> String {
+fn leader_config(name: &str, extra: &str) -> String {
     format!(
         "{{\"role\":\"leader\",\"name\":\"{name}\",\"state\":\"{name}-state.log\",\"batch_most\":2,\
          \"heartbeat_ms\":100,\"timeout_ms\":2000,\"backoff\":{{\"first_ms\":50,\"factor\":2,\"most_ms\":400,\"jitter\":0.1}}{extra}}}"
@@ -179,21 +186,21 @@
     listen: SocketAddr,
     object: u64,
     group: u32,
-    serial: &Cell<u64>,
+    last_call_id: &Cell<u64>,
 ) -> Option<(u16, Option<f64>)> {
-    serial.set(serial.get() + 1);
+    last_call_id.set(last_call_id.get() + 1);
     let mut stream = tokio::net::TcpStream::connect(listen).await.ok()?;
     let request = format!(
         "GET /ops/small-object/{object:016x} HTTP/1.1\r\nHost: t\r\nX-Call-Id: {:016x}\r\nX-Patience-Ms: 2500\r\n\
          X-Set: {group}\r\nConnection: close\r\n\r\n",
-        serial.get()
+        last_call_id.get()
     );
     stream.write_all(request.as_bytes()).await.ok()?;
     let mut answer = Vec::new();
     tokio::time::timeout(Duration::from_secs(4), stream.read_to_end(&mut answer)).await.ok()?.ok()?;
     let text = String::from_utf8_lossy(&answer).to_string();
     let status = text.get(9..12)?.parse().ok()?;
-    let generated_ms = text.split("born=").nth(1).and_then(|b| b.trim().parse().ok());
+    let generated_ms = text.split("generated_ms=").nth(1).and_then(|value| value.trim().parse().ok());
     Some((status, generated_ms))
 }
 
@@ -207,34 +214,40 @@
         let _ = std::fs::remove_file(dir.join("edge-1-state.log"));
         let extra = format!(",\"roster_port\":{}", fleet.port);
         let mut leader =
-            Proxy::start(&dir, "edge-1", "127.0.41.10", &fleet, &leader_file("edge-1", &extra)).await;
+            Proxy::start(&dir, "edge-1", "127.0.41.10", &fleet, &leader_config("edge-1", &extra)).await;
         for k in 1..=8 {
-            let issued = submit(leader.mgmt, &format!("tag:t{k}")).await.unwrap();
+            let issued = submit(leader.admin, &format!("tag:t{k}")).await.unwrap();
             assert_eq!(issued.seq, k);
         }
         let (quick, slow) = (&fleet.servers[..2], &fleet.servers[2]);
-        within(10, "the quick servers have applied all", || quick.iter().all(|b| b.applied() == 8)).await;
-        within(10, "the slow server has applied some", || slow.applied() >= 2).await;
+        wait_until(10, "the quick servers have applied all", || {
+            quick.iter().all(|server| server.applied() == 8)
+        })
+        .await;
+        wait_until(10, "the slow server has applied some", || slow.applied() >= 2).await;
         let behind = slow.applied();
         assert!(behind < 8, "the slow server should be behind at the kill, has {behind}");
         leader.kill_and_restart().await;
-        within(15, "the slow server catches up", || slow.applied() == 8).await;
-        assert_eq!(submit(leader.mgmt, "tag:t9").await.unwrap().seq, 9, "numbering continues");
-        within(10, "all have applied the new one", || fleet.caches().iter().all(|b| b.applied() == 9)).await;
-        for b in fleet.caches() {
+        wait_until(15, "the slow server catches up", || slow.applied() == 8).await;
+        assert_eq!(submit(leader.admin, "tag:t9").await.unwrap().seq, 9, "numbering continues");
+        wait_until(10, "all have applied the new one", || {
+            fleet.caches().iter().all(|server| server.applied() == 9)
+        })
+        .await;
+        for server in fleet.caches() {
             assert_eq!(
-                *b.observed.applied.borrow(),
+                *server.observed.applied.borrow(),
                 (1..=9).collect::<Vec<u64>>(),
                 "{} applied in order, once",
-                b.name
+                server.name
             );
         }
-        for b in quick {
-            let received = b.observed.received.borrow();
+        for server in quick {
+            let received = server.observed.received.borrow();
             assert!(
                 (1..=9).all(|seq| received[&seq] == 1),
                 "{} got purges again after the restart: {received:?}",
-                b.name
+                server.name
             );
         }
         // Only the batch in flight at the kill may be repeated, and nothing is skipped.
@@ -242,7 +255,7 @@
         let repeats: u32 = received.values().map(|n| n - 1).sum();
         assert!(repeats <= 2, "the slow server got {repeats} purges again: {received:?}");
         assert!((1..behind.saturating_sub(1)).all(|seq| received[&seq] == 1), "{received:?}");
-        let status = get(leader.mgmt, "/purges").await.unwrap();
+        let status = get(leader.admin, "/purges").await.unwrap();
         assert_eq!(status["last"].as_u64(), Some(9));
     });
 }
@@ -255,36 +268,40 @@
         for file in ["lead-state.log", "follow-state.log"] {
             let _ = std::fs::remove_file(dir.join(file));
         }
-        let follower_file = "{\"role\":\"follower\",\"name\":\"follow\",\"state\":\"follow-state.log\"}";
-        let follower = Proxy::start(&dir, "follow", "127.0.42.11", &fleet, follower_file).await;
+        let follower_config = "{\"role\":\"follower\",\"name\":\"follow\",\"state\":\"follow-state.log\"}";
+        let follower = Proxy::start(&dir, "follow", "127.0.42.11", &fleet, follower_config).await;
         let extra = format!(
             ",\"roster_port\":{},\"targets\":[{{\"name\":\"follow\",\"address\":\"{}\"}}]",
-            fleet.port, follower.mgmt
+            fleet.port, follower.admin
         );
-        let leader = Proxy::start(&dir, "lead", "127.0.42.10", &fleet, &leader_file("lead", &extra)).await;
+        let leader = Proxy::start(&dir, "lead", "127.0.42.10", &fleet, &leader_config("lead", &extra)).await;
         // A follower applies nothing beyond a gap.
-        let early = Batch {
+        let batch_after_gap = Batch {
             leader: "lead".into(),
             from: 2,
             low_water_mark: 0,
             cutoff: None,
             purges: vec![Purge { seq: 2, issued_ms: now_ms(), selector: "tag:x".parse().unwrap() }],
         };
-        let answer = call(follower.mgmt, "POST", "/purges/apply", &to_json(&early), Duration::from_secs(2))
-            .await
-            .unwrap();
+        let answer =
+            call(follower.admin, "POST", "/purges/apply", &to_json(&batch_after_gap), Duration::from_secs(2))
+                .await
+                .unwrap();
         assert_eq!((answer.status, String::from_utf8_lossy(&answer.body).as_ref()), (200, "{\"applied\":0}"));
         // A surrogate key and a pattern that cover the same object.
         fleet.origin.surrogate_keys.borrow_mut().insert(0x11, vec![SurrogateKey::new("seller-1").unwrap()]);
-        assert_eq!(submit(leader.mgmt, "tag:seller-1").await.unwrap().seq, 1);
-        assert_eq!(submit(leader.mgmt, "pattern:/small-object/00000000000000*").await.unwrap().seq, 2);
-        within(10, "every server has applied both", || fleet.caches().iter().all(|b| b.applied() == 2)).await;
-        for b in fleet.caches() {
-            assert_eq!(*b.observed.applied.borrow(), [1, 2], "{}", b.name);
+        assert_eq!(submit(leader.admin, "tag:seller-1").await.unwrap().seq, 1);
+        assert_eq!(submit(leader.admin, "pattern:/small-object/00000000000000*").await.unwrap().seq, 2);
+        wait_until(10, "every server has applied both", || {
+            fleet.caches().iter().all(|server| server.applied() == 2)
+        })
+        .await;
+        for server in fleet.caches() {
+            assert_eq!(*server.observed.applied.borrow(), [1, 2], "{}", server.name);
         }
         let mut listed = None;
         for _ in 0..500 {
-            listed = get(follower.mgmt, "/purges/log").await;
+            listed = get(follower.admin, "/purges/log").await;
             if listed.as_ref().is_some_and(|l| l["entries"].as_array().is_some_and(|e| e.len() == 2)) {
                 break;
             }
@@ -295,25 +312,25 @@
         let order: Vec<(u64, &str)> =
             entries.iter().map(|e| (e["seq"].as_u64().unwrap(), e["sel"].as_str().unwrap())).collect();
         assert_eq!(order, [(1, "tag:seller-1"), (2, "pattern:/small-object/00000000000000*")]);
-        let status = get(leader.mgmt, "/purges").await.unwrap();
+        let status = get(leader.admin, "/purges").await.unwrap();
         assert_eq!(status["targets"]["follow"]["acked"].as_u64(), Some(2));
     });
 }
 
-/// Reads the objects for `duration_ms` and asserts that no copy is older than the purge. Returns the numbers of
-/// served and failed reads.
+/// Reads the objects for `duration_ms` and asserts that no copy is older than the purge. Returns the numbers
+/// of served and failed reads.
 async fn read_copies_newer_than(
     issued_ms: f64,
     duration_ms: f64,
     listen: SocketAddr,
     objects: &[u64],
-    serial: &Cell<u64>,
+    last_call_id: &Cell<u64>,
 ) -> (u32, u32) {
     let (mut served, mut failed) = (0, 0);
     let until = now_ms() + duration_ms;
     while now_ms() < until {
         for object in objects {
-            match fetch(listen, *object, 7, serial).await {
+            match fetch(listen, *object, 7, last_call_id).await {
                 Some((200, Some(generated_ms))) => {
                     assert!(generated_ms > issued_ms, "a copy older than the purge reached a client");
                     served += 1;
@@ -336,55 +353,58 @@
 fn a_target_unreachable_for_seconds_catches_up_and_retains_copies_newer_than_the_purge() {
     run(async {
         let fleet = Fleet::start(43).await;
-        let dir = folder("purges-away");
-        let _ = std::fs::remove_file(dir.join("away-state.log"));
+        let dir = folder("purges-unreachable");
+        let _ = std::fs::remove_file(dir.join("lead-state.log"));
         let extra = format!(",\"roster_port\":{}", fleet.port);
-        let leader = Proxy::start(&dir, "away", "127.0.43.10", &fleet, &leader_file("away", &extra)).await;
-        let serial = Cell::new(0);
+        let leader = Proxy::start(&dir, "lead", "127.0.43.10", &fleet, &leader_config("lead", &extra)).await;
+        let last_call_id = Cell::new(0);
         let objects: Vec<u64> = (0x100..0x140).collect();
         for object in &objects {
             fleet.tag(*object, "seller-7");
-            assert_eq!(fetch(leader.listen, *object, 7, &serial).await.map(|a| a.0), Some(200));
+            assert_eq!(fetch(leader.listen, *object, 7, &last_call_id).await.map(|a| a.0), Some(200));
         }
-        for b in fleet.caches() {
-            b.unreachable.set(true);
+        for server in fleet.caches() {
+            server.unreachable.set(true);
         }
         // One server ignores the age limit, as a faulty cache server would.
         fleet.servers[0].ignores_age_limit.set(true);
-        let purge = submit(leader.mgmt, "tag:seller-7").await.unwrap();
+        let purge = submit(leader.admin, "tag:seller-7").await.unwrap();
         let (served, failed) =
-            read_copies_newer_than(purge.issued_ms, 3_000.0, leader.listen, &objects, &serial).await;
+            read_copies_newer_than(purge.issued_ms, 3_000.0, leader.listen, &objects, &last_call_id).await;
         // No server applied the purge, but clients got no purged copies because the proxy checks each answer.
-        assert!(fleet.caches().iter().all(|b| b.applied() == 0));
+        assert!(fleet.caches().iter().all(|server| server.applied() == 0));
         assert!(served > 0, "served {served}, failed {failed}");
-        let status = get(leader.mgmt, "/purges").await.unwrap();
+        let status = get(leader.admin, "/purges").await.unwrap();
         assert_eq!(status["done"].as_u64(), Some(0));
         let newer: Vec<Vec<(u64, f64)>> =
-            fleet.caches().iter().map(|b| copies_newer_than(purge.issued_ms, b)).collect();
+            fleet.caches().iter().map(|server| copies_newer_than(purge.issued_ms, server)).collect();
         assert!(newer.iter().any(|n| !n.is_empty()), "servers that respect the age limit filled anew");
-        for b in fleet.caches() {
-            b.unreachable.set(false);
+        for server in fleet.caches() {
+            server.unreachable.set(false);
         }
-        within(10, "the servers have caught up", || fleet.caches().iter().all(|b| b.applied() == 1)).await;
-        for (b, newer) in fleet.caches().iter().zip(newer) {
-            let store = b.store.borrow();
+        wait_until(10, "the servers have caught up", || {
+            fleet.caches().iter().all(|server| server.applied() == 1)
+        })
+        .await;
+        for (server, newer) in fleet.caches().iter().zip(newer) {
+            let store = server.store.borrow();
             for (object, generated_ms) in newer {
                 assert_eq!(
-                    store.get(&(object, 0)).map(|h| h.generated_ms),
+                    store.get(&(object, 0)).map(|copy| copy.generated_ms),
                     Some(generated_ms),
                     "{} dropped a newer copy",
-                    b.name
+                    server.name
                 );
             }
             assert!(
-                store.values().all(|h| h.generated_ms > purge.issued_ms),
+                store.values().all(|copy| copy.generated_ms > purge.issued_ms),
                 "{} retained a purged copy",
-                b.name
+                server.name
             );
         }
         let mut done = None;
         for _ in 0..300 {
-            done = get(leader.mgmt, "/purges").await.and_then(|s| s["done"].as_u64());
+            done = get(leader.admin, "/purges").await.and_then(|s| s["done"].as_u64());
             if done == Some(1) {
                 break;
             }
@@ -394,7 +414,7 @@
     });
 }
 
-fn purge_config(dir: &Path, role: &str, targets: &str) -> PurgeConfig {
+fn read_purge_config(dir: &Path, role: &str, targets: &str) -> PurgeConfig {
     let path = dir.join(format!("{role}.json"));
     let text =
         format!("{{\"role\":\"{role}\",\"name\":\"me\",\"state\":\"{role}.log\",\"targets\":[{targets}]}}");
@@ -404,7 +424,7 @@
 
 /// Sends the due batches to a target, which applies and acknowledges them.
 fn replicate(leader: &mut Leader, active: &mut ActivePurges, target: &mut ActivePurges, now: f64) {
-    for outgoing in leader.due(now) {
+    for outgoing in leader.take_due_batches(now) {
         if let Some(cutoff) = outgoing.batch.cutoff.filter(|cutoff| cutoff.seq >= target.applied()) {
             target.apply_cutoff(cutoff);
         }
@@ -418,8 +438,8 @@
 #[test]
 fn a_torn_or_corrupt_log_retains_its_intact_prefix_and_issues_no_number_twice() {
     let dir = folder("purges-log");
-    let config = purge_config(&dir, "leader", "{\"name\":\"a\",\"address\":\"127.0.0.1:9\"}");
-    let path = config.state.clone().unwrap();
+    let config = read_purge_config(&dir, "leader", "{\"name\":\"a\",\"address\":\"127.0.0.1:9\"}");
+    let path = config.log_path.clone().unwrap();
     let _ = std::fs::remove_file(&path);
     let (mut active, mut target) =
         (ActivePurges::new(RetentionLimits::default()), ActivePurges::new(RetentionLimits::default()));
@@ -447,7 +467,8 @@
     assert_eq!(target.applied(), 6);
     drop(leader);
 
-    // A corrupt record in the middle: the records after it are lost, among them purges that may have been sent.
+    // A corrupt record in the middle: the records after it are lost, among them purges that may have been
+    // sent.
     let mut bytes = std::fs::read(&path).unwrap();
     let corrupt = bytes.len() / 2;
     bytes[corrupt] ^= 0x55;
@@ -475,10 +496,10 @@
 fn invalid_input_to_purge_submit_is_rejected_and_changes_nothing() {
     run(async {
         let fleet = Fleet::start(44).await;
-        let dir = folder("purges-bad");
-        let _ = std::fs::remove_file(dir.join("bad-state.log"));
-        let leader = Proxy::start(&dir, "bad", "127.0.44.10", &fleet, &leader_file("bad", "")).await;
-        let at = leader.mgmt.to_string();
+        let dir = folder("purges-invalid");
+        let _ = std::fs::remove_file(dir.join("lead-state.log"));
+        let leader = Proxy::start(&dir, "lead", "127.0.44.10", &fleet, &leader_config("lead", "")).await;
+        let at = leader.admin.to_string();
         let cases = [
             ("", "empty selector"),
             ("pattern:/a/**/b", "last step"),
@@ -495,13 +516,13 @@
         }
         for body in ["{\"sel\":\"pattern:/[ab]\"}", "{\"sel\":\"tag:x\",\"more\":1}", "not json", "{}"] {
             let answer =
-                call(leader.mgmt, "POST", "/purges", body.as_bytes(), Duration::from_secs(2)).await.unwrap();
+                call(leader.admin, "POST", "/purges", body.as_bytes(), Duration::from_secs(2)).await.unwrap();
             assert_eq!(answer.status, 400, "{body}");
             assert!(String::from_utf8_lossy(&answer.body).contains("error"));
         }
-        let status = get(leader.mgmt, "/purges").await.unwrap();
+        let status = get(leader.admin, "/purges").await.unwrap();
         assert_eq!((status["last"].as_u64(), status["figures"]["issued"].as_u64()), (Some(0), Some(0)));
-        let log = dir.join("bad-state.log");
+        let log = dir.join("lead-state.log");
         let out = Command::new(PROGRAM).args(["purge", "log", log.to_str().unwrap()]).output().unwrap();
         assert!(out.status.success() && out.stdout.is_empty(), "{}", String::from_utf8_lossy(&out.stderr));
         // The next valid purge gets the first sequence number.
@@ -511,7 +532,7 @@
 }
 
 /// Guards against calls to unresponsive targets using up the descriptors: concurrent calls stay within
-/// `MAX_CALLS`, and clients are served meanwhile.
+/// `MAX_CONCURRENT_CALLS`, and clients are served meanwhile.
 #[test]
 fn a_thousand_hanging_targets_leave_descriptors_to_clients_and_endpoints() {
     const TARGETS: usize = 1_024;
@@ -526,23 +547,26 @@
         let targets: Vec<String> =
             (0..TARGETS).map(|k| format!(r#"{{"name":"t{k}","address":"{at}"}}"#)).collect();
         let extra = format!(r#","targets":[{}]"#, targets.join(","));
-        let file = leader_file("edge-1", &extra).replace("\"timeout_ms\":2000", "\"timeout_ms\":200");
+        let file = leader_config("edge-1", &extra).replace("\"timeout_ms\":2000", "\"timeout_ms\":200");
         let leader = Proxy::start(&dir, "edge-1", "127.0.47.10", &fleet, &file).await;
         let descriptors = || {
             let list = std::fs::read_dir(format!("/proc/{}/fd", leader.child.id())).unwrap();
             list.count()
         };
-        let (mut max, mut open, serial) = (0, Vec::new(), Cell::new(0));
-        for calls in 0..3 * MAX_CALLS {
+        let (mut max, mut open, last_call_id) = (0, Vec::new(), Cell::new(0));
+        for calls in 0..3 * MAX_CONCURRENT_CALLS {
             // Kept open, so that a call ends only by the proxy's timeout.
             open.push(hanging.accept().await.unwrap());
             max = max.max(descriptors());
-            if calls % MAX_CALLS == 0 {
-                assert_eq!(fetch(leader.listen, calls as u64, 17, &serial).await.unwrap().0, 200);
+            if calls % MAX_CONCURRENT_CALLS == 0 {
+                assert_eq!(fetch(leader.listen, calls as u64, 17, &last_call_id).await.unwrap().0, 200);
             }
         }
-        assert!(max >= MAX_CALLS, "all permits are used: {max} descriptors");
-        // The proxy's other descriptors (standard streams, runtime, listeners, log) are fewer than `MAX_CALLS`.
-        assert!(max < 2 * MAX_CALLS + SHORT_LIVED, "{max} descriptors while {TARGETS} targets hang");
+        assert!(max >= MAX_CONCURRENT_CALLS, "all permits are used: {max} descriptors");
+        // The other descriptors (standard streams, runtime, listeners, log) are fewer than the calls.
+        assert!(
+            max < 2 * MAX_CONCURRENT_CALLS + SHORT_LIVED,
+            "{max} descriptors while {TARGETS} targets hang"
+        );
     });
 }
--- a/tests/stand_ins/purge_target.rs
+++ b/tests/stand_ins/purge_target.rs
@@ -85,7 +85,8 @@
 
 /// Encodes the answer to a read; the body identifies the copy.
 fn encode_answer(read: &Read, copy: &StoredCopy) -> Vec<u8> {
-    let body = format!("object={:016x} part={} born={:.3}", read.object, read.part, copy.generated_ms);
+    let body =
+        format!("object={:016x} part={} generated_ms={:.3}", read.object, read.part, copy.generated_ms);
     let keys: Vec<&str> = copy.surrogate_keys.iter().map(SurrogateKey::as_str).collect();
     let keys = if keys.is_empty() { String::new() } else { format!(",tags={}", keys.join("+")) };
     let head = format!(
@@ -157,7 +158,7 @@
             while let Ok((stream, _)) = cache_listener.accept().await {
                 let (store, active, observed, modes) =
                     (store.clone(), active.clone(), observed.clone(), modes.clone());
-                spawn_local(Self::serve(stream, store, active, observed, modes, origin.clone()));
+                spawn_local(Self::serve_reads(stream, store, active, observed, modes, origin.clone()));
             }
         });
         let (store, active, observed) =
@@ -169,7 +170,7 @@
                     drop(stream);
                     continue;
                 }
-                spawn_local(Self::apply(
+                spawn_local(Self::receive_batch(
                     stream,
                     store.clone(),
                     active.clone(),
@@ -186,7 +187,7 @@
         self.active.borrow().applied()
     }
 
-    async fn serve(
+    async fn serve_reads(
         stream: TcpStream,
         store: Rc<RefCell<HashMap<(u64, u32), StoredCopy>>>,
         active: Rc<RefCell<ActivePurges>>,
@@ -210,9 +211,10 @@
             let request = Read::parse(&fields[1], &fields[2]);
             let now = now_ms();
             let is_usable = |copy: &StoredCopy| {
-                let young = request.max_age_ms == 0.0 || now - copy.generated_ms <= request.max_age_ms;
+                let is_young_enough =
+                    request.max_age_ms == 0.0 || now - copy.generated_ms <= request.max_age_ms;
                 let purge = active.borrow().purge_of(&copy.cached(request.object), copy.generated_ms);
-                (young || ignores_age_limit.get()) && purge.is_none()
+                (is_young_enough || ignores_age_limit.get()) && purge.is_none()
             };
             let key = (request.object, request.part);
             let stored = store.borrow().get(&key).cloned();
@@ -229,14 +231,14 @@
         }
     }
 
-    async fn apply(
+    async fn receive_batch(
         mut stream: TcpStream,
         store: Rc<RefCell<HashMap<(u64, u32), StoredCopy>>>,
         active: Rc<RefCell<ActivePurges>>,
         observed: Rc<Observed>,
         delay_ms: u64,
     ) {
-        let Some(body) = read_call(&mut stream).await else { return };
+        let Some(body) = read_request_body(&mut stream).await else { return };
         let Ok(batch) = from_json::<Batch>(&body) else {
             let _ = stream.write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
             return;
@@ -245,7 +247,7 @@
         {
             let mut active = active.borrow_mut();
             if let Some(cutoff) =
-                batch.cutoff.filter(|f| f.seq >= active.applied() && batch.from == f.seq + 1)
+                batch.cutoff.filter(|cutoff| cutoff.seq >= active.applied() && batch.from == cutoff.seq + 1)
             {
                 active.apply_cutoff(cutoff);
                 observed.cutoffs.set(observed.cutoffs.get() + 1);
@@ -270,7 +272,7 @@
 }
 
 /// Reads the body of one HTTP request, by its `Content-Length`.
-pub async fn read_call(stream: &mut TcpStream) -> Option<Vec<u8>> {
+pub async fn read_request_body(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     let mut chunk = [0u8; 8_192];
     loop {
