--- a/src/purge/active_purges/tests.rs
+++ b/src/purge/active_purges/tests.rs
@@ -47,7 +47,7 @@
     active.advance_low_water_mark(1, 1_120.0);
     assert_eq!(active.newest(&copy(&name, &[])).map(|stamp| stamp.seq), Some(2));
     active.advance_low_water_mark(2, 1_140.0);
-    assert_eq!(active.len(), 1, "retained for its time after issue");
+    assert_eq!(active.len(), 1, "retained for `min_retention_ms` after its issue");
     active.advance_low_water_mark(2, 1_150.0);
     assert!(active.newest(&copy(&name, &[])).is_none());
 }
--- a/src/purge/config.rs
+++ b/src/purge/config.rs
@@ -160,7 +160,10 @@
             if !is_valid_name(&target.name) || !unique {
                 return Err(FieldError::new(
                     "targets",
-                    format!("{:?}: names are plain, unique and not this proxy's", target.name),
+                    format!(
+                        "{:?}: a target's name must be valid, unique and different from this proxy's",
+                        target.name
+                    ),
                 ));
             }
             parse_address(&target.address).map_err(|error| FieldError::new("targets", error))?;
@@ -184,7 +187,7 @@
             ("backoff", backoff_ok, Backoff::BOUNDS),
             ("compact_bytes", (4_096..=1 << 30).contains(&self.compact_bytes), "4,096 to 1 GiB"),
             ("tags_most", (1..=10_000_000).contains(&self.max_tagged_objects), "1 to 10,000,000"),
-            ("roster_port", self.endpoint_port != Some(0), "a port from 1"),
+            ("roster_port", self.endpoint_port != Some(0), "1 to 65,535"),
         ];
         match checks.into_iter().find(|(_, ok, _)| !ok) {
             Some((field, _, bounds)) => Err(FieldError::new(field, format!("out of bounds: {bounds}"))),
--- a/src/purge/glob.rs
+++ b/src/purge/glob.rs
@@ -23,19 +23,19 @@
     #[error("longer than {MAX_PATTERN_BYTES} bytes")]
     TooLong,
     /// The pattern has a space, a control character or a character beyond ASCII.
-    #[error("only visible ASCII characters, no spaces")]
+    #[error("only visible ASCII characters are allowed, no spaces")]
     InvalidCharacter,
     /// The pattern has a character class, a brace or an escape.
-    #[error("classes, braces and escapes are not supported: use `*` and `?`")]
+    #[error("character classes, braces and escapes are not supported: use `*` and `?`")]
     UnsupportedSyntax,
     /// A segment `**` is followed by another segment.
-    #[error("`**` may stand only as the last step")]
+    #[error("`**` is allowed only as the last segment")]
     RestNotLast,
     /// `**` is part of a longer segment.
-    #[error("`**` must be a whole step")]
+    #[error("`**` must be a whole segment")]
     PartialRest,
     /// A segment before the last is empty.
-    #[error("an empty step")]
+    #[error("an empty segment")]
     EmptySegment,
     /// The pattern has more than [`MAX_WILDCARDS`] wildcards.
     #[error("more than {MAX_WILDCARDS} wildcards")]
--- a/src/purge/log.rs
+++ b/src/purge/log.rs
@@ -107,7 +107,7 @@
     #[error("purge log {0}: larger than 1 GiB")]
     TooLarge(PathBuf),
     /// A record can't be encoded as JSON.
-    #[error("purge log: a record can't be written: {0}")]
+    #[error("purge log: a record can't be encoded: {0}")]
     Encode(#[from] simd_json::Error),
 }
 
--- a/src/purge/mod.rs
+++ b/src/purge/mod.rs
@@ -10,7 +10,7 @@
 //! | [`fanout`] | replication: batches, acknowledgements, retries, low-water mark | none |
 //! | [`log`] | the append-only log with checksums | a file |
 //! | [`leader`], [`follower`], [`replica`] | issuing, applying and acknowledging purges | the log |
-//! | `journal`, `recovery` | the log with the positions stored in it, and recovery from it at startup | the log |
+//! | `journal`, `recovery` | the log with its stored positions, and recovery from it at startup | the log |
 //! | [`wire`] | the JSON bodies of the HTTP calls | none |
 //! | [`service`] | the calls at the admin address and the sending task | sockets |
 //! | [`config`] | the configuration file | a file |
--- a/src/purge/wire/tests.rs
+++ b/src/purge/wire/tests.rs
@@ -12,5 +12,5 @@
     assert_eq!(from_json::<Batch>(&to_json(&batch)).unwrap(), batch);
     assert!(from_json::<SubmitRequest>(br#"{"sel":"tag:a","when":1}"#).is_err());
     let error = from_json::<SubmitRequest>(br#"{"sel":"pattern:/a/**/b"}"#).unwrap_err().to_string();
-    assert!(error.contains("last step"), "{error}");
+    assert!(error.contains("last segment"), "{error}");
 }
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -27,7 +27,7 @@
 async fn wait_until(seconds: u64, what: &str, test: impl Fn() -> bool) {
     let end = tokio::time::Instant::now() + Duration::from_secs(seconds);
     while !test() {
-        assert!(tokio::time::Instant::now() < end, "not within {seconds} s: {what}");
+        assert!(tokio::time::Instant::now() < end, "timed out after {seconds} s: {what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -136,7 +136,7 @@
             );
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("the proxy did not come up");
+        panic!("the proxy did not become ready");
     }
 
     /// Kills the process with SIGKILL and restarts it with the same files.
@@ -226,11 +226,11 @@
         .await;
         wait_until(10, "the slow server has applied some", || slow.applied() >= 2).await;
         let behind = slow.applied();
-        assert!(behind < 8, "the slow server should be behind at the kill, has {behind}");
+        assert!(behind < 8, "the slow server must be behind at the kill, has applied {behind}");
         leader.kill_and_restart().await;
         wait_until(15, "the slow server catches up", || slow.applied() == 8).await;
-        assert_eq!(submit(leader.admin, "tag:t9").await.unwrap().seq, 9, "numbering continues");
-        wait_until(10, "all have applied the new one", || {
+        assert_eq!(submit(leader.admin, "tag:t9").await.unwrap().seq, 9, "sequence numbers continue");
+        wait_until(10, "all servers have applied the new purge", || {
             fleet.caches().iter().all(|server| server.applied() == 9)
         })
         .await;
@@ -378,7 +378,7 @@
         assert_eq!(status["done"].as_u64(), Some(0));
         let newer: Vec<Vec<(u64, f64)>> =
             fleet.caches().iter().map(|server| copies_newer_than(purge.issued_ms, server)).collect();
-        assert!(newer.iter().any(|n| !n.is_empty()), "servers that respect the age limit filled anew");
+        assert!(newer.iter().any(|n| !n.is_empty()), "servers that respect the age limit fetched new copies");
         for server in fleet.caches() {
             server.unreachable.set(false);
         }
@@ -502,7 +502,7 @@
         let at = leader.admin.to_string();
         let cases = [
             ("", "empty selector"),
-            ("pattern:/a/**/b", "last step"),
+            ("pattern:/a/**/b", "last segment"),
             ("pattern:video/*", "begins with `/`"),
             ("colour:red", "unknown selector kind"),
             ("tag:a b", "a tag is"),
