--- a/src/purge/fanout.rs
+++ b/src/purge/fanout.rs
@@ -229,7 +229,7 @@
         self.targets.values().map(|target| target.acknowledged).min().unwrap_or(last).min(last)
     }
 
-    /// The batches to send now. A target gets one batch at a time.
+    /// The batches to send now, recorded as in flight. A target gets one batch at a time.
     pub fn take_due_batches(&mut self, now_ms: f64) -> Vec<BatchRange> {
         let (retained, limits) = (self.retained, self.limits);
         let in_flight_timeout_ms = self.in_flight_timeout_ms();
--- a/src/purge/leader.rs
+++ b/src/purge/leader.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A failing target is logged at its first failure and then once in this many.
+/// A failing target is logged at its first failure and then at every multiple of this many failures.
 const FAILURES_PER_WARNING: u32 = 20;
 
 /// Why a purge was not issued. Nothing has changed.
@@ -151,7 +151,7 @@
         self.fanout.set_retained(self.journal.first_retained, self.journal.last_seq);
     }
 
-    /// The batches to send now.
+    /// The batches to send now, recorded as in flight.
     pub fn take_due_batches(&mut self, now_ms: f64) -> Vec<OutgoingBatch> {
         let low_water_mark = self.fanout.low_water_mark();
         let ranges = self.fanout.take_due_batches(now_ms);
--- a/src/purge/recovery.rs
+++ b/src/purge/recovery.rs
@@ -21,7 +21,7 @@
     pub(super) retained: BTreeMap<u64, Purge>,
     /// The acknowledgements by target.
     pub(super) acknowledged: BTreeMap<String, u64>,
-    /// The latest issue time, in Unix milliseconds.
+    /// The latest issue time of a purge or cutoff, in Unix milliseconds.
     pub(super) last_issued_ms: f64,
 }
 
--- a/src/purge/service.rs
+++ b/src/purge/service.rs
@@ -23,7 +23,7 @@
 const TARGET_REFRESH_MS: f64 = 1_000.0;
 /// Interval at which deferred log records are flushed to disk, in milliseconds.
 const SYNC_INTERVAL_MS: f64 = 1_000.0;
-/// Maximum number of concurrent calls to targets. Each needs a file descriptor, and there may be thousands of
+/// Maximum number of concurrent calls to targets, each of which needs a file descriptor. There may be more
 /// targets.
 pub const MAX_CONCURRENT_CALLS: usize = 64;
 /// Maximum number of purges in an answer to `GET /purges/log`.
--- a/src/purge/wire.rs
+++ b/src/purge/wire.rs
@@ -7,7 +7,7 @@
 //! | `GET /purges/log?from=N&most=M` | | 200 [`PurgeList`]: at most `M` purges, from `N` on |
 //! | `POST /purges/apply` | [`Batch`] | 200 [`Acknowledgement`] |
 //!
-//! Errors have a [`ErrorBody`] body: 400 for a malformed body, 409 for a call that this proxy's role does not
+//! Errors have an [`ErrorBody`]: 400 for a malformed body, 409 for a call that this proxy's role does not
 //! allow or a batch whose purges are out of order, 500 if the log can't be written.
 //!
 //! The leader calls `POST /purges/apply` on every target: proxies at their admin address, cache servers at
