--- a/src/purge/recovery.rs
+++ b/src/purge/recovery.rs
@@ -1,14 +1,15 @@
-//! The state of a leader or follower at its start, from its log.
+//! Recovers the state of a leader or follower from its log at startup.
 //!
-//! A restart resumes from the highest sequence number issued or applied (none is issued twice), the retained and
-//! active purges (they are in force before the first request), the low-water mark, and each target's acknowledgement,
-//! so that a target gets exactly the purges that it lacks. An acknowledgement is written without waiting for the disk;
-//! one lost to a power cut only causes a repeat, which the target skips by its sequence number.
+//! A restart resumes from the highest sequence number issued or applied (none is issued twice), the retained
+//! and active purges (they take effect before the first request), the low-water mark, and each target's
+//! acknowledgement, so that a target gets only the purges that it lacks. An acknowledgement is written
+//! without waiting for the disk; one lost in a power failure only causes a repeat, which the target skips by
+//! its sequence number.
 
 use super::active_purges::{ActivePurges, Purge, PurgeStamp};
 use super::config::{PurgeConfig, Role};
 use super::journal::{Durability, Journal};
-use super::log::{LogError, OpenedLog, PurgeLog, Record, Snapshot, MIN_PURGE_RECORD};
+use super::log::{LogError, OpenedLog, PurgeLog, Record, Snapshot, MIN_PURGE_RECORD_BYTES};
 use std::collections::BTreeMap;
 
 /// The recovered state.
@@ -20,12 +21,12 @@
     pub(super) retained: BTreeMap<u64, Purge>,
     /// The acknowledgements by target.
     pub(super) acknowledged: BTreeMap<String, u64>,
-    /// The latest issue time, in Unix milliseconds.
+    /// The latest issue time of a purge or cutoff, in Unix milliseconds.
     pub(super) last_issued_ms: f64,
 }
 
 impl Recovered {
-    /// Reads the log of an operator file, if it names one, and puts its purges in force.
+    /// Reads the log, if the configuration names one, and activates the logged purges.
     pub(super) fn read(
         config: &PurgeConfig,
         active: &mut ActivePurges,
@@ -38,7 +39,7 @@
             acknowledged: BTreeMap::new(),
             last_issued_ms: 0.0,
         };
-        if let Some(path) = &config.state {
+        if let Some(path) = &config.log_path {
             let OpenedLog { log, records, truncated } = PurgeLog::open(path)?;
             recovered.journal.log = Some(log);
             recovered.journal.truncated = truncated;
@@ -101,15 +102,16 @@
         self.acknowledged = snapshot.acknowledged;
     }
 
-    /// Replaces the purges that a corrupt tail of `removed` bytes may have contained by a cutoff at the present time.
-    /// A leader skips the sequence numbers that may have been issued, at most one for each [`MIN_PURGE_RECORD`] bytes.
+    /// Replaces the purges that a corrupt tail of `removed` bytes may have contained by a cutoff at the
+    /// current time. A leader skips the sequence numbers that they may have had, at most one for each
+    /// [`MIN_PURGE_RECORD_BYTES`] bytes.
     fn replace_lost_purges(
         &mut self,
         removed: u64,
         active: &mut ActivePurges,
         now_ms: f64,
     ) -> Result<(), LogError> {
-        let skipped = if self.role == Role::Leader { removed / MIN_PURGE_RECORD + 1 } else { 0 };
+        let skipped = if self.role == Role::Leader { removed / MIN_PURGE_RECORD_BYTES + 1 } else { 0 };
         let cutoff =
             PurgeStamp { seq: self.journal.last_seq + skipped, issued_ms: now_ms.max(self.last_issued_ms) };
         tracing::error!(
--- a/tests/stand_ins/purge_target.rs
+++ b/tests/stand_ins/purge_target.rs
@@ -1,8 +1,8 @@
-//! A stand-in cache server for fleet purges, on loopback. It caches copies with surrogate keys, answers the cache
-//! protocol with each copy's generation time (`t0`) and keys, fills what it lacks or may not serve from a shared
-//! stand-in origin, and applies the batches of `POST /purges/apply` in order at a second address. It can be made
-//! unreachable, slow to acknowledge, or made to ignore `agelim`. The body of every answer names its copy, so that a
-//! client can check the copy's age.
+//! A stand-in cache server for fleet purges, on loopback. It caches copies with surrogate keys, answers the
+//! cache protocol with each copy's generation time (`t0`) and keys, fills what it lacks or may not serve from
+//! a shared stand-in origin, and applies the batches of `POST /purges/apply` in order at a second address. It
+//! can be made unreachable, slow to acknowledge, or made to ignore `agelim`. The body of every answer names
+//! its copy, so that a client can check the copy's age.
 #![allow(dead_code)]
 
 use edge_proxy::purge::active_purges::{ActivePurges, ApplyOutcome, RetentionLimits};
@@ -27,12 +27,12 @@
 #[derive(Default)]
 pub struct Origin {
     pub surrogate_keys: RefCell<HashMap<u64, Vec<SurrogateKey>>>,
-    /// Copies generated.
+    /// The number of copies generated.
     pub fills: Cell<u64>,
 }
 
 impl Origin {
-    /// A new copy for a read.
+    /// Generates a new copy for a read.
     fn generate(&self, read: &Read, now_ms: f64) -> StoredCopy {
         self.fills.set(self.fills.get() + 1);
         let surrogate_keys = self.surrogate_keys.borrow().get(&read.object).cloned().unwrap_or_default();
@@ -51,7 +51,7 @@
 }
 
 impl StoredCopy {
-    /// The copy as selectors see it.
+    /// The properties that selectors match on.
     fn cached(&self, object: u64) -> CachedCopy<'_> {
         CachedCopy { name: &self.name, object, group: self.group, surrogate_keys: &self.surrogate_keys }
     }
@@ -64,7 +64,7 @@
     object: u64,
     part: u32,
     group: u32,
-    /// 0 for any age.
+    /// 0 accepts any age.
     max_age_ms: f64,
 }
 
@@ -83,9 +83,10 @@
     }
 }
 
-/// The answer to a read, whose body names the copy.
+/// Encodes the answer to a read; the body identifies the copy.
 fn encode_answer(read: &Read, copy: &StoredCopy) -> Vec<u8> {
-    let body = format!("object={:016x} part={} born={:.3}", read.object, read.part, copy.generated_ms);
+    let body =
+        format!("object={:016x} part={} generated_ms={:.3}", read.object, read.part, copy.generated_ms);
     let keys: Vec<&str> = copy.surrogate_keys.iter().map(SurrogateKey::as_str).collect();
     let keys = if keys.is_empty() { String::new() } else { format!(",tags={}", keys.join("+")) };
     let head = format!(
@@ -98,12 +99,12 @@
     [head.as_bytes(), body.as_bytes(), b"\r\n"].concat()
 }
 
-/// What a cache server has done, for the checks of a test.
+/// What a cache server has done, for assertions.
 #[derive(Default)]
 pub struct Observed {
-    /// The numbers of the purges it applied, in the order applied.
+    /// The sequence numbers of the applied purges, in the order of application.
     pub applied: RefCell<Vec<u64>>,
-    /// How often each number arrived in a batch, repeats included.
+    /// How often each sequence number arrived in a batch, including repeats.
     pub received: RefCell<HashMap<u64, u32>>,
     /// Batches received.
     pub batches: Cell<u64>,
@@ -123,7 +124,7 @@
     pub store: Rc<RefCell<HashMap<(u64, u32), StoredCopy>>>,
     pub active: Rc<RefCell<ActivePurges>>,
     pub observed: Rc<Observed>,
-    /// Connections to its purge address are closed at once.
+    /// Closes connections to its purge address at once.
     pub unreachable: Rc<Cell<bool>>,
     /// The delay before the acknowledgement of a batch, in milliseconds.
     pub ack_delay_ms: Rc<Cell<u64>>,
@@ -134,7 +135,7 @@
 }
 
 impl PurgeTarget {
-    /// Starts one with its two listeners at `ip`, the purge one at `purge_port` (0 for any).
+    /// Starts a server with its two listeners at `ip`, the purge listener at `purge_port` (0 for any port).
     pub async fn start(name: &str, ip: &str, purge_port: u16, origin: Rc<Origin>) -> Self {
         let cache_listener = TcpListener::bind(format!("{ip}:0")).await.unwrap();
         let purge_listener = TcpListener::bind(format!("{ip}:{purge_port}")).await.unwrap();
@@ -157,7 +158,7 @@
             while let Ok((stream, _)) = cache_listener.accept().await {
                 let (store, active, observed, modes) =
                     (store.clone(), active.clone(), observed.clone(), modes.clone());
-                spawn_local(Self::serve(stream, store, active, observed, modes, origin.clone()));
+                spawn_local(Self::serve_reads(stream, store, active, observed, modes, origin.clone()));
             }
         });
         let (store, active, observed) =
@@ -169,7 +170,7 @@
                     drop(stream);
                     continue;
                 }
-                spawn_local(Self::apply(
+                spawn_local(Self::receive_batch(
                     stream,
                     store.clone(),
                     active.clone(),
@@ -181,12 +182,12 @@
         server
     }
 
-    /// The highest number applied.
+    /// The highest sequence number applied.
     pub fn applied(&self) -> u64 {
         self.active.borrow().applied()
     }
 
-    async fn serve(
+    async fn serve_reads(
         stream: TcpStream,
         store: Rc<RefCell<HashMap<(u64, u32), StoredCopy>>>,
         active: Rc<RefCell<ActivePurges>>,
@@ -210,9 +211,10 @@
             let request = Read::parse(&fields[1], &fields[2]);
             let now = now_ms();
             let is_usable = |copy: &StoredCopy| {
-                let young = request.max_age_ms == 0.0 || now - copy.generated_ms <= request.max_age_ms;
+                let is_young_enough =
+                    request.max_age_ms == 0.0 || now - copy.generated_ms <= request.max_age_ms;
                 let purge = active.borrow().purge_of(&copy.cached(request.object), copy.generated_ms);
-                (young || ignores_age_limit.get()) && purge.is_none()
+                (is_young_enough || ignores_age_limit.get()) && purge.is_none()
             };
             let key = (request.object, request.part);
             let stored = store.borrow().get(&key).cloned();
@@ -229,14 +231,14 @@
         }
     }
 
-    async fn apply(
+    async fn receive_batch(
         mut stream: TcpStream,
         store: Rc<RefCell<HashMap<(u64, u32), StoredCopy>>>,
         active: Rc<RefCell<ActivePurges>>,
         observed: Rc<Observed>,
         delay_ms: u64,
     ) {
-        let Some(body) = read_call(&mut stream).await else { return };
+        let Some(body) = read_request_body(&mut stream).await else { return };
         let Ok(batch) = from_json::<Batch>(&body) else {
             let _ = stream.write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
             return;
@@ -245,7 +247,7 @@
         {
             let mut active = active.borrow_mut();
             if let Some(cutoff) =
-                batch.cutoff.filter(|f| f.seq >= active.applied() && batch.from == f.seq + 1)
+                batch.cutoff.filter(|cutoff| cutoff.seq >= active.applied() && batch.from == cutoff.seq + 1)
             {
                 active.apply_cutoff(cutoff);
                 observed.cutoffs.set(observed.cutoffs.get() + 1);
@@ -256,7 +258,7 @@
                     observed.applied.borrow_mut().push(purge.seq);
                 }
             }
-            // A purge removes the copies that it covers and that are not newer; newer copies remain.
+            // Copies newer than the purge that covers them remain.
             store.borrow_mut().retain(|(object, _), copy| {
                 active.purge_of(&copy.cached(*object), copy.generated_ms).is_none()
             });
@@ -270,7 +272,7 @@
 }
 
 /// Reads the body of one HTTP request, by its `Content-Length`.
-pub async fn read_call(stream: &mut TcpStream) -> Option<Vec<u8>> {
+pub async fn read_request_body(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     let mut chunk = [0u8; 8_192];
     loop {
