--- a/src/admission/bounds.rs
+++ b/src/admission/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds of admission control, and the memory that they allow.
+//! The bounds of admission control, and an upper bound on its memory that follows from them.
 
 use super::decision::{ClientKey, TenantId};
 use super::fair_queue::{InFlight, QueuedRequest, DEADLINE_BYTES};
@@ -7,38 +7,38 @@
 use crate::RequestId;
 use std::mem::size_of;
 
-/// The smallest capacity of a deque that holds anything, in items.
+/// The capacity of a non-empty `VecDeque` is at least this many items.
 const MIN_DEQUE_CAPACITY: usize = 4;
 
 /// The bounds of admission control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionBounds {
-    /// Requests queued at most.
+    /// The maximum number of queued requests.
     pub max_queued: usize,
-    /// Requests queued at most for one client.
+    /// The maximum number of queued requests of one client.
     pub max_queued_per_client: usize,
-    /// Requests queued at most for one tenant.
+    /// The maximum number of queued requests of one tenant.
     pub max_queued_per_tenant: usize,
-    /// Bytes of queued requests' bodies at most.
+    /// The maximum total size of the bodies of queued requests, in bytes.
     pub max_queued_bytes: usize,
-    /// Reservations held at most.
+    /// The maximum number of reservations.
     pub max_reservations: usize,
-    /// The share of the capacity that reservations may take.
+    /// The share of the capacity that may be reserved.
     pub reservation_share: f64,
-    /// The share of the limit that only clients with nothing in flight and nothing queued may take.
+    /// The share of the concurrency limit kept for clients with no request in flight or queued.
     pub light_client_share: f64,
     /// The shortest retry-after time, in milliseconds.
     pub min_retry_after_ms: f64,
     /// The longest retry-after time, in milliseconds.
     pub max_retry_after_ms: f64,
-    /// A request is not queued beyond this time before its deadline, in milliseconds.
+    /// A queued request is shed when less than this time remains before its deadline, in milliseconds.
     pub min_service_ms: f64,
 }
 
 impl AdmissionBounds {
-    /// The most bytes that admission control holds on the heap with at most `max_in_flight` admitted requests, without
-    /// the bodies of queued requests, which [`Self::max_queued_bytes`] bounds. Every queued request may be of a client
-    /// and a tenant of its own.
+    /// An upper bound on the heap memory of [`super::fair_queue::FairQueue`] with at most `max_in_flight`
+    /// admitted requests, in bytes. It assumes the worst case, in which every queued request has a different
+    /// client and tenant, and excludes bodies, which [`Self::max_queued_bytes`] bounds.
     pub fn max_heap_bytes(&self, max_in_flight: usize) -> usize {
         let queued = self.max_queued;
         table_bytes(queued, size_of::<(RequestId, QueuedRequest)>())
@@ -57,13 +57,13 @@
     }
 }
 
-/// The most bytes of a hash table of `entries` entries of `size` bytes: its buckets are a power of two of at least
-/// eight sevenths of its entries, and each has a control byte.
+/// The maximum size of a hash table of `entries` entries of `size` bytes: the number of buckets is a power of
+/// two, the load factor is at most 7/8, and each bucket has a control byte.
 fn table_bytes(entries: usize, size: usize) -> usize {
     (entries * 8 / 7 + 1).next_power_of_two() * (size + 1)
 }
 
-/// The most bytes of a deque of `items` items of `size` bytes.
+/// The maximum size of a deque of `items` items of `size` bytes.
 fn deque_bytes(items: usize, size: usize) -> usize {
     items.max(MIN_DEQUE_CAPACITY).next_power_of_two() * size
 }
--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -1,25 +1,25 @@
-//! The concurrency limit: how many admitted requests may be in flight at once.
+//! The concurrency limit: the maximum number of admitted requests in flight.
 //!
-//! It is fixed, or adapts as TCP's congestion window does: additive increase while it binds and requests succeed, and a
-//! multiplicative decrease, at most once per [`DECREASE_INTERVAL_MS`], when they meet an overload.
+//! It is fixed, or adapts by additive increase and multiplicative decrease (AIMD): it grows while requests
+//! succeed and others are queued, and shrinks on overload, at most once per [`DECREASE_INTERVAL_MS`].
 
 use super::decision::Completion;
 use serde::Deserialize;
 
-/// The shortest time between two decreases of the limit, in milliseconds.
+/// The minimum time between two decreases of the limit, in milliseconds.
 pub const DECREASE_INTERVAL_MS: f64 = 200.0;
-/// The factor of a decrease.
+/// The factor by which a decrease multiplies the limit.
 pub const DECREASE_FACTOR: f64 = 0.9;
-/// The weight of a new service time in the mean.
+/// The weight of a new sample in the exponential moving average of the service time.
 const SERVICE_TIME_GAIN: f64 = 0.05;
-/// The mean service time until one is measured, in milliseconds.
+/// The assumed mean service time before any request has succeeded, in milliseconds.
 const INITIAL_SERVICE_MS: f64 = 100.0;
 
-/// The settings of the limit, in requests in flight.
+/// The settings of the concurrency limit, in requests.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct LimitSettings {
-    /// Where it starts.
+    /// The limit at startup.
     #[serde(rename = "first")]
     pub initial: f64,
     /// The lower bound.
@@ -28,12 +28,12 @@
     /// The upper bound.
     #[serde(rename = "most")]
     pub max: f64,
-    /// Whether it adapts.
+    /// Whether the limit adapts; otherwise it is fixed.
     #[serde(default)]
     pub adaptive: bool,
 }
 
-/// The limit and the service time by which a rate follows from it.
+/// The current limit, and the mean service time from which the service rate is estimated.
 #[derive(Clone, Copy, Debug)]
 pub struct ConcurrencyLimit {
     settings: LimitSettings,
@@ -43,7 +43,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// A limit at its start.
+    /// Creates a limit at its initial value.
     pub fn new(settings: LimitSettings) -> Self {
         Self {
             settings,
@@ -53,22 +53,23 @@
         }
     }
 
-    /// The limit as it stands.
+    /// The current limit.
     pub fn current(&self) -> f64 {
         self.current
     }
 
-    /// The limit in whole requests, at least one.
+    /// The current limit, rounded down to whole requests, but at least one.
     pub fn capacity(&self) -> usize {
         self.current.floor().max(1.0) as usize
     }
 
-    /// The requests that are served in a millisecond at the limit, by Little's law.
+    /// The number of requests served per millisecond at the limit, by Little's law.
     pub fn rate_per_ms(&self) -> f64 {
         self.current / self.mean_service_ms.max(1.0)
     }
 
-    /// An admitted request ended after `service_ms`; `is_binding` where others are queued.
+    /// Updates the limit and the mean service time after an admitted request ended. `is_binding` tells
+    /// whether other requests are queued.
     pub fn completed(&mut self, now_ms: f64, service_ms: f64, completion: Completion, is_binding: bool) {
         if completion == Completion::Succeeded {
             self.mean_service_ms += SERVICE_TIME_GAIN * (service_ms.max(0.0) - self.mean_service_ms);
--- a/src/admission/config.rs
+++ b/src/admission/config.rs
@@ -1,5 +1,5 @@
-//! The operator file of admission control, `serve --admission FILE`. Without it every request goes to the engine at
-//! once. The keys of the file are mapped to the names of this module here.
+//! The configuration file of admission control, `serve --admission FILE`. Without it every request is
+//! forwarded to the engine at once.
 
 use super::bounds::AdmissionBounds;
 use super::concurrency_limit::LimitSettings;
@@ -15,77 +15,77 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The weights that a tenant may have.
+/// The allowed weights of a tenant.
 const WEIGHTS: RangeInclusive<f64> = 0.01..=100.0;
-/// The highest concurrency limit, in requests.
+/// The largest allowed concurrency limit, in requests.
 const MAX_LIMIT: f64 = 100_000.0;
-/// The most requests that may be queued.
+/// The largest allowed maximum of queued requests.
 const MAX_QUEUED: usize = 1_000_000;
-/// The most bytes of bodies that may be queued.
+/// The largest allowed maximum of queued body bytes.
 const MAX_QUEUED_BYTES: usize = 1 << 32;
-/// The most reservations that may be held.
+/// The largest allowed maximum of reservations.
 const MAX_RESERVATIONS: usize = 10_000_000;
-/// The longest retry-after time, in milliseconds.
+/// The largest allowed retry-after time, in milliseconds.
 const MAX_RETRY_AFTER_MS: f64 = 3_600_000.0;
-/// The longest time before a deadline in which nothing is queued, in milliseconds.
+/// The largest allowed [`AdmissionConfig::min_service_ms`], in milliseconds.
 const MAX_MIN_SERVICE_MS: f64 = 60_000.0;
-/// The largest share of the limit that may be set aside for light clients.
+/// The largest allowed share of the concurrency limit for light clients.
 const MAX_LIGHT_CLIENT_SHARE: f64 = 0.9;
-/// Marks the keys of IPv4 clients, apart from those of IPv6 addresses.
+/// Set in the keys of IPv4 clients, to keep them distinct from IPv6 addresses.
 const IPV4_CLIENT: ClientKey = 1 << 96;
 
-/// What is wrong with a value of the file.
+/// Why a value of the file is invalid.
 #[derive(Debug, Error)]
 pub enum BadValue {
-    /// A tenant without groups, or with a weight out of bounds.
+    /// A tenant has no groups, or its weight is out of range.
     #[error("each has groups and a weight from 0.01 to 100")]
     Tenant,
-    /// A group of two tenants.
+    /// A group is listed more than once.
     #[error("group {0} stands in two tenants")]
     GroupOfTwoTenants(u32),
-    /// A prefix longer than its addresses.
+    /// A prefix is longer than the addresses of its family.
     #[error("at most 32, and 128 for client_prefix_v6")]
     Prefix,
-    /// A number out of its bounds, which the text gives.
+    /// A number is out of the given range.
     #[error("out of bounds: {0}")]
     OutOfBounds(&'static str),
 }
 
-/// A tenant with a weight of its own.
+/// A tenant with its own weight.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantConfig {
-    /// The groups (`X-Set`, or the group of a signed URL) that make up the tenant.
+    /// The tenant's groups: values of `X-Set`, or groups of signed URLs.
     pub groups: Vec<u32>,
-    /// Its weight.
+    /// The tenant's weight.
     pub weight: f64,
 }
 
-/// The operator file.
+/// The configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdmissionConfig {
     /// The concurrency limit.
     pub limit: LimitSettings,
-    /// Requests queued at most.
+    /// The maximum number of queued requests.
     #[serde(rename = "queue_most", default = "max_queued")]
     pub max_queued: usize,
-    /// Requests queued at most for one client.
+    /// The maximum number of queued requests of one client.
     #[serde(rename = "per_client_most", default = "max_queued_per_client")]
     pub max_queued_per_client: usize,
-    /// Requests queued at most for one tenant.
+    /// The maximum number of queued requests of one tenant.
     #[serde(rename = "per_tenant_most", default = "max_queued_per_tenant")]
     pub max_queued_per_tenant: usize,
-    /// Bytes of queued bodies at most.
+    /// The maximum total size of the bodies of queued requests, in bytes.
     #[serde(rename = "bytes_most", default = "max_queued_bytes")]
     pub max_queued_bytes: usize,
-    /// Reservations held at most.
+    /// The maximum number of reservations.
     #[serde(rename = "tickets_most", default = "max_reservations")]
     pub max_reservations: usize,
-    /// The share of the capacity that reservations may take.
+    /// The share of the capacity that may be reserved.
     #[serde(rename = "ticket_share", default = "reservation_share")]
     pub reservation_share: f64,
-    /// The share of the limit that only clients with nothing in flight and nothing queued may take.
+    /// The share of the concurrency limit kept for clients with no request in flight or queued.
     #[serde(rename = "reserve_share", default = "light_client_share")]
     pub light_client_share: f64,
     /// The shortest retry-after time, in milliseconds.
@@ -94,25 +94,25 @@
     /// The longest retry-after time, in milliseconds.
     #[serde(rename = "come_back_most_ms", default = "max_retry_after_ms")]
     pub max_retry_after_ms: f64,
-    /// A request is not queued beyond this time before its deadline, in milliseconds.
+    /// A queued request is shed when less than this time remains before its deadline, in milliseconds.
     #[serde(rename = "least_service_ms", default = "min_service_ms")]
     pub min_service_ms: f64,
-    /// IPv4 addresses count as one client per network of this prefix.
+    /// The prefix length at which IPv4 addresses are grouped into one client.
     #[serde(default = "client_prefix_v4")]
     pub client_prefix_v4: u8,
-    /// IPv6 addresses count as one client per network of this prefix.
+    /// The prefix length at which IPv6 addresses are grouped into one client.
     #[serde(default = "client_prefix_v6")]
     pub client_prefix_v6: u8,
-    /// Networks whose clients are always admitted, such as the platform's own checks.
+    /// Networks whose requests bypass admission control, such as those of health checks.
     #[serde(default)]
     pub exempt: Vec<IpNet>,
-    /// The weight of a tenant that `tenants` does not name.
+    /// The weight of tenants that are not listed in `tenants`.
     #[serde(rename = "weight", default = "default_weight")]
     pub default_weight: f64,
-    /// Tenants with weights of their own.
+    /// Tenants with their own weight.
     #[serde(default)]
     pub tenants: Vec<TenantConfig>,
-    /// The file that it was read from.
+    /// The file that the configuration was read from.
     #[serde(skip)]
     pub path: PathBuf,
 }
@@ -157,7 +157,7 @@
     1.0
 }
 
-/// The networks whose clients are always admitted.
+/// The networks whose requests bypass admission control.
 #[derive(Clone, Debug, Default)]
 pub struct Exempt {
     v4: IpRange<Ipv4Net>,
@@ -165,7 +165,7 @@
 }
 
 impl Exempt {
-    /// The union of networks.
+    /// Creates the union of `networks`.
     fn new(networks: &[IpNet]) -> Self {
         let mut exempt = Self::default();
         for network in networks {
@@ -179,7 +179,7 @@
         exempt
     }
 
-    /// Whether an address is in one of the networks.
+    /// Whether `ip` is in one of the networks.
     pub fn contains(&self, ip: IpAddr) -> bool {
         match ip {
             IpAddr::V4(ip) => self.v4.contains(&ip),
@@ -193,7 +193,7 @@
 }
 
 impl AdmissionConfig {
-    /// Reads and checks the file.
+    /// Reads and validates the file at `path`.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
@@ -201,12 +201,12 @@
         Ok(config)
     }
 
-    /// Reads and checks the same file as it stands by now.
+    /// Reads and validates the same file again.
     pub fn reload(&self) -> Result<Self, ConfigError> {
         Self::read(&self.path)
     }
 
-    /// Checks all values; the error names the first field that cannot be used.
+    /// Validates all values. The error names the first invalid field.
     pub fn check(&self) -> Result<(), FieldError> {
         self.check_tenants().map_err(|reason| FieldError::new("tenants", reason))?;
         if self.client_prefix_v4 > 32 || self.client_prefix_v6 > 128 {
@@ -255,7 +255,7 @@
         require("weight", WEIGHTS.contains(&self.default_weight), "0.01 to 100")
     }
 
-    /// The bounds.
+    /// The bounds of the queues and reservations.
     pub fn bounds(&self) -> AdmissionBounds {
         AdmissionBounds {
             max_queued: self.max_queued,
@@ -277,18 +277,18 @@
         Weights { default: self.default_weight, by_tenant }
     }
 
-    /// The tenant of a group: the first group of the tenant that names it, or else the group itself.
+    /// The tenant that lists `group`. A group that none lists is a tenant by itself.
     pub fn tenant_of(&self, group: u32) -> TenantId {
         let tenant = self.tenants.iter().find(|tenant| tenant.groups.contains(&group));
         tenant.map_or(group, |tenant| tenant.groups[0])
     }
 
-    /// The exempt networks.
+    /// The networks whose requests bypass admission control.
     pub fn exempt(&self) -> Exempt {
         Exempt::new(&self.exempt)
     }
 
-    /// The client of an address: its network at the operator's prefix.
+    /// The client of an address: its network at the configured prefix length.
     pub fn client_of(&self, ip: IpAddr) -> ClientKey {
         match ip {
             IpAddr::V4(ip) => {
@@ -303,7 +303,7 @@
     }
 }
 
-/// An error of the field `field` where its value is out of the bounds that `bounds` gives.
+/// Returns an error for `field`, with the text `bounds`, unless `is_in_bounds`.
 fn require(field: &'static str, is_in_bounds: bool, bounds: &'static str) -> Result<(), FieldError> {
     if is_in_bounds {
         return Ok(());
--- a/src/admission/control.rs
+++ b/src/admission/control.rs
@@ -1,4 +1,4 @@
-//! Admission control in service: the fair queue's decisions and the queued requests themselves.
+//! Admission control as the executor uses it: [`FairQueue`] decides, and the queued requests are stored here.
 
 use super::config::{AdmissionConfig, Exempt};
 use super::decision::{AdmissionDecision, Arrival, Completion, ExpiredRequest};
@@ -16,11 +16,11 @@
         /// When the client should retry, in milliseconds from now.
         retry_after_ms: f64,
     },
-    /// A request of that id is queued or in flight already.
+    /// A request with this id is already queued or in flight.
     Duplicate,
 }
 
-/// Admission control.
+/// Admission control: a [`FairQueue`], the queued requests and the metrics.
 pub struct AdmissionControl {
     queue: FairQueue,
     config: AdmissionConfig,
@@ -30,7 +30,8 @@
 }
 
 impl AdmissionControl {
-    /// Admission control of an operator file, whose metrics' names begin with `metrics_prefix`.
+    /// Creates admission control from its configuration. The names of its metrics begin with
+    /// `metrics_prefix`.
     pub fn new(config: AdmissionConfig, metrics_prefix: &str) -> Self {
         Self {
             queue: FairQueue::new(config.bounds(), config.limit, config.weights()),
@@ -41,20 +42,21 @@
         }
     }
 
-    /// Puts other weights and exempt networks in force; nothing that is queued is lost. Bounds and the limit stay until
-    /// the process is restarted.
+    /// Applies the weights and exempt networks of a reloaded configuration; queued requests are kept. Changes
+    /// of the bounds and of the limit take effect only at a restart.
     pub fn reconfigure(&mut self, config: AdmissionConfig) {
         self.queue.set_weights(config.weights());
         self.exempt = config.exempt();
         self.config = config;
     }
 
-    /// The share of the queue that is full, 0 to 1.
+    /// How full the queue is, from 0 to 1.
     pub fn queue_fill(&self) -> f64 {
         self.queue.queued() as f64 / self.config.max_queued.max(1) as f64
     }
 
-    /// A request arrives. `Some` is the request where it goes to the engine now; `None` where it is queued here.
+    /// Decides on a newly received request. Returns the request if it is to be forwarded to the engine now,
+    /// or `None` if it was queued.
     pub fn arrive(
         &mut self,
         now_ms: f64,
@@ -81,7 +83,8 @@
         }
     }
 
-    /// An admitted request ended with this response, or without one. Returns the requests that go to the engine now.
+    /// Handles the end of an admitted request, with its response if it has one. Returns the queued requests
+    /// that are to be forwarded to the engine now.
     pub fn completed(
         &mut self,
         now_ms: f64,
@@ -92,25 +95,26 @@
         released.into_iter().filter_map(|id| self.queued.remove(&id)).collect()
     }
 
-    /// A client disconnected. Returns whether its request was queued here, so that nothing was sent.
+    /// Removes a request whose client disconnected. Returns whether it was queued, so that nothing was
+    /// forwarded.
     pub fn disconnected(&mut self, id: RequestId) -> bool {
         self.queued.remove(&id);
         self.queue.disconnected(id)
     }
 
-    /// Sheds the queued requests whose deadline has come.
+    /// Sheds the queued requests that can no longer be served before their deadline.
     pub fn expire(&mut self, now_ms: f64) -> Vec<ExpiredRequest> {
         let expired = self.queue.expire(now_ms);
         expired.iter().for_each(|request| drop(self.queued.remove(&request.id)));
         expired
     }
 
-    /// When the next queued request's deadline comes, Unix milliseconds.
+    /// The earliest time at which [`Self::expire`] has a request to shed, Unix milliseconds.
     pub fn next_deadline(&self) -> Option<f64> {
         self.queue.next_deadline()
     }
 
-    /// The metrics, in the Prometheus text format.
+    /// Encodes the metrics in the Prometheus text format.
     pub fn metrics(&mut self) -> String {
         self.metrics.scrape(&self.queue)
     }
--- a/src/admission/decision.rs
+++ b/src/admission/decision.rs
@@ -1,40 +1,40 @@
-//! What admission control is told of requests, and what it decides.
+//! The inputs and results of admission decisions.
 
 use crate::RequestId;
 
-/// A client as admission control counts them: an address cut to the operator's prefix.
+/// A client, identified by the network of its address at the configured prefix length.
 pub type ClientKey = u128;
 
-/// A tenant: the first of the groups that make it up.
+/// A tenant, identified by the first of its groups.
 pub type TenantId = u32;
 
-/// A request that arrives.
+/// A newly received request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// Its id.
+    /// The request's id.
     pub id: RequestId,
-    /// Its client.
+    /// The client that sent it.
     pub client: ClientKey,
-    /// Its tenant.
+    /// The tenant of the requested object.
     pub tenant: TenantId,
-    /// When its client gives up, Unix milliseconds.
+    /// When the client stops waiting, Unix milliseconds.
     pub give_up_ms: f64,
-    /// Bytes of its body.
+    /// Size of the body, in bytes.
     pub body_bytes: usize,
 }
 
 /// Why a request was shed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ShedReason {
-    /// The client has as many requests queued as it may.
+    /// The client has reached its limit of queued requests.
     ClientQueueFull,
-    /// The tenant has as many requests queued as it may.
+    /// The tenant has reached its limit of queued requests.
     TenantQueueFull,
-    /// The queue is full, in requests or bytes.
+    /// The queue has reached its limit of requests or of body bytes.
     QueueFull,
-    /// Its turn would come after its deadline.
+    /// By the expected wait, it cannot be served before its deadline.
     DeadlineTooClose,
-    /// Its deadline came while it was queued.
+    /// It was queued until too little time was left before its deadline.
     DeadlinePassed,
 }
 
@@ -48,7 +48,7 @@
         Self::DeadlinePassed,
     ];
 
-    /// Its label in logs and metrics.
+    /// The label used in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::ClientQueueFull => "client",
@@ -60,50 +60,50 @@
     }
 }
 
-/// What becomes of a request that arrives.
+/// The decision on a newly received request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionDecision {
-    /// It goes to the engine now.
+    /// It is forwarded to the engine now.
     Admit,
-    /// It waits for its turn.
+    /// It is queued until capacity is free.
     Queue,
-    /// It is rejected now; nothing was sent, so a retry does no harm.
+    /// It is rejected now. Nothing was forwarded, so it is safe to retry.
     Shed {
         /// When the client should retry, in milliseconds from now.
         retry_after_ms: f64,
-        /// Why.
+        /// The reason.
         reason: ShedReason,
     },
-    /// A request of that id is queued or in flight already.
+    /// A request with this id is already queued or in flight.
     Duplicate,
 }
 
-/// A queued request that was shed because its deadline came.
+/// A queued request that was shed because of its deadline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExpiredRequest {
-    /// Its id.
+    /// The request's id.
     pub id: RequestId,
     /// When its client should retry, in milliseconds from now.
     pub retry_after_ms: f64,
 }
 
-/// How an admitted request ended, as far as the concurrency limit cares.
+/// How an admitted request ended, as input to the concurrency limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
     /// Answered in time.
     Succeeded,
-    /// Rejected by the engine, or past its deadline: more was admitted than can be served.
+    /// Rejected by the engine or past its deadline, a sign of overload.
     Overloaded,
-    /// Its client disconnected, or it failed for a reason of its own.
+    /// Cancelled by its client, or failed for a reason other than overload.
     Other,
 }
 
 /// Counters of admission control.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AdmissionCounters {
-    /// Requests admitted at once.
+    /// Requests admitted without queueing.
     pub admitted: u64,
-    /// Requests queued, then admitted.
+    /// Requests admitted after queueing.
     pub released: u64,
     /// Requests shed, by reason, in the order of [`ShedReason::ALL`].
     pub shed: [u64; 5],
@@ -111,16 +111,16 @@
     pub abandoned: u64,
     /// Reservations made.
     pub reserved: u64,
-    /// Reservations used by their client in time.
+    /// Reservations used by a retry in their validity period.
     pub reservations_used: u64,
-    /// Requests shed without a reservation.
+    /// Requests shed whose client got no reservation.
     pub unreserved: u64,
     /// Reservations that expired unused.
     pub reservations_expired: u64,
 }
 
 impl AdmissionCounters {
-    /// Requests shed for a reason.
+    /// The number of requests shed for `reason`.
     pub fn shed_for(&self, reason: ShedReason) -> u64 {
         self.shed[reason as usize]
     }
--- a/src/admission/fair_queue.rs
+++ b/src/admission/fair_queue.rs
@@ -1,21 +1,23 @@
-//! Admission decisions: admit a request now, queue it, or shed it at once with a retry-after time that is kept. No I/O
-//! and no clock but the time that it is given, in Unix milliseconds.
+//! Admission decisions: admit a request now, queue it, or shed it with a retry-after time. There is no I/O,
+//! and callers pass the current time, in Unix milliseconds.
 //!
-//! **Fairness.** Queued requests are released by [`RoundRobin`], between tenants by weight and within a tenant between
-//! clients.
+//! **Fairness.** [`RoundRobin`] sets the order in which queued requests are released: by weight between
+//! tenants, and equally between the clients of a tenant.
 //!
-//! **Light clients.** A share of the limit ([`AdmissionBounds::light_client_share`]) is for clients that have nothing in
-//! flight and nothing queued, which take it at once: the backlog of a heavy client never stands between a light one and
-//! free capacity. Round robin releases into the rest of the limit.
+//! **Light clients.** A share of the concurrency limit ([`AdmissionBounds::light_client_share`]) is kept for
+//! clients with no request in flight or queued. They are admitted into it at once, so that they do not wait
+//! behind the backlog of a heavy client. Queued requests are released into the rest of the limit.
 //!
-//! **Capacity.** At most [`ConcurrencyLimit`] admitted requests are in flight.
+//! **Capacity.** The number of admitted requests in flight is at most [`ConcurrencyLimit::capacity`].
 //!
-//! **Memory.** Only clients with requests queued or in flight have state. The queue is bounded in requests and bytes, the
-//! reservations in number: see [`FairQueue::heap_bytes`] and [`AdmissionBounds::max_heap_bytes`].
+//! **Memory.** Only clients with requests queued or in flight have state. The queue is bounded in requests
+//! and body bytes, and the reservations in number: see [`FairQueue::heap_bytes`] and
+//! [`AdmissionBounds::max_heap_bytes`].
 //!
-//! **Retry after.** A request that cannot be served before its deadline is shed at once, with the time at which its
-//! client's share will have capacity. That time is reserved ([`ReservationTable`]): a client that retries then goes ahead
-//! of the queues. Where none can be reserved, the longest time is given and nothing is promised.
+//! **Retry-after times.** A request that cannot be served before its deadline is shed at once. Its
+//! retry-after time is the expected wait for its client's share of the capacity, and is reserved in
+//! [`ReservationTable`]: a retry at that time is served ahead of the queues. If no time can be reserved, the
+//! longest retry-after time is returned.
 
 use super::bounds::AdmissionBounds;
 use super::concurrency_limit::{ConcurrencyLimit, LimitSettings};
@@ -30,17 +32,17 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::mem::size_of;
 
-/// Bytes of a deadline in the ordered set, at most: its key and its share of the tree's nodes.
+/// The maximum size of an entry of the deadline set, with its share of the B-tree's nodes, in bytes.
 pub const DEADLINE_BYTES: usize = 2 * size_of::<(u64, RequestId)>();
-/// The smallest rate of a client by which a wait is estimated, in requests per millisecond.
+/// The lowest service rate assumed when a wait is estimated, in requests per millisecond.
 const MIN_RATE_PER_MS: f64 = 1e-9;
 
 /// The queue in which a request waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Queue {
-    /// First come, first served, for clients that use a reservation.
+    /// The FIFO queue of requests that use a reservation.
     Reserved,
-    /// Round robin.
+    /// The round-robin queues.
     Fair,
 }
 
@@ -51,7 +53,7 @@
     tenant: TenantId,
     body_bytes: usize,
     queue: Queue,
-    /// Its key in the deadlines.
+    /// The request's key in [`FairQueue::deadlines`].
     deadline: u64,
 }
 
@@ -60,33 +62,34 @@
 pub struct InFlight {
     since_ms: f64,
     client: ClientKey,
-    /// It was admitted into the share of light clients.
+    /// Whether it was admitted into the share of light clients.
     is_light: bool,
 }
 
-/// Admission control's queues and decisions. See the module's page.
+/// The queues of admission control, and its decisions. See the [module documentation](self).
 #[derive(Debug)]
 pub struct FairQueue {
     bounds: AdmissionBounds,
     limit: ConcurrencyLimit,
     in_flight: AHashMap<RequestId, InFlight>,
     in_flight_by_client: AHashMap<ClientKey, u32>,
-    /// Requests in flight that were admitted into the share of light clients.
+    /// The number of requests in flight that were admitted into the share of light clients.
     light_in_flight: usize,
     queued: AHashMap<RequestId, QueuedRequest>,
     queued_bytes: usize,
     round_robin: RoundRobin,
-    /// Requests of clients that use a reservation.
+    /// The queued requests that use a reservation.
     reserved_queue: VecDeque<RequestId>,
-    /// Queued requests by deadline, as the bits of the time, which order as the times do.
+    /// The queued requests by the time at which they are shed, [`AdmissionBounds::min_service_ms`] before
+    /// their deadlines. The times are stored as bits, which sort like the values, as none is negative.
     deadlines: BTreeSet<(u64, RequestId)>,
     reservations: ReservationTable,
-    /// Its counters.
+    /// Counters of decisions and reservations.
     pub counters: AdmissionCounters,
 }
 
 impl FairQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(bounds: AdmissionBounds, limit: LimitSettings, weights: Weights) -> Self {
         Self {
             bounds,
@@ -104,37 +107,37 @@
         }
     }
 
-    /// Puts other weights in force from the next round; what is queued stays queued.
+    /// Replaces the weights from the next round on; queued requests are kept.
     pub fn set_weights(&mut self, weights: Weights) {
         self.round_robin.set_weights(weights);
     }
 
-    /// Admitted requests in flight.
+    /// The number of admitted requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Requests queued.
+    /// The number of queued requests.
     pub fn queued(&self) -> usize {
         self.queued.len()
     }
 
-    /// Reservations held.
+    /// The number of reservations.
     pub fn reservations(&self) -> usize {
         self.reservations.len()
     }
 
-    /// The concurrency limit as it stands.
+    /// The current concurrency limit.
     pub fn limit(&self) -> f64 {
         self.limit.current()
     }
 
-    /// Requests queued by tenant.
+    /// The number of queued requests by tenant.
     pub fn depths(&self) -> impl Iterator<Item = (TenantId, usize)> + '_ {
         self.round_robin.depths()
     }
 
-    /// Decides on a request that arrives.
+    /// Decides on a newly received request.
     pub fn arrive(&mut self, now_ms: f64, arrival: Arrival) -> AdmissionDecision {
         if self.queued.contains_key(&arrival.id) || self.in_flight.contains_key(&arrival.id) {
             return AdmissionDecision::Duplicate;
@@ -169,7 +172,7 @@
         self.enqueue(arrival, Queue::Reserved)
     }
 
-    /// Why a request cannot be queued, if it cannot.
+    /// The reason why a request cannot be queued, if there is one.
     fn shed_reason(&self, now_ms: f64, arrival: &Arrival) -> Option<ShedReason> {
         let client_depth = self.round_robin.client_depth(arrival.client);
         let wait_ms = self.expected_wait_ms(arrival.client, arrival.tenant, client_depth + 1);
@@ -213,7 +216,7 @@
         AdmissionDecision::Queue
     }
 
-    /// A client with nothing in flight and nothing queued.
+    /// Whether a client has no request in flight or queued.
     fn is_light(&self, client: ClientKey) -> bool {
         !self.in_flight_by_client.contains_key(&client) && self.round_robin.client_depth(client) == 0
     }
@@ -230,14 +233,15 @@
         self.has_capacity() && fair_in_flight + light_share.min(capacity - 1) < capacity
     }
 
-    /// How long a request in place `place` of its client's queue waits, in milliseconds.
+    /// The expected wait of a request at `place` of its client's queue, counted from 1, in milliseconds.
     fn expected_wait_ms(&self, client: ClientKey, tenant: TenantId, place: usize) -> f64 {
         let ExpectedShare { tenant: share, clients } = self.round_robin.expected_share(client, tenant);
         let rate_per_ms = self.limit.rate_per_ms() * share / clients as f64;
         (place as f64 + self.reserved_queue.len() as f64 * share) / rate_per_ms.max(MIN_RATE_PER_MS)
     }
 
-    /// The retry-after time of a shed request's client, in milliseconds, reserved where the calendar has room.
+    /// The retry-after time of a shed request in milliseconds, for which capacity is reserved if a slot has
+    /// room. A reservation that the client already has (`held`) is kept.
     fn reserve(
         &mut self,
         now_ms: f64,
@@ -272,7 +276,7 @@
         }
     }
 
-    /// Takes the queued request whose turn it is: reservations first, then round robin.
+    /// Removes and returns the next request to release: first those with a reservation, then by round robin.
     fn next_released(&mut self) -> Option<RequestId> {
         if let Some(id) = self.reserved_queue.pop_front() {
             return Some(id);
@@ -283,7 +287,7 @@
         None
     }
 
-    /// Removes a queued request from all queues.
+    /// Removes a queued request from all collections that contain it.
     fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
         let request = self.queued.remove(&id)?;
         self.queued_bytes -= request.body_bytes;
@@ -295,14 +299,15 @@
         Some(request)
     }
 
-    /// The client of a request disconnected. Returns whether the request was queued.
+    /// Removes a request whose client disconnected. Returns whether it was queued.
     pub fn disconnected(&mut self, id: RequestId) -> bool {
         let was_queued = self.remove(id).is_some();
         self.counters.abandoned += u64::from(was_queued);
         was_queued
     }
 
-    /// An admitted request ended. Returns the queued requests that go to the engine now, in order.
+    /// Handles the end of an admitted request. Returns the queued requests to forward to the engine now, in
+    /// order.
     pub fn completed(&mut self, now_ms: f64, id: RequestId, completion: Completion) -> Vec<RequestId> {
         if let Some(InFlight { since_ms, client, is_light }) = self.in_flight.remove(&id) {
             self.light_in_flight -= usize::from(is_light);
@@ -317,7 +322,7 @@
         self.release(now_ms)
     }
 
-    /// Releases the queued requests that may go to the engine now, in order.
+    /// Releases queued requests while there is capacity, and returns them in order.
     pub fn release(&mut self, now_ms: f64) -> Vec<RequestId> {
         let mut released = Vec::new();
         while self.has_capacity() {
@@ -332,7 +337,8 @@
         released
     }
 
-    /// Sheds the queued requests whose deadline has come; returns each with its retry-after time.
+    /// Sheds the queued requests that can no longer be served before their deadline. Returns each with its
+    /// retry-after time.
     pub fn expire(&mut self, now_ms: f64) -> Vec<ExpiredRequest> {
         let mut expired = Vec::new();
         while let Some(&(deadline, id)) = self.deadlines.first() {
@@ -350,12 +356,12 @@
         expired
     }
 
-    /// When the next queued request's deadline comes, Unix milliseconds.
+    /// The earliest time at which [`Self::expire`] has a request to shed, Unix milliseconds.
     pub fn next_deadline(&self) -> Option<f64> {
         self.deadlines.first().map(|(deadline, _)| f64::from_bits(*deadline))
     }
 
-    /// A close estimate of the bytes held on the heap, without bodies.
+    /// An estimate of the heap memory in use without bodies, in bytes.
     pub fn heap_bytes(&self) -> usize {
         self.in_flight.capacity() * (size_of::<(RequestId, InFlight)>() + 1)
             + self.in_flight_by_client.capacity() * (size_of::<(ClientKey, u32)>() + 1)
--- a/src/admission/metrics.rs
+++ b/src/admission/metrics.rs
@@ -12,7 +12,7 @@
 /// The labels of a metric.
 type Labels = Vec<(String, String)>;
 
-/// The metrics.
+/// The registered metrics of admission control.
 pub struct AdmissionMetrics {
     registry: Registry,
     admitted: Counter,
@@ -28,12 +28,12 @@
     queued: Gauge,
     limit: Gauge<f64, AtomicU64>,
     heap_bytes: Gauge,
-    /// The counters at the last scrape: the next one adds the difference.
+    /// The counters at the last scrape; the next one adds the difference to the registered metrics.
     scraped: AdmissionCounters,
 }
 
 impl AdmissionMetrics {
-    /// Metrics whose names begin with `prefix`.
+    /// Registers metrics whose names begin with `prefix`.
     pub fn new(prefix: &str) -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix(prefix),
@@ -90,7 +90,7 @@
         registry.register("memory_bytes", "Bytes held, without bodies", self.heap_bytes.clone());
     }
 
-    /// The metrics of a queue as it stands.
+    /// Updates the metrics from `queue` and encodes them in the Prometheus text format.
     pub fn scrape(&mut self, queue: &FairQueue) -> String {
         self.add_counters(queue.counters);
         self.depth.clear();
@@ -102,7 +102,7 @@
         self.limit.set(queue.limit());
         self.heap_bytes.set(queue.heap_bytes() as i64);
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Formatting into a `String` cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,16 +1,18 @@
-//! Admission control between the fronts and the engine: requests are queued fairly between tenants and, within a
-//! tenant, between clients, in bounded memory, and a shed request has a retry-after time that is kept.
+//! Admission control between the fronts and the engine. Requests beyond the concurrency limit are queued
+//! fairly between tenants and, within a tenant, between clients, in bounded memory. A request that cannot be
+//! served in time is shed with a retry-after time at which capacity is reserved for its client.
 //!
-//! | part | what it does | I/O |
+//! | module | purpose | I/O |
 //! | --- | --- | --- |
-//! | [`fair_queue`] | decides: admit, queue or shed | none |
+//! | [`fair_queue`] | the decision: admit, queue or shed | none |
+//! | [`decision`] | inputs and results of decisions | none |
 //! | [`round_robin`] | the order in which queued requests are released | none |
-//! | [`concurrency_limit`] | how many requests may be in flight | none |
-//! | [`reservations`] | retry-after times that are reserved for clients | none |
-//! | [`bounds`] | the bounds, and the memory that they allow | none |
-//! | [`control`] | the decisions with the queued requests, as the executor uses them | none |
+//! | [`concurrency_limit`] | the maximum number of requests in flight | none |
+//! | [`reservations`] | capacity reserved for retries of shed requests | none |
+//! | [`bounds`] | the bounds, and the maximum memory that follows from them | none |
+//! | [`control`] | the interface of the executor; stores the queued requests | none |
 //! | [`metrics`] | metrics in the Prometheus text format | none |
-//! | [`config`] | the operator file | a file |
+//! | [`config`] | the configuration file | reads a file |
 //!
 //! The design note is `docs/design-fair-queues.md`; operators read `docs/fair-queues.md`.
 
--- a/src/admission/reservations.rs
+++ b/src/admission/reservations.rs
@@ -1,7 +1,9 @@
-//! Reservations for clients whose requests were shed: the retry-after time that a client is given is reserved for it.
+//! Reservations for clients whose requests were shed: capacity is reserved at the retry-after time that a
+//! client is given.
 //!
-//! A calendar of slots of [`SLOT_MS`] has room in each slot for a share of what is served in it, so that reservations
-//! cannot crowd out the queues. Reservations are kept in an LRU of fixed size.
+//! Time is divided into slots of [`SLOT_MS`], and only a share of the requests that can be served in a slot
+//! may be reserved, so that reservations cannot starve the queues. They are stored in an LRU map of bounded
+//! size.
 
 use super::decision::ClientKey;
 use lru::LruCache;
@@ -9,87 +11,88 @@
 use std::mem::size_of;
 use std::num::NonZeroUsize;
 
-/// The length of a slot of the calendar, in milliseconds.
+/// The length of a calendar slot, in milliseconds.
 pub const SLOT_MS: f64 = 100.0;
-/// How early a reservation may be used, in milliseconds: clients' clocks and network delays differ.
+/// How early a reservation may be used, in milliseconds, to tolerate timer and network jitter.
 pub const EARLY_MS: f64 = 50.0;
-/// The shortest time for which a reservation may be used after its time, in milliseconds.
+/// The minimum time for which a reservation stays valid, in milliseconds.
 const MIN_VALIDITY_MS: f64 = 500.0;
 
-/// A time at which a client is served ahead of the queues.
+/// A period in which one request of a client is served ahead of the queues.
 #[derive(Clone, Copy, Debug)]
 pub struct Reservation {
-    /// From when it may be used, but for [`EARLY_MS`], Unix milliseconds.
+    /// The reserved time, Unix milliseconds; a use up to [`EARLY_MS`] earlier is accepted.
     pub from_ms: f64,
-    /// Until when it may be used, Unix milliseconds.
+    /// When it expires, Unix milliseconds.
     pub until_ms: f64,
 }
 
 impl Reservation {
-    /// Whether it may be used at this time.
+    /// Whether it may be used at `now_ms`.
     pub fn is_valid(&self, now_ms: f64) -> bool {
         now_ms >= self.from_ms - EARLY_MS && now_ms <= self.until_ms
     }
 }
 
-/// The reservations of clients, and the calendar in which they are counted.
+/// The reservations by client, and the calendar that counts them by slot.
 #[derive(Debug)]
 pub struct ReservationTable {
     by_client: LruCache<ClientKey, Reservation>,
-    /// Reservations by slot.
+    /// The number of reservations in each slot.
     calendar: VecDeque<u32>,
-    /// The beginning of the calendar's first slot, Unix milliseconds.
+    /// The start of the first slot, Unix milliseconds.
     calendar_from_ms: f64,
 }
 
-/// A request for a reservation.
+/// The parameters of a new reservation.
 #[derive(Clone, Copy, Debug)]
 pub struct ReservationRequest {
-    /// The client.
+    /// The client that it is for.
     pub client: ClientKey,
-    /// The earliest time from now, in milliseconds.
+    /// The earliest slot to consider, in milliseconds from now.
     pub earliest_ms: f64,
-    /// Reservations that a slot has room for.
+    /// The maximum number of reservations in a slot.
     pub slot_capacity: u32,
-    /// The shortest time from now that may be reserved, in milliseconds.
+    /// The shortest retry-after time, in milliseconds.
     pub min_ms: f64,
-    /// The longest time from now that may be reserved, in milliseconds.
+    /// The longest retry-after time, in milliseconds.
     pub max_ms: f64,
 }
 
 impl ReservationTable {
-    /// Bytes of a reservation in the LRU's hash table.
+    /// Bytes of an entry in the LRU map's hash table.
     pub const KEY_BYTES: usize = size_of::<(ClientKey, usize)>();
-    /// Bytes of a reservation's node in the LRU: key, value and two links.
+    /// Bytes of a node of the LRU map: key, value and two links.
     pub const NODE_BYTES: usize = size_of::<(ClientKey, Reservation)>() + 2 * size_of::<usize>();
 
-    /// A table for at most `max` reservations, and at least one.
+    /// Creates a table for at most `max` reservations, but at least one.
     pub fn new(max: usize) -> Self {
         let capacity = NonZeroUsize::new(max).unwrap_or(NonZeroUsize::MIN);
         Self { by_client: LruCache::new(capacity), calendar: VecDeque::new(), calendar_from_ms: 0.0 }
     }
 
-    /// Reservations held.
+    /// The number of reservations.
     pub fn len(&self) -> usize {
         self.by_client.len()
     }
 
-    /// Whether no reservation is held.
+    /// Whether there are no reservations.
     pub fn is_empty(&self) -> bool {
         self.by_client.is_empty()
     }
 
-    /// The reservation of a client.
+    /// The reservation of `client`, without updating its recency.
     pub fn get(&self, client: ClientKey) -> Option<Reservation> {
         self.by_client.peek(&client).copied()
     }
 
-    /// Removes the reservation of a client, which uses it.
+    /// Removes the reservation of `client`.
     pub fn remove(&mut self, client: ClientKey) {
         self.by_client.pop(&client);
     }
 
-    /// Removes the least recent reservations while they have expired; returns how many.
+    /// Removes expired reservations, oldest first, up to the first that is still valid. Returns how many it
+    /// removed.
     pub fn expire(&mut self, now_ms: f64) -> u64 {
         let mut expired = 0;
         while self.by_client.peek_lru().is_some_and(|(_, reservation)| reservation.until_ms < now_ms) {
@@ -99,7 +102,8 @@
         expired
     }
 
-    /// Reserves a time in the first slot with room; returns the time from now, in milliseconds, or `None` where all slots are full.
+    /// Reserves the first slot with room. Returns the retry-after time in milliseconds, or `None` if all
+    /// slots up to the longest retry-after time are full.
     pub fn reserve(&mut self, now_ms: f64, request: ReservationRequest) -> Option<f64> {
         self.advance_calendar(now_ms);
         let first = ((now_ms + request.earliest_ms - self.calendar_from_ms) / SLOT_MS).ceil() as usize;
@@ -121,7 +125,7 @@
         self.calendar.get(slot).copied().unwrap_or(0)
     }
 
-    /// Drops the slots that are over.
+    /// Drops the slots that have ended.
     fn advance_calendar(&mut self, now_ms: f64) {
         if self.calendar.is_empty() {
             self.calendar_from_ms = slot_start(now_ms);
@@ -135,7 +139,7 @@
         }
     }
 
-    /// A close estimate of the bytes held on the heap.
+    /// An estimate of the heap memory in use, in bytes.
     pub fn heap_bytes(&self) -> usize {
         self.by_client.len() * (Self::NODE_BYTES + Self::KEY_BYTES + 1)
             + self.calendar.capacity() * size_of::<u32>()
--- a/src/admission/round_robin.rs
+++ b/src/admission/round_robin.rs
@@ -1,5 +1,5 @@
-//! Deficit round robin (Shreedhar and Varghese, SIGCOMM 1995) at two levels: tenants in a ring, each with its weight as
-//! quantum per round, and within a tenant its clients in a ring, one request each per turn. A request costs one.
+//! Deficit round robin (Shreedhar and Varghese, SIGCOMM 1995) over tenants, with a tenant's weight as its
+//! quantum and every request at the same cost. Within a tenant, plain round robin over its clients.
 //!
 //! Only tenants and clients with queued requests have state.
 
@@ -9,22 +9,22 @@
 use std::collections::VecDeque;
 use std::mem::size_of;
 
-/// The cost of a request, against which a tenant's deficit is counted.
+/// The amount by which a released request reduces its tenant's deficit counter.
 const REQUEST_COST: f64 = 1.0;
-/// The smallest weight that bounds the rounds of a search.
+/// The lowest weight assumed when the turns of [`RoundRobin::pop`] are bounded.
 const MIN_WEIGHT: f64 = 0.01;
 
 /// The weights of tenants.
 #[derive(Clone, Debug)]
 pub struct Weights {
-    /// The weight of a tenant that is not named.
+    /// The weight of tenants without an entry in `by_tenant`.
     pub default: f64,
     /// Weights by tenant.
     pub by_tenant: AHashMap<TenantId, f64>,
 }
 
 impl Weights {
-    /// The weight of a tenant.
+    /// The weight of `tenant`.
     pub fn of(&self, tenant: TenantId) -> f64 {
         self.by_tenant.get(&tenant).copied().unwrap_or(self.default)
     }
@@ -48,16 +48,16 @@
     queued: usize,
 }
 
-/// The share of the capacity that a request of a client may expect.
+/// The share of the capacity available to a request of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ExpectedShare {
-    /// The tenant's share.
+    /// The tenant's share of the capacity.
     pub tenant: f64,
-    /// The tenant's clients with queued requests, and the client itself.
+    /// The number of the tenant's clients with queued requests, including the client itself.
     pub clients: usize,
 }
 
-/// The two levels of rings.
+/// The queued requests, in a ring of tenants with a ring of clients each.
 #[derive(Debug)]
 pub struct RoundRobin {
     weights: Weights,
@@ -67,12 +67,12 @@
 }
 
 impl RoundRobin {
-    /// Empty rings.
+    /// Creates an empty scheduler.
     pub fn new(weights: Weights) -> Self {
         Self { weights, clients: AHashMap::new(), tenants: AHashMap::new(), ring: VecDeque::new() }
     }
 
-    /// Puts other weights in force from the next round; what is queued stays queued.
+    /// Replaces the weights from the next round on; queued requests are kept.
     pub fn set_weights(&mut self, weights: Weights) {
         self.weights = weights;
         for tenant in self.tenants.values_mut() {
@@ -80,22 +80,22 @@
         }
     }
 
-    /// Requests queued for a client.
+    /// The number of queued requests of `client`.
     pub fn client_depth(&self, client: ClientKey) -> usize {
         self.clients.get(&client).map_or(0, |queue| queue.requests.len())
     }
 
-    /// Requests queued for a tenant.
+    /// The number of queued requests of `tenant`.
     pub fn tenant_depth(&self, tenant: TenantId) -> usize {
         self.tenants.get(&tenant).map_or(0, |queue| queue.queued)
     }
 
-    /// Requests queued by tenant.
+    /// The number of queued requests by tenant.
     pub fn depths(&self) -> impl Iterator<Item = (TenantId, usize)> + '_ {
         self.tenants.iter().map(|(tenant, queue)| (*tenant, queue.queued))
     }
 
-    /// The share that a request of this client and tenant may expect.
+    /// The share of the capacity available to a request of this client and tenant.
     pub fn expected_share(&self, client: ClientKey, tenant: TenantId) -> ExpectedShare {
         let queued_weight: f64 = self.ring.iter().map(|queued| self.weights.of(*queued)).sum();
         let weight = self.weights.of(tenant);
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Takes the request whose turn it is.
+    /// Removes and returns the next request in order.
     pub fn pop(&mut self) -> Option<RequestId> {
         let rounds_per_tenant = (1.0 / self.weights.min().max(MIN_WEIGHT)).ceil() as usize;
         let max_turns = self.ring.len() * rounds_per_tenant + 2;
@@ -137,7 +137,8 @@
         None
     }
 
-    /// Adds a tenant's quantum where its deficit does not cover a request; returns whether it does now.
+    /// Adds the tenant's quantum to its deficit counter if that is less than the cost of a request. Returns
+    /// whether it now covers one.
     fn begin_turn(&mut self, tenant: TenantId) -> bool {
         let weight = self.weights.of(tenant);
         let queue = self.tenants.get_mut(&tenant).expect("a tenant in the ring has a queue");
@@ -147,7 +148,8 @@
         queue.deficit >= REQUEST_COST
     }
 
-    /// Takes the next request of the tenant at the front of the ring, and ends its turn where it is over.
+    /// Removes and returns the next request of `tenant`, which is at the front of the ring. Moves on to the
+    /// next tenant if the deficit counter covers no further request.
     fn pop_from(&mut self, tenant: TenantId) -> RequestId {
         let tenant_queue = self.tenants.get_mut(&tenant).expect("a tenant in the ring has a queue");
         let client = tenant_queue.ring.pop_front().expect("a tenant in the ring has clients");
@@ -169,7 +171,7 @@
         id
     }
 
-    /// Removes a queued request: its client disconnected, or its deadline came.
+    /// Removes a queued request out of order, after a disconnect or at its deadline.
     pub fn remove(&mut self, client: ClientKey, tenant: TenantId, id: RequestId) {
         let Some(client_queue) = self.clients.get_mut(&client) else { return };
         client_queue.requests.retain(|queued| *queued != id);
@@ -188,7 +190,7 @@
         }
     }
 
-    /// A close estimate of the bytes held on the heap.
+    /// An estimate of the heap memory in use, in bytes.
     pub fn heap_bytes(&self) -> usize {
         let client_requests: usize = self.clients.values().map(|queue| queue.requests.capacity()).sum();
         let tenant_clients: usize = self.tenants.values().map(|queue| queue.ring.capacity()).sum();
