--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -46,7 +46,7 @@
                 id,
                 client: u128::from(client),
                 tenant: (client % 64) as u32,
-                give_up_ms: now + 2_000.0,
+                deadline_ms: now + 2_000.0,
                 body_bytes: 0,
             };
             match queue.arrive(now, arrival) {
--- a/src/admission/config.rs
+++ b/src/admission/config.rs
@@ -42,7 +42,7 @@
     Tenant,
     /// A group is listed more than once.
     #[error("group {0} stands in two tenants")]
-    GroupOfTwoTenants(u32),
+    DuplicateGroup(u32),
     /// A prefix is longer than the addresses of its family.
     #[error("at most 32, and 128 for client_prefix_v6")]
     Prefix,
@@ -159,12 +159,12 @@
 
 /// The networks whose requests bypass admission control.
 #[derive(Clone, Debug, Default)]
-pub struct Exempt {
+pub struct ExemptNetworks {
     v4: IpRange<Ipv4Net>,
     v6: IpRange<Ipv6Net>,
 }
 
-impl Exempt {
+impl ExemptNetworks {
     /// Creates the union of `networks`.
     fn new(networks: &[IpNet]) -> Self {
         let mut exempt = Self::default();
@@ -223,7 +223,7 @@
                 return Err(BadValue::Tenant);
             }
             if let Some(group) = tenant.groups.iter().find(|group| !groups.insert(**group)) {
-                return Err(BadValue::GroupOfTwoTenants(*group));
+                return Err(BadValue::DuplicateGroup(*group));
             }
         }
         Ok(())
@@ -284,12 +284,12 @@
     }
 
     /// The networks whose requests bypass admission control.
-    pub fn exempt(&self) -> Exempt {
-        Exempt::new(&self.exempt)
+    pub fn exempt(&self) -> ExemptNetworks {
+        ExemptNetworks::new(&self.exempt)
     }
 
     /// The client of an address: its network at the configured prefix length.
-    pub fn client_of(&self, ip: IpAddr) -> ClientKey {
+    pub fn client_key(&self, ip: IpAddr) -> ClientKey {
         match ip {
             IpAddr::V4(ip) => {
                 let network = Ipv4Net::new(ip, self.client_prefix_v4).map_or(ip, |net| net.network());
--- a/src/admission/control.rs
+++ b/src/admission/control.rs
@@ -1,6 +1,6 @@
 //! Admission control as the executor uses it: [`FairQueue`] decides, and the queued requests are stored here.
 
-use super::config::{AdmissionConfig, Exempt};
+use super::config::{AdmissionConfig, ExemptNetworks};
 use super::decision::{AdmissionDecision, Arrival, Completion, ExpiredRequest};
 use super::fair_queue::FairQueue;
 use super::metrics::AdmissionMetrics;
@@ -24,7 +24,7 @@
 pub struct AdmissionControl {
     queue: FairQueue,
     config: AdmissionConfig,
-    exempt: Exempt,
+    exempt: ExemptNetworks,
     queued: AHashMap<RequestId, IncomingRequest>,
     metrics: AdmissionMetrics,
 }
@@ -67,9 +67,9 @@
         };
         let arrival = Arrival {
             id: request.id,
-            client: self.config.client_of(ip),
+            client: self.config.client_key(ip),
             tenant: self.config.tenant_of(request.group),
-            give_up_ms: request.deadline_ms,
+            deadline_ms: request.deadline_ms,
             body_bytes: request.body.len(),
         };
         match self.queue.arrive(now_ms, arrival) {
--- a/src/admission/decision.rs
+++ b/src/admission/decision.rs
@@ -18,7 +18,7 @@
     /// The tenant of the requested object.
     pub tenant: TenantId,
     /// When the client stops waiting, Unix milliseconds.
-    pub give_up_ms: f64,
+    pub deadline_ms: f64,
     /// Size of the body, in bytes.
     pub body_bytes: usize,
 }
--- a/src/admission/fair_queue.rs
+++ b/src/admission/fair_queue.rs
@@ -54,13 +54,13 @@
     body_bytes: usize,
     queue: Queue,
     /// The request's key in [`FairQueue::deadlines`].
-    deadline: u64,
+    deadline_key: u64,
 }
 
 /// An admitted request.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlight {
-    since_ms: f64,
+    admitted_at_ms: f64,
     client: ClientKey,
     /// Whether it was admitted into the share of light clients.
     is_light: bool,
@@ -184,7 +184,7 @@
             || self.queued_bytes + arrival.body_bytes > self.bounds.max_queued_bytes
         {
             Some(ShedReason::QueueFull)
-        } else if now_ms + wait_ms + self.bounds.min_service_ms > arrival.give_up_ms {
+        } else if now_ms + wait_ms + self.bounds.min_service_ms > arrival.deadline_ms {
             Some(ShedReason::DeadlineTooClose)
         } else {
             None
@@ -192,23 +192,24 @@
     }
 
     fn admit(&mut self, now_ms: f64, arrival: &Arrival, is_light: bool) -> AdmissionDecision {
-        self.begin(now_ms, arrival.id, arrival.client, is_light);
+        self.start(now_ms, arrival.id, arrival.client, is_light);
         self.counters.admitted += 1;
         AdmissionDecision::Admit
     }
 
-    fn begin(&mut self, now_ms: f64, id: RequestId, client: ClientKey, is_light: bool) {
-        self.in_flight.insert(id, InFlight { since_ms: now_ms, client, is_light });
+    /// Records a request as in flight.
+    fn start(&mut self, now_ms: f64, id: RequestId, client: ClientKey, is_light: bool) {
+        self.in_flight.insert(id, InFlight { admitted_at_ms: now_ms, client, is_light });
         *self.in_flight_by_client.entry(client).or_default() += 1;
         self.light_in_flight += usize::from(is_light);
     }
 
     fn enqueue(&mut self, arrival: Arrival, queue: Queue) -> AdmissionDecision {
-        let Arrival { id, client, tenant, give_up_ms, body_bytes } = arrival;
-        let deadline = (give_up_ms - self.bounds.min_service_ms).max(0.0).to_bits();
-        self.queued.insert(id, QueuedRequest { client, tenant, body_bytes, queue, deadline });
+        let Arrival { id, client, tenant, deadline_ms, body_bytes } = arrival;
+        let deadline_key = (deadline_ms - self.bounds.min_service_ms).max(0.0).to_bits();
+        self.queued.insert(id, QueuedRequest { client, tenant, body_bytes, queue, deadline_key });
         self.queued_bytes += body_bytes;
-        self.deadlines.insert((deadline, id));
+        self.deadlines.insert((deadline_key, id));
         match queue {
             Queue::Reserved => self.reserved_queue.push_back(id),
             Queue::Fair => self.round_robin.push(client, tenant, id),
@@ -233,11 +234,11 @@
         self.has_capacity() && fair_in_flight + light_share.min(capacity - 1) < capacity
     }
 
-    /// The expected wait of a request at `place` of its client's queue, counted from 1, in milliseconds.
-    fn expected_wait_ms(&self, client: ClientKey, tenant: TenantId, place: usize) -> f64 {
+    /// The expected wait of a request at `position` of its client's queue, counted from 1, in milliseconds.
+    fn expected_wait_ms(&self, client: ClientKey, tenant: TenantId, position: usize) -> f64 {
         let ExpectedShare { tenant: share, clients } = self.round_robin.expected_share(client, tenant);
         let rate_per_ms = self.limit.rate_per_ms() * share / clients as f64;
-        (place as f64 + self.reserved_queue.len() as f64 * share) / rate_per_ms.max(MIN_RATE_PER_MS)
+        (position as f64 + self.reserved_queue.len() as f64 * share) / rate_per_ms.max(MIN_RATE_PER_MS)
     }
 
     /// The retry-after time of a shed request in milliseconds, for which capacity is reserved if a slot has
@@ -253,8 +254,8 @@
         if let Some(held) = held.filter(|held| held.until_ms >= now_ms) {
             return (held.from_ms - now_ms).clamp(min_ms, max_ms);
         }
-        let place = self.round_robin.client_depth(client).max(1);
-        let earliest_ms = self.expected_wait_ms(client, tenant, place).max(min_ms);
+        let position = self.round_robin.client_depth(client).max(1);
+        let earliest_ms = self.expected_wait_ms(client, tenant, position).max(min_ms);
         if earliest_ms > max_ms {
             self.counters.unreserved += 1;
             return max_ms;
@@ -291,7 +292,7 @@
     fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
         let request = self.queued.remove(&id)?;
         self.queued_bytes -= request.body_bytes;
-        self.deadlines.remove(&(request.deadline, id));
+        self.deadlines.remove(&(request.deadline_key, id));
         match request.queue {
             Queue::Reserved => self.reserved_queue.retain(|queued| *queued != id),
             Queue::Fair => self.round_robin.remove(request.client, request.tenant, id),
@@ -309,7 +310,7 @@
     /// Handles the end of an admitted request. Returns the queued requests to forward to the engine now, in
     /// order.
     pub fn completed(&mut self, now_ms: f64, id: RequestId, completion: Completion) -> Vec<RequestId> {
-        if let Some(InFlight { since_ms, client, is_light }) = self.in_flight.remove(&id) {
+        if let Some(InFlight { admitted_at_ms, client, is_light }) = self.in_flight.remove(&id) {
             self.light_in_flight -= usize::from(is_light);
             if let Some(count) = self.in_flight_by_client.get_mut(&client) {
                 *count -= 1;
@@ -317,7 +318,7 @@
                     self.in_flight_by_client.remove(&client);
                 }
             }
-            self.limit.completed(now_ms, now_ms - since_ms, completion, !self.queued.is_empty());
+            self.limit.completed(now_ms, now_ms - admitted_at_ms, completion, !self.queued.is_empty());
         }
         self.release(now_ms)
     }
@@ -329,8 +330,8 @@
             let Some(id) = self.next_released() else { break };
             let Some(request) = self.queued.remove(&id) else { continue };
             self.queued_bytes -= request.body_bytes;
-            self.deadlines.remove(&(request.deadline, id));
-            self.begin(now_ms, id, request.client, false);
+            self.deadlines.remove(&(request.deadline_key, id));
+            self.start(now_ms, id, request.client, false);
             self.counters.released += 1;
             released.push(id);
         }
@@ -341,12 +342,12 @@
     /// retry-after time.
     pub fn expire(&mut self, now_ms: f64) -> Vec<ExpiredRequest> {
         let mut expired = Vec::new();
-        while let Some(&(deadline, id)) = self.deadlines.first() {
-            if f64::from_bits(deadline) > now_ms {
+        while let Some(&(deadline_key, id)) = self.deadlines.first() {
+            if f64::from_bits(deadline_key) > now_ms {
                 break;
             }
             let Some(request) = self.remove(id) else {
-                self.deadlines.remove(&(deadline, id));
+                self.deadlines.remove(&(deadline_key, id));
                 continue;
             };
             let retry_after_ms = self.reserve(now_ms, request.client, request.tenant, None);
@@ -358,7 +359,7 @@
 
     /// The earliest time at which [`Self::expire`] has a request to shed, Unix milliseconds.
     pub fn next_deadline(&self) -> Option<f64> {
-        self.deadlines.first().map(|(deadline, _)| f64::from_bits(*deadline))
+        self.deadlines.first().map(|(deadline_key, _)| f64::from_bits(*deadline_key))
     }
 
     /// An estimate of the heap memory in use without bodies, in bytes.
--- a/src/admission/reservations.rs
+++ b/src/admission/reservations.rs
@@ -108,7 +108,7 @@
         self.advance_calendar(now_ms);
         let first = ((now_ms + request.earliest_ms - self.calendar_from_ms) / SLOT_MS).ceil() as usize;
         let last = ((request.max_ms / SLOT_MS) as usize).max(first);
-        let slot = (first..=last).find(|slot| self.reserved(*slot) < request.slot_capacity);
+        let slot = (first..=last).find(|slot| self.reserved_in(*slot) < request.slot_capacity);
         while self.calendar.len() <= slot.unwrap_or(last) {
             self.calendar.push_back(0);
         }
@@ -121,7 +121,7 @@
         Some(wait_ms)
     }
 
-    fn reserved(&self, slot: usize) -> u32 {
+    fn reserved_in(&self, slot: usize) -> u32 {
         self.calendar.get(slot).copied().unwrap_or(0)
     }
 
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,5 +1,5 @@
-//! Admission decisions, on a clock that the test sets: shares, bounds, reserved retry-after times, and what remains of a
-//! client that disconnects.
+//! Tests of admission decisions with a simulated clock: fairness, bounds, reserved retry-after times and
+//! disconnects.
 
 use edge_proxy::admission::bounds::AdmissionBounds;
 use edge_proxy::admission::concurrency_limit::LimitSettings;
@@ -28,16 +28,16 @@
     FairQueue::new(bounds(), limit, equal_weights_but(weights))
 }
 
-/// A weight of 1 for every tenant that is not named.
+/// A weight of 1 for every tenant that `named` does not list.
 fn equal_weights_but(named: &[(u32, f64)]) -> Weights {
     Weights { default: 1.0, by_tenant: named.iter().copied().collect() }
 }
 
 fn arrival(id: u64, client: u128, tenant: u32, now: f64) -> Arrival {
-    Arrival { id, client, tenant, give_up_ms: now + 60_000.0, body_bytes: 0 }
+    Arrival { id, client, tenant, deadline_ms: now + 60_000.0, body_bytes: 0 }
 }
 
-/// Ends the oldest request in flight each step and returns which requests were released, in order.
+/// Completes the oldest request in flight in each step, and returns the released requests in order.
 fn drain(queue: &mut FairQueue, in_flight: &mut Vec<u64>, steps: usize, now: &mut f64) -> Vec<u64> {
     let mut order = Vec::new();
     for _ in 0..steps {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn tenants_share_by_weight_and_clients_of_a_tenant_equally() {
+fn capacity_is_shared_by_weight_between_tenants_and_equally_between_their_clients() {
     let mut queue = fair_queue(1.0, &[(1, 2.0), (2, 1.0)]);
     let mut now = 1_000.0;
     assert_eq!(queue.arrive(now, arrival(1, 99, 9, now)), AdmissionDecision::Admit);
@@ -66,14 +66,14 @@
     }
     let order = drain(&mut queue, &mut in_flight, 15, &mut now);
     let first12: Vec<_> = order[..12].iter().map(|id| tenant_of[id]).collect();
-    let ones = first12.iter().filter(|(_, t)| *t == 1).count();
-    assert_eq!(ones, 8, "weight 2 against 1: {first12:?}");
+    let tenant1_count = first12.iter().filter(|(_, t)| *t == 1).count();
+    assert_eq!(tenant1_count, 8, "weight 2 against 1: {first12:?}");
     let tenant1: Vec<u128> = first12.iter().filter(|(_, t)| *t == 1).map(|(c, _)| *c).collect();
-    assert!(tenant1.windows(2).all(|w| w[0] != w[1]), "a tenant's clients take turns: {tenant1:?}");
+    assert!(tenant1.windows(2).all(|w| w[0] != w[1]), "the clients of a tenant alternate: {tenant1:?}");
 }
 
 #[test]
-fn a_heavy_client_is_queued_and_its_excess_is_shed_at_once() {
+fn requests_beyond_the_client_queue_limit_are_shed_and_other_clients_are_released_in_turn() {
     let mut queue = fair_queue(2.0, &[]);
     let mut now = 1_000.0;
     let mut in_flight = Vec::new();
@@ -92,15 +92,18 @@
             other => panic!("{other:?}"),
         }
     }
-    assert_eq!(shed, 30, "eight may wait for one client");
-    // Others come now: each goes ahead of the heavy client's backlog within one round.
+    assert_eq!(shed, 30, "eight requests of a client may be queued");
+    // Requests of other clients are released within one round, ahead of the heavy client's backlog.
     for (id, client) in [(100, 2), (101, 3), (102, 4)] {
         assert_eq!(queue.arrive(now, arrival(id, client, 0, now)), AdmissionDecision::Queue);
     }
     let order = drain(&mut queue, &mut in_flight, 6, &mut now);
-    let places: Vec<usize> =
+    let positions: Vec<usize> =
         [100, 101, 102].iter().map(|id| order.iter().position(|o| o == id).unwrap()).collect();
-    assert!(places.iter().all(|p| *p <= 6), "the others were released by turn, at {places:?} of {order:?}");
+    assert!(
+        positions.iter().all(|p| *p <= 6),
+        "the other clients were released at {positions:?} of {order:?}"
+    );
 }
 
 #[test]
@@ -111,37 +114,37 @@
     for id in 2..=9 {
         queue.arrive(now, arrival(id, 1, 0, now));
     }
-    // A second client whose time is too short for its turn.
-    let hurried = Arrival { give_up_ms: now + 30.0, ..arrival(50, 7, 0, now) };
+    // A second client's request whose deadline is sooner than the expected wait.
+    let urgent = Arrival { deadline_ms: now + 30.0, ..arrival(50, 7, 0, now) };
     let AdmissionDecision::Shed { retry_after_ms, reason: ShedReason::DeadlineTooClose } =
-        queue.arrive(now, hurried)
+        queue.arrive(now, urgent)
     else {
         panic!()
     };
-    // Meanwhile others keep the queue full.
+    // Requests of a third client are queued meanwhile.
     for id in 60..=66 {
         queue.arrive(now, arrival(id, 8, 0, now));
     }
     let early = now + retry_after_ms - 200.0;
-    let back = Arrival { id: 51, give_up_ms: early + 30.0, ..hurried };
+    let retry = Arrival { id: 51, deadline_ms: early + 30.0, ..urgent };
     assert!(
-        matches!(queue.arrive(early, back), AdmissionDecision::Shed { .. }),
-        "before its time it gets no place"
+        matches!(queue.arrive(early, retry), AdmissionDecision::Shed { .. }),
+        "a retry before the reserved time is shed"
     );
     now += retry_after_ms;
-    let back = Arrival { id: 52, give_up_ms: now + 5_000.0, ..hurried };
-    assert_eq!(queue.arrive(now, back), AdmissionDecision::Queue);
+    let retry = Arrival { id: 52, deadline_ms: now + 5_000.0, ..urgent };
+    assert_eq!(queue.arrive(now, retry), AdmissionDecision::Queue);
     let next = queue.completed(now + 1.0, 1, Completion::Succeeded);
-    assert_eq!(next, [52], "the one with a ticket goes first");
+    assert_eq!(next, [52], "the request with a reservation is released first");
     assert_eq!(queue.counters.reservations_used, 1);
 }
 
 #[test]
-fn a_queued_request_is_shed_at_its_deadline_and_a_disconnected_client_frees_its_place() {
+fn a_queued_request_is_shed_near_its_deadline_and_a_disconnect_removes_it_from_the_queue() {
     let mut queue = fair_queue(1.0, &[]);
     let now = 1_000.0;
     assert_eq!(queue.arrive(now, arrival(1, 1, 0, now)), AdmissionDecision::Admit);
-    let short = Arrival { give_up_ms: now + 500.0, ..arrival(2, 2, 0, now) };
+    let short = Arrival { deadline_ms: now + 500.0, ..arrival(2, 2, 0, now) };
     assert_eq!(queue.arrive(now, short), AdmissionDecision::Queue);
     assert_eq!(queue.arrive(now, arrival(3, 3, 0, now)), AdmissionDecision::Queue);
     assert_eq!(queue.next_deadline(), Some(1_480.0));
@@ -150,28 +153,32 @@
     assert_eq!(expired.iter().map(|request| request.id).collect::<Vec<_>>(), [2]);
     assert!(queue.disconnected(3));
     assert_eq!(queue.queued(), 0);
-    assert!(queue.completed(1_500.0, 1, Completion::Succeeded).is_empty(), "nothing is released for those");
+    assert!(queue.completed(1_500.0, 1, Completion::Succeeded).is_empty(), "neither request is released");
 }
 
 #[test]
-fn memory_stays_within_the_stated_bound_for_a_hundred_thousand_clients() {
+fn heap_memory_stays_within_its_bound_with_a_hundred_thousand_clients() {
     let bounds = bounds();
     let limit = LimitSettings { initial: 8.0, min: 1.0, max: 8.0, adaptive: false };
     let mut queue = FairQueue::new(bounds, limit, equal_weights_but(&[]));
     let mut now = 1_000.0;
-    let mut most = 0;
+    let mut max_heap_bytes = 0;
     for client in 0..100_000u64 {
         now += 0.05;
         queue.arrive(now, arrival(client, u128::from(client), (client % 300) as u32, now));
         if client % 1_000 == 0 {
-            most = most.max(queue.heap_bytes());
+            max_heap_bytes = max_heap_bytes.max(queue.heap_bytes());
             queue.expire(now);
         }
     }
-    most = most.max(queue.heap_bytes());
+    max_heap_bytes = max_heap_bytes.max(queue.heap_bytes());
     assert!(queue.queued() <= bounds.max_queued && queue.reservations() <= bounds.max_reservations);
-    assert!(most <= bounds.max_heap_bytes(8), "{most} bytes against the bound {}", bounds.max_heap_bytes(8));
-    // Once all is served, the clients' state is gone.
+    assert!(
+        max_heap_bytes <= bounds.max_heap_bytes(8),
+        "{max_heap_bytes} bytes against the bound {}",
+        bounds.max_heap_bytes(8)
+    );
+    // No state is left once all requests have ended.
     for id in 0..100_000u64 {
         queue.completed(now, id, Completion::Succeeded);
         queue.disconnected(id);
@@ -180,7 +187,7 @@
 }
 
 #[test]
-fn new_weights_hold_from_the_next_round_and_nothing_queued_is_lost() {
+fn new_weights_apply_from_the_next_round_and_queued_requests_are_kept() {
     let mut queue = fair_queue(1.0, &[]);
     let mut now = 1_000.0;
     queue.arrive(now, arrival(1, 99, 9, now));
@@ -199,14 +206,14 @@
     assert_eq!(even.iter().filter(|id| **id < 200).count(), 3);
     queue.set_weights(equal_weights_but(&[(1, 3.0)]));
     let after = drain(&mut queue, &mut in_flight, 12, &mut now);
-    let ones = after[2..10].iter().filter(|id| **id < 200).count();
-    assert_eq!(ones, 6, "three to one after the change: {after:?}");
+    let tenant1_count = after[2..10].iter().filter(|id| **id < 200).count();
+    assert_eq!(tenant1_count, 6, "weight 3 against 1 after the change: {after:?}");
     let rest = drain(&mut queue, &mut in_flight, 100, &mut now);
     assert_eq!(even.len() + after.len() + rest.len(), 40, "every queued request was released");
 }
 
 #[test]
-fn a_light_client_is_admitted_at_once_beside_a_heavy_backlog() {
+fn a_light_client_is_admitted_at_once_despite_the_backlog_of_a_heavy_client() {
     let limit = LimitSettings { initial: 4.0, min: 1.0, max: 4.0, adaptive: false };
     let mut queue = FairQueue::new(
         AdmissionBounds { light_client_share: 0.25, ..bounds() },
@@ -219,7 +226,7 @@
     assert_eq!(
         decisions.iter().filter(|v| **v == AdmissionDecision::Admit).count(),
         3,
-        "the heavy client keeps out of the share of light clients"
+        "the heavy client is not admitted into the share of light clients"
     );
     assert_eq!(
         queue.arrive(now, arrival(50, 2, 0, now)),
@@ -229,9 +236,10 @@
     assert_eq!(
         queue.arrive(now, arrival(51, 2, 0, now)),
         AdmissionDecision::Queue,
-        "its second waits its turn"
+        "its second request is queued"
     );
-    // Capacity outside that share goes by turn: the heavy client's next, then the light client's second.
+    // Capacity outside that share is assigned round robin: the heavy client's next request, then the light
+    // client's second.
     assert_eq!(queue.completed(now + 5.0, 1, Completion::Succeeded), [4]);
     assert_eq!(queue.completed(now + 6.0, 2, Completion::Succeeded), [51]);
 }
