--- a/src/admission/config.rs
+++ b/src/admission/config.rs
@@ -38,13 +38,13 @@
 #[derive(Debug, Error)]
 pub enum BadValue {
     /// A tenant has no groups, or its weight is out of range.
-    #[error("each has groups and a weight from 0.01 to 100")]
+    #[error("every tenant needs at least one group and a weight from 0.01 to 100")]
     Tenant,
     /// A group is listed more than once.
-    #[error("group {0} stands in two tenants")]
+    #[error("group {0} is listed more than once")]
     DuplicateGroup(u32),
     /// A prefix is longer than the addresses of its family.
-    #[error("at most 32, and 128 for client_prefix_v6")]
+    #[error("prefix length must be at most 32, and at most 128 for client_prefix_v6")]
     Prefix,
     /// A number is out of the given range.
     #[error("out of bounds: {0}")]
