--- a/examples/admission_heavy.rs
+++ b/examples/admission_heavy.rs
@@ -4,10 +4,10 @@
 //!
 //!     cargo build --release && cargo run --release --example admission_heavy -- [SECONDS]
 
-#[path = "../tests/stand_ins/slow_box.rs"]
-mod slow_box;
+#[path = "../tests/stand_ins/slow_cache_fleet.rs"]
+mod slow_cache_fleet;
 
-use slow_box::SlowFleet;
+use slow_cache_fleet::SlowCacheFleet;
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -60,7 +60,7 @@
 async fn run(program: PathBuf, seconds: f64) {
     let dir = std::env::temp_dir().join(format!("edge-proxy-admission-heavy-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let fleet = SlowFleet::start(74, 4, 8, 20).await;
+    let fleet = SlowCacheFleet::start(74, 4, 8, 20).await;
     println!("| admission | heavy client | others p50 ms | others p99 ms | others served | heavy served | heavy shed |");
     println!("| --- | --- | ---: | ---: | ---: | ---: | ---: |");
     let ids = Rc::new(Cell::new(0u64));
@@ -89,7 +89,7 @@
 async fn play(
     program: &Path,
     dir: &Path,
-    fleet: &SlowFleet,
+    fleet: &SlowCacheFleet,
     admission: bool,
     heavy: bool,
     seconds: f64,
--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -6,15 +6,15 @@
 
 #[path = "../tests/stand_ins/http3_client.rs"]
 mod http3_client;
-#[path = "../tests/stand_ins/slow_box.rs"]
-mod slow_box;
+#[path = "../tests/stand_ins/slow_cache_fleet.rs"]
+mod slow_cache_fleet;
 
 use edge_proxy::http3::config::Http3Config;
 use edge_proxy::http3::response_store::{Attachment, CallKey, ResponseStore, StoreLimits};
 use edge_proxy::state::requests::FinalResponse;
 use hdrhistogram::Histogram;
 use http3_client::{write_certificate, Http3Client, ImpairedLink};
-use slow_box::SlowFleet;
+use slow_cache_fleet::SlowCacheFleet;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -44,7 +44,12 @@
     sent_twice: usize,
 }
 
-fn program(dir: &Path, fleet: &SlowFleet, at: std::net::SocketAddr, path: &str) -> (Running, Http3Config) {
+fn program(
+    dir: &Path,
+    fleet: &SlowCacheFleet,
+    at: std::net::SocketAddr,
+    path: &str,
+) -> (Running, Http3Config) {
     let program =
         PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
     let listen = std::net::TcpListener::bind("127.0.120.9:0").unwrap().local_addr().unwrap();
@@ -68,7 +73,7 @@
 }
 
 async fn round(dir: &Path, path: &str, loss: f64, jitter_ms: f64, requests: u64, number: u64) -> Round {
-    let fleet = SlowFleet::start(119, 4, 256, 4).await;
+    let fleet = SlowCacheFleet::start(119, 4, 256, 4).await;
     fleet.part_bytes.set(120_000);
     let at = std::net::UdpSocket::bind("127.0.120.9:0").unwrap().local_addr().unwrap();
     let (_program, config) = program(dir, &fleet, at, path);
--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -8,8 +8,8 @@
 
 #[path = "../tests/stand_ins/registry.rs"]
 mod registry;
-#[path = "../tests/stand_ins/slow_box.rs"]
-mod slow_box;
+#[path = "../tests/stand_ins/slow_cache_fleet.rs"]
+mod slow_cache_fleet;
 
 use edge_proxy::clock::Clock;
 use edge_proxy::engine::executor::Executor;
@@ -21,7 +21,7 @@
 use rand::{RngExt, SeedableRng};
 use registry::Registry;
 use simd_json::prelude::*;
-use slow_box::{unix_ms, SlowFleet};
+use slow_cache_fleet::{unix_ms, SlowCacheFleet};
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -159,7 +159,7 @@
 async fn one_proxy(program: PathBuf, drains: usize) {
     let dir = std::env::temp_dir().join(format!("edge-proxy-registry-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let fleet = SlowFleet::start(82, 4, 64, 2).await;
+    let fleet = SlowCacheFleet::start(82, 4, 64, 2).await;
     let registry = Registry::start("127.0.82.100").await;
     let put = |k: usize, state| {
         let key = format!("{PREFIX}{}", ENDPOINTS[k].0);
--- a/examples/rules_load.rs
+++ b/examples/rules_load.rs
@@ -4,15 +4,15 @@
 //!
 //!     cargo build --release && cargo run --release --example rules_load -- [LOOPBACK]
 
-#[path = "../tests/stand_ins/slow_box.rs"]
-mod slow_box;
+#[path = "../tests/stand_ins/slow_cache_fleet.rs"]
+mod slow_cache_fleet;
 
 use edge_proxy::rules::config::RulesConfig;
 use edge_proxy::wire::classification::RequestClassifier;
 use edge_proxy::wire::http::HttpRequest;
 use edge_proxy::wire::platform_path::PlatformPath;
 use hdrhistogram::Histogram;
-use slow_box::SlowFleet;
+use slow_cache_fleet::SlowCacheFleet;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -132,7 +132,7 @@
 }
 
 /// Starts a proxy with these servers, with or without rules.
-fn start(program: &Path, dir: &Path, fleet: &SlowFleet, rules: Option<&str>) -> (Running, SocketAddr) {
+fn start(program: &Path, dir: &Path, fleet: &SlowCacheFleet, rules: Option<&str>) -> (Running, SocketAddr) {
     let listen = std::net::TcpListener::bind("127.0.126.9:0").unwrap().local_addr().unwrap();
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json");
     let mut config = std::fs::read_to_string(example).unwrap().replace("127.0.0.1:5050", &listen.to_string());
@@ -154,7 +154,7 @@
 async fn loopback(program: &Path, requests: u64) {
     let dir = std::env::temp_dir().join(format!("edge-proxy-rules-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let fleet = SlowFleet::start(126, 4, 256, 0).await;
+    let fleet = SlowCacheFleet::start(126, 4, 256, 0).await;
     let programs = [start(program, &dir, &fleet, None), start(program, &dir, &fleet, Some(RULES))];
     for (_, at) in &programs {
         while std::net::TcpStream::connect(at).is_err() {
--- a/examples/vrrp_takeover.rs
+++ b/examples/vrrp_takeover.rs
@@ -3,13 +3,13 @@
 //!
 //!     cargo build --release && cargo run --release --example vrrp_takeover -- [KILLS]
 
-#[path = "../tests/stand_ins/slow_box.rs"]
-mod slow_box;
+#[path = "../tests/stand_ins/slow_cache_fleet.rs"]
+mod slow_cache_fleet;
 #[path = "../tests/stand_ins/vrrp_peer.rs"]
 mod vrrp_peer;
 
 use simd_json::prelude::*;
-use slow_box::SlowFleet;
+use slow_cache_fleet::SlowCacheFleet;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -38,7 +38,7 @@
     program: &Path,
     dir: &Path,
     k: usize,
-    fleet: &SlowFleet,
+    fleet: &SlowCacheFleet,
     routers: [SocketAddr; 2],
     virtual_address: SocketAddr,
 ) -> Proxy {
@@ -93,7 +93,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let dir = std::env::temp_dir().join(format!("edge-proxy-takeover-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
-        let fleet = SlowFleet::start(102, 4, 512, 4).await;
+        let fleet = SlowCacheFleet::start(102, 4, 512, 4).await;
         let virtual_address = free("127.1.102.1");
         let udp = || std::net::UdpSocket::bind("127.0.102.10:0").unwrap().local_addr().unwrap();
         let routers = [udp(), udp()];
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -8,7 +8,7 @@
 use edge_proxy::health_check::lease::slot_at;
 use simd_json::prelude::*;
 use stand_ins::checked_endpoint::CheckedEndpoint;
-use stand_ins::slow_box::{unix_ms, SlowFleet};
+use stand_ins::slow_cache_fleet::{unix_ms, SlowCacheFleet};
 use stand_ins::{folder, run, Killed};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
 
 /// Starts three instances before a fleet, with the endpoints that they check and the addresses of the instances.
 async fn start_three(net: u8, name: &str) -> (Vec<Instance>, Vec<CheckedEndpoint>, [SocketAddr; 3]) {
-    let fleet = SlowFleet::start(net, 4, 64, 2).await;
+    let fleet = SlowCacheFleet::start(net, 4, 64, 2).await;
     // The endpoints answer checks on one port, besides those of the fleet.
     let port = std::net::TcpListener::bind(format!("127.0.{net}.1:0")).unwrap().local_addr().unwrap().port();
     let mut endpoints = Vec::new();
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -17,7 +17,7 @@
 use edge_proxy::wire::platform::{self, Platform};
 use edge_proxy::wire::shutdown::GracefulShutdown;
 use stand_ins::http3_client::{write_certificate, Http3Client, ImpairedLink};
-use stand_ins::slow_box::SlowFleet;
+use stand_ins::slow_cache_fleet::SlowCacheFleet;
 use stand_ins::{folder, run, Killed};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 use tokio::task::spawn_local;
 
 struct Fixture {
-    fleet: SlowFleet,
+    fleet: SlowCacheFleet,
     config: Http3Config,
     at: SocketAddr,
     tcp: SocketAddr,
@@ -48,7 +48,7 @@
     file
 }
 
-fn node_file(fleet: &SlowFleet) -> String {
+fn node_file(fleet: &SlowCacheFleet) -> String {
     let mut text =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
     for (k, at) in (7101..=7104).enumerate() {
@@ -60,7 +60,7 @@
 impl Fixture {
     async fn start(net: u8, name: &str, more: &str) -> Self {
         let dir = folder(name);
-        let fleet = SlowFleet::start(net, 4, 256, 2).await;
+        let fleet = SlowCacheFleet::start(net, 4, 256, 2).await;
         std::fs::write(dir.join("config.json"), node_file(&fleet)).unwrap();
         let node = Config::read(&dir.join("config.json")).unwrap();
         let clock = Clock::system();
@@ -282,7 +282,7 @@
         client.connection.close(0x100u32.into(), b"bye");
         assert!(asked.await.unwrap().is_none());
         wait_until("it was cancelled", || {
-            fixture.metric("shelf_called_off_total") == 1 && fixture.fleet.dropped.get() == 1
+            fixture.metric("shelf_called_off_total") == 1 && fixture.fleet.cancelled.get() == 1
         })
         .await;
         // The connection is lost: the call goes on, and its response is kept for the client.
@@ -468,7 +468,7 @@
 fn the_program_serves_reloads_and_stops() {
     run(async {
         let dir = folder("http3-program");
-        let fleet = SlowFleet::start(117, 4, 64, 2).await;
+        let fleet = SlowCacheFleet::start(117, 4, 64, 2).await;
         let free = || std::net::TcpListener::bind("127.0.117.9:0").unwrap().local_addr().unwrap();
         let (listen, mgmt) = (free(), free());
         let at = std::net::UdpSocket::bind("127.0.117.9:0").unwrap().local_addr().unwrap();
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -6,7 +6,7 @@
 
 use simd_json::prelude::*;
 use stand_ins::registry::Registry;
-use stand_ins::slow_box::{unix_ms, SlowFleet};
+use stand_ins::slow_cache_fleet::{unix_ms, SlowCacheFleet};
 use stand_ins::{folder, run};
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
@@ -120,14 +120,14 @@
 }
 
 /// Requests that reached server `k` after a time, in Unix milliseconds.
-fn reached_after(fleet: &SlowFleet, k: usize, ms: f64) -> usize {
+fn reached_after(fleet: &SlowCacheFleet, k: usize, ms: f64) -> usize {
     fleet.arrivals.borrow().iter().filter(|(b, at)| *b == k && *at > ms).count()
 }
 
 #[test]
 fn draining_takes_effect_at_once_and_after_ten_seconds_of_silence_and_a_compaction() {
     run(async {
-        let fleet = SlowFleet::start(80, 4, 64, 2).await;
+        let fleet = SlowCacheFleet::start(80, 4, 64, 2).await;
         let registry = Registry::start("127.0.80.100").await;
         for (k, at) in fleet.addresses.iter().enumerate() {
             registry.put(&format!("{PREFIX}{}", ENDPOINTS[k].0), &endpoint_json(k, *at, "Ready"));
@@ -180,7 +180,7 @@
 #[test]
 fn duplicate_reordered_and_malformed_changes_leave_the_endpoint_list_intact() {
     run(async {
-        let fleet = SlowFleet::start(81, 4, 64, 2).await;
+        let fleet = SlowCacheFleet::start(81, 4, 64, 2).await;
         let registry = Registry::start("127.0.81.100").await;
         for (k, at) in fleet.addresses.iter().enumerate() {
             registry.put(&format!("{PREFIX}{}", ENDPOINTS[k].0), &endpoint_json(k, *at, "Ready"));
@@ -235,7 +235,7 @@
 #[test]
 fn a_registry_restored_from_an_older_copy_is_read_completely() {
     run(async {
-        let fleet = SlowFleet::start(84, 4, 64, 2).await;
+        let fleet = SlowCacheFleet::start(84, 4, 64, 2).await;
         let registry = Registry::start("127.0.84.100").await;
         let key = |k: usize| format!("{PREFIX}{}", ENDPOINTS[k].0);
         for _ in 0..20 {
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -10,7 +10,7 @@
 use edge_proxy::wire::platform_path::PlatformPath;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use stand_ins::slow_box::SlowFleet;
+use stand_ins::slow_cache_fleet::SlowCacheFleet;
 use stand_ins::{folder, run, Killed};
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -116,7 +116,7 @@
 fn the_program_classifies_requests_by_its_rules() {
     run(async {
         let dir = folder("rules-program");
-        let fleet = SlowFleet::start(125, 4, 64, 2).await;
+        let fleet = SlowCacheFleet::start(125, 4, 64, 2).await;
         let free = || std::net::TcpListener::bind("127.0.125.9:0").unwrap().local_addr().unwrap();
         let listen = free();
         let mut text =
--- a/tests/stand_ins/checked_endpoint.rs
+++ b/tests/stand_ins/checked_endpoint.rs
@@ -1,7 +1,7 @@
 //! A stand-in endpoint for health checks: it records when each check arrives and answers with a given status.
 #![allow(dead_code)]
 
-use super::slow_box::unix_ms;
+use super::slow_cache_fleet::unix_ms;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -31,7 +31,7 @@
 pub mod purge_target;
 pub mod registry;
 pub mod running;
-pub mod slow_box;
+pub mod slow_cache_fleet;
 pub mod threads;
 pub mod vrrp_peer;
 
--- /dev/null
+++ b/tests/stand_ins/slow_cache_fleet.rs
@@ -0,0 +1,119 @@
+//! Fake pop caches on loopback with a limited capacity. Several listeners of the caches' line protocol share
+//! a number of slots, and each request holds a slot for a fixed time before its response. Requests beyond the
+//! slots wait in order of arrival. The ids of all received requests are recorded.
+#![allow(dead_code)]
+
+use std::cell::{Cell, RefCell};
+use std::collections::{HashMap, HashSet};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Semaphore;
+use tokio::task::spawn_local;
+
+/// The caches, and a record of the requests that they received.
+pub struct SlowCacheFleet {
+    pub addresses: Vec<SocketAddr>,
+    pub request_ids: Rc<RefCell<HashSet<String>>>,
+    /// The number of requests by idempotency key.
+    pub keys: Rc<RefCell<HashMap<String, u32>>>,
+    /// The body size of responses to parts above 0; other bodies are short.
+    pub part_bytes: Rc<Cell<usize>>,
+    /// The processing time of a request, in milliseconds.
+    pub work_ms: Rc<Cell<u64>>,
+    /// The number of requests cancelled by the proxy.
+    pub cancelled: Rc<Cell<u32>>,
+    /// The index of the cache that received each request, and the Unix time in milliseconds.
+    pub arrivals: Rc<RefCell<Vec<(usize, f64)>>>,
+}
+
+/// The system time, Unix milliseconds.
+pub fn unix_ms() -> f64 {
+    std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_secs_f64() * 1_000.0
+}
+
+impl SlowCacheFleet {
+    /// Starts `caches` listeners at `127.0.NET.1` and up, which share `slots`. A request takes `work_ms`.
+    pub async fn start(net: u8, caches: usize, slots: usize, work_ms: u64) -> Self {
+        let slots = Rc::new(Semaphore::new(slots));
+        let request_ids: Rc<RefCell<HashSet<String>>> = Rc::default();
+        let arrivals: Rc<RefCell<Vec<(usize, f64)>>> = Rc::default();
+        let keys: Rc<RefCell<HashMap<String, u32>>> = Rc::default();
+        let (part_bytes, work_ms): (Rc<Cell<usize>>, _) =
+            (Rc::new(Cell::new(9)), Rc::new(Cell::new(work_ms)));
+        let cancelled: Rc<Cell<u32>> = Rc::default();
+        let mut addresses = Vec::new();
+        for k in 0..caches {
+            let listener = TcpListener::bind(format!("127.0.{net}.{}:0", k + 1)).await.unwrap();
+            addresses.push(listener.local_addr().unwrap());
+            let (slots, request_ids, arrivals, keys) =
+                (slots.clone(), request_ids.clone(), arrivals.clone(), keys.clone());
+            let shared = (work_ms.clone(), part_bytes.clone(), cancelled.clone());
+            spawn_local(async move {
+                while let Ok((stream, _)) = listener.accept().await {
+                    let (slots, request_ids, arrivals) =
+                        (slots.clone(), request_ids.clone(), arrivals.clone());
+                    spawn_local(serve(
+                        stream,
+                        slots,
+                        request_ids,
+                        (k, arrivals, keys.clone()),
+                        shared.clone(),
+                    ));
+                }
+            });
+        }
+        Self { addresses, request_ids, arrivals, keys, part_bytes, work_ms, cancelled }
+    }
+}
+
+/// The processing time, the body size of parts above 0, and the number of cancelled requests.
+type ResponseState = (Rc<Cell<u64>>, Rc<Cell<usize>>, Rc<Cell<u32>>);
+/// The index of the cache, the received requests, and the number of requests by idempotency key.
+type ArrivalLog = (usize, Rc<RefCell<Vec<(usize, f64)>>>, Rc<RefCell<HashMap<String, u32>>>);
+
+async fn serve(
+    stream: TcpStream,
+    slots: Rc<Semaphore>,
+    request_ids: Rc<RefCell<HashSet<String>>>,
+    (cache, arrivals, keys): ArrivalLog,
+    (work_ms, part_bytes, cancelled): ResponseState,
+) {
+    let (read, write) = stream.into_split();
+    let write = Rc::new(tokio::sync::Mutex::new(write));
+    let mut read = BufReader::new(read);
+    let mut line = String::new();
+    while read.read_line(&mut line).await.is_ok_and(|n| n > 0) {
+        let fields: Vec<String> = line.split_whitespace().map(String::from).collect();
+        line.clear();
+        if fields.len() != 4 || fields[0] != "GET" {
+            cancelled.set(cancelled.get() + u32::from(fields.first().is_some_and(|w| w == "DROP")));
+            continue;
+        }
+        let part = fields[2].split(',').any(|f| f.strip_prefix("p=").is_some_and(|p| p != "0"));
+        let mut body = vec![0; fields[3].parse::<usize>().unwrap_or(0) + 2];
+        if read.read_exact(&mut body).await.is_err() {
+            return;
+        }
+        request_ids.borrow_mut().insert(fields[1].clone());
+        arrivals.borrow_mut().push((cache, unix_ms()));
+        if let Some(key) = fields[2].split(',').find_map(|field| field.strip_prefix("i=")) {
+            *keys.borrow_mut().entry(key.to_string()).or_default() += 1;
+        }
+        let (slots, write, id) = (slots.clone(), write.clone(), fields[1].clone());
+        let (work_ms, part_bytes) = (work_ms.clone(), part_bytes.clone());
+        spawn_local(async move {
+            let Ok(_slot) = slots.acquire().await else { return };
+            tokio::time::sleep(Duration::from_millis(work_ms.get())).await;
+            let bytes: Vec<u8> = match part {
+                true => (0..part_bytes.get()).map(|k| (k % 251) as u8).collect(),
+                false => b"the bytes".to_vec(),
+            };
+            let head = format!("{id} ACK sum=t1,t0=1 {}\r\n", bytes.len());
+            let response = [head.as_bytes(), &bytes[..], b"\r\n"].concat();
+            let _ = write.lock().await.write_all(&response).await;
+        });
+    }
+}
--- a/tests/vrrp_service.rs
+++ b/tests/vrrp_service.rs
@@ -12,7 +12,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use simd_json::prelude::*;
-use stand_ins::slow_box::{unix_ms, SlowFleet};
+use stand_ins::slow_cache_fleet::{unix_ms, SlowCacheFleet};
 use stand_ins::vrrp_peer::{send_request, Load, Relay, RequestOutcome};
 use stand_ins::{folder, run, Killed};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -40,7 +40,7 @@
 /// Starts a proxy whose router listens at `router` and has the peer `peer`. `more` are further fields of its file.
 fn start(
     name: &str,
-    fleet: &SlowFleet,
+    fleet: &SlowCacheFleet,
     router: SocketAddr,
     peer: SocketAddr,
     virtual_address: SocketAddr,
@@ -110,8 +110,8 @@
 }
 
 /// Starts two proxies with a relay between their routers. The first has the higher priority.
-async fn pair(net: u8, name: &str, more: [&str; 2]) -> (SlowFleet, Relay, [Proxy; 2], SocketAddr) {
-    let fleet = SlowFleet::start(net, 4, 256, 4).await;
+async fn pair(net: u8, name: &str, more: [&str; 2]) -> (SlowCacheFleet, Relay, [Proxy; 2], SocketAddr) {
+    let fleet = SlowCacheFleet::start(net, 4, 256, 4).await;
     let ip = format!("127.0.{net}.10");
     let virtual_address = free(&format!("127.1.{net}.1"));
     let routers = [free_udp(&ip), free_udp(&ip)];
@@ -142,7 +142,7 @@
 }
 
 /// Number of ad-posts that reached caches more than once though their clients sent them once.
-fn sent_twice(fleet: &SlowFleet, ended: &[(u64, bool, RequestOutcome)]) -> usize {
+fn sent_twice(fleet: &SlowCacheFleet, ended: &[(u64, bool, RequestOutcome)]) -> usize {
     let keys = fleet.keys.borrow();
     let twice = |id: u64| keys.get(&format!("k{id:x}")).copied().unwrap_or(0) > 1;
     ended.iter().filter(|(id, write, e)| *write && e.retries == 0 && twice(*id)).count()
@@ -339,7 +339,7 @@
 #[test]
 fn invalid_advertisements_are_counted_and_rejected() {
     run(async {
-        let fleet = SlowFleet::start(98, 4, 64, 2).await;
+        let fleet = SlowCacheFleet::start(98, 4, 64, 2).await;
         let (router, virtual_address) = (free_udp("127.0.98.10"), free("127.1.98.1"));
         let peer = UdpSocket::bind("127.0.98.20:0").await.unwrap();
         let stranger = UdpSocket::bind("127.0.98.21:0").await.unwrap();
