--- a/src/admission/reservations.rs
+++ b/src/admission/reservations.rs
@@ -13,9 +13,9 @@
 
 /// The length of a calendar slot, in milliseconds.
 pub const SLOT_MS: f64 = 100.0;
-/// How early a reservation may be used, in milliseconds, to tolerate timer and network jitter.
+/// How early a reservation may be used, in milliseconds, as client timers and network delays vary.
 pub const EARLY_MS: f64 = 50.0;
-/// The minimum time for which a reservation stays valid, in milliseconds.
+/// The minimum time for which a reservation stays valid after the reserved time, in milliseconds.
 const MIN_VALIDITY_MS: f64 = 500.0;
 
 /// A period in which one request of a client is served ahead of the queues.
--- a/tests/admission_loopback.rs
+++ b/tests/admission_loopback.rs
@@ -147,16 +147,16 @@
         let ids = RequestIds::default();
         let next = || ids.next();
         // Ten other clients, each with a request every 100 ms.
-        let others = |seconds: f64, got: Rc<RefCell<Vec<Response>>>| {
+        let others = |seconds: f64, responses: Rc<RefCell<Vec<Response>>>| {
             let ids = ids.clone();
             (0..10u8).map(move |k| {
-                let (got, ids) = (got.clone(), ids.clone());
+                let (responses, ids) = (responses.clone(), ids.clone());
                 spawn_local(async move {
                     let from: IpAddr = format!("127.0.73.{}", 10 + k).parse().unwrap();
                     let end = Instant::now() + Duration::from_secs_f64(seconds);
                     while Instant::now() < end {
                         if let Some(response) = send_request(listen, from, ids.next(), false, false).await {
-                            got.borrow_mut().push(response);
+                            responses.borrow_mut().push(response);
                         }
                         tokio::time::sleep(Duration::from_millis(100)).await;
                     }
@@ -173,18 +173,18 @@
         let heavy_from: IpAddr = "127.0.73.2".parse().unwrap();
         let heavy: Vec<_> = (0..20)
             .map(|_| {
-                let (got, ids) = (heavy_responses.clone(), ids.clone());
+                let (responses, ids) = (heavy_responses.clone(), ids.clone());
                 spawn_local(async move {
                     let end = Instant::now() + Duration::from_secs(4);
                     while Instant::now() < end {
                         let id = ids.next();
                         spawn_local({
-                            let got = got.clone();
+                            let responses = responses.clone();
                             async move {
                                 if let Some(response) =
                                     send_request(listen, heavy_from, id, false, false).await
                                 {
-                                    got.borrow_mut().push(response);
+                                    responses.borrow_mut().push(response);
                                 }
                             }
                         });
@@ -203,14 +203,14 @@
                 let burst: Vec<_> = (0..40)
                     .map(|_| spawn_local(send_request(listen, from, ids.next(), false, false)))
                     .collect();
-                let mut retry_times = Vec::new();
+                let mut retry_after_times = Vec::new();
                 for request in burst {
-                    retry_times.extend(request.await.unwrap().and_then(|g| g.retry_after_ms));
+                    retry_after_times.extend(request.await.unwrap().and_then(|g| g.retry_after_ms));
                 }
-                let wait = retry_times.iter().copied().fold(0.0, f64::max);
-                tokio::time::sleep(Duration::from_secs_f64(wait / 1_000.0)).await;
-                let later = send_request(listen, from, ids.next(), false, false).await;
-                (retry_times.len(), wait, later)
+                let max_retry_after_ms = retry_after_times.iter().copied().fold(0.0, f64::max);
+                tokio::time::sleep(Duration::from_secs_f64(max_retry_after_ms / 1_000.0)).await;
+                let retry_response = send_request(listen, from, ids.next(), false, false).await;
+                (retry_after_times.len(), max_retry_after_ms, retry_response)
             })
         };
         let contended: Rc<RefCell<Vec<Response>>> = Rc::default();
@@ -219,11 +219,11 @@
         let mut shed_posts = Vec::new();
         for _ in 0..5 {
             let id = next();
-            let got = send_request(listen, heavy_from, id, true, false).await.unwrap();
-            if got.status == 503 {
+            let response = send_request(listen, heavy_from, id, true, false).await.unwrap();
+            if response.status == 503 {
                 shed_posts.push(id);
             }
-            assert!(got.status == 503 || got.status == 200, "{got:?}");
+            assert!(response.status == 503 || response.status == 200, "{response:?}");
         }
         // Clients that disconnect while their requests are queued.
         let abandoned: Vec<u64> = (0..10).map(|_| next()).collect();
@@ -237,33 +237,36 @@
             task.await.unwrap();
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let (shed, wait, later) = retrying_client.await.unwrap();
-        assert!(shed > 0 && wait >= 100.0, "{shed} shed, retry after {wait} ms");
-        let later = later.expect("a response to the retry");
-        assert_eq!(later.status, 200, "retry after {wait} ms: {later:?}");
-        let retry_times: Vec<f64> =
+        let (shed, max_retry_after_ms, retry_response) = retrying_client.await.unwrap();
+        assert!(shed > 0 && max_retry_after_ms >= 100.0, "{shed} shed, retry after {max_retry_after_ms} ms");
+        let retry_response = retry_response.expect("a response to the retry");
+        assert_eq!(retry_response.status, 200, "retry after {max_retry_after_ms} ms: {retry_response:?}");
+        let retry_after_times: Vec<f64> =
             heavy_responses.borrow().iter().filter_map(|g| g.retry_after_ms).collect();
-        assert!(!retry_times.is_empty(), "no request of the heavy client was shed with a retry-after time");
+        assert!(
+            !retry_after_times.is_empty(),
+            "no request of the heavy client was shed with a retry-after time"
+        );
         let (alone, contended) = (alone.borrow().clone(), contended.borrow().clone());
         assert!(
             alone.iter().chain(&contended).all(|g| g.status == 200),
             "a request of another client was not served"
         );
-        let (base, with) = (
+        let (median_alone, median_contended) = (
             median(alone.iter().map(|g| g.latency_ms).collect()),
             median(contended.iter().map(|g| g.latency_ms).collect()),
         );
         let heavy_served = heavy_responses.borrow().iter().filter(|g| g.status == 200).count();
         println!(
-            "median latency of the other clients: {base:.1} ms alone, {with:.1} ms with the heavy client; \
-             heavy client served {heavy_served} of {}",
+            "median latency of the other clients: {median_alone:.1} ms alone, \
+             {median_contended:.1} ms with the heavy client; heavy client served {heavy_served} of {}",
             heavy_responses.borrow().len()
         );
         // Without fair queues the other clients would wait for a second or more, so the bound leaves room for
         // the delays of a busy machine. `examples/admission_heavy.rs` measures the latency precisely.
         assert!(
-            with <= (1.2 * base).max(base + 60.0),
-            "median latency of the other clients went from {base:.1} ms to {with:.1} ms"
+            median_contended <= (1.2 * median_alone).max(median_alone + 60.0),
+            "median latency of the other clients went from {median_alone:.1} ms to {median_contended:.1} ms"
         );
         assert!(heavy_served > 0, "the heavy client was never served");
         for id in shed_posts {
@@ -293,8 +296,9 @@
         let admission = r#"{"limit":{"first":1,"least":1,"most":1},"reserve_share":0}"#;
         let (_proxy, listen, mgmt) = start_proxy(&fleet, 78, "admission-disconnect", admission).await;
         let metric = |name: &'static str| async move {
-            let got = edge_proxy::http_client::call(mgmt, "GET", "/stats", b"", Duration::from_secs(2)).await;
-            let text = String::from_utf8_lossy(&got.unwrap().body).to_string();
+            let response =
+                edge_proxy::http_client::call(mgmt, "GET", "/stats", b"", Duration::from_secs(2)).await;
+            let text = String::from_utf8_lossy(&response.unwrap().body).to_string();
             text.lines().find_map(|l| l.strip_prefix(name)?.trim().parse::<u64>().ok()).unwrap_or(0)
         };
         let wait_for =
@@ -328,17 +332,17 @@
         let ids = RequestIds::default();
         // Two tenants with 24 clients each, every client with one request outstanding at all times. That
         // exceeds the limit, so that the queues are never empty and the weights decide.
-        let got: Rc<RefCell<Vec<GroupResponse>>> = Rc::default();
+        let responses: Rc<RefCell<Vec<GroupResponse>>> = Rc::default();
         let end = Instant::now() + Duration::from_secs(4);
         let loops: Vec<_> = (0..48u8)
             .map(|k| {
-                let (got, ids) = (got.clone(), ids.clone());
+                let (responses, ids) = (responses.clone(), ids.clone());
                 spawn_local(async move {
                     let group = 1 + u32::from(k % 2);
                     let from: IpAddr = format!("127.0.77.{}", 10 + k).parse().unwrap();
                     while Instant::now() < end {
                         let response = send_request_for(listen, from, ids.next(), group, false, false).await;
-                        got.borrow_mut().push((Instant::now(), group, response.map(|g| g.status)));
+                        responses.borrow_mut().push((Instant::now(), group, response.map(|g| g.status)));
                     }
                 })
             })
@@ -350,10 +354,11 @@
         for task in loops {
             task.await.unwrap();
         }
-        let got = got.borrow();
+        let responses = responses.borrow();
         let share = |from: Instant, to: Instant| {
             let served = |group| {
-                got.iter()
+                responses
+                    .iter()
                     .filter(|(at, g, s)| *at >= from && *at < to && *g == group && *s == Some(200))
                     .count()
             };
@@ -366,7 +371,7 @@
         let ratio = |(a, b): (usize, usize)| a as f64 / b.max(1) as f64;
         assert!((0.7..1.4).contains(&ratio(before)), "shares should be even before the reload: {before:?}");
         assert!(ratio(after) > 2.2, "shares should be three to one after the reload: {after:?}");
-        assert!(got.iter().all(|(_, _, status)| status.is_some()), "a request got no response");
+        assert!(responses.iter().all(|(_, _, status)| status.is_some()), "a request got no response");
         let log = std::fs::read_to_string(folder("admission-reload").join("proxy.log")).unwrap();
         assert!(log.contains("configuration reloaded subsystem=\"admission\""), "{log}");
     });
