--- a/src/grpc/admin.rs
+++ b/src/grpc/admin.rs
@@ -1,14 +1,13 @@
-//! The front's state at the second address: `GET /grpc`.
+//! Admin endpoint `GET /grpc`: the state of the gRPC front as JSON.
 
 use super::front::GrpcFront;
 use super::pool::Pool;
 use crate::wire::http::{HttpRequest, HttpResponse};
 use std::net::SocketAddr;
 
-/// The path of the front's state.
 const PATH: &str = "/grpc";
 
-/// The front's state, as JSON.
+/// The body of a response to `GET /grpc`.
 #[derive(serde::Serialize)]
 struct Status {
     open: usize,
@@ -16,7 +15,6 @@
     pools: Vec<PoolStatus>,
 }
 
-/// The state of a pool.
 #[derive(serde::Serialize)]
 struct PoolStatus {
     name: String,
@@ -30,7 +28,6 @@
     attempts: u64,
 }
 
-/// The state of a backend.
 #[derive(serde::Serialize)]
 struct BackendStatus {
     address: SocketAddr,
@@ -57,7 +54,7 @@
 }
 
 impl GrpcFront {
-    /// Answers an admin call about the front; none where the call is about something else.
+    /// Handles an admin request for the front's status. Returns `None` for any other target.
     pub fn answer(&self, request: &HttpRequest) -> Option<HttpResponse> {
         if request.target != PATH {
             return None;
--- a/src/grpc/admission.rs
+++ b/src/grpc/admission.rs
@@ -1,7 +1,7 @@
-//! Admission control of unary calls: the fair queues of [`crate::admission`], by tenant and client.
+//! Admission control of unary calls: the fair queues of [`crate::admission`], keyed by tenant and client.
 //!
-//! Streams are not subject to it. They may last for hours, so that a limit on concurrent requests would be theirs alone; the
-//! limits on calls and on a client's streams bound them.
+//! Streaming calls bypass it: they may last for hours and would use up the concurrency limit. They are
+//! bounded by the limits on open calls and on streams per client instead.
 
 use super::call::CallOutcome;
 use crate::admission::control::{AdmissionControl, NotAdmitted};
@@ -13,50 +13,51 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// A queued call's decision: none where it is admitted, else the retry pushback of its rejection in milliseconds.
+/// The decision about a queued call: `None` if it is admitted, otherwise the retry pushback of its rejection,
+/// in milliseconds.
 type QueueDecision = Option<f64>;
 
-/// Admission control, where it is on, and the calls that are queued.
+/// Admission control, if configured, and the queued calls.
 #[derive(Default)]
 pub struct CallAdmission {
     control: RefCell<Option<AdmissionControl>>,
     queued: RefCell<HashMap<u64, oneshot::Sender<QueueDecision>>>,
     last_id: Cell<u64>,
-    /// Notified when a call is queued, since its time may be the next to be over.
+    /// Notified when a call is queued, because its deadline may be the earliest.
     pub due: Notify,
 }
 
-/// How a call was received.
+/// The immediate result of submitting a call to admission control.
 pub enum AdmissionResult {
-    /// It goes on, and keeps the permit until its end.
+    /// The call may proceed and holds the permit until it ends.
     Admitted(AdmissionPermit),
-    /// It waits for a decision.
+    /// The call is queued; the receiver yields the decision.
     Queued(oneshot::Receiver<QueueDecision>, AdmissionPermit),
-    /// It is rejected, with a retry pushback in milliseconds; 0 for none.
+    /// The call is rejected, with a retry pushback in milliseconds (0 for none).
     Rejected(f64),
 }
 
-/// An admitted or queued call's permit, returned when it is dropped.
+/// The permit of an admitted or queued call. Dropping it releases the call's slot or queue entry.
 pub struct AdmissionPermit {
     admission: Rc<CallAdmission>,
-    /// The call's id; none where admission control is off.
+    /// The call's id; `None` if admission control is off.
     id: Option<u64>,
     clock: Clock,
     outcome: Cell<Option<CallOutcome>>,
 }
 
 impl CallAdmission {
-    /// Turns admission control on or off.
+    /// Enables admission control, or disables it with `None`.
     pub fn set(&self, control: Option<AdmissionControl>) {
         *self.control.borrow_mut() = control;
     }
 
-    /// Runs `act` on admission control, where it is on.
+    /// Runs `act` on admission control, if it is enabled.
     pub fn with<R>(&self, act: impl FnOnce(&mut AdmissionControl) -> R) -> Option<R> {
         self.control.borrow_mut().as_mut().map(act)
     }
 
-    /// Receives a call whose time is over at `deadline_ms`.
+    /// Submits a call that is to be rejected if it is still queued close to `deadline_ms`.
     pub fn enter(
         self: &Rc<Self>,
         clock: &Clock,
@@ -89,33 +90,33 @@
                 AdmissionResult::Queued(decision, permit(Some(id)))
             }
             Some(Err(NotAdmitted::Shed { retry_after_ms })) => AdmissionResult::Rejected(retry_after_ms),
-            // The ids are made here, so that none repeats.
+            // Unreachable: ids are assigned above and never repeat.
             Some(Err(NotAdmitted::Duplicate)) => AdmissionResult::Rejected(0.0),
         }
     }
 
-    /// Rejects queued calls whose time is nearly over.
+    /// Rejects queued calls that are close to their deadline.
     pub fn tick(&self, now: f64) {
         for expired in self.with(|control| control.expire(now)).unwrap_or_default() {
             self.decide(expired.id, Some(expired.retry_after_ms));
         }
     }
 
-    /// When [`Self::tick`] has something to do.
+    /// The time at which [`Self::tick`] is next due; infinite if no call is queued.
     pub fn next_due(&self) -> f64 {
         self.with(|control| control.next_deadline()).flatten().unwrap_or(f64::INFINITY)
     }
 
     fn decide(&self, id: u64, decision: QueueDecision) {
         if let Some(call) = self.queued.borrow_mut().remove(&id) {
-            // A call that has just ended needs no decision.
+            // Sending fails only if the call has just ended.
             let _ = call.send(decision);
         }
     }
 }
 
 impl AdmissionPermit {
-    /// Records how the call ended: the adaptive limit follows it.
+    /// Records how the call ended. The adaptive concurrency limit depends on it.
     pub fn ended(&self, outcome: CallOutcome) {
         self.outcome.set(Some(outcome));
     }
--- a/src/grpc/attempt.rs
+++ b/src/grpc/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt of a call: a stream on a connection to its backend, with both directions forwarded under each side's flow
-//! control, until it ends or its time is over.
+//! One attempt of a call: opens a stream to a backend and forwards both directions, subject to flow control
+//! on each side, until one of them ends or the attempt times out.
 
 use super::attempt_result::AttemptResult;
 use super::call::{AttemptTarget, CallId, LocalStatus};
@@ -15,19 +15,19 @@
 use http::{request, HeaderName, HeaderValue, Method, Request, Uri, Version};
 use std::rc::Rc;
 
-/// The two halves of a call at its client, and the head of its request.
+/// The client side of a call: its request head and both streams.
 pub struct ClientStreams<'c> {
-    /// The head of the request.
+    /// The headers of the request.
     pub head: &'c request::Parts,
-    /// The request.
+    /// The request body.
     pub request: &'c mut RequestStream,
-    /// The response.
+    /// The response to the client.
     pub response: &'c mut ResponseStream,
-    /// When the head arrived, in Unix milliseconds.
+    /// When the request headers arrived, in Unix milliseconds.
     pub received_ms: f64,
 }
 
-/// Makes one attempt, as long as its time allows.
+/// Runs one attempt until it ends or times out, or the proxy aborts open calls.
 pub async fn run_attempt(
     front: &Rc<GrpcFront>,
     id: CallId,
@@ -46,7 +46,8 @@
     }
 }
 
-/// Waits until the attempt's time is over. It is extended when the response begins.
+/// Completes when the attempt times out. The time-out is read again after each sleep, because it is extended
+/// to the call's deadline when the response begins.
 async fn timed_out(front: &GrpcFront, id: CallId) {
     loop {
         let left = front.with(|calls| calls.due_ms(id)) - front.now();
@@ -57,7 +58,7 @@
     }
 }
 
-/// Opens the stream and forwards both directions until one of them ends.
+/// Opens the stream and forwards both directions until one of them ends the attempt.
 async fn forward(
     front: &Rc<GrpcFront>,
     id: CallId,
@@ -79,7 +80,7 @@
         }
         Err(ConnectionError::Exhausted) => return AttemptResult::ended(AttemptEnd::NotSent),
     };
-    // Just before the first byte: the list of backends as it is by now, and the time that is left.
+    // The backend may have started draining, and time has passed, while the call waited for the connection.
     front.sync_backends();
     let Some(left_ms) = front.with(|calls| calls.may_start(front.now(), id)) else {
         return AttemptResult::ended(AttemptEnd::NotSent);
@@ -102,13 +103,13 @@
         permit.connection_exhausted();
     }
     if !matches!(result, AttemptResult::Ended(AttemptEnd::Status(..), _)) {
-        // Nobody waits for what the backend may still do for this attempt.
+        // Without a status the backend may still be working on this attempt.
         stream.send_reset(Reason::CANCEL);
     }
     result
 }
 
-/// The head of the request to the backend.
+/// Builds the request headers for the backend.
 fn attempt_head(head: &request::Parts, target: &AttemptTarget, left_ms: f64) -> Request<()> {
     let mut request = Request::new(());
     *request.method_mut() = Method::POST;
@@ -129,7 +130,7 @@
     request
 }
 
-/// The client's URI, with the backend's authority where the client gave none.
+/// The client's URI, with the backend's address as authority if the client sent none.
 fn backend_uri(uri: &Uri, target: &AttemptTarget) -> Uri {
     if uri.authority().is_some() {
         return uri.clone();
--- a/src/grpc/attempt_result.rs
+++ b/src/grpc/attempt_result.rs
@@ -1,31 +1,32 @@
-//! How an attempt ended for its call, and what an HTTP/2 error tells about it.
+//! The result of an attempt, and its derivation from HTTP/2 errors.
 
 use super::call::LocalStatus;
 use super::status::AttemptEnd;
 use h2::Reason;
 use http::HeaderMap;
 
-/// How an attempt ended for its call.
+/// The result of an attempt, as its call's driver sees it.
 pub enum AttemptResult {
-    /// The backend or the connection ended it; with the backend's last headers, where it sent any.
+    /// The backend or its connection ended the attempt. Holds the trailers, or the headers of a
+    /// "Trailers-Only" response, if they carried a status.
     Ended(AttemptEnd, Option<HeaderMap>),
     /// The client disconnected.
     ClientDisconnected,
-    /// The call cannot go on, for its client's or the proxy's own reasons.
+    /// The call must end with this status, because of its client's request or a shutdown of the proxy.
     Aborted(LocalStatus),
 }
 
 impl AttemptResult {
-    /// An end without headers of the backend.
+    /// An attempt that ended without a status from the backend.
     pub fn ended(end: AttemptEnd) -> Self {
         Self::Ended(end, None)
     }
 }
 
-/// What an HTTP/2 error tells about the attempt.
+/// Maps an HTTP/2 error to the end of the attempt.
 pub fn end_of(error: &h2::Error) -> AttemptEnd {
     if error.is_go_away() && error.is_remote() {
-        // `h2` reports a GOAWAY only to streams above its last stream id, which the backend did not process.
+        // `h2` reports a GOAWAY only to streams above its last stream id; the backend did not process them.
         return AttemptEnd::Unprocessed;
     }
     match error.reason() {
--- a/src/grpc/call_driver.rs
+++ b/src/grpc/call_driver.rs
@@ -1,4 +1,5 @@
-//! Drives one call from its head to its end: admission, attempts as [`super::call_table`] directs them, and the status.
+//! Drives one call from its request headers to its status: admission, then the attempts that
+//! [`super::call_table`] directs.
 
 use super::admission::{AdmissionPermit, AdmissionResult};
 use super::attempt::{run_attempt, ClientStreams};
@@ -18,7 +19,7 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// Forwards one call, up to its one end.
+/// Forwards one call and sends its status.
 pub async fn drive_call(
     front: Rc<GrpcFront>,
     request: Request<RecvStream>,
@@ -55,7 +56,7 @@
     run_attempts(&front, new, &mut streams, permit).await;
 }
 
-/// Tells a client that does not speak gRPC so, in plain HTTP.
+/// Responds to a request that is not gRPC with an HTTP status.
 fn respond_without_grpc(method: &Method, respond: &mut SendResponse<Bytes>) {
     let is_post = method == Method::POST;
     let status = if is_post { StatusCode::UNSUPPORTED_MEDIA_TYPE } else { StatusCode::METHOD_NOT_ALLOWED };
@@ -64,7 +65,7 @@
     let _ = respond.send_response(response, true);
 }
 
-/// Makes attempts until the call has ended.
+/// Runs attempts until the call has ended.
 async fn run_attempts(
     front: &Rc<GrpcFront>,
     new: NewCall,
@@ -107,14 +108,14 @@
     open_call.ended = true;
 }
 
-/// Reads the head of a request; the error is the status that its client gets.
+/// Parses the headers of a request. The error is the status for the client.
 fn parse_head(front: &GrpcFront, head: &request::Parts, now: f64) -> Result<NewCall, LocalStatus> {
     let path = head.uri.path();
     let route = front.routes().find(path).cloned().map(Rc::new);
     let route = route.ok_or_else(|| LocalStatus::failed(Code::UNIMPLEMENTED, "no such method here"))?;
     let timeout_ms = parse_timeout(&head.headers)?;
     if let Some(name) = &route.key {
-        // Without its key a repetition could take effect twice.
+        // Without its key the backend could execute a retried call twice.
         let key = single(&head.headers, name).ok().flatten();
         if key.is_none_or(|key| key.is_empty()) {
             let message = "the method needs one idempotency key";
@@ -126,7 +127,7 @@
     Ok(NewCall { route, object, timeout_ms, received_ms: now })
 }
 
-/// The value of `grpc-timeout` in milliseconds, where there is one.
+/// Parses the `grpc-timeout` header, if present, to milliseconds.
 fn parse_timeout(headers: &HeaderMap) -> Result<Option<f64>, LocalStatus> {
     let value = single(headers, TIMEOUT);
     let value = value.map_err(|_| LocalStatus::failed(Code::INTERNAL, "grpc-timeout comes twice"))?;
@@ -136,20 +137,20 @@
     timeout_ms.map(Some).ok_or_else(unreadable)
 }
 
-/// How admission control decided about a call.
+/// The final decision of admission control about a call.
 enum Admission {
-    /// It goes on; streams have no permit.
+    /// The call may proceed. Streaming calls have no permit.
     Admitted(Option<AdmissionPermit>),
-    /// It is rejected.
+    /// The call is rejected.
     Rejected {
-        /// The retry pushback, in milliseconds; 0 for none.
+        /// The retry pushback, in milliseconds (0 for none).
         retry_after_ms: f64,
     },
-    /// Its client disconnected while it waited.
+    /// The client disconnected while the call was queued.
     ClientDisconnected,
 }
 
-/// Waits until admission control has decided about a unary call. Streams are not subject to it.
+/// Waits for the decision of admission control about a unary call. Streaming calls bypass it.
 async fn admit(
     front: &Rc<GrpcFront>,
     head: &request::Parts,
@@ -177,7 +178,7 @@
     }
 }
 
-/// Removes a call from the table where its driver ends early: by a panic, or because its client disconnected.
+/// Removes a call from the table if its driver ends early: on a panic, or when the client disconnects.
 struct OpenCallGuard<'f> {
     front: &'f GrpcFront,
     id: CallId,
--- a/src/grpc/call_table.rs
+++ b/src/grpc/call_table.rs
@@ -1,7 +1,7 @@
-//! The table of open calls: which backend a call's next attempt goes to (the decision module decides), whether there may
-//! be another attempt, how much time is left, and how the call ends. No I/O.
+//! The table of open calls: their attempts, retries, deadlines and outcomes. Backends are chosen by the
+//! policy ([`Pool::decide`]). No I/O.
 //!
-//! A call gets exactly one [`Directive`] that ends it, unless its client disconnects.
+//! Each call gets exactly one [`Directive`] that ends it, unless its client disconnects.
 
 use super::call::{AttemptTarget, CallId, CallOutcome, Directive, LocalStatus, NewCall};
 use super::pool::{Decision, Pool, PoolSpec};
@@ -13,30 +13,31 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// With less left of a call's time than this, in milliseconds, no attempt is made and the call counts as out of time.
+/// Minimum remaining time for a retry, in milliseconds. A call with less left counts as out of time.
 const MIN_REMAINING_MS: f64 = 10.0;
-/// The retry pushback of calls that are rejected because the table is full, in milliseconds.
+/// Retry pushback of calls that are rejected because the table is full, in milliseconds.
 const OVERLOAD_RETRY_AFTER_MS: f64 = 300.0;
-/// Multiplier that spreads the numbers of calls without affinity over the hash space (golden ratio, 64 bits).
+/// Fibonacci hashing multiplier (2^64 divided by the golden ratio) that spreads calls without affinity over
+/// backends.
 const CALL_HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// The bounds of the table.
+/// Limits of the table.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Open calls.
+    /// Maximum number of open calls.
     pub calls: usize,
-    /// Bytes of requests that are kept for a retry, of all calls together.
+    /// Maximum number of request bytes buffered for retries, over all calls.
     pub replay_total: usize,
 }
 
-/// The attempt that is under way.
+/// The attempt in progress.
 struct ActiveAttempt {
     number: u32,
     backend: EndpointId,
     sent_ms: f64,
-    /// When the attempt times out; infinite where no other attempt could follow it.
+    /// When the attempt times out, in Unix milliseconds; infinite if it cannot be retried after a time-out.
     due_ms: f64,
-    /// When its response's headers went to the client.
+    /// When its response headers were sent to the client.
     committed_ms: Option<f64>,
 }
 
@@ -46,13 +47,13 @@
     deadline_ms: f64,
     active: Option<ActiveAttempt>,
     attempts: u32,
-    /// The request's bytes are kept, so that it may be sent again.
+    /// Whether all request bytes so far are buffered, so that the request can be sent again.
     replayable: bool,
     replay_bytes: usize,
     last_end: Option<AttemptEnd>,
 }
 
-/// The open calls of a process, and the pools that they go to.
+/// The open calls of a process, and the backend pools.
 pub struct CallTable {
     pools: Vec<Pool>,
     calls: HashMap<CallId, Call>,
@@ -63,7 +64,7 @@
 }
 
 impl CallTable {
-    /// A table without calls, and pools without backends.
+    /// Creates a table without calls, whose pools have no backends.
     pub fn new(pools: Vec<PoolSpec>, bounds: Bounds, seed: u64) -> Self {
         let mut table =
             Self { pools: Vec::new(), calls: HashMap::new(), last_id: 0, bounds, replay_bytes: 0, seed };
@@ -71,8 +72,8 @@
         table
     }
 
-    /// Replaces the settings of pools by their names, and adds new pools. Pools that are not named any more stay for their
-    /// open calls.
+    /// Updates the settings of existing pools, matched by name, and adds new ones. Pools that are no longer
+    /// listed are kept for their open calls.
     pub fn reconfigure(&mut self, pools: Vec<PoolSpec>) {
         for spec in pools {
             match self.pools.iter_mut().find(|pool| pool.name() == spec.name) {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The index of a pool by its name.
+    /// Finds the index of a pool by its name.
     pub fn pool_index(&self, name: &str) -> Option<usize> {
         self.pools.iter().position(|pool| pool.name() == name)
     }
@@ -102,12 +103,12 @@
         }
     }
 
-    /// Whether a backend of a pool accepts new calls.
+    /// Whether a backend is listed in the pool and not draining.
     pub fn accepts_calls(&self, pool: usize, backend: EndpointId) -> bool {
         self.pools.get(pool).and_then(|pool| pool.backend(backend)).is_some_and(|backend| backend.live)
     }
 
-    /// Adds a call, unless the table is full.
+    /// Adds a call, or rejects it if the table is full.
     pub fn begin(&mut self, now: f64, new: NewCall) -> (CallId, Directive) {
         self.last_id += 1;
         let id = self.last_id;
@@ -139,8 +140,9 @@
         (id, self.carry_out(now, id, decision))
     }
 
-    /// The time that is left of the attempt under way, in milliseconds, just before its first byte. None where it must not
-    /// be sent any more, since its backend is draining or gone, or its time is over.
+    /// The remaining time of the current attempt, in milliseconds; called just before it is sent. Returns
+    /// `None` if it must not be sent, because its backend is draining or no longer listed, or its time is
+    /// over.
     pub fn may_start(&mut self, now: f64, id: CallId) -> Option<f64> {
         let call = self.calls.get(&id)?;
         let attempt = call.active.as_ref()?;
@@ -148,19 +150,20 @@
         (left >= 1.0 && self.accepts_calls(call.route.pool, attempt.backend)).then_some(left)
     }
 
-    /// When the attempt under way times out: at its own time-out until its response begins, and at the call's deadline.
+    /// When the current attempt times out, in Unix milliseconds: at the call's deadline, or earlier at the
+    /// attempt's own time-out if its response has not begun.
     pub fn due_ms(&self, id: CallId) -> f64 {
         let Some(call) = self.calls.get(&id) else { return f64::NEG_INFINITY };
         let uncommitted = call.active.as_ref().filter(|attempt| attempt.committed_ms.is_none());
         uncommitted.map_or(f64::INFINITY, |attempt| attempt.due_ms).min(call.deadline_ms)
     }
 
-    /// When the call's time is over.
+    /// The call's deadline, in Unix milliseconds.
     pub fn deadline_ms(&self, id: CallId) -> f64 {
         self.calls.get(&id).map_or(f64::NEG_INFINITY, |call| call.deadline_ms)
     }
 
-    /// The response's headers go to the client: the attempt is the call's last one.
+    /// The response headers were sent to the client, so the call can no longer be retried.
     pub fn committed(&mut self, now: f64, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let pool = call.route.pool;
@@ -171,8 +174,9 @@
         self.pools[pool].decide(now, id, &event);
     }
 
-    /// Reserves `bytes` more of the call's request for a retry, up to `max_bytes` a call. Where they exceed a bound, what was
-    /// kept is to be dropped, and the call may only be retried where no byte of it was sent.
+    /// Reserves retry buffer space for `bytes` more of the call's request, up to `max_bytes` per call.
+    /// Returns false if a limit is exceeded: the caller must drop its buffer, and the call is no longer
+    /// retried.
     pub fn reserve_replay(&mut self, id: CallId, bytes: usize, max_bytes: usize) -> bool {
         let Some(call) = self.calls.get_mut(&id).filter(|call| call.replayable) else { return false };
         let exceeds_call = call.replay_bytes + bytes > max_bytes;
@@ -193,7 +197,7 @@
         }
     }
 
-    /// The attempt under way ended. A directive other than [`Directive::StartAttempt`] ends the call.
+    /// The current attempt ended. Any directive other than [`Directive::StartAttempt`] ends the call.
     pub fn attempt_ended(&mut self, now: f64, id: CallId, end: AttemptEnd) -> Directive {
         let Some(call) = self.calls.get_mut(&id) else { return already_ended() };
         let Some(attempt) = call.active.take() else { return already_ended() };
@@ -220,7 +224,7 @@
         self.end_with_attempt(id, committed, classified, remaining_ms)
     }
 
-    /// The client disconnected, or its half of the call failed: nothing is owed to it.
+    /// The client disconnected or reset the call. No status is sent.
     pub fn client_disconnected(&mut self, now: f64, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let (attempt, pool) = (call.active.take(), call.route.pool);
@@ -232,7 +236,7 @@
         self.pools[pool].counters.count(CallOutcome::ClientDisconnected, Code::CANCELLED);
     }
 
-    /// The call cannot go on, for its client's or the proxy's own reasons: it ends with this status.
+    /// Cancels the current attempt, if any, and ends the call with this status.
     pub fn abort(&mut self, now: f64, id: CallId, status: LocalStatus) -> Directive {
         let Some(call) = self.calls.get_mut(&id) else { return already_ended() };
         let pool = call.route.pool;
@@ -246,12 +250,12 @@
         Directive::Respond(status)
     }
 
-    /// How many calls are open.
+    /// The number of open calls.
     pub fn open(&self) -> usize {
         self.calls.len()
     }
 
-    /// Bytes of requests that are kept for a retry.
+    /// The number of request bytes reserved for retries.
     pub fn replay_bytes(&self) -> usize {
         self.replay_bytes
     }
@@ -261,7 +265,7 @@
         self.calls.remove(&id);
     }
 
-    /// Turns the decision module's decision about a call into a directive.
+    /// Turns the policy's decision about a call into a directive.
     fn carry_out(&mut self, now: f64, id: CallId, decision: Option<Decision>) -> Directive {
         match decision {
             Some(Decision::Forward { to, timeout_ms }) => self.start_attempt(now, id, to, timeout_ms),
@@ -274,10 +278,11 @@
         let Some(call) = self.calls.get_mut(&id) else { return already_ended() };
         let pool = &mut self.pools[call.route.pool];
         let Some(address) = pool.backend(backend).map(|backend| backend.address) else {
-            // The decision module names only listed backends; a call must not stay open if it ever does not.
+            // The policy chooses only listed backends. If it ever does not, the call must still end.
             return self.end_by_policy(now, id, None);
         };
-        // An attempt's own time-out is of use only where another attempt may follow.
+        // Only attempts of idempotent unary calls have a time-out of their own; others have until the call's
+        // deadline.
         let due_ms = match (call.route.kind, call.route.idempotency) {
             (MethodKind::Unary, Idempotency::Idempotent | Idempotency::WithKey) => now + timeout_ms,
             _ => f64::INFINITY,
@@ -291,7 +296,7 @@
         Directive::StartAttempt(AttemptTarget { attempt, backend, address })
     }
 
-    /// Ends a call that the decision module rejected, with a retry pushback, or failed.
+    /// Ends a call that the policy rejected, with a retry pushback in milliseconds, or failed (`None`).
     fn end_by_policy(&mut self, now: f64, id: CallId, rejected: Option<f64>) -> Directive {
         let Some(call) = self.calls.get(&id) else { return already_ended() };
         let (last_end, pool) = (call.last_end, call.route.pool);
@@ -313,7 +318,7 @@
         Directive::Respond(LocalStatus { code, message, pushback, outcome })
     }
 
-    /// Ends a call with the end of its last attempt.
+    /// Ends a call that is not retried, with the result of its last attempt.
     fn end_with_attempt(
         &mut self,
         id: CallId,
@@ -349,12 +354,12 @@
     }
 }
 
-/// The directive for a driver that reports on a call that has ended already.
+/// The directive for a report about a call that has already ended.
 fn already_ended() -> Directive {
     Directive::Respond(LocalStatus::already_ended())
 }
 
-/// The event of an attempt that was cancelled and ends its call.
+/// The event for an attempt that is cancelled together with its call.
 fn cancelled(now: f64, id: CallId, attempt: &ActiveAttempt) -> Event {
     Event::AttemptEnded {
         id,
@@ -366,8 +371,8 @@
     }
 }
 
-/// When an attempt counts as answered: a stream may last for any time, so that only its beginning tells how fast a backend
-/// is.
+/// The time up to which an attempt's latency is measured. For streams it is the start of the response,
+/// because their total duration says nothing about the backend's speed.
 fn answered_ms(route: &Route, attempt: &ActiveAttempt, now: f64) -> f64 {
     match (route.kind, attempt.committed_ms) {
         (MethodKind::Stream, Some(committed_ms)) => committed_ms,
@@ -375,7 +380,8 @@
     }
 }
 
-/// What the decision module learns of an attempt's end. A deadline that a stream reached proves nothing about its backend.
+/// The outcome that is reported to the policy. A stream that reaches its deadline is not counted against its
+/// backend.
 fn outcome_for_policy(
     route: &Route,
     end: AttemptEnd,
@@ -390,7 +396,7 @@
     }
 }
 
-/// The proxy's own status of a call whose last attempt ended without one, or that had no attempt.
+/// The code and message for a call whose last attempt ended without a status, or that had no attempt.
 fn unforwarded_status(last_end: Option<AttemptEnd>, out_of_time: bool) -> (Code, &'static str) {
     match last_end {
         _ if out_of_time => (Code::DEADLINE_EXCEEDED, "the call's time is over"),
@@ -403,7 +409,7 @@
     }
 }
 
-/// The message about an attempt that ended without a status and ends its call.
+/// The message for a call whose final attempt ended without a status.
 fn message_of_end(end: Option<AttemptEnd>) -> &'static str {
     match end {
         Some(AttemptEnd::Truncated) => "the backend's answer was cut",
--- a/src/grpc/config.rs
+++ b/src/grpc/config.rs
@@ -1,4 +1,4 @@
-//! The operator file of gRPC pass-through, `serve --grpc FILE`. Without the file the front is off.
+//! The configuration file of the gRPC front, `serve --grpc FILE`. Without it the front is disabled.
 
 use super::limits::GrpcLimits;
 use super::pool::PoolSpec;
@@ -13,32 +13,32 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The operator file.
+/// The configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GrpcConfig {
-    /// Where clients connect.
+    /// The listen address, `ADDRESS:PORT`.
     pub listen: String,
-    /// Bounds.
+    /// Limits of connections, calls and buffers.
     #[serde(default)]
     pub limits: GrpcLimits,
-    /// Fair queues ahead of unary calls, in the form of the admission file.
+    /// Admission control of unary calls, in the format of the admission file.
     #[serde(rename = "door", default)]
     pub admission: Option<AdmissionConfig>,
-    /// The header whose number (0 to 255) is a call's tenant; without it each route is a tenant.
+    /// The header that holds a call's tenant, a number from 0 to 255. If unset, each route is a tenant.
     #[serde(default)]
     pub tenant_header: Option<String>,
-    /// The pools.
+    /// The backend pools.
     pub pools: Vec<PoolConfig>,
-    /// The methods.
+    /// The routes from methods to pools.
     pub routes: Vec<RouteConfig>,
-    /// The file.
+    /// The path of the file, for reloads.
     #[serde(skip)]
     pub path: PathBuf,
 }
 
 impl GrpcConfig {
-    /// Reads and checks the file.
+    /// Reads and validates the file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
@@ -47,7 +47,7 @@
         Ok(config)
     }
 
-    /// Reads and checks the same file again.
+    /// Reads and validates the same file again. The listen address must not change.
     pub fn reload(&self) -> Result<Self, ConfigError> {
         let fresh = Self::read(&self.path)?;
         if fresh.listen != self.listen {
@@ -80,12 +80,12 @@
         self.compile().map(drop).map_err(|error| FieldError::new("routes", error))
     }
 
-    /// Where clients connect.
+    /// The parsed listen address.
     pub fn at(&self) -> SocketAddr {
         parse_address(&self.listen).expect("checked when read")
     }
 
-    /// The table of methods, and the pools with their decision modules' settings.
+    /// Compiles the routing table and the pools' policy settings.
     pub fn compile(&self) -> Result<(Routes, Vec<PoolSpec>), RouteError> {
         compile(&self.pools, &self.routes)
     }
--- a/src/grpc/frames.rs
+++ b/src/grpc/frames.rs
@@ -1,42 +1,43 @@
-//! Length-prefixed messages in a stream of bytes (gRPC over HTTP/2): a compressed flag of one byte, a length of four, and
-//! the message. The tracker reads bytes as they pass and keeps none of them.
+//! Length-prefixed messages in a byte stream (gRPC over HTTP/2): a one-byte compressed flag, a four-byte
+//! length and the message. The tracker validates prefixes and finds message boundaries without buffering
+//! messages.
 
-/// Bytes of a message's prefix.
+/// Length of a message prefix, in bytes.
 pub const PREFIX: usize = 5;
 
-/// A stream that is no sequence of messages.
+/// A byte stream that violates the framing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// The first byte of a prefix is neither 0 nor 1.
+    /// The compressed flag is neither 0 nor 1.
     #[error("a message's compressed-flag is {0}")]
     Flag(u8),
-    /// A message is longer than allowed.
+    /// A message exceeds the size limit.
     #[error("a message of {0} bytes is over the limit")]
     TooLong(u32),
 }
 
-/// The position within a stream of messages.
+/// Tracks the position in a stream of messages.
 #[derive(Clone, Debug)]
 pub struct MessageTracker {
     prefix: [u8; PREFIX],
-    /// Bytes of the prefix that were read.
+    /// Number of prefix bytes read; 0 between messages.
     prefix_bytes: usize,
-    /// Bytes of the message that are still to come.
+    /// Number of message bytes still expected.
     remaining: u32,
     max_message_bytes: u32,
-    /// Complete messages so far.
+    /// Number of complete messages so far.
     pub messages: u64,
-    /// Bytes so far.
+    /// Number of bytes so far.
     pub bytes: u64,
 }
 
 impl MessageTracker {
-    /// A tracker at a stream's start; messages may have at most `max_message_bytes`.
+    /// Creates a tracker at the start of a stream, for messages of at most `max_message_bytes`.
     pub fn new(max_message_bytes: u32) -> Self {
         Self { prefix: [0; PREFIX], prefix_bytes: 0, remaining: 0, max_message_bytes, messages: 0, bytes: 0 }
     }
 
-    /// Reads the next bytes of the stream.
+    /// Processes the next bytes of the stream.
     pub fn feed(&mut self, mut bytes: &[u8]) -> Result<(), MessageError> {
         self.bytes += bytes.len() as u64;
         while !bytes.is_empty() {
@@ -68,7 +69,7 @@
         Ok(())
     }
 
-    /// Whether the position is within a message, so that a stream that ends here is truncated.
+    /// Whether the position is inside a message, so that a stream that ends here is truncated.
     pub fn within(&self) -> bool {
         self.prefix_bytes > 0
     }
--- a/src/grpc/front.rs
+++ b/src/grpc/front.rs
@@ -1,5 +1,5 @@
-//! The front as all its tasks share it: the table of calls, the routes, the connections to backends, and the list of
-//! backends that follows the operator file or discovery.
+//! State shared by all tasks of the gRPC front: the call table, the routes, the connections to backends, and
+//! the backend lists from the configuration file or discovery.
 
 use super::admission::CallAdmission;
 use super::call_table::CallTable;
@@ -16,14 +16,14 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The name that admission control's metrics have for this front.
+/// Prefix of the names of this front's admission metrics.
 const ADMISSION_METRICS_PREFIX: &str = "grpc_door";
-/// The greatest tenant that a header may name.
+/// Largest tenant number that the tenant header may hold.
 const MAX_TENANT: u32 = 255;
 
-/// The front.
+/// The gRPC front.
 pub struct GrpcFront {
-    /// The executor, for the clock and the list of endpoints.
+    /// The executor; provides the clock, the endpoint list and task spawning.
     pub executor: Rc<Executor>,
     /// Connections to backends.
     pub upstream: Rc<Upstream>,
@@ -34,21 +34,21 @@
     config: RefCell<GrpcConfig>,
     limits: GrpcLimits,
     metrics: RefCell<Metrics>,
-    /// The backends of each pool as last listed, by the pool's index.
+    /// The current backends of each pool, by the pool's index.
     listed: RefCell<Vec<Vec<Backend>>>,
-    /// The version of the endpoint list from which the backends were taken.
+    /// The version of the endpoint list that the backends were last updated from.
     list_version: Cell<u64>,
     not_grpc: Cell<u64>,
     unrouted: Cell<u64>,
-    /// Notified when open calls are to end.
+    /// Notified when open calls must be aborted.
     abort: Notify,
     aborting: Cell<bool>,
-    /// Notified when a new connection exceeds the limit, so that one without open calls makes room for it.
+    /// Notified when the client connection limit is reached, so that an idle connection closes to make room.
     pub(super) connection_limit_reached: Notify,
 }
 
 impl GrpcFront {
-    /// The front of an operator file, with its backends listed.
+    /// Creates a front from its configuration.
     pub fn new(executor: Rc<Executor>, config: GrpcConfig, seed: u64) -> Result<Rc<Self>, RouteError> {
         let (routes, pools) = config.compile()?;
         let upstream =
@@ -76,33 +76,33 @@
         Ok(front)
     }
 
-    /// The time, in Unix milliseconds.
+    /// The current time, in Unix milliseconds.
     pub fn now(&self) -> f64 {
         self.executor.clock.now()
     }
 
-    /// The bounds.
+    /// The configured limits. They do not change on a reload.
     pub fn limits(&self) -> &GrpcLimits {
         &self.limits
     }
 
-    /// The table of methods as it is by now.
+    /// The current routing table.
     pub fn routes(&self) -> Rc<Routes> {
         self.routes.borrow().clone()
     }
 
-    /// Runs `act` on the table of calls.
+    /// Runs `act` on the call table.
     pub fn with<R>(&self, act: impl FnOnce(&mut CallTable) -> R) -> R {
         act(&mut self.calls.borrow_mut())
     }
 
-    /// Replaces the operator file: backends, pools, methods, and the weights of admission control, whose bounds need a new
-    /// process.
+    /// Applies a reloaded configuration: pools, backends, routes, and the weights and exempt networks of admission
+    /// control. All other limits change only with a new process.
     pub fn reconfigure(&self, fresh: GrpcConfig) -> Result<(), RouteError> {
         let (mut routes, pools) = fresh.compile()?;
         let names: Vec<String> = pools.iter().map(|pool| pool.name.clone()).collect();
         self.with(|calls| calls.reconfigure(pools));
-        // Pools keep their index in the table of calls; their order in the file may differ.
+        // Existing pools keep their index in the call table, whatever their order in the new file.
         let index = |name: &String| self.with(|calls| calls.pool_index(name)).unwrap_or(0);
         let indices: Vec<usize> = names.iter().map(index).collect();
         routes.renumber(|pool| indices[pool]);
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    /// Takes the list of endpoints as it is by now, where it has changed.
+    /// Updates the backends if the endpoint list has changed.
     pub fn sync_backends(&self) {
         if self.list_version.get() != self.executor.endpoint_list_changes() {
             self.list_backends();
@@ -135,7 +135,8 @@
         }
     }
 
-    /// Replaces a pool's list of backends where it differs, and closes connections that no pool uses any more.
+    /// Replaces a pool's backends if they differ, and closes connections to addresses that no pool uses any
+    /// more.
     fn replace_backends(&self, index: usize, pool: &str, fresh: Vec<Backend>) {
         let mut listed = self.listed.borrow_mut();
         if listed.len() <= index {
@@ -157,7 +158,7 @@
         tracing::info!(pool, backends = backends.len(), live, "gRPC: backends listed");
     }
 
-    /// The metrics, in the Prometheus text format.
+    /// Encodes the metrics in the Prometheus text format.
     pub fn metrics(&self) -> String {
         let calls = self.calls.borrow();
         let text = self.metrics.borrow_mut().text(self.now(), &calls, self.upstream.len());
@@ -167,8 +168,8 @@
         text + &own + &self.admission.with(AdmissionControl::metrics).unwrap_or_default()
     }
 
-    /// The share of a pool's backends that accept calls and that the decision module does not avoid; none where there is no
-    /// such pool.
+    /// The share of a pool's backends that are live and not ejected by the policy. Returns `None` if there is
+    /// no such pool.
     pub fn usable_share(&self, pool: &str) -> Option<f64> {
         let calls = self.calls.borrow();
         let pool = calls.pools().iter().find(|other| other.name() == pool)?;
@@ -176,7 +177,8 @@
         Some(usable as f64 / pool.backends().count().max(1) as f64)
     }
 
-    /// A call's tenant for admission control: the number in the configured header, or else its request class.
+    /// A call's tenant for admission control: the number in the tenant header (0 if missing or invalid), or
+    /// the request class if no header is configured.
     pub fn tenant(&self, class: usize, header: impl Fn(&str) -> Option<u32>) -> u32 {
         match &self.config.borrow().tenant_header {
             Some(name) => header(name).filter(|tenant| *tenant <= MAX_TENANT).unwrap_or(0),
@@ -189,22 +191,22 @@
         self.not_grpc.set(self.not_grpc.get() + 1);
     }
 
-    /// Counts a call that has no route, or whose head cannot be used.
+    /// Counts a call without a route or with invalid request headers.
     pub fn count_unrouted(&self) {
         self.unrouted.set(self.unrouted.get() + 1);
     }
 
-    /// Observes the time from a call's head to its response's headers, in milliseconds.
+    /// Records the time from request headers to response headers, in milliseconds.
     pub fn observe_head(&self, ms: f64) {
         self.metrics.borrow().first_head.observe(ms / 1_000.0);
     }
 
-    /// Whether open calls are being aborted.
+    /// Whether [`Self::abort_calls`] was called.
     pub fn is_aborting(&self) -> bool {
         self.aborting.get()
     }
 
-    /// Waits until open calls are to be aborted.
+    /// Completes when [`Self::abort_calls`] is called.
     pub async fn aborted(&self) {
         self.abort.notified().await;
     }
--- a/src/grpc/limits.rs
+++ b/src/grpc/limits.rs
@@ -1,51 +1,52 @@
-//! The bounds of gRPC pass-through, `limits` of its operator file.
+//! Limits of the gRPC front: the field `limits` of its configuration file.
 
 use super::call_table::Bounds;
 use crate::state::connections::ConnectionLimits;
 use serde::Deserialize;
 use thiserror::Error;
 
-/// The greatest time that a field of `limits` may have, in milliseconds.
+/// Largest value of the time limits, in milliseconds.
 const MAX_LIMIT_MS: f64 = 3_600_000.0;
-/// Bounds of the front; times are in milliseconds.
+
+/// Limits of the front. Times are in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct GrpcLimits {
-    /// Clients' connections at once.
+    /// Maximum number of client connections.
     pub clients: usize,
-    /// Calls at once on one of them.
+    /// Maximum number of concurrent calls on a client connection.
     pub streams_per_client: u32,
-    /// Calls at once.
+    /// Maximum number of open calls.
     pub calls: usize,
-    /// Connections to backends at once.
+    /// Maximum number of connections to all backends.
     pub connections: usize,
-    /// Connections to one backend.
+    /// Maximum number of connections to one backend.
     pub connections_per_backend: usize,
-    /// Calls on a connection to a backend from which on another connection is opened.
+    /// Number of calls on a connection to a backend above which another connection is opened.
     pub spread: usize,
-    /// Calls on a connection to a backend.
+    /// Maximum number of concurrent calls on a connection to a backend.
     pub streams_per_connection: usize,
-    /// The longest list of headers, either way.
+    /// Maximum size of a header list, in either direction.
     pub header_bytes: u32,
-    /// The longest message, either way.
+    /// Maximum size of a message, in either direction.
     pub message_bytes: u32,
-    /// A stream's window, either way: what waits here of one call for a slow reader.
+    /// Flow-control window of a stream, in either direction; bounds the bytes buffered for a slow receiver.
     pub window_bytes: u32,
-    /// Bytes of a call's request that are kept for a retry.
+    /// Maximum number of request bytes buffered for retries, per call.
     pub replay_bytes: usize,
-    /// Bytes of all calls' requests that are kept for a retry.
+    /// Maximum number of request bytes buffered for retries, over all calls.
     pub replay_total_bytes: usize,
-    /// How long a client's preface and settings may take.
+    /// Time allowed for the HTTP/2 handshake of a client connection.
     pub first_ms: f64,
-    /// How long a client's connection may be without a call.
+    /// Time after which a client connection without calls is closed.
     pub idle_ms: f64,
-    /// How long a connection to a backend may take to be established.
+    /// Time allowed for establishing a connection to a backend.
     pub connect_ms: f64,
-    /// How often a connection to a backend is pinged.
+    /// Interval of keepalive pings on connections to backends.
     pub keepalive_ms: f64,
-    /// How long the answer to a ping may take.
+    /// Time allowed for the response to a keepalive ping.
     pub keepalive_timeout_ms: f64,
-    /// How long open calls may go on after SIGTERM and the 0.7 s in which new ones are accepted.
+    /// Grace period of open calls at shutdown; it begins when the listeners close, 0.7 s after SIGTERM.
     pub stop_ms: f64,
 }
 
@@ -74,7 +75,7 @@
     }
 }
 
-/// A bound that is out of its range.
+/// A limit outside its permitted range.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("`{name}` {value} is not within {min} to {max}")]
 pub struct LimitError {
@@ -85,7 +86,7 @@
 }
 
 impl GrpcLimits {
-    /// Checks every bound against its range.
+    /// Checks each limit against its range.
     pub fn check(&self) -> Result<(), LimitError> {
         let ranges = [
             ("clients", self.clients as f64, 1.0, 65_536.0),
@@ -116,12 +117,12 @@
         Ok(())
     }
 
-    /// The bounds of open calls.
+    /// The limits of the call table.
     pub fn of_calls(&self) -> Bounds {
         Bounds { calls: self.calls, replay_total: self.replay_total_bytes }
     }
 
-    /// The bounds of connections to backends.
+    /// The limits of connections to backends.
     pub fn of_connections(&self) -> ConnectionLimits {
         ConnectionLimits {
             total: self.connections,
--- a/src/grpc/metrics.rs
+++ b/src/grpc/metrics.rs
@@ -1,4 +1,4 @@
-//! The front's metrics in the Prometheus text format (`prometheus-client`), read at the second address.
+//! Prometheus metrics of the gRPC front, served by the admin listener.
 
 use super::call_table::CallTable;
 use super::pool::{Pool, PoolCounters};
@@ -17,7 +17,7 @@
 type Labels = Vec<(String, String)>;
 type Counters = Family<Labels, Counter>;
 
-/// The metrics, and the pools' counters as they were last added to them.
+/// The registered metrics.
 pub struct Metrics {
     registry: Registry,
     calls: Counters,
@@ -32,8 +32,9 @@
     open: Gauge,
     replay_bytes: Gauge,
     connections: Gauge,
-    /// From a call's head to its response's headers, in seconds.
+    /// Time from request headers to response headers, in seconds.
     pub first_head: Histogram,
+    /// The counters of each pool at the last update, by pool name.
     last_reported: HashMap<String, PoolCounters>,
 }
 
@@ -81,7 +82,7 @@
 }
 
 impl Metrics {
-    /// The metrics in the text format, with the counts up to now.
+    /// Updates the metrics and encodes them in the Prometheus text format.
     pub fn text(&mut self, now: f64, calls: &CallTable, connections: usize) -> String {
         for pool in calls.pools() {
             self.update_pool(now, pool);
@@ -94,7 +95,7 @@
         text
     }
 
-    /// Adds what a pool counted since the last update.
+    /// Adds the increase of a pool's counters since the last update, and sets its gauges.
     fn update_pool(&mut self, now: f64, pool: &Pool) {
         let (name, counters) = (pool.name().to_string(), &pool.counters);
         let last = self.last_reported.entry(name.clone()).or_default();
--- a/src/grpc/mod.rs
+++ b/src/grpc/mod.rs
@@ -1,28 +1,28 @@
-//! gRPC pass-through over HTTP/2 (RFC 9113): unary and streaming calls with their trailers, behind the same decision module
-//! as every other front. The decision module chooses the backend, decides about retries and rejects calls. What gRPC adds
-//! is decided here: how a status classifies an attempt, what may be sent twice, and how much time is left.
+//! gRPC proxying over HTTP/2 (RFC 9113) for unary and streaming calls. As for the other fronts, the policy
+//! module chooses backends, decides about retries and rejects calls under overload. This module adds the
+//! rules of gRPC: how a status classifies an attempt, which requests may be sent again, and deadlines.
 //!
-//! | module | what it does | I/O |
+//! | module | purpose | I/O |
 //! | --- | --- | --- |
-//! | [`status`] | status codes, and the classification of an attempt's end | none |
-//! | [`timeout`] | `grpc-timeout`, parsed and written | none |
-//! | [`frames`] | length-prefixed messages in a stream of bytes | none |
-//! | [`headers`] | headers and trailers: which are forwarded, and the status in them | none |
-//! | [`routes`], [`route_compiler`] | the table of methods, and how it is made from the file | none |
-//! | [`call`] | what a call is, what its driver does next, how it ends | none |
-//! | [`pool`] | a pool of backends with its decision module | none |
-//! | [`call_table`] | the open calls: attempts, deadlines, ends | none |
-//! | [`admission`] | fair queues ahead of unary calls | none |
-//! | [`config`], [`limits`], [`pool_config`], [`route_config`] | the operator file | a file |
-//! | [`metrics`] | metrics in the Prometheus text format | none |
-//! | [`front`] | the state that all tasks of the front share | none |
-//! | [`admin`] | the front's state at the second address | none |
+//! | [`status`] | status codes, and the classification of attempts | none |
+//! | [`timeout`] | parsing and formatting of `grpc-timeout` | none |
+//! | [`frames`] | framing of messages | none |
+//! | [`headers`] | forwarded headers and trailers, and the status in them | none |
+//! | [`routes`], [`route_compiler`] | the routing table, and its compilation from the configuration | none |
+//! | [`call`] | types of a call, its next step and its outcome | none |
+//! | [`pool`] | a pool of backends with its policy instance | none |
+//! | [`call_table`] | the open calls: attempts, deadlines, outcomes | none |
+//! | [`admission`] | admission control of unary calls | none |
+//! | [`config`], [`limits`], [`pool_config`], [`route_config`] | the configuration file | file |
+//! | [`metrics`] | Prometheus metrics | none |
+//! | [`front`] | state shared by all tasks of the front | none |
+//! | [`admin`] | the status endpoint of the admin listener | none |
 //! | [`upstream`] | connections to backends | sockets |
-//! | [`flow_control`] | sending within the receiver's window | sockets |
-//! | [`request_stream`], [`response_stream`] | the two halves of a call at its client | sockets |
-//! | [`attempt`], [`attempt_result`] | one attempt of a call, and how it ended | sockets |
-//! | [`call_driver`] | one call, from its head to its end | sockets |
-//! | [`server`] | clients' connections | sockets |
+//! | [`flow_control`] | HTTP/2 flow control | sockets |
+//! | [`request_stream`], [`response_stream`] | the request and response streams of a client | sockets |
+//! | [`attempt`], [`attempt_result`] | one attempt of a call, and its result | sockets |
+//! | [`call_driver`] | one call, from its request headers to its status | sockets |
+//! | [`server`] | listener and client connections | sockets |
 //!
 //! The design note is `docs/design-grpc.md`; operators read `docs/grpc.md`.
 
--- a/src/grpc/pool.rs
+++ b/src/grpc/pool.rs
@@ -1,7 +1,7 @@
-//! A pool of backends behind a decision module of its own. No I/O.
+//! A pool of backends with its own instance of the routing policy. No I/O.
 //!
-//! The backends are the module's caches, and nothing is cached. An endpoint that stands for what lies behind all backends is
-//! its origin, so that errors that all backends return are attributed to that and eject no backend.
+//! To the policy the backends are caches that never hold a copy. A virtual origin endpoint represents
+//! whatever all backends depend on: errors that all of them return are attributed to it and eject no backend.
 
 use super::call::CallOutcome;
 use super::status::{Code, CODES};
@@ -10,34 +10,35 @@
 use crate::{Action, Endpoint, EndpointId, EndpointState, Event, PolicySettings, Router, Tier};
 use std::collections::BTreeMap;
 
-/// The endpoint that stands for what lies behind every backend.
+/// Id of the virtual origin endpoint, which no backend has.
 pub const ORIGIN_ID: EndpointId = EndpointId::MAX;
 
 /// The configuration of a pool.
 #[derive(Clone, Debug)]
 pub struct PoolSpec {
-    /// Its name.
+    /// The pool's name.
     pub name: String,
-    /// The decision module's settings, with one request class for each route.
+    /// The policy settings, with one request class per route.
     pub settings: PolicySettings,
 }
 
-/// Counters of a pool since the start of the process.
+/// Counters of a pool since process start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolCounters {
-    /// Calls by [`CallOutcome`], in its order.
+    /// Ended calls, indexed by [`CallOutcome`].
     pub outcomes: [u64; 4],
-    /// Calls by the status that their client got.
+    /// Ended calls, indexed by status code.
     pub codes: [u64; CODES],
-    /// Attempts made.
+    /// Attempts started.
     pub attempts: u64,
-    /// Attempts after the first one of their call.
+    /// Attempts other than the first one of a call.
     pub retries: u64,
-    /// Attempts not sent, since their backend began to drain or their time was over while they waited.
+    /// Attempts that were started but not sent, because their backend began to drain, their time was over or
+    /// the connection accepted no more streams.
     pub stale: u64,
-    /// Calls that failed by a status in their trailers after their response had begun.
+    /// Calls that failed after their response headers were sent.
     pub failed_after_data: u64,
-    /// Calls whose deadline was the proxy's own, shorter than their client's.
+    /// Calls whose route has a shorter deadline than the client's timeout.
     pub shortened: u64,
 }
 
@@ -49,37 +50,37 @@
     }
 }
 
-/// What the decision module wants of a call.
+/// The policy's decision about a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// Make an attempt at a backend.
+    /// Start an attempt.
     Forward {
-        /// The backend.
+        /// The backend's id.
         to: EndpointId,
         /// The attempt's time-out, in milliseconds.
         timeout_ms: f64,
     },
     /// Reject the call.
     Reject {
-        /// The retry pushback, in milliseconds; 0 for none.
+        /// The retry pushback, in milliseconds (0 for none).
         retry_after_ms: f64,
     },
     /// Fail the call.
     Fail,
 }
 
-/// A pool with its decision module.
+/// A pool of backends.
 pub struct Pool {
     name: String,
     router: Router,
     backends: BTreeMap<EndpointId, Backend>,
-    /// Counters of its calls.
+    /// Counters of the pool's calls.
     pub counters: PoolCounters,
     actions: Vec<Action>,
 }
 
 impl Pool {
-    /// A pool without backends.
+    /// Creates a pool without backends.
     pub fn new(spec: PoolSpec, seed: u64) -> Self {
         Self {
             name: spec.name,
@@ -90,17 +91,17 @@
         }
     }
 
-    /// Its name.
+    /// The pool's name.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Replaces the decision module's settings.
+    /// Replaces the policy settings.
     pub fn reconfigure(&mut self, settings: PolicySettings) {
         self.router.reconfigure(settings);
     }
 
-    /// Replaces the list of backends. No new attempt goes to one that is draining or absent.
+    /// Replaces the backends. Backends that are draining or absent get no new attempts.
     pub fn set_backends(&mut self, now: f64, backends: &[Backend]) {
         self.backends = backends.iter().map(|backend| (backend.id, backend.clone())).collect();
         let mut entries: Vec<Endpoint> = self.backends.values().map(backend_endpoint).collect();
@@ -110,27 +111,27 @@
         self.actions.clear();
     }
 
-    /// A backend by its id.
+    /// Finds a backend by its id.
     pub fn backend(&self, id: EndpointId) -> Option<&Backend> {
         self.backends.get(&id)
     }
 
-    /// All backends as last listed.
+    /// The current backends.
     pub fn backends(&self) -> impl Iterator<Item = &Backend> {
         self.backends.values()
     }
 
-    /// How many backends accept new calls.
+    /// The number of live backends, which accept new calls.
     pub fn active_backends(&self) -> usize {
         self.backends.values().filter(|backend| backend.live).count()
     }
 
-    /// How many backends the decision module avoids though they accept new calls.
+    /// The number of backends that the policy has ejected.
     pub fn avoided_backends(&self, now: f64) -> usize {
         self.router.ejected_caches(micros_from_ms(now))
     }
 
-    /// Hands the decision module an event, and returns what it wants of the call `id`.
+    /// Passes an event to the policy and returns its decision about the call `id`, if any.
     pub fn decide(&mut self, now: f64, id: u64, event: &Event) -> Option<Decision> {
         self.router.handle(micros_from_ms(now), event, &mut self.actions);
         let mut decisions = self.actions.drain(..).filter_map(|action| decision_about(id, action));
@@ -138,8 +139,8 @@
     }
 }
 
-/// The decision about the call `id` that an action holds. Attempts are cancelled by their driver, and health checks and
-/// watches are turned off, so that the other actions mean nothing here.
+/// Extracts the decision about the call `id` from an action. All other actions are ignored: attempts are
+/// cancelled by their driver, and health checks and watches are disabled in the settings.
 fn decision_about(id: u64, action: Action) -> Option<Decision> {
     match action {
         Action::Forward { id: of, to, timeout, .. } if of == id => {
@@ -153,13 +154,13 @@
     }
 }
 
-/// A backend as the decision module's list has it.
+/// The policy's endpoint for a backend.
 fn backend_endpoint(backend: &Backend) -> Endpoint {
     let state = if backend.live { EndpointState::Active } else { EndpointState::Draining };
     endpoint(backend.id, Tier::Cache, state, backend.weight)
 }
 
-/// An entry of the decision module's list: warm since long ago, in the only zone.
+/// An endpoint in the only zone, past its slow start.
 fn endpoint(id: EndpointId, tier: Tier, state: EndpointState, weight: f64) -> Endpoint {
     Endpoint { id, tier, state, started_at: 0, weight, zone: 0, cell: 0 }
 }
--- a/src/grpc/pool_config.rs
+++ b/src/grpc/pool_config.rs
@@ -1,4 +1,4 @@
-//! Pools of the operator file of gRPC pass-through, and their backends.
+//! Configuration of pools and their backends.
 
 use super::pool::ORIGIN_ID;
 use crate::config_file::{parse_address, AddressError};
@@ -8,51 +8,51 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The most attempts that a pool may allow for a call.
+/// Largest value of `attempts`.
 const MAX_ATTEMPTS: u32 = 16;
-/// The greatest retry pushback that a pool may allow, in milliseconds.
+/// Largest value of `come_back_most_ms`, in milliseconds.
 const MAX_RETRY_AFTER_MS: f64 = 60_000.0;
 
-/// A backend.
+/// A statically configured backend.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendConfig {
-    /// Its address, `ADDRESS:PORT`.
+    /// The address, `ADDRESS:PORT`.
     pub address: String,
-    /// Whether it is draining: it gets no new calls and completes those that are open.
+    /// Whether the backend is draining: it gets no new calls, and its open calls are completed.
     #[serde(default)]
     pub draining: bool,
-    /// Its weight relative to the other backends'.
+    /// The weight, relative to the other backends'.
     #[serde(default)]
     pub weight: Option<f64>,
 }
 
-/// Backends from the list of endpoints, as discovery or a registry provides it.
+/// Backends taken from the endpoint list, which discovery or a registry provides.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoveredBackends {
-    /// The kind (`model`) of the endpoints that serve the pool.
+    /// The `model` of the endpoints that belong to the pool.
     pub model: String,
-    /// The port on which they serve gRPC.
+    /// The port of their gRPC server.
     pub port: u16,
 }
 
-/// A pool.
+/// A pool of backends.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolConfig {
-    /// Its name.
+    /// The pool's name, unique in the file.
     pub name: String,
-    /// Its backends, where the file lists them.
+    /// The backends, unless they are discovered.
     #[serde(default)]
     pub backends: Vec<BackendConfig>,
-    /// The source of its backends, where they are discovered.
+    /// Selects the backends from the endpoint list.
     #[serde(rename = "roster", default)]
     pub discovered: Option<DiscoveredBackends>,
-    /// The most attempts for a call.
+    /// Maximum number of attempts per call.
     #[serde(default = "default_attempts")]
     pub attempts: u32,
-    /// The greatest retry pushback of a rejection, in milliseconds.
+    /// Maximum retry pushback of a rejection, in milliseconds.
     #[serde(rename = "come_back_most_ms", default = "default_max_retry_after_ms")]
     pub max_retry_after_ms: f64,
 }
@@ -65,7 +65,7 @@
     2_000.0
 }
 
-/// A pool of the file that cannot be used.
+/// An invalid pool.
 #[derive(Debug, Error)]
 #[error("{pool:?}: {fault}")]
 pub struct PoolError {
@@ -79,19 +79,19 @@
 /// What is wrong with a pool.
 #[derive(Debug, Error)]
 pub enum PoolFault {
-    /// Its name is empty or that of another pool.
+    /// The name is empty or that of another pool.
     #[error("the name is empty or comes twice")]
     Name,
-    /// It has neither `backends` nor `roster`, or both.
+    /// The pool has neither `backends` nor `roster`, or both.
     #[error("either `backends` or `roster`")]
     Backends,
-    /// Some of its backends have a weight and others have none.
+    /// Only some of the backends have a weight.
     #[error("`weight` of all backends or of none")]
     Weights,
-    /// A backend's address cannot be used.
+    /// A backend's address is invalid.
     #[error(transparent)]
     Address(#[from] AddressError),
-    /// An address stands twice.
+    /// Two backends have the same address.
     #[error("{0} comes twice")]
     Repeated(SocketAddr),
     /// A backend's weight is not above 0.
@@ -106,7 +106,7 @@
 }
 
 impl PoolConfig {
-    /// Checks the pool by itself.
+    /// Validates the pool, except that its name is unique.
     pub fn check(&self) -> Result<(), PoolFault> {
         if self.name.is_empty() {
             return Err(PoolFault::Name);
@@ -137,14 +137,14 @@
         Ok(())
     }
 
-    /// The backends that the file lists.
+    /// The statically configured backends.
     pub fn listed_backends(&self) -> Vec<Backend> {
         let parsed = self.backends.iter().filter_map(|line| Some((parse_address(&line.address).ok()?, line)));
         let mut lines: Vec<(SocketAddr, &BackendConfig)> = parsed.collect();
         lines.sort_by_key(|(address, _)| *address);
         let mut taken = BTreeSet::new();
         let backend = |(address, line): (SocketAddr, &BackendConfig)| {
-            // The id follows from the address alone, so that every proxy has the same and the list may change.
+            // The id is derived from the address, so it is the same on every proxy and after a reload.
             let mut id = crc32fast::hash(address.to_string().as_bytes());
             while id == ORIGIN_ID || !taken.insert(id) {
                 id = id.wrapping_add(1);
--- a/src/grpc/request_stream.rs
+++ b/src/grpc/request_stream.rs
@@ -1,4 +1,4 @@
-//! The client's half of a call that sends: its request, kept as far as the bounds allow, so that a retry can send it again.
+//! The request stream of a call: forwards the client's messages, and buffers them within limits for a retry.
 
 use super::attempt_result::AttemptResult;
 use super::call::{CallId, LocalStatus};
@@ -9,26 +9,26 @@
 use bytes::Bytes;
 use h2::{RecvStream, SendStream};
 
-/// The request of a call, as it arrives.
+/// The request stream of a call.
 pub struct RequestStream {
     body: RecvStream,
-    /// The client has sent all of it.
+    /// Whether the client has ended the stream.
     complete: bool,
-    /// What is kept for a retry.
+    /// The chunks buffered for a retry.
     replay: Vec<Bytes>,
     replayable: bool,
     tracker: MessageTracker,
 }
 
 impl RequestStream {
-    /// A request of which nothing was read; messages may have at most `max_message_bytes`.
+    /// Creates a stream of which nothing was read, with messages of at most `max_message_bytes`.
     pub fn new(body: RecvStream, max_message_bytes: u32) -> Self {
         let tracker = MessageTracker::new(max_message_bytes);
         Self { body, complete: false, replay: Vec::new(), replayable: true, tracker }
     }
 
-    /// Sends what was kept, then what the client sends, as fast as the backend's flow control allows. Returns only if the
-    /// client ends the call.
+    /// Sends the buffered chunks, then those that the client sends, under the backend's flow control. Returns
+    /// only if the client disconnects or its request is invalid.
     pub async fn send_to(
         &mut self,
         front: &GrpcFront,
@@ -61,7 +61,7 @@
         std::future::pending().await
     }
 
-    /// Keeps a chunk for a retry, or drops all that was kept where it exceeds the bounds.
+    /// Buffers a chunk for a retry, or drops the buffer if it would exceed a limit.
     fn keep_for_retry(&mut self, front: &GrpcFront, id: CallId, chunk: &Bytes) {
         let max_bytes = front.limits().replay_bytes;
         self.replayable =
@@ -74,7 +74,7 @@
     }
 }
 
-/// The status of a request whose messages cannot be read.
+/// The status for a request that violates the framing.
 fn status_of(error: MessageError) -> LocalStatus {
     match error {
         MessageError::Flag(_) => LocalStatus::failed(Code::INTERNAL, "a message's prefix can't be read"),
@@ -82,7 +82,7 @@
     }
 }
 
-/// Sends a chunk. Where the backend accepts no more, waits for ever: the end of its own stream tells the reason.
+/// Sends a chunk. Never completes if the stream is closed, because the response stream reports the reason.
 async fn send_or_wait(stream: &mut SendStream<Bytes>, chunk: Bytes) {
     if !send_chunk(stream, chunk).await {
         std::future::pending().await
--- a/src/grpc/response_stream.rs
+++ b/src/grpc/response_stream.rs
@@ -1,4 +1,4 @@
-//! The client's half of a call that receives: its response, from one attempt or from the proxy itself.
+//! The response stream of a call: forwards a backend's response, or ends the call with a status of the proxy.
 
 use super::attempt_result::{end_of, AttemptResult};
 use super::call::CallId;
@@ -15,18 +15,18 @@
 use std::future::poll_fn;
 use std::task::Poll;
 
-/// The response of a call, as far as it was sent.
+/// The state of the response to the client.
 pub enum ResponseStream {
-    /// It has not begun.
+    /// The headers have not been sent.
     NotStarted(SendResponse<Bytes>),
-    /// Its headers were sent.
+    /// The headers were sent.
     Streaming(SendStream<Bytes>),
-    /// It has ended.
+    /// The response has ended.
     Ended,
 }
 
 impl ResponseStream {
-    /// Waits until the client resets the call or its connection is gone.
+    /// Completes when the client resets the call or its connection ends.
     pub async fn client_disconnected(&mut self) {
         poll_fn(|context| match self {
             Self::NotStarted(respond) => respond.poll_reset(context).map(drop),
@@ -36,7 +36,7 @@
         .await;
     }
 
-    /// Begins the response. Returns false where the client is gone.
+    /// Sends the response headers. Returns false if the client has disconnected.
     fn start(&mut self, headers: HeaderMap) -> bool {
         let Self::NotStarted(respond) = self else { return false };
         match respond.send_response(response(headers), false) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Ends the call with these trailers: after its response, or as a "Trailers-Only" response.
+    /// Ends the call with these trailers, or with a "Trailers-Only" response if no headers were sent.
     pub fn end(&mut self, trailers: HeaderMap) {
         match std::mem::replace(self, Self::Ended) {
             Self::NotStarted(mut respond) => {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Forwards the response of an attempt, up to its status.
+    /// Forwards the response of an attempt, except for its trailers, which are returned with the result.
     pub async fn receive_from(
         &mut self,
         front: &GrpcFront,
@@ -93,7 +93,7 @@
         self.forward_body(front, &mut body).await
     }
 
-    /// Forwards the messages and returns the status after them.
+    /// Forwards the messages and returns the status that follows them.
     async fn forward_body(&mut self, front: &GrpcFront, body: &mut RecvStream) -> AttemptResult {
         let mut tracker = MessageTracker::new(front.limits().message_bytes);
         loop {
@@ -123,7 +123,7 @@
             Err(error) => return AttemptResult::ended(end_of(&error)),
         };
         match status_in(&trailers) {
-            // A status of OK after a part of a message does not count.
+            // A response that ends within a message is not a success, whatever its status.
             Some(AttemptEnd::Status(Code::OK, _)) if tracker.within() => {
                 AttemptResult::ended(AttemptEnd::Truncated)
             }
@@ -133,7 +133,7 @@
     }
 }
 
-/// The end of an attempt whose whole response is one header block. The client has got nothing of it yet.
+/// The result of an attempt whose response is a single header block. Nothing of it was sent to the client.
 fn trailers_only(http_status: u16, headers: HeaderMap) -> AttemptResult {
     match status_in(&headers) {
         Some(end) => AttemptResult::Ended(end, Some(headers)),
@@ -142,7 +142,7 @@
     }
 }
 
-/// A response's head, of gRPC's content type where none is given.
+/// Builds the response headers, with the default content type if there is none.
 fn response(headers: HeaderMap) -> Response<()> {
     let mut response = Response::new(());
     *response.headers_mut() = headers;
--- a/src/grpc/route_compiler.rs
+++ b/src/grpc/route_compiler.rs
@@ -1,4 +1,4 @@
-//! Compiles the routes of an operator file into the table of methods and each pool's request classes. No I/O.
+//! Compiles the configured routes into the routing table and each pool's request classes. No I/O.
 
 use super::pool::PoolSpec;
 use super::pool_config::PoolConfig;
@@ -10,13 +10,14 @@
 use http::HeaderName;
 use thiserror::Error;
 
-/// The deadline that the decision module gets for calls without one, in milliseconds.
+/// Largest value of `deadline_ms`, and the deadline of the request class of a route without one, in
+/// milliseconds.
 const MAX_DEADLINE_MS: f64 = 86_400_000.0;
 
-/// A route that cannot be used.
+/// An invalid route.
 #[derive(Debug, Error)]
 pub enum RouteError {
-    /// A field's value cannot be used.
+    /// A field is invalid.
     #[error("{method:?}: {fault}")]
     Fault {
         /// The route's pattern.
@@ -25,7 +26,7 @@
         #[source]
         fault: RouteFault,
     },
-    /// The pattern cannot be used.
+    /// The pattern is invalid.
     #[error(transparent)]
     Pattern(#[from] PatternError),
 }
@@ -33,33 +34,33 @@
 /// What is wrong with a route.
 #[derive(Debug, Error)]
 pub enum RouteFault {
-    /// There is no pool of this name.
+    /// No pool has this name.
     #[error("no pool {0:?}")]
     NoPool(String),
-    /// The deadline is out of its range.
+    /// The deadline is out of range.
     #[error("`deadline_ms` 1 to a day")]
     Deadline,
     /// A unary method has no deadline.
     #[error("a unary method needs `deadline_ms`")]
     NoDeadline,
-    /// The latency objective is out of its range.
+    /// The latency objective is out of range.
     #[error("`aim_ms` 1 to the deadline")]
     LatencyObjective,
-    /// A name is not that of a header.
+    /// A header name is invalid.
     #[error("no header's name")]
     HeaderName,
-    /// An idempotency key is named where none is used, or the other way round.
+    /// A route whose calls carry an idempotency key lacks its settings, or another route has them.
     #[error("`key` and `key_window_ms` go with `keyed`, and only there")]
     Key,
-    /// A status in `retry` has no such name, or is OK.
+    /// A status name in `retry` is unknown, or OK.
     #[error("`retry` names statuses other than OK")]
     Retry,
-    /// The affinity is none of the three forms.
+    /// The affinity is unknown.
     #[error("`affinity` is `call`, `method` or `header:NAME`")]
     Affinity,
 }
 
-/// Compiles routes to pools.
+/// Compiles the routes and the policy settings of the pools.
 pub fn compile(pools: &[PoolConfig], lines: &[RouteConfig]) -> Result<(Routes, Vec<PoolSpec>), RouteError> {
     let mut routes = Routes::default();
     let mut classes: Vec<Vec<RequestClass>> = vec![Vec::new(); pools.len()];
@@ -89,7 +90,7 @@
     Ok((routes, specs.collect()))
 }
 
-/// The idempotency of a route's methods, and the header of their key.
+/// The idempotency of a route's methods, and the header with the idempotency key.
 fn idempotency(line: &RouteConfig) -> Result<(Idempotency, Option<String>), RouteFault> {
     match (line.idempotency, &line.key) {
         (IdempotencyConfig::Safe, None) => Ok((Idempotency::Idempotent, None)),
@@ -101,13 +102,13 @@
     }
 }
 
-/// A header's name in lower case.
+/// Parses a header name and converts it to lower case.
 fn header_name(name: &str) -> Result<String, RouteFault> {
     let name = HeaderName::from_bytes(name.as_bytes()).map_err(|_| RouteFault::HeaderName)?;
     Ok(name.as_str().to_string())
 }
 
-/// The statuses after which a route's methods are retried.
+/// The status codes after which a route's methods are retried.
 fn retried_codes(line: &RouteConfig) -> Result<Vec<Code>, RouteFault> {
     let codes: Option<Vec<Code>> = line.retry.iter().map(|name| Code::named(name)).collect();
     codes.filter(|codes| !codes.contains(&Code::OK)).ok_or(RouteFault::Retry)
@@ -123,7 +124,7 @@
     }
 }
 
-/// The deadline of a route's calls, once its times are checked.
+/// Checks a route's times, and returns the deadline of its request class.
 fn checked_deadline_ms(line: &RouteConfig) -> Result<f64, RouteFault> {
     let deadline_ms = line.deadline_ms.unwrap_or(MAX_DEADLINE_MS);
     if !(1.0..=MAX_DEADLINE_MS).contains(&deadline_ms) {
@@ -138,7 +139,6 @@
     Ok(deadline_ms)
 }
 
-/// The request class of a route.
 fn request_class(line: &RouteConfig, deadline_ms: f64, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: micros_from_ms(line.latency_objective_ms),
@@ -154,7 +154,7 @@
     }
 }
 
-/// The decision module's settings for a pool: one proxy has all the backends' capacity, the backends are warm from the start,
+/// The policy settings of a pool: this proxy may use the backends' whole capacity, there is no slow start,
 /// and nothing is cached.
 fn policy_settings(pool: &PoolConfig, classes: Vec<RequestClass>) -> PolicySettings {
     let warm =
--- a/src/grpc/routes.rs
+++ b/src/grpc/routes.rs
@@ -1,4 +1,4 @@
-//! Which method goes to which pool, and what it may: the table of an operator file, compiled once. No I/O.
+//! The routing table: maps methods to pools, deadlines and retry rules. No I/O.
 
 use super::status::Code;
 use crate::interface::Idempotency;
@@ -6,50 +6,50 @@
 use sha2::{Digest, Sha256};
 use std::collections::hash_map::Entry;
 
-/// Whether a method's calls are one message each way.
+/// Whether a method is unary or streaming.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MethodKind {
-    /// One message each way: an attempt that does not answer in its time is given up, where it may be repeated.
+    /// One message in each direction. An attempt has a time-out of its own if it can be retried.
     Unary,
-    /// Any number of messages either way, or not known: an attempt has all the call's time.
+    /// Any number of messages in either direction, or unknown. An attempt has until the call's deadline.
     #[default]
     Stream,
 }
 
-/// What decides the backend's place in the order.
+/// The part of a call whose hash selects the preferred backend.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Affinity {
-    /// Nothing: each call by itself.
+    /// No affinity: calls are spread over the backends.
     Call,
-    /// The method.
+    /// The method's path.
     Method,
-    /// A header's value; calls without it each by themselves.
+    /// The value of a header; calls without it have no affinity.
     Header(String),
 }
 
-/// What the table says of a method.
+/// A compiled route.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Place of its pool.
+    /// Index of the pool.
     pub pool: usize,
-    /// Place of its class in the pool's settings.
+    /// Index of the request class in the pool's policy settings.
     pub class: usize,
-    /// Unary or not.
+    /// Unary or streaming.
     pub kind: MethodKind,
-    /// Whether it may be repeated.
+    /// Whether attempts that may have been processed can be retried.
     pub idempotency: Idempotency,
-    /// The header that must hold an idempotency key.
+    /// The header that must hold an idempotency key, if any.
     pub key: Option<String>,
-    /// The longest that a call may take, in milliseconds; none where only the client says.
+    /// Maximum duration of a call, in milliseconds; `None` if only the client limits it.
     pub deadline_ms: Option<f64>,
-    /// Statuses after which it is tried again, where it may be repeated.
+    /// Status codes after which an idempotent method is retried.
     pub retry: Vec<Code>,
-    /// What decides its backend.
+    /// The affinity of calls to backends.
     pub affinity: Affinity,
 }
 
-/// The table.
+/// The routing table.
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
     methods: AHashMap<String, usize>,
@@ -58,18 +58,18 @@
     routes: Vec<Route>,
 }
 
-/// Why a pattern is none.
+/// An invalid pattern.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PatternError {
-    /// It is not `/Service/Method`, `/Service/*` or `*`.
+    /// The pattern has none of the three forms.
     #[error("{0:?} is not `/Service/Method`, `/Service/*` or `*`")]
     Form(String),
-    /// It stands twice.
+    /// The pattern is already in the table.
     #[error("{0:?} comes twice")]
     Twice(String),
 }
 
-/// A path's service and method; none where it is no method's path.
+/// Splits the path of a method into service and method. Returns `None` for any other path.
 pub fn split(path: &str) -> Option<(&str, &str)> {
     let (service, method) = path.strip_prefix('/')?.split_once('/')?;
     let plain =
@@ -78,7 +78,7 @@
 }
 
 impl Routes {
-    /// Adds what a pattern's methods may.
+    /// Adds a route for the methods that a pattern matches.
     pub fn add(&mut self, pattern: &str, route: Route) -> Result<(), PatternError> {
         let service = pattern.strip_suffix("/*").filter(|s| split(&format!("{s}/m")).is_some());
         let (taken, place) = (PatternError::Twice(pattern.to_string()), self.routes.len());
@@ -101,25 +101,25 @@
         Ok(())
     }
 
-    /// What the table says of a path: the method's own line, else its service's, else the rest's.
+    /// Finds the most specific route for a path: by method, then by service, then the catch-all `*`.
     pub fn find(&self, path: &str) -> Option<&Route> {
         let (service, _) = split(path)?;
         let place = self.methods.get(path).or_else(|| self.services.get(service)).or(self.rest.as_ref())?;
         self.routes.get(*place)
     }
 
-    /// Gives the pools other places.
+    /// Replaces the pool index of each route by `place` of it.
     pub fn renumber(&mut self, place: impl Fn(usize) -> usize) {
         self.routes.iter_mut().for_each(|route| route.pool = place(route.pool));
     }
 
-    /// All lines.
+    /// All routes, in the order in which they were added.
     pub fn all(&self) -> &[Route] {
         &self.routes
     }
 }
 
-/// The hash of an affinity's text, the same at every proxy.
+/// The affinity hash of a text; the same on every proxy.
 pub fn hash(text: &[u8]) -> u64 {
     let digest = Sha256::digest(text);
     u64::from_be_bytes(digest[..8].try_into().expect("32 bytes"))
--- a/src/grpc/routes/tests.rs
+++ b/src/grpc/routes/tests.rs
@@ -31,11 +31,11 @@
     for twice in ["*", "/ads.v1.Ads/*", "/ads.v1.Ads/Post"] {
         assert_eq!(routes.add(twice, route(9)), Err(PatternError::Twice(twice.into())));
     }
-    assert_eq!(class(&routes, "/ads.v1.Adsy/Get"), Some(2), "the first line stays");
+    assert_eq!(class(&routes, "/ads.v1.Adsy/Get"), Some(2), "the first route stays");
     for bad in ["", "/*", "a/*", "/a/b/*", "**", "/a/b*"] {
         assert_eq!(routes.add(bad, route(9)), Err(PatternError::Form(bad.into())), "{bad:?}");
     }
-    assert_eq!(routes.all().len(), 3, "a bad line adds nothing");
+    assert_eq!(routes.all().len(), 3, "an invalid route is not added");
 }
 
 #[test]
--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -1,5 +1,5 @@
-//! Clients' connections: HTTP/2 by the `h2` crate, with prior knowledge (RFC 9113, section 3.3), a task for each connection
-//! and each call. What `h2` finds malformed ends the stream or the connection as RFC 9113 requires.
+//! Listener and client connections: HTTP/2 with prior knowledge (RFC 9113, section 3.3), with one task per
+//! connection and one per call. Protocol errors are handled by `h2`, which ends the stream or the connection.
 
 use super::call_driver::drive_call;
 use super::flow_control::connection_window_bytes;
@@ -16,15 +16,18 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
-/// The wait after an accept that failed, most likely for want of descriptors, in milliseconds.
+/// Delay before accepting again after an error, which is mostly a lack of file descriptors, or at the
+/// connection limit, in milliseconds.
 const ACCEPT_RETRY_MS: u64 = 20;
-/// How long an accept is tried after the stop, for connections that the system had accepted before it, in milliseconds.
+/// Time-out of each accept at shutdown, which empties the listen backlog, in milliseconds.
 const LAST_ACCEPT_MS: u64 = 1;
-/// How often idle connections to backends, and the list of endpoints, are looked at, in milliseconds.
+/// Interval of [`run_housekeeping`], in milliseconds.
 const HOUSEKEEPING_INTERVAL_MS: u64 = 100;
-/// How long a connection to a backend may be without a call, in milliseconds.
+/// Time after which a connection to a backend without calls is closed, in milliseconds.
 const UPSTREAM_IDLE_MS: f64 = 60_000.0;
-/// Follows the list of endpoints and closes idle connections to backends, for ever.
+
+/// Periodically updates the backends from the endpoint list and closes idle connections to backends. Never
+/// returns.
 pub async fn run_housekeeping(front: Rc<GrpcFront>) {
     loop {
         tokio::time::sleep(Duration::from_millis(HOUSEKEEPING_INTERVAL_MS)).await;
@@ -33,7 +36,7 @@
     }
 }
 
-/// Rejects queued calls whose time is over, for ever.
+/// Rejects queued calls that are close to their deadline. Never returns.
 pub async fn expire_queued_calls(front: Rc<GrpcFront>) {
     loop {
         let left = front.admission.next_due() - front.now();
@@ -44,14 +47,14 @@
     }
 }
 
-/// Aborts the calls that are still open some time after the stop has begun.
+/// Aborts the calls that are still open when the grace period after the start of the shutdown is over.
 pub async fn abort_calls_at_shutdown(front: Rc<GrpcFront>, stop: Rc<GracefulShutdown>) {
     stop.begun().await;
     tokio::time::sleep(duration_from_ms(front.limits().stop_ms)).await;
     front.abort_calls();
 }
 
-/// Accepts clients until `closing` is notified.
+/// Accepts client connections until `closing` is notified and the listen backlog is empty.
 pub async fn accept(
     front: Rc<GrpcFront>,
     listener: TcpListener,
@@ -62,7 +65,7 @@
     let mut last = false;
     loop {
         let Ok(slot) = slots.clone().try_acquire_owned() else {
-            // Above the limit one new connection waits here, and the others in the system's queue.
+            // At the limit, new connections wait in the listen backlog until a slot is free.
             front.connection_limit_reached.notify_one();
             let retry = Duration::from_millis(ACCEPT_RETRY_MS);
             last |= timeout(retry, closing.notified()).await.is_ok();
@@ -93,7 +96,7 @@
     }
 }
 
-/// Serves a client's connection in a task of its own.
+/// Spawns the task of a client connection.
 fn spawn_connection(
     front: &Rc<GrpcFront>,
     stream: TcpStream,
@@ -112,7 +115,7 @@
     });
 }
 
-/// The open calls of a connection.
+/// The number of open calls of a connection.
 #[derive(Default)]
 struct OpenCalls {
     count: Cell<usize>,
@@ -121,14 +124,14 @@
 }
 
 impl OpenCalls {
-    /// Counts one more call until the guard is dropped.
+    /// Counts a call as open until the returned guard is dropped.
     fn enter(self: &Rc<Self>) -> OpenCallGuard {
         self.count.set(self.count.get() + 1);
         OpenCallGuard(self.clone())
     }
 }
 
-/// Counts an open call until it is dropped.
+/// Guard of an open call.
 struct OpenCallGuard(Rc<OpenCalls>);
 
 impl Drop for OpenCallGuard {
@@ -138,7 +141,7 @@
     }
 }
 
-/// Serves one client's connection until it has ended.
+/// Serves a client connection until it ends.
 async fn serve(
     front: &Rc<GrpcFront>,
     stream: TcpStream,
@@ -154,7 +157,7 @@
         .max_concurrent_streams(limits.streams_per_client)
         .max_header_list_size(limits.header_bytes)
         .max_send_buffer_size(limits.window_bytes as usize);
-    // A client that never completes the handshake must not keep its slot.
+    // A client that does not complete the handshake must not keep its connection slot.
     let handshake = builder.handshake::<_, Bytes>(stream);
     let Ok(connection) = timeout(duration_from_ms(limits.first_ms), handshake).await else { return Ok(()) };
     let mut connection = connection?;
--- a/src/grpc/status.rs
+++ b/src/grpc/status.rs
@@ -1,15 +1,15 @@
-//! gRPC status codes, the codes that stand for HTTP statuses and HTTP/2 errors, and the classification of an attempt's end for
-//! the decision module and for the client. No I/O.
+//! gRPC status codes, their mapping from HTTP statuses and HTTP/2 error codes, and the classification of
+//! attempts for the policy and the client. No I/O.
 //!
-//! The tables are those of "gRPC over HTTP/2" (errors), "HTTP to gRPC Status Code Mapping", and, for
-//! retries, gRFC A6: a call is committed once the response's headers went to its client, and what a backend did not
-//! process may always be retried.
+//! The mappings follow "gRPC over HTTP/2" (errors) and "HTTP to gRPC Status Code Mapping". Retries follow
+//! gRFC A6: a call is committed once its response headers were sent to the client, and a request that no
+//! backend processed may always be retried.
 
 use crate::interface::Idempotency;
 use crate::AttemptOutcome;
 use percent_encoding::{utf8_percent_encode, AsciiSet, CONTROLS};
 
-/// A status code. Numbers without a name are read as [`Code::UNKNOWN`].
+/// A status code. Undefined numbers are mapped to [`Code::UNKNOWN`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Code(u8);
 
@@ -53,7 +53,7 @@
 }
 
 impl Code {
-    /// The code of a number.
+    /// Converts a number to a code.
     pub fn of(number: u64) -> Self {
         if number < CODES as u64 {
             Self(number as u8)
@@ -62,13 +62,13 @@
         }
     }
 
-    /// Parses the value of a `grpc-status` header; none where it is not a number in decimal digits.
+    /// Parses the value of a `grpc-status` header. Returns `None` unless it is 1 to 10 decimal digits.
     pub fn parse(value: &[u8]) -> Option<Self> {
         let plain = !value.is_empty() && value.len() <= 10 && value.iter().all(u8::is_ascii_digit);
         plain.then(|| std::str::from_utf8(value).ok()?.parse().ok().map(Self::of))?
     }
 
-    /// The code of a name, as operator files spell it.
+    /// Finds the code of a name, such as `UNAVAILABLE`.
     pub fn named(name: &str) -> Option<Self> {
         NAMES.iter().position(|n| *n == name).map(|k| Self(k as u8))
     }
@@ -83,17 +83,18 @@
         self.0
     }
 
-    /// Whether the cause is the caller's request or authorization, and not the backend's health.
+    /// Whether the status is caused by the client's request, so that it says nothing about the backend's
+    /// health.
     pub fn is_callers(self) -> bool {
         matches!(self.0, 1 | 3 | 5 | 6 | 7 | 9 | 10 | 11 | 12 | 16)
     }
 
-    /// Whether it tells of a backend, or a client's quota, that is overloaded.
+    /// Whether the status means overload of the backend, or an exhausted quota.
     pub fn is_overload(self) -> bool {
         self == Self::UNAVAILABLE || self == Self::RESOURCE_EXHAUSTED
     }
 
-    /// The code that stands for a response that is not gRPC, by its HTTP status.
+    /// Maps the HTTP status of a response that is not gRPC.
     pub fn of_http(status: u16) -> Self {
         match status {
             400 | 431 => Self::INTERNAL,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// The code that stands for an RST_STREAM, by its error code (RFC 9113, section 7).
+    /// Maps the error code of an RST_STREAM frame (RFC 9113, section 7).
     pub fn of_reset(reason: u32) -> Self {
         match reason {
             0x7 => Self::UNAVAILABLE,
@@ -117,10 +118,10 @@
     }
 }
 
-/// What a `grpc-message` may hold unescaped: printable ASCII but `%`.
+/// Characters that `grpc-message` must escape: all but printable ASCII, and `%`.
 const MESSAGE: &AsciiSet = &CONTROLS.add(b'%');
 
-/// A text in the percent encoding of `grpc-message`.
+/// Percent-encodes a text for `grpc-message`.
 pub fn message(text: &str) -> String {
     utf8_percent_encode(text, MESSAGE).to_string()
 }
@@ -135,7 +136,7 @@
 }
 
 impl Pushback {
-    /// Parses the header's value. What is no number counts as [`Self::Never`], as the gRFC requires.
+    /// Parses the header value. A value that is not a number counts as [`Self::Never`], as gRFC A6 requires.
     pub fn parse(value: &[u8]) -> Self {
         let number = std::str::from_utf8(value).ok().and_then(|text| text.parse::<i64>().ok());
         match number {
@@ -148,45 +149,46 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptEnd {
-    /// The backend ended the call with a status.
+    /// The backend sent a status.
     Status(Code, Option<Pushback>),
-    /// The response was not gRPC and had this HTTP status.
+    /// The response was not gRPC; its HTTP status.
     HttpStatus(u16),
-    /// The backend reset the stream with this error code, and may have processed it.
+    /// The backend reset the stream with this HTTP/2 error code and may have processed the request.
     Reset(u32),
-    /// The backend did not process the stream: REFUSED_STREAM, or a GOAWAY that excludes it.
+    /// The backend did not process the request: REFUSED_STREAM, or a GOAWAY that excludes the stream.
     Unprocessed,
-    /// No connection was established, or none had capacity. `local` where the cause is this machine.
+    /// No connection was established, or none had capacity.
     NoConnection {
-        /// The cause is an error or a bound of this machine.
+        /// Whether the cause is local, such as a connection limit, and not the backend.
         local: bool,
     },
-    /// The attempt was not sent, since its backend began to drain or its time was over while it waited.
+    /// The attempt was not sent, because its backend began to drain, its time was over or the connection
+    /// accepted no more streams.
     NotSent,
     /// The connection was lost.
     ConnectionLost,
-    /// The stream ended within a message, or without a status.
+    /// The response ended within a message or without a status.
     Truncated,
-    /// The response's messages violate the framing.
+    /// The response violates HTTP/2 or the message framing.
     Malformed,
-    /// There was no response in time.
+    /// The attempt timed out, or the call's deadline passed.
     TimedOut,
 }
 
-/// How an attempt's end is classified.
+/// The classification of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Classification {
-    /// The outcome for the decision module. A caller's own error is [`AttemptOutcome::Cancelled`], which does not count for or
-    /// against the backend.
+    /// The outcome for the policy. Errors caused by the client are [`AttemptOutcome::Cancelled`], which does
+    /// not affect the backend's health.
     pub outcome: AttemptOutcome,
-    /// The status that a client would get.
+    /// The status code for the client, if the call ends.
     pub code: Code,
-    /// Whether another attempt may follow; never after the call was committed.
+    /// Whether the call may be retried; never after it was committed.
     pub retryable: bool,
 }
 
-/// Classifies the end of an attempt. `committed` tells that the response's headers went to the client; `retry` are the
-/// statuses after which an idempotent method is retried.
+/// Classifies the end of an attempt. `committed` means that the response headers were sent to the client;
+/// `retry` holds the status codes after which an idempotent method is retried.
 pub fn classify(
     end: AttemptEnd,
     committed: bool,
@@ -198,7 +200,8 @@
         match code {
             Code::OK => AttemptOutcome::Served,
             Code::DEADLINE_EXCEEDED => AttemptOutcome::TimedOut,
-            // The status does not tell whether the call ran, so that only idempotent calls count as rejected.
+            // The status does not tell whether the request was processed, so only idempotent calls count as
+            // rejected.
             _ if code.is_overload() && !committed && idempotency == Idempotency::Idempotent => {
                 AttemptOutcome::Rejected
             }
--- a/src/grpc/status/tests.rs
+++ b/src/grpc/status/tests.rs
@@ -9,7 +9,7 @@
         assert_eq!(Code::parse(n.to_string().as_bytes()), Some(code));
         assert_eq!(Code::named(code.name()), Some(code));
     }
-    assert_eq!(Code::parse(b"17"), Some(Code::UNKNOWN), "a number that nobody knows");
+    assert_eq!(Code::parse(b"17"), Some(Code::UNKNOWN), "an undefined number");
     for bad in [&b""[..], b"x", b"-1", b"1 ", b"00000000001", b"\xff"] {
         assert_eq!(Code::parse(bad), None);
     }
@@ -18,8 +18,8 @@
     assert_eq!((Pushback::parse(b"-1"), Pushback::parse(b"soon")), (Pushback::Never, Pushback::Never));
 }
 
-/// Guards the rule that what may have run is never sent twice: whatever the end, a method that may run once
-/// only goes on after ends that surely came before it ran.
+/// Guards against executing a call twice: a non-idempotent method is retried only if the backend surely did
+/// not process the request.
 #[test]
 fn an_unsafe_method_goes_on_only_where_nothing_ran() {
     let mut ends = vec![
@@ -47,7 +47,7 @@
     }
 }
 
-/// Every status code, trailers-only and after data: only OK is served.
+/// Guards against ejecting backends for errors that the client caused.
 #[test]
 fn only_ok_is_served_and_the_callers_own_errors_leave_the_backend_alone() {
     for (n, committed) in (0..17).flat_map(|n| [(n, false), (n, true)]) {
@@ -66,6 +66,6 @@
     let end = AttemptEnd::Status(Code::UNAVAILABLE, Some(Pushback::After(50.0)));
     assert!(
         !classify(end, false, Idempotency::Idempotent, &[Code::UNAVAILABLE]).retryable,
-        "it said when to come back"
+        "a pushback leaves the retry to the client"
     );
 }
--- a/src/grpc/timeout.rs
+++ b/src/grpc/timeout.rs
@@ -1,6 +1,6 @@
-//! `grpc-timeout` (gRPC over HTTP/2, "Request-Headers"): 1 to 8 digits and a unit.
+//! The header `grpc-timeout` (gRPC over HTTP/2, "Request-Headers"): 1 to 8 digits and a unit.
 
-/// A time-out in milliseconds, or none where the text is no time-out.
+/// Parses a timeout to milliseconds. Returns `None` if the text is invalid.
 pub fn parse(text: &str) -> Option<f64> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     if !(1..=8).contains(&digits.len()) || !digits.bytes().all(|b| b.is_ascii_digit()) {
@@ -19,12 +19,12 @@
     Some(f64::from(value) * ms)
 }
 
-/// A time-out as text: the finest unit whose digits suffice, rounded down, so that what is passed on is never
-/// longer than what is left. Nothing left is `0n`.
+/// Formats a timeout in the finest unit that fits into 8 digits. Rounds down, so that a backend never gets
+/// more time than remains. A negative timeout becomes `0n`.
 pub fn format(ms: f64) -> String {
     let ms = ms.max(0.0);
     for (unit, each) in [('n', 1e-6), ('u', 1e-3), ('m', 1.0), ('S', 1_000.0), ('M', 60_000.0)] {
-        // A number that binary fractions can't hold may come out a hair above: down again for that.
+        // The quotient may be rounded up to the next integer; the factor compensates for that.
         let value = (ms / each * (1.0 - 1e-12)).floor();
         if value <= 99_999_999.0 {
             return format!("{}{unit}", value as u32);
--- a/src/grpc/timeout/tests.rs
+++ b/src/grpc/timeout/tests.rs
@@ -19,11 +19,12 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards the rule on deadlines: what is written is never more than what is left, and loses little.
+    /// Guards against extending deadlines: a formatted timeout is never longer than the remaining time, and
+    /// not much shorter.
     #[test]
     fn what_is_written_is_never_longer(ms in 0.0f64..4e11) {
         let text = format(ms);
-        let back = parse(&text).expect("it reads its own");
+        let back = parse(&text).expect("a formatted timeout is valid");
         prop_assert!(back <= ms, "{ms} became {text}");
         prop_assert!(back >= ms * 0.999 - 1e-5 || ms > 5e9, "{ms} became {text}");
     }
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -1,5 +1,5 @@
-//! Connections to backends: HTTP/2 by the `h2` crate, one task each. [`Connections`] decides which connection a call goes
-//! onto, and when another one is opened, as for the endpoints of the other fronts.
+//! HTTP/2 connections to backends, with one task each. [`Connections`] assigns calls to connections and
+//! decides when to open another one, as for the endpoints of the other fronts.
 
 use super::flow_control::connection_window_bytes;
 use super::limits::GrpcLimits;
@@ -18,12 +18,12 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::timeout;
 
-/// A connection's state, as calls that wait for it see it.
+/// The state of a connection, watched by the calls assigned to it.
 #[derive(Clone)]
 enum State {
     Connecting,
     Up(SendRequest<Bytes>),
-    /// It was not established, or has ended; `local` where the cause is this machine.
+    /// The connection was not established or has ended. `local` means that the cause is not the backend.
     Down {
         local: bool,
     },
@@ -31,7 +31,7 @@
 
 struct ConnectionHandle {
     state: watch::Receiver<State>,
-    /// Notified when it has no open streams and gets no new ones.
+    /// Notified to close the connection.
     close: Rc<Notify>,
 }
 
@@ -41,11 +41,11 @@
     limits: GrpcLimits,
     connections: RefCell<Connections>,
     handles: RefCell<HashMap<ConnectionId, ConnectionHandle>>,
-    /// The ids under which the connections of an address are kept.
+    /// The endpoint id of each address in `connections`.
     addresses: RefCell<HashMap<SocketAddr, EndpointId>>,
 }
 
-/// A call's permit for a stream on a connection, returned when it is dropped.
+/// A call's reservation of a stream on a connection, released on drop.
 pub struct StreamPermit {
     upstream: Rc<Upstream>,
     conn: ConnectionId,
@@ -54,7 +54,7 @@
 }
 
 impl Upstream {
-    /// No connections.
+    /// Creates a manager without connections.
     pub fn new(clock: Clock, limits: GrpcLimits, connection_limits: ConnectionLimits) -> Rc<Self> {
         Rc::new(Self {
             clock,
@@ -65,7 +65,7 @@
         })
     }
 
-    /// How many connections there are.
+    /// The number of connections, including those being established.
     pub fn len(&self) -> usize {
         self.connections.borrow().len()
     }
@@ -81,7 +81,8 @@
         *addresses.entry(address).or_insert(next)
     }
 
-    /// Reserves a stream on a connection to a backend for a call; none where all connections are full.
+    /// Reserves a stream on a connection to a backend, opening a connection if needed. Returns `None` if the
+    /// connection limits are reached.
     pub fn reserve_stream(
         self: &Rc<Self>,
         address: SocketAddr,
@@ -119,7 +120,7 @@
         Some(StreamPermit { upstream: self.clone(), conn, call, state })
     }
 
-    /// A backend accepts no new calls: its connections are closed once they have no open streams.
+    /// Stops using a backend: its connections are closed once they have no open streams.
     pub fn retire(&self, address: SocketAddr) {
         let Some(backend) = self.addresses.borrow().get(&address).copied() else { return };
         for (conn, c) in self.connections.borrow_mut().iter_mut().filter(|(_, c)| c.endpoint == backend) {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Closes connections that were idle for `idle_ms`.
+    /// Closes connections that were idle for longer than `idle_ms`.
     pub fn tidy(&self, idle_ms: f64) {
         let now = self.clock.now();
         for (conn, c) in self.connections.borrow_mut().iter_mut() {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// A connection accepts no new streams any more.
+    /// Marks a connection that accepts no more streams.
     fn mark_exhausted(&self, conn: ConnectionId) {
         if let Some(c) = self.connections.borrow_mut().get_mut(conn) {
             c.closing = true;
@@ -191,11 +192,12 @@
             }
             () = close.notified() => {}
         }
-        // Dropping the connection ends its open streams as lost.
+        // Dropping the connection ends its open streams with an error.
         let _ = sender.send(State::Down { local: false });
     }
 
-    /// Sends pings until one is not answered in time, so that long streams do not wait on a path that is dead.
+    /// Sends keepalive pings, and returns when one is not answered in time. Detects dead connections under
+    /// long streams.
     async fn ping_until_silent(&self, ping: Option<h2::PingPong>) {
         let Some(mut ping) = ping else { return std::future::pending().await };
         loop {
@@ -205,7 +207,7 @@
                     .await;
             match answer {
                 Ok(Ok(_)) => {}
-                // The connection's own future reports this error.
+                // The connection's future reports this error.
                 Ok(Err(_)) => return std::future::pending().await,
                 Err(_) => return,
             }
@@ -213,7 +215,7 @@
     }
 }
 
-/// Removes a connection when its task ends, also by a panic.
+/// Removes a connection when its task ends, even by a panic.
 struct ConnectionGuard {
     upstream: Rc<Upstream>,
     conn: ConnectionId,
@@ -226,16 +228,16 @@
     }
 }
 
-/// A connection on which a call cannot be sent.
+/// The reason why a connection cannot be used for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectionError {
-    /// It was not established; `local` where the cause is this machine.
+    /// The connection was not established or has ended.
     #[error("the connection was not established")]
     NotConnected {
-        /// The cause is an error of this machine.
+        /// Whether the cause is local and not the backend.
         local: bool,
     },
-    /// It was established and accepts no more streams, which is no fault of the backend.
+    /// The connection accepts no more streams, which is not an error of the backend.
     #[error("the connection accepts no more streams")]
     Exhausted,
 }
@@ -260,7 +262,7 @@
         })
     }
 
-    /// The connection accepts no more streams.
+    /// Marks the connection as accepting no more streams.
     pub fn connection_exhausted(&self) {
         self.upstream.mark_exhausted(self.conn);
     }
