--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -1,5 +1,5 @@
-//! gRPC pass-through on loopback: stand-in servers that answer with every status, cut, reset and stall, and stand-in
-//! callers that cancel and break the rules.
+//! The gRPC front on loopback, against scripted backends that return every status, truncate, reset and stall,
+//! and clients that cancel calls and violate the protocol.
 
 mod stand_ins;
 
@@ -70,8 +70,8 @@
         Self::with(Clock::system(), name, all, limits).await
     }
 
-    /// Three boxes whose choice is the same in every run: it hangs on their addresses, here in a network of the
-    /// test's own, and on the time, since evidence and saved retries fade.
+    /// Starts three backends for a test with reproducible routing, which depends on the backends' addresses
+    /// and on the clock: outlier detection and the retry budget change with time.
     async fn certain(clock: &Clock, name: &str, network: u8) -> Self {
         let mut all = Vec::new();
         for place in 1..=3 {
@@ -100,7 +100,7 @@
         self.boxes.iter().map(GrpcBox::count).sum()
     }
 
-    /// A line of the figures.
+    /// The value of a metric, by its name and labels; 0 if it is missing.
     fn figure(&self, line: &str) -> u64 {
         let text = self.front.metrics();
         text.lines().find_map(|l| l.strip_prefix(line)?.trim().parse().ok()).unwrap_or(0)
@@ -111,7 +111,7 @@
     }
 }
 
-/// Waits until a condition holds, for two seconds at the most.
+/// Polls a condition until it holds; panics after two seconds.
 async fn soon(what: &str, holds: impl Fn() -> bool) {
     let end = Instant::now() + Duration::from_secs(2);
     while !holds() {
@@ -138,9 +138,9 @@
         assert_eq!((seen.header("x-bin"), seen.header("te")), (Some("AAEC"), Some("trailers")));
         assert_eq!(seen.header("content-type"), Some("application/grpc+proto"));
         let left = edge_proxy::grpc::timeout::parse(seen.header("grpc-timeout").unwrap()).unwrap();
-        assert!(left <= 1_460.0 && left > 100.0, "no longer than the client's less the way back: {left}");
+        assert!(left <= 1_460.0 && left > 100.0, "client timeout less the return margin: {left}");
 
-        // Server streaming, beyond every window; then client and bidirectional streaming.
+        // Server streaming, with more data than all flow-control windows; then bidirectional streaming.
         let got = caller.call("/t.Stream/Watch", &[("x-act", "read head flood:3000 status:0")], msg(1)).await;
         assert_eq!((got.status(), got.body.len()), (0, 3_000 * 1_005));
         let big: Vec<u8> = (0..1_500).flat_map(|_| msg(1_000)).collect();
@@ -162,15 +162,15 @@
         assert_eq!(
             (got.status(), got.body.len(), got.body == big),
             (0, big.len(), true),
-            "both ways at once"
+            "bidirectional streaming"
         );
         assert_eq!(edge.outcome("served"), 3);
-        assert_eq!(edge.figure("grpc_replay_bytes"), 0, "nothing is kept of calls that have ended");
+        assert_eq!(edge.figure("grpc_replay_bytes"), 0, "ended calls release their retry buffers");
     });
 }
 
-/// Each status, as the whole answer and after data: passed on as it came, counted for what it is, and tried again
-/// only where that is allowed.
+/// Guards against altered statuses, wrong outcome counts and retries that are not allowed, for each status as
+/// a "Trailers-Only" response and after data.
 #[test]
 fn every_status_is_passed_on_and_counted_for_what_it_is() {
     run(async {
@@ -195,11 +195,12 @@
             assert_eq!(after, (before.0 + 2, before.1 + ok, before.2, before.3 + 2 - ok), "status {code}");
         }
         assert_eq!(edge.figure("grpc_failed_after_data_total{pool=\"p\"}"), 17);
-        // UNAVAILABLE as the whole answer to what may be repeated: tried again, then refused as it came.
+        // A "Trailers-Only" UNAVAILABLE to an idempotent method: retried, then forwarded and counted as
+        // rejected.
         let got = caller.call("/t.Safe/Do", &[("x-act", "read status:14")], msg(3)).await;
         assert_eq!((got.status(), edge.outcome("refused")), (14, 1));
-        assert!(got.header("grpc-retry-pushback-ms").is_some(), "a refusal says when to come back: {got:?}");
-        // Where the server says when to come back, nobody comes before.
+        assert!(got.header("grpc-retry-pushback-ms").is_some(), "a rejection has a retry pushback: {got:?}");
+        // A retry pushback from the backend is forwarded, and the proxy does not retry.
         let before = edge.reached();
         let got = caller.call("/t.Safe/Do", &[("x-act", "read push:700 status:14")], msg(3)).await;
         assert_eq!((got.header("grpc-retry-pushback-ms"), edge.reached() - before), (Some("700"), 1));
@@ -226,23 +227,23 @@
                 edge.boxes[k % 3].does(act, 1);
                 let before = edge.reached();
                 let got = caller.call("/t.Safe/Get", &[], msg(700)).await;
-                // A cut after the response has begun is the client's to see; before, it is tried again.
+                // A call is committed once its response has begun, so a truncated response is not retried.
                 let committed = act.ends_with("end");
                 assert!(got.status() == 0 || (committed && got.status() == 13), "{what}: {got:?}");
                 tried += edge.reached() - before - 1;
                 edge.boxes[k % 3].does(act, 0);
             }
-            assert!(tried > 0 || act.ends_with("end"), "{what}: no second attempt was needed");
+            assert!(tried > 0 || act.ends_with("end"), "{what}: no call was retried");
         }
         let again: Vec<_> = edge.boxes.iter().flat_map(|b| b.calls.borrow().clone()).collect();
         let again: Vec<_> =
             again.iter().filter(|a| a.header("grpc-previous-rpc-attempts").is_some()).collect();
         assert!(
             !again.is_empty() && again.iter().all(|a| a.body == msg(700)),
-            "the request came whole again"
+            "retries repeat the whole request"
         );
 
-        // What may run once only: a reset, a cut and a kill end it; REFUSED_STREAM does not.
+        // Non-idempotent methods are not retried after an ambiguous end, only after REFUSED_STREAM.
         for (act, status) in [("read rst:2", 13), ("read http:503", 14), ("read kill", 14), ("status:14", 14)]
         {
             clock.advance(50.0);
@@ -251,7 +252,10 @@
             let got = caller.call("/t.Once/Do", &[], msg(5)).await;
             assert_eq!((got.status(), edge.reached() - before), (status, 1), "{act}: {got:?}");
             let told = got.header("grpc-retry-pushback-ms");
-            assert!(told == Some("-1") || act.starts_with("status"), "{act}: nothing is promised: {got:?}");
+            assert!(
+                told == Some("-1") || act.starts_with("status"),
+                "{act}: the client is told not to retry: {got:?}"
+            );
         }
         edge.boxes.iter().for_each(|b| b.does("rst:7", 0));
         let mut refused = 0;
@@ -260,11 +264,11 @@
             edge.boxes[k % 3].does("rst:7", 1);
             let before = edge.reached();
             let got = caller.call("/t.Once/Do", &[], msg(5)).await;
-            assert_eq!(got.status(), 0, "a refused stream surely did not run: {got:?}");
+            assert_eq!(got.status(), 0, "a refused stream is retried: {got:?}");
             refused += edge.reached() - before - 1;
             edge.boxes[k % 3].does("rst:7", 0);
         }
-        assert!(refused > 0, "some stream was refused");
+        assert!(refused > 0, "no stream was refused");
     });
 }
 
@@ -274,28 +278,32 @@
         let edge = Edge::start("grpc-deadline", 3, "{}").await;
         let caller = Caller::connect(edge.at).await;
         edge.boxes.iter().for_each(|b| b.does("read hang", u32::MAX));
-        // The client's own, the route's shorter one, and a stream's whose response had begun.
+        // The client's timeout, the route's shorter deadline, and a non-idempotent method.
         for (path, timeout, most) in
             [("/t.Safe/Get", "400m", 400.0), ("/t.Short/Get", "5S", 300.0), ("/t.Once/Do", "200m", 200.0)]
         {
             let got = caller.call(path, &[("grpc-timeout", timeout)], msg(5)).await;
-            // What may be repeated is refused once no further attempt fits; what may have run has failed.
+            // Idempotent calls are rejected if there is no time for a retry; non-idempotent calls fail.
             let told = if path == "/t.Once/Do" { 4 } else { 14 };
             assert!(got.status() == told || got.status() == 4, "{path}: {got:?}");
             assert!(got.took_ms <= most + 150.0, "{path}: {} ms of {most}", got.took_ms);
         }
         assert_eq!(edge.figure("grpc_deadlines_shortened_total{pool=\"p\"}"), 1);
         let calls: Vec<_> = edge.boxes.iter().flat_map(|b| b.calls.borrow().clone()).collect();
-        assert!(calls.len() > 2, "second attempts were made within the time");
+        assert!(calls.len() > 2, "no call was retried within its deadline");
         for call in &calls {
             let told = edge_proxy::grpc::timeout::parse(call.header("grpc-timeout").unwrap()).unwrap();
-            assert!(told <= 360.0, "an attempt was told {told} ms");
+            assert!(told <= 360.0, "an attempt got a timeout of {told} ms");
         }
         edge.boxes.iter().for_each(|b| b.does("read head msg:4 hang", u32::MAX));
         let got = caller.call("/t.Stream/Watch", &[("grpc-timeout", "250m")], msg(5)).await;
-        assert_eq!((got.status(), got.body.len()), (4, 9), "what had come stays: {got:?}");
+        assert_eq!(
+            (got.status(), got.body.len()),
+            (4, 9),
+            "the message before the deadline is kept: {got:?}"
+        );
         let all = || edge.boxes.iter().all(|b| b.calls.borrow().iter().all(|a| a.reset));
-        soon("every attempt was called off", all).await;
+        soon("every attempt is reset", all).await;
     });
 }
 
@@ -308,20 +316,20 @@
             let (response, mut stream) = caller.begin("/t.Stream/Watch", &[("x-act", act)]).await.unwrap();
             stream.send_data(msg(2).into(), false).unwrap();
             let reached = edge.reached();
-            soon("the call reached the box", || edge.reached() > reached || reached > 0).await;
+            soon("the call reaches the backend", || edge.reached() > reached || reached > 0).await;
             tokio::time::sleep(Duration::from_millis(30)).await;
             stream.send_reset(h2::Reason::CANCEL);
             drop(response);
-            soon("the box saw the reset", || edge.boxes[0].calls.borrow().iter().all(|a| a.reset)).await;
+            soon("the backend sees the reset", || edge.boxes[0].calls.borrow().iter().all(|a| a.reset)).await;
         }
-        soon("both count as left", || edge.outcome("left") == 2).await;
-        // A whole connection that goes takes its calls with it.
+        soon("both calls count as disconnected", || edge.outcome("left") == 2).await;
+        // A client connection that closes cancels its calls.
         let gone = Caller::connect(edge.at).await;
         let pending =
             spawn_local(async move { gone.call("/t.Stream/Watch", &[("x-act", "read hang")], msg(1)).await });
-        soon("it reached the box", || edge.reached() == 3).await;
+        soon("the call reaches the backend", || edge.reached() == 3).await;
         pending.abort();
-        soon("its call is called off", || edge.boxes[0].calls.borrow()[2].reset).await;
+        soon("the attempt is reset", || edge.boxes[0].calls.borrow()[2].reset).await;
         assert_eq!(edge.front.with(|calls| calls.open()), 0);
         assert_eq!(edge.outcome("failed") + edge.outcome("served"), 0);
     });
@@ -346,16 +354,16 @@
             assert_eq!(got.status(), status, "{act}: {got:?}");
         }
         assert_eq!(edge.outcome("served"), 0);
-        // The client's side: a request cut within a message, one that is too long, a bad prefix.
+        // Requests that are truncated within a message, exceed the size limit or have an invalid prefix.
         for (body, status) in [(msg(40)[..20].to_vec(), 13), (msg(3_000), 8), (vec![7; 9], 13)] {
             let got = caller.call("/t.Once/Do", &[], body).await;
             assert_eq!(got.status(), status, "{got:?}");
         }
-        soon("no box takes a broken request for whole", || {
+        soon("no backend sees an invalid request as complete", || {
             edge.boxes[0].calls.borrow().iter().skip(8).all(|a| !a.whole)
         })
         .await;
-        // Heads that can't be used: each a clear status, and the connection stays.
+        // Invalid request headers: each gets its status, and the connection stays open.
         for (path, headers, status) in [
             ("/t.None/Do", vec![], 12),
             ("/t.Safe", vec![], 12),
@@ -372,8 +380,8 @@
         let got = caller.call("/t.Safe/Get", &[("x-long", &long)], msg(1)).await;
         assert!(got.http == 431 || got.error.is_some(), "{got:?}");
         let got = caller.call("/t.Safe/Get", &[], msg(1)).await;
-        assert_eq!(got.status(), 0, "the connection goes on after an oversized head: {got:?}");
-        // Frames that break RFC 9113 end their connection with GOAWAY, and nobody else's.
+        assert_eq!(got.status(), 0, "the connection stays open after oversized headers: {got:?}");
+        // Protocol errors end their own connection with GOAWAY and no other.
         let mut raw = TcpStream::connect(edge.at).await.unwrap();
         raw.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0").await.unwrap();
         // DATA on stream 0.
@@ -385,7 +393,7 @@
         let mut raw = TcpStream::connect(edge.at).await.unwrap();
         raw.write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n").await.unwrap();
         let read = tokio::time::timeout(Duration::from_secs(2), raw.read_to_end(&mut Vec::new())).await;
-        assert!(read.is_ok(), "a client of another protocol is let go at once");
+        assert!(read.is_ok(), "a connection with another protocol is not closed");
     });
 }
 
@@ -395,7 +403,7 @@
         let edge = Edge::start("grpc-drain", 2, "{}").await;
         let caller = Caller::connect(edge.at).await;
         let first = edge.boxes[0].address;
-        // A stream on each box, held open over the drain.
+        // Open streams on both backends, kept open during the drain.
         let mut streams = Vec::new();
         while edge.boxes.iter().any(|b| b.count() == 0) {
             streams.push(caller.begin("/t.Stream/Chat", &[("x-act", "echo")]).await.unwrap());
@@ -410,22 +418,22 @@
         for _ in 0..40 {
             assert_eq!(caller.call("/t.Safe/Get", &[], msg(2)).await.status(), 0);
         }
-        assert_eq!(edge.boxes[0].count(), before, "a drained backend was named");
+        assert_eq!(edge.boxes[0].count(), before, "a draining backend got a new call");
         for (response, mut stream) in streams {
             stream.send_data(msg(6).into(), true).unwrap();
             let got = finish(response).await;
-            assert_eq!((got.status(), got.body), (0, msg(6)), "streams under way are finished");
+            assert_eq!((got.status(), got.body), (0, msg(6)), "open streams are completed");
         }
-        soon("its connections end", || edge.front.upstream.len() == 1).await;
-        // A file that can't be used changes nothing; then the backend is back.
+        soon("connections to the draining backend close", || edge.front.upstream.len() == 1).await;
+        // An invalid file is rejected; afterwards the backend is enabled again.
         std::fs::write(edge.dir.join("grpc.json"), "{\"listen\":").unwrap();
         assert!(GrpcConfig::read(&edge.dir.join("grpc.json")).is_err());
         drained(false);
         for _ in 0..40 {
             assert_eq!(caller.call("/t.Safe/Get", &[], msg(2)).await.status(), 0);
         }
-        assert!(edge.boxes[0].count() > before, "it is back");
-        // GOAWAY: what is open is finished, and the next calls go onto a fresh connection.
+        assert!(edge.boxes[0].count() > before, "the backend gets calls again");
+        // After a GOAWAY, open calls are completed and new calls use a new connection.
         let connections = edge.boxes[0].connections.get() + edge.boxes[1].connections.get();
         let slow = spawn_local({
             let caller = caller.clone();
@@ -439,7 +447,7 @@
             assert_eq!(
                 caller.call("/t.Once/Do", &[], msg(2)).await.status(),
                 0,
-                "no call is lost to a GOAWAY"
+                "a call failed because of a GOAWAY"
             );
         }
         assert_eq!(slow.await.unwrap().status(), 0);
@@ -457,12 +465,20 @@
         for _ in 0..10 {
             assert_eq!(caller.call("/t.Sticky/Get", &[("x-user", "u7")], msg(2)).await.status(), 0);
         }
-        assert_eq!(spread(&edge).iter().filter(|n| **n > 0).count(), 1, "one user, one backend");
+        assert_eq!(
+            spread(&edge).iter().filter(|n| **n > 0).count(),
+            1,
+            "calls of one user go to one backend"
+        );
         for _ in 0..60 {
             assert_eq!(caller.call("/t.Safe/Get", &[], msg(2)).await.status(), 0);
         }
-        assert!(spread(&edge).iter().all(|n| *n >= 8), "calls by themselves spread: {:?}", spread(&edge));
-        // One backend fails with everything: the module leaves it.
+        assert!(
+            spread(&edge).iter().all(|n| *n >= 8),
+            "calls without affinity are spread: {:?}",
+            spread(&edge)
+        );
+        // A backend that fails all calls is ejected.
         edge.boxes[1].does("status:13", u32::MAX);
         for _ in 0..60 {
             clock.advance(5.0);
@@ -478,7 +494,7 @@
             named <= 8 && failed <= 8,
             "{named} of 60 calls went to the failing backend, {failed} failed"
         );
-        // All drain: refused at once, with a time to come back.
+        // If all backends drain, calls are rejected at once with a retry pushback.
         let backends: Vec<_> = edge.boxes.iter().map(|b| (b.address, true)).collect();
         edge.front.reconfigure(file(&edge.dir, edge.at, &backends, "{}")).unwrap();
         let got = caller.call("/t.Once/Do", &[], msg(2)).await;
@@ -507,15 +523,19 @@
         assert_eq!(
             (got.status(), got.header("grpc-retry-pushback-ms")),
             (14, Some("300")),
-            "the fifth is refused"
+            "the fifth call is rejected"
         );
-        // At the cap an idle connection makes room for a newcomer.
+        // At the connection limit, an idle connection closes to make room for a new one.
         let _idle = Caller::connect(edge.at).await;
         tokio::time::sleep(Duration::from_millis(30)).await;
         let third = Caller::connect(edge.at).await;
         let got = tokio::time::timeout(Duration::from_secs(2), third.call("/t.Safe/Get", &[], msg(1))).await;
-        assert_eq!(got.expect("a place").status(), 14, "it is let in, and told that calls are full");
-        // The stop: one call ends by itself, the others are ended after the time they have.
+        assert_eq!(
+            got.expect("the new connection is accepted").status(),
+            14,
+            "the connection is accepted, and its call rejected"
+        );
+        // At shutdown one call completes; the others are aborted after the grace period.
         edge.closing.notify_one();
         edge.stop.begin();
         let (response, mut stream) = open.remove(0);
@@ -523,19 +543,22 @@
         assert_eq!(finish(response).await.status(), 0);
         for (response, _stream) in open {
             let got = finish(response).await;
-            assert_eq!((got.status(), got.body.len()), (14, 905), "a final answer, at the stop too: {got:?}");
+            assert_eq!(
+                (got.status(), got.body.len()),
+                (14, 905),
+                "aborted calls get a final status: {got:?}"
+            );
         }
-        soon("every connection ends", || edge.stop.open_connections() == 0).await;
+        soon("all connections close", || edge.stop.open_connections() == 0).await;
     });
 }
 
-/// The list of members, as the bulletin or a registry tells it, feeds a pool; a drain holds at once, also for a call
-/// that already waits for its connection.
+/// Guards against new calls to discovered backends that are draining or out of use.
 #[test]
 fn a_pool_from_the_list_of_members_follows_its_drains() {
     run(async {
         let edge = Edge::start("grpc-roster", 0, "{}").await;
-        // The file says the port once for the whole pool.
+        // All backends of a discovered pool have the same port.
         let one = GrpcBox::start("127.0.91.1:0").await;
         let port = one.address.port();
         let two = GrpcBox::start(&format!("127.0.91.2:{port}")).await;
@@ -564,21 +587,26 @@
             }
         };
         go(40).await;
-        assert!(one.count() > 5 && two.count() > 5, "both are asked: {} and {}", one.count(), two.count());
+        assert!(
+            one.count() > 5 && two.count() > 5,
+            "both backends get calls: {} and {}",
+            one.count(),
+            two.count()
+        );
         host.with(|engine| engine.apply_endpoints(false, vec![line(0xc1, "Terminating")]));
         let before = one.count();
         go(40).await;
-        assert_eq!(one.count(), before, "a drained member was asked");
+        assert_eq!(one.count(), before, "a draining backend got a call");
         host.with(|engine| engine.apply_endpoints(false, vec![line(0xc1, "Ready")]));
         host.with(|engine| engine.set_out_of_use(0xc2, true));
         let before = two.count();
         go(40).await;
-        assert_eq!(two.count(), before, "maintenance by hand counts as well");
+        assert_eq!(two.count(), before, "a backend that is out of use got a call");
     });
 }
 
-/// The door's fair queues ahead of unary calls: what is beyond the limit waits or is refused with a time to come
-/// back, a stream passes by, and a client that leaves while it waits is never sent on.
+/// Guards against unary calls that exceed the concurrency limit, streams that are queued, rejections without
+/// a retry pushback, and attempts for clients that disconnected while queued.
 #[test]
 fn unary_calls_go_through_fair_queues_and_streams_pass_by() {
     run(async {
@@ -602,7 +630,6 @@
         let stream = call("/t.Stream/Watch");
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert_eq!(edge.boxes[0].count(), 3, "two unary calls and the stream");
-        // One that waits and leaves; its place goes to the next.
         let before = front.metrics();
         assert!(before.contains("grpc_door_queued 3"), "{before}");
         let (mut served, mut refused) = (0, 0);
@@ -612,14 +639,14 @@
                 0 => served += 1,
                 14 => {
                     refused += 1;
-                    assert!(got.took_ms < 95.0, "refused at once: {got:?}");
+                    assert!(got.took_ms < 95.0, "rejected at once: {got:?}");
                     assert!(got.header("grpc-retry-pushback-ms").is_some(), "{got:?}");
                 }
                 _ => panic!("{got:?}"),
             }
         }
         assert_eq!((served, refused, stream.await.unwrap().status()), (5, 3, 0));
-        // Callers that leave while they wait.
+        // A client that cancels its call while the call is queued.
         let burst: Vec<_> = (0..4).map(|_| call("/t.Safe/Get")).collect();
         tokio::time::sleep(Duration::from_millis(30)).await;
         let reached = edge.boxes[0].count();
@@ -634,14 +661,14 @@
         let sent = |a: &stand_ins::grpc::Arrival| a.header("x-gone").is_some();
         assert!(
             !edge.boxes[0].calls.borrow().iter().skip(reached).any(sent),
-            "a call whose client left was sent"
+            "a call was sent after its client cancelled it"
         );
-        soon("the door is empty", || front.metrics().contains("grpc_door_open 0")).await;
+        soon("all permits are released", || front.metrics().contains("grpc_door_open 0")).await;
         assert!(front.metrics().contains("grpc_door_queued 0"));
     });
 }
 
-/// The program itself: `serve --grpc`, its figures, its file read again at SIGHUP, and a stop with a call under way.
+/// Guards `serve --grpc` as a process: metrics, status, reload at SIGHUP, and draining at SIGTERM.
 #[test]
 fn the_program_serves_reloads_and_stops() {
     run(async {
@@ -666,12 +693,12 @@
         }
         let caller = Caller::connect(grpc).await;
         assert_eq!(caller.call("/t.Safe/Get", &[], msg(2)).await.status(), 0);
-        // SIGHUP: the other backend takes over, and a file that can't be used changes nothing.
+        // SIGHUP applies a changed file; an invalid one changes nothing.
         file(&dir, grpc, &[(one.address, true), (two.address, false)], "{}");
         program.signal("-HUP");
         let end = Instant::now() + Duration::from_secs(5);
         while two.count() == 0 {
-            assert!(Instant::now() < end, "the file was not read again");
+            assert!(Instant::now() < end, "the file was not reloaded");
             assert_eq!(caller.call("/t.Safe/Get", &[], msg(2)).await.status(), 0);
         }
         std::fs::write(dir.join("grpc.json"), "{").unwrap();
@@ -679,7 +706,7 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         let before = one.count();
         assert_eq!(caller.call("/t.Safe/Get", &[], msg(2)).await.status(), 0);
-        assert_eq!(one.count(), before, "the file before stays");
+        assert_eq!(one.count(), before, "the previous configuration stays in force");
         let ask = |path: &'static str| async move {
             let answer =
                 edge_proxy::http_client::call(mgmt, "GET", path, b"", Duration::from_secs(2)).await.unwrap();
@@ -689,7 +716,7 @@
         assert!(figures.contains("grpc_calls_total{pool=\"p\",outcome=\"served\"}"), "{figures}");
         let status = ask("/grpc").await;
         assert!(status.contains(&format!("{{\"address\":\"{}\",\"live\":true}}", two.address)), "{status}");
-        // SIGTERM with a call under way: it has its whole answer, then the process ends.
+        // At SIGTERM an open call gets its complete response before the process ends.
         let slow = spawn_local({
             let caller = caller.clone();
             let act = [("x-act", "read sleep:900 head msg:5 status:0")];
--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -1,5 +1,5 @@
-//! The decisions of gRPC pass-through without a socket: random calls, ends, lists and departures by fixed seeds, and
-//! what must hold whatever comes.
+//! The gRPC call table without I/O: invariants under random calls, attempt results, backend changes and
+//! disconnects from fixed seeds, and validation of the configuration file.
 
 use edge_proxy::engine::executor::Backend;
 use edge_proxy::grpc::call::{AttemptTarget, CallId, CallOutcome, Directive, NewCall};
@@ -60,7 +60,7 @@
     replayable: bool,
 }
 
-/// A random day. Returns the outcomes by kind, so that a day that never does something is seen.
+/// Runs a random sequence of events and checks the invariants. Returns how often each kind of end occurred.
 fn day(seed: u64) -> HashMap<String, u32> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let (mut calls, routes) = config();
@@ -73,22 +73,22 @@
         now += rng.random_range(0.0..20.0);
         let ids: Vec<CallId> = open.keys().copied().collect();
         let some = (!ids.is_empty()).then(|| ids[rng.random_range(0..ids.len())]);
-        // What a directive means for a call: another attempt, or its one end.
+        // Checks a directive against the state of its call. Returns whether it ends the call.
         let mut follow =
             |open: &mut HashMap<CallId, Open>, id, mut call: Open, directive, live: &[bool], over: bool| {
                 match directive {
                     Directive::StartAttempt(start) => {
-                        assert!(!call.committed, "a committed call was sent again");
-                        assert!(live[start.backend as usize], "a drained backend was named");
+                        assert!(!call.committed, "a committed call was retried");
+                        assert!(live[start.backend as usize], "a draining backend was chosen");
                         assert!(
                             call.route.idempotency != Idempotency::NotIdempotent || !call.may_have_run,
-                            "what may have run was sent again"
+                            "a non-idempotent call was retried although it may have been processed"
                         );
-                        assert!(call.replayable, "a request that was not kept was sent again");
-                        assert!(!over, "an attempt after the call's time");
-                        assert_eq!(start.attempt, call.attempts, "attempts are numbered in order");
+                        assert!(call.replayable, "a request that was not buffered was retried");
+                        assert!(!over, "an attempt was started after the deadline");
+                        assert_eq!(start.attempt, call.attempts, "attempts are numbered consecutively");
                         call.attempts += 1;
-                        assert!(call.attempts <= 3, "more attempts than the pool allows");
+                        assert!(call.attempts <= 3, "the attempt limit was exceeded");
                         call.start = start;
                         open.insert(id, call);
                         false
@@ -98,12 +98,12 @@
                         true
                     }
                     Directive::Respond(answer) => {
-                        assert_ne!(answer.code, Code::OK, "an answer of the proxy's own is never OK");
+                        assert_ne!(answer.code, Code::OK, "the proxy never generates OK");
                         let unsafe_ran =
                             call.route.idempotency == Idempotency::NotIdempotent && call.may_have_run;
                         assert!(
                             !unsafe_ran || answer.outcome != CallOutcome::Rejected,
-                            "what may have run was called refused: {answer:?}"
+                            "a call that may have been processed was reported as rejected: {answer:?}"
                         );
                         *seen.entry(format!("answer {:?}", answer.outcome)).or_default() += 1;
                         true
@@ -118,7 +118,7 @@
                 let allowed = new.allowed_ms();
                 assert!(
                     allowed <= 3_000.0 && timeout_ms.is_none_or(|t| allowed <= t),
-                    "a deadline was stretched"
+                    "a deadline was extended"
                 );
                 let (id, directive) = calls.begin(now, new);
                 begun += 1;
@@ -144,7 +144,7 @@
                 let call = open.get_mut(&id).unwrap();
                 let most = 800;
                 call.replayable &= calls.reserve_replay(id, rng.random_range(1..500), most);
-                assert!(calls.replay_bytes() <= 5_000, "more is kept than the bound");
+                assert!(calls.replay_bytes() <= 5_000, "the retry buffer limit was exceeded");
             }
             7 => {
                 let Some(id) = some else { continue };
@@ -157,8 +157,11 @@
                 let mut call = open.remove(&id).unwrap();
                 let may_start = calls.may_start(now, id);
                 if let Some(left) = may_start {
-                    assert!(live[call.start.backend as usize], "an attempt may start at a drained backend");
-                    assert!(left <= call.began + call.allowed - now + 1e-6, "more time than the call has");
+                    assert!(live[call.start.backend as usize], "an attempt may start at a draining backend");
+                    assert!(
+                        left <= call.began + call.allowed - now + 1e-6,
+                        "an attempt got more time than its call has"
+                    );
                 }
                 let over = now >= call.began + call.allowed;
                 let ends = [
@@ -196,7 +199,7 @@
                 if call.committed {
                     assert!(
                         !matches!(directive, Directive::StartAttempt(_)),
-                        "a committed call goes on: {end:?}"
+                        "a committed call was retried: {end:?}"
                     );
                 }
                 if end == AttemptEnd::Status(Code::OK, None) {
@@ -207,15 +210,15 @@
                 ended += u64::from(follow(&mut open, id, call, directive, &live, over));
             }
         }
-        assert_eq!(calls.open(), open.len(), "each call is open until its one end");
+        assert_eq!(calls.open(), open.len(), "a call is open until its end");
     }
-    assert_eq!(begun, ended + left + open.len() as u64, "each call ends once");
+    assert_eq!(begun, ended + left + open.len() as u64, "a call ends exactly once");
     for (id, _) in open {
         calls.client_disconnected(now, id);
     }
-    assert_eq!((calls.open(), calls.replay_bytes()), (0, 0), "nothing stays behind");
+    assert_eq!((calls.open(), calls.replay_bytes()), (0, 0), "calls and buffers are released");
     let counters = &calls.pools()[0].counters;
-    assert_eq!(counters.outcomes.iter().sum::<u64>(), begun, "each call is counted once");
+    assert_eq!(counters.outcomes.iter().sum::<u64>(), begun, "a call is counted exactly once");
     seen
 }
 
@@ -238,14 +241,14 @@
         |kind, repeat| routes.iter().find(|r| r.kind == kind && r.idempotency == repeat).unwrap().clone();
     let new =
         |route: Rc<Route>| NewCall { route, object: Some(7), timeout_ms: Some(2_000.0), received_ms: 0.0 };
-    // A unary attempt is given up before the call is; a stream's is not.
+    // Only a unary attempt has a time-out before the call's deadline.
     let (unary, _) = calls.begin(0.0, new(route(MethodKind::Unary, Idempotency::Idempotent)));
     let (stream, _) = calls.begin(0.0, new(route(MethodKind::Stream, Idempotency::Idempotent)));
     assert!(calls.due_ms(unary) < 1_900.0, "{}", calls.due_ms(unary));
-    assert_eq!(calls.due_ms(stream), 1_960.0, "the client's time, less the way back");
+    assert_eq!(calls.due_ms(stream), 1_960.0, "the client timeout less the return margin");
     calls.committed(50.0, unary);
-    assert_eq!(calls.due_ms(unary), 1_960.0, "once its response has begun it has the call's time");
-    // Long streams leave their backends in good standing: none of the later ones goes elsewhere.
+    assert_eq!(calls.due_ms(unary), 1_960.0, "a committed attempt has until the call's deadline");
+    // The duration of streams does not get their backends ejected.
     for n in 0..50 {
         let now = f64::from(n) * 10_000.0;
         let new = NewCall {
@@ -297,6 +300,6 @@
         (file(pool, route, r#","tenant_header":"a b""#), "tenant_header"),
     ] {
         let reason = check(&text).expect_err(&text);
-        assert!(reason.contains(word), "{reason} does not name {word}");
+        assert!(reason.contains(word), "{reason:?} does not contain {word:?}");
     }
 }
--- a/tests/stand_ins/grpc.rs
+++ b/tests/stand_ins/grpc.rs
@@ -1,5 +1,5 @@
-//! Stand-in gRPC servers and clients on loopback, over the `h2` crate. A server does for each call what the call's
-//! `x-act` header says, or what the test set for the whole box; it notes every call that reached it.
+//! Scripted gRPC backends and clients on loopback, built on the `h2` crate. A backend runs a script for each
+//! call, from the call's `x-act` header or set by the test, and records the calls that it receives.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -17,17 +17,17 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// A call that reached a box.
+/// A call received by a backend.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at_ms: f64,
     pub path: String,
     pub headers: HeaderMap,
-    /// The request's bytes as far as they were read.
+    /// The request bytes read so far.
     pub body: Vec<u8>,
-    /// The request ended as it should.
+    /// Whether the client ended the request stream.
     pub whole: bool,
-    /// The caller reset it, or its connection went.
+    /// Whether the client reset the call or its connection ended.
     pub reset: bool,
 }
 
@@ -37,19 +37,19 @@
     }
 }
 
-/// A message of `n` bytes with its prefix.
+/// A length-prefixed message of `n` bytes.
 pub fn msg(n: usize) -> Vec<u8> {
     [&[0u8][..], &(n as u32).to_be_bytes(), &vec![b'm'; n]].concat()
 }
 
-/// A box.
+/// A scripted backend.
 #[derive(Clone)]
 pub struct GrpcBox {
     pub address: SocketAddr,
     pub calls: Rc<RefCell<Vec<Arrival>>>,
-    /// What it does instead of what the calls say.
+    /// Script that overrides those of the calls.
     pub act: Rc<RefCell<Option<String>>>,
-    /// So many calls get `act`, the others what they ask for; `u32::MAX` is all.
+    /// Number of further calls that `act` applies to; `u32::MAX` for all.
     pub acts_left: Rc<Cell<u32>>,
     pub connections: Rc<Cell<u32>>,
     kill: Rc<Notify>,
@@ -57,7 +57,7 @@
 }
 
 impl GrpcBox {
-    /// At an address; port 0 is any.
+    /// Starts a backend on an address; port 0 selects a free port.
     pub async fn start(at: &str) -> Self {
         let listener = TcpListener::bind(at).await.unwrap();
         let own = Self {
@@ -79,7 +79,7 @@
         own
     }
 
-    /// From now on `n` calls get this.
+    /// Runs this script for the next `n` calls; `u32::MAX` for all.
     pub fn does(&self, act: &str, n: u32) {
         *self.act.borrow_mut() = Some(act.into());
         self.acts_left.set(n);
@@ -89,12 +89,12 @@
         self.calls.borrow().len()
     }
 
-    /// Cuts all connections without a word.
+    /// Closes all connections abruptly.
     pub fn kill(&self) {
         self.kill.notify_waiters();
     }
 
-    /// Says GOAWAY on all connections, and finishes what it has.
+    /// Shuts all connections down gracefully, with GOAWAY.
     pub fn go_away(&self) {
         self.go_away.notify_waiters();
     }
@@ -154,7 +154,7 @@
         change(&mut self.own.calls.borrow_mut()[self.place]);
     }
 
-    /// The next bytes of the request; none at its end.
+    /// Reads the next bytes of the request. Returns `None` at its end.
     async fn chunk(&mut self) -> Option<Bytes> {
         match self.body.data().await {
             Some(Ok(chunk)) => {
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Waits until the caller resets the call.
+    /// Waits until the client resets the call.
     async fn hang(&mut self) {
         let gone = poll_fn(|cx| match (&mut self.stream, &mut self.respond) {
             (Some(stream), _) => stream.poll_reset(cx).map(drop),
@@ -235,7 +235,7 @@
                 "read" => while self.chunk().await.is_some() {},
                 "head" => self.head(),
                 "msg" => self.send(msg(n)).await,
-                // Many messages, as fast as the caller takes them.
+                // Sends `n` messages under the client's flow control.
                 "flood" => {
                     for _ in 0..n {
                         self.send(msg(1_000)).await;
@@ -273,13 +273,13 @@
                 "hang" => self.hang().await,
                 "kill" => self.own.kill(),
                 "goaway" => self.own.go_away(),
-                other => panic!("no such step {other:?}"),
+                other => panic!("unknown script step {other:?}"),
             }
         }
     }
 }
 
-/// What a caller got.
+/// The response to a call, as the client received it.
 #[derive(Debug, Default)]
 pub struct Got {
     pub http: u16,
@@ -299,13 +299,13 @@
         self.last().get(name)?.to_str().ok()
     }
 
-    /// The status; -1 where there was none.
+    /// The gRPC status; -1 if there was none.
     pub fn status(&self) -> i32 {
         self.header("grpc-status").and_then(|v| v.parse().ok()).unwrap_or(-1)
     }
 }
 
-/// A caller's connection.
+/// A client connection.
 #[derive(Clone)]
 pub struct Caller {
     send: SendRequest<Bytes>,
@@ -322,7 +322,7 @@
         Self { send }
     }
 
-    /// Begins a call; the request's body goes by the stream.
+    /// Starts a call; the request body is sent on the returned stream.
     pub async fn begin(
         &self,
         path: &str,
@@ -337,7 +337,7 @@
         send.send_request(request.body(()).unwrap(), false)
     }
 
-    /// A whole call with these bytes as its request.
+    /// Makes a complete call with these bytes as the request body.
     pub async fn call(&self, path: &str, headers: &[(&str, &str)], body: Vec<u8>) -> Got {
         let start = Instant::now();
         let mut got = match self.begin(path, headers).await {
@@ -352,7 +352,7 @@
     }
 }
 
-/// Takes a response to its end.
+/// Receives a response up to its end.
 pub async fn finish(response: h2::client::ResponseFuture) -> Got {
     let mut got = Got::default();
     let (parts, mut body) = match response.await {
