--- a/src/grpc/config.rs
+++ b/src/grpc/config.rs
@@ -51,7 +51,7 @@
     pub fn reload(&self) -> Result<Self, ConfigError> {
         let fresh = Self::read(&self.path)?;
         if fresh.listen != self.listen {
-            let reason = format!("{:?}: another address needs a new process", fresh.listen);
+            let reason = format!("{:?}: changing the listen address requires a restart", fresh.listen);
             return Err(FieldError::new("listen", reason).in_file(&self.path));
         }
         Ok(fresh)
@@ -66,10 +66,10 @@
         }
         let header = self.tenant_header.as_ref();
         if header.is_some_and(|name| HeaderName::from_bytes(name.as_bytes()).is_err()) {
-            return Err(FieldError::new("tenant_header", "no header's name"));
+            return Err(FieldError::new("tenant_header", "not a valid header name"));
         }
         if self.pools.is_empty() {
-            return Err(FieldError::new("pools", "none"));
+            return Err(FieldError::new("pools", "at least one pool is required"));
         }
         for (index, pool) in self.pools.iter().enumerate() {
             let is_repeated = self.pools[..index].iter().any(|other| other.name == pool.name);
--- a/src/grpc/frames.rs
+++ b/src/grpc/frames.rs
@@ -9,10 +9,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
     /// The compressed flag is neither 0 nor 1.
-    #[error("a message's compressed-flag is {0}")]
+    #[error("invalid compressed flag {0} in a message prefix")]
     Flag(u8),
     /// A message exceeds the size limit.
-    #[error("a message of {0} bytes is over the limit")]
+    #[error("a message of {0} bytes exceeds the size limit")]
     TooLong(u32),
 }
 
--- a/src/grpc/front.rs
+++ b/src/grpc/front.rs
@@ -155,7 +155,7 @@
         }
         let backends = &listed[index];
         let live = backends.iter().filter(|backend| backend.live).count();
-        tracing::info!(pool, backends = backends.len(), live, "gRPC: backends listed");
+        tracing::info!(pool, backends = backends.len(), live, "gRPC pool backends updated");
     }
 
     /// Encodes the metrics in the Prometheus text format.
--- a/src/grpc/headers.rs
+++ b/src/grpc/headers.rs
@@ -29,7 +29,7 @@
 
 /// A header that must occur at most once is repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a header that may stand once is repeated")]
+#[error("a header that must occur at most once is repeated")]
 pub struct RepeatedHeader;
 
 /// Returns the headers to forward: all except hop-by-hop headers and those that `connection` names.
--- a/src/grpc/pool_config.rs
+++ b/src/grpc/pool_config.rs
@@ -80,28 +80,28 @@
 #[derive(Debug, Error)]
 pub enum PoolFault {
     /// The name is empty or that of another pool.
-    #[error("the name is empty or comes twice")]
+    #[error("the name is empty or not unique")]
     Name,
     /// The pool has neither `backends` nor `roster`, or both.
-    #[error("either `backends` or `roster`")]
+    #[error("either `backends` or `roster` is required, and not both")]
     Backends,
     /// Only some of the backends have a weight.
-    #[error("`weight` of all backends or of none")]
+    #[error("`weight` must be set for all backends or for none")]
     Weights,
     /// A backend's address is invalid.
     #[error(transparent)]
     Address(#[from] AddressError),
     /// Two backends have the same address.
-    #[error("{0} comes twice")]
+    #[error("backend {0} is listed more than once")]
     Repeated(SocketAddr),
     /// A backend's weight is not above 0.
-    #[error("the weight of {0} is not above 0")]
+    #[error("the weight of {0} must be a finite number above 0")]
     Weight(SocketAddr),
     /// `attempts` is out of its range.
-    #[error("`attempts` 1 to 16")]
+    #[error("`attempts` must be between 1 and 16")]
     Attempts,
     /// `come_back_most_ms` is out of its range.
-    #[error("`come_back_most_ms` 0 to 60,000")]
+    #[error("`come_back_most_ms` must be between 0 and 60,000")]
     MaxRetryAfter,
 }
 
--- a/src/grpc/route_compiler.rs
+++ b/src/grpc/route_compiler.rs
@@ -35,28 +35,28 @@
 #[derive(Debug, Error)]
 pub enum RouteFault {
     /// No pool has this name.
-    #[error("no pool {0:?}")]
+    #[error("there is no pool named {0:?}")]
     NoPool(String),
     /// The deadline is out of range.
-    #[error("`deadline_ms` 1 to a day")]
+    #[error("`deadline_ms` must be between 1 and 86,400,000")]
     Deadline,
     /// A unary method has no deadline.
-    #[error("a unary method needs `deadline_ms`")]
+    #[error("a unary method requires `deadline_ms`")]
     NoDeadline,
     /// The latency objective is out of range.
-    #[error("`aim_ms` 1 to the deadline")]
+    #[error("`aim_ms` must be between 1 and the deadline")]
     LatencyObjective,
     /// A header name is invalid.
-    #[error("no header's name")]
+    #[error("not a valid header name")]
     HeaderName,
     /// A route whose calls carry an idempotency key lacks its settings, or another route has them.
-    #[error("`key` and `key_window_ms` go with `keyed`, and only there")]
+    #[error("`key` and `key_window_ms` are required for `keyed` methods and not allowed for others")]
     Key,
     /// A status name in `retry` is unknown, or OK.
-    #[error("`retry` names statuses other than OK")]
+    #[error("`retry` must list names of status codes other than OK")]
     Retry,
     /// The affinity is unknown.
-    #[error("`affinity` is `call`, `method` or `header:NAME`")]
+    #[error("`affinity` must be `call`, `method` or `header:NAME`")]
     Affinity,
 }
 
--- a/src/grpc/routes.rs
+++ b/src/grpc/routes.rs
@@ -65,7 +65,7 @@
     #[error("{0:?} is not `/Service/Method`, `/Service/*` or `*`")]
     Form(String),
     /// The pattern is already in the table.
-    #[error("{0:?} comes twice")]
+    #[error("pattern {0:?} is defined more than once")]
     Twice(String),
 }
 
--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -107,10 +107,10 @@
     front.executor.with(|engine| engine.counters.client_connections += 1);
     let (own, stop) = (front.clone(), stop.clone());
     let open = stop.track_connection();
-    front.executor.spawn("a gRPC client's connection", async move {
+    front.executor.spawn("gRPC client connection", async move {
         let (_open, _slot) = (open, slot);
         if let Err(error) = serve(&own, stream, peer, &stop).await {
-            tracing::debug!(%error, "gRPC: a client's connection ended");
+            tracing::debug!(%error, "gRPC client connection ended with an error");
         }
     });
 }
@@ -172,7 +172,7 @@
                 Some(Err(error)) => return Err(error),
                 Some(Ok((request, respond))) => {
                     let (call, own) = (open_calls.enter(), front.clone());
-                    front.executor.spawn("a gRPC call", async move {
+                    front.executor.spawn("gRPC call", async move {
                         let _call = call;
                         drive_call(own, request, respond, peer).await;
                     });
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -185,10 +185,10 @@
         let _ = sender.send(State::Up(send));
         tokio::select! {
             ended = &mut connection => if let Err(error) = ended {
-                tracing::debug!(%address, %error, "gRPC: a backend's connection ended");
+                tracing::debug!(%address, %error, "gRPC backend connection ended with an error");
             },
             () = self.ping_until_silent(ping) => {
-                tracing::warn!(%address, "gRPC: a backend's connection fell silent");
+                tracing::warn!(%address, "gRPC backend connection closed: no response to a keepalive ping");
             }
             () = close.notified() => {}
         }
--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -283,7 +283,7 @@
         (file(r#""backends":[]"#, route, ""), "either `backends` or `roster`"),
         (
             file(r#""backends":[{"address":"127.0.0.1:2"},{"address":"127.0.0.1:2"}]"#, route, ""),
-            "comes twice",
+            "127.0.0.1:2 is listed more than once",
         ),
         (file(r#""backends":[{"address":"127.0.0.1:2","weight":0}]"#, route, ""), "weight"),
         (file(r#""backends":[{"address":"example:2"}]"#, route, ""), "pools"),
