--- a/src/grpc/admin.rs
+++ b/src/grpc/admin.rs
@@ -5,11 +5,11 @@
 use crate::wire::http::{HttpRequest, HttpResponse};
 use std::net::SocketAddr;
 
-const PATH: &str = "/grpc";
+const STATUS_PATH: &str = "/grpc";
 
 /// The body of a response to `GET /grpc`.
 #[derive(serde::Serialize)]
-struct Status {
+struct FrontStatus {
     open: usize,
     connections: usize,
     pools: Vec<PoolStatus>,
@@ -42,7 +42,7 @@
         Self {
             name: pool.name().to_string(),
             live: pool.active_backends(),
-            avoided: pool.avoided_backends(now),
+            avoided: pool.ejected_backends(now),
             backends: backends.collect(),
             served,
             refused,
@@ -56,19 +56,19 @@
 impl GrpcFront {
     /// Handles an admin request for the front's status. Returns `None` for any other target.
     pub fn answer(&self, request: &HttpRequest) -> Option<HttpResponse> {
-        if request.target != PATH {
+        if request.target != STATUS_PATH {
             return None;
         }
         if request.method != "GET" {
             return Some(HttpResponse::status(405).with("Allow", "GET"));
         }
-        let status = self.with(|calls| Status {
-            open: calls.open(),
+        let status = self.with_calls(|calls| FrontStatus {
+            open: calls.open_calls(),
             connections: self.upstream.len(),
             pools: calls.pools().iter().map(|pool| PoolStatus::of(self.now(), pool)).collect(),
         });
         let body = simd_json::to_vec(&status).unwrap_or_default();
-        let answer = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
-        Some(answer.with("Content-Type", "application/json"))
+        let response = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
+        Some(response.with("Content-Type", "application/json"))
     }
 }
--- a/src/grpc/admission.rs
+++ b/src/grpc/admission.rs
@@ -24,7 +24,7 @@
     queued: RefCell<HashMap<u64, oneshot::Sender<QueueDecision>>>,
     last_id: Cell<u64>,
     /// Notified when a call is queued, because its deadline may be the earliest.
-    pub due: Notify,
+    pub call_queued: Notify,
 }
 
 /// The immediate result of submitting a call to admission control.
@@ -48,7 +48,7 @@
 
 impl CallAdmission {
     /// Enables admission control, or disables it with `None`.
-    pub fn set(&self, control: Option<AdmissionControl>) {
+    pub fn set_control(&self, control: Option<AdmissionControl>) {
         *self.control.borrow_mut() = control;
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Submits a call that is to be rejected if it is still queued close to `deadline_ms`.
-    pub fn enter(
+    pub fn submit(
         self: &Rc<Self>,
         clock: &Clock,
         client: IpAddr,
@@ -86,7 +86,7 @@
             Some(Ok(None)) => {
                 let (sender, decision) = oneshot::channel();
                 self.queued.borrow_mut().insert(id, sender);
-                self.due.notify_one();
+                self.call_queued.notify_one();
                 AdmissionResult::Queued(decision, permit(Some(id)))
             }
             Some(Err(NotAdmitted::Shed { retry_after_ms })) => AdmissionResult::Rejected(retry_after_ms),
@@ -96,14 +96,14 @@
     }
 
     /// Rejects queued calls that are close to their deadline.
-    pub fn tick(&self, now: f64) {
+    pub fn expire_queued(&self, now: f64) {
         for expired in self.with(|control| control.expire(now)).unwrap_or_default() {
             self.decide(expired.id, Some(expired.retry_after_ms));
         }
     }
 
-    /// The time at which [`Self::tick`] is next due; infinite if no call is queued.
-    pub fn next_due(&self) -> f64 {
+    /// The time at which [`Self::expire_queued`] is next due; infinite if no call is queued.
+    pub fn next_expiry_ms(&self) -> f64 {
         self.with(|control| control.next_deadline()).flatten().unwrap_or(f64::INFINITY)
     }
 
@@ -117,7 +117,7 @@
 
 impl AdmissionPermit {
     /// Records how the call ended. The adaptive concurrency limit depends on it.
-    pub fn ended(&self, outcome: CallOutcome) {
+    pub fn record_outcome(&self, outcome: CallOutcome) {
         self.outcome.set(Some(outcome));
     }
 }
--- a/src/grpc/attempt.rs
+++ b/src/grpc/attempt.rs
@@ -34,27 +34,27 @@
     target: &AttemptTarget,
     client: &mut ClientStreams<'_>,
 ) -> AttemptResult {
-    let stopping = || AttemptResult::Aborted(LocalStatus::failed(Code::UNAVAILABLE, "the proxy stops"));
+    let aborted_result = || AttemptResult::Aborted(LocalStatus::failed(Code::UNAVAILABLE, "the proxy stops"));
     if front.is_aborting() {
-        return stopping();
+        return aborted_result();
     }
     tokio::select! {
         biased;
         result = forward(front, id, target, client) => result,
-        () = front.aborted() => stopping(),
-        () = timed_out(front, id) => AttemptResult::ended(AttemptEnd::TimedOut),
+        () = front.abort_requested() => aborted_result(),
+        () = attempt_timeout(front, id) => AttemptResult::ended(AttemptEnd::TimedOut),
     }
 }
 
 /// Completes when the attempt times out. The time-out is read again after each sleep, because it is extended
 /// to the call's deadline when the response begins.
-async fn timed_out(front: &GrpcFront, id: CallId) {
+async fn attempt_timeout(front: &GrpcFront, id: CallId) {
     loop {
-        let left = front.with(|calls| calls.due_ms(id)) - front.now();
-        if left <= 0.0 {
+        let remaining_ms = front.with_calls(|calls| calls.timeout_at_ms(id)) - front.now();
+        if remaining_ms <= 0.0 {
             return;
         }
-        tokio::time::sleep(duration_from_ms(left)).await;
+        tokio::time::sleep(duration_from_ms(remaining_ms)).await;
     }
 }
 
@@ -82,10 +82,10 @@
     };
     // The backend may have started draining, and time has passed, while the call waited for the connection.
     front.sync_backends();
-    let Some(left_ms) = front.with(|calls| calls.may_start(front.now(), id)) else {
+    let Some(remaining_ms) = front.with_calls(|calls| calls.remaining_attempt_ms(front.now(), id)) else {
         return AttemptResult::ended(AttemptEnd::NotSent);
     };
-    let request = attempt_head(client.head, target, left_ms);
+    let request = attempt_request(client.head, target, remaining_ms);
     let (response, mut stream) = match sender.send_request(request, false) {
         Ok(streams) => streams,
         Err(_) => {
@@ -110,7 +110,7 @@
 }
 
 /// Builds the request headers for the backend.
-fn attempt_head(head: &request::Parts, target: &AttemptTarget, left_ms: f64) -> Request<()> {
+fn attempt_request(head: &request::Parts, target: &AttemptTarget, remaining_ms: f64) -> Request<()> {
     let mut request = Request::new(());
     *request.method_mut() = Method::POST;
     *request.version_mut() = Version::HTTP_2;
@@ -118,8 +118,8 @@
     *request.headers_mut() = end_to_end(&head.headers);
     let headers = request.headers_mut();
     headers.insert("te", HeaderValue::from_static("trailers"));
-    if left_ms.is_finite() {
-        if let Ok(value) = HeaderValue::from_str(&timeout::format(left_ms)) {
+    if remaining_ms.is_finite() {
+        if let Ok(value) = HeaderValue::from_str(&timeout::format(remaining_ms)) {
             headers.insert(TIMEOUT, value);
         }
     }
--- a/src/grpc/attempt_result.rs
+++ b/src/grpc/attempt_result.rs
@@ -24,7 +24,7 @@
 }
 
 /// Maps an HTTP/2 error to the end of the attempt.
-pub fn end_of(error: &h2::Error) -> AttemptEnd {
+pub fn end_of_error(error: &h2::Error) -> AttemptEnd {
     if error.is_go_away() && error.is_remote() {
         // `h2` reports a GOAWAY only to streams above its last stream id; the backend did not process them.
         return AttemptEnd::Unprocessed;
--- a/src/grpc/call.rs
+++ b/src/grpc/call.rs
@@ -21,7 +21,7 @@
     /// The route that matched its path.
     pub route: Rc<Route>,
     /// The hash that selects the backend; `None` for calls without affinity.
-    pub object: Option<u64>,
+    pub affinity_hash: Option<u64>,
     /// The value of `grpc-timeout`, in milliseconds.
     pub timeout_ms: Option<f64>,
     /// When its headers arrived, in Unix milliseconds. The deadline counts from here, so it includes time in
@@ -125,7 +125,7 @@
 ) -> Option<u64> {
     match affinity {
         Affinity::Call => None,
-        Affinity::Method => Some(super::routes::hash(path.as_bytes())),
-        Affinity::Header(name) => header(name).map(|value| super::routes::hash(&value)),
+        Affinity::Method => Some(super::routes::text_hash(path.as_bytes())),
+        Affinity::Header(name) => header(name).map(|value| super::routes::text_hash(&value)),
     }
 }
--- a/src/grpc/call_driver.rs
+++ b/src/grpc/call_driver.rs
@@ -6,7 +6,7 @@
 use super::attempt_result::AttemptResult;
 use super::call::{affinity_hash, CallId, Directive, LocalStatus, NewCall};
 use super::front::GrpcFront;
-use super::headers::{add_pushback, is_grpc, single, trailers_of, TIMEOUT};
+use super::headers::{add_pushback, is_grpc, single_value, status_trailers, TIMEOUT};
 use super::request_stream::RequestStream;
 use super::response_stream::ResponseStream;
 use super::routes::MethodKind;
@@ -37,16 +37,16 @@
         Ok(new) => new,
         Err(status) => {
             front.count_unrouted();
-            return response.end(trailers_of(&status));
+            return response.end(status_trailers(&status));
         }
     };
     let permit = match admit(&front, &head, &new, client, &mut response).await {
-        Admission::Admitted(permit) => permit,
-        Admission::ClientDisconnected => return,
-        Admission::Rejected { retry_after_ms } => {
+        AdmissionDecision::Admitted(permit) => permit,
+        AdmissionDecision::ClientDisconnected => return,
+        AdmissionDecision::Rejected { retry_after_ms } => {
             let retry_after_ms = (retry_after_ms > 0.0).then_some(retry_after_ms);
             let status = LocalStatus::rejected("refused at the door", retry_after_ms);
-            return response.end(trailers_of(&status));
+            return response.end(status_trailers(&status));
         }
     };
     front.sync_backends();
@@ -72,7 +72,7 @@
     streams: &mut ClientStreams<'_>,
     permit: Option<AdmissionPermit>,
 ) {
-    let (id, mut directive) = front.with(|calls| calls.begin(front.now(), new));
+    let (id, mut directive) = front.with_calls(|calls| calls.begin(front.now(), new));
     let mut open_call = OpenCallGuard { front, id, ended: false };
     let mut last_headers: Option<HeaderMap> = None;
     loop {
@@ -83,24 +83,24 @@
                 match result {
                     AttemptResult::ClientDisconnected => return,
                     AttemptResult::Aborted(status) => {
-                        front.with(|calls| calls.abort(front.now(), id, status))
+                        front.with_calls(|calls| calls.abort(front.now(), id, status))
                     }
                     AttemptResult::Ended(end, headers) => {
                         last_headers = headers;
-                        front.with(|calls| calls.attempt_ended(front.now(), id, end))
+                        front.with_calls(|calls| calls.attempt_ended(front.now(), id, end))
                     }
                 }
             }
             Directive::ForwardStatus { retry_after_ms, outcome } => {
-                permit.iter().for_each(|permit| permit.ended(outcome));
+                permit.iter().for_each(|permit| permit.record_outcome(outcome));
                 let mut trailers = last_headers.take().unwrap_or_default();
                 add_pushback(&mut trailers, retry_after_ms.map(Pushback::After));
                 streams.response.end(trailers);
                 break;
             }
             Directive::Respond(status) => {
-                permit.iter().for_each(|permit| permit.ended(status.outcome));
-                streams.response.end(trailers_of(&status));
+                permit.iter().for_each(|permit| permit.record_outcome(status.outcome));
+                streams.response.end(status_trailers(&status));
                 break;
             }
         };
@@ -116,20 +116,20 @@
     let timeout_ms = parse_timeout(&head.headers)?;
     if let Some(name) = &route.key {
         // Without its key the backend could execute a retried call twice.
-        let key = single(&head.headers, name).ok().flatten();
+        let key = single_value(&head.headers, name).ok().flatten();
         if key.is_none_or(|key| key.is_empty()) {
             let message = "the method needs one idempotency key";
             return Err(LocalStatus::failed(Code::INVALID_ARGUMENT, message));
         }
     }
     let header = |name: &str| head.headers.get(name).map(|value| value.as_bytes().to_vec());
-    let object = affinity_hash(&route.affinity, path, header);
-    Ok(NewCall { route, object, timeout_ms, received_ms: now })
+    let affinity_hash = affinity_hash(&route.affinity, path, header);
+    Ok(NewCall { route, affinity_hash, timeout_ms, received_ms: now })
 }
 
 /// Parses the `grpc-timeout` header, if present, to milliseconds.
 fn parse_timeout(headers: &HeaderMap) -> Result<Option<f64>, LocalStatus> {
-    let value = single(headers, TIMEOUT);
+    let value = single_value(headers, TIMEOUT);
     let value = value.map_err(|_| LocalStatus::failed(Code::INTERNAL, "grpc-timeout comes twice"))?;
     let Some(value) = value else { return Ok(None) };
     let timeout_ms = value.to_str().ok().and_then(timeout::parse);
@@ -138,7 +138,7 @@
 }
 
 /// The final decision of admission control about a call.
-enum Admission {
+enum AdmissionDecision {
     /// The call may proceed. Streaming calls have no permit.
     Admitted(Option<AdmissionPermit>),
     /// The call is rejected.
@@ -157,23 +157,23 @@
     new: &NewCall,
     client: IpAddr,
     response: &mut ResponseStream,
-) -> Admission {
+) -> AdmissionDecision {
     if new.route.kind != MethodKind::Unary {
-        return Admission::Admitted(None);
+        return AdmissionDecision::Admitted(None);
     }
     let number = |name: &str| head.headers.get(name)?.to_str().ok()?.parse().ok();
     let tenant = front.tenant(new.route.class, number);
-    match front.admission.enter(&front.executor.clock, client, tenant, new.deadline_ms()) {
-        AdmissionResult::Admitted(permit) => Admission::Admitted(Some(permit)),
-        AdmissionResult::Rejected(retry_after_ms) => Admission::Rejected { retry_after_ms },
+    match front.admission.submit(&front.executor.clock, client, tenant, new.deadline_ms()) {
+        AdmissionResult::Admitted(permit) => AdmissionDecision::Admitted(Some(permit)),
+        AdmissionResult::Rejected(retry_after_ms) => AdmissionDecision::Rejected { retry_after_ms },
         AdmissionResult::Queued(decision, permit) => tokio::select! {
             biased;
             decision = decision => match decision {
-                Ok(None) => Admission::Admitted(Some(permit)),
-                Ok(Some(retry_after_ms)) => Admission::Rejected { retry_after_ms },
-                Err(_) => Admission::Rejected { retry_after_ms: 0.0 },
+                Ok(None) => AdmissionDecision::Admitted(Some(permit)),
+                Ok(Some(retry_after_ms)) => AdmissionDecision::Rejected { retry_after_ms },
+                Err(_) => AdmissionDecision::Rejected { retry_after_ms: 0.0 },
             },
-            () = response.client_disconnected() => Admission::ClientDisconnected,
+            () = response.client_disconnected() => AdmissionDecision::ClientDisconnected,
         },
     }
 }
@@ -188,7 +188,7 @@
 impl Drop for OpenCallGuard<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            self.front.with(|calls| calls.client_disconnected(self.front.now(), self.id));
+            self.front.with_calls(|calls| calls.client_disconnected(self.front.now(), self.id));
         }
     }
 }
--- a/src/grpc/call_table.rs
+++ b/src/grpc/call_table.rs
@@ -23,11 +23,11 @@
 
 /// Limits of the table.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct CallTableLimits {
     /// Maximum number of open calls.
-    pub calls: usize,
+    pub open_calls: usize,
     /// Maximum number of request bytes buffered for retries, over all calls.
-    pub replay_total: usize,
+    pub replay_bytes: usize,
 }
 
 /// The attempt in progress.
@@ -36,7 +36,7 @@
     backend: EndpointId,
     sent_ms: f64,
     /// When the attempt times out, in Unix milliseconds; infinite if it cannot be retried after a time-out.
-    due_ms: f64,
+    timeout_at_ms: f64,
     /// When its response headers were sent to the client.
     committed_ms: Option<f64>,
 }
@@ -58,16 +58,16 @@
     pools: Vec<Pool>,
     calls: HashMap<CallId, Call>,
     last_id: CallId,
-    bounds: Bounds,
+    limits: CallTableLimits,
     replay_bytes: usize,
     seed: u64,
 }
 
 impl CallTable {
     /// Creates a table without calls, whose pools have no backends.
-    pub fn new(pools: Vec<PoolSpec>, bounds: Bounds, seed: u64) -> Self {
+    pub fn new(pools: Vec<PoolSpec>, limits: CallTableLimits, seed: u64) -> Self {
         let mut table =
-            Self { pools: Vec::new(), calls: HashMap::new(), last_id: 0, bounds, replay_bytes: 0, seed };
+            Self { pools: Vec::new(), calls: HashMap::new(), last_id: 0, limits, replay_bytes: 0, seed };
         table.reconfigure(pools);
         table
     }
@@ -113,16 +113,17 @@
         self.last_id += 1;
         let id = self.last_id;
         let deadline_ms = new.deadline_ms();
-        let NewCall { route, object, timeout_ms, .. } = new;
+        let NewCall { route, affinity_hash, timeout_ms, .. } = new;
         let counters = &mut self.pools[route.pool].counters;
         let shortened = timeout_ms.zip(route.deadline_ms).is_some_and(|(client, own)| own < client);
         counters.shortened += u64::from(shortened);
-        if self.calls.len() >= self.bounds.calls {
+        if self.calls.len() >= self.limits.open_calls {
             let status = LocalStatus::rejected("too many calls are open", Some(OVERLOAD_RETRY_AFTER_MS));
             counters.count(status.outcome, status.code);
             return (id, Directive::Respond(status));
         }
-        let object = object.unwrap_or_else(|| self.seed.wrapping_add(id).wrapping_mul(CALL_HASH_MULTIPLIER));
+        let object =
+            affinity_hash.unwrap_or_else(|| self.seed.wrapping_add(id).wrapping_mul(CALL_HASH_MULTIPLIER));
         let (pool, class) = (route.pool, route.class);
         let call = Call {
             route,
@@ -137,25 +138,25 @@
         let deadline_at = micros_from_ms(deadline_ms);
         let event = Event::Request { id, class, object, group: 0, part: 0, size_kb: 0.0, deadline_at };
         let decision = self.pools[pool].decide(now, id, &event);
-        (id, self.carry_out(now, id, decision))
+        (id, self.apply_decision(now, id, decision))
     }
 
     /// The remaining time of the current attempt, in milliseconds; called just before it is sent. Returns
     /// `None` if it must not be sent, because its backend is draining or no longer listed, or its time is
     /// over.
-    pub fn may_start(&mut self, now: f64, id: CallId) -> Option<f64> {
+    pub fn remaining_attempt_ms(&mut self, now: f64, id: CallId) -> Option<f64> {
         let call = self.calls.get(&id)?;
         let attempt = call.active.as_ref()?;
-        let left = attempt.due_ms.min(call.deadline_ms) - now;
+        let left = attempt.timeout_at_ms.min(call.deadline_ms) - now;
         (left >= 1.0 && self.accepts_calls(call.route.pool, attempt.backend)).then_some(left)
     }
 
     /// When the current attempt times out, in Unix milliseconds: at the call's deadline, or earlier at the
     /// attempt's own time-out if its response has not begun.
-    pub fn due_ms(&self, id: CallId) -> f64 {
+    pub fn timeout_at_ms(&self, id: CallId) -> f64 {
         let Some(call) = self.calls.get(&id) else { return f64::NEG_INFINITY };
         let uncommitted = call.active.as_ref().filter(|attempt| attempt.committed_ms.is_none());
-        uncommitted.map_or(f64::INFINITY, |attempt| attempt.due_ms).min(call.deadline_ms)
+        uncommitted.map_or(f64::INFINITY, |attempt| attempt.timeout_at_ms).min(call.deadline_ms)
     }
 
     /// The call's deadline, in Unix milliseconds.
@@ -164,7 +165,7 @@
     }
 
     /// The response headers were sent to the client, so the call can no longer be retried.
-    pub fn committed(&mut self, now: f64, id: CallId) {
+    pub fn commit(&mut self, now: f64, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let pool = call.route.pool;
         let Some(attempt) = &mut call.active else { return };
@@ -180,7 +181,7 @@
     pub fn reserve_replay(&mut self, id: CallId, bytes: usize, max_bytes: usize) -> bool {
         let Some(call) = self.calls.get_mut(&id).filter(|call| call.replayable) else { return false };
         let exceeds_call = call.replay_bytes + bytes > max_bytes;
-        let exceeds_total = self.replay_bytes + bytes > self.bounds.replay_total;
+        let exceeds_total = self.replay_bytes + bytes > self.limits.replay_bytes;
         if exceeds_call || exceeds_total {
             call.replayable = false;
             self.release_replay(id);
@@ -216,10 +217,10 @@
             closed: !retry,
         };
         let pool = &mut self.pools[route.pool];
-        pool.counters.stale += u64::from(end == AttemptEnd::NotSent);
+        pool.counters.not_sent += u64::from(end == AttemptEnd::NotSent);
         let decision = pool.decide(now, id, &event);
         if retry {
-            return self.carry_out(now, id, decision);
+            return self.apply_decision(now, id, decision);
         }
         self.end_with_attempt(id, committed, classified, remaining_ms)
     }
@@ -251,7 +252,7 @@
     }
 
     /// The number of open calls.
-    pub fn open(&self) -> usize {
+    pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
@@ -266,7 +267,7 @@
     }
 
     /// Turns the policy's decision about a call into a directive.
-    fn carry_out(&mut self, now: f64, id: CallId, decision: Option<Decision>) -> Directive {
+    fn apply_decision(&mut self, now: f64, id: CallId, decision: Option<Decision>) -> Directive {
         match decision {
             Some(Decision::Forward { to, timeout_ms }) => self.start_attempt(now, id, to, timeout_ms),
             Some(Decision::Reject { retry_after_ms }) => self.end_by_policy(now, id, Some(retry_after_ms)),
@@ -283,7 +284,7 @@
         };
         // Only attempts of idempotent unary calls have a time-out of their own; others have until the call's
         // deadline.
-        let due_ms = match (call.route.kind, call.route.idempotency) {
+        let timeout_at_ms = match (call.route.kind, call.route.idempotency) {
             (MethodKind::Unary, Idempotency::Idempotent | Idempotency::WithKey) => now + timeout_ms,
             _ => f64::INFINITY,
         };
@@ -292,7 +293,7 @@
         pool.counters.attempts += 1;
         pool.counters.retries += u64::from(attempt > 0);
         call.active =
-            Some(ActiveAttempt { number: attempt, backend, sent_ms: now, due_ms, committed_ms: None });
+            Some(ActiveAttempt { number: attempt, backend, sent_ms: now, timeout_at_ms, committed_ms: None });
         Directive::StartAttempt(AttemptTarget { attempt, backend, address })
     }
 
--- a/src/grpc/config.rs
+++ b/src/grpc/config.rs
@@ -61,8 +61,8 @@
         parse_address(&self.listen).map_err(|error| FieldError::new("listen", error))?;
         self.limits.check().map_err(|error| FieldError::new("limits", error))?;
         if let Some(admission) = &self.admission {
-            let in_door = |FieldError { field, source }| format!("`{field}`: {source}");
-            admission.check().map_err(|error| FieldError::new("door", in_door(error)))?;
+            let describe = |FieldError { field, source }| format!("`{field}`: {source}");
+            admission.check().map_err(|error| FieldError::new("door", describe(error)))?;
         }
         let header = self.tenant_header.as_ref();
         if header.is_some_and(|name| HeaderName::from_bytes(name.as_bytes()).is_err()) {
@@ -81,7 +81,7 @@
     }
 
     /// The parsed listen address.
-    pub fn at(&self) -> SocketAddr {
+    pub fn listen_address(&self) -> SocketAddr {
         parse_address(&self.listen).expect("checked when read")
     }
 
--- a/src/grpc/frames.rs
+++ b/src/grpc/frames.rs
@@ -3,7 +3,7 @@
 //! messages.
 
 /// Length of a message prefix, in bytes.
-pub const PREFIX: usize = 5;
+pub const PREFIX_BYTES: usize = 5;
 
 /// A byte stream that violates the framing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -19,7 +19,7 @@
 /// Tracks the position in a stream of messages.
 #[derive(Clone, Debug)]
 pub struct MessageTracker {
-    prefix: [u8; PREFIX],
+    prefix: [u8; PREFIX_BYTES],
     /// Number of prefix bytes read; 0 between messages.
     prefix_bytes: usize,
     /// Number of message bytes still expected.
@@ -34,22 +34,29 @@
 impl MessageTracker {
     /// Creates a tracker at the start of a stream, for messages of at most `max_message_bytes`.
     pub fn new(max_message_bytes: u32) -> Self {
-        Self { prefix: [0; PREFIX], prefix_bytes: 0, remaining: 0, max_message_bytes, messages: 0, bytes: 0 }
+        Self {
+            prefix: [0; PREFIX_BYTES],
+            prefix_bytes: 0,
+            remaining: 0,
+            max_message_bytes,
+            messages: 0,
+            bytes: 0,
+        }
     }
 
     /// Processes the next bytes of the stream.
     pub fn feed(&mut self, mut bytes: &[u8]) -> Result<(), MessageError> {
         self.bytes += bytes.len() as u64;
         while !bytes.is_empty() {
-            if self.prefix_bytes < PREFIX {
-                let n = (PREFIX - self.prefix_bytes).min(bytes.len());
+            if self.prefix_bytes < PREFIX_BYTES {
+                let n = (PREFIX_BYTES - self.prefix_bytes).min(bytes.len());
                 self.prefix[self.prefix_bytes..self.prefix_bytes + n].copy_from_slice(&bytes[..n]);
                 self.prefix_bytes += n;
                 bytes = &bytes[n..];
                 if self.prefix[0] > 1 {
                     return Err(MessageError::Flag(self.prefix[0]));
                 }
-                if self.prefix_bytes < PREFIX {
+                if self.prefix_bytes < PREFIX_BYTES {
                     return Ok(());
                 }
                 let [_, a, b, c, d] = self.prefix;
@@ -70,7 +77,7 @@
     }
 
     /// Whether the position is inside a message, so that a stream that ends here is truncated.
-    pub fn within(&self) -> bool {
+    pub fn is_within_message(&self) -> bool {
         self.prefix_bytes > 0
     }
 }
--- a/src/grpc/frames/tests.rs
+++ b/src/grpc/frames/tests.rs
@@ -11,9 +11,9 @@
     for cut in 0..=text.len() {
         let mut tracker = MessageTracker::new(1_000);
         tracker.feed(&text[..cut]).unwrap();
-        assert_eq!(tracker.within(), cut > 0 && !ends.contains(&cut), "cut at {cut}");
+        assert_eq!(tracker.is_within_message(), cut > 0 && !ends.contains(&cut), "cut at {cut}");
         tracker.feed(&text[cut..]).unwrap();
-        assert_eq!((tracker.messages, tracker.within()), (4, false), "cut at {cut}");
+        assert_eq!((tracker.messages, tracker.is_within_message()), (4, false), "cut at {cut}");
     }
     let mut tracker = MessageTracker::new(1_000);
     text.iter().for_each(|b| tracker.feed(std::slice::from_ref(b)).unwrap());
--- a/src/grpc/front.rs
+++ b/src/grpc/front.rs
@@ -35,7 +35,7 @@
     limits: GrpcLimits,
     metrics: RefCell<Metrics>,
     /// The current backends of each pool, by the pool's index.
-    listed: RefCell<Vec<Vec<Backend>>>,
+    backends: RefCell<Vec<Vec<Backend>>>,
     /// The version of the endpoint list that the backends were last updated from.
     list_version: Cell<u64>,
     not_grpc: Cell<u64>,
@@ -52,17 +52,17 @@
     pub fn new(executor: Rc<Executor>, config: GrpcConfig, seed: u64) -> Result<Rc<Self>, RouteError> {
         let (routes, pools) = config.compile()?;
         let upstream =
-            Upstream::new(executor.clock.clone(), config.limits.clone(), config.limits.of_connections());
+            Upstream::new(executor.clock.clone(), config.limits.clone(), config.limits.connection_limits());
         let admission = config.admission.clone();
         let front = Rc::new(Self {
             upstream,
-            calls: RefCell::new(CallTable::new(pools, config.limits.of_calls(), seed)),
+            calls: RefCell::new(CallTable::new(pools, config.limits.call_table_limits(), seed)),
             routes: RefCell::new(Rc::new(routes)),
             limits: config.limits.clone(),
             config: RefCell::new(config),
             metrics: RefCell::default(),
             admission: Rc::default(),
-            listed: RefCell::default(),
+            backends: RefCell::default(),
             list_version: Cell::new(u64::MAX),
             not_grpc: Cell::new(0),
             unrouted: Cell::new(0),
@@ -71,8 +71,10 @@
             connection_limit_reached: Notify::new(),
             executor,
         });
-        front.admission.set(admission.map(|config| AdmissionControl::new(config, ADMISSION_METRICS_PREFIX)));
-        front.list_backends();
+        front
+            .admission
+            .set_control(admission.map(|config| AdmissionControl::new(config, ADMISSION_METRICS_PREFIX)));
+        front.update_backends();
         Ok(front)
     }
 
@@ -92,41 +94,41 @@
     }
 
     /// Runs `act` on the call table.
-    pub fn with<R>(&self, act: impl FnOnce(&mut CallTable) -> R) -> R {
+    pub fn with_calls<R>(&self, act: impl FnOnce(&mut CallTable) -> R) -> R {
         act(&mut self.calls.borrow_mut())
     }
 
-    /// Applies a reloaded configuration: pools, backends, routes, and the weights and exempt networks of admission
-    /// control. All other limits change only with a new process.
+    /// Applies a reloaded configuration: pools, backends, routes, and the weights and exempt networks of
+    /// admission control. All other limits change only with a new process.
     pub fn reconfigure(&self, fresh: GrpcConfig) -> Result<(), RouteError> {
         let (mut routes, pools) = fresh.compile()?;
         let names: Vec<String> = pools.iter().map(|pool| pool.name.clone()).collect();
-        self.with(|calls| calls.reconfigure(pools));
+        self.with_calls(|calls| calls.reconfigure(pools));
         // Existing pools keep their index in the call table, whatever their order in the new file.
-        let index = |name: &String| self.with(|calls| calls.pool_index(name)).unwrap_or(0);
+        let index = |name: &String| self.with_calls(|calls| calls.pool_index(name)).unwrap_or(0);
         let indices: Vec<usize> = names.iter().map(index).collect();
-        routes.renumber(|pool| indices[pool]);
+        routes.remap_pools(|pool| indices[pool]);
         *self.routes.borrow_mut() = Rc::new(routes);
         if let Some(admission) = fresh.admission.clone() {
             self.admission.with(|control| control.reconfigure(admission));
         }
         *self.config.borrow_mut() = fresh;
-        self.list_backends();
+        self.update_backends();
         Ok(())
     }
 
     /// Updates the backends if the endpoint list has changed.
     pub fn sync_backends(&self) {
         if self.list_version.get() != self.executor.endpoint_list_changes() {
-            self.list_backends();
+            self.update_backends();
         }
     }
 
-    fn list_backends(&self) {
+    fn update_backends(&self) {
         self.list_version.set(self.executor.endpoint_list_changes());
         let config = self.config.borrow();
         for pool in &config.pools {
-            let Some(index) = self.with(|calls| calls.pool_index(&pool.name)) else { continue };
+            let Some(index) = self.with_calls(|calls| calls.pool_index(&pool.name)) else { continue };
             let fresh = match &pool.discovered {
                 None => pool.listed_backends(),
                 Some(from) => self.executor.backends(&from.model, from.port),
@@ -138,22 +140,22 @@
     /// Replaces a pool's backends if they differ, and closes connections to addresses that no pool uses any
     /// more.
     fn replace_backends(&self, index: usize, pool: &str, fresh: Vec<Backend>) {
-        let mut listed = self.listed.borrow_mut();
-        if listed.len() <= index {
-            listed.resize_with(index + 1, Vec::new);
+        let mut backends = self.backends.borrow_mut();
+        if backends.len() <= index {
+            backends.resize_with(index + 1, Vec::new);
         }
-        if listed[index] == fresh {
+        if backends[index] == fresh {
             return;
         }
-        self.with(|calls| calls.set_backends(self.now(), index, &fresh));
-        let former = std::mem::replace(&mut listed[index], fresh);
+        self.with_calls(|calls| calls.set_backends(self.now(), index, &fresh));
+        let former = std::mem::replace(&mut backends[index], fresh);
         let is_used = |address: SocketAddr| {
-            listed.iter().flatten().any(|backend| backend.live && backend.address == address)
+            backends.iter().flatten().any(|backend| backend.live && backend.address == address)
         };
         for address in former.iter().map(|backend| backend.address).filter(|address| !is_used(*address)) {
             self.upstream.retire(address);
         }
-        let backends = &listed[index];
+        let backends = &backends[index];
         let live = backends.iter().filter(|backend| backend.live).count();
         tracing::info!(pool, backends = backends.len(), live, "gRPC pool backends updated");
     }
@@ -164,8 +166,9 @@
         let text = self.metrics.borrow_mut().text(self.now(), &calls, self.upstream.len());
         let text = text.trim_end().trim_end_matches("# EOF").to_string();
         let (not_grpc, unrouted) = (self.not_grpc.get(), self.unrouted.get());
-        let own = format!("grpc_not_grpc_total {not_grpc}\ngrpc_unrouted_total {unrouted}\n# EOF\n");
-        text + &own + &self.admission.with(AdmissionControl::metrics).unwrap_or_default()
+        let request_counters =
+            format!("grpc_not_grpc_total {not_grpc}\ngrpc_unrouted_total {unrouted}\n# EOF\n");
+        text + &request_counters + &self.admission.with(AdmissionControl::metrics).unwrap_or_default()
     }
 
     /// The share of a pool's backends that are live and not ejected by the policy. Returns `None` if there is
@@ -173,7 +176,7 @@
     pub fn usable_share(&self, pool: &str) -> Option<f64> {
         let calls = self.calls.borrow();
         let pool = calls.pools().iter().find(|other| other.name() == pool)?;
-        let usable = pool.active_backends().saturating_sub(pool.avoided_backends(self.now()));
+        let usable = pool.active_backends().saturating_sub(pool.ejected_backends(self.now()));
         Some(usable as f64 / pool.backends().count().max(1) as f64)
     }
 
@@ -197,8 +200,8 @@
     }
 
     /// Records the time from request headers to response headers, in milliseconds.
-    pub fn observe_head(&self, ms: f64) {
-        self.metrics.borrow().first_head.observe(ms / 1_000.0);
+    pub fn observe_response_head(&self, ms: f64) {
+        self.metrics.borrow().response_head_seconds.observe(ms / 1_000.0);
     }
 
     /// Whether [`Self::abort_calls`] was called.
@@ -207,7 +210,7 @@
     }
 
     /// Completes when [`Self::abort_calls`] is called.
-    pub async fn aborted(&self) {
+    pub async fn abort_requested(&self) {
         self.abort.notified().await;
     }
 
--- a/src/grpc/limits.rs
+++ b/src/grpc/limits.rs
@@ -1,6 +1,6 @@
 //! Limits of the gRPC front: the field `limits` of its configuration file.
 
-use super::call_table::Bounds;
+use super::call_table::CallTableLimits;
 use crate::state::connections::ConnectionLimits;
 use serde::Deserialize;
 use thiserror::Error;
@@ -23,7 +23,8 @@
     /// Maximum number of connections to one backend.
     pub connections_per_backend: usize,
     /// Number of calls on a connection to a backend above which another connection is opened.
-    pub spread: usize,
+    #[serde(rename = "spread")]
+    pub spread_above: usize,
     /// Maximum number of concurrent calls on a connection to a backend.
     pub streams_per_connection: usize,
     /// Maximum size of a header list, in either direction.
@@ -37,7 +38,8 @@
     /// Maximum number of request bytes buffered for retries, over all calls.
     pub replay_total_bytes: usize,
     /// Time allowed for the HTTP/2 handshake of a client connection.
-    pub first_ms: f64,
+    #[serde(rename = "first_ms")]
+    pub handshake_timeout_ms: f64,
     /// Time after which a client connection without calls is closed.
     pub idle_ms: f64,
     /// Time allowed for establishing a connection to a backend.
@@ -58,14 +60,14 @@
             calls: 2_048,
             connections: 64,
             connections_per_backend: 2,
-            spread: 64,
+            spread_above: 64,
             streams_per_connection: 100,
             header_bytes: 16_384,
             message_bytes: 4 << 20,
             window_bytes: 256 << 10,
             replay_bytes: 64 << 10,
             replay_total_bytes: 16 << 20,
-            first_ms: 5_000.0,
+            handshake_timeout_ms: 5_000.0,
             idle_ms: 300_000.0,
             connect_ms: 400.0,
             keepalive_ms: 10_000.0,
@@ -94,14 +96,14 @@
             ("calls", self.calls as f64, 1.0, 1e6),
             ("connections", self.connections as f64, 1.0, 65_536.0),
             ("connections_per_backend", self.connections_per_backend as f64, 1.0, 64.0),
-            ("spread", self.spread as f64, 1.0, 10_000.0),
+            ("spread", self.spread_above as f64, 1.0, 10_000.0),
             ("streams_per_connection", self.streams_per_connection as f64, 1.0, 10_000.0),
             ("header_bytes", f64::from(self.header_bytes), 1_024.0, 1_048_576.0),
             ("message_bytes", f64::from(self.message_bytes), 1_024.0, 1_073_741_824.0),
             ("window_bytes", f64::from(self.window_bytes), 65_535.0, 16_777_216.0),
             ("replay_bytes", self.replay_bytes as f64, 0.0, 16_777_216.0),
             ("replay_total_bytes", self.replay_total_bytes as f64, 0.0, 1_073_741_824.0),
-            ("first_ms", self.first_ms, 100.0, MAX_LIMIT_MS),
+            ("first_ms", self.handshake_timeout_ms, 100.0, MAX_LIMIT_MS),
             ("idle_ms", self.idle_ms, 1_000.0, MAX_LIMIT_MS),
             ("connect_ms", self.connect_ms, 10.0, MAX_LIMIT_MS),
             ("keepalive_ms", self.keepalive_ms, 100.0, MAX_LIMIT_MS),
@@ -118,16 +120,16 @@
     }
 
     /// The limits of the call table.
-    pub fn of_calls(&self) -> Bounds {
-        Bounds { calls: self.calls, replay_total: self.replay_total_bytes }
+    pub fn call_table_limits(&self) -> CallTableLimits {
+        CallTableLimits { open_calls: self.calls, replay_bytes: self.replay_total_bytes }
     }
 
     /// The limits of connections to backends.
-    pub fn of_connections(&self) -> ConnectionLimits {
+    pub fn connection_limits(&self) -> ConnectionLimits {
         ConnectionLimits {
             total: self.connections,
             per_endpoint: self.connections_per_backend,
-            spread_above: self.spread.min(self.streams_per_connection),
+            spread_above: self.spread_above.min(self.streams_per_connection),
             streams: self.streams_per_connection,
         }
     }
--- a/src/grpc/metrics.rs
+++ b/src/grpc/metrics.rs
@@ -2,7 +2,7 @@
 
 use super::call_table::CallTable;
 use super::pool::{Pool, PoolCounters};
-use super::status::{Code, CODES};
+use super::status::{Code, CODE_COUNT};
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -24,7 +24,7 @@
     codes: Counters,
     attempts: Counters,
     retries: Counters,
-    stale: Counters,
+    not_sent: Counters,
     failed_after_data: Counters,
     shortened: Counters,
     live: Family<Labels, Gauge>,
@@ -33,7 +33,7 @@
     replay_bytes: Gauge,
     connections: Gauge,
     /// Time from request headers to response headers, in seconds.
-    pub first_head: Histogram,
+    pub response_head_seconds: Histogram,
     /// The counters of each pool at the last update, by pool name.
     last_reported: HashMap<String, PoolCounters>,
 }
@@ -41,17 +41,17 @@
 impl Default for Metrics {
     fn default() -> Self {
         let mut registry = Registry::with_prefix("grpc");
-        let (calls, codes, attempts, retries, stale) =
+        let (calls, codes, attempts, retries, not_sent) =
             <(Counters, Counters, Counters, Counters, Counters)>::default();
         let (failed_after_data, shortened) = <(Counters, Counters)>::default();
         let (live, avoided) = <(Family<Labels, Gauge>, Family<Labels, Gauge>)>::default();
         let (open, replay_bytes, connections) = <(Gauge, Gauge, Gauge)>::default();
-        let first_head = Histogram::new(exponential_buckets(0.001, 2.0, 14));
+        let response_head_seconds = Histogram::new(exponential_buckets(0.001, 2.0, 14));
         registry.register("calls", "Calls by outcome: served, refused, failed, left", calls.clone());
         registry.register("status", "Calls by the status that their client got", codes.clone());
         registry.register("attempts", "Attempts made at backends", attempts.clone());
         registry.register("retries", "Second and further attempts", retries.clone());
-        registry.register("stale_attempts", "Attempts not sent after all", stale.clone());
+        registry.register("stale_attempts", "Attempts not sent after all", not_sent.clone());
         registry.register(
             "failed_after_data",
             "Calls failed after their response began",
@@ -70,12 +70,12 @@
         registry.register(
             "response_head_seconds",
             "From a call's head to its response's",
-            first_head.clone(),
+            response_head_seconds.clone(),
         );
         #[rustfmt::skip]
         let metrics = Self {
-            registry, calls, codes, attempts, retries, stale, failed_after_data, shortened, live, avoided, open, replay_bytes,
-            connections, first_head, last_reported: HashMap::new(),
+            registry, calls, codes, attempts, retries, not_sent, failed_after_data, shortened, live, avoided,
+            open, replay_bytes, connections, response_head_seconds, last_reported: HashMap::new(),
         };
         metrics
     }
@@ -87,7 +87,7 @@
         for pool in calls.pools() {
             self.update_pool(now, pool);
         }
-        self.open.set(calls.open() as i64);
+        self.open.set(calls.open_calls() as i64);
         self.replay_bytes.set(calls.replay_bytes() as i64);
         self.connections.set(connections as i64);
         let mut text = String::new();
@@ -105,8 +105,8 @@
             let increase = counters.outcomes[index] - last.outcomes[index];
             self.calls.get_or_create(&labels("outcome", outcome)).inc_by(increase);
         }
-        for index in (0..CODES).filter(|index| counters.codes[*index] > 0) {
-            let code = Code::of(index as u64).name();
+        for index in (0..CODE_COUNT).filter(|index| counters.codes[*index] > 0) {
+            let code = Code::from_number(index as u64).name();
             let increase = counters.codes[index] - last.codes[index];
             self.codes.get_or_create(&labels("code", code)).inc_by(increase);
         }
@@ -114,7 +114,7 @@
         for (family, count, last_count) in [
             (&self.attempts, counters.attempts, last.attempts),
             (&self.retries, counters.retries, last.retries),
-            (&self.stale, counters.stale, last.stale),
+            (&self.not_sent, counters.not_sent, last.not_sent),
             (&self.failed_after_data, counters.failed_after_data, last.failed_after_data),
             (&self.shortened, counters.shortened, last.shortened),
         ] {
@@ -122,6 +122,6 @@
         }
         *last = counters.clone();
         self.live.get_or_create(&labels).set(pool.active_backends() as i64);
-        self.avoided.get_or_create(&labels).set(pool.avoided_backends(now) as i64);
+        self.avoided.get_or_create(&labels).set(pool.ejected_backends(now) as i64);
     }
 }
--- a/src/grpc/pool.rs
+++ b/src/grpc/pool.rs
@@ -4,7 +4,7 @@
 //! whatever all backends depend on: errors that all of them return are attributed to it and eject no backend.
 
 use super::call::CallOutcome;
-use super::status::{Code, CODES};
+use super::status::{Code, CODE_COUNT};
 use crate::clock::{micros_from_ms, ms_from_micros};
 use crate::engine::executor::Backend;
 use crate::{Action, Endpoint, EndpointId, EndpointState, Event, PolicySettings, Router, Tier};
@@ -28,14 +28,14 @@
     /// Ended calls, indexed by [`CallOutcome`].
     pub outcomes: [u64; 4],
     /// Ended calls, indexed by status code.
-    pub codes: [u64; CODES],
+    pub codes: [u64; CODE_COUNT],
     /// Attempts started.
     pub attempts: u64,
     /// Attempts other than the first one of a call.
     pub retries: u64,
     /// Attempts that were started but not sent, because their backend began to drain, their time was over or
     /// the connection accepted no more streams.
-    pub stale: u64,
+    pub not_sent: u64,
     /// Calls that failed after their response headers were sent.
     pub failed_after_data: u64,
     /// Calls whose route has a shorter deadline than the client's timeout.
@@ -127,21 +127,21 @@
     }
 
     /// The number of backends that the policy has ejected.
-    pub fn avoided_backends(&self, now: f64) -> usize {
+    pub fn ejected_backends(&self, now: f64) -> usize {
         self.router.ejected_caches(micros_from_ms(now))
     }
 
     /// Passes an event to the policy and returns its decision about the call `id`, if any.
     pub fn decide(&mut self, now: f64, id: u64, event: &Event) -> Option<Decision> {
         self.router.handle(micros_from_ms(now), event, &mut self.actions);
-        let mut decisions = self.actions.drain(..).filter_map(|action| decision_about(id, action));
+        let mut decisions = self.actions.drain(..).filter_map(|action| decision_for(id, action));
         decisions.next_back()
     }
 }
 
 /// Extracts the decision about the call `id` from an action. All other actions are ignored: attempts are
 /// cancelled by their driver, and health checks and watches are disabled in the settings.
-fn decision_about(id: u64, action: Action) -> Option<Decision> {
+fn decision_for(id: u64, action: Action) -> Option<Decision> {
     match action {
         Action::Forward { id: of, to, timeout, .. } if of == id => {
             Some(Decision::Forward { to, timeout_ms: ms_from_micros(timeout) })
--- a/src/grpc/pool_config.rs
+++ b/src/grpc/pool_config.rs
@@ -93,7 +93,7 @@
     Address(#[from] AddressError),
     /// Two backends have the same address.
     #[error("backend {0} is listed more than once")]
-    Repeated(SocketAddr),
+    DuplicateAddress(SocketAddr),
     /// A backend's weight is not above 0.
     #[error("the weight of {0} must be a finite number above 0")]
     Weight(SocketAddr),
@@ -122,7 +122,7 @@
         for backend in &self.backends {
             let address = parse_address(&backend.address)?;
             if !addresses.insert(address) {
-                return Err(PoolFault::Repeated(address));
+                return Err(PoolFault::DuplicateAddress(address));
             }
             if backend.weight.is_some_and(|weight| !(weight.is_finite() && weight > 0.0)) {
                 return Err(PoolFault::Weight(address));
@@ -139,18 +139,19 @@
 
     /// The statically configured backends.
     pub fn listed_backends(&self) -> Vec<Backend> {
-        let parsed = self.backends.iter().filter_map(|line| Some((parse_address(&line.address).ok()?, line)));
-        let mut lines: Vec<(SocketAddr, &BackendConfig)> = parsed.collect();
-        lines.sort_by_key(|(address, _)| *address);
+        let parsed =
+            self.backends.iter().filter_map(|config| Some((parse_address(&config.address).ok()?, config)));
+        let mut configs: Vec<(SocketAddr, &BackendConfig)> = parsed.collect();
+        configs.sort_by_key(|(address, _)| *address);
         let mut taken = BTreeSet::new();
-        let backend = |(address, line): (SocketAddr, &BackendConfig)| {
+        let backend = |(address, config): (SocketAddr, &BackendConfig)| {
             // The id is derived from the address, so it is the same on every proxy and after a reload.
             let mut id = crc32fast::hash(address.to_string().as_bytes());
             while id == ORIGIN_ID || !taken.insert(id) {
                 id = id.wrapping_add(1);
             }
-            Backend { id, address, live: !line.draining, weight: line.weight.unwrap_or(1.0) }
+            Backend { id, address, live: !config.draining, weight: config.weight.unwrap_or(1.0) }
         };
-        lines.into_iter().map(backend).collect()
+        configs.into_iter().map(backend).collect()
     }
 }
--- a/src/grpc/request_stream.rs
+++ b/src/grpc/request_stream.rs
@@ -40,7 +40,7 @@
         }
         while !self.complete {
             match self.body.data().await {
-                None if self.tracker.within() => {
+                None if self.tracker.is_within_message() => {
                     let status = LocalStatus::failed(Code::INTERNAL, "the request was cut within a message");
                     return AttemptResult::Aborted(status);
                 }
@@ -48,7 +48,7 @@
                 Some(Err(_)) => return AttemptResult::ClientDisconnected,
                 Some(Ok(chunk)) => {
                     if let Err(error) = self.tracker.feed(&chunk) {
-                        return AttemptResult::Aborted(status_of(error));
+                        return AttemptResult::Aborted(framing_status(error));
                     }
                     self.keep_for_retry(front, id, &chunk);
                     let length = chunk.len();
@@ -65,7 +65,7 @@
     fn keep_for_retry(&mut self, front: &GrpcFront, id: CallId, chunk: &Bytes) {
         let max_bytes = front.limits().replay_bytes;
         self.replayable =
-            self.replayable && front.with(|calls| calls.reserve_replay(id, chunk.len(), max_bytes));
+            self.replayable && front.with_calls(|calls| calls.reserve_replay(id, chunk.len(), max_bytes));
         if self.replayable {
             self.replay.push(chunk.clone());
         } else {
@@ -75,7 +75,7 @@
 }
 
 /// The status for a request that violates the framing.
-fn status_of(error: MessageError) -> LocalStatus {
+fn framing_status(error: MessageError) -> LocalStatus {
     match error {
         MessageError::Flag(_) => LocalStatus::failed(Code::INTERNAL, "a message's prefix can't be read"),
         MessageError::TooLong(_) => LocalStatus::failed(Code::RESOURCE_EXHAUSTED, "a message is too long"),
--- a/src/grpc/response_stream.rs
+++ b/src/grpc/response_stream.rs
@@ -1,11 +1,11 @@
 //! The response stream of a call: forwards a backend's response, or ends the call with a status of the proxy.
 
-use super::attempt_result::{end_of, AttemptResult};
+use super::attempt_result::{end_of_error, AttemptResult};
 use super::call::CallId;
 use super::flow_control::send_chunk;
 use super::frames::MessageTracker;
 use super::front::GrpcFront;
-use super::headers::{end_to_end, is_grpc, status_in};
+use super::headers::{end_to_end, is_grpc, parse_status};
 use super::status::{AttemptEnd, Code};
 use bytes::Bytes;
 use h2::client::ResponseFuture;
@@ -39,7 +39,7 @@
     /// Sends the response headers. Returns false if the client has disconnected.
     fn start(&mut self, headers: HeaderMap) -> bool {
         let Self::NotStarted(respond) = self else { return false };
-        match respond.send_response(response(headers), false) {
+        match respond.send_response(response_head(headers), false) {
             Ok(stream) => {
                 *self = Self::Streaming(stream);
                 true
@@ -52,7 +52,7 @@
     pub fn end(&mut self, trailers: HeaderMap) {
         match std::mem::replace(self, Self::Ended) {
             Self::NotStarted(mut respond) => {
-                let _ = respond.send_response(response(trailers), true);
+                let _ = respond.send_response(response_head(trailers), true);
             }
             Self::Streaming(mut stream) => {
                 let _ = stream.send_trailers(trailers);
@@ -76,7 +76,7 @@
         };
         let (head, mut body) = match response {
             Ok(response) => response.into_parts(),
-            Err(error) => return AttemptResult::ended(end_of(&error)),
+            Err(error) => return AttemptResult::ended(end_of_error(&error)),
         };
         let headers = end_to_end(&head.headers);
         if body.is_end_stream() {
@@ -88,8 +88,8 @@
         if !self.start(headers) {
             return AttemptResult::ClientDisconnected;
         }
-        front.with(|calls| calls.committed(front.now(), id));
-        front.observe_head(front.now() - received_ms);
+        front.with_calls(|calls| calls.commit(front.now(), id));
+        front.observe_response_head(front.now() - received_ms);
         self.forward_body(front, &mut body).await
     }
 
@@ -104,7 +104,7 @@
             };
             let chunk = match chunk {
                 None => break,
-                Some(Err(error)) => return AttemptResult::ended(end_of(&error)),
+                Some(Err(error)) => return AttemptResult::ended(end_of_error(&error)),
                 Some(Ok(chunk)) => chunk,
             };
             if tracker.feed(&chunk).is_err() {
@@ -120,11 +120,11 @@
         let trailers = match body.trailers().await {
             Ok(Some(trailers)) => end_to_end(&trailers),
             Ok(None) => return AttemptResult::ended(AttemptEnd::Truncated),
-            Err(error) => return AttemptResult::ended(end_of(&error)),
+            Err(error) => return AttemptResult::ended(end_of_error(&error)),
         };
-        match status_in(&trailers) {
+        match parse_status(&trailers) {
             // A response that ends within a message is not a success, whatever its status.
-            Some(AttemptEnd::Status(Code::OK, _)) if tracker.within() => {
+            Some(AttemptEnd::Status(Code::OK, _)) if tracker.is_within_message() => {
                 AttemptResult::ended(AttemptEnd::Truncated)
             }
             Some(end) => AttemptResult::Ended(end, Some(trailers)),
@@ -135,7 +135,7 @@
 
 /// The result of an attempt whose response is a single header block. Nothing of it was sent to the client.
 fn trailers_only(http_status: u16, headers: HeaderMap) -> AttemptResult {
-    match status_in(&headers) {
+    match parse_status(&headers) {
         Some(end) => AttemptResult::Ended(end, Some(headers)),
         None if http_status != 200 => AttemptResult::ended(AttemptEnd::HttpStatus(http_status)),
         None => AttemptResult::ended(AttemptEnd::Truncated),
@@ -143,7 +143,7 @@
 }
 
 /// Builds the response headers, with the default content type if there is none.
-fn response(headers: HeaderMap) -> Response<()> {
+fn response_head(headers: HeaderMap) -> Response<()> {
     let mut response = Response::new(());
     *response.headers_mut() = headers;
     response.headers_mut().entry("content-type").or_insert(HeaderValue::from_static("application/grpc"));
--- a/src/grpc/route_compiler.rs
+++ b/src/grpc/route_compiler.rs
@@ -36,13 +36,13 @@
 pub enum RouteFault {
     /// No pool has this name.
     #[error("there is no pool named {0:?}")]
-    NoPool(String),
+    UnknownPool(String),
     /// The deadline is out of range.
     #[error("`deadline_ms` must be between 1 and 86,400,000")]
     Deadline,
     /// A unary method has no deadline.
     #[error("a unary method requires `deadline_ms`")]
-    NoDeadline,
+    MissingDeadline,
     /// The latency objective is out of range.
     #[error("`aim_ms` must be between 1 and the deadline")]
     LatencyObjective,
@@ -61,27 +61,27 @@
 }
 
 /// Compiles the routes and the policy settings of the pools.
-pub fn compile(pools: &[PoolConfig], lines: &[RouteConfig]) -> Result<(Routes, Vec<PoolSpec>), RouteError> {
+pub fn compile(pools: &[PoolConfig], configs: &[RouteConfig]) -> Result<(Routes, Vec<PoolSpec>), RouteError> {
     let mut routes = Routes::default();
     let mut classes: Vec<Vec<RequestClass>> = vec![Vec::new(); pools.len()];
-    for line in lines {
-        let fault = |fault| RouteError::Fault { method: line.method.clone(), fault };
-        let pool = pools.iter().position(|pool| pool.name == line.pool);
-        let pool = pool.ok_or_else(|| fault(RouteFault::NoPool(line.pool.clone())))?;
-        let deadline_ms = checked_deadline_ms(line).map_err(fault)?;
-        let (idempotency, key) = idempotency(line).map_err(fault)?;
+    for config in configs {
+        let fault = |fault| RouteError::Fault { method: config.method.clone(), fault };
+        let pool = pools.iter().position(|pool| pool.name == config.pool);
+        let pool = pool.ok_or_else(|| fault(RouteFault::UnknownPool(config.pool.clone())))?;
+        let deadline_ms = checked_deadline_ms(config).map_err(fault)?;
+        let (idempotency, key) = idempotency(config).map_err(fault)?;
         let route = Route {
             pool,
             class: classes[pool].len(),
-            kind: line.kind,
+            kind: config.kind,
             idempotency,
             key,
-            deadline_ms: line.deadline_ms,
-            retry: retried_codes(line).map_err(fault)?,
-            affinity: affinity(line).map_err(fault)?,
+            deadline_ms: config.deadline_ms,
+            retry: retried_codes(config).map_err(fault)?,
+            affinity: affinity(config).map_err(fault)?,
         };
-        classes[pool].push(request_class(line, deadline_ms, idempotency));
-        routes.add(&line.method, route)?;
+        classes[pool].push(request_class(config, deadline_ms, idempotency));
+        routes.add(&config.method, route)?;
     }
     let specs = pools.iter().zip(classes).map(|(pool, classes)| PoolSpec {
         name: pool.name.clone(),
@@ -91,11 +91,11 @@
 }
 
 /// The idempotency of a route's methods, and the header with the idempotency key.
-fn idempotency(line: &RouteConfig) -> Result<(Idempotency, Option<String>), RouteFault> {
-    match (line.idempotency, &line.key) {
+fn idempotency(config: &RouteConfig) -> Result<(Idempotency, Option<String>), RouteFault> {
+    match (config.idempotency, &config.key) {
         (IdempotencyConfig::Safe, None) => Ok((Idempotency::Idempotent, None)),
         (IdempotencyConfig::Never, None) => Ok((Idempotency::NotIdempotent, None)),
-        (IdempotencyConfig::Keyed, Some(name)) if line.key_window_ms > 0.0 => {
+        (IdempotencyConfig::Keyed, Some(name)) if config.key_window_ms > 0.0 => {
             Ok((Idempotency::WithKey, Some(header_name(name)?)))
         }
         _ => Err(RouteFault::Key),
@@ -109,44 +109,44 @@
 }
 
 /// The status codes after which a route's methods are retried.
-fn retried_codes(line: &RouteConfig) -> Result<Vec<Code>, RouteFault> {
-    let codes: Option<Vec<Code>> = line.retry.iter().map(|name| Code::named(name)).collect();
+fn retried_codes(config: &RouteConfig) -> Result<Vec<Code>, RouteFault> {
+    let codes: Option<Vec<Code>> = config.retry.iter().map(|name| Code::from_name(name)).collect();
     codes.filter(|codes| !codes.contains(&Code::OK)).ok_or(RouteFault::Retry)
 }
 
 /// The affinity of a route's methods.
-fn affinity(line: &RouteConfig) -> Result<Affinity, RouteFault> {
-    match line.affinity.split_once(':') {
-        None if line.affinity == "call" => Ok(Affinity::Call),
-        None if line.affinity == "method" => Ok(Affinity::Method),
+fn affinity(config: &RouteConfig) -> Result<Affinity, RouteFault> {
+    match config.affinity.split_once(':') {
+        None if config.affinity == "call" => Ok(Affinity::Call),
+        None if config.affinity == "method" => Ok(Affinity::Method),
         Some(("header", name)) => Ok(Affinity::Header(header_name(name)?)),
         _ => Err(RouteFault::Affinity),
     }
 }
 
 /// Checks a route's times, and returns the deadline of its request class.
-fn checked_deadline_ms(line: &RouteConfig) -> Result<f64, RouteFault> {
-    let deadline_ms = line.deadline_ms.unwrap_or(MAX_DEADLINE_MS);
+fn checked_deadline_ms(config: &RouteConfig) -> Result<f64, RouteFault> {
+    let deadline_ms = config.deadline_ms.unwrap_or(MAX_DEADLINE_MS);
     if !(1.0..=MAX_DEADLINE_MS).contains(&deadline_ms) {
         return Err(RouteFault::Deadline);
     }
-    if line.kind == MethodKind::Unary && line.deadline_ms.is_none() {
-        return Err(RouteFault::NoDeadline);
+    if config.kind == MethodKind::Unary && config.deadline_ms.is_none() {
+        return Err(RouteFault::MissingDeadline);
     }
-    if !(1.0..=deadline_ms).contains(&line.latency_objective_ms) {
+    if !(1.0..=deadline_ms).contains(&config.latency_objective_ms) {
         return Err(RouteFault::LatencyObjective);
     }
     Ok(deadline_ms)
 }
 
-fn request_class(line: &RouteConfig, deadline_ms: f64, idempotency: Idempotency) -> RequestClass {
+fn request_class(config: &RouteConfig, deadline_ms: f64, idempotency: Idempotency) -> RequestClass {
     RequestClass {
-        latency_objective: micros_from_ms(line.latency_objective_ms),
+        latency_objective: micros_from_ms(config.latency_objective_ms),
         latency_stretch: 0.0,
         deadline: micros_from_ms(deadline_ms),
         idempotency,
         key_scope: KeyScope::All,
-        key_window: micros_from_ms(line.key_window_ms),
+        key_window: micros_from_ms(config.key_window_ms),
         priority_weight: 1.0,
         fresh_lifetime: 0,
         stale_while_revalidate: 0,
--- a/src/grpc/routes.rs
+++ b/src/grpc/routes.rs
@@ -54,7 +54,7 @@
 pub struct Routes {
     methods: AHashMap<String, usize>,
     services: AHashMap<String, usize>,
-    rest: Option<usize>,
+    catch_all: Option<usize>,
     routes: Vec<Route>,
 }
 
@@ -63,14 +63,14 @@
 pub enum PatternError {
     /// The pattern has none of the three forms.
     #[error("{0:?} is not `/Service/Method`, `/Service/*` or `*`")]
-    Form(String),
+    Syntax(String),
     /// The pattern is already in the table.
     #[error("pattern {0:?} is defined more than once")]
-    Twice(String),
+    Duplicate(String),
 }
 
 /// Splits the path of a method into service and method. Returns `None` for any other path.
-pub fn split(path: &str) -> Option<(&str, &str)> {
+pub fn split_path(path: &str) -> Option<(&str, &str)> {
     let (service, method) = path.strip_prefix('/')?.split_once('/')?;
     let plain =
         |s: &str| !s.is_empty() && s.bytes().all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b));
@@ -80,22 +80,22 @@
 impl Routes {
     /// Adds a route for the methods that a pattern matches.
     pub fn add(&mut self, pattern: &str, route: Route) -> Result<(), PatternError> {
-        let service = pattern.strip_suffix("/*").filter(|s| split(&format!("{s}/m")).is_some());
-        let (taken, place) = (PatternError::Twice(pattern.to_string()), self.routes.len());
+        let service = pattern.strip_suffix("/*").filter(|s| split_path(&format!("{s}/m")).is_some());
+        let (duplicate, index) = (PatternError::Duplicate(pattern.to_string()), self.routes.len());
         match service {
-            _ if pattern == "*" => match self.rest {
-                Some(_) => return Err(taken),
-                None => self.rest = Some(place),
+            _ if pattern == "*" => match self.catch_all {
+                Some(_) => return Err(duplicate),
+                None => self.catch_all = Some(index),
             },
             Some(service) => match self.services.entry(service[1..].to_string()) {
-                Entry::Occupied(_) => return Err(taken),
-                Entry::Vacant(free) => drop(free.insert(place)),
+                Entry::Occupied(_) => return Err(duplicate),
+                Entry::Vacant(entry) => drop(entry.insert(index)),
             },
-            None if split(pattern).is_some() => match self.methods.entry(pattern.to_string()) {
-                Entry::Occupied(_) => return Err(taken),
-                Entry::Vacant(free) => drop(free.insert(place)),
+            None if split_path(pattern).is_some() => match self.methods.entry(pattern.to_string()) {
+                Entry::Occupied(_) => return Err(duplicate),
+                Entry::Vacant(entry) => drop(entry.insert(index)),
             },
-            None => return Err(PatternError::Form(pattern.to_string())),
+            None => return Err(PatternError::Syntax(pattern.to_string())),
         }
         self.routes.push(route);
         Ok(())
@@ -103,24 +103,25 @@
 
     /// Finds the most specific route for a path: by method, then by service, then the catch-all `*`.
     pub fn find(&self, path: &str) -> Option<&Route> {
-        let (service, _) = split(path)?;
-        let place = self.methods.get(path).or_else(|| self.services.get(service)).or(self.rest.as_ref())?;
-        self.routes.get(*place)
+        let (service, _) = split_path(path)?;
+        let index =
+            self.methods.get(path).or_else(|| self.services.get(service)).or(self.catch_all.as_ref())?;
+        self.routes.get(*index)
     }
 
-    /// Replaces the pool index of each route by `place` of it.
-    pub fn renumber(&mut self, place: impl Fn(usize) -> usize) {
-        self.routes.iter_mut().for_each(|route| route.pool = place(route.pool));
+    /// Maps the pool index of each route with `index`.
+    pub fn remap_pools(&mut self, index: impl Fn(usize) -> usize) {
+        self.routes.iter_mut().for_each(|route| route.pool = index(route.pool));
     }
 
     /// All routes, in the order in which they were added.
-    pub fn all(&self) -> &[Route] {
+    pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 }
 
 /// The affinity hash of a text; the same on every proxy.
-pub fn hash(text: &[u8]) -> u64 {
+pub fn text_hash(text: &[u8]) -> u64 {
     let digest = Sha256::digest(text);
     u64::from_be_bytes(digest[..8].try_into().expect("32 bytes"))
 }
--- a/src/grpc/routes/tests.rs
+++ b/src/grpc/routes/tests.rs
@@ -29,17 +29,17 @@
         assert_eq!(class(&routes, bad), None, "{bad:?}");
     }
     for twice in ["*", "/ads.v1.Ads/*", "/ads.v1.Ads/Post"] {
-        assert_eq!(routes.add(twice, route(9)), Err(PatternError::Twice(twice.into())));
+        assert_eq!(routes.add(twice, route(9)), Err(PatternError::Duplicate(twice.into())));
     }
     assert_eq!(class(&routes, "/ads.v1.Adsy/Get"), Some(2), "the first route stays");
     for bad in ["", "/*", "a/*", "/a/b/*", "**", "/a/b*"] {
-        assert_eq!(routes.add(bad, route(9)), Err(PatternError::Form(bad.into())), "{bad:?}");
+        assert_eq!(routes.add(bad, route(9)), Err(PatternError::Syntax(bad.into())), "{bad:?}");
     }
-    assert_eq!(routes.all().len(), 3, "an invalid route is not added");
+    assert_eq!(routes.routes().len(), 3, "an invalid route is not added");
 }
 
 #[test]
 fn the_hash_is_the_same_everywhere() {
-    assert_eq!(hash(b""), 0xe3b0_c442_98fc_1c14, "the first bytes of SHA-256");
-    assert_ne!(hash(b"a"), hash(b"b"));
+    assert_eq!(text_hash(b""), 0xe3b0_c442_98fc_1c14, "the first bytes of SHA-256");
+    assert_ne!(text_hash(b"a"), text_hash(b"b"));
 }
--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -20,7 +20,7 @@
 /// connection limit, in milliseconds.
 const ACCEPT_RETRY_MS: u64 = 20;
 /// Time-out of each accept at shutdown, which empties the listen backlog, in milliseconds.
-const LAST_ACCEPT_MS: u64 = 1;
+const BACKLOG_ACCEPT_TIMEOUT_MS: u64 = 1;
 /// Interval of [`run_housekeeping`], in milliseconds.
 const HOUSEKEEPING_INTERVAL_MS: u64 = 100;
 /// Time after which a connection to a backend without calls is closed, in milliseconds.
@@ -32,17 +32,17 @@
     loop {
         tokio::time::sleep(Duration::from_millis(HOUSEKEEPING_INTERVAL_MS)).await;
         front.sync_backends();
-        front.upstream.tidy(UPSTREAM_IDLE_MS);
+        front.upstream.close_idle(UPSTREAM_IDLE_MS);
     }
 }
 
 /// Rejects queued calls that are close to their deadline. Never returns.
 pub async fn expire_queued_calls(front: Rc<GrpcFront>) {
     loop {
-        let left = front.admission.next_due() - front.now();
+        let wait_ms = front.admission.next_expiry_ms() - front.now();
         tokio::select! {
-            () = tokio::time::sleep(duration_from_ms(left)) => front.admission.tick(front.now()),
-            () = front.admission.due.notified() => {}
+            () = tokio::time::sleep(duration_from_ms(wait_ms)) => front.admission.expire_queued(front.now()),
+            () = front.admission.call_queued.notified() => {}
         }
     }
 }
@@ -62,17 +62,17 @@
     closing: Rc<Notify>,
 ) {
     let slots = Arc::new(Semaphore::new(front.limits().clients));
-    let mut last = false;
+    let mut is_closing = false;
     loop {
         let Ok(slot) = slots.clone().try_acquire_owned() else {
             // At the limit, new connections wait in the listen backlog until a slot is free.
             front.connection_limit_reached.notify_one();
             let retry = Duration::from_millis(ACCEPT_RETRY_MS);
-            last |= timeout(retry, closing.notified()).await.is_ok();
+            is_closing |= timeout(retry, closing.notified()).await.is_ok();
             continue;
         };
-        let accepted = if last {
-            match timeout(Duration::from_millis(LAST_ACCEPT_MS), listener.accept()).await {
+        let accepted = if is_closing {
+            match timeout(Duration::from_millis(BACKLOG_ACCEPT_TIMEOUT_MS), listener.accept()).await {
                 Ok(accepted) => accepted,
                 Err(_) => return,
             }
@@ -80,7 +80,7 @@
             tokio::select! {
                 biased;
                 () = closing.notified() => {
-                    last = true;
+                    is_closing = true;
                     continue;
                 }
                 accepted = listener.accept() => accepted,
@@ -105,11 +105,11 @@
     slot: OwnedSemaphorePermit,
 ) {
     front.executor.with(|engine| engine.counters.client_connections += 1);
-    let (own, stop) = (front.clone(), stop.clone());
-    let open = stop.track_connection();
+    let (task_front, stop) = (front.clone(), stop.clone());
+    let open_connection = stop.track_connection();
     front.executor.spawn("gRPC client connection", async move {
-        let (_open, _slot) = (open, slot);
-        if let Err(error) = serve(&own, stream, peer, &stop).await {
+        let (_open_connection, _slot) = (open_connection, slot);
+        if let Err(error) = serve(&task_front, stream, peer, &stop).await {
             tracing::debug!(%error, "gRPC client connection ended with an error");
         }
     });
@@ -159,7 +159,9 @@
         .max_send_buffer_size(limits.window_bytes as usize);
     // A client that does not complete the handshake must not keep its connection slot.
     let handshake = builder.handshake::<_, Bytes>(stream);
-    let Ok(connection) = timeout(duration_from_ms(limits.first_ms), handshake).await else { return Ok(()) };
+    let Ok(connection) = timeout(duration_from_ms(limits.handshake_timeout_ms), handshake).await else {
+        return Ok(());
+    };
     let mut connection = connection?;
     let open_calls = Rc::new(OpenCalls::default());
     let mut shutting_down = false;
@@ -171,10 +173,10 @@
                 None => return Ok(()),
                 Some(Err(error)) => return Err(error),
                 Some(Ok((request, respond))) => {
-                    let (call, own) = (open_calls.enter(), front.clone());
+                    let (call, task_front) = (open_calls.enter(), front.clone());
                     front.executor.spawn("gRPC call", async move {
                         let _call = call;
-                        drive_call(own, request, respond, peer).await;
+                        drive_call(task_front, request, respond, peer).await;
                     });
                 }
             },
--- a/src/grpc/status.rs
+++ b/src/grpc/status.rs
@@ -14,9 +14,9 @@
 pub struct Code(u8);
 
 /// The number of status codes.
-pub const CODES: usize = 17;
+pub const CODE_COUNT: usize = 17;
 
-const NAMES: [&str; CODES] = [
+const NAMES: [&str; CODE_COUNT] = [
     "OK",
     "CANCELLED",
     "UNKNOWN",
@@ -54,8 +54,8 @@
 
 impl Code {
     /// Converts a number to a code.
-    pub fn of(number: u64) -> Self {
-        if number < CODES as u64 {
+    pub fn from_number(number: u64) -> Self {
+        if number < CODE_COUNT as u64 {
             Self(number as u8)
         } else {
             Self::UNKNOWN
@@ -65,11 +65,11 @@
     /// Parses the value of a `grpc-status` header. Returns `None` unless it is 1 to 10 decimal digits.
     pub fn parse(value: &[u8]) -> Option<Self> {
         let plain = !value.is_empty() && value.len() <= 10 && value.iter().all(u8::is_ascii_digit);
-        plain.then(|| std::str::from_utf8(value).ok()?.parse().ok().map(Self::of))?
+        plain.then(|| std::str::from_utf8(value).ok()?.parse().ok().map(Self::from_number))?
     }
 
     /// Finds the code of a name, such as `UNAVAILABLE`.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         NAMES.iter().position(|n| *n == name).map(|k| Self(k as u8))
     }
 
@@ -85,7 +85,7 @@
 
     /// Whether the status is caused by the client's request, so that it says nothing about the backend's
     /// health.
-    pub fn is_callers(self) -> bool {
+    pub fn is_client_error(self) -> bool {
         matches!(self.0, 1 | 3 | 5 | 6 | 7 | 9 | 10 | 11 | 12 | 16)
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Maps the HTTP status of a response that is not gRPC.
-    pub fn of_http(status: u16) -> Self {
+    pub fn from_http_status(status: u16) -> Self {
         match status {
             400 | 431 => Self::INTERNAL,
             401 => Self::UNAUTHENTICATED,
@@ -107,7 +107,7 @@
     }
 
     /// Maps the error code of an RST_STREAM frame (RFC 9113, section 7).
-    pub fn of_reset(reason: u32) -> Self {
+    pub fn from_reset(reason: u32) -> Self {
         match reason {
             0x7 => Self::UNAVAILABLE,
             0x8 => Self::CANCELLED,
@@ -119,11 +119,11 @@
 }
 
 /// Characters that `grpc-message` must escape: all but printable ASCII, and `%`.
-const MESSAGE: &AsciiSet = &CONTROLS.add(b'%');
+const MESSAGE_ESCAPES: &AsciiSet = &CONTROLS.add(b'%');
 
 /// Percent-encodes a text for `grpc-message`.
-pub fn message(text: &str) -> String {
-    utf8_percent_encode(text, MESSAGE).to_string()
+pub fn encode_message(text: &str) -> String {
+    utf8_percent_encode(text, MESSAGE_ESCAPES).to_string()
 }
 
 /// A server's retry pushback (`grpc-retry-pushback-ms`, gRFC A6).
@@ -205,7 +205,7 @@
             _ if code.is_overload() && !committed && idempotency == Idempotency::Idempotent => {
                 AttemptOutcome::Rejected
             }
-            code if code.is_callers() => AttemptOutcome::Cancelled,
+            code if code.is_client_error() => AttemptOutcome::Cancelled,
             _ => AttemptOutcome::Error,
         }
     };
@@ -214,10 +214,10 @@
             (by_code(code), code, repeatable && pushback.is_none() && retry.contains(&code))
         }
         AttemptEnd::HttpStatus(status) => {
-            let code = Code::of_http(status);
+            let code = Code::from_http_status(status);
             (AttemptOutcome::Error, code, repeatable && retry.contains(&code))
         }
-        AttemptEnd::Reset(reason) => (AttemptOutcome::Error, Code::of_reset(reason), repeatable),
+        AttemptEnd::Reset(reason) => (AttemptOutcome::Error, Code::from_reset(reason), repeatable),
         AttemptEnd::Unprocessed => (AttemptOutcome::Rejected, Code::UNAVAILABLE, true),
         AttemptEnd::NoConnection { local: true } | AttemptEnd::NotSent => {
             (AttemptOutcome::NotSent, Code::UNAVAILABLE, true)
--- a/src/grpc/status/tests.rs
+++ b/src/grpc/status/tests.rs
@@ -4,16 +4,16 @@
 
 #[test]
 fn codes_are_read_and_named() {
-    for n in 0..CODES as u64 {
-        let code = Code::of(n);
+    for n in 0..CODE_COUNT as u64 {
+        let code = Code::from_number(n);
         assert_eq!(Code::parse(n.to_string().as_bytes()), Some(code));
-        assert_eq!(Code::named(code.name()), Some(code));
+        assert_eq!(Code::from_name(code.name()), Some(code));
     }
     assert_eq!(Code::parse(b"17"), Some(Code::UNKNOWN), "an undefined number");
     for bad in [&b""[..], b"x", b"-1", b"1 ", b"00000000001", b"\xff"] {
         assert_eq!(Code::parse(bad), None);
     }
-    assert_eq!(message("50% of caf\u{e9}\n"), "50%25 of caf%C3%A9%0A");
+    assert_eq!(encode_message("50% of caf\u{e9}\n"), "50%25 of caf%C3%A9%0A");
     assert_eq!(Pushback::parse(b"250"), Pushback::After(250.0));
     assert_eq!((Pushback::parse(b"-1"), Pushback::parse(b"soon")), (Pushback::Never, Pushback::Never));
 }
@@ -30,9 +30,9 @@
         AttemptEnd::Malformed,
         AttemptEnd::TimedOut,
     ];
-    ends.extend((0..17).map(|n| AttemptEnd::Status(Code::of(n), None)));
+    ends.extend((0..17).map(|n| AttemptEnd::Status(Code::from_number(n), None)));
     ends.extend([200, 400, 404, 429, 500, 503].map(AttemptEnd::HttpStatus));
-    let all: Vec<Code> = (0..17).map(Code::of).collect();
+    let all: Vec<Code> = (0..17).map(Code::from_number).collect();
     for end in &ends {
         let classified = classify(*end, false, Idempotency::NotIdempotent, &all);
         assert!(!classified.retryable && !classified.outcome.never_ran(), "{end:?}: {classified:?}");
@@ -51,7 +51,7 @@
 #[test]
 fn only_ok_is_served_and_the_callers_own_errors_leave_the_backend_alone() {
     for (n, committed) in (0..17).flat_map(|n| [(n, false), (n, true)]) {
-        let code = Code::of(n);
+        let code = Code::from_number(n);
         let classified = classify(
             AttemptEnd::Status(code, None),
             committed,
@@ -59,7 +59,7 @@
             &[Code::UNAVAILABLE],
         );
         assert_eq!(classified.outcome == AttemptOutcome::Served, code == Code::OK, "{code:?}");
-        assert_eq!(classified.outcome == AttemptOutcome::Cancelled, code.is_callers(), "{code:?}");
+        assert_eq!(classified.outcome == AttemptOutcome::Cancelled, code.is_client_error(), "{code:?}");
         assert_eq!(classified.retryable, code == Code::UNAVAILABLE && !committed);
         assert_eq!(classified.code, code);
     }
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -20,7 +20,7 @@
 
 /// The state of a connection, watched by the calls assigned to it.
 #[derive(Clone)]
-enum State {
+enum ConnectionState {
     Connecting,
     Up(SendRequest<Bytes>),
     /// The connection was not established or has ended. `local` means that the cause is not the backend.
@@ -30,7 +30,7 @@
 }
 
 struct ConnectionHandle {
-    state: watch::Receiver<State>,
+    state: watch::Receiver<ConnectionState>,
     /// Notified to close the connection.
     close: Rc<Notify>,
 }
@@ -50,7 +50,7 @@
     upstream: Rc<Upstream>,
     conn: ConnectionId,
     call: u64,
-    state: watch::Receiver<State>,
+    state: watch::Receiver<ConnectionState>,
 }
 
 impl Upstream {
@@ -102,13 +102,13 @@
             Placement::Unavailable => return None,
             Placement::Existing(conn) => conn,
             Placement::New(conn) => {
-                let (sender, state) = watch::channel(State::Connecting);
+                let (sender, state) = watch::channel(ConnectionState::Connecting);
                 let close = Rc::new(Notify::new());
                 self.handles.borrow_mut().insert(conn, ConnectionHandle { state, close: close.clone() });
-                let own = self.clone();
+                let upstream = self.clone();
                 tokio::task::spawn_local(async move {
-                    let _guard = ConnectionGuard { upstream: own.clone(), conn };
-                    own.drive(conn, address, sender, close).await;
+                    let _guard = ConnectionGuard { upstream: upstream.clone(), conn };
+                    upstream.run_connection(conn, address, sender, close).await;
                 });
                 conn
             }
@@ -130,7 +130,7 @@
     }
 
     /// Closes connections that were idle for longer than `idle_ms`.
-    pub fn tidy(&self, idle_ms: f64) {
+    pub fn close_idle(&self, idle_ms: f64) {
         let now = self.clock.now();
         for (conn, c) in self.connections.borrow_mut().iter_mut() {
             c.closing |= c.up && c.load() == 0 && now - c.used_ms > idle_ms;
@@ -153,14 +153,14 @@
         }
     }
 
-    async fn drive(
+    async fn run_connection(
         &self,
         conn: ConnectionId,
         address: SocketAddr,
-        sender: watch::Sender<State>,
+        sender: watch::Sender<ConnectionState>,
         close: Rc<Notify>,
     ) {
-        let open = async {
+        let connect = async {
             let stream = TcpStream::connect(address).await.map_err(|e| is_local(&e))?;
             let _ = stream.set_nodelay(true);
             let limits = &self.limits;
@@ -173,32 +173,32 @@
                 .max_send_buffer_size(limits.window_bytes as usize);
             builder.handshake::<_, Bytes>(stream).await.map_err(|_| false)
         };
-        let (send, mut connection) = match timeout(duration_from_ms(self.limits.connect_ms), open).await {
+        let (send, mut connection) = match timeout(duration_from_ms(self.limits.connect_ms), connect).await {
             Ok(Ok(up)) => up,
-            Ok(Err(local)) => return drop(sender.send(State::Down { local })),
-            Err(_) => return drop(sender.send(State::Down { local: false })),
+            Ok(Err(local)) => return drop(sender.send(ConnectionState::Down { local })),
+            Err(_) => return drop(sender.send(ConnectionState::Down { local: false })),
         };
         let ping = connection.ping_pong();
         if let Some(c) = self.connections.borrow_mut().get_mut(conn) {
             c.up = true;
         }
-        let _ = sender.send(State::Up(send));
+        let _ = sender.send(ConnectionState::Up(send));
         tokio::select! {
             ended = &mut connection => if let Err(error) = ended {
                 tracing::debug!(%address, %error, "gRPC backend connection ended with an error");
             },
-            () = self.ping_until_silent(ping) => {
+            () = self.ping_until_unanswered(ping) => {
                 tracing::warn!(%address, "gRPC backend connection closed: no response to a keepalive ping");
             }
             () = close.notified() => {}
         }
         // Dropping the connection ends its open streams with an error.
-        let _ = sender.send(State::Down { local: false });
+        let _ = sender.send(ConnectionState::Down { local: false });
     }
 
     /// Sends keepalive pings, and returns when one is not answered in time. Detects dead connections under
     /// long streams.
-    async fn ping_until_silent(&self, ping: Option<h2::PingPong>) {
+    async fn ping_until_unanswered(&self, ping: Option<h2::PingPong>) {
         let Some(mut ping) = ping else { return std::future::pending().await };
         loop {
             tokio::time::sleep(duration_from_ms(self.limits.keepalive_ms)).await;
@@ -248,9 +248,9 @@
         let send = loop {
             let state = self.state.borrow_and_update().clone();
             match state {
-                State::Up(send) => break send,
-                State::Down { local } => return Err(ConnectionError::NotConnected { local }),
-                State::Connecting => {}
+                ConnectionState::Up(send) => break send,
+                ConnectionState::Down { local } => return Err(ConnectionError::NotConnected { local }),
+                ConnectionState::Connecting => {}
             }
             if self.state.changed().await.is_err() {
                 return Err(ConnectionError::NotConnected { local: false });
--- a/src/lifecycle/subsystems/grpc.rs
+++ b/src/lifecycle/subsystems/grpc.rs
@@ -38,7 +38,7 @@
     async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
         let Some(front) = self.front.clone() else { return Ok(()) };
         let executor = &context.executor;
-        let listen = self.config.at();
+        let listen = self.config.listen_address();
         let listener = bind_tcp(listen).await?;
         let accepting = accept(front.clone(), listener, context.stop.clone(), self.closing.clone());
         executor.spawn("accepting", accepting);
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -330,7 +330,7 @@
         soon("the call reaches the backend", || edge.reached() == 3).await;
         pending.abort();
         soon("the attempt is reset", || edge.boxes[0].calls.borrow()[2].reset).await;
-        assert_eq!(edge.front.with(|calls| calls.open()), 0);
+        assert_eq!(edge.front.with_calls(|calls| calls.open_calls()), 0);
         assert_eq!(edge.outcome("failed") + edge.outcome("served"), 0);
     });
 }
@@ -518,7 +518,7 @@
             stream.send_data(msg(900).into(), false).unwrap();
             open.push((response, stream));
         }
-        soon("four calls are open", || edge.front.with(|calls| calls.open()) == 4).await;
+        soon("four calls are open", || edge.front.with_calls(|calls| calls.open_calls()) == 4).await;
         let got = caller.call("/t.Safe/Get", &[], msg(1)).await;
         assert_eq!(
             (got.status(), got.header("grpc-retry-pushback-ms")),
--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -3,7 +3,7 @@
 
 use edge_proxy::engine::executor::Backend;
 use edge_proxy::grpc::call::{AttemptTarget, CallId, CallOutcome, Directive, NewCall};
-use edge_proxy::grpc::call_table::{Bounds, CallTable};
+use edge_proxy::grpc::call_table::{CallTable, CallTableLimits};
 use edge_proxy::grpc::config::GrpcConfig;
 use edge_proxy::grpc::routes::{MethodKind, Route};
 use edge_proxy::grpc::status::{AttemptEnd, Code, Pushback};
@@ -35,8 +35,8 @@
     let config = GrpcConfig::read(&file).unwrap();
     let _ = std::fs::remove_file(&file);
     let (routes, pools) = config.compile().unwrap();
-    let bounds = Bounds { calls: 40, replay_total: 5_000 };
-    (CallTable::new(pools, bounds, 9), routes.all().iter().cloned().map(Rc::new).collect())
+    let limits = CallTableLimits { open_calls: 40, replay_bytes: 5_000 };
+    (CallTable::new(pools, limits, 9), routes.routes().iter().cloned().map(Rc::new).collect())
 }
 
 fn backends(live: &[bool]) -> Vec<Backend> {
@@ -114,7 +114,7 @@
             0..=3 if step < 3_600 => {
                 let route = routes[rng.random_range(0..routes.len())].clone();
                 let timeout_ms = (rng.random_range(0..3) > 0).then(|| rng.random_range(1.0..4_000.0));
-                let new = NewCall { route: route.clone(), object: None, timeout_ms, received_ms: now };
+                let new = NewCall { route: route.clone(), affinity_hash: None, timeout_ms, received_ms: now };
                 let allowed = new.allowed_ms();
                 assert!(
                     allowed <= 3_000.0 && timeout_ms.is_none_or(|t| allowed <= t),
@@ -150,13 +150,13 @@
                 let Some(id) = some else { continue };
                 let call = open.get_mut(&id).unwrap();
                 call.committed = true;
-                calls.committed(now, id);
+                calls.commit(now, id);
             }
             _ => {
                 let Some(id) = some else { continue };
                 let mut call = open.remove(&id).unwrap();
-                let may_start = calls.may_start(now, id);
-                if let Some(left) = may_start {
+                let remaining_ms = calls.remaining_attempt_ms(now, id);
+                if let Some(left) = remaining_ms {
                     assert!(live[call.start.backend as usize], "an attempt may start at a draining backend");
                     assert!(
                         left <= call.began + call.allowed - now + 1e-6,
@@ -165,7 +165,7 @@
                 }
                 let over = now >= call.began + call.allowed;
                 let ends = [
-                    AttemptEnd::Status(Code::of(rng.random_range(0..17)), None),
+                    AttemptEnd::Status(Code::from_number(rng.random_range(0..17)), None),
                     AttemptEnd::Status(Code::OK, None),
                     AttemptEnd::Status(Code::UNAVAILABLE, Some(Pushback::After(100.0))),
                     AttemptEnd::HttpStatus(503),
@@ -210,13 +210,13 @@
                 ended += u64::from(follow(&mut open, id, call, directive, &live, over));
             }
         }
-        assert_eq!(calls.open(), open.len(), "a call is open until its end");
+        assert_eq!(calls.open_calls(), open.len(), "a call is open until its end");
     }
     assert_eq!(begun, ended + left + open.len() as u64, "a call ends exactly once");
     for (id, _) in open {
         calls.client_disconnected(now, id);
     }
-    assert_eq!((calls.open(), calls.replay_bytes()), (0, 0), "calls and buffers are released");
+    assert_eq!((calls.open_calls(), calls.replay_bytes()), (0, 0), "calls and buffers are released");
     let counters = &calls.pools()[0].counters;
     assert_eq!(counters.outcomes.iter().sum::<u64>(), begun, "a call is counted exactly once");
     seen
@@ -239,15 +239,19 @@
     calls.set_backends(0.0, 0, &backends(&[true, true]));
     let route =
         |kind, repeat| routes.iter().find(|r| r.kind == kind && r.idempotency == repeat).unwrap().clone();
-    let new =
-        |route: Rc<Route>| NewCall { route, object: Some(7), timeout_ms: Some(2_000.0), received_ms: 0.0 };
+    let new = |route: Rc<Route>| NewCall {
+        route,
+        affinity_hash: Some(7),
+        timeout_ms: Some(2_000.0),
+        received_ms: 0.0,
+    };
     // Only a unary attempt has a time-out before the call's deadline.
     let (unary, _) = calls.begin(0.0, new(route(MethodKind::Unary, Idempotency::Idempotent)));
     let (stream, _) = calls.begin(0.0, new(route(MethodKind::Stream, Idempotency::Idempotent)));
-    assert!(calls.due_ms(unary) < 1_900.0, "{}", calls.due_ms(unary));
-    assert_eq!(calls.due_ms(stream), 1_960.0, "the client timeout less the return margin");
-    calls.committed(50.0, unary);
-    assert_eq!(calls.due_ms(unary), 1_960.0, "a committed attempt has until the call's deadline");
+    assert!(calls.timeout_at_ms(unary) < 1_900.0, "{}", calls.timeout_at_ms(unary));
+    assert_eq!(calls.timeout_at_ms(stream), 1_960.0, "the client timeout less the return margin");
+    calls.commit(50.0, unary);
+    assert_eq!(calls.timeout_at_ms(unary), 1_960.0, "a committed attempt has until the call's deadline");
     // The duration of streams does not get their backends ejected.
     for n in 0..50 {
         let now = f64::from(n) * 10_000.0;
@@ -258,10 +262,10 @@
         };
         let (id, directive) = calls.begin(now, new);
         let Directive::StartAttempt(start) = directive else { panic!("{directive:?}") };
-        calls.committed(now + 5.0, id);
+        calls.commit(now + 5.0, id);
         let end = calls.attempt_ended(now + 2_900.0, id, AttemptEnd::Status(Code::OK, None));
         assert!(matches!(end, Directive::ForwardStatus { outcome: CallOutcome::Served, .. }));
-        assert_eq!((start.attempt, calls.pools()[0].avoided_backends(now)), (0, 0), "stream {n}");
+        assert_eq!((start.attempt, calls.pools()[0].ejected_backends(now)), (0, 0), "stream {n}");
     }
 }
 
