--- a/examples/grpc_load.rs
+++ b/examples/grpc_load.rs
@@ -9,7 +9,7 @@
 #[path = "../tests/stand_ins/grpc.rs"]
 mod grpc;
 
-use grpc::{finish, msg, Caller, GrpcBox};
+use grpc::{message, receive_response, GrpcClient, ScriptedBackend};
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -56,9 +56,9 @@
         .map(|_| {
             let times = times.clone();
             spawn_local(async move {
-                let caller = Caller::connect(at).await;
+                let caller = GrpcClient::connect(at).await;
                 for _ in 0..calls / callers {
-                    let got = caller.call("/b.Bench/Unary", &[], msg(64)).await;
+                    let got = caller.call("/b.Bench/Unary", &[], message(64)).await;
                     let mut times = times.borrow_mut();
                     times.0.record((got.took_ms * 1_000.0) as u64).unwrap();
                     times.1 += u64::from(got.status() != 0);
@@ -80,10 +80,10 @@
         .map(|_| {
             let times = times.clone();
             spawn_local(async move {
-                let caller = Caller::connect(at).await;
+                let caller = GrpcClient::connect(at).await;
                 let (response, mut stream) =
-                    caller.begin("/b.Bench/Chat", &[("x-act", "echo")]).await.unwrap();
-                let ping = msg(64);
+                    caller.begin("/b.Bench/Chat", &[("x-script", "echo")]).await.unwrap();
+                let ping = message(64);
                 stream.send_data(ping.clone().into(), false).unwrap();
                 let mut sent = Instant::now();
                 let mut body = response.await.unwrap().into_body();
@@ -126,12 +126,12 @@
     let streams: Vec<_> = (0..FLOODS)
         .map(|_| {
             spawn_local(async move {
-                let caller = Caller::connect(at).await;
+                let caller = GrpcClient::connect(at).await;
                 let act = format!("read head flood:{FLOOD} status:0");
                 let (response, mut stream) =
-                    caller.begin("/b.Bench/Watch", &[("x-act", &act)]).await.unwrap();
-                stream.send_data(msg(1).into(), true).unwrap();
-                let got = finish(response).await;
+                    caller.begin("/b.Bench/Watch", &[("x-script", &act)]).await.unwrap();
+                stream.send_data(message(1).into(), true).unwrap();
+                let got = receive_response(response).await;
                 (got.body.len(), u64::from(got.status() != 0))
             })
         })
@@ -152,7 +152,7 @@
     let (tell, told) = mpsc::channel();
     std::thread::spawn(move || {
         LocalSet::new().block_on(&runtime(), async {
-            let server = GrpcBox::start("127.0.93.1:0").await;
+            let server = ScriptedBackend::start("127.0.93.1:0").await;
             tell.send(server.address).unwrap();
             loop {
                 tokio::time::sleep(Duration::from_secs(1)).await;
--- a/src/grpc/call_driver.rs
+++ b/src/grpc/call_driver.rs
@@ -41,9 +41,9 @@
         }
     };
     let permit = match admit(&front, &head, &new, client, &mut response).await {
-        AdmissionDecision::Admitted(permit) => permit,
-        AdmissionDecision::ClientDisconnected => return,
-        AdmissionDecision::Rejected { retry_after_ms } => {
+        AdmissionOutcome::Admitted(permit) => permit,
+        AdmissionOutcome::ClientDisconnected => return,
+        AdmissionOutcome::Rejected { retry_after_ms } => {
             let retry_after_ms = (retry_after_ms > 0.0).then_some(retry_after_ms);
             let status = LocalStatus::rejected("refused at the door", retry_after_ms);
             return response.end(status_trailers(&status));
@@ -138,7 +138,7 @@
 }
 
 /// The final decision of admission control about a call.
-enum AdmissionDecision {
+enum AdmissionOutcome {
     /// The call may proceed. Streaming calls have no permit.
     Admitted(Option<AdmissionPermit>),
     /// The call is rejected.
@@ -157,23 +157,23 @@
     new: &NewCall,
     client: IpAddr,
     response: &mut ResponseStream,
-) -> AdmissionDecision {
+) -> AdmissionOutcome {
     if new.route.kind != MethodKind::Unary {
-        return AdmissionDecision::Admitted(None);
+        return AdmissionOutcome::Admitted(None);
     }
     let number = |name: &str| head.headers.get(name)?.to_str().ok()?.parse().ok();
     let tenant = front.tenant(new.route.class, number);
     match front.admission.submit(&front.executor.clock, client, tenant, new.deadline_ms()) {
-        AdmissionResult::Admitted(permit) => AdmissionDecision::Admitted(Some(permit)),
-        AdmissionResult::Rejected(retry_after_ms) => AdmissionDecision::Rejected { retry_after_ms },
+        AdmissionResult::Admitted(permit) => AdmissionOutcome::Admitted(Some(permit)),
+        AdmissionResult::Rejected(retry_after_ms) => AdmissionOutcome::Rejected { retry_after_ms },
         AdmissionResult::Queued(decision, permit) => tokio::select! {
             biased;
             decision = decision => match decision {
-                Ok(None) => AdmissionDecision::Admitted(Some(permit)),
-                Ok(Some(retry_after_ms)) => AdmissionDecision::Rejected { retry_after_ms },
-                Err(_) => AdmissionDecision::Rejected { retry_after_ms: 0.0 },
+                Ok(None) => AdmissionOutcome::Admitted(Some(permit)),
+                Ok(Some(retry_after_ms)) => AdmissionOutcome::Rejected { retry_after_ms },
+                Err(_) => AdmissionOutcome::Rejected { retry_after_ms: 0.0 },
             },
-            () = response.client_disconnected() => AdmissionDecision::ClientDisconnected,
+            () = response.client_disconnected() => AdmissionOutcome::ClientDisconnected,
         },
     }
 }
--- a/src/grpc/routes/tests.rs
+++ b/src/grpc/routes/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_nearest_line_counts() {
+fn the_most_specific_route_is_found() {
     let mut routes = Routes::default();
     for (class, pattern) in ["/ads.v1.Ads/Post", "/ads.v1.Ads/*", "*"].iter().enumerate() {
         routes.add(pattern, route(class)).unwrap();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_hash_is_the_same_everywhere() {
+fn the_affinity_hash_is_the_start_of_the_sha_256_digest() {
     assert_eq!(text_hash(b""), 0xe3b0_c442_98fc_1c14, "the first bytes of SHA-256");
     assert_ne!(text_hash(b"a"), text_hash(b"b"));
 }
--- a/src/grpc/status/tests.rs
+++ b/src/grpc/status/tests.rs
@@ -3,7 +3,7 @@
 const ALL: [Idempotency; 3] = [Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent];
 
 #[test]
-fn codes_are_read_and_named() {
+fn status_codes_are_parsed_and_named() {
     for n in 0..CODE_COUNT as u64 {
         let code = Code::from_number(n);
         assert_eq!(Code::parse(n.to_string().as_bytes()), Some(code));
@@ -21,7 +21,7 @@
 /// Guards against executing a call twice: a non-idempotent method is retried only if the backend surely did
 /// not process the request.
 #[test]
-fn an_unsafe_method_goes_on_only_where_nothing_ran() {
+fn non_idempotent_methods_are_retried_only_if_surely_unprocessed() {
     let mut ends = vec![
         AttemptEnd::Reset(7),
         AttemptEnd::Reset(8),
@@ -49,7 +49,7 @@
 
 /// Guards against ejecting backends for errors that the client caused.
 #[test]
-fn only_ok_is_served_and_the_callers_own_errors_leave_the_backend_alone() {
+fn only_ok_counts_as_served_and_client_errors_do_not_count_against_backends() {
     for (n, committed) in (0..17).flat_map(|n| [(n, false), (n, true)]) {
         let code = Code::from_number(n);
         let classified = classify(
--- a/src/grpc/timeout/tests.rs
+++ b/src/grpc/timeout/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn units_are_read_and_nonsense_is_not() {
+fn valid_timeouts_are_parsed_and_invalid_ones_rejected() {
     let ms = |text| parse(text);
     assert_eq!((ms("1H"), ms("2M"), ms("3S")), (Some(3_600_000.0), Some(120_000.0), Some(3_000.0)));
     assert_eq!((ms("250m"), ms("500u")), (Some(250.0), Some(0.5)));
@@ -22,7 +22,7 @@
     /// Guards against extending deadlines: a formatted timeout is never longer than the remaining time, and
     /// not much shorter.
     #[test]
-    fn what_is_written_is_never_longer(ms in 0.0f64..4e11) {
+    fn formatted_timeouts_are_never_longer(ms in 0.0f64..4e11) {
         let text = format(ms);
         let back = parse(&text).expect("a formatted timeout is valid");
         prop_assert!(back <= ms, "{ms} became {text}");
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -12,7 +12,7 @@
 use edge_proxy::lifecycle::engine_setup::engine;
 use edge_proxy::wire::cache_connection::CacheDriver;
 use edge_proxy::wire::shutdown::GracefulShutdown;
-use stand_ins::grpc::{finish, msg, Caller, GrpcBox};
+use stand_ins::grpc::{message, receive_response, GrpcClient, ScriptedBackend};
 use stand_ins::{folder, run, START_MS};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -32,16 +32,16 @@
     {"method":"/t.Short/*","pool":"p","kind":"unary","repeat":"safe","deadline_ms":300,"aim_ms":100}
 ]"#;
 
-struct Edge {
+struct TestProxy {
     front: Rc<GrpcFront>,
-    at: SocketAddr,
+    address: SocketAddr,
     stop: Rc<GracefulShutdown>,
     closing: Rc<Notify>,
-    boxes: Vec<GrpcBox>,
+    backends: Vec<ScriptedBackend>,
     dir: std::path::PathBuf,
 }
 
-fn file(dir: &Path, listen: SocketAddr, backends: &[(SocketAddr, bool)], limits: &str) -> GrpcConfig {
+fn write_config(dir: &Path, listen: SocketAddr, backends: &[(SocketAddr, bool)], limits: &str) -> GrpcConfig {
     let backends: Vec<String> = backends
         .iter()
         .map(|(at, draining)| format!(r#"{{"address":"{at}","draining":{draining}}}"#))
@@ -54,65 +54,65 @@
     GrpcConfig::read(&dir.join("grpc.json")).unwrap()
 }
 
-fn host(clock: Clock) -> Rc<Executor> {
+fn executor(clock: Clock) -> Rc<Executor> {
     let config =
         Config::read(Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json"))).unwrap();
     let (engine, _) = engine(&config, &clock, 0).unwrap();
     Executor::new(clock, engine, CacheDriver)
 }
 
-impl Edge {
-    async fn start(name: &str, boxes: usize, limits: &str) -> Self {
+impl TestProxy {
+    async fn start(name: &str, backends: usize, limits: &str) -> Self {
         let mut all = Vec::new();
-        for _ in 0..boxes {
-            all.push(GrpcBox::start("127.0.90.1:0").await);
+        for _ in 0..backends {
+            all.push(ScriptedBackend::start("127.0.90.1:0").await);
         }
-        Self::with(Clock::system(), name, all, limits).await
+        Self::start_with(Clock::system(), name, all, limits).await
     }
 
     /// Starts three backends for a test with reproducible routing, which depends on the backends' addresses
     /// and on the clock: outlier detection and the retry budget change with time.
-    async fn certain(clock: &Clock, name: &str, network: u8) -> Self {
+    async fn start_reproducible(clock: &Clock, name: &str, network: u8) -> Self {
         let mut all = Vec::new();
-        for place in 1..=3 {
-            all.push(GrpcBox::start(&format!("127.0.{network}.{place}:9090")).await);
+        for host_number in 1..=3 {
+            all.push(ScriptedBackend::start(&format!("127.0.{network}.{host_number}:9090")).await);
         }
-        Self::with(clock.clone(), name, all, "{}").await
+        Self::start_with(clock.clone(), name, all, "{}").await
     }
 
-    async fn with(clock: Clock, name: &str, all: Vec<GrpcBox>, limits: &str) -> Self {
+    async fn start_with(clock: Clock, name: &str, all: Vec<ScriptedBackend>, limits: &str) -> Self {
         let listener = TcpListener::bind("127.0.90.9:0").await.unwrap();
         let (at, dir) = (listener.local_addr().unwrap(), folder(name));
         let mut backends: Vec<_> = all.iter().map(|b| (b.address, false)).collect();
         if all.is_empty() {
             backends.push(("127.0.90.1:1".parse().unwrap(), false));
         }
-        let config = file(&dir, at, &backends, limits);
-        let front = GrpcFront::new(host(clock), config, 5).unwrap();
+        let config = write_config(&dir, at, &backends, limits);
+        let front = GrpcFront::new(executor(clock), config, 5).unwrap();
         let (stop, closing) = (Rc::new(GracefulShutdown::default()), Rc::new(Notify::new()));
         spawn_local(accept(front.clone(), listener, stop.clone(), closing.clone()));
         spawn_local(run_housekeeping(front.clone()));
         spawn_local(abort_calls_at_shutdown(front.clone(), stop.clone()));
-        Self { front, at, stop, closing, boxes: all, dir }
+        Self { front, address: at, stop, closing, backends: all, dir }
     }
 
-    fn reached(&self) -> usize {
-        self.boxes.iter().map(GrpcBox::count).sum()
+    fn received_calls(&self) -> usize {
+        self.backends.iter().map(ScriptedBackend::call_count).sum()
     }
 
     /// The value of a metric, by its name and labels; 0 if it is missing.
-    fn figure(&self, line: &str) -> u64 {
+    fn metric(&self, line: &str) -> u64 {
         let text = self.front.metrics();
         text.lines().find_map(|l| l.strip_prefix(line)?.trim().parse().ok()).unwrap_or(0)
     }
 
-    fn outcome(&self, name: &str) -> u64 {
-        self.figure(&format!("grpc_calls_total{{pool=\"p\",outcome=\"{name}\"}}"))
+    fn calls_with_outcome(&self, name: &str) -> u64 {
+        self.metric(&format!("grpc_calls_total{{pool=\"p\",outcome=\"{name}\"}}"))
     }
 }
 
 /// Polls a condition until it holds; panics after two seconds.
-async fn soon(what: &str, holds: impl Fn() -> bool) {
+async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let end = Instant::now() + Duration::from_secs(2);
     while !holds() {
         assert!(Instant::now() < end, "{what}");
@@ -121,30 +121,32 @@
 }
 
 #[test]
-fn calls_pass_whole_in_every_shape_with_trailers_and_metadata_intact() {
+fn unary_and_streaming_calls_keep_messages_metadata_and_trailers() {
     run(async {
-        let edge = Edge::start("grpc-shapes", 2, "{}").await;
-        let caller = Caller::connect(edge.at).await;
+        let proxy = TestProxy::start("grpc-shapes", 2, "{}").await;
+        let client = GrpcClient::connect(proxy.address).await;
         let headers = [("x-user", "u1"), ("x-bin", "AAEC"), ("grpc-timeout", "1500m")];
-        let got = caller.call("/t.Safe/Get", &headers, msg(10)).await;
-        assert_eq!((got.http, got.status(), &got.body), (200, 0, &msg(8)), "{got:?}");
+        let got = client.call("/t.Safe/Get", &headers, message(10)).await;
+        assert_eq!((got.http, got.status(), &got.body), (200, 0, &message(8)), "{got:?}");
         assert_eq!(
             (got.header("x-trail-bin"), got.header("grpc-message")),
-            (Some("AAEC"), Some("of%20the%20box"))
+            (Some("AAEC"), Some("from%20the%20backend"))
         );
-        assert_eq!(got.head.get("x-box").unwrap(), "yes");
-        let seen = edge.boxes.iter().find_map(|b| b.calls.borrow().first().cloned()).unwrap();
-        assert_eq!((seen.path.as_str(), &seen.body, seen.whole), ("/t.Safe/Get", &msg(10), true));
+        assert_eq!(got.head.get("x-backend").unwrap(), "yes");
+        let seen = proxy.backends.iter().find_map(|b| b.calls.borrow().first().cloned()).unwrap();
+        assert_eq!((seen.path.as_str(), &seen.body, seen.whole), ("/t.Safe/Get", &message(10), true));
         assert_eq!((seen.header("x-bin"), seen.header("te")), (Some("AAEC"), Some("trailers")));
         assert_eq!(seen.header("content-type"), Some("application/grpc+proto"));
         let left = edge_proxy::grpc::timeout::parse(seen.header("grpc-timeout").unwrap()).unwrap();
         assert!(left <= 1_460.0 && left > 100.0, "client timeout less the return margin: {left}");
 
         // Server streaming, with more data than all flow-control windows; then bidirectional streaming.
-        let got = caller.call("/t.Stream/Watch", &[("x-act", "read head flood:3000 status:0")], msg(1)).await;
+        let got = client
+            .call("/t.Stream/Watch", &[("x-script", "read head flood:3000 status:0")], message(1))
+            .await;
         assert_eq!((got.status(), got.body.len()), (0, 3_000 * 1_005));
-        let big: Vec<u8> = (0..1_500).flat_map(|_| msg(1_000)).collect();
-        let (response, mut stream) = caller.begin("/t.Stream/Put", &[("x-act", "echo")]).await.unwrap();
+        let big: Vec<u8> = (0..1_500).flat_map(|_| message(1_000)).collect();
+        let (response, mut stream) = client.begin("/t.Stream/Put", &[("x-script", "echo")]).await.unwrap();
         let sent = big.clone();
         spawn_local(async move {
             for part in sent.chunks(10_000) {
@@ -158,189 +160,204 @@
             }
             stream.send_data(Default::default(), true).unwrap();
         });
-        let got = finish(response).await;
+        let got = receive_response(response).await;
         assert_eq!(
             (got.status(), got.body.len(), got.body == big),
             (0, big.len(), true),
             "bidirectional streaming"
         );
-        assert_eq!(edge.outcome("served"), 3);
-        assert_eq!(edge.figure("grpc_replay_bytes"), 0, "ended calls release their retry buffers");
+        assert_eq!(proxy.calls_with_outcome("served"), 3);
+        assert_eq!(proxy.metric("grpc_replay_bytes"), 0, "ended calls release their retry buffers");
     });
 }
 
 /// Guards against altered statuses, wrong outcome counts and retries that are not allowed, for each status as
 /// a "Trailers-Only" response and after data.
 #[test]
-fn every_status_is_passed_on_and_counted_for_what_it_is() {
+fn every_backend_status_is_forwarded_and_counted_by_outcome() {
     run(async {
-        let edge = Edge::start("grpc-status", 1, "{}").await;
-        let caller = Caller::connect(edge.at).await;
+        let proxy = TestProxy::start("grpc-status", 1, "{}").await;
+        let client = GrpcClient::connect(proxy.address).await;
         for code in 0..=17 {
-            let before =
-                (edge.reached(), edge.outcome("served"), edge.outcome("refused"), edge.outcome("failed"));
-            let act = format!("read status:{code}");
-            let got = caller.call("/t.Once/Do", &[("x-act", &act)], msg(3)).await;
+            let before = (
+                proxy.received_calls(),
+                proxy.calls_with_outcome("served"),
+                proxy.calls_with_outcome("refused"),
+                proxy.calls_with_outcome("failed"),
+            );
+            let script = format!("read status:{code}");
+            let got = client.call("/t.Once/Do", &[("x-script", &script)], message(3)).await;
             assert_eq!(
                 (got.status(), got.header("x-trail-bin")),
                 (code, Some("AAEC")),
                 "trailers-only: {got:?}"
             );
-            let act = format!("read head msg:9 status:{code}");
-            let got = caller.call("/t.Safe/Do", &[("x-act", &act)], msg(3)).await;
+            let script = format!("read head msg:9 status:{code}");
+            let got = client.call("/t.Safe/Do", &[("x-script", &script)], message(3)).await;
             assert_eq!((got.status(), got.header("x-trail-bin"), got.body.len()), (code, Some("AAEC"), 14));
-            let after =
-                (edge.reached(), edge.outcome("served"), edge.outcome("refused"), edge.outcome("failed"));
+            let after = (
+                proxy.received_calls(),
+                proxy.calls_with_outcome("served"),
+                proxy.calls_with_outcome("refused"),
+                proxy.calls_with_outcome("failed"),
+            );
             let ok = u64::from(code == 0) * 2;
             assert_eq!(after, (before.0 + 2, before.1 + ok, before.2, before.3 + 2 - ok), "status {code}");
         }
-        assert_eq!(edge.figure("grpc_failed_after_data_total{pool=\"p\"}"), 17);
+        assert_eq!(proxy.metric("grpc_failed_after_data_total{pool=\"p\"}"), 17);
         // A "Trailers-Only" UNAVAILABLE to an idempotent method: retried, then forwarded and counted as
         // rejected.
-        let got = caller.call("/t.Safe/Do", &[("x-act", "read status:14")], msg(3)).await;
-        assert_eq!((got.status(), edge.outcome("refused")), (14, 1));
+        let got = client.call("/t.Safe/Do", &[("x-script", "read status:14")], message(3)).await;
+        assert_eq!((got.status(), proxy.calls_with_outcome("refused")), (14, 1));
         assert!(got.header("grpc-retry-pushback-ms").is_some(), "a rejection has a retry pushback: {got:?}");
         // A retry pushback from the backend is forwarded, and the proxy does not retry.
-        let before = edge.reached();
-        let got = caller.call("/t.Safe/Do", &[("x-act", "read push:700 status:14")], msg(3)).await;
-        assert_eq!((got.header("grpc-retry-pushback-ms"), edge.reached() - before), (Some("700"), 1));
+        let before = proxy.received_calls();
+        let got = client.call("/t.Safe/Do", &[("x-script", "read push:700 status:14")], message(3)).await;
+        assert_eq!((got.header("grpc-retry-pushback-ms"), proxy.received_calls() - before), (Some("700"), 1));
     });
 }
 
 #[test]
-fn another_backend_takes_what_one_did_not_and_nothing_runs_twice() {
+fn failed_attempts_are_retried_unless_a_non_idempotent_call_may_have_run() {
     run(async {
         let clock = Clock::manual(START_MS);
-        let edge = Edge::certain(&clock, "grpc-retry", 92).await;
-        let caller = Caller::connect(edge.at).await;
-        for (what, act) in [
+        let proxy = TestProxy::start_reproducible(&clock, "grpc-retry", 92).await;
+        let client = GrpcClient::connect(proxy.address).await;
+        for (what, script) in [
             ("unavailable", "status:14"),
             ("reset", "rst:2"),
             ("cut without a status", "read end"),
             ("not gRPC", "read http:503"),
             ("killed", "read kill"),
         ] {
-            edge.boxes.iter().for_each(|b| b.does(act, 0));
-            let mut tried = 0;
+            proxy.backends.iter().for_each(|b| b.set_script(script, 0));
+            let mut retries = 0;
             for k in 0..12 {
                 clock.advance(50.0);
-                edge.boxes[k % 3].does(act, 1);
-                let before = edge.reached();
-                let got = caller.call("/t.Safe/Get", &[], msg(700)).await;
+                proxy.backends[k % 3].set_script(script, 1);
+                let before = proxy.received_calls();
+                let got = client.call("/t.Safe/Get", &[], message(700)).await;
                 // A call is committed once its response has begun, so a truncated response is not retried.
-                let committed = act.ends_with("end");
+                let committed = script.ends_with("end");
                 assert!(got.status() == 0 || (committed && got.status() == 13), "{what}: {got:?}");
-                tried += edge.reached() - before - 1;
-                edge.boxes[k % 3].does(act, 0);
+                retries += proxy.received_calls() - before - 1;
+                proxy.backends[k % 3].set_script(script, 0);
             }
-            assert!(tried > 0 || act.ends_with("end"), "{what}: no call was retried");
+            assert!(retries > 0 || script.ends_with("end"), "{what}: no call was retried");
         }
-        let again: Vec<_> = edge.boxes.iter().flat_map(|b| b.calls.borrow().clone()).collect();
-        let again: Vec<_> =
-            again.iter().filter(|a| a.header("grpc-previous-rpc-attempts").is_some()).collect();
+        let retried: Vec<_> = proxy.backends.iter().flat_map(|b| b.calls.borrow().clone()).collect();
+        let retried: Vec<_> =
+            retried.iter().filter(|a| a.header("grpc-previous-rpc-attempts").is_some()).collect();
         assert!(
-            !again.is_empty() && again.iter().all(|a| a.body == msg(700)),
+            !retried.is_empty() && retried.iter().all(|a| a.body == message(700)),
             "retries repeat the whole request"
         );
 
         // Non-idempotent methods are not retried after an ambiguous end, only after REFUSED_STREAM.
-        for (act, status) in [("read rst:2", 13), ("read http:503", 14), ("read kill", 14), ("status:14", 14)]
+        for (script, status) in
+            [("read rst:2", 13), ("read http:503", 14), ("read kill", 14), ("status:14", 14)]
         {
             clock.advance(50.0);
-            edge.boxes.iter().for_each(|b| b.does(act, u32::MAX));
-            let before = edge.reached();
-            let got = caller.call("/t.Once/Do", &[], msg(5)).await;
-            assert_eq!((got.status(), edge.reached() - before), (status, 1), "{act}: {got:?}");
-            let told = got.header("grpc-retry-pushback-ms");
+            proxy.backends.iter().for_each(|b| b.set_script(script, u32::MAX));
+            let before = proxy.received_calls();
+            let got = client.call("/t.Once/Do", &[], message(5)).await;
+            assert_eq!((got.status(), proxy.received_calls() - before), (status, 1), "{script}: {got:?}");
+            let pushback = got.header("grpc-retry-pushback-ms");
             assert!(
-                told == Some("-1") || act.starts_with("status"),
-                "{act}: the client is told not to retry: {got:?}"
+                pushback == Some("-1") || script.starts_with("status"),
+                "{script}: the client is told not to retry: {got:?}"
             );
         }
-        edge.boxes.iter().for_each(|b| b.does("rst:7", 0));
+        proxy.backends.iter().for_each(|b| b.set_script("rst:7", 0));
         let mut refused = 0;
         for k in 0..9 {
             clock.advance(50.0);
-            edge.boxes[k % 3].does("rst:7", 1);
-            let before = edge.reached();
-            let got = caller.call("/t.Once/Do", &[], msg(5)).await;
+            proxy.backends[k % 3].set_script("rst:7", 1);
+            let before = proxy.received_calls();
+            let got = client.call("/t.Once/Do", &[], message(5)).await;
             assert_eq!(got.status(), 0, "a refused stream is retried: {got:?}");
-            refused += edge.reached() - before - 1;
-            edge.boxes[k % 3].does("rst:7", 0);
+            refused += proxy.received_calls() - before - 1;
+            proxy.backends[k % 3].set_script("rst:7", 0);
         }
         assert!(refused > 0, "no stream was refused");
     });
 }
 
 #[test]
-fn a_deadline_is_never_stretched_and_what_is_late_is_called_off() {
+fn deadlines_are_never_extended_and_late_attempts_are_reset() {
     run(async {
-        let edge = Edge::start("grpc-deadline", 3, "{}").await;
-        let caller = Caller::connect(edge.at).await;
-        edge.boxes.iter().for_each(|b| b.does("read hang", u32::MAX));
+        let proxy = TestProxy::start("grpc-deadline", 3, "{}").await;
+        let client = GrpcClient::connect(proxy.address).await;
+        proxy.backends.iter().for_each(|b| b.set_script("read hang", u32::MAX));
         // The client's timeout, the route's shorter deadline, and a non-idempotent method.
         for (path, timeout, most) in
             [("/t.Safe/Get", "400m", 400.0), ("/t.Short/Get", "5S", 300.0), ("/t.Once/Do", "200m", 200.0)]
         {
-            let got = caller.call(path, &[("grpc-timeout", timeout)], msg(5)).await;
+            let got = client.call(path, &[("grpc-timeout", timeout)], message(5)).await;
             // Idempotent calls are rejected if there is no time for a retry; non-idempotent calls fail.
-            let told = if path == "/t.Once/Do" { 4 } else { 14 };
-            assert!(got.status() == told || got.status() == 4, "{path}: {got:?}");
+            let expected = if path == "/t.Once/Do" { 4 } else { 14 };
+            assert!(got.status() == expected || got.status() == 4, "{path}: {got:?}");
             assert!(got.took_ms <= most + 150.0, "{path}: {} ms of {most}", got.took_ms);
         }
-        assert_eq!(edge.figure("grpc_deadlines_shortened_total{pool=\"p\"}"), 1);
-        let calls: Vec<_> = edge.boxes.iter().flat_map(|b| b.calls.borrow().clone()).collect();
+        assert_eq!(proxy.metric("grpc_deadlines_shortened_total{pool=\"p\"}"), 1);
+        let calls: Vec<_> = proxy.backends.iter().flat_map(|b| b.calls.borrow().clone()).collect();
         assert!(calls.len() > 2, "no call was retried within its deadline");
         for call in &calls {
-            let told = edge_proxy::grpc::timeout::parse(call.header("grpc-timeout").unwrap()).unwrap();
-            assert!(told <= 360.0, "an attempt got a timeout of {told} ms");
+            let timeout_ms = edge_proxy::grpc::timeout::parse(call.header("grpc-timeout").unwrap()).unwrap();
+            assert!(timeout_ms <= 360.0, "an attempt got a timeout of {timeout_ms} ms");
         }
-        edge.boxes.iter().for_each(|b| b.does("read head msg:4 hang", u32::MAX));
-        let got = caller.call("/t.Stream/Watch", &[("grpc-timeout", "250m")], msg(5)).await;
+        proxy.backends.iter().for_each(|b| b.set_script("read head msg:4 hang", u32::MAX));
+        let got = client.call("/t.Stream/Watch", &[("grpc-timeout", "250m")], message(5)).await;
         assert_eq!(
             (got.status(), got.body.len()),
             (4, 9),
             "the message before the deadline is kept: {got:?}"
         );
-        let all = || edge.boxes.iter().all(|b| b.calls.borrow().iter().all(|a| a.reset));
-        soon("every attempt is reset", all).await;
+        let all = || proxy.backends.iter().all(|b| b.calls.borrow().iter().all(|a| a.reset));
+        wait_until("every attempt is reset", all).await;
     });
 }
 
 #[test]
-fn a_client_that_cancels_calls_its_attempt_off_and_is_owed_nothing() {
+fn a_cancelled_call_resets_its_attempt_and_counts_as_disconnected() {
     run(async {
-        let edge = Edge::start("grpc-cancel", 1, "{}").await;
-        let caller = Caller::connect(edge.at).await;
-        for act in ["read head msg:4 hang", "hang"] {
-            let (response, mut stream) = caller.begin("/t.Stream/Watch", &[("x-act", act)]).await.unwrap();
-            stream.send_data(msg(2).into(), false).unwrap();
-            let reached = edge.reached();
-            soon("the call reaches the backend", || edge.reached() > reached || reached > 0).await;
+        let proxy = TestProxy::start("grpc-cancel", 1, "{}").await;
+        let client = GrpcClient::connect(proxy.address).await;
+        for script in ["read head msg:4 hang", "hang"] {
+            let (response, mut stream) =
+                client.begin("/t.Stream/Watch", &[("x-script", script)]).await.unwrap();
+            stream.send_data(message(2).into(), false).unwrap();
+            let reached = proxy.received_calls();
+            wait_until("the call reaches the backend", || proxy.received_calls() > reached || reached > 0)
+                .await;
             tokio::time::sleep(Duration::from_millis(30)).await;
             stream.send_reset(h2::Reason::CANCEL);
             drop(response);
-            soon("the backend sees the reset", || edge.boxes[0].calls.borrow().iter().all(|a| a.reset)).await;
+            wait_until("the backend sees the reset", || {
+                proxy.backends[0].calls.borrow().iter().all(|a| a.reset)
+            })
+            .await;
         }
-        soon("both calls count as disconnected", || edge.outcome("left") == 2).await;
+        wait_until("both calls count as disconnected", || proxy.calls_with_outcome("left") == 2).await;
         // A client connection that closes cancels its calls.
-        let gone = Caller::connect(edge.at).await;
-        let pending =
-            spawn_local(async move { gone.call("/t.Stream/Watch", &[("x-act", "read hang")], msg(1)).await });
-        soon("the call reaches the backend", || edge.reached() == 3).await;
+        let gone = GrpcClient::connect(proxy.address).await;
+        let pending = spawn_local(async move {
+            gone.call("/t.Stream/Watch", &[("x-script", "read hang")], message(1)).await
+        });
+        wait_until("the call reaches the backend", || proxy.received_calls() == 3).await;
         pending.abort();
-        soon("the attempt is reset", || edge.boxes[0].calls.borrow()[2].reset).await;
-        assert_eq!(edge.front.with_calls(|calls| calls.open_calls()), 0);
-        assert_eq!(edge.outcome("failed") + edge.outcome("served"), 0);
+        wait_until("the attempt is reset", || proxy.backends[0].calls.borrow()[2].reset).await;
+        assert_eq!(proxy.front.with_calls(|calls| calls.open_calls()), 0);
+        assert_eq!(proxy.calls_with_outcome("failed") + proxy.calls_with_outcome("served"), 0);
     });
 }
 
 #[test]
-fn cut_and_malformed_streams_fail_clearly_on_either_side() {
+fn truncated_and_malformed_streams_end_with_the_matching_status() {
     run(async {
-        let edge = Edge::start("grpc-cut", 1, r#"{"message_bytes":2048,"header_bytes":4096}"#).await;
-        let caller = Caller::connect(edge.at).await;
-        for (act, status) in [
+        let proxy = TestProxy::start("grpc-cut", 1, r#"{"message_bytes":2048,"header_bytes":4096}"#).await;
+        let client = GrpcClient::connect(proxy.address).await;
+        for (script, status) in [
             ("read head msg:9 part:40 status:0", 13),
             ("read head msg:9 part:40 rst:2", 13),
             ("read head msg:9 rst:8", 1),
@@ -350,17 +367,17 @@
             ("read head msg:9 kill", 14),
             ("read http:404", 12),
         ] {
-            let got = caller.call("/t.Once/Do", &[("x-act", act)], msg(3)).await;
-            assert_eq!(got.status(), status, "{act}: {got:?}");
+            let got = client.call("/t.Once/Do", &[("x-script", script)], message(3)).await;
+            assert_eq!(got.status(), status, "{script}: {got:?}");
         }
-        assert_eq!(edge.outcome("served"), 0);
+        assert_eq!(proxy.calls_with_outcome("served"), 0);
         // Requests that are truncated within a message, exceed the size limit or have an invalid prefix.
-        for (body, status) in [(msg(40)[..20].to_vec(), 13), (msg(3_000), 8), (vec![7; 9], 13)] {
-            let got = caller.call("/t.Once/Do", &[], body).await;
+        for (body, status) in [(message(40)[..20].to_vec(), 13), (message(3_000), 8), (vec![7; 9], 13)] {
+            let got = client.call("/t.Once/Do", &[], body).await;
             assert_eq!(got.status(), status, "{got:?}");
         }
-        soon("no backend sees an invalid request as complete", || {
-            edge.boxes[0].calls.borrow().iter().skip(8).all(|a| !a.whole)
+        wait_until("no backend sees an invalid request as complete", || {
+            proxy.backends[0].calls.borrow().iter().skip(8).all(|a| !a.whole)
         })
         .await;
         // Invalid request headers: each gets its status, and the connection stays open.
@@ -371,26 +388,30 @@
             ("/t.Safe/Get", vec![("grpc-timeout", "1S"), ("grpc-timeout", "9S")], 13),
             ("/t.Key/Put", vec![], 3),
         ] {
-            let before = edge.reached();
-            let got = caller.call(path, &headers, msg(1)).await;
-            assert_eq!((got.status(), edge.reached()), (status, before), "{path} {headers:?}: {got:?}");
+            let before = proxy.received_calls();
+            let got = client.call(path, &headers, message(1)).await;
+            assert_eq!(
+                (got.status(), proxy.received_calls()),
+                (status, before),
+                "{path} {headers:?}: {got:?}"
+            );
         }
-        assert_eq!(caller.call("/t.Key/Put", &[("x-key", "k1")], msg(1)).await.status(), 0);
+        assert_eq!(client.call("/t.Key/Put", &[("x-key", "k1")], message(1)).await.status(), 0);
         let long = "x".repeat(9_000);
-        let got = caller.call("/t.Safe/Get", &[("x-long", &long)], msg(1)).await;
+        let got = client.call("/t.Safe/Get", &[("x-long", &long)], message(1)).await;
         assert!(got.http == 431 || got.error.is_some(), "{got:?}");
-        let got = caller.call("/t.Safe/Get", &[], msg(1)).await;
+        let got = client.call("/t.Safe/Get", &[], message(1)).await;
         assert_eq!(got.status(), 0, "the connection stays open after oversized headers: {got:?}");
         // Protocol errors end their own connection with GOAWAY and no other.
-        let mut raw = TcpStream::connect(edge.at).await.unwrap();
+        let mut raw = TcpStream::connect(proxy.address).await.unwrap();
         raw.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0").await.unwrap();
         // DATA on stream 0.
         raw.write_all(b"\0\0\x01\0\0\0\0\0\0x").await.unwrap();
         let mut answer = Vec::new();
         tokio::time::timeout(Duration::from_secs(2), raw.read_to_end(&mut answer)).await.unwrap().unwrap();
         assert!(answer.windows(5).any(|w| w[0] == 0 && w[3] == 7), "no GOAWAY in {answer:?}");
-        assert_eq!(caller.call("/t.Safe/Get", &[], msg(1)).await.status(), 0);
-        let mut raw = TcpStream::connect(edge.at).await.unwrap();
+        assert_eq!(client.call("/t.Safe/Get", &[], message(1)).await.status(), 0);
+        let mut raw = TcpStream::connect(proxy.address).await.unwrap();
         raw.write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n").await.unwrap();
         let read = tokio::time::timeout(Duration::from_secs(2), raw.read_to_end(&mut Vec::new())).await;
         assert!(read.is_ok(), "a connection with another protocol is not closed");
@@ -398,106 +419,110 @@
 }
 
 #[test]
-fn a_drained_backend_gets_nothing_new_and_finishes_what_it_has() {
+fn a_draining_backend_gets_no_new_calls_and_completes_open_ones() {
     run(async {
-        let edge = Edge::start("grpc-drain", 2, "{}").await;
-        let caller = Caller::connect(edge.at).await;
-        let first = edge.boxes[0].address;
+        let proxy = TestProxy::start("grpc-drain", 2, "{}").await;
+        let client = GrpcClient::connect(proxy.address).await;
+        let first = proxy.backends[0].address;
         // Open streams on both backends, kept open during the drain.
         let mut streams = Vec::new();
-        while edge.boxes.iter().any(|b| b.count() == 0) {
-            streams.push(caller.begin("/t.Stream/Chat", &[("x-act", "echo")]).await.unwrap());
+        while proxy.backends.iter().any(|b| b.call_count() == 0) {
+            streams.push(client.begin("/t.Stream/Chat", &[("x-script", "echo")]).await.unwrap());
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         let drained = |on| {
-            let backends: Vec<_> = edge.boxes.iter().map(|b| (b.address, on && b.address == first)).collect();
-            edge.front.reconfigure(file(&edge.dir, edge.at, &backends, "{}")).unwrap();
+            let backends: Vec<_> =
+                proxy.backends.iter().map(|b| (b.address, on && b.address == first)).collect();
+            proxy.front.reconfigure(write_config(&proxy.dir, proxy.address, &backends, "{}")).unwrap();
         };
         drained(true);
-        let before = edge.boxes[0].count();
+        let before = proxy.backends[0].call_count();
         for _ in 0..40 {
-            assert_eq!(caller.call("/t.Safe/Get", &[], msg(2)).await.status(), 0);
+            assert_eq!(client.call("/t.Safe/Get", &[], message(2)).await.status(), 0);
         }
-        assert_eq!(edge.boxes[0].count(), before, "a draining backend got a new call");
+        assert_eq!(proxy.backends[0].call_count(), before, "a draining backend got a new call");
         for (response, mut stream) in streams {
-            stream.send_data(msg(6).into(), true).unwrap();
-            let got = finish(response).await;
-            assert_eq!((got.status(), got.body), (0, msg(6)), "open streams are completed");
+            stream.send_data(message(6).into(), true).unwrap();
+            let got = receive_response(response).await;
+            assert_eq!((got.status(), got.body), (0, message(6)), "open streams are completed");
         }
-        soon("connections to the draining backend close", || edge.front.upstream.len() == 1).await;
+        wait_until("connections to the draining backend close", || proxy.front.upstream.len() == 1).await;
         // An invalid file is rejected; afterwards the backend is enabled again.
-        std::fs::write(edge.dir.join("grpc.json"), "{\"listen\":").unwrap();
-        assert!(GrpcConfig::read(&edge.dir.join("grpc.json")).is_err());
+        std::fs::write(proxy.dir.join("grpc.json"), "{\"listen\":").unwrap();
+        assert!(GrpcConfig::read(&proxy.dir.join("grpc.json")).is_err());
         drained(false);
         for _ in 0..40 {
-            assert_eq!(caller.call("/t.Safe/Get", &[], msg(2)).await.status(), 0);
+            assert_eq!(client.call("/t.Safe/Get", &[], message(2)).await.status(), 0);
         }
-        assert!(edge.boxes[0].count() > before, "the backend gets calls again");
+        assert!(proxy.backends[0].call_count() > before, "the backend gets calls again");
         // After a GOAWAY, open calls are completed and new calls use a new connection.
-        let connections = edge.boxes[0].connections.get() + edge.boxes[1].connections.get();
+        let connections = proxy.backends[0].connections.get() + proxy.backends[1].connections.get();
         let slow = spawn_local({
-            let caller = caller.clone();
+            let client = client.clone();
             async move {
-                caller.call("/t.Once/Do", &[("x-act", "read sleep:150 head msg:1 status:0")], msg(2)).await
+                client
+                    .call("/t.Once/Do", &[("x-script", "read sleep:150 head msg:1 status:0")], message(2))
+                    .await
             }
         });
         tokio::time::sleep(Duration::from_millis(40)).await;
-        edge.boxes.iter().for_each(GrpcBox::go_away);
+        proxy.backends.iter().for_each(ScriptedBackend::go_away);
         for _ in 0..20 {
             assert_eq!(
-                caller.call("/t.Once/Do", &[], msg(2)).await.status(),
+                client.call("/t.Once/Do", &[], message(2)).await.status(),
                 0,
                 "a call failed because of a GOAWAY"
             );
         }
         assert_eq!(slow.await.unwrap().status(), 0);
-        assert!(edge.boxes[0].connections.get() + edge.boxes[1].connections.get() > connections);
+        assert!(proxy.backends[0].connections.get() + proxy.backends[1].connections.get() > connections);
     });
 }
 
 #[test]
-fn affinity_holds_a_failing_backend_is_left_and_none_at_all_is_told_at_once() {
+fn calls_follow_affinity_failing_backends_are_ejected_and_empty_pools_reject() {
     run(async {
         let clock = Clock::manual(START_MS);
-        let edge = Edge::certain(&clock, "grpc-health", 91).await;
-        let caller = Caller::connect(edge.at).await;
-        let spread = |edge: &Edge| edge.boxes.iter().map(GrpcBox::count).collect::<Vec<_>>();
+        let proxy = TestProxy::start_reproducible(&clock, "grpc-health", 91).await;
+        let client = GrpcClient::connect(proxy.address).await;
+        let spread =
+            |proxy: &TestProxy| proxy.backends.iter().map(ScriptedBackend::call_count).collect::<Vec<_>>();
         for _ in 0..10 {
-            assert_eq!(caller.call("/t.Sticky/Get", &[("x-user", "u7")], msg(2)).await.status(), 0);
+            assert_eq!(client.call("/t.Sticky/Get", &[("x-user", "u7")], message(2)).await.status(), 0);
         }
         assert_eq!(
-            spread(&edge).iter().filter(|n| **n > 0).count(),
+            spread(&proxy).iter().filter(|n| **n > 0).count(),
             1,
             "calls of one user go to one backend"
         );
         for _ in 0..60 {
-            assert_eq!(caller.call("/t.Safe/Get", &[], msg(2)).await.status(), 0);
+            assert_eq!(client.call("/t.Safe/Get", &[], message(2)).await.status(), 0);
         }
         assert!(
-            spread(&edge).iter().all(|n| *n >= 8),
+            spread(&proxy).iter().all(|n| *n >= 8),
             "calls without affinity are spread: {:?}",
-            spread(&edge)
+            spread(&proxy)
         );
         // A backend that fails all calls is ejected.
-        edge.boxes[1].does("status:13", u32::MAX);
+        proxy.backends[1].set_script("status:13", u32::MAX);
         for _ in 0..60 {
             clock.advance(5.0);
-            caller.call("/t.Safe/Get", &[], msg(2)).await;
+            client.call("/t.Safe/Get", &[], message(2)).await;
         }
-        let (before, mut failed) = (edge.boxes[1].count(), 0);
+        let (before, mut failed) = (proxy.backends[1].call_count(), 0);
         for _ in 0..60 {
             clock.advance(5.0);
-            failed += u32::from(caller.call("/t.Safe/Get", &[], msg(2)).await.status() != 0);
+            failed += u32::from(client.call("/t.Safe/Get", &[], message(2)).await.status() != 0);
         }
-        let named = edge.boxes[1].count() - before;
+        let failing_calls = proxy.backends[1].call_count() - before;
         assert!(
-            named <= 8 && failed <= 8,
-            "{named} of 60 calls went to the failing backend, {failed} failed"
+            failing_calls <= 8 && failed <= 8,
+            "{failing_calls} of 60 calls went to the failing backend, {failed} failed"
         );
         // If all backends drain, calls are rejected at once with a retry pushback.
-        let backends: Vec<_> = edge.boxes.iter().map(|b| (b.address, true)).collect();
-        edge.front.reconfigure(file(&edge.dir, edge.at, &backends, "{}")).unwrap();
-        let got = caller.call("/t.Once/Do", &[], msg(2)).await;
+        let backends: Vec<_> = proxy.backends.iter().map(|b| (b.address, true)).collect();
+        proxy.front.reconfigure(write_config(&proxy.dir, proxy.address, &backends, "{}")).unwrap();
+        let got = client.call("/t.Once/Do", &[], message(2)).await;
         assert_eq!(got.status(), 14);
         assert!(
             got.took_ms < 100.0 && got.header("grpc-retry-pushback-ms").is_some_and(|ms| ms != "-1"),
@@ -507,129 +532,134 @@
 }
 
 #[test]
-fn bounds_hold_and_a_stop_answers_every_call() {
+fn excess_calls_are_rejected_and_shutdown_ends_every_call_with_a_status() {
     run(async {
-        let edge =
-            Edge::start("grpc-stop", 1, r#"{"calls":4,"clients":2,"stop_ms":300,"replay_bytes":1000}"#).await;
-        let caller = Caller::connect(edge.at).await;
+        let proxy =
+            TestProxy::start("grpc-stop", 1, r#"{"calls":4,"clients":2,"stop_ms":300,"replay_bytes":1000}"#)
+                .await;
+        let client = GrpcClient::connect(proxy.address).await;
         let mut open = Vec::new();
         for _ in 0..4 {
-            let (response, mut stream) = caller.begin("/t.Stream/Chat", &[("x-act", "echo")]).await.unwrap();
-            stream.send_data(msg(900).into(), false).unwrap();
+            let (response, mut stream) =
+                client.begin("/t.Stream/Chat", &[("x-script", "echo")]).await.unwrap();
+            stream.send_data(message(900).into(), false).unwrap();
             open.push((response, stream));
         }
-        soon("four calls are open", || edge.front.with_calls(|calls| calls.open_calls()) == 4).await;
-        let got = caller.call("/t.Safe/Get", &[], msg(1)).await;
+        wait_until("four calls are open", || proxy.front.with_calls(|calls| calls.open_calls()) == 4).await;
+        let got = client.call("/t.Safe/Get", &[], message(1)).await;
         assert_eq!(
             (got.status(), got.header("grpc-retry-pushback-ms")),
             (14, Some("300")),
             "the fifth call is rejected"
         );
         // At the connection limit, an idle connection closes to make room for a new one.
-        let _idle = Caller::connect(edge.at).await;
+        let _idle = GrpcClient::connect(proxy.address).await;
         tokio::time::sleep(Duration::from_millis(30)).await;
-        let third = Caller::connect(edge.at).await;
-        let got = tokio::time::timeout(Duration::from_secs(2), third.call("/t.Safe/Get", &[], msg(1))).await;
+        let third = GrpcClient::connect(proxy.address).await;
+        let got =
+            tokio::time::timeout(Duration::from_secs(2), third.call("/t.Safe/Get", &[], message(1))).await;
         assert_eq!(
             got.expect("the new connection is accepted").status(),
             14,
             "the connection is accepted, and its call rejected"
         );
         // At shutdown one call completes; the others are aborted after the grace period.
-        edge.closing.notify_one();
-        edge.stop.begin();
+        proxy.closing.notify_one();
+        proxy.stop.begin();
         let (response, mut stream) = open.remove(0);
         stream.send_data(Default::default(), true).unwrap();
-        assert_eq!(finish(response).await.status(), 0);
+        assert_eq!(receive_response(response).await.status(), 0);
         for (response, _stream) in open {
-            let got = finish(response).await;
+            let got = receive_response(response).await;
             assert_eq!(
                 (got.status(), got.body.len()),
                 (14, 905),
                 "aborted calls get a final status: {got:?}"
             );
         }
-        soon("all connections close", || edge.stop.open_connections() == 0).await;
+        wait_until("all connections close", || proxy.stop.open_connections() == 0).await;
     });
 }
 
 /// Guards against new calls to discovered backends that are draining or out of use.
 #[test]
-fn a_pool_from_the_list_of_members_follows_its_drains() {
+fn a_discovered_pool_stops_using_draining_and_disabled_backends() {
     run(async {
-        let edge = Edge::start("grpc-roster", 0, "{}").await;
+        let proxy = TestProxy::start("grpc-discovered", 0, "{}").await;
         // All backends of a discovered pool have the same port.
-        let one = GrpcBox::start("127.0.91.1:0").await;
+        let one = ScriptedBackend::start("127.0.91.1:0").await;
         let port = one.address.port();
-        let two = GrpcBox::start(&format!("127.0.91.2:{port}")).await;
+        let two = ScriptedBackend::start(&format!("127.0.91.2:{port}")).await;
         let text = format!(
             r#"{{"listen":"{}","pools":[{{"name":"p","roster":{{"model":"box","port":{port}}}}}],"routes":{ROUTES}}}"#,
-            edge.at
+            proxy.address
         );
-        std::fs::write(edge.dir.join("grpc.json"), text).unwrap();
-        let host = edge.front.executor.clone();
-        let line = |uid: u32, state: &str| {
+        std::fs::write(proxy.dir.join("grpc.json"), text).unwrap();
+        let executor = proxy.front.executor.clone();
+        let endpoint = |uid: u32, state: &str| {
             let ip = if uid == 0xc1 { "127.0.91.1" } else { "127.0.91.2" };
             let text = format!(
                 r#"{{"uid":"s-{uid:08x}","endpoint":"{ip}:7001","az":"town","model":"box","state":"{state}"}}"#
             );
             edge_proxy::wire::discovery_json::EndpointJson::parse(text.as_bytes()).unwrap()
         };
-        host.with(|engine| engine.apply_endpoints(true, vec![line(0xc1, "Ready"), line(0xc2, "Ready")]));
-        edge.front.reconfigure(GrpcConfig::read(&edge.dir.join("grpc.json")).unwrap()).unwrap();
-        let caller = Caller::connect(edge.at).await;
-        let go = |n: usize| {
-            let caller = caller.clone();
+        executor.with(|engine| {
+            engine.apply_endpoints(true, vec![endpoint(0xc1, "Ready"), endpoint(0xc2, "Ready")])
+        });
+        proxy.front.reconfigure(GrpcConfig::read(&proxy.dir.join("grpc.json")).unwrap()).unwrap();
+        let client = GrpcClient::connect(proxy.address).await;
+        let make_calls = |n: usize| {
+            let client = client.clone();
             async move {
                 for _ in 0..n {
-                    assert_eq!(caller.call("/t.Safe/Get", &[], msg(2)).await.status(), 0);
+                    assert_eq!(client.call("/t.Safe/Get", &[], message(2)).await.status(), 0);
                 }
             }
         };
-        go(40).await;
+        make_calls(40).await;
         assert!(
-            one.count() > 5 && two.count() > 5,
+            one.call_count() > 5 && two.call_count() > 5,
             "both backends get calls: {} and {}",
-            one.count(),
-            two.count()
+            one.call_count(),
+            two.call_count()
         );
-        host.with(|engine| engine.apply_endpoints(false, vec![line(0xc1, "Terminating")]));
-        let before = one.count();
-        go(40).await;
-        assert_eq!(one.count(), before, "a draining backend got a call");
-        host.with(|engine| engine.apply_endpoints(false, vec![line(0xc1, "Ready")]));
-        host.with(|engine| engine.set_out_of_use(0xc2, true));
-        let before = two.count();
-        go(40).await;
-        assert_eq!(two.count(), before, "a backend that is out of use got a call");
+        executor.with(|engine| engine.apply_endpoints(false, vec![endpoint(0xc1, "Terminating")]));
+        let before = one.call_count();
+        make_calls(40).await;
+        assert_eq!(one.call_count(), before, "a draining backend got a call");
+        executor.with(|engine| engine.apply_endpoints(false, vec![endpoint(0xc1, "Ready")]));
+        executor.with(|engine| engine.set_out_of_use(0xc2, true));
+        let before = two.call_count();
+        make_calls(40).await;
+        assert_eq!(two.call_count(), before, "a backend that is out of use got a call");
     });
 }
 
 /// Guards against unary calls that exceed the concurrency limit, streams that are queued, rejections without
 /// a retry pushback, and attempts for clients that disconnected while queued.
 #[test]
-fn unary_calls_go_through_fair_queues_and_streams_pass_by() {
+fn unary_calls_above_the_limit_are_queued_or_rejected_and_streams_are_not() {
     run(async {
-        let edge = Edge::start("grpc-door", 1, "{}").await;
-        let text = std::fs::read_to_string(edge.dir.join("grpc.json")).unwrap();
-        let door =
+        let proxy = TestProxy::start("grpc-admission", 1, "{}").await;
+        let text = std::fs::read_to_string(proxy.dir.join("grpc.json")).unwrap();
+        let admission =
             r#"{"door":{"limit":{"first":2,"least":2,"most":2},"per_client_most":3,"reserve_share":0},"#;
-        std::fs::write(edge.dir.join("grpc.json"), text.replacen('{', door, 1)).unwrap();
-        let config = GrpcConfig::read(&edge.dir.join("grpc.json")).unwrap();
+        std::fs::write(proxy.dir.join("grpc.json"), text.replacen('{', admission, 1)).unwrap();
+        let config = GrpcConfig::read(&proxy.dir.join("grpc.json")).unwrap();
         let listener = TcpListener::bind("127.0.90.9:0").await.unwrap();
         let at = listener.local_addr().unwrap();
-        let front = GrpcFront::new(host(Clock::system()), config, 5).unwrap();
-        spawn_local(accept(front.clone(), listener, edge.stop.clone(), Rc::new(Notify::new())));
-        let caller = Caller::connect(at).await;
-        let act = "read sleep:100 head msg:1 status:0";
+        let front = GrpcFront::new(executor(Clock::system()), config, 5).unwrap();
+        spawn_local(accept(front.clone(), listener, proxy.stop.clone(), Rc::new(Notify::new())));
+        let client = GrpcClient::connect(at).await;
+        let script = "read sleep:100 head msg:1 status:0";
         let call = |path: &'static str| {
-            let caller = caller.clone();
-            spawn_local(async move { caller.call(path, &[("x-act", act)], msg(2)).await })
+            let client = client.clone();
+            spawn_local(async move { client.call(path, &[("x-script", script)], message(2)).await })
         };
         let burst: Vec<_> = (0..8).map(|_| call("/t.Safe/Get")).collect();
         let stream = call("/t.Stream/Watch");
         tokio::time::sleep(Duration::from_millis(50)).await;
-        assert_eq!(edge.boxes[0].count(), 3, "two unary calls and the stream");
+        assert_eq!(proxy.backends[0].call_count(), 3, "two unary calls and the stream");
         let before = front.metrics();
         assert!(before.contains("grpc_door_queued 3"), "{before}");
         let (mut served, mut refused) = (0, 0);
@@ -649,31 +679,33 @@
         // A client that cancels its call while the call is queued.
         let burst: Vec<_> = (0..4).map(|_| call("/t.Safe/Get")).collect();
         tokio::time::sleep(Duration::from_millis(30)).await;
-        let reached = edge.boxes[0].count();
-        let quick = Caller::connect(at).await;
-        let (response, mut waiting) = quick.begin("/t.Once/Do", &[("x-gone", "1")]).await.unwrap();
+        let reached = proxy.backends[0].call_count();
+        let cancelling_client = GrpcClient::connect(at).await;
+        let (response, mut waiting) =
+            cancelling_client.begin("/t.Once/Do", &[("x-gone", "1")]).await.unwrap();
         tokio::time::sleep(Duration::from_millis(20)).await;
         waiting.send_reset(h2::Reason::CANCEL);
         drop(response);
         for got in burst {
             assert!(matches!(got.await.unwrap().status(), 0 | 14));
         }
-        let sent = |a: &stand_ins::grpc::Arrival| a.header("x-gone").is_some();
+        let sent = |a: &stand_ins::grpc::ReceivedCall| a.header("x-gone").is_some();
         assert!(
-            !edge.boxes[0].calls.borrow().iter().skip(reached).any(sent),
+            !proxy.backends[0].calls.borrow().iter().skip(reached).any(sent),
             "a call was sent after its client cancelled it"
         );
-        soon("all permits are released", || front.metrics().contains("grpc_door_open 0")).await;
+        wait_until("all permits are released", || front.metrics().contains("grpc_door_open 0")).await;
         assert!(front.metrics().contains("grpc_door_queued 0"));
     });
 }
 
 /// Guards `serve --grpc` as a process: metrics, status, reload at SIGHUP, and draining at SIGTERM.
 #[test]
-fn the_program_serves_reloads_and_stops() {
+fn the_process_serves_calls_reloads_at_sighup_and_drains_at_sigterm() {
     run(async {
-        let dir = folder("grpc-program");
-        let (one, two) = (GrpcBox::start("127.0.92.1:0").await, GrpcBox::start("127.0.92.1:0").await);
+        let dir = folder("grpc-process");
+        let (one, two) =
+            (ScriptedBackend::start("127.0.92.1:0").await, ScriptedBackend::start("127.0.92.1:0").await);
         let port = || std::net::TcpListener::bind("127.0.92.9:0").unwrap().local_addr().unwrap();
         let (listen, mgmt, grpc) = (port(), port(), port());
         let text =
@@ -681,55 +713,55 @@
         let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
         std::fs::write(dir.join("config.json"), text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses))
             .unwrap();
-        file(&dir, grpc, &[(one.address, false), (two.address, true)], "{}");
+        write_config(&dir, grpc, &[(one.address, false), (two.address, true)], "{}");
         let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
-        let (config, own) = (dir.join("config.json"), dir.join("grpc.json"));
-        let args = ["serve", "--config", config.to_str().unwrap(), "--grpc", own.to_str().unwrap()];
-        let program =
+        let (config, grpc_config) = (dir.join("config.json"), dir.join("grpc.json"));
+        let args = ["serve", "--config", config.to_str().unwrap(), "--grpc", grpc_config.to_str().unwrap()];
+        let process =
             std::process::Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(log).spawn();
-        let mut program = stand_ins::Killed(program.unwrap());
+        let mut process = stand_ins::Killed(process.unwrap());
         while TcpStream::connect(grpc).await.is_err() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let caller = Caller::connect(grpc).await;
-        assert_eq!(caller.call("/t.Safe/Get", &[], msg(2)).await.status(), 0);
+        let client = GrpcClient::connect(grpc).await;
+        assert_eq!(client.call("/t.Safe/Get", &[], message(2)).await.status(), 0);
         // SIGHUP applies a changed file; an invalid one changes nothing.
-        file(&dir, grpc, &[(one.address, true), (two.address, false)], "{}");
-        program.signal("-HUP");
+        write_config(&dir, grpc, &[(one.address, true), (two.address, false)], "{}");
+        process.signal("-HUP");
         let end = Instant::now() + Duration::from_secs(5);
-        while two.count() == 0 {
+        while two.call_count() == 0 {
             assert!(Instant::now() < end, "the file was not reloaded");
-            assert_eq!(caller.call("/t.Safe/Get", &[], msg(2)).await.status(), 0);
+            assert_eq!(client.call("/t.Safe/Get", &[], message(2)).await.status(), 0);
         }
         std::fs::write(dir.join("grpc.json"), "{").unwrap();
-        program.signal("-HUP");
+        process.signal("-HUP");
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let before = one.count();
-        assert_eq!(caller.call("/t.Safe/Get", &[], msg(2)).await.status(), 0);
-        assert_eq!(one.count(), before, "the previous configuration stays in force");
-        let ask = |path: &'static str| async move {
+        let before = one.call_count();
+        assert_eq!(client.call("/t.Safe/Get", &[], message(2)).await.status(), 0);
+        assert_eq!(one.call_count(), before, "the previous configuration stays in force");
+        let admin_get = |path: &'static str| async move {
             let answer =
                 edge_proxy::http_client::call(mgmt, "GET", path, b"", Duration::from_secs(2)).await.unwrap();
             String::from_utf8_lossy(&answer.body).to_string()
         };
-        let figures = ask("/stats").await;
-        assert!(figures.contains("grpc_calls_total{pool=\"p\",outcome=\"served\"}"), "{figures}");
-        let status = ask("/grpc").await;
+        let metrics = admin_get("/stats").await;
+        assert!(metrics.contains("grpc_calls_total{pool=\"p\",outcome=\"served\"}"), "{metrics}");
+        let status = admin_get("/grpc").await;
         assert!(status.contains(&format!("{{\"address\":\"{}\",\"live\":true}}", two.address)), "{status}");
         // At SIGTERM an open call gets its complete response before the process ends.
         let slow = spawn_local({
-            let caller = caller.clone();
-            let act = [("x-act", "read sleep:900 head msg:5 status:0")];
-            async move { caller.call("/t.Once/Do", &act, msg(2)).await }
+            let client = client.clone();
+            let script = [("x-script", "read sleep:900 head msg:5 status:0")];
+            async move { client.call("/t.Once/Do", &script, message(2)).await }
         });
-        let reached = two.count();
-        while two.count() == reached {
+        let reached = two.call_count();
+        while two.call_count() == reached {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        program.signal("-TERM");
+        process.signal("-TERM");
         let got = slow.await.unwrap();
-        assert_eq!((got.status(), got.body), (0, msg(5)));
-        program.ends_well().await;
+        assert_eq!((got.status(), got.body), (0, message(5)));
+        process.ends_well().await;
         let log = std::fs::read_to_string(dir.join("proxy.log")).unwrap();
         assert!(log.contains("configuration not reloaded subsystem=\"gRPC\""), "{log}");
     });
--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -13,7 +13,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-fn config() -> (CallTable, Vec<Rc<Route>>) {
+fn call_table_and_routes() -> (CallTable, Vec<Rc<Route>>) {
     let routes = [("safe", ""), ("never", ""), ("keyed", r#","key":"x-key","key_window_ms":900"#)];
     let routes = routes.iter().flat_map(|(repeat, more)| {
         ["unary", "stream"].map(|kind| {
@@ -49,11 +49,11 @@
     live.iter().enumerate().map(backend).collect()
 }
 
-struct Open {
+struct OpenCall {
     route: Rc<Route>,
-    start: AttemptTarget,
-    began: f64,
-    allowed: f64,
+    target: AttemptTarget,
+    started_ms: f64,
+    allowed_ms: f64,
     committed: bool,
     may_have_run: bool,
     attempts: u32,
@@ -61,72 +61,86 @@
 }
 
 /// Runs a random sequence of events and checks the invariants. Returns how often each kind of end occurred.
-fn day(seed: u64) -> HashMap<String, u32> {
+fn run_random_events(seed: u64) -> HashMap<String, u32> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let (mut calls, routes) = config();
+    let (mut calls, routes) = call_table_and_routes();
     let mut live = vec![true; 4];
     let mut now = 1e6;
     calls.set_backends(now, 0, &backends(&live));
-    let mut open: HashMap<CallId, Open> = HashMap::new();
-    let (mut begun, mut ended, mut left, mut seen) = (0u64, 0u64, 0u64, HashMap::<String, u32>::new());
+    let mut open: HashMap<CallId, OpenCall> = HashMap::new();
+    let (mut started, mut ended, mut disconnected, mut end_counts) =
+        (0u64, 0u64, 0u64, HashMap::<String, u32>::new());
     for step in 0..4_000 {
         now += rng.random_range(0.0..20.0);
         let ids: Vec<CallId> = open.keys().copied().collect();
-        let some = (!ids.is_empty()).then(|| ids[rng.random_range(0..ids.len())]);
+        let chosen = (!ids.is_empty()).then(|| ids[rng.random_range(0..ids.len())]);
         // Checks a directive against the state of its call. Returns whether it ends the call.
-        let mut follow =
-            |open: &mut HashMap<CallId, Open>, id, mut call: Open, directive, live: &[bool], over: bool| {
-                match directive {
-                    Directive::StartAttempt(start) => {
-                        assert!(!call.committed, "a committed call was retried");
-                        assert!(live[start.backend as usize], "a draining backend was chosen");
-                        assert!(
-                            call.route.idempotency != Idempotency::NotIdempotent || !call.may_have_run,
-                            "a non-idempotent call was retried although it may have been processed"
-                        );
-                        assert!(call.replayable, "a request that was not buffered was retried");
-                        assert!(!over, "an attempt was started after the deadline");
-                        assert_eq!(start.attempt, call.attempts, "attempts are numbered consecutively");
-                        call.attempts += 1;
-                        assert!(call.attempts <= 3, "the attempt limit was exceeded");
-                        call.start = start;
-                        open.insert(id, call);
-                        false
-                    }
-                    Directive::ForwardStatus { outcome, .. } => {
-                        *seen.entry(format!("pass {outcome:?}")).or_default() += 1;
-                        true
-                    }
-                    Directive::Respond(answer) => {
-                        assert_ne!(answer.code, Code::OK, "the proxy never generates OK");
-                        let unsafe_ran =
-                            call.route.idempotency == Idempotency::NotIdempotent && call.may_have_run;
-                        assert!(
-                            !unsafe_ran || answer.outcome != CallOutcome::Rejected,
-                            "a call that may have been processed was reported as rejected: {answer:?}"
-                        );
-                        *seen.entry(format!("answer {:?}", answer.outcome)).or_default() += 1;
-                        true
-                    }
+        let mut check_directive = |open: &mut HashMap<CallId, OpenCall>,
+                                   id,
+                                   mut call: OpenCall,
+                                   directive,
+                                   live: &[bool],
+                                   past_deadline: bool| {
+            match directive {
+                Directive::StartAttempt(target) => {
+                    assert!(!call.committed, "a committed call was retried");
+                    assert!(live[target.backend as usize], "a draining backend was chosen");
+                    assert!(
+                        call.route.idempotency != Idempotency::NotIdempotent || !call.may_have_run,
+                        "a non-idempotent call was retried although it may have been processed"
+                    );
+                    assert!(call.replayable, "a request that was not buffered was retried");
+                    assert!(!past_deadline, "an attempt was started after the deadline");
+                    assert_eq!(target.attempt, call.attempts, "attempts are numbered consecutively");
+                    call.attempts += 1;
+                    assert!(call.attempts <= 3, "the attempt limit was exceeded");
+                    call.target = target;
+                    open.insert(id, call);
+                    false
+                }
+                Directive::ForwardStatus { outcome, .. } => {
+                    *end_counts.entry(format!("forwarded {outcome:?}")).or_default() += 1;
+                    true
                 }
-            };
+                Directive::Respond(status) => {
+                    assert_ne!(status.code, Code::OK, "the proxy never generates OK");
+                    let unsafe_ran =
+                        call.route.idempotency == Idempotency::NotIdempotent && call.may_have_run;
+                    assert!(
+                        !unsafe_ran || status.outcome != CallOutcome::Rejected,
+                        "a call that may have been processed was reported as rejected: {status:?}"
+                    );
+                    *end_counts.entry(format!("generated {:?}", status.outcome)).or_default() += 1;
+                    true
+                }
+            }
+        };
         match rng.random_range(0..10) {
             0..=3 if step < 3_600 => {
                 let route = routes[rng.random_range(0..routes.len())].clone();
                 let timeout_ms = (rng.random_range(0..3) > 0).then(|| rng.random_range(1.0..4_000.0));
                 let new = NewCall { route: route.clone(), affinity_hash: None, timeout_ms, received_ms: now };
-                let allowed = new.allowed_ms();
+                let allowed_ms = new.allowed_ms();
                 assert!(
-                    allowed <= 3_000.0 && timeout_ms.is_none_or(|t| allowed <= t),
+                    allowed_ms <= 3_000.0 && timeout_ms.is_none_or(|t| allowed_ms <= t),
                     "a deadline was extended"
                 );
                 let (id, directive) = calls.begin(now, new);
-                begun += 1;
-                let start = AttemptTarget { attempt: 0, backend: 0, address: "127.0.0.1:1".parse().unwrap() };
+                started += 1;
+                let target =
+                    AttemptTarget { attempt: 0, backend: 0, address: "127.0.0.1:1".parse().unwrap() };
                 let (committed, may_have_run, attempts, replayable) = (false, false, 0, true);
-                let call =
-                    Open { route, start, began: now, allowed, committed, may_have_run, attempts, replayable };
-                ended += u64::from(follow(&mut open, id, call, directive, &live, false));
+                let call = OpenCall {
+                    route,
+                    target,
+                    started_ms: now,
+                    allowed_ms,
+                    committed,
+                    may_have_run,
+                    attempts,
+                    replayable,
+                };
+                ended += u64::from(check_directive(&mut open, id, call, directive, &live, false));
             }
             4 => {
                 let k = rng.random_range(0..live.len());
@@ -134,36 +148,36 @@
                 calls.set_backends(now, 0, &backends(&live));
             }
             5 => {
-                let Some(id) = some.filter(|_| rng.random_range(0..3) == 0) else { continue };
+                let Some(id) = chosen.filter(|_| rng.random_range(0..3) == 0) else { continue };
                 open.remove(&id);
                 calls.client_disconnected(now, id);
-                left += 1;
+                disconnected += 1;
             }
             6 => {
-                let Some(id) = some else { continue };
+                let Some(id) = chosen else { continue };
                 let call = open.get_mut(&id).unwrap();
-                let most = 800;
-                call.replayable &= calls.reserve_replay(id, rng.random_range(1..500), most);
+                let max_bytes = 800;
+                call.replayable &= calls.reserve_replay(id, rng.random_range(1..500), max_bytes);
                 assert!(calls.replay_bytes() <= 5_000, "the retry buffer limit was exceeded");
             }
             7 => {
-                let Some(id) = some else { continue };
+                let Some(id) = chosen else { continue };
                 let call = open.get_mut(&id).unwrap();
                 call.committed = true;
                 calls.commit(now, id);
             }
             _ => {
-                let Some(id) = some else { continue };
+                let Some(id) = chosen else { continue };
                 let mut call = open.remove(&id).unwrap();
                 let remaining_ms = calls.remaining_attempt_ms(now, id);
-                if let Some(left) = remaining_ms {
-                    assert!(live[call.start.backend as usize], "an attempt may start at a draining backend");
+                if let Some(remaining_ms) = remaining_ms {
+                    assert!(live[call.target.backend as usize], "an attempt may start at a draining backend");
                     assert!(
-                        left <= call.began + call.allowed - now + 1e-6,
+                        remaining_ms <= call.started_ms + call.allowed_ms - now + 1e-6,
                         "an attempt got more time than its call has"
                     );
                 }
-                let over = now >= call.began + call.allowed;
+                let past_deadline = now >= call.started_ms + call.allowed_ms;
                 let ends = [
                     AttemptEnd::Status(Code::from_number(rng.random_range(0..17)), None),
                     AttemptEnd::Status(Code::OK, None),
@@ -187,14 +201,14 @@
                 {
                     end = AttemptEnd::ConnectionLost;
                 }
-                if over {
+                if past_deadline {
                     end = AttemptEnd::TimedOut;
                 }
-                let never = matches!(
+                let unprocessed = matches!(
                     end,
                     AttemptEnd::NotSent | AttemptEnd::NoConnection { .. } | AttemptEnd::Unprocessed
                 );
-                call.may_have_run |= !never;
+                call.may_have_run |= !unprocessed;
                 let directive = calls.attempt_ended(now, id, end);
                 if call.committed {
                     assert!(
@@ -207,35 +221,41 @@
                         Directive::ForwardStatus { outcome: CallOutcome::Served, retry_after_ms: None };
                     assert_eq!(directive, served);
                 }
-                ended += u64::from(follow(&mut open, id, call, directive, &live, over));
+                ended += u64::from(check_directive(&mut open, id, call, directive, &live, past_deadline));
             }
         }
         assert_eq!(calls.open_calls(), open.len(), "a call is open until its end");
     }
-    assert_eq!(begun, ended + left + open.len() as u64, "a call ends exactly once");
+    assert_eq!(started, ended + disconnected + open.len() as u64, "a call ends exactly once");
     for (id, _) in open {
         calls.client_disconnected(now, id);
     }
     assert_eq!((calls.open_calls(), calls.replay_bytes()), (0, 0), "calls and buffers are released");
     let counters = &calls.pools()[0].counters;
-    assert_eq!(counters.outcomes.iter().sum::<u64>(), begun, "a call is counted exactly once");
-    seen
+    assert_eq!(counters.outcomes.iter().sum::<u64>(), started, "a call is counted exactly once");
+    end_counts
 }
 
 #[test]
-fn random_days_keep_the_rules_of_calls() {
+fn random_event_sequences_preserve_the_invariants_of_calls() {
     let mut all = HashMap::<String, u32>::new();
     for seed in 0..20 {
-        day(seed).into_iter().for_each(|(what, n)| *all.entry(what).or_default() += n);
+        run_random_events(seed).into_iter().for_each(|(what, n)| *all.entry(what).or_default() += n);
     }
-    for what in ["pass Served", "pass Rejected", "pass Failed", "answer Rejected", "answer Failed"] {
+    for what in [
+        "forwarded Served",
+        "forwarded Rejected",
+        "forwarded Failed",
+        "generated Rejected",
+        "generated Failed",
+    ] {
         assert!(all.get(what).is_some_and(|n| *n > 20), "{what}: {all:?}");
     }
 }
 
 #[test]
-fn a_stream_is_judged_by_its_beginning_and_an_attempt_by_its_own_time() {
-    let (mut calls, routes) = config();
+fn streams_time_out_at_the_deadline_and_long_ones_eject_no_backend() {
+    let (mut calls, routes) = call_table_and_routes();
     calls.set_backends(0.0, 0, &backends(&[true, true]));
     let route =
         |kind, repeat| routes.iter().find(|r| r.kind == kind && r.idempotency == repeat).unwrap().clone();
@@ -261,16 +281,16 @@
             ..new(route(MethodKind::Stream, Idempotency::Idempotent))
         };
         let (id, directive) = calls.begin(now, new);
-        let Directive::StartAttempt(start) = directive else { panic!("{directive:?}") };
+        let Directive::StartAttempt(target) = directive else { panic!("{directive:?}") };
         calls.commit(now + 5.0, id);
         let end = calls.attempt_ended(now + 2_900.0, id, AttemptEnd::Status(Code::OK, None));
         assert!(matches!(end, Directive::ForwardStatus { outcome: CallOutcome::Served, .. }));
-        assert_eq!((start.attempt, calls.pools()[0].ejected_backends(now)), (0, 0), "stream {n}");
+        assert_eq!((target.attempt, calls.pools()[0].ejected_backends(now)), (0, 0), "stream {n}");
     }
 }
 
 #[test]
-fn files_that_cannot_work_are_refused_with_the_field() {
+fn invalid_files_are_rejected_with_the_name_of_the_field() {
     let check = |text: &str| {
         let file = std::env::temp_dir().join(format!("calicobeam-grpc-bad-{}.json", std::process::id()));
         std::fs::write(&file, text).unwrap();
--- a/tests/stand_ins/grpc.rs
+++ b/tests/stand_ins/grpc.rs
@@ -1,5 +1,5 @@
 //! Scripted gRPC backends and clients on loopback, built on the `h2` crate. A backend runs a script for each
-//! call, from the call's `x-act` header or set by the test, and records the calls that it receives.
+//! call, from the call's `x-script` header or set by the test, and records the calls that it receives.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -19,7 +19,7 @@
 
 /// A call received by a backend.
 #[derive(Clone, Debug)]
-pub struct Arrival {
+pub struct ReceivedCall {
     pub at_ms: f64,
     pub path: String,
     pub headers: HeaderMap,
@@ -31,61 +31,61 @@
     pub reset: bool,
 }
 
-impl Arrival {
+impl ReceivedCall {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
 /// A length-prefixed message of `n` bytes.
-pub fn msg(n: usize) -> Vec<u8> {
+pub fn message(n: usize) -> Vec<u8> {
     [&[0u8][..], &(n as u32).to_be_bytes(), &vec![b'm'; n]].concat()
 }
 
 /// A scripted backend.
 #[derive(Clone)]
-pub struct GrpcBox {
+pub struct ScriptedBackend {
     pub address: SocketAddr,
-    pub calls: Rc<RefCell<Vec<Arrival>>>,
+    pub calls: Rc<RefCell<Vec<ReceivedCall>>>,
     /// Script that overrides those of the calls.
-    pub act: Rc<RefCell<Option<String>>>,
-    /// Number of further calls that `act` applies to; `u32::MAX` for all.
-    pub acts_left: Rc<Cell<u32>>,
+    pub script: Rc<RefCell<Option<String>>>,
+    /// Number of further calls that `script` applies to; `u32::MAX` for all.
+    pub scripted_calls: Rc<Cell<u32>>,
     pub connections: Rc<Cell<u32>>,
     kill: Rc<Notify>,
     go_away: Rc<Notify>,
 }
 
-impl GrpcBox {
+impl ScriptedBackend {
     /// Starts a backend on an address; port 0 selects a free port.
     pub async fn start(at: &str) -> Self {
         let listener = TcpListener::bind(at).await.unwrap();
-        let own = Self {
+        let backend = Self {
             address: listener.local_addr().unwrap(),
             calls: Rc::default(),
-            act: Rc::default(),
-            acts_left: Rc::new(Cell::new(0)),
+            script: Rc::default(),
+            scripted_calls: Rc::new(Cell::new(0)),
             connections: Rc::default(),
             kill: Rc::default(),
             go_away: Rc::default(),
         };
-        let served = own.clone();
+        let served = backend.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 served.connections.set(served.connections.get() + 1);
                 spawn_local(served.clone().serve(stream));
             }
         });
-        own
+        backend
     }
 
     /// Runs this script for the next `n` calls; `u32::MAX` for all.
-    pub fn does(&self, act: &str, n: u32) {
-        *self.act.borrow_mut() = Some(act.into());
-        self.acts_left.set(n);
+    pub fn set_script(&self, script: &str, n: u32) {
+        *self.script.borrow_mut() = Some(script.into());
+        self.scripted_calls.set(n);
     }
 
-    pub fn count(&self) -> usize {
+    pub fn call_count(&self) -> usize {
         self.calls.borrow().len()
     }
 
@@ -103,13 +103,13 @@
         let _ = stream.set_nodelay(true);
         let mut builder = h2::server::Builder::new();
         builder.initial_window_size(1 << 20).max_concurrent_streams(1_000);
-        let Ok(mut link) = builder.handshake::<_, Bytes>(stream).await else { return };
+        let Ok(mut connection) = builder.handshake::<_, Bytes>(stream).await else { return };
         loop {
             tokio::select! {
                 biased;
                 () = self.kill.notified() => return,
-                () = self.go_away.notified() => link.graceful_shutdown(),
-                call = link.accept() => match call {
+                () = self.go_away.notified() => connection.graceful_shutdown(),
+                call = connection.accept() => match call {
                     Some(Ok((request, respond))) => drop(spawn_local(self.clone().call(request, respond))),
                     _ => return,
                 }
@@ -119,15 +119,16 @@
 
     async fn call(self, request: Request<RecvStream>, respond: SendResponse<Bytes>) {
         let (parts, body) = request.into_parts();
-        let mut act = parts.headers.get("x-act").and_then(|v| v.to_str().ok()).unwrap_or("ok").to_string();
-        if self.acts_left.get() > 0 {
-            if self.acts_left.get() != u32::MAX {
-                self.acts_left.set(self.acts_left.get() - 1);
+        let mut script =
+            parts.headers.get("x-script").and_then(|v| v.to_str().ok()).unwrap_or("ok").to_string();
+        if self.scripted_calls.get() > 0 {
+            if self.scripted_calls.get() != u32::MAX {
+                self.scripted_calls.set(self.scripted_calls.get() - 1);
             }
-            act = self.act.borrow().clone().unwrap_or(act);
+            script = self.script.borrow().clone().unwrap_or(script);
         }
-        let place = self.calls.borrow().len();
-        self.calls.borrow_mut().push(Arrival {
+        let index = self.calls.borrow().len();
+        self.calls.borrow_mut().push(ReceivedCall {
             at_ms: Clock::system().now(),
             path: parts.uri.path().to_string(),
             headers: parts.headers,
@@ -135,39 +136,40 @@
             whole: false,
             reset: false,
         });
-        let acting = Acting { own: self, place, body, respond: Some(respond), stream: None, pushback: None };
-        acting.run(&act).await;
+        let run =
+            ScriptRun { backend: self, index, body, respond: Some(respond), stream: None, pushback: None };
+        run.run(&script).await;
     }
 }
 
-struct Acting {
-    own: GrpcBox,
-    place: usize,
+struct ScriptRun {
+    backend: ScriptedBackend,
+    index: usize,
     body: RecvStream,
     respond: Option<SendResponse<Bytes>>,
     stream: Option<SendStream<Bytes>>,
     pushback: Option<String>,
 }
 
-impl Acting {
-    fn note(&self, change: impl FnOnce(&mut Arrival)) {
-        change(&mut self.own.calls.borrow_mut()[self.place]);
+impl ScriptRun {
+    fn record(&self, change: impl FnOnce(&mut ReceivedCall)) {
+        change(&mut self.backend.calls.borrow_mut()[self.index]);
     }
 
     /// Reads the next bytes of the request. Returns `None` at its end.
-    async fn chunk(&mut self) -> Option<Bytes> {
+    async fn read_chunk(&mut self) -> Option<Bytes> {
         match self.body.data().await {
             Some(Ok(chunk)) => {
                 let _ = self.body.flow_control().release_capacity(chunk.len());
-                self.note(|a| a.body.extend_from_slice(&chunk));
+                self.record(|a| a.body.extend_from_slice(&chunk));
                 Some(chunk)
             }
             Some(Err(_)) => {
-                self.note(|a| a.reset = true);
+                self.record(|a| a.reset = true);
                 None
             }
             None => {
-                self.note(|a| a.whole = true);
+                self.record(|a| a.whole = true);
                 None
             }
         }
@@ -175,7 +177,8 @@
 
     fn head(&mut self) {
         if let Some(mut respond) = self.respond.take() {
-            let head = Response::builder().header("content-type", "application/grpc").header("x-box", "yes");
+            let head =
+                Response::builder().header("content-type", "application/grpc").header("x-backend", "yes");
             self.stream = respond.send_response(head.body(()).unwrap(), false).ok();
         }
     }
@@ -198,18 +201,18 @@
     }
 
     fn status(&mut self, code: &str) {
-        let mut last = HeaderMap::new();
-        last.insert("grpc-status", code.parse().unwrap());
-        last.insert("grpc-message", "of%20the%20box".parse().unwrap());
-        last.insert("x-trail-bin", "AAEC".parse().unwrap());
+        let mut trailers = HeaderMap::new();
+        trailers.insert("grpc-status", code.parse().unwrap());
+        trailers.insert("grpc-message", "from%20the%20backend".parse().unwrap());
+        trailers.insert("x-trail-bin", "AAEC".parse().unwrap());
         if let Some(ms) = self.pushback.take() {
-            last.insert("grpc-retry-pushback-ms", ms.parse().unwrap());
+            trailers.insert("grpc-retry-pushback-ms", ms.parse().unwrap());
         }
         if let Some(mut stream) = self.stream.take() {
-            let _ = stream.send_trailers(last);
+            let _ = stream.send_trailers(trailers);
         } else if let Some(mut respond) = self.respond.take() {
             let mut head = Response::new(());
-            *head.headers_mut() = last;
+            *head.headers_mut() = trailers;
             head.headers_mut().insert("content-type", "application/grpc".parse().unwrap());
             let _ = respond.send_response(head, true);
         }
@@ -217,38 +220,38 @@
 
     /// Waits until the client resets the call.
     async fn hang(&mut self) {
-        let gone = poll_fn(|cx| match (&mut self.stream, &mut self.respond) {
+        let reset = poll_fn(|cx| match (&mut self.stream, &mut self.respond) {
             (Some(stream), _) => stream.poll_reset(cx).map(drop),
             (None, Some(respond)) => respond.poll_reset(cx).map(drop),
             _ => std::task::Poll::Pending,
         });
-        gone.await;
-        self.note(|a| a.reset = true);
+        reset.await;
+        self.record(|a| a.reset = true);
     }
 
-    async fn run(mut self, act: &str) {
-        let script = if act == "ok" { "read head msg:8 status:0" } else { act };
+    async fn run(mut self, script: &str) {
+        let script = if script == "ok" { "read head msg:8 status:0" } else { script };
         for step in script.split(' ') {
             let (word, value) = step.split_once(':').unwrap_or((step, "0"));
             let n: usize = value.parse().unwrap_or(0);
             match word {
-                "read" => while self.chunk().await.is_some() {},
+                "read" => while self.read_chunk().await.is_some() {},
                 "head" => self.head(),
-                "msg" => self.send(msg(n)).await,
+                "msg" => self.send(message(n)).await,
                 // Sends `n` messages under the client's flow control.
                 "flood" => {
                     for _ in 0..n {
-                        self.send(msg(1_000)).await;
+                        self.send(message(1_000)).await;
                     }
                 }
-                "part" => self.send(msg(n)[..5 + n / 2].to_vec()).await,
+                "part" => self.send(message(n)[..5 + n / 2].to_vec()).await,
                 "raw" => self.send(vec![9; n]).await,
                 "sleep" => tokio::time::sleep(Duration::from_millis(n as u64)).await,
                 "push" => self.pushback = Some(value.to_string()),
                 "status" => self.status(value),
                 "echo" => {
                     self.head();
-                    while let Some(chunk) = self.chunk().await {
+                    while let Some(chunk) = self.read_chunk().await {
                         self.send(chunk.to_vec()).await;
                     }
                     self.status("0");
@@ -271,8 +274,8 @@
                     }
                 }
                 "hang" => self.hang().await,
-                "kill" => self.own.kill(),
-                "goaway" => self.own.go_away(),
+                "kill" => self.backend.kill(),
+                "goaway" => self.backend.go_away(),
                 other => panic!("unknown script step {other:?}"),
             }
         }
@@ -281,7 +284,7 @@
 
 /// The response to a call, as the client received it.
 #[derive(Debug, Default)]
-pub struct Got {
+pub struct CallResponse {
     pub http: u16,
     pub head: HeaderMap,
     pub body: Vec<u8>,
@@ -290,13 +293,13 @@
     pub took_ms: f64,
 }
 
-impl Got {
-    fn last(&self) -> &HeaderMap {
+impl CallResponse {
+    fn final_headers(&self) -> &HeaderMap {
         self.trailers.as_ref().unwrap_or(&self.head)
     }
 
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.last().get(name)?.to_str().ok()
+        self.final_headers().get(name)?.to_str().ok()
     }
 
     /// The gRPC status; -1 if there was none.
@@ -307,18 +310,18 @@
 
 /// A client connection.
 #[derive(Clone)]
-pub struct Caller {
+pub struct GrpcClient {
     send: SendRequest<Bytes>,
 }
 
-impl Caller {
+impl GrpcClient {
     pub async fn connect(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).await.unwrap();
         let _ = stream.set_nodelay(true);
         let mut builder = h2::client::Builder::new();
         builder.initial_window_size(1 << 20).initial_connection_window_size(4 << 20);
-        let (send, link) = builder.handshake::<_, Bytes>(stream).await.unwrap();
-        spawn_local(async move { drop(link.await) });
+        let (send, connection) = builder.handshake::<_, Bytes>(stream).await.unwrap();
+        spawn_local(async move { drop(connection.await) });
         Self { send }
     }
 
@@ -338,14 +341,14 @@
     }
 
     /// Makes a complete call with these bytes as the request body.
-    pub async fn call(&self, path: &str, headers: &[(&str, &str)], body: Vec<u8>) -> Got {
+    pub async fn call(&self, path: &str, headers: &[(&str, &str)], body: Vec<u8>) -> CallResponse {
         let start = Instant::now();
         let mut got = match self.begin(path, headers).await {
             Ok((response, mut stream)) => {
                 let _ = stream.send_data(body.into(), true);
-                finish(response).await
+                receive_response(response).await
             }
-            Err(error) => Got { error: Some(error), ..Got::default() },
+            Err(error) => CallResponse { error: Some(error), ..CallResponse::default() },
         };
         got.took_ms = start.elapsed().as_secs_f64() * 1_000.0;
         got
@@ -353,11 +356,11 @@
 }
 
 /// Receives a response up to its end.
-pub async fn finish(response: h2::client::ResponseFuture) -> Got {
-    let mut got = Got::default();
+pub async fn receive_response(response: h2::client::ResponseFuture) -> CallResponse {
+    let mut got = CallResponse::default();
     let (parts, mut body) = match response.await {
         Ok(response) => response.into_parts(),
-        Err(error) => return Got { error: Some(error), ..got },
+        Err(error) => return CallResponse { error: Some(error), ..got },
     };
     (got.http, got.head) = (parts.status.as_u16(), parts.headers);
     while let Some(chunk) = body.data().await {
@@ -366,7 +369,7 @@
                 let _ = body.flow_control().release_capacity(chunk.len());
                 got.body.extend_from_slice(&chunk);
             }
-            Err(error) => return Got { error: Some(error), ..got },
+            Err(error) => return CallResponse { error: Some(error), ..got },
         }
     }
     match body.trailers().await {
