--- a/src/grpc/attempt.rs
+++ b/src/grpc/attempt.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Completes when the attempt times out. The time-out is read again after each sleep, because it is extended
+/// Completes when the attempt times out. The timeout is read again after each sleep, because it is extended
 /// to the call's deadline when the response begins.
 async fn attempt_timeout(front: &GrpcFront, id: CallId) {
     loop {
--- a/src/grpc/call_table.rs
+++ b/src/grpc/call_table.rs
@@ -35,7 +35,7 @@
     number: u32,
     backend: EndpointId,
     sent_ms: f64,
-    /// When the attempt times out, in Unix milliseconds; infinite if it cannot be retried after a time-out.
+    /// When the attempt times out, in Unix milliseconds; infinite if it cannot be retried after a timeout.
     timeout_at_ms: f64,
     /// When its response headers were sent to the client.
     committed_ms: Option<f64>,
@@ -152,7 +152,7 @@
     }
 
     /// When the current attempt times out, in Unix milliseconds: at the call's deadline, or earlier at the
-    /// attempt's own time-out if its response has not begun.
+    /// attempt's own timeout if its response has not begun.
     pub fn timeout_at_ms(&self, id: CallId) -> f64 {
         let Some(call) = self.calls.get(&id) else { return f64::NEG_INFINITY };
         let uncommitted = call.active.as_ref().filter(|attempt| attempt.committed_ms.is_none());
@@ -282,7 +282,7 @@
             // The policy chooses only listed backends. If it ever does not, the call must still end.
             return self.end_by_policy(now, id, None);
         };
-        // Only attempts of idempotent unary calls have a time-out of their own; others have until the call's
+        // Only attempts of idempotent unary calls have a timeout of their own; others have until the call's
         // deadline.
         let timeout_at_ms = match (call.route.kind, call.route.idempotency) {
             (MethodKind::Unary, Idempotency::Idempotent | Idempotency::WithKey) => now + timeout_ms,
--- a/src/grpc/mod.rs
+++ b/src/grpc/mod.rs
@@ -24,7 +24,7 @@
 //! | [`call_driver`] | one call, from its request headers to its status | sockets |
 //! | [`server`] | listener and client connections | sockets |
 //!
-//! The design note is `docs/design-grpc.md`; operators read `docs/grpc.md`.
+//! Design: `docs/design-grpc.md`. Configuration and operation: `docs/grpc.md`.
 
 pub mod admin;
 pub mod admission;
--- a/src/grpc/pool.rs
+++ b/src/grpc/pool.rs
@@ -57,7 +57,7 @@
     Forward {
         /// The backend's id.
         to: EndpointId,
-        /// The attempt's time-out, in milliseconds.
+        /// The attempt's timeout, in milliseconds.
         timeout_ms: f64,
     },
     /// Reject the call.
--- a/src/grpc/routes.rs
+++ b/src/grpc/routes.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MethodKind {
-    /// One message in each direction. An attempt has a time-out of its own if it can be retried.
+    /// One message in each direction. An attempt has a timeout of its own if it can be retried.
     Unary,
     /// Any number of messages in either direction, or unknown. An attempt has until the call's deadline.
     #[default]
--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -19,7 +19,7 @@
 /// Delay before accepting again after an error, which is mostly a lack of file descriptors, or at the
 /// connection limit, in milliseconds.
 const ACCEPT_RETRY_MS: u64 = 20;
-/// Time-out of each accept at shutdown, which empties the listen backlog, in milliseconds.
+/// Timeout of each accept at shutdown, which empties the listen backlog, in milliseconds.
 const BACKLOG_ACCEPT_TIMEOUT_MS: u64 = 1;
 /// Interval of [`run_housekeeping`], in milliseconds.
 const HOUSEKEEPING_INTERVAL_MS: u64 = 100;
@@ -125,7 +125,7 @@
 
 impl OpenCalls {
     /// Counts a call as open until the returned guard is dropped.
-    fn enter(self: &Rc<Self>) -> OpenCallGuard {
+    fn track(self: &Rc<Self>) -> OpenCallGuard {
         self.count.set(self.count.get() + 1);
         OpenCallGuard(self.clone())
     }
@@ -173,7 +173,7 @@
                 None => return Ok(()),
                 Some(Err(error)) => return Err(error),
                 Some(Ok((request, respond))) => {
-                    let (call, task_front) = (open_calls.enter(), front.clone());
+                    let (call, task_front) = (open_calls.track(), front.clone());
                     front.executor.spawn("gRPC call", async move {
                         let _call = call;
                         drive_call(task_front, request, respond, peer).await;
--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -265,7 +265,7 @@
         timeout_ms: Some(2_000.0),
         received_ms: 0.0,
     };
-    // Only a unary attempt has a time-out before the call's deadline.
+    // Only a unary attempt has a timeout before the call's deadline.
     let (unary, _) = calls.begin(0.0, new(route(MethodKind::Unary, Idempotency::Idempotent)));
     let (stream, _) = calls.begin(0.0, new(route(MethodKind::Stream, Idempotency::Idempotent)));
     assert!(calls.timeout_at_ms(unary) < 1_900.0, "{}", calls.timeout_at_ms(unary));
