--- a/src/grpc/call_driver.rs
+++ b/src/grpc/call_driver.rs
@@ -1,11 +1,12 @@
-//! Drives one call from its head to its end: admission, attempts as [`super::call_table`] directs them, and the status.
+//! Drives one call from its request headers to its status: admission, then the attempts that
+//! [`super::call_table`] directs.
 
 use super::admission::{AdmissionPermit, AdmissionResult};
 use super::attempt::{run_attempt, ClientStreams};
 use super::attempt_result::AttemptResult;
 use super::call::{affinity_hash, CallId, Directive, LocalStatus, NewCall};
 use super::front::GrpcFront;
-use super::headers::{add_pushback, is_grpc, single, trailers_of, TIMEOUT};
+use super::headers::{add_pushback, is_grpc, single_value, status_trailers, TIMEOUT};
 use super::request_stream::RequestStream;
 use super::response_stream::ResponseStream;
 use super::routes::MethodKind;
@@ -18,7 +19,7 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// Forwards one call, up to its one end.
+/// Forwards one call and sends its status.
 pub async fn drive_call(
     front: Rc<GrpcFront>,
     request: Request<RecvStream>,
@@ -36,16 +37,16 @@
         Ok(new) => new,
         Err(status) => {
             front.count_unrouted();
-            return response.end(trailers_of(&status));
+            return response.end(status_trailers(&status));
         }
     };
     let permit = match admit(&front, &head, &new, client, &mut response).await {
-        Admission::Admitted(permit) => permit,
-        Admission::ClientDisconnected => return,
-        Admission::Rejected { retry_after_ms } => {
+        AdmissionOutcome::Admitted(permit) => permit,
+        AdmissionOutcome::ClientDisconnected => return,
+        AdmissionOutcome::Rejected { retry_after_ms } => {
             let retry_after_ms = (retry_after_ms > 0.0).then_some(retry_after_ms);
             let status = LocalStatus::rejected("refused at the door", retry_after_ms);
-            return response.end(trailers_of(&status));
+            return response.end(status_trailers(&status));
         }
     };
     front.sync_backends();
@@ -55,7 +56,7 @@
     run_attempts(&front, new, &mut streams, permit).await;
 }
 
-/// Tells a client that does not speak gRPC so, in plain HTTP.
+/// Responds to a request that is not gRPC with an HTTP status.
 fn respond_without_grpc(method: &Method, respond: &mut SendResponse<Bytes>) {
     let is_post = method == Method::POST;
     let status = if is_post { StatusCode::UNSUPPORTED_MEDIA_TYPE } else { StatusCode::METHOD_NOT_ALLOWED };
@@ -64,14 +65,14 @@
     let _ = respond.send_response(response, true);
 }
 
-/// Makes attempts until the call has ended.
+/// Runs attempts until the call has ended.
 async fn run_attempts(
     front: &Rc<GrpcFront>,
     new: NewCall,
     streams: &mut ClientStreams<'_>,
     permit: Option<AdmissionPermit>,
 ) {
-    let (id, mut directive) = front.with(|calls| calls.begin(front.now(), new));
+    let (id, mut directive) = front.with_calls(|calls| calls.begin(front.now(), new));
     let mut open_call = OpenCallGuard { front, id, ended: false };
     let mut last_headers: Option<HeaderMap> = None;
     loop {
@@ -82,24 +83,24 @@
                 match result {
                     AttemptResult::ClientDisconnected => return,
                     AttemptResult::Aborted(status) => {
-                        front.with(|calls| calls.abort(front.now(), id, status))
+                        front.with_calls(|calls| calls.abort(front.now(), id, status))
                     }
                     AttemptResult::Ended(end, headers) => {
                         last_headers = headers;
-                        front.with(|calls| calls.attempt_ended(front.now(), id, end))
+                        front.with_calls(|calls| calls.attempt_ended(front.now(), id, end))
                     }
                 }
             }
             Directive::ForwardStatus { retry_after_ms, outcome } => {
-                permit.iter().for_each(|permit| permit.ended(outcome));
+                permit.iter().for_each(|permit| permit.record_outcome(outcome));
                 let mut trailers = last_headers.take().unwrap_or_default();
                 add_pushback(&mut trailers, retry_after_ms.map(Pushback::After));
                 streams.response.end(trailers);
                 break;
             }
             Directive::Respond(status) => {
-                permit.iter().for_each(|permit| permit.ended(status.outcome));
-                streams.response.end(trailers_of(&status));
+                permit.iter().for_each(|permit| permit.record_outcome(status.outcome));
+                streams.response.end(status_trailers(&status));
                 break;
             }
         };
@@ -107,28 +108,28 @@
     open_call.ended = true;
 }
 
-/// Reads the head of a request; the error is the status that its client gets.
+/// Parses the headers of a request. The error is the status for the client.
 fn parse_head(front: &GrpcFront, head: &request::Parts, now: f64) -> Result<NewCall, LocalStatus> {
     let path = head.uri.path();
     let route = front.routes().find(path).cloned().map(Rc::new);
     let route = route.ok_or_else(|| LocalStatus::failed(Code::UNIMPLEMENTED, "no such method here"))?;
     let timeout_ms = parse_timeout(&head.headers)?;
     if let Some(name) = &route.key {
-        // Without its key a repetition could take effect twice.
-        let key = single(&head.headers, name).ok().flatten();
+        // Without its key the backend could execute a retried call twice.
+        let key = single_value(&head.headers, name).ok().flatten();
         if key.is_none_or(|key| key.is_empty()) {
             let message = "the method needs one idempotency key";
             return Err(LocalStatus::failed(Code::INVALID_ARGUMENT, message));
         }
     }
     let header = |name: &str| head.headers.get(name).map(|value| value.as_bytes().to_vec());
-    let object = affinity_hash(&route.affinity, path, header);
-    Ok(NewCall { route, object, timeout_ms, received_ms: now })
+    let affinity_hash = affinity_hash(&route.affinity, path, header);
+    Ok(NewCall { route, affinity_hash, timeout_ms, received_ms: now })
 }
 
-/// The value of `grpc-timeout` in milliseconds, where there is one.
+/// Parses the `grpc-timeout` header, if present, to milliseconds.
 fn parse_timeout(headers: &HeaderMap) -> Result<Option<f64>, LocalStatus> {
-    let value = single(headers, TIMEOUT);
+    let value = single_value(headers, TIMEOUT);
     let value = value.map_err(|_| LocalStatus::failed(Code::INTERNAL, "grpc-timeout comes twice"))?;
     let Some(value) = value else { return Ok(None) };
     let timeout_ms = value.to_str().ok().and_then(timeout::parse);
@@ -136,48 +137,48 @@
     timeout_ms.map(Some).ok_or_else(unreadable)
 }
 
-/// How admission control decided about a call.
-enum Admission {
-    /// It goes on; streams have no permit.
+/// The final decision of admission control about a call.
+enum AdmissionOutcome {
+    /// The call may proceed. Streaming calls have no permit.
     Admitted(Option<AdmissionPermit>),
-    /// It is rejected.
+    /// The call is rejected.
     Rejected {
-        /// The retry pushback, in milliseconds; 0 for none.
+        /// The retry pushback, in milliseconds (0 for none).
         retry_after_ms: f64,
     },
-    /// Its client disconnected while it waited.
+    /// The client disconnected while the call was queued.
     ClientDisconnected,
 }
 
-/// Waits until admission control has decided about a unary call. Streams are not subject to it.
+/// Waits for the decision of admission control about a unary call. Streaming calls bypass it.
 async fn admit(
     front: &Rc<GrpcFront>,
     head: &request::Parts,
     new: &NewCall,
     client: IpAddr,
     response: &mut ResponseStream,
-) -> Admission {
+) -> AdmissionOutcome {
     if new.route.kind != MethodKind::Unary {
-        return Admission::Admitted(None);
+        return AdmissionOutcome::Admitted(None);
     }
     let number = |name: &str| head.headers.get(name)?.to_str().ok()?.parse().ok();
     let tenant = front.tenant(new.route.class, number);
-    match front.admission.enter(&front.executor.clock, client, tenant, new.deadline_ms()) {
-        AdmissionResult::Admitted(permit) => Admission::Admitted(Some(permit)),
-        AdmissionResult::Rejected(retry_after_ms) => Admission::Rejected { retry_after_ms },
+    match front.admission.submit(&front.executor.clock, client, tenant, new.deadline_ms()) {
+        AdmissionResult::Admitted(permit) => AdmissionOutcome::Admitted(Some(permit)),
+        AdmissionResult::Rejected(retry_after_ms) => AdmissionOutcome::Rejected { retry_after_ms },
         AdmissionResult::Queued(decision, permit) => tokio::select! {
             biased;
             decision = decision => match decision {
-                Ok(None) => Admission::Admitted(Some(permit)),
-                Ok(Some(retry_after_ms)) => Admission::Rejected { retry_after_ms },
-                Err(_) => Admission::Rejected { retry_after_ms: 0.0 },
+                Ok(None) => AdmissionOutcome::Admitted(Some(permit)),
+                Ok(Some(retry_after_ms)) => AdmissionOutcome::Rejected { retry_after_ms },
+                Err(_) => AdmissionOutcome::Rejected { retry_after_ms: 0.0 },
             },
-            () = response.client_disconnected() => Admission::ClientDisconnected,
+            () = response.client_disconnected() => AdmissionOutcome::ClientDisconnected,
         },
     }
 }
 
-/// Removes a call from the table where its driver ends early: by a panic, or because its client disconnected.
+/// Removes a call from the table if its driver ends early: on a panic, or when the client disconnects.
 struct OpenCallGuard<'f> {
     front: &'f GrpcFront,
     id: CallId,
@@ -187,7 +188,7 @@
 impl Drop for OpenCallGuard<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            self.front.with(|calls| calls.client_disconnected(self.front.now(), self.id));
+            self.front.with_calls(|calls| calls.client_disconnected(self.front.now(), self.id));
         }
     }
 }
--- a/src/grpc/front.rs
+++ b/src/grpc/front.rs
@@ -1,5 +1,5 @@
-//! The front as all its tasks share it: the table of calls, the routes, the connections to backends, and the list of
-//! backends that follows the operator file or discovery.
+//! State shared by all tasks of the gRPC front: the call table, the routes, the connections to backends, and
+//! the backend lists from the configuration file or discovery.
 
 use super::admission::CallAdmission;
 use super::call_table::CallTable;
@@ -16,14 +16,14 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The name that admission control's metrics have for this front.
+/// Prefix of the names of this front's admission metrics.
 const ADMISSION_METRICS_PREFIX: &str = "grpc_door";
-/// The greatest tenant that a header may name.
+/// Largest tenant number that the tenant header may hold.
 const MAX_TENANT: u32 = 255;
 
-/// The front.
+/// The gRPC front.
 pub struct GrpcFront {
-    /// The executor, for the clock and the list of endpoints.
+    /// The executor; provides the clock, the endpoint list and task spawning.
     pub executor: Rc<Executor>,
     /// Connections to backends.
     pub upstream: Rc<Upstream>,
@@ -34,35 +34,35 @@
     config: RefCell<GrpcConfig>,
     limits: GrpcLimits,
     metrics: RefCell<Metrics>,
-    /// The backends of each pool as last listed, by the pool's index.
-    listed: RefCell<Vec<Vec<Backend>>>,
-    /// The version of the endpoint list from which the backends were taken.
+    /// The current backends of each pool, by the pool's index.
+    backends: RefCell<Vec<Vec<Backend>>>,
+    /// The version of the endpoint list that the backends were last updated from.
     list_version: Cell<u64>,
     not_grpc: Cell<u64>,
     unrouted: Cell<u64>,
-    /// Notified when open calls are to end.
+    /// Notified when open calls must be aborted.
     abort: Notify,
     aborting: Cell<bool>,
-    /// Notified when a new connection exceeds the limit, so that one without open calls makes room for it.
+    /// Notified when the client connection limit is reached, so that an idle connection closes to make room.
     pub(super) connection_limit_reached: Notify,
 }
 
 impl GrpcFront {
-    /// The front of an operator file, with its backends listed.
+    /// Creates a front from its configuration.
     pub fn new(executor: Rc<Executor>, config: GrpcConfig, seed: u64) -> Result<Rc<Self>, RouteError> {
         let (routes, pools) = config.compile()?;
         let upstream =
-            Upstream::new(executor.clock.clone(), config.limits.clone(), config.limits.of_connections());
+            Upstream::new(executor.clock.clone(), config.limits.clone(), config.limits.connection_limits());
         let admission = config.admission.clone();
         let front = Rc::new(Self {
             upstream,
-            calls: RefCell::new(CallTable::new(pools, config.limits.of_calls(), seed)),
+            calls: RefCell::new(CallTable::new(pools, config.limits.call_table_limits(), seed)),
             routes: RefCell::new(Rc::new(routes)),
             limits: config.limits.clone(),
             config: RefCell::new(config),
             metrics: RefCell::default(),
             admission: Rc::default(),
-            listed: RefCell::default(),
+            backends: RefCell::default(),
             list_version: Cell::new(u64::MAX),
             not_grpc: Cell::new(0),
             unrouted: Cell::new(0),
@@ -71,62 +71,64 @@
             connection_limit_reached: Notify::new(),
             executor,
         });
-        front.admission.set(admission.map(|config| AdmissionControl::new(config, ADMISSION_METRICS_PREFIX)));
-        front.list_backends();
+        front
+            .admission
+            .set_control(admission.map(|config| AdmissionControl::new(config, ADMISSION_METRICS_PREFIX)));
+        front.update_backends();
         Ok(front)
     }
 
-    /// The time, in Unix milliseconds.
+    /// The current time, in Unix milliseconds.
     pub fn now(&self) -> f64 {
         self.executor.clock.now()
     }
 
-    /// The bounds.
+    /// The configured limits. They do not change on a reload.
     pub fn limits(&self) -> &GrpcLimits {
         &self.limits
     }
 
-    /// The table of methods as it is by now.
+    /// The current routing table.
     pub fn routes(&self) -> Rc<Routes> {
         self.routes.borrow().clone()
     }
 
-    /// Runs `act` on the table of calls.
-    pub fn with<R>(&self, act: impl FnOnce(&mut CallTable) -> R) -> R {
+    /// Runs `act` on the call table.
+    pub fn with_calls<R>(&self, act: impl FnOnce(&mut CallTable) -> R) -> R {
         act(&mut self.calls.borrow_mut())
     }
 
-    /// Replaces the operator file: backends, pools, methods, and the weights of admission control, whose bounds need a new
-    /// process.
+    /// Applies a reloaded configuration: pools, backends, routes, and the weights and exempt networks of
+    /// admission control. All other limits change only with a new process.
     pub fn reconfigure(&self, fresh: GrpcConfig) -> Result<(), RouteError> {
         let (mut routes, pools) = fresh.compile()?;
         let names: Vec<String> = pools.iter().map(|pool| pool.name.clone()).collect();
-        self.with(|calls| calls.reconfigure(pools));
-        // Pools keep their index in the table of calls; their order in the file may differ.
-        let index = |name: &String| self.with(|calls| calls.pool_index(name)).unwrap_or(0);
+        self.with_calls(|calls| calls.reconfigure(pools));
+        // Existing pools keep their index in the call table, whatever their order in the new file.
+        let index = |name: &String| self.with_calls(|calls| calls.pool_index(name)).unwrap_or(0);
         let indices: Vec<usize> = names.iter().map(index).collect();
-        routes.renumber(|pool| indices[pool]);
+        routes.remap_pools(|pool| indices[pool]);
         *self.routes.borrow_mut() = Rc::new(routes);
         if let Some(admission) = fresh.admission.clone() {
             self.admission.with(|control| control.reconfigure(admission));
         }
         *self.config.borrow_mut() = fresh;
-        self.list_backends();
+        self.update_backends();
         Ok(())
     }
 
-    /// Takes the list of endpoints as it is by now, where it has changed.
+    /// Updates the backends if the endpoint list has changed.
     pub fn sync_backends(&self) {
         if self.list_version.get() != self.executor.endpoint_list_changes() {
-            self.list_backends();
+            self.update_backends();
         }
     }
 
-    fn list_backends(&self) {
+    fn update_backends(&self) {
         self.list_version.set(self.executor.endpoint_list_changes());
         let config = self.config.borrow();
         for pool in &config.pools {
-            let Some(index) = self.with(|calls| calls.pool_index(&pool.name)) else { continue };
+            let Some(index) = self.with_calls(|calls| calls.pool_index(&pool.name)) else { continue };
             let fresh = match &pool.discovered {
                 None => pool.listed_backends(),
                 Some(from) => self.executor.backends(&from.model, from.port),
@@ -135,48 +137,51 @@
         }
     }
 
-    /// Replaces a pool's list of backends where it differs, and closes connections that no pool uses any more.
+    /// Replaces a pool's backends if they differ, and closes connections to addresses that no pool uses any
+    /// more.
     fn replace_backends(&self, index: usize, pool: &str, fresh: Vec<Backend>) {
-        let mut listed = self.listed.borrow_mut();
-        if listed.len() <= index {
-            listed.resize_with(index + 1, Vec::new);
+        let mut backends = self.backends.borrow_mut();
+        if backends.len() <= index {
+            backends.resize_with(index + 1, Vec::new);
         }
-        if listed[index] == fresh {
+        if backends[index] == fresh {
             return;
         }
-        self.with(|calls| calls.set_backends(self.now(), index, &fresh));
-        let former = std::mem::replace(&mut listed[index], fresh);
+        self.with_calls(|calls| calls.set_backends(self.now(), index, &fresh));
+        let former = std::mem::replace(&mut backends[index], fresh);
         let is_used = |address: SocketAddr| {
-            listed.iter().flatten().any(|backend| backend.live && backend.address == address)
+            backends.iter().flatten().any(|backend| backend.live && backend.address == address)
         };
         for address in former.iter().map(|backend| backend.address).filter(|address| !is_used(*address)) {
             self.upstream.retire(address);
         }
-        let backends = &listed[index];
+        let backends = &backends[index];
         let live = backends.iter().filter(|backend| backend.live).count();
-        tracing::info!(pool, backends = backends.len(), live, "gRPC: backends listed");
+        tracing::info!(pool, backends = backends.len(), live, "gRPC pool backends updated");
     }
 
-    /// The metrics, in the Prometheus text format.
+    /// Encodes the metrics in the Prometheus text format.
     pub fn metrics(&self) -> String {
         let calls = self.calls.borrow();
         let text = self.metrics.borrow_mut().text(self.now(), &calls, self.upstream.len());
         let text = text.trim_end().trim_end_matches("# EOF").to_string();
         let (not_grpc, unrouted) = (self.not_grpc.get(), self.unrouted.get());
-        let own = format!("grpc_not_grpc_total {not_grpc}\ngrpc_unrouted_total {unrouted}\n# EOF\n");
-        text + &own + &self.admission.with(AdmissionControl::metrics).unwrap_or_default()
+        let request_counters =
+            format!("grpc_not_grpc_total {not_grpc}\ngrpc_unrouted_total {unrouted}\n# EOF\n");
+        text + &request_counters + &self.admission.with(AdmissionControl::metrics).unwrap_or_default()
     }
 
-    /// The share of a pool's backends that accept calls and that the decision module does not avoid; none where there is no
-    /// such pool.
+    /// The share of a pool's backends that are live and not ejected by the policy. Returns `None` if there is
+    /// no such pool.
     pub fn usable_share(&self, pool: &str) -> Option<f64> {
         let calls = self.calls.borrow();
         let pool = calls.pools().iter().find(|other| other.name() == pool)?;
-        let usable = pool.active_backends().saturating_sub(pool.avoided_backends(self.now()));
+        let usable = pool.active_backends().saturating_sub(pool.ejected_backends(self.now()));
         Some(usable as f64 / pool.backends().count().max(1) as f64)
     }
 
-    /// A call's tenant for admission control: the number in the configured header, or else its request class.
+    /// A call's tenant for admission control: the number in the tenant header (0 if missing or invalid), or
+    /// the request class if no header is configured.
     pub fn tenant(&self, class: usize, header: impl Fn(&str) -> Option<u32>) -> u32 {
         match &self.config.borrow().tenant_header {
             Some(name) => header(name).filter(|tenant| *tenant <= MAX_TENANT).unwrap_or(0),
@@ -189,23 +194,23 @@
         self.not_grpc.set(self.not_grpc.get() + 1);
     }
 
-    /// Counts a call that has no route, or whose head cannot be used.
+    /// Counts a call without a route or with invalid request headers.
     pub fn count_unrouted(&self) {
         self.unrouted.set(self.unrouted.get() + 1);
     }
 
-    /// Observes the time from a call's head to its response's headers, in milliseconds.
-    pub fn observe_head(&self, ms: f64) {
-        self.metrics.borrow().first_head.observe(ms / 1_000.0);
+    /// Records the time from request headers to response headers, in milliseconds.
+    pub fn observe_response_head(&self, ms: f64) {
+        self.metrics.borrow().response_head_seconds.observe(ms / 1_000.0);
     }
 
-    /// Whether open calls are being aborted.
+    /// Whether [`Self::abort_calls`] was called.
     pub fn is_aborting(&self) -> bool {
         self.aborting.get()
     }
 
-    /// Waits until open calls are to be aborted.
-    pub async fn aborted(&self) {
+    /// Completes when [`Self::abort_calls`] is called.
+    pub async fn abort_requested(&self) {
         self.abort.notified().await;
     }
 
--- a/src/grpc/route_compiler.rs
+++ b/src/grpc/route_compiler.rs
@@ -1,4 +1,4 @@
-//! Compiles the routes of an operator file into the table of methods and each pool's request classes. No I/O.
+//! Compiles the configured routes into the routing table and each pool's request classes. No I/O.
 
 use super::pool::PoolSpec;
 use super::pool_config::PoolConfig;
@@ -10,13 +10,14 @@
 use http::HeaderName;
 use thiserror::Error;
 
-/// The deadline that the decision module gets for calls without one, in milliseconds.
+/// Largest value of `deadline_ms`, and the deadline of the request class of a route without one, in
+/// milliseconds.
 const MAX_DEADLINE_MS: f64 = 86_400_000.0;
 
-/// A route that cannot be used.
+/// An invalid route.
 #[derive(Debug, Error)]
 pub enum RouteError {
-    /// A field's value cannot be used.
+    /// A field is invalid.
     #[error("{method:?}: {fault}")]
     Fault {
         /// The route's pattern.
@@ -25,7 +26,7 @@
         #[source]
         fault: RouteFault,
     },
-    /// The pattern cannot be used.
+    /// The pattern is invalid.
     #[error(transparent)]
     Pattern(#[from] PatternError),
 }
@@ -33,54 +34,54 @@
 /// What is wrong with a route.
 #[derive(Debug, Error)]
 pub enum RouteFault {
-    /// There is no pool of this name.
-    #[error("no pool {0:?}")]
-    NoPool(String),
-    /// The deadline is out of its range.
-    #[error("`deadline_ms` 1 to a day")]
+    /// No pool has this name.
+    #[error("there is no pool named {0:?}")]
+    UnknownPool(String),
+    /// The deadline is out of range.
+    #[error("`deadline_ms` must be between 1 and 86,400,000")]
     Deadline,
     /// A unary method has no deadline.
-    #[error("a unary method needs `deadline_ms`")]
-    NoDeadline,
-    /// The latency objective is out of its range.
-    #[error("`aim_ms` 1 to the deadline")]
+    #[error("a unary method requires `deadline_ms`")]
+    MissingDeadline,
+    /// The latency objective is out of range.
+    #[error("`aim_ms` must be between 1 and the deadline")]
     LatencyObjective,
-    /// A name is not that of a header.
-    #[error("no header's name")]
+    /// A header name is invalid.
+    #[error("not a valid header name")]
     HeaderName,
-    /// An idempotency key is named where none is used, or the other way round.
-    #[error("`key` and `key_window_ms` go with `keyed`, and only there")]
+    /// A route whose calls carry an idempotency key lacks its settings, or another route has them.
+    #[error("`key` and `key_window_ms` are required for `keyed` methods and not allowed for others")]
     Key,
-    /// A status in `retry` has no such name, or is OK.
-    #[error("`retry` names statuses other than OK")]
+    /// A status name in `retry` is unknown, or OK.
+    #[error("`retry` must list names of status codes other than OK")]
     Retry,
-    /// The affinity is none of the three forms.
-    #[error("`affinity` is `call`, `method` or `header:NAME`")]
+    /// The affinity is unknown.
+    #[error("`affinity` must be `call`, `method` or `header:NAME`")]
     Affinity,
 }
 
-/// Compiles routes to pools.
-pub fn compile(pools: &[PoolConfig], lines: &[RouteConfig]) -> Result<(Routes, Vec<PoolSpec>), RouteError> {
+/// Compiles the routes and the policy settings of the pools.
+pub fn compile(pools: &[PoolConfig], configs: &[RouteConfig]) -> Result<(Routes, Vec<PoolSpec>), RouteError> {
     let mut routes = Routes::default();
     let mut classes: Vec<Vec<RequestClass>> = vec![Vec::new(); pools.len()];
-    for line in lines {
-        let fault = |fault| RouteError::Fault { method: line.method.clone(), fault };
-        let pool = pools.iter().position(|pool| pool.name == line.pool);
-        let pool = pool.ok_or_else(|| fault(RouteFault::NoPool(line.pool.clone())))?;
-        let deadline_ms = checked_deadline_ms(line).map_err(fault)?;
-        let (idempotency, key) = idempotency(line).map_err(fault)?;
+    for config in configs {
+        let fault = |fault| RouteError::Fault { method: config.method.clone(), fault };
+        let pool = pools.iter().position(|pool| pool.name == config.pool);
+        let pool = pool.ok_or_else(|| fault(RouteFault::UnknownPool(config.pool.clone())))?;
+        let deadline_ms = checked_deadline_ms(config).map_err(fault)?;
+        let (idempotency, key) = idempotency(config).map_err(fault)?;
         let route = Route {
             pool,
             class: classes[pool].len(),
-            kind: line.kind,
+            kind: config.kind,
             idempotency,
             key,
-            deadline_ms: line.deadline_ms,
-            retry: retried_codes(line).map_err(fault)?,
-            affinity: affinity(line).map_err(fault)?,
+            deadline_ms: config.deadline_ms,
+            retry: retried_codes(config).map_err(fault)?,
+            affinity: affinity(config).map_err(fault)?,
         };
-        classes[pool].push(request_class(line, deadline_ms, idempotency));
-        routes.add(&line.method, route)?;
+        classes[pool].push(request_class(config, deadline_ms, idempotency));
+        routes.add(&config.method, route)?;
     }
     let specs = pools.iter().zip(classes).map(|(pool, classes)| PoolSpec {
         name: pool.name.clone(),
@@ -89,64 +90,63 @@
     Ok((routes, specs.collect()))
 }
 
-/// The idempotency of a route's methods, and the header of their key.
-fn idempotency(line: &RouteConfig) -> Result<(Idempotency, Option<String>), RouteFault> {
-    match (line.idempotency, &line.key) {
+/// The idempotency of a route's methods, and the header with the idempotency key.
+fn idempotency(config: &RouteConfig) -> Result<(Idempotency, Option<String>), RouteFault> {
+    match (config.idempotency, &config.key) {
         (IdempotencyConfig::Safe, None) => Ok((Idempotency::Idempotent, None)),
         (IdempotencyConfig::Never, None) => Ok((Idempotency::NotIdempotent, None)),
-        (IdempotencyConfig::Keyed, Some(name)) if line.key_window_ms > 0.0 => {
+        (IdempotencyConfig::Keyed, Some(name)) if config.key_window_ms > 0.0 => {
             Ok((Idempotency::WithKey, Some(header_name(name)?)))
         }
         _ => Err(RouteFault::Key),
     }
 }
 
-/// A header's name in lower case.
+/// Parses a header name and converts it to lower case.
 fn header_name(name: &str) -> Result<String, RouteFault> {
     let name = HeaderName::from_bytes(name.as_bytes()).map_err(|_| RouteFault::HeaderName)?;
     Ok(name.as_str().to_string())
 }
 
-/// The statuses after which a route's methods are retried.
-fn retried_codes(line: &RouteConfig) -> Result<Vec<Code>, RouteFault> {
-    let codes: Option<Vec<Code>> = line.retry.iter().map(|name| Code::named(name)).collect();
+/// The status codes after which a route's methods are retried.
+fn retried_codes(config: &RouteConfig) -> Result<Vec<Code>, RouteFault> {
+    let codes: Option<Vec<Code>> = config.retry.iter().map(|name| Code::from_name(name)).collect();
     codes.filter(|codes| !codes.contains(&Code::OK)).ok_or(RouteFault::Retry)
 }
 
 /// The affinity of a route's methods.
-fn affinity(line: &RouteConfig) -> Result<Affinity, RouteFault> {
-    match line.affinity.split_once(':') {
-        None if line.affinity == "call" => Ok(Affinity::Call),
-        None if line.affinity == "method" => Ok(Affinity::Method),
+fn affinity(config: &RouteConfig) -> Result<Affinity, RouteFault> {
+    match config.affinity.split_once(':') {
+        None if config.affinity == "call" => Ok(Affinity::Call),
+        None if config.affinity == "method" => Ok(Affinity::Method),
         Some(("header", name)) => Ok(Affinity::Header(header_name(name)?)),
         _ => Err(RouteFault::Affinity),
     }
 }
 
-/// The deadline of a route's calls, once its times are checked.
-fn checked_deadline_ms(line: &RouteConfig) -> Result<f64, RouteFault> {
-    let deadline_ms = line.deadline_ms.unwrap_or(MAX_DEADLINE_MS);
+/// Checks a route's times, and returns the deadline of its request class.
+fn checked_deadline_ms(config: &RouteConfig) -> Result<f64, RouteFault> {
+    let deadline_ms = config.deadline_ms.unwrap_or(MAX_DEADLINE_MS);
     if !(1.0..=MAX_DEADLINE_MS).contains(&deadline_ms) {
         return Err(RouteFault::Deadline);
     }
-    if line.kind == MethodKind::Unary && line.deadline_ms.is_none() {
-        return Err(RouteFault::NoDeadline);
+    if config.kind == MethodKind::Unary && config.deadline_ms.is_none() {
+        return Err(RouteFault::MissingDeadline);
     }
-    if !(1.0..=deadline_ms).contains(&line.latency_objective_ms) {
+    if !(1.0..=deadline_ms).contains(&config.latency_objective_ms) {
         return Err(RouteFault::LatencyObjective);
     }
     Ok(deadline_ms)
 }
 
-/// The request class of a route.
-fn request_class(line: &RouteConfig, deadline_ms: f64, idempotency: Idempotency) -> RequestClass {
+fn request_class(config: &RouteConfig, deadline_ms: f64, idempotency: Idempotency) -> RequestClass {
     RequestClass {
-        latency_objective: micros_from_ms(line.latency_objective_ms),
+        latency_objective: micros_from_ms(config.latency_objective_ms),
         latency_stretch: 0.0,
         deadline: micros_from_ms(deadline_ms),
         idempotency,
         key_scope: KeyScope::All,
-        key_window: micros_from_ms(line.key_window_ms),
+        key_window: micros_from_ms(config.key_window_ms),
         priority_weight: 1.0,
         fresh_lifetime: 0,
         stale_while_revalidate: 0,
@@ -154,7 +154,7 @@
     }
 }
 
-/// The decision module's settings for a pool: one proxy has all the backends' capacity, the backends are warm from the start,
+/// The policy settings of a pool: this proxy may use the backends' whole capacity, there is no slow start,
 /// and nothing is cached.
 fn policy_settings(pool: &PoolConfig, classes: Vec<RequestClass>) -> PolicySettings {
     let warm =
--- a/src/grpc/status/tests.rs
+++ b/src/grpc/status/tests.rs
@@ -3,25 +3,25 @@
 const ALL: [Idempotency; 3] = [Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent];
 
 #[test]
-fn codes_are_read_and_named() {
-    for n in 0..CODES as u64 {
-        let code = Code::of(n);
+fn status_codes_are_parsed_and_named() {
+    for n in 0..CODE_COUNT as u64 {
+        let code = Code::from_number(n);
         assert_eq!(Code::parse(n.to_string().as_bytes()), Some(code));
-        assert_eq!(Code::named(code.name()), Some(code));
+        assert_eq!(Code::from_name(code.name()), Some(code));
     }
-    assert_eq!(Code::parse(b"17"), Some(Code::UNKNOWN), "a number that nobody knows");
+    assert_eq!(Code::parse(b"17"), Some(Code::UNKNOWN), "an undefined number");
     for bad in [&b""[..], b"x", b"-1", b"1 ", b"00000000001", b"\xff"] {
         assert_eq!(Code::parse(bad), None);
     }
-    assert_eq!(message("50% of caf\u{e9}\n"), "50%25 of caf%C3%A9%0A");
+    assert_eq!(encode_message("50% of caf\u{e9}\n"), "50%25 of caf%C3%A9%0A");
     assert_eq!(Pushback::parse(b"250"), Pushback::After(250.0));
     assert_eq!((Pushback::parse(b"-1"), Pushback::parse(b"soon")), (Pushback::Never, Pushback::Never));
 }
 
-/// Guards the rule that what may have run is never sent twice: whatever the end, a method that may run once
-/// only goes on after ends that surely came before it ran.
+/// Guards against executing a call twice: a non-idempotent method is retried only if the backend surely did
+/// not process the request.
 #[test]
-fn an_unsafe_method_goes_on_only_where_nothing_ran() {
+fn non_idempotent_methods_are_retried_only_if_surely_unprocessed() {
     let mut ends = vec![
         AttemptEnd::Reset(7),
         AttemptEnd::Reset(8),
@@ -30,9 +30,9 @@
         AttemptEnd::Malformed,
         AttemptEnd::TimedOut,
     ];
-    ends.extend((0..17).map(|n| AttemptEnd::Status(Code::of(n), None)));
+    ends.extend((0..17).map(|n| AttemptEnd::Status(Code::from_number(n), None)));
     ends.extend([200, 400, 404, 429, 500, 503].map(AttemptEnd::HttpStatus));
-    let all: Vec<Code> = (0..17).map(Code::of).collect();
+    let all: Vec<Code> = (0..17).map(Code::from_number).collect();
     for end in &ends {
         let classified = classify(*end, false, Idempotency::NotIdempotent, &all);
         assert!(!classified.retryable && !classified.outcome.never_ran(), "{end:?}: {classified:?}");
@@ -47,11 +47,11 @@
     }
 }
 
-/// Every status code, trailers-only and after data: only OK is served.
+/// Guards against ejecting backends for errors that the client caused.
 #[test]
-fn only_ok_is_served_and_the_callers_own_errors_leave_the_backend_alone() {
+fn only_ok_counts_as_served_and_client_errors_do_not_count_against_backends() {
     for (n, committed) in (0..17).flat_map(|n| [(n, false), (n, true)]) {
-        let code = Code::of(n);
+        let code = Code::from_number(n);
         let classified = classify(
             AttemptEnd::Status(code, None),
             committed,
@@ -59,13 +59,13 @@
             &[Code::UNAVAILABLE],
         );
         assert_eq!(classified.outcome == AttemptOutcome::Served, code == Code::OK, "{code:?}");
-        assert_eq!(classified.outcome == AttemptOutcome::Cancelled, code.is_callers(), "{code:?}");
+        assert_eq!(classified.outcome == AttemptOutcome::Cancelled, code.is_client_error(), "{code:?}");
         assert_eq!(classified.retryable, code == Code::UNAVAILABLE && !committed);
         assert_eq!(classified.code, code);
     }
     let end = AttemptEnd::Status(Code::UNAVAILABLE, Some(Pushback::After(50.0)));
     assert!(
         !classify(end, false, Idempotency::Idempotent, &[Code::UNAVAILABLE]).retryable,
-        "it said when to come back"
+        "a pushback leaves the retry to the client"
     );
 }
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -1,5 +1,5 @@
-//! Connections to backends: HTTP/2 by the `h2` crate, one task each. [`Connections`] decides which connection a call goes
-//! onto, and when another one is opened, as for the endpoints of the other fronts.
+//! HTTP/2 connections to backends, with one task each. [`Connections`] assigns calls to connections and
+//! decides when to open another one, as for the endpoints of the other fronts.
 
 use super::flow_control::connection_window_bytes;
 use super::limits::GrpcLimits;
@@ -18,20 +18,20 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::timeout;
 
-/// A connection's state, as calls that wait for it see it.
+/// The state of a connection, watched by the calls assigned to it.
 #[derive(Clone)]
-enum State {
+enum ConnectionState {
     Connecting,
     Up(SendRequest<Bytes>),
-    /// It was not established, or has ended; `local` where the cause is this machine.
+    /// The connection was not established or has ended. `local` means that the cause is not the backend.
     Down {
         local: bool,
     },
 }
 
 struct ConnectionHandle {
-    state: watch::Receiver<State>,
-    /// Notified when it has no open streams and gets no new ones.
+    state: watch::Receiver<ConnectionState>,
+    /// Notified to close the connection.
     close: Rc<Notify>,
 }
 
@@ -41,20 +41,20 @@
     limits: GrpcLimits,
     connections: RefCell<Connections>,
     handles: RefCell<HashMap<ConnectionId, ConnectionHandle>>,
-    /// The ids under which the connections of an address are kept.
+    /// The endpoint id of each address in `connections`.
     addresses: RefCell<HashMap<SocketAddr, EndpointId>>,
 }
 
-/// A call's permit for a stream on a connection, returned when it is dropped.
+/// A call's reservation of a stream on a connection, released on drop.
 pub struct StreamPermit {
     upstream: Rc<Upstream>,
     conn: ConnectionId,
     call: u64,
-    state: watch::Receiver<State>,
+    state: watch::Receiver<ConnectionState>,
 }
 
 impl Upstream {
-    /// No connections.
+    /// Creates a manager without connections.
     pub fn new(clock: Clock, limits: GrpcLimits, connection_limits: ConnectionLimits) -> Rc<Self> {
         Rc::new(Self {
             clock,
@@ -65,7 +65,7 @@
         })
     }
 
-    /// How many connections there are.
+    /// The number of connections, including those being established.
     pub fn len(&self) -> usize {
         self.connections.borrow().len()
     }
@@ -81,7 +81,8 @@
         *addresses.entry(address).or_insert(next)
     }
 
-    /// Reserves a stream on a connection to a backend for a call; none where all connections are full.
+    /// Reserves a stream on a connection to a backend, opening a connection if needed. Returns `None` if the
+    /// connection limits are reached.
     pub fn reserve_stream(
         self: &Rc<Self>,
         address: SocketAddr,
@@ -101,13 +102,13 @@
             Placement::Unavailable => return None,
             Placement::Existing(conn) => conn,
             Placement::New(conn) => {
-                let (sender, state) = watch::channel(State::Connecting);
+                let (sender, state) = watch::channel(ConnectionState::Connecting);
                 let close = Rc::new(Notify::new());
                 self.handles.borrow_mut().insert(conn, ConnectionHandle { state, close: close.clone() });
-                let own = self.clone();
+                let upstream = self.clone();
                 tokio::task::spawn_local(async move {
-                    let _guard = ConnectionGuard { upstream: own.clone(), conn };
-                    own.drive(conn, address, sender, close).await;
+                    let _guard = ConnectionGuard { upstream: upstream.clone(), conn };
+                    upstream.run_connection(conn, address, sender, close).await;
                 });
                 conn
             }
@@ -119,7 +120,7 @@
         Some(StreamPermit { upstream: self.clone(), conn, call, state })
     }
 
-    /// A backend accepts no new calls: its connections are closed once they have no open streams.
+    /// Stops using a backend: its connections are closed once they have no open streams.
     pub fn retire(&self, address: SocketAddr) {
         let Some(backend) = self.addresses.borrow().get(&address).copied() else { return };
         for (conn, c) in self.connections.borrow_mut().iter_mut().filter(|(_, c)| c.endpoint == backend) {
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Closes connections that were idle for `idle_ms`.
-    pub fn tidy(&self, idle_ms: f64) {
+    /// Closes connections that were idle for longer than `idle_ms`.
+    pub fn close_idle(&self, idle_ms: f64) {
         let now = self.clock.now();
         for (conn, c) in self.connections.borrow_mut().iter_mut() {
             c.closing |= c.up && c.load() == 0 && now - c.used_ms > idle_ms;
@@ -145,21 +146,21 @@
         }
     }
 
-    /// A connection accepts no new streams any more.
+    /// Marks a connection that accepts no more streams.
     fn mark_exhausted(&self, conn: ConnectionId) {
         if let Some(c) = self.connections.borrow_mut().get_mut(conn) {
             c.closing = true;
         }
     }
 
-    async fn drive(
+    async fn run_connection(
         &self,
         conn: ConnectionId,
         address: SocketAddr,
-        sender: watch::Sender<State>,
+        sender: watch::Sender<ConnectionState>,
         close: Rc<Notify>,
     ) {
-        let open = async {
+        let connect = async {
             let stream = TcpStream::connect(address).await.map_err(|e| is_local(&e))?;
             let _ = stream.set_nodelay(true);
             let limits = &self.limits;
@@ -172,31 +173,32 @@
                 .max_send_buffer_size(limits.window_bytes as usize);
             builder.handshake::<_, Bytes>(stream).await.map_err(|_| false)
         };
-        let (send, mut connection) = match timeout(duration_from_ms(self.limits.connect_ms), open).await {
+        let (send, mut connection) = match timeout(duration_from_ms(self.limits.connect_ms), connect).await {
             Ok(Ok(up)) => up,
-            Ok(Err(local)) => return drop(sender.send(State::Down { local })),
-            Err(_) => return drop(sender.send(State::Down { local: false })),
+            Ok(Err(local)) => return drop(sender.send(ConnectionState::Down { local })),
+            Err(_) => return drop(sender.send(ConnectionState::Down { local: false })),
         };
         let ping = connection.ping_pong();
         if let Some(c) = self.connections.borrow_mut().get_mut(conn) {
             c.up = true;
         }
-        let _ = sender.send(State::Up(send));
+        let _ = sender.send(ConnectionState::Up(send));
         tokio::select! {
             ended = &mut connection => if let Err(error) = ended {
-                tracing::debug!(%address, %error, "gRPC: a backend's connection ended");
+                tracing::debug!(%address, %error, "gRPC backend connection ended with an error");
             },
-            () = self.ping_until_silent(ping) => {
-                tracing::warn!(%address, "gRPC: a backend's connection fell silent");
+            () = self.ping_until_unanswered(ping) => {
+                tracing::warn!(%address, "gRPC backend connection closed: no response to a keepalive ping");
             }
             () = close.notified() => {}
         }
-        // Dropping the connection ends its open streams as lost.
-        let _ = sender.send(State::Down { local: false });
+        // Dropping the connection ends its open streams with an error.
+        let _ = sender.send(ConnectionState::Down { local: false });
     }
 
-    /// Sends pings until one is not answered in time, so that long streams do not wait on a path that is dead.
-    async fn ping_until_silent(&self, ping: Option<h2::PingPong>) {
+    /// Sends keepalive pings, and returns when one is not answered in time. Detects dead connections under
+    /// long streams.
+    async fn ping_until_unanswered(&self, ping: Option<h2::PingPong>) {
         let Some(mut ping) = ping else { return std::future::pending().await };
         loop {
             tokio::time::sleep(duration_from_ms(self.limits.keepalive_ms)).await;
@@ -205,7 +207,7 @@
                     .await;
             match answer {
                 Ok(Ok(_)) => {}
-                // The connection's own future reports this error.
+                // The connection's future reports this error.
                 Ok(Err(_)) => return std::future::pending().await,
                 Err(_) => return,
             }
@@ -213,7 +215,7 @@
     }
 }
 
-/// Removes a connection when its task ends, also by a panic.
+/// Removes a connection when its task ends, even by a panic.
 struct ConnectionGuard {
     upstream: Rc<Upstream>,
     conn: ConnectionId,
@@ -226,16 +228,16 @@
     }
 }
 
-/// A connection on which a call cannot be sent.
+/// The reason why a connection cannot be used for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectionError {
-    /// It was not established; `local` where the cause is this machine.
+    /// The connection was not established or has ended.
     #[error("the connection was not established")]
     NotConnected {
-        /// The cause is an error of this machine.
+        /// Whether the cause is local and not the backend.
         local: bool,
     },
-    /// It was established and accepts no more streams, which is no fault of the backend.
+    /// The connection accepts no more streams, which is not an error of the backend.
     #[error("the connection accepts no more streams")]
     Exhausted,
 }
@@ -246,9 +248,9 @@
         let send = loop {
             let state = self.state.borrow_and_update().clone();
             match state {
-                State::Up(send) => break send,
-                State::Down { local } => return Err(ConnectionError::NotConnected { local }),
-                State::Connecting => {}
+                ConnectionState::Up(send) => break send,
+                ConnectionState::Down { local } => return Err(ConnectionError::NotConnected { local }),
+                ConnectionState::Connecting => {}
             }
             if self.state.changed().await.is_err() {
                 return Err(ConnectionError::NotConnected { local: false });
@@ -260,7 +262,7 @@
         })
     }
 
-    /// The connection accepts no more streams.
+    /// Marks the connection as accepting no more streams.
     pub fn connection_exhausted(&self) {
         self.upstream.mark_exhausted(self.conn);
     }
--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -1,9 +1,9 @@
-//! The decisions of gRPC pass-through without a socket: random calls, ends, lists and departures by fixed seeds, and
-//! what must hold whatever comes.
+//! The gRPC call table without I/O: invariants under random calls, attempt results, backend changes and
+//! disconnects from fixed seeds, and validation of the configuration file.
 
 use edge_proxy::engine::executor::Backend;
 use edge_proxy::grpc::call::{AttemptTarget, CallId, CallOutcome, Directive, NewCall};
-use edge_proxy::grpc::call_table::{Bounds, CallTable};
+use edge_proxy::grpc::call_table::{CallTable, CallTableLimits};
 use edge_proxy::grpc::config::GrpcConfig;
 use edge_proxy::grpc::routes::{MethodKind, Route};
 use edge_proxy::grpc::status::{AttemptEnd, Code, Pushback};
@@ -13,7 +13,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-fn config() -> (CallTable, Vec<Rc<Route>>) {
+fn call_table_and_routes() -> (CallTable, Vec<Rc<Route>>) {
     let routes = [("safe", ""), ("never", ""), ("keyed", r#","key":"x-key","key_window_ms":900"#)];
     let routes = routes.iter().flat_map(|(repeat, more)| {
         ["unary", "stream"].map(|kind| {
@@ -35,8 +35,8 @@
     let config = GrpcConfig::read(&file).unwrap();
     let _ = std::fs::remove_file(&file);
     let (routes, pools) = config.compile().unwrap();
-    let bounds = Bounds { calls: 40, replay_total: 5_000 };
-    (CallTable::new(pools, bounds, 9), routes.all().iter().cloned().map(Rc::new).collect())
+    let limits = CallTableLimits { open_calls: 40, replay_bytes: 5_000 };
+    (CallTable::new(pools, limits, 9), routes.routes().iter().cloned().map(Rc::new).collect())
 }
 
 fn backends(live: &[bool]) -> Vec<Backend> {
@@ -49,84 +49,98 @@
     live.iter().enumerate().map(backend).collect()
 }
 
-struct Open {
+struct OpenCall {
     route: Rc<Route>,
-    start: AttemptTarget,
-    began: f64,
-    allowed: f64,
+    target: AttemptTarget,
+    started_ms: f64,
+    allowed_ms: f64,
     committed: bool,
     may_have_run: bool,
     attempts: u32,
     replayable: bool,
 }
 
-/// A random day. Returns the outcomes by kind, so that a day that never does something is seen.
-fn day(seed: u64) -> HashMap<String, u32> {
+/// Runs a random sequence of events and checks the invariants. Returns how often each kind of end occurred.
+fn run_random_events(seed: u64) -> HashMap<String, u32> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let (mut calls, routes) = config();
+    let (mut calls, routes) = call_table_and_routes();
     let mut live = vec![true; 4];
     let mut now = 1e6;
     calls.set_backends(now, 0, &backends(&live));
-    let mut open: HashMap<CallId, Open> = HashMap::new();
-    let (mut begun, mut ended, mut left, mut seen) = (0u64, 0u64, 0u64, HashMap::<String, u32>::new());
+    let mut open: HashMap<CallId, OpenCall> = HashMap::new();
+    let (mut started, mut ended, mut disconnected, mut end_counts) =
+        (0u64, 0u64, 0u64, HashMap::<String, u32>::new());
     for step in 0..4_000 {
         now += rng.random_range(0.0..20.0);
         let ids: Vec<CallId> = open.keys().copied().collect();
-        let some = (!ids.is_empty()).then(|| ids[rng.random_range(0..ids.len())]);
-        // What a directive means for a call: another attempt, or its one end.
-        let mut follow =
-            |open: &mut HashMap<CallId, Open>, id, mut call: Open, directive, live: &[bool], over: bool| {
-                match directive {
-                    Directive::StartAttempt(start) => {
-                        assert!(!call.committed, "a committed call was sent again");
-                        assert!(live[start.backend as usize], "a drained backend was named");
-                        assert!(
-                            call.route.idempotency != Idempotency::NotIdempotent || !call.may_have_run,
-                            "what may have run was sent again"
-                        );
-                        assert!(call.replayable, "a request that was not kept was sent again");
-                        assert!(!over, "an attempt after the call's time");
-                        assert_eq!(start.attempt, call.attempts, "attempts are numbered in order");
-                        call.attempts += 1;
-                        assert!(call.attempts <= 3, "more attempts than the pool allows");
-                        call.start = start;
-                        open.insert(id, call);
-                        false
-                    }
-                    Directive::ForwardStatus { outcome, .. } => {
-                        *seen.entry(format!("pass {outcome:?}")).or_default() += 1;
-                        true
-                    }
-                    Directive::Respond(answer) => {
-                        assert_ne!(answer.code, Code::OK, "an answer of the proxy's own is never OK");
-                        let unsafe_ran =
-                            call.route.idempotency == Idempotency::NotIdempotent && call.may_have_run;
-                        assert!(
-                            !unsafe_ran || answer.outcome != CallOutcome::Rejected,
-                            "what may have run was called refused: {answer:?}"
-                        );
-                        *seen.entry(format!("answer {:?}", answer.outcome)).or_default() += 1;
-                        true
-                    }
+        let chosen = (!ids.is_empty()).then(|| ids[rng.random_range(0..ids.len())]);
+        // Checks a directive against the state of its call. Returns whether it ends the call.
+        let mut check_directive = |open: &mut HashMap<CallId, OpenCall>,
+                                   id,
+                                   mut call: OpenCall,
+                                   directive,
+                                   live: &[bool],
+                                   past_deadline: bool| {
+            match directive {
+                Directive::StartAttempt(target) => {
+                    assert!(!call.committed, "a committed call was retried");
+                    assert!(live[target.backend as usize], "a draining backend was chosen");
+                    assert!(
+                        call.route.idempotency != Idempotency::NotIdempotent || !call.may_have_run,
+                        "a non-idempotent call was retried although it may have been processed"
+                    );
+                    assert!(call.replayable, "a request that was not buffered was retried");
+                    assert!(!past_deadline, "an attempt was started after the deadline");
+                    assert_eq!(target.attempt, call.attempts, "attempts are numbered consecutively");
+                    call.attempts += 1;
+                    assert!(call.attempts <= 3, "the attempt limit was exceeded");
+                    call.target = target;
+                    open.insert(id, call);
+                    false
+                }
+                Directive::ForwardStatus { outcome, .. } => {
+                    *end_counts.entry(format!("forwarded {outcome:?}")).or_default() += 1;
+                    true
+                }
+                Directive::Respond(status) => {
+                    assert_ne!(status.code, Code::OK, "the proxy never generates OK");
+                    let unsafe_ran =
+                        call.route.idempotency == Idempotency::NotIdempotent && call.may_have_run;
+                    assert!(
+                        !unsafe_ran || status.outcome != CallOutcome::Rejected,
+                        "a call that may have been processed was reported as rejected: {status:?}"
+                    );
+                    *end_counts.entry(format!("generated {:?}", status.outcome)).or_default() += 1;
+                    true
                 }
-            };
+            }
+        };
         match rng.random_range(0..10) {
             0..=3 if step < 3_600 => {
                 let route = routes[rng.random_range(0..routes.len())].clone();
                 let timeout_ms = (rng.random_range(0..3) > 0).then(|| rng.random_range(1.0..4_000.0));
-                let new = NewCall { route: route.clone(), object: None, timeout_ms, received_ms: now };
-                let allowed = new.allowed_ms();
+                let new = NewCall { route: route.clone(), affinity_hash: None, timeout_ms, received_ms: now };
+                let allowed_ms = new.allowed_ms();
                 assert!(
-                    allowed <= 3_000.0 && timeout_ms.is_none_or(|t| allowed <= t),
-                    "a deadline was stretched"
+                    allowed_ms <= 3_000.0 && timeout_ms.is_none_or(|t| allowed_ms <= t),
+                    "a deadline was extended"
                 );
                 let (id, directive) = calls.begin(now, new);
-                begun += 1;
-                let start = AttemptTarget { attempt: 0, backend: 0, address: "127.0.0.1:1".parse().unwrap() };
+                started += 1;
+                let target =
+                    AttemptTarget { attempt: 0, backend: 0, address: "127.0.0.1:1".parse().unwrap() };
                 let (committed, may_have_run, attempts, replayable) = (false, false, 0, true);
-                let call =
-                    Open { route, start, began: now, allowed, committed, may_have_run, attempts, replayable };
-                ended += u64::from(follow(&mut open, id, call, directive, &live, false));
+                let call = OpenCall {
+                    route,
+                    target,
+                    started_ms: now,
+                    allowed_ms,
+                    committed,
+                    may_have_run,
+                    attempts,
+                    replayable,
+                };
+                ended += u64::from(check_directive(&mut open, id, call, directive, &live, false));
             }
             4 => {
                 let k = rng.random_range(0..live.len());
@@ -134,35 +148,38 @@
                 calls.set_backends(now, 0, &backends(&live));
             }
             5 => {
-                let Some(id) = some.filter(|_| rng.random_range(0..3) == 0) else { continue };
+                let Some(id) = chosen.filter(|_| rng.random_range(0..3) == 0) else { continue };
                 open.remove(&id);
                 calls.client_disconnected(now, id);
-                left += 1;
+                disconnected += 1;
             }
             6 => {
-                let Some(id) = some else { continue };
+                let Some(id) = chosen else { continue };
                 let call = open.get_mut(&id).unwrap();
-                let most = 800;
-                call.replayable &= calls.reserve_replay(id, rng.random_range(1..500), most);
-                assert!(calls.replay_bytes() <= 5_000, "more is kept than the bound");
+                let max_bytes = 800;
+                call.replayable &= calls.reserve_replay(id, rng.random_range(1..500), max_bytes);
+                assert!(calls.replay_bytes() <= 5_000, "the retry buffer limit was exceeded");
             }
             7 => {
-                let Some(id) = some else { continue };
+                let Some(id) = chosen else { continue };
                 let call = open.get_mut(&id).unwrap();
                 call.committed = true;
-                calls.committed(now, id);
+                calls.commit(now, id);
             }
             _ => {
-                let Some(id) = some else { continue };
+                let Some(id) = chosen else { continue };
                 let mut call = open.remove(&id).unwrap();
-                let may_start = calls.may_start(now, id);
-                if let Some(left) = may_start {
-                    assert!(live[call.start.backend as usize], "an attempt may start at a drained backend");
-                    assert!(left <= call.began + call.allowed - now + 1e-6, "more time than the call has");
+                let remaining_ms = calls.remaining_attempt_ms(now, id);
+                if let Some(remaining_ms) = remaining_ms {
+                    assert!(live[call.target.backend as usize], "an attempt may start at a draining backend");
+                    assert!(
+                        remaining_ms <= call.started_ms + call.allowed_ms - now + 1e-6,
+                        "an attempt got more time than its call has"
+                    );
                 }
-                let over = now >= call.began + call.allowed;
+                let past_deadline = now >= call.started_ms + call.allowed_ms;
                 let ends = [
-                    AttemptEnd::Status(Code::of(rng.random_range(0..17)), None),
+                    AttemptEnd::Status(Code::from_number(rng.random_range(0..17)), None),
                     AttemptEnd::Status(Code::OK, None),
                     AttemptEnd::Status(Code::UNAVAILABLE, Some(Pushback::After(100.0))),
                     AttemptEnd::HttpStatus(503),
@@ -184,19 +201,19 @@
                 {
                     end = AttemptEnd::ConnectionLost;
                 }
-                if over {
+                if past_deadline {
                     end = AttemptEnd::TimedOut;
                 }
-                let never = matches!(
+                let unprocessed = matches!(
                     end,
                     AttemptEnd::NotSent | AttemptEnd::NoConnection { .. } | AttemptEnd::Unprocessed
                 );
-                call.may_have_run |= !never;
+                call.may_have_run |= !unprocessed;
                 let directive = calls.attempt_ended(now, id, end);
                 if call.committed {
                     assert!(
                         !matches!(directive, Directive::StartAttempt(_)),
-                        "a committed call goes on: {end:?}"
+                        "a committed call was retried: {end:?}"
                     );
                 }
                 if end == AttemptEnd::Status(Code::OK, None) {
@@ -204,48 +221,58 @@
                         Directive::ForwardStatus { outcome: CallOutcome::Served, retry_after_ms: None };
                     assert_eq!(directive, served);
                 }
-                ended += u64::from(follow(&mut open, id, call, directive, &live, over));
+                ended += u64::from(check_directive(&mut open, id, call, directive, &live, past_deadline));
             }
         }
-        assert_eq!(calls.open(), open.len(), "each call is open until its one end");
+        assert_eq!(calls.open_calls(), open.len(), "a call is open until its end");
     }
-    assert_eq!(begun, ended + left + open.len() as u64, "each call ends once");
+    assert_eq!(started, ended + disconnected + open.len() as u64, "a call ends exactly once");
     for (id, _) in open {
         calls.client_disconnected(now, id);
     }
-    assert_eq!((calls.open(), calls.replay_bytes()), (0, 0), "nothing stays behind");
+    assert_eq!((calls.open_calls(), calls.replay_bytes()), (0, 0), "calls and buffers are released");
     let counters = &calls.pools()[0].counters;
-    assert_eq!(counters.outcomes.iter().sum::<u64>(), begun, "each call is counted once");
-    seen
+    assert_eq!(counters.outcomes.iter().sum::<u64>(), started, "a call is counted exactly once");
+    end_counts
 }
 
 #[test]
-fn random_days_keep_the_rules_of_calls() {
+fn random_event_sequences_preserve_the_invariants_of_calls() {
     let mut all = HashMap::<String, u32>::new();
     for seed in 0..20 {
-        day(seed).into_iter().for_each(|(what, n)| *all.entry(what).or_default() += n);
+        run_random_events(seed).into_iter().for_each(|(what, n)| *all.entry(what).or_default() += n);
     }
-    for what in ["pass Served", "pass Rejected", "pass Failed", "answer Rejected", "answer Failed"] {
+    for what in [
+        "forwarded Served",
+        "forwarded Rejected",
+        "forwarded Failed",
+        "generated Rejected",
+        "generated Failed",
+    ] {
         assert!(all.get(what).is_some_and(|n| *n > 20), "{what}: {all:?}");
     }
 }
 
 #[test]
-fn a_stream_is_judged_by_its_beginning_and_an_attempt_by_its_own_time() {
-    let (mut calls, routes) = config();
+fn streams_time_out_at_the_deadline_and_long_ones_eject_no_backend() {
+    let (mut calls, routes) = call_table_and_routes();
     calls.set_backends(0.0, 0, &backends(&[true, true]));
     let route =
         |kind, repeat| routes.iter().find(|r| r.kind == kind && r.idempotency == repeat).unwrap().clone();
-    let new =
-        |route: Rc<Route>| NewCall { route, object: Some(7), timeout_ms: Some(2_000.0), received_ms: 0.0 };
-    // A unary attempt is given up before the call is; a stream's is not.
+    let new = |route: Rc<Route>| NewCall {
+        route,
+        affinity_hash: Some(7),
+        timeout_ms: Some(2_000.0),
+        received_ms: 0.0,
+    };
+    // Only a unary attempt has a timeout before the call's deadline.
     let (unary, _) = calls.begin(0.0, new(route(MethodKind::Unary, Idempotency::Idempotent)));
     let (stream, _) = calls.begin(0.0, new(route(MethodKind::Stream, Idempotency::Idempotent)));
-    assert!(calls.due_ms(unary) < 1_900.0, "{}", calls.due_ms(unary));
-    assert_eq!(calls.due_ms(stream), 1_960.0, "the client's time, less the way back");
-    calls.committed(50.0, unary);
-    assert_eq!(calls.due_ms(unary), 1_960.0, "once its response has begun it has the call's time");
-    // Long streams leave their backends in good standing: none of the later ones goes elsewhere.
+    assert!(calls.timeout_at_ms(unary) < 1_900.0, "{}", calls.timeout_at_ms(unary));
+    assert_eq!(calls.timeout_at_ms(stream), 1_960.0, "the client timeout less the return margin");
+    calls.commit(50.0, unary);
+    assert_eq!(calls.timeout_at_ms(unary), 1_960.0, "a committed attempt has until the call's deadline");
+    // The duration of streams does not get their backends ejected.
     for n in 0..50 {
         let now = f64::from(n) * 10_000.0;
         let new = NewCall {
@@ -254,16 +281,16 @@
             ..new(route(MethodKind::Stream, Idempotency::Idempotent))
         };
         let (id, directive) = calls.begin(now, new);
-        let Directive::StartAttempt(start) = directive else { panic!("{directive:?}") };
-        calls.committed(now + 5.0, id);
+        let Directive::StartAttempt(target) = directive else { panic!("{directive:?}") };
+        calls.commit(now + 5.0, id);
         let end = calls.attempt_ended(now + 2_900.0, id, AttemptEnd::Status(Code::OK, None));
         assert!(matches!(end, Directive::ForwardStatus { outcome: CallOutcome::Served, .. }));
-        assert_eq!((start.attempt, calls.pools()[0].avoided_backends(now)), (0, 0), "stream {n}");
+        assert_eq!((target.attempt, calls.pools()[0].ejected_backends(now)), (0, 0), "stream {n}");
     }
 }
 
 #[test]
-fn files_that_cannot_work_are_refused_with_the_field() {
+fn invalid_files_are_rejected_with_the_name_of_the_field() {
     let check = |text: &str| {
         let file = std::env::temp_dir().join(format!("calicobeam-grpc-bad-{}.json", std::process::id()));
         std::fs::write(&file, text).unwrap();
@@ -280,7 +307,7 @@
         (file(r#""backends":[]"#, route, ""), "either `backends` or `roster`"),
         (
             file(r#""backends":[{"address":"127.0.0.1:2"},{"address":"127.0.0.1:2"}]"#, route, ""),
-            "comes twice",
+            "127.0.0.1:2 is listed more than once",
         ),
         (file(r#""backends":[{"address":"127.0.0.1:2","weight":0}]"#, route, ""), "weight"),
         (file(r#""backends":[{"address":"example:2"}]"#, route, ""), "pools"),
@@ -297,6 +324,6 @@
         (file(pool, route, r#","tenant_header":"a b""#), "tenant_header"),
     ] {
         let reason = check(&text).expect_err(&text);
-        assert!(reason.contains(word), "{reason} does not name {word}");
+        assert!(reason.contains(word), "{reason:?} does not contain {word:?}");
     }
 }
