--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-async fn open(name: &str) -> (Site, SocketAddr, SocketAddr) {
-    let site = Site::start(name).await;
+async fn open(name: &str) -> (TestProxy, SocketAddr, SocketAddr) {
+    let site = TestProxy::start(name).await;
     let store = MaintenanceFile::at(folder(name).join("maintenance.json"));
     let front: Rc<dyn Front> = Rc::new(AdminFront::new(Box::new(move |host: &_| store.write(host))));
     let calls = site.open(front).await;
@@ -68,7 +68,7 @@
     run(async {
         let (site, at, calls) = open("figures").await;
         clips(at, 1..4).await;
-        site.all(says("EIO"));
+        site.script_all(reply_status("EIO"));
         let failed = ask(at, "GET", "/ops/clip/00000000000000aa", &headers(9)).await.status;
         assert_eq!(failed, 503, "a safe request is refused once its attempts are spent");
         let text = String::from_utf8(ask(calls, "GET", "/stats", "").await.body).unwrap();
@@ -79,7 +79,7 @@
         assert_eq!(figure("app_ok_total{kind=\"clip\"}"), 3);
         assert_eq!(figure("app_shed_total{kind=\"clip\"}"), 1);
         assert_eq!(figure("app_errors_total{kind=\"clip\"}"), 0);
-        assert_eq!(figure("app_tries_total{kind=\"clip\"}"), site.asked_in_all() as u64);
+        assert_eq!(figure("app_tries_total{kind=\"clip\"}"), site.total_requests() as u64);
         assert_eq!(figure("app_ok_total{kind=\"post\"}"), 0);
         assert_eq!((figure("app_active"), figure("app_pool_size")), (0, 2));
         assert_eq!((figure("app_config_applied_total"), figure("app_config_rejected_total")), (0, 0));
@@ -97,11 +97,11 @@
         let (site, at, calls) = open("maintenance").await;
         let (first, parent) = (CACHES[0], PARENT);
         clips(at, 1..20).await;
-        assert!(site.asked(first) > 0);
+        assert!(site.request_count(first) > 0);
         for id in [first, parent] {
             ask(calls, "POST", &format!("/pop-caches/s-{id:08x}/maint"), "").await;
         }
-        let (before, later) = (site.asked(first), site.asked(CACHES[1]));
+        let (before, later) = (site.request_count(first), site.request_count(CACHES[1]));
         // The list names it as ready once more.
         let line = edge_proxy::endpoint_list::EndpointRecord {
             zone: "town".into(),
@@ -115,24 +115,24 @@
         let SocketAddr::V4(address) = site.endpoints[&first].address else { panic!() };
         let targets = vec![edge_proxy::endpoint_list::ListedEndpoint { record: line, address }];
         let news = edge_proxy::endpoint_list::WatchEvent::Endpoints { full: false, endpoints: targets };
-        site.host.with(|engine| {
+        site.executor.with(|engine| {
             engine.apply_event(edge_proxy::endpoint_list::Sequenced { number: 99, event: news })
         });
         clips(at, 100..120).await;
-        assert_eq!(site.asked(first), before);
-        let asked = site.endpoints[&CACHES[1]].asked.borrow()[later..].to_vec();
+        assert_eq!(site.request_count(first), before);
+        let asked = site.endpoints[&CACHES[1]].requests.borrow()[later..].to_vec();
         assert!(asked.len() >= 20 && asked.iter().all(|fields| fields["next"] != "s-000000a0"));
         // Another process of this proxy takes that over.
-        let other = Site::start("maintenance_other").await;
+        let other = TestProxy::start("maintenance_other").await;
         let store = MaintenanceFile::at(folder("maintenance").join("maintenance.json"));
-        store.load(&other.host);
-        assert!(other.host.with(|engine| engine.maintenance().is_out(first)));
-        site.pass(10_000.0);
+        store.load(&other.executor);
+        assert!(other.executor.with(|engine| engine.maintenance().is_out(first)));
+        site.advance_clock(10_000.0);
         ask(calls, "POST", &format!("/pop-caches/s-{first:08x}/ready"), "").await;
         clips(at, 200..260).await;
-        let back = site.asked(first) - before;
+        let back = site.request_count(first) - before;
         assert!((1..20).contains(&back), "a part of its slice, not all at once: {back} of 60");
-        store.load(&other.host);
-        assert!(!other.host.with(|engine| engine.maintenance().is_out(first)));
+        store.load(&other.executor);
+        assert!(!other.executor.with(|engine| engine.maintenance().is_out(first)));
     });
 }
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -1,5 +1,5 @@
-//! The instants at which something ends on a client's or a member's connection: what is owed then, and that nothing
-//! else is lost. Real loopback connections; the bad order is forced by barriers, or by writing from outside the runtime.
+//! Races around the close of client and cache connections over loopback. The order of events is forced by
+//! waiting on counters, or by writing to blocking sockets between polls of the runtime.
 
 mod stand_ins;
 
@@ -12,7 +12,7 @@
 use socket2::SockRef;
 use stand_ins::*;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream as Blocking};
+use std::net::{SocketAddr, TcpStream as BlockingStream};
 use std::os::fd::AsFd;
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,14 +22,14 @@
 
 const CLIP: &str = "/ops/clip/7f3a9c21e0b4d655/slice-3";
 
-async fn open_with(name: &str, limits: ConnectionLimits) -> (Site, SocketAddr) {
-    let site = Site::start(name).await;
+async fn open_with(name: &str, limits: ConnectionLimits) -> (TestProxy, SocketAddr) {
+    let proxy = TestProxy::start(name).await;
     let front: Rc<dyn Front> = Rc::new(Platform::new(limits));
-    let at = site.open(front).await;
-    (site, at)
+    let at = proxy.open(front).await;
+    (proxy, at)
 }
 
-async fn open(name: &str) -> (Site, SocketAddr) {
+async fn open(name: &str) -> (TestProxy, SocketAddr) {
     open_with(name, limits(400)).await
 }
 
@@ -39,285 +39,285 @@
     )
 }
 
-fn dropped(site: &Site) -> usize {
-    site.endpoints.values().map(|m| m.dropped.borrow().len()).sum()
+fn cancelled_count(proxy: &TestProxy) -> usize {
+    proxy.endpoints.values().map(|m| m.cancelled_ids.borrow().len()).sum()
 }
 
-// ---- the client has left ----
+// ---- client disconnects ----
 
-/// What a client sent ahead of its answer must not hide that it left: before, one early request ended the reading.
+/// Bytes that a client sends ahead of its response must not hide its disconnect.
 #[test]
-fn a_client_that_leaves_behind_a_pipelined_request_or_stray_bytes_is_noticed() {
-    for (k, ahead) in [get(2), get(2) + &get(3), "GE".to_string(), "\r\n".to_string()].into_iter().enumerate()
+fn a_disconnect_after_a_pipelined_request_or_stray_bytes_is_detected() {
+    for (k, pipelined) in
+        [get(2), get(2) + &get(3), "GE".to_string(), "\r\n".to_string()].into_iter().enumerate()
     {
         run(async move {
-            let (site, at) = open(&format!("ahead{k}")).await;
-            site.all(silent());
+            let (proxy, at) = open(&format!("pipelined{k}")).await;
+            proxy.script_all(never_reply());
             let mut client = Client::connect(at).await;
             client.write(get(1).as_bytes()).await;
-            until(|| site.asked_in_all() == 1).await;
-            client.write(ahead.as_bytes()).await;
+            until(|| proxy.total_requests() == 1).await;
+            client.write(pipelined.as_bytes()).await;
             drop(client);
-            until(|| dropped(&site) == 1).await;
-            assert_eq!(site.host.with(|e| (e.counters.clients_disconnected, e.open_requests())), (1, 0));
-            assert_eq!(site.asked_in_all(), 1, "nothing of what came ahead is sent on");
+            until(|| cancelled_count(&proxy) == 1).await;
+            assert_eq!(proxy.executor.with(|e| (e.counters.clients_disconnected, e.open_requests())), (1, 0));
+            assert_eq!(proxy.total_requests(), 1, "pipelined requests are not forwarded");
         });
     }
 }
 
-/// The same where the client only ended its side: it reads no answer any more, as the platform's clients do.
+/// The platform's clients shut down their side only when they no longer read a response.
 #[test]
-fn a_half_closed_client_counts_as_gone_and_stray_bytes_do_not() {
+fn a_half_closed_client_counts_as_disconnected_and_stray_bytes_do_not() {
     run(async {
-        let (site, at) = open("half").await;
-        site.all(silent());
-        let mut stream = Blocking::connect(at).unwrap();
+        let (proxy, at) = open("half").await;
+        proxy.script_all(never_reply());
+        let mut stream = BlockingStream::connect(at).unwrap();
         stream.write_all(get(1).as_bytes()).unwrap();
-        until(|| site.asked_in_all() == 1).await;
+        until(|| proxy.total_requests() == 1).await;
         stream.write_all(b"\r\n\r\nGET").unwrap();
         tokio::task::yield_now().await;
         assert_eq!(
-            site.host.with(|e| (e.counters.clients_disconnected, e.open_requests())),
+            proxy.executor.with(|e| (e.counters.clients_disconnected, e.open_requests())),
             (0, 1),
-            "bytes are no leaving"
+            "stray bytes are no disconnect"
         );
         stream.shutdown(std::net::Shutdown::Write).unwrap();
-        until(|| dropped(&site) == 1).await;
-        assert_eq!(site.host.with(|e| e.counters.clients_disconnected), 1);
+        until(|| cancelled_count(&proxy) == 1).await;
+        assert_eq!(proxy.executor.with(|e| e.counters.clients_disconnected), 1);
     });
 }
 
-/// A request whose client was gone before it was read is never sent on: the client wrote and closed before the proxy's
-/// thread, which is this test's, could accept.
+/// The client writes and closes before the proxy, which runs on the test's thread, accepts the connection.
 #[test]
-fn a_request_of_a_client_that_is_gone_already_is_never_sent_on() {
+fn a_request_whose_client_closed_before_the_accept_is_not_forwarded() {
     run(async {
-        let (site, at) = open("gone_already").await;
+        let (proxy, at) = open("gone_already").await;
         for id in 1..=20 {
-            let mut stream = Blocking::connect(at).unwrap();
+            let mut stream = BlockingStream::connect(at).unwrap();
             stream.write_all(get(id).as_bytes()).unwrap();
         }
-        until(|| site.host.with(|e| e.counters.clients_disconnected) == 20).await;
-        assert_eq!((site.asked_in_all(), site.host.with(|e| e.counters.requests)), (0, 0));
+        until(|| proxy.executor.with(|e| e.counters.clients_disconnected) == 20).await;
+        assert_eq!((proxy.total_requests(), proxy.executor.with(|e| e.counters.requests)), (0, 0));
         assert_eq!(ask(at, "GET", "/alive", "").await.status, 200);
     });
 }
 
-/// A client that waits for its place, sends more behind its request than the machine holds for one that nobody reads, and
-/// closes: its end stands behind all that, and its request is never sent on once its turn comes.
+/// A client without a connection slot fills every socket buffer after its request and closes: the end of its
+/// stream, after all those bytes, must still be seen before its request is forwarded.
 #[test]
-fn a_client_that_left_behind_a_flood_before_its_turn_is_never_sent_on() {
-    for pipelines in [false, true] {
+fn a_request_whose_client_flooded_and_closed_while_queued_is_not_forwarded() {
+    for pipelining in [false, true] {
         run(async move {
-            let limits = ConnectionLimits { one_at_a_time: !pipelines, ..limits(1) };
-            let (site, at) = open_with(&format!("before_turn{pipelines}"), limits).await;
-            site.all(silent());
+            let limits = ConnectionLimits { one_at_a_time: !pipelining, ..limits(1) };
+            let (proxy, at) = open_with(&format!("before_turn{pipelining}"), limits).await;
+            proxy.script_all(never_reply());
             let mut first = Client::connect(at).await;
             first.write(get(1).as_bytes()).await;
-            until(|| site.asked_in_all() == 1).await;
-            // Accepted, and nothing read of it while the only place is taken.
-            let mut second = Blocking::connect(at).unwrap();
+            until(|| proxy.total_requests() == 1).await;
+            // Accepted by the kernel, and not read while the only slot is taken.
+            let mut second = BlockingStream::connect(at).unwrap();
             second.write_all(get(2).as_bytes()).unwrap();
             flood(&mut second).await;
             drop(second);
-            until(|| site.host.with(|e| e.counters.client_connections) == 2).await;
+            until(|| proxy.executor.with(|e| e.counters.client_connections) == 2).await;
             drop(first);
-            until(|| site.stop.open_or_lingering() == 0).await;
-            assert_eq!(site.host.with(|e| (e.counters.clients_disconnected, e.counters.requests)), (2, 1));
-            assert_eq!(site.asked_in_all(), 1);
+            until(|| proxy.shutdown.open_or_lingering() == 0).await;
+            assert_eq!(
+                proxy.executor.with(|e| (e.counters.clients_disconnected, e.counters.requests)),
+                (2, 1)
+            );
+            assert_eq!(proxy.total_requests(), 1);
         });
     }
 }
 
-/// A listener that completes no further connection: its queue is full, and a dial to it hangs until it gives up.
-fn hangs() -> (socket2::Socket, Vec<socket2::Socket>, SocketAddr) {
+/// A listener with a full backlog, to which a connect hangs until it times out.
+fn unresponsive_listener() -> (socket2::Socket, Vec<socket2::Socket>, SocketAddr) {
     let tcp = || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     let listener = tcp();
     listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     listener.listen(0).unwrap();
     let at = listener.local_addr().unwrap().as_socket().unwrap();
-    let fill = || {
+    let connect = || {
         let socket = tcp();
         socket.set_nonblocking(true).unwrap();
         let _ = socket.connect(&at.into());
         socket
     };
-    let filled = (0..4).map(|_| fill()).collect();
-    (listener, filled, at)
+    let pending = (0..4).map(|_| connect()).collect();
+    (listener, pending, at)
 }
 
-/// Clients that leave while the dial to their endpoint is under way, closed or reset, with a further request ahead or not:
-/// nothing is sent once the dial has failed, and nothing is owed.
+/// Clients close or reset, with or without a pipelined request, while the connect to their endpoint is
+/// pending: nothing is sent or retried once it fails.
 #[test]
-fn clients_that_leave_while_a_dial_hangs_have_nothing_sent_on() {
-    for (k, (ahead, reset)) in
+fn requests_of_clients_that_disconnect_during_a_hanging_connect_are_not_forwarded() {
+    for (k, (pipelined, reset)) in
         [(false, false), (false, true), (true, false), (true, true)].into_iter().enumerate()
     {
         run(async move {
-            let (site, at) = open(&format!("hanging{k}")).await;
-            let (_listener, _filled, cache) = hangs();
-            site.bulletin.state(CACHES[0], cache, 0, 0);
-            site.bulletin.state(CACHES[1], cache, 0, 2);
-            until(|| site.host.with(|e| e.last_event_number()) == 3).await;
-            // Two wait for the same dial.
-            let clients: Vec<Blocking> = (1..=2)
+            let (proxy, at) = open(&format!("hanging{k}")).await;
+            let (_listener, _pending, cache) = unresponsive_listener();
+            proxy.discovery.send_state(CACHES[0], cache, 0, 0);
+            proxy.discovery.send_state(CACHES[1], cache, 0, 2);
+            until(|| proxy.executor.with(|e| e.last_event_number()) == 3).await;
+            // Both wait for the same connect.
+            let clients: Vec<BlockingStream> = (1..=2)
                 .map(|id| {
-                    let mut stream = Blocking::connect(at).unwrap();
+                    let mut stream = BlockingStream::connect(at).unwrap();
                     stream.write_all(get(id).as_bytes()).unwrap();
-                    if ahead {
+                    if pipelined {
                         stream.write_all(get(10 + id).as_bytes()).unwrap();
                     }
                     stream
                 })
                 .collect();
-            until(|| site.host.with(|e| e.counters.attempts) == 2).await;
-            assert_eq!(site.host.with(|e| e.counters.connection_failures), 0, "the dial is under way");
+            until(|| proxy.executor.with(|e| e.counters.attempts) == 2).await;
+            assert_eq!(proxy.executor.with(|e| e.counters.connection_failures), 0, "the connect is pending");
             for stream in clients {
                 if reset {
                     SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
                 }
             }
-            until(|| site.host.with(|e| e.counters.clients_disconnected) == 2).await;
+            until(|| proxy.executor.with(|e| e.counters.clients_disconnected) == 2).await;
             assert_eq!(
-                site.host.with(|e| (e.open_requests(), e.counters.connection_failures)),
+                proxy.executor.with(|e| (e.open_requests(), e.counters.connection_failures)),
                 (0, 0),
-                "before the dial ends"
+                "before the connect fails"
             );
-            until(|| site.host.with(|e| e.counters.connection_failures) > 0).await;
+            until(|| proxy.executor.with(|e| e.counters.connection_failures) > 0).await;
             tokio::task::yield_now().await;
-            assert_eq!((site.asked_in_all(), site.host.with(|e| e.counters.attempts)), (0, 2));
+            assert_eq!((proxy.total_requests(), proxy.executor.with(|e| e.counters.attempts)), (0, 2));
         });
     }
 }
 
-/// Clients that leave behind others at an endpoint that never answers: each is called off at once, and an endpoint that fails
-/// afterwards is no cause for a further attempt.
+/// Requests of disconnected clients are cancelled at once, and are not retried when their endpoint fails
+/// afterwards.
 #[test]
-fn clients_that_left_get_no_further_attempt_when_their_member_fails() {
+fn requests_of_disconnected_clients_are_not_retried() {
     run(async {
-        let (site, at) = open("no_further").await;
-        site.all(silent());
+        let (proxy, at) = open("no_further").await;
+        proxy.script_all(never_reply());
         let mut clients = Vec::new();
         for id in 1..=12 {
             let mut client = Client::connect(at).await;
             client.write(get(id).as_bytes()).await;
             clients.push(client);
         }
-        until(|| site.asked_in_all() == 12).await;
-        let attempts = site.host.with(|e| e.counters.attempts);
+        until(|| proxy.total_requests() == 12).await;
+        let attempts = proxy.executor.with(|e| e.counters.attempts);
         drop(clients);
-        until(|| dropped(&site) == 12).await;
-        // Every time limit passes.
-        (0..40).for_each(|_| site.pass(100.0));
-        until(|| site.host.with(|e| e.open_requests()) == 0).await;
-        assert_eq!((site.asked_in_all(), site.host.with(|e| e.counters.attempts)), (12, attempts));
+        until(|| cancelled_count(&proxy) == 12).await;
+        // Longer than every timeout.
+        (0..40).for_each(|_| proxy.advance_clock(100.0));
+        until(|| proxy.executor.with(|e| e.open_requests()) == 0).await;
+        assert_eq!((proxy.total_requests(), proxy.executor.with(|e| e.counters.attempts)), (12, attempts));
     });
 }
 
-/// Pipelined requests are answered in their order, each once, and none goes out before its turn.
 #[test]
-fn pipelined_requests_wait_for_their_turn() {
+fn pipelined_requests_are_each_answered_once() {
     run(async {
-        let (site, at) = open("turns").await;
+        let (proxy, at) = open("turns").await;
         let mut client = Client::connect(at).await;
         client.write((get(1) + &get(2) + &get(3)).as_bytes()).await;
         for _ in 0..3 {
             assert_eq!(client.read(false).await.unwrap().status, 200);
         }
-        assert_eq!(site.asked_in_all(), 3);
+        assert_eq!(proxy.total_requests(), 3);
     });
 }
 
-/// A flood of bytes behind an open request is bounded, does not hide the leaving, and its answer ends the connection.
+/// Unparseable bytes after an open request are bounded and not taken for a disconnect; the connection closes
+/// after the response.
 #[test]
-fn a_flood_behind_a_request_is_thrown_away_and_the_answer_still_comes() {
+fn a_flood_after_a_request_is_discarded_and_the_response_is_sent() {
     run(async {
-        let (site, at) = open("flood").await;
-        site.all(silent());
+        let (proxy, at) = open("flood").await;
+        proxy.script_all(never_reply());
         let mut client = Client::connect(at).await;
         client.write(get(1).as_bytes()).await;
-        until(|| site.asked_in_all() == 1).await;
+        until(|| proxy.total_requests() == 1).await;
         client.write(&vec![b'x'; 400_000]).await;
-        let answer = spawn_local(async move { client.read(false).await.unwrap() });
-        while !answer.is_finished() {
-            site.pass(20.0);
+        let response = spawn_local(async move { client.read(false).await.unwrap() });
+        while !response.is_finished() {
+            proxy.advance_clock(20.0);
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let answer = answer.await.unwrap();
-        assert!(answer.closed && matches!(answer.status, 429 | 503 | 504), "{answer:?}");
-        assert_eq!(site.host.with(|e| e.counters.clients_disconnected), 0);
+        let response = response.await.unwrap();
+        assert!(response.closed && matches!(response.status, 429 | 503 | 504), "{response:?}");
+        assert_eq!(proxy.executor.with(|e| e.counters.clients_disconnected), 0);
     });
 }
 
-/// Writes behind an open request for as long as the machine takes it: either the proxy reads on, or every buffer between
-/// is full and whatever follows, the end of the client's side too, waits behind it.
-async fn flood(stream: &mut Blocking) {
-    /// More than the buffers of a loopback connection hold, in bytes.
+/// Writes until `FLOOD` bytes are sent or every socket buffer up to the proxy stays full.
+async fn flood(stream: &mut BlockingStream) {
+    /// Bytes, more than the buffers of a loopback connection hold.
     const FLOOD: usize = 16 << 20;
-    /// Looks at a connection that takes nothing, a millisecond apart, after which it is full.
-    const FULL_LOOKS: u32 = 50;
+    /// Consecutive failed writes, 1 ms apart, after which the buffers count as full.
+    const BLOCKED_WRITES: u32 = 50;
     stream.set_nonblocking(true).unwrap();
-    let (mut sent, mut full) = (0, 0);
-    while sent < FLOOD && full < FULL_LOOKS {
+    let (mut sent, mut blocked) = (0, 0);
+    while sent < FLOOD && blocked < BLOCKED_WRITES {
         match stream.write(&[b'x'; 65_536]) {
-            Ok(length) => (sent, full) = (sent + length, 0),
+            Ok(length) => (sent, blocked) = (sent + length, 0),
             Err(_) => {
-                full += 1;
+                blocked += 1;
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
         }
     }
 }
 
-/// The end of the client's side behind more than is held: on a front whose clients pipeline, reading stopped at 16 KiB, so
-/// a close behind a full receive window was never noticed, and a reset only by a look every 100 ms.
+/// If reading paused at a full buffer, a close after a full receive window would never be seen.
 #[test]
-fn a_client_that_leaves_behind_a_flood_is_noticed_on_either_front() {
-    for (pipelines, reset) in [(false, false), (false, true), (true, false), (true, true)] {
+fn a_disconnect_after_a_flood_is_detected_with_and_without_pipelining() {
+    for (pipelining, reset) in [(false, false), (false, true), (true, false), (true, true)] {
         run(async move {
-            let limits = ConnectionLimits { one_at_a_time: !pipelines, ..limits(400) };
-            let (site, at) = open_with(&format!("behind_flood{pipelines}{reset}"), limits).await;
-            site.all(silent());
-            let mut stream = Blocking::connect(at).unwrap();
+            let limits = ConnectionLimits { one_at_a_time: !pipelining, ..limits(400) };
+            let (proxy, at) = open_with(&format!("behind_flood{pipelining}{reset}"), limits).await;
+            proxy.script_all(never_reply());
+            let mut stream = BlockingStream::connect(at).unwrap();
             stream.write_all(get(1).as_bytes()).unwrap();
-            until(|| site.asked_in_all() == 1).await;
+            until(|| proxy.total_requests() == 1).await;
             flood(&mut stream).await;
             assert_eq!(
-                site.host.with(|e| (e.counters.clients_disconnected, e.open_requests())),
+                proxy.executor.with(|e| (e.counters.clients_disconnected, e.open_requests())),
                 (0, 1),
-                "a flood is no leaving"
+                "a flood is no disconnect"
             );
             if reset {
                 SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
             }
             drop(stream);
-            until(|| dropped(&site) == 1).await;
-            assert_eq!(site.host.with(|e| (e.counters.clients_disconnected, e.open_requests())), (1, 0));
-            assert_eq!(site.asked_in_all(), 1, "nothing further was sent");
+            until(|| cancelled_count(&proxy) == 1).await;
+            assert_eq!(proxy.executor.with(|e| (e.counters.clients_disconnected, e.open_requests())), (1, 0));
+            assert_eq!(proxy.total_requests(), 1, "no further request was forwarded");
         });
     }
 }
 
-/// A client that pipelines more than is held: what is held whole is answered in order, the last answer announces the end,
-/// and nothing behind it is taken for a request.
+/// Requests that are buffered complete are read in order; discarded bytes must not be parsed as requests.
 #[test]
-fn requests_pipelined_beyond_what_is_held_are_answered_up_to_the_bound() {
+fn requests_pipelined_beyond_the_buffer_are_read_up_to_its_limit() {
     run(async {
-        let (mut client, theirs) = pair().await;
+        let (mut client, server) = connected_pair().await;
         let codec = HttpCodec::new(Clock::manual(START_MS), 100);
-        let mut link = ClientStream::new(theirs, codec, true);
+        let mut stream = ClientStream::new(server, codec, true);
         let length = get(1).len();
         let sent: String = (1..=4 * (MAX_AHEAD / length) as u64).map(get).collect();
         client.write_all(sent.as_bytes()).await.unwrap();
         client.shutdown().await.unwrap();
-        // Its end says that all was read.
+        // `left` returns at the end of the stream, once all bytes were read.
         let mut answered = 0;
         loop {
-            let Received::Request(request) = link.next().await else { panic!("no request") };
+            let Received::Request(request) = stream.next().await else { panic!("no request") };
             answered += 1;
             assert_eq!(request.single("x-call-id"), Ok(Some(&*format!("{answered:016x}"))));
-            link.left().await;
-            if link.is_overrun() {
+            stream.left().await;
+            if stream.is_overrun() {
                 break;
             }
         }
@@ -326,71 +326,70 @@
     });
 }
 
-// ---- closes ----
+// ---- closes by the proxy ----
 
-/// An idle connection that the proxy ends while a request crosses it: the client reads a clean end, no reset, and what
-/// came after the shutdown is never sent on.
+/// Requests that arrive after the proxy shut down its side must not be forwarded, nor cause a reset.
 #[test]
-fn a_request_that_crosses_the_close_of_an_idle_connection_is_never_sent_on_nor_reset() {
+fn a_request_that_crosses_the_close_of_an_idle_connection_is_neither_forwarded_nor_reset() {
     run(async {
-        let (site, at) = open("crossing").await;
-        let mut client = Blocking::connect(at).unwrap();
+        let (proxy, at) = open("crossing").await;
+        let mut client = BlockingStream::connect(at).unwrap();
         client.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
         client.write_all(b"GET /alive HTTP/1.1\r\nHost: o\r\n\r\n").unwrap();
-        until(|| site.host.with(|e| e.counters.client_connections) == 1).await;
-        let mut answer = [0; 4_096];
-        let read = spawn_local(async move { (client.read(&mut answer).unwrap(), client) });
+        until(|| proxy.executor.with(|e| e.counters.client_connections) == 1).await;
+        let mut response = [0; 4_096];
+        let read = spawn_local(async move { (client.read(&mut response).unwrap(), client) });
         let (length, mut client) = read.await.unwrap();
         assert!(length > 0);
-        site.stop.begin();
-        until(|| site.stop.open_connections() == 0).await;
-        // The proxy has shut its side down.
+        proxy.shutdown.begin();
+        until(|| proxy.shutdown.open_connections() == 0).await;
+        // The proxy has shut down its side.
         for id in 1..=50 {
             client.write_all(get(id).as_bytes()).expect("no reset");
             tokio::task::yield_now().await;
         }
-        assert_eq!(client.read(&mut [0; 64]).expect("a clean end"), 0);
-        assert_eq!(site.asked_in_all(), 0);
+        assert_eq!(client.read(&mut [0; 64]).expect("end of stream"), 0);
+        assert_eq!(proxy.total_requests(), 0);
         drop(client);
-        until(|| site.stop.open_or_lingering() == 0).await;
+        until(|| proxy.shutdown.open_or_lingering() == 0).await;
     });
 }
 
-/// A request that the machine holds when a stop ends idle connections was taken: it is answered.
+/// A request in the socket's receive buffer when a shutdown closes idle connections counts as received.
 #[test]
-fn a_request_that_came_in_the_moment_of_the_stop_is_answered() {
+fn a_request_that_arrives_as_the_shutdown_begins_is_answered() {
     for round in 0..8u64 {
         run(async move {
-            let (site, at) = open(&format!("moment{round}")).await;
+            let (proxy, at) = open(&format!("moment{round}")).await;
             let mut client = Client::connect(at).await;
             assert_eq!(client.ask("GET", "/alive", "").await.status, 200);
             let mut client = client.into_blocking();
-            // Written while the proxy's thread is here: its runtime has not been told of the bytes when the stop begins.
+            // A blocking write: the runtime has not polled the socket when the shutdown begins.
             client.write_all(get(1).as_bytes()).unwrap();
-            site.stop.begin();
-            let answer = Client::of(client).read(false).await.expect("an answer");
-            assert!(answer.status == 200 && answer.closed, "{answer:?}");
+            proxy.shutdown.begin();
+            let response = Client::from_blocking(client).read(false).await.expect("a response");
+            assert!(response.status == 200 && response.closed, "{response:?}");
         });
     }
 }
 
-/// `Connection: close` on a request is honoured behind its answer, with a lingering close.
+/// Unread bytes from the client must not cause a reset that loses the response (lingering close).
 #[test]
-fn a_client_that_asks_for_the_close_gets_it_with_its_answer_whole() {
+fn connection_close_is_honoured_after_the_complete_response() {
     run(async {
-        let (site, at) = open("asked_close").await;
+        let (proxy, at) = open("asked_close").await;
         let body = vec![b'y'; 200_000];
-        let whole = body.clone();
-        site.all(Rc::new(move |_| Some(("ACK", "sum=t1,t0=5".into(), whole.clone()))));
-        let mut client = Blocking::connect(at).unwrap();
+        let content = body.clone();
+        proxy.script_all(Rc::new(move |_| Some(("ACK", "sum=t1,t0=5".into(), content.clone()))));
+        let mut client = BlockingStream::connect(at).unwrap();
         let request = get(1).replace("Host: o\r\n", "Host: o\r\nConnection: close\r\n");
         client.write_all(request.as_bytes()).unwrap();
-        // More behind it, unread when the proxy closes.
+        // Further bytes, unread when the proxy closes.
         client.write_all(&vec![b'z'; 100_000]).unwrap();
         client.set_nonblocking(true).unwrap();
         let mut client = TcpStream::from_std(client).unwrap();
         let mut got = Vec::new();
-        client.read_to_end(&mut got).await.expect("no reset over unread bytes");
+        client.read_to_end(&mut got).await.expect("no reset because of unread bytes");
         assert!(got.starts_with(b"HTTP/1.1 200") && got.ends_with(&body));
     });
 }
@@ -399,107 +398,108 @@
 #[test]
 fn small_writes_are_not_held_back() {
     run(async {
-        let (site, at) = open("nodelay").await;
+        let (proxy, at) = open("nodelay").await;
         assert_eq!(ask(at, "GET", "/alive", "").await.status, 200);
-        let (_mine, theirs) = pair().await;
+        let (_client, server) = connected_pair().await;
         // A second descriptor of the same socket.
-        let same = theirs.as_fd().try_clone_to_owned().unwrap();
-        let codec = HttpCodec::new(site.clock.clone(), 100);
-        let _link = ClientStream::new(theirs, codec, false);
-        assert!(SockRef::from(&same).tcp_nodelay().unwrap());
+        let duplicate = server.as_fd().try_clone_to_owned().unwrap();
+        let codec = HttpCodec::new(proxy.clock.clone(), 100);
+        let _stream = ClientStream::new(server, codec, false);
+        assert!(SockRef::from(&duplicate).tcp_nodelay().unwrap());
     });
 }
 
-async fn pair() -> (TcpStream, TcpStream) {
+async fn connected_pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let mine = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-    (mine, listener.accept().await.unwrap().0)
+    let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    (client, listener.accept().await.unwrap().0)
 }
 
-// ---- floods and slow clients ----
+// ---- slow clients ----
 
-/// Requests that come a byte at a time hold every place: the one that is on its way in for longest gives up its own.
+/// Partial requests hold every slot: the one that began first is evicted.
 #[test]
-fn half_requests_that_hold_every_place_make_room() {
+fn the_oldest_partial_request_is_evicted_when_every_slot_is_taken() {
     run(async {
-        let (site, at) = open_with("drips", limits(3)).await;
-        let mut drips = Vec::new();
+        let (proxy, at) = open_with("partial", limits(3)).await;
+        let mut partial = Vec::new();
         for _ in 0..3 {
-            let mut drip = Client::connect(at).await;
-            drip.write(b"GET /al").await;
-            drips.push(drip);
+            let mut client = Client::connect(at).await;
+            client.write(b"GET /al").await;
+            partial.push(client);
         }
-        until(|| site.host.with(|e| e.counters.client_connections) == 3).await;
+        until(|| proxy.executor.with(|e| e.counters.client_connections) == 3).await;
         tokio::task::yield_now().await;
-        site.pass(600.0);
-        let mut honest = Client::connect(at).await;
-        assert_eq!(honest.ask("GET", "/alive", "").await.status, 200);
-        assert_eq!(site.host.with(|e| e.counters.client_connections_evicted), 1);
+        proxy.advance_clock(600.0);
+        let mut another = Client::connect(at).await;
+        assert_eq!(another.ask("GET", "/alive", "").await.status, 200);
+        assert_eq!(proxy.executor.with(|e| e.counters.client_connections_evicted), 1);
     });
 }
 
-/// A client that never reads its answer holds its place no longer than it said that it would wait, and half a second.
+/// A client that reads no response loses its slot half a second after the end of its stated wait.
 #[test]
-fn a_client_that_does_not_read_its_answer_gives_its_place_up() {
+fn a_client_that_reads_no_response_loses_its_slot() {
     run(async {
-        let (site, at) = open_with("unread", ConnectionLimits { write_ms: 1e7, ..limits(400) }).await;
+        let (proxy, at) = open_with("unread", ConnectionLimits { write_ms: 1e7, ..limits(400) }).await;
         let body = vec![b'y'; 240_000];
-        site.all(Rc::new(move |_| Some(("ACK", "sum=t1,t0=5".into(), body.clone()))));
+        proxy.script_all(Rc::new(move |_| Some(("ACK", "sum=t1,t0=5".into(), body.clone()))));
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(2_048).unwrap();
         let mut stream = socket.connect(at).await.unwrap();
-        // So many answers that no buffer of the machine holds them.
+        // More responses than the socket buffers hold.
         let ask = |id: u64| get(id).replace("X-Patience-Ms: 1500", "X-Patience-Ms: 300");
         for id in 1..=40 {
             stream.write_all(ask(id).as_bytes()).await.unwrap();
         }
-        until(|| site.host.with(|e| e.counters.responses_unwritten) == 1).await;
-        until(|| site.stop.open_or_lingering() == 0).await;
+        until(|| proxy.executor.with(|e| e.counters.responses_unwritten) == 1).await;
+        until(|| proxy.shutdown.open_or_lingering() == 0).await;
     });
 }
 
-// ---- members ----
+// ---- caches ----
 
-/// An endpoint that answers and then resets: the answer came whole, whatever the writing meets meanwhile.
+/// A reset, or a failed write, must not discard a reply that arrived before it.
 #[test]
-fn an_answer_that_came_before_the_reset_counts() {
+fn a_reply_that_arrived_before_a_reset_is_used() {
     for round in 0..12 {
         run(async move {
-            let (site, at) = open(&format!("reset{round}")).await;
+            let (proxy, at) = open(&format!("reset{round}")).await;
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let cache = listener.local_addr().unwrap();
-            site.bulletin.state(CACHES[0], cache, 0, 0);
-            site.bulletin.state(CACHES[1], cache, 0, 2);
-            until(|| site.host.with(|e| e.last_event_number()) == 3).await;
+            proxy.discovery.send_state(CACHES[0], cache, 0, 0);
+            proxy.discovery.send_state(CACHES[1], cache, 0, 2);
+            until(|| proxy.executor.with(|e| e.last_event_number()) == 3).await;
             let endpoint = spawn_local(async move {
                 let (stream, _) = listener.accept().await.unwrap();
                 let mut stream = BufReader::new(stream);
                 let mut line = String::new();
                 stream.read_line(&mut line).await.unwrap();
                 let id = line.split(' ').nth(1).unwrap().to_string();
-                let answer = format!("{id} ACK sum=t1,t0=5 5\r\nhello\r\n");
-                (stream.into_inner(), answer)
+                let response = format!("{id} ACK sum=t1,t0=5 5\r\nhello\r\n");
+                (stream.into_inner(), response)
             });
             let mut first = Client::connect(at).await;
             first.write(get(1).as_bytes()).await;
-            let (stream, answer) = endpoint.await.unwrap();
+            let (stream, response) = endpoint.await.unwrap();
             let mut stream = stream.into_std().unwrap();
             stream.set_nonblocking(false).unwrap();
-            // In one turn of the proxy's thread: the whole answer, a reset, and something more to write there.
-            stream.write_all(answer.as_bytes()).unwrap();
+            // Without a poll of the runtime between them: a complete reply, a reset, and a further request to
+            // write.
+            stream.write_all(response.as_bytes()).unwrap();
             SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
             drop(stream);
-            let (give_up_ms, id_text) = (START_MS + 1_500.0, format!("{:016x}", 2));
+            let (deadline_ms, id_text) = (START_MS + 1_500.0, format!("{:016x}", 2));
             let second = IncomingRequest {
                 id: 2,
                 id_text,
                 object: 0x7f3a_9c21_e0b4_d655,
-                deadline_ms: give_up_ms,
+                deadline_ms,
                 ..IncomingRequest::default()
             };
-            let _second = site.host.submit(second).unwrap();
-            let answer = first.read(false).await.unwrap();
-            assert_eq!((answer.status, &answer.body[..]), (200, &b"hello"[..]));
+            let _second = proxy.executor.submit(second).unwrap();
+            let response = first.read(false).await.unwrap();
+            assert_eq!((response.status, &response.body[..]), (200, &b"hello"[..]));
         });
     }
 }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -4,7 +4,7 @@
 mod stand_ins;
 
 use stand_ins::running::PROGRAM;
-use stand_ins::Killed;
+use stand_ins::KillOnDrop;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -187,7 +187,8 @@
     for name in ["EDGE_PROXY_LOG", "EDGE_PROXY_LOG_FORMAT", "CALICOBEAM_LOG", "CALICOBEAM_LOG_FORMAT"] {
         command.env_remove(name);
     }
-    let mut process = Killed(command.envs(variables.iter().copied()).stderr(Stdio::piped()).spawn().unwrap());
+    let mut process =
+        KillOnDrop(command.envs(variables.iter().copied()).stderr(Stdio::piped()).spawn().unwrap());
     let by = Instant::now() + START_TIMEOUT;
     while TcpStream::connect(("127.0.0.1", port)).is_err() {
         assert!(Instant::now() < by, "the process does not listen");
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -660,7 +660,7 @@
         let args = ["serve", "--config", config.to_str().unwrap(), "--grpc", own.to_str().unwrap()];
         let program =
             std::process::Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(log).spawn();
-        let mut program = stand_ins::Killed(program.unwrap());
+        let mut program = stand_ins::KillOnDrop(program.unwrap());
         while TcpStream::connect(grpc).await.is_err() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -702,7 +702,7 @@
         program.signal("-TERM");
         let got = slow.await.unwrap();
         assert_eq!((got.status(), got.body), (0, msg(5)));
-        program.ends_well().await;
+        program.exits_successfully().await;
         let log = std::fs::read_to_string(dir.join("proxy.log")).unwrap();
         assert!(log.contains("configuration not reloaded subsystem=\"gRPC\""), "{log}");
     });
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -9,7 +9,7 @@
 use simd_json::prelude::*;
 use stand_ins::checked_endpoint::CheckedEndpoint;
 use stand_ins::slow_box::{unix_ms, SlowFleet};
-use stand_ins::{folder, run, Killed};
+use stand_ins::{folder, run, KillOnDrop};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
@@ -21,7 +21,7 @@
 const ENDPOINTS: [u32; 3] = [0xc1, 0xc2, 0xa0];
 
 struct Instance {
-    process: Killed,
+    process: KillOnDrop,
     mgmt: SocketAddr,
 }
 
@@ -93,7 +93,7 @@
         let args = ["serve", "--config", config.to_str().unwrap(), "--health-checks", own.to_str().unwrap()];
         let child =
             Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(Stdio::from(log)).spawn();
-        Instance { process: Killed(child.unwrap()), mgmt }
+        Instance { process: KillOnDrop(child.unwrap()), mgmt }
     });
     let instances: Vec<Instance> = instances.collect();
     let end = Instant::now() + Duration::from_secs(10);
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -18,7 +18,7 @@
 use edge_proxy::wire::shutdown::GracefulShutdown;
 use stand_ins::http3_client::{write_certificate, Http3Client, ImpairedLink};
 use stand_ins::slow_box::SlowFleet;
-use stand_ins::{folder, run, Killed};
+use stand_ins::{folder, run, KillOnDrop};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -482,7 +482,7 @@
         let args = ["serve", "--config", node.to_str().unwrap(), "--http3", file.to_str().unwrap()];
         let child =
             std::process::Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(log).spawn();
-        let mut program = Killed(child.unwrap());
+        let mut program = KillOnDrop(child.unwrap());
         while TcpStream::connect(listen).await.is_err() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -510,7 +510,7 @@
         wait_until("it reached a cache", || fleet.keys.borrow().contains_key("k9")).await;
         program.signal("-TERM");
         assert_eq!(slow.await.unwrap().unwrap().status, 200, "an open request is answered");
-        program.ends_well().await;
+        program.exits_successfully().await;
         let log = std::fs::read_to_string(dir.join("proxy.log")).unwrap();
         assert!(log.contains("configuration not reloaded subsystem=\"HTTP/3\""), "{log}");
     });
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front on loopback.
+//! The platform's front, end to end on loopback.
 
 mod stand_ins;
 
@@ -13,15 +13,15 @@
 
 const CLIP: &str = "/ops/clip/7f3a9c21e0b4d655/slice-3";
 
-async fn open(name: &str) -> (Site, SocketAddr) {
+async fn open(name: &str) -> (TestProxy, SocketAddr) {
     open_with(name, limits(400)).await
 }
 
-async fn open_with(name: &str, limits: ConnectionLimits) -> (Site, SocketAddr) {
-    let site = Site::start(name).await;
+async fn open_with(name: &str, limits: ConnectionLimits) -> (TestProxy, SocketAddr) {
+    let proxy = TestProxy::start(name).await;
     let front: Rc<dyn Front> = Rc::new(Platform::new(limits));
-    let at = site.open(front).await;
-    (site, at)
+    let at = proxy.open(front).await;
+    (proxy, at)
 }
 
 fn headers(id: u64) -> String {
@@ -29,18 +29,19 @@
 }
 
 #[test]
-fn a_request_goes_its_whole_way() {
+fn a_request_is_forwarded_to_a_cache_and_its_response_returned() {
     run(async {
-        let (site, at) = open("whole_way").await;
+        let (proxy, at) = open("whole_way").await;
         let mut client = Client::connect(at).await;
         assert_eq!(client.ask("GET", "/alive", "").await.status, 200);
-        let answer = client.ask("GET", CLIP, &headers(1)).await;
-        assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
-        let same = client.ask("GET", CLIP, &(headers(2) + "If-None-Match: \"t1\"\r\n")).await;
-        assert_eq!((same.status, same.body.len()), (304, 0));
-        let seen: Vec<_> = CACHES.iter().flat_map(|id| site.endpoints[id].asked.borrow().clone()).collect();
-        assert_eq!(seen.len(), 2);
-        let by_id = |id: &str| seen.iter().find(|fields| fields["id"] == id).unwrap();
+        let response = client.ask("GET", CLIP, &headers(1)).await;
+        assert_eq!((response.status, &response.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
+        let unchanged = client.ask("GET", CLIP, &(headers(2) + "If-None-Match: \"t1\"\r\n")).await;
+        assert_eq!((unchanged.status, unchanged.body.len()), (304, 0));
+        let requests: Vec<_> =
+            CACHES.iter().flat_map(|id| proxy.endpoints[id].requests.borrow().clone()).collect();
+        assert_eq!(requests.len(), 2);
+        let by_id = |id: &str| requests.iter().find(|fields| fields["id"] == id).unwrap();
         let first = by_id("0000000000000001");
         assert_eq!((first["c"].as_str(), first["p"].as_str()), ("clip", "3"));
         assert_eq!((first["next"].as_str(), first["ways"].as_str()), ("s-000000a0", "ride"));
@@ -50,24 +51,24 @@
 }
 
 #[test]
-fn a_write_goes_to_the_origin_with_its_key_and_body() {
+fn a_write_goes_to_the_origin_with_its_idempotency_key() {
     run(async {
-        let (site, at) = open("write").await;
+        let (proxy, at) = open("write").await;
         let mut client = Client::connect(at).await;
         let head = headers(3) + "X-Dedupe-Key: 5c0f6e\r\nContent-Length: 5\r\n";
         let text = format!("PUT /ops/post/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: o\r\n{head}\r\nhello");
         client.write(text.as_bytes()).await;
         assert_eq!(client.read(false).await.unwrap().status, 200);
-        let asked = site.endpoints[&ORIGIN].asked.borrow();
-        assert_eq!((asked.len(), asked[0]["i"].as_str()), (1, "5c0f6e"));
+        let requests = proxy.endpoints[&ORIGIN].requests.borrow();
+        assert_eq!((requests.len(), requests[0]["i"].as_str()), (1, "5c0f6e"));
     });
 }
 
-/// Guards the faults of clients: each has its status, and none reaches an endpoint.
+/// Invalid requests must not reach an endpoint.
 #[test]
-fn what_is_no_request_has_its_status() {
+fn an_invalid_request_gets_its_error_status() {
     run(async {
-        let (site, at) = open("faults").await;
+        let (proxy, at) = open("faults").await;
         let good = headers(1);
         let with = |name: &str, value: &str| {
             let others = headers(1)
@@ -111,198 +112,196 @@
         for (bytes, status) in [("\x00\r\n\r\n", 400), ("GET / HTTP/1.1\r\n\r\n", 400), (&body, 400)] {
             let mut client = Client::connect(at).await;
             client.write(bytes.as_bytes()).await;
-            let answer = client.read(false).await.unwrap();
-            assert_eq!((answer.status, answer.closed), (status, true));
+            let response = client.read(false).await.unwrap();
+            assert_eq!((response.status, response.closed), (status, true));
         }
-        assert_eq!(site.asked_in_all(), 0);
+        assert_eq!(proxy.total_requests(), 0);
     });
 }
 
-/// What the module gives up is answered at once, and says when to come back.
 #[test]
-fn a_refusal_comes_at_once_with_advice() {
+fn a_rejection_is_immediate_and_has_a_retry_after() {
     run(async {
-        let (site, at) = open("refusal").await;
-        site.all(says("AGAIN"));
-        let answer = ask(at, "GET", CLIP, &headers(1)).await;
-        assert_eq!(answer.status, 503);
-        assert!(answer.headers["x-come-back-ms"].parse::<f64>().unwrap() > 0.0);
-        assert_eq!(site.clock.now(), START_MS, "no time has passed");
+        let (proxy, at) = open("refusal").await;
+        proxy.script_all(reply_status("AGAIN"));
+        let response = ask(at, "GET", CLIP, &headers(1)).await;
+        assert_eq!(response.status, 503);
+        assert!(response.headers["x-come-back-ms"].parse::<f64>().unwrap() > 0.0);
+        assert_eq!(proxy.clock.now(), START_MS, "no time has passed");
     });
 }
 
 #[test]
-fn a_client_that_leaves_has_its_attempt_called_off() {
+fn a_client_disconnect_cancels_its_attempt() {
     run(async {
-        let (site, at) = open("leaves").await;
-        site.all(silent());
+        let (proxy, at) = open("leaves").await;
+        proxy.script_all(never_reply());
         let mut client = Client::connect(at).await;
         client.write(format!("GET {CLIP} HTTP/1.1\r\nHost: o\r\n{}\r\n", headers(9)).as_bytes()).await;
-        until(|| site.asked_in_all() == 1).await;
+        until(|| proxy.total_requests() == 1).await;
         drop(client);
-        let dropped = || site.endpoints.values().map(|m| m.dropped.borrow().len()).sum::<usize>();
+        let dropped = || proxy.endpoints.values().map(|m| m.cancelled_ids.borrow().len()).sum::<usize>();
         until(|| dropped() == 1).await;
-        let (left, owed) = site.host.with(|e| (e.counters.clients_disconnected, e.open_requests()));
-        assert_eq!((left, owed), (1, 0));
+        let (disconnected, open_requests) =
+            proxy.executor.with(|e| (e.counters.clients_disconnected, e.open_requests()));
+        assert_eq!((disconnected, open_requests), (1, 0));
     });
 }
 
-/// Guards against an endpoint whose bytes can't be read: its connection ends, and the request goes elsewhere.
+/// The connection is closed and the request is retried on another endpoint.
 #[test]
-fn a_member_that_talks_nonsense_is_left() {
+fn a_cache_with_malformed_replies_is_replaced_by_another() {
     run(async {
-        let (site, at) = open("nonsense").await;
-        let nonsense: Script = Rc::new(|_| Some(("WHAT", "-".into(), Vec::new())));
-        *site.endpoints[&CACHES[0]].script.borrow_mut() = nonsense;
+        let (proxy, at) = open("malformed").await;
+        let malformed: Script = Rc::new(|_| Some(("WHAT", "-".into(), Vec::new())));
+        *proxy.endpoints[&CACHES[0]].script.borrow_mut() = malformed;
         for id in 1..30u64 {
             let target = format!("/ops/clip/{:016x}/slice-0", id * 7_919);
             assert_eq!(ask(at, "GET", &target, &headers(id)).await.status, 200);
         }
-        assert!(site.asked(CACHES[0]) > 0);
-        assert!(site.host.with(|e| e.counters.connections_malformed) > 0);
+        assert!(proxy.request_count(CACHES[0]) > 0);
+        assert!(proxy.executor.with(|e| e.counters.connections_malformed) > 0);
     });
 }
 
-/// Guards the client against half an answer that passes for a whole one: a cut at a cache is tried elsewhere,
-/// and where everything is cut no body is sent at all.
+/// A truncated reply is retried, and where every reply is truncated the client gets an error without a body.
 #[test]
-fn a_cut_answer_never_passes_for_whole() {
+fn a_truncated_reply_is_never_served_as_complete() {
     run(async {
-        let (site, at) = open("cut").await;
-        CACHES.iter().for_each(|id| site.endpoints[id].cuts.set(true));
-        let answer = ask(at, "GET", CLIP, &headers(1)).await;
-        assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
-        let (broken, served) = site.host.with(|e| (e.counters.connections_lost, e.counters.served));
-        assert_eq!((broken, served), (4, 1), "each cache is asked twice: a break is not its fault");
-        site.endpoints.values().for_each(|m| m.cuts.set(true));
-        let answer = ask(at, "GET", CLIP, &headers(2)).await;
-        assert!(answer.status >= 500 && answer.body.is_empty(), "{answer:?}");
+        let (proxy, at) = open("cut").await;
+        CACHES.iter().for_each(|id| proxy.endpoints[id].truncate_and_close.set(true));
+        let response = ask(at, "GET", CLIP, &headers(1)).await;
+        assert_eq!((response.status, &response.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
+        let (lost, served) = proxy.executor.with(|e| (e.counters.connections_lost, e.counters.served));
+        assert_eq!((lost, served), (4, 1), "each cache is tried twice: a lost connection is not its failure");
+        proxy.endpoints.values().for_each(|m| m.truncate_and_close.set(true));
+        let response = ask(at, "GET", CLIP, &headers(2)).await;
+        assert!(response.status >= 500 && response.body.is_empty(), "{response:?}");
     });
 }
 
-/// Guards the rules on what was told: a link that only stays silent is taken for broken, and made anew.
+/// A watch connection that is silent for too long counts as broken.
 #[test]
-fn a_silent_bulletin_is_connected_to_again() {
+fn a_silent_watch_connection_is_replaced() {
     run(async {
-        let (site, _) = open("silent_bulletin").await;
-        // The stand-in never sends the empty frame of each second.
-        until(|| site.bulletin.links.borrow().len() == 1).await;
-        until(|| site.host.with(|e| e.counters.discovery_connections) >= 2).await;
-        assert!(site.host.with(|e| e.counters.discovery_faults) >= 1);
+        let (proxy, _) = open("silent_bulletin").await;
+        // The test's discovery service sends no heartbeats.
+        until(|| proxy.discovery.connections.borrow().len() == 1).await;
+        until(|| proxy.executor.with(|e| e.counters.discovery_connections) >= 2).await;
+        assert!(proxy.executor.with(|e| e.counters.discovery_faults) >= 1);
     });
 }
 
-/// A link to the bulletin that ends is made anew from the last number, and nothing is taken twice.
+/// No event is lost or applied twice.
 #[test]
-fn the_bulletin_is_followed_across_a_cut() {
+fn a_watch_resumes_from_the_last_event_after_a_disconnect() {
     run(async {
-        let (site, _) = open("bulletin").await;
-        let no = site.bulletin.purge(17, START_MS as u64);
-        until(|| site.host.with(|e| e.last_event_number()) == no).await;
-        site.bulletin.cut();
-        until(|| site.bulletin.links.borrow().len() == 2).await;
-        let no = site.bulletin.purge(18, START_MS as u64);
-        until(|| site.host.with(|e| e.last_event_number()) == no).await;
-        assert_eq!(*site.bulletin.links.borrow(), [1, no - 1]);
-        assert_eq!(site.host.with(|e| e.counters.discovery_events), 3);
+        let (proxy, _) = open("bulletin").await;
+        let number = proxy.discovery.send_purge(17, START_MS as u64);
+        until(|| proxy.executor.with(|e| e.last_event_number()) == number).await;
+        proxy.discovery.disconnect();
+        until(|| proxy.discovery.connections.borrow().len() == 2).await;
+        let number = proxy.discovery.send_purge(18, START_MS as u64);
+        until(|| proxy.executor.with(|e| e.last_event_number()) == number).await;
+        assert_eq!(*proxy.discovery.connections.borrow(), [1, number - 1]);
+        assert_eq!(proxy.executor.with(|e| e.counters.discovery_events), 3);
     });
 }
 
 #[test]
-fn a_stop_answers_all_that_was_taken() {
+fn a_graceful_shutdown_answers_every_received_request() {
     run(async {
-        let (site, at) = open("stop").await;
+        let (proxy, at) = open("stop").await;
         let go: Rc<std::cell::Cell<bool>> = Rc::default();
-        site.all(silent());
+        proxy.script_all(never_reply());
         let mut busy = Client::connect(at).await;
         busy.write(format!("GET {CLIP} HTTP/1.1\r\nHost: o\r\n{}\r\n", headers(1)).as_bytes()).await;
-        until(|| site.asked_in_all() == 1).await;
+        until(|| proxy.total_requests() == 1).await;
         let mut idle = Client::connect(at).await;
         assert_eq!(idle.ask("GET", "/alive", "").await.status, 200);
-        // In the machine's queue already, and not accepted yet, when the stop comes.
+        // In the listener's backlog, and not accepted yet, when the shutdown begins.
         let mut queued = Client::connect(at).await;
         queued.write(b"GET /alive HTTP/1.1\r\nHost: o\r\n\r\n").await;
-        site.closing.notify_one();
-        site.stop.begin();
+        proxy.closing.notify_one();
+        proxy.shutdown.begin();
         assert_eq!(queued.read(false).await.unwrap().status, 200);
-        assert!(idle.read(false).await.is_none(), "an idle connection ends");
-        assert_eq!(site.stop.open_connections(), 1, "the busy one stays");
-        let waits = spawn_local(async move { busy.read(false).await.unwrap() });
-        while !waits.is_finished() {
-            site.pass(20.0);
+        assert!(idle.read(false).await.is_none(), "an idle connection is closed");
+        assert_eq!(proxy.shutdown.open_connections(), 1, "the one with an open request stays");
+        let pending = spawn_local(async move { busy.read(false).await.unwrap() });
+        while !pending.is_finished() {
+            proxy.advance_clock(20.0);
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let answer = waits.await.unwrap();
-        assert!(answer.closed && matches!(answer.status, 503 | 504), "{answer:?}");
-        until(|| site.stop.open_connections() == 0).await;
+        let response = pending.await.unwrap();
+        assert!(response.closed && matches!(response.status, 503 | 504), "{response:?}");
+        until(|| proxy.shutdown.open_connections() == 0).await;
         go.set(true);
     });
 }
 
-/// Guards the process against a panic in one connection's task.
 #[test]
-fn a_panic_in_a_task_ends_nothing_else() {
+fn a_panic_in_one_task_is_counted_and_requests_are_still_served() {
     run(async {
-        let (site, at) = open("panic").await;
-        site.host.spawn("a test", async { panic!("on purpose") });
-        until(|| site.host.with(|e| e.counters.panics) == 1).await;
+        let (proxy, at) = open("panic").await;
+        proxy.executor.spawn("a test", async { panic!("on purpose") });
+        until(|| proxy.executor.with(|e| e.counters.panics) == 1).await;
         assert_eq!(ask(at, "GET", CLIP, &headers(1)).await.status, 200);
     });
 }
 
-/// Guards clients that ask against those that hold every place and say nothing, or asked once and stayed.
+/// Clients without an open request must not keep others out at the connection limit.
 #[test]
-fn silent_and_parked_clients_make_room_at_the_cap() {
+fn silent_and_idle_connections_are_evicted_at_the_limit() {
     run(async {
-        let (site, at) = open_with("room", limits(3)).await;
-        site.all(silent());
+        let (proxy, at) = open_with("room", limits(3)).await;
+        proxy.script_all(never_reply());
         let mut busy = Client::connect(at).await;
         busy.write(format!("GET {CLIP} HTTP/1.1\r\nHost: o\r\n{}\r\n", headers(1)).as_bytes()).await;
-        until(|| site.asked_in_all() == 1).await;
-        let mut parked = Client::connect(at).await;
-        assert_eq!(parked.ask("GET", "/alive", "").await.status, 200);
-        let mut quiet = Client::connect(at).await;
-        until(|| site.host.with(|e| e.counters.client_connections) == 3).await;
-        site.pass(150.0);
+        until(|| proxy.total_requests() == 1).await;
+        let mut idle = Client::connect(at).await;
+        assert_eq!(idle.ask("GET", "/alive", "").await.status, 200);
+        let mut silent = Client::connect(at).await;
+        until(|| proxy.executor.with(|e| e.counters.client_connections) == 3).await;
+        proxy.advance_clock(150.0);
         let mut third = Client::connect(at).await;
         assert_eq!(third.ask("GET", "/alive", "").await.status, 200);
-        assert!(quiet.read(false).await.is_none(), "the one that never asked goes first");
+        assert!(silent.read(false).await.is_none(), "the one without any request is evicted first");
         let mut fourth = Client::connect(at).await;
         assert_eq!(fourth.ask("GET", "/alive", "").await.status, 200);
-        assert!(parked.read(false).await.is_none(), "then the one that is idle for longest");
+        assert!(idle.read(false).await.is_none(), "then the one that has been idle for longest");
         assert_eq!(third.ask("GET", "/alive", "").await.status, 200);
         assert_eq!(
-            site.host.with(|e| (e.counters.client_connections_evicted, e.counters.clients_disconnected)),
+            proxy.executor.with(|e| (e.counters.client_connections_evicted, e.counters.clients_disconnected)),
             (2, 0)
         );
         drop(busy);
     });
 }
 
-/// Guards the places against a first request that never comes, or a byte at a time.
+/// A client that sends nothing, or a byte at a time, must not keep its slot.
 #[test]
-fn a_first_request_has_one_deadline_from_the_accept() {
+fn the_first_request_has_one_deadline_from_the_accept() {
     run(async {
-        let (site, at) = open("first").await;
-        let mut quiet = Client::connect(at).await;
-        let mut drip = Client::connect(at).await;
+        let (proxy, at) = open("first").await;
+        let mut silent = Client::connect(at).await;
+        let mut slow = Client::connect(at).await;
         for byte in b"PUT /o" {
-            drip.write(&[*byte]).await;
-            site.pass(380.0);
+            slow.write(&[*byte]).await;
+            proxy.advance_clock(380.0);
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        drip.write(b"ps/post/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: o\r\nContent-Length: 9\r\n\r\n").await;
-        until(|| site.host.with(|e| e.counters.client_connections) == 2).await;
-        site.pass(380.0);
-        assert!(quiet.read(false).await.is_none());
-        assert_eq!(drip.read(false).await.unwrap().status, 408);
-        assert_eq!(site.host.with(|e| e.counters.client_connections_too_slow), 2);
+        slow.write(b"ps/post/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: o\r\nContent-Length: 9\r\n\r\n").await;
+        until(|| proxy.executor.with(|e| e.counters.client_connections) == 2).await;
+        proxy.advance_clock(380.0);
+        assert!(silent.read(false).await.is_none());
+        assert_eq!(slow.read(false).await.unwrap().status, 408);
+        assert_eq!(proxy.executor.with(|e| e.counters.client_connections_too_slow), 2);
     });
 }
 
-/// Guards the answer to a body that is far too long against a reset by what is still unread.
+/// Unread bytes of the body must not cause a reset that loses the response.
 #[test]
-fn the_answer_to_a_body_that_is_too_long_arrives() {
+fn the_response_to_a_body_that_is_too_long_arrives() {
     run(async {
         let (_site, at) = open("long_body").await;
         let mut client = Client::connect(at).await;
@@ -311,143 +310,145 @@
             format!("PUT /ops/post/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: o\r\nContent-Length: {length}\r\n\r\n");
         client.write(head.as_bytes()).await;
         client.write(&vec![b'x'; length]).await;
-        let answer = client.read(false).await.unwrap();
-        assert_eq!((answer.status, answer.closed), (413, true));
+        let response = client.read(false).await.unwrap();
+        assert_eq!((response.status, response.closed), (413, true));
     });
 }
 
-/// Guards the rules on what was told: when the configuration names another bulletin, the link goes there at once
-/// and from the last number; a configuration that can't be used changes nothing.
+/// The watch on the new address starts from the last event; an invalid configuration changes nothing.
 #[test]
-fn the_bulletins_link_moves_with_the_configuration() {
+fn the_watch_moves_when_a_reload_changes_the_discovery_address() {
     run(async {
-        let (site, at) = open("moves").await;
-        let no = site.bulletin.purge(17, START_MS as u64);
-        until(|| site.host.with(|e| e.last_event_number()) == no).await;
+        let (proxy, at) = open("moves").await;
+        let number = proxy.discovery.send_purge(17, START_MS as u64);
+        until(|| proxy.executor.with(|e| e.last_event_number()) == number).await;
         let path = folder("moves").join("config.json");
         let text = std::fs::read_to_string(&path).unwrap();
         std::fs::write(&path, "{").unwrap();
-        reload_config(&site.host, &site.config, &site.moves);
-        assert_eq!(site.host.with(|e| e.counters.reload_failures), 1);
-        let other = Bulletin::start().await;
-        let (from, to) = (site.bulletin.address.to_string(), other.address.to_string());
+        reload_config(&proxy.executor, &proxy.config, &proxy.discovery_address);
+        assert_eq!(proxy.executor.with(|e| e.counters.reload_failures), 1);
+        let other = DiscoveryServer::start().await;
+        let (from, to) = (proxy.discovery.address.to_string(), other.address.to_string());
         std::fs::write(&path, text.replace(&from, &to)).unwrap();
-        reload_config(&site.host, &site.config, &site.moves);
-        until(|| !other.links.borrow().is_empty()).await;
-        assert_eq!(*other.links.borrow(), [no]);
-        assert_eq!(site.bulletin.links.borrow().len(), 1);
+        reload_config(&proxy.executor, &proxy.config, &proxy.discovery_address);
+        until(|| !other.connections.borrow().is_empty()).await;
+        assert_eq!(*other.connections.borrow(), [number]);
+        assert_eq!(proxy.discovery.connections.borrow().len(), 1);
         assert_eq!(ask(at, "GET", CLIP, &headers(1)).await.status, 200);
-        assert_eq!(site.host.with(|e| (e.counters.discovery_moves, e.counters.discovery_faults)), (1, 0));
+        assert_eq!(
+            proxy.executor.with(|e| (e.counters.discovery_moves, e.counters.discovery_faults)),
+            (1, 0)
+        );
     });
 }
 
-/// Guards a running proxy when its settings change: a new class is served, one that is gone is not, and a request
-/// under way keeps the class under which it came.
+/// A new class is served, a removed one is not, and an open request keeps the class with which it arrived.
 #[test]
-fn settings_change_while_requests_are_under_way() {
+fn a_reload_applies_to_new_requests_only() {
     run(async {
-        let (site, at) = open("settings").await;
+        let (proxy, at) = open("settings").await;
         let path = folder("settings").join("config.json");
         let text = std::fs::read_to_string(&path).unwrap();
-        site.all(silent());
-        let mut under_way = Client::connect(at).await;
+        proxy.script_all(never_reply());
+        let mut open_request = Client::connect(at).await;
         let head = headers(1);
-        under_way.write(format!("GET {CLIP} HTTP/1.1\r\nHost: o\r\n{head}\r\n").as_bytes()).await;
-        until(|| site.asked_in_all() == 1).await;
-        // `clip` becomes `film`, which may not be repeated, and fewer attempts are allowed.
-        let fresh = text.replace("\"name\":\"clip\"", "\"name\":\"film\"");
-        let fresh =
-            fresh.replacen("\"pure\"", "\"side_effect\"", 1).replace("\"sendCap\":8", "\"sendCap\":1");
-        std::fs::write(&path, fresh).unwrap();
-        reload_config(&site.host, &site.config, &site.moves);
-        assert_eq!(site.host.with(|e| (e.counters.reloads, e.counters.reload_failures)), (1, 0));
-        site.all(says("EIO"));
+        open_request.write(format!("GET {CLIP} HTTP/1.1\r\nHost: o\r\n{head}\r\n").as_bytes()).await;
+        until(|| proxy.total_requests() == 1).await;
+        // `clip` becomes `film`, which must not be retried, and fewer attempts are allowed.
+        let changed = text.replace("\"name\":\"clip\"", "\"name\":\"film\"");
+        let changed =
+            changed.replacen("\"pure\"", "\"side_effect\"", 1).replace("\"sendCap\":8", "\"sendCap\":1");
+        std::fs::write(&path, changed).unwrap();
+        reload_config(&proxy.executor, &proxy.config, &proxy.discovery_address);
+        assert_eq!(proxy.executor.with(|e| (e.counters.reloads, e.counters.reload_failures)), (1, 0));
+        proxy.script_all(reply_status("EIO"));
         assert_eq!(ask(at, "GET", CLIP, &headers(2)).await.status, 404);
         let film = CLIP.replace("clip", "film");
-        let before = site.asked_in_all();
+        let before = proxy.total_requests();
         assert_eq!(
             ask(at, "GET", &film, &headers(3)).await.status,
             502,
-            "it may have run, and is not repeated"
+            "it may have been executed, so it is not retried"
         );
-        assert_eq!(site.asked_in_all(), before + 1);
+        assert_eq!(proxy.total_requests(), before + 1);
         let thumb = CLIP.replace("clip", "thumb");
         assert_eq!(ask(at, "GET", &thumb, &headers(4)).await.status, 503);
-        assert_eq!(site.asked_in_all(), before + 2, "one attempt each");
-        site.pass(2_000.0);
-        assert_eq!(under_way.read(false).await.unwrap().status, 503, "as a request that does no harm");
-        // The old class comes back in its place.
-        site.all(holds());
+        assert_eq!(proxy.total_requests(), before + 2, "one attempt each");
+        proxy.advance_clock(2_000.0);
+        assert_eq!(open_request.read(false).await.unwrap().status, 503, "as an idempotent request");
+        // The old class replaces the new one.
+        proxy.script_all(serve_content());
         std::fs::write(&path, &text).unwrap();
-        reload_config(&site.host, &site.config, &site.moves);
-        assert_eq!(site.host.with(|e| e.settings().class_index("clip")), Some(0));
+        reload_config(&proxy.executor, &proxy.config, &proxy.discovery_address);
+        assert_eq!(proxy.executor.with(|e| e.settings().class_index("clip")), Some(0));
         assert_eq!(ask(at, "GET", CLIP, &headers(5)).await.status, 200);
         assert_eq!(ask(at, "GET", &film, &headers(6)).await.status, 404);
     });
 }
 
-/// Guards against a file that is broken in whatever way: nothing of it is taken.
+/// No part of an invalid file may be applied.
 #[test]
-fn a_broken_configuration_changes_nothing() {
+fn an_invalid_configuration_changes_nothing() {
     run(async {
-        let (site, at) = open("broken").await;
+        let (proxy, at) = open("broken").await;
         let path = folder("broken").join("config.json");
         let text = std::fs::read_to_string(&path).unwrap();
-        let fresh = text.replace("\"name\":\"clip\"", "\"name\":\"film\"");
+        let changed = text.replace("\"name\":\"clip\"", "\"name\":\"film\"");
         let cases = [
             String::new(),
-            fresh[..fresh.len() / 2].to_string(),
-            fresh.replace("\"sendCap\":8,", ""),
-            fresh.replace("\"semantics\":\"pure\",", ""),
-            fresh.replacen("\"worth\":2.0", "\"worthy\":2.0", 1),
-            fresh.replace("\"purgeDoneUs\":6000000,", ""),
-            fresh.replace("\"rules\"", "\"rule\""),
-            fresh.replace("\"sendCap\":8", "\"sendCap\":0"),
-            fresh.replace("\"sendCap\":8", "\"sendCap\":-1"),
-            fresh.replace("\"sendCap\":8", "\"sendCap\":\"8\""),
-            fresh.replace("\"deadlineUs\":5000000", "\"deadlineUs\":0"),
-            fresh.replace("\"deadlineUs\":5000000", "\"deadlineUs\":-5"),
-            fresh.replace("\"deadlineUs\":5000000", "\"deadlineUs\":null"),
+            changed[..changed.len() / 2].to_string(),
+            changed.replace("\"sendCap\":8,", ""),
+            changed.replace("\"semantics\":\"pure\",", ""),
+            changed.replacen("\"worth\":2.0", "\"worthy\":2.0", 1),
+            changed.replace("\"purgeDoneUs\":6000000,", ""),
+            changed.replace("\"rules\"", "\"rule\""),
+            changed.replace("\"sendCap\":8", "\"sendCap\":0"),
+            changed.replace("\"sendCap\":8", "\"sendCap\":-1"),
+            changed.replace("\"sendCap\":8", "\"sendCap\":\"8\""),
+            changed.replace("\"deadlineUs\":5000000", "\"deadlineUs\":0"),
+            changed.replace("\"deadlineUs\":5000000", "\"deadlineUs\":-5"),
+            changed.replace("\"deadlineUs\":5000000", "\"deadlineUs\":null"),
         ];
         for (k, case) in cases.iter().enumerate() {
-            assert_ne!(*case, fresh, "case {k} changes nothing");
+            assert_ne!(*case, changed, "case {k} changes nothing");
             std::fs::write(&path, case).unwrap();
-            reload_config(&site.host, &site.config, &site.moves);
-            assert_eq!(site.host.with(|e| e.counters.reload_failures), k as u64 + 1, "{case}");
+            reload_config(&proxy.executor, &proxy.config, &proxy.discovery_address);
+            assert_eq!(proxy.executor.with(|e| e.counters.reload_failures), k as u64 + 1, "{case}");
         }
         assert_eq!(ask(at, "GET", CLIP, &headers(1)).await.status, 200);
-        std::fs::write(&path, fresh).unwrap();
-        reload_config(&site.host, &site.config, &site.moves);
-        assert_eq!(site.host.with(|e| e.counters.reloads), 1);
+        std::fs::write(&path, changed).unwrap();
+        reload_config(&proxy.executor, &proxy.config, &proxy.discovery_address);
+        assert_eq!(proxy.executor.with(|e| e.counters.reloads), 1);
     });
 }
 
-/// Guards impatient clients: the margin is a part of their time, not all of it.
+/// The margin for the client's network is bounded to a share of its wait.
 #[test]
-fn a_short_patience_leaves_time_for_an_attempt() {
+fn a_short_client_wait_leaves_time_for_an_attempt() {
     run(async {
-        let (site, at) = open("impatient").await;
+        let (proxy, at) = open("impatient").await;
         let short = headers(1).replace("1500", "40");
         assert_eq!(ask(at, "GET", CLIP, &short).await.status, 200);
-        let waits: Vec<_> = CACHES.iter().flat_map(|id| site.endpoints[id].asked.borrow().clone()).collect();
-        assert_eq!(waits[0]["w"], "36");
+        let requests: Vec<_> =
+            CACHES.iter().flat_map(|id| proxy.endpoints[id].requests.borrow().clone()).collect();
+        assert_eq!(requests[0]["w"], "36");
     });
 }
 
-/// Guards all that shares a connection with an answer that stops short: it will not go on, the connection is left,
-/// and the request is asked again at the same cache, which holds the copy.
+/// Other requests share the connection: it is closed, and the request is retried at the same cache, which has
+/// the object.
 #[test]
-fn an_answer_that_stops_short_is_not_waited_for() {
+fn a_stalled_reply_is_retried_at_once() {
     run(async {
-        let (site, at) = open("stops").await;
-        site.endpoints.values().for_each(|m| m.stops.set(1));
-        let answer = ask(at, "GET", CLIP, &headers(1)).await;
-        assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
+        let (proxy, at) = open("stops").await;
+        proxy.endpoints.values().for_each(|m| m.truncate_next.set(1));
+        let response = ask(at, "GET", CLIP, &headers(1)).await;
+        assert_eq!((response.status, &response.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
         assert_eq!(
-            site.host.with(|e| (e.counters.connections_stalled, e.counters.attempts_timed_out)),
+            proxy.executor.with(|e| (e.counters.connections_stalled, e.counters.attempts_timed_out)),
             (1, 0)
         );
-        let asked: Vec<_> = CACHES.iter().map(|id| site.asked(*id)).collect();
-        assert!(asked.contains(&2), "twice at the same cache: {asked:?}");
+        let counts: Vec<_> = CACHES.iter().map(|id| proxy.request_count(*id)).collect();
+        assert!(counts.contains(&2), "the same cache is tried twice: {counts:?}");
     });
 }
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -11,7 +11,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use stand_ins::slow_box::SlowFleet;
-use stand_ins::{folder, run, Killed};
+use stand_ins::{folder, run, KillOnDrop};
 use std::path::Path;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -138,7 +138,7 @@
         let args = ["serve", "--config", config.to_str().unwrap(), "--rules", file.to_str().unwrap()];
         let child =
             std::process::Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(log).spawn();
-        let program = Killed(child.unwrap());
+        let program = KillOnDrop(child.unwrap());
         while TcpStream::connect(listen).await.is_err() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
--- a/tests/scarcity.rs
+++ b/tests/scarcity.rs
@@ -4,8 +4,8 @@
 
 mod stand_ins;
 
+use stand_ins::blocking::*;
 use stand_ins::running::Running;
-use stand_ins::threads::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -37,7 +37,7 @@
 
 /// Reads one answer whole; its head and its body.
 fn read(stream: &mut TcpStream) -> (String, String) {
-    stream.set_read_timeout(Some(HANGS)).unwrap();
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
         stream.read_exact(&mut byte).expect("an answer");
@@ -78,7 +78,7 @@
 /// address and the watch, once it is back, get their descriptors. Nothing is ever accepted for which there is none.
 #[test]
 fn idle_clients_leave_descriptors_to_the_watch_the_endpoints_and_the_admin_address() {
-    let endpoint = KnownEndpoint::start("one");
+    let endpoint = NamedEndpoint::start("one");
     let (watch, admin) = (free(), free());
     let mut proxy =
         Running::start_of(&known(watch, &[(0xc1, endpoint.address)], Some(admin)), "few.json", FEW);
@@ -90,9 +90,9 @@
     call.write_all(b"GET /healthcheck HTTP/1.1\r\nHost: o\r\n\r\n").unwrap();
     assert!(read(&mut call).0.starts_with("HTTP/1.1 200"));
     // The watch comes back and brings a new endpoint, while the idle clients are still there.
-    let other = KnownEndpoint::start("two");
+    let other = NamedEndpoint::start("two");
     let listener = TcpListener::bind(watch).unwrap();
-    let (mut stream, last) = link(&listener);
+    let (mut stream, last) = accept_watch(&listener);
     assert_eq!(last, 1);
     let list = [cache_record(0xc2, other.address, 0)].concat();
     stream.write_all(&frame(2, 1, &list)).unwrap();
@@ -107,7 +107,7 @@
 #[test]
 fn a_process_is_ready_at_once_whatever_discovery_does() {
     for silent in [false, true] {
-        let endpoint = KnownEndpoint::start("known");
+        let endpoint = NamedEndpoint::start("known");
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let watch = listener.local_addr().unwrap();
         // Accepted by the system and never answered; or refused.
@@ -136,7 +136,7 @@
 /// same address before the old process is waited for: the new one serves.
 #[test]
 fn a_kill_right_after_an_accept_and_a_start_at_the_same_address_serves() {
-    let endpoint = KnownEndpoint::start("again");
+    let endpoint = NamedEndpoint::start("again");
     let text = known(free(), &[(0xc1, endpoint.address)], None);
     let mut proxy = Running::start_of(&text, "again.json", FEW);
     for round in 1..=5 {
@@ -144,7 +144,7 @@
         accepted.write_all(get(round).as_bytes()).unwrap();
         // It is at the endpoint, or not yet taken: both in turn. What the last process had sent may be told late.
         if round % 2 == 0 {
-            while endpoint.asked.recv_timeout(HANGS).unwrap() != format!("{round:016x}") {}
+            while endpoint.request_ids.recv_timeout(HANG_TIMEOUT).unwrap() != format!("{round:016x}") {}
         }
         let port = proxy.port;
         proxy.signal("-KILL");
@@ -152,7 +152,7 @@
         proxy = Running::start_at(port, &text, "again.json", FEW).expect("it takes the address");
         let (status, body) = ask(&mut proxy.connect(), 100 + round);
         assert_eq!((&*status, &*body), ("200", "again"));
-        while endpoint.asked.recv_timeout(HANGS).unwrap() != format!("{:016x}", 100 + round) {}
+        while endpoint.request_ids.recv_timeout(HANG_TIMEOUT).unwrap() != format!("{:016x}", 100 + round) {}
     }
 }
 
@@ -160,7 +160,7 @@
 /// address is free.
 #[test]
 fn a_start_at_an_address_that_is_still_in_use_serves_once_it_is_free() {
-    let endpoint = KnownEndpoint::start("late");
+    let endpoint = NamedEndpoint::start("late");
     // Who has the address first.
     let ending = TcpListener::bind("127.0.0.1:0").unwrap();
     let port = ending.local_addr().unwrap().port();
@@ -175,12 +175,12 @@
 /// SIGHUP, then a drain of the endpoint that served: the other one serves. And once more the other way round.
 #[test]
 fn a_drain_after_a_reload_leaves_a_proxy_that_serves() {
-    let (one, two) = (KnownEndpoint::start("one"), KnownEndpoint::start("two"));
+    let (one, two) = (NamedEndpoint::start("one"), NamedEndpoint::start("two"));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let watch = listener.local_addr().unwrap();
     let text = known(watch, &[(0xc1, one.address), (0xc2, two.address)], None);
     let mut proxy = Running::start_of(&text, "drain.json", 256);
-    let (mut stream, _) = link(&listener);
+    let (mut stream, _) = accept_watch(&listener);
     let (mut ids, mut no) = (0, 1);
     let mut tell = |stream: &mut TcpStream, record: Vec<u8>| {
         no += 1;
@@ -212,13 +212,13 @@
 #[test]
 fn a_complete_list_and_a_silence_after_it_leave_a_proxy_that_serves() {
     let (old, new, last) =
-        (KnownEndpoint::start("old"), KnownEndpoint::start("new"), KnownEndpoint::start("last"));
+        (NamedEndpoint::start("old"), NamedEndpoint::start("new"), NamedEndpoint::start("last"));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let watch = listener.local_addr().unwrap();
     let proxy = Running::start_of(&known(watch, &[(0xc1, old.address)], None), "whole.json", 256);
     let mut ids = 0;
     served_by(&proxy, &mut ids, "old");
-    let (mut stream, begun) = link(&listener);
+    let (mut stream, begun) = accept_watch(&listener);
     assert_eq!(begun, 1);
     stream.write_all(&frame(1, 0, &[])).unwrap();
     stream.write_all(&frame(2, 2, &cache_record(0xc2, new.address, 1))).unwrap();
@@ -229,14 +229,14 @@
     stream.write_all(&list[30..]).unwrap();
     served_by(&proxy, &mut ids, "new");
     // Silence from here on, with the connection up. The proxy asks again, from the last number.
-    let (mut fresh, begun) = link(&listener);
+    let (mut fresh, begun) = accept_watch(&listener);
     assert_eq!(begun, 3);
     served_by(&proxy, &mut ids, "new");
     fresh.write_all(&frame(4, 1, &cache_record(0xc4, last.address, 0))).unwrap();
     served_by(&proxy, &mut ids, "last");
     // A list that says what is known, and once more silence.
     fresh.write_all(&frame(5, 1, &cache_record(0xc4, last.address, 0))).unwrap();
-    let (_third, begun) = link(&listener);
+    let (_third, begun) = accept_watch(&listener);
     assert_eq!(begun, 5);
     served_by(&proxy, &mut ids, "last");
     drop(stream);
@@ -245,7 +245,7 @@
 /// Requests in pieces: a byte at a time, cut at every place in turn, and cut inside every CR LF.
 #[test]
 fn requests_in_pieces_are_served() {
-    let endpoint = KnownEndpoint::start("pieces");
+    let endpoint = NamedEndpoint::start("pieces");
     let proxy = Running::start_of(&known(free(), &[(0xc1, endpoint.address)], None), "pieces.json", 256);
     let mut client = proxy.connect();
     client.set_nodelay(true).unwrap();
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -93,7 +93,7 @@
 
 /// A site with its second front open.
 struct Front {
-    site: Site,
+    site: TestProxy,
     at: SocketAddr,
     keys: PathBuf,
     reload: Rc<Notify>,
@@ -106,7 +106,7 @@
 }
 
 async fn open(name: &str, signers: &[&Signer]) -> Front {
-    let site = Site::start(name).await;
+    let site = TestProxy::start(name).await;
     let keys = folder(name).join("keys.json");
     write_keys(&keys, signers);
     let file = folder(name).join("front.json");
@@ -117,7 +117,7 @@
     let config = SignedUrlConfig::read(&file, 1_024).unwrap();
     let front = Rc::new(config.front(77).unwrap());
     let reload = Rc::new(Notify::new());
-    spawn_local(follow_key_file(site.host.clone(), config, front.clone(), reload.clone()));
+    spawn_local(follow_key_file(site.executor.clone(), config, front.clone(), reload.clone()));
     let at = site.open(front.clone()).await;
     Front { site, at, keys, reload, front }
 }
@@ -212,9 +212,9 @@
         for (what, target) in cases {
             assert_eq!(ask(f.at, "GET", &target, "").await.status, 403, "{what}");
         }
-        assert_eq!(f.site.asked_in_all(), 0, "no decision was taken");
+        assert_eq!(f.site.total_requests(), 0, "no decision was taken");
         let (requests, forbidden) =
-            f.site.host.with(|e| (e.counters.requests, e.counters.forbidden_requests));
+            f.site.executor.with(|e| (e.counters.requests, e.counters.forbidden_requests));
         assert_eq!((requests, forbidden), (0, count));
         // Within the leeway both ends of a link's time are good; known critical claims are, too.
         let edge = with(with(good, "exp", json!(now - 1.9)), "nbf", json!(now + 1.9));
@@ -262,7 +262,7 @@
         let text = format!("GET {PATH}?URISigningPackage={token} HTTP/1.1\r\nHost: other.test\r\n\r\n");
         client.write(text.as_bytes()).await;
         assert_eq!(client.read(false).await.unwrap().status, 403);
-        assert_eq!(f.site.asked_in_all(), 0);
+        assert_eq!(f.site.total_requests(), 0);
         for (method, target, status) in [
             ("GET", "/media/clip/17".to_string(), 404),
             ("GET", format!("/media/nothing/17/7f3a9c21e0b4d655/3?URISigningPackage={token}"), 404),
@@ -296,9 +296,9 @@
         until(knows("b")).await;
         assert_eq!(ask(f.at, "GET", &after, "").await.status, 200);
         assert_eq!(ask(f.at, "GET", &before, "").await.status, 200, "issued a moment before the rotation");
-        f.site.pass(29_999.0);
+        f.site.advance_clock(29_999.0);
         assert_eq!(ask(f.at, "GET", &before, "").await.status, 200);
-        f.site.pass(2.0);
+        f.site.advance_clock(2.0);
         assert_eq!(ask(f.at, "GET", &before, "").await.status, 403, "the overlap is over");
         // A change of the file is seen without a signal, too.
         write_keys(&f.keys, &[&new, &old]);
@@ -315,7 +315,7 @@
         es.jwk["d"] = json!(base64url(&[3; 32]));
         let f = open("renewal", &[&hs, &es]).await;
         let part = |k: u32| format!("/media/clip/17/7f3a9c21e0b4d655/{k}");
-        let token = |answer: &Answer| {
+        let token = |answer: &Response| {
             let cookie = answer.headers["set-cookie"].clone();
             let (pair, rest) = cookie.split_once("; ").unwrap();
             assert_eq!(rest, "Path=/media/clip; Max-Age=30; HttpOnly; Secure");
@@ -328,7 +328,7 @@
             for k in 1..4 {
                 assert_eq!(answer.status, 200);
                 let cookie = token(&answer);
-                f.site.pass(29_000.0);
+                f.site.advance_clock(29_000.0);
                 answer = ask(f.at, "GET", &part(k), &cookie).await;
             }
             assert_eq!(answer.status, 200);
@@ -336,7 +336,7 @@
             // It opens what the first one opened, and ends as it says.
             assert_eq!(ask(f.at, "GET", "/media/clip/17/7f3a9c21e0b4d656/0", &cookie).await.status, 403);
             assert_eq!(ask(f.at, "GET", &part(5), &format!("{cookie}{cookie}")).await.status, 400);
-            f.site.pass(32_000.0);
+            f.site.advance_clock(32_000.0);
             let late = ask(f.at, "GET", &part(4), &cookie).await;
             assert_eq!((late.status, late.headers.get("set-cookie")), (403, None));
         }
@@ -388,11 +388,11 @@
         let hs = Signer::secret("a", &SECRET);
         let f = open("ends", &[&hs]).await;
         let link = hs.link(PATH, &fresh(URI));
-        f.site.all(says("AGAIN"));
+        f.site.script_all(reply_status("AGAIN"));
         let refused = ask(f.at, "GET", &link, "").await;
         assert_eq!((refused.status, refused.headers["retry-after"].as_str()), (503, "1"));
         // With nobody answering, a class of short patience ends at its deadline, a longer one is given up.
-        f.site.all(silent());
+        f.site.script_all(never_reply());
         let thumb = "/media/thumb/17/7f3a9c21e0b4d655/0";
         let short = hs.link(thumb, &fresh(&format!("https://media.test{thumb}")));
         for (link, status, most) in [(short, 504, 200.0), (link, 503, 5_000.0)] {
@@ -400,8 +400,8 @@
             let waits = spawn_local(async move { ask(at, "GET", &link, "").await });
             while !waits.is_finished() {
                 // Time passes only while an attempt is out, in steps, so that its own time-out is met.
-                if f.site.host.with(|e| e.open_requests()) > 0 {
-                    f.site.pass(10.0);
+                if f.site.executor.with(|e| e.open_requests()) > 0 {
+                    f.site.advance_clock(10.0);
                 }
                 tokio::time::sleep(std::time::Duration::from_millis(1)).await;
             }
@@ -435,28 +435,28 @@
         for link in &links {
             assert_eq!(client.ask("GET", link, "").await.status, 200);
         }
-        assert!(f.site.asked(CACHES[0]) > 0 && f.site.asked(CACHES[1]) > 0);
+        assert!(f.site.request_count(CACHES[0]) > 0 && f.site.request_count(CACHES[1]) > 0);
         let at = f.site.endpoints[&CACHES[0]].address;
-        let no = f.site.bulletin.state(CACHES[0], at, 0, 1);
-        until(|| f.site.host.with(|e| e.last_event_number()) >= no).await;
-        f.site.pass(250.0);
-        let before = f.site.asked(CACHES[0]);
+        let no = f.site.discovery.send_state(CACHES[0], at, 0, 1);
+        until(|| f.site.executor.with(|e| e.last_event_number()) >= no).await;
+        f.site.advance_clock(250.0);
+        let before = f.site.request_count(CACHES[0]);
         for (k, link) in links.iter().enumerate() {
             let forged = format!("{link}x");
             let (link, status) = if k % 4 == 3 { (&forged, 403) } else { (link, 200) };
             assert_eq!(client.ask("GET", link, "").await.status, status);
         }
-        assert_eq!(f.site.asked(CACHES[0]), before);
+        assert_eq!(f.site.request_count(CACHES[0]), before);
         // As a source it is as good as gone: here the parent drains.
         let at = f.site.endpoints[&PARENT].address;
-        let no = f.site.bulletin.state(PARENT, at, 1, 1);
-        until(|| f.site.host.with(|e| e.last_event_number()) >= no).await;
-        f.site.pass(250.0);
-        let seen = f.site.asked(CACHES[1]);
+        let no = f.site.discovery.send_state(PARENT, at, 1, 1);
+        until(|| f.site.executor.with(|e| e.last_event_number()) >= no).await;
+        f.site.advance_clock(250.0);
+        let seen = f.site.request_count(CACHES[1]);
         for link in &links {
             assert_eq!(client.ask("GET", link, "").await.status, 200);
         }
-        let asked = f.site.endpoints[&CACHES[1]].asked.borrow();
+        let asked = f.site.endpoints[&CACHES[1]].requests.borrow();
         assert!(asked[seen..]
             .iter()
             .all(|fields| fields.get("next").is_none_or(|next| next != "s-000000a0")));
@@ -472,10 +472,10 @@
         // A head that never ends is answered when its time is over, by the clock.
         let mut slow = Client::connect(f.at).await;
         slow.write(b"GET /media/clip").await;
-        until(|| f.site.host.with(|e| e.counters.client_connections) == 1).await;
+        until(|| f.site.executor.with(|e| e.counters.client_connections) == 1).await;
         let reads = spawn_local(async move { slow.read(false).await.unwrap() });
         while !reads.is_finished() {
-            f.site.pass(100.0);
+            f.site.advance_clock(100.0);
             tokio::time::sleep(std::time::Duration::from_millis(1)).await;
         }
         assert!(f.site.clock.now() > START_MS + 5_000.0, "not before its time");
@@ -486,16 +486,16 @@
         let answer = body.ask("GET", &hs.link(PATH, &fresh(URI)), "Content-Length: 5\r\n").await;
         assert_eq!((answer.status, answer.closed), (413, true));
         // Above the cap a client waits while all others have requests open, and gets the place of an idle one.
-        f.site.all(silent());
+        f.site.script_all(never_reply());
         let mut held = Vec::new();
         for k in 0..4 {
             let mut client = Client::connect(f.at).await;
             let link = hs.link(PATH, &fresh(URI));
             client.write(format!("GET {link} HTTP/1.1\r\nHost: media.test\r\n\r\n").as_bytes()).await;
-            until(|| f.site.asked_in_all() == k + 1).await;
+            until(|| f.site.total_requests() == k + 1).await;
             held.push(client);
         }
-        f.site.all(holds());
+        f.site.script_all(serve_content());
         let fifth = spawn_local({
             let (at, link) = (f.at, hs.link(PATH, &fresh(URI)));
             async move { ask(at, "GET", &link, "").await.status }
@@ -517,19 +517,19 @@
     run(async {
         let hs = Signer::secret("a", &SECRET);
         let f = open("takes_nothing", &[&hs]).await;
-        f.site.all(Rc::new(|_| Some(("ACK", "sum=t1,t0=5".into(), vec![b'x'; 240_000]))));
+        f.site.script_all(Rc::new(|_| Some(("ACK", "sum=t1,t0=5".into(), vec![b'x'; 240_000]))));
         let link = hs.link(PATH, &fresh(URI));
         let text = format!("GET {link} HTTP/1.1\r\nHost: media.test\r\n\r\n");
         let mut client = Client::connect(f.at).await;
         // Enough requests ahead that their answers fill every buffer on the way.
         client.write(text.repeat(100).as_bytes()).await;
-        until(|| f.site.host.with(|e| e.counters.responses_unwritten) == 1).await;
+        until(|| f.site.executor.with(|e| e.counters.responses_unwritten) == 1).await;
         let mut whole = 0;
         while let Some(answer) = client.read(false).await {
             assert_eq!((answer.status, answer.body.len()), (200, 240_000));
             whole += 1;
         }
-        let served = f.site.host.with(|e| e.counters.served);
+        let served = f.site.executor.with(|e| e.counters.served);
         assert!(whole < served, "{whole} of {served}: the last one was cut, and did not pass for whole");
     });
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -5,8 +5,8 @@
 
 use edge_proxy::health_check::config::HealthCheckConfig;
 use edge_proxy::vrrp::config::VrrpConfig;
+use stand_ins::blocking::*;
 use stand_ins::running::Running;
-use stand_ins::threads::*;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -87,7 +87,7 @@
         .replace(r#""siblings":1"#, &format!(r#""siblings":{LARGE}"#))
         .replace(r#""seatsByZone":[0,1]"#, &format!(r#""seatsByZone":[{},{}]"#, LARGE / 2, LARGE / 2));
     let proxy = Running::start_of(&text, &format!("size{endpoints}.json"), 1_024);
-    let (mut stream, _) = link(&listener);
+    let (mut stream, _) = accept_watch(&listener);
     let caches = (0..endpoints).flat_map(|k| cache_record(0x1000 + k, endpoint, 0));
     stream
         .write_all(&frame(2, 1, &caches.chain(origin_record(0xb0, endpoint)).collect::<Vec<u8>>()))
@@ -99,7 +99,7 @@
 /// threads are those of ten endpoints, and the memory stays within what the deployment allows.
 #[test]
 fn a_thousand_endpoints_cost_no_thread_and_little_memory() {
-    let endpoint = KnownEndpoint::start("large");
+    let endpoint = NamedEndpoint::start("large");
     let measure = |endpoints: u32| {
         let (mut proxy, _watch) = fleet(endpoints, endpoint.address);
         proxy.signal("-USR1");
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for all that a proxy talks to, on loopback: pop caches, the bulletin, clients. The proxy itself
-//! runs in the test's own thread, on a clock that the test sets.
+//! Test doubles on loopback for the proxy's peers: caches, the discovery service and clients. The proxy runs
+//! on the test's own thread with a manual clock.
 #![allow(dead_code)]
 
 use edge_proxy::clock::Clock;
@@ -25,6 +25,7 @@
 use tokio::sync::{watch, Notify};
 use tokio::task::spawn_local;
 
+pub mod blocking;
 pub mod checked_endpoint;
 pub mod grpc;
 pub mod http3_client;
@@ -32,66 +33,67 @@
 pub mod registry;
 pub mod running;
 pub mod slow_box;
-pub mod threads;
 pub mod vrrp_peer;
 
-/// The time at which every test begins.
+/// The initial time of the manual clock, in Unix milliseconds.
 pub const START_MS: f64 = 1_764_576_000_000.0;
 pub const PARENT: u32 = 0xa0;
 pub const ORIGIN: u32 = 0xb0;
 pub const CACHES: [u32; 2] = [0xc1, 0xc2];
 
-/// Runs a test's tasks on one thread. The bound only ends a test that hangs; no verdict depends on it.
+/// Runs a test on a single-threaded runtime, with a timeout that only stops a test that hangs.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let bounded =
-        async { tokio::time::timeout(Duration::from_secs(60), test).await.expect("the test hangs") };
+        async { tokio::time::timeout(Duration::from_secs(60), test).await.expect("the test timed out") };
     tokio::task::LocalSet::new().block_on(&runtime, bounded);
 }
 
-/// Waits for something that must come to be.
-pub async fn until(what: impl Fn() -> bool) {
-    while !what() {
+/// Polls until a condition holds.
+pub async fn until(condition: impl Fn() -> bool) {
+    while !condition() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// How a stand-in cache answers: by the word, the fields and the body; `None` is never.
+/// Maps the fields of a request to a cache's reply (status, fields, body); `None` sends no reply.
 pub type Script = Rc<dyn Fn(&HashMap<String, String>) -> Option<(&'static str, String, Vec<u8>)>>;
 
-/// A pop cache, parent or origin, with the fields of every request that reached it.
+/// A pop cache, parent or origin that records the requests it receives.
 pub struct Cache {
     pub address: SocketAddr,
-    pub asked: Rc<RefCell<Vec<HashMap<String, String>>>>,
-    pub dropped: Rc<RefCell<Vec<String>>>,
+    /// The fields of each request, with its id under `id`.
+    pub requests: Rc<RefCell<Vec<HashMap<String, String>>>>,
+    /// Ids of the requests that the proxy cancelled.
+    pub cancelled_ids: Rc<RefCell<Vec<String>>>,
     pub connections: Rc<Cell<usize>>,
     pub script: Rc<RefCell<Script>>,
-    /// Answers end in their middle, and the connection with them.
-    pub cuts: Rc<Cell<bool>>,
-    /// So many answers stop in their middle, and the connection stays open.
-    pub stops: Rc<Cell<u32>>,
+    /// Sends half of each reply, then closes the connection.
+    pub truncate_and_close: Rc<Cell<bool>>,
+    /// How many of the next replies are truncated, with the connection left open.
+    pub truncate_next: Rc<Cell<u32>>,
 }
 
-/// The bytes that every stand-in holds for an object's part.
+/// The content that every cache serves for a part of an object.
 pub fn content(fields: &HashMap<String, String>) -> Vec<u8> {
     format!("bytes of {} part {}", fields["k"], fields["p"]).into_bytes()
 }
 
-/// Answers with the bytes under the tag `t1`.
-pub fn holds() -> Script {
+/// Serves the content with the entity tag `t1`; not modified where the request names that tag.
+pub fn serve_content() -> Script {
     Rc::new(|fields| match fields.get("cached").map(String::as_str) {
         Some("t1") => Some(("NOMOD", "sum=t1,t0=5".into(), Vec::new())),
         _ => Some(("ACK", "sum=t1,t0=5,load=inflight:1".into(), content(fields))),
     })
 }
 
-/// Answers with one word.
-pub fn says(word: &'static str) -> Script {
+/// Replies with a status and no body.
+pub fn reply_status(word: &'static str) -> Script {
     Rc::new(move |_| Some((word, "-".into(), Vec::new())))
 }
 
-/// Never answers.
-pub fn silent() -> Script {
+/// Sends no reply.
+pub fn never_reply() -> Script {
     Rc::new(|_| None)
 }
 
@@ -100,28 +102,28 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let cache = Self {
             address: listener.local_addr().unwrap(),
-            asked: Rc::default(),
-            dropped: Rc::default(),
+            requests: Rc::default(),
+            cancelled_ids: Rc::default(),
             connections: Rc::default(),
-            script: Rc::new(RefCell::new(holds())),
-            cuts: Rc::default(),
-            stops: Rc::default(),
+            script: Rc::new(RefCell::new(serve_content())),
+            truncate_and_close: Rc::default(),
+            truncate_next: Rc::default(),
         };
-        let stops = cache.stops.clone();
-        let (asked, dropped) = (cache.asked.clone(), cache.dropped.clone());
-        let (connections, script, cuts) =
-            (cache.connections.clone(), cache.script.clone(), cache.cuts.clone());
+        let truncate_next = cache.truncate_next.clone();
+        let (requests, cancelled_ids) = (cache.requests.clone(), cache.cancelled_ids.clone());
+        let (connections, script, truncate_and_close) =
+            (cache.connections.clone(), cache.script.clone(), cache.truncate_and_close.clone());
         spawn_local(async move {
             loop {
                 let (stream, _) = listener.accept().await.unwrap();
                 connections.set(connections.get() + 1);
                 spawn_local(Self::serve(
                     stream,
-                    asked.clone(),
-                    dropped.clone(),
+                    requests.clone(),
+                    cancelled_ids.clone(),
                     script.clone(),
-                    cuts.clone(),
-                    stops.clone(),
+                    truncate_and_close.clone(),
+                    truncate_next.clone(),
                 ));
             }
         });
@@ -130,11 +132,11 @@
 
     async fn serve(
         stream: TcpStream,
-        asked: Rc<RefCell<Vec<HashMap<String, String>>>>,
-        dropped: Rc<RefCell<Vec<String>>>,
+        requests: Rc<RefCell<Vec<HashMap<String, String>>>>,
+        cancelled_ids: Rc<RefCell<Vec<String>>>,
         script: Rc<RefCell<Script>>,
-        cuts: Rc<Cell<bool>>,
-        stops: Rc<Cell<u32>>,
+        truncate_and_close: Rc<Cell<bool>>,
+        truncate_next: Rc<Cell<u32>>,
     ) {
         let mut stream = BufReader::new(stream);
         let mut line = String::new();
@@ -142,7 +144,7 @@
             let words: Vec<String> = line.split_whitespace().map(String::from).collect();
             line.clear();
             if words.len() == 2 && words[0] == "DROP" {
-                dropped.borrow_mut().push(words[1].clone());
+                cancelled_ids.borrow_mut().push(words[1].clone());
             }
             if words.len() != 4 || words[0] != "GET" {
                 continue;
@@ -153,17 +155,17 @@
             let mut fields: HashMap<_, _> = fields.map(|(n, v)| (n.to_string(), v.to_string())).collect();
             fields.insert("id".into(), words[1].clone());
             let script = script.borrow().clone();
-            let answer = script(&fields);
-            asked.borrow_mut().push(fields);
-            if let Some((word, fields, body)) = answer {
+            let response = script(&fields);
+            requests.borrow_mut().push(fields);
+            if let Some((word, fields, body)) = response {
                 let head = format!("{} {word} {fields} {}\r\n", words[1], body.len());
                 let bytes = [head.as_bytes(), &body, b"\r\n"].concat();
-                if cuts.get() {
+                if truncate_and_close.get() {
                     let _ = stream.write_all(&bytes[..head.len() + body.len() / 2]).await;
                     return;
                 }
-                if stops.get() > 0 {
-                    stops.set(stops.get() - 1);
+                if truncate_next.get() > 0 {
+                    truncate_next.set(truncate_next.get() - 1);
                     let _ = stream.write_all(&bytes[..head.len() + body.len() / 2]).await;
                     continue;
                 }
@@ -173,37 +175,38 @@
     }
 }
 
-/// A frame with its number.
+/// A frame and its sequence number.
 type Frame = (u64, Vec<u8>);
 
-/// The bulletin: sends each link the frames after the number that it writes.
-pub struct Bulletin {
+/// The discovery service: sends each connection the frames after the sequence number with which it begins.
+pub struct DiscoveryServer {
     pub address: SocketAddr,
     frames: Rc<RefCell<Vec<Frame>>>,
-    news: Rc<Notify>,
-    cut: Rc<Notify>,
-    /// The numbers that links began with.
-    pub links: Rc<RefCell<Vec<u64>>>,
+    frame_added: Rc<Notify>,
+    disconnect_requested: Rc<Notify>,
+    /// The sequence number with which each connection began.
+    pub connections: Rc<RefCell<Vec<u64>>>,
 }
 
-impl Bulletin {
+impl DiscoveryServer {
     pub async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let bulletin = Self {
+        let server = Self {
             address,
             frames: Rc::default(),
-            news: Rc::default(),
-            cut: Rc::default(),
-            links: Rc::default(),
+            frame_added: Rc::default(),
+            disconnect_requested: Rc::default(),
+            connections: Rc::default(),
         };
-        let (frames, news) = (bulletin.frames.clone(), bulletin.news.clone());
-        let (links, cut) = (bulletin.links.clone(), bulletin.cut.clone());
+        let (frames, frame_added) = (server.frames.clone(), server.frame_added.clone());
+        let (connections, disconnect_requested) =
+            (server.connections.clone(), server.disconnect_requested.clone());
         spawn_local(async move {
             loop {
                 let (mut stream, _) = listener.accept().await.unwrap();
                 let Ok(mut last) = stream.read_u64().await else { continue };
-                links.borrow_mut().push(last);
+                connections.borrow_mut().push(last);
                 loop {
                     let next: Vec<_> = frames.borrow().iter().filter(|(no, _)| *no > last).cloned().collect();
                     for (no, frame) in next {
@@ -211,13 +214,13 @@
                         stream.write_all(&frame).await.unwrap();
                     }
                     tokio::select! {
-                        () = news.notified() => {}
-                        () = cut.notified() => break,
+                        () = frame_added.notified() => {}
+                        () = disconnect_requested.notified() => break,
                     }
                 }
             }
         });
-        bulletin
+        server
     }
 
     fn push(&self, kind: u8, payload: &[u8]) -> u64 {
@@ -227,12 +230,12 @@
         frame.push(kind);
         frame.extend(payload);
         self.frames.borrow_mut().push((no, frame));
-        self.news.notify_one();
+        self.frame_added.notify_one();
         no
     }
 
-    /// Tells of one endpoint's state: 0 ready, 1 draining, 2 gone.
-    pub fn state(&self, id: u32, at: SocketAddr, kind: u8, state: u8) -> u64 {
+    /// Sends an endpoint's state (0 active, 1 draining, 2 removed); returns the event's number.
+    pub fn send_state(&self, id: u32, at: SocketAddr, kind: u8, state: u8) -> u64 {
         let mut record = id.to_be_bytes().to_vec();
         record.extend([127, 0, 0, 1]);
         record.extend(at.port().to_be_bytes());
@@ -243,40 +246,40 @@
         self.push(2, &record)
     }
 
-    /// Tells of a purge of a group.
-    pub fn purge(&self, group: u16, issued: u64) -> u64 {
+    /// Sends the purge of a group; returns the event's number.
+    pub fn send_purge(&self, group: u16, issued: u64) -> u64 {
         self.push(4, &[&group.to_be_bytes()[..], &issued.to_be_bytes()[..]].concat())
     }
 
-    /// Ends the link that is up.
-    pub fn cut(&self) {
-        self.cut.notify_one();
+    /// Closes the current connection.
+    pub fn disconnect(&self) {
+        self.disconnect_requested.notify_one();
     }
 }
 
-/// A proxy with two caches, a parent and an origin.
-pub struct Site {
+/// A proxy with two pop caches, a parent, an origin and a discovery service.
+pub struct TestProxy {
     pub clock: Clock,
-    pub host: Rc<Executor>,
-    pub env: Rc<PlatformSettings>,
+    pub executor: Rc<Executor>,
+    pub settings: Rc<PlatformSettings>,
     pub endpoints: HashMap<u32, Cache>,
-    pub bulletin: Bulletin,
+    pub discovery: DiscoveryServer,
     pub config: Config,
-    /// Where the bulletin is, as the configuration says.
-    pub moves: watch::Sender<SocketAddr>,
-    pub stop: Rc<GracefulShutdown>,
+    /// The configured address of the discovery service.
+    pub discovery_address: watch::Sender<SocketAddr>,
+    pub shutdown: Rc<GracefulShutdown>,
     pub closing: Rc<Notify>,
 }
 
-/// A folder of this test's own.
+/// Creates a folder for a test's files.
 pub fn folder(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&path).unwrap();
     path
 }
 
-/// The text of a configuration. Endpoints are `(id, kind, address)`.
-pub fn config(bulletin: SocketAddr, endpoints: &[(u32, &str, SocketAddr)]) -> String {
+/// A configuration file's text. Endpoints are `(id, kind, address)`.
+pub fn config(discovery: SocketAddr, endpoints: &[(u32, &str, SocketAddr)]) -> String {
     let line = |(id, kind, at): &(u32, &str, SocketAddr)| {
         let zone = if *kind == "box" { "town" } else { "hub" };
         format!(
@@ -288,7 +291,7 @@
     let targets = targets.join(",");
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:1","seed":"8c1f30d27a5be964","limits":{{"sockets":1024}},
-        "bulletin":"{bulletin}","unknown":[1],
+        "bulletin":"{discovery}","unknown":[1],
         "known":{{"no":1,"items":[{{"no":1,"roster":{{"rev":1,"all":true,"targets":[{targets}]}}}}]}},
         "settings":{{"classes":[
           {{"name":"clip","aimStretch":1.6,"deadlineUs":5000000,"promiseUs":600000,"semantics":"pure",
@@ -308,10 +311,10 @@
     )
 }
 
-impl Site {
-    /// Starts everything but a front. `name` is the test's own.
+impl TestProxy {
+    /// Starts the proxy without a front. `name` is the test's folder.
     pub async fn start(name: &str) -> Self {
-        let bulletin = Bulletin::start().await;
+        let discovery = DiscoveryServer::start().await;
         let mut endpoints = HashMap::new();
         let mut lines = Vec::new();
         for (id, kind) in [(CACHES[0], "box"), (CACHES[1], "box"), (PARENT, "parent"), (ORIGIN, "origin")] {
@@ -320,55 +323,61 @@
             endpoints.insert(id, cache);
         }
         let path = folder(name).join("config.json");
-        std::fs::write(&path, config(bulletin.address, &lines)).unwrap();
+        std::fs::write(&path, config(discovery.address, &lines)).unwrap();
         let config = Config::read(&path).unwrap();
         let clock = Clock::manual(START_MS);
-        let (engine, env) = engine(&config, &clock, 0).unwrap();
-        let host = Executor::new(clock.clone(), engine, CacheDriver);
-        spawn_local(host.clone().run_timers());
-        let (moves, told) = watch::channel(config.discovery_address().unwrap());
-        spawn_local(discovery::run(host.clone(), told));
-        let (stop, closing) = Default::default();
-        Self { clock, host, env, endpoints, bulletin, config, moves, stop, closing }
+        let (engine, settings) = engine(&config, &clock, 0).unwrap();
+        let executor = Executor::new(clock.clone(), engine, CacheDriver);
+        spawn_local(executor.clone().run_timers());
+        let (discovery_address, address_changes) = watch::channel(config.discovery_address().unwrap());
+        spawn_local(discovery::run(executor.clone(), address_changes));
+        let (shutdown, closing) = Default::default();
+        Self { clock, executor, settings, endpoints, discovery, config, discovery_address, shutdown, closing }
     }
 
-    /// Opens a front and tells where.
+    /// Starts a listener for a front and returns its address.
     pub async fn open(&self, front: Rc<dyn Front>) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
-        spawn_local(accept(self.host.clone(), front, listener, self.stop.clone(), self.closing.clone()));
+        spawn_local(accept(
+            self.executor.clone(),
+            front,
+            listener,
+            self.shutdown.clone(),
+            self.closing.clone(),
+        ));
         at
     }
 
-    /// Lets time pass, at once.
-    pub fn pass(&self, ms: f64) {
+    /// Advances the manual clock and runs the timers that are due.
+    pub fn advance_clock(&self, ms: f64) {
         self.clock.advance(ms);
-        self.host.with(Engine::tick);
+        self.executor.with(Engine::tick);
     }
 
-    /// All endpoints answer alike from now on.
-    pub fn all(&self, script: Script) {
+    /// Sets the script of every endpoint.
+    pub fn script_all(&self, script: Script) {
         self.endpoints.values().for_each(|m| *m.script.borrow_mut() = script.clone());
     }
 
-    /// How many requests reached an endpoint.
-    pub fn asked(&self, id: u32) -> usize {
-        self.endpoints[&id].asked.borrow().len()
+    /// The number of requests that an endpoint received.
+    pub fn request_count(&self, id: u32) -> usize {
+        self.endpoints[&id].requests.borrow().len()
     }
 
-    /// How many requests reached all endpoints.
-    pub fn asked_in_all(&self) -> usize {
-        self.endpoints.values().map(|m| m.asked.borrow().len()).sum()
+    /// The number of requests that all endpoints received.
+    pub fn total_requests(&self) -> usize {
+        self.endpoints.values().map(|m| m.requests.borrow().len()).sum()
     }
 }
 
-/// An answer as a client read it.
+/// A response as read by a client.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
-    /// The proxy ended the connection after it.
+    /// The proxy closes the connection after it.
     pub closed: bool,
 }
 
@@ -382,13 +391,13 @@
         Self { stream: BufReader::new(TcpStream::connect(at).await.unwrap()) }
     }
 
-    /// A client of a connection that was used from outside the runtime.
-    pub fn of(stream: std::net::TcpStream) -> Self {
+    /// Wraps a connected blocking socket.
+    pub fn from_blocking(stream: std::net::TcpStream) -> Self {
         stream.set_nonblocking(true).unwrap();
         Self { stream: BufReader::new(TcpStream::from_std(stream).unwrap()) }
     }
 
-    /// Its connection, to be used from outside the runtime: what is written then, no task has seen yet.
+    /// Turns the client into a blocking socket, whose writes reach the proxy before its runtime polls again.
     pub fn into_blocking(self) -> std::net::TcpStream {
         assert!(self.stream.buffer().is_empty());
         let stream = self.stream.into_inner().into_std().unwrap();
@@ -400,68 +409,68 @@
         self.stream.get_mut().write_all(bytes).await.unwrap();
     }
 
-    /// Reads one answer; `head` says that it has no body whatever its length.
-    pub async fn read(&mut self, head: bool) -> Option<Answer> {
+    /// Reads a response, `None` at the end of the stream. With `head` the response has no body.
+    pub async fn read(&mut self, head: bool) -> Option<Response> {
         let mut line = String::new();
         if self.stream.read_line(&mut line).await.ok()? == 0 {
             return None;
         }
-        let mut answer = Answer { status: line.split(' ').nth(1)?.parse().ok()?, ..Answer::default() };
+        let mut response = Response { status: line.split(' ').nth(1)?.parse().ok()?, ..Response::default() };
         loop {
             line.clear();
             self.stream.read_line(&mut line).await.ok()?;
             let Some((name, value)) = line.trim_end().split_once(": ") else { break };
-            answer.headers.insert(name.to_ascii_lowercase(), value.to_string());
+            response.headers.insert(name.to_ascii_lowercase(), value.to_string());
         }
-        let length = answer.headers.get("content-length").map_or(0, |l| l.parse().unwrap());
-        answer.body = vec![0; if head { 0 } else { length }];
-        self.stream.read_exact(&mut answer.body).await.ok()?;
-        answer.closed = answer.headers.get("connection").is_some_and(|c| c == "close");
-        if answer.closed {
+        let length = response.headers.get("content-length").map_or(0, |l| l.parse().unwrap());
+        response.body = vec![0; if head { 0 } else { length }];
+        self.stream.read_exact(&mut response.body).await.ok()?;
+        response.closed = response.headers.get("connection").is_some_and(|c| c == "close");
+        if response.closed {
             let mut rest = Vec::new();
             let _ = self.stream.read_to_end(&mut rest).await;
-            assert!(rest.is_empty(), "more than one answer: {rest:?}");
+            assert!(rest.is_empty(), "more than one response: {rest:?}");
         }
-        Some(answer)
+        Some(response)
     }
 
-    /// One request, one answer.
-    pub async fn ask(&mut self, method: &str, target: &str, headers: &str) -> Answer {
+    /// Sends a request and reads its response.
+    pub async fn ask(&mut self, method: &str, target: &str, headers: &str) -> Response {
         let text = format!("{method} {target} HTTP/1.1\r\nHost: media.test\r\n{headers}\r\n");
         self.write(text.as_bytes()).await;
-        self.read(method == "HEAD").await.expect("an answer")
+        self.read(method == "HEAD").await.expect("a response")
     }
 }
 
-/// One request on a connection of its own.
-pub async fn ask(at: SocketAddr, method: &str, target: &str, headers: &str) -> Answer {
+/// Sends a request on a new connection.
+pub async fn ask(at: SocketAddr, method: &str, target: &str, headers: &str) -> Response {
     Client::connect(at).await.ask(method, target, headers).await
 }
 
-/// A process that ends with its test.
-pub struct Killed(pub std::process::Child);
+/// A child process that is killed when dropped.
+pub struct KillOnDrop(pub std::process::Child);
 
-impl Killed {
-    /// Sends it a signal, `-TERM` for instance.
+impl KillOnDrop {
+    /// Sends a signal, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let pid = self.0.id().to_string();
         assert!(std::process::Command::new("kill").args([name, &pid]).status().unwrap().success());
     }
 
-    /// Waits for its end, for ten seconds at the most; it must have ended well.
-    pub async fn ends_well(&mut self) {
+    /// Waits up to ten seconds for the process to exit, and asserts that it succeeded.
+    pub async fn exits_successfully(&mut self) {
         let end = std::time::Instant::now() + Duration::from_secs(10);
         loop {
             if let Some(status) = self.0.try_wait().unwrap() {
                 return assert!(status.success(), "{status}");
             }
-            assert!(std::time::Instant::now() < end, "the process does not end");
+            assert!(std::time::Instant::now() < end, "the process did not exit within 10 s");
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 }
 
-impl Drop for Killed {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
--- a/tests/vrrp_service.rs
+++ b/tests/vrrp_service.rs
@@ -14,7 +14,7 @@
 use simd_json::prelude::*;
 use stand_ins::slow_box::{unix_ms, SlowFleet};
 use stand_ins::vrrp_peer::{send_request, Load, Relay, RequestOutcome};
-use stand_ins::{folder, run, Killed};
+use stand_ins::{folder, run, KillOnDrop};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -32,7 +32,7 @@
 }
 
 struct Proxy {
-    process: Killed,
+    process: KillOnDrop,
     mgmt: SocketAddr,
     dir: PathBuf,
 }
@@ -62,7 +62,7 @@
     let (config, file) = (dir.join("config.json"), dir.join("vrrp.json"));
     let args = ["serve", "--config", config.to_str().unwrap(), "--vrrp", file.to_str().unwrap()];
     let child = Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(Stdio::from(log)).spawn();
-    Proxy { process: Killed(child.unwrap()), mgmt, dir }
+    Proxy { process: KillOnDrop(child.unwrap()), mgmt, dir }
 }
 
 fn vrrp_file(dir: &Path, router: SocketAddr, peer: SocketAddr, virtual_address: SocketAddr, more: &str) {
@@ -420,7 +420,7 @@
         // A stop: the peer is notified, and open requests are answered before the process ends.
         proxies[0].signal("-TERM");
         proxies[1].until("active", true).await;
-        proxies[0].process.ends_well().await;
+        proxies[0].process.exits_successfully().await;
         tokio::time::sleep(Duration::from_millis(200)).await;
         let ended = load.stop().await;
         all_served("handed over", &ended);
