--- a/src/wire/client_connection.rs
+++ b/src/wire/client_connection.rs
@@ -25,7 +25,7 @@
 /// How a connection ends.
 enum End {
     /// The client is gone: no response can be owed.
-    ClientGone,
+    Disconnected,
     /// This side closes it, in good order.
     Close,
 }
@@ -68,18 +68,18 @@
     pub(super) async fn serve(mut self, open: ConnectionGuard) {
         let end = self.serve_requests().await;
         drop(open);
-        if let End::ClientGone = end {
+        if let End::Disconnected = end {
             return;
         }
         let _lingering = self.shutdown.track_lingering();
         self.slot.set_lingering();
         let slot = &self.slot;
-        let needed_by_another = async {
+        let evicted = async {
             if !slot.is_evicted() {
                 slot.evicted().await;
             }
         };
-        self.stream.close(needed_by_another).await;
+        self.stream.close(evicted).await;
     }
 
     /// Serves requests until the connection ends.
@@ -93,13 +93,13 @@
             };
             self.slot.set_busy();
             let Some(TimedResponse { mut response, write_ms }) = self.respond(&request).await else {
-                return End::ClientGone;
+                return End::Disconnected;
             };
             response.close |=
                 !request.keep_alive || self.shutdown.closes_after_response() || self.stream.is_overrun();
             let close = response.close;
             if !self.write(response, write_ms).await {
-                return End::ClientGone;
+                return End::Disconnected;
             }
             if close {
                 return End::Close;
@@ -123,7 +123,7 @@
                 self.executor.with(|engine| engine.counters.malformed_requests += 1);
                 Err(self.fail(status).await)
             }
-            Ok(Received::End) => Err(End::ClientGone),
+            Ok(Received::End) => Err(End::Disconnected),
             Err(Phase::Idle) => Err(End::Close),
             Err(Phase::Head | Phase::Body) => Err(self.fail(408).await),
         }
@@ -215,7 +215,7 @@
         let write_ms = self.front.limits().write_ms;
         match self.write(HttpResponse::closing(status), write_ms).await {
             true => End::Close,
-            false => End::ClientGone,
+            false => End::Disconnected,
         }
     }
 
--- a/src/wire/client_stream.rs
+++ b/src/wire/client_stream.rs
@@ -16,7 +16,7 @@
 pub const MAX_AHEAD: usize = MAX_HEAD;
 /// How often a client that goes on sending is checked for its end before its request is submitted. The machine buffers
 /// some hundreds of kilobytes that nobody has read yet, and the checks together read as many.
-const MAX_LEFT_CHECKS: u32 = 64;
+const MAX_DISCONNECT_CHECKS: u32 = 64;
 /// Time limit of a lingering close, in milliseconds.
 const LINGER_MS: f64 = 1_500.0;
 /// Bytes that are read at once while nothing is decoded.
@@ -107,13 +107,13 @@
         loop {
             let read = self.framed.get_mut().read(&mut chunk).await;
             let Ok(length @ 1..) = read else { return };
-            self.keep_ahead(&chunk[..length]);
+            self.buffer_ahead(&chunk[..length]);
         }
     }
 
     /// Keeps bytes that came ahead of a response. After the first that find no room none are kept any more, so that
     /// the kept bytes have no gap.
-    fn keep_ahead(&mut self, bytes: &[u8]) {
+    fn buffer_ahead(&mut self, bytes: &[u8]) {
         self.bytes_ahead += bytes.len() as u64;
         let buffer = self.framed.read_buffer_mut();
         if !self.overrun && buffer.len() + bytes.len() <= MAX_AHEAD {
@@ -129,7 +129,7 @@
     /// Whether the client has left by now. A request that waited for its connection's slot may have come from a client
     /// that is long gone, and the end may stand behind more bytes than one check reads.
     pub async fn has_left(&mut self) -> bool {
-        for _ in 0..MAX_LEFT_CHECKS {
+        for _ in 0..MAX_DISCONNECT_CHECKS {
             // What came together with the request is reported at the reactor's next turn.
             tokio::task::yield_now().await;
             let before = self.bytes_ahead;
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -75,15 +75,15 @@
 
 /// What the watch remembers from one connection to the next.
 #[derive(Default)]
-struct Progress {
+struct WatchState {
     /// Connections in a row that brought no event.
-    fruitless: u32,
+    without_event: u32,
     /// The event that failed last, and how often in a row.
     failed_event: u64,
     failures: u32,
 }
 
-impl Progress {
+impl WatchState {
     /// Counts a failure of an event; returns how often it has failed in a row.
     fn count_failure(&mut self, number: u64) -> u32 {
         self.failures = if self.failed_event == number { self.failures + 1 } else { 1 };
@@ -93,11 +93,11 @@
 
     /// The backoff before the next connection, in milliseconds; `random` is uniform in 0..1.
     fn backoff_ms(&self, random: f64) -> f64 {
-        match self.fruitless {
+        match self.without_event {
             // One that has worked is replaced at once, but not by the whole fleet in the same moment.
             0 => INITIAL_BACKOFF_MS * random,
-            fruitless => {
-                let doubled = INITIAL_BACKOFF_MS * f64::from(1u32 << (fruitless - 1).min(8));
+            without_event => {
+                let doubled = INITIAL_BACKOFF_MS * f64::from(1u32 << (without_event - 1).min(8));
                 doubled.min(MAX_BACKOFF_MS) * (1.0 - BACKOFF_JITTER * random)
             }
         }
@@ -107,7 +107,7 @@
 /// Keeps a watch on the discovery service at `address` for ever, and reconnects where it ends. Where the service moves
 /// to another address, the old connection is dropped at once.
 pub async fn run(executor: Rc<Executor>, mut address: watch::Receiver<SocketAddr>) {
-    let mut progress = Progress::default();
+    let mut state = WatchState::default();
     loop {
         let current = *address.borrow_and_update();
         let ended = tokio::select! {
@@ -115,12 +115,12 @@
             biased;
             Ok(()) = address.changed() => {
                 executor.with(|engine| engine.counters.discovery_moves += 1);
-                progress = Progress::default();
+                state = WatchState::default();
                 continue;
             }
-            ended = follow(&executor, current, &mut progress) => ended,
+            ended = follow(&executor, current, &mut state) => ended,
         };
-        let mut backoff_ms = progress.backoff_ms(rand::random());
+        let mut backoff_ms = state.backoff_ms(rand::random());
         if let Err(error) = ended {
             executor.with(|engine| engine.counters.discovery_faults += 1);
             if !matches!(error, WatchError::Io(_)) {
@@ -140,15 +140,15 @@
 async fn follow(
     executor: &Rc<Executor>,
     address: SocketAddr,
-    progress: &mut Progress,
+    state: &mut WatchState,
 ) -> Result<(), WatchError> {
-    progress.fruitless += 1;
+    state.without_event += 1;
     let mut frames = connect(executor, address).await?;
     let silence_ms = SILENCE_MS.0 + (SILENCE_MS.1 - SILENCE_MS.0) * rand::random::<f64>();
     loop {
         let next = timeout(duration_from_ms(silence_ms), frames.next()).await;
         match next.map_err(|_| WatchError::timed_out())? {
-            Some(frame) => apply(executor, &frame?, progress)?,
+            Some(frame) => apply(executor, &frame?, state)?,
             None => return Ok(()),
         }
     }
@@ -173,18 +173,18 @@
 
 /// Applies the event of a frame. One that cannot be read is an error until it has failed `MAX_EVENT_FAILURES` times;
 /// then it is skipped, so that the events behind it are not held up for ever.
-fn apply(executor: &Rc<Executor>, frame: &Frame, progress: &mut Progress) -> Result<(), WatchError> {
+fn apply(executor: &Rc<Executor>, frame: &Frame, state: &mut WatchState) -> Result<(), WatchError> {
     let (number, last) = (frame.number, executor.with(|engine| engine.last_event_number()));
     // Numbers are consecutive. A larger one may be corrupted, after which all later events would count as old, or
     // events may be lost. One that stays is applied: what is missing is missing.
     let gap = !frame.is_heartbeat() && number > last + 1;
-    if gap && progress.count_failure(number) < MAX_EVENT_FAILURES {
+    if gap && state.count_failure(number) < MAX_EVENT_FAILURES {
         executor.with(|engine| engine.counters.discovery_gaps += 1);
         return Err(WatchError::Gap { last, received: number });
     }
     match frame.event(&executor.settings()) {
         Ok(event) => {
-            progress.fruitless = 0;
+            state.without_event = 0;
             executor.with(|engine| {
                 engine.apply_event(event);
                 if !frame.is_heartbeat() {
@@ -193,7 +193,7 @@
                 }
             });
         }
-        Err(error) if number > last && progress.count_failure(number) < MAX_EVENT_FAILURES => {
+        Err(error) if number > last && state.count_failure(number) < MAX_EVENT_FAILURES => {
             // A drain beside a record that cannot be read takes effect all the same.
             executor
                 .with(|engine| engine.apply_readable_endpoints(frame.readable_endpoints(&engine.settings())));
