--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -31,7 +31,7 @@
 #[test]
 fn a_request_is_forwarded_to_a_cache_and_its_response_returned() {
     run(async {
-        let (proxy, at) = open("whole_way").await;
+        let (proxy, at) = open("forwarded").await;
         let mut client = Client::connect(at).await;
         assert_eq!(client.ask("GET", "/alive", "").await.status, 200);
         let response = client.ask("GET", CLIP, &headers(1)).await;
@@ -184,7 +184,7 @@
 #[test]
 fn a_silent_watch_connection_is_replaced() {
     run(async {
-        let (proxy, _) = open("silent_bulletin").await;
+        let (proxy, _) = open("silent_watch").await;
         // The test's discovery service sends no heartbeats.
         until(|| proxy.discovery.connections.borrow().len() == 1).await;
         until(|| proxy.executor.with(|e| e.counters.discovery_connections) >= 2).await;
@@ -196,7 +196,7 @@
 #[test]
 fn a_watch_resumes_from_the_last_event_after_a_disconnect() {
     run(async {
-        let (proxy, _) = open("bulletin").await;
+        let (proxy, _) = open("watch_resumes").await;
         let number = proxy.discovery.send_purge(17, START_MS as u64);
         until(|| proxy.executor.with(|e| e.last_event_number()) == number).await;
         proxy.discovery.disconnect();
@@ -303,7 +303,7 @@
 #[test]
 fn the_response_to_a_body_that_is_too_long_arrives() {
     run(async {
-        let (_site, at) = open("long_body").await;
+        let (_proxy, at) = open("long_body").await;
         let mut client = Client::connect(at).await;
         let length = 8_000_000;
         let head =
--- a/tests/stand_ins/blocking.rs
+++ b/tests/stand_ins/blocking.rs
@@ -49,9 +49,9 @@
 }
 
 /// A frame of the discovery service's watch.
-pub fn frame(no: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
+pub fn frame(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let mut frame = (payload.len() as u32 + 9).to_be_bytes().to_vec();
-    frame.extend(no.to_be_bytes());
+    frame.extend(number.to_be_bytes());
     frame.push(kind);
     frame.extend(payload);
     frame
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -208,9 +208,10 @@
                 let Ok(mut last) = stream.read_u64().await else { continue };
                 connections.borrow_mut().push(last);
                 loop {
-                    let next: Vec<_> = frames.borrow().iter().filter(|(no, _)| *no > last).cloned().collect();
-                    for (no, frame) in next {
-                        last = no;
+                    let next: Vec<_> =
+                        frames.borrow().iter().filter(|(number, _)| *number > last).cloned().collect();
+                    for (number, frame) in next {
+                        last = number;
                         stream.write_all(&frame).await.unwrap();
                     }
                     tokio::select! {
@@ -224,14 +225,14 @@
     }
 
     fn push(&self, kind: u8, payload: &[u8]) -> u64 {
-        let no = self.frames.borrow().len() as u64 + 2;
+        let number = self.frames.borrow().len() as u64 + 2;
         let mut frame = (payload.len() as u32 + 9).to_be_bytes().to_vec();
-        frame.extend(no.to_be_bytes());
+        frame.extend(number.to_be_bytes());
         frame.push(kind);
         frame.extend(payload);
-        self.frames.borrow_mut().push((no, frame));
+        self.frames.borrow_mut().push((number, frame));
         self.frame_added.notify_one();
-        no
+        number
     }
 
     /// Sends an endpoint's state (0 active, 1 draining, 2 removed); returns the event's number.
