--- a/src/wire/admin.rs
+++ b/src/wire/admin.rs
@@ -134,7 +134,7 @@
         match self.store.save(executor) {
             Ok(()) => plain_text("ok\n".into()),
             Err(error) => {
-                tracing::error!(%error, "maintenance cannot be stored");
+                tracing::error!(%error, "cannot store the maintenance state");
                 HttpResponse::status(500)
             }
         }
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -70,37 +70,37 @@
     #[error("socket: {0}")]
     Io(#[from] std::io::Error),
     /// A line is longer than [`MAX_LINE`].
-    #[error("a line is longer than {MAX_LINE} bytes")]
+    #[error("line is longer than {MAX_LINE} bytes")]
     LineTooLong,
     /// A line is not UTF-8.
-    #[error("a line is not UTF-8")]
+    #[error("line is not UTF-8")]
     NotUtf8,
     /// A line has a single word.
-    #[error("a reply without a status")]
+    #[error("reply has no status")]
     MissingStatus,
     /// A line has words behind the length of the body.
-    #[error("words behind the length of the body")]
+    #[error("unexpected words after the body length")]
     TooManyWords,
     /// The status is unknown.
     #[error("unknown status {0:?}")]
     UnknownStatus(String),
     /// The request's id is not 16 hex digits.
-    #[error("request id {0:?}")]
+    #[error("invalid request id {0:?}")]
     RequestId(String),
     /// The length of the body is no number.
-    #[error("body length {0:?}")]
+    #[error("invalid body length {0:?}")]
     BodyLength(String),
     /// The body is longer than [`MAX_BODY`].
-    #[error("a body of {0} bytes is too large")]
+    #[error("body of {0} bytes is too large")]
     BodyTooLarge(usize),
     /// A status that carries no bytes came with a body.
-    #[error("a body of {0} bytes where the status allows none")]
+    #[error("body of {0} bytes where the status allows none")]
     UnexpectedBody(usize),
     /// The body does not end where its length says.
-    #[error("a body does not end at its stated length")]
+    #[error("body does not end at its stated length")]
     BodyEnd,
     /// The value of a field cannot be read.
-    #[error("field {0:?}")]
+    #[error("invalid field {0:?}")]
     Field(String),
 }
 
--- a/src/wire/cache_codec/tests.rs
+++ b/src/wire/cache_codec/tests.rs
@@ -101,7 +101,7 @@
 
 /// The bytes of a reply do not depend on its path.
 #[test]
-fn an_unknown_or_malformed_path_spoils_no_reply() {
+fn an_unknown_or_malformed_path_does_not_invalidate_a_reply() {
     for note in ["note=", "note", "note=hit", "note=HIT=MISS", "note=7", "note=\u{e9}"] {
         let text = format!("000000000000000a ACK sum=4be0,{note},t0=5 2\r\nok\r\n");
         let replies = decode_all(&mut LineCodec::default(), text.as_bytes()).unwrap();
--- a/src/wire/cache_connection.rs
+++ b/src/wire/cache_connection.rs
@@ -40,7 +40,7 @@
     #[error(transparent)]
     Reply(ReplyError),
     /// A reply stopped in its middle.
-    #[error("a reply stalled")]
+    #[error("reply stalled")]
     Stalled,
 }
 
@@ -121,7 +121,7 @@
             });
             // Only each doubling is logged: an endpoint may send nothing that can be read.
             if count.is_power_of_two() {
-                tracing::warn!(endpoint = %address, %error, count, "malformed reply; the connection is closed");
+                tracing::warn!(endpoint = %address, %error, count, "malformed reply; closing the connection");
             }
             executor.with(|engine| engine.connection_malformed(conn));
         }
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -200,7 +200,7 @@
             return Err(error.into());
         }
         Err(error) => {
-            tracing::warn!(%error, number, "an event of the discovery service is skipped");
+            tracing::warn!(%error, number, "skipping a malformed event of the discovery service");
             executor.with(|engine| {
                 engine.counters.discovery_skipped += 1;
                 engine.skip_events_to(number);
--- a/src/wire/discovery_codec.rs
+++ b/src/wire/discovery_codec.rs
@@ -40,13 +40,13 @@
     #[error("socket: {0}")]
     Io(#[from] std::io::Error),
     /// The stated length is less than a number and a kind need.
-    #[error("a frame of {0} bytes is too short")]
+    #[error("frame of {0} bytes is too short")]
     TooShort(usize),
     /// The stated length is above [`MAX_FRAME`].
-    #[error("a frame of {0} bytes is too large")]
+    #[error("frame of {0} bytes is too large")]
     TooLarge(usize),
     /// The payload does not have the length of its kind.
-    #[error("a frame of kind {kind} with a payload of {length} bytes")]
+    #[error("frame of kind {kind} has an invalid payload of {length} bytes")]
     PayloadLength {
         /// The kind.
         kind: u8,
--- a/src/wire/discovery_json.rs
+++ b/src/wire/discovery_json.rs
@@ -14,7 +14,7 @@
     #[error("{0}")]
     Malformed(#[from] simd_json::Error),
     /// The value of a field cannot be used.
-    #[error("{field} {value:?}")]
+    #[error("invalid {field} {value:?}")]
     Field {
         /// The field.
         field: &'static str,
@@ -36,10 +36,10 @@
     #[error(transparent)]
     Endpoint(#[from] EndpointJsonError),
     /// The id of a purged object is not 16 hex digits.
-    #[error("object {0:?}")]
+    #[error("invalid object id {0:?}")]
     PurgedObject(String),
     /// A purge names neither an object nor a group.
-    #[error("a purge of nothing")]
+    #[error("purge names neither an object nor a group")]
     EmptyPurge,
 }
 
--- a/src/wire/http.rs
+++ b/src/wire/http.rs
@@ -5,7 +5,7 @@
 
 /// A field that may be sent once came several times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("a header field came more than once")]
+#[error("header field is repeated")]
 pub struct RepeatedField;
 
 /// A complete request.
--- a/src/wire/http_codec/tests.rs
+++ b/src/wire/http_codec/tests.rs
@@ -29,7 +29,7 @@
 
 /// What no honest client sends: each fault has its status, and nothing after it is read.
 #[test]
-fn bad_requests_have_their_status_and_end_the_reading() {
+fn malformed_requests_get_their_status_and_stop_decoding() {
     let long = format!("GET /{} HTTP/1.1\r\nHost: a\r\n\r\n", "x".repeat(MAX_HEAD));
     let many = format!("GET / HTTP/1.1\r\nHost: a\r\n{}\r\n", "X: y\r\n".repeat(MAX_HEADERS + 1));
     let cases: [(&str, u16); 12] = [
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_endless_head_is_not_buffered() {
+fn a_head_beyond_the_limit_is_rejected_before_its_end() {
     assert_eq!(decode_first(&vec![b'a'; MAX_HEAD + 1]).unwrap().unwrap_err(), BadRequest(431));
     assert!(decode_first(&vec![b'a'; MAX_HEAD - 1]).is_none());
 }
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -65,10 +65,10 @@
     #[error("the request is malformed")]
     Malformed,
     /// Its target or class is unknown.
-    #[error("no such target or class")]
+    #[error("unknown target or class")]
     NotFound,
     /// Its class is requested by another method.
-    #[error("the method is not {0}")]
+    #[error("method is not {0}")]
     Method(&'static str),
 }
 
