--- a/src/wire/admin.rs
+++ b/src/wire/admin.rs
@@ -1,5 +1,5 @@
-//! The front of the admin address: health of the process, metrics, maintenance of endpoints, and the calls of other
-//! subsystems. One call on a connection; a status of 2xx means that it was carried out.
+//! The front of the admin address: health of the process, metrics, maintenance of endpoints, and the calls of
+//! other subsystems. Each connection carries one call; a 2xx status means that the call took effect.
 
 use super::front::{ConnectionLimits, Disposition, Front, ResponseContext};
 use super::http::{HttpRequest, HttpResponse};
@@ -10,16 +10,16 @@
 use std::io;
 use std::rc::Rc;
 
-/// Concurrent connections. At the limit a client that sends nothing loses its connection to the next.
+/// Concurrent connections. At the limit, an idle connection is evicted for a new one.
 pub const MAX_CLIENTS: usize = 16;
 /// Time limit of a complete call, in milliseconds.
 const CALL_MS: f64 = 6_000.0;
-/// The longest body of a call, in bytes; the calls of this module ignore theirs.
+/// The longest body of a call, in bytes. This module's own calls ignore their bodies.
 const MAX_BODY: usize = 4_096;
 
-/// Stores the maintenance in force, so that it outlives this process.
+/// Persists the current maintenance state across restarts of the process.
 pub trait MaintenanceStore {
-    /// Stores it.
+    /// Stores the current maintenance state.
     fn save(&self, executor: &Rc<Executor>) -> io::Result<()>;
 }
 
@@ -31,7 +31,7 @@
 
 /// The admin calls of a subsystem.
 pub trait AdminHandler {
-    /// The response to a call, where it is one of the subsystem's own.
+    /// The response to a call, or `None` where the call is not one of the subsystem's.
     fn answer(&self, call: &HttpRequest) -> Option<HttpResponse>;
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl AdminCall {
-    /// The call of a path.
+    /// Parses a path.
     fn parse(path: &str) -> Option<Self> {
         let segments: Vec<&str> = path.split('/').skip(1).collect();
         match segments[..] {
@@ -81,7 +81,7 @@
 }
 
 impl AdminFront {
-    /// A front that keeps maintenance in `store`.
+    /// A front that persists maintenance in `store`.
     pub fn new(store: Box<dyn MaintenanceStore>) -> Self {
         let limits = ConnectionLimits {
             connections: MAX_CLIENTS,
@@ -95,7 +95,7 @@
         Self { limits, store, handlers: Vec::new() }
     }
 
-    /// Allows fewer concurrent connections, where descriptors are short.
+    /// Lowers the limit of concurrent connections, for a process with few file descriptors.
     pub fn with_max_clients(mut self, clients: usize) -> Self {
         self.limits.connections = clients.min(MAX_CLIENTS);
         self
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Takes an endpoint out of use, or puts it back. A success means that this is in force and stored.
+    /// Takes an endpoint out of use, or puts it back. Succeeds only once the change is applied and stored.
     fn set_out_of_use(&self, executor: &Rc<Executor>, id: EndpointId, out_of_use: bool) -> HttpResponse {
         if !executor.with(|engine| engine.set_out_of_use(id, out_of_use)) {
             return HttpResponse::status(404);
--- a/src/wire/byte_range.rs
+++ b/src/wire/byte_range.rs
@@ -3,11 +3,11 @@
 /// The part of a body that a `Range` field requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ByteRange {
-    /// All of it: the field is of an unsupported form, or is not valid, and is ignored.
+    /// The whole body: the field is invalid or of an unsupported form, and is ignored.
     All,
-    /// From the first of these bytes up to and without the second.
+    /// The bytes from the first offset up to, but not including, the second.
     Part(usize, usize),
-    /// None of its bytes: the range is unsatisfiable.
+    /// The range lies outside the body.
     Unsatisfiable,
 }
 
@@ -20,7 +20,7 @@
         if !is_digits(first) || !is_digits(last) || (first.is_empty() && last.is_empty()) {
             return Self::All;
         }
-        // A number that is too large for its type lies past the end of any body.
+        // A number that overflows its type lies past the end of any body.
         let number = |text: &str| text.parse::<usize>().unwrap_or(usize::MAX);
         if first.is_empty() {
             return match number(last).min(length) {
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -1,5 +1,6 @@
-//! The platform's cache protocol: lines of words that end in CR LF, with bodies of a stated length. Its words and field
-//! names are mapped here, and nowhere else, to the messages of [`cache_message`](crate::cache_message).
+//! The codec of the platform's cache protocol: lines of space-separated words that end in CR LF, each
+//! followed by a body of a stated length. Only this module knows the protocol's words and field names; it
+//! maps them to the messages of [`cache_message`](crate::cache_message).
 
 use crate::cache_message::{CacheCommand, CacheReply, CacheRequest, ReplyStatus};
 use crate::response_path::ResponsePath;
@@ -16,7 +17,7 @@
 pub const MAX_BODY: usize = 240_000;
 
 const LINE_END: &[u8] = b"\r\n";
-/// Stands for an empty list of fields.
+/// Denotes an empty list of fields.
 const NO_FIELDS: &str = "-";
 
 /// The words of the protocol.
@@ -29,7 +30,7 @@
     pub const OVERLOADED: &str = "AGAIN";
     pub const ERROR: &str = "EIO";
     pub const EXPIRED: &str = "STALE";
-    /// The reply to a ping, which carries no message.
+    /// The reply to a ping, which is not passed on.
     pub const PING_REPLY: &str = "READY";
 }
 
@@ -63,7 +64,7 @@
     pub const PATH: &str = "note";
 }
 
-/// What a cache sent that cannot be read.
+/// A malformed reply, or a connection that failed.
 #[derive(Debug, Error)]
 pub enum ReplyError {
     /// The connection failed.
@@ -78,7 +79,7 @@
     /// A line has a single word.
     #[error("reply has no status")]
     MissingStatus,
-    /// A line has words behind the length of the body.
+    /// A line has words after the length of the body.
     #[error("unexpected words after the body length")]
     TooManyWords,
     /// The status is unknown.
@@ -87,19 +88,19 @@
     /// The request's id is not 16 hex digits.
     #[error("invalid request id {0:?}")]
     RequestId(String),
-    /// The length of the body is no number.
+    /// The length of the body is not a number.
     #[error("invalid body length {0:?}")]
     BodyLength(String),
     /// The body is longer than [`MAX_BODY`].
     #[error("body of {0} bytes is too large")]
     BodyTooLarge(usize),
-    /// A status that carries no bytes came with a body.
+    /// The status allows no body, but the reply has one.
     #[error("body of {0} bytes where the status allows none")]
     UnexpectedBody(usize),
-    /// The body does not end where its length says.
+    /// The body is not followed by a line end.
     #[error("body does not end at its stated length")]
     BodyEnd,
-    /// The value of a field cannot be read.
+    /// A field has no value, or an invalid one.
     #[error("invalid field {0:?}")]
     Field(String),
 }
@@ -109,7 +110,7 @@
 pub struct LineCodec {
     /// A reply whose body is not complete yet.
     partial: Option<PartialReply>,
-    /// Length of the buffer's start that contains no line end, so that no byte is searched twice.
+    /// Length of the buffer's prefix that is known to contain no line end, so that no byte is searched twice.
     searched: usize,
 }
 
@@ -121,13 +122,13 @@
 }
 
 impl LineCodec {
-    /// Whether the codec is in the middle of a reply; `buffer` has been read and not yet decoded.
+    /// Whether the codec is in the middle of a reply; `buffer` holds the bytes that are not yet decoded.
     pub fn is_within_reply(&self, buffer: &[u8]) -> bool {
-        // The end of an empty body may come with the next reply.
+        // The line end after an empty body may arrive together with the next reply.
         self.partial.is_some() || !LINE_END.starts_with(buffer)
     }
 
-    /// Takes the next line, without its end, out of the buffer.
+    /// Takes the next line, without its line end, out of the buffer.
     fn next_line(&mut self, buffer: &mut BytesMut) -> Result<Option<BytesMut>, ReplyError> {
         let start = self.searched.saturating_sub(1);
         let end = buffer[start..].windows(LINE_END.len()).position(|bytes| bytes == LINE_END);
@@ -147,7 +148,7 @@
 }
 
 impl PartialReply {
-    /// Parses the line of a reply; none for the reply to a ping.
+    /// Parses the line of a reply; `None` for the reply to a ping.
     fn parse(line: &str) -> Result<Option<Self>, ReplyError> {
         let mut words = line.split(' ');
         let (Some(id), Some(status)) = (words.next(), words.next()) else {
@@ -167,12 +168,12 @@
         Ok(Some(Self { reply, body_length }))
     }
 
-    /// Bytes of the body with its end that are not in the buffer yet.
+    /// The number of bytes of the body and its line end that are not in the buffer yet.
     fn missing(&self, buffer: &BytesMut) -> usize {
         (self.body_length + LINE_END.len()).saturating_sub(buffer.len())
     }
 
-    /// Takes the body and its end out of a buffer that holds both.
+    /// Takes the body and its line end out of a buffer that holds both.
     fn complete(self, buffer: &mut BytesMut) -> Result<CacheReply, ReplyError> {
         let body = buffer.split_to(self.body_length).freeze();
         if !buffer.starts_with(LINE_END) {
@@ -183,7 +184,7 @@
     }
 }
 
-/// The status of a reply; none for the reply to a ping.
+/// Parses the status of a reply; `None` for the reply to a ping.
 fn parse_status(text: &str) -> Result<Option<ReplyStatus>, ReplyError> {
     Ok(Some(match text {
         word::SERVED => ReplyStatus::Served,
@@ -208,9 +209,10 @@
     Ok(length)
 }
 
-/// Sets the field of a reply; none where its value cannot be read. Unknown fields are ignored.
+/// Sets a field of a reply; `None` where its value is invalid. Unknown fields are ignored.
 fn parse_field(field: &str, reply: &mut CacheReply) -> Option<()> {
-    // The path only helps to place blame: one that cannot be read, even without a value, spoils no reply.
+    // The path is only used to attribute failures: a malformed one, even without a value, does not invalidate
+    // the reply.
     if field == reply_field::PATH {
         return Some(());
     }
@@ -248,7 +250,7 @@
             }
             let text = std::str::from_utf8(&line).map_err(|_| ReplyError::NotUtf8)?;
             match PartialReply::parse(text)? {
-                // The end of an empty body is skipped as an empty line, so nothing is waited for.
+                // The line end after an empty body is skipped as an empty line, so the reply is complete now.
                 Some(PartialReply { reply, body_length: 0 }) => return Ok(Some(reply)),
                 partial => self.partial = partial,
             }
@@ -285,7 +287,7 @@
     }
 }
 
-/// The line of a request, with its end. Optional fields are written only where they have a value.
+/// The line of a request, with its line end. Optional fields without a value are omitted.
 fn request_line(request: &CacheRequest) -> String {
     let CacheRequest { id, class, object, part, timeout_ms, .. } = request;
     let mut line = format!(
--- a/src/wire/cache_codec/tests.rs
+++ b/src/wire/cache_codec/tests.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// The stall check relies on it: replies behind an incomplete one would wait for ever.
+/// The stall check depends on it: a stalled reply would block all replies after it.
 #[test]
 fn incomplete_replies_are_recognised() {
     let text = b"000000000000000a ACK sum=1,t0=1 3\r\nabc\r\n000000000000000b NOENT - 0\r\n\r\n";
@@ -47,7 +47,6 @@
     }
 }
 
-/// A cache whose bytes cannot be read: the connection is closed, nothing is guessed.
 #[test]
 fn malformed_and_oversized_replies_are_errors() {
     let long = vec![b'x'; MAX_LINE + 10];
@@ -99,7 +98,7 @@
     );
 }
 
-/// The bytes of a reply do not depend on its path.
+/// The path is informational.
 #[test]
 fn an_unknown_or_malformed_path_does_not_invalidate_a_reply() {
     for note in ["note=", "note", "note=hit", "note=HIT=MISS", "note=7", "note=\u{e9}"] {
--- a/src/wire/cache_connection.rs
+++ b/src/wire/cache_connection.rs
@@ -1,5 +1,5 @@
-//! The driver of a connection to a cache, a parent or the origin: connects, writes what the engine has, and hands it the
-//! replies.
+//! The driver of a connection to a cache, a parent or the origin: connects, writes the engine's commands, and
+//! passes it the replies.
 
 use super::cache_codec::{LineCodec, ReplyError};
 use crate::cache_message::CacheCommand;
@@ -22,12 +22,12 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Encoder, FramedRead};
 
-/// Time limit of one write, in milliseconds: an endpoint that reads nothing for so long counts as gone.
+/// Time limit of one write, in milliseconds. An endpoint that reads nothing for that long counts as lost.
 const WRITE_MS: f64 = 2_000.0;
 /// How long replies that arrived before a connection broke are still read, in milliseconds.
 const LAST_READ_MS: f64 = 100.0;
-/// Interval of the stall check, in milliseconds. A reply that has made no progress between two checks will not go on,
-/// and neither will the replies behind it.
+/// Interval of the stall check, in milliseconds. A partial reply that makes no progress between two checks
+/// counts as stalled: it would block all later replies on the connection.
 const STALL_CHECK_MS: f64 = 200.0;
 
 /// Why a connection to a cache ended.
@@ -36,10 +36,10 @@
     /// The connection failed.
     #[error("socket: {0}")]
     Io(#[from] std::io::Error),
-    /// A reply cannot be read.
+    /// A reply is malformed.
     #[error(transparent)]
     Reply(ReplyError),
-    /// A reply stopped in its middle.
+    /// A partial reply made no progress.
     #[error("reply stalled")]
     Stalled,
 }
@@ -119,7 +119,8 @@
                 engine.counters.connections_malformed += 1;
                 engine.counters.connections_malformed
             });
-            // Only each doubling is logged: an endpoint may send nothing that can be read.
+            // Logged only when the count reaches a power of two: an endpoint may send malformed replies all
+            // the time.
             if count.is_power_of_two() {
                 tracing::warn!(endpoint = %address, %error, count, "malformed reply; closing the connection");
             }
@@ -128,19 +129,19 @@
     }
 }
 
-/// Whether a connect failed for want of a resource of this machine, such as descriptors.
+/// Whether a connect failed for lack of a local resource, such as file descriptors.
 pub(crate) fn is_local(error: &std::io::Error) -> bool {
     // EMFILE, ENFILE, EADDRNOTAVAIL, ENOBUFS, ENOMEM.
     matches!(error.raw_os_error(), Some(24 | 23 | 99 | 105 | 12))
 }
 
-/// Hands replies to the engine until the endpoint ends the connection.
+/// Passes replies to the engine until the endpoint closes the connection.
 async fn read(
     executor: &Rc<Executor>,
     conn: ConnectionId,
     mut source: FramedRead<OwnedReadHalf, LineCodec>,
 ) -> Result<(), ConnectionError> {
-    // Bytes of an incomplete reply at the last check.
+    // The number of buffered bytes of a partial reply at the last check.
     let mut partial_bytes = None;
     loop {
         match timeout(duration_from_ms(STALL_CHECK_MS), source.next()).await {
@@ -186,8 +187,8 @@
         codec.encode(command, &mut bytes)?;
         match (sink.try_write(&bytes), request_id) {
             (Ok(written), _) => drop(bytes.split_to(written)),
-            // A request of which no byte could be written goes back, and is checked again once there is room for it:
-            // meanwhile its deadline may pass, or its endpoint drain.
+            // A request of which no byte was written returns to the engine, which checks it again once the
+            // socket is writable: its deadline may pass meanwhile, or its endpoint may begin to drain.
             (Err(error), Some(request_id)) if error.kind() == ErrorKind::WouldBlock => {
                 bytes.clear();
                 executor.with(|engine| engine.write_blocked(conn, request_id));
--- a/src/wire/classification.rs
+++ b/src/wire/classification.rs
@@ -1,4 +1,4 @@
-//! The classification of a request: its class, and the keys of what it requests.
+//! Request classification: maps a request to its class and to the keys of the requested object.
 
 use super::http::HttpRequest;
 
@@ -7,9 +7,9 @@
 pub struct Target {
     /// The name of its class.
     pub class: String,
-    /// The object.
+    /// The object's id.
     pub object: u64,
-    /// The part.
+    /// The number of the object's part.
     pub part: u32,
     /// The object's group.
     pub group: u32,
@@ -20,9 +20,9 @@
 pub enum Classification {
     /// The request's class and keys.
     Target(Target),
-    /// The request is of a known form, but lacks a key or class.
+    /// The request has a known form, but its class or a key is missing or invalid.
     Malformed,
-    /// The request is of no known form.
+    /// The request has no known form.
     NoMatch,
 }
 
--- a/src/wire/client_connection.rs
+++ b/src/wire/client_connection.rs
@@ -1,5 +1,5 @@
-//! The life of a client's connection: reads requests one after another, has each answered by its front or the engine,
-//! and closes the connection.
+//! The task of a client's connection: reads requests one after another, answers each through its front or the
+//! engine, and closes the connection.
 
 use super::client_stream::{ClientStream, Received};
 use super::connection_slots::ConnectionSlot;
@@ -18,15 +18,15 @@
 
 /// How often a connection that waits for bytes checks its deadlines, in milliseconds.
 const DEADLINE_CHECK_MS: f64 = 250.0;
-/// How long after its client has given a request up its response is still written, in milliseconds: then another
-/// connection gets the slot.
+/// How long a response is still written after its request's deadline, in milliseconds. Then the connection is
+/// closed, and its slot is free.
 const LATE_WRITE_MS: f64 = 500.0;
 
 /// How a connection ends.
 enum End {
-    /// The client is gone: no response can be owed.
+    /// The client has disconnected, or cannot be written to.
     Disconnected,
-    /// This side closes it, in good order.
+    /// The proxy closes the connection gracefully.
     Close,
 }
 
@@ -42,7 +42,7 @@
     front: Rc<dyn Front>,
     shutdown: Rc<GracefulShutdown>,
     stream: ClientStream,
-    /// Declared, and so dropped, after the stream: the slot is free once the socket is closed.
+    /// Declared after the stream, and so dropped after it: the slot is released once the socket is closed.
     slot: ConnectionSlot,
     peer: IpAddr,
 }
@@ -63,8 +63,8 @@
         Self { executor, front, shutdown, slot, stream, peer }
     }
 
-    /// Serves the connection to its end. A shutdown waits for `open` first, and then for the lingering close, so that
-    /// the last response arrives.
+    /// Serves the connection to its end. A shutdown waits for `open` first, and then for the lingering close,
+    /// so that the last response arrives.
     pub(super) async fn serve(mut self, open: ConnectionGuard) {
         let end = self.serve_requests().await;
         drop(open);
@@ -84,7 +84,8 @@
 
     /// Serves requests until the connection ends.
     async fn serve_requests(&mut self) -> End {
-        // Bounds the first request, so that a client that sends nothing, or a byte at a time, keeps no slot.
+        // Bounds the first request, so that a client that sends nothing, or a byte at a time, does not keep
+        // its slot.
         let mut first_deadline = Some(self.executor.clock.now() + self.front.limits().first_ms);
         loop {
             let request = match self.next_request(first_deadline.take()).await {
@@ -114,8 +115,8 @@
         }
     }
 
-    /// The next request, or the end of the connection, after a response to a client that is too slow or sent no
-    /// request.
+    /// The next request, or how the connection ends. A client that is too slow or sends a malformed request
+    /// gets an error response first.
     async fn next_request(&mut self, deadline: Option<f64>) -> Result<HttpRequest, End> {
         match self.receive(deadline).await {
             Ok(Received::Request(request)) => Ok(request),
@@ -129,15 +130,15 @@
         }
     }
 
-    /// Waits for the next request. `Err` gives the phase in which the wait ended without one: the client was too slow,
-    /// its slot is needed, or the proxy shuts down.
+    /// Waits for the next request. `Err` gives the phase in which the wait ended without one: the client was
+    /// too slow, its slot is needed, or the proxy shuts down.
     async fn receive(&mut self, deadline: Option<f64>) -> Result<Received, Phase> {
         loop {
             let now = self.executor.clock.now();
             let check_ms =
                 deadline.map_or(DEADLINE_CHECK_MS, |due| (due - now).clamp(1.0, DEADLINE_CHECK_MS));
             tokio::select! {
-                // What has arrived is read first: a request may cross the loss of its slot.
+                // Bytes that have arrived are read first: a request may cross the eviction of its slot.
                 biased;
                 received = timeout(duration_from_ms(check_ms), self.stream.next()) => if let Ok(received) = received {
                     return Ok(received);
@@ -150,13 +151,13 @@
                 self.slot.set_reading(since);
             }
             if self.wait_is_over(phase, since, deadline) {
-                // A request that came in this very moment: the machine may have it already.
+                // The socket may hold a request that arrived since the last poll.
                 return self.stream.next_now().await.ok_or(phase);
             }
         }
     }
 
-    /// Whether the wait for a request ends, in a phase that began at `since`.
+    /// Whether the wait for a request is over, in a phase that began at `since`.
     fn wait_is_over(&self, phase: Phase, since: f64, deadline: Option<f64>) -> bool {
         let limits = self.front.limits();
         let limit_ms = match phase {
@@ -171,7 +172,7 @@
         is_late || now - since > limit_ms || idle_at_shutdown || self.slot.is_evicted()
     }
 
-    /// The response to a request; none where the client left.
+    /// The response to a request; `None` where the client has disconnected.
     async fn respond(&mut self, request: &HttpRequest) -> Option<TimedResponse> {
         let (executor, front) = (self.executor.clone(), self.front.clone());
         let mut write_ms = front.limits().write_ms;
@@ -182,7 +183,8 @@
             }
         };
         let deadline_ms = request.deadline_ms;
-        // A request that waited for its slot, or behind another, may have come from a client that is long gone.
+        // The client may have disconnected while its request waited for a slot, or for the response to
+        // another.
         if self.stream.has_left().await {
             executor.with(|engine| engine.counters.clients_disconnected += 1);
             return None;
@@ -197,7 +199,7 @@
         Some(TimedResponse { response, write_ms })
     }
 
-    /// Waits for the result of a request; none where the client leaves first.
+    /// Waits for the result of a request; `None` where the client disconnects first.
     async fn wait(&mut self, submission: Submission) -> Option<FinalResponse> {
         match submission {
             Submission::Completed(result) => Some(result),
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Responds to a fault, after which nothing more can be read.
+    /// Sends an error response, after which the connection is closed.
     async fn fail(&mut self, status: u16) -> End {
         self.slot.set_busy();
         let write_ms = self.front.limits().write_ms;
--- a/src/wire/client_stream.rs
+++ b/src/wire/client_stream.rs
@@ -1,5 +1,5 @@
-//! The byte stream of a client's connection over TCP: reads requests, notices when the client leaves, writes responses,
-//! and closes the connection so that the last response arrives.
+//! The byte stream of a client's connection over TCP: reads requests, detects the client's disconnect, writes
+//! responses, and closes the connection so that the last response arrives.
 
 use super::http::{HttpRequest, HttpResponse};
 use super::http_codec::{BadRequest, HttpCodec, Phase, MAX_HEAD, MAX_INLINE};
@@ -12,10 +12,10 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Decoder, Framed};
 
-/// The most bytes that are kept of a client that goes on sending while its request is open.
+/// The most bytes that are buffered from a client that sends more while its request is open.
 pub const MAX_AHEAD: usize = MAX_HEAD;
-/// How often a client that goes on sending is checked for its end before its request is submitted. The machine buffers
-/// some hundreds of kilobytes that nobody has read yet, and the checks together read as many.
+/// How often a client that sends more after its request is checked for a disconnect before the request is
+/// submitted. Socket buffers hold some hundreds of kilobytes, and the checks together read as many.
 const MAX_DISCONNECT_CHECKS: u32 = 64;
 /// Time limit of a lingering close, in milliseconds.
 const LINGER_MS: f64 = 1_500.0;
@@ -27,9 +27,9 @@
 pub enum Received {
     /// A request.
     Request(HttpRequest),
-    /// Bytes that are no request. Nothing after them can be read.
+    /// A malformed request, after which nothing more is read.
     Bad(BadRequest),
-    /// The end of the client's side, or a connection that failed.
+    /// The client closed or shut down its side, or the connection failed.
     End,
 }
 
@@ -39,17 +39,18 @@
     framed: Framed<TcpStream, HttpCodec>,
     /// Clients may pipeline requests (RFC 9112, section 9.3.2).
     pipelining: bool,
-    /// More bytes came ahead of a response than are kept, and were discarded.
+    /// Bytes that arrived ahead of a response exceeded the limit, and some were discarded.
     overrun: bool,
-    /// Bytes that came ahead of responses, kept or discarded.
+    /// The number of bytes that arrived ahead of responses, buffered or discarded.
     bytes_ahead: u64,
 }
 
 impl ClientStream {
-    /// The stream of a connection that was just accepted. Small writes leave at once (`TCP_NODELAY`).
+    /// The stream of an accepted connection. Sets `TCP_NODELAY`.
     ///
-    /// Bytes that a client sends ahead of a response beyond [`MAX_AHEAD`] are discarded. Without `pipelining`, the
-    /// connection ends with that response; with it, after the response to the last request that is kept complete.
+    /// Bytes that a client sends ahead of a response beyond [`MAX_AHEAD`] are discarded. Without
+    /// `pipelining`, the connection is closed after that response; with it, after the response to the last
+    /// request that is buffered complete.
     pub fn new(stream: TcpStream, codec: HttpCodec, pipelining: bool) -> Self {
         let _ = stream.set_nodelay(true);
         Self { framed: Framed::new(stream, codec), pipelining, overrun: false, bytes_ahead: 0 }
@@ -64,14 +65,14 @@
         }
     }
 
-    /// What has arrived by now, for a reader that is about to give up.
+    /// The next request if it has arrived by now, for a caller whose wait has ended.
     pub async fn next_now(&mut self) -> Option<Received> {
-        // What arrived since the last poll is reported at the reactor's next turn.
+        // The reactor reports bytes that arrived since the last poll on its next turn.
         tokio::task::yield_now().await;
         self.next().now_or_never()
     }
 
-    /// The phase of the current read, and since when it lasts, in Unix milliseconds.
+    /// The phase of the current read, and when it began, in Unix milliseconds.
     pub fn phase(&self) -> (Phase, f64) {
         self.framed.codec().phase()
     }
@@ -81,27 +82,27 @@
         self.framed.codec_mut().restart_wait();
     }
 
-    /// Whether bytes were discarded and no complete request is left of those that were kept: what is read from now on
-    /// cannot be understood.
+    /// Whether bytes were discarded and no complete request is left in the buffer: later bytes cannot be
+    /// parsed, since the start of their request is missing.
     pub fn is_overrun(&self) -> bool {
         self.overrun && !self.has_buffered_request()
     }
 
-    /// Whether the next request, or a bad one, is buffered complete. Decodes a copy of the buffer.
+    /// Whether a complete or malformed request is buffered. Decodes a copy of the buffer.
     fn has_buffered_request(&self) -> bool {
         let mut buffer = self.framed.read_buffer().clone();
         matches!(self.framed.codec().clone().decode(&mut buffer), Ok(Some(_)))
     }
 
-    /// Whether bytes came ahead of a response: most likely the start of another request.
+    /// Whether bytes arrived ahead of a response: usually the start of another request.
     pub fn has_bytes_ahead(&self) -> bool {
         !self.framed.read_buffer().is_empty()
     }
 
-    /// Waits until the client leaves: it closed or reset the connection, or ended its side. Bytes that it sends
-    /// meanwhile are kept for the next request, within bounds, so that they neither hide its leaving nor count as one.
-    /// Reading never pauses: the end of the client's side arrives behind its last byte, which a full receive window
-    /// would keep out. To be called between a request and its response only. Cancel safe.
+    /// Waits until the client disconnects: it closes, resets or shuts down its side. Bytes that it sends
+    /// meanwhile are buffered for the next request, up to a limit, and are no disconnect. Reading never
+    /// pauses, since the end of the stream arrives after its last byte, which a full receive window would
+    /// keep out. To be called between a request and its response only. Cancel safe.
     pub async fn left(&mut self) {
         let mut chunk = [0u8; READ_CHUNK];
         loop {
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Keeps bytes that came ahead of a response. After the first that find no room none are kept any more, so that
-    /// the kept bytes have no gap.
+    /// Buffers bytes that arrived ahead of a response. After the first that exceed the limit no more are
+    /// buffered, so that the buffer has no gap.
     fn buffer_ahead(&mut self, bytes: &[u8]) {
         self.bytes_ahead += bytes.len() as u64;
         let buffer = self.framed.read_buffer_mut();
@@ -126,11 +127,11 @@
         }
     }
 
-    /// Whether the client has left by now. A request that waited for its connection's slot may have come from a client
-    /// that is long gone, and the end may stand behind more bytes than one check reads.
+    /// Whether the client has disconnected by now. The end of its stream may follow more bytes than one check
+    /// reads.
     pub async fn has_left(&mut self) -> bool {
         for _ in 0..MAX_DISCONNECT_CHECKS {
-            // What came together with the request is reported at the reactor's next turn.
+            // The reactor reports bytes that arrived with the request on its next turn.
             tokio::task::yield_now().await;
             let before = self.bytes_ahead;
             if self.left().now_or_never().is_some() {
@@ -157,9 +158,9 @@
         timeout(duration_from_ms(limit_ms), write).await.unwrap_or_else(timed_out)
     }
 
-    /// Closes the connection: sends nothing more, and discards what the client still sends, so that no response is lost
-    /// to a reset (lingering close, RFC 9112, section 9.6). Ends after `LINGER_MS`, or when `cancelled` does.
-    /// A request among the discarded bytes gets no response; the end of the connection tells its client so.
+    /// Closes the connection: shuts down this side and discards what the client still sends, so that no
+    /// response is lost to a reset (lingering close, RFC 9112, section 9.6). Returns when the client closes,
+    /// after `LINGER_MS`, or when `cancelled` completes.
     pub async fn close(mut self, cancelled: impl Future<Output = ()>) {
         let stream = self.framed.get_mut();
         if stream.shutdown().await.is_err() {
--- a/src/wire/connection_slots.rs
+++ b/src/wire/connection_slots.rs
@@ -1,4 +1,4 @@
-//! The slots of a listener's connections. At the limit, the connection that has been idle for longest gives up its slot.
+//! The connection slots of a listener. At the limit, an idle or slow connection is evicted for a new one.
 
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
@@ -9,19 +9,19 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// How often a new connection without a slot tries again, in milliseconds.
+/// How often a new connection retries to acquire a slot, in milliseconds.
 const RETRY_MS: f64 = 20.0;
 
 /// A listener's slots.
 pub(super) struct ConnectionSlots {
     slots: RefCell<ClientSlots>,
     evictions: RefCell<HashMap<SlotId, Rc<Notify>>>,
-    /// A slot has become free or idle.
+    /// Notified when a slot becomes free or idle.
     changed: Notify,
 }
 
 impl ConnectionSlots {
-    /// `max` free slots.
+    /// A set of `max` free slots.
     pub(super) fn new(max: usize) -> Rc<Self> {
         Rc::new(Self {
             slots: RefCell::new(ClientSlots::new(max)),
@@ -30,7 +30,7 @@
         })
     }
 
-    /// Waits for a slot.
+    /// Waits for a slot, evicting a connection where none is free.
     pub(super) async fn acquire(self: &Rc<Self>, executor: &Rc<Executor>) -> ConnectionSlot {
         loop {
             let now = executor.clock.now();
@@ -54,7 +54,7 @@
     }
 }
 
-/// The slot of one connection. It is free again once this is dropped.
+/// The slot of one connection, released on drop.
 pub(super) struct ConnectionSlot {
     slots: Rc<ConnectionSlots>,
     id: SlotId,
@@ -63,35 +63,35 @@
 }
 
 impl ConnectionSlot {
-    /// The bytes of a request arrive, the first of them at `since`.
+    /// Marks the connection as reading a request, whose first byte arrived at `since`.
     pub(super) fn set_reading(&self, since: f64) {
         self.slots.slots.borrow_mut().request_started(self.id, since);
     }
 
-    /// A request is open: the slot cannot be taken away.
+    /// Marks a request as open: the connection cannot be evicted.
     pub(super) fn set_busy(&self) {
         self.slots.slots.borrow_mut().request_open(self.id);
     }
 
-    /// The connection waits for the next request.
+    /// Marks the connection as waiting for the next request.
     pub(super) fn set_idle(&self, now: f64) {
         self.slots.slots.borrow_mut().idle(self.id, now);
         self.slots.changed.notify_one();
     }
 
-    /// The connection is closed on this side and lingers.
+    /// Marks the connection as closed by this side and lingering.
     pub(super) fn set_lingering(&self) {
         self.slots.slots.borrow_mut().finished(self.id);
         self.slots.changed.notify_one();
     }
 
-    /// Waits for the moment at which the slot is needed for another connection.
+    /// Waits until the connection is evicted.
     pub(super) async fn evicted(&self) {
         self.eviction.notified().await;
         self.evicted.set(true);
     }
 
-    /// Whether the connection knows that its slot is needed.
+    /// Whether [`Self::evicted`] has completed.
     pub(super) fn is_evicted(&self) -> bool {
         self.evicted.get()
     }
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -1,7 +1,8 @@
-//! The watch on the discovery service: a connection over which endpoint lists and purges arrive as sequenced events.
+//! The watch on the discovery service: a connection over which endpoint lists and purges arrive as sequenced
+//! events.
 //!
-//! The platform counts an event as known to the proxy once the service has it, connected or not. So the watch is always
-//! re-established, from the number of the last event that was applied.
+//! The platform expects a proxy to know an event as soon as the service has it, connected or not. So the
+//! watch is always re-established, and resumes after the last event that was applied.
 
 use super::discovery_codec::{Frame, FrameCodec, FrameError};
 use crate::clock::duration_from_ms;
@@ -16,30 +17,32 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// Bounds of the silence, in milliseconds, after which a connection counts as broken: a frame is due each second. Each
-/// connection draws its own, so that a fleet whose watches fall silent together does not reconnect in step.
+/// Bounds of the idle timeout, in milliseconds, after which a connection counts as broken; a frame is due
+/// each second. Each connection draws a random value between them, so that a fleet does not reconnect in step
+/// after an outage.
 pub const SILENCE_MS: (f64, f64) = (1_600.0, 2_000.0);
 /// Time limit of a connect and of the first write, in milliseconds.
 const CONNECT_MS: f64 = 700.0;
-/// The least backoff after a frame that cannot be read, in milliseconds.
+/// The least backoff after a malformed frame or a gap, in milliseconds.
 const MALFORMED_BACKOFF_MS: f64 = 200.0;
-/// The backoff after the first connection that brought no event, in milliseconds. It doubles with each further one.
+/// The backoff after the first connection without an event, in milliseconds. It doubles with each further
+/// one.
 const INITIAL_BACKOFF_MS: f64 = 50.0;
-/// The longest backoff, in milliseconds: a drain takes effect within 250 ms.
+/// The longest backoff, in milliseconds: a drain must take effect within 250 ms.
 const MAX_BACKOFF_MS: f64 = 240.0;
-/// The largest random part that is taken off a backoff.
+/// The largest share of a backoff that jitter subtracts.
 const BACKOFF_JITTER: f64 = 0.5;
-/// After this many failures of the same event it is skipped; a frame that was corrupted on its way arrives intact the
-/// next time.
+/// How often an event may fail in a row before it is skipped. A frame that was only corrupted in transit is
+/// applied when it is requested again.
 const MAX_EVENT_FAILURES: u32 = 3;
 
 /// Why a connection to the discovery service ended.
 #[derive(Debug, Error)]
 enum WatchError {
-    /// The connection failed or fell silent.
+    /// The connection failed or timed out.
     #[error("socket: {0}")]
     Io(std::io::Error),
-    /// A frame cannot be read.
+    /// A frame is malformed.
     #[error(transparent)]
     Frame(FrameError),
     /// Events between the last one applied and the one received are missing.
@@ -73,18 +76,18 @@
     }
 }
 
-/// What the watch remembers from one connection to the next.
+/// The state of the watch that outlives a connection.
 #[derive(Default)]
 struct WatchState {
-    /// Connections in a row that brought no event.
+    /// Consecutive connections without an event.
     without_event: u32,
-    /// The event that failed last, and how often in a row.
+    /// The number of the event that failed last, and its consecutive failures.
     failed_event: u64,
     failures: u32,
 }
 
 impl WatchState {
-    /// Counts a failure of an event; returns how often it has failed in a row.
+    /// Counts a failure of an event; returns its consecutive failures.
     fn count_failure(&mut self, number: u64) -> u32 {
         self.failures = if self.failed_event == number { self.failures + 1 } else { 1 };
         self.failed_event = number;
@@ -94,7 +97,7 @@
     /// The backoff before the next connection, in milliseconds; `random` is uniform in 0..1.
     fn backoff_ms(&self, random: f64) -> f64 {
         match self.without_event {
-            // One that has worked is replaced at once, but not by the whole fleet in the same moment.
+            // After a connection that worked: only jitter, so that the fleet does not reconnect in step.
             0 => INITIAL_BACKOFF_MS * random,
             without_event => {
                 let doubled = INITIAL_BACKOFF_MS * f64::from(1u32 << (without_event - 1).min(8));
@@ -104,14 +107,15 @@
     }
 }
 
-/// Keeps a watch on the discovery service at `address` for ever, and reconnects where it ends. Where the service moves
-/// to another address, the old connection is dropped at once.
+/// Watches the discovery service at `address`, and reconnects whenever the connection ends. Never returns.
+/// When the address changes, the old connection is dropped at once.
 pub async fn run(executor: Rc<Executor>, mut address: watch::Receiver<SocketAddr>) {
     let mut state = WatchState::default();
     loop {
         let current = *address.borrow_and_update();
         let ended = tokio::select! {
-            // What an old connection still brings is not read under settings that may have come with the move.
+            // Events of the old connection must not be read under settings that changed together with the
+            // address.
             biased;
             Ok(()) = address.changed() => {
                 executor.with(|engine| engine.counters.discovery_moves += 1);
@@ -154,7 +158,7 @@
     }
 }
 
-/// Connects, and asks for the events after the last one that was applied.
+/// Connects, and requests the events after the last one that was applied.
 async fn connect(
     executor: &Rc<Executor>,
     address: SocketAddr,
@@ -171,12 +175,12 @@
     Ok(frames)
 }
 
-/// Applies the event of a frame. One that cannot be read is an error until it has failed `MAX_EVENT_FAILURES` times;
-/// then it is skipped, so that the events behind it are not held up for ever.
+/// Applies the event of a frame. A malformed one is an error until it has failed `MAX_EVENT_FAILURES` times;
+/// then it is skipped, so that it does not block the events after it.
 fn apply(executor: &Rc<Executor>, frame: &Frame, state: &mut WatchState) -> Result<(), WatchError> {
     let (number, last) = (frame.number, executor.with(|engine| engine.last_event_number()));
-    // Numbers are consecutive. A larger one may be corrupted, after which all later events would count as old, or
-    // events may be lost. One that stays is applied: what is missing is missing.
+    // Numbers are consecutive. With a larger one, either the number is corrupted, and accepting it would make
+    // all later events count as old, or events are missing. A gap that persists is accepted.
     let gap = !frame.is_heartbeat() && number > last + 1;
     if gap && state.count_failure(number) < MAX_EVENT_FAILURES {
         executor.with(|engine| engine.counters.discovery_gaps += 1);
@@ -188,13 +192,13 @@
             executor.with(|engine| {
                 engine.apply_event(event);
                 if !frame.is_heartbeat() {
-                    // The number of an unknown kind counts too.
+                    // Also for an event of an unknown kind, which is not applied.
                     engine.skip_events_to(number);
                 }
             });
         }
         Err(error) if number > last && state.count_failure(number) < MAX_EVENT_FAILURES => {
-            // A drain beside a record that cannot be read takes effect all the same.
+            // The valid records take effect at once: a drain must not wait for a malformed record beside it.
             executor
                 .with(|engine| engine.apply_readable_endpoints(frame.readable_endpoints(&engine.settings())));
             return Err(error.into());
--- a/src/wire/discovery/tests.rs
+++ b/src/wire/discovery/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Every proxy once reconnected each 50 ms, in step with all others, as long as the service was down.
+/// Proxies must not reconnect in step while the service is down.
 #[test]
 fn backoff_grows_is_bounded_and_has_jitter() {
     let backoffs = |random| {
--- a/src/wire/discovery_codec.rs
+++ b/src/wire/discovery_codec.rs
@@ -1,7 +1,7 @@
-//! The frames of the discovery service's watch: their bytes, and the events that they mean under the settings.
+//! The codec of the discovery service's watch, and the mapping of its frames to events under the settings.
 //!
-//! A frame is `length:4 number:8 kind:1 payload`, all numbers unsigned and big-endian; `length` counts the bytes that
-//! follow it. The proxy sends the number of the last event that it has, 8 bytes, and nothing else.
+//! A frame is `length:4 number:8 kind:1 payload`, all integers unsigned and big-endian; `length` counts the
+//! bytes that follow it. The proxy sends only the number of the last event that it has applied, as 8 bytes.
 
 use crate::endpoint_list::{EndpointRecord, ListedEndpoint, Sequenced, WatchEvent};
 use crate::settings::PlatformSettings;
@@ -11,9 +11,9 @@
 use thiserror::Error;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The longest frame, in bytes behind its length: some thousands of records.
+/// The longest frame, in bytes after its length field: some thousands of records.
 pub const MAX_FRAME: usize = 262_144;
-/// Bytes of the length before a frame.
+/// Bytes of a frame's length field.
 const LENGTH_BYTES: usize = 4;
 /// Bytes of a frame's number and kind.
 const HEADER_BYTES: usize = 9;
@@ -33,19 +33,19 @@
     pub const GROUP_PURGE: u8 = 4;
 }
 
-/// A frame that cannot be read.
+/// A malformed frame, or a connection that failed.
 #[derive(Debug, Error)]
 pub enum FrameError {
     /// The connection failed.
     #[error("socket: {0}")]
     Io(#[from] std::io::Error),
-    /// The stated length is less than a number and a kind need.
+    /// The stated length does not cover the number and the kind.
     #[error("frame of {0} bytes is too short")]
     TooShort(usize),
     /// The stated length is above [`MAX_FRAME`].
     #[error("frame of {0} bytes is too large")]
     TooLarge(usize),
-    /// The payload does not have the length of its kind.
+    /// The payload's length does not match the kind.
     #[error("frame of kind {kind} has an invalid payload of {length} bytes")]
     PayloadLength {
         /// The kind.
@@ -53,7 +53,7 @@
         /// The payload's length in bytes.
         length: usize,
     },
-    /// A field of an endpoint's record has a value that is unknown here.
+    /// A field of an endpoint's record has an unknown value.
     #[error("endpoint {id:08x}: unknown {field} {value}")]
     RecordField {
         /// The endpoint's id.
@@ -65,7 +65,7 @@
     },
 }
 
-/// A frame as read. Its records refer to zones and kinds by their index in the settings.
+/// A decoded frame. Its records refer to zones and kinds by their index in the settings.
 #[derive(Clone, Debug)]
 pub struct Frame {
     /// The event's sequence number.
@@ -75,12 +75,12 @@
 }
 
 impl Frame {
-    /// Whether the frame only shows that the connection works. Its number is that of the last event.
+    /// Whether the frame is a heartbeat. Its number is that of the last event.
     pub fn is_heartbeat(&self) -> bool {
         self.kind == kind::HEARTBEAT
     }
 
-    /// The event that the frame means under these settings. A frame of an unknown kind, of a later version of the
+    /// The event of the frame under these settings. A frame of an unknown kind, from a later version of the
     /// protocol, is read as a heartbeat.
     pub fn event(&self, settings: &PlatformSettings) -> Result<Sequenced, FrameError> {
         let mut payload = &self.payload[..];
@@ -107,7 +107,7 @@
         Ok(Sequenced { number: self.number, event })
     }
 
-    /// The endpoints of a list whose records can be read, whatever else is in the frame.
+    /// The endpoints whose records are valid, whatever else is in the frame.
     pub fn readable_endpoints(&self, settings: &PlatformSettings) -> Vec<ListedEndpoint> {
         self.records().filter_map(|record| decode_record(record, settings).ok()).collect()
     }
@@ -120,8 +120,8 @@
     }
 }
 
-/// Decodes a record: `id:4 address:4 port:2 state:1 zone:1 kind:1 cell:2 weight:4 started:8`, the weight in thousandths
-/// and the start in Unix milliseconds.
+/// Decodes a record: `id:4 address:4 port:2 state:1 zone:1 kind:1 cell:2 weight:4 started:8`, the weight in
+/// thousandths and the start in Unix milliseconds.
 fn decode_record(mut record: &[u8], settings: &PlatformSettings) -> Result<ListedEndpoint, FrameError> {
     let id = record.get_u32();
     let unknown = |field, value| FrameError::RecordField { id, field, value };
--- a/src/wire/discovery_codec/tests.rs
+++ b/src/wire/discovery_codec/tests.rs
@@ -52,7 +52,6 @@
     }
 }
 
-/// Bytes that cannot be read are an error, after which the watch reconnects.
 #[test]
 fn frames_that_are_malformed_or_too_large_are_errors() {
     let mut state = record();
--- a/src/wire/discovery_json.rs
+++ b/src/wire/discovery_json.rs
@@ -1,5 +1,5 @@
-//! The events of the discovery service as JSON: the platform's spelling in the configuration's `known` and in the
-//! values of a registry, mapped to [`WatchEvent`] and [`ListedEndpoint`].
+//! The events of the discovery service as JSON, as found under `known` in the configuration and in the values
+//! of a registry. Maps them to [`WatchEvent`] and [`ListedEndpoint`].
 
 use crate::endpoint_list::{EndpointRecord, ListedEndpoint, Sequenced, WatchEvent};
 use crate::text::{parse_endpoint_id, parse_hex16};
@@ -7,13 +7,13 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// An endpoint's JSON that cannot be used.
+/// Invalid JSON of an endpoint.
 #[derive(Debug, Error)]
 pub enum EndpointJsonError {
-    /// The text is no JSON of the expected type.
+    /// The text is not valid JSON, or not of the expected type.
     #[error("{0}")]
     Malformed(#[from] simd_json::Error),
-    /// The value of a field cannot be used.
+    /// A field has an invalid value.
     #[error("invalid {field} {value:?}")]
     Field {
         /// The field.
@@ -32,7 +32,7 @@
 /// What is wrong with an event of the initial state.
 #[derive(Debug, Error)]
 pub enum EventFault {
-    /// An endpoint of the list cannot be used.
+    /// An endpoint of the list is invalid.
     #[error(transparent)]
     Endpoint(#[from] EndpointJsonError),
     /// The id of a purged object is not 16 hex digits.
@@ -43,7 +43,7 @@
     EmptyPurge,
 }
 
-/// An event of the initial state that cannot be used.
+/// An invalid event of the initial state.
 #[derive(Debug, Error)]
 #[error("event {number}: {source}")]
 pub struct InitialStateError {
@@ -53,7 +53,7 @@
     pub source: EventFault,
 }
 
-/// The events that the configuration holds at a start, under `known`.
+/// The events in the configuration at startup, under `known`.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct InitialState {
     /// The sequence number of the last event.
@@ -91,8 +91,9 @@
     issued_ms: f64,
 }
 
-/// One endpoint as JSON: `{"uid":"s-00c41f7a","endpoint":"10.1.0.9:5050","az":"east","model":"std","pod_group":2,
-/// "state":"Ready","capacity_hint":4,"boot_ms":0}`.
+/// One endpoint as JSON, for instance
+/// `{"uid":"s-00c41f7a","endpoint":"10.1.0.9:5050","az":"east","model":"std","pod_group":2,"state":"Ready",
+/// "capacity_hint":4,"boot_ms":0}`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointJson {
     #[serde(rename = "uid")]
--- a/src/wire/entity_tag.rs
+++ b/src/wire/entity_tag.rs
@@ -10,17 +10,18 @@
 pub enum Comparison {
     /// Weak tags match nothing.
     Strong,
-    /// Weak tags match as strong ones do.
+    /// Weak tags match like strong ones.
     Weak,
 }
 
-/// The one tag of an `If-None-Match` field; none where there are several, or where the cache protocol cannot carry it.
+/// The tag of an `If-None-Match` field; `None` where it has several tags, or one that the cache protocol
+/// cannot carry.
 pub fn parse_single(field: &str) -> Option<String> {
     let tag = field.strip_prefix("W/").unwrap_or(field).strip_prefix('"')?.strip_suffix('"')?;
     (is_field_value(tag) && !tag.contains('"') && tag.len() <= MAX_TAG).then(|| tag.to_string())
 }
 
-/// Whether a list of tags, or `*`, contains a tag.
+/// Whether a list of tags contains a tag. `*` contains every tag.
 pub fn list_contains(list: &str, tag: &str, comparison: Comparison) -> bool {
     let matches = |listed: &str| {
         let opaque = listed.strip_prefix("W/").filter(|_| comparison == Comparison::Weak).unwrap_or(listed);
--- a/src/wire/front.rs
+++ b/src/wire/front.rs
@@ -1,4 +1,4 @@
-//! A front: what differs between the protocols that clients speak.
+//! The trait of a front, which implements one client protocol, and its types.
 
 use super::http::{HttpRequest, HttpResponse};
 use super::submission::Submission;
@@ -7,15 +7,15 @@
 use serde::Deserialize;
 use std::rc::Rc;
 
-/// Bounds of a front's connections; times are in milliseconds.
+/// Limits of a front's connections; times are in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ConnectionLimits {
     /// Concurrent connections.
     pub connections: usize,
-    /// Time limit of a connection's complete first request, from when it was accepted.
+    /// Time limit of the complete first request, from the accept of its connection.
     pub first_ms: f64,
-    /// Time limit of the first byte of a further request.
+    /// Time limit of the first byte of each further request.
     pub idle_ms: f64,
     /// Time limit of a complete head, from its first byte.
     pub head_ms: f64,
@@ -23,8 +23,9 @@
     pub body_ms: f64,
     /// Time limit of the write of a complete response.
     pub write_ms: f64,
-    /// Clients do not pipeline requests (RFC 9112, section 9.3.2), and state how long they wait for a response: none is
-    /// written for longer than that and half a second, and what is sent far ahead of a response is no request.
+    /// Clients do not pipeline requests (RFC 9112, section 9.3.2), and state how long they wait for a
+    /// response. A response is written until half a second after that wait at most, and bytes sent far ahead
+    /// of it are not parsed.
     #[serde(skip)]
     pub one_at_a_time: bool,
     /// The longest body, in bytes.
@@ -46,13 +47,13 @@
     }
 }
 
-/// The id of a client's session, in which calls outlive connections.
+/// The id of a client's session, in which calls survive the loss of a connection.
 pub type SessionId = u128;
 
-/// What the response to a request depends on besides its result.
+/// The parts of a request that its response depends on.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseContext {
-    /// Only the head is sent: the method is HEAD.
+    /// The method is HEAD: the response has no body.
     pub head_only: bool,
     /// The value of `Range`.
     pub range: Option<String>,
@@ -64,13 +65,13 @@
     pub if_match: Option<String>,
     /// A cookie that a successful response sets.
     pub set_cookie: Option<String>,
-    /// The session that the request belongs to, where the front has sessions.
+    /// The session of the request, if the front has sessions.
     pub session: Option<SessionId>,
-    /// The session's token, where the client needs a new one.
+    /// The session's token, if the client needs a new one.
     pub session_token: Option<String>,
 }
 
-/// What a front decides about a request.
+/// How a front handles a request.
 pub enum Disposition {
     /// The front answers it without the engine.
     Respond(HttpResponse),
@@ -78,9 +79,9 @@
     Forward(Box<IncomingRequest>, ResponseContext),
 }
 
-/// A front: what differs between the protocols that clients speak.
+/// A front, which implements one client protocol.
 pub trait Front {
-    /// The bounds of its connections.
+    /// The limits of its connections.
     fn limits(&self) -> &ConnectionLimits;
 
     /// Parses and authenticates a request that was complete at `now`, in Unix milliseconds.
--- a/src/wire/http.rs
+++ b/src/wire/http.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use thiserror::Error;
 
-/// A field that may be sent once came several times.
+/// A header field that may occur only once is repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("header field is repeated")]
 pub struct RepeatedField;
@@ -29,7 +29,7 @@
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// The value of a field that may be sent once; `name` in lower case.
+    /// The value of a field that may occur only once; `name` in lower case.
     pub fn single(&self, name: &str) -> Result<Option<&str>, RepeatedField> {
         let mut values = self.headers.iter().filter(|(n, _)| n == name).map(|(_, v)| v.as_str());
         let first = values.next();
@@ -45,28 +45,28 @@
 pub struct HttpResponse {
     /// Status code.
     pub status: u16,
-    /// Header fields, without those of the connection and the length.
+    /// Header fields, except `Connection` and `Content-Length`.
     pub headers: Vec<(&'static str, String)>,
     /// Body.
     pub body: Bytes,
-    /// Only the head is sent, with the length that the body would have.
+    /// Only the head is sent; `Content-Length` is still that of the body.
     pub head_only: bool,
     /// The connection is closed after it.
     pub close: bool,
 }
 
 impl HttpResponse {
-    /// A response of a status alone.
+    /// A response with a status and no body.
     pub fn status(status: u16) -> Self {
         Self { status, ..Self::default() }
     }
 
-    /// A response of a status alone, after which the connection is closed.
+    /// A response with a status and no body, after which the connection is closed.
     pub fn closing(status: u16) -> Self {
         Self { status, close: true, ..Self::default() }
     }
 
-    /// The bytes that are sent behind the head.
+    /// The bytes that are sent after the head.
     pub fn wire_body(&self) -> Bytes {
         if self.head_only || self.status == 304 {
             Bytes::new()
--- a/src/wire/http_codec.rs
+++ b/src/wire/http_codec.rs
@@ -1,4 +1,4 @@
-//! The codec of the server's side of HTTP/1.1 (RFC 9112), with a bound on everything: one request at a time.
+//! The server side of HTTP/1.1 (RFC 9112), with limits on the size of every part of a request.
 
 use super::http::{reason_phrase, HttpRequest, HttpResponse};
 use crate::clock::Clock;
@@ -11,15 +11,15 @@
 pub const MAX_HEAD: usize = 16_384;
 /// The most header fields of a request.
 pub const MAX_HEADERS: usize = 64;
-/// The longest body that is copied behind its head, in bytes. A longer one is written from where it is, so that a
-/// response that waits for a slow client is in memory once.
+/// The longest body that is copied into the write buffer after its head, in bytes. A longer one is written
+/// without a copy, so that a response to a slow client is in memory only once.
 pub const MAX_INLINE: usize = 4_096;
 
-/// Bytes that are no request: the status to respond with before the connection is closed.
+/// A malformed or unsupported request: the status to respond with before the connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadRequest(pub u16);
 
-/// What the reader of a connection waits for.
+/// What a connection is waiting to read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// The first byte of a request.
@@ -30,7 +30,7 @@
     Body,
 }
 
-/// The server's side of a connection. After a [`BadRequest`] it reads nothing more.
+/// The codec of a connection. After a [`BadRequest`] it discards all further bytes.
 #[derive(Clone, Debug)]
 pub struct HttpCodec {
     clock: Clock,
@@ -49,13 +49,13 @@
 }
 
 impl HttpCodec {
-    /// A connection whose requests have bodies of at most `max_body` bytes.
+    /// A codec that accepts request bodies of at most `max_body` bytes.
     pub fn new(clock: Clock, max_body: usize) -> Self {
         let since = clock.now();
         Self { clock, max_body, phase: Phase::Idle, since, pending: None, failed: false }
     }
 
-    /// The present phase, and since when it lasts, in Unix milliseconds.
+    /// The current phase, and when it began, in Unix milliseconds.
     pub fn phase(&self) -> (Phase, f64) {
         (self.phase, self.since)
     }
@@ -117,7 +117,7 @@
 }
 
 impl Head {
-    /// Takes a head out of the buffer; none where it is not complete.
+    /// Takes a head out of the buffer; `None` where it is not complete.
     fn parse(buffer: &mut BytesMut) -> Result<Option<Self>, BadRequest> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
@@ -157,8 +157,8 @@
     !close && (is_http_1_1 || keep_alive)
 }
 
-/// The length of a request's body (RFC 9112, section 6.3). Transfer codings are not supported: a request that two
-/// parsers could delimit differently is never read, so that none is smuggled past.
+/// The length of a request's body (RFC 9112, section 6.3). Transfer codings are not supported, and ambiguous
+/// framing is rejected, which prevents request smuggling.
 fn body_length(request: &HttpRequest) -> Result<usize, BadRequest> {
     let has_coding = single(request, "transfer-encoding")?.is_some();
     let length = single(request, "content-length")?;
--- a/src/wire/http_codec/tests.rs
+++ b/src/wire/http_codec/tests.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// What no honest client sends: each fault has its status, and nothing after it is read.
+/// Nothing after a malformed request may be parsed as a request.
 #[test]
 fn malformed_requests_get_their_status_and_stop_decoding() {
     let long = format!("GET /{} HTTP/1.1\r\nHost: a\r\n\r\n", "x".repeat(MAX_HEAD));
--- a/src/wire/listener.rs
+++ b/src/wire/listener.rs
@@ -1,4 +1,4 @@
-//! The listener of a front over TCP: accepts clients, and serves each on a task of its own.
+//! The TCP listener of a front: accepts connections, and serves each in its own task.
 
 use super::client_connection::ClientConnection;
 use super::connection_slots::ConnectionSlots;
@@ -11,14 +11,14 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-/// The wait after an accept that failed, in milliseconds: most likely for want of descriptors.
+/// The delay after a failed accept, in milliseconds; the usual cause is a lack of file descriptors.
 const ACCEPT_RETRY_MS: f64 = 20.0;
-/// How long a closing listener waits for a further connection that the machine has accepted already, in milliseconds.
+/// How long a closing listener waits for a further connection in its backlog, in milliseconds.
 const LAST_ACCEPT_MS: f64 = 1.0;
 
-/// Accepts clients until `closing` is notified; then those that the machine has accepted already, whose requests count
-/// as received, and ends. Above the front's limit of connections one client waits here, the others in the machine's
-/// queue.
+/// Accepts connections until `closing` is notified, then those still in the backlog, whose requests count as
+/// received, and returns. At the front's limit of connections one accepted connection waits for a slot here,
+/// the others wait in the backlog.
 pub async fn accept(
     executor: Rc<Executor>,
     front: Rc<dyn Front>,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,8 +1,9 @@
-//! The protocols of the proxy: with clients ([`front`], [`listener`], [`platform`], [`signed_urls`], [`admin`]), with
-//! caches ([`cache_connection`]) and with the discovery service ([`discovery`]).
+//! The protocols of the proxy: with clients ([`front`], [`listener`], [`platform`], [`signed_urls`],
+//! [`admin`]), with caches ([`cache_connection`]) and with the discovery service ([`discovery`]).
 //!
-//! Codecs and parsers do no I/O. A driver around each reads and writes the socket, and hands messages to the engine. The
-//! spellings of a protocol are constants and serde renames of its codec; the messages have none of them.
+//! Codecs and parsers do no I/O. A driver around each reads and writes the socket, and passes messages to the
+//! engine. The names that a protocol uses on the wire are constants and serde renames of its codec; message
+//! types do not depend on them.
 
 pub mod admin;
 pub mod byte_range;
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front: what its clients' requests mean, and its responses.
+//! The front of the platform's own HTTP API: parses its requests and builds its responses.
 
 use super::classification::{Classification, RequestClassifier, Target};
 use super::entity_tag::parse_single;
@@ -13,11 +13,13 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// The target by which the platform checks that the process is alive.
+/// The target of the platform's liveness check.
 const HEALTH_TARGET: &str = "/alive";
-/// Taken off the time that a client waits, in milliseconds: the ways to and from the client, and the response's bytes.
+/// Subtracted from a client's wait to get the request's deadline, in milliseconds: allows for the network
+/// round trip and the transfer of the response.
 const CLIENT_MARGIN_MS: f64 = 40.0;
-/// The largest share of the client's time that the margin takes, so that impatient clients are left some time.
+/// The largest share of a client's wait that the margin takes, so that a short wait leaves time for an
+/// attempt.
 const MAX_MARGIN_SHARE: f64 = 0.1;
 /// The highest number of a part.
 const MAX_PART: u32 = 65_535;
@@ -34,7 +36,7 @@
 /// The `retry_after` where the request table is full, in milliseconds.
 const FULL_RETRY_AFTER_MS: f64 = 300.0;
 
-/// The platform's header fields: those of requests in lower case.
+/// The platform's header fields; names of request fields are in lower case.
 mod header_field {
     pub const REQUEST_ID: &str = "x-call-id";
     pub const CLIENT_WAIT: &str = "x-patience-ms";
@@ -44,8 +46,8 @@
     pub const RETRY_AFTER: &str = "X-Come-Back-Ms";
 }
 
-/// The bounds of the platform's clients: a client that sends no request is due an end within 3 s of connecting, and
-/// clients close an idle connection after 4 s themselves.
+/// The connection limits of the platform's clients: a connection without a request must be closed within 3 s,
+/// and clients close an idle connection after 4 s themselves.
 pub fn limits(connections: usize) -> ConnectionLimits {
     ConnectionLimits {
         connections,
@@ -67,7 +69,7 @@
     /// Its target or class is unknown.
     #[error("unknown target or class")]
     NotFound,
-    /// Its class is requested by another method.
+    /// Its class requires another method.
     #[error("method is not {0}")]
     Method(&'static str),
 }
@@ -85,23 +87,23 @@
 /// The platform's front.
 pub struct Platform {
     limits: ConnectionLimits,
-    /// Classifies requests by an operator's rules; without it they are of the platform's own form.
+    /// Classifies requests by an operator's rules; `None` selects the platform's own form of a target.
     classifier: RefCell<Option<Rc<dyn RequestClassifier>>>,
 }
 
 impl Platform {
-    /// A front with these bounds.
+    /// A front with these limits.
     pub fn new(limits: ConnectionLimits) -> Self {
         Self { limits, classifier: RefCell::default() }
     }
 
-    /// Classifies requests by `classifier` from now on, or by the platform's own form of a target.
+    /// Sets the classifier of new requests; `None` selects the platform's own form of a target.
     pub fn set_classifier(&self, classifier: Option<Rc<dyn RequestClassifier>>) {
         *self.classifier.borrow_mut() = classifier;
     }
 
-    /// Parses a request. Only values that are in plain spelling and within their bounds are passed on, since what an
-    /// endpoint cannot read ends all requests on its connection.
+    /// Parses a request. Values are validated strictly: an endpoint that receives a malformed one closes the
+    /// connection, which fails all requests on it.
     fn parse(
         &self,
         settings: &PlatformSettings,
@@ -116,7 +118,7 @@
         let Target { class, object, part, group } = match classification {
             Classification::Target(target) => target,
             Classification::NoMatch => return Err(RequestError::NotFound),
-            // An unknown class is reported before any other fault.
+            // An unknown class takes precedence over any other error.
             Classification::Malformed if classifier.is_none() => {
                 let class = settings.class_index(PlatformPath::class_text(request));
                 return Err(class.map_or(RequestError::NotFound, |_| RequestError::Malformed));
@@ -134,7 +136,7 @@
             .unwrap_or_else(|| settings.deadline_ms(class));
         let size_kb = decimal_field(request, header_field::SIZE, MAX_SIZE_KB)?.unwrap_or(0.0);
         let key = idempotency_key(request)?;
-        // Without its key a repeated request could take effect twice.
+        // Without the key, a retried request could take effect twice.
         if key.is_none() && settings.is_keyed(class) {
             return Err(RequestError::Malformed);
         }
@@ -144,7 +146,7 @@
             class,
             object,
             object_text: match classifier {
-                // The platform's own spelling is passed on as received.
+                // In the platform's own form the object's text is forwarded as received.
                 None => PlatformPath::object_text(request).to_string(),
                 Some(_) => format!("{object:016x}"),
             },
@@ -193,7 +195,7 @@
     is_valid.then_some(Some(key)).ok_or(RequestError::Malformed)
 }
 
-/// A rejection: a retry after this time does no harm.
+/// A rejection with the delay after which the client may retry.
 fn rejected(retry_after_ms: f64) -> HttpResponse {
     HttpResponse::status(503).with(header_field::RETRY_AFTER, format!("{}", retry_after_ms.ceil()))
 }
--- a/src/wire/platform_path.rs
+++ b/src/wire/platform_path.rs
@@ -1,5 +1,5 @@
-//! The platform's own form of a target: `/ops/CLASS/OBJECT` or `/ops/CLASS/OBJECT/slice-PART`, with the group in a
-//! header field.
+//! The platform's own form of a target: `/ops/CLASS/OBJECT` or `/ops/CLASS/OBJECT/slice-PART`, with the group
+//! in a header field.
 
 use super::classification::{Classification, RequestClassifier, Target};
 use super::http::HttpRequest;
@@ -56,7 +56,7 @@
     }
 }
 
-/// Parses an integer of plain digits.
+/// Parses an integer that consists of decimal digits only.
 fn parse_digits(text: &str) -> Option<u32> {
     let is_plain = (1..=MAX_DIGITS).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_digit());
     is_plain.then(|| text.parse().ok())?
--- a/src/wire/shutdown.rs
+++ b/src/wire/shutdown.rs
@@ -22,8 +22,8 @@
         ConnectionGuard(self.clone())
     }
 
-    /// Counts a connection as lingering until the guard is dropped: this side has closed it, and its client may still
-    /// be reading the last bytes.
+    /// Counts a connection as lingering until the guard is dropped: the proxy has closed its side, and the
+    /// client may still be reading the last bytes.
     pub(super) fn track_lingering(&self) -> LingeringGuard<'_> {
         self.lingering.set(self.lingering.get() + 1);
         LingeringGuard(self)
@@ -34,7 +34,7 @@
         self.open.get()
     }
 
-    /// The number of connections, open or lingering, that keep the process from its end.
+    /// The number of open and lingering connections, which delay the end of the process.
     pub fn open_or_lingering(&self) -> usize {
         self.open.get() + self.lingering.get()
     }
@@ -51,22 +51,23 @@
         }
     }
 
-    /// Waits for the moment at which the shutdown begins.
+    /// Waits for the shutdown to begin; does not return at once if it has begun already.
     pub(super) async fn begins(&self) {
         self.wake.notified().await;
     }
 
-    /// Whether connections are to be closed after their next response.
+    /// Whether connections are closed after their next response.
     pub fn closes_after_response(&self) -> bool {
         self.close_after_response.get()
     }
 
-    /// From now on each connection is closed after its next response.
+    /// Makes each connection close after its next response.
     pub fn close_after_response(&self) {
         self.close_after_response.set(true);
     }
 
-    /// Begins the shutdown: connections with an open request are closed after its response, all others at once.
+    /// Begins the shutdown: connections with an open request are closed after its response, all others at
+    /// once.
     pub fn begin(&self) {
         self.close_after_response();
         self.begun.set(true);
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -1,4 +1,4 @@
-//! A request that was submitted: its result at once, or a wait for it.
+//! The submission of a request, with an immediate or a pending result.
 
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
@@ -6,16 +6,17 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// What a submitted request comes to.
+/// The outcome of submitting a request.
 pub enum Submission {
-    /// It has its result.
+    /// The result is available.
     Completed(FinalResponse),
-    /// Its result is waited for.
+    /// The result is pending.
     Pending(PendingResponse),
 }
 
 impl Submission {
-    /// Submits a request to the engine. Dropping the wait tells the engine that the client left.
+    /// Submits a request to the engine. Dropping the pending response reports a client disconnect to the
+    /// engine.
     pub fn to_engine(executor: &Rc<Executor>, request: IncomingRequest) -> Result<Self, AdmitError> {
         let id = request.id;
         let receiver = executor.submit(request)?;
@@ -24,21 +25,21 @@
     }
 }
 
-/// What happens to a request when the wait for its result ends. An implementation treats being dropped without
-/// [`ResponseWait::completed`] as the loss of the client.
+/// The end of the wait for a request's result. An implementation that is dropped without
+/// [`ResponseWait::completed`] treats the client as disconnected.
 pub trait ResponseWait {
     /// The result has arrived.
     fn completed(self: Box<Self>);
 }
 
-/// A wait for the result of a request. Dropped before its end, the client counts as lost.
+/// The pending result of a request. Dropping it early reports a client disconnect.
 pub struct PendingResponse {
     receiver: oneshot::Receiver<FinalResponse>,
     wait: Box<dyn ResponseWait>,
 }
 
 impl PendingResponse {
-    /// A wait for what `receiver` gets.
+    /// Waits for the result from `receiver`.
     pub fn new(receiver: oneshot::Receiver<FinalResponse>, wait: Box<dyn ResponseWait>) -> Self {
         Self { receiver, wait }
     }
@@ -52,10 +53,10 @@
     }
 }
 
-/// The wait for a request that the engine has.
+/// The wait for a request that was submitted to the engine.
 struct EngineWait {
     executor: Rc<Executor>,
-    /// The request; none once its result has arrived.
+    /// The request; `None` once its result has arrived.
     id: Option<RequestId>,
 }
 
