--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts, from their placement on a connection to their end.
+//! The life of an attempt: placement on a connection, write, time-out, cancellation and outcome.
 
 use super::purge_filter::RequestedCopy;
 use super::{Effect, Engine};
@@ -11,17 +11,17 @@
 use crate::state::requests::IncomingRequest;
 use crate::{AttemptOutcome, CacheStatus, EndpointId, Event, Micros, RequestId};
 
-/// Silence on a connection, in milliseconds, after which a time-out there closes it: a new connection shows
-/// at once whether the machine still responds.
+/// Time without reads on a connection, in milliseconds, after which an attempt that times out closes it:
+/// connecting anew shows at once whether the endpoint's machine still responds.
 const SILENCE_MS: f64 = 1_500.0;
-/// Time-outs in a row on a connection with nothing read between, which close it as well.
+/// Consecutive time-outs on a connection without a read in between, which also close it.
 const MAX_TIMEOUTS_SINCE_READ: u32 = 2;
-/// Least time left for writing an attempt, in milliseconds.
+/// An attempt with less time left than this is not written, in milliseconds.
 const MIN_WRITE_MS: f64 = 1.0;
-/// The number of no connection.
+/// Id of an attempt's connection before it is placed on one.
 const NO_CONNECTION: ConnectionId = 0;
 
-/// An attempt as the decision module orders it.
+/// The parameters of an attempt, from [`Action::Forward`](crate::Action::Forward).
 pub(super) struct AttemptOrder {
     pub(super) to: EndpointId,
     pub(super) source: Option<EndpointId>,
@@ -35,7 +35,7 @@
 }
 
 impl Engine {
-    /// Starts an attempt of a request.
+    /// Creates an attempt for a request and places it on a connection.
     pub(super) fn start_attempt(&mut self, now: f64, request: RequestId, order: AttemptOrder) {
         let Some(number) = self.requests.next_attempt_number(request) else { return };
         self.counters.attempts += 1;
@@ -59,8 +59,8 @@
         self.place_attempt(now, AttemptId { request, number }, attempt);
     }
 
-    /// Queues an attempt on a connection to its endpoint, opening one where none has capacity. Without a
-    /// connection it ends as not sent.
+    /// Queues an attempt on a connection to its endpoint, and opens one if none has capacity. If the limits
+    /// allow no connection, the attempt ends as [`AttemptOutcome::NotSent`].
     pub(super) fn place_attempt(&mut self, now: f64, id: AttemptId, mut attempt: Attempt) {
         let endpoint = attempt.to;
         let Some(address) = self.membership.address(endpoint) else {
@@ -89,8 +89,8 @@
         self.effects.push_back(effect);
     }
 
-    /// Finds a connection for a request; an idle one to another endpoint is closed for an endpoint that has
-    /// none.
+    /// Finds a connection for a request. If the limits allow none and the endpoint has no connection yet, an
+    /// idle connection to another endpoint is closed to make room.
     fn find_connection(&mut self, endpoint: EndpointId, request: RequestId, now: f64) -> Placement {
         let placement = self.connections.place(endpoint, request, now);
         if placement != Placement::Unavailable {
@@ -101,7 +101,8 @@
         self.connections.place(endpoint, request, now)
     }
 
-    /// Marks an attempt as written and returns its message; none if it is stale.
+    /// Marks an attempt as written and returns its message, or `None` if the attempt is stale: its endpoint
+    /// or source is no longer usable, or too little time is left.
     pub(super) fn begin_write(&mut self, now: f64, id: AttemptId) -> Option<CacheRequest> {
         let request = self.requests.get(id.request)?;
         let attempt = self.attempts.get_mut(id)?;
@@ -144,7 +145,7 @@
         })
     }
 
-    /// The copy that a request asks for; none for a write.
+    /// The cached copy that a request asks for; `None` for a write.
     pub(super) fn requested_copy<'a>(
         settings: &'a PlatformSettings,
         request: &IncomingRequest,
@@ -156,8 +157,8 @@
         Some(RequestedCopy { class, object: request.object, part: request.part, group: request.group })
     }
 
-    /// The first byte of the request that [`Self::next_write`] returned last could not be written: its
-    /// attempt is queued again, and checked once more before its first byte.
+    /// Queues the attempt that [`Self::next_write`] returned last again, because not even its first byte
+    /// could be written. It is checked again before the next try.
     pub fn write_blocked(&mut self, conn: ConnectionId, request: RequestId) {
         let Some(connection) = self.connections.get_mut(conn) else { return };
         let Some(id) = connection.in_flight.remove(&request) else { return };
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Ends an attempt that timed out, and closes its connection where that has been silent for too long.
+    /// Ends an attempt that timed out, and closes its connection if that seems dead.
     pub(super) fn expire_attempt(&mut self, now: f64, id: AttemptId) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let (conn, stage) = (attempt.conn, attempt.stage);
@@ -181,14 +182,14 @@
                 connection.timeouts_since_read >= MAX_TIMEOUTS_SINCE_READ || silent_ms > SILENCE_MS;
         }
         let outcome = match stage {
-            // It did not run.
+            // Nothing was written, so the request did not run.
             Stage::Queued => AttemptOutcome::NoConnection,
             Stage::Written(_) => AttemptOutcome::TimedOut,
         };
         self.end_attempt(id, outcome);
     }
 
-    /// Cancels an attempt for the decision module.
+    /// Cancels an attempt, as the router requested.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId) {
         if self.attempts.get(id).is_some() {
             self.counters.attempts_cancelled += 1;
@@ -197,13 +198,13 @@
         }
     }
 
-    /// Ends an attempt without a cache status. The decision module gets the event at the next
+    /// Ends an attempt without a cache status. The router gets the event in the next
     /// [`Self::process_events`].
     pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: AttemptOutcome) {
         self.end_attempt_with_status(id, outcome, CacheStatus::Unknown);
     }
 
-    /// Ends an attempt. The decision module gets the event at the next [`Self::process_events`].
+    /// Ends an attempt. The router gets the event in the next [`Self::process_events`].
     pub(super) fn end_attempt_with_status(
         &mut self,
         id: AttemptId,
@@ -221,7 +222,7 @@
         });
     }
 
-    /// Takes an attempt off its connection; one that was written is cancelled at the endpoint.
+    /// Removes an attempt from its connection. If it was written, the endpoint gets a cancellation.
     pub(super) fn detach_attempt(&mut self, id: AttemptId, wake: bool) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let conn = attempt.conn;
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Ends the queued attempts that a change has made stale, so that the decision module orders others.
+    /// Ends the queued attempts that match `is_stale`, so that the router can replace them.
     pub(super) fn end_stale_attempts(&mut self, is_stale: impl Fn(&IncomingRequest, &Attempt) -> bool) {
         let queued = self.attempts.iter().filter(|(_, attempt)| attempt.stage == Stage::Queued);
         let stale = queued.filter(|(id, attempt)| {
@@ -253,8 +254,8 @@
     }
 }
 
-/// The greatest age of a copy for an attempt written now, in milliseconds: a copy ages while the attempt is
-/// queued. 0 stands for the class's own limit.
+/// The maximum age of a copy for an attempt written now, in milliseconds; 0 for the limit of the class. It
+/// shrinks while the attempt is queued, since copies age meanwhile.
 fn remaining_age_ms(now: f64, attempt: &Attempt) -> u64 {
     if attempt.max_age_ms == 0.0 {
         return 0;
--- a/src/engine/connections.rs
+++ b/src/engine/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: how they are established, what is written next, and how they end.
+//! Connections to endpoints: establishment, the choice of the next write, idle time-out and loss.
 
 use super::{Effect, Engine, NextWrite};
 use crate::cache_message::CacheCommand;
@@ -7,13 +7,14 @@
 use crate::AttemptOutcome;
 use std::collections::VecDeque;
 
-/// Part of the time for which an endpoint keeps an idle connection, after which this side closes it.
+/// This side closes an idle connection after this fraction of the endpoints' keep-alive time, before the
+/// endpoint does.
 const IDLE_TIMEOUT_OF_KEEPALIVE: f64 = 0.8;
-/// How often an attempt changes to another connection at once when its own ends before its first byte.
+/// How often an unwritten attempt moves to another connection when its connection is lost.
 const MAX_MIGRATIONS: u32 = 2;
 
 impl Engine {
-    /// A connection was established.
+    /// Marks a connection as established.
     pub fn connection_established(&mut self, conn: ConnectionId) {
         let now = self.clock.now();
         if let Some(connection) = self.connections.get_mut(conn) {
@@ -23,8 +24,8 @@
         }
     }
 
-    /// A connection could not be established. `local` marks a fault of this machine, such as no free
-    /// descriptor.
+    /// Removes a connection that could not be established. `local` marks a failure of this host, such as a
+    /// lack of file descriptors, which says nothing about the endpoint.
     pub fn connection_failed(&mut self, conn: ConnectionId, local: bool) {
         self.counters.connection_failures += 1;
         let outcome = if local { AttemptOutcome::NotSent } else { AttemptOutcome::NoConnection };
@@ -34,19 +35,20 @@
         self.process_events();
     }
 
-    /// An established connection ended.
+    /// Ends an established connection that was closed or lost.
     pub fn connection_lost(&mut self, conn: ConnectionId) {
         self.end_connection(conn, AttemptOutcome::ConnectionLost);
     }
 
-    /// A connection was dropped because of malformed data: nothing that may still come over it is usable.
+    /// Ends a connection that was dropped because of malformed data.
     pub fn connection_malformed(&mut self, conn: ConnectionId) {
         self.counters.connections_dropped += 1;
         self.end_connection(conn, AttemptOutcome::Malformed);
     }
 
-    /// Ends a connection. Attempts that were written may have run. Queued ones migrate to another connection
-    /// at once: only a failed connect shows that the process is down, not the end of an idle connection.
+    /// Ends a connection. Attempts that were written end with `outcome_of_written`, as they may have run.
+    /// Queued ones migrate to another connection: unlike a failed connect, the end of a connection does not
+    /// show that the endpoint is down.
     fn end_connection(&mut self, conn: ConnectionId, outcome_of_written: AttemptOutcome) {
         let queued = self.remove_connection(conn, outcome_of_written);
         let now = self.clock.now();
@@ -64,7 +66,7 @@
         self.process_events();
     }
 
-    /// Removes a connection and ends the attempts in flight on it; returns those that were queued.
+    /// Removes a connection and ends its attempts in flight with `outcome`. Returns its queued attempts.
     fn remove_connection(&mut self, conn: ConnectionId, outcome: AttemptOutcome) -> VecDeque<AttemptId> {
         let Some(connection) = self.connections.remove(conn) else { return VecDeque::new() };
         if !connection.in_flight.is_empty() {
@@ -78,8 +80,8 @@
         connection.queue
     }
 
-    /// What a connection's driver writes next. A queued attempt is checked again here, before its first byte:
-    /// its endpoint may be draining by now, its copy purged, or its request answered.
+    /// Returns what the driver of a connection writes next. Queued attempts are checked again here, since
+    /// meanwhile the endpoint may have started to drain or the request may have been answered.
     pub fn next_write(&mut self, conn: ConnectionId) -> NextWrite {
         loop {
             let now = self.clock.now();
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Closes connections that have been idle for so long that their endpoints may soon close them.
+    /// Closes connections that have been idle for most of the endpoints' keep-alive time.
     pub(super) fn close_idle_connections(&mut self, now: f64) {
         let idle_timeout_ms = self.settings.keepalive_ms() * IDLE_TIMEOUT_OF_KEEPALIVE;
         for (id, connection) in self.connections.iter_mut() {
--- a/src/engine/effects.rs
+++ b/src/engine/effects.rs
@@ -1,4 +1,4 @@
-//! What an engine wants done on sockets.
+//! The I/O that an engine requests from its executor.
 
 use crate::cache_message::CacheCommand;
 use crate::state::ids::ConnectionId;
@@ -6,31 +6,32 @@
 use crate::RequestId;
 use std::net::SocketAddrV4;
 
-/// What the executor is to do on sockets.
+/// An I/O operation that the executor carries out for the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Open a connection, and report whether it was established.
+    /// Open a connection and report the result to the engine.
     Open {
-        /// Its number.
+        /// Id of the connection.
         conn: ConnectionId,
         /// The endpoint's address.
         address: SocketAddrV4,
-        /// Time within which it must be established, in milliseconds.
+        /// Connect time-out, in milliseconds.
         within_ms: f64,
     },
-    /// [`Engine::next_write`](super::Engine::next_write) may have something for this connection.
+    /// Wake the connection's driver: [`Engine::next_write`](super::Engine::next_write) may have something to
+    /// write or may close the connection.
     Wake(ConnectionId),
-    /// Give a client its final response.
+    /// Send the final response to a client.
     Respond(RequestId, FinalResponse),
 }
 
-/// What a connection's driver writes next.
+/// The next step of a connection's driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NextWrite {
-    /// This command, beginning now.
+    /// Write this command now.
     Write(CacheCommand),
-    /// Nothing for now.
+    /// There is nothing to write; wait to be woken.
     Idle,
-    /// Nothing any more: the connection is to be closed.
+    /// Close the connection.
     Close,
 }
--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -1,5 +1,5 @@
-//! Carries out the engine's effects on sockets: one thread, one engine, a task for each connection. It knows
-//! no protocol: a [`ConnectionDriver`] speaks to endpoints.
+//! Carries out the effects of an engine on a single thread, with one task for each connection to an endpoint.
+//! It is independent of the protocol, which a [`ConnectionDriver`] implements.
 
 use super::{Effect, EndpointOfKind, Engine};
 use crate::admission::control::{AdmissionControl, NotAdmitted};
@@ -16,45 +16,46 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// When a client is to retry because the table of requests is full, in milliseconds.
+/// The `Retry-After` of a request that is rejected because the request table is full, in milliseconds.
 const FULL_RETRY_AFTER_MS: f64 = 300.0;
 
-/// An endpoint as a backend of a pool.
+/// An endpoint as a backend of a load-balancing pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
     /// Its id, the same at every proxy.
     pub id: EndpointId,
     /// Its address.
     pub address: SocketAddr,
-    /// Whether it accepts new calls. A backend that does not completes those that are open.
+    /// Whether it accepts new calls. A backend that is not live still completes its open calls.
     pub live: bool,
     /// Its weight relative to the other backends'.
     pub weight: f64,
 }
 
-/// A connection to an endpoint that the engine wants opened.
+/// A request of the engine to open a connection to an endpoint.
 pub struct Dial {
-    /// Its number.
+    /// Id of the connection.
     pub conn: ConnectionId,
     /// The endpoint's address.
     pub address: SocketAddrV4,
-    /// Time within which it must be established, in milliseconds.
+    /// Connect time-out, in milliseconds.
     pub within_ms: f64,
-    /// Notified when [`Engine::next_write`] may have something.
+    /// Notified when [`Engine::next_write`] may return something other than `Idle`.
     pub waker: Rc<Notify>,
 }
 
-/// Speaks to endpoints: opens a connection, writes the engine's commands and passes replies to it.
+/// Implements the protocol to endpoints: opens connections, writes the engine's commands and passes it the
+/// replies.
 pub trait ConnectionDriver {
-    /// Serves one connection until either side ends it, and reports to the executor's engine how it came up
-    /// ([`Engine::connection_established`] or [`Engine::connection_failed`]) and how it ended
+    /// Serves one connection until either side closes it. Reports to the executor's engine whether it was
+    /// established ([`Engine::connection_established`] or [`Engine::connection_failed`]) and how it ended
     /// ([`Engine::connection_lost`] or [`Engine::connection_malformed`]).
     fn drive(&self, executor: Rc<Executor>, dial: Dial) -> LocalBoxFuture<'static, ()>;
 }
 
-/// An engine with what its tasks share.
+/// An engine with the state that the tasks around it share.
 pub struct Executor {
-    /// The clock of all.
+    /// The clock that all subsystems share.
     pub clock: Clock,
     engine: RefCell<Engine>,
     driver: Box<dyn ConnectionDriver>,
@@ -71,7 +72,7 @@
 pub type MetricsSource = Box<dyn Fn() -> String>;
 
 impl Executor {
-    /// An executor for an engine, whose connections `driver` serves. It runs on a `LocalSet`.
+    /// Creates an executor for an engine, with `driver` for its connections. It must run on a `LocalSet`.
     pub fn new(clock: Clock, engine: Engine, driver: impl ConnectionDriver + 'static) -> Rc<Self> {
         Rc::new(Self {
             clock,
@@ -85,22 +86,22 @@
         })
     }
 
-    /// Turns admission control on: from now on every request passes it.
+    /// Enables admission control for all requests from now on.
     pub fn set_admission(&self, admission: AdmissionControl) {
         *self.admission.borrow_mut() = Some(admission);
     }
 
-    /// Adds a subsystem's metrics to those that the platform reads.
+    /// Adds the metrics of a subsystem to [`Self::metrics`].
     pub fn add_metrics(&self, source: MetricsSource) {
         self.metrics_sources.borrow_mut().push(source);
     }
 
-    /// Runs `act` on admission control, where it is on.
+    /// Runs `act` on admission control, if that is enabled.
     pub fn with_admission<R>(&self, act: impl FnOnce(&mut AdmissionControl) -> R) -> Option<R> {
         self.admission.borrow_mut().as_mut().map(act)
     }
 
-    /// The metrics that the platform reads, of the engine and of all subsystems.
+    /// The metrics of the engine and of all subsystems, as exposed to the platform.
     pub fn metrics(self: &Rc<Self>) -> String {
         let engine = self.with(|engine| engine.metrics());
         let admission = self.with_admission(AdmissionControl::metrics).unwrap_or_default();
@@ -108,14 +109,14 @@
         engine + &admission + &subsystems
     }
 
-    /// Runs `act` on the engine, and carries out the effects.
+    /// Runs `act` on the engine and carries out the resulting effects.
     pub fn with<R>(self: &Rc<Self>, act: impl FnOnce(&mut Engine) -> R) -> R {
         let result = act(&mut self.engine.borrow_mut());
         self.run_effects();
         result
     }
 
-    /// The present settings.
+    /// The current settings.
     pub fn settings(&self) -> Rc<PlatformSettings> {
         self.engine.borrow().settings()
     }
@@ -125,7 +126,7 @@
         self.engine.borrow().endpoint_list_changes()
     }
 
-    /// The listed endpoints of a kind as backends, at their own addresses with `port`, by id.
+    /// The listed endpoints of a kind as backends, at their own IP addresses with `port`, sorted by id.
     pub fn backends(&self, kind: &str, port: u16) -> Vec<Backend> {
         let engine = self.engine.borrow();
         let backends = engine.endpoints_of_kind(kind).map(|endpoint| Backend {
@@ -144,7 +145,7 @@
         self.engine.borrow().endpoints_of_kind(kind).collect()
     }
 
-    /// Carries out the engine's effects until there is none left.
+    /// Carries out the pending effects of the engine.
     fn run_effects(self: &Rc<Self>) {
         loop {
             let effect = self.engine.borrow_mut().take_effect();
@@ -164,7 +165,7 @@
         self.due.notify_one();
     }
 
-    /// Starts the task of a connection.
+    /// Spawns the task that serves a connection.
     fn open_connection(self: &Rc<Self>, conn: ConnectionId, address: SocketAddrV4, within_ms: f64) {
         let waker = Rc::new(Notify::new());
         self.wakers.borrow_mut().insert(conn, waker.clone());
@@ -176,7 +177,7 @@
         });
     }
 
-    /// Delivers a final response, and admits the requests for which it makes room.
+    /// Delivers a final response, and admits queued requests to the capacity that it frees.
     fn finish(self: &Rc<Self>, id: RequestId, response: FinalResponse) {
         let now = self.clock.now();
         let admitted = self.with_admission(|admission| admission.completed(now, id, Some(&response)));
@@ -187,17 +188,17 @@
     /// Sends a final response to the client that waits for it.
     fn deliver(&self, id: RequestId, response: FinalResponse) {
         if let Some(client) = self.waiting.borrow_mut().remove(&id) {
-            // The client may have disconnected just now.
+            // The receiver is gone if the client has disconnected.
             let _ = client.send(response);
         }
     }
 
-    /// Submits a request; its final response comes by the receiver. Admission control may queue it first, or
+    /// Submits a request. The receiver gets its final response. Admission control may queue the request or
     /// reject it at once.
     ///
     /// # Errors
     ///
-    /// [`AdmitError`] where its id is open already or the table of requests is full.
+    /// [`AdmitError`] if a request with its id is open or the request table is full.
     pub fn submit(
         self: &Rc<Self>,
         request: IncomingRequest,
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Submits a request that admission control had queued to the engine.
+    /// Submits a request to the engine that admission control had queued.
     fn admit_queued(self: &Rc<Self>, request: IncomingRequest) {
         let id = request.id;
         if let Err(error) = self.engine.borrow_mut().submit(request) {
@@ -241,15 +242,16 @@
         }
     }
 
-    /// Notes that an admitted request ended without a response of the engine, and admits the next ones.
+    /// Releases the admission of a request that ended without a response from the engine, and admits queued
+    /// requests.
     fn release_admission(self: &Rc<Self>, id: RequestId) {
         let now = self.clock.now();
         let admitted = self.with_admission(|admission| admission.completed(now, id, None));
         admitted.into_iter().flatten().for_each(|request| self.admit_queued(request));
     }
 
-    /// A client disconnected before its response. A request that was queued by admission control is dropped
-    /// there.
+    /// Drops a request whose client disconnected before the response, from the queue of admission control or
+    /// from the engine.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         self.waiting.borrow_mut().remove(&id);
         if self.with_admission(|admission| admission.disconnected(id)) == Some(true) {
@@ -260,7 +262,7 @@
         self.run_effects();
     }
 
-    /// Rejects the queued requests whose time is over.
+    /// Rejects the requests that expired in the queue of admission control.
     fn reject_expired(self: &Rc<Self>) {
         let now = self.clock.now();
         for expired in self.with_admission(|admission| admission.expire(now)).unwrap_or_default() {
@@ -269,7 +271,7 @@
         }
     }
 
-    /// Spawns a task. A panic in it is counted and affects no other task.
+    /// Spawns a task. A panic in it is logged and counted, and does not affect other tasks.
     pub fn spawn(self: &Rc<Self>, what: &'static str, task: impl Future<Output = ()> + 'static) {
         let task = tokio::task::spawn_local(task);
         let executor = self.clone();
@@ -283,7 +285,7 @@
         });
     }
 
-    /// Runs whatever is due, for ever.
+    /// Runs the timers of the engine and of admission control. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let admission_due = self.with_admission(|admission| admission.next_deadline()).flatten();
@@ -301,8 +303,8 @@
     }
 }
 
-/// Forgets a connection when its driver ends; after a panic of the driver, also ends its attempts at the
-/// engine.
+/// Removes a connection's waker when its driver ends. After a panic of the driver, also reports the
+/// connection to the engine as lost.
 struct ConnectionGuard {
     executor: Rc<Executor>,
     conn: ConnectionId,
--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -1,4 +1,5 @@
-//! The list of endpoints, from the discovery service or a registry, with operators' maintenance.
+//! Updates of the endpoint list, from the discovery service or a registry, combined with operators'
+//! maintenance calls.
 
 use super::{Effect, Engine};
 use crate::clock::micros_from_ms;
@@ -8,50 +9,50 @@
 use crate::{AttemptOutcome, EndpointId, EndpointState, Event, ObjectId, Tier};
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// A listed endpoint of a kind.
+/// A listed endpoint, as the result of a lookup by kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointOfKind {
     /// Its id.
     pub id: EndpointId,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddrV4,
-    /// It may get new requests.
+    /// Whether it may get new requests.
     pub usable: bool,
 }
 
-/// A listed endpoint that holds copies.
+/// A listed cache or parent, which must apply fleet purges.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CopyHolder {
     /// The text of its id.
     pub name: String,
-    /// Its address, with the port that was asked for.
+    /// Its IP address with the port given by the caller.
     pub address: SocketAddr,
-    /// Whether it may get new requests.
+    /// Its state in the published list.
     pub state: EndpointState,
 }
 
 impl Engine {
-    /// From now on a registry publishes the list of endpoints; the discovery service's events bring purges
-    /// only.
+    /// Makes a registry the source of the endpoint list: from now on, endpoint lists of the discovery service
+    /// are ignored and only its purges are applied.
     pub fn use_registry(&mut self) {
         self.registry = true;
     }
 
-    /// Applies a list of endpoints, or changes of it.
+    /// Applies an endpoint list: the complete list if `full`, else only the endpoints that changed.
     pub fn apply_endpoints(&mut self, full: bool, endpoints: Vec<ListedEndpoint>) {
         self.membership.record_listed(full, &endpoints);
         self.update_endpoints(full, endpoints);
     }
 
-    /// Applies the readable endpoints of a discovery event that is malformed otherwise. Its number stays
-    /// open.
+    /// Applies the well-formed endpoints of a discovery event that is malformed otherwise. The event does not
+    /// count as applied.
     pub fn apply_readable_endpoints(&mut self, endpoints: Vec<ListedEndpoint>) {
         if !self.registry && !endpoints.is_empty() {
             self.apply_endpoints(false, endpoints);
         }
     }
 
-    /// How often the list of endpoints has changed.
+    /// The number of changes to the endpoint list so far.
     pub fn endpoint_list_changes(&self) -> u64 {
         self.endpoint_list_changes
     }
@@ -71,12 +72,12 @@
         self.last_event_number
     }
 
-    /// Counts all discovery events up to this number as applied.
+    /// Treats all discovery events up to this number as applied.
     pub fn skip_events_to(&mut self, number: u64) {
         self.last_event_number = self.last_event_number.max(number);
     }
 
-    /// Applies a discovery event. One that was applied before is ignored.
+    /// Applies a discovery event, unless its number shows that it was applied before.
     pub fn apply_event(&mut self, event: Sequenced) {
         if matches!(event.event, WatchEvent::Heartbeat) || event.number <= self.last_event_number {
             return;
@@ -92,7 +93,7 @@
         self.process_events();
     }
 
-    /// Applies a purge. Attempts that are queued have an age limit from before, so they end.
+    /// Applies a purge. Queued attempts for the purged objects end, because their age limits predate it.
     fn apply_purge(&mut self, object: Option<ObjectId>, group: u32, issued_ms: f64) {
         let age = micros_from_ms(self.clock.now() - issued_ms);
         self.events.push_back(Event::Purged { object, group, age });
@@ -103,7 +104,7 @@
         });
     }
 
-    /// Applies a list, or changes of it, with maintenance.
+    /// Applies an endpoint list, full or partial, after adjusting it for maintenance.
     pub(super) fn update_endpoints(&mut self, full: bool, mut endpoints: Vec<ListedEndpoint>) {
         for endpoint in &mut endpoints {
             self.maintenance.apply(&mut endpoint.record);
@@ -111,7 +112,7 @@
         let entries = endpoints.iter().map(|endpoint| self.settings.endpoint(&endpoint.record)).collect();
         let changed = self.membership.update_usable(full, &endpoints);
         self.endpoint_list_changes += 1;
-        // The decision module gets the list first: otherwise it could choose the same endpoints again.
+        // The router gets the list before attempts end, or it could choose the same endpoints again.
         self.events.push_back(Event::EndpointsChanged { full, entries });
         self.process_events();
         for endpoint in changed {
@@ -120,8 +121,9 @@
         self.process_events();
     }
 
-    /// An endpoint is draining, removed or has another address: its queued attempts end, and its connections
-    /// close once none is in flight. Its address may soon be another endpoint's.
+    /// Handles an endpoint that is draining, was removed or has a new address. Its queued attempts end, and
+    /// its connections close when their attempts in flight have ended, since another endpoint may get its
+    /// address.
     fn retire_endpoint(&mut self, endpoint: EndpointId) {
         for (id, connection) in self.connections.iter_mut() {
             if connection.endpoint == endpoint {
@@ -132,7 +134,8 @@
         self.end_stale_attempts(|_, attempt| attempt.to == endpoint || attempt.source == Some(endpoint));
     }
 
-    /// Takes an endpoint out of use for maintenance, or puts it back; false where no endpoint has that id.
+    /// Takes an endpoint out of use for maintenance, or puts it back. Returns false if no endpoint has the
+    /// id.
     pub fn set_out_of_use(&mut self, id: EndpointId, out: bool) -> bool {
         if self.membership.listed(id).is_none() && !self.maintenance.is_out(id) {
             return false;
@@ -141,7 +144,7 @@
         true
     }
 
-    /// Merges maintenance calls that another process of this proxy may have got.
+    /// Merges maintenance calls that another process of this proxy may have received.
     pub fn merge_maintenance(&mut self, marks: impl IntoIterator<Item = (EndpointId, Mark)>) {
         for (id, mark) in marks {
             if !self.maintenance.record(id, mark) {
@@ -154,12 +157,12 @@
         }
     }
 
-    /// The maintenance calls held.
+    /// The recorded maintenance calls.
     pub fn maintenance(&self) -> &Maintenance {
         &self.maintenance
     }
 
-    /// The listed caches and parents by name, at their own address with `port`. The origin holds no copies.
+    /// The listed caches and parents, at their own IP addresses with `port`, sorted by name.
     pub fn copy_holders(&self, port: u16) -> Vec<CopyHolder> {
         let listed = self.membership.all_listed();
         let present = listed.filter(|endpoint| endpoint.record.state != EndpointState::Removed);
@@ -175,13 +178,14 @@
         holders
     }
 
-    /// From now on the fleet shares health checks, whose results come by [`Self::report_health_check`]; those
-    /// that the decision module orders are left to them.
+    /// Leaves health checks to the fleet's shared checker, which reports results with
+    /// [`Self::report_health_check`]. The router's own [`CheckHealth`](crate::Action::CheckHealth) actions
+    /// are ignored from now on.
     pub fn delegate_health_checks(&mut self) {
         self.health_checks_delegated = true;
     }
 
-    /// Health checks found an endpoint down, or up again.
+    /// Reports that the shared health checks found an endpoint down, or up again.
     pub fn report_health_check(&mut self, endpoint: EndpointId, up: bool) {
         let outcome = if up { AttemptOutcome::Served } else { AttemptOutcome::NoConnection };
         self.events.push_back(Event::HealthChecked { endpoint, outcome });
--- a/src/engine/metrics.rs
+++ b/src/engine/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics that the platform reads.
+//! The engine's metrics, as exposed to the platform.
 
 use super::Engine;
 use crate::clock::micros_from_ms;
@@ -6,9 +6,9 @@
 use std::fmt::Write as _;
 
 impl Engine {
-    /// The metrics that the platform reads, as lines of `NAME NUMBER`.
+    /// The engine's metrics, as lines of `NAME NUMBER`.
     pub fn metrics(&mut self) -> String {
-        // Every class is listed, also before its first request.
+        // Lists every class, even before its first request.
         for class in (0..).map_while(|index| self.settings.class_name(index)) {
             self.class_counters.of(class);
         }
@@ -30,7 +30,7 @@
         text
     }
 
-    /// The share of this zone's caches that get new attempts, in 0 to 1; none where there is no cache.
+    /// The share of this location's caches that get new attempts, in 0 to 1; `None` if it has no cache.
     pub fn usable_cache_share(&self) -> Option<f64> {
         let listed = self.membership.all_listed().map(|endpoint| &endpoint.record);
         let present = listed.filter(|record| record.state != EndpointState::Removed);
@@ -43,7 +43,7 @@
         Some(usable.saturating_sub(self.ejected_caches()) as f64 / caches.len() as f64)
     }
 
-    /// Caches that the decision module has ejected.
+    /// The number of caches that the router has ejected.
     fn ejected_caches(&self) -> usize {
         self.router.ejected_caches(micros_from_ms(self.clock.now()))
     }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,9 +1,9 @@
-//! The engine behind all fronts: it turns what happens into [`Event`]s of the decision module and carries out
-//! its [`Action`]s. It makes no decision itself, and knows no socket: what is to be done on sockets comes out
+//! The engine behind all fronts: it passes [`Event`]s to the [`Router`], which makes the decisions, and
+//! carries out the [`Action`]s that the router returns. It does no I/O: it returns the operations on sockets
 //! as [`Effect`]s.
 //!
-//! `requests` accepts requests; `attempts` and `connections` carry attempts to endpoints; `replies` handles
-//! what comes back; `membership` applies the list of endpoints; `executor` carries out the effects.
+//! `requests` accepts requests; `attempts` and `connections` send attempts to endpoints; `replies` handles
+//! their replies; `membership` applies endpoint lists; `executor` carries out the effects.
 
 mod attempts;
 mod connections;
@@ -38,16 +38,16 @@
 /// Interval of housekeeping, in milliseconds.
 const HOUSEKEEPING_INTERVAL_MS: f64 = 1_000.0;
 
-/// Limits on what an engine holds.
+/// Limits on the state of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineLimits {
-    /// Open requests.
+    /// Maximum number of open requests.
     pub requests: usize,
-    /// Connections to endpoints.
+    /// Limits on connections to endpoints.
     pub connections: ConnectionLimits,
 }
 
-/// The engine. See the module's page.
+/// The engine. See the [module documentation](self).
 pub struct Engine {
     clock: Clock,
     settings: Rc<PlatformSettings>,
@@ -60,26 +60,26 @@
     connections: Connections,
     membership: Membership,
     maintenance: Maintenance,
-    /// Timers of the decision module, by token.
+    /// Timers that the router has set, by token.
     timers: Deadlines<u64>,
-    /// Events that the decision module has not got yet.
+    /// Events that have not been passed to the router yet.
     events: VecDeque<Event>,
-    /// An empty list of actions, kept for its allocation.
+    /// An empty list, kept to reuse its allocation.
     actions: Vec<Action>,
     effects: VecDeque<Effect>,
     last_event_number: u64,
-    /// When housekeeping was last done, in Unix milliseconds.
+    /// Time of the last housekeeping, in Unix milliseconds.
     housekept_ms: f64,
-    /// Fleet purges, where they are on.
+    /// The filter for fleet purges, if they are enabled.
     purge_filter: Option<Rc<RefCell<dyn PurgeFilter>>>,
-    /// A registry publishes the list of endpoints: the discovery service's lists are ignored.
+    /// A registry publishes the endpoint list, so the lists of the discovery service are ignored.
     registry: bool,
     endpoint_list_changes: u64,
     health_checks_delegated: bool,
 }
 
 impl Engine {
-    /// An engine that knows its settings and no endpoint.
+    /// Creates an engine without endpoints.
     pub fn new(clock: Clock, settings: Rc<PlatformSettings>, seed: u64, limits: EngineLimits) -> Self {
         Self {
             housekept_ms: clock.now(),
@@ -105,22 +105,22 @@
         }
     }
 
-    /// Turns fleet purges on: from now on the filter limits the age of every attempt and checks every reply.
+    /// Enables fleet purges: from now on the filter limits the age of copies and checks all replies to reads.
     pub fn set_purge_filter(&mut self, filter: Rc<RefCell<dyn PurgeFilter>>) {
         self.purge_filter = Some(filter);
     }
 
-    /// Takes the next effect, in order.
+    /// Removes the next effect from the queue.
     pub fn take_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// The present settings.
+    /// The current settings.
     pub fn settings(&self) -> Rc<PlatformSettings> {
         self.settings.clone()
     }
 
-    /// Replaces the settings. Open requests keep their class.
+    /// Replaces the settings. Open requests keep their classes.
     pub fn reconfigure(&mut self, settings: PlatformSettings) {
         let in_use = |class| self.requests.uses_class(class);
         self.settings = Rc::new(settings.carrying_over(&self.settings, in_use));
@@ -130,12 +130,12 @@
         self.update_endpoints(true, listed);
     }
 
-    /// How many requests are owed a response.
+    /// The number of requests without a final response.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Does what is due by now.
+    /// Handles expired attempts, timers and requests, and does the housekeeping that is due.
     pub fn tick(&mut self) {
         let now = self.clock.now();
         while let Some(id) = self.attempts.pop_overdue(now) {
@@ -146,7 +146,7 @@
             self.events.push_back(Event::Timer { token });
             self.process_events();
         }
-        // The decision module concludes every request in time; this holds even if it should not.
+        // The router ends every request in time; this is a safeguard in case it fails to.
         while let Some(id) = self.requests.pop_overdue(now) {
             self.counters.overdue += 1;
             self.respond(id, FinalResponse::Failed { overdue: true });
@@ -169,20 +169,20 @@
         housekeeping.min(attempt).min(timer).min(request)
     }
 
-    /// Passes all events to the decision module and carries out its actions, until there is no event left.
+    /// Passes events to the router and carries out its actions, until no event is left.
     fn process_events(&mut self) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             let now = micros_from_ms(self.clock.now());
             self.router.handle(now, &event, &mut actions);
-            // For replays of a day's decisions; off unless the log's filter names this target.
+            // For replays of the router's decisions; off unless the log filter names this target.
             tracing::trace!(target: "decisions", now, ?event, ?actions);
             actions.drain(..).for_each(|action| self.apply_action(action));
             self.actions = actions;
         }
     }
 
-    /// Carries out one action of the decision module: on the state, or as an effect.
+    /// Carries out an action of the router.
     fn apply_action(&mut self, action: Action) {
         let now = self.clock.now();
         match action {
@@ -225,11 +225,11 @@
             }
             Action::SetTimer { token, at } => self.timers.push(ms_from_micros(at), token),
             Action::CheckHealth { .. } if self.health_checks_delegated => {}
-            // The platform has no health check of its own: its PING shows only that a connection works.
+            // The platform's protocol has no health check: its PING only shows that a connection works.
             Action::CheckHealth { endpoint } => {
                 self.events.push_back(Event::HealthChecked { endpoint, outcome: AttemptOutcome::NotSent });
             }
-            // The discovery service publishes all changes unasked.
+            // The discovery service publishes all changes without a request.
             Action::Watch => {}
         }
     }
--- a/src/engine/purge_filter.rs
+++ b/src/engine/purge_filter.rs
@@ -1,9 +1,9 @@
-//! What the engine needs of fleet purges, which another module implements.
+//! The engine's interface to fleet purges, implemented by the `purge` module.
 
 use crate::cache_message::CacheReply;
 use crate::ObjectId;
 
-/// The copy that an attempt asks for.
+/// The cached copy that an attempt asks for.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestedCopy<'a> {
     /// Name of the request's class.
@@ -16,12 +16,12 @@
     pub group: u32,
 }
 
-/// Limits the age of copies by the purges in force, and recognizes copies that a purge removed.
+/// Limits the age of copies according to the active purges, and recognizes purged copies in replies.
 pub trait PurgeFilter {
-    /// The greatest age of the copy for an attempt written now, in milliseconds: `requested_ms` (0 for the
-    /// class's own limit) or less. `now_ms` in Unix milliseconds.
+    /// The maximum age of the copy for an attempt written now, in milliseconds: `requested_ms` (0 for the
+    /// limit of the class) or less. `now_ms` is in Unix milliseconds.
     fn max_age_ms(&mut self, now_ms: f64, copy: RequestedCopy<'_>, requested_ms: u64) -> u64;
 
-    /// The sequence number of the purge that removed the copy in a reply, if any.
+    /// The sequence number of the purge that covers the copy in a reply, if any.
     fn purge_of_reply(&mut self, copy: RequestedCopy<'_>, reply: &CacheReply) -> Option<u64>;
 }
--- a/src/engine/replies.rs
+++ b/src/engine/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of endpoints to attempts, and the one final response of a request.
+//! Replies of endpoints to attempts, and the final response to a request.
 
 use super::{Effect, Engine};
 use crate::cache_message::{CacheReply, ReplyStatus};
@@ -6,12 +6,12 @@
 use crate::state::requests::FinalResponse;
 use crate::{AttemptOutcome, RequestId};
 
-/// Time left, in milliseconds, below which a request that ends counts as overdue: the decision module sends
-/// no attempt with so little left.
+/// A request that ends with no more time left than this counts as overdue, in milliseconds: the router sends
+/// no further attempt in so short a time.
 const OVERDUE_MARGIN_MS: f64 = 50.0;
 
 impl Engine {
-    /// Applies a reply that came over a connection.
+    /// Handles a reply received on a connection.
     pub fn handle_response(&mut self, conn: ConnectionId, reply: CacheReply) {
         let now = self.clock.now();
         let Some(connection) = self.connections.get_mut(conn) else { return };
@@ -19,7 +19,7 @@
         connection.used_ms = now;
         connection.timeouts_since_read = 0;
         let Some(id) = connection.in_flight.remove(&reply.request_id) else {
-            // It crossed the attempt's cancellation, is a repetition, or belongs to no request of this
+            // The reply crossed the attempt's cancellation, is a duplicate, or belongs to no request of this
             // connection.
             self.counters.replies_late += 1;
             return;
@@ -39,7 +39,7 @@
         self.effects.push_back(Effect::Wake(conn));
     }
 
-    /// Counts a reply; returns the outcome of its attempt.
+    /// Counts a reply and returns the outcome of its attempt.
     fn count_reply(&mut self, status: ReplyStatus) -> AttemptOutcome {
         let counters = &mut self.counters;
         let (outcome, counter) = match status {
@@ -55,8 +55,8 @@
         outcome
     }
 
-    /// Whether a reply fits its request: an endpoint may confirm only the client's copy that the request
-    /// named.
+    /// Whether a reply is valid for its request. [`ReplyStatus::NotModified`] is valid only for the entity
+    /// tag that the request carried.
     fn is_plausible(&self, id: RequestId, reply: &CacheReply) -> bool {
         if reply.status != ReplyStatus::NotModified {
             return true;
@@ -67,18 +67,18 @@
         })
     }
 
-    /// Whether the reply to a read carries a copy that a fleet purge removed. Such a copy reaches no client.
+    /// Whether the reply to a read carries a purged copy, which must not reach the client.
     fn is_purged(&mut self, id: RequestId, reply: &CacheReply) -> bool {
         let (Some(filter), Some(request)) = (&self.purge_filter, self.requests.get(id)) else { return false };
         let Some(copy) = Self::requested_copy(&self.settings, request) else { return false };
         let purge = filter.borrow_mut().purge_of_reply(copy, reply);
         if let Some(seq) = purge {
-            tracing::debug!(id = request.id_text, seq, "a reply carries a purged copy; it is not passed on");
+            tracing::debug!(id = request.id_text, seq, "discarding a reply with a purged copy");
         }
         purge.is_some()
     }
 
-    /// Gives a request its final response, if it is still owed one.
+    /// Closes a request with its final response, unless it has one already.
     pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) {
         let Some(request) = self.requests.remove(id) else { return };
         let class = self.settings.class_name(request.class).unwrap_or_default();
@@ -94,13 +94,13 @@
         self.effects.push_back(Effect::Respond(id, response));
     }
 
-    /// Whether a request that ends now ends for want of time.
+    /// Whether a request that ends now ends because its deadline is reached or too close.
     pub(super) fn is_overdue(&self, now: f64, id: RequestId) -> bool {
         self.requests.get(id).is_some_and(|request| now + OVERDUE_MARGIN_MS >= request.deadline_ms)
     }
 }
 
-/// The response to the client of a reply that was served.
+/// The response to the client for a successful reply.
 fn final_response(reply: CacheReply) -> FinalResponse {
     match reply.status {
         ReplyStatus::NotModified => FinalResponse::NotModified { tag: reply.entity_tag.unwrap_or_default() },
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: accepting them, and dropping those whose client has disconnected.
+//! Submission of client requests, and their removal when the client disconnects.
 
 use super::Engine;
 use crate::clock::micros_from_ms;
@@ -7,11 +7,11 @@
 
 impl Engine {
     /// Accepts a request. It gets exactly one [`Effect::Respond`](super::Effect::Respond), unless its client
-    /// disconnects before.
+    /// disconnects first.
     ///
     /// # Errors
     ///
-    /// [`AdmitError`] where its id is open already or the table is full.
+    /// [`AdmitError`] if a request with its id is open or the request table is full.
     pub fn submit(&mut self, request: IncomingRequest) -> Result<(), AdmitError> {
         let class = request.class;
         let event = Event::Request {
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    /// A client disconnected: no response is owed to it, and its attempts are cancelled.
+    /// Removes a request whose client disconnected; the router cancels its attempts.
     pub fn client_disconnected(&mut self, id: RequestId) {
         if self.requests.remove(id).is_some() {
             self.counters.clients_disconnected += 1;
