--- a/src/cache_message.rs
+++ b/src/cache_message.rs
@@ -1,48 +1,48 @@
-//! The messages between the proxy and a cache, a parent or the origin, in a form that no protocol shapes.
+//! The messages between the proxy and a cache, a parent or the origin, independent of the protocol.
 
 use crate::response_path::ResponsePath;
 use crate::surrogate_key::SurrogateKey;
 use crate::EndpointId;
 use bytes::Bytes;
 
-/// How a cache ended a request.
+/// The result of a request at a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyStatus {
-    /// It sends the bytes.
+    /// The reply carries the content.
     Served,
-    /// The client's copy is current: no bytes are sent.
+    /// The client's copy is current, so the reply carries no content.
     NotModified,
-    /// It has no copy and did not fill one. The request did not run.
+    /// The cache has no copy and did not fill one. The request did not run.
     Miss,
-    /// It has no capacity. The request did not run.
+    /// The cache has no capacity. The request did not run.
     Overloaded,
-    /// It failed. The request may have run.
+    /// The cache failed. The request may have run.
     Error,
-    /// The request's time was over at its arrival. It did not run.
+    /// The request arrived after its time-out. It did not run.
     Expired,
 }
 
-/// The reply to one request.
+/// The reply to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CacheReply {
     /// Id of the request.
     pub request_id: u64,
-    /// How it ended.
+    /// Result of the request.
     pub status: ReplyStatus,
-    /// The copy's entity tag without quotes, where there is a copy.
+    /// The copy's entity tag without quotes, if there is a copy.
     pub entity_tag: Option<String>,
     /// When the origin generated the copy, in Unix milliseconds.
     pub generated_at_ms: Option<f64>,
-    /// The copy's surrogate keys, from caches that support fleet purges.
+    /// The copy's surrogate keys, if the cache supports fleet purges.
     pub surrogate_keys: Vec<SurrogateKey>,
-    /// Where the bytes came from, or where a fill failed; none where the cache does not report it.
+    /// Where the content came from, or where a fill failed; `None` if the cache does not report it.
     pub path: Option<ResponsePath>,
-    /// The bytes.
+    /// The content.
     pub body: Bytes,
 }
 
 impl CacheReply {
-    /// A reply of a status alone.
+    /// Creates a reply that consists of a status only.
     pub fn new(request_id: u64, status: ReplyStatus) -> Self {
         Self {
             request_id,
@@ -59,11 +59,11 @@
 /// A request to a cache.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CacheRequest {
-    /// Id, in the client's spelling.
+    /// Id as text, as the client wrote it.
     pub id: String,
     /// Name of the class.
     pub class: String,
-    /// Object, in the client's spelling.
+    /// Id of the object as text, as the client wrote it.
     pub object: String,
     /// Part of the object.
     pub part: u32,
@@ -71,31 +71,32 @@
     pub timeout_ms: u64,
     /// Idempotency key.
     pub idempotency_key: Option<String>,
-    /// The endpoint from which a miss is filled; none for no fill.
+    /// The endpoint from which a miss is filled; `None` for no fill.
     pub fill_source: Option<EndpointId>,
-    /// Rank at which the cache retains the copy; 0 retains nothing.
+    /// Retention priority of the copy in the cache; at 0 the copy is not retained.
     pub retention_rank: u8,
-    /// The age of the oldest acceptable copy, in milliseconds; 0 for the bound of the class.
+    /// Maximum age of an acceptable copy, in milliseconds; 0 for the limit of the class.
     pub max_age_ms: u64,
-    /// Join a fill that is in progress.
+    /// Whether the request may join a fill in progress.
     pub join_fill: bool,
-    /// The source serves only a copy that it has.
+    /// Whether the source may serve only a copy that it has in cache.
     pub only_if_cached: bool,
-    /// Refresh an ageing copy in the background.
+    /// Whether the cache is to refresh an ageing copy in the background.
     pub background_refresh: bool,
     /// Entity tag of the client's copy, without quotes.
     pub client_tag: Option<String>,
-    /// The object's group, for caches that support fleet purges by group; none on the platform.
+    /// The object's group, for caches that support fleet purges by group; `None` if fleet purges are
+    /// disabled.
     pub group: Option<u32>,
     /// Body of a write.
     pub body: Bytes,
 }
 
-/// What the proxy writes to a cache.
+/// A command that the proxy writes to a cache.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CacheCommand {
-    /// Sends a request.
+    /// Send a request.
     Send(Box<CacheRequest>),
-    /// Cancels the request of this id. There is no reply.
+    /// Cancel the request with this id. There is no reply.
     Cancel(String),
 }
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight: queued for a connection, or written to one.
+//! Attempts in progress: queued for a connection, or written to one.
 
 use super::deadlines::Deadlines;
 use super::ids::{AttemptId, ConnectionId};
@@ -8,47 +8,48 @@
 /// The progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
-    /// It waits for its connection; no byte has been written.
+    /// Queued for its connection; no byte has been written.
     Queued,
-    /// Its first byte was written at this time, in Unix milliseconds.
+    /// Written, with its first byte at this time in Unix milliseconds.
     Written(f64),
 }
 
-/// An attempt, as the decision module ordered it.
+/// An attempt to get a response for a request from an endpoint.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The text of its request's id, as it is forwarded.
+    /// The id of its request as text, in the form that is forwarded.
     pub id_text: String,
-    /// The endpoint to which it is sent.
+    /// The endpoint that gets it.
     pub to: EndpointId,
-    /// The endpoint from which a miss is filled, if any.
+    /// The endpoint from which a cache miss is filled, if any.
     pub source: Option<EndpointId>,
-    /// Join a fill in progress.
+    /// Whether it may join a fill in progress.
     pub join_fill: bool,
-    /// The source gives only what it holds.
+    /// Whether the source may serve only a copy that it has in cache.
     pub only_if_cached: bool,
-    /// Revalidate a stale copy in the background.
+    /// Whether the endpoint is to revalidate a stale copy in the background.
     pub revalidate: bool,
-    /// Greatest age of a copy when the attempt was ordered, in milliseconds; 0 for the class's own limit.
+    /// Maximum age of a copy at the time when the attempt was created, in milliseconds; 0 for the limit of
+    /// the class.
     pub max_age_ms: f64,
-    /// Rank at which a cache retains the copy.
+    /// Retention priority of the copy in the endpoint's cache; at 0 the copy is not retained.
     pub retention_rank: u8,
-    /// When it was ordered, in Unix milliseconds.
+    /// When it was created, in Unix milliseconds.
     pub sent_ms: f64,
     /// When it times out, in Unix milliseconds.
     pub due_ms: f64,
-    /// When its first byte must be written at the latest, in Unix milliseconds: later it might repeat a
-    /// request that has taken effect.
+    /// Its first byte must be written before this time, in Unix milliseconds. Later it could run a request a
+    /// second time.
     pub first_byte_by_ms: f64,
     /// Its connection.
     pub conn: ConnectionId,
-    /// Its progress.
+    /// Whether it is queued or written.
     pub stage: Stage,
-    /// How often it changed to another connection before its first byte.
+    /// How often it moved to another connection before it was written.
     pub migrations: u32,
 }
 
-/// All attempts in flight.
+/// All attempts in progress.
 #[derive(Debug, Default)]
 pub struct Attempts {
     in_flight: HashMap<AttemptId, Attempt>,
@@ -62,22 +63,22 @@
         self.in_flight.insert(id, attempt);
     }
 
-    /// An attempt in flight.
+    /// Returns an attempt in progress.
     pub fn get(&self, id: AttemptId) -> Option<&Attempt> {
         self.in_flight.get(&id)
     }
 
-    /// An attempt in flight, mutably.
+    /// Returns an attempt in progress, mutably.
     pub fn get_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         self.in_flight.get_mut(&id)
     }
 
-    /// Removes an attempt; only the first caller gets it.
+    /// Removes and returns an attempt; `None` if it was removed before.
     pub fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
         self.in_flight.remove(&id)
     }
 
-    /// All attempts in flight.
+    /// Iterates over all attempts in progress.
     pub fn iter(&self) -> impl Iterator<Item = (&AttemptId, &Attempt)> {
         self.in_flight.iter()
     }
@@ -87,7 +88,7 @@
         self.timeouts.next_due(|id, _| self.in_flight.contains_key(&id))
     }
 
-    /// An attempt that timed out by `now`; it stays in flight until it is removed.
+    /// Returns an attempt that has timed out by `now`. It stays in the table until it is removed.
     pub fn pop_overdue(&mut self, now: f64) -> Option<AttemptId> {
         self.timeouts.pop_due(now, |id, _| self.in_flight.contains_key(&id))
     }
--- a/src/state/client_slots.rs
+++ b/src/state/client_slots.rs
@@ -1,51 +1,50 @@
-//! The slots of a front's client connections: how many there may be, and which one is evicted for a new
-//! connection.
+//! Limits the number of a front's client connections, and chooses the one to evict for a new connection.
 
 use std::collections::BTreeMap;
 
-/// A slot's number; never used again.
+/// Id of a slot. Ids are not reused.
 pub type SlotId = u64;
 
-/// How long a new connection that has sent nothing keeps its slot, in milliseconds.
+/// How long a new connection that has sent nothing is protected from eviction, in milliseconds.
 const FIRST_BYTE_MS: f64 = 100.0;
-/// How long a request may take to arrive before its connection may be evicted, in milliseconds: a
-/// well-behaved client sends it in one go.
+/// How long a connection that is receiving a request is protected from eviction, in milliseconds.
+/// Well-behaved clients send a request without pauses.
 const REQUEST_ARRIVAL_MS: f64 = 500.0;
 
-/// What a client connection does; times in Unix milliseconds.
+/// The activity of a client connection; times in Unix milliseconds.
 #[derive(Clone, Copy, Debug)]
 enum Activity {
-    /// It waits for a request since this time.
+    /// Waiting for a request since this time.
     Idle(f64),
-    /// A request is arriving since this time.
+    /// Receiving a request since this time.
     Reading(f64),
-    /// A request is open or its response is being written.
+    /// Processing a request or writing its response.
     Open,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Slot {
     activity: Activity,
-    /// A request of this connection was answered.
+    /// Whether a request of this connection was answered.
     has_requested: bool,
-    /// The connection has been evicted and is closing.
+    /// Whether the connection has been evicted and is closing.
     closing: bool,
 }
 
-/// Which connections are evicted first.
+/// The order of eviction, first to last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// It never sent a request.
+    /// No request of the connection was answered.
     NeverRequested,
-    /// It is idle after a request.
+    /// The connection is idle after a request.
     Idle,
-    /// Its request is slow to arrive.
+    /// The connection's request is slow to arrive.
     SlowRequest,
 }
 
 impl Slot {
-    /// The order in which the slot may be evicted at `now`: its rank, then the time since when; none where it
-    /// may not.
+    /// The sort key for eviction at `now`: the rank, and the start of the present activity. `None` if the
+    /// slot is protected.
     fn eviction_order(&self, now: f64) -> Option<(EvictionRank, f64)> {
         match self.activity {
             Activity::Idle(since) if self.has_requested => Some((EvictionRank::Idle, since)),
@@ -60,7 +59,7 @@
     }
 }
 
-/// The slots of one front.
+/// The slots for the client connections of one front.
 #[derive(Debug)]
 pub struct ClientSlots {
     held: BTreeMap<SlotId, Slot>,
@@ -69,12 +68,12 @@
 }
 
 impl ClientSlots {
-    /// At most `max` slots, at least one.
+    /// Creates a table of `max` slots, or one if `max` is 0.
     pub fn new(max: usize) -> Self {
         Self { held: BTreeMap::new(), last: 0, max: max.max(1) }
     }
 
-    /// Gives a new connection a slot, if one is free.
+    /// Claims a slot for a new connection; `None` if no slot is free.
     pub fn claim(&mut self, now: f64) -> Option<SlotId> {
         if self.held.len() >= self.max {
             return None;
@@ -85,37 +84,38 @@
         Some(self.last)
     }
 
-    /// A request is arriving since its first byte at `since`.
+    /// Records that the first byte of a request arrived at `since`.
     pub fn request_started(&mut self, id: SlotId, since: f64) {
         self.set_activity(id, Activity::Reading(since));
     }
 
-    /// A request is complete, or its response is being written: the slot is not evicted.
+    /// Records that a request is complete or its response is being written. Protects the slot from eviction.
     pub fn request_open(&mut self, id: SlotId) {
         self.set_activity(id, Activity::Open);
     }
 
-    /// The request has been answered, and the connection waits for the next.
+    /// Records that a request was answered and the connection waits for the next one.
     pub fn idle(&mut self, id: SlotId, now: f64) {
         self.set_activity(id, Activity::Idle(now));
         self.set_requested(id, true);
     }
 
-    /// The connection is owed nothing more: it may be evicted first.
+    /// Records that the connection needs no more service, so that it is evicted before all others.
     pub fn finished(&mut self, id: SlotId) {
         self.set_activity(id, Activity::Idle(f64::MIN));
         self.set_requested(id, false);
     }
 
-    /// The connection has ended: its slot is free.
+    /// Frees the slot of a connection that has ended.
     pub fn release(&mut self, id: SlotId) {
         self.held.remove(&id);
     }
 
-    /// Evicts a connection for a new one; the caller closes it, and it keeps its slot until then. Protects
-    /// clients that send requests from those that connect and send nothing, remain idle, or send a request a
-    /// byte at a time. A connection with an open request is never evicted, and no second one while the first
-    /// is closing.
+    /// Chooses a connection to evict for a new one. The caller closes it; it keeps its slot until then.
+    ///
+    /// Protects clients that send requests from clients that connect and send nothing, remain idle, or send a
+    /// request byte by byte. Returns `None` if no connection may be evicted, or while one that was chosen
+    /// before is still closing. Connections with an open request are never evicted.
     pub fn evict_one(&mut self, now: f64) -> Option<SlotId> {
         if self.held.values().any(|slot| slot.closing) {
             return None;
--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -1,10 +1,10 @@
-//! Connections to endpoints, with the attempts that wait for them and those in flight on them.
+//! Connections to endpoints, with the attempts queued for them and in flight on them.
 
 use super::ids::{AttemptId, ConnectionId};
 use crate::{EndpointId, RequestId};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// Most requests that a connection bars.
+/// Maximum number of requests that a connection bars; the oldest are dropped.
 const MAX_BARRED: usize = 256;
 
 /// A connection to an endpoint; times in Unix milliseconds.
@@ -12,48 +12,49 @@
 pub struct Connection {
     /// The endpoint at its other end.
     pub endpoint: EndpointId,
-    /// It is established.
+    /// Whether it is established.
     pub up: bool,
-    /// It gets no new attempts, and is closed once none is in flight.
+    /// Whether it is to be closed once its attempts have ended; it gets no new ones.
     pub closing: bool,
-    /// Attempts that wait to be written.
+    /// Attempts that have not been written yet.
     pub queue: VecDeque<AttemptId>,
-    /// Attempts that were written, by the request's id on the wire.
+    /// Attempts that were written, by the id of the request, which identifies them in the protocol.
     pub in_flight: HashMap<RequestId, AttemptId>,
-    /// Texts of the requests' ids that are to be cancelled at the endpoint.
+    /// Ids of the requests that are to be cancelled at the endpoint, as text.
     pub abandoned: VecDeque<String>,
-    /// Requests whose attempt here has ended: a response to it may still come, for the first time or once
-    /// more.
+    /// Requests whose attempt on this connection has ended. They must not be sent on it again, because a late
+    /// or duplicate reply to that attempt may still arrive.
     barred: HashSet<RequestId>,
-    /// The same, oldest first.
+    /// The members of `barred`, oldest first.
     barred_order: VecDeque<RequestId>,
     /// When something was last written or read.
     pub used_ms: f64,
-    /// Attempts that timed out here since something was last read.
+    /// Number of attempts that timed out since something was last read.
     pub timeouts_since_read: u32,
     /// When something was last read.
     pub read_ms: f64,
 }
 
 impl Connection {
-    /// Attempts queued and in flight.
+    /// The number of attempts queued and in flight.
     pub fn load(&self) -> usize {
         self.queue.len() + self.in_flight.len()
     }
 
-    /// Whether nothing is queued or in flight and no new attempt may come.
+    /// Whether it can be closed now: it gets no new attempts, and none is queued or in flight.
     pub fn is_finished(&self) -> bool {
         self.closing && self.load() == 0
     }
 
-    /// Whether a request can be sent on it. A request is sent at most once on a connection, since its
-    /// attempts have one id on the wire: a late or repeated response to one would pass for that of another.
+    /// Whether a request can be sent on it. A request is sent at most once on a connection: all its attempts
+    /// have the same id in the protocol, so a late or duplicate reply to one would be taken for the reply to
+    /// another.
     fn accepts(&self, id: RequestId) -> bool {
         let is_queued = || self.queue.iter().any(|queued| queued.request == id);
         !self.closing && !self.in_flight.contains_key(&id) && !self.barred.contains(&id) && !is_queued()
     }
 
-    /// Bars a request from this connection, as its attempt here has ended. The oldest of too many is dropped.
+    /// Bars a request from this connection, because its attempt here has ended.
     pub fn bar(&mut self, id: RequestId) {
         if self.barred.insert(id) {
             self.barred_order.push_back(id);
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Bars a request whose attempt here was abandoned, and has it cancelled at the endpoint.
+    /// Queues the cancellation of a request at the endpoint, and bars the request from this connection.
     pub fn abandon(&mut self, id: RequestId, id_text: String) {
         self.abandoned.push_back(id_text);
         self.bar(id);
@@ -75,24 +76,24 @@
 /// Limits on the number of connections and on the requests of each.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Connections to all endpoints.
+    /// Maximum number of connections to all endpoints.
     pub total: usize,
-    /// Connections to one endpoint.
+    /// Maximum number of connections to one endpoint.
     pub per_endpoint: usize,
-    /// Requests on a connection from which on another one is opened.
+    /// Number of requests on a connection from which on another one is opened, if the limits allow it.
     pub spread_above: usize,
-    /// Requests on a connection.
+    /// Maximum number of concurrent requests on a connection.
     pub streams: usize,
 }
 
-/// The connection found for an attempt.
+/// The connection chosen for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// A connection that exists.
+    /// An existing connection.
     Existing(ConnectionId),
-    /// A new connection, which is to be opened.
+    /// A new connection, which the caller opens.
     New(ConnectionId),
-    /// None: every connection is full.
+    /// No connection has capacity, and the limits allow no new one.
     Unavailable,
 }
 
@@ -105,13 +106,13 @@
 }
 
 impl Connections {
-    /// No connections yet.
+    /// Creates an empty table.
     pub fn new(limits: ConnectionLimits) -> Self {
         Self { all: BTreeMap::new(), last: 0, limits }
     }
 
-    /// Finds a connection to an endpoint for a request: the least loaded one, or a new one where that has
-    /// many requests and the limits allow it.
+    /// Chooses a connection to an endpoint for a request: the least loaded one, or a new one if that has
+    /// `spread_above` requests and the limits allow another.
     pub fn place(&mut self, endpoint: EndpointId, id: RequestId, now: f64) -> Placement {
         let can_open = self.can_open(endpoint);
         let ConnectionLimits { spread_above, streams, .. } = self.limits;
@@ -124,8 +125,8 @@
         }
     }
 
-    /// The least loaded connection to an endpoint that accepts a request, with its load; an established one
-    /// first.
+    /// The least loaded connection to an endpoint that accepts a request, with its load. At equal load an
+    /// established connection is preferred.
     fn least_loaded(&self, endpoint: EndpointId, id: RequestId) -> Option<(ConnectionId, usize)> {
         let to_endpoint = self.all.iter().filter(|(_, connection)| connection.endpoint == endpoint);
         let accepting = to_endpoint.filter(|(_, connection)| connection.accepts(id));
@@ -133,8 +134,8 @@
         Some((*least.0, least.1.load()))
     }
 
-    /// Whether the limits allow another connection to an endpoint. An established one that is finished closes
-    /// at once and does not count in total.
+    /// Whether the limits allow another connection to an endpoint. Established connections that are finished
+    /// are about to close and do not count towards the total.
     fn can_open(&self, endpoint: EndpointId) -> bool {
         let held = self.all.values().filter(|connection| !(connection.is_finished() && connection.up));
         let to_endpoint = self.all.values().filter(|connection| connection.endpoint == endpoint);
@@ -148,8 +149,9 @@
         self.last
     }
 
-    /// Closes the connection that was idle for longest, for an endpoint that has none: otherwise idle
-    /// connections could keep a cache that has just started without any.
+    /// Marks the connection that has been idle for longest as closing, to make room for an endpoint without
+    /// connections. Otherwise idle connections could use up the limit, and a cache that has just started
+    /// would get none.
     pub fn evict(&mut self, endpoint: EndpointId) -> Option<ConnectionId> {
         if self.all.values().any(|connection| connection.endpoint == endpoint) {
             return None;
@@ -162,12 +164,12 @@
         Some(*id)
     }
 
-    /// Changes the limit on the requests of a connection.
+    /// Sets the maximum number of concurrent requests on a connection.
     pub fn set_stream_limit(&mut self, streams: usize) {
         self.limits.streams = streams;
     }
 
-    /// A connection.
+    /// Returns a connection, mutably.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.all.get_mut(&id)
     }
@@ -177,12 +179,12 @@
         self.all.remove(&id)
     }
 
-    /// All connections.
+    /// Iterates over all connections, mutably.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&ConnectionId, &mut Connection)> {
         self.all.iter_mut()
     }
 
-    /// How many connections there are.
+    /// The number of connections.
     pub fn len(&self) -> usize {
         self.all.len()
     }
--- a/src/state/counters.rs
+++ b/src/state/counters.rs
@@ -1,9 +1,9 @@
-//! Counters of the proxy, and their names in the output of the admin calls.
+//! The proxy's counters, and their names in metrics and in the output of the admin calls.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What became of one class's requests.
+/// Counters of one request class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
     /// Requests served.
@@ -16,13 +16,13 @@
     pub attempts: u64,
 }
 
-/// Counters by the class's name, since the start of the process. Displayed as lines of `NAME{kind="CLASS"}
-/// NUMBER`.
+/// Counters since the start of the process, by class name. Displayed as lines of
+/// `NAME{kind="CLASS"} NUMBER`.
 #[derive(Clone, Debug, Default)]
 pub struct CountersByClass(BTreeMap<String, ClassCounters>);
 
 impl CountersByClass {
-    /// A class's counters; the class is displayed from now on.
+    /// The counters of a class. The class is displayed from now on.
     pub fn of(&mut self, class: &str) -> &mut ClassCounters {
         if !self.0.contains_key(class) {
             self.0.insert(class.to_string(), ClassCounters::default());
@@ -48,7 +48,7 @@
     }
 }
 
-/// Defines the counters, each with the name under which it is displayed.
+/// Defines the counters, each with the name used for display.
 macro_rules! counters {
     ($($(#[$doc:meta])* $field:ident => $name:literal,)*) => {
         /// Counters since the start of the process. Displayed as lines of `NAME NUMBER`.
@@ -91,7 +91,7 @@
     rejected => "refused",
     /// Responses: failed.
     failed => "failed",
-    /// Responses given by the request table because the decision module gave none in time.
+    /// Responses sent on expiry of a request because the router had not ended it in time.
     overdue => "overdue",
     /// Responses that could not be written completely.
     responses_unwritten => "unwritten",
@@ -105,15 +105,15 @@
     connections_malformed => "malformed_members",
     /// Connections to endpoints dropped because a reply stalled.
     connections_stalled => "stalled_members",
-    /// Connections to endpoints dropped for either reason.
+    /// Connections to endpoints dropped because of malformed data or a stalled reply.
     connections_dropped => "spoilt",
-    /// Attempts ordered by the decision module.
+    /// Attempts requested by the router.
     attempts => "attempts",
     /// Attempts written.
     attempts_written => "attempts_written",
     /// Attempts found stale before their first byte.
     attempts_stale => "attempts_stale",
-    /// Attempts that changed to another connection, since theirs ended before their first byte.
+    /// Moves of attempts to another connection because theirs was lost before they were written.
     attempts_migrated => "attempts_moved",
     /// Attempts cancelled.
     attempts_cancelled => "attempts_cancelled",
@@ -129,15 +129,15 @@
     replies_overloaded => "member_full",
     /// Replies of endpoints: an error.
     replies_error => "member_error",
-    /// Replies of endpoints for which no attempt waited any more.
+    /// Replies of endpoints whose attempt had already ended.
     replies_late => "member_late",
     /// Connections made to the discovery service.
     discovery_connections => "bulletin_links",
-    /// Connections to the discovery service dropped for silence or malformed data.
+    /// Connections to the discovery service dropped because of inactivity or malformed data.
     discovery_faults => "bulletin_faults",
-    /// Discovery events skipped, since no connection brought them in a readable form.
+    /// Discovery events skipped because they were malformed on every connection.
     discovery_skipped => "bulletin_skipped",
-    /// Gaps in the numbers of discovery events.
+    /// Gaps in the sequence numbers of discovery events.
     discovery_gaps => "bulletin_gaps",
     /// Changes of the discovery service's address.
     discovery_moves => "bulletin_moves",
@@ -145,7 +145,7 @@
     reloads => "reloads",
     /// Configurations that could not be reloaded on SIGHUP.
     reload_failures => "reload_faults",
-    /// Endpoints taken out of use by operators, or put back.
+    /// Maintenance calls that took an endpoint out of use or put it back.
     maintenance_changes => "maintenance",
     /// Discovery events applied.
     discovery_events => "bulletin_events",
--- a/src/state/deadlines.rs
+++ b/src/state/deadlines.rs
@@ -3,7 +3,8 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// An item with its deadline in Unix milliseconds; ordered so that a max-heap has the earliest first.
+/// An item with its deadline in Unix milliseconds. The order is reversed, so that a max-heap returns the
+/// earliest deadline first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Entry<T> {
     at: f64,
@@ -24,8 +25,8 @@
     }
 }
 
-/// Deadlines of items. One that has become obsolete is dropped when it is the earliest; callers tell obsolete
-/// ones by a predicate of the item and its deadline.
+/// A priority queue of deadlines. Entries are not removed when they become obsolete, but dropped when they
+/// reach the head of the queue. A predicate of the caller tells whether an entry is still current.
 #[derive(Debug)]
 pub struct Deadlines<T>(BinaryHeap<Entry<T>>);
 
@@ -41,7 +42,7 @@
         self.0.push(Entry { at, item });
     }
 
-    /// The earliest deadline that is current.
+    /// The earliest current deadline.
     pub fn next_due(&mut self, is_current: impl Fn(T, f64) -> bool) -> Option<f64> {
         while let Some(Entry { at, item }) = self.0.peek() {
             if is_current(*item, *at) {
@@ -52,17 +53,17 @@
         None
     }
 
-    /// How many deadlines are held, obsolete ones included.
+    /// The number of entries, including obsolete ones.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether no deadline is held.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Removes the item of the earliest current deadline, if it is due by `now`.
+    /// Removes and returns the item with the earliest current deadline, if that is not after `now`.
     pub fn pop_due(&mut self, now: f64, is_current: impl Fn(T, f64) -> bool) -> Option<T> {
         if self.next_due(is_current)? > now {
             return None;
--- a/src/state/ids.rs
+++ b/src/state/ids.rs
@@ -1,11 +1,11 @@
-//! Numbers of connections and attempts.
+//! Ids of connections and attempts.
 
 use crate::RequestId;
 
-/// A connection's number; never used again.
+/// Id of a connection to an endpoint. Ids are not reused.
 pub type ConnectionId = u64;
 
-/// An attempt: its request, and its number there from 0.
+/// Id of an attempt: its request, and its number within the request, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The request.
--- a/src/state/maintenance.rs
+++ b/src/state/maintenance.rs
@@ -1,23 +1,23 @@
-//! Maintenance: endpoints that operators have taken out of use, and when they put them back.
+//! Maintenance calls of operators, which take endpoints out of use and put them back.
 
 use crate::clock::micros_from_ms;
 use crate::endpoint_list::EndpointRecord;
 use crate::{EndpointId, EndpointState};
 use std::collections::BTreeMap;
 
-/// How long the return of an endpoint is remembered, in milliseconds: longer than any slow start.
+/// How long the return of an endpoint to use is recorded, in milliseconds; longer than any slow start.
 const RETURN_RETENTION_MS: f64 = 120_000.0;
 
 /// The last maintenance call for an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mark {
-    /// The endpoint is out of use; else it was put back.
+    /// Whether the call took the endpoint out of use or put it back.
     pub out: bool,
     /// When the call was made, in Unix milliseconds.
     pub at_ms: f64,
 }
 
-/// The last maintenance calls, by endpoint.
+/// The last maintenance call for each endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Maintenance(BTreeMap<EndpointId, Mark>);
 
@@ -27,8 +27,8 @@
         self.0.get(&id).is_some_and(|mark| mark.out)
     }
 
-    /// Records a call; returns whether it changes the endpoint's use. A repeated call changes nothing, so
-    /// that one return undoes several removals. A call older than the recorded one is ignored.
+    /// Records a call and returns whether it changes the endpoint's state. A repeated call changes nothing,
+    /// so a single return undoes any number of removals. A call older than the recorded one is ignored.
     pub fn record(&mut self, id: EndpointId, mark: Mark) -> bool {
         let is_older = self.0.get(&id).is_some_and(|recorded| recorded.at_ms > mark.at_ms);
         if self.is_out(id) == mark.out || is_older {
@@ -38,18 +38,19 @@
         true
     }
 
-    /// Drops returns of long ago; `now` in Unix milliseconds.
+    /// Drops the returns to use recorded longer ago than the retention time; `now` is in Unix milliseconds.
     pub fn forget_old_returns(&mut self, now: f64) {
         self.0.retain(|_, mark| mark.out || now < mark.at_ms + RETURN_RETENTION_MS);
     }
 
-    /// All calls held, by endpoint.
+    /// Iterates over the recorded calls, in the order of endpoint ids.
     pub fn iter(&self) -> impl Iterator<Item = (EndpointId, Mark)> + '_ {
         self.0.iter().map(|(id, mark)| (*id, *mark))
     }
 
-    /// Applies maintenance to an endpoint's record: one that is out of use is draining whatever the list
-    /// says, and one that was put back has been restarted meanwhile and warms up.
+    /// Adjusts an endpoint's record for maintenance. An endpoint out of use is draining even if the list has
+    /// it as active. One that was put back starts at the time of that call at the earliest, because its cache
+    /// is cold after maintenance.
     pub fn apply(&self, record: &mut EndpointRecord) {
         match self.0.get(&record.id) {
             Some(mark) if mark.out && record.state == EndpointState::Active => {
--- a/src/state/membership.rs
+++ b/src/state/membership.rs
@@ -6,17 +6,17 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
 
-/// The endpoints known to a proxy.
+/// The endpoints known to the proxy.
 #[derive(Debug, Default)]
 pub struct Membership {
-    /// Endpoints as published, without maintenance by operators.
+    /// Endpoints as published, not adjusted for maintenance.
     listed: HashMap<EndpointId, ListedEndpoint>,
     /// Addresses of endpoints that may get new attempts.
     usable: HashMap<EndpointId, SocketAddrV4>,
 }
 
 impl Membership {
-    /// Records a list of endpoints, or changes of it, as published.
+    /// Records published endpoints: the complete list if `full`, else only those that changed.
     pub fn record_listed(&mut self, full: bool, endpoints: &[ListedEndpoint]) {
         if full {
             self.listed.clear();
@@ -31,18 +31,18 @@
         }
     }
 
-    /// An endpoint as last published.
+    /// Returns an endpoint as last published.
     pub fn listed(&self, id: EndpointId) -> Option<&ListedEndpoint> {
         self.listed.get(&id)
     }
 
-    /// All endpoints as last published.
+    /// Iterates over all endpoints as last published.
     pub fn all_listed(&self) -> impl Iterator<Item = &ListedEndpoint> {
         self.listed.values()
     }
 
-    /// Applies a list, or changes of it, with maintenance; returns the endpoints that may get nothing new
-    /// from now on or have another address.
+    /// Updates the usable endpoints from a full or partial list that was adjusted for maintenance. Returns
+    /// the endpoints that are no longer usable or have a new address.
     pub fn update_usable(&mut self, full: bool, endpoints: &[ListedEndpoint]) -> Vec<EndpointId> {
         let before = self.usable.clone();
         if full {
@@ -61,7 +61,7 @@
         changed.map(|(id, _)| id).collect()
     }
 
-    /// The address of an endpoint that may get new attempts.
+    /// The address of an endpoint; `None` if it may not get new attempts.
     pub fn address(&self, id: EndpointId) -> Option<SocketAddrV4> {
         self.usable.get(&id).copied()
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What the proxy holds in memory, each part bounded: requests that are owed a response, attempts in flight,
-//! connections to endpoints, slots of clients, the list of endpoints, maintenance and the counters. No I/O.
+//! The proxy's in-memory state, each part of bounded size: open requests, attempts in flight, connections to
+//! endpoints, slots of client connections, the endpoint list, maintenance calls and counters. Does no I/O.
 
 pub mod attempts;
 pub mod client_slots;
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -1,4 +1,4 @@
-//! The table of requests that are owed one final response.
+//! The table of open requests. Each gets exactly one final response.
 
 use super::deadlines::Deadlines;
 use crate::RequestId;
@@ -6,45 +6,45 @@
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// A client's request as a front submits it to the engine.
+/// A client request, as a front submits it to the engine.
 #[derive(Clone, Debug, Default)]
 pub struct IncomingRequest {
-    /// Its id, new to this proxy.
+    /// Id of the request; must differ from those of all open requests.
     pub id: RequestId,
-    /// The text of the id, as it is forwarded.
+    /// The id as text, in the form that is forwarded.
     pub id_text: String,
     /// Index of its class in the settings.
     pub class: usize,
-    /// The object.
+    /// Id of the object.
     pub object: u64,
-    /// The text of the object, as it is forwarded.
+    /// The object's id as text, in the form that is forwarded.
     pub object_text: String,
-    /// The part.
+    /// Part of the object.
     pub part: u32,
     /// The object's group.
     pub group: u32,
-    /// Size of the part in KB; 0 where unknown.
+    /// Size of the part in KB; 0 if unknown.
     pub size_kb: f64,
-    /// When the response must be on its way, in Unix milliseconds.
+    /// Deadline of the response, in Unix milliseconds.
     pub deadline_ms: f64,
     /// Idempotency key.
     pub key: Option<String>,
-    /// Entity tag of the client's copy, without quotes.
+    /// Entity tag of the client's copy (`If-None-Match`), without quotes.
     pub client_etag: Option<String>,
     /// Body of a write.
     pub body: Bytes,
-    /// The client's address, where the front knows it; admission control is fair by it.
+    /// The client's address, if the front knows it. Admission control uses it for fairness between clients.
     pub client: Option<IpAddr>,
 }
 
-/// The one final response to a request.
+/// The final response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
-    /// The bytes of the part, from an endpoint's response to this request.
+    /// The content of the part, from an endpoint's reply to this request.
     Served {
-        /// Entity tag of the copy, without quotes, where it has one.
+        /// Entity tag of the copy, without quotes, if it has one.
         tag: Option<String>,
-        /// The bytes.
+        /// The content.
         body: Bytes,
     },
     /// The client's copy is current.
@@ -52,16 +52,16 @@
         /// Entity tag of the copy, without quotes.
         tag: String,
     },
-    /// Rejected: a retry of the client does no harm.
+    /// Rejected: the request did not take effect, so the client may retry it.
     Rejected {
-        /// When the client is to retry, in milliseconds from now; 0 for no advice.
+        /// Time after which the client should retry, in milliseconds; 0 for no advice.
         retry_after_ms: f64,
-        /// The request's time was over.
+        /// Whether the request ended because of its deadline.
         overdue: bool,
     },
     /// Failed: the request may have taken effect.
     Failed {
-        /// The request's time was over.
+        /// Whether the request ended because of its deadline.
         overdue: bool,
     },
 }
@@ -71,7 +71,7 @@
 pub enum AdmitError {
     /// Another request with its id is open.
     Duplicate,
-    /// The table is full.
+    /// The request table is full.
     Full,
 }
 
@@ -83,7 +83,7 @@
     next_attempt: u32,
 }
 
-/// Requests that are owed a response.
+/// Requests without a final response.
 #[derive(Debug)]
 pub struct Requests {
     open: HashMap<RequestId, OpenRequest>,
@@ -92,16 +92,16 @@
 }
 
 impl Requests {
-    /// An empty table of at most `max` requests.
+    /// Creates an empty table of at most `max` requests.
     pub fn new(max: usize) -> Self {
         Self { open: HashMap::new(), deadlines: Deadlines::default(), max }
     }
 
-    /// Adds a request, which is owed a response from now on.
+    /// Adds a request.
     ///
     /// # Errors
     ///
-    /// [`AdmitError`] where its id is open already or the table is full.
+    /// [`AdmitError`] if a request with its id is open or the table is full.
     pub fn admit(&mut self, request: IncomingRequest) -> Result<(), AdmitError> {
         if self.open.contains_key(&request.id) {
             return Err(AdmitError::Duplicate);
@@ -114,12 +114,12 @@
         Ok(())
     }
 
-    /// An open request.
+    /// Returns an open request.
     pub fn get(&self, id: RequestId) -> Option<&IncomingRequest> {
         self.open.get(&id).map(|open| &open.request)
     }
 
-    /// The number of a request's next attempt, counted as the decision module counts them.
+    /// Allocates the number of a request's next attempt, from 0 in the order of the router's actions.
     pub fn next_attempt_number(&mut self, id: RequestId) -> Option<u32> {
         let open = self.open.get_mut(&id)?;
         let number = open.next_attempt;
@@ -132,27 +132,27 @@
         self.open.values().any(|open| open.request.class == class)
     }
 
-    /// When the next request's time is over, in Unix milliseconds.
+    /// The earliest deadline of an open request, in Unix milliseconds.
     pub fn next_due(&mut self) -> Option<f64> {
         self.deadlines.next_due(|id, at| Self::is_current(&self.open, id, at))
     }
 
-    /// A request whose time was over by `now`; the caller removes it.
+    /// Returns a request whose deadline has passed by `now`; the caller removes it.
     pub fn pop_overdue(&mut self, now: f64) -> Option<RequestId> {
         self.deadlines.pop_due(now, |id, at| Self::is_current(&self.open, id, at))
     }
 
-    /// Whether a deadline is that of the request which has its id now: an id may be used again.
+    /// Whether a deadline belongs to the open request with this id, not to an earlier one with the same id.
     fn is_current(open: &HashMap<RequestId, OpenRequest>, id: RequestId, at: f64) -> bool {
         open.get(&id).is_some_and(|open| open.request.deadline_ms == at)
     }
 
-    /// Removes a request. Only the first caller gets it, and with it the right to respond.
+    /// Removes and returns a request. Only the caller that gets it may respond to it.
     pub fn remove(&mut self, id: RequestId) -> Option<IncomingRequest> {
         self.open.remove(&id).map(|open| open.request)
     }
 
-    /// How many requests are open.
+    /// The number of open requests.
     pub fn len(&self) -> usize {
         self.open.len()
     }
