--- a/src/cache_message.rs
+++ b/src/cache_message.rs
@@ -84,7 +84,7 @@
     /// Whether the cache is to refresh an ageing copy in the background.
     pub background_refresh: bool,
     /// Entity tag of the client's copy, without quotes.
-    pub client_tag: Option<String>,
+    pub client_etag: Option<String>,
     /// The object's group, for caches that support fleet purges by group; `None` if fleet purges are
     /// disabled.
     pub group: Option<u32>,
--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -13,16 +13,16 @@
 
 /// Time without reads on a connection, in milliseconds, after which an attempt that times out closes it:
 /// connecting anew shows at once whether the endpoint's machine still responds.
-const SILENCE_MS: f64 = 1_500.0;
+const MAX_SILENCE_MS: f64 = 1_500.0;
 /// Consecutive time-outs on a connection without a read in between, which also close it.
 const MAX_TIMEOUTS_SINCE_READ: u32 = 2;
 /// An attempt with less time left than this is not written, in milliseconds.
-const MIN_WRITE_MS: f64 = 1.0;
+const MIN_TIME_LEFT_MS: f64 = 1.0;
 /// Id of an attempt's connection before it is placed on one.
 const NO_CONNECTION: ConnectionId = 0;
 
 /// The parameters of an attempt, from [`Action::Forward`](crate::Action::Forward).
-pub(super) struct AttemptOrder {
+pub(super) struct AttemptParams {
     pub(super) to: EndpointId,
     pub(super) source: Option<EndpointId>,
     pub(super) join_fill: bool,
@@ -36,22 +36,22 @@
 
 impl Engine {
     /// Creates an attempt for a request and places it on a connection.
-    pub(super) fn start_attempt(&mut self, now: f64, request: RequestId, order: AttemptOrder) {
+    pub(super) fn start_attempt(&mut self, now: f64, request: RequestId, params: AttemptParams) {
         let Some(number) = self.requests.next_attempt_number(request) else { return };
         self.counters.attempts += 1;
         let id_text = self.requests.get(request).map(|request| request.id_text.clone()).unwrap_or_default();
         let attempt = Attempt {
             id_text,
-            to: order.to,
-            source: order.source.filter(|source| *source != order.to),
-            join_fill: order.join_fill,
-            only_if_cached: order.only_if_cached,
-            revalidate: order.revalidate,
-            max_age_ms: ms_from_micros(order.max_age),
-            retention_rank: order.retention_rank,
-            sent_ms: now,
-            due_ms: now + ms_from_micros(order.timeout),
-            first_byte_by_ms: ms_from_micros(order.first_byte_by),
+            to: params.to,
+            source: params.source.filter(|source| *source != params.to),
+            join_fill: params.join_fill,
+            only_if_cached: params.only_if_cached,
+            revalidate: params.revalidate,
+            max_age_ms: ms_from_micros(params.max_age),
+            retention_rank: params.retention_rank,
+            created_ms: now,
+            timeout_at_ms: now + ms_from_micros(params.timeout),
+            first_byte_by_ms: ms_from_micros(params.first_byte_by),
             conn: NO_CONNECTION,
             stage: Stage::Queued,
             migrations: 0,
@@ -72,8 +72,8 @@
             Placement::Existing(conn) => (conn, Effect::Wake(conn)),
             Placement::New(conn) => {
                 self.counters.connections += 1;
-                let within_ms = self.settings.connect_timeout_ms();
-                (conn, Effect::Open { conn, address, within_ms })
+                let connect_timeout_ms = self.settings.connect_timeout_ms();
+                (conn, Effect::Open { conn, address, connect_timeout_ms })
             }
             Placement::Unavailable => {
                 self.counters.attempts_unplaced += 1;
@@ -107,8 +107,8 @@
         let request = self.requests.get(id.request)?;
         let attempt = self.attempts.get_mut(id)?;
         let is_usable = |endpoint: EndpointId| self.membership.is_usable(endpoint);
-        let time_left = attempt.due_ms.min(request.deadline_ms) - now;
-        let in_time = time_left >= MIN_WRITE_MS && now < attempt.first_byte_by_ms;
+        let time_left = attempt.timeout_at_ms.min(request.deadline_ms) - now;
+        let in_time = time_left >= MIN_TIME_LEFT_MS && now < attempt.first_byte_by_ms;
         if !is_usable(attempt.to) || !attempt.source.is_none_or(is_usable) || !in_time {
             return None;
         }
@@ -121,7 +121,7 @@
             group = Some(request.group);
         }
         let connection = self.connections.get_mut(attempt.conn)?;
-        connection.used_ms = now;
+        connection.last_active_ms = now;
         connection.in_flight.insert(id.request, id);
         attempt.stage = Stage::Written(now);
         self.counters.attempts_written += 1;
@@ -132,14 +132,14 @@
             object: request.object_text.clone(),
             part: request.part,
             timeout_ms: (time_left as u64).max(1),
-            idempotency_key: request.key.clone(),
+            idempotency_key: request.idempotency_key.clone(),
             fill_source: attempt.source,
             retention_rank: attempt.retention_rank,
             max_age_ms,
             join_fill: attempt.join_fill,
             only_if_cached: attempt.only_if_cached,
             background_refresh: attempt.revalidate,
-            client_tag: request.client_etag.clone(),
+            client_etag: request.client_etag.clone(),
             group,
             body: request.body.clone(),
         })
@@ -177,9 +177,9 @@
         self.detach_attempt(id, true);
         if let (Stage::Written(written_ms), Some(connection)) = (stage, self.connections.get_mut(conn)) {
             connection.timeouts_since_read += 1;
-            let silent_ms = now - connection.read_ms.max(written_ms);
+            let silent_ms = now - connection.last_read_ms.max(written_ms);
             connection.closing |=
-                connection.timeouts_since_read >= MAX_TIMEOUTS_SINCE_READ || silent_ms > SILENCE_MS;
+                connection.timeouts_since_read >= MAX_TIMEOUTS_SINCE_READ || silent_ms > MAX_SILENCE_MS;
         }
         let outcome = match stage {
             // Nothing was written, so the request did not run.
@@ -217,7 +217,7 @@
             attempt: id.number,
             outcome,
             cache_status,
-            elapsed: micros_from_ms(self.clock.now() - attempt.sent_ms),
+            elapsed: micros_from_ms(self.clock.now() - attempt.created_ms),
             closed: self.requests.get(id.request).is_none(),
         });
     }
@@ -231,7 +231,7 @@
             connection.queue.retain(|queued| *queued != id);
         } else {
             connection.in_flight.remove(&id.request);
-            connection.abandon(id.request, attempt.id_text.clone());
+            connection.cancel(id.request, attempt.id_text.clone());
         }
         if wake {
             self.effects.push_back(Effect::Wake(conn));
@@ -260,5 +260,5 @@
     if attempt.max_age_ms == 0.0 {
         return 0;
     }
-    ((attempt.max_age_ms - (now - attempt.sent_ms)) as u64).max(1)
+    ((attempt.max_age_ms - (now - attempt.created_ms)) as u64).max(1)
 }
--- a/src/engine/connections.rs
+++ b/src/engine/connections.rs
@@ -9,7 +9,7 @@
 
 /// This side closes an idle connection after this fraction of the endpoints' keep-alive time, before the
 /// endpoint does.
-const IDLE_TIMEOUT_OF_KEEPALIVE: f64 = 0.8;
+const IDLE_TIMEOUT_KEEPALIVE_FRACTION: f64 = 0.8;
 /// How often an unwritten attempt moves to another connection when its connection is lost.
 const MAX_MIGRATIONS: u32 = 2;
 
@@ -18,9 +18,9 @@
     pub fn connection_established(&mut self, conn: ConnectionId) {
         let now = self.clock.now();
         if let Some(connection) = self.connections.get_mut(conn) {
-            connection.up = true;
-            connection.read_ms = now;
-            connection.used_ms = now;
+            connection.established = true;
+            connection.last_read_ms = now;
+            connection.last_active_ms = now;
         }
     }
 
@@ -86,8 +86,8 @@
         loop {
             let now = self.clock.now();
             let Some(connection) = self.connections.get_mut(conn) else { return NextWrite::Close };
-            if let Some(id_text) = connection.abandoned.pop_front() {
-                connection.used_ms = now;
+            if let Some(id_text) = connection.pending_cancels.pop_front() {
+                connection.last_active_ms = now;
                 return NextWrite::Write(CacheCommand::Cancel(id_text));
             }
             let Some(id) = connection.queue.pop_front() else {
@@ -104,9 +104,9 @@
 
     /// Closes connections that have been idle for most of the endpoints' keep-alive time.
     pub(super) fn close_idle_connections(&mut self, now: f64) {
-        let idle_timeout_ms = self.settings.keepalive_ms() * IDLE_TIMEOUT_OF_KEEPALIVE;
+        let idle_timeout_ms = self.settings.keepalive_ms() * IDLE_TIMEOUT_KEEPALIVE_FRACTION;
         for (id, connection) in self.connections.iter_mut() {
-            connection.closing |= now - connection.used_ms > idle_timeout_ms && connection.load() == 0;
+            connection.closing |= now - connection.last_active_ms > idle_timeout_ms && connection.load() == 0;
             if connection.is_finished() {
                 self.effects.push_back(Effect::Wake(*id));
             }
--- a/src/engine/effects.rs
+++ b/src/engine/effects.rs
@@ -16,7 +16,7 @@
         /// The endpoint's address.
         address: SocketAddrV4,
         /// Connect time-out, in milliseconds.
-        within_ms: f64,
+        connect_timeout_ms: f64,
     },
     /// Wake the connection's driver: [`Engine::next_write`](super::Engine::next_write) may have something to
     /// write or may close the connection.
--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -39,7 +39,7 @@
     /// The endpoint's address.
     pub address: SocketAddrV4,
     /// Connect time-out, in milliseconds.
-    pub within_ms: f64,
+    pub connect_timeout_ms: f64,
     /// Notified when [`Engine::next_write`] may return something other than `Idle`.
     pub waker: Rc<Notify>,
 }
@@ -60,8 +60,8 @@
     engine: RefCell<Engine>,
     driver: Box<dyn ConnectionDriver>,
     wakers: RefCell<HashMap<ConnectionId, Rc<Notify>>>,
-    waiting: RefCell<HashMap<RequestId, oneshot::Sender<FinalResponse>>>,
-    due: Notify,
+    responders: RefCell<HashMap<RequestId, oneshot::Sender<FinalResponse>>>,
+    timers_changed: Notify,
     /// Admission control, where it is on.
     admission: RefCell<Option<AdmissionControl>>,
     /// Metrics of other subsystems.
@@ -79,8 +79,8 @@
             engine: RefCell::new(engine),
             driver: Box::new(driver),
             wakers: RefCell::default(),
-            waiting: RefCell::default(),
-            due: Notify::new(),
+            responders: RefCell::default(),
+            timers_changed: Notify::new(),
             admission: RefCell::default(),
             metrics_sources: RefCell::default(),
         })
@@ -151,8 +151,8 @@
             let effect = self.engine.borrow_mut().take_effect();
             match effect {
                 None => break,
-                Some(Effect::Open { conn, address, within_ms }) => {
-                    self.open_connection(conn, address, within_ms);
+                Some(Effect::Open { conn, address, connect_timeout_ms }) => {
+                    self.open_connection(conn, address, connect_timeout_ms);
                 }
                 Some(Effect::Wake(conn)) => {
                     if let Some(waker) = self.wakers.borrow().get(&conn) {
@@ -162,14 +162,14 @@
                 Some(Effect::Respond(id, response)) => self.finish(id, response),
             }
         }
-        self.due.notify_one();
+        self.timers_changed.notify_one();
     }
 
     /// Spawns the task that serves a connection.
-    fn open_connection(self: &Rc<Self>, conn: ConnectionId, address: SocketAddrV4, within_ms: f64) {
+    fn open_connection(self: &Rc<Self>, conn: ConnectionId, address: SocketAddrV4, connect_timeout_ms: f64) {
         let waker = Rc::new(Notify::new());
         self.wakers.borrow_mut().insert(conn, waker.clone());
-        let dial = Dial { conn, address, within_ms, waker };
+        let dial = Dial { conn, address, connect_timeout_ms, waker };
         let executor = self.clone();
         self.spawn("an endpoint's connection", async move {
             let _guard = ConnectionGuard { executor: executor.clone(), conn };
@@ -187,7 +187,7 @@
 
     /// Sends a final response to the client that waits for it.
     fn deliver(&self, id: RequestId, response: FinalResponse) {
-        if let Some(client) = self.waiting.borrow_mut().remove(&id) {
+        if let Some(client) = self.responders.borrow_mut().remove(&id) {
             // The receiver is gone if the client has disconnected.
             let _ = client.send(response);
         }
@@ -217,13 +217,13 @@
                 Ok(receiver)
             }
             Ok(None) => {
-                self.waiting.borrow_mut().insert(id, sender);
+                self.responders.borrow_mut().insert(id, sender);
                 Ok(receiver)
             }
             Ok(Some(request)) => {
                 let accepted = self.engine.borrow_mut().submit(request);
                 match accepted {
-                    Ok(()) => drop(self.waiting.borrow_mut().insert(id, sender)),
+                    Ok(()) => drop(self.responders.borrow_mut().insert(id, sender)),
                     Err(_) => self.release_admission(id),
                 }
                 self.run_effects();
@@ -253,7 +253,7 @@
     /// Drops a request whose client disconnected before the response, from the queue of admission control or
     /// from the engine.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
-        self.waiting.borrow_mut().remove(&id);
+        self.responders.borrow_mut().remove(&id);
         if self.with_admission(|admission| admission.disconnected(id)) == Some(true) {
             return;
         }
@@ -297,7 +297,7 @@
                     self.reject_expired();
                     self.with(Engine::tick);
                 }
-                () = self.due.notified() => {}
+                () = self.timers_changed.notified() => {}
             }
         }
     }
--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -4,7 +4,7 @@
 use super::{Effect, Engine};
 use crate::clock::micros_from_ms;
 use crate::endpoint_list::{ListedEndpoint, Sequenced, WatchEvent};
-use crate::state::maintenance::{Maintenance, Mark};
+use crate::state::maintenance::{Maintenance, MaintenanceCall};
 use crate::text::format_endpoint_id;
 use crate::{AttemptOutcome, EndpointId, EndpointState, Event, ObjectId, Tier};
 use std::net::{SocketAddr, SocketAddrV4};
@@ -22,7 +22,7 @@
 
 /// A listed cache or parent, which must apply fleet purges.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CopyHolder {
+pub struct CacheServer {
     /// The text of its id.
     pub name: String,
     /// Its IP address with the port given by the caller.
@@ -35,7 +35,7 @@
     /// Makes a registry the source of the endpoint list: from now on, endpoint lists of the discovery service
     /// are ignored and only its purges are applied.
     pub fn use_registry(&mut self) {
-        self.registry = true;
+        self.uses_registry = true;
     }
 
     /// Applies an endpoint list: the complete list if `full`, else only the endpoints that changed.
@@ -47,7 +47,7 @@
     /// Applies the well-formed endpoints of a discovery event that is malformed otherwise. The event does not
     /// count as applied.
     pub fn apply_readable_endpoints(&mut self, endpoints: Vec<ListedEndpoint>) {
-        if !self.registry && !endpoints.is_empty() {
+        if !self.uses_registry && !endpoints.is_empty() {
             self.apply_endpoints(false, endpoints);
         }
     }
@@ -86,7 +86,7 @@
         self.counters.discovery_events += 1;
         match event.event {
             WatchEvent::Heartbeat => {}
-            WatchEvent::Endpoints { .. } if self.registry => {}
+            WatchEvent::Endpoints { .. } if self.uses_registry => {}
             WatchEvent::Endpoints { full, endpoints } => self.apply_endpoints(full, endpoints),
             WatchEvent::Purge { object, group, issued_ms } => self.apply_purge(object, group, issued_ms),
         }
@@ -136,18 +136,18 @@
 
     /// Takes an endpoint out of use for maintenance, or puts it back. Returns false if no endpoint has the
     /// id.
-    pub fn set_out_of_use(&mut self, id: EndpointId, out: bool) -> bool {
-        if self.membership.listed(id).is_none() && !self.maintenance.is_out(id) {
+    pub fn set_out_of_use(&mut self, id: EndpointId, out_of_use: bool) -> bool {
+        if self.membership.listed(id).is_none() && !self.maintenance.is_out_of_use(id) {
             return false;
         }
-        self.merge_maintenance([(id, Mark { out, at_ms: self.clock.now() })]);
+        self.merge_maintenance([(id, MaintenanceCall { out_of_use, at_ms: self.clock.now() })]);
         true
     }
 
     /// Merges maintenance calls that another process of this proxy may have received.
-    pub fn merge_maintenance(&mut self, marks: impl IntoIterator<Item = (EndpointId, Mark)>) {
-        for (id, mark) in marks {
-            if !self.maintenance.record(id, mark) {
+    pub fn merge_maintenance(&mut self, calls: impl IntoIterator<Item = (EndpointId, MaintenanceCall)>) {
+        for (id, call) in calls {
+            if !self.maintenance.record(id, call) {
                 continue;
             }
             self.counters.maintenance_changes += 1;
@@ -163,19 +163,19 @@
     }
 
     /// The listed caches and parents, at their own IP addresses with `port`, sorted by name.
-    pub fn copy_holders(&self, port: u16) -> Vec<CopyHolder> {
+    pub fn cache_servers(&self, port: u16) -> Vec<CacheServer> {
         let listed = self.membership.all_listed();
         let present = listed.filter(|endpoint| endpoint.record.state != EndpointState::Removed);
         let holding =
             present.filter(|endpoint| self.settings.endpoint(&endpoint.record).tier != Tier::Origin);
-        let holders = holding.map(|endpoint| CopyHolder {
+        let servers = holding.map(|endpoint| CacheServer {
             name: format_endpoint_id(endpoint.record.id),
             address: SocketAddr::new((*endpoint.address.ip()).into(), port),
             state: endpoint.record.state,
         });
-        let mut holders: Vec<CopyHolder> = holders.collect();
-        holders.sort_by(|a, b| a.name.cmp(&b.name));
-        holders
+        let mut servers: Vec<CacheServer> = servers.collect();
+        servers.sort_by(|a, b| a.name.cmp(&b.name));
+        servers
     }
 
     /// Leaves health checks to the fleet's shared checker, which reports results with
--- a/src/engine/metrics.rs
+++ b/src/engine/metrics.rs
@@ -15,7 +15,7 @@
         let listed = self.membership.all_listed().map(|endpoint| &endpoint.record);
         let caches = listed.filter(|record| self.settings.is_cache(record)).map(|record| record.id);
         let caches: Vec<EndpointId> = caches.collect();
-        let out_of_use = caches.iter().filter(|id| self.maintenance.is_out(**id)).count();
+        let out_of_use = caches.iter().filter(|id| self.maintenance.is_out_of_use(**id)).count();
         let metrics = [
             ("active", self.requests.len() as u64),
             ("pool_size", caches.len() as u64),
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -16,7 +16,7 @@
 mod requests;
 
 pub use effects::{Effect, NextWrite};
-pub use membership::{CopyHolder, EndpointOfKind};
+pub use membership::{CacheServer, EndpointOfKind};
 
 use crate::clock::{micros_from_ms, ms_from_micros, Clock};
 use crate::settings::PlatformSettings;
@@ -29,7 +29,7 @@
 use crate::state::membership::Membership;
 use crate::state::requests::{FinalResponse, Requests};
 use crate::{Action, AttemptOutcome, Event, Router};
-use attempts::AttemptOrder;
+use attempts::AttemptParams;
 use purge_filter::PurgeFilter;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -69,11 +69,11 @@
     effects: VecDeque<Effect>,
     last_event_number: u64,
     /// Time of the last housekeeping, in Unix milliseconds.
-    housekept_ms: f64,
+    last_housekeeping_ms: f64,
     /// The filter for fleet purges, if they are enabled.
     purge_filter: Option<Rc<RefCell<dyn PurgeFilter>>>,
     /// A registry publishes the endpoint list, so the lists of the discovery service are ignored.
-    registry: bool,
+    uses_registry: bool,
     endpoint_list_changes: u64,
     health_checks_delegated: bool,
 }
@@ -82,7 +82,7 @@
     /// Creates an engine without endpoints.
     pub fn new(clock: Clock, settings: Rc<PlatformSettings>, seed: u64, limits: EngineLimits) -> Self {
         Self {
-            housekept_ms: clock.now(),
+            last_housekeeping_ms: clock.now(),
             clock,
             router: Router::new(settings.policy_settings(), seed),
             settings,
@@ -99,7 +99,7 @@
             effects: VecDeque::new(),
             last_event_number: 0,
             purge_filter: None,
-            registry: false,
+            uses_registry: false,
             endpoint_list_changes: 0,
             health_checks_delegated: false,
         }
@@ -153,8 +153,8 @@
             self.events.push_back(Event::ClientDisconnected { id });
             self.process_events();
         }
-        if now >= self.housekept_ms + HOUSEKEEPING_INTERVAL_MS {
-            self.housekept_ms = now;
+        if now >= self.last_housekeeping_ms + HOUSEKEEPING_INTERVAL_MS {
+            self.last_housekeeping_ms = now;
             self.maintenance.forget_old_returns(now);
             self.close_idle_connections(now);
         }
@@ -162,7 +162,7 @@
 
     /// When [`Self::tick`] is due next, in Unix milliseconds.
     pub fn next_due(&mut self) -> f64 {
-        let housekeeping = self.housekept_ms + HOUSEKEEPING_INTERVAL_MS;
+        let housekeeping = self.last_housekeeping_ms + HOUSEKEEPING_INTERVAL_MS;
         let attempt = self.attempts.next_due().unwrap_or(f64::INFINITY);
         let timer = self.timers.next_due(|_, _| true).unwrap_or(f64::INFINITY);
         let request = self.requests.next_due().unwrap_or(f64::INFINITY);
@@ -198,7 +198,7 @@
                 timeout,
                 first_byte_by,
             } => {
-                let order = AttemptOrder {
+                let params = AttemptParams {
                     to,
                     source,
                     join_fill,
@@ -209,7 +209,7 @@
                     timeout,
                     first_byte_by,
                 };
-                self.start_attempt(now, id, order);
+                self.start_attempt(now, id, params);
             }
             Action::Reject { id, retry_after } => {
                 let overdue = self.is_overdue(now, id);
--- a/src/engine/replies.rs
+++ b/src/engine/replies.rs
@@ -15,8 +15,8 @@
     pub fn handle_response(&mut self, conn: ConnectionId, reply: CacheReply) {
         let now = self.clock.now();
         let Some(connection) = self.connections.get_mut(conn) else { return };
-        connection.read_ms = now;
-        connection.used_ms = now;
+        connection.last_read_ms = now;
+        connection.last_active_ms = now;
         connection.timeouts_since_read = 0;
         let Some(id) = connection.in_flight.remove(&reply.request_id) else {
             // The reply crossed the attempt's cancellation, is a duplicate, or belongs to no request of this
@@ -24,7 +24,7 @@
             self.counters.replies_late += 1;
             return;
         };
-        connection.bar(id.request);
+        connection.exclude(id.request);
         let cache_status = reply.path.into();
         let outcome = self.count_reply(reply.status);
         if outcome != AttemptOutcome::Served {
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -114,7 +114,7 @@
         };
         let c = all.get_mut(conn)?;
         c.in_flight.insert(call, AttemptId { request: call, number: attempt });
-        c.used_ms = now;
+        c.last_active_ms = now;
         let state = self.handles.borrow().get(&conn)?.state.clone();
         Some(StreamPermit { upstream: self.clone(), conn, call, state })
     }
@@ -132,7 +132,7 @@
     pub fn tidy(&self, idle_ms: f64) {
         let now = self.clock.now();
         for (conn, c) in self.connections.borrow_mut().iter_mut() {
-            c.closing |= c.up && c.load() == 0 && now - c.used_ms > idle_ms;
+            c.closing |= c.established && c.load() == 0 && now - c.last_active_ms > idle_ms;
             if c.closing {
                 self.close_if_done(*conn, c.load());
             }
@@ -179,7 +179,7 @@
         };
         let ping = connection.ping_pong();
         if let Some(c) = self.connections.borrow_mut().get_mut(conn) {
-            c.up = true;
+            c.established = true;
         }
         let _ = sender.send(State::Up(send));
         tokio::select! {
@@ -272,7 +272,7 @@
         let mut all = self.upstream.connections.borrow_mut();
         let Some(c) = all.get_mut(self.conn) else { return };
         c.in_flight.remove(&self.call);
-        c.used_ms = now;
+        c.last_active_ms = now;
         if c.closing {
             self.upstream.close_if_done(self.conn, c.load());
         }
--- a/src/http3/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -103,7 +103,7 @@
             request.object,
             request.part,
             request.group,
-            &request.key,
+            &request.idempotency_key,
             &request.client_etag,
             &request.body,
         ))
--- a/src/lifecycle/maintenance.rs
+++ b/src/lifecycle/maintenance.rs
@@ -4,7 +4,7 @@
 use crate::clock::duration_from_ms;
 use crate::config_file::read_json;
 use crate::engine::executor::Executor;
-use crate::state::maintenance::Mark;
+use crate::state::maintenance::MaintenanceCall;
 use crate::text::{format_endpoint_id, parse_endpoint_id};
 use crate::EndpointId;
 use serde::Deserialize;
@@ -27,13 +27,16 @@
 
 impl StoredMark {
     /// The endpoint and its mark; `None` where its id cannot be read.
-    fn decode(self) -> Option<(EndpointId, Mark)> {
-        Some((parse_endpoint_id(&self.endpoint)?, Mark { out: self.out, at_ms: self.at_ms }))
+    fn decode(self) -> Option<(EndpointId, MaintenanceCall)> {
+        Some((
+            parse_endpoint_id(&self.endpoint)?,
+            MaintenanceCall { out_of_use: self.out, at_ms: self.at_ms },
+        ))
     }
 
     /// The JSON of an endpoint's mark.
-    fn encode((id, mark): (EndpointId, Mark)) -> String {
-        let (endpoint, out, at_ms) = (format_endpoint_id(id), mark.out, mark.at_ms);
+    fn encode((id, mark): (EndpointId, MaintenanceCall)) -> String {
+        let (endpoint, out, at_ms) = (format_endpoint_id(id), mark.out_of_use, mark.at_ms);
         format!("{{\"member\":\"{endpoint}\",\"out\":{out},\"at_ms\":{at_ms}}}")
     }
 }
--- a/src/purge/config.rs
+++ b/src/purge/config.rs
@@ -5,7 +5,7 @@
 use super::fanout::{FanOutLimits, TargetStatus};
 use crate::backoff::Backoff;
 use crate::config_file::{parse_address, read_json, resolve_beside, ConfigError, FieldError};
-use crate::engine::CopyHolder;
+use crate::engine::CacheServer;
 use crate::EndpointState;
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -48,8 +48,8 @@
     pub status: TargetStatus,
 }
 
-impl From<CopyHolder> for Target {
-    fn from(holder: CopyHolder) -> Self {
+impl From<CacheServer> for Target {
+    fn from(holder: CacheServer) -> Self {
         let status = match holder.state {
             EndpointState::Active => TargetStatus::Listed,
             EndpointState::Draining | EndpointState::Removed => TargetStatus::Draining,
--- a/src/purge/service.rs
+++ b/src/purge/service.rs
@@ -94,7 +94,7 @@
     /// Updates the leader's targets from the endpoint list.
     fn refresh_targets(&self, now_ms: f64) {
         let port = self.config.endpoint_port;
-        let holders = port.map(|port| self.host.with(|engine| engine.copy_holders(port)));
+        let holders = port.map(|port| self.host.with(|engine| engine.cache_servers(port)));
         let targets = holders.into_iter().flatten().map(Target::from).collect();
         if let Some(leader) = self.replica.borrow_mut().leader() {
             leader.set_listed_targets(now_ms, targets);
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -35,9 +35,9 @@
     /// Retention priority of the copy in the endpoint's cache; at 0 the copy is not retained.
     pub retention_rank: u8,
     /// When it was created, in Unix milliseconds.
-    pub sent_ms: f64,
+    pub created_ms: f64,
     /// When it times out, in Unix milliseconds.
-    pub due_ms: f64,
+    pub timeout_at_ms: f64,
     /// Its first byte must be written before this time, in Unix milliseconds. Later it could run a request a
     /// second time.
     pub first_byte_by_ms: f64,
@@ -52,44 +52,44 @@
 /// All attempts in progress.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    in_flight: HashMap<AttemptId, Attempt>,
+    by_id: HashMap<AttemptId, Attempt>,
     timeouts: Deadlines<AttemptId>,
 }
 
 impl Attempts {
     /// Adds an attempt.
     pub fn insert(&mut self, id: AttemptId, attempt: Attempt) {
-        self.timeouts.push(attempt.due_ms, id);
-        self.in_flight.insert(id, attempt);
+        self.timeouts.push(attempt.timeout_at_ms, id);
+        self.by_id.insert(id, attempt);
     }
 
     /// Returns an attempt in progress.
     pub fn get(&self, id: AttemptId) -> Option<&Attempt> {
-        self.in_flight.get(&id)
+        self.by_id.get(&id)
     }
 
     /// Returns an attempt in progress, mutably.
     pub fn get_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
-        self.in_flight.get_mut(&id)
+        self.by_id.get_mut(&id)
     }
 
     /// Removes and returns an attempt; `None` if it was removed before.
     pub fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
-        self.in_flight.remove(&id)
+        self.by_id.remove(&id)
     }
 
     /// Iterates over all attempts in progress.
     pub fn iter(&self) -> impl Iterator<Item = (&AttemptId, &Attempt)> {
-        self.in_flight.iter()
+        self.by_id.iter()
     }
 
     /// When the next attempt times out, in Unix milliseconds.
     pub fn next_due(&mut self) -> Option<f64> {
-        self.timeouts.next_due(|id, _| self.in_flight.contains_key(&id))
+        self.timeouts.next_due(|id, _| self.by_id.contains_key(&id))
     }
 
     /// Returns an attempt that has timed out by `now`. It stays in the table until it is removed.
     pub fn pop_overdue(&mut self, now: f64) -> Option<AttemptId> {
-        self.timeouts.pop_due(now, |id, _| self.in_flight.contains_key(&id))
+        self.timeouts.pop_due(now, |id, _| self.by_id.contains_key(&id))
     }
 }
--- a/src/state/client_slots.rs
+++ b/src/state/client_slots.rs
@@ -6,10 +6,10 @@
 pub type SlotId = u64;
 
 /// How long a new connection that has sent nothing is protected from eviction, in milliseconds.
-const FIRST_BYTE_MS: f64 = 100.0;
+const FIRST_BYTE_GRACE_MS: f64 = 100.0;
 /// How long a connection that is receiving a request is protected from eviction, in milliseconds.
 /// Well-behaved clients send a request without pauses.
-const REQUEST_ARRIVAL_MS: f64 = 500.0;
+const REQUEST_ARRIVAL_GRACE_MS: f64 = 500.0;
 
 /// The activity of a client connection; times in Unix milliseconds.
 #[derive(Clone, Copy, Debug)]
@@ -48,10 +48,10 @@
     fn eviction_order(&self, now: f64) -> Option<(EvictionRank, f64)> {
         match self.activity {
             Activity::Idle(since) if self.has_requested => Some((EvictionRank::Idle, since)),
-            Activity::Idle(since) if now - since >= FIRST_BYTE_MS => {
+            Activity::Idle(since) if now - since >= FIRST_BYTE_GRACE_MS => {
                 Some((EvictionRank::NeverRequested, since))
             }
-            Activity::Reading(since) if now - since >= REQUEST_ARRIVAL_MS => {
+            Activity::Reading(since) if now - since >= REQUEST_ARRIVAL_GRACE_MS => {
                 Some((EvictionRank::SlowRequest, since))
             }
             _ => None,
@@ -62,26 +62,26 @@
 /// The slots for the client connections of one front.
 #[derive(Debug)]
 pub struct ClientSlots {
-    held: BTreeMap<SlotId, Slot>,
-    last: SlotId,
-    max: usize,
+    slots: BTreeMap<SlotId, Slot>,
+    last_id: SlotId,
+    capacity: usize,
 }
 
 impl ClientSlots {
-    /// Creates a table of `max` slots, or one if `max` is 0.
-    pub fn new(max: usize) -> Self {
-        Self { held: BTreeMap::new(), last: 0, max: max.max(1) }
+    /// Creates a table of `capacity` slots, at least one.
+    pub fn new(capacity: usize) -> Self {
+        Self { slots: BTreeMap::new(), last_id: 0, capacity: capacity.max(1) }
     }
 
     /// Claims a slot for a new connection; `None` if no slot is free.
     pub fn claim(&mut self, now: f64) -> Option<SlotId> {
-        if self.held.len() >= self.max {
+        if self.slots.len() >= self.capacity {
             return None;
         }
-        self.last += 1;
+        self.last_id += 1;
         let slot = Slot { activity: Activity::Idle(now), has_requested: false, closing: false };
-        self.held.insert(self.last, slot);
-        Some(self.last)
+        self.slots.insert(self.last_id, slot);
+        Some(self.last_id)
     }
 
     /// Records that the first byte of a request arrived at `since`.
@@ -108,7 +108,7 @@
 
     /// Frees the slot of a connection that has ended.
     pub fn release(&mut self, id: SlotId) {
-        self.held.remove(&id);
+        self.slots.remove(&id);
     }
 
     /// Chooses a connection to evict for a new one. The caller closes it; it keeps its slot until then.
@@ -117,10 +117,10 @@
     /// request byte by byte. Returns `None` if no connection may be evicted, or while one that was chosen
     /// before is still closing. Connections with an open request are never evicted.
     pub fn evict_one(&mut self, now: f64) -> Option<SlotId> {
-        if self.held.values().any(|slot| slot.closing) {
+        if self.slots.values().any(|slot| slot.closing) {
             return None;
         }
-        let slots = self.held.iter_mut();
+        let slots = self.slots.iter_mut();
         let evictable = slots.filter_map(|(id, slot)| Some((slot.eviction_order(now)?, id, slot)));
         let first = evictable.min_by(|(a, ..), (b, ..)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         let (_, id, slot) = first?;
@@ -129,13 +129,13 @@
     }
 
     fn set_activity(&mut self, id: SlotId, activity: Activity) {
-        if let Some(slot) = self.held.get_mut(&id) {
+        if let Some(slot) = self.slots.get_mut(&id) {
             slot.activity = activity;
         }
     }
 
     fn set_requested(&mut self, id: SlotId, has_requested: bool) {
-        if let Some(slot) = self.held.get_mut(&id) {
+        if let Some(slot) = self.slots.get_mut(&id) {
             slot.has_requested = has_requested;
         }
     }
--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -4,8 +4,8 @@
 use crate::{EndpointId, RequestId};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// Maximum number of requests that a connection bars; the oldest are dropped.
-const MAX_BARRED: usize = 256;
+/// Maximum number of requests that a connection excludes; the oldest are dropped.
+const MAX_EXCLUDED: usize = 256;
 
 /// A connection to an endpoint; times in Unix milliseconds.
 #[derive(Debug, Default)]
@@ -13,7 +13,7 @@
     /// The endpoint at its other end.
     pub endpoint: EndpointId,
     /// Whether it is established.
-    pub up: bool,
+    pub established: bool,
     /// Whether it is to be closed once its attempts have ended; it gets no new ones.
     pub closing: bool,
     /// Attempts that have not been written yet.
@@ -21,18 +21,18 @@
     /// Attempts that were written, by the id of the request, which identifies them in the protocol.
     pub in_flight: HashMap<RequestId, AttemptId>,
     /// Ids of the requests that are to be cancelled at the endpoint, as text.
-    pub abandoned: VecDeque<String>,
+    pub pending_cancels: VecDeque<String>,
     /// Requests whose attempt on this connection has ended. They must not be sent on it again, because a late
     /// or duplicate reply to that attempt may still arrive.
-    barred: HashSet<RequestId>,
-    /// The members of `barred`, oldest first.
-    barred_order: VecDeque<RequestId>,
+    excluded: HashSet<RequestId>,
+    /// The members of `excluded`, oldest first.
+    excluded_order: VecDeque<RequestId>,
     /// When something was last written or read.
-    pub used_ms: f64,
+    pub last_active_ms: f64,
     /// Number of attempts that timed out since something was last read.
     pub timeouts_since_read: u32,
     /// When something was last read.
-    pub read_ms: f64,
+    pub last_read_ms: f64,
 }
 
 impl Connection {
@@ -51,25 +51,25 @@
     /// another.
     fn accepts(&self, id: RequestId) -> bool {
         let is_queued = || self.queue.iter().any(|queued| queued.request == id);
-        !self.closing && !self.in_flight.contains_key(&id) && !self.barred.contains(&id) && !is_queued()
+        !self.closing && !self.in_flight.contains_key(&id) && !self.excluded.contains(&id) && !is_queued()
     }
 
-    /// Bars a request from this connection, because its attempt here has ended.
-    pub fn bar(&mut self, id: RequestId) {
-        if self.barred.insert(id) {
-            self.barred_order.push_back(id);
+    /// Excludes a request from this connection, because its attempt here has ended.
+    pub fn exclude(&mut self, id: RequestId) {
+        if self.excluded.insert(id) {
+            self.excluded_order.push_back(id);
         }
-        while self.barred_order.len() > MAX_BARRED {
-            if let Some(oldest) = self.barred_order.pop_front() {
-                self.barred.remove(&oldest);
+        while self.excluded_order.len() > MAX_EXCLUDED {
+            if let Some(oldest) = self.excluded_order.pop_front() {
+                self.excluded.remove(&oldest);
             }
         }
     }
 
-    /// Queues the cancellation of a request at the endpoint, and bars the request from this connection.
-    pub fn abandon(&mut self, id: RequestId, id_text: String) {
-        self.abandoned.push_back(id_text);
-        self.bar(id);
+    /// Queues the cancellation of a request at the endpoint, and excludes the request from this connection.
+    pub fn cancel(&mut self, id: RequestId, id_text: String) {
+        self.pending_cancels.push_back(id_text);
+        self.exclude(id);
     }
 }
 
@@ -101,14 +101,14 @@
 #[derive(Debug)]
 pub struct Connections {
     all: BTreeMap<ConnectionId, Connection>,
-    last: ConnectionId,
+    last_id: ConnectionId,
     limits: ConnectionLimits,
 }
 
 impl Connections {
     /// Creates an empty table.
     pub fn new(limits: ConnectionLimits) -> Self {
-        Self { all: BTreeMap::new(), last: 0, limits }
+        Self { all: BTreeMap::new(), last_id: 0, limits }
     }
 
     /// Chooses a connection to an endpoint for a request: the least loaded one, or a new one if that has
@@ -130,23 +130,26 @@
     fn least_loaded(&self, endpoint: EndpointId, id: RequestId) -> Option<(ConnectionId, usize)> {
         let to_endpoint = self.all.iter().filter(|(_, connection)| connection.endpoint == endpoint);
         let accepting = to_endpoint.filter(|(_, connection)| connection.accepts(id));
-        let least = accepting.min_by_key(|(id, connection)| (connection.load(), !connection.up, **id))?;
+        let least =
+            accepting.min_by_key(|(id, connection)| (connection.load(), !connection.established, **id))?;
         Some((*least.0, least.1.load()))
     }
 
     /// Whether the limits allow another connection to an endpoint. Established connections that are finished
     /// are about to close and do not count towards the total.
     fn can_open(&self, endpoint: EndpointId) -> bool {
-        let held = self.all.values().filter(|connection| !(connection.is_finished() && connection.up));
+        let held =
+            self.all.values().filter(|connection| !(connection.is_finished() && connection.established));
         let to_endpoint = self.all.values().filter(|connection| connection.endpoint == endpoint);
         held.count() < self.limits.total && to_endpoint.count() < self.limits.per_endpoint
     }
 
     fn add(&mut self, endpoint: EndpointId, now: f64) -> ConnectionId {
-        self.last += 1;
-        let connection = Connection { endpoint, used_ms: now, read_ms: now, ..Connection::default() };
-        self.all.insert(self.last, connection);
-        self.last
+        self.last_id += 1;
+        let connection =
+            Connection { endpoint, last_active_ms: now, last_read_ms: now, ..Connection::default() };
+        self.all.insert(self.last_id, connection);
+        self.last_id
     }
 
     /// Marks the connection that has been idle for longest as closing, to make room for an endpoint without
@@ -157,9 +160,10 @@
             return None;
         }
         let all = self.all.iter_mut();
-        let idle =
-            all.filter(|(_, connection)| connection.up && !connection.closing && connection.load() == 0);
-        let (id, connection) = idle.min_by(|a, b| a.1.used_ms.total_cmp(&b.1.used_ms))?;
+        let idle = all.filter(|(_, connection)| {
+            connection.established && !connection.closing && connection.load() == 0
+        });
+        let (id, connection) = idle.min_by(|a, b| a.1.last_active_ms.total_cmp(&b.1.last_active_ms))?;
         connection.closing = true;
         Some(*id)
     }
--- a/src/state/connections/tests.rs
+++ b/src/state/connections/tests.rs
@@ -26,7 +26,7 @@
         Connections::new(ConnectionLimits { total: 2, per_endpoint: 2, spread_above: 1, streams: 1 });
     for (endpoint, used) in [(7, 5.0), (8, 3.0)] {
         let Placement::New(conn) = all.place(endpoint, 1, used) else { panic!() };
-        all.get_mut(conn).unwrap().up = true;
+        all.get_mut(conn).unwrap().established = true;
     }
     assert_eq!(all.place(9, 1, 9.0), Placement::Unavailable);
     assert_eq!(all.evict(7), None, "it has one");
@@ -42,10 +42,10 @@
     let mut all =
         Connections::new(ConnectionLimits { total: 9, per_endpoint: 9, spread_above: 9, streams: 9 });
     let Placement::New(conn) = all.place(7, 1, 0.0) else { panic!() };
-    all.get_mut(conn).unwrap().abandon(1, String::new());
+    all.get_mut(conn).unwrap().cancel(1, String::new());
     assert_eq!(all.place(7, 2, 0.0), Placement::Existing(conn));
     assert_eq!(all.place(7, 1, 0.0), Placement::New(conn + 1));
     let c = all.get_mut(conn).unwrap();
-    (10..10 + 2 * MAX_BARRED as u64).for_each(|id| c.abandon(id, String::new()));
-    assert_eq!(c.barred.len(), MAX_BARRED);
+    (10..10 + 2 * MAX_EXCLUDED as u64).for_each(|id| c.cancel(id, String::new()));
+    assert_eq!(c.excluded.len(), MAX_EXCLUDED);
 }
--- a/src/state/maintenance.rs
+++ b/src/state/maintenance.rs
@@ -10,42 +10,42 @@
 
 /// The last maintenance call for an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Mark {
+pub struct MaintenanceCall {
     /// Whether the call took the endpoint out of use or put it back.
-    pub out: bool,
+    pub out_of_use: bool,
     /// When the call was made, in Unix milliseconds.
     pub at_ms: f64,
 }
 
 /// The last maintenance call for each endpoint.
 #[derive(Clone, Debug, Default)]
-pub struct Maintenance(BTreeMap<EndpointId, Mark>);
+pub struct Maintenance(BTreeMap<EndpointId, MaintenanceCall>);
 
 impl Maintenance {
     /// Whether an endpoint is out of use.
-    pub fn is_out(&self, id: EndpointId) -> bool {
-        self.0.get(&id).is_some_and(|mark| mark.out)
+    pub fn is_out_of_use(&self, id: EndpointId) -> bool {
+        self.0.get(&id).is_some_and(|call| call.out_of_use)
     }
 
     /// Records a call and returns whether it changes the endpoint's state. A repeated call changes nothing,
     /// so a single return undoes any number of removals. A call older than the recorded one is ignored.
-    pub fn record(&mut self, id: EndpointId, mark: Mark) -> bool {
-        let is_older = self.0.get(&id).is_some_and(|recorded| recorded.at_ms > mark.at_ms);
-        if self.is_out(id) == mark.out || is_older {
+    pub fn record(&mut self, id: EndpointId, call: MaintenanceCall) -> bool {
+        let is_older = self.0.get(&id).is_some_and(|recorded| recorded.at_ms > call.at_ms);
+        if self.is_out_of_use(id) == call.out_of_use || is_older {
             return false;
         }
-        self.0.insert(id, mark);
+        self.0.insert(id, call);
         true
     }
 
     /// Drops the returns to use recorded longer ago than the retention time; `now` is in Unix milliseconds.
     pub fn forget_old_returns(&mut self, now: f64) {
-        self.0.retain(|_, mark| mark.out || now < mark.at_ms + RETURN_RETENTION_MS);
+        self.0.retain(|_, call| call.out_of_use || now < call.at_ms + RETURN_RETENTION_MS);
     }
 
     /// Iterates over the recorded calls, in the order of endpoint ids.
-    pub fn iter(&self) -> impl Iterator<Item = (EndpointId, Mark)> + '_ {
-        self.0.iter().map(|(id, mark)| (*id, *mark))
+    pub fn iter(&self) -> impl Iterator<Item = (EndpointId, MaintenanceCall)> + '_ {
+        self.0.iter().map(|(id, call)| (*id, *call))
     }
 
     /// Adjusts an endpoint's record for maintenance. An endpoint out of use is draining even if the list has
@@ -53,11 +53,11 @@
     /// is cold after maintenance.
     pub fn apply(&self, record: &mut EndpointRecord) {
         match self.0.get(&record.id) {
-            Some(mark) if mark.out && record.state == EndpointState::Active => {
+            Some(call) if call.out_of_use && record.state == EndpointState::Active => {
                 record.state = EndpointState::Draining;
             }
-            Some(mark) if !mark.out => {
-                record.started_at = record.started_at.max(micros_from_ms(mark.at_ms));
+            Some(call) if !call.out_of_use => {
+                record.started_at = record.started_at.max(micros_from_ms(call.at_ms));
             }
             _ => {}
         }
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -28,7 +28,7 @@
     /// Deadline of the response, in Unix milliseconds.
     pub deadline_ms: f64,
     /// Idempotency key.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Entity tag of the client's copy (`If-None-Match`), without quotes.
     pub client_etag: Option<String>,
     /// Body of a write.
@@ -88,13 +88,13 @@
 pub struct Requests {
     open: HashMap<RequestId, OpenRequest>,
     deadlines: Deadlines<RequestId>,
-    max: usize,
+    capacity: usize,
 }
 
 impl Requests {
-    /// Creates an empty table of at most `max` requests.
-    pub fn new(max: usize) -> Self {
-        Self { open: HashMap::new(), deadlines: Deadlines::default(), max }
+    /// Creates an empty table of at most `capacity` requests.
+    pub fn new(capacity: usize) -> Self {
+        Self { open: HashMap::new(), deadlines: Deadlines::default(), capacity }
     }
 
     /// Adds a request.
@@ -106,7 +106,7 @@
         if self.open.contains_key(&request.id) {
             return Err(AdmitError::Duplicate);
         }
-        if self.open.len() >= self.max {
+        if self.open.len() >= self.capacity {
             return Err(AdmitError::Full);
         }
         self.deadlines.push(request.deadline_ms, request.id);
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -315,7 +315,7 @@
     if !options.is_empty() {
         field(request_field::OPTIONS, &options.join("+"));
     }
-    if let Some(tag) = &request.client_tag {
+    if let Some(tag) = &request.client_etag {
         field(request_field::CLIENT_TAG, tag);
     }
     if let Some(group) = request.group {
--- a/src/wire/cache_codec/tests.rs
+++ b/src/wire/cache_codec/tests.rs
@@ -129,7 +129,7 @@
         max_age_ms: 1_500,
         join_fill: true,
         background_refresh: true,
-        client_tag: Some("4be0".into()),
+        client_etag: Some("4be0".into()),
         ..CacheRequest::default()
     };
     LineCodec::default().encode(CacheCommand::Send(Box::new(request)), &mut out).unwrap();
--- a/src/wire/cache_connection.rs
+++ b/src/wire/cache_connection.rs
@@ -65,8 +65,8 @@
 
 /// Connects, and serves the connection until either side ends it.
 async fn drive(executor: &Rc<Executor>, dial: Dial) {
-    let Dial { conn, address, within_ms, waker } = dial;
-    let stream = match timeout(duration_from_ms(within_ms), TcpStream::connect(address)).await {
+    let Dial { conn, address, connect_timeout_ms, waker } = dial;
+    let stream = match timeout(duration_from_ms(connect_timeout_ms), TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return executor.with(|engine| engine.connection_failed(conn, is_local(&error))),
         Err(_) => return executor.with(|engine| engine.connection_failed(conn, false)),
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -152,7 +152,7 @@
             group,
             size_kb,
             deadline_ms: now + wait_ms - CLIENT_MARGIN_MS.min(MAX_MARGIN_SHARE * wait_ms),
-            key: key.map(String::from),
+            idempotency_key: key.map(String::from),
             client_etag: field(request, header_field::IF_NONE_MATCH)?.and_then(parse_single),
             body: request.body.clone(),
             client: None,
--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -126,13 +126,13 @@
         let other = Site::start("maintenance_other").await;
         let store = MaintenanceFile::at(folder("maintenance").join("maintenance.json"));
         store.load(&other.host);
-        assert!(other.host.with(|engine| engine.maintenance().is_out(first)));
+        assert!(other.host.with(|engine| engine.maintenance().is_out_of_use(first)));
         site.pass(10_000.0);
         ask(calls, "POST", &format!("/pop-caches/s-{first:08x}/ready"), "").await;
         clips(at, 200..260).await;
         let back = site.asked(first) - before;
         assert!((1..20).contains(&back), "a part of its slice, not all at once: {back} of 60");
         store.load(&other.host);
-        assert!(!other.host.with(|engine| engine.maintenance().is_out(first)));
+        assert!(!other.host.with(|engine| engine.maintenance().is_out_of_use(first)));
     });
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -309,7 +309,7 @@
         });
         let (conn, _) = b.opened()[0];
         b.engine.connection_established(conn);
-        assert_eq!(b.get(conn).unwrap().client_tag.as_deref(), Some(told));
+        assert_eq!(b.get(conn).unwrap().client_etag.as_deref(), Some(told));
         b.reply(conn, 1, ReplyStatus::NotModified);
         assert_eq!(
             b.responses().iter().any(|(_, a)| matches!(a, FinalResponse::NotModified { .. })),
