--- a/src/state/connections/tests.rs
+++ b/src/state/connections/tests.rs
@@ -1,23 +1,23 @@
 use super::*;
 
 #[test]
-fn requests_spread_over_connections_up_to_the_bounds() {
+fn requests_spread_over_connections_up_to_the_limits() {
     let mut all =
         Connections::new(ConnectionLimits { total: 3, per_endpoint: 2, spread_above: 1, streams: 2 });
-    let mut put = |endpoint, id: u64| {
-        let place = all.place(endpoint, id, 0.0);
-        if let Placement::Existing(conn) | Placement::New(conn) = place {
+    let mut place = |endpoint, id: u64| {
+        let placement = all.place(endpoint, id, 0.0);
+        if let Placement::Existing(conn) | Placement::New(conn) = placement {
             all.get_mut(conn).unwrap().queue.push_back(AttemptId { request: id, number: 0 });
         }
-        place
+        placement
     };
-    assert_eq!(put(7, 1), Placement::New(1));
-    assert_eq!(put(7, 2), Placement::New(2));
-    assert_eq!(put(7, 3), Placement::Existing(1));
-    assert_eq!(put(7, 4), Placement::Existing(2));
-    assert_eq!(put(7, 5), Placement::Unavailable);
-    assert_eq!(put(8, 6), Placement::New(3));
-    assert_eq!(put(9, 7), Placement::Unavailable);
+    assert_eq!(place(7, 1), Placement::New(1));
+    assert_eq!(place(7, 2), Placement::New(2));
+    assert_eq!(place(7, 3), Placement::Existing(1));
+    assert_eq!(place(7, 4), Placement::Existing(2));
+    assert_eq!(place(7, 5), Placement::Unavailable);
+    assert_eq!(place(8, 6), Placement::New(3));
+    assert_eq!(place(9, 7), Placement::Unavailable);
 }
 
 #[test]
@@ -29,16 +29,16 @@
         all.get_mut(conn).unwrap().established = true;
     }
     assert_eq!(all.place(9, 1, 9.0), Placement::Unavailable);
-    assert_eq!(all.evict(7), None, "it has one");
-    assert_eq!(all.evict(9), Some(2), "idle for longest");
+    assert_eq!(all.evict(7), None, "the endpoint has a connection");
+    assert_eq!(all.evict(9), Some(2), "the connection idle for longest");
     assert_eq!(all.place(9, 1, 9.0), Placement::New(3));
     all.get_mut(1).unwrap().queue.push_back(AttemptId { request: 1, number: 0 });
-    assert_eq!(all.evict(10), None, "nothing else is idle");
+    assert_eq!(all.evict(10), None, "no other connection is idle");
 }
 
-/// Guards against a late answer to the first attempt ending the second.
+/// Guards against a late reply to one attempt ending the next attempt of the same request.
 #[test]
-fn an_abandoned_request_is_barred_from_its_connection() {
+fn a_cancelled_request_is_not_sent_again_on_its_connection() {
     let mut all =
         Connections::new(ConnectionLimits { total: 9, per_endpoint: 9, spread_above: 9, streams: 9 });
     let Placement::New(conn) = all.place(7, 1, 0.0) else { panic!() };
--- a/src/state/membership/tests.rs
+++ b/src/state/membership/tests.rs
@@ -2,7 +2,7 @@
 use crate::endpoint_list::EndpointRecord;
 use crate::EndpointState;
 
-fn target(id: u32, state: EndpointState, port: u16) -> ListedEndpoint {
+fn listed_endpoint(id: u32, state: EndpointState, port: u16) -> ListedEndpoint {
     let record = EndpointRecord {
         zone: String::new(),
         kind: String::new(),
@@ -16,18 +16,21 @@
 }
 
 #[test]
-fn drained_absent_and_moved_endpoints_are_returned() {
+fn endpoints_that_drain_vanish_or_change_address_are_returned() {
     let mut membership = Membership::default();
-    let start: Vec<_> = [1, 2, 3, 4].map(|id| target(id, EndpointState::Active, 100 + id as u16)).into();
+    let start: Vec<_> =
+        [1, 2, 3, 4].map(|id| listed_endpoint(id, EndpointState::Active, 100 + id as u16)).into();
     assert!(membership.update_usable(true, &start).is_empty());
-    assert_eq!(membership.update_usable(false, &[target(1, EndpointState::Draining, 101)]), [1]);
-    let mut gone = membership
-        .update_usable(true, &[target(2, EndpointState::Active, 102), target(3, EndpointState::Active, 99)]);
+    assert_eq!(membership.update_usable(false, &[listed_endpoint(1, EndpointState::Draining, 101)]), [1]);
+    let mut gone = membership.update_usable(
+        true,
+        &[listed_endpoint(2, EndpointState::Active, 102), listed_endpoint(3, EndpointState::Active, 99)],
+    );
     gone.sort_unstable();
     assert_eq!(gone, [3, 4]);
     assert_eq!(membership.address(1), None);
     assert_eq!(membership.address(3).map(|a| a.port()), Some(99));
-    // A new endpoint at the address of one that has gone.
-    assert!(membership.update_usable(false, &[target(9, EndpointState::Active, 101)]).is_empty());
+    // A new endpoint at the address of a removed one.
+    assert!(membership.update_usable(false, &[listed_endpoint(9, EndpointState::Active, 101)]).is_empty());
     assert_eq!(membership.address(9).map(|a| a.port()), Some(101));
 }
