--- a/tests/endpoints/mod.rs
+++ b/tests/endpoints/mod.rs
@@ -1,16 +1,16 @@
-//! The members that the engine's tests know: caches 1 to 6, parents 7 and 8, the origin 9.
+//! The endpoints of the engine tests: caches 1 to 6, parents 7 and 8, and the origin 9.
 
 use edge_proxy::endpoint_list::EndpointRecord;
 use edge_proxy::endpoint_list::ListedEndpoint;
 use edge_proxy::EndpointState;
 use std::net::SocketAddrV4;
 
-/// The parent that both tests use.
+/// Id of a parent.
 #[allow(dead_code)]
 pub const PARENT: u32 = 8;
 
-/// An endpoint's line; its port tells its id.
-pub fn target(id: u32, state: EndpointState) -> ListedEndpoint {
+/// The listed endpoint with this id and state. Its port is 5,000 plus its id.
+pub fn listed_endpoint(id: u32, state: EndpointState) -> ListedEndpoint {
     let (zone, kind) = match id {
         PARENT | 7 => ("hub", "parent"),
         9 => ("hub", "origin"),
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine by itself, on a clock that the test sets: what it guards against between the module and a socket.
+//! Tests of the engine in isolation, with a manual clock and without sockets.
 
 mod endpoints;
 
@@ -12,13 +12,13 @@
 use edge_proxy::state::ids::ConnectionId;
 use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
 use edge_proxy::EndpointState;
-use endpoints::{target, PARENT};
+use endpoints::{listed_endpoint, PARENT};
 use std::rc::Rc;
 
 const START: f64 = 1_764_576_000_000.0;
 
-/// Settings with a bound on a connection's requests.
-fn env(streams: u32) -> PlatformSettings {
+/// Settings that allow `streams` concurrent requests on a connection.
+fn settings(streams: u32) -> PlatformSettings {
     let text = r#"{"classes":[{"name":"clip","deadlineUs":5000000,"promiseUs":600000,"semantics":"pure",
             "worth":2.0},{"name":"post","deadlineUs":3000000,"promiseUs":700000,"semantics":"side_effect",
             "worth":3.0},{"name":"order","deadlineUs":3000000,"promiseUs":700000,"semantics":"token",
@@ -30,28 +30,30 @@
     simd_json::from_slice(&mut text.replace("STREAMS", &streams.to_string()).into_bytes()).unwrap()
 }
 
-struct Bench {
+/// An engine with a manual clock. The test takes the place of the connection drivers.
+struct Harness {
     clock: Clock,
     engine: Engine,
-    no: u64,
+    last_event_number: u64,
 }
 
-impl Bench {
+impl Harness {
     /// An engine with these endpoints.
     fn new(ids: &[u32]) -> Self {
-        let env = env(4);
+        let settings = settings(4);
         let clock = Clock::manual(START);
         let connections = ConnectionLimits { total: 8, per_endpoint: 4, spread_above: 4, streams: 4 };
-        let engine = Engine::new(clock.clone(), Rc::new(env), 7, EngineLimits { requests: 9, connections });
-        let mut bench = Self { clock, engine, no: 0 };
-        let endpoints = ids.iter().map(|id| target(*id, EndpointState::Active)).collect();
-        bench.apply_event(WatchEvent::Endpoints { full: true, endpoints });
-        bench
+        let engine =
+            Engine::new(clock.clone(), Rc::new(settings), 7, EngineLimits { requests: 9, connections });
+        let mut harness = Self { clock, engine, last_event_number: 0 };
+        let endpoints = ids.iter().map(|id| listed_endpoint(*id, EndpointState::Active)).collect();
+        harness.apply_event(WatchEvent::Endpoints { full: true, endpoints });
+        harness
     }
 
     fn apply_event(&mut self, event: WatchEvent) {
-        self.no += 1;
-        self.engine.apply_event(Sequenced { number: self.no, event });
+        self.last_event_number += 1;
+        self.engine.apply_event(Sequenced { number: self.last_event_number, event });
     }
 
     fn request(&mut self, id: u64, class: usize) {
@@ -62,9 +64,9 @@
         self.submit(IncomingRequest { id, object, ..IncomingRequest::default() });
     }
 
-    fn submit(&mut self, ask: IncomingRequest) {
-        let (deadline_ms, id_text) = (self.clock.now() + 2_000.0, format!("{:016x}", ask.id));
-        self.engine.submit(IncomingRequest { id_text, deadline_ms, ..ask }).unwrap();
+    fn submit(&mut self, request: IncomingRequest) {
+        let (deadline_ms, id_text) = (self.clock.now() + 2_000.0, format!("{:016x}", request.id));
+        self.engine.submit(IncomingRequest { id_text, deadline_ms, ..request }).unwrap();
     }
 
     fn advance(&mut self, ms: f64) {
@@ -72,7 +74,7 @@
         self.engine.tick();
     }
 
-    /// The connections that are to be opened, with their endpoints.
+    /// Takes all effects and returns the connections to open, with their endpoints.
     fn opened(&mut self) -> Vec<(ConnectionId, u32)> {
         self.effects()
             .into_iter()
@@ -88,16 +90,17 @@
     }
 
     fn responses(&mut self) -> Vec<(u64, FinalResponse)> {
-        let answers = self.effects().into_iter().filter_map(|e| match e {
-            Effect::Respond(id, answer) => Some((id, answer)),
+        let responses = self.effects().into_iter().filter_map(|e| match e {
+            Effect::Respond(id, response) => Some((id, response)),
             _ => None,
         });
-        answers.collect()
+        responses.collect()
     }
 
-    fn get(&mut self, conn: ConnectionId) -> Option<CacheRequest> {
+    /// The next write on a connection, if it is a request.
+    fn next_request(&mut self, conn: ConnectionId) -> Option<CacheRequest> {
         match self.engine.next_write(conn) {
-            NextWrite::Write(CacheCommand::Send(get)) => Some(*get),
+            NextWrite::Write(CacheCommand::Send(request)) => Some(*request),
             _ => None,
         }
     }
@@ -118,9 +121,9 @@
             .handle_response(conn, CacheReply { entity_tag, path, body, ..CacheReply::new(id, status) });
     }
 
-    /// Connects all that is opened, and answers each attempt that is written: with an error and this note where it
-    /// names the source `failing`, else with the bytes.
-    fn answer_all(&mut self, failing: Option<u32>, note: Option<ResponsePath>) {
+    /// Establishes all connections and replies to all requests: with an error and `path` if the request names
+    /// the source `failing`, else with content.
+    fn reply_to_all(&mut self, failing: Option<u32>, path: Option<ResponsePath>) {
         loop {
             let conns: Vec<ConnectionId> = self.effects().iter().filter_map(connection_of).collect();
             if conns.is_empty() {
@@ -128,10 +131,10 @@
             }
             for conn in conns {
                 self.engine.connection_established(conn);
-                while let Some(get) = self.get(conn) {
-                    let id = u64::from_str_radix(&get.id, 16).unwrap();
-                    if get.fill_source == failing {
-                        self.reply_with_path(conn, id, ReplyStatus::Error, note);
+                while let Some(request) = self.next_request(conn) {
+                    let id = u64::from_str_radix(&request.id, 16).unwrap();
+                    if request.fill_source == failing {
+                        self.reply_with_path(conn, id, ReplyStatus::Error, path);
                     } else {
                         self.reply(conn, id, ReplyStatus::Served);
                     }
@@ -140,12 +143,12 @@
         }
     }
 
-    /// The source that the first attempt of a new request names.
+    /// Submits a request and returns the source that its first attempt names.
     fn first_source(&mut self, id: u64) -> Option<u32> {
         self.request_object(id, 42);
         let conns: Vec<ConnectionId> = self.effects().iter().filter_map(connection_of).collect();
         conns.iter().for_each(|conn| self.engine.connection_established(*conn));
-        let written = conns.iter().find_map(|conn| self.get(*conn));
+        let written = conns.iter().find_map(|conn| self.next_request(*conn));
         written.expect("an attempt is written").fill_source
     }
 }
@@ -158,376 +161,398 @@
     }
 }
 
-/// Guards parents against blame for what the origin did: errors whose notes say that the origin failed behind the
-/// parent leave the object's parent in use, and the same errors without a note, or blaming the source, do not.
+/// Guards against ejecting a parent for failures of the origin behind it. Errors whose path reports that the
+/// origin failed leave the parent in use; errors without a path, or with an unreachable source, do not.
 #[test]
 fn errors_of_the_origin_leave_the_parent_in_use() {
-    let notes = [
+    let paths = [
         (Some(ResponsePath::OriginFailed), true),
         (None, false),
         (Some(ResponsePath::SourceUnreachable), false),
     ];
-    for (note, stays) in notes {
-        let mut b = Bench::new(&[1, 2, 7, PARENT, 9]);
-        let home = b.first_source(1);
-        b.engine.client_disconnected(1);
+    for (path, stays) in paths {
+        let mut harness = Harness::new(&[1, 2, 7, PARENT, 9]);
+        let parent = harness.first_source(1);
+        harness.engine.client_disconnected(1);
         for id in 2..=30 {
-            b.request_object(id, 42);
-            b.answer_all(home, note);
-            b.advance(50.0);
+            harness.request_object(id, 42);
+            harness.reply_to_all(parent, path);
+            harness.advance(50.0);
         }
-        assert_eq!(b.first_source(31) == home, stays, "{note:?}");
+        assert_eq!(harness.first_source(31) == parent, stays, "{path:?}");
     }
 }
 
-/// Guards the rule on purges: a copy ages while the attempt waits for its connection.
+/// Guards against serving a purged copy after the attempt waited for its connection.
 #[test]
 fn the_age_limit_shrinks_by_the_time_in_the_queue() {
-    let mut b = Bench::new(&[1, PARENT, 9]);
-    b.apply_event(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START - 1_000.0 });
-    b.request(1, 0);
-    let (conn, _) = b.opened()[0];
-    b.advance(300.0);
-    b.engine.connection_established(conn);
-    let get = b.get(conn).unwrap();
-    // 1,000 ms ago, less the module's margin of 10 and the 300 in the queue.
-    assert_eq!(get.max_age_ms, 690);
-    assert!(get.timeout_ms <= 1_700);
+    let mut harness = Harness::new(&[1, PARENT, 9]);
+    harness.apply_event(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START - 1_000.0 });
+    harness.request(1, 0);
+    let (conn, _) = harness.opened()[0];
+    harness.advance(300.0);
+    harness.engine.connection_established(conn);
+    let request = harness.next_request(conn).unwrap();
+    // The purge was 1,000 ms before submission; less the router's margin of 10 ms and 300 ms in the queue.
+    assert_eq!(request.max_age_ms, 690);
+    assert!(request.timeout_ms <= 1_700);
 }
 
 #[test]
-fn the_age_limit_never_becomes_the_classs_own() {
-    let mut b = Bench::new(&[1, PARENT, 9]);
-    b.apply_event(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START - 50.0 });
-    b.request(1, 0);
-    let (conn, _) = b.opened()[0];
-    b.advance(300.0);
-    b.engine.connection_established(conn);
-    assert_eq!(b.get(conn).unwrap().max_age_ms, 1, "0 would allow any age");
+fn an_exhausted_age_limit_does_not_become_the_limit_of_the_class() {
+    let mut harness = Harness::new(&[1, PARENT, 9]);
+    harness.apply_event(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START - 50.0 });
+    harness.request(1, 0);
+    let (conn, _) = harness.opened()[0];
+    harness.advance(300.0);
+    harness.engine.connection_established(conn);
+    assert_eq!(harness.next_request(conn).unwrap().max_age_ms, 1, "0 would select the limit of the class");
 }
 
-/// Guards the rule on purges: an attempt that waits was bounded before the purge was told.
+/// Guards against sending a queued attempt with an age limit from before a purge.
 #[test]
-fn a_purge_returns_queued_attempts_to_the_decision_module() {
-    let mut b = Bench::new(&[1, 2, PARENT, 9]);
-    b.request(1, 0);
-    let first = b.opened();
-    b.apply_event(WatchEvent::Purge { object: None, group: 17, issued_ms: START - 100.0 });
-    let second = b.opened();
-    assert_ne!(first[0].1, second[0].1, "the module takes another cache for a second try");
-    b.engine.connection_established(first[0].0);
-    assert_eq!(b.get(first[0].0), None);
-    b.engine.connection_established(second[0].0);
-    assert!((1..=100).contains(&b.get(second[0].0).unwrap().max_age_ms));
+fn a_purge_ends_queued_attempts_and_the_router_replaces_them() {
+    let mut harness = Harness::new(&[1, 2, PARENT, 9]);
+    harness.request(1, 0);
+    let first = harness.opened();
+    harness.apply_event(WatchEvent::Purge { object: None, group: 17, issued_ms: START - 100.0 });
+    let second = harness.opened();
+    assert_ne!(first[0].1, second[0].1, "the router chooses another cache for the second attempt");
+    harness.engine.connection_established(first[0].0);
+    assert_eq!(harness.next_request(first[0].0), None);
+    harness.engine.connection_established(second[0].0);
+    assert!((1..=100).contains(&harness.next_request(second[0].0).unwrap().max_age_ms));
 }
 
-/// Guards the rule on drains, for the endpoint that an attempt waits for and for the source that it names.
+/// Guards against new requests to a draining endpoint, or with a draining source.
 #[test]
-fn attempts_queued_for_a_draining_endpoint_or_source_are_ordered_anew() {
+fn queued_attempts_for_a_draining_endpoint_or_source_are_replaced() {
     for drained in [1, PARENT] {
-        // An object whose cache is 1 and whose home is the parent 8, found by looking at a first request for it.
-        let (mut b, conn, object) = (1u64..)
+        // Searches for an object whose cache is 1 and whose parent is 8.
+        let (mut harness, conn, object) = (1u64..)
             .find_map(|k| {
-                let (mut b, object) = (Bench::new(&[1, 2, 7, PARENT, 9]), k * 7_919);
-                b.request_object(1, object);
-                let (conn, endpoint) = b.opened()[0];
-                b.engine.connection_established(conn);
-                let source = b.get(conn).and_then(|get| get.fill_source);
-                (endpoint == 1 && source == Some(PARENT)).then_some((b, conn, object))
+                let (mut harness, object) = (Harness::new(&[1, 2, 7, PARENT, 9]), k * 7_919);
+                harness.request_object(1, object);
+                let (conn, endpoint) = harness.opened()[0];
+                harness.engine.connection_established(conn);
+                let source = harness.next_request(conn).and_then(|request| request.fill_source);
+                (endpoint == 1 && source == Some(PARENT)).then_some((harness, conn, object))
             })
             .unwrap();
-        b.request_object(2, object);
-        b.apply_event(WatchEvent::Endpoints {
+        harness.request_object(2, object);
+        harness.apply_event(WatchEvent::Endpoints {
             full: false,
-            endpoints: vec![target(drained, EndpointState::Draining)],
+            endpoints: vec![listed_endpoint(drained, EndpointState::Draining)],
         });
-        assert_eq!(b.get(conn), None, "nothing new is written for member {drained}");
-        assert_eq!((b.engine.counters.attempts_stale, b.engine.open_requests()), (1, 2));
-        // The second one is on its way by other endpoints.
-        let (other, _) = b.opened().first().copied().unwrap_or((conn, 1));
-        b.engine.connection_established(other);
-        let get = b.get(other).unwrap();
-        assert!(get.id.ends_with('2') && get.fill_source != Some(drained));
+        assert_eq!(harness.next_request(conn), None, "no new request for draining endpoint {drained}");
+        assert_eq!((harness.engine.counters.attempts_stale, harness.engine.open_requests()), (1, 2));
+        // The second request gets an attempt that avoids the draining endpoint.
+        let (other, _) = harness.opened().first().copied().unwrap_or((conn, 1));
+        harness.engine.connection_established(other);
+        let request = harness.next_request(other).unwrap();
+        assert!(request.id.ends_with('2') && request.fill_source != Some(drained));
     }
 }
 
-/// Guards writes that may take effect once: what broke after its first byte may have run, what waited has not.
+/// Guards against running a write twice: a written attempt may have run, a queued one has not.
 #[test]
-fn a_lost_connection_separates_what_may_have_run_from_what_has_not() {
-    let mut b = Bench::new(&[1, PARENT, 9]);
-    b.request(1, 1);
-    let (conn, endpoint) = b.opened()[0];
+fn a_lost_connection_fails_written_attempts_and_retries_queued_ones() {
+    let mut harness = Harness::new(&[1, PARENT, 9]);
+    harness.request(1, 1);
+    let (conn, endpoint) = harness.opened()[0];
     assert_eq!(endpoint, 9);
-    b.engine.connection_established(conn);
-    assert!(b.get(conn).is_some());
-    b.request(2, 1);
-    b.engine.connection_lost(conn);
-    let answers: Vec<_> = b.effects();
+    harness.engine.connection_established(conn);
+    assert!(harness.next_request(conn).is_some());
+    harness.request(2, 1);
+    harness.engine.connection_lost(conn);
+    let effects: Vec<_> = harness.effects();
     let failed = Effect::Respond(1, FinalResponse::Failed { overdue: false });
-    assert!(answers.contains(&failed), "it may have run, so it is not tried again: {answers:?}");
-    let again = answers.iter().filter(|e| matches!(e, Effect::Open { .. })).count();
-    assert_eq!((again, b.engine.open_requests()), (1, 1), "the other one goes out again");
+    assert!(effects.contains(&failed), "the written attempt may have run and is not retried: {effects:?}");
+    let opened = effects.iter().filter(|e| matches!(e, Effect::Open { .. })).count();
+    assert_eq!((opened, harness.engine.open_requests()), (1, 1), "the queued attempt gets a new connection");
 }
 
-/// Guards against an answer that crosses the end of its request: nobody gets it, and nothing is counted twice.
+/// Guards against delivering or counting a reply that arrives after its request has ended.
 #[test]
 fn a_reply_after_the_end_is_dropped() {
-    let mut b = Bench::new(&[1, PARENT, 9]);
-    b.request(1, 0);
-    let (conn, _) = b.opened()[0];
-    b.engine.connection_established(conn);
-    b.get(conn).unwrap();
-    b.engine.client_disconnected(1);
-    b.reply(conn, 1, ReplyStatus::Served);
-    b.reply(conn, 77, ReplyStatus::Served);
-    assert!(b.responses().is_empty());
-    assert_eq!((b.engine.counters.replies_late, b.engine.counters.served), (2, 0));
+    let mut harness = Harness::new(&[1, PARENT, 9]);
+    harness.request(1, 0);
+    let (conn, _) = harness.opened()[0];
+    harness.engine.connection_established(conn);
+    harness.next_request(conn).unwrap();
+    harness.engine.client_disconnected(1);
+    harness.reply(conn, 1, ReplyStatus::Served);
+    harness.reply(conn, 77, ReplyStatus::Served);
+    assert!(harness.responses().is_empty());
+    assert_eq!((harness.engine.counters.replies_late, harness.engine.counters.served), (2, 0));
 }
 
-/// Guards against bytes for a client that no cache gave for this request.
+/// Guards against a 304 response to a client that sent no entity tag.
 #[test]
-fn an_endpoint_cannot_confirm_a_copy_that_was_not_named() {
-    let mut b = Bench::new(&[1, PARENT, 9]);
-    b.request(1, 0);
-    let (conn, _) = b.opened()[0];
-    b.engine.connection_established(conn);
-    b.get(conn).unwrap();
-    b.reply(conn, 1, ReplyStatus::NotModified);
-    assert!(b.responses().iter().all(|(_, answer)| !matches!(answer, FinalResponse::NotModified { .. })));
+fn not_modified_is_rejected_for_a_request_without_an_entity_tag() {
+    let mut harness = Harness::new(&[1, PARENT, 9]);
+    harness.request(1, 0);
+    let (conn, _) = harness.opened()[0];
+    harness.engine.connection_established(conn);
+    harness.next_request(conn).unwrap();
+    harness.reply(conn, 1, ReplyStatus::NotModified);
+    assert!(harness
+        .responses()
+        .iter()
+        .all(|(_, response)| !matches!(response, FinalResponse::NotModified { .. })));
 }
 
-/// The copy that holds must be the very one that the request named.
+/// Guards against a 304 response for a copy other than the client's; the reply has the entity tag `t`.
 #[test]
-fn an_endpoint_cannot_confirm_another_copy_than_the_one_named() {
-    for (told, holds) in [("t", true), ("u", false)] {
-        let mut b = Bench::new(&[1, PARENT, 9]);
-        b.submit(IncomingRequest {
+fn not_modified_is_accepted_only_for_the_entity_tag_of_the_request() {
+    for (client_etag, accepted) in [("t", true), ("u", false)] {
+        let mut harness = Harness::new(&[1, PARENT, 9]);
+        harness.submit(IncomingRequest {
             id: 1,
             object: 42,
-            client_etag: Some(told.into()),
+            client_etag: Some(client_etag.into()),
             ..IncomingRequest::default()
         });
-        let (conn, _) = b.opened()[0];
-        b.engine.connection_established(conn);
-        assert_eq!(b.get(conn).unwrap().client_etag.as_deref(), Some(told));
-        b.reply(conn, 1, ReplyStatus::NotModified);
+        let (conn, _) = harness.opened()[0];
+        harness.engine.connection_established(conn);
+        assert_eq!(harness.next_request(conn).unwrap().client_etag.as_deref(), Some(client_etag));
+        harness.reply(conn, 1, ReplyStatus::NotModified);
         assert_eq!(
-            b.responses().iter().any(|(_, a)| matches!(a, FinalResponse::NotModified { .. })),
-            holds,
-            "{told}"
+            harness.responses().iter().any(|(_, a)| matches!(a, FinalResponse::NotModified { .. })),
+            accepted,
+            "{client_etag}"
         );
     }
 }
 
-/// An endpoint that answers twice: the second answer must not pass for that of a later attempt of the same request, which
-/// has the same id. So a request never goes twice onto one connection.
+/// Guards against taking a duplicate reply for the reply to a later attempt of the same request, which has
+/// the same id in the protocol.
 #[test]
 fn a_second_reply_to_an_ended_attempt_ends_no_later_attempt() {
-    let mut b = Bench::new(&[1, PARENT, 9]);
-    b.request(1, 0);
-    let (conn, endpoint) = b.opened()[0];
-    b.engine.connection_established(conn);
-    b.get(conn).unwrap();
-    // Nothing was named, so it is spoilt, and the same cache is asked again.
-    b.reply(conn, 1, ReplyStatus::NotModified);
-    let (second, again) = b.opened()[0];
+    let mut harness = Harness::new(&[1, PARENT, 9]);
+    harness.request(1, 0);
+    let (conn, endpoint) = harness.opened()[0];
+    harness.engine.connection_established(conn);
+    harness.next_request(conn).unwrap();
+    // The reply is invalid, since the request had no entity tag, and the same cache gets the next attempt.
+    harness.reply(conn, 1, ReplyStatus::NotModified);
+    let (second, again) = harness.opened()[0];
     assert_eq!((endpoint, again), (1, 1));
     assert_ne!(second, conn);
-    assert_eq!(b.get(conn), None);
-    b.engine.connection_established(second);
-    b.get(second).unwrap();
-    b.reply(conn, 1, ReplyStatus::Served);
-    assert!(b.responses().is_empty(), "it crossed the end of its attempt");
-    b.reply(second, 1, ReplyStatus::Served);
-    assert_eq!(b.responses().len(), 1);
-    assert_eq!((b.engine.counters.replies_late, b.engine.open_requests()), (1, 0));
+    assert_eq!(harness.next_request(conn), None);
+    harness.engine.connection_established(second);
+    harness.next_request(second).unwrap();
+    harness.reply(conn, 1, ReplyStatus::Served);
+    assert!(harness.responses().is_empty(), "the reply is for the attempt that has ended");
+    harness.reply(second, 1, ReplyStatus::Served);
+    assert_eq!(harness.responses().len(), 1);
+    assert_eq!((harness.engine.counters.replies_late, harness.engine.open_requests()), (1, 0));
 }
 
-/// A client that leaves while its request waits for a dial, or behind others on a connection: never sent on.
+/// Guards against forwarding a queued request whose client has disconnected.
 #[test]
 fn a_queued_request_whose_client_disconnected_is_never_written() {
-    let mut b = Bench::new(&[1, PARENT, 9]);
-    b.request(1, 0);
-    b.request(2, 0);
-    let (conn, _) = b.opened()[0];
-    b.engine.client_disconnected(1);
-    b.engine.connection_established(conn);
-    assert!(b.get(conn).is_some_and(|get| get.id.ends_with('2')), "the dial was for both");
-    b.engine.client_disconnected(2);
+    let mut harness = Harness::new(&[1, PARENT, 9]);
+    harness.request(1, 0);
+    harness.request(2, 0);
+    let (conn, _) = harness.opened()[0];
+    harness.engine.client_disconnected(1);
+    harness.engine.connection_established(conn);
     assert!(
-        matches!(b.engine.next_write(conn), NextWrite::Write(CacheCommand::Cancel(_))),
-        "it was written, and is called off"
+        harness.next_request(conn).is_some_and(|request| request.id.ends_with('2')),
+        "the connection serves both requests"
+    );
+    harness.engine.client_disconnected(2);
+    assert!(
+        matches!(harness.engine.next_write(conn), NextWrite::Write(CacheCommand::Cancel(_))),
+        "the written request is cancelled at the endpoint"
     );
     assert_eq!(
-        (b.engine.next_write(conn), b.engine.open_requests(), b.responses().len()),
+        (harness.engine.next_write(conn), harness.engine.open_requests(), harness.responses().len()),
         (NextWrite::Idle, 0, 0)
     );
-    assert_eq!((b.engine.counters.attempts_written, b.engine.counters.clients_disconnected), (1, 2));
+    assert_eq!(
+        (harness.engine.counters.attempts_written, harness.engine.counters.clients_disconnected),
+        (1, 2)
+    );
 }
 
-/// An endpoint that reads nothing: what has no byte out waits on, and every rule is looked at again before its first byte.
+/// Guards against sending a stale attempt after a write that blocked before its first byte.
 #[test]
 fn a_blocked_write_is_checked_again_before_its_first_byte() {
-    let waiting = || {
-        let mut b = Bench::new(&[1, PARENT, 9]);
-        b.request(1, 0);
-        let (conn, _) = b.opened()[0];
-        b.engine.connection_established(conn);
-        b.get(conn).unwrap();
-        b.engine.write_blocked(conn, 1);
-        assert_eq!(b.engine.counters.attempts_written, 0);
-        (b, conn)
+    let blocked = || {
+        let mut harness = Harness::new(&[1, PARENT, 9]);
+        harness.request(1, 0);
+        let (conn, _) = harness.opened()[0];
+        harness.engine.connection_established(conn);
+        harness.next_request(conn).unwrap();
+        harness.engine.write_blocked(conn, 1);
+        assert_eq!(harness.engine.counters.attempts_written, 0);
+        (harness, conn)
     };
-    let (mut b, conn) = waiting();
-    assert!(b.get(conn).is_some(), "nothing has changed");
-    let (mut b, conn) = waiting();
-    b.apply_event(WatchEvent::Endpoints { full: false, endpoints: vec![target(1, EndpointState::Draining)] });
-    assert_eq!((b.get(conn), b.engine.counters.attempts_stale), (None, 1), "its member drains");
-    let (mut b, conn) = waiting();
-    b.engine.client_disconnected(1);
+    let (mut harness, conn) = blocked();
+    assert!(harness.next_request(conn).is_some(), "nothing has changed");
+    let (mut harness, conn) = blocked();
+    harness.apply_event(WatchEvent::Endpoints {
+        full: false,
+        endpoints: vec![listed_endpoint(1, EndpointState::Draining)],
+    });
+    assert_eq!(
+        (harness.next_request(conn), harness.engine.counters.attempts_stale),
+        (None, 1),
+        "its endpoint is draining"
+    );
+    let (mut harness, conn) = blocked();
+    harness.engine.client_disconnected(1);
     assert_eq!(
-        b.engine.next_write(conn),
+        harness.engine.next_write(conn),
         NextWrite::Idle,
-        "its client left, and nothing is to be called off"
+        "its client disconnected before anything was written"
     );
-    let (mut b, conn) = waiting();
-    b.advance(1_999.5);
+    let (mut harness, conn) = blocked();
+    harness.advance(1_999.5);
     assert!(
-        !matches!(b.engine.next_write(conn), NextWrite::Write(CacheCommand::Send(_))),
-        "its time is over"
+        !matches!(harness.engine.next_write(conn), NextWrite::Write(CacheCommand::Send(_))),
+        "its deadline has passed"
     );
 }
 
-/// A keyed write that may have run is repeated only as long as its key is remembered, counted to the first byte.
+/// Guards against retrying a write after the endpoints have forgotten its idempotency key.
 #[test]
-fn a_repeat_whose_key_window_closes_while_it_is_queued_is_never_sent() {
-    for (waits_ms, sent) in [(90.0, true), (120.0, false)] {
-        let mut b = Bench::new(&[1, PARENT, 9]);
-        b.request(1, 2);
-        let (first, _) = b.opened()[0];
-        b.engine.connection_established(first);
-        b.get(first).unwrap();
-        b.advance(300.0);
-        b.reply(first, 1, ReplyStatus::Error);
-        // 300 of the window's 400 ms are gone. The connection for the repeat comes up late.
-        let (second, _) = b.opened()[0];
-        b.advance(waits_ms);
-        b.engine.connection_established(second);
-        assert_eq!(b.get(second).is_some(), sent, "{waits_ms} ms");
+fn a_retry_whose_key_window_closes_while_it_is_queued_is_never_sent() {
+    for (queued_ms, sent) in [(90.0, true), (120.0, false)] {
+        let mut harness = Harness::new(&[1, PARENT, 9]);
+        harness.request(1, 2);
+        let (first, _) = harness.opened()[0];
+        harness.engine.connection_established(first);
+        harness.next_request(first).unwrap();
+        harness.advance(300.0);
+        harness.reply(first, 1, ReplyStatus::Error);
+        // 300 ms of the key window's 400 ms have passed when the retry is queued.
+        let (second, _) = harness.opened()[0];
+        harness.advance(queued_ms);
+        harness.engine.connection_established(second);
+        assert_eq!(harness.next_request(second).is_some(), sent, "{queued_ms} ms");
         if !sent {
-            let answers = b.responses();
+            let responses = harness.responses();
             assert!(
-                matches!(answers[..], [(1, FinalResponse::Failed { .. })]),
-                "not refused, it may have run: {answers:?}"
+                matches!(responses[..], [(1, FinalResponse::Failed { .. })]),
+                "failed, not rejected, since it may have run: {responses:?}"
             );
         }
     }
 }
 
-/// SIGHUP brings another bound on the requests of a connection: it holds for the connections that are up as well.
+/// Guards against keeping the old limit on concurrent requests of a connection after a reload.
 #[test]
 fn the_limit_on_a_connections_requests_follows_the_settings() {
-    let mut b = Bench::new(&[1]);
-    b.engine.reconfigure(env(1));
-    b.effects();
-    (1..=9).for_each(|id| b.request(id, 0));
-    assert_eq!(b.opened().len(), 4, "so many as a member may have");
-    assert!(b.engine.counters.attempts_unplaced >= 5, "each has one, the others none");
+    let mut harness = Harness::new(&[1]);
+    harness.engine.reconfigure(settings(1));
+    harness.effects();
+    (1..=9).for_each(|id| harness.request(id, 0));
+    assert_eq!(harness.opened().len(), 4, "the limit on connections per endpoint");
+    assert!(
+        harness.engine.counters.attempts_unplaced >= 5,
+        "one attempt per connection, none for the others"
+    );
 }
 
-/// Guards against a machine that vanished: its open connections stay silent for ever, and only a new one tells.
+/// Guards against sending more attempts on connections to a machine that has vanished without closing them.
 #[test]
 fn a_connection_on_which_attempts_time_out_gets_nothing_new() {
-    let mut b = Bench::new(&[1]);
+    let mut harness = Harness::new(&[1]);
     for id in 1..=2 {
-        b.request(id, 0);
+        harness.request(id, 0);
     }
-    let (conn, _) = b.opened()[0];
-    b.engine.connection_established(conn);
-    while b.get(conn).is_some() {}
+    let (conn, _) = harness.opened()[0];
+    harness.engine.connection_established(conn);
+    while harness.next_request(conn).is_some() {}
     for _ in 0..40 {
-        b.advance(50.0);
+        harness.advance(50.0);
     }
-    let timed_out = b.engine.counters.attempts_timed_out;
+    let timed_out = harness.engine.counters.attempts_timed_out;
     assert!(timed_out >= 2, "{timed_out}");
-    b.effects();
-    b.request(3, 0);
-    let opened = b.opened();
-    assert!(opened.iter().all(|(fresh, _)| *fresh != conn));
-    let mut next = b.engine.next_write(conn);
+    harness.effects();
+    harness.request(3, 0);
+    let opened = harness.opened();
+    assert!(opened.iter().all(|(new, _)| *new != conn));
+    let mut next = harness.engine.next_write(conn);
     while matches!(next, NextWrite::Write(CacheCommand::Cancel(_))) {
-        next = b.engine.next_write(conn);
+        next = harness.engine.next_write(conn);
     }
     assert_eq!(next, NextWrite::Close);
 }
 
-/// Guards the one answer that each request is owed, whatever no endpoint ever says.
+/// Guards against a missing or second response when no endpoint ever replies.
 #[test]
 fn each_request_is_answered_once_and_in_time() {
-    let mut b = Bench::new(&[1, 2, PARENT, 9]);
+    let mut harness = Harness::new(&[1, 2, PARENT, 9]);
     for id in 1..=5 {
-        b.request(id, (id % 2) as usize);
+        harness.request(id, (id % 2) as usize);
     }
     let mut answered = Vec::new();
     for _ in 0..200 {
-        let opened: Vec<_> = b.effects();
+        let opened: Vec<_> = harness.effects();
         for effect in opened {
             match effect {
-                Effect::Open { conn, .. } => b.engine.connection_established(conn),
+                Effect::Open { conn, .. } => harness.engine.connection_established(conn),
                 Effect::Respond(id, _) => answered.push(id),
                 Effect::Wake(_) => {}
             }
         }
         for conn in 1..40 {
-            while b.get(conn).is_some() {}
+            while harness.next_request(conn).is_some() {}
         }
-        b.advance(10.0);
+        harness.advance(10.0);
     }
-    answered.extend(b.responses().into_iter().map(|(id, _)| id));
+    answered.extend(harness.responses().into_iter().map(|(id, _)| id));
     answered.sort_unstable();
     assert_eq!(answered, [1, 2, 3, 4, 5]);
-    assert_eq!(b.engine.counters.overdue, 0, "the module itself ended them");
+    assert_eq!(harness.engine.counters.overdue, 0, "the router ended them");
 }
 
-/// Guards a request whose connection ends before its first byte: it never ran, and a fresh connection to the same
-/// endpoint tells whether that lives. Only so many times, though.
+/// Guards against failing an attempt whose connection was lost before its first byte, and against moving it
+/// without limit.
 #[test]
 fn unwritten_attempts_migrate_to_a_new_connection_at_once() {
-    let mut b = Bench::new(&[1, PARENT, 9]);
-    b.request(1, 0);
+    let mut harness = Harness::new(&[1, PARENT, 9]);
+    harness.request(1, 0);
     for moves in 1..=2 {
-        let (conn, endpoint) = b.opened()[0];
-        b.engine.connection_established(conn);
-        b.engine.connection_lost(conn);
+        let (conn, endpoint) = harness.opened()[0];
+        harness.engine.connection_established(conn);
+        harness.engine.connection_lost(conn);
         assert_eq!(
-            (endpoint, b.engine.counters.attempts_migrated, b.engine.counters.attempts),
+            (endpoint, harness.engine.counters.attempts_migrated, harness.engine.counters.attempts),
             (1, moves, 1)
         );
     }
-    let (conn, endpoint) = b.opened()[0];
-    b.engine.connection_lost(conn);
-    assert_eq!((endpoint, b.engine.counters.attempts_migrated, b.engine.counters.attempts), (1, 2, 2));
-    assert_eq!(b.engine.open_requests(), 1, "the module has sent it elsewhere");
+    let (conn, endpoint) = harness.opened()[0];
+    harness.engine.connection_lost(conn);
+    assert_eq!(
+        (endpoint, harness.engine.counters.attempts_migrated, harness.engine.counters.attempts),
+        (1, 2, 2)
+    );
+    assert_eq!(harness.engine.open_requests(), 1, "the router has sent another attempt");
 }
 
-/// Guards the memory against settings that change often: a place that nothing uses any more goes to the next class.
+/// Guards against growth of the class table with every change of settings.
 #[test]
 fn indexes_of_classes_are_reused() {
-    let env = |name: &str| -> PlatformSettings {
+    let settings = |name: &str| -> PlatformSettings {
         let text = format!(
             r#"{{"classes":[{{"name":"clip","deadlineUs":5,"promiseUs":6,"semantics":"pure"}},
             {{"name":"{name}","deadlineUs":5,"promiseUs":6,"semantics":"pure"}}],"familyInfo":{{"uncached":[false,true]}}}}"#
         );
         simd_json::from_slice(&mut text.into_bytes()).unwrap()
     };
-    let mut now = env("a");
+    let mut current = settings("a");
     for round in 0..50 {
         let name = format!("b{round}");
-        now = env(&name).carrying_over(&now, |_| false);
-        assert_eq!(now.class_index("clip"), Some(0));
-        let place = now.class_index(&name).unwrap();
-        assert!(place < 4 && now.is_write(place) && !now.is_write(0), "{place}");
+        current = settings(&name).carrying_over(&current, |_| false);
+        assert_eq!(current.class_index("clip"), Some(0));
+        let index = current.class_index(&name).unwrap();
+        assert!(index < 4 && current.is_write(index) && !current.is_write(0), "{index}");
     }
-    let kept = env("z").carrying_over(&now, |_| true);
-    assert_eq!(kept.class_index("z"), Some((0..).take_while(|k| now.class_name(*k).is_some()).count()));
+    let next = settings("z").carrying_over(&current, |_| true);
+    assert_eq!(next.class_index("z"), Some((0..).take_while(|k| current.class_name(*k).is_some()).count()));
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,14 +1,14 @@
-//! Limits on the size of the decision module's files, and what the deploy file names.
+//! Checks the size of the files under `src/policy` and the paths in the deploy file.
 
 use std::path::Path;
 
 const ROOT: &str = env!("CARGO_MANIFEST_DIR");
-/// Most lines of a file that are not blank.
+/// Maximum number of non-blank lines in a file.
 const MAX_LINES: usize = 400;
-/// Longest line, in characters.
+/// Maximum length of a line, in characters.
 const MAX_LINE_LENGTH: usize = 110;
 
-/// Every file under `src/policy`, whatever its depth, with its text.
+/// Every file under `src/policy`, recursively, with its text.
 fn policy_files() -> Vec<(String, String)> {
     fn collect(folder: &Path, files: &mut Vec<(String, String)>) {
         for entry in std::fs::read_dir(folder).expect("a folder") {
@@ -26,38 +26,36 @@
     files
 }
 
-/// Each file has at most 400 lines that are not blank, none longer than 110 characters.
 #[test]
-fn policy_stays_within_its_limits() {
+fn policy_files_stay_within_the_line_limits() {
     let files = policy_files();
     assert!(files.len() > 1, "{files:?}");
     for (name, text) in &files {
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= MAX_LINES, "{name} has {lines} lines that are not blank");
+        assert!(lines <= MAX_LINES, "{name} has {lines} non-blank lines");
         for (number, line) in text.lines().enumerate() {
-            assert!(line.chars().count() <= MAX_LINE_LENGTH, "{name} line {} is too long", number + 1);
+            assert!(line.chars().count() <= MAX_LINE_LENGTH, "{name}:{} is too long", number + 1);
         }
     }
-    assert!(!Path::new(ROOT).join("src/policy.rs").exists(), "the module is the folder alone");
+    assert!(!Path::new(ROOT).join("src/policy.rs").exists(), "the module consists of the folder only");
 }
 
-/// The head of the module names the file of its interface.
+/// The documentation of the module refers to the file of its interface.
 #[test]
-fn policy_names_its_interface() {
+fn policy_documentation_names_its_interface() {
     let head: Vec<&str> = include_str!("../src/policy/mod.rs").lines().take(3).collect();
     assert!(head.join(" ").contains("interface.rs"));
 }
 
-/// The paths that a list of the deploy file names.
+/// The paths in a list of the deploy file.
 fn deploy_paths(list: &str) -> Vec<&'static str> {
     let text = include_str!("../deploy/balancer.toml");
     let line = text.lines().find(|line| line.starts_with(list)).expect("the list");
     line.split('"').skip(1).step_by(2).collect()
 }
 
-/// What the deploy file names as the module and the proxy is there.
 #[test]
-fn the_deploy_file_names_what_exists() {
+fn paths_in_the_deploy_file_exist() {
     let paths = [deploy_paths("policy"), deploy_paths("node")].concat();
     assert!(paths.len() > 2, "{paths:?}");
     for path in paths {
@@ -65,9 +63,8 @@
     }
 }
 
-/// The deploy file names each file of the module and no other.
 #[test]
-fn the_deploy_file_names_all_of_the_module() {
+fn the_deploy_file_lists_exactly_the_policy_files() {
     let mut named = deploy_paths("policy");
     let mut files: Vec<String> = policy_files().into_iter().map(|(name, _)| name).collect();
     named.sort();
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,5 +1,6 @@
-//! Large fleets: lists of a thousand endpoints and of a thousand proxies pass everywhere, and threads and memory follow
-//! what is needed. The last test prints what the process holds: `cargo test --test size -- --nocapture`.
+//! Tests of large fleets: lists of 1,024 endpoints and 1,024 proxies are accepted, and the use of threads and
+//! memory stays within its limits. The last test prints its measurements: `cargo test --test size --
+//! --nocapture`.
 
 mod stand_ins;
 
@@ -10,18 +11,18 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Endpoints, and proxies, of a large fleet.
+/// Number of endpoints, and of proxies, in a large fleet.
 const LARGE: u32 = 1_024;
-/// Endpoints of a small one.
+/// Number of endpoints in a small fleet.
 const SMALL: u32 = 10;
-/// Requests for objects of their own that each fleet gets.
+/// Number of requests to each fleet, each for another object.
 const REQUESTS: u64 = 2_000;
-/// What the deployment allows one proxy, in kilobytes.
+/// Memory limit of the deployment for one proxy, in kilobytes.
 const MEMORY_KB: u64 = 192 * 1_024;
 
-/// Operator files that name 1,024 other proxies are accepted.
+/// Guards against limits in the operator files that a fleet of 1,024 other proxies exceeds.
 #[test]
-fn a_thousand_proxies_may_share_health_checks_and_a_virtual_router() {
+fn operator_files_accept_a_thousand_peers() {
     let folder = stand_ins::folder("size");
     let at = |k: u32| format!("127.0.{}.{}:5100", 1 + k / 250, 1 + k % 250);
     let peers: Vec<String> =
@@ -42,19 +43,19 @@
     VrrpConfig::read(&folder.join("vrrp.json")).unwrap();
 }
 
-/// What the process holds by now: threads, resident kilobytes, descriptors.
-fn held(proxy: &Running) -> (u64, u64, usize) {
+/// The process's number of threads, resident memory in kilobytes and number of file descriptors.
+fn resource_usage(proxy: &Running) -> (u64, u64, usize) {
     let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.id())).unwrap();
-    let figure = |name: &str| {
+    let status_field = |name: &str| {
         let line = status.lines().find_map(|line| line.strip_prefix(name)).unwrap();
         line.split_whitespace().next().unwrap().parse().unwrap()
     };
     let descriptors = std::fs::read_dir(format!("/proc/{}/fd", proxy.id())).unwrap().count();
-    (figure("Threads:"), figure("VmRSS:"), descriptors)
+    (status_field("Threads:"), status_field("VmRSS:"), descriptors)
 }
 
-/// Asks for so many objects, one after another, from `first` on; how many were served.
-fn ask(proxy: &Running, first: u64) -> usize {
+/// Requests `REQUESTS` objects in sequence, with ids from `first` on, and returns how many were served.
+fn send_requests(proxy: &Running, first: u64) -> usize {
     let mut sink = proxy.connect();
     let mut source = BufReader::new(sink.try_clone().unwrap());
     let served = |id: u64| {
@@ -79,8 +80,9 @@
     (first..first + REQUESTS).map(served).filter(|ok| *ok).count()
 }
 
-/// A proxy whose settings tell of 1,024 siblings, served by one endpoint, which the watch replaces by so many at once.
-fn fleet(endpoints: u32, endpoint: SocketAddr) -> (Running, TcpStream) {
+/// Starts a proxy whose settings have 1,024 siblings, and sends it a list of `endpoints` caches and an
+/// origin, all with the address of one server.
+fn start_proxy(endpoints: u32, endpoint: SocketAddr) -> (Running, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let text = stand_ins::config(listener.local_addr().unwrap(), &[(0xffff, "box", endpoint)])
         .replace(r#""listen":"127.0.0.1:1""#, r#""listen":"127.0.0.1:5050""#)
@@ -95,18 +97,17 @@
     (proxy, stream)
 }
 
-/// A complete list of 1,024 endpoints in one event is accepted and served from, with settings that tell of 1,024 siblings; the
-/// threads are those of ten endpoints, and the memory stays within what the deployment allows.
+/// Guards against a number of threads that grows with the endpoints, and against exceeding the memory limit.
 #[test]
-fn a_thousand_endpoints_cost_no_thread_and_little_memory() {
+fn a_thousand_endpoints_need_no_more_threads_and_stay_within_the_memory_limit() {
     let endpoint = KnownEndpoint::start("large");
     let measure = |endpoints: u32| {
-        let (mut proxy, _watch) = fleet(endpoints, endpoint.address);
+        let (mut proxy, _watch) = start_proxy(endpoints, endpoint.address);
         proxy.signal("-USR1");
         proxy.until("bulletin_events");
-        let idle = held(&proxy);
-        let served = ask(&proxy, 1);
-        let busy = held(&proxy);
+        let idle = resource_usage(&proxy);
+        let served = send_requests(&proxy, 1);
+        let busy = resource_usage(&proxy);
         proxy.signal("-USR1");
         let connections: usize =
             proxy.until("connections ").trim().split(' ').next_back().unwrap().parse().unwrap();
@@ -120,5 +121,5 @@
     };
     let (small, large) = (measure(SMALL), measure(LARGE));
     assert_eq!((small.0 .0, small.1 .0), (large.0 .0, large.1 .0), "threads");
-    assert!(large.2 > 10 * small.2 / 2, "many of the thousand were connected to: {} connections", large.2);
+    assert!(large.2 > 10 * small.2 / 2, "expected connections to many of the endpoints, got {}", large.2);
 }
