--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -12,13 +12,13 @@
 use crate::{AttemptOutcome, CacheStatus, EndpointId, Event, Micros, RequestId};
 
 /// Time without reads on a connection, in milliseconds, after which an attempt that times out closes it:
-/// connecting anew shows at once whether the endpoint's machine still responds.
+/// a new connection shows immediately whether the endpoint's machine still responds.
 const MAX_SILENCE_MS: f64 = 1_500.0;
 /// Consecutive time-outs on a connection without a read in between, which also close it.
 const MAX_TIMEOUTS_SINCE_READ: u32 = 2;
 /// An attempt with less time left than this is not written, in milliseconds.
 const MIN_TIME_LEFT_MS: f64 = 1.0;
-/// Id of an attempt's connection before it is placed on one.
+/// Connection id of an attempt that has not been placed on a connection.
 const NO_CONNECTION: ConnectionId = 0;
 
 /// The parameters of an attempt, from [`Action::Forward`](crate::Action::Forward).
@@ -255,7 +255,7 @@
 }
 
 /// The maximum age of a copy for an attempt written now, in milliseconds; 0 for the limit of the class. It
-/// shrinks while the attempt is queued, since copies age meanwhile.
+/// shrinks while the attempt is queued, because the copy ages in that time.
 fn remaining_age_ms(now: f64, attempt: &Attempt) -> u64 {
     if attempt.max_age_ms == 0.0 {
         return 0;
--- a/src/engine/connections.rs
+++ b/src/engine/connections.rs
@@ -80,8 +80,8 @@
         connection.queue
     }
 
-    /// Returns what the driver of a connection writes next. Queued attempts are checked again here, since
-    /// meanwhile the endpoint may have started to drain or the request may have been answered.
+    /// Returns what the driver of a connection writes next. Queued attempts are checked again here, because
+    /// the endpoint may have started to drain, or the request may have ended, while they were queued.
     pub fn next_write(&mut self, conn: ConnectionId) -> NextWrite {
         loop {
             let now = self.clock.now();
--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -62,9 +62,9 @@
     wakers: RefCell<HashMap<ConnectionId, Rc<Notify>>>,
     responders: RefCell<HashMap<RequestId, oneshot::Sender<FinalResponse>>>,
     timers_changed: Notify,
-    /// Admission control, where it is on.
+    /// Admission control, if it is enabled.
     admission: RefCell<Option<AdmissionControl>>,
-    /// Metrics of other subsystems.
+    /// Sources of the other subsystems' metrics.
     metrics_sources: RefCell<Vec<MetricsSource>>,
 }
 
@@ -140,7 +140,7 @@
         backends
     }
 
-    /// The listed endpoints of a kind, whatever their state, with their own addresses.
+    /// The listed endpoints of a kind in any state, with their published addresses.
     pub fn endpoints_of_kind(&self, kind: &str) -> Vec<EndpointOfKind> {
         self.engine.borrow().endpoints_of_kind(kind).collect()
     }
@@ -171,7 +171,7 @@
         self.wakers.borrow_mut().insert(conn, waker.clone());
         let dial = Dial { conn, address, connect_timeout_ms, waker };
         let executor = self.clone();
-        self.spawn("an endpoint's connection", async move {
+        self.spawn("endpoint connection", async move {
             let _guard = ConnectionGuard { executor: executor.clone(), conn };
             executor.driver.drive(executor.clone(), dial).await;
         });
@@ -194,7 +194,7 @@
     }
 
     /// Submits a request. The receiver gets its final response. Admission control may queue the request or
-    /// reject it at once.
+    /// reject it immediately.
     ///
     /// # Errors
     ///
@@ -279,7 +279,7 @@
             if let Err(error) = task.await {
                 if error.is_panic() {
                     executor.engine.borrow_mut().counters.panics += 1;
-                    tracing::error!(what, "a task ended in a panic");
+                    tracing::error!(what, "task panicked");
                 }
             }
         });
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -75,6 +75,7 @@
     /// A registry publishes the endpoint list, so the lists of the discovery service are ignored.
     uses_registry: bool,
     endpoint_list_changes: u64,
+    /// The fleet's shared health checks replace those that the router requests.
     health_checks_delegated: bool,
 }
 
--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -80,7 +80,7 @@
     pub total: usize,
     /// Maximum number of connections to one endpoint.
     pub per_endpoint: usize,
-    /// Number of requests on a connection from which on another one is opened, if the limits allow it.
+    /// Number of requests on a connection at which another connection is opened, if the limits allow it.
     pub spread_above: usize,
     /// Maximum number of concurrent requests on a connection.
     pub streams: usize,
--- a/src/state/counters.rs
+++ b/src/state/counters.rs
@@ -157,6 +157,6 @@
     vrrp_malformed => "vrrp_malformed",
     /// Changes of the VRRP state.
     vrrp_changes => "vrrp_changes",
-    /// Tasks that ended in a panic.
+    /// Tasks that panicked.
     panics => "panics",
 }
