--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,14 +1,14 @@
 //! The interface of the decision module: the settings, events and actions of a [`Router`](crate::Router).
 //!
-//! These types depend on no protocol. A host translates its own messages to [`Event`]s, passes them with the
-//! time, and carries out the [`Action`]s in their order.
+//! These types do not depend on a protocol. A host translates its own messages to [`Event`]s, passes them
+//! with the current time, and carries out the [`Action`]s in order.
 
-/// A point in time or a duration, in microseconds. Points in time count from any fixed origin and never run
-/// backwards.
+/// A point in time or a duration, in microseconds. Points in time are relative to an arbitrary fixed epoch
+/// and never run backwards.
 pub type Micros = u64;
 /// Id of a cache, a parent or the origin in the host's list of endpoints.
 pub type EndpointId = u32;
-/// Id of a client's request. A retry of the client is another request.
+/// Id of a client's request. A retry by the client is another request.
 pub type RequestId = u64;
 /// Id of an object. All parts of an object share it.
 pub type ObjectId = u64;
@@ -16,10 +16,10 @@
 /// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated without harm.
+    /// It may be repeated.
     Idempotent,
-    /// It carries an idempotency key, by which the endpoints of the class's [`KeyScope`] drop repeats for a
-    /// time.
+    /// It carries an idempotency key, by which the endpoints in the class's [`KeyScope`] drop repeats within
+    /// the key window.
     WithKey,
     /// It must take effect at most once.
     NotIdempotent,
@@ -32,30 +32,30 @@
     All,
     /// The endpoints in the zone of the first endpoint that may have run it.
     Zone,
-    /// The endpoints in that endpoint's cell.
+    /// The endpoints in the cell of the first endpoint that may have run it.
     Cell,
 }
 
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Time within which a response is to arrive.
+    /// Time after which a response is late, before the latency stretch is added.
     pub latency_objective: Micros,
-    /// Multiple of the request's own transfer time that is added to the latency objective.
+    /// Multiple of the request's transfer time that is added to the latency objective.
     pub latency_stretch: f64,
     /// Time for which a client waits over all its attempts.
     pub deadline: Micros,
-    /// Whether it may be repeated.
+    /// Whether its requests may be repeated.
     pub idempotency: Idempotency,
     /// The endpoints that drop repeats by the idempotency key.
     pub key_scope: KeyScope,
     /// Time for which repeats are dropped, from the first attempt that may have run.
     pub key_window: Micros,
-    /// Value of one timely response relative to other classes'.
+    /// Value of a timely response relative to other classes.
     pub priority_weight: f64,
-    /// Time for which a copy is fresh; 0 for no limit.
+    /// Time for which a cached copy is fresh; 0 for no limit.
     pub fresh_lifetime: Micros,
-    /// Time beyond it for which a stale copy may be served while it is revalidated (RFC 5861).
+    /// Time after `fresh_lifetime` for which a stale copy may be served while it is revalidated (RFC 5861).
     pub stale_while_revalidate: Micros,
     /// Responses are never cached: the requests are writes, which run at the origin.
     pub uncacheable: bool,
@@ -64,18 +64,18 @@
 /// How the capacity of an endpoint grows after its start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Share of its capacity at the start.
+    /// Fraction of its capacity at the start.
     pub initial_capacity: f64,
     /// Time after which it has its full capacity.
     pub ramp_duration: Micros,
-    /// Multiple of its present capacity that overloads it when it lasts for the overload window.
+    /// Multiple of its current capacity that makes it fail when sustained for the overload window.
     pub overload_multiple: f64,
     /// Duration of an overload that makes it fail.
     pub overload_window: Micros,
 }
 
 impl SlowStart {
-    /// The share of its full capacity at `since_start` after its start, in 0 to 1.
+    /// The fraction of its full capacity at `since_start` after its start, in 0 to 1.
     pub fn capacity(&self, since_start: Micros) -> f64 {
         if self.ramp_duration == 0 {
             return 1.0;
@@ -94,9 +94,9 @@
     pub fleet_size: u32,
     /// Number of routers that serve this router's location.
     pub local_fleet_size: u32,
-    /// Rate of one transfer to a client, in KB a second; 0 where unknown.
+    /// Rate of one transfer to a client, in KB per second; 0 if unknown.
     pub client_kb_per_s: f64,
-    /// Endpoints' weights are the numbers of transfers that their links bear.
+    /// Weights of endpoints are their capacities in concurrent transfers.
     pub weights_known: bool,
     /// A request may join a fill in progress.
     pub can_join_fills: bool,
@@ -104,15 +104,15 @@
     pub can_bypass_caches: bool,
     /// Outcomes report whether a response was a hit or a fill.
     pub reports_cache_status: bool,
-    /// Time after a purge by which every older copy is gone.
+    /// Time after a purge by which all caches have dropped older copies.
     pub purge_completion: Micros,
-    /// The most attempts for a request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
     /// Attempts may be cancelled.
     pub can_cancel: bool,
     /// Endpoints may be checked by [`Action::CheckHealth`].
     pub can_check_health: bool,
-    /// Longest `retry_after` that clients honour; 0 where they get none.
+    /// Longest `retry_after` that clients honour; 0 if they get none.
     pub max_retry_after: Micros,
     /// The list of endpoints is published only after [`Action::Watch`].
     pub watch_endpoints: bool,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Time to send `size_kb` to a client, in microseconds; 0 where the size or the rate is unknown.
+    /// Time to send `size_kb` to a client, in microseconds; 0 if the size or the rate is unknown.
     pub fn sending_time(&self, size_kb: f64) -> f64 {
         if size_kb > 0.0 && self.client_kb_per_s > 0.0 {
             size_kb / self.client_kb_per_s * 1e6
@@ -141,7 +141,7 @@
     }
 }
 
-/// The tier of an endpoint for this router.
+/// The tier of an endpoint as seen by this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tier {
     /// A cache of this router's location.
@@ -159,7 +159,7 @@
 pub enum EndpointState {
     /// It accepts requests.
     Active,
-    /// It completes its requests and must get no new one.
+    /// It completes its requests in progress and must get no new ones.
     Draining,
     /// It has left.
     Removed,
@@ -174,7 +174,7 @@
     pub tier: Tier,
     /// Its state.
     pub state: EndpointState,
-    /// When its process started; 0 for long ago.
+    /// When its process started; 0 if it started long ago.
     pub started_at: Micros,
     /// Its capacity relative to other endpoints.
     pub weight: f64,
@@ -189,7 +189,7 @@
 pub enum AttemptOutcome {
     /// A response was delivered to the client.
     Served,
-    /// The endpoint failed; the request may have run.
+    /// The endpoint returned an error; the request may have run.
     Error,
     /// The endpoint rejected the request; it did not run.
     Rejected,
@@ -210,7 +210,7 @@
 }
 
 impl AttemptOutcome {
-    /// Whether the request surely did not run.
+    /// Whether the request certainly did not run.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::NoConnection | Self::NotSent | Self::CacheMiss)
     }
@@ -220,13 +220,14 @@
         matches!(self, Self::Served | Self::CacheMiss | Self::Rejected | Self::Error)
     }
 
-    /// Whether the attempt was lost on its way, which shows neither load nor a fault of the endpoint.
+    /// Whether the attempt was lost on its way, which indicates neither overload nor an error of the
+    /// endpoint.
     pub fn is_lost(self) -> bool {
         matches!(self, Self::ConnectionLost | Self::Malformed | Self::NoConnection | Self::NotSent)
     }
 }
 
-/// How a cache handled an attempt, where it reports that (compare `Cache-Status`, RFC 9211).
+/// How a cache handled an attempt, if it reports that (compare `Cache-Status`, RFC 9211).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatus {
     /// Not reported.
@@ -239,16 +240,16 @@
     SourceFailed,
     /// The source has no copy of the object.
     NotAtSource,
-    /// The cache allows no further concurrent fill.
+    /// The cache has reached its limit of concurrent fills.
     FillLimitReached,
     /// The origin failed behind the parent.
     OriginFailed,
 }
 
-/// What happens to a router. Each router gets its own events.
+/// An input to a router. Each router gets its own events.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of endpoints, or changes of it.
+    /// The list of endpoints, or changes to it.
     EndpointsChanged {
         /// The list is complete: endpoints absent from it are removed.
         full: bool,
@@ -257,7 +258,7 @@
     },
     /// The watch of the list of endpoints was lost.
     WatchLost,
-    /// A client's request, which is owed one final response from now on.
+    /// A client's request, which must get exactly one final response.
     Request {
         /// Its id, new to this router.
         id: RequestId,
@@ -269,9 +270,9 @@
         group: u32,
         /// Number of the part.
         part: u32,
-        /// Size of the part in KB; 0 where unknown.
+        /// Size of the part in KB; 0 if unknown.
         size_kb: f64,
-        /// When the client gives up.
+        /// When the client stops waiting.
         deadline_at: Micros,
     },
     /// An attempt ended.
@@ -286,7 +287,7 @@
         cache_status: CacheStatus,
         /// Time since it was sent.
         elapsed: Micros,
-        /// The request is concluded: no response is owed.
+        /// The request is concluded: it needs no further response.
         closed: bool,
     },
     /// The response to an attempt is being sent to the client.
@@ -296,7 +297,7 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// The client disconnected: no response is owed.
+    /// The client disconnected: its request needs no response.
     ClientDisconnected {
         /// The request.
         id: RequestId,
@@ -308,7 +309,7 @@
     },
     /// A purge: older copies are out of date.
     Purged {
-        /// The object; none for the whole group.
+        /// The object; `None` for the whole group.
         object: Option<ObjectId>,
         /// The group.
         group: u32,
@@ -324,7 +325,7 @@
     },
 }
 
-/// What the host is to do.
+/// An instruction to the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt. The host numbers a request's attempts from 0.
@@ -333,28 +334,28 @@
         id: RequestId,
         /// The endpoint.
         to: EndpointId,
-        /// The endpoint from which a miss is filled; none for a request that is forwarded untouched.
+        /// The endpoint from which a miss is filled; `None` for a request that is forwarded unchanged.
         source: Option<EndpointId>,
         /// Join a fill in progress.
         join_fill: bool,
-        /// The source serves only a copy that it has, and fills nothing.
+        /// The source must serve the fill from its own copy, without a fill of its own.
         only_if_cached: bool,
         /// Serve a stale copy and revalidate it in the background.
         revalidate: bool,
-        /// Greatest age of a copy; 0 for the class's fresh lifetime.
+        /// Maximum age of a copy; 0 for the class's fresh lifetime.
         max_age: Micros,
-        /// Rank at which the cache retains the copy; 0 retains none.
+        /// Rank with which the cache retains the copy; 0 for not at all.
         retention_rank: u8,
         /// Time-out of the attempt, from now.
         timeout: Micros,
-        /// When its first byte must be sent at the latest: afterwards it could repeat a request that has run.
+        /// Latest time for sending its first byte: a later one could repeat a request that has already run.
         first_byte_by: Micros,
     },
-    /// Final response: rejected. A retry of the client does no harm.
+    /// Final response: rejected. The client may retry.
     Reject {
         /// The request.
         id: RequestId,
-        /// Time after which the client is to retry; 0 for no advice.
+        /// Time after which the client should retry; 0 if unspecified.
         retry_after: Micros,
     },
     /// Final response: failed. The request may have run.
@@ -374,7 +375,7 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Set a timer, which ends in [`Event::Timer`].
+    /// Set a timer, which causes an [`Event::Timer`].
     SetTimer {
         /// Identifies the timer in its event.
         token: u64,
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,45 +1,45 @@
-//! The course of a request: its attempts with their time-outs, and its final response.
+//! The life cycle of a request: its attempts with their time-outs, and its final response.
 
 use super::pending_request::{Attempt, AttemptPath, EndedAttempt, FillScope, PendingRequest};
 use super::{Actions, Router};
 use crate::interface::*;
 
-/// Least time left of a request for an attempt, in microseconds.
+/// Minimum time until the deadline for another attempt, in microseconds.
 const MIN_TIME_LEFT: Micros = 10_000;
-/// Least time-out, in multiples of the latency objective.
+/// Minimum time-out as a multiple of the latency objective.
 const MIN_TIMEOUT_OF_OBJECTIVE: f64 = 1.2;
-/// The same under congestion, where ending a slow attempt wastes what was sent.
+/// Minimum time-out under congestion, where ending a slow attempt wastes the data already sent.
 const MIN_TIMEOUT_OF_OBJECTIVE_CONGESTED: f64 = 2.5;
-/// Greatest part of the time left that an attempt may use while a retry would fit after it.
+/// Maximum fraction of the time until the deadline that an attempt may use if a retry fits after it.
 const MAX_TIMEOUT_OF_TIME_LEFT: f64 = 0.85;
-/// Rank at which the first copy of an object is retained.
+/// Retention rank of an object that was not requested before.
 const FIRST_REQUEST_RANK: u8 = 1;
-/// Rank at which a copy is retained whose object was requested before.
+/// Retention rank of an object that was requested before.
 const REPEATED_REQUEST_RANK: u8 = 2;
-/// Rank of a response that is not retained.
+/// Retention rank of a response that is not cached.
 const UNCACHEABLE_RANK: u8 = 0;
-/// Mean time after which a rejected client is to retry, in microseconds: later than this earns it little.
+/// Mean `retry_after` of rejected requests, in microseconds.
 const RETRY_AFTER: f64 = 120_000.0;
-/// Least random factor on that time; the greatest is one more.
+/// Minimum of the random factor on [`RETRY_AFTER`]; the maximum is greater by 1.
 const MIN_RETRY_AFTER_FACTOR: f64 = 0.5;
 
 /// The attempt that a retry follows.
 #[derive(Clone, Copy)]
 struct PreviousAttempt {
     outcome: AttemptOutcome,
-    /// What the retry costs of the retry budget.
+    /// Cost of the retry, taken from the retry budget.
     retry_cost: f64,
 }
 
 /// The time-out of an attempt.
 struct Timeout {
     duration: Micros,
-    /// The time left of the request allows less than the usual time-out.
+    /// The time-out was cut short by the request's deadline.
     shortened: bool,
 }
 
 impl Router {
-    /// Takes in a client's request, which is owed one final response from now on.
+    /// Accepts a client's request. Exactly one final response follows, unless the client disconnects.
     pub(super) fn on_request(
         &mut self,
         now: Micros,
@@ -59,7 +59,7 @@
         self.advance(now, id, None, actions);
     }
 
-    /// Sends a request's next attempt, or gives its final response.
+    /// Sends a request's next attempt or its final response.
     fn advance(
         &mut self,
         now: Micros,
@@ -81,8 +81,8 @@
         }
     }
 
-    /// How far the next attempt's miss may be filled; none where the request is rejected. A miss of a request
-    /// whose fills are shed is final.
+    /// The fill scope of the next attempt; `None` if the request is rejected. A miss of a request whose fills
+    /// are shed is final.
     fn next_fill_scope(
         &self,
         now: Micros,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Whether time, the retry budget and the limit on attempts allow one more.
+    /// Whether the deadline, the retry budget and the maximum number of attempts allow another attempt.
     fn may_attempt(&self, now: Micros, request: &PendingRequest, cost: f64) -> bool {
         let time_left = request.deadline_at.saturating_sub(now);
         let max_attempts = self.settings.max_attempts.max(1) as usize;
@@ -106,13 +106,14 @@
             && !self.is_too_late(now, request)
     }
 
-    /// Whether a congested class's request is past its latency objective: another transfer earns little then.
+    /// Whether a request of a congested class is past its latency objective, so that another attempt would
+    /// add load for a response that is late anyway.
     fn is_too_late(&self, now: Micros, request: &PendingRequest) -> bool {
         let since_first = request.attempts.first().map_or(0, |attempt| now.saturating_sub(attempt.sent_at));
         since_first as f64 > self.latency_objective(request) && self.is_congested(now, request.class)
     }
 
-    /// The time within which a response to a request is in time, in microseconds.
+    /// The time after which a response to a request counts as late, in microseconds.
     pub(super) fn latency_objective(&self, request: &PendingRequest) -> f64 {
         let class = &self.settings.classes[request.class];
         let transfer_time = if request.size_kb > 0.0 {
@@ -123,7 +124,7 @@
         (class.latency_objective as f64 + class.latency_stretch * transfer_time).min(class.deadline as f64)
     }
 
-    /// Sends a request's next attempt; false where no endpoint may get it.
+    /// Sends a request's next attempt; false if no endpoint may get it.
     fn send_attempt(&mut self, now: Micros, id: RequestId, actions: &mut Actions) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let mean_work = self.latency[request.class].transfer_time;
@@ -153,8 +154,8 @@
         true
     }
 
-    /// The time-out of a request's next attempt: the class's usual one, within bounds of the latency
-    /// objective and of the time left. Where no retry would fit, the attempt gets all the time left.
+    /// The time-out of a request's next attempt: the class's usual one, bounded by the latency objective and
+    /// by the time until the deadline. If no retry would fit, the attempt may use all of that time.
     fn attempt_timeout(&self, now: Micros, request: &PendingRequest) -> Timeout {
         let time_left = request.deadline_at.saturating_sub(now) as f64;
         let transfer_time = self.settings.sending_time(request.size_kb);
@@ -167,7 +168,7 @@
         Timeout { duration: wanted.min(max) as Micros, shortened: wanted > max }
     }
 
-    /// The action that sends an attempt.
+    /// Returns the action that sends an attempt.
     fn forward(
         &self,
         now: Micros,
@@ -177,7 +178,7 @@
         timeout: Micros,
     ) -> Action {
         let class = &self.settings.classes[request.class];
-        // Where fresh copies come too late, a stale one that is revalidated is worth more.
+        // If fresh copies would arrive too late, a stale one that is being revalidated is preferred.
         let accept_stale = !request.attempts.is_empty() || self.is_congested(now, request.class);
         let max_age = self.max_age(now, request, accept_stale, path.to);
         Action::Forward {
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Marks an attempt as ended; none where it was not in flight.
+    /// Marks an attempt as ended and returns its path; `None` if it was not in flight.
     fn end_attempt(&mut self, now: Micros, ended: &EndedAttempt) -> Option<AttemptPath> {
         let request = self.requests.get_mut(&ended.request)?;
         let attempt = request.attempts.get_mut(ended.number).filter(|attempt| attempt.in_flight)?;
@@ -239,7 +240,7 @@
         Some(path)
     }
 
-    /// Counts an outcome towards the health checks of the endpoints of its path.
+    /// Applies an outcome to the consecutive failures, and thus the health checks, of the path's endpoints.
     fn apply_to_health(
         &mut self,
         now: Micros,
@@ -267,19 +268,19 @@
         }
     }
 
-    /// An attempt's response goes to the client: the request's other attempts are cancelled.
+    /// Cancels a request's other attempts when the response of one is being sent to the client.
     pub(super) fn on_response_started(&mut self, id: RequestId, attempt: u32, actions: &mut Actions) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.concluded = true;
         self.cancel_attempts_except(id, Some(attempt as usize), actions);
     }
 
-    /// Gives the final response: rejected where another attempt of the client does no harm, else failed.
+    /// Sends the final response: rejected if the client may safely retry, else failed.
     fn reject_or_fail(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.get(&id) else { return };
         let key_scope = self.settings.classes[request.class].key_scope;
         let until = self.repeatable_until(request);
-        // The client's next attempt may reach any endpoint, so a key has to hold at all of them.
+        // A retry of the client may reach any endpoint, so all endpoints must drop repeats by the key.
         let repeatable = now < until && (until == Micros::MAX || key_scope == KeyScope::All);
         if repeatable {
             let factor = MIN_RETRY_AFTER_FACTOR + self.random.next(2);
@@ -292,8 +293,8 @@
         self.conclude(id, actions);
     }
 
-    /// Ends a request to which no response is owed any more: cancels its attempts, and forgets it with the
-    /// last of them.
+    /// Concludes a request that needs no further response: cancels its attempts, and removes it once none is
+    /// in flight.
     pub(super) fn conclude(&mut self, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if !std::mem::replace(&mut request.concluded, true) {
--- a/src/policy/attribution.rs
+++ b/src/policy/attribution.rs
@@ -1,30 +1,28 @@
-//! Learning from the outcomes of attempts: a class's latency, a cache's capacity, the origin's share, and
-//! which endpoint of the path succeeded or failed.
+//! Updates from the outcomes of attempts: the latency of classes, the capacity of caches, the origin fetch
+//! share, and the health of the endpoints to which a success or failure is attributed.
 
 use super::outlier_detection::EJECTION_BAD_SHARE;
 use super::pending_request::{AttemptPath, EndedAttempt, FillScope};
 use super::Router;
 use crate::interface::*;
 
-/// Weight of an outcome, in outcomes.
+/// Weight of an ordinary outcome.
 const FULL_WEIGHT: f64 = 1.0;
-/// Weight of a failure that names the endpoint by itself, such as a refused connection, in outcomes.
+/// Weight of a failure that can only be the endpoint's own, such as a refused connection.
 const CONCLUSIVE_FAILURE: f64 = 2.0;
-/// Weight of a lost connection, in outcomes: one alone is tolerated, and where the process died, the next
-/// connect fails.
+/// Weight of a lost connection: a single one is tolerated, and if the process died, the next connect fails.
 const LOST_CONNECTION: f64 = 0.25;
-/// Weight of a late response, in outcomes: overload makes responses late as well.
+/// Weight of a late response, which may also be due to overload.
 const LATE_RESPONSE: f64 = 0.5;
-/// Weight of a timely response for its source, in outcomes, where hits are not told from fills: most are
-/// hits.
+/// Weight of a timely response for its fill source if hits and fills cannot be distinguished: most are hits.
 const UNCONFIRMED_FILL: f64 = 0.1;
-/// Suspicion of an endpoint without a bad outcome, beside the share of bad ones.
+/// Suspicion of an endpoint without bad outcomes; the share of bad ones is added to it.
 const MIN_SUSPICION: f64 = 0.1;
-/// How many times as suspect as the other an outlier of a path is for it to be given all the blame.
+/// Ratio of the suspicions of a path's endpoints from which a failure is attributed to one of them alone.
 const SOLE_BLAME_RATIO: f64 = 2.5;
 
 impl Router {
-    /// Learns from an attempt that has ended.
+    /// Updates all estimates from an attempt that has ended.
     pub(super) fn learn(&mut self, now: Micros, ended: &EndedAttempt) {
         let Some(request) = self.requests.get(&ended.request) else { return };
         let attempt = &request.attempts[ended.number];
@@ -33,7 +31,7 @@
         let transfer_time = self.settings.sending_time(request.size_kb);
         let elapsed = ended.elapsed as f64;
         let late = elapsed > self.latency_objective(request);
-        // A wait that an impatient client cut short says nothing of the endpoints.
+        // A time-out cut short by the client's deadline tells nothing about the endpoints.
         if ended.outcome == AttemptOutcome::TimedOut && attempt.timeout_shortened && !late {
             return;
         }
@@ -68,7 +66,7 @@
                     self.add_success(now, source, weight);
                 }
             }
-            // It may be a hit over a loaded link, so its source is not blamed.
+            // It may be a hit over a loaded link, so it does not count against the fill source.
             CacheStatus::Unknown => self.add_failure(now, path.to, LATE_RESPONSE),
             _ => self.split_blame(now, path, LATE_RESPONSE),
         }
@@ -120,8 +118,9 @@
         }
     }
 
-    /// Splits the blame for a failure that names no endpoint by what both have shown on other paths: a cache
-    /// that fails with every source is at fault itself, and so is a source that fails through every cache.
+    /// Splits a failure that cannot be attributed to one endpoint in proportion to the suspicion of both: a
+    /// cache that fails with every source is at fault itself, and so is a source that fails through every
+    /// cache.
     fn split_blame(&mut self, now: Micros, path: AttemptPath, weight: f64) {
         let source = path.fill_source();
         let of_cache = self.suspicion(now, path.to);
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that may get attempts, as listed and as this router has observed them.
+//! The endpoints that may get attempts: their listed properties and this router's observations.
 
 use super::outlier_detection::Health;
 use super::{Actions, Router};
@@ -6,26 +6,25 @@
 use crate::stats::LeakyBucket;
 use std::collections::BTreeSet;
 
-/// Capacity of a cache, in concurrent transfers, where the list of endpoints does not tell it: a small
-/// machine's.
+/// Capacity, in concurrent transfers, of an endpoint for which the list contains none.
 const DEFAULT_CAPACITY: f64 = 4.0;
 
-/// An endpoint as listed, with what this router has observed since that process started.
+/// A listed endpoint with this router's observations since its process started.
 pub(super) struct KnownEndpoint {
     pub(super) listed: Endpoint,
     pub(super) health: Health,
-    /// Concurrent transfers that it is estimated to bear.
+    /// Estimated capacity in concurrent transfers.
     pub(super) capacity: f64,
-    /// When that estimate was last reduced.
+    /// When `capacity` was last reduced.
     pub(super) capacity_reduced_at: Micros,
-    /// This router's attempts to it that are in flight.
+    /// This router's attempts in flight to it.
     pub(super) in_flight: u32,
-    /// Transfer time assigned to it during slow start, in microseconds; drains at the rate of its budget.
+    /// Transfer time charged to its slow-start budget, in microseconds; drains at the budget's rate.
     pub(super) warm_up_load: LeakyBucket,
 }
 
 impl KnownEndpoint {
-    /// Whether it may get new attempts, as far as the list and health checks tell.
+    /// Whether it is listed as active and not down by its health checks.
     pub(super) fn is_usable(&self) -> bool {
         self.listed.state == EndpointState::Active && !self.health.down
     }
@@ -37,7 +36,7 @@
 }
 
 impl Router {
-    /// Applies a list of endpoints, or changes of it.
+    /// Applies a full list of endpoints or changes to it.
     pub(super) fn on_endpoints_changed(
         &mut self,
         now: Micros,
@@ -58,8 +57,8 @@
         }
     }
 
-    /// Applies one entry. Endpoints that never get attempts are dropped, so that the cost of a decision
-    /// depends on the location's size and not on the fleet's.
+    /// Applies one entry. Endpoints that never get attempts are not stored, so that the cost of a decision
+    /// depends on the size of the location and not on that of the fleet.
     fn apply_entry(&mut self, now: Micros, entry: &Endpoint) {
         if entry.state == EndpointState::Removed || entry.tier == Tier::RemoteCache {
             self.endpoints.remove(&entry.id);
@@ -74,7 +73,7 @@
         let same_process = |known: &&mut KnownEndpoint| known.listed.started_at == entry.started_at;
         match self.endpoints.get_mut(&entry.id).filter(same_process) {
             Some(known) => known.listed = listed,
-            // Observations of another process say nothing of this one.
+            // Observations of the previous process do not apply to the new one.
             None => self.add_endpoint(now, listed),
         }
     }
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -1,15 +1,15 @@
-//! Purges in force, and the oldest copy from which an attempt may be served.
+//! Recent purges, and the maximum age of the copy from which an attempt may be served.
 
 use super::{PendingRequest, Router};
 use crate::interface::*;
 use std::collections::HashMap;
 
-/// Subtracted from an age limit after a purge, in microseconds, as the host's clock is coarse.
+/// Subtracted from the maximum age after a purge, in microseconds, to allow for the host's coarse clock.
 const PURGE_CLOCK_MARGIN: Micros = 10_000;
-/// Added to the time in which a purge completes, in microseconds, for the same reason.
+/// Added to the time in which a purge completes, in microseconds, to allow for the host's coarse clock.
 const PURGE_COMPLETION_MARGIN: Micros = 500_000;
-/// How long a purge is remembered after its completion, in microseconds: a cache that was paused drops its
-/// old copies later.
+/// Time for which a purge is kept after its completion, in microseconds: a cache that was paused drops its
+/// purged copies later.
 const PURGE_RETENTION: Micros = 60_000_000;
 
 /// What a purge removes.
@@ -32,7 +32,7 @@
 }
 
 impl Router {
-    /// Records a purge of an object, or of a group where `object` is none, which was issued `age` ago.
+    /// Records a purge, issued `age` ago, of an object, or of the whole group if `object` is `None`.
     pub(super) fn on_purged(&mut self, now: Micros, object: Option<ObjectId>, group: u32, age: Micros) {
         let completion = self.settings.purge_completion;
         self.purges.0.retain(|_, purged_at| now < *purged_at + completion + PURGE_RETENTION);
@@ -42,7 +42,7 @@
         *last = purged_at.max(*last);
     }
 
-    /// The greatest age of a copy from which an attempt to `to` may be served; 0 for the class's fresh
+    /// The maximum age of a copy from which an attempt to `to` may be served; 0 for the class's fresh
     /// lifetime. A purge limits it for every attempt until `to` has responded after the purge's completion.
     pub(super) fn max_age(
         &self,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The greatest age that a class allows; 0 for any.
+    /// The maximum age that a class allows; 0 for no limit.
     fn max_age_of_class(&self, class: usize, accept_stale: bool) -> Micros {
         let class = &self.settings.classes[class];
         match class.fresh_lifetime {
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -1,24 +1,25 @@
-//! Active health checks of endpoints whose attempts fail: whether their process still responds.
+//! Active health checks of endpoints whose attempts fail, to find out whether their process still responds.
 
 use super::{Actions, Router};
 use crate::interface::*;
 use crate::stats::LeakyBucket;
 
-/// Failures in a row from which on a cache is checked, and unanswered checks in a row after which it is down.
+/// Consecutive failures after which a cache is checked, and consecutive unanswered checks after which an
+/// endpoint is down.
 const MIN_FAILURES: u32 = 2;
-/// Least time between checks of an endpoint that responds, in microseconds: a check has a price.
+/// Minimum time between checks of an endpoint that responds, in microseconds.
 const MIN_CHECK_GAP: Micros = 3_000_000;
-/// Time from an unanswered check to the next, in microseconds.
+/// Delay from an unanswered check to the next one, in microseconds.
 const RECHECK_DELAY: Micros = 300_000;
-/// The same once the endpoint is down.
+/// Delay from an unanswered check to the next one while the endpoint is down, in microseconds.
 const RECHECK_DELAY_DOWN: Micros = 1_000_000;
-/// Marks the timer tokens of health checks; the endpoint's id stands in the bits below.
+/// Flag in the timer tokens of health checks; the lower bits contain the endpoint's id.
 const TIMER_TOKEN: u64 = 1 << 32;
 
 impl Router {
-    /// Counts a failed attempt against an endpoint and has its process checked. One router alone sees too few
-    /// failures to tell a dead process from a loaded one. `conclusive` marks a failure that names the
-    /// endpoint by itself.
+    /// Counts a failed attempt against an endpoint and requests a health check if needed: a single router
+    /// sees too few failures to distinguish a dead process from an overloaded one. `conclusive` marks a
+    /// failure that can only be the endpoint's own.
     pub(super) fn suspect(&mut self, now: Micros, id: EndpointId, conclusive: bool, actions: &mut Actions) {
         let can_check = self.settings.can_check_health;
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
@@ -36,7 +37,7 @@
         }
     }
 
-    /// A health check's timer is due: repeats a check that was not answered.
+    /// Repeats an unanswered health check when its timer is due.
     pub(super) fn on_recheck_due(&self, token: u64, actions: &mut Actions) {
         let id = (token & u64::from(EndpointId::MAX)) as EndpointId;
         let Some(endpoint) = self.endpoints.get(&id) else { return };
@@ -53,7 +54,7 @@
         outcome: AttemptOutcome,
         actions: &mut Actions,
     ) {
-        // Drawn for every result, so that the sequence of draws does not depend on it.
+        // Drawn for every result, so that the random sequence does not depend on the outcome.
         let warm_up_load = self.initial_warm_up_load();
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let health = &mut endpoint.health;
@@ -67,7 +68,7 @@
         }
         health.unanswered_checks = 0;
         if std::mem::replace(&mut health.down, false) {
-            // Most likely a new process with an empty cache, before the list tells of it.
+            // Probably a new process with an empty cache that the endpoint list does not show yet.
             health.restarted_at = now;
             health.forget_outcomes();
             endpoint.warm_up_load = LeakyBucket::new(now, warm_up_load);
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -1,36 +1,37 @@
-//! What responses of a class have shown of its latency, and the time-outs that follow from it.
+//! Latency estimates of request classes, and the time-outs derived from them.
 
 use crate::interface::*;
 use crate::stats::{DecayingShare, MeanDeviation};
 
-/// Time of a response besides its transfer, in microseconds: round trips and the first byte of a fill.
+/// Assumed time to the first byte of a fill including round trips, in microseconds.
 const FIRST_BYTE_TIME: f64 = 100_000.0;
-/// Time of a hit besides its transfer, in microseconds; also the least transfer time where sizes are unknown.
+/// Assumed time of a hit without its transfer, in microseconds; also the minimum transfer time of a response
+/// of unknown size.
 pub(super) const HIT_OVERHEAD: f64 = 20_000.0;
 /// Weight of a new sample in a class's moving estimates.
 const LATENCY_GAIN: f64 = 0.02;
-/// Latency of an attempt that timed out, in multiples of its time-out.
+/// Assumed latency of an attempt that timed out, as a multiple of its time-out.
 const TIMED_OUT_MULTIPLE: f64 = 1.5;
 /// Deviations above the mean at which an attempt times out, as in TCP's retransmission timer (RFC 6298).
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
-/// Part of a class's latency objective that its estimates start with as their mean.
+/// Initial mean of a class's latency, as a fraction of its objective.
 const INITIAL_MEAN_OF_OBJECTIVE: f64 = 0.5;
-/// Part of a class's latency objective that its estimates start with as their deviation.
+/// Initial deviation of a class's latency, as a fraction of its objective.
 const INITIAL_DEVIATION_OF_OBJECTIVE: f64 = 0.25;
 
-/// The latency of a class of requests.
+/// The latency estimate of a request class.
 #[derive(Clone, Copy)]
 pub(super) struct LatencyEstimate {
-    /// Latency of attempts in multiples of what their transfer time lets expect.
+    /// Latency of attempts as a multiple of the latency expected from their transfer time.
     relative: MeanDeviation,
     /// Mean transfer time, in microseconds.
     pub(super) transfer_time: f64,
-    /// Responses within the latency objective and late ones, of all endpoints together.
+    /// Responses within the latency objective and late ones, over all endpoints.
     pub(super) timeliness: DecayingShare,
 }
 
 impl LatencyEstimate {
-    /// The estimate of a class before any response.
+    /// The initial estimate of a class.
     pub(super) fn initial(class: &RequestClass) -> Self {
         let latency_objective = class.latency_objective as f64;
         let mean = INITIAL_MEAN_OF_OBJECTIVE * latency_objective / FIRST_BYTE_TIME;
@@ -42,9 +43,9 @@
         }
     }
 
-    /// Adds the latency of an attempt that was served or timed out; `transfer_time` is 0 where unknown. Times
-    /// in microseconds. A time-out counts as a long response: estimates from the served alone would shorten
-    /// time-outs until they cut off large responses.
+    /// Adds the latency of an attempt that was served or timed out; `transfer_time` is 0 if unknown. Times
+    /// are in microseconds. A time-out counts as a long response: if only served attempts counted, time-outs
+    /// would shrink until they cut off large responses.
     pub(super) fn add(&mut self, outcome: AttemptOutcome, transfer_time: f64, elapsed: f64) {
         let timed_out = outcome == AttemptOutcome::TimedOut;
         let elapsed = if timed_out { elapsed * TIMED_OUT_MULTIPLE } else { elapsed };
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -1,30 +1,29 @@
-//! The load of a cache, in concurrent transfers relative to its capacity, and the capacity learned from
-//! responses.
+//! The load of a cache as a multiple of its capacity, and the estimate of that capacity.
 
 use super::endpoints::KnownEndpoint;
 use super::Router;
 use crate::interface::*;
 
-/// Concurrent transfers that a full cache gains in capacity for each capacity's worth of timely responses:
-/// additive, as in TCP's congestion avoidance.
+/// Additive increase of the capacity of a fully loaded cache, per as many timely responses as its capacity
+/// (compare TCP's congestion avoidance, RFC 5681).
 const CAPACITY_INCREASE: f64 = 1.0;
-/// Part of its capacity that a cache retains after a late response.
+/// Multiplicative decrease of the capacity after a late response.
 const CAPACITY_DECREASE: f64 = 0.9;
-/// Greatest learned capacity, in multiples of the listed one.
+/// Maximum estimated capacity as a multiple of the listed one.
 const MAX_CAPACITY_MULTIPLE: f64 = 16.0;
-/// Least time between two reductions of a cache's capacity, in microseconds: late responses of one cause come
-/// together.
+/// Minimum time between two reductions of a cache's capacity, in microseconds: late responses with a common
+/// cause arrive together.
 const MIN_REDUCTION_GAP: Micros = 500_000;
-/// Load below which a late response says nothing of the cache's own capacity.
+/// Load below which a late response does not reduce the cache's capacity.
 const MIN_REDUCTION_LOAD: f64 = 0.5;
-/// Transfers as which the location's mean counts in a cache's load, so that a few at once do not cause
-/// spill-over.
+/// Weight of the location's mean load, in transfers, against the cache's own transfers, so that a few
+/// concurrent transfers do not cause spill-over.
 const MEAN_WEIGHT: f64 = 1.5;
 
 impl Router {
-    /// Transfers of a cache over its capacity, estimated from this router's own attempts. A router among many
-    /// sees few of them, so they are drawn to the location's mean, less a standard deviation (Poisson) of
-    /// what this router does not see.
+    /// The transfers of a cache divided by its capacity, estimated from this router's own attempts. One
+    /// router of many sees only a small sample, so the estimate is shrunk towards the location's mean and
+    /// reduced by about one standard deviation (Poisson) of the unobserved transfers.
     pub(super) fn load(&self, now: Micros, id: EndpointId) -> f64 {
         let Some(endpoint) = self.endpoints.get(&id) else { return f64::MAX };
         let routers = f64::from(self.settings.local_fleet_size.max(1));
@@ -38,8 +37,8 @@
         certainty * mean * (MEAN_WEIGHT + own) / (MEAN_WEIGHT + mean) / quota(endpoint)
     }
 
-    /// Adjusts a cache's learned capacity after a response, where the list does not tell capacities: up while
-    /// responses at full load are timely, down when they are late.
+    /// Adjusts the estimated capacity of a cache after a response if the list contains no capacities:
+    /// increases it while responses at full load are timely, and reduces it when they are late.
     pub(super) fn learn_capacity(&mut self, now: Micros, id: EndpointId, late: bool) {
         if self.settings.weights_known {
             return;
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -1,5 +1,5 @@
-//! Load shedding: which requests are admitted, how far their misses may be filled, and the share of objects
-//! that may be fetched from the origin.
+//! Load shedding: which requests are admitted, from which tiers their misses may be filled, and which
+//! fraction of the objects may be fetched from the origin.
 
 use super::latency::HIT_OVERHEAD;
 use super::outlier_detection::EVIDENCE_HALF_LIFE;
@@ -9,49 +9,49 @@
 use crate::interface::*;
 use crate::stats::{unit, Pressure};
 
-/// How outcomes of fills move the share of objects that may be fetched from the origin. Links and parents
-/// make fills late as well, so a timely one counts for little and a late one for much.
+/// How outcomes of fills change the origin fetch share. Fills are delayed by links and parents as well, so a
+/// timely one counts little and a late one much.
 const FILL_PRESSURE: Pressure = Pressure { up: 0.1, down: 6.0, max_gap: 1.0 };
-/// How outcomes of writes move it. They are rare but always run at the origin.
+/// How outcomes of writes change the origin fetch share. Writes are rare but always run at the origin.
 const WRITE_PRESSURE: Pressure = Pressure { up: 1.0, down: 2.0, max_gap: 3.0 };
-/// Index of fills among the kinds of outcomes that move the share.
+/// Index of fills among the kinds of outcomes of the origin fetch share.
 const FILL_OUTCOMES: usize = 0;
-/// Index of writes among these kinds.
+/// Index of writes among the kinds of outcomes of the origin fetch share.
 const WRITE_OUTCOMES: usize = 1;
-/// Least share of objects that may be fetched, so that a recovered origin is noticed.
+/// Minimum origin fetch share, so that recovery of the origin is detected.
 const MIN_ORIGIN_FETCH_SHARE: f64 = 0.03;
-/// Part of its latency objective past which a write shows a queue at the origin.
+/// Fraction of its latency objective above which a write indicates queueing at the origin.
 const SLOW_WRITE_OF_OBJECTIVE: f64 = 0.6;
-/// Timely responses assumed beforehand in a class's share of late ones.
+/// Number of timely responses that a class's share of late ones starts with.
 const CONGESTION_PRIOR: f64 = 3.0;
 /// Share of late responses above which a class is congested.
 pub(super) const CONGESTION_THRESHOLD: f64 = 0.1;
-/// Load of a cache above which a request of mean value for its transfer time is rejected.
+/// Load of a cache above which a request of mean value per transfer time is rejected.
 const SHED_LOAD: f64 = 3.0;
-/// Least factor on that load, for requests of low value for their transfer time.
+/// Minimum factor on [`SHED_LOAD`], for requests of low value per transfer time.
 const MIN_VALUE_FACTOR: f64 = 0.6;
-/// The same under congestion, where large transfers of low value are rejected first.
+/// Minimum factor on [`SHED_LOAD`] under congestion, where large transfers of low value are rejected first.
 const MIN_VALUE_FACTOR_CONGESTED: f64 = 0.15;
-/// Greatest factor on that load, for requests of high value for their transfer time.
+/// Maximum factor on [`SHED_LOAD`], for requests of high value per transfer time.
 const MAX_VALUE_FACTOR: f64 = 1.5;
-/// Part of the admitted load that a class loses for each unit of its share of late responses.
+/// Reduction of the admitted load for fills, as a multiple of the class's share of late responses.
 const LATE_REDUCTION: f64 = 3.0;
-/// Least part of the admitted load that remains.
+/// Minimum fraction of the admitted load that remains for fills.
 const MIN_ADMITTED_PART: f64 = 0.3;
 
 impl Router {
-    /// Share of late responses of a class at this router.
+    /// The share of late responses of a class at this router.
     pub(super) fn congestion(&self, now: Micros, class: usize) -> f64 {
         self.latency[class].timeliness.bad_share(now, EVIDENCE_HALF_LIFE, CONGESTION_PRIOR)
     }
 
-    /// Whether a class's responses are late more often than is tolerated.
+    /// Whether the share of late responses of a class exceeds [`CONGESTION_THRESHOLD`].
     pub(super) fn is_congested(&self, now: Micros, class: usize) -> bool {
         self.congestion(now, class) > CONGESTION_THRESHOLD
     }
 
-    /// Counts a response towards its class's congestion. A hit forced by the fill scope says nothing of the
-    /// sources.
+    /// Counts a response towards its class's congestion. A hit of an attempt that forbids fills is ignored:
+    /// it tells nothing about the fill sources.
     pub(super) fn learn_congestion(
         &mut self,
         now: Micros,
@@ -71,9 +71,9 @@
         }
     }
 
-    /// How far a new request's miss may be filled; none where the request is rejected. Requests of least
-    /// value for their transfer time are rejected first. Under congestion that no cache's load shows, only
-    /// fills are shed: hits cost links and sources nothing.
+    /// The fill scope of a new request; `None` if the request is rejected. Requests of the least value per
+    /// transfer time are rejected first. Congestion that does not show in the cache's load only sheds fills:
+    /// hits do not load the links to the sources.
     pub(super) fn admit(&self, now: Micros, request: &PendingRequest) -> Option<FillScope> {
         if self.settings.classes[request.class].uncacheable {
             return Some(FillScope::Origin);
@@ -88,14 +88,14 @@
         if load > limit * (1.0 - LATE_REDUCTION * late).max(MIN_ADMITTED_PART) {
             return Some(FillScope::CacheOnly);
         }
-        // All routers leave out the same objects for a span, so that the others are filled once and then
-        // cached.
+        // All routers exclude the same objects for one span, so that the other objects are fetched once and
+        // then cached.
         let left_out = self.origin_fetch_share.value() < unit(request.object, now / OBJECT_COUNT_SPAN);
         Some(if left_out { FillScope::ParentOnly } else { FillScope::Origin })
     }
 
-    /// The load of its cache up to which a request is admitted, by its value for its transfer time over the
-    /// mean.
+    /// The load of its cache up to which a request is admitted. It is proportional to the request's value per
+    /// transfer time, relative to the mean of the cacheable classes.
     fn admitted_load(&self, now: Micros, request: &PendingRequest) -> f64 {
         let cacheable = || {
             let classes = self.settings.classes.iter().zip(&self.latency);
@@ -115,14 +115,14 @@
         SHED_LOAD * value.clamp(min_factor, MAX_VALUE_FACTOR)
     }
 
-    /// Moves the share of objects that may be fetched from the origin by an outcome that was no hit.
+    /// Updates the origin fetch share with an outcome other than a hit.
     pub(super) fn learn_origin_fetch(&mut self, now: Micros, ended: &EndedAttempt, path: AttemptPath) {
         let Some(request) = self.requests.get(&ended.request) else { return };
         let write = self.settings.classes[request.class].uncacheable;
         let latency_objective = self.latency_objective(request);
         let limit = if write { SLOW_WRITE_OF_OBJECTIVE * latency_objective } else { latency_objective };
         let good = ended.outcome == AttemptOutcome::Served && ended.elapsed as f64 <= limit;
-        // An endpoint that does worse than its best peer shows its own fault and not one of the origin.
+        // A failure on a path with an outlier is attributed to the outlier and not to the origin.
         let says_something =
             self.concerns_origin(ended.outcome, path) && (good || !self.has_outlier(now, path));
         let good = says_something.then_some(good);
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Whether an outcome may say something of the origin.
+    /// Whether an outcome may depend on the state of the origin.
     fn concerns_origin(&self, outcome: AttemptOutcome, path: AttemptPath) -> bool {
         let is_origin = |id: Option<EndpointId>| id.is_some() && id == self.origin();
         match outcome {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Whether an endpoint of a path is an outlier among its peers.
+    /// Whether any endpoint of a path is an outlier among its peers.
     fn has_outlier(&self, now: Micros, path: AttemptPath) -> bool {
         [Some(path.to), path.fill_source()].into_iter().flatten().any(|id| self.is_outlier(now, id))
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,12 +1,13 @@
-//! Every decision of the router. The types of its settings, events and actions stand in `interface.rs`.
+//! The router's decision logic. Its settings, events and actions are defined in `interface.rs`.
 //!
-//! This file holds the router's state and hands each event to its concern:
+//! This file holds the router's state and dispatches each event to a submodule:
 //!
-//! - `endpoints`: the list of endpoints; `placement`: which cache, source and path;
-//! - `attempts`: the course of a request; `retries`: the retry budget and which repeats are allowed;
+//! - `endpoints`: the list of endpoints; `placement`: selection of cache, fill source and path;
+//! - `attempts`: the life cycle of a request; `retries`: the retry budget and when a repeat is allowed;
 //! - `outlier_detection`, `health_checks` and `slow_start`: which endpoints get new attempts, and how many;
-//! - `latency` and `load`: what classes need and caches bear; `attribution`: what outcomes say of them;
-//! - `load_shedding`: which requests are admitted; `freshness`: purges and the age of copies.
+//! - `latency`: time-outs of classes; `load`: load and capacity of caches; `attribution`: updates both
+//!   and the health of endpoints from the outcomes of attempts;
+//! - `load_shedding`: which requests are admitted; `freshness`: purges and the maximum age of copies.
 
 mod attempts;
 mod attribution;
@@ -32,38 +33,39 @@
 use retries::INITIAL_RETRY_BUDGET;
 use std::collections::{BTreeMap, HashMap};
 
-/// Time after which a failed watch of the list is repeated, in microseconds.
+/// Delay before a lost watch of the endpoint list is renewed, in microseconds.
 const REWATCH_DELAY: Micros = 1_000_000;
-/// Token of the timer for that.
+/// Token of the timer that renews the watch.
 const REWATCH_TIMER: u64 = 0;
 
-/// What the host is to do, in order.
+/// Actions for the host, to be carried out in order.
 type Actions = Vec<Action>;
 
-/// The decisions of one router. See the crate's page for how to drive it.
+/// The decision logic of one router. See the crate documentation for how to drive it.
 pub struct Router {
     settings: PolicySettings,
     random: SeededDraws,
     /// The endpoints that may get attempts.
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
-    /// The weights of all parents ever listed: an object's home does not move when a parent leaves.
+    /// The weights of all parents ever listed, so that removing a parent does not move other parents'
+    /// objects.
     parents: BTreeMap<EndpointId, f64>,
     requests: HashMap<RequestId, PendingRequest>,
-    /// The list of endpoints has been subscribed to.
+    /// A watch of the endpoint list has been requested.
     watching: bool,
     purges: Purges,
-    /// Requests of each object over the recent past.
+    /// Recent requests per object.
     object_counts: RecentCounts,
-    /// The latency of each class.
+    /// The latency estimate of each class.
     latency: Vec<LatencyEstimate>,
-    /// Retries that may be sent.
+    /// The number of retries that may still be sent.
     retry_budget: DecayingSum,
-    /// Share of the objects that may be fetched from the origin.
+    /// Fraction of the objects that may be fetched from the origin.
     origin_fetch_share: TimedShare<2>,
 }
 
 impl Router {
-    /// A router that knows its settings and no endpoint. The seed determines all random draws.
+    /// Creates a router without endpoints. The seed determines all random draws.
     pub fn new(settings: PolicySettings, seed: u64) -> Self {
         Self {
             random: SeededDraws::new(seed),
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Replaces the settings. A class that is unchanged at its index retains what was learned of it.
+    /// Replaces the settings. A class that is unchanged at its index keeps its latency estimate.
     pub fn reconfigure(&mut self, settings: PolicySettings) {
         let learned = self.settings.classes.iter().zip(&self.latency).map(Some);
         let learned = learned.chain(std::iter::repeat(None));
@@ -92,7 +94,7 @@
         self.settings = settings;
     }
 
-    /// Applies one event and appends what is to be done, in order.
+    /// Applies one event and appends the resulting actions in order.
     pub fn handle(&mut self, now: Micros, event: &Event, actions: &mut Vec<Action>) {
         match *event {
             Event::EndpointsChanged { full, ref entries } => {
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,56 +1,57 @@
-//! Outlier detection: evidence on each endpoint that fades with time, and the share of new attempts that it
-//! leaves.
+//! Outlier detection: exponentially decaying outcomes of each endpoint, and the share of new attempts that
+//! they leave it.
 
 use super::endpoints::KnownEndpoint;
 use super::Router;
 use crate::interface::*;
 use crate::stats::{DecayingShare, DecayingSum};
 
-/// Half-life of evidence on classes and on busy endpoints, in microseconds.
+/// Half-life of the outcomes of classes and of busy endpoints, in microseconds.
 pub(super) const EVIDENCE_HALF_LIFE: f64 = 1_000_000.0;
-/// Outcomes that fall within an endpoint's half-life: where attempts are rare, evidence has to last longer.
+/// Number of outcomes that a half-life spans: the fewer attempts an endpoint gets, the longer its half-life.
 const OUTCOMES_PER_HALF_LIFE: f64 = 10.0;
-/// Longest half-life of evidence, in microseconds.
+/// Maximum half-life of outcomes, in microseconds.
 pub(super) const MAX_HALF_LIFE: f64 = 10_000_000.0;
-/// Outcomes from which on an endpoint is compared with its peers.
+/// Number of outcomes from which an endpoint counts as a peer of others.
 const MIN_OUTCOMES_OF_PEER: f64 = 0.5;
-/// Good outcomes assumed beforehand in an endpoint's share of bad ones.
+/// Number of good outcomes that an endpoint's share of bad ones starts with.
 const HEALTH_PRIOR: f64 = 1.5;
-/// Share of bad outcomes above the best peer's up to which an endpoint is healthy.
+/// Difference from the best peer's share of bad outcomes up to which an endpoint is healthy.
 const TOLERATED_BAD_SHARE: f64 = 0.15;
-/// Share of bad outcomes above the best peer's at which an endpoint is ejected.
+/// Difference from the best peer's share of bad outcomes at which an endpoint is ejected.
 pub(super) const EJECTION_BAD_SHARE: f64 = 0.5;
-/// Most bad evidence held, in outcomes.
+/// Maximum sum of bad outcomes.
 const MAX_BAD_OUTCOMES: f64 = 10.0;
-/// Longest time in which bad evidence fades to the prior, in microseconds: bounds an ejection after recovery.
+/// Maximum time in which bad outcomes decay to the prior, in microseconds: limits an ejection after recovery.
 const MAX_EJECTION: f64 = 5_000_000.0;
-/// Most good evidence held, in outcomes: a long good past must not hide a sudden failure.
+/// Maximum sum of good outcomes: a long series of them must not hide a sudden failure.
 const MAX_GOOD_OUTCOMES: f64 = 15.0;
-/// Part of the good evidence that a full failure leaves.
+/// Factor on the sum of good outcomes after a failure of full weight.
 const GOOD_LEFT_BY_FAILURE: f64 = 0.8;
 
 /// Observations of an endpoint.
 #[derive(Default)]
 pub(super) struct Health {
     outcomes: DecayingShare,
-    /// Outcomes of this router over [`MAX_HALF_LIFE`], which set the half-life of the evidence.
+    /// Number of outcomes, with the half-life [`MAX_HALF_LIFE`]; determines the half-life of `outcomes`.
     volume: DecayingSum,
-    /// Failures in a row of attempts with this endpoint on their path.
+    /// Consecutive failures of attempts with this endpoint on their path.
     pub(super) consecutive_failures: u32,
-    /// Health checks in a row without a response.
+    /// Consecutive health checks without a response.
     pub(super) unanswered_checks: u32,
     /// When it was last checked after a failure.
     pub(super) checked_at: Micros,
-    /// Its process does not respond: it gets no attempt until a health check is answered.
+    /// Its process does not respond: it gets no attempt until a health check succeeds.
     pub(super) down: bool,
-    /// When it responded again after it was down, as the start of a new process; 0 for never.
+    /// When it last responded again after being down, which counts as the start of a new process; 0 for
+    /// never.
     pub(super) restarted_at: Micros,
     /// When it last responded to this router.
     pub(super) responded_at: Micros,
 }
 
 impl Health {
-    /// Half-life of the evidence in microseconds: the longer, the fewer attempts this router sends.
+    /// Half-life of the outcomes in microseconds: the fewer attempts this router sends, the longer.
     fn half_life(&self, now: Micros) -> f64 {
         let outcomes_per_us = self.volume.rate(now, MAX_HALF_LIFE);
         (OUTCOMES_PER_HALF_LIFE / outcomes_per_us).clamp(EVIDENCE_HALF_LIFE, MAX_HALF_LIFE)
@@ -61,14 +62,14 @@
         self.outcomes.bad_share(now, self.half_life(now), HEALTH_PRIOR)
     }
 
-    /// Adds a good outcome of this weight.
+    /// Adds a good outcome with a weight.
     pub(super) fn add_success(&mut self, now: Micros, weight: f64) {
         let half_life = self.half_life(now);
         self.volume.add(now, MAX_HALF_LIFE, weight.min(1.0));
         self.outcomes.good.add_up_to(now, half_life, weight, MAX_GOOD_OUTCOMES);
     }
 
-    /// Adds a bad outcome of this weight, which also reduces the good evidence.
+    /// Adds a bad outcome with a weight, and reduces the sum of good ones.
     pub(super) fn add_failure(&mut self, now: Micros, weight: f64) {
         let half_life = self.half_life(now);
         self.volume.add(now, MAX_HALF_LIFE, weight.min(1.0));
@@ -77,7 +78,7 @@
         self.outcomes.good.scale(now, half_life, GOOD_LEFT_BY_FAILURE.powf(weight.min(1.0)));
     }
 
-    /// Drops the evidence on a process that has ended.
+    /// Drops the outcomes of a process that has ended.
     pub(super) fn forget_outcomes(&mut self) {
         self.outcomes = DecayingShare::default();
     }
@@ -96,8 +97,8 @@
 }
 
 impl Router {
-    /// The least share of bad outcomes among a tier's endpoints; 0 where there is no evidence. The origin is
-    /// a peer of parents, as both are sources of fills.
+    /// The lowest share of bad outcomes among a tier's endpoints; 0 if none has enough outcomes. The origin
+    /// is a peer of parents, as both are sources of fills.
     fn best_bad_share(&self, now: Micros, tier: Tier) -> f64 {
         let is_peer = |endpoint: &KnownEndpoint| {
             let other = endpoint.listed.tier;
@@ -109,7 +110,7 @@
         shares.min_by(f64::total_cmp).unwrap_or(0.0)
     }
 
-    /// Whether an endpoint fails more than is tolerated beside its best peer.
+    /// Whether an endpoint's share of bad outcomes exceeds its best peer's by more than is tolerated.
     pub(super) fn is_outlier(&self, now: Micros, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&id) else { return false };
         let best = self.best_bad_share(now, endpoint.listed.tier);
@@ -117,8 +118,8 @@
     }
 
     /// The endpoints of a tier that may get new attempts; their share is the lesser of slow start and health.
-    /// Health counts only what an endpoint does worse than its best peer: failures that all have in common
-    /// come from the origin, a link or overload, and must not eject the whole tier.
+    /// Health is relative to the best peer: failures that all endpoints have in common are due to the origin,
+    /// a link or overload, and must not eject the whole tier.
     pub(super) fn candidates(&self, now: Micros, tier: Tier) -> Vec<Candidate<'_>> {
         let best = self.best_bad_share(now, tier);
         let health = |endpoint: &KnownEndpoint| {
@@ -134,7 +135,7 @@
         candidates.collect()
     }
 
-    /// How many caches of the location are listed as active and get no new attempts.
+    /// The number of the location's caches that are listed as active but get no new attempts.
     pub fn ejected_caches(&self, now: Micros) -> usize {
         let active = self.endpoints.values().filter(|endpoint| endpoint.is_active_cache()).count();
         let candidates = self.candidates(now, Tier::Cache);
--- a/src/policy/pending_request.rs
+++ b/src/policy/pending_request.rs
@@ -1,22 +1,22 @@
-//! Requests that are owed a response, with their attempts.
+//! Requests in progress and their attempts.
 
 use crate::interface::*;
 
-/// Attempts at one cache that may lose their connection before the request goes to another cache.
+/// Number of lost connections at one cache after which a request is sent to another cache.
 const MAX_LOST_PER_CACHE: usize = 2;
 
-/// Where an attempt goes.
+/// The endpoints that an attempt involves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AttemptPath {
     /// The endpoint to which the attempt is sent.
     pub(super) to: EndpointId,
-    /// The endpoint from which a miss is filled. `to` itself forbids fills; none forwards the request
-    /// untouched.
+    /// The endpoint from which a miss is filled. If it equals `to`, fills are forbidden; `None` forwards the
+    /// request unchanged.
     pub(super) source: Option<EndpointId>,
 }
 
 impl AttemptPath {
-    /// The other endpoint that takes part in the attempt.
+    /// The fill source, if it is another endpoint than `to`.
     pub(super) fn fill_source(&self) -> Option<EndpointId> {
         self.source.filter(|source| *source != self.to)
     }
@@ -27,9 +27,9 @@
     pub(super) path: AttemptPath,
     pub(super) sent_at: Micros,
     pub(super) in_flight: bool,
-    /// It may have taken effect.
+    /// The endpoint may have run the request.
     pub(super) may_have_run: bool,
-    /// The client's remaining time allowed less than the usual time-out.
+    /// The time-out was cut short by the request's deadline.
     pub(super) timeout_shortened: bool,
     /// Its connection was lost or its response malformed.
     pub(super) connection_lost: bool,
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct EndedAttempt {
     pub(super) request: RequestId,
-    /// Number of the attempt within its request.
+    /// Number of the attempt within its request, from 0.
     pub(super) number: usize,
     pub(super) outcome: AttemptOutcome,
     pub(super) cache_status: CacheStatus,
@@ -52,32 +52,33 @@
 /// The farthest tier from which a request's miss may be filled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FillScope {
-    /// No fill: the request is served from its cache's copy, else rejected.
+    /// No fill: the request is served from the cache's own copy or rejected.
     CacheOnly,
-    /// A fill from what the parent holds.
+    /// A fill from a copy that the parent holds.
     ParentOnly,
-    /// A fill from the parent, which fetches from the origin what it lacks.
+    /// A fill from the parent, which fetches the object from the origin if it has no copy.
     Origin,
 }
 
-/// A request that is owed a response, or whose attempts are still in flight.
+/// A request without a final response, or with attempts still in flight.
 pub(super) struct PendingRequest {
     /// Index of its class in the settings.
     pub(super) class: usize,
     pub(super) object: ObjectId,
     pub(super) group: u32,
     pub(super) part: u32,
-    /// Size of the part in KB; 0 where unknown.
+    /// Size of the part in KB; 0 if unknown.
     pub(super) size_kb: f64,
     pub(super) deadline_at: Micros,
     pub(super) attempts: Vec<Attempt>,
     pub(super) fill_scope: FillScope,
-    /// No response is owed and no attempt is sent any more; it remains until its attempts have ended.
+    /// The request has its final response, or its client has disconnected. It is kept until its attempts have
+    /// ended.
     pub(super) concluded: bool,
 }
 
 impl PendingRequest {
-    /// The first attempt that may have taken effect.
+    /// The first attempt that may have run.
     pub(super) fn first_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run)
     }
@@ -87,13 +88,13 @@
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// Attempts that say something of their path: one whose connection was lost does not.
+    /// The number of attempts other than those whose connection was lost, which tell nothing about the path.
     pub(super) fn conclusive_attempts(&self) -> usize {
         self.attempts.iter().filter(|attempt| !attempt.connection_lost).count()
     }
 
-    /// Whether a cache may get an attempt: one that failed there goes elsewhere, a few lost connections do
-    /// not.
+    /// Whether a cache may get the next attempt: not after another failure than a lost connection, nor after
+    /// [`MAX_LOST_PER_CACHE`] lost connections.
     pub(super) fn may_use(&self, id: EndpointId) -> bool {
         let there = || self.attempts.iter().filter(|attempt| attempt.path.to == id);
         there().all(|attempt| attempt.connection_lost) && there().count() < MAX_LOST_PER_CACHE
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,8 +1,8 @@
 //! Placement: which cache a request goes to, which source fills its misses, and which path its retries take.
 //!
-//! The ordinary path is that of Canali et al. (SAINT 2005, sections 2.2 and 2.3): rendezvous hashing of the
-//! object over all parents gives its home parent, from which every location's caches fill; rendezvous hashing
-//! over the location's caches gives its cache.
+//! Placement follows Canali et al. (SAINT 2005, sections 2.2 and 2.3): rendezvous hashing of the object over
+//! all parents selects its home parent, from which the caches of every location fill; rendezvous hashing over
+//! the location's caches selects its cache.
 
 use super::outlier_detection::Candidate;
 use super::pending_request::{AttemptPath, FillScope, PendingRequest};
@@ -10,27 +10,27 @@
 use crate::interface::*;
 use crate::stats::{mix, rendezvous_first, rendezvous_order, unit};
 
-/// Load of a cache from which on its objects spill over to other caches. A spilled object is a miss.
+/// Load of a cache from which its objects spill over to other caches, where they are misses at first.
 const SPILL_OVER_LOAD: f64 = 4.0;
-/// Counted requests of an object from which on it is spread over two caches.
+/// Number of recent requests from which an object is spread over two caches.
 const REQUESTS_FOR_TWO_CACHES: f32 = 2.0;
-/// Counted requests of an object from which on it is spread over three caches.
+/// Number of recent requests from which an object is spread over three caches.
 const REQUESTS_FOR_THREE_CACHES: f32 = 4.0;
-/// Span of a generation of the counts of objects, in microseconds.
+/// Duration of one generation of the request counts, in microseconds.
 pub(super) const OBJECT_COUNT_SPAN: Micros = 10_000_000;
-/// Most objects in a generation of the counts.
+/// Maximum number of objects in one generation of the request counts.
 pub(super) const MAX_COUNTED_OBJECTS: usize = 50_000;
-/// Conclusive attempts by way of caches, after which an attempt bypasses them.
+/// Number of conclusive attempts through caches after which a retry bypasses them.
 const ATTEMPTS_BY_CACHES: usize = 3;
-/// Conclusive attempts after which sources that were already used are avoided.
+/// Number of conclusive attempts after which retries avoid the fill sources already used.
 const ATTEMPTS_BY_SAME_SOURCE: usize = 2;
-/// One in so many attempts of a write is sent by way of a parent.
+/// Every n-th attempt of a write is sent through a parent.
 const WRITE_ATTEMPTS_PER_PARENT: usize = 3;
 
 /// A cache in an object's hash order.
 struct RankedCache {
     id: EndpointId,
-    /// The share of objects that it may get.
+    /// The fraction of its objects that it may get.
     share: f64,
 }
 
@@ -42,9 +42,9 @@
 }
 
 impl Router {
-    /// The location's cache for a request's part: the first in the object's hash order that accepts it, among
-    /// two or three for popular objects; where none does, the least loaded one. `work` is the transfer time,
-    /// in microseconds, that the cache's slow-start budget must have room for.
+    /// The location's cache for a request's part: the first in the object's hash order that accepts it; for
+    /// popular objects one of the first two or three; the least loaded one if none accepts it. `work` is the
+    /// transfer time, in microseconds, that the cache's slow-start budget must have room for.
     pub(super) fn choose_cache(
         &self,
         now: Micros,
@@ -54,7 +54,7 @@
         let ranked = self.ranked_caches(now, request, work);
         let accepting = ranked.iter().filter(|cache| cache.accepts(request.object));
         let below_limit = accepting.filter(|cache| self.load(now, cache.id) < SPILL_OVER_LOAD);
-        // Within the spread the part decides, so that each part has one copy in the location.
+        // The part selects the cache within the spread, so that each part has one copy in the location.
         let hash_of_part =
             |cache: &&RankedCache| mix(request.object ^ u64::from(cache.id), u64::from(request.part));
         let chosen = below_limit.take(self.spread(request)).max_by_key(hash_of_part);
@@ -71,9 +71,8 @@
         order.into_iter().map(|(id, share)| RankedCache { id, share }).collect()
     }
 
-    /// Over how many caches a request's object is spread. Every router of the location is assumed to see as
-    /// many requests of it, so that they agree. The first part stays at one cache, so that an object of one
-    /// part never moves.
+    /// The number of caches over which a request's object is spread. The local count is extrapolated to all
+    /// routers of the location. The first part is not spread, so that an object of one part never moves.
     fn spread(&self, request: &PendingRequest) -> usize {
         if request.part == 0 {
             return 1;
@@ -91,7 +90,7 @@
         loads.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id)
     }
 
-    /// The source of an object's fills: its home parent, or the next one in order that accepts the object.
+    /// The parent from which an object is filled: its home parent, or the next one by id that accepts it.
     fn choose_parent(
         &self,
         now: Micros,
@@ -112,15 +111,15 @@
         accepting.next().map(|parent| parent.id)
     }
 
-    /// The origin, where it is listed as active.
+    /// The origin, if it is listed as active.
     pub(super) fn origin(&self) -> Option<EndpointId> {
         let active_origin =
             |endpoint: &Endpoint| endpoint.tier == Tier::Origin && endpoint.state == EndpointState::Active;
         self.endpoints.iter().find(|(_, endpoint)| active_origin(&endpoint.listed)).map(|(id, _)| *id)
     }
 
-    /// The path of a request's next attempt; none where no endpoint may get it. Retries climb the tiers: the
-    /// next cache, the next parent, a parent without a cache, the origin.
+    /// The path of a request's next attempt; `None` if no endpoint may get it. Retries go up the tiers: the
+    /// next cache, the next parent, a parent directly, the origin.
     pub(super) fn next_path(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
         if self.settings.classes[request.class].uncacheable {
             return self.write_path(now, request, work);
@@ -155,7 +154,7 @@
         Some(AttemptPath { to: origin, source: None })
     }
 
-    /// A path by the request's cache, filled from a parent, else from the origin, else not at all.
+    /// A path through the request's cache, filled from a parent, else from the origin, else not filled.
     fn path_by_cache(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
         let cache = self.choose_cache(now, request, work)?;
         let sources = request.attempts.iter().filter_map(|attempt| attempt.path.source);
@@ -166,7 +165,7 @@
         Some(AttemptPath { to: cache, source: Some(source) })
     }
 
-    /// A path straight to a parent or to the origin, where neither was tried yet.
+    /// A path directly to a parent or to the origin, if the request was not sent there yet.
     fn path_past_caches(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
         let origin = self.permitted_origin(request);
         let untried = |id: &EndpointId| !request.was_sent_to(*id);
@@ -177,7 +176,7 @@
         Some(AttemptPath { to: origin, source: Some(origin) })
     }
 
-    /// The origin, where the request's fill scope includes it.
+    /// The origin, if the request's fill scope includes it.
     fn permitted_origin(&self, request: &PendingRequest) -> Option<EndpointId> {
         self.origin().filter(|_| request.fill_scope == FillScope::Origin)
     }
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -1,4 +1,4 @@
-//! Which retries are allowed: the retry budget, and until when and where a request may be repeated.
+//! Conditions of retries: the retry budget, and when and at which endpoints a request may be repeated.
 
 use super::endpoints::KnownEndpoint;
 use super::outlier_detection::MAX_HALF_LIFE;
@@ -6,12 +6,12 @@
 use super::Router;
 use crate::interface::*;
 
-/// Retries that each new request adds to the budget.
+/// Number of retries that each new request adds to the retry budget.
 const RETRIES_PER_REQUEST: f64 = 0.05;
-/// Most retries in the budget, which fades with [`MAX_HALF_LIFE`]: a fleet must not spend savings all at once
-/// on the same failing source.
+/// Maximum retry budget. The budget also decays with [`MAX_HALF_LIFE`], so that a fleet cannot send many
+/// saved retries at once to the same failing source.
 const MAX_RETRY_BUDGET: f64 = 20.0;
-/// Retries in the budget at the start.
+/// Initial retry budget.
 pub(super) const INITIAL_RETRY_BUDGET: f64 = 5.0;
 
 impl Router {
@@ -20,7 +20,7 @@
         self.retry_budget.add_up_to(now, MAX_HALF_LIFE, RETRIES_PER_REQUEST, MAX_RETRY_BUDGET);
     }
 
-    /// Takes the cost of an attempt out of the retry budget.
+    /// Subtracts the cost of an attempt from the retry budget.
     pub(super) fn spend_retries(&mut self, now: Micros, cost: f64) {
         self.retry_budget.add(now, MAX_HALF_LIFE, -cost);
     }
@@ -30,8 +30,8 @@
         self.retry_budget.value(now, MAX_HALF_LIFE) >= cost
     }
 
-    /// What a retry after this attempt costs. The budget limits retries that multiply work: an attempt that
-    /// was lost on its way cost none, and an error no more than the time that it took.
+    /// The cost of a retry after this attempt. The budget limits retries that multiply work: an attempt that
+    /// was lost on its way caused none, and an error no more than the time that it took.
     pub(super) fn retry_cost(&self, request: &PendingRequest, ended: &EndedAttempt) -> f64 {
         match ended.outcome {
             outcome if outcome.is_lost() => 0.0,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Until when a request may be repeated; 0 for never.
+    /// The time until which a request may be repeated; 0 for never.
     pub(super) fn repeatable_until(&self, request: &PendingRequest) -> Micros {
         let class = &self.settings.classes[request.class];
         let Some(first) = request.first_that_may_have_run() else { return Micros::MAX };
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Whether a request may be sent to an endpoint: one that may have run already, only where a repeat does
-    /// no harm.
+    /// Whether a request may be sent to an endpoint. One that may have run already may only be repeated
+    /// without a second effect.
     pub(super) fn may_repeat_at(&self, now: Micros, request: &PendingRequest, to: EndpointId) -> bool {
         let Some(first) = request.first_that_may_have_run() else { return true };
         if now >= self.repeatable_until(request) {
@@ -62,7 +62,8 @@
         class.idempotency == Idempotency::Idempotent || self.shares_keys(class.key_scope, first.path.to, to)
     }
 
-    /// Whether two endpoints drop each other's repeats of a request with an idempotency key.
+    /// Whether two endpoints share idempotency keys, so that one drops a repeat of a request that the other
+    /// ran.
     fn shares_keys(&self, scope: KeyScope, first: EndpointId, second: EndpointId) -> bool {
         let same = |number: fn(&KnownEndpoint) -> u32| {
             let numbers = self.endpoints.get(&first).map(number).zip(self.endpoints.get(&second).map(number));
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,28 +1,27 @@
-//! Slow start: the part of its capacity that a process has while it warms up, and the budget that keeps all
-//! routers together below what would overload it.
+//! Slow start: the fraction of its capacity that an endpoint has while it warms up, and the per-router budget
+//! that keeps the load from all routers together below its overload threshold.
 
 use super::endpoints::KnownEndpoint;
 use super::Router;
 use crate::interface::*;
 
-/// Part of a warming endpoint's overload threshold that all routers together use.
+/// Fraction of a warming endpoint's overload threshold that all routers together may use.
 const BUDGET_OF_THRESHOLD: f64 = 0.5;
-/// Part of the budget over the overload window that may be used at once.
+/// Fraction of the budget of one overload window that may be used in a burst.
 const BURST_OF_BUDGET: f64 = 0.25;
-/// Least burst in multiples of the work that is to be assigned, so that one request always fits an empty
-/// budget.
+/// Minimum burst as a multiple of the work to be assigned, so that one request always fits an unused budget.
 const MIN_BURST_OF_WORK: f64 = 1.01;
 
-/// The budget of one router for a warming endpoint.
+/// One router's budget for a warming endpoint.
 struct WarmUpBudget {
-    /// Transfer time that may be assigned, in microseconds for each microsecond.
+    /// Transfer time that may be assigned per unit of time.
     rate: f64,
-    /// Time over which overload is judged.
+    /// Duration of an overload that makes the endpoint fail, in microseconds.
     window: Micros,
 }
 
 impl Router {
-    /// The part of its capacity that an endpoint surely has by now.
+    /// The fraction of its capacity that an endpoint has reached since its start.
     pub(super) fn warm_fraction(&self, now: Micros, endpoint: &KnownEndpoint) -> f64 {
         let started_at = endpoint.listed.started_at.max(endpoint.health.restarted_at);
         if started_at == 0 || endpoint.listed.tier == Tier::Origin {
@@ -31,14 +30,14 @@
         self.settings.slow_start(endpoint.listed.tier).capacity(now.saturating_sub(started_at))
     }
 
-    /// The load with which a new process's budget starts: a random part of one request's transfer time, since
-    /// the first requests of all routers at once would exceed the sum of their budgets.
+    /// The initial load of a new process's budget: a random fraction of one request's transfer time, so that
+    /// the first requests of all routers do not arrive at the same time.
     pub(super) fn initial_warm_up_load(&mut self) -> f64 {
         let longest = self.latency.iter().map(|estimate| estimate.transfer_time).fold(0.0, f64::max);
         longest * self.random.next(3)
     }
 
-    /// Whether an endpoint is warm, or its budget has room for `work` more, in microseconds of transfer time.
+    /// Whether an endpoint is warm or its budget has room for another `work` microseconds of transfer time.
     pub(super) fn has_warm_up_budget(&self, now: Micros, id: EndpointId, work: f64) -> bool {
         let Some(endpoint) = self.endpoints.get(&id) else { return false };
         let warm_fraction = self.warm_fraction(now, endpoint);
@@ -62,7 +61,7 @@
         WarmUpBudget { rate: fleet_rate / f64::from(routers.max(1)), window: slow_start.overload_window }
     }
 
-    /// Charges an endpoint's budget with `work`, in microseconds of transfer time.
+    /// Charges an endpoint's budget with `work` microseconds of transfer time.
     pub(super) fn charge_warm_up_budget(&mut self, now: Micros, id: EndpointId, work: f64) {
         let Some(endpoint) = self.endpoints.get(&id) else { return };
         let rate = self.warm_up_budget(endpoint, self.warm_fraction(now, endpoint)).rate;
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,34 +1,34 @@
-//! Checks of settings before a proxy uses them.
+//! Validation of settings.
 
 use super::PlatformSettings;
 use crate::text::is_field_value;
 use thiserror::Error;
 
-/// Settings with which a proxy cannot work. Keys are named as the platform spells them.
+/// Invalid settings. Messages name keys as they are spelled in the platform's JSON.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
     /// There is no class.
     #[error("`classes` is empty")]
     NoClasses,
-    /// A request may have no attempt.
+    /// The maximum number of attempts is 0.
     #[error("`policyLimits.sendCap` is 0")]
     NoAttempts,
-    /// Two classes have one name.
+    /// Two classes have the same name.
     #[error("`classes[].name` {0:?} comes twice")]
     DuplicateClass(String),
-    /// The name of a class cannot be a step of a path.
+    /// The name of a class cannot be used as a path segment.
     #[error("`classes[].name` {0:?} can't stand in a path")]
     ClassName(String),
-    /// The clients of a class do not wait.
+    /// The deadline of a class is 0.
     #[error("`classes[].deadlineUs` of {0:?} is 0")]
     NoDeadline(String),
-    /// This proxy's zone is not among the zones.
+    /// This proxy's zone is not listed.
     #[error("`locality` {0:?} is none of `localities`")]
     UnknownZone(String),
 }
 
 impl PlatformSettings {
-    /// Checks that a proxy can work with these settings.
+    /// Validates these settings.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
--- a/src/settings/classes.rs
+++ b/src/settings/classes.rs
@@ -1,11 +1,11 @@
-//! Classes across reloads: requests refer to their class by index, so an unchanged class keeps its index.
+//! Stable class indexes across reloads: requests refer to their class by index.
 
 use super::PlatformSettings;
 
 impl PlatformSettings {
-    /// These settings as the successor of `old`. Each class that is unchanged keeps its index. A class that
-    /// they drop or change is retired at its index, which another class takes over only at a later reload,
-    /// and only if `in_use` does not hold for it.
+    /// Returns these settings with class indexes compatible with `old`. An unchanged class keeps its index. A
+    /// class that was removed or changed is retired at its index, which is reused at a later reload at the
+    /// earliest, and only if `in_use` returns false for it.
     pub fn carrying_over(mut self, old: &Self, in_use: impl Fn(usize) -> bool) -> Self {
         let mut added: Vec<_> = std::mem::take(&mut self.classes).into_iter().map(Some).collect();
         let mut classes = old.classes.clone();
--- a/src/settings/endpoints.rs
+++ b/src/settings/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints as the settings classify them.
+//! Conversion of endpoint records to the decision module's endpoints.
 
 use super::PlatformSettings;
 use crate::endpoint_list::EndpointRecord;
@@ -6,11 +6,11 @@
 
 /// Weight of an endpoint whose record has no capacity hint.
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// Number of a zone that the settings do not list.
+/// Number of any zone that the settings do not list.
 const UNKNOWN_ZONE: u32 = u32::MAX;
 
 impl PlatformSettings {
-    /// An endpoint as the decision module knows it.
+    /// Converts a record to an endpoint of the decision module.
     pub fn endpoint(&self, record: &EndpointRecord) -> Endpoint {
         let zone = self.zones.iter().position(|zone| *zone == record.zone);
         Endpoint {
@@ -24,12 +24,12 @@
         }
     }
 
-    /// Whether an endpoint is a cache, in whatever zone.
+    /// Whether an endpoint is a cache in any zone.
     pub fn is_cache(&self, record: &EndpointRecord) -> bool {
         matches!(self.tier(record), Tier::Cache | Tier::RemoteCache)
     }
 
-    /// The tier of an endpoint for a proxy of this zone.
+    /// The tier of an endpoint as seen by a proxy in this zone.
     fn tier(&self, record: &EndpointRecord) -> Tier {
         let is_kind = |kind: &Option<String>| kind.as_ref() == Some(&record.kind);
         if is_kind(&self.origin_kind) {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,9 +1,7 @@
-//! The platform's settings, typed: what the proxy, the decision module and the simulator's adapter use of
-//! them.
+//! The platform's settings as used by the proxy, the decision module and the simulator adapter.
 //!
-//! `platform_json` maps the platform's spelling; `check` rejects settings that a proxy cannot work with;
-//! `classes` carries classes over when the settings are reloaded; `endpoints` tells an endpoint's tier from
-//! its record.
+//! `platform_json` deserializes the platform's JSON; `check` validates the settings; `classes` keeps class
+//! indexes stable across reloads; `endpoints` determines an endpoint's tier from its record.
 
 mod check;
 mod classes;
@@ -44,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct ClassSettings {
     name: String,
-    /// The settings no longer have this class. It remains for requests that were accepted before.
+    /// The class was removed from the settings. It is kept for requests that were accepted before.
     retired: bool,
     policy: RequestClass,
 }
@@ -56,7 +54,7 @@
         PolicySettings { classes, ..self.policy.clone() }
     }
 
-    /// Index of the class with this name.
+    /// Index of the class with this name, unless it is retired.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name && !class.retired)
     }
@@ -86,7 +84,7 @@
         self.keepalive_ms
     }
 
-    /// Most concurrent requests on one connection to a cache.
+    /// Maximum number of concurrent requests on one connection to a cache.
     pub fn streams_per_connection(&self) -> usize {
         self.streams_per_connection
     }
@@ -106,12 +104,12 @@
         self.class(class).is_some_and(|class| class.idempotency == Idempotency::WithKey)
     }
 
-    /// Time for which the clients of a class wait over all their attempts, in milliseconds.
+    /// Deadline of the requests of a class, over all their attempts, in milliseconds.
     pub fn deadline_ms(&self, class: usize) -> f64 {
         self.class(class).map_or(0.0, |class| ms_from_micros(class.deadline))
     }
 
-    /// The longest such time of all classes, in milliseconds.
+    /// The longest deadline of all classes, in milliseconds.
     pub fn longest_deadline_ms(&self) -> f64 {
         (0..self.classes.len()).map(|class| self.deadline_ms(class)).fold(0.0, f64::max)
     }
--- a/src/settings/platform_json.rs
+++ b/src/settings/platform_json.rs
@@ -1,18 +1,18 @@
-//! The settings object in the platform's spelling. Unknown keys are ignored; a lenient key that is absent or
-//! null reads as its type's default.
+//! The platform's settings JSON. Unknown keys are ignored; an optional key that is absent or null reads as
+//! its type's default.
 
 use super::{ClassSettings, PlatformSettings};
 use crate::{Idempotency, KeyScope, Micros, PolicySettings, RequestClass, SlowStart};
 use serde::{Deserialize, Deserializer};
 
-/// Time within which a connection must be established where the settings do not tell, in milliseconds.
+/// Default time within which a connection must be established, in milliseconds.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 400.0;
-/// Time for which a cache keeps an idle connection where the settings do not tell, in milliseconds.
+/// Default time for which a cache keeps an idle connection, in milliseconds.
 const DEFAULT_KEEPALIVE_MS: f64 = 30_000.0;
-/// Most requests on one connection to a cache.
+/// Upper bound of the concurrent requests on one connection to a cache.
 const MAX_STREAMS: u32 = 256;
 
-/// Reads a value that may be absent or null as its type's default.
+/// Deserializes null as the type's default; with `#[serde(default)]`, an absent key as well.
 pub fn lenient<'de, D: Deserializer<'de>, T: Deserialize<'de> + Default>(d: D) -> Result<T, D::Error> {
     Ok(Option::<T>::deserialize(d)?.unwrap_or_default())
 }
@@ -62,7 +62,7 @@
     priority_weight: f64,
 }
 
-/// What the settings tell of the family of sites; the lists hold a value for each class.
+/// Settings of the family of sites; lists have one value per class.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 struct FamilyJson {
@@ -155,7 +155,7 @@
     }
 }
 
-/// A time as milliseconds, or a default where it is 0.
+/// Converts a time to milliseconds; the default if it is 0.
 fn ms_or(time: Micros, default_ms: f64) -> f64 {
     if time == 0 {
         default_ms
@@ -165,7 +165,7 @@
 }
 
 impl PlatformJson {
-    /// The name of the kind at an index of the list.
+    /// Name of the kind at an index of the list.
     fn kind(&self, index: Option<i64>) -> Option<String> {
         let index = usize::try_from(index?).ok()?;
         self.kinds.get(index).cloned()
@@ -204,7 +204,7 @@
 }
 
 impl ClassJson {
-    /// The class at an index of the list, with its values of the family's lists.
+    /// The class at an index of the list, with its values from the family's lists.
     fn settings(&self, family: &FamilyJson, index: usize) -> ClassSettings {
         let policy = RequestClass {
             latency_objective: self.latency_objective,
--- a/src/stats/decay.rs
+++ b/src/stats/decay.rs
@@ -1,8 +1,8 @@
-//! Sums that decay exponentially with time, and a share of two of them.
+//! Sums that decay exponentially with time, and the share of one of two such sums.
 
 use crate::Micros;
 
-/// A sum whose parts decay by half in each half-life, which the caller gives at each use, in microseconds.
+/// An exponentially decaying sum. The caller passes the half-life, in microseconds, to each method.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingSum {
     sum: f64,
@@ -10,17 +10,17 @@
 }
 
 impl DecayingSum {
-    /// A sum that begins to decay with its first change.
+    /// Creates a sum that does not decay before its first change.
     pub fn starting_with(sum: f64) -> Self {
         Self { sum, at: Micros::MAX }
     }
 
-    /// What is left of the sum.
+    /// The decayed sum.
     pub fn value(&self, now: Micros, half_life: f64) -> f64 {
         self.sum * (-(now.saturating_sub(self.at) as f64) / half_life).exp2()
     }
 
-    /// The rate, per microsecond, at which steady additions would hold the sum where it is.
+    /// The rate of additions, per microsecond, at which the sum would stay constant.
     pub fn rate(&self, now: Micros, half_life: f64) -> f64 {
         self.value(now, half_life) * std::f64::consts::LN_2 / half_life
     }
@@ -35,13 +35,13 @@
         *self = Self { sum: (self.value(now, half_life) + x).min(max), at: now };
     }
 
-    /// Multiplies what is left by `factor`.
+    /// Multiplies the decayed sum by `factor`.
     pub fn scale(&mut self, now: Micros, half_life: f64, factor: f64) {
         *self = Self { sum: self.value(now, half_life) * factor, at: now };
     }
 }
 
-/// Good and bad outcomes that decay, for the share of the bad ones.
+/// Exponentially decaying sums of good and bad outcomes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingShare {
     /// Good outcomes.
@@ -51,7 +51,7 @@
 }
 
 impl DecayingShare {
-    /// The share of bad outcomes, in 0 to 1, with `prior` good ones added.
+    /// The share of bad outcomes, in 0 to 1, with `prior` added to the good ones.
     pub fn bad_share(&self, now: Micros, half_life: f64, prior: f64) -> f64 {
         let (good, bad) = (self.good.value(now, half_life), self.bad.value(now, half_life));
         bad / (good + bad + prior)
--- a/src/stats/draws.rs
+++ b/src/stats/draws.rs
@@ -1,20 +1,20 @@
-//! Random draws that a seed makes repeatable.
+//! Seeded pseudorandom numbers.
 
 use super::hash::unit;
 
-/// A sequence of draws; the same seed gives the same draws.
+/// A reproducible sequence of pseudorandom numbers.
 #[derive(Clone, Debug)]
 pub struct SeededDraws {
     state: u64,
 }
 
 impl SeededDraws {
-    /// The sequence of a seed.
+    /// Creates the sequence of a seed.
     pub fn new(seed: u64) -> Self {
         Self { state: seed }
     }
 
-    /// The next draw, strictly between 0 and 1; draws for different purposes are independent.
+    /// The next number, strictly between 0 and 1; numbers for different purposes are independent.
     pub fn next(&mut self, purpose: u64) -> f64 {
         self.state = self.state.wrapping_add(1);
         unit(self.state, purpose)
--- a/src/stats/hash.rs
+++ b/src/stats/hash.rs
@@ -1,6 +1,6 @@
-//! Hashes that are the same in every process, and weighted rendezvous hashing (Thaler and Ravishankar, 1998).
+//! Unseeded hashes, and weighted rendezvous hashing (Thaler and Ravishankar, 1998).
 
-/// A well-mixed hash of two numbers, never seeded: the finalizer of SplitMix64.
+/// Hash of two numbers by the finalizer of SplitMix64. It is unseeded, so that all processes agree on it.
 pub fn mix(a: u64, b: u64) -> u64 {
     let mut z = a.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ b.wrapping_add(0xD1B5_4A32_D192_ED03);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -13,20 +13,19 @@
     ((mix(a, b) >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// The score of a node for a key; the node with the least score comes first. A node is first for a share of
-/// the keys in proportion to its weight, and a new node takes its share from all others without moving any
-/// other key.
+/// The score of a node for a key; the node with the lowest score is first. A node is first for a share of the
+/// keys in proportion to its weight, and adding a node only moves keys to that node.
 fn rendezvous(key: u64, node: u32, weight: f64) -> f64 {
     -unit(key, u64::from(node)).ln() / weight
 }
 
-/// The first node in a key's order, of nodes and their weights.
+/// The first node in a key's order; `nodes` yields nodes with their weights.
 pub fn rendezvous_first(key: u64, nodes: impl Iterator<Item = (u32, f64)>) -> Option<u32> {
     let scored = nodes.map(|(node, weight)| (rendezvous(key, node, weight), node));
     scored.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, node)| node)
 }
 
-/// Nodes in a key's order, of nodes, their weights and values that are returned with them.
+/// All nodes in a key's order; `nodes` yields nodes with their weights and values to return with them.
 pub fn rendezvous_order<T>(key: u64, nodes: impl Iterator<Item = (u32, f64, T)>) -> Vec<(u32, T)> {
     let scored = nodes.map(|(node, weight, rest)| (rendezvous(key, node, weight), node, rest));
     let mut order: Vec<(f64, u32, T)> = scored.collect();
--- a/src/stats/leaky_bucket.rs
+++ b/src/stats/leaky_bucket.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 
-/// A level that drains at a rate, which the caller gives at each use, per microsecond.
+/// A level that drains at a constant rate. The caller passes the rate, per microsecond, to each method.
 #[derive(Clone, Copy, Debug)]
 pub struct LeakyBucket {
     level: f64,
@@ -15,12 +15,12 @@
         Self { level, at: now }
     }
 
-    /// What has not drained yet.
+    /// The current level.
     pub fn level(&self, now: Micros, rate: f64) -> f64 {
         (self.level - now.saturating_sub(self.at) as f64 * rate).max(0.0)
     }
 
-    /// Pours `amount` in.
+    /// Adds `amount` to the level.
     pub fn add(&mut self, now: Micros, rate: f64, amount: f64) {
         *self = Self { level: self.level(now, rate) + amount, at: now };
     }
--- a/src/stats/mean_deviation.rs
+++ b/src/stats/mean_deviation.rs
@@ -8,7 +8,7 @@
 }
 
 impl MeanDeviation {
-    /// An estimate before any sample.
+    /// Creates an estimate with initial values.
     pub fn new(mean: f64, deviation: f64) -> Self {
         Self { mean, deviation }
     }
@@ -19,7 +19,7 @@
         self.mean += gain * (x - self.mean);
     }
 
-    /// The value that lies so many deviations above the mean.
+    /// The mean plus a number of deviations.
     pub fn above(&self, deviations: f64) -> f64 {
         self.mean + deviations * self.deviation
     }
--- a/src/stats/mod.rs
+++ b/src/stats/mod.rs
@@ -1,4 +1,4 @@
-//! Statistics and hashes of the decision module. They make no decisions: all constants are the caller's.
+//! Statistics and hashes of the decision module. All parameters are passed by the caller.
 
 mod decay;
 mod draws;
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -79,7 +79,7 @@
         (1..=outcomes).for_each(|n| share.add(n * SECOND / outcomes, 0, &pressure, 0.1, Some(false)));
         share.value()
     };
-    // One outcome or a hundred in a second: half is left.
+    // One outcome per second and a hundred per second both halve the share.
     assert!((after(1) - 0.5).abs() < 1e-9 && (after(100) - 0.5).abs() < 1e-9, "{} {}", after(1), after(100));
     let mut share = TimedShare::<2>::default();
     share.add(60 * SECOND, 0, &pressure, 0.1, Some(false));
@@ -118,7 +118,7 @@
 fn mean_and_deviation_follow_their_samples() {
     let mut times = MeanDeviation::new(10.0, 2.0);
     times.add(14.0, 0.5);
-    // The deviation is taken from the mean before the sample.
+    // The deviation is relative to the mean before the sample.
     assert_eq!((times.above(0.0), times.above(1.0)), (12.0, 15.0));
 }
 
@@ -131,7 +131,7 @@
     counts.add(200, 8);
     assert_eq!((counts.get(7), counts.get(8)), (1.0, 1.0));
     counts.add(201, 9);
-    // Two keys fill a generation: the next call starts another.
+    // Two keys fill a generation: the next call starts a new one.
     counts.add(202, 9);
     assert_eq!((counts.get(7), counts.get(8), counts.get(9)), (0.0, 1.0, 2.0));
 }
--- a/src/stats/timed_share.rs
+++ b/src/stats/timed_share.rs
@@ -1,21 +1,21 @@
-//! A share in 0 to 1 that outcomes move in proportion to the time since the outcome before.
+//! A share in 0 to 1 that each outcome changes in proportion to the time since the previous one.
 
 use crate::Micros;
 
-/// How outcomes of one kind move a [`TimedShare`], for each second since the one before.
+/// How outcomes of one kind change a [`TimedShare`], per second since the previous outcome.
 #[derive(Clone, Copy, Debug)]
 pub struct Pressure {
-    /// What a good outcome adds to the share.
+    /// Amount that a good outcome adds to the share, per second.
     pub up: f64,
-    /// The power of e by which a bad outcome divides the share.
+    /// Rate of the exponential decay by a bad outcome, per second.
     pub down: f64,
-    /// Most seconds for which one outcome counts.
+    /// Maximum number of seconds for which one outcome counts.
     pub max_gap: f64,
 }
 
-/// A share in 0 to 1, initially 1, that good outcomes raise and bad ones reduce. An outcome counts for the
-/// time since the one before it of its kind, so that the mean share of a fleet does not depend on how many
-/// endpoints share the same outcomes. `KINDS` kinds of outcomes are timed apart.
+/// A share in 0 to 1, initially 1, that good outcomes increase and bad ones reduce. An outcome counts for the
+/// time since the previous one of its kind, so that the mean share of a fleet does not depend on the number
+/// of routers among which the outcomes are distributed. The `KINDS` kinds of outcomes are timed separately.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedShare<const KINDS: usize> {
     value: f64,
@@ -29,13 +29,13 @@
 }
 
 impl<const KINDS: usize> TimedShare<KINDS> {
-    /// The share.
+    /// The current share.
     pub fn value(&self) -> f64 {
         self.value
     }
 
-    /// Adds an outcome of a kind: good, bad, or inconclusive, which only restarts the time. The share remains
-    /// at `min` or above.
+    /// Adds an outcome of a kind: good, bad, or inconclusive (`None`), which only updates the time of the
+    /// last outcome. The share does not fall below `min`.
     pub fn add(&mut self, now: Micros, kind: usize, pressure: &Pressure, min: f64, good: Option<bool>) {
         let since = now.saturating_sub(self.last[kind]) as f64 / 1e6;
         let seconds = since.min(pressure.max_gap);
