--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -123,7 +123,7 @@
     /// Replaces the settings. Open requests keep their class.
     pub fn reconfigure(&mut self, settings: PlatformSettings) {
         let in_use = |class| self.requests.uses_class(class);
-        self.settings = Rc::new(settings.carrying_over(&self.settings, in_use));
+        self.settings = Rc::new(settings.with_class_indexes_of(&self.settings, in_use));
         self.router.reconfigure(self.settings.policy_settings());
         self.connections.set_stream_limit(self.settings.streams_per_connection());
         let listed = self.membership.all_listed().cloned().collect();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -216,7 +216,7 @@
     }
 
     /// Whether the endpoint itself responded.
-    pub fn is_answer(self) -> bool {
+    pub fn is_response(self) -> bool {
         matches!(self, Self::Served | Self::CacheMiss | Self::Rejected | Self::Error)
     }
 
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -53,7 +53,7 @@
         if self.requests.contains_key(&id) {
             return;
         }
-        self.earn_retries(now);
+        self.credit_retry_budget(now);
         self.object_counts.add(now, request.object);
         self.requests.insert(id, request);
         self.advance(now, id, None, actions);
@@ -75,7 +75,7 @@
             request.fill_scope = fill_scope;
         }
         if allowed && fill_scope.is_some() && self.send_attempt(now, id, actions) {
-            self.spend_retries(now, cost);
+            self.charge_retry_budget(now, cost);
         } else {
             self.reject_or_fail(now, id, actions);
         }
@@ -101,7 +101,7 @@
         let time_left = request.deadline_at.saturating_sub(now);
         let max_attempts = self.settings.max_attempts.max(1) as usize;
         time_left >= MIN_TIME_LEFT
-            && self.can_spend_retries(now, cost)
+            && self.has_retry_budget(now, cost)
             && request.attempts.len() < max_attempts
             && !self.is_too_late(now, request)
     }
@@ -209,8 +209,8 @@
     /// Applies the end of an attempt.
     pub(super) fn on_attempt_ended(&mut self, now: Micros, ended: &EndedAttempt, actions: &mut Actions) {
         let Some(path) = self.end_attempt(now, ended) else { return };
-        self.apply_to_health(now, path, ended, actions);
-        self.learn(now, ended);
+        self.update_health(now, path, ended, actions);
+        self.update_estimates(now, ended);
         let Some(request) = self.requests.get(&ended.request) else { return };
         if ended.closed || request.concluded || ended.outcome == AttemptOutcome::Served {
             self.conclude(ended.request, actions);
@@ -233,7 +233,7 @@
         let path = attempt.path;
         if let Some(endpoint) = self.endpoints.get_mut(&path.to) {
             endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-            if outcome.is_answer() {
+            if outcome.is_response() {
                 endpoint.health.responded_at = now;
             }
         }
@@ -241,21 +241,15 @@
     }
 
     /// Applies an outcome to the consecutive failures, and thus the health checks, of the path's endpoints.
-    fn apply_to_health(
-        &mut self,
-        now: Micros,
-        path: AttemptPath,
-        ended: &EndedAttempt,
-        actions: &mut Actions,
-    ) {
+    fn update_health(&mut self, now: Micros, path: AttemptPath, ended: &EndedAttempt, actions: &mut Actions) {
         let source = path.fill_source();
         match ended.outcome {
             AttemptOutcome::NoConnection | AttemptOutcome::ConnectionLost => {
-                self.suspect(now, path.to, true, actions);
+                self.record_failure(now, path.to, true, actions);
             }
             AttemptOutcome::TimedOut | AttemptOutcome::Rejected | AttemptOutcome::Error => {
                 for id in [Some(path.to), source].into_iter().flatten() {
-                    self.suspect(now, id, false, actions);
+                    self.record_failure(now, id, false, actions);
                 }
             }
             AttemptOutcome::Served => {
--- a/src/policy/attribution.rs
+++ b/src/policy/attribution.rs
@@ -19,11 +19,11 @@
 /// Suspicion of an endpoint without bad outcomes; the share of bad ones is added to it.
 const MIN_SUSPICION: f64 = 0.1;
 /// Ratio of the suspicions of a path's endpoints from which a failure is attributed to one of them alone.
-const SOLE_BLAME_RATIO: f64 = 2.5;
+const SOLE_ATTRIBUTION_RATIO: f64 = 2.5;
 
 impl Router {
     /// Updates all estimates from an attempt that has ended.
-    pub(super) fn learn(&mut self, now: Micros, ended: &EndedAttempt) {
+    pub(super) fn update_estimates(&mut self, now: Micros, ended: &EndedAttempt) {
         let Some(request) = self.requests.get(&ended.request) else { return };
         let attempt = &request.attempts[ended.number];
         let (class, path) = (request.class, attempt.path);
@@ -36,16 +36,16 @@
             return;
         }
         if matches!(ended.outcome, AttemptOutcome::Served | AttemptOutcome::TimedOut) {
-            self.learn_capacity(now, path.to, late);
+            self.update_capacity(now, path.to, late);
             self.latency[class].add(ended.outcome, transfer_time, elapsed);
         }
         let cache_only = path.source == Some(path.to);
         let served_from_cache = cache_only && ended.outcome == AttemptOutcome::Served;
         let cache_status = if served_from_cache { CacheStatus::Hit } else { ended.cache_status };
         if cache_status != CacheStatus::Hit && may_fetch_from_origin {
-            self.learn_origin_fetch(now, ended, path);
+            self.update_origin_fetch_share(now, ended, path);
         }
-        self.learn_congestion(now, class, ended.outcome, late, cache_only);
+        self.update_congestion(now, class, ended.outcome, late, cache_only);
         match ended.outcome {
             AttemptOutcome::Served => self.attribute_response(now, path, cache_status, late),
             outcome => self.attribute_failure(now, path, outcome, cache_status),
@@ -60,15 +60,15 @@
             CacheStatus::Hit => self.add_success(now, path.to, FULL_WEIGHT),
             _ if !late => {
                 self.add_success(now, path.to, FULL_WEIGHT);
-                let fills_are_told = self.settings.reports_cache_status;
-                let weight = if fills_are_told { FULL_WEIGHT } else { UNCONFIRMED_FILL };
+                let fills_reported = self.settings.reports_cache_status;
+                let weight = if fills_reported { FULL_WEIGHT } else { UNCONFIRMED_FILL };
                 if let Some(source) = path.fill_source() {
                     self.add_success(now, source, weight);
                 }
             }
             // It may be a hit over a loaded link, so it does not count against the fill source.
             CacheStatus::Unknown => self.add_failure(now, path.to, LATE_RESPONSE),
-            _ => self.split_blame(now, path, LATE_RESPONSE),
+            _ => self.split_failure(now, path, LATE_RESPONSE),
         }
     }
 
@@ -80,14 +80,14 @@
         outcome: AttemptOutcome,
         cache_status: CacheStatus,
     ) {
-        let says_nothing = matches!(
+        let inconclusive = matches!(
             outcome,
             AttemptOutcome::Cancelled
                 | AttemptOutcome::NotSent
                 | AttemptOutcome::CacheMiss
                 | AttemptOutcome::Malformed
         );
-        if says_nothing {
+        if inconclusive {
             return;
         }
         match (outcome, cache_status) {
@@ -100,9 +100,9 @@
             }
             (_, CacheStatus::SourceFailed) => {
                 let only = AttemptPath { to: path.fill_source().unwrap_or(path.to), source: None };
-                self.split_blame(now, only, CONCLUSIVE_FAILURE);
+                self.split_failure(now, only, CONCLUSIVE_FAILURE);
             }
-            _ => self.split_blame(now, path, FULL_WEIGHT),
+            _ => self.split_failure(now, path, FULL_WEIGHT),
         }
     }
 
@@ -121,17 +121,17 @@
     /// Splits a failure that cannot be attributed to one endpoint in proportion to the suspicion of both: a
     /// cache that fails with every source is at fault itself, and so is a source that fails through every
     /// cache.
-    fn split_blame(&mut self, now: Micros, path: AttemptPath, weight: f64) {
+    fn split_failure(&mut self, now: Micros, path: AttemptPath, weight: f64) {
         let source = path.fill_source();
-        let of_cache = self.suspicion(now, path.to);
-        let of_source = source.map_or(0.0, |source| self.suspicion(now, source));
-        let ratio = of_cache / of_source;
-        let cache_part = if ratio >= SOLE_BLAME_RATIO && of_cache >= EJECTION_BAD_SHARE {
+        let cache_suspicion = self.suspicion(now, path.to);
+        let source_suspicion = source.map_or(0.0, |source| self.suspicion(now, source));
+        let ratio = cache_suspicion / source_suspicion;
+        let cache_part = if ratio >= SOLE_ATTRIBUTION_RATIO && cache_suspicion >= EJECTION_BAD_SHARE {
             1.0
-        } else if ratio <= 1.0 / SOLE_BLAME_RATIO && of_source >= EJECTION_BAD_SHARE {
+        } else if ratio <= 1.0 / SOLE_ATTRIBUTION_RATIO && source_suspicion >= EJECTION_BAD_SHARE {
             0.0
         } else {
-            of_cache / (of_cache + of_source)
+            cache_suspicion / (cache_suspicion + source_suspicion)
         };
         self.add_failure(now, path.to, weight * cache_part);
         if let Some(source) = source {
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -14,13 +14,19 @@
 /// Delay from an unanswered check to the next one while the endpoint is down, in microseconds.
 const RECHECK_DELAY_DOWN: Micros = 1_000_000;
 /// Flag in the timer tokens of health checks; the lower bits contain the endpoint's id.
-const TIMER_TOKEN: u64 = 1 << 32;
+const TIMER_TOKEN_FLAG: u64 = 1 << 32;
 
 impl Router {
     /// Counts a failed attempt against an endpoint and requests a health check if needed: a single router
     /// sees too few failures to distinguish a dead process from an overloaded one. `conclusive` marks a
     /// failure that can only be the endpoint's own.
-    pub(super) fn suspect(&mut self, now: Micros, id: EndpointId, conclusive: bool, actions: &mut Actions) {
+    pub(super) fn record_failure(
+        &mut self,
+        now: Micros,
+        id: EndpointId,
+        conclusive: bool,
+        actions: &mut Actions,
+    ) {
         let can_check = self.settings.can_check_health;
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         if endpoint.listed.tier == Tier::Origin {
@@ -29,9 +35,9 @@
         let health = &mut endpoint.health;
         health.consecutive_failures += 1;
         let is_parent = endpoint.listed.tier == Tier::Parent;
-        let doubtful = conclusive || is_parent || health.consecutive_failures >= MIN_FAILURES;
+        let needs_check = conclusive || is_parent || health.consecutive_failures >= MIN_FAILURES;
         let due = health.unanswered_checks == 0 && now >= health.checked_at + MIN_CHECK_GAP;
-        if can_check && doubtful && due && endpoint.listed.state == EndpointState::Active {
+        if can_check && needs_check && due && endpoint.listed.state == EndpointState::Active {
             health.checked_at = now;
             actions.push(Action::CheckHealth { endpoint: id });
         }
@@ -63,14 +69,14 @@
             health.unanswered_checks += 1;
             health.down |= unreachable || health.unanswered_checks >= MIN_FAILURES;
             let delay = if health.down { RECHECK_DELAY_DOWN } else { RECHECK_DELAY };
-            actions.push(Action::SetTimer { token: TIMER_TOKEN | u64::from(id), at: now + delay });
+            actions.push(Action::SetTimer { token: TIMER_TOKEN_FLAG | u64::from(id), at: now + delay });
             return;
         }
         health.unanswered_checks = 0;
         if std::mem::replace(&mut health.down, false) {
             // Probably a new process with an empty cache that the endpoint list does not show yet.
             health.restarted_at = now;
-            health.forget_outcomes();
+            health.reset_outcomes();
             endpoint.warm_up_load = LeakyBucket::new(now, warm_up_load);
         }
     }
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -1,7 +1,7 @@
 //! Latency estimates of request classes, and the time-outs derived from them.
 
 use crate::interface::*;
-use crate::stats::{DecayingShare, MeanDeviation};
+use crate::stats::{DecayingOutcomes, MeanDeviation};
 
 /// Assumed time to the first byte of a fill including round trips, in microseconds.
 const FIRST_BYTE_TIME: f64 = 100_000.0;
@@ -27,7 +27,7 @@
     /// Mean transfer time, in microseconds.
     pub(super) transfer_time: f64,
     /// Responses within the latency objective and late ones, over all endpoints.
-    pub(super) timeliness: DecayingShare,
+    pub(super) timeliness: DecayingOutcomes,
 }
 
 impl LatencyEstimate {
@@ -39,7 +39,7 @@
         Self {
             relative: MeanDeviation::new(mean, deviation),
             transfer_time: INITIAL_MEAN_OF_OBJECTIVE * latency_objective,
-            timeliness: DecayingShare::default(),
+            timeliness: DecayingOutcomes::default(),
         }
     }
 
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -39,14 +39,14 @@
 
     /// Adjusts the estimated capacity of a cache after a response if the list contains no capacities:
     /// increases it while responses at full load are timely, and reduces it when they are late.
-    pub(super) fn learn_capacity(&mut self, now: Micros, id: EndpointId, late: bool) {
+    pub(super) fn update_capacity(&mut self, now: Micros, id: EndpointId, late: bool) {
         if self.settings.weights_known {
             return;
         }
         let load = self.load(now, id);
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
-        let gap_over = now >= endpoint.capacity_reduced_at + MIN_REDUCTION_GAP;
-        let capacity = if late && load >= MIN_REDUCTION_LOAD && gap_over {
+        let may_reduce = now >= endpoint.capacity_reduced_at + MIN_REDUCTION_GAP;
+        let capacity = if late && load >= MIN_REDUCTION_LOAD && may_reduce {
             endpoint.capacity_reduced_at = now;
             endpoint.capacity * CAPACITY_DECREASE
         } else if load >= 1.0 && !late {
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -7,13 +7,13 @@
 use super::placement::OBJECT_COUNT_SPAN;
 use super::Router;
 use crate::interface::*;
-use crate::stats::{unit, Pressure};
+use crate::stats::{unit_hash, ShareRates};
 
 /// How outcomes of fills change the origin fetch share. Fills are delayed by links and parents as well, so a
 /// timely one counts little and a late one much.
-const FILL_PRESSURE: Pressure = Pressure { up: 0.1, down: 6.0, max_gap: 1.0 };
+const FILL_RATES: ShareRates = ShareRates { increase_per_s: 0.1, decay_per_s: 6.0, max_gap_s: 1.0 };
 /// How outcomes of writes change the origin fetch share. Writes are rare but always run at the origin.
-const WRITE_PRESSURE: Pressure = Pressure { up: 1.0, down: 2.0, max_gap: 3.0 };
+const WRITE_RATES: ShareRates = ShareRates { increase_per_s: 1.0, decay_per_s: 2.0, max_gap_s: 3.0 };
 /// Index of fills among the kinds of outcomes of the origin fetch share.
 const FILL_OUTCOMES: usize = 0;
 /// Index of writes among the kinds of outcomes of the origin fetch share.
@@ -52,7 +52,7 @@
 
     /// Counts a response towards its class's congestion. A hit of an attempt that forbids fills is ignored:
     /// it tells nothing about the fill sources.
-    pub(super) fn learn_congestion(
+    pub(super) fn update_congestion(
         &mut self,
         now: Micros,
         class: usize,
@@ -90,8 +90,8 @@
         }
         // All routers exclude the same objects for one span, so that the other objects are fetched once and
         // then cached.
-        let left_out = self.origin_fetch_share.value() < unit(request.object, now / OBJECT_COUNT_SPAN);
-        Some(if left_out { FillScope::ParentOnly } else { FillScope::Origin })
+        let excluded = self.origin_fetch_share.value() < unit_hash(request.object, now / OBJECT_COUNT_SPAN);
+        Some(if excluded { FillScope::ParentOnly } else { FillScope::Origin })
     }
 
     /// The load of its cache up to which a request is admitted. It is proportional to the request's value per
@@ -116,20 +116,19 @@
     }
 
     /// Updates the origin fetch share with an outcome other than a hit.
-    pub(super) fn learn_origin_fetch(&mut self, now: Micros, ended: &EndedAttempt, path: AttemptPath) {
+    pub(super) fn update_origin_fetch_share(&mut self, now: Micros, ended: &EndedAttempt, path: AttemptPath) {
         let Some(request) = self.requests.get(&ended.request) else { return };
         let write = self.settings.classes[request.class].uncacheable;
         let latency_objective = self.latency_objective(request);
         let limit = if write { SLOW_WRITE_OF_OBJECTIVE * latency_objective } else { latency_objective };
         let good = ended.outcome == AttemptOutcome::Served && ended.elapsed as f64 <= limit;
         // A failure on a path with an outlier is attributed to the outlier and not to the origin.
-        let says_something =
-            self.concerns_origin(ended.outcome, path) && (good || !self.has_outlier(now, path));
-        let good = says_something.then_some(good);
+        let conclusive = self.concerns_origin(ended.outcome, path) && (good || !self.has_outlier(now, path));
+        let good = conclusive.then_some(good);
         if write {
-            self.origin_fetch_share.add(now, WRITE_OUTCOMES, &WRITE_PRESSURE, MIN_ORIGIN_FETCH_SHARE, good);
+            self.origin_fetch_share.add(now, WRITE_OUTCOMES, &WRITE_RATES, MIN_ORIGIN_FETCH_SHARE, good);
         } else if path.fill_source().is_some() {
-            self.origin_fetch_share.add(now, FILL_OUTCOMES, &FILL_PRESSURE, MIN_ORIGIN_FETCH_SHARE, good);
+            self.origin_fetch_share.add(now, FILL_OUTCOMES, &FILL_RATES, MIN_ORIGIN_FETCH_SHARE, good);
         }
     }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -24,7 +24,7 @@
 mod slow_start;
 
 use crate::interface::*;
-use crate::stats::{DecayingSum, RecentCounts, SeededDraws, TimedShare};
+use crate::stats::{AdaptiveShare, DecayingSum, RecentCounts, SeededRandom};
 use endpoints::KnownEndpoint;
 use freshness::Purges;
 use latency::LatencyEstimate;
@@ -44,7 +44,7 @@
 /// The decision logic of one router. See the crate documentation for how to drive it.
 pub struct Router {
     settings: PolicySettings,
-    random: SeededDraws,
+    random: SeededRandom,
     /// The endpoints that may get attempts.
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     /// The weights of all parents ever listed, so that removing a parent does not move other parents'
@@ -61,14 +61,14 @@
     /// The number of retries that may still be sent.
     retry_budget: DecayingSum,
     /// Fraction of the objects that may be fetched from the origin.
-    origin_fetch_share: TimedShare<2>,
+    origin_fetch_share: AdaptiveShare<2>,
 }
 
 impl Router {
     /// Creates a router without endpoints. The seed determines all random draws.
     pub fn new(settings: PolicySettings, seed: u64) -> Self {
         Self {
-            random: SeededDraws::new(seed),
+            random: SeededRandom::new(seed),
             endpoints: BTreeMap::new(),
             parents: BTreeMap::new(),
             requests: HashMap::new(),
@@ -77,7 +77,7 @@
             object_counts: RecentCounts::new(OBJECT_COUNT_SPAN, MAX_COUNTED_OBJECTS),
             latency: settings.classes.iter().map(LatencyEstimate::initial).collect(),
             retry_budget: DecayingSum::starting_with(INITIAL_RETRY_BUDGET),
-            origin_fetch_share: TimedShare::default(),
+            origin_fetch_share: AdaptiveShare::default(),
             settings,
         }
     }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -4,7 +4,7 @@
 use super::endpoints::KnownEndpoint;
 use super::Router;
 use crate::interface::*;
-use crate::stats::{DecayingShare, DecayingSum};
+use crate::stats::{DecayingOutcomes, DecayingSum};
 
 /// Half-life of the outcomes of classes and of busy endpoints, in microseconds.
 pub(super) const EVIDENCE_HALF_LIFE: f64 = 1_000_000.0;
@@ -27,12 +27,12 @@
 /// Maximum sum of good outcomes: a long series of them must not hide a sudden failure.
 const MAX_GOOD_OUTCOMES: f64 = 15.0;
 /// Factor on the sum of good outcomes after a failure of full weight.
-const GOOD_LEFT_BY_FAILURE: f64 = 0.8;
+const GOOD_FACTOR_PER_FAILURE: f64 = 0.8;
 
 /// Observations of an endpoint.
 #[derive(Default)]
 pub(super) struct Health {
-    outcomes: DecayingShare,
+    outcomes: DecayingOutcomes,
     /// Number of outcomes, with the half-life [`MAX_HALF_LIFE`]; determines the half-life of `outcomes`.
     volume: DecayingSum,
     /// Consecutive failures of attempts with this endpoint on their path.
@@ -75,12 +75,12 @@
         self.volume.add(now, MAX_HALF_LIFE, weight.min(1.0));
         let max_bad = MAX_BAD_OUTCOMES.min(HEALTH_PRIOR * (MAX_EJECTION / half_life).exp2());
         self.outcomes.bad.add_up_to(now, half_life, weight, max_bad);
-        self.outcomes.good.scale(now, half_life, GOOD_LEFT_BY_FAILURE.powf(weight.min(1.0)));
+        self.outcomes.good.scale(now, half_life, GOOD_FACTOR_PER_FAILURE.powf(weight.min(1.0)));
     }
 
     /// Drops the outcomes of a process that has ended.
-    pub(super) fn forget_outcomes(&mut self) {
-        self.outcomes = DecayingShare::default();
+    pub(super) fn reset_outcomes(&mut self) {
+        self.outcomes = DecayingOutcomes::default();
     }
 
     fn has_evidence(&self, now: Micros) -> bool {
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -8,7 +8,7 @@
 use super::pending_request::{AttemptPath, FillScope, PendingRequest};
 use super::Router;
 use crate::interface::*;
-use crate::stats::{mix, rendezvous_first, rendezvous_order, unit};
+use crate::stats::{mix, rendezvous_first, rendezvous_order, unit_hash};
 
 /// Load of a cache from which its objects spill over to other caches, where they are misses at first.
 const SPILL_OVER_LOAD: f64 = 4.0;
@@ -21,9 +21,9 @@
 /// Maximum number of objects in one generation of the request counts.
 pub(super) const MAX_COUNTED_OBJECTS: usize = 50_000;
 /// Number of conclusive attempts through caches after which a retry bypasses them.
-const ATTEMPTS_BY_CACHES: usize = 3;
+const MAX_ATTEMPTS_THROUGH_CACHES: usize = 3;
 /// Number of conclusive attempts after which retries avoid the fill sources already used.
-const ATTEMPTS_BY_SAME_SOURCE: usize = 2;
+const MAX_ATTEMPTS_WITH_SAME_SOURCE: usize = 2;
 /// Every n-th attempt of a write is sent through a parent.
 const WRITE_ATTEMPTS_PER_PARENT: usize = 3;
 
@@ -37,7 +37,7 @@
 impl RankedCache {
     /// Whether its share of objects includes this one.
     fn accepts(&self, object: ObjectId) -> bool {
-        self.share > unit(!object, u64::from(self.id))
+        self.share > unit_hash(!object, u64::from(self.id))
     }
 }
 
@@ -65,8 +65,8 @@
     fn ranked_caches(&self, now: Micros, request: &PendingRequest, work: f64) -> Vec<RankedCache> {
         let candidates = self.candidates(now, Tier::Cache).into_iter();
         let open = candidates.filter(|cache| request.may_use(cache.id));
-        let within_budget = open.filter(|cache| self.has_warm_up_budget(now, cache.id, work));
-        let weighted = within_budget.map(|cache| (cache.id, cache.endpoint.listed.weight, cache.share));
+        let with_budget = open.filter(|cache| self.has_warm_up_budget(now, cache.id, work));
+        let weighted = with_budget.map(|cache| (cache.id, cache.endpoint.listed.weight, cache.share));
         let order = rendezvous_order(request.object, weighted);
         order.into_iter().map(|(id, share)| RankedCache { id, share }).collect()
     }
@@ -106,7 +106,7 @@
         let may_fill = |parent: &&Candidate| {
             !avoided.contains(&parent.id) && self.has_warm_up_budget(now, parent.id, work)
         };
-        let accepts = |parent: &&Candidate| parent.share > unit(!object, u64::from(parent.id));
+        let accepts = |parent: &&Candidate| parent.share > unit_hash(!object, u64::from(parent.id));
         let mut accepting = listed.filter(may_fill).filter(accepts);
         accepting.next().map(|parent| parent.id)
     }
@@ -128,13 +128,13 @@
             let cache = self.choose_cache(now, request, work)?;
             return Some(AttemptPath { to: cache, source: Some(cache) });
         }
-        let by_caches =
-            request.conclusive_attempts() < ATTEMPTS_BY_CACHES || !self.settings.can_bypass_caches;
-        let path = if by_caches { self.path_by_cache(now, request, work) } else { None };
+        let through_caches =
+            request.conclusive_attempts() < MAX_ATTEMPTS_THROUGH_CACHES || !self.settings.can_bypass_caches;
+        let path = if through_caches { self.path_through_cache(now, request, work) } else { None };
         if path.is_some() || !self.settings.can_bypass_caches {
             return path;
         }
-        self.path_past_caches(now, request, work)
+        self.path_bypassing_caches(now, request, work)
     }
 
     /// The path of a write, which runs at the origin.
@@ -145,9 +145,9 @@
             return Some(AttemptPath { to: cache, source: Some(origin?) });
         }
         let origin = origin?;
-        let by_parent =
+        let through_parent =
             request.conclusive_attempts() % WRITE_ATTEMPTS_PER_PARENT == WRITE_ATTEMPTS_PER_PARENT - 1;
-        if by_parent {
+        if through_parent {
             let parent = self.choose_parent(now, request.object, work, &[])?;
             return Some(AttemptPath { to: parent, source: Some(origin) });
         }
@@ -155,10 +155,10 @@
     }
 
     /// A path through the request's cache, filled from a parent, else from the origin, else not filled.
-    fn path_by_cache(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
+    fn path_through_cache(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
         let cache = self.choose_cache(now, request, work)?;
         let sources = request.attempts.iter().filter_map(|attempt| attempt.path.source);
-        let avoid_used = request.conclusive_attempts() >= ATTEMPTS_BY_SAME_SOURCE;
+        let avoid_used = request.conclusive_attempts() >= MAX_ATTEMPTS_WITH_SAME_SOURCE;
         let avoided: Vec<EndpointId> = if avoid_used { sources.collect() } else { Vec::new() };
         let parent = self.choose_parent(now, request.object, work, &avoided);
         let source = parent.or_else(|| self.permitted_origin(request)).unwrap_or(cache);
@@ -166,7 +166,7 @@
     }
 
     /// A path directly to a parent or to the origin, if the request was not sent there yet.
-    fn path_past_caches(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
+    fn path_bypassing_caches(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
         let origin = self.permitted_origin(request);
         let untried = |id: &EndpointId| !request.was_sent_to(*id);
         if let Some(parent) = self.choose_parent(now, request.object, work, &[]).filter(untried) {
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -16,17 +16,17 @@
 
 impl Router {
     /// Adds to the retry budget for a new request.
-    pub(super) fn earn_retries(&mut self, now: Micros) {
+    pub(super) fn credit_retry_budget(&mut self, now: Micros) {
         self.retry_budget.add_up_to(now, MAX_HALF_LIFE, RETRIES_PER_REQUEST, MAX_RETRY_BUDGET);
     }
 
     /// Subtracts the cost of an attempt from the retry budget.
-    pub(super) fn spend_retries(&mut self, now: Micros, cost: f64) {
+    pub(super) fn charge_retry_budget(&mut self, now: Micros, cost: f64) {
         self.retry_budget.add(now, MAX_HALF_LIFE, -cost);
     }
 
     /// Whether the retry budget covers the cost of an attempt.
-    pub(super) fn can_spend_retries(&self, now: Micros, cost: f64) -> bool {
+    pub(super) fn has_retry_budget(&self, now: Micros, cost: f64) -> bool {
         self.retry_budget.value(now, MAX_HALF_LIFE) >= cost
     }
 
@@ -59,12 +59,13 @@
             return false;
         }
         let class = &self.settings.classes[request.class];
-        class.idempotency == Idempotency::Idempotent || self.shares_keys(class.key_scope, first.path.to, to)
+        class.idempotency == Idempotency::Idempotent
+            || self.shares_idempotency_keys(class.key_scope, first.path.to, to)
     }
 
     /// Whether two endpoints share idempotency keys, so that one drops a repeat of a request that the other
     /// ran.
-    fn shares_keys(&self, scope: KeyScope, first: EndpointId, second: EndpointId) -> bool {
+    fn shares_idempotency_keys(&self, scope: KeyScope, first: EndpointId, second: EndpointId) -> bool {
         let same = |number: fn(&KnownEndpoint) -> u32| {
             let numbers = self.endpoints.get(&first).map(number).zip(self.endpoints.get(&second).map(number));
             numbers.is_some_and(|(first, second)| first == second)
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -100,7 +100,7 @@
     }
 
     /// Whether the requests of a class carry an idempotency key.
-    pub fn is_keyed(&self, class: usize) -> bool {
+    pub fn has_idempotency_key(&self, class: usize) -> bool {
         self.class(class).is_some_and(|class| class.idempotency == Idempotency::WithKey)
     }
 
--- a/src/settings/platform_json.rs
+++ b/src/settings/platform_json.rs
@@ -10,7 +10,7 @@
 /// Default time for which a cache keeps an idle connection, in milliseconds.
 const DEFAULT_KEEPALIVE_MS: f64 = 30_000.0;
 /// Upper bound of the concurrent requests on one connection to a cache.
-const MAX_STREAMS: u32 = 256;
+const MAX_STREAMS_PER_CONNECTION: u32 = 256;
 
 /// Deserializes null as the type's default; with `#[serde(default)]`, an absent key as well.
 pub fn lenient<'de, D: Deserializer<'de>, T: Deserialize<'de> + Default>(d: D) -> Result<T, D::Error> {
@@ -146,7 +146,8 @@
             parent_kind: json.kind(family.parent_kind),
             connect_timeout_ms: ms_or(json.limits.connect_timeout, DEFAULT_CONNECT_TIMEOUT_MS),
             keepalive_ms: ms_or(json.limits.keepalive, DEFAULT_KEEPALIVE_MS),
-            streams_per_connection: json.limits.streams_per_connection.clamp(1, MAX_STREAMS) as usize,
+            streams_per_connection: json.limits.streams_per_connection.clamp(1, MAX_STREAMS_PER_CONNECTION)
+                as usize,
             drain_grace_ms: json.slow_start.drain_grace as f64 / 1_000.0,
             zones: json.zones,
             zone: json.zone,
--- a/src/stats/decay.rs
+++ b/src/stats/decay.rs
@@ -43,14 +43,14 @@
 
 /// Exponentially decaying sums of good and bad outcomes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct DecayingShare {
+pub struct DecayingOutcomes {
     /// Good outcomes.
     pub good: DecayingSum,
     /// Bad outcomes.
     pub bad: DecayingSum,
 }
 
-impl DecayingShare {
+impl DecayingOutcomes {
     /// The share of bad outcomes, in 0 to 1, with `prior` added to the good ones.
     pub fn bad_share(&self, now: Micros, half_life: f64, prior: f64) -> f64 {
         let (good, bad) = (self.good.value(now, half_life), self.bad.value(now, half_life));
--- a/src/stats/hash.rs
+++ b/src/stats/hash.rs
@@ -9,14 +9,14 @@
 }
 
 /// [`mix`] as a number strictly between 0 and 1.
-pub fn unit(a: u64, b: u64) -> f64 {
+pub fn unit_hash(a: u64, b: u64) -> f64 {
     ((mix(a, b) >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
 /// The score of a node for a key; the node with the lowest score is first. A node is first for a share of the
 /// keys in proportion to its weight, and adding a node only moves keys to that node.
 fn rendezvous(key: u64, node: u32, weight: f64) -> f64 {
-    -unit(key, u64::from(node)).ln() / weight
+    -unit_hash(key, u64::from(node)).ln() / weight
 }
 
 /// The first node in a key's order; `nodes` yields nodes with their weights.
--- a/src/stats/mod.rs
+++ b/src/stats/mod.rs
@@ -8,13 +8,13 @@
 mod recent_counts;
 mod timed_share;
 
-pub use decay::{DecayingShare, DecayingSum};
-pub use draws::SeededDraws;
-pub use hash::{mix, rendezvous_first, rendezvous_order, unit};
+pub use decay::{DecayingOutcomes, DecayingSum};
+pub use draws::SeededRandom;
+pub use hash::{mix, rendezvous_first, rendezvous_order, unit_hash};
 pub use leaky_bucket::LeakyBucket;
 pub use mean_deviation::MeanDeviation;
 pub use recent_counts::RecentCounts;
-pub use timed_share::{Pressure, TimedShare};
+pub use timed_share::{AdaptiveShare, ShareRates};
 
 #[cfg(test)]
 mod tests;
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_first_sum_does_not_decay_before_its_first_change() {
+fn a_sum_with_an_initial_value_does_not_decay_before_its_first_change() {
     let mut sum = DecayingSum::starting_with(5.0);
     assert_eq!(sum.value(1_000_000, 10.0), 5.0);
     sum.add(1_000_000, 10.0, 1.0);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_sums_rate_holds_it_where_it_is() {
+fn additions_at_the_rate_of_a_sum_keep_it_constant() {
     let mut sum = DecayingSum::default();
     (0..100_000).for_each(|now| sum.add(now, 1_000.0, 0.25));
     assert!((sum.rate(100_000, 1_000.0) - 0.25).abs() < 0.001);
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_share_starts_from_its_prior() {
-    let mut share = DecayingShare::default();
+    let mut share = DecayingOutcomes::default();
     assert_eq!(share.bad_share(0, 100.0, 3.0), 0.0);
     share.bad.add(0, 100.0, 2.0);
     share.good.add(0, 100.0, 3.0);
@@ -41,11 +41,11 @@
 fn hashes_are_the_same_in_every_build() {
     assert_eq!(mix(0, 0), 0x8209_B480_FAED_1B10);
     assert_eq!(mix(42, 7), 0x6CCA_0C5A_6227_74C3);
-    assert!((0..10_000).all(|n| unit(n, 1) > 0.0 && unit(n, 1) < 1.0));
+    assert!((0..10_000).all(|n| unit_hash(n, 1) > 0.0 && unit_hash(n, 1) < 1.0));
 }
 
 #[test]
-fn rendezvous_shares_keys_by_weight_and_a_new_node_moves_only_its_own() {
+fn rendezvous_hashing_shares_keys_by_weight_and_a_new_node_moves_only_its_own_keys() {
     let first = |key: u64, nodes: &[(u32, f64)]| rendezvous_first(key, nodes.iter().copied());
     let (old, new) = ([(1, 1.0), (2, 3.0)], [(1, 1.0), (2, 3.0), (3, 4.0)]);
     let second = (0..10_000).filter(|key| first(*key, &old) == Some(2)).count();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_order_of_nodes_begins_with_the_first_and_keeps_the_rest_when_that_goes() {
+fn the_order_begins_with_the_first_node_and_does_not_change_when_that_is_removed() {
     let order = |key: u64, nodes: &[u32]| -> Vec<u32> {
         let nodes = nodes.iter().map(|n| (*n, 2.0, ()));
         rendezvous_order(key, nodes).into_iter().map(|(node, ())| node).collect()
@@ -71,35 +71,35 @@
 }
 
 #[test]
-fn a_timed_share_moves_by_the_time_that_outcomes_speak_for_within_its_bounds() {
+fn outcomes_change_a_share_by_the_time_since_the_previous_one_within_its_bounds() {
     const SECOND: crate::Micros = 1_000_000;
-    let pressure = Pressure { up: 0.25, down: std::f64::consts::LN_2, max_gap: 1.0 };
+    let rates = ShareRates { increase_per_s: 0.25, decay_per_s: std::f64::consts::LN_2, max_gap_s: 1.0 };
     let after = |outcomes: u64| {
-        let mut share = TimedShare::<2>::default();
-        (1..=outcomes).for_each(|n| share.add(n * SECOND / outcomes, 0, &pressure, 0.1, Some(false)));
+        let mut share = AdaptiveShare::<2>::default();
+        (1..=outcomes).for_each(|n| share.add(n * SECOND / outcomes, 0, &rates, 0.1, Some(false)));
         share.value()
     };
     // One outcome per second and a hundred per second both halve the share.
     assert!((after(1) - 0.5).abs() < 1e-9 && (after(100) - 0.5).abs() < 1e-9, "{} {}", after(1), after(100));
-    let mut share = TimedShare::<2>::default();
-    share.add(60 * SECOND, 0, &pressure, 0.1, Some(false));
-    assert_eq!(share.value(), 0.5, "no outcome speaks for more than a second");
-    share.add(60 * SECOND, 0, &pressure, 0.1, Some(false));
-    assert_eq!(share.value(), 0.5, "a second one at the same time speaks for none");
-    share.add(61 * SECOND, 1, &pressure, 0.1, Some(true));
-    assert_eq!(share.value(), 0.75, "the other kind has a time of its own");
-    share.add(62 * SECOND, 0, &pressure, 0.1, None);
-    share.add(62 * SECOND, 0, &pressure, 0.1, Some(false));
-    assert_eq!(share.value(), 0.75, "an outcome that says nothing takes its time up");
-    (63..70).for_each(|n| share.add(n * SECOND, 0, &pressure, 0.1, Some(false)));
+    let mut share = AdaptiveShare::<2>::default();
+    share.add(60 * SECOND, 0, &rates, 0.1, Some(false));
+    assert_eq!(share.value(), 0.5, "an outcome counts for one second at most");
+    share.add(60 * SECOND, 0, &rates, 0.1, Some(false));
+    assert_eq!(share.value(), 0.5, "a second outcome at the same time counts for no time");
+    share.add(61 * SECOND, 1, &rates, 0.1, Some(true));
+    assert_eq!(share.value(), 0.75, "the other kind is timed separately");
+    share.add(62 * SECOND, 0, &rates, 0.1, None);
+    share.add(62 * SECOND, 0, &rates, 0.1, Some(false));
+    assert_eq!(share.value(), 0.75, "an inconclusive outcome uses up the time since the previous one");
+    (63..70).for_each(|n| share.add(n * SECOND, 0, &rates, 0.1, Some(false)));
     assert_eq!(share.value(), 0.1);
-    (70..80).for_each(|n| share.add(n * SECOND, 0, &pressure, 0.1, Some(true)));
+    (70..80).for_each(|n| share.add(n * SECOND, 0, &rates, 0.1, Some(true)));
     assert_eq!(share.value(), 1.0);
 }
 
 #[test]
-fn draws_repeat_with_their_seed_and_differ_by_purpose() {
-    let (mut a, mut b, mut other) = (SeededDraws::new(7), SeededDraws::new(7), SeededDraws::new(7));
+fn numbers_repeat_with_their_seed_and_differ_by_purpose() {
+    let (mut a, mut b, mut other) = (SeededRandom::new(7), SeededRandom::new(7), SeededRandom::new(7));
     let drawn: Vec<f64> = (0..10).map(|_| a.next(1)).collect();
     assert!(drawn.iter().all(|x| *x == b.next(1)));
     assert!(drawn.iter().all(|x| *x != other.next(2)));
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn counts_are_forgotten_after_two_spans_or_when_full() {
+fn counts_are_dropped_after_two_spans_or_when_full() {
     let mut counts = RecentCounts::new(100, 2);
     counts.add(0, 7);
     counts.add(100, 7);
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -135,7 +135,7 @@
         let size_kb = decimal_field(request, header_field::SIZE, MAX_SIZE_KB)?.unwrap_or(0.0);
         let key = idempotency_key(request)?;
         // Without its key a repeated request could take effect twice.
-        if key.is_none() && settings.is_keyed(class) {
+        if key.is_none() && settings.has_idempotency_key(class) {
             return Err(RequestError::Malformed);
         }
         Ok(IncomingRequest {
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -523,11 +523,11 @@
     let mut now = env("a");
     for round in 0..50 {
         let name = format!("b{round}");
-        now = env(&name).carrying_over(&now, |_| false);
+        now = env(&name).with_class_indexes_of(&now, |_| false);
         assert_eq!(now.class_index("clip"), Some(0));
         let place = now.class_index(&name).unwrap();
         assert!(place < 4 && now.is_write(place) && !now.is_write(0), "{place}");
     }
-    let kept = env("z").carrying_over(&now, |_| true);
+    let kept = env("z").with_class_indexes_of(&now, |_| true);
     assert_eq!(kept.class_index("z"), Some((0..).take_while(|k| now.class_name(*k).is_some()).count()));
 }
