--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -14,16 +14,16 @@
     #[error("`policyLimits.sendCap` is 0")]
     NoAttempts,
     /// Two classes have the same name.
-    #[error("`classes[].name` {0:?} comes twice")]
+    #[error("`classes[].name` {0:?} is duplicated")]
     DuplicateClass(String),
     /// The name of a class cannot be used as a path segment.
-    #[error("`classes[].name` {0:?} can't stand in a path")]
+    #[error("`classes[].name` {0:?} is not a valid path segment")]
     ClassName(String),
     /// The deadline of a class is 0.
     #[error("`classes[].deadlineUs` of {0:?} is 0")]
     NoDeadline(String),
     /// This proxy's zone is not listed.
-    #[error("`locality` {0:?} is none of `localities`")]
+    #[error("`locality` {0:?} is not listed in `localities`")]
     UnknownZone(String),
 }
 
