--- a/src/policy/pending_request.rs
+++ b/src/policy/pending_request.rs
@@ -45,7 +45,7 @@
     pub(super) cache_status: CacheStatus,
     /// Time since it was sent.
     pub(super) elapsed: Micros,
-    /// The request is concluded: no response is owed.
+    /// The request is concluded: it needs no further response.
     pub(super) closed: bool,
 }
 
@@ -93,8 +93,8 @@
         self.attempts.iter().filter(|attempt| !attempt.connection_lost).count()
     }
 
-    /// Whether a cache may get the next attempt: not after another failure than a lost connection, nor after
-    /// [`MAX_LOST_PER_CACHE`] lost connections.
+    /// Whether a cache may get the next attempt: not after any other failure than a lost connection there,
+    /// and not after [`MAX_LOST_PER_CACHE`] lost connections.
     pub(super) fn may_use(&self, id: EndpointId) -> bool {
         let there = || self.attempts.iter().filter(|attempt| attempt.path.to == id);
         there().all(|attempt| attempt.connection_lost) && there().count() < MAX_LOST_PER_CACHE
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -34,7 +34,7 @@
 fn retries_of_a_hundred_routers_do_not_multiply_an_overload() {
     let mut fleet = routers(&large_fleet_settings(), &fleet(), 100);
     // Each router gets eight requests per second: eight seconds of successes, then two seconds of rejections.
-    let (mut first, mut again) = (0, 0);
+    let (mut first, mut retries) = (0, 0);
     for step in 0..80u64 {
         for (k, harness) in fleet.iter_mut().enumerate() {
             harness.now += 125 * MS;
@@ -50,18 +50,18 @@
                 attempts += 1;
             }
             first += 1;
-            again += attempts.saturating_sub(1);
+            retries += attempts.saturating_sub(1);
         }
     }
     assert_eq!(first, 1_600);
-    assert!(again <= first / 2, "{again} retries for {first} requests to the whole fleet");
+    assert!(retries <= first / 2, "{retries} retries for {first} requests to the whole fleet");
 }
 
 /// At a low request rate, failures must not keep a parent ejected long after it has recovered.
 #[test]
 fn a_recovered_parent_gets_requests_within_seconds_at_a_low_rate() {
     let mut fleet = routers(&large_fleet_settings(), &fleet(), 20);
-    let mut waited = Vec::new();
+    let mut requests_until_use = Vec::new();
     for (k, harness) in fleet.iter_mut().enumerate() {
         let mut next = 1_000 * k as u64;
         // Five requests per second. Fills from parent 11 fail for a minute and succeed afterwards.
@@ -94,11 +94,14 @@
         for _ in 0..300 {
             send(true);
         }
-        waited.push((0..300).position(|_| send(false)).unwrap_or(300));
+        requests_until_use.push((0..300).position(|_| send(false)).unwrap_or(300));
     }
-    waited.sort_unstable();
+    requests_until_use.sort_unstable();
     // A third of the requests are for its objects; half of the routers use it again within seven seconds.
-    assert!(waited[10] <= 35, "requests until each of 20 routers used it again: {waited:?}");
+    assert!(
+        requests_until_use[10] <= 35,
+        "requests until each of 20 routers used it again: {requests_until_use:?}"
+    );
 }
 
 /// One of eight routers must not extrapolate a few concurrent attempts by chance to an overload.
@@ -117,8 +120,8 @@
     assert!(rejected_at.is_some_and(|n| (15..=25).contains(&n)), "{rejected_at:?}");
 }
 
-/// While the origin is slow, the fills of all routers decrease agreed, for the same objects. Writes continue,
-/// and fills resume after recovery.
+/// While the origin is slow, the fills of all routers decrease together, for the same objects. Writes
+/// continue, and fills resume after recovery.
 #[test]
 fn fills_of_a_hundred_routers_decrease_with_late_responses_for_the_same_objects() {
     let mut fleet = routers(&large_fleet_settings(), &fleet(), 100);
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -358,7 +358,7 @@
 #[test]
 fn retries_are_limited_by_the_retry_budget() {
     let mut harness = Harness::new(settings(), fleet());
-    let (mut first, mut again) = (0, 0);
+    let (mut first, mut retries) = (0, 0);
     for object in 0..2_000 {
         harness.now += 20 * MS;
         let mut actions = harness.request(0, object);
@@ -368,9 +368,9 @@
             attempts += 1;
         }
         first += attempts.min(1);
-        again += attempts.saturating_sub(1);
+        retries += attempts.saturating_sub(1);
     }
-    assert!(again <= first / 10 + 20, "{again} retries for {first} requests");
+    assert!(retries <= first / 10 + 20, "{retries} retries for {first} requests");
 }
 
 // ---- minimal settings ----
@@ -740,10 +740,10 @@
 /// The default capacity must not limit a cache that responds in time.
 #[test]
 fn an_unknown_capacity_grows_with_timely_responses_and_shrinks_with_late_ones() {
-    let lone = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
+    let entries = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
     let mut harness = Harness::new(
         PolicySettings { weights_known: false, reports_cache_status: false, ..settings() },
-        lone,
+        entries,
     );
     let mut rejected = [0, 0, 0];
     for (phase, elapsed) in [(0, 100 * MS), (1, 100 * MS), (2, 2_500 * MS)] {
@@ -810,8 +810,8 @@
     let actions = harness.request(0, 7);
     let first = sent_attempts(&actions)[0].clone();
     harness.end_attempt(first.id, 0, AttemptOutcome::ConnectionLost, false);
-    let third = harness.end_attempt(first.id, 1, AttemptOutcome::ConnectionLost, false);
-    assert_ne!(sent_attempts(&third)[0].to, first.to);
+    let actions = harness.end_attempt(first.id, 1, AttemptOutcome::ConnectionLost, false);
+    assert_ne!(sent_attempts(&actions)[0].to, first.to);
 }
 
 /// The fast errors of a location's only cache must not use up the retry budget or eject the parents.
@@ -849,10 +849,10 @@
 /// its minimum.
 #[test]
 fn a_burst_of_late_responses_reduces_a_caches_capacity_once() {
-    let lone = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
+    let entries = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
     let mut harness = Harness::new(
         PolicySettings { weights_known: false, reports_cache_status: false, ..settings() },
-        lone,
+        entries,
     );
     let mut rejected = 0;
     for k in 0..1_600 {
@@ -871,23 +871,23 @@
 /// The estimated capacity must not grow faster than late responses reduce it.
 #[test]
 fn an_overloaded_cache_of_unknown_capacity_still_serves_in_time() {
-    let lone = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
+    let entries = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
     let mut harness = Harness::new(
         PolicySettings { weights_known: false, reports_cache_status: false, ..settings() },
-        lone,
+        entries,
     );
-    let mut out = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     let (mut in_time, mut late) = (0, 0);
     // The cache serves one request per 10 ms in order of arrival; two arrive in that time.
     for k in 0..8_000 {
         for attempt in sent_attempts(&harness.request(0, k)) {
-            out.push_back((attempt.id, harness.now));
+            in_flight.push_back((attempt.id, harness.now));
         }
         harness.now += 5 * MS;
         if k % 2 == 1 {
             continue;
         }
-        if let Some((id, since)) = out.pop_front() {
+        if let Some((id, since)) = in_flight.pop_front() {
             let (elapsed, outcome, cache_status) =
                 (harness.now - since, AttemptOutcome::Served, CacheStatus::Unknown);
             // The latency objective of these requests: 500 ms, and twice their transfer time of 100 ms.
@@ -912,8 +912,8 @@
     let mut harness = Harness::new(PolicySettings { reports_cache_status: false, ..settings() }, fleet());
     // These attempts remain in flight, so that the caches have some load.
     (0..40).for_each(|object| drop(harness.request(0, object)));
-    // Sends 100 requests in a second; returns the number of attempts that forbid fills.
-    let mut second = |elapsed| {
+    // Sends 100 requests within one second; returns the number of attempts that forbid fills.
+    let mut send_for_a_second = |elapsed| {
         let mut without_fill = 0;
         for _ in 0..100 {
             harness.now += 10 * MS;
@@ -933,8 +933,8 @@
         }
         without_fill
     };
-    let late: Vec<u32> = (0..4).map(|_| second(3 * S)).collect();
+    let late: Vec<u32> = (0..4).map(|_| send_for_a_second(3 * S)).collect();
     assert!(late[3] >= 50, "most attempts forbid fills under congestion: {late:?}");
-    let well: Vec<u32> = (0..4).map(|_| second(50 * MS)).collect();
-    assert!(well[3] <= 10, "{late:?} {well:?}");
+    let recovered: Vec<u32> = (0..4).map(|_| send_for_a_second(50 * MS)).collect();
+    assert!(recovered[3] <= 10, "{late:?} {recovered:?}");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -217,8 +217,8 @@
     for (id, tier) in [(2, Tier::Cache), (12, Tier::Parent)] {
         let mut harness = Harness::new(settings(), fleet());
         let share = |harness: &mut Harness| {
-            let hit = |p: SentAttempt| p.to == id || p.source == Some(id);
-            (0..1_000).filter(|o| hit(harness.path(*o * 7_919))).count()
+            let uses = |p: SentAttempt| p.to == id || p.source == Some(id);
+            (0..1_000).filter(|o| uses(harness.path(*o * 7_919))).count()
         };
         let warm = share(&mut harness);
         harness.now += 60 * S;
