--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -1,25 +1,32 @@
-//! Active health checks of endpoints whose attempts fail: whether their process still responds.
+//! Active health checks of endpoints whose attempts fail, to find out whether their process still responds.
 
 use super::{Actions, Router};
 use crate::interface::*;
 use crate::stats::LeakyBucket;
 
-/// Failures in a row from which on a cache is checked, and unanswered checks in a row after which it is down.
+/// Consecutive failures after which a cache is checked, and consecutive unanswered checks after which an
+/// endpoint is down.
 const MIN_FAILURES: u32 = 2;
-/// Least time between checks of an endpoint that responds, in microseconds: a check has a price.
+/// Minimum time between checks of an endpoint that responds, in microseconds.
 const MIN_CHECK_GAP: Micros = 3_000_000;
-/// Time from an unanswered check to the next, in microseconds.
+/// Delay from an unanswered check to the next one, in microseconds.
 const RECHECK_DELAY: Micros = 300_000;
-/// The same once the endpoint is down.
+/// Delay from an unanswered check to the next one while the endpoint is down, in microseconds.
 const RECHECK_DELAY_DOWN: Micros = 1_000_000;
-/// Marks the timer tokens of health checks; the endpoint's id stands in the bits below.
-const TIMER_TOKEN: u64 = 1 << 32;
+/// Flag in the timer tokens of health checks; the lower bits contain the endpoint's id.
+const TIMER_TOKEN_FLAG: u64 = 1 << 32;
 
 impl Router {
-    /// Counts a failed attempt against an endpoint and has its process checked. One router alone sees too few
-    /// failures to tell a dead process from a loaded one. `conclusive` marks a failure that names the
-    /// endpoint by itself.
-    pub(super) fn suspect(&mut self, now: Micros, id: EndpointId, conclusive: bool, actions: &mut Actions) {
+    /// Counts a failed attempt against an endpoint and requests a health check if needed: a single router
+    /// sees too few failures to distinguish a dead process from an overloaded one. `conclusive` marks a
+    /// failure that can only be the endpoint's own.
+    pub(super) fn record_failure(
+        &mut self,
+        now: Micros,
+        id: EndpointId,
+        conclusive: bool,
+        actions: &mut Actions,
+    ) {
         let can_check = self.settings.can_check_health;
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         if endpoint.listed.tier == Tier::Origin {
@@ -28,15 +35,15 @@
         let health = &mut endpoint.health;
         health.consecutive_failures += 1;
         let is_parent = endpoint.listed.tier == Tier::Parent;
-        let doubtful = conclusive || is_parent || health.consecutive_failures >= MIN_FAILURES;
+        let needs_check = conclusive || is_parent || health.consecutive_failures >= MIN_FAILURES;
         let due = health.unanswered_checks == 0 && now >= health.checked_at + MIN_CHECK_GAP;
-        if can_check && doubtful && due && endpoint.listed.state == EndpointState::Active {
+        if can_check && needs_check && due && endpoint.listed.state == EndpointState::Active {
             health.checked_at = now;
             actions.push(Action::CheckHealth { endpoint: id });
         }
     }
 
-    /// A health check's timer is due: repeats a check that was not answered.
+    /// Repeats an unanswered health check when its timer is due.
     pub(super) fn on_recheck_due(&self, token: u64, actions: &mut Actions) {
         let id = (token & u64::from(EndpointId::MAX)) as EndpointId;
         let Some(endpoint) = self.endpoints.get(&id) else { return };
@@ -53,7 +60,7 @@
         outcome: AttemptOutcome,
         actions: &mut Actions,
     ) {
-        // Drawn for every result, so that the sequence of draws does not depend on it.
+        // Drawn for every result, so that the random sequence does not depend on the outcome.
         let warm_up_load = self.initial_warm_up_load();
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let health = &mut endpoint.health;
@@ -62,14 +69,14 @@
             health.unanswered_checks += 1;
             health.down |= unreachable || health.unanswered_checks >= MIN_FAILURES;
             let delay = if health.down { RECHECK_DELAY_DOWN } else { RECHECK_DELAY };
-            actions.push(Action::SetTimer { token: TIMER_TOKEN | u64::from(id), at: now + delay });
+            actions.push(Action::SetTimer { token: TIMER_TOKEN_FLAG | u64::from(id), at: now + delay });
             return;
         }
         health.unanswered_checks = 0;
         if std::mem::replace(&mut health.down, false) {
-            // Most likely a new process with an empty cache, before the list tells of it.
+            // Probably a new process with an empty cache that the endpoint list does not show yet.
             health.restarted_at = now;
-            health.forget_outcomes();
+            health.reset_outcomes();
             endpoint.warm_up_load = LeakyBucket::new(now, warm_up_load);
         }
     }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -548,11 +548,11 @@
     let mut current = settings("a");
     for round in 0..50 {
         let name = format!("b{round}");
-        current = settings(&name).carrying_over(&current, |_| false);
+        current = settings(&name).with_class_indexes_of(&current, |_| false);
         assert_eq!(current.class_index("clip"), Some(0));
         let index = current.class_index(&name).unwrap();
         assert!(index < 4 && current.is_write(index) && !current.is_write(0), "{index}");
     }
-    let next = settings("z").carrying_over(&current, |_| true);
+    let next = settings("z").with_class_indexes_of(&current, |_| true);
     assert_eq!(next.class_index("z"), Some((0..).take_while(|k| current.class_name(*k).is_some()).count()));
 }
