--- a/tests/process.rs
+++ b/tests/process.rs
@@ -94,10 +94,10 @@
     let at = hanging.local_addr().unwrap().to_string();
     let text = (7101..=7104).fold(example(), |text, k| text.replace(&format!("127.0.0.1:{k}"), &at));
     let mut proxy = Running::start_of(&text, "twice.json", 256);
-    // With this much time all responses come well after listeners close, 0.7 s after the signal.
+    // An attempt of this class times out after 1.3 s, well after the listeners close, 0.7 s after the signal.
     let get = |id: u64| {
         format!(
-            "GET /ops/small-object/{:016x} HTTP/1.1\r\nHost: o\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: 2000\r\n\
+            "GET /ops/video-part/{:016x} HTTP/1.1\r\nHost: o\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: 5000\r\n\
              X-Set: 1\r\n\r\n",
             id * 7_919
         )
