--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,50 +1,50 @@
 //! Placement: which cache a request goes to, which source fills its misses, and which path its retries take.
 //!
-//! The ordinary path is that of Canali et al. (SAINT 2005, sections 2.2 and 2.3): rendezvous hashing of the
-//! object over all parents gives its home parent, from which every location's caches fill; rendezvous hashing
-//! over the location's caches gives its cache.
+//! Placement follows Canali et al. (SAINT 2005, sections 2.2 and 2.3): rendezvous hashing of the object over
+//! all parents selects its home parent, from which the caches of every location fill; rendezvous hashing over
+//! the location's caches selects its cache.
 
 use super::outlier_detection::Candidate;
 use super::pending_request::{AttemptPath, FillScope, PendingRequest};
 use super::Router;
 use crate::interface::*;
-use crate::stats::{mix, rendezvous_first, rendezvous_order, unit};
+use crate::stats::{mix, rendezvous_first, rendezvous_order, unit_hash};
 
-/// Load of a cache from which on its objects spill over to other caches. A spilled object is a miss.
+/// Load of a cache from which its objects spill over to other caches, where they are misses at first.
 const SPILL_OVER_LOAD: f64 = 4.0;
-/// Counted requests of an object from which on it is spread over two caches.
+/// Number of recent requests from which an object is spread over two caches.
 const REQUESTS_FOR_TWO_CACHES: f32 = 2.0;
-/// Counted requests of an object from which on it is spread over three caches.
+/// Number of recent requests from which an object is spread over three caches.
 const REQUESTS_FOR_THREE_CACHES: f32 = 4.0;
-/// Span of a generation of the counts of objects, in microseconds.
+/// Duration of one generation of the request counts, in microseconds.
 pub(super) const OBJECT_COUNT_SPAN: Micros = 10_000_000;
-/// Most objects in a generation of the counts.
+/// Maximum number of objects in one generation of the request counts.
 pub(super) const MAX_COUNTED_OBJECTS: usize = 50_000;
-/// Conclusive attempts by way of caches, after which an attempt bypasses them.
-const ATTEMPTS_BY_CACHES: usize = 3;
-/// Conclusive attempts after which sources that were already used are avoided.
-const ATTEMPTS_BY_SAME_SOURCE: usize = 2;
-/// One in so many attempts of a write is sent by way of a parent.
+/// Number of conclusive attempts through caches after which a retry bypasses them.
+const MAX_ATTEMPTS_THROUGH_CACHES: usize = 3;
+/// Number of conclusive attempts after which retries avoid the fill sources already used.
+const MAX_ATTEMPTS_WITH_SAME_SOURCE: usize = 2;
+/// Every n-th attempt of a write is sent through a parent.
 const WRITE_ATTEMPTS_PER_PARENT: usize = 3;
 
 /// A cache in an object's hash order.
 struct RankedCache {
     id: EndpointId,
-    /// The share of objects that it may get.
+    /// The fraction of its objects that it may get.
     share: f64,
 }
 
 impl RankedCache {
     /// Whether its share of objects includes this one.
     fn accepts(&self, object: ObjectId) -> bool {
-        self.share > unit(!object, u64::from(self.id))
+        self.share > unit_hash(!object, u64::from(self.id))
     }
 }
 
 impl Router {
-    /// The location's cache for a request's part: the first in the object's hash order that accepts it, among
-    /// two or three for popular objects; where none does, the least loaded one. `work` is the transfer time,
-    /// in microseconds, that the cache's slow-start budget must have room for.
+    /// The location's cache for a request's part: the first in the object's hash order that accepts it; for
+    /// popular objects one of the first two or three; the least loaded one if none accepts it. `work` is the
+    /// transfer time, in microseconds, that the cache's slow-start budget must have room for.
     pub(super) fn choose_cache(
         &self,
         now: Micros,
@@ -54,7 +54,7 @@
         let ranked = self.ranked_caches(now, request, work);
         let accepting = ranked.iter().filter(|cache| cache.accepts(request.object));
         let below_limit = accepting.filter(|cache| self.load(now, cache.id) < SPILL_OVER_LOAD);
-        // Within the spread the part decides, so that each part has one copy in the location.
+        // The part selects the cache within the spread, so that each part has one copy in the location.
         let hash_of_part =
             |cache: &&RankedCache| mix(request.object ^ u64::from(cache.id), u64::from(request.part));
         let chosen = below_limit.take(self.spread(request)).max_by_key(hash_of_part);
@@ -65,15 +65,14 @@
     fn ranked_caches(&self, now: Micros, request: &PendingRequest, work: f64) -> Vec<RankedCache> {
         let candidates = self.candidates(now, Tier::Cache).into_iter();
         let open = candidates.filter(|cache| request.may_use(cache.id));
-        let within_budget = open.filter(|cache| self.has_warm_up_budget(now, cache.id, work));
-        let weighted = within_budget.map(|cache| (cache.id, cache.endpoint.listed.weight, cache.share));
+        let with_budget = open.filter(|cache| self.has_warm_up_budget(now, cache.id, work));
+        let weighted = with_budget.map(|cache| (cache.id, cache.endpoint.listed.weight, cache.share));
         let order = rendezvous_order(request.object, weighted);
         order.into_iter().map(|(id, share)| RankedCache { id, share }).collect()
     }
 
-    /// Over how many caches a request's object is spread. Every router of the location is assumed to see as
-    /// many requests of it, so that they agree. The first part stays at one cache, so that an object of one
-    /// part never moves.
+    /// The number of caches over which a request's object is spread. The local count is extrapolated to all
+    /// routers of the location. The first part is not spread, so that an object of one part never moves.
     fn spread(&self, request: &PendingRequest) -> usize {
         if request.part == 0 {
             return 1;
@@ -91,7 +90,7 @@
         loads.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id)
     }
 
-    /// The source of an object's fills: its home parent, or the next one in order that accepts the object.
+    /// The parent from which an object is filled: its home parent, or the next one by id that accepts it.
     fn choose_parent(
         &self,
         now: Micros,
@@ -107,20 +106,20 @@
         let may_fill = |parent: &&Candidate| {
             !avoided.contains(&parent.id) && self.has_warm_up_budget(now, parent.id, work)
         };
-        let accepts = |parent: &&Candidate| parent.share > unit(!object, u64::from(parent.id));
+        let accepts = |parent: &&Candidate| parent.share > unit_hash(!object, u64::from(parent.id));
         let mut accepting = listed.filter(may_fill).filter(accepts);
         accepting.next().map(|parent| parent.id)
     }
 
-    /// The origin, where it is listed as active.
+    /// The origin, if it is listed as active.
     pub(super) fn origin(&self) -> Option<EndpointId> {
         let active_origin =
             |endpoint: &Endpoint| endpoint.tier == Tier::Origin && endpoint.state == EndpointState::Active;
         self.endpoints.iter().find(|(_, endpoint)| active_origin(&endpoint.listed)).map(|(id, _)| *id)
     }
 
-    /// The path of a request's next attempt; none where no endpoint may get it. Retries climb the tiers: the
-    /// next cache, the next parent, a parent without a cache, the origin.
+    /// The path of a request's next attempt; `None` if no endpoint may get it. Retries go up the tiers: the
+    /// next cache, the next parent, a parent directly, the origin.
     pub(super) fn next_path(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
         if self.settings.classes[request.class].uncacheable {
             return self.write_path(now, request, work);
@@ -129,13 +128,13 @@
             let cache = self.choose_cache(now, request, work)?;
             return Some(AttemptPath { to: cache, source: Some(cache) });
         }
-        let by_caches =
-            request.conclusive_attempts() < ATTEMPTS_BY_CACHES || !self.settings.can_bypass_caches;
-        let path = if by_caches { self.path_by_cache(now, request, work) } else { None };
+        let through_caches =
+            request.conclusive_attempts() < MAX_ATTEMPTS_THROUGH_CACHES || !self.settings.can_bypass_caches;
+        let path = if through_caches { self.path_through_cache(now, request, work) } else { None };
         if path.is_some() || !self.settings.can_bypass_caches {
             return path;
         }
-        self.path_past_caches(now, request, work)
+        self.path_bypassing_caches(now, request, work)
     }
 
     /// The path of a write, which runs at the origin.
@@ -146,28 +145,28 @@
             return Some(AttemptPath { to: cache, source: Some(origin?) });
         }
         let origin = origin?;
-        let by_parent =
+        let through_parent =
             request.conclusive_attempts() % WRITE_ATTEMPTS_PER_PARENT == WRITE_ATTEMPTS_PER_PARENT - 1;
-        if by_parent {
+        if through_parent {
             let parent = self.choose_parent(now, request.object, work, &[])?;
             return Some(AttemptPath { to: parent, source: Some(origin) });
         }
         Some(AttemptPath { to: origin, source: None })
     }
 
-    /// A path by the request's cache, filled from a parent, else from the origin, else not at all.
-    fn path_by_cache(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
+    /// A path through the request's cache, filled from a parent, else from the origin, else not filled.
+    fn path_through_cache(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
         let cache = self.choose_cache(now, request, work)?;
         let sources = request.attempts.iter().filter_map(|attempt| attempt.path.source);
-        let avoid_used = request.conclusive_attempts() >= ATTEMPTS_BY_SAME_SOURCE;
+        let avoid_used = request.conclusive_attempts() >= MAX_ATTEMPTS_WITH_SAME_SOURCE;
         let avoided: Vec<EndpointId> = if avoid_used { sources.collect() } else { Vec::new() };
         let parent = self.choose_parent(now, request.object, work, &avoided);
         let source = parent.or_else(|| self.permitted_origin(request)).unwrap_or(cache);
         Some(AttemptPath { to: cache, source: Some(source) })
     }
 
-    /// A path straight to a parent or to the origin, where neither was tried yet.
-    fn path_past_caches(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
+    /// A path directly to a parent or to the origin, if the request was not sent there yet.
+    fn path_bypassing_caches(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
         let origin = self.permitted_origin(request);
         let untried = |id: &EndpointId| !request.was_sent_to(*id);
         if let Some(parent) = self.choose_parent(now, request.object, work, &[]).filter(untried) {
@@ -177,7 +176,7 @@
         Some(AttemptPath { to: origin, source: Some(origin) })
     }
 
-    /// The origin, where the request's fill scope includes it.
+    /// The origin, if the request's fill scope includes it.
     fn permitted_origin(&self, request: &PendingRequest) -> Option<EndpointId> {
         self.origin().filter(|_| request.fill_scope == FillScope::Origin)
     }
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -719,7 +719,7 @@
         let args = ["serve", "--config", config.to_str().unwrap(), "--grpc", grpc_config.to_str().unwrap()];
         let process =
             std::process::Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(log).spawn();
-        let mut process = stand_ins::Killed(process.unwrap());
+        let mut process = stand_ins::KillOnDrop(process.unwrap());
         while TcpStream::connect(grpc).await.is_err() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -761,7 +761,7 @@
         process.signal("-TERM");
         let got = slow.await.unwrap();
         assert_eq!((got.status(), got.body), (0, message(5)));
-        process.ends_well().await;
+        process.exits_successfully().await;
         let log = std::fs::read_to_string(dir.join("proxy.log")).unwrap();
         assert!(log.contains("configuration not reloaded subsystem=\"gRPC\""), "{log}");
     });
