--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,20 +1,19 @@
-//! Exponential backoff with jitter, for the retries of connections and calls that failed. No I/O and no
-//! clock.
+//! Exponential backoff with jitter for failed connections and calls. No I/O and no clock.
 
 use rand::{Rng, RngExt};
 
-/// The delays between retries, as an operator file states them.
+/// Backoff parameters, as configured in operator files.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Backoff {
     /// The delay after the first failure, in milliseconds.
     pub first_ms: f64,
-    /// The factor by which each further failure lengthens the delay.
+    /// The factor by which the delay grows after each further failure.
     pub factor: f64,
-    /// The longest delay, in milliseconds.
+    /// The maximum delay, in milliseconds.
     #[serde(rename = "most_ms")]
     pub max_ms: f64,
-    /// The part of each delay that is drawn at random, from 0 to 1.
+    /// The fraction of each delay that is random, from 0 to 1.
     pub jitter: f64,
 }
 
@@ -25,7 +24,7 @@
 }
 
 impl Backoff {
-    /// The bounds that [`Self::is_valid`] checks, for error messages; fields by their names in operator
+    /// The bounds that [`Self::is_valid`] checks, for error messages. Uses the field names of operator
     /// files.
     pub const BOUNDS: &'static str = "first_ms 1 to most_ms, factor 1 to 10, jitter 0 to 1";
 
@@ -37,13 +36,13 @@
             && (0.0..=1.0).contains(&self.jitter)
     }
 
-    /// The delay sequence of one target.
+    /// Starts the delay sequence of one target.
     pub fn start(&self) -> BackoffDelay {
         BackoffDelay { backoff: *self, base_ms: self.first_ms }
     }
 }
 
-/// The delay sequence of one target.
+/// The state of the delay sequence of one target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackoffDelay {
     backoff: Backoff,
@@ -52,7 +51,7 @@
 }
 
 impl BackoffDelay {
-    /// Returns the delay before the next retry, in milliseconds, and lengthens the one after it.
+    /// Returns the delay before the next retry, in milliseconds, and increases the following one.
     pub fn next_ms(&mut self, rng: &mut impl Rng) -> f64 {
         let jitter = self.backoff.jitter.clamp(0.0, 1.0);
         let delay_ms = self.base_ms * (1.0 - jitter + jitter * rng.random_range(0.0..1.0));
@@ -60,7 +59,7 @@
         delay_ms
     }
 
-    /// Returns to the first delay, after a success.
+    /// Resets the sequence to the first delay after a success.
     pub fn reset(&mut self) {
         self.base_ms = self.backoff.first_ms;
     }
--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -3,15 +3,15 @@
 #[test]
 fn a_manual_clock_moves_only_when_advanced() {
     let clock = Clock::manual(1_000.5);
-    let twin = clock.clone();
+    let copy = clock.clone();
     assert_eq!(clock.now(), 1_000.5);
-    twin.advance(2.25);
-    twin.advance(-50.0);
+    copy.advance(2.25);
+    copy.advance(-50.0);
     assert_eq!(clock.now(), 1_002.75);
 }
 
 #[test]
-fn units_convert_both_ways() {
+fn times_convert_between_units_and_are_clamped() {
     assert_eq!(micros_from_ms(1.5), 1_500);
     assert_eq!(micros_from_ms(-3.0), 0);
     assert_eq!(ms_from_micros(2_250), 2.25);
--- a/src/config_file.rs
+++ b/src/config_file.rs
@@ -1,5 +1,5 @@
-//! Reading and checking of JSON files that operators write: the errors that all of them share, and the forms
-//! of values that several of them contain.
+//! Reads and validates operators' JSON files: shared error types, and parsers for values that several files
+//! contain.
 
 use crate::message_auth::{KeyError, MessageKeys};
 use serde::de::DeserializeOwned;
@@ -7,10 +7,10 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The cause of an error, as the subsystem that found it typed it.
+/// The cause of an error, with the type of the subsystem that reported it.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A configuration file that cannot be used.
+/// A configuration file is invalid.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file cannot be read.
@@ -18,26 +18,26 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// The error of the system.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The text is no JSON of the expected type.
+    /// The text is not JSON of the expected type.
     #[error("{}: {source}", path.display())]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// The error, with its place in the text.
+        /// The parser's error, with its position in the text.
         source: simd_json::Error,
     },
-    /// The file lacks a key that it had when the process started.
-    #[error("{}: key `{key}` is gone", path.display())]
+    /// The reloaded file lacks a key that it had when the process started.
+    #[error("{}: key `{key}` is missing", path.display())]
     MissingKey {
         /// The file.
         path: PathBuf,
-        /// The key, with the keys that enclose it.
+        /// The key's path, with dots between the levels.
         key: String,
     },
-    /// The value of a field cannot be used.
+    /// The value of a field is invalid.
     #[error("{}: field `{field}`: {source}", path.display())]
     Field {
         /// The file.
@@ -50,13 +50,13 @@
 }
 
 impl ConfigError {
-    /// An error of the field `field` of the file at `path`.
+    /// Creates an error for the field `field` of the file at `path`.
     pub fn field(path: &Path, field: &'static str, source: impl Into<BoxError>) -> Self {
         Self::Field { path: path.to_path_buf(), field, source: source.into() }
     }
 }
 
-/// A field whose value cannot be used, in a file that the caller knows.
+/// The value of a field is invalid. The caller adds the file.
 #[derive(Debug, Error)]
 #[error("field `{field}`: {source}")]
 pub struct FieldError {
@@ -67,21 +67,21 @@
 }
 
 impl FieldError {
-    /// An error of the field `field`.
+    /// Creates an error for the field `field`.
     pub fn new(field: &'static str, source: impl Into<BoxError>) -> Self {
         Self { field, source: source.into() }
     }
 
-    /// The same error with the file in which the field stands.
+    /// Adds the path of the file that contains the field.
     pub fn in_file(self, path: &Path) -> ConfigError {
         ConfigError::Field { path: path.to_path_buf(), field: self.field, source: self.source }
     }
 }
 
-/// A text that is not the socket address of one host.
+/// A string is not the socket address of a single host.
 #[derive(Debug, Error)]
 pub enum AddressError {
-    /// The text is no `ADDRESS:PORT`.
+    /// The text is not of the form `ADDRESS:PORT`.
     #[error("{text:?}: {source}")]
     Malformed {
         /// The text.
@@ -89,15 +89,15 @@
         /// The parser's error.
         source: AddrParseError,
     },
-    /// The text is the unspecified address, which stands for all addresses of a host.
-    #[error("{text:?} is not one address")]
+    /// The text is the unspecified address, which means all addresses of a host.
+    #[error("{text:?} is the unspecified address")]
     Unspecified {
         /// The text.
         text: String,
     },
 }
 
-/// A key file that cannot be used.
+/// A key file is invalid.
 #[derive(Debug, Error)]
 pub enum KeyFileError {
     /// The file cannot be read.
@@ -105,10 +105,10 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// The error of the system.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The text holds no usable keys.
+    /// The text does not contain valid keys.
     #[error("{}: {source}", path.display())]
     Malformed {
         /// The file.
@@ -118,7 +118,7 @@
     },
 }
 
-/// Reads a JSON file into a type.
+/// Reads and deserializes a JSON file.
 pub fn read_json<T: DeserializeOwned>(path: &Path) -> Result<T, ConfigError> {
     let mut text =
         std::fs::read(path).map_err(|source| ConfigError::Unreadable { path: path.to_path_buf(), source })?;
@@ -126,12 +126,12 @@
         .map_err(|source| ConfigError::Malformed { path: path.to_path_buf(), source })
 }
 
-/// The path of `file`, which a file at `path` names relative to its own folder.
+/// Resolves the path `file`, found in the file at `path`, relative to that file's folder.
 pub fn resolve_beside(path: &Path, file: &Path) -> PathBuf {
     path.parent().map_or_else(|| file.to_path_buf(), |folder| folder.join(file))
 }
 
-/// Reads the message keys of `file`, which a file at `path` names relative to its own folder.
+/// Reads the message keys from `file`, a path relative to the folder of the file at `path`.
 pub fn read_keys_beside(path: &Path, file: &Path) -> Result<MessageKeys, KeyFileError> {
     let file = resolve_beside(path, file);
     let text = match std::fs::read_to_string(&file) {
@@ -141,7 +141,7 @@
     MessageKeys::parse(&text).map_err(|source| KeyFileError::Malformed { path: file, source })
 }
 
-/// Parses the socket address of one host, `ADDRESS:PORT`.
+/// Parses the socket address of a single host, `ADDRESS:PORT`.
 pub fn parse_address(text: &str) -> Result<SocketAddr, AddressError> {
     match text.parse::<SocketAddr>() {
         Ok(address) if address.ip() == Ipv4Addr::UNSPECIFIED => {
--- a/src/datagram_auth/tests.rs
+++ b/src/datagram_auth/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_signature_is_valid_once_for_its_message_and_key() {
+fn a_datagram_is_accepted_once_and_only_with_its_message_and_key() {
     let from: SocketAddr = "127.0.0.2:5112".parse().unwrap();
     let now = 1_764_576_000_000.0;
     let (mut sender, mut receiver) = (auth(&[1]), auth(&[1]));
@@ -21,7 +21,7 @@
     assert_eq!(receiver.verify(now, from, &signed), Err(AuthError::Replayed));
     let (one, two) = (sender.sign(now, vec![1]), sender.sign(now, vec![2]));
     assert!(receiver.verify(now, from, &two).is_ok(), "sequence numbers grow within one microsecond too");
-    assert_eq!(receiver.verify(now, from, &one), Err(AuthError::Replayed), "overtaken");
+    assert_eq!(receiver.verify(now, from, &one), Err(AuthError::Replayed), "reordered");
     for position in 0..signed.len() {
         let mut altered = sender.sign(now, vec![0x31, 7, 100]);
         altered[position] ^= 1;
@@ -37,12 +37,12 @@
     assert_eq!(
         restarted.verify(now + 6_000.0, from, &recorded),
         Err(AuthError::ClockSkew),
-        "recorded and sent later"
+        "replayed after a restart"
     );
 }
 
 #[test]
-fn keys_are_rotated_without_rejecting_a_datagram() {
+fn key_rotation_rejects_no_datagram_signed_with_an_active_key() {
     let from: SocketAddr = "127.0.0.2:5112".parse().unwrap();
     let (mut old, mut new) = (auth(&[1]), auth(&[1, 2]));
     assert!(new.verify(9e6, from, &old.sign(9e6, vec![1])).is_ok());
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 client for JSON calls: one request on a connection, with a time-out for the whole call.
+//! A minimal HTTP/1.1 client for JSON calls: one request per connection, with a timeout for the whole call.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,35 +6,35 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The largest response, in bytes.
-pub const MAX_RESPONSE: usize = 4 << 20;
-/// The most headers of a response.
+/// Maximum size of a response, in bytes.
+pub const MAX_RESPONSE_BYTES: usize = 4 << 20;
+/// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 32;
-/// Bytes read at once.
-const READ_BUFFER: usize = 16_384;
+/// Size of the read buffer, in bytes.
+const READ_BUFFER_BYTES: usize = 16_384;
 
-/// A call that failed.
+/// A call failed.
 #[derive(Debug, Error)]
 pub enum CallError {
     /// No connection was established in time.
-    #[error("no connection to {0} in time")]
+    #[error("connecting to {0} timed out")]
     ConnectTimeout(SocketAddr),
     /// The connection failed.
     #[error("{address}: {source}")]
     Connection {
         /// The address.
         address: SocketAddr,
-        /// The error of the system.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// No complete response arrived in time.
-    #[error("no complete response from {0} in time")]
+    #[error("the response from {0} timed out")]
     Timeout(SocketAddr),
-    /// The response is larger than [`MAX_RESPONSE`].
-    #[error("the response of {0} is too large")]
+    /// The response is larger than [`MAX_RESPONSE_BYTES`].
+    #[error("the response from {0} is too large")]
     TooLarge(SocketAddr),
     /// The response is malformed, or the connection ended before it was complete.
-    #[error("the response of {0} is malformed or incomplete")]
+    #[error("the response from {0} is malformed or incomplete")]
     Malformed(SocketAddr),
 }
 
@@ -70,7 +70,7 @@
     tokio::time::timeout_at(deadline, exchange).await.map_err(|_| CallError::Timeout(address))?
 }
 
-/// Writes a request, and reads until its response is complete.
+/// Writes a request and reads until its response is complete.
 async fn exchange(
     stream: &mut TcpStream,
     address: SocketAddr,
@@ -81,14 +81,14 @@
     stream.write_all(head).await.map_err(connection_error)?;
     stream.write_all(body).await.map_err(connection_error)?;
     let mut received = Vec::new();
-    let mut buffer = [0u8; READ_BUFFER];
+    let mut buffer = [0u8; READ_BUFFER_BYTES];
     loop {
         let n = stream.read(&mut buffer).await.map_err(connection_error)?;
         if n == 0 {
             return Err(CallError::Malformed(address));
         }
         received.extend_from_slice(&buffer[..n]);
-        if received.len() > MAX_RESPONSE {
+        if received.len() > MAX_RESPONSE_BYTES {
             return Err(CallError::TooLarge(address));
         }
         if let Some(response) = parse_complete(&received) {
@@ -97,8 +97,8 @@
     }
 }
 
-/// The response, once its head and all of its body have arrived. Only responses with `Content-Length` are
-/// understood.
+/// Returns the response once its head and whole body have arrived. Only responses with `Content-Length` are
+/// supported.
 fn parse_complete(received: &[u8]) -> Option<Response> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,21 +1,21 @@
-//! A caching reverse proxy in front of tiers of caches with one origin behind them.
+//! An edge proxy that routes requests to tiers of caches in front of one origin.
 //!
-//! The decision module, [`Router`], chooses caches, sources of fills, time-outs, retries and rejections. It
-//! does no I/O: its host owns clock, threads and network. The host makes a [`Router`] from [`PolicySettings`]
-//! and a seed, passes it each [`Event`] with the time, and carries out the [`Action`]s that it returns, in
-//! order. The same events at the same times with the same seed give the same actions. In the proxy the
-//! [`engine`] is the host; the simulator's adapter is another.
+//! The decision module, [`Router`], chooses caches, fill sources, timeouts, retries and rejections. It does
+//! no I/O: its host owns the clock, threads and network. The host creates a [`Router`] from
+//! [`PolicySettings`] and a seed, passes it each [`Event`] with the current time, and executes the returned
+//! [`Action`]s in order. The router is deterministic: the same events at the same times with the same seed
+//! give the same actions. In the proxy, the [`engine`] is the host; the simulator adapter is another.
 //!
 //! The host must
 //!
 //! - pass one [`Event::AttemptEnded`] for each [`Action::Forward`], one [`Event::HealthChecked`] for each
 //!   [`Action::CheckHealth`] and one [`Event::Timer`] for each [`Action::SetTimer`];
-//! - pass times that never run backwards;
-//! - number the attempts of each request from 0 in the order in which they are sent;
-//! - pass no event of a request from before a restart.
+//! - pass monotonic times;
+//! - number the attempts of each request from 0 in sending order;
+//! - drop events of requests from before a restart.
 //!
-//! Every request gets one [`Action::Reject`] or [`Action::Fail`], unless it is concluded by an
-//! [`Event::AttemptEnded`] with `closed` set or by an [`Event::ClientDisconnected`].
+//! Every request gets exactly one [`Action::Reject`] or [`Action::Fail`], unless an [`Event::AttemptEnded`]
+//! with `closed` set or an [`Event::ClientDisconnected`] ends it.
 //!
 //! ```
 //! use edge_proxy::*;
@@ -54,7 +54,7 @@
 //! });
 //! let first = sent.expect("an attempt, filled from the parent");
 //!
-//! // The cache's machine is down: the router sends the next attempt to the other cache.
+//! // The cache is unreachable: the router sends the next attempt to the other cache.
 //! actions.clear();
 //! let outcome = Event::AttemptEnded {
 //!     id: 1, attempt: 0, outcome: AttemptOutcome::NoConnection, cache_status: CacheStatus::Unknown, elapsed: 2_000, closed: false,
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The edge proxy's program: see [`cli`].
+//! The edge proxy binary. See [`cli`] for its commands.
 
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::cognitive_complexity))]
 #![cfg_attr(not(test), warn(clippy::unwrap_used))]
--- a/src/message_auth.rs
+++ b/src/message_auth.rs
@@ -1,7 +1,7 @@
-//! Keys for message authentication (HMAC-SHA256, RFC 2104) that can be rotated. No I/O.
+//! Rotatable keys for message authentication (HMAC-SHA256, RFC 2104). No I/O.
 //!
-//! A key file has one key in base64 on each line. The first key signs, and all keys verify. Empty lines and
-//! lines that begin with `#` are skipped.
+//! A key file has one base64 key per line. The first key signs; all keys verify. Empty lines and lines that
+//! begin with `#` are skipped.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
@@ -11,15 +11,15 @@
 
 /// Length of a signature, in bytes.
 pub const SIGNATURE_BYTES: usize = 32;
-/// Least length of a key, in bytes.
+/// Minimum length of a key, in bytes.
 const MIN_KEY_BYTES: usize = 32;
-/// Most keys in a file: the one that signs, and those that are being phased out or in.
+/// Maximum number of keys in a file: the signing key, and keys that are being rotated in or out.
 const MAX_KEYS: usize = 4;
 
-/// A key file's text that holds no usable keys.
+/// The text of a key file is invalid.
 #[derive(Debug, Error)]
 pub enum KeyError {
-    /// A line is not base64.
+    /// A line is not valid base64.
     #[error("key {number}: {source}")]
     Encoding {
         /// Number of the key, from 1.
@@ -27,23 +27,23 @@
         /// The decoder's error.
         source: base64::DecodeError,
     },
-    /// A key is shorter than 32 bytes.
-    #[error("key {number}: {length} bytes are fewer than {MIN_KEY_BYTES}")]
+    /// A key is shorter than the minimum length.
+    #[error("key {number}: {length} bytes are fewer than the minimum of {MIN_KEY_BYTES}")]
     TooShort {
         /// Number of the key, from 1.
         number: usize,
         /// Length of the key, in bytes.
         length: usize,
     },
-    /// There is no key, or more than 4.
-    #[error("{count} keys are not within 1 to {MAX_KEYS}")]
+    /// There is no key, or more than the maximum.
+    #[error("{count} keys; 1 to {MAX_KEYS} are allowed")]
     Count {
         /// How many keys there are.
         count: usize,
     },
 }
 
-/// Keys of which the first signs and all verify.
+/// A set of keys: the first signs, all verify.
 #[derive(Clone)]
 pub struct MessageKeys(Vec<Vec<u8>>);
 
@@ -65,22 +65,21 @@
         Ok(Self(keys))
     }
 
-    /// A random key that no other process has.
+    /// Generates a random key that is unique to this process.
     pub fn random() -> Self {
         let half = || rand::random::<u128>().to_be_bytes();
         Self(vec![[half(), half()].concat()])
     }
 
-    /// The signature of the first key over a label, which separates uses of the keys, and parts of fixed
-    /// lengths.
+    /// Signs a label and message parts with the first key. The label separates uses of the keys. Parts are
+    /// not delimited: all but one must have a fixed length.
     pub fn sign(&self, label: &[u8], parts: &[&[u8]]) -> [u8; SIGNATURE_BYTES] {
-        authenticator(&self.0[0], label, parts).finalize().into_bytes().into()
+        compute_mac(&self.0[0], label, parts).finalize().into_bytes().into()
     }
 
-    /// Whether `signature`, or a signature cut off to its length, is that of any key. Compares in constant
-    /// time.
+    /// Whether `signature`, possibly truncated, matches any key. Compares in constant time.
     pub fn verify(&self, label: &[u8], parts: &[&[u8]], signature: &[u8]) -> bool {
-        self.0.iter().any(|key| authenticator(key, label, parts).verify_truncated_left(signature).is_ok())
+        self.0.iter().any(|key| compute_mac(key, label, parts).verify_truncated_left(signature).is_ok())
     }
 }
 
@@ -93,8 +92,8 @@
     Ok(key)
 }
 
-/// The HMAC of a key over a label and parts.
-fn authenticator(key: &[u8], label: &[u8], parts: &[&[u8]]) -> Hmac<Sha256> {
+/// Computes the HMAC of a label and message parts.
+fn compute_mac(key: &[u8], label: &[u8], parts: &[&[u8]]) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC accepts a key of any length");
     mac.update(label);
     parts.iter().for_each(|part| mac.update(part));
--- a/src/response_path.rs
+++ b/src/response_path.rs
@@ -1,38 +1,37 @@
-//! The path of a response: where a cache's bytes came from, or where a fill failed.
+//! The path of a response: where its body came from, or where a cache fill failed.
 //!
-//! The cache protocol names it in the field `note`, the simulator numbers the same names from 1. The settings
-//! (`familyInfo.notesGiven`) announce how much of it caches report; a path that was not announced is used all
-//! the same.
+//! The cache protocol carries its name in the field `note`; the simulator numbers the same names from 1. The
+//! settings (`familyInfo.notesGiven`) announce which paths caches report, but unannounced paths are used too.
 
 use crate::CacheStatus;
 
-/// The path of one response, in the terms of RFC 9211 where it has them.
+/// The path of one response. Terms follow RFC 9211 where possible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponsePath {
     /// The cache had a fresh copy.
     Hit,
-    /// The cache filled the copy from its source's copy.
+    /// The cache filled the copy from a copy at the source.
     FilledFromSource,
-    /// The cache filled the copy, and the source forwarded to the origin.
+    /// The cache filled the copy through the source from the origin.
     FilledFromOrigin,
-    /// The request joined a fill in progress; on a miss, there is one.
+    /// The request was collapsed into a fill in progress.
     Collapsed,
-    /// The cache served a copy that was no longer fresh.
+    /// The cache served a stale copy.
     StaleHit,
     /// The source rejected the fill.
     SourceBusy,
-    /// The source was not reached, broke off or was too slow.
+    /// The source was unreachable, lost the connection or was too slow.
     SourceUnreachable,
     /// The source has no copy.
     NotAtSource,
-    /// The cache is at its limit of concurrent fills.
+    /// The cache reached its limit of concurrent fills.
     FillLimitReached,
-    /// The origin failed behind the parent.
+    /// The parent's request to the origin failed.
     OriginFailed,
 }
 
 impl ResponsePath {
-    /// Each path with its name in the cache protocol, in the order of the simulator's numbers, which begin at
+    /// Each path with its name in the cache protocol, in the order of the simulator's numbers, which start at
     /// 1.
     const NAMES: [(&'static str, Self); 10] = [
         ("HIT", Self::Hit),
@@ -47,12 +46,12 @@
         ("ORIGIN_ERR", Self::OriginFailed),
     ];
 
-    /// The path of a name in the cache protocol; none for an unknown name.
+    /// Looks up a name of the cache protocol. Returns `None` for an unknown name.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::NAMES.iter().find(|(known, _)| *known == name).map(|(_, path)| *path)
     }
 
-    /// The path of a number of the simulator; none for 0 and for numbers past the last.
+    /// Looks up a number of the simulator. Returns `None` for 0 and for numbers past the last.
     pub fn from_number(number: u64) -> Option<Self> {
         let index = usize::try_from(number.checked_sub(1)?).ok()?;
         Self::NAMES.get(index).map(|(_, path)| *path)
@@ -60,7 +59,7 @@
 }
 
 impl From<Option<ResponsePath>> for CacheStatus {
-    /// The status for the policy; [`CacheStatus::Unknown`] where a response has no known path.
+    /// Maps a path to the status that the policy uses; [`CacheStatus::Unknown`] for an unknown path.
     fn from(path: Option<ResponsePath>) -> Self {
         let Some(path) = path else { return Self::Unknown };
         match path {
--- a/src/response_path/tests.rs
+++ b/src/response_path/tests.rs
@@ -1,7 +1,7 @@
 use super::ResponsePath;
 use crate::CacheStatus;
 
-/// Each name has the simulator's number of the same meaning, and both map to the same status.
+/// Guards against names and simulator numbers that disagree.
 #[test]
 fn names_and_numbers_map_to_the_same_status() {
     let expected = [
--- a/src/surrogate_key.rs
+++ b/src/surrogate_key.rs
@@ -1,12 +1,12 @@
-//! Surrogate keys: the labels that an origin gives to its responses, as CDNs carry them in `Surrogate-Key` or
-//! `Cache-Tag`, so that one purge removes every copy with a label.
+//! Surrogate keys: labels that an origin attaches to its responses, as in the `Surrogate-Key` and `Cache-Tag`
+//! headers of CDNs. One purge removes all copies that carry a key.
 
 use thiserror::Error;
 
-/// The longest surrogate key, in bytes.
+/// Maximum length of a surrogate key, in bytes.
 pub const MAX_SURROGATE_KEY: usize = 128;
 
-/// A text that is no surrogate key.
+/// A string is not a valid surrogate key.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("a tag is 1 to {MAX_SURROGATE_KEY} letters, digits or `-._~:`, not `{text}`")]
 pub struct SurrogateKeyError {
@@ -19,7 +19,7 @@
 pub struct SurrogateKey(Box<str>);
 
 impl SurrogateKey {
-    /// Checks a text.
+    /// Validates a string.
     pub fn new(text: &str) -> Result<Self, SurrogateKeyError> {
         let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-._~:".contains(&b);
         if text.is_empty() || text.len() > MAX_SURROGATE_KEY || !text.bytes().all(allowed) {
--- a/src/text.rs
+++ b/src/text.rs
@@ -1,13 +1,13 @@
-//! Text forms of ids that protocols, operators' files and log lines share.
+//! Text representations of ids, shared by protocols, operators' files and log lines.
 
 use crate::EndpointId;
 
-/// The text form of an endpoint's id: `s-` and eight hex digits.
+/// Formats an endpoint id as `s-` and eight hex digits.
 pub fn format_endpoint_id(id: EndpointId) -> String {
     format!("s-{id:08x}")
 }
 
-/// Parses the text form of an endpoint's id.
+/// Parses an endpoint id of the form that [`format_endpoint_id`] produces.
 pub fn parse_endpoint_id(text: &str) -> Option<EndpointId> {
     let digits = text.strip_prefix("s-")?;
     (digits.len() == 8 && digits.bytes().all(|b| b.is_ascii_hexdigit()))
@@ -20,7 +20,7 @@
         .then(|| u64::from_str_radix(text, 16).ok())?
 }
 
-/// Whether a text can be a field's value in the cache protocol: visible ASCII without `,` and `=`.
+/// Whether a string is a valid field value of the cache protocol: visible ASCII without `,` and `=`.
 pub fn is_field_value(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'=')
 }
