--- a/src/lifecycle/bind.rs
+++ b/src/lifecycle/bind.rs
@@ -1,4 +1,4 @@
-//! Opening of sockets, with a wait for an address that an ending process still holds.
+//! Binds sockets, with retries while a terminating process still holds the address.
 
 use super::error::ServeError;
 use crate::clock::duration_from_ms;
@@ -7,23 +7,23 @@
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, UdpSocket};
 
-/// How often an address in use is tried, in milliseconds.
+/// Interval between attempts to bind an address in use, in milliseconds.
 const RETRY_INTERVAL_MS: f64 = 10.0;
-/// How often an address in use is tried again before it counts as taken: for 3 s, since a process that was just killed
-/// holds its addresses until the system has taken its memory and sockets back.
+/// Number of retries for an address in use. With [`RETRY_INTERVAL_MS`], 3 s: a process that was just killed
+/// holds its sockets until the system has released its memory.
 const MAX_RETRIES: u32 = 300;
 
-/// Listens for TCP connections at an address.
+/// Binds a TCP listener to an address.
 pub async fn bind_tcp(address: SocketAddr) -> Result<TcpListener, ServeError> {
     retry_while_in_use(address, || TcpListener::bind(address)).await
 }
 
-/// Opens a UDP socket at an address.
+/// Binds a UDP socket to an address.
 pub async fn bind_udp(address: SocketAddr) -> Result<UdpSocket, ServeError> {
     retry_while_in_use(address, || UdpSocket::bind(address)).await
 }
 
-/// Opens a socket by `open`, and tries again while another process holds the address, up to `MAX_RETRIES` times.
+/// Opens a socket with `open`, and retries up to `MAX_RETRIES` times while another process holds the address.
 pub async fn retry_while_in_use<O, F, S>(address: SocketAddr, open: O) -> Result<S, ServeError>
 where
     O: Fn() -> F,
@@ -33,7 +33,7 @@
         match open().await {
             Err(error) if error.kind() == ErrorKind::AddrInUse => {
                 if retry == 0 {
-                    tracing::warn!(at = %address, "the address is in use, probably by a process that is ending");
+                    tracing::warn!(at = %address, "the address is in use; retrying until it is free");
                 }
                 tokio::time::sleep(duration_from_ms(RETRY_INTERVAL_MS)).await;
             }
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -1,5 +1,5 @@
-//! The configuration of one proxy, as the platform hands it over. The keys of the file are mapped to the names of this
-//! module here.
+//! The configuration file of one proxy, written by the platform. Maps the file's keys to the names used in
+//! the code.
 
 use crate::config_file::{parse_address, read_json, AddressError, BoxError, ConfigError};
 use crate::settings::PlatformSettings;
@@ -12,26 +12,26 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The fewest file descriptors with which a proxy can work.
+/// Minimum limit on file descriptors.
 const MIN_DESCRIPTORS: usize = 32;
-/// The file descriptors that a proxy may hold where the file does not name a number.
+/// Default limit on file descriptors.
 const DEFAULT_DESCRIPTORS: usize = 1_024;
-/// The environment variable that names the admin address, before the file does: a new process may be given the file of
-/// the old one with an address of its own.
+/// Environment variable that overrides the admin address of the file, so that a new process can use the file
+/// of the old one with its own address.
 const ADMIN_ADDRESS_VARIABLE: &str = "NODE_MGMT";
-/// The base in which the seed is written.
+/// The radix of the seed.
 const SEED_RADIX: u32 = 16;
 
 /// The configuration.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Config {
-    /// The proxy's name.
+    /// Name of the proxy.
     #[serde(default)]
     pub name: String,
-    /// The address of the platform's front.
+    /// The listen address of the platform's front.
     #[serde(rename = "listen")]
     listen_address: String,
-    /// The seed of random numbers: 16 hex digits.
+    /// The random seed, in hexadecimal.
     #[serde(default)]
     seed: String,
     /// The limits of the process.
@@ -40,22 +40,22 @@
     /// The address of the discovery service.
     #[serde(rename = "bulletin")]
     discovery_address: String,
-    /// The admin address, if there is one.
+    /// The admin address, if any.
     #[serde(rename = "mgmt", default)]
     admin_address: Option<String>,
-    /// The endpoint list at the start.
+    /// The initial endpoint list.
     #[serde(rename = "known", default)]
     pub initial_state: InitialState,
-    /// The settings.
+    /// The platform settings.
     pub settings: PlatformSettings,
-    /// The platform holds the listening socket of the platform's front and hands it over, so that a new process may
-    /// serve beside this one.
+    /// Whether the front's listening socket was inherited from the platform. A new process may then serve on
+    /// the same socket at the same time.
     #[serde(skip)]
     pub handed_over: bool,
-    /// The file that it was read from.
+    /// The path of the configuration file.
     #[serde(skip)]
     path: PathBuf,
-    /// The JSON of the file, without the initial state.
+    /// The JSON document of the file, without the initial state.
     #[serde(skip)]
     document: OwnedValue,
 }
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct ProcessLimits {
-    /// The file descriptors that it may hold.
+    /// Maximum number of open file descriptors.
     #[serde(rename = "sockets")]
     pub max_descriptors: usize,
 }
@@ -75,7 +75,7 @@
     }
 }
 
-/// A seed that is no hexadecimal number.
+/// The seed is not a hexadecimal number.
 #[derive(Debug, Error)]
 #[error("{text:?}: {source}")]
 pub struct SeedError {
@@ -83,16 +83,16 @@
     source: ParseIntError,
 }
 
-/// Too few file descriptors for a proxy to work with.
+/// The limit on file descriptors is below the minimum.
 #[derive(Debug, Error)]
-#[error("{0} are too few")]
+#[error("{0} file descriptors are fewer than the minimum of {MIN_DESCRIPTORS}")]
 struct TooFewDescriptors(usize);
 
 impl Config {
-    /// Reads and checks a configuration.
+    /// Reads and validates a configuration file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut document: OwnedValue = read_json(path)?;
-        // The initial state is long, and its keys may change between two reads.
+        // Dropped because it is large and because its keys may change between two reads.
         if let Some(initial_state) = document.get_mut("known") {
             *initial_state = OwnedValue::default();
         }
@@ -103,8 +103,8 @@
         Ok(config)
     }
 
-    /// Reads and checks the same file as it stands by now. Guards a running proxy against a file that lost a key: a key
-    /// that may be absent at the start would read as its default.
+    /// Reads and validates the same file again. Rejects a file that has lost a key, as an optional key would
+    /// silently revert to its default.
     pub fn reload(&self) -> Result<Self, ConfigError> {
         let fresh = Self::read(&self.path)?;
         match missing_key(&self.document, &fresh.document) {
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    /// The address of the platform's front.
+    /// The listen address of the platform's front.
     pub fn listen_address(&self) -> Result<SocketAddr, AddressError> {
         parse_address(&self.listen_address)
     }
@@ -139,13 +139,13 @@
         parse_address(&self.discovery_address)
     }
 
-    /// The admin address, if there is one.
+    /// The admin address, if any.
     pub fn admin_address(&self) -> Result<Option<SocketAddr>, AddressError> {
         let variable = std::env::var(ADMIN_ADDRESS_VARIABLE).ok().filter(|text| !text.is_empty());
         variable.or_else(|| self.admin_address.clone()).as_deref().map(parse_address).transpose()
     }
 
-    /// The seed of random numbers; 0 where the file has none.
+    /// The random seed; 0 if the file has none.
     pub fn seed(&self) -> Result<u64, SeedError> {
         match self.seed.as_str() {
             "" => Ok(0),
@@ -155,7 +155,8 @@
     }
 }
 
-/// A key of `old` that `new` lacks. Items of a list may come and go, but each has the keys that all old ones had.
+/// Returns the path of a key that is in `old` but not in `new`. Items of a list may be added and removed, but
+/// each new item must have the keys that all old items share.
 fn missing_key(old: &OwnedValue, new: &OwnedValue) -> Option<String> {
     if let Some(old) = old.as_object() {
         return old.iter().filter(|(_, value)| !value.is_null()).find_map(|(key, value)| {
@@ -166,8 +167,8 @@
         });
     }
     let (old, new) = (old.as_array()?, new.as_array()?);
-    let is_in_all = |key: &String| old.iter().all(|item| item.get(key.as_str()).is_some());
-    let keys: Vec<&String> = old.first()?.as_object()?.keys().filter(|key| is_in_all(key)).collect();
+    let is_common = |key: &String| old.iter().all(|item| item.get(key.as_str()).is_some());
+    let keys: Vec<&String> = old.first()?.as_object()?.keys().filter(|key| is_common(key)).collect();
     new.iter()
         .find_map(|item| keys.iter().find(|key| item.get(key.as_str()).is_none()).map(|key| (*key).clone()))
 }
--- a/src/lifecycle/descriptors.rs
+++ b/src/lifecycle/descriptors.rs
@@ -1,78 +1,83 @@
-//! The budget of file descriptors: each kind of connection has its own part of those that a process may hold, so that
-//! idle clients cannot use up those of the endpoint watch, of connections to endpoints or of the admin address.
+//! The file descriptor budget. Each kind of connection has its own share, so that idle clients cannot exhaust
+//! the descriptors of the endpoint watch, the connections to endpoints or the admin address.
 
 use crate::wire::admin::MAX_CLIENTS as MAX_ADMIN_CLIENTS;
 use rlimit::Resource;
 use thiserror::Error;
 
-/// Descriptors that a serving process opens besides connections that are counted here: listeners, the endpoint watch
-/// and the one that replaces it, a registry's watch, a file that is read, and one client a listener that waits for a
+/// Descriptors reserved for what the budget does not count: listeners, the endpoint watch and its
+/// replacement, the registry watch, a file being read, and one accepted client per listener that waits for a
 /// slot.
-const UNCOUNTED: usize = 8;
-/// Descriptors that are open before anything is served where they cannot be counted: standard streams, the runtime's.
-const OPEN_AT_START: usize = 8;
-/// The fewest connections of clients, and of endpoints, with which anything can be served.
+const RESERVED_DESCRIPTORS: usize = 8;
+/// Number of descriptors assumed open at the start, for the standard streams and the runtime, if they cannot
+/// be counted.
+const DEFAULT_OPEN_DESCRIPTORS: usize = 8;
+/// Minimum number of connections, both to clients and to endpoints.
 const MIN_CONNECTIONS: usize = 1;
-/// The admin address has one descriptor in this many, and [`MAX_ADMIN_CLIENTS`] at most.
+/// The admin address gets one descriptor in this many, up to [`MAX_ADMIN_CLIENTS`].
 const DESCRIPTORS_PER_ADMIN_CLIENT: usize = 16;
-/// The operating system's list of this process's open descriptors.
-const OPEN_DESCRIPTORS: &str = "/proc/self/fd";
+/// Linux's list of the open descriptors of this process.
+const DESCRIPTOR_DIR: &str = "/proc/self/fd";
 
-/// The descriptors of a process before it serves.
+/// The file descriptors of a process at startup.
 #[derive(Clone, Copy, Debug)]
 pub struct Descriptors {
-    /// Those that it may hold.
+    /// Maximum number of open descriptors.
     pub max: usize,
-    /// Those that are open.
+    /// Number of descriptors that are open already.
     pub open: usize,
 }
 
 impl Descriptors {
-    /// The descriptors of this process, which may hold `configured` by its configuration and fewer where the operating
-    /// system allows fewer.
+    /// The descriptors of this process. The limit is the lower of `configured` and the soft limit of the
+    /// system.
     pub fn of_process(configured: usize) -> Self {
         let system = Resource::NOFILE
             .get()
             .map_or(usize::MAX, |(soft, _)| usize::try_from(soft).unwrap_or(usize::MAX));
         let max = configured.min(system);
-        Self { max, open: count_open_below(max).unwrap_or(OPEN_AT_START) }
+        Self { max, open: count_open_below(max).unwrap_or(DEFAULT_OPEN_DESCRIPTORS) }
     }
 
-    /// The descriptors of a process that may hold `configured` and has opened what any process does.
+    /// The descriptors of a hypothetical process with the limit `configured` and the usual number of open
+    /// descriptors.
     pub fn expected(configured: usize) -> Self {
-        Self { max: configured, open: OPEN_AT_START }
+        Self { max: configured, open: DEFAULT_OPEN_DESCRIPTORS }
     }
 }
 
-/// Counts the open descriptors with a number below `max`: only those count against the system's limit.
+/// Counts the open descriptors below `max`: only those count against the limit of the system.
 fn count_open_below(max: usize) -> Option<usize> {
-    let entries = std::fs::read_dir(OPEN_DESCRIPTORS).ok()?;
+    let entries = std::fs::read_dir(DESCRIPTOR_DIR).ok()?;
     let numbers = entries.filter_map(|entry| entry.ok()?.file_name().to_str()?.parse::<usize>().ok());
-    // One of them is that of the list.
+    // Minus the descriptor of the directory listing itself.
     Some(numbers.filter(|number| *number < max).count().saturating_sub(1))
 }
 
-/// The descriptors that are needed besides those of the platform's clients, the endpoints and the admin address.
+/// The descriptors needed besides those for the platform's clients, the endpoints and the admin address.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DescriptorDemand {
-    /// Clients of signed URLs, at all listeners.
+    /// Clients of signed URLs, over all listeners.
     pub signed_url_clients: usize,
-    /// All other subsystems, each within the bounds of its own file.
+    /// All other subsystems, as configured in their files.
     pub other_subsystems: usize,
-    /// A new process may serve beside this one: both have their descriptors of one limit.
+    /// Whether the listening socket was inherited: a new process may then serve at the same time and share
+    /// the limit.
     pub handed_over: bool,
 }
 
 impl DescriptorDemand {
-    /// The descriptors of all subsystems that are on.
+    /// The descriptors of all enabled subsystems.
     pub fn subsystems(&self) -> usize {
         self.signed_url_clients + self.other_subsystems
     }
 }
 
-/// The limit of descriptors does not suffice for the subsystems that are on.
+/// The descriptor limit is too low for the enabled subsystems.
 #[derive(Debug, Error)]
-#[error("{max} are too few: what is on needs {needed} beside clients and endpoints")]
+#[error(
+    "{max} file descriptors are too few: the enabled subsystems need {needed}, besides clients and endpoints"
+)]
 pub struct InsufficientDescriptors {
     /// The limit.
     pub max: usize,
@@ -80,29 +85,29 @@
     pub needed: usize,
 }
 
-/// How many connections of each kind there may be.
+/// The maximum number of connections of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
-    /// The platform's clients, at all listeners.
+    /// The platform's clients, over all listeners.
     pub clients: usize,
     /// Connections to all endpoints.
     pub endpoints: usize,
     /// Clients of the admin address.
     pub admin_clients: usize,
-    /// The descriptors do not suffice for what is on.
+    /// Whether the limit is too low for the enabled subsystems.
     pub is_insufficient: bool,
 }
 
 impl DescriptorBudget {
-    /// Divides the descriptors: two fifths to clients and two fifths to endpoints, where that leaves enough for the rest.
+    /// Divides the descriptors: up to two fifths each for clients and endpoints, less if the rest needs more.
     pub fn new(descriptors: Descriptors, demand: DescriptorDemand) -> Self {
         let Descriptors { max, open } = descriptors;
         let two_fifths = max * 2 / 5;
         let admin_clients = MAX_ADMIN_CLIENTS.min(max / DESCRIPTORS_PER_ADMIN_CLIENT).max(1);
-        let spare = max.saturating_sub(open + UNCOUNTED + admin_clients + demand.subsystems());
-        let endpoint_part = if demand.handed_over { max / 4 } else { two_fifths };
+        let spare = max.saturating_sub(open + RESERVED_DESCRIPTORS + admin_clients + demand.subsystems());
+        let endpoint_share = if demand.handed_over { max / 4 } else { two_fifths };
         let clients = two_fifths.min(spare / 2);
-        let endpoints = endpoint_part.saturating_sub(demand.signed_url_clients / 2).min(spare - clients);
+        let endpoints = endpoint_share.saturating_sub(demand.signed_url_clients / 2).min(spare - clients);
         Self {
             clients: clients.max(MIN_CONNECTIONS),
             endpoints: endpoints.max(MIN_CONNECTIONS),
--- a/src/lifecycle/descriptors/tests.rs
+++ b/src/lifecycle/descriptors/tests.rs
@@ -2,10 +2,13 @@
 
 fn assert_within_limit(max: usize, budget: DescriptorBudget, demand: DescriptorDemand) {
     let counted = budget.clients + budget.endpoints + budget.admin_clients + demand.subsystems();
-    assert!(counted + OPEN_AT_START + UNCOUNTED <= max, "{max}: {budget:?} and {demand:?}");
+    assert!(
+        counted + DEFAULT_OPEN_DESCRIPTORS + RESERVED_DESCRIPTORS <= max,
+        "{max}: {budget:?} and {demand:?}"
+    );
 }
 
-/// Whatever the limit, the budget and what is set aside fit into it.
+/// Guards against running out of descriptors because the budget and the reserve exceed the limit.
 #[test]
 fn the_budget_never_exceeds_the_limit() {
     for max in 24..4_096 {
@@ -22,9 +25,9 @@
     }
 }
 
-/// A usual limit is divided in fifths: what is set aside comes out of the last fifth.
+/// The reserve and the admin address come out of the last fifth.
 #[test]
-fn a_usual_limit_is_divided_in_fifths() {
+fn a_sufficient_limit_gives_two_fifths_each_to_clients_and_endpoints() {
     let descriptors = Descriptors::expected(1_024);
     let budget = DescriptorBudget::new(descriptors, DescriptorDemand::default());
     let fifths = DescriptorBudget { clients: 409, endpoints: 409, admin_clients: 16, is_insufficient: false };
@@ -33,9 +36,8 @@
     assert_eq!(DescriptorBudget::new(descriptors, handed_over).endpoints, 256);
 }
 
-/// A lack of descriptors is reported, and still leaves something to each.
 #[test]
-fn a_lack_of_descriptors_is_reported() {
+fn a_limit_too_low_for_the_demand_is_reported_and_leaves_each_kind_a_connection() {
     let demand = DescriptorDemand { other_subsystems: 60, ..DescriptorDemand::default() };
     let budget = DescriptorBudget::new(Descriptors::expected(64), demand);
     assert!(budget.is_insufficient);
@@ -44,9 +46,8 @@
     assert!(!budget.is_insufficient);
 }
 
-/// The system's limit counts where it is lower than the configuration's.
 #[test]
-fn the_systems_limit_counts_too() {
+fn the_lower_of_the_system_and_configured_limits_applies() {
     let (soft, _) = Resource::NOFILE.get().unwrap();
     let descriptors = Descriptors::of_process(usize::MAX);
     assert_eq!(descriptors.max as u64, soft);
--- a/src/lifecycle/engine_setup.rs
+++ b/src/lifecycle/engine_setup.rs
@@ -1,4 +1,4 @@
-//! The engine of a configuration, with the bounds that the process's file descriptors allow.
+//! Creates the engine from a configuration, with limits derived from the file descriptor budget.
 
 use super::config::Config;
 use super::descriptors::{DescriptorBudget, DescriptorDemand, Descriptors};
@@ -9,17 +9,17 @@
 use crate::state::connections::ConnectionLimits;
 use std::rc::Rc;
 
-/// Connections to one endpoint: one for each 64 descriptors, within these bounds.
+/// One connection to an endpoint is allowed per this many descriptors, within the bounds below.
 const DESCRIPTORS_PER_ENDPOINT_CONNECTION: usize = 64;
-/// The fewest connections to one endpoint.
+/// Minimum limit on connections to one endpoint.
 const MIN_ENDPOINT_CONNECTIONS: usize = 2;
-/// The most connections to one endpoint.
+/// Maximum limit on connections to one endpoint.
 const MAX_ENDPOINT_CONNECTIONS: usize = 16;
-/// Connections over which an endpoint's requests are spread before one is shared.
-const ENDPOINT_SPREAD: usize = 4;
+/// Number of connections to an endpoint that are opened before requests share one.
+const SPREAD_CONNECTIONS: usize = 4;
 
-/// Starts the engine of a configuration, with what was known at the start, for a process that may hold all descriptors
-/// that the configuration names. The signed URL front may bring `signed_connections` connections of clients.
+/// Creates the engine with the initial state of a configuration, for a process that may use the configured
+/// number of descriptors. The signed URL front may have `signed_connections` client connections.
 pub fn engine(
     config: &Config,
     clock: &Clock,
@@ -31,11 +31,11 @@
         ..DescriptorDemand::default()
     };
     let budget = DescriptorBudget::new(Descriptors::expected(config.limits.max_descriptors), demand);
-    engine_within(config, clock, signed_connections, budget)
+    engine_with_budget(config, clock, signed_connections, budget)
 }
 
-/// Starts the engine of a configuration within a budget of descriptors.
-pub fn engine_within(
+/// Creates the engine of a configuration within a descriptor budget.
+pub fn engine_with_budget(
     config: &Config,
     clock: &Clock,
     signed_connections: usize,
@@ -48,7 +48,7 @@
         total: budget.endpoints,
         per_endpoint: (max_descriptors / DESCRIPTORS_PER_ENDPOINT_CONNECTION)
             .clamp(MIN_ENDPOINT_CONNECTIONS, MAX_ENDPOINT_CONNECTIONS),
-        spread_above: ENDPOINT_SPREAD,
+        spread_above: SPREAD_CONNECTIONS,
         streams: settings.streams_per_connection(),
     };
     let bounds = EngineLimits { requests: max_descriptors * 2 / 5 + signed_connections, connections };
--- a/src/lifecycle/error.rs
+++ b/src/lifecycle/error.rs
@@ -1,14 +1,14 @@
-//! Why a process cannot start.
+//! Errors that prevent the process from starting.
 
 use crate::config_file::BoxError;
 use crate::purge::log::LogError;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a process cannot start.
+/// An error that prevents the process from starting.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// A value of the configuration cannot be used.
+    /// A value of the configuration is invalid.
     #[error("field `{field}`: {source}")]
     Field {
         /// The field.
@@ -16,19 +16,19 @@
         /// What is wrong with its value.
         source: BoxError,
     },
-    /// An address cannot be listened on.
-    #[error("listen on {address}: {source}")]
+    /// A socket cannot be bound.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The error of the system.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The listening socket that the platform hands over cannot be used.
-    #[error("the socket that was handed over: {0}")]
+    /// The inherited listening socket cannot be used.
+    #[error("inherited listening socket: {0}")]
     HandedOverSocket(#[source] std::io::Error),
-    /// The signals of the process cannot be received.
-    #[error("signals: {0}")]
+    /// Signal handlers cannot be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(#[source] std::io::Error),
     /// The purge log cannot be used.
     #[error("{0}")]
@@ -36,7 +36,7 @@
 }
 
 impl ServeError {
-    /// Makes an error of the field `field` from its cause, for `map_err`.
+    /// Returns a closure that wraps a cause as an error of the field `field`, for `map_err`.
     pub fn field<E: Into<BoxError>>(field: &'static str) -> impl Fn(E) -> Self {
         move |source| Self::Field { field, source: source.into() }
     }
--- a/src/lifecycle/maintenance.rs
+++ b/src/lifecycle/maintenance.rs
@@ -1,5 +1,5 @@
-//! The file in which maintenance of endpoints outlives a process: a new version of the program loads it, and both
-//! versions read it while they serve side by side.
+//! Persists endpoint maintenance in a file. The file survives an upgrade, and the old and the new process
+//! share it while both serve.
 
 use crate::clock::duration_from_ms;
 use crate::config_file::read_json;
@@ -11,42 +11,43 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// How often the file is read, in milliseconds: what the other process wrote must hold here within 1 s.
+/// Interval between reads, in milliseconds. Changes by the other process must take effect here within 1 s.
 const READ_INTERVAL_MS: f64 = 200.0;
-/// The environment variable that names the folder of the file.
+/// Environment variable that names the folder of the file.
 const FOLDER_VARIABLE: &str = "TMPDIR";
 
-/// An endpoint's maintenance, as the file holds it.
+/// The maintenance state of an endpoint, as stored in the file.
 #[derive(Debug, Deserialize)]
-struct StoredMark {
+struct StoredRecord {
     #[serde(rename = "member")]
     endpoint: String,
-    out: bool,
+    #[serde(rename = "out")]
+    out_of_use: bool,
     at_ms: f64,
 }
 
-impl StoredMark {
-    /// The endpoint and its mark; `None` where its id cannot be read.
+impl StoredRecord {
+    /// Decodes a record. Returns `None` if its endpoint id is invalid.
     fn decode(self) -> Option<(EndpointId, MaintenanceCall)> {
         Some((
             parse_endpoint_id(&self.endpoint)?,
-            MaintenanceCall { out_of_use: self.out, at_ms: self.at_ms },
+            MaintenanceCall { out_of_use: self.out_of_use, at_ms: self.at_ms },
         ))
     }
 
-    /// The JSON of an endpoint's mark.
-    fn encode((id, mark): (EndpointId, MaintenanceCall)) -> String {
-        let (endpoint, out, at_ms) = (format_endpoint_id(id), mark.out_of_use, mark.at_ms);
+    /// Encodes a record as JSON.
+    fn encode((id, call): (EndpointId, MaintenanceCall)) -> String {
+        let (endpoint, out, at_ms) = (format_endpoint_id(id), call.out_of_use, call.at_ms);
         format!("{{\"member\":\"{endpoint}\",\"out\":{out},\"at_ms\":{at_ms}}}")
     }
 }
 
-/// The file; none where the platform gives no folder.
+/// The maintenance file; `None` if the platform provides no folder for it.
 #[derive(Clone, Debug)]
 pub struct MaintenanceFile(Option<PathBuf>);
 
 impl MaintenanceFile {
-    /// The file of the proxy of this name in `$TMPDIR`.
+    /// The maintenance file of the proxy `name`, in `$TMPDIR`.
     pub fn of_proxy(name: &str) -> Self {
         let plain_name: String = name.chars().filter(char::is_ascii_alphanumeric).collect();
         let folder = std::env::var_os(FOLDER_VARIABLE).filter(|folder| !folder.is_empty());
@@ -54,35 +55,36 @@
         Self(folder.map(|folder| PathBuf::from(folder).join(file)))
     }
 
-    /// The file at a path.
+    /// A maintenance file at `path`.
     pub fn at(path: PathBuf) -> Self {
         Self(Some(path))
     }
 
-    /// Puts the maintenance in force that the file holds. A file that is absent or cannot be read changes nothing.
+    /// Merges the file's records into the engine's maintenance state. An absent or unreadable file is
+    /// ignored.
     pub fn load(&self, executor: &Rc<Executor>) {
         let Some(path) = self.0.as_ref().filter(|path| path.exists()) else { return };
-        match read_json::<Vec<StoredMark>>(path) {
+        match read_json::<Vec<StoredRecord>>(path) {
             Ok(stored) => {
-                let marks: Vec<_> = stored.into_iter().filter_map(StoredMark::decode).collect();
-                executor.with(|engine| engine.merge_maintenance(marks));
+                let records: Vec<_> = stored.into_iter().filter_map(StoredRecord::decode).collect();
+                executor.with(|engine| engine.merge_maintenance(records));
             }
             Err(error) => tracing::error!(%error, "the maintenance file cannot be read"),
         }
     }
 
-    /// Writes the maintenance in force. The file is replaced in one step, so that the other process never reads part of
-    /// it.
+    /// Writes the current maintenance state. The file is replaced atomically, so that the other process never
+    /// reads a partial file.
     pub fn write(&self, executor: &Rc<Executor>) -> Result<(), std::io::Error> {
         let Some(path) = &self.0 else { return Ok(()) };
-        let marks: Vec<String> =
-            executor.with(|engine| engine.maintenance().iter().map(StoredMark::encode).collect());
+        let records: Vec<String> =
+            executor.with(|engine| engine.maintenance().iter().map(StoredRecord::encode).collect());
         let temporary = path.with_extension(std::process::id().to_string());
-        std::fs::write(&temporary, format!("[{}]\n", marks.join(",\n")))?;
+        std::fs::write(&temporary, format!("[{}]\n", records.join(",\n")))?;
         std::fs::rename(&temporary, path)
     }
 
-    /// Loads the file every `READ_INTERVAL_MS`.
+    /// Reloads the file every `READ_INTERVAL_MS`.
     pub async fn follow(self, executor: Rc<Executor>) {
         loop {
             self.load(&executor);
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -1,16 +1,16 @@
-//! Start and stop of the serving process: configuration, subsystems, signals. The top layer of the library: it may use
-//! all other modules, and none of them uses it.
+//! Startup and shutdown of the server process: configuration, subsystems, signals. This is the top layer of the
+//! library: it may use all other modules, and none of them uses it.
 //!
-//! | part | what it does |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`serve`] | starts the subsystems, heeds signals, stops gracefully |
-//! | [`subsystem`], [`subsystems`] | the shape of a subsystem; one adapter for each, in the order of the start |
-//! | [`config`], [`subsystem_configs`], [`signed_urls`] | the files that operators and the platform write |
-//! | [`descriptors`], [`engine_setup`] | the budget of file descriptors, and the engine within it |
-//! | [`bind`], [`inherit`] | sockets: opened here, or handed over by the platform |
-//! | [`maintenance`] | the file in which maintenance of endpoints outlives a process |
-//! | [`signals`], [`reload`] | signals of the process, and the log lines of a reload |
-//! | [`supervisor`] | tasks that must never end |
+//! | [`serve`] | starts the subsystems, handles signals, shuts down gracefully |
+//! | [`subsystem`], [`subsystems`] | the `Subsystem` trait; its implementations, in startup order |
+//! | [`config`], [`subsystem_configs`], [`signed_urls`] | configuration files of operators and of the platform |
+//! | [`descriptors`], [`engine_setup`] | the file descriptor budget, and the creation of the engine within it |
+//! | [`bind`], [`inherit`] | binding of sockets, or inheriting one from the platform |
+//! | [`maintenance`] | persistence of endpoint maintenance |
+//! | [`signals`], [`reload`] | signal handling, and logging of configuration reloads |
+//! | [`supervisor`] | restart of tasks that panicked |
 
 pub mod bind;
 pub mod config;
--- a/src/lifecycle/reload.rs
+++ b/src/lifecycle/reload.rs
@@ -1,9 +1,10 @@
-//! The log lines of a reload.
+//! Logging of configuration reloads.
 
 use crate::config_file::BoxError;
 use std::path::Path;
 
-/// Logs whether a subsystem's files were read again and are in force. A reload that fails leaves the old ones in force.
+/// Logs the result of reloading a subsystem's files. After a failure the previous configuration remains
+/// active.
 pub fn log_reload(subsystem: &'static str, file: &Path, result: Result<(), BoxError>) {
     match result {
         Ok(()) => tracing::info!(subsystem, file = %file.display(), "configuration reloaded"),
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -1,11 +1,11 @@
-//! The serving process: starts the subsystems, heeds signals and stops gracefully.
+//! The server process: starts the subsystems, handles signals and shuts down gracefully.
 
 use super::config::Config;
 use super::descriptors::{DescriptorBudget, DescriptorDemand, Descriptors, InsufficientDescriptors};
-use super::engine_setup::engine_within;
+use super::engine_setup::engine_with_budget;
 use super::error::ServeError;
 use super::inherit;
-use super::signals::{Request, Signals};
+use super::signals::{SignalAction, Signals};
 use super::subsystem::{Context, StopStage, Subsystem};
 use super::subsystem_configs::SubsystemConfigs;
 use super::subsystems::configured;
@@ -14,29 +14,28 @@
 use crate::wire::cache_connection::CacheDriver;
 use std::rc::Rc;
 
-/// How long new connections are accepted after the signal to stop, in milliseconds.
-const ACCEPT_AFTER_SIGNAL_MS: f64 = 700.0;
-/// The shortest time that a stop allows for requests in flight, in milliseconds.
-const MIN_REQUEST_TIME_MS: f64 = 3_000.0;
-/// The time beyond the longest deadline that a stop allows for writing the last responses, in milliseconds.
-const LAST_RESPONSES_MS: f64 = 500.0;
-/// How long, in milliseconds, idle clients are kept where a new process serves beside this one. Most of them leave with
-/// their next response, so few requests cross the end of their connection.
-const KEEP_IDLE_MS: f64 = 2_000.0;
-/// How often a stop checks whether all requests are answered, in milliseconds.
-const DRAIN_CHECK_MS: f64 = 5.0;
-/// How long a stop waits at least for connections that the system had accepted and this process had not, in
-/// milliseconds.
-const BACKLOG_MS: f64 = 4.0 * DRAIN_CHECK_MS;
+/// How long new connections are still accepted after the stop signal, in milliseconds.
+const ACCEPT_GRACE_MS: f64 = 700.0;
+/// Minimum time that a shutdown allows for requests in flight, in milliseconds.
+const MIN_REQUEST_GRACE_MS: f64 = 3_000.0;
+/// Time for writing the last responses after the longest request deadline, in milliseconds.
+const RESPONSE_WRITE_MS: f64 = 500.0;
+/// How long idle connections stay open during an upgrade, in milliseconds. Most close with their next
+/// response, so few requests race with the close.
+const IDLE_GRACE_MS: f64 = 2_000.0;
+/// Interval at which a shutdown checks whether all requests have completed, in milliseconds.
+const DRAIN_CHECK_INTERVAL_MS: f64 = 5.0;
+/// Minimum duration of the drain, in milliseconds, for connections that were still in the listen backlog.
+const MIN_DRAIN_MS: f64 = 4.0 * DRAIN_CHECK_INTERVAL_MS;
 
-/// Serves until SIGTERM or SIGINT, and ends once all accepted requests are answered.
+/// Serves until SIGTERM or SIGINT, then returns once all accepted requests have been answered.
 pub async fn serve(mut config: Config, configs: SubsystemConfigs) -> Result<(), ServeError> {
     let handed_over = inherit::listener().map_err(ServeError::HandedOverSocket)?;
     config.handed_over = handed_over.is_some();
     let clock = Clock::system();
     let demand = configs.descriptor_demand(config.handed_over);
-    let budget = share_descriptors(&config, demand)?;
-    let (engine, _) = engine_within(&config, &clock, demand.signed_url_clients, budget)?;
+    let budget = divide_descriptors(&config, demand)?;
+    let (engine, _) = engine_with_budget(&config, &clock, demand.signed_url_clients, budget)?;
     let listen = config.listen_address().map_err(ServeError::field("listen"))?;
     let seed = config.seed().map_err(ServeError::field("seed"))?;
     let mut subsystems = configured(&config, configs, handed_over)?;
@@ -50,9 +49,9 @@
     Ok(())
 }
 
-/// Shares the file descriptors of this process. Guards what an operator turned on beside the platform's front against a
-/// machine that allows too few; alone, that front makes do with what there is.
-fn share_descriptors(config: &Config, demand: DescriptorDemand) -> Result<DescriptorBudget, ServeError> {
+/// Divides the file descriptors of this process. Fails if the limit is too low for the subsystems that an
+/// operator enabled; the platform's front alone runs with any limit.
+fn divide_descriptors(config: &Config, demand: DescriptorDemand) -> Result<DescriptorBudget, ServeError> {
     let descriptors = Descriptors::of_process(config.limits.max_descriptors);
     let budget = DescriptorBudget::new(descriptors, demand);
     let Descriptors { max, .. } = descriptors;
@@ -60,7 +59,7 @@
         tracing::warn!(
             allowed = max,
             configured = config.limits.max_descriptors,
-            "the system allows fewer descriptors"
+            "the system allows fewer file descriptors than configured"
         );
     }
     let needed = demand.subsystems();
@@ -70,7 +69,7 @@
     Ok(budget)
 }
 
-/// Prepares all subsystems, collects their metrics and admin calls, and starts them.
+/// Prepares all subsystems, registers their metrics and admin calls, and starts them.
 async fn start(subsystems: &mut [Box<dyn Subsystem>], context: &Context) -> Result<(), ServeError> {
     for subsystem in &mut *subsystems {
         subsystem.prepare(context).await?;
@@ -85,36 +84,37 @@
     Ok(())
 }
 
-/// Carries out what signals ask for, until one asks for a stop.
+/// Handles signals until one requests a stop.
 async fn run_until_stop(subsystems: &mut [Box<dyn Subsystem>], context: &Context, signals: &mut Signals) {
     loop {
         match signals.next().await {
-            Request::Stop => return,
-            Request::ReportCounters => log_counters(&context.executor),
-            Request::Reload => subsystems.iter_mut().for_each(|subsystem| subsystem.reload(context)),
+            SignalAction::Stop => return,
+            SignalAction::ReportCounters => log_counters(&context.executor),
+            SignalAction::Reload => subsystems.iter_mut().for_each(|subsystem| subsystem.reload(context)),
         }
     }
 }
 
-/// Stops gracefully: peers are told, listeners close, and requests in flight are answered within the longest deadline.
+/// Shuts down gracefully: notifies peers, closes listeners, and completes requests in flight within the
+/// longest request deadline.
 async fn stop(subsystems: &mut [Box<dyn Subsystem>], context: &Context) {
     let executor = &context.executor;
     tracing::info!("{} stops", context.config.name);
     advance_stop(subsystems, StopStage::Announce);
-    let request_time = executor.settings().longest_deadline_ms().max(MIN_REQUEST_TIME_MS);
-    let until = executor.clock.now() + ACCEPT_AFTER_SIGNAL_MS + request_time + LAST_RESPONSES_MS;
+    let request_grace_ms = executor.settings().longest_deadline_ms().max(MIN_REQUEST_GRACE_MS);
+    let deadline_ms = executor.clock.now() + ACCEPT_GRACE_MS + request_grace_ms + RESPONSE_WRITE_MS;
     if context.config.handed_over {
-        // Whoever connects from now on is the new process's: the socket stays open there.
+        // New connections go to the new process, which keeps the shared listening socket open.
         context.stop.close_after_response();
         advance_stop(subsystems, StopStage::CloseListeners);
-        tokio::time::sleep(duration_from_ms(KEEP_IDLE_MS)).await;
+        tokio::time::sleep(duration_from_ms(IDLE_GRACE_MS)).await;
     } else {
-        tokio::time::sleep(duration_from_ms(ACCEPT_AFTER_SIGNAL_MS)).await;
+        tokio::time::sleep(duration_from_ms(ACCEPT_GRACE_MS)).await;
         advance_stop(subsystems, StopStage::CloseListeners);
     }
     advance_stop(subsystems, StopStage::CloseRemaining);
     context.stop.begin();
-    drain(subsystems, context, until).await;
+    drain(subsystems, context, deadline_ms).await;
     log_counters(executor);
 }
 
@@ -122,18 +122,19 @@
     subsystems.iter_mut().for_each(|subsystem| subsystem.stop(stage));
 }
 
-/// Waits until all requests are answered and all connections closed, at most until `until`, Unix milliseconds.
-async fn drain(subsystems: &[Box<dyn Subsystem>], context: &Context, until: f64) {
+/// Waits until all requests have completed and all connections are closed, but no longer than `deadline_ms`
+/// (Unix milliseconds).
+async fn drain(subsystems: &[Box<dyn Subsystem>], context: &Context, deadline_ms: f64) {
     let executor = &context.executor;
     let connections = || -> usize {
-        let virtual_addresses: usize = subsystems.iter().map(|subsystem| subsystem.open_connections()).sum();
-        virtual_addresses + context.stop.open_or_lingering()
+        let uncounted: usize = subsystems.iter().map(|subsystem| subsystem.open_connections()).sum();
+        uncounted + context.stop.open_or_lingering()
     };
-    tokio::time::sleep(duration_from_ms(BACKLOG_MS)).await;
+    tokio::time::sleep(duration_from_ms(MIN_DRAIN_MS)).await;
     while (connections() > 0 || executor.with(|engine| engine.open_requests()) > 0)
-        && executor.clock.now() < until
+        && executor.clock.now() < deadline_ms
     {
-        tokio::time::sleep(duration_from_ms(DRAIN_CHECK_MS)).await;
+        tokio::time::sleep(duration_from_ms(DRAIN_CHECK_INTERVAL_MS)).await;
     }
 }
 
--- a/src/lifecycle/signals.rs
+++ b/src/lifecycle/signals.rs
@@ -1,11 +1,11 @@
-//! The signals that a serving process heeds.
+//! Signal handling of the server process.
 
 use super::error::ServeError;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// What a signal asks for.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Request {
+pub enum SignalAction {
     /// SIGTERM or SIGINT: stop gracefully.
     Stop,
     /// SIGHUP: read the configuration files again.
@@ -14,7 +14,7 @@
     ReportCounters,
 }
 
-/// The signals, from when they were installed.
+/// The installed signal handlers.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -23,7 +23,7 @@
 }
 
 impl Signals {
-    /// Installs the handlers.
+    /// Installs handlers for all signals of [`SignalAction`].
     pub fn install() -> Result<Self, ServeError> {
         let install = |kind| signal(kind).map_err(ServeError::Signals);
         Ok(Self {
@@ -34,13 +34,13 @@
         })
     }
 
-    /// Waits for the next signal.
-    pub async fn next(&mut self) -> Request {
+    /// Waits for the next signal and returns its action.
+    pub async fn next(&mut self) -> SignalAction {
         tokio::select! {
-            _ = self.terminate.recv() => Request::Stop,
-            _ = self.interrupt.recv() => Request::Stop,
-            _ = self.hangup.recv() => Request::Reload,
-            _ = self.user1.recv() => Request::ReportCounters,
+            _ = self.terminate.recv() => SignalAction::Stop,
+            _ = self.interrupt.recv() => SignalAction::Stop,
+            _ = self.hangup.recv() => SignalAction::Reload,
+            _ = self.user1.recv() => SignalAction::ReportCounters,
         }
     }
 }
--- a/src/lifecycle/signed_urls.rs
+++ b/src/lifecycle/signed_urls.rs
@@ -1,4 +1,4 @@
-//! The operator file of signed URLs, `serve --signed-urls FILE`, and the reload of its key file while the process runs.
+//! The configuration file of signed URLs (`--signed-urls FILE`), and the reload of its key file.
 
 use crate::clock::duration_from_ms;
 use crate::config_file::{parse_address, read_json, resolve_beside, AddressError, ConfigError, FieldError};
@@ -17,68 +17,68 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// How often the key file is read, in milliseconds.
+/// Interval between reads of the key file, in milliseconds.
 const KEY_FILE_INTERVAL_MS: f64 = 500.0;
-/// The longest key file, in bytes.
+/// Maximum size of the key file, in bytes.
 const MAX_KEY_FILE_BYTES: u64 = 65_536;
-/// The longest clock leeway and key overlap, in milliseconds: a day.
+/// Maximum clock leeway and key overlap, in milliseconds: one day.
 const MAX_TOLERANCE_MS: f64 = 86_400_000.0;
-/// The bounds of the timeouts of connections, in milliseconds: 1 ms to 1 hour.
+/// Valid range of connection timeouts, in milliseconds: 1 ms to 1 hour.
 const TIMEOUTS_MS: RangeInclusive<f64> = 1.0..=3_600_000.0;
-/// The file descriptors per connection of a client: a fifth of them may be clients of signed URLs.
+/// Descriptors per client connection: at most a fifth of all descriptors may be clients of signed URLs.
 const DESCRIPTORS_PER_CONNECTION: usize = 5;
 
-/// A key file that cannot be used.
+/// A key file is invalid.
 #[derive(Debug, Error)]
 pub enum SignedUrlKeyError {
     /// The file cannot be read.
     #[error("{0}")]
     Unreadable(#[from] std::io::Error),
-    /// The file is longer than any set of keys.
-    #[error("{0} bytes are too many")]
+    /// The file exceeds the maximum size.
+    #[error("{0} bytes are more than the maximum of {MAX_KEY_FILE_BYTES}")]
     TooLong(u64),
-    /// The text is no usable set of keys.
+    /// The text is not a valid JWK set.
     #[error("{0}")]
     Malformed(#[from] JwkError),
 }
 
-/// What is wrong with a value of the file.
+/// Why a value of the file is invalid.
 #[derive(Debug, Error)]
 enum BadValue {
     #[error("{}: {source}", path.display())]
     Keys { path: PathBuf, source: SignedUrlKeyError },
-    #[error("it is empty")]
+    #[error("the issuer is empty")]
     EmptyIssuer,
     #[error("{0:?} is neither http nor https")]
     Scheme(String),
-    #[error("{0} is not within a day")]
+    #[error("{0} is not between 0 and {MAX_TOLERANCE_MS}")]
     Tolerance(f64),
-    #[error("a time is not within 1 ms to 1 hour")]
+    #[error("a timeout is not between 1 ms and 1 hour")]
     Timeout,
-    #[error("{connections} is not within 1 to {max}")]
+    #[error("{connections} is not between 1 and {max}")]
     Connections { connections: usize, max: usize },
 }
 
-/// The operator file.
+/// The configuration file of signed URLs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignedUrlConfig {
-    /// The address of the front.
+    /// The listen address of the front.
     listen: String,
-    /// The JWK set, beside this file unless the path is absolute.
+    /// The file of the JWK set, relative to the folder of this file.
     keys: PathBuf,
     /// The issuer whose URLs are accepted.
     issuer: String,
-    /// The scheme of the URLs, as clients see it.
+    /// The scheme of the URLs as clients see them.
     #[serde(default = "default_scheme")]
     scheme: String,
-    /// How far clocks may be apart, in milliseconds.
+    /// Permitted clock skew, in milliseconds.
     #[serde(default = "default_leeway_ms")]
     leeway_ms: f64,
     /// How long a key that was rotated out remains valid, in milliseconds.
     #[serde(default = "default_overlap_ms")]
     overlap_ms: f64,
-    /// Bounds of the connections.
+    /// Limits of client connections.
     #[serde(default = "default_limits")]
     limits: ConnectionLimits,
 }
@@ -99,7 +99,7 @@
     ConnectionLimits { connections: 128, body_bytes: 0, write_ms: 30_000.0, ..ConnectionLimits::default() }
 }
 
-/// A key file as it was read.
+/// The contents of a key file.
 struct KeyFile {
     text: Vec<u8>,
     keys: KeySet,
@@ -118,7 +118,8 @@
 }
 
 impl SignedUrlConfig {
-    /// Reads and checks the file and its keys, for a process that may hold `max_descriptors` file descriptors.
+    /// Reads and checks the file and its keys, for a process that may hold `max_descriptors` file
+    /// descriptors.
     pub fn read(path: &Path, max_descriptors: usize) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         parse_address(&config.listen).map_err(|reason| ConfigError::field(path, "listen", reason))?;
@@ -153,17 +154,17 @@
         Ok(())
     }
 
-    /// The address of the front.
+    /// The listen address of the front.
     pub fn listen(&self) -> Result<SocketAddr, AddressError> {
         parse_address(&self.listen)
     }
 
-    /// How many connections its clients may have.
+    /// Maximum number of client connections.
     pub fn connections(&self) -> usize {
         self.limits.connections
     }
 
-    /// The front that the file describes; `salt` is random.
+    /// Creates the front. `salt` is a random number.
     pub fn front(&self, salt: u64) -> Result<SignedUrlFront, SignedUrlKeyError> {
         let keys = KeyRing::new(KeyFile::read(&self.keys)?.keys, self.overlap_ms);
         let verifier = TokenVerifier { keys, issuer: self.issuer.clone(), leeway_ms: self.leeway_ms };
@@ -171,8 +172,9 @@
     }
 }
 
-/// Keeps a front's keys as its file has them: at once when `reload` is notified, else within `KEY_FILE_INTERVAL_MS`.
-/// A file that cannot be used changes nothing; each fault is logged once, without the text of the file.
+/// Reloads a front's keys when their file changes: immediately when `reload` is notified, otherwise within
+/// `KEY_FILE_INTERVAL_MS`. An invalid file leaves the keys unchanged; repeated errors are logged once,
+/// without the contents of the file.
 pub async fn follow_key_file(
     executor: Rc<Executor>,
     config: SignedUrlConfig,
@@ -180,12 +182,12 @@
     reload: Rc<Notify>,
 ) {
     let mut current = std::fs::read(&config.keys).unwrap_or_default();
-    let mut last_fault = String::new();
+    let mut last_error = String::new();
     loop {
         let _ = timeout(duration_from_ms(KEY_FILE_INTERVAL_MS), reload.notified()).await;
         match KeyFile::read(&config.keys) {
             Ok(file) => {
-                last_fault.clear();
+                last_error.clear();
                 if file.text != current {
                     front.verifier.borrow_mut().keys.rotate(file.keys, executor.clock.now());
                     tracing::info!("signed URL keys reloaded");
@@ -193,10 +195,10 @@
                 }
             }
             Err(reason) => {
-                let fault = reason.to_string();
-                if fault != last_fault {
+                let message = reason.to_string();
+                if message != last_error {
                     tracing::warn!(%reason, "signed URL keys not reloaded");
-                    last_fault = fault;
+                    last_error = message;
                 }
             }
         }
--- a/src/lifecycle/subsystem.rs
+++ b/src/lifecycle/subsystem.rs
@@ -1,4 +1,4 @@
-//! The shape that all subsystems of a serving process share, and what they share with one another.
+//! The [`Subsystem`] trait, and the context that all subsystems of the server process share.
 
 use super::config::Config;
 use super::descriptors::DescriptorBudget;
@@ -17,90 +17,91 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The result of a step of a start.
-pub type Starting<'a> = LocalBoxFuture<'a, Result<(), ServeError>>;
+/// The future of a startup step.
+pub type StartFuture<'a> = LocalBoxFuture<'a, Result<(), ServeError>>;
 
-/// A part of a serving process: it starts in two steps, reads its file again on SIGHUP and stops in stages.
+/// A subsystem of the server process. It starts in two steps, reloads its file on SIGHUP and stops in stages.
 ///
-/// All methods are called in the order of the list of subsystems, see [`super::subsystems::configured`].
+/// Subsystems are called in the order of [`super::subsystems::configured`].
 pub trait Subsystem {
-    /// Creates what other subsystems, metrics and admin calls use. Called before the admin address opens.
-    fn prepare<'a>(&'a mut self, _context: &'a Context) -> Starting<'a> {
+    /// Creates the state that other subsystems, metrics and admin calls use. Called before the admin listener
+    /// opens.
+    fn prepare<'a>(&'a mut self, _context: &'a Context) -> StartFuture<'a> {
         ready(Ok(())).boxed_local()
     }
 
-    /// Opens sockets and spawns tasks. Called once all subsystems are prepared.
-    fn start<'a>(&'a mut self, _context: &'a Context) -> Starting<'a> {
+    /// Opens sockets and spawns tasks. Called after all subsystems are prepared.
+    fn start<'a>(&'a mut self, _context: &'a Context) -> StartFuture<'a> {
         ready(Ok(())).boxed_local()
     }
 
-    /// The source of its metrics, if it has any; called once, when it is prepared.
+    /// The source of its metrics, if any. Called once, after [`Self::prepare`].
     fn metrics(&self) -> Option<MetricsSource> {
         None
     }
 
-    /// Its calls at the admin address, if it has any; called once, when it is prepared.
+    /// The handler of its admin calls, if any. Called once, after [`Self::prepare`].
     fn admin_calls(&self) -> Option<AdminCalls> {
         None
     }
 
-    /// Reads its file again. A file that cannot be used is logged and changes nothing.
+    /// Reloads its file. An invalid file is logged and leaves the configuration unchanged.
     fn reload(&mut self, _context: &Context) {}
 
-    /// Carries out a stage of a graceful stop.
+    /// Performs a stage of a graceful shutdown.
     fn stop(&mut self, _stage: StopStage) {}
 
-    /// Connections of clients that [`Context::stop`] does not count and that still have answers to come.
+    /// Client connections that [`Context::stop`] does not count and that are still waiting for a response.
     fn open_connections(&self) -> usize {
         0
     }
 }
 
-/// The stages of a graceful stop, in their order.
+/// The stages of a graceful shutdown, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopStage {
-    /// The signal arrived: peers are told, clients are still accepted.
+    /// The stop signal arrived: peers are notified, connections are still accepted.
     Announce,
-    /// The HTTP/1.1 and gRPC listeners accept no more.
+    /// The HTTP/1.1 and gRPC listeners close.
     CloseListeners,
-    /// The other listeners accept no more: HTTP/3 and virtual addresses.
+    /// The remaining listeners close: HTTP/3 and virtual addresses.
     CloseRemaining,
 }
 
-/// A subsystem's calls at the admin address.
+/// The admin calls of a subsystem.
 pub struct AdminCalls {
-    /// Answers the calls that are the subsystem's own.
+    /// Handles the subsystem's calls.
     pub handler: Box<dyn AdminHandler>,
-    /// The longest body of a call, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
 }
 
-/// What all subsystems share.
+/// The state that all subsystems share.
 pub struct Context {
-    /// The configuration as it was read at the start.
+    /// The configuration that was read at startup.
     pub config: Config,
-    /// Runs the engine and the tasks.
+    /// Runs the engine and all tasks.
     pub executor: Rc<Executor>,
-    /// Seed of what is random.
+    /// The random seed.
     pub seed: u64,
-    /// How many connections of each kind there may be.
+    /// The maximum number of connections of each kind.
     pub budget: DescriptorBudget,
-    /// The state of the stop, shared with clients' connections.
+    /// The shutdown state, shared with client connections.
     pub stop: Rc<GracefulShutdown>,
-    /// The routing rules and the fronts that follow them.
+    /// The routing rules and the fronts that use them.
     pub rules: RoutingRules,
-    /// The fronts that virtual addresses may serve.
+    /// The fronts that are available to virtual addresses.
     pub fronts: FrontDirectory,
-    /// The gRPC front, once it is prepared.
+    /// The gRPC front, once prepared.
     pub grpc: RefCell<Option<Rc<GrpcFront>>>,
-    /// The state of the registry client, once it is prepared.
+    /// The status of the registry client, once prepared.
     pub registry: RefCell<Option<Rc<RefCell<RegistryStatus>>>>,
-    /// The calls of all prepared subsystems, until the admin address takes them over.
+    /// The admin calls of all prepared subsystems, until the admin front takes them.
     pub admin_calls: RefCell<Vec<AdminCalls>>,
 }
 
 impl Context {
-    /// The context of a process that has not started any subsystem.
+    /// Creates the context before any subsystem is prepared.
     pub fn new(config: Config, executor: Rc<Executor>, seed: u64, budget: DescriptorBudget) -> Self {
         Self {
             config,
@@ -117,7 +118,7 @@
     }
 }
 
-/// The routing rules in force, and the fronts whose requests they classify.
+/// The active routing rules, and the fronts whose requests they classify.
 #[derive(Default)]
 pub struct RoutingRules {
     current: RefCell<Option<Rc<Rules>>>,
@@ -125,7 +126,7 @@
 }
 
 impl RoutingRules {
-    /// Lets a front follow the rules from now on.
+    /// Registers a front, which uses the current rules and later replacements.
     pub fn attach(&self, front: Rc<Platform>) {
         front.set_classifier(self.classifier());
         self.fronts.borrow_mut().push(front);
@@ -136,7 +137,7 @@
         current.map(|rules| rules as Rc<dyn RequestClassifier>)
     }
 
-    /// Puts other rules in force at all attached fronts.
+    /// Replaces the rules of all attached fronts.
     pub fn replace(&self, rules: Rules) {
         let rules = Some(Rc::new(rules));
         *self.current.borrow_mut() = rules;
@@ -144,11 +145,11 @@
     }
 }
 
-/// The HTTP/1.1 fronts that are on, by kind.
+/// The enabled HTTP/1.1 fronts, by kind.
 #[derive(Clone, Default)]
-pub struct FrontDirectory(Rc<RefCell<Vec<ListedFront>>>);
+pub struct FrontDirectory(Rc<RefCell<Vec<FrontEntry>>>);
 
-struct ListedFront {
+struct FrontEntry {
     kind: FrontKind,
     front: Rc<dyn Front>,
 }
@@ -156,12 +157,12 @@
 impl FrontDirectory {
     /// Adds a front.
     pub fn add(&self, kind: FrontKind, front: Rc<dyn Front>) {
-        self.0.borrow_mut().push(ListedFront { kind, front });
+        self.0.borrow_mut().push(FrontEntry { kind, front });
     }
 
-    /// The front of a kind, where it is on.
+    /// Returns the front of a kind, if it is enabled.
     pub fn find(&self, kind: FrontKind) -> Option<Rc<dyn Front>> {
         let fronts = self.0.borrow();
-        fronts.iter().find(|listed| listed.kind == kind).map(|listed| listed.front.clone())
+        fronts.iter().find(|entry| entry.kind == kind).map(|entry| entry.front.clone())
     }
 }
--- a/src/lifecycle/subsystem_configs.rs
+++ b/src/lifecycle/subsystem_configs.rs
@@ -1,4 +1,4 @@
-//! The configuration files of the subsystems that an operator may turn on.
+//! The configuration files of the optional subsystems.
 
 use super::descriptors::DescriptorDemand;
 use super::signed_urls::SignedUrlConfig;
@@ -16,14 +16,14 @@
 use crate::vrrp::config::{FrontKind, VrrpConfig};
 use std::path::{Path, PathBuf};
 
-/// The paths of the subsystems' files; a subsystem without a file is off.
+/// The paths of the subsystems' files. A subsystem without a file is disabled.
 #[derive(Clone, Debug, Default)]
 pub struct SubsystemFiles {
     /// Signed URLs.
     pub signed_urls: Option<PathBuf>,
     /// A virtual router (VRRP).
     pub vrrp: Option<PathBuf>,
-    /// Fleet purges.
+    /// Fleet-wide purges.
     pub purges: Option<PathBuf>,
     /// Admission control.
     pub admission: Option<PathBuf>,
@@ -33,20 +33,20 @@
     pub grpc: Option<PathBuf>,
     /// HTTP/3.
     pub http3: Option<PathBuf>,
-    /// Health checks shared among instances.
+    /// Health checks shared between instances.
     pub health_checks: Option<PathBuf>,
     /// Routing rules.
     pub rules: Option<PathBuf>,
 }
 
-/// The configurations of the subsystems that are on.
+/// The configurations of the enabled subsystems.
 #[derive(Default)]
 pub struct SubsystemConfigs {
     /// Signed URLs.
     pub signed_urls: Option<SignedUrlConfig>,
     /// A virtual router (VRRP).
     pub vrrp: Option<VrrpConfig>,
-    /// Fleet purges.
+    /// Fleet-wide purges.
     pub purges: Option<PurgeConfig>,
     /// Admission control.
     pub admission: Option<AdmissionConfig>,
@@ -56,13 +56,13 @@
     pub grpc: Option<GrpcConfig>,
     /// HTTP/3.
     pub http3: Option<Http3Config>,
-    /// Health checks shared among instances.
+    /// Health checks shared between instances.
     pub health_checks: Option<HealthCheckConfig>,
-    /// Routing rules, with the file that they were read from.
+    /// Routing rules: the configuration file and the compiled rules.
     pub rules: Option<(RulesConfig, Rules)>,
 }
 
-/// Reads the file of a subsystem where it has one.
+/// Reads the file of a subsystem, if it has one.
 fn read_optional<C>(
     file: &Option<PathBuf>,
     read: impl FnOnce(&Path) -> Result<C, ConfigError>,
@@ -71,7 +71,7 @@
 }
 
 impl SubsystemConfigs {
-    /// Reads and checks all files, for a process that may hold `max_descriptors` file descriptors.
+    /// Reads and validates all files, for a process with a limit of `max_descriptors` file descriptors.
     pub fn read(files: &SubsystemFiles, max_descriptors: usize) -> Result<Self, ConfigError> {
         Ok(Self {
             signed_urls: read_optional(&files.signed_urls, |path| {
@@ -88,13 +88,13 @@
         })
     }
 
-    /// How many listeners a front has: its own and those at virtual addresses.
+    /// The number of listeners of a front: its own and those at virtual addresses.
     pub fn listeners(&self, front: FrontKind) -> usize {
         let virtual_listeners = self.vrrp.iter().flat_map(|vrrp| &vrrp.listeners);
         1 + virtual_listeners.filter(|listener| listener.front == front).count()
     }
 
-    /// The file descriptors that the subsystems may hold.
+    /// The maximum number of file descriptors that the subsystems use.
     pub fn descriptor_demand(&self, handed_over: bool) -> DescriptorDemand {
         let signed_urls =
             self.signed_urls.as_ref().map_or(0, |c| c.connections() * self.listeners(FrontKind::Signed));
--- a/src/lifecycle/subsystems/admission.rs
+++ b/src/lifecycle/subsystems/admission.rs
@@ -5,27 +5,27 @@
 use crate::config_file::BoxError;
 use crate::engine::executor::Executor;
 use crate::lifecycle::reload::log_reload;
-use crate::lifecycle::subsystem::{Context, Starting, Subsystem};
+use crate::lifecycle::subsystem::{Context, StartFuture, Subsystem};
 use futures_util::future::{ready, FutureExt};
 use std::rc::Rc;
 
-/// The prefix of the metrics' names.
+/// Prefix of the metric names.
 const METRICS_PREFIX: &str = "door";
 
-/// Admission control of the engine.
+/// The admission control subsystem.
 pub struct Admission {
     config: AdmissionConfig,
 }
 
 impl Admission {
-    /// Admission control of an operator file.
+    /// Creates the subsystem from its configuration.
     pub fn new(config: AdmissionConfig) -> Self {
         Self { config }
     }
 }
 
 impl Subsystem for Admission {
-    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> StartFuture<'a> {
         context.executor.set_admission(AdmissionControl::new(self.config.clone(), METRICS_PREFIX));
         ready(Ok(())).boxed_local()
     }
@@ -35,8 +35,8 @@
     }
 }
 
-/// Reads the file of admission control again: other weights hold from the next round. A file that cannot be used
-/// changes nothing.
+/// Reloads the file of admission control. New weights take effect from the next round. An invalid file leaves
+/// the configuration unchanged.
 pub fn reload_admission(executor: &Rc<Executor>, config: &AdmissionConfig) {
     let reloaded = config.reload().map(|fresh| {
         executor.with_admission(|admission| admission.reconfigure(fresh));
--- a/src/lifecycle/subsystems/discovery.rs
+++ b/src/lifecycle/subsystems/discovery.rs
@@ -1,28 +1,28 @@
-//! The endpoint watch at the discovery service.
+//! The endpoint watch on the discovery service.
 
-use crate::lifecycle::subsystem::{Context, Starting, Subsystem};
+use crate::lifecycle::subsystem::{Context, StartFuture, Subsystem};
 use crate::lifecycle::supervisor::supervise;
 use crate::wire::discovery::run;
 use futures_util::future::{ready, FutureExt};
 use std::net::SocketAddr;
 use tokio::sync::watch;
 
-/// The endpoint watch.
+/// The endpoint watch subsystem.
 pub struct Discovery {
     address: watch::Receiver<SocketAddr>,
 }
 
 impl Discovery {
-    /// A watch at the discovery service's address, which may change while it runs.
+    /// Creates a watch on the discovery service, whose address may change at run time.
     pub fn new(address: watch::Receiver<SocketAddr>) -> Self {
         Self { address }
     }
 }
 
 impl Subsystem for Discovery {
-    fn start<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+    fn start<'a>(&'a mut self, context: &'a Context) -> StartFuture<'a> {
         let (executor, address) = (context.executor.clone(), self.address.clone());
-        supervise(&context.executor, "the endpoint watch", move || run(executor.clone(), address.clone()));
+        supervise(&context.executor, "endpoint watch", move || run(executor.clone(), address.clone()));
         ready(Ok(())).boxed_local()
     }
 }
--- a/src/lifecycle/subsystems/grpc.rs
+++ b/src/lifecycle/subsystems/grpc.rs
@@ -8,13 +8,13 @@
 use crate::lifecycle::bind::bind_tcp;
 use crate::lifecycle::error::ServeError;
 use crate::lifecycle::reload::log_reload;
-use crate::lifecycle::subsystem::{AdminCalls, Context, Starting, StopStage, Subsystem};
+use crate::lifecycle::subsystem::{AdminCalls, Context, StartFuture, StopStage, Subsystem};
 use crate::lifecycle::supervisor::supervise;
 use futures_util::future::{ready, FutureExt};
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The gRPC front with its listener.
+/// The gRPC subsystem: the front and its listener.
 pub struct Grpc {
     config: GrpcConfig,
     front: Option<Rc<GrpcFront>>,
@@ -22,7 +22,7 @@
 }
 
 impl Grpc {
-    /// The front of an operator file.
+    /// Creates the subsystem from its configuration.
     pub fn new(config: GrpcConfig) -> Self {
         Self { config, front: None, closing: Rc::default() }
     }
@@ -41,12 +41,12 @@
         let listen = self.config.at();
         let listener = bind_tcp(listen).await?;
         let accepting = accept(front.clone(), listener, context.stop.clone(), self.closing.clone());
-        executor.spawn("accepting", accepting);
+        executor.spawn("gRPC listener", accepting);
         let (housekeeper, admission) = (front.clone(), front.clone());
         supervise(executor, "gRPC housekeeping", move || run_housekeeping(housekeeper.clone()));
         supervise(executor, "gRPC admission", move || expire_queued_calls(admission.clone()));
-        executor.spawn("the stop of calls", abort_calls_at_shutdown(front, context.stop.clone()));
-        tracing::info!(%listen, "gRPC calls are passed through");
+        executor.spawn("gRPC call shutdown", abort_calls_at_shutdown(front, context.stop.clone()));
+        tracing::info!(%listen, "gRPC listener started");
         Ok(())
     }
 
@@ -56,11 +56,11 @@
 }
 
 impl Subsystem for Grpc {
-    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> StartFuture<'a> {
         ready(self.create_front(context)).boxed_local()
     }
 
-    fn start<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+    fn start<'a>(&'a mut self, context: &'a Context) -> StartFuture<'a> {
         self.open(context).boxed_local()
     }
 
--- a/src/lifecycle/subsystems/health_checks.rs
+++ b/src/lifecycle/subsystems/health_checks.rs
@@ -1,23 +1,23 @@
-//! Health checks of endpoints, shared among the instances of an installation.
+//! Endpoint health checks that are shared between the instances of an installation.
 
 use crate::engine::executor::MetricsSource;
 use crate::health_check::config::HealthCheckConfig;
 use crate::health_check::driver::{run, HealthChecker};
 use crate::lifecycle::bind::bind_udp;
 use crate::lifecycle::error::ServeError;
-use crate::lifecycle::subsystem::{AdminCalls, Context, Starting, Subsystem};
+use crate::lifecycle::subsystem::{AdminCalls, Context, StartFuture, Subsystem};
 use crate::lifecycle::supervisor::supervise;
 use futures_util::FutureExt;
 use std::rc::Rc;
 
-/// Shared health checks.
+/// The subsystem of shared health checks.
 pub struct HealthChecks {
     config: HealthCheckConfig,
     checker: Option<Rc<HealthChecker>>,
 }
 
 impl HealthChecks {
-    /// Health checks of an operator file.
+    /// Creates the subsystem from its configuration.
     pub fn new(config: HealthCheckConfig) -> Self {
         Self { config, checker: None }
     }
@@ -29,14 +29,14 @@
         let checker = checker.map_err(ServeError::field("key_file"))?;
         let task = checker.clone();
         supervise(&context.executor, "shared health checks", move || run(task.clone()));
-        tracing::info!(%listen, "health checks are shared");
+        tracing::info!(%listen, "shared health checks started");
         self.checker = Some(checker);
         Ok(())
     }
 }
 
 impl Subsystem for HealthChecks {
-    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> StartFuture<'a> {
         self.open(context).boxed_local()
     }
 
--- a/src/lifecycle/subsystems/http3.rs
+++ b/src/lifecycle/subsystems/http3.rs
@@ -1,4 +1,4 @@
-//! HTTP/3: a QUIC endpoint, and HTTP/1.1 over TCP with the same sessions where the file names an address.
+//! HTTP/3: a QUIC endpoint, and optionally HTTP/1.1 over TCP with the same sessions.
 
 use crate::config_file::BoxError;
 use crate::engine::executor::MetricsSource;
@@ -9,7 +9,7 @@
 use crate::lifecycle::bind::{bind_tcp, retry_while_in_use};
 use crate::lifecycle::error::ServeError;
 use crate::lifecycle::reload::log_reload;
-use crate::lifecycle::subsystem::{Context, Starting, StopStage, Subsystem};
+use crate::lifecycle::subsystem::{Context, StartFuture, StopStage, Subsystem};
 use crate::lifecycle::supervisor::supervise;
 use crate::wire::front::ConnectionLimits;
 use crate::wire::listener::accept;
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The HTTP/3 front with its listeners.
+/// The HTTP/3 subsystem: the front and its listeners.
 pub struct Http3 {
     config: Http3Config,
     prepared: Option<Prepared>,
@@ -28,7 +28,7 @@
     tcp_closing: Rc<Notify>,
 }
 
-/// What exists before the sockets open.
+/// State that is created before the sockets open.
 #[derive(Clone)]
 struct Prepared {
     front: Rc<Http3Front>,
@@ -37,7 +37,7 @@
 }
 
 impl Http3 {
-    /// The front of an operator file.
+    /// Creates the subsystem from its configuration.
     pub fn new(config: Http3Config) -> Self {
         Self {
             config,
@@ -73,19 +73,19 @@
         let open_endpoint = || ready(Endpoint::server(tls.clone(), listen));
         let endpoint = retry_while_in_use(listen, open_endpoint).await?;
         let (stop, closing) = (context.stop.clone(), self.quic_closing.clone());
-        executor.spawn("accepting", accept_quic(server, endpoint.clone(), stop, closing));
-        supervise(executor, "the response store", move || calls.clone().keep());
+        executor.spawn("HTTP/3 listener", accept_quic(server, endpoint.clone(), stop, closing));
+        supervise(executor, "response store", move || calls.clone().keep());
         if let Some(address) = self.config.tcp_address() {
             let listener = bind_tcp(address).await?;
             let (stop, closing) = (context.stop.clone(), self.tcp_closing.clone());
-            executor.spawn("accepting", accept(executor.clone(), front, listener, stop, closing));
+            executor.spawn("HTTP/1.1 listener", accept(executor.clone(), front, listener, stop, closing));
         }
         self.endpoint = Some(endpoint);
-        tracing::info!(%listen, "HTTP/3 is served");
+        tracing::info!(%listen, "HTTP/3 listener started");
         Ok(())
     }
 
-    /// Puts the certificates and session keys in force that their files hold by now.
+    /// Reloads the certificates and session keys from their files.
     fn reload_keys(&self) -> Result<(), BoxError> {
         let tls = self.config.server_config()?;
         if let (Some(_), Some(prepared)) = (&self.config.session_keys, &self.prepared) {
@@ -99,11 +99,11 @@
 }
 
 impl Subsystem for Http3 {
-    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> StartFuture<'a> {
         ready(self.create_front(context)).boxed_local()
     }
 
-    fn start<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+    fn start<'a>(&'a mut self, context: &'a Context) -> StartFuture<'a> {
         self.open(context).boxed_local()
     }
 
--- a/src/lifecycle/subsystems/mod.rs
+++ b/src/lifecycle/subsystems/mod.rs
@@ -1,4 +1,4 @@
-//! The subsystems of a serving process, an adapter for each, and the order in which they are handled.
+//! The subsystems of the server process, and the order in which they are handled.
 
 mod admin;
 mod admission;
@@ -26,15 +26,15 @@
 use std::net::TcpListener;
 use tokio::sync::watch;
 
-/// The subsystems that are on, in the order in which they are prepared, started, reloaded and stopped:
+/// Creates the enabled subsystems, in the order in which they are prepared, started, reloaded and stopped:
 ///
-/// 1. Settings, admission and rules open nothing; the fronts depend on them.
-/// 2. The platform listener opens first, so that clients queue in the system's backlog while the rest starts.
-/// 3. The registry client and the health checks come before the admin address, at which they are observed.
-/// 4. The admin address restores maintenance of endpoints, and fleet purges are sent once it answers their calls.
-/// 5. The other fronts open once purges and maintenance bind.
-/// 6. The engine's timer and the endpoint watch run once every front exists. The virtual router comes last: it claims
-///    addresses for fronts that can serve them.
+/// 1. Settings, admission and rules open no sockets; the fronts depend on them.
+/// 2. The platform listener opens first, so that clients queue in its backlog while the rest starts.
+/// 3. The registry client and the health checks start before the admin address, which reports their state.
+/// 4. The admin address restores endpoint maintenance. Fleet purges start once it accepts calls.
+/// 5. The other fronts open once purges and maintenance are in effect.
+/// 6. The engine's timer and the endpoint watch start once all fronts exist. The virtual router starts last, since it
+///    claims addresses for fronts that must be able to serve.
 pub fn configured(
     config: &Config,
     configs: SubsystemConfigs,
--- a/src/lifecycle/subsystems/platform.rs
+++ b/src/lifecycle/subsystems/platform.rs
@@ -1,8 +1,8 @@
-//! The platform's listener: the front that is always on, at the socket that the platform hands over or at its own.
+//! The platform's front, which is always enabled, and its listener: the inherited socket or one of its own.
 
 use crate::lifecycle::bind::bind_tcp;
 use crate::lifecycle::error::ServeError;
-use crate::lifecycle::subsystem::{Context, Starting, StopStage, Subsystem};
+use crate::lifecycle::subsystem::{Context, StartFuture, StopStage, Subsystem};
 use crate::vrrp::config::FrontKind;
 use crate::wire::listener::accept;
 use crate::wire::platform::{limits, Platform};
@@ -11,17 +11,17 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// The platform's listener.
+/// The subsystem of the platform's front and its listener.
 pub struct PlatformListener {
     handed_over: Option<std::net::TcpListener>,
-    /// Listeners that share the connections of clients: this one, and those of virtual addresses.
+    /// Number of listeners that share the client connection limit: this one and those of virtual addresses.
     listeners: usize,
     closing: Rc<Notify>,
 }
 
 impl PlatformListener {
-    /// A listener on the socket that was handed over, or else on one of its own. `listeners` of the front share the
-    /// connections of clients.
+    /// Creates a listener on the inherited socket, or on its own if there is none. `listeners` listeners of
+    /// the front share the client connection limit.
     pub fn new(handed_over: Option<std::net::TcpListener>, listeners: usize) -> Self {
         Self { handed_over, listeners, closing: Rc::default() }
     }
@@ -38,13 +38,13 @@
         context.fronts.add(FrontKind::Platform, front.clone());
         let accepting =
             accept(context.executor.clone(), front, listener, context.stop.clone(), self.closing.clone());
-        context.executor.spawn("accepting", accepting);
+        context.executor.spawn("platform listener", accepting);
         Ok(())
     }
 }
 
 impl Subsystem for PlatformListener {
-    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> StartFuture<'a> {
         self.open(context).boxed_local()
     }
 
--- a/src/lifecycle/subsystems/purges.rs
+++ b/src/lifecycle/subsystems/purges.rs
@@ -1,7 +1,7 @@
-//! Fleet purges: the purge log, the calls that issue and carry purges, and the leader's task.
+//! Fleet purges: the purge log, the admin calls that submit and replicate purges, and the leader's task.
 
 use crate::lifecycle::error::ServeError;
-use crate::lifecycle::subsystem::{AdminCalls, Context, Starting, Subsystem};
+use crate::lifecycle::subsystem::{AdminCalls, Context, StartFuture, Subsystem};
 use crate::lifecycle::supervisor::supervise;
 use crate::purge::config::PurgeConfig;
 use crate::purge::service::PurgeService;
@@ -9,22 +9,22 @@
 use futures_util::future::{ready, FutureExt};
 use std::rc::Rc;
 
-/// Fleet purges.
+/// The subsystem of fleet purges.
 pub struct Purges {
     config: PurgeConfig,
     service: Option<Rc<PurgeService>>,
 }
 
 impl Purges {
-    /// Fleet purges of an operator file.
+    /// Creates the subsystem from its configuration.
     pub fn new(config: PurgeConfig) -> Self {
         Self { config, service: None }
     }
 
-    /// Reads the purge log, before anything is served: the purges that it holds bind.
+    /// Reads the purge log. Its purges must be in effect before the first request is served.
     fn open(&mut self, context: &Context) -> Result<(), ServeError> {
         if context.config.admin_address().map_err(ServeError::field("mgmt"))?.is_none() {
-            let reason = "fleet purges are called at the second address, and there is none";
+            let reason = "fleet purges need an admin address, and none is configured";
             return Err(ServeError::field("mgmt")(reason));
         }
         self.service = Some(PurgeService::open(&context.executor, self.config.clone(), context.seed)?);
@@ -33,11 +33,11 @@
 }
 
 impl Subsystem for Purges {
-    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> StartFuture<'a> {
         ready(self.open(context)).boxed_local()
     }
 
-    fn start<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+    fn start<'a>(&'a mut self, context: &'a Context) -> StartFuture<'a> {
         if let Some(service) = self.service.clone() {
             supervise(&context.executor, "fleet purges", move || service.clone().run());
         }
--- a/src/lifecycle/subsystems/rules.rs
+++ b/src/lifecycle/subsystems/rules.rs
@@ -1,28 +1,28 @@
-//! Routing rules: which class and object a request of the platform's front is for.
+//! Routing rules: assign requests of the platform's front to a class and an object.
 
 use crate::config_file::BoxError;
 use crate::lifecycle::reload::log_reload;
-use crate::lifecycle::subsystem::{Context, Starting, Subsystem};
+use crate::lifecycle::subsystem::{Context, StartFuture, Subsystem};
 use crate::rules::config::RulesConfig;
 use crate::rules::table::Rules;
 use futures_util::future::{ready, FutureExt};
 
-/// The routing rules of an operator file.
+/// The routing rules subsystem.
 pub struct RoutingRules {
     config: RulesConfig,
-    /// The rules as they were read at the start, until they are put in force.
+    /// The rules that were read at startup, until they are activated.
     initial: Option<Rules>,
 }
 
 impl RoutingRules {
-    /// Rules and the file that they were read from.
+    /// Creates the subsystem from its configuration and the compiled rules.
     pub fn new(config: RulesConfig, rules: Rules) -> Self {
         Self { config, initial: Some(rules) }
     }
 }
 
 impl Subsystem for RoutingRules {
-    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> StartFuture<'a> {
         if let Some(rules) = self.initial.take() {
             context.rules.replace(rules);
         }
--- a/src/lifecycle/subsystems/settings.rs
+++ b/src/lifecycle/subsystems/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings: they are read again on SIGHUP, with the address of the discovery service.
+//! Reload of the platform settings and the address of the discovery service on SIGHUP.
 
 use crate::config_file::BoxError;
 use crate::engine::executor::Executor;
@@ -9,13 +9,14 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// The settings of the running process.
+/// The platform settings subsystem.
 pub struct Settings {
     discovery_address: watch::Sender<SocketAddr>,
 }
 
 impl Settings {
-    /// Settings whose reload moves the endpoint watch by `discovery_address`.
+    /// Creates the subsystem. A reload sends a changed address of the discovery service to
+    /// `discovery_address`.
     pub fn new(discovery_address: watch::Sender<SocketAddr>) -> Self {
         Self { discovery_address }
     }
@@ -27,8 +28,8 @@
     }
 }
 
-/// Reads the configuration again, puts its settings in force and moves the endpoint watch where the address of the
-/// discovery service changed. A file that cannot be used changes nothing.
+/// Reloads the configuration, applies its settings and redirects the endpoint watch if the address of the
+/// discovery service changed. An invalid file leaves the configuration unchanged.
 pub fn reload_config(
     executor: &Rc<Executor>,
     config: &Config,
--- a/src/lifecycle/subsystems/signed_urls.rs
+++ b/src/lifecycle/subsystems/signed_urls.rs
@@ -1,9 +1,9 @@
-//! The front for signed URLs, and its keys.
+//! The front for signed URLs, its listener and its keys.
 
 use crate::lifecycle::bind::bind_tcp;
 use crate::lifecycle::error::ServeError;
 use crate::lifecycle::signed_urls::{follow_key_file, SignedUrlConfig};
-use crate::lifecycle::subsystem::{Context, Starting, StopStage, Subsystem};
+use crate::lifecycle::subsystem::{Context, StartFuture, StopStage, Subsystem};
 use crate::lifecycle::supervisor::supervise;
 use crate::vrrp::config::FrontKind;
 use crate::wire::listener::accept;
@@ -11,16 +11,16 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The front for signed URLs.
+/// The subsystem of signed URLs.
 pub struct SignedUrls {
     config: SignedUrlConfig,
     closing: Rc<Notify>,
-    /// Has the keys read again at once.
+    /// Triggers an immediate reload of the keys.
     reload: Rc<Notify>,
 }
 
 impl SignedUrls {
-    /// The front of an operator file.
+    /// Creates the subsystem from its configuration.
     pub fn new(config: SignedUrlConfig) -> Self {
         Self { config, closing: Rc::default(), reload: Rc::default() }
     }
@@ -34,18 +34,18 @@
         context.fronts.add(FrontKind::Signed, front.clone());
         let accepting =
             accept(executor.clone(), front.clone(), listener, context.stop.clone(), self.closing.clone());
-        executor.spawn("accepting", accepting);
-        supervise(executor, "the signed URL keys", {
+        executor.spawn("signed URL listener", accepting);
+        supervise(executor, "signed URL keys", {
             let (executor, config, reload) = (executor.clone(), self.config.clone(), self.reload.clone());
             move || follow_key_file(executor.clone(), config.clone(), front.clone(), reload.clone())
         });
-        tracing::info!(%listen, "signed URLs are served");
+        tracing::info!(%listen, "signed URL listener started");
         Ok(())
     }
 }
 
 impl Subsystem for SignedUrls {
-    fn start<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+    fn start<'a>(&'a mut self, context: &'a Context) -> StartFuture<'a> {
         self.open(context).boxed_local()
     }
 
--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -7,7 +7,7 @@
 use crate::lifecycle::bind::bind_udp;
 use crate::lifecycle::error::ServeError;
 use crate::lifecycle::reload::log_reload;
-use crate::lifecycle::subsystem::{AdminCalls, Context, FrontDirectory, Starting, StopStage, Subsystem};
+use crate::lifecycle::subsystem::{AdminCalls, Context, FrontDirectory, StartFuture, StopStage, Subsystem};
 use crate::registry::service::RegistryStatus;
 use crate::vrrp::config::{EnabledSubsystems, FrontKind, VrrpConfig};
 use crate::vrrp::driver::run;
@@ -23,7 +23,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// The virtual router.
+/// The virtual router subsystem.
 pub struct Vrrp {
     config: VrrpConfig,
     enabled: EnabledSubsystems,
@@ -32,7 +32,7 @@
 }
 
 impl Vrrp {
-    /// The router of an operator file.
+    /// Creates the subsystem from its configuration. `enabled` names the subsystems that it may refer to.
     pub fn new(config: VrrpConfig, enabled: EnabledSubsystems) -> Self {
         Self { config, enabled, router: None, resign: Rc::default() }
     }
@@ -53,7 +53,7 @@
     async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
         let Some(router) = self.router.clone() else { return Ok(()) };
         let socket = bind_udp(self.config.router_settings().listen).await?;
-        context.executor.spawn("the virtual router", run(router, socket, self.resign.clone()));
+        context.executor.spawn("virtual router", run(router, socket, self.resign.clone()));
         Ok(())
     }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Serves the listeners of virtual addresses by the fronts of the process.
+/// Connects the listeners of virtual addresses to the fronts of the process.
 struct SubsystemFronts {
     executor: Rc<Executor>,
     fronts: FrontDirectory,
@@ -80,15 +80,16 @@
     fn serve(&self, kind: FrontKind, listener: TcpListener, stop: Rc<GracefulShutdown>, closing: Rc<Notify>) {
         if let (FrontKind::Grpc, Some(front)) = (kind, &self.grpc) {
             let accepting = grpc_server::accept(front.clone(), listener, stop, closing);
-            return self.executor.spawn("accepting", accepting);
+            return self.executor.spawn("virtual gRPC listener", accepting);
         }
         if let Some(front) = self.fronts.find(kind) {
-            self.executor.spawn("accepting", accept(self.executor.clone(), front, listener, stop, closing));
+            self.executor
+                .spawn("virtual listener", accept(self.executor.clone(), front, listener, stop, closing));
         }
     }
 }
 
-/// The values of tracked objects, from all subsystems.
+/// Reads the values of tracked objects from all subsystems.
 struct SubsystemValues {
     executor: Rc<Executor>,
     host: HostValues,
@@ -116,17 +117,17 @@
     }
 }
 
-/// Milliseconds since a time, which is 0 where there was none.
+/// Milliseconds since `at_ms`; `None` if `at_ms` is 0, which means never.
 fn ms_since(executor: &Executor, at_ms: f64) -> Option<f64> {
     Some(executor.clock.now() - at_ms).filter(|_| at_ms > 0.0)
 }
 
 impl Subsystem for Vrrp {
-    fn prepare<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+    fn prepare<'a>(&'a mut self, context: &'a Context) -> StartFuture<'a> {
         ready(self.create_router(context)).boxed_local()
     }
 
-    fn start<'a>(&'a mut self, context: &'a Context) -> Starting<'a> {
+    fn start<'a>(&'a mut self, context: &'a Context) -> StartFuture<'a> {
         self.open(context).boxed_local()
     }
 
--- a/src/lifecycle/supervisor.rs
+++ b/src/lifecycle/supervisor.rs
@@ -1,14 +1,15 @@
-//! Restart of tasks that must never end.
+//! Restarts long-running tasks that panic.
 
 use crate::engine::executor::Executor;
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The wait before a task that panicked is started again.
+/// Delay before a task that panicked is restarted.
 const RESTART_DELAY: Duration = Duration::from_millis(10);
 
-/// Runs a task for the life of the process: a task that panics is counted, logged and started again by `make`.
+/// Runs a task for the lifetime of the process. A panic is counted and logged, and `make` creates the task
+/// again.
 pub fn supervise<F, T>(executor: &Rc<Executor>, name: &'static str, make: F)
 where
     F: Fn() -> T + 'static,
@@ -20,7 +21,7 @@
             let task = tokio::task::spawn_local(make());
             if task.await.is_err() {
                 supervisor.with(|engine| engine.counters.panics += 1);
-                tracing::error!(what = name, "a task panicked and is restarted");
+                tracing::error!(what = name, "task panicked; restarting");
                 tokio::time::sleep(RESTART_DELAY).await;
             }
         }
