--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,4 +1,4 @@
-//! The routers of one process, and the batch of messages that is being handled.
+//! Hosts the routers of one process and handles batches of messages.
 
 use crate::error::MessageError;
 use crate::input::{ListMode, Message, MessageHead, TableRecord};
@@ -11,7 +11,7 @@
 /// The line that ends the reply to a batch.
 const END_OF_REPLY: &str = "{\"cmd\":\"End\"}\n";
 
-/// One hosted router, with the settings by which its messages are translated.
+/// A hosted router, with the settings that are needed to translate its messages.
 struct Instance {
     router: Router,
     settings: PlatformSettings,
@@ -21,25 +21,26 @@
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<u64, Instance>,
-    /// Tables of endpoints, by number.
+    /// Endpoint tables, by number.
     tables: HashMap<u64, Vec<TableRecord>>,
-    /// The time of the present batch; none between batches.
+    /// The time of the current batch; `None` between batches.
     batch_time: Option<Micros>,
-    /// The reply to the present batch.
+    /// The reply to the current batch.
     reply: String,
-    /// An empty list of actions, kept for its allocation.
+    /// A reusable buffer for actions; empty between events.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Whether a batch has begun and not ended.
+    /// Whether a batch has started and not ended.
     pub fn is_in_batch(&self) -> bool {
         self.batch_time.is_some()
     }
 
-    /// Handles one line; returns the reply to its batch where it ends the batch.
+    /// Handles one line. Returns the reply to the batch if the line ends it.
     pub fn handle(&mut self, text: &str) -> Result<Option<String>, MessageError> {
-        // The parser changes its input, and a line is parsed twice: messages of other kinds may have any fields.
+        // The line is parsed twice, since messages of unknown kinds may have any fields. The parser modifies
+        // its input, so each pass needs a fresh copy.
         let mut bytes = text.as_bytes().to_vec();
         let MessageHead { command } = simd_json::from_slice(&mut bytes)?;
         if !Message::is_known(&command) {
@@ -67,7 +68,7 @@
         Ok(None)
     }
 
-    /// Applies a message within a batch. One for an instance that does not exist is ignored.
+    /// Applies a message within a batch. Messages for unknown instances are ignored.
     fn apply(&mut self, now: Micros, message: Message) -> Result<(), MessageError> {
         match message {
             Message::Table { table, records } => {
@@ -84,22 +85,22 @@
                 Ok(())
             }
             Message::Endpoints { instance, table, mode } => {
-                let Some(known) = self.instances.get(&instance) else { return Ok(()) };
-                let event = self.endpoints_event(&known.settings, table, mode)?;
-                self.pass(now, instance, &event)
+                let Some(hosted) = self.instances.get(&instance) else { return Ok(()) };
+                let event = self.endpoints_event(&hosted.settings, table, mode)?;
+                self.dispatch(now, instance, &event)
             }
             other => {
                 let instance = other.instance();
-                let Some(known) = self.instances.get(&instance) else { return Ok(()) };
-                match other.into_event(&known.settings)? {
-                    Some(event) => self.pass(now, instance, &event),
+                let Some(hosted) = self.instances.get(&instance) else { return Ok(()) };
+                match other.into_event(&hosted.settings)? {
+                    Some(event) => self.dispatch(now, instance, &event),
                     None => Ok(()),
                 }
             }
         }
     }
 
-    /// The event of a list of endpoints.
+    /// Creates the event for an endpoint list.
     fn endpoints_event(
         &self,
         settings: &PlatformSettings,
@@ -117,10 +118,10 @@
         Ok(Event::EndpointsChanged { full: mode == ListMode::Full, entries })
     }
 
-    /// Passes an event to a router and appends its actions to the reply.
-    fn pass(&mut self, now: Micros, instance: u64, event: &Event) -> Result<(), MessageError> {
-        let Some(known) = self.instances.get_mut(&instance) else { return Ok(()) };
-        known.router.handle(now, event, &mut self.actions);
+    /// Passes an event to a router and appends the resulting actions to the reply.
+    fn dispatch(&mut self, now: Micros, instance: u64, event: &Event) -> Result<(), MessageError> {
+        let Some(hosted) = self.instances.get_mut(&instance) else { return Ok(()) };
+        hosted.router.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             let text = simd_json::to_string(&Reply::from_action(instance, action))?;
             self.reply.push_str(&text);
--- a/src/bin/simulator-adapter/input.rs
+++ b/src/bin/simulator-adapter/input.rs
@@ -1,4 +1,4 @@
-//! The messages of the simulator, and the events that they mean. The simulator's spelling is mapped here.
+//! The messages of the simulator, and their translation to events. Maps the names of the simulator protocol.
 
 use crate::error::{MessageError, RequestIdError};
 use edge_proxy::endpoint_list::EndpointRecord;
@@ -7,7 +7,7 @@
 use edge_proxy::{AttemptOutcome, EndpointState, Event, Micros};
 use serde::Deserialize;
 
-/// The kinds of messages that are handled; all others are ignored.
+/// The kinds of messages that are handled. All others are ignored.
 const KNOWN_COMMANDS: [&str; 14] = [
     "Clock",
     "Eob",
@@ -25,14 +25,14 @@
     "Headers",
 ];
 
-/// The kind of a message.
+/// The part of a message that identifies its kind.
 #[derive(Deserialize)]
 pub struct MessageHead {
     #[serde(rename = "cmd")]
     pub command: String,
 }
 
-/// A request's id: 16 lower-case hex digits on the wire.
+/// A request id: 16 lower-case hex digits on the wire.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(try_from = "String")]
 pub struct HexId(u64);
@@ -47,7 +47,7 @@
     }
 }
 
-/// An endpoint of a table.
+/// A record of an endpoint table.
 #[derive(Deserialize)]
 pub struct TableRecord {
     #[serde(default, deserialize_with = "lenient")]
@@ -88,13 +88,13 @@
     }
 }
 
-/// How a list of endpoints is to be applied.
+/// How an endpoint list is applied.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(from = "String")]
 pub enum ListMode {
     /// The complete list.
     Full,
-    /// Changes of the list.
+    /// Changes to the list.
     Changes,
     /// The watch was lost.
     Lost,
@@ -233,12 +233,12 @@
 }
 
 impl Message {
-    /// Whether messages of this kind are handled.
+    /// Whether messages with this `cmd` are handled.
     pub fn is_known(command: &str) -> bool {
         KNOWN_COMMANDS.contains(&command)
     }
 
-    /// The instance that a message is for; 0 for those of the whole adapter.
+    /// The instance that the message is for; 0 if it is for the whole adapter.
     pub fn instance(&self) -> u64 {
         match self {
             Self::BatchStart { .. } | Self::BatchEnd | Self::Table { .. } => 0,
@@ -256,7 +256,7 @@
         }
     }
 
-    /// The event that a message means to its router, if any.
+    /// Converts the message to an event for its router, if there is one.
     pub fn into_event(self, settings: &PlatformSettings) -> Result<Option<Event>, MessageError> {
         Ok(Some(match self {
             Self::Request { id, class, object, deadline_at, size_kb, group, part, .. } => {
@@ -288,7 +288,7 @@
     }
 }
 
-/// The outcome of an attempt or a health check.
+/// Parses the outcome of an attempt or a health check.
 fn parse_outcome(text: &str) -> Result<AttemptOutcome, MessageError> {
     Ok(match text {
         "S" => AttemptOutcome::Served,
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,7 +1,7 @@
-//! The adapter between the simulator's wire and [`edge_proxy::Router`]: it translates messages and makes no decision.
+//! Adapter between the simulator protocol and [`edge_proxy::Router`]. It only translates messages.
 //!
-//! One process hosts many routers, which share nothing. An invalid message ends the process with an error on standard
-//! error and exit code 1; the end of input ends it with 0.
+//! One process hosts many independent routers. An invalid message ends the process with an error on standard
+//! error and exit code 1; the end of input ends it with exit code 0.
 
 #![cfg_attr(not(test), warn(clippy::too_many_lines, clippy::cognitive_complexity))]
 #![cfg_attr(not(test), warn(clippy::unwrap_used))]
@@ -16,7 +16,7 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-/// Serves batches of messages from standard input until its end.
+/// Handles batches of messages from standard input until end of file.
 fn run() -> Result<(), AdapterError> {
     let mut input = io::stdin().lock();
     let mut output = BufWriter::new(io::stdout().lock());
--- a/src/bin/simulator-adapter/output.rs
+++ b/src/bin/simulator-adapter/output.rs
@@ -1,16 +1,16 @@
-//! The adapter's replies: actions in the simulator's spelling.
+//! The adapter's replies: actions, with the names of the simulator protocol.
 
 use edge_proxy::{Action, EndpointId, Micros, RequestId};
 use serde::{Serialize, Serializer};
 
-/// Bit of the miss options: join a fill in progress.
+/// Miss option bit: join a fill in progress.
 const JOIN_FILL: u32 = 1;
-/// Bit of the miss options: the source serves only a copy that it has.
+/// Miss option bit: the source serves only from its cache.
 const ONLY_IF_CACHED: u32 = 1 << 1;
-/// Bit of the miss options: revalidate a stale copy in the background.
+/// Miss option bit: revalidate a stale copy in the background.
 const REVALIDATE: u32 = 1 << 3;
 
-/// A reply; its fields are serialized in the order in which they stand.
+/// A reply. Its fields are serialized in declaration order.
 #[derive(Serialize)]
 #[serde(tag = "cmd")]
 pub enum Reply {
@@ -93,7 +93,7 @@
 }
 
 impl Reply {
-    /// The reply that orders an action of an instance's router.
+    /// Converts an action of an instance's router to a reply.
     pub fn from_action(instance: u64, action: Action) -> Self {
         match action {
             Action::Forward { id, to, source: None, timeout, .. } => {
@@ -124,13 +124,13 @@
     }
 }
 
-/// What a cache does on a miss, as a sum of bits.
+/// Encodes what a cache does on a miss as a bit mask.
 fn miss_options(join_fill: bool, only_if_cached: bool, revalidate: bool) -> u32 {
     let options = [(join_fill, JOIN_FILL), (only_if_cached, ONLY_IF_CACHED), (revalidate, REVALIDATE)];
     options.iter().filter(|(chosen, _)| *chosen).map(|(_, bit)| bit).sum()
 }
 
-/// Serializes a request's id as 16 hex digits.
+/// Serializes a request id as 16 hex digits.
 fn hex<S: Serializer>(id: &RequestId, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_str(&format!("{id:016x}"))
 }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `check`: reads all files as `serve` would.
+//! The `check` command: validates all files that `serve` would read.
 
 use super::error::CliError;
 use super::files::read_config;
@@ -7,44 +7,44 @@
 use edge_proxy::lifecycle::subsystem_configs::{SubsystemConfigs, SubsystemFiles};
 use std::path::PathBuf;
 
-/// Check a configuration and report what is wrong with it.
+/// Validate a configuration and its files.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct Check {
-    /// the configuration; else the file that NODE_CONFIG names
+    /// the configuration file; defaults to NODE_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
-    /// the file of signed URLs
+    /// the configuration file of signed URLs
     #[argh(option)]
     signed_urls: Option<PathBuf>,
-    /// the file of a virtual router (VRRP)
+    /// the configuration file of the virtual router (VRRP)
     #[argh(option)]
     vrrp: Option<PathBuf>,
-    /// the file of fleet purges
+    /// the configuration file of fleet purges
     #[argh(option)]
     purges: Option<PathBuf>,
-    /// the file of admission control
+    /// the configuration file of admission control
     #[argh(option)]
     admission: Option<PathBuf>,
-    /// the file of the registry client
+    /// the configuration file of the registry client
     #[argh(option)]
     registry: Option<PathBuf>,
-    /// the file of gRPC pass-through
+    /// the configuration file of gRPC pass-through
     #[argh(option)]
     grpc: Option<PathBuf>,
-    /// the file of HTTP/3
+    /// the configuration file of HTTP/3
     #[argh(option)]
     http3: Option<PathBuf>,
-    /// the file of health checks shared among instances
+    /// the configuration file of health checks shared between instances
     #[argh(option)]
     health_checks: Option<PathBuf>,
-    /// the file of routing rules
+    /// the configuration file of routing rules
     #[argh(option)]
     rules: Option<PathBuf>,
 }
 
 impl Check {
-    /// Reads and checks all files.
+    /// Reads and validates all files.
     pub fn run(self) -> Result<(), CliError> {
         let config = read_config(self.config)?;
         let files = SubsystemFiles {
@@ -60,9 +60,9 @@
         };
         let subsystems = SubsystemConfigs::read(&files, config.limits.max_descriptors)?;
         if let Some((_, rules)) = subsystems.rules {
-            println!("{PROGRAM}: {} rules, at most {} steps a request", rules.0.len(), rules.max_cost());
+            println!("{PROGRAM}: {} rules, at most {} steps per request", rules.0.len(), rules.max_cost());
         }
-        println!("{PROGRAM}: the configuration of {:?} is in order", config.name);
+        println!("{PROGRAM}: the configuration of {:?} is valid", config.name);
         Ok(())
     }
 }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails.
+//! Errors of commands.
 
 use edge_proxy::config_file::{BoxError, ConfigError};
 use edge_proxy::lifecycle::error::ServeError;
@@ -6,44 +6,44 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a command fails.
+/// An error that makes a command fail.
 #[derive(Debug, Error)]
 pub enum CliError {
     /// Neither an option nor the environment names a configuration.
     #[error("no configuration: give --config FILE or set NODE_CONFIG")]
     NoConfiguration,
-    /// A configuration file cannot be used.
+    /// A configuration file is invalid.
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// The process could not start.
+    /// The proxy failed to start.
     #[error("{0}")]
     Serve(#[from] ServeError),
-    /// The asynchronous runtime could not start.
-    #[error("runtime: {0}")]
+    /// The asynchronous runtime failed to start.
+    #[error("cannot start the runtime: {0}")]
     Runtime(#[source] std::io::Error),
-    /// An argument cannot be used.
+    /// An argument is invalid.
     #[error("{0}")]
     Argument(BoxError),
-    /// The table of gRPC methods cannot be compiled.
+    /// The gRPC routes are invalid.
     #[error("{0}")]
     GrpcRoutes(BoxError),
-    /// The table of gRPC methods has no line for a path.
-    #[error("{0:?}: no line of the table")]
+    /// No gRPC route matches a path.
+    #[error("no gRPC route matches {0:?}")]
     NoGrpcRoute(String),
-    /// A header of the command line has no colon.
-    #[error("{0:?} is no `name: value`")]
+    /// A header argument has no colon.
+    #[error("header {0:?} is not of the form `name: value`")]
     Header(String),
-    /// A call to a proxy's admin address had no answer.
+    /// A call to a proxy's admin address failed without a response.
     #[error("{0}")]
     Call(BoxError),
-    /// A call to a proxy's admin address was answered with an error.
-    #[error("{at} answered {status}: {reason}")]
-    Answer {
+    /// A call to a proxy's admin address returned an error response.
+    #[error("{at} returned {status}: {reason}")]
+    ErrorResponse {
         /// The address.
         at: SocketAddr,
         /// The HTTP status.
         status: u16,
-        /// The reason that the answer gives.
+        /// The error message of the response, or its body.
         reason: String,
     },
     /// A file cannot be read.
@@ -51,25 +51,25 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// The error of the system.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// A file is not a purge log.
     #[error("{}: not a purge log", .0.display())]
     NotAPurgeLog(PathBuf),
-    /// A record of a purge log is damaged.
-    #[error("{}: {complete} records whole; at byte {offset}: {reason}", path.display())]
-    DamagedPurgeLog {
+    /// A purge log contains a corrupt record.
+    #[error("{}: {complete} valid records, then a corrupt one at byte {offset}: {reason}", path.display())]
+    CorruptPurgeLog {
         /// The file.
         path: PathBuf,
-        /// The complete records before it.
+        /// Number of valid records before it.
         complete: usize,
-        /// Where it begins, in bytes from the beginning of the file.
+        /// Its offset in the file, in bytes.
         offset: usize,
         /// What is wrong with it.
         reason: String,
     },
-    /// A record cannot be written as JSON.
+    /// A record cannot be serialized as JSON.
     #[error("{0}")]
     Json(#[from] simd_json::Error),
 }
--- a/src/cli/grpc_route.rs
+++ b/src/cli/grpc_route.rs
@@ -1,4 +1,4 @@
-//! `grpc-route`: looks a path up in the table of gRPC methods.
+//! The `grpc-route` command: looks up the route of a gRPC method.
 
 use super::error::CliError;
 use argh::FromArgs;
@@ -6,20 +6,20 @@
 use edge_proxy::Idempotency;
 use std::path::PathBuf;
 
-/// Show what the table of gRPC methods holds for a path.
+/// Show the route of a gRPC method.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "grpc-route")]
 pub struct GrpcRoute {
-    /// the file of gRPC pass-through
+    /// the configuration file of gRPC pass-through
     #[argh(option)]
     grpc: PathBuf,
-    /// the path, `/Service/Method`
+    /// the path of the method, `/Service/Method`
     #[argh(positional)]
     path: String,
 }
 
 impl GrpcRoute {
-    /// Prints the route of the path.
+    /// Prints the route of the method.
     pub fn run(self) -> Result<(), CliError> {
         let config = GrpcConfig::read(&self.grpc)?;
         let (routes, pools) = config.compile().map_err(|error| CliError::GrpcRoutes(error.into()))?;
@@ -38,7 +38,7 @@
     }
 }
 
-/// The spelling of [`Idempotency`] in the output.
+/// The name of an [`Idempotency`] in the output.
 fn idempotency_text(idempotency: Idempotency) -> &'static str {
     match idempotency {
         Idempotency::Idempotent => "Safe",
--- a/src/cli/logging.rs
+++ b/src/cli/logging.rs
@@ -1,35 +1,35 @@
-//! Structured logs on standard error.
+//! Sets up structured logging to standard error.
 
 use tracing_subscriber::EnvFilter;
 
-/// Filters the logs; `info` where it is not set.
+/// Environment variable with the log filter; `info` if unset.
 const FILTER_VARIABLE: &str = "EDGE_PROXY_LOG";
-/// The name of [`FILTER_VARIABLE`] in earlier versions.
-const OLD_FILTER_VARIABLE: &str = "CALICOBEAM_LOG";
-/// `json` for one JSON object a line.
+/// Deprecated name of [`FILTER_VARIABLE`].
+const DEPRECATED_FILTER_VARIABLE: &str = "CALICOBEAM_LOG";
+/// Environment variable with the log format; `json` for one JSON object per line.
 const FORMAT_VARIABLE: &str = "EDGE_PROXY_LOG_FORMAT";
-/// The name of [`FORMAT_VARIABLE`] in earlier versions.
-const OLD_FORMAT_VARIABLE: &str = "CALICOBEAM_LOG_FORMAT";
+/// Deprecated name of [`FORMAT_VARIABLE`].
+const DEPRECATED_FORMAT_VARIABLE: &str = "CALICOBEAM_LOG_FORMAT";
 
-/// Starts logging as the environment asks for it.
+/// Initializes logging from the environment.
 pub fn start() {
-    let variable = set_or_old(FILTER_VARIABLE, OLD_FILTER_VARIABLE);
+    let variable = set_or_deprecated(FILTER_VARIABLE, DEPRECATED_FILTER_VARIABLE);
     let filter = EnvFilter::try_from_env(variable).unwrap_or_else(|_| EnvFilter::new("info"));
-    let variable = set_or_old(FORMAT_VARIABLE, OLD_FORMAT_VARIABLE);
+    let variable = set_or_deprecated(FORMAT_VARIABLE, DEPRECATED_FORMAT_VARIABLE);
     let json = std::env::var(variable).is_ok_and(|format| format == "json");
-    let logs =
+    let subscriber =
         tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false);
     if json {
-        logs.json().init();
+        subscriber.json().init();
     } else {
-        logs.with_target(false).init();
+        subscriber.with_target(false).init();
     }
 }
 
-/// The variable `name` where it is set, or else its old name.
-fn set_or_old(name: &'static str, old: &'static str) -> &'static str {
+/// Returns `name` if that variable is set, otherwise its deprecated name.
+fn set_or_deprecated(name: &'static str, deprecated: &'static str) -> &'static str {
     match std::env::var_os(name) {
         Some(_) => name,
-        None => old,
+        None => deprecated,
     }
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: a module for each command, and what several of them share.
+//! The command line: one module per command, and shared helpers.
 
 mod admin_call;
 mod check;
@@ -16,15 +16,15 @@
 
 use argh::{EarlyExit, FromArgs};
 use error::CliError;
-use old_spellings::replace_old_spellings;
+use old_spellings::replace_deprecated_names;
 use std::ffi::{OsStr, OsString};
 use std::path::Path;
 use std::process::ExitCode;
 
-/// The name of the program in its messages.
+/// The name of the program in messages.
 const PROGRAM: &str = "edge-proxy";
 
-/// The edge proxy of the listing-media deployment.
+/// An edge proxy in front of tiers of caches.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -59,19 +59,19 @@
     }
 }
 
-/// Runs the command that the process's arguments name.
+/// Parses the arguments of the process and runs the command.
 pub fn main() -> ExitCode {
     let arguments: Result<Vec<String>, OsString> = std::env::args_os().map(OsString::into_string).collect();
     let mut arguments = match arguments {
         Ok(arguments) => arguments.into_iter(),
         Err(argument) => {
-            eprintln!("Invalid utf8: {}", argument.to_string_lossy());
+            eprintln!("invalid UTF-8 in argument: {}", argument.to_string_lossy());
             return ExitCode::FAILURE;
         }
     };
     let path = arguments.next().unwrap_or_default();
     let name = Path::new(&path).file_name().and_then(OsStr::to_str).unwrap_or(PROGRAM);
-    let arguments = replace_old_spellings(arguments.collect());
+    let arguments = replace_deprecated_names(arguments.collect());
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
     let command = match Arguments::from_args(&[name], &arguments) {
         Ok(arguments) => arguments.command,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Prints the help that was asked for, or what is wrong with the arguments.
+/// Prints the requested help, or the error in the arguments.
 fn report_exit(name: &str, exit: EarlyExit) -> ExitCode {
     match exit.status {
         Ok(()) => {
--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -1,6 +1,6 @@
-//! `purge`: issues fleet purges, and shows how far they got.
+//! The `purge` command: submits fleet purges and shows their progress.
 
-use super::admin_call::{print_answer, print_get};
+use super::admin_call::{print_get, print_response};
 use super::error::CliError;
 use argh::FromArgs;
 use edge_proxy::purge::log::{decode, DecodedLog, InvalidRecord, MAGIC};
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Issue fleet purges and show how far they got.
+/// Submit fleet purges and show their progress.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "purge")]
 pub struct Purge {
@@ -26,11 +26,11 @@
     Log(Log),
 }
 
-/// Issue a purge at the leader: object:HEX16, group:N, tag:KEY, pattern:/GLOB or everything.
+/// Submit a purge to the leader: object:HEX16, group:N, tag:KEY, pattern:/GLOB or everything.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "submit")]
 struct Submit {
-    /// the leader's admin address, as host:port
+    /// the leader's admin address, as IP:PORT
     #[argh(option)]
     at: SocketAddr,
     /// what the purge removes
@@ -38,11 +38,11 @@
     selector: String,
 }
 
-/// Show a proxy's purges: its number, the fleet's done mark, each target's acknowledgement.
+/// Show a proxy's purge progress: its last number, the completed number, each target's acknowledgement.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 struct Status {
-    /// the proxy's admin address, as host:port
+    /// the proxy's admin address, as IP:PORT
     #[argh(option)]
     at: SocketAddr,
 }
@@ -51,18 +51,18 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 struct List {
-    /// the proxy's admin address, as host:port
+    /// the proxy's admin address, as IP:PORT
     #[argh(option)]
     at: SocketAddr,
-    /// the first number to list
+    /// the first purge number to list
     #[argh(option, default = "1")]
     from: u64,
-    /// how many at most
+    /// the maximum number of purges
     #[argh(option, long = "most", default = "100")]
     limit: u64,
 }
 
-/// Read a purge log file and check every record, changing nothing.
+/// Print a purge log file and verify every record, without changing it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "log")]
 struct Log {
@@ -72,7 +72,7 @@
 }
 
 impl Purge {
-    /// Carries the command out and prints its result.
+    /// Runs the subcommand and prints its result.
     pub fn run(self) -> Result<(), CliError> {
         match self.command {
             PurgeCommand::Submit(command) => command.run(),
@@ -86,11 +86,11 @@
 }
 
 impl Submit {
-    /// Checks the selector here first, so that a bad one is reported at once and changes nothing anywhere.
+    /// Validates the selector locally, so that an invalid one is never sent.
     fn run(self) -> Result<(), CliError> {
         let selector: Selector =
             self.selector.parse().map_err(|error| CliError::Argument(Box::from(error)))?;
-        print_answer(self.at, "POST", "/purges", &to_json(&SubmitRequest { selector }))
+        print_response(self.at, "POST", "/purges", &to_json(&SubmitRequest { selector }))
     }
 }
 
@@ -111,9 +111,9 @@
         let complete = records.len();
         if let Some(InvalidRecord { offset, fault }) = fault {
             let (offset, reason) = (offset + MAGIC.len(), fault.to_string());
-            return Err(CliError::DamagedPurgeLog { path, complete, offset, reason });
+            return Err(CliError::CorruptPurgeLog { path, complete, offset, reason });
         }
-        eprintln!("{}: {complete} records, all whole", path.display());
+        eprintln!("{}: {complete} records, all valid", path.display());
         Ok(())
     }
 }
--- a/src/cli/rule.rs
+++ b/src/cli/rule.rs
@@ -1,4 +1,4 @@
-//! `rule`: applies routing rules to a request.
+//! The `rule` command: applies routing rules to a request.
 
 use super::error::CliError;
 use argh::FromArgs;
@@ -7,26 +7,26 @@
 use edge_proxy::wire::http::HttpRequest;
 use std::path::PathBuf;
 
-/// Show how rules classify a request.
+/// Show how routing rules classify a request.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rule")]
 pub struct Rule {
-    /// the file of routing rules
+    /// the configuration file of routing rules
     #[argh(option)]
     rules: PathBuf,
-    /// the method; GET where it is not given
+    /// the request method; defaults to GET
     #[argh(option, default = "String::from(\"GET\")")]
     method: String,
-    /// a header, `name: value`; may be given more than once
+    /// a request header, `name: value`; may be repeated
     #[argh(option)]
     header: Vec<String>,
-    /// the target
+    /// the request target
     #[argh(positional)]
     target: String,
 }
 
 impl Rule {
-    /// Prints the request's class and keys, or why it has none.
+    /// Prints the request's class and keys, or why it was not classified.
     pub fn run(self) -> Result<(), CliError> {
         let (_, rules) = RulesConfig::read(&self.rules)?;
         let headers = self.header.iter().map(|line| parse_header(line)).collect::<Result<_, _>>()?;
@@ -45,7 +45,7 @@
     }
 }
 
-/// A header's name, in lower case, and its value.
+/// Splits a header into its name, in lower case, and its value.
 fn parse_header(line: &str) -> Result<(String, String), CliError> {
     let (name, value) = line.split_once(':').ok_or_else(|| CliError::Header(line.to_string()))?;
     Ok((name.trim().to_ascii_lowercase(), value.trim().to_string()))
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: the serving process.
+//! The `serve` command: runs the proxy.
 
 use super::error::CliError;
 use super::files::read_config;
@@ -9,44 +9,44 @@
 use std::path::PathBuf;
 use tokio::task::LocalSet;
 
-/// Serve until SIGTERM.
+/// Run the proxy until SIGTERM or SIGINT.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 pub struct Serve {
-    /// the configuration; else the file that NODE_CONFIG names
+    /// the configuration file; defaults to NODE_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
-    /// the file of signed URLs; without it there is no such front
+    /// the configuration file of signed URLs; without it they are disabled
     #[argh(option)]
     signed_urls: Option<PathBuf>,
-    /// the file of a virtual router (VRRP); without it no packet is sent
+    /// the configuration file of the virtual router (VRRP); without it VRRP is disabled
     #[argh(option)]
     vrrp: Option<PathBuf>,
-    /// the file of fleet purges; without it purges come from the discovery service alone
+    /// the configuration file of fleet purges; without it purges come from the discovery service only
     #[argh(option)]
     purges: Option<PathBuf>,
-    /// the file of admission control; without it every request goes to the engine at once
+    /// the configuration file of admission control; without it every request is admitted immediately
     #[argh(option)]
     admission: Option<PathBuf>,
-    /// the file of the registry client; without it the endpoints come from the discovery service
+    /// the configuration file of the registry client; without it endpoints come from the discovery service
     #[argh(option)]
     registry: Option<PathBuf>,
-    /// the file of gRPC pass-through; without it there is no such front
+    /// the configuration file of gRPC pass-through; without it gRPC is disabled
     #[argh(option)]
     grpc: Option<PathBuf>,
-    /// the file of HTTP/3; without it there is no such front
+    /// the configuration file of HTTP/3; without it HTTP/3 is disabled
     #[argh(option)]
     http3: Option<PathBuf>,
-    /// the file of health checks shared among instances; without it no endpoint is checked
+    /// the configuration file of health checks shared between instances; without it they are disabled
     #[argh(option)]
     health_checks: Option<PathBuf>,
-    /// the file of routing rules; without it requests are classified by the platform's own spelling
+    /// the configuration file of routing rules; without it the platform's URL format classifies requests
     #[argh(option)]
     rules: Option<PathBuf>,
 }
 
 impl Serve {
-    /// Reads all files and serves.
+    /// Reads all files and runs the proxy.
     pub fn run(self) -> Result<(), CliError> {
         let config = read_config(self.config)?;
         let files = SubsystemFiles {
--- a/src/cli/show.rs
+++ b/src/cli/show.rs
@@ -1,4 +1,4 @@
-//! `show`: a subsystem's state.
+//! The `show` command: prints the state of a subsystem.
 
 use super::admin_call::print_get;
 use super::error::CliError;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The subsystems, each with the target of its admin call.
+/// The subsystems, with the path of their admin call.
 const SUBSYSTEMS: [(&str, &str); 5] = [
     ("registry", "/registry"),
     ("grpc", "/grpc"),
@@ -15,20 +15,20 @@
     ("purges", "/purges"),
 ];
 
-/// Show a subsystem's state, as JSON.
+/// Show the state of a subsystem as JSON.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
 pub struct Show {
-    /// which one: `registry`, `grpc`, `vrrp`, `health-checks` or `purges`
+    /// the subsystem: `registry`, `grpc`, `vrrp`, `health-checks` or `purges`
     #[argh(positional)]
     subsystem: String,
-    /// the proxy's admin address
+    /// the proxy's admin address, as IP:PORT
     #[argh(option)]
     at: SocketAddr,
 }
 
 #[derive(Debug, Error)]
-#[error("{0:?} is none of registry, grpc, vrrp, health-checks, purges")]
+#[error("unknown subsystem {0:?}; expected registry, grpc, vrrp, health-checks or purges")]
 struct UnknownSubsystem(String);
 
 impl Show {
--- a/src/cli/version.rs
+++ b/src/cli/version.rs
@@ -1,4 +1,4 @@
-//! `version`.
+//! The `version` command.
 
 use super::error::CliError;
 use super::PROGRAM;
--- a/src/cli/vrrp.rs
+++ b/src/cli/vrrp.rs
@@ -1,30 +1,30 @@
-//! `vrrp`: the state of a proxy's virtual router, and whether it takes part in elections.
+//! The `vrrp` command: shows a proxy's virtual router, and controls whether it takes part in elections.
 
-use super::admin_call::print_answer;
+use super::admin_call::print_response;
 use super::error::CliError;
 use argh::FromArgs;
 use std::net::SocketAddr;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Show the state of a proxy's virtual router, have it step down, or resume.
+/// Show the state of a proxy's virtual router, or make it step down or resume.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "vrrp")]
 pub struct Vrrp {
-    /// what to do: `status`, `step-down` (give the addresses up and stay out) or `resume` (as a backup)
+    /// the action: `status`, `step-down` (release the addresses, leave elections) or `resume` (as backup)
     #[argh(positional)]
     action: String,
-    /// the proxy's admin address
+    /// the proxy's admin address, as IP:PORT
     #[argh(option)]
     at: SocketAddr,
 }
 
 impl Vrrp {
-    /// Carries the action out and prints the state.
+    /// Performs the action and prints the state.
     pub fn run(self) -> Result<(), CliError> {
         let action: Action = self.action.parse().map_err(|e: UnknownAction| CliError::Argument(e.into()))?;
         let (method, target) = action.call();
-        print_answer(self.at, method, target, b"")
+        print_response(self.at, method, target, b"")
     }
 }
 
@@ -36,7 +36,7 @@
 }
 
 #[derive(Debug, Error)]
-#[error("{0:?} is neither `status`, `step-down` nor `resume`")]
+#[error("unknown action {0:?}; expected `status`, `step-down` or `resume`")]
 struct UnknownAction(String);
 
 impl FromStr for Action {
@@ -53,7 +53,7 @@
 }
 
 impl Action {
-    /// The method and target of its admin call.
+    /// The HTTP method and path of its admin call.
     fn call(self) -> (&'static str, &'static str) {
         match self {
             Self::Status => ("GET", "/vrrp"),
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -1,12 +1,12 @@
-//! Startup and shutdown of the server process: configuration, subsystems, signals. This is the top layer of the
+//! Startup and shutdown of the server process: configuration, subsystems, signals. The top layer of the
 //! library: it may use all other modules, and none of them uses it.
 //!
 //! | module | purpose |
 //! | --- | --- |
 //! | [`serve`] | starts the subsystems, handles signals, shuts down gracefully |
 //! | [`subsystem`], [`subsystems`] | the `Subsystem` trait; its implementations, in startup order |
-//! | [`config`], [`subsystem_configs`], [`signed_urls`] | configuration files of operators and of the platform |
-//! | [`descriptors`], [`engine_setup`] | the file descriptor budget, and the creation of the engine within it |
+//! | [`config`], [`subsystem_configs`], [`signed_urls`] | configuration files of operators and the platform |
+//! | [`descriptors`], [`engine_setup`] | the file descriptor budget, and engine creation within it |
 //! | [`bind`], [`inherit`] | binding of sockets, or inheriting one from the platform |
 //! | [`maintenance`] | persistence of endpoint maintenance |
 //! | [`signals`], [`reload`] | signal handling, and logging of configuration reloads |
--- a/src/lifecycle/subsystems/mod.rs
+++ b/src/lifecycle/subsystems/mod.rs
@@ -33,8 +33,8 @@
 /// 3. The registry client and the health checks start before the admin address, which reports their state.
 /// 4. The admin address restores endpoint maintenance. Fleet purges start once it accepts calls.
 /// 5. The other fronts open once purges and maintenance are in effect.
-/// 6. The engine's timer and the endpoint watch start once all fronts exist. The virtual router starts last, since it
-///    claims addresses for fronts that must be able to serve.
+/// 6. The engine's timer and the endpoint watch start once all fronts exist. The virtual router starts last:
+///    it claims addresses for fronts that must be able to serve.
 pub fn configured(
     config: &Config,
     configs: SubsystemConfigs,
