--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter, on transcripts written for these tests.
+//! The simulator adapter as a process, with message transcripts as input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -12,14 +12,14 @@
         .spawn()
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("its input");
-    // The adapter may end before it has read everything, on a line that is not legal.
+    // The adapter may exit before it has read all input, on an invalid line.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     child.wait_with_output().expect("its output")
 }
 
-/// The lines of a run that must end well.
-fn lines(input: &str) -> Vec<String> {
+/// Runs the adapter on a transcript, asserts that it succeeds, and returns its output lines.
+fn output_lines(input: &str) -> Vec<String> {
     let output = run(input);
     let errors = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{errors}");
@@ -43,62 +43,64 @@
 "rules":{"drainGraceUs":500000,"fallMultiple":3.0,"rampTimeUs":15000000,"startCapacity":0.2,
 "tipAfterUs":2000000},"siblings":1,"skus":["box","parent","origin"],"weightKind":"nominal"}"#;
 
-fn open(i: u64) -> String {
+fn open_message(i: u64) -> String {
     format!("{{\"cmd\":\"OpenInstance\",\"i\":{i},\"seed\":9,\"env\":{}}}", ENV.replace('\n', ""))
 }
 
-fn row(zone: &str, model: &str, cache: u32) -> String {
+fn record(zone: &str, model: &str, cache: u32) -> String {
     format!(
         "{{\"zone\":\"{zone}\",\"model\":\"{model}\",\"lifecycle\":\"live\",\"readyAtUs\":null,\
          \"cache\":{cache},\"powerHint\":6,\"cohort\":0}}"
     )
 }
 
-fn table() -> String {
-    let rows = [
-        row("town", "box", 101),
-        row("town", "box", 102),
-        row("hub", "parent", 201),
-        row("hub", "origin", 301),
+fn table_message() -> String {
+    let records = [
+        record("town", "box", 101),
+        record("town", "box", 102),
+        record("hub", "parent", 201),
+        record("hub", "origin", 301),
     ];
-    format!("{{\"cmd\":\"Table\",\"sheet\":3,\"records\":[{}]}}", rows.join(","))
+    format!("{{\"cmd\":\"Table\",\"sheet\":3,\"records\":[{}]}}", records.join(","))
 }
 
-fn endpoints(i: u64) -> String {
+fn endpoints_message(i: u64) -> String {
     format!("{{\"cmd\":\"Members\",\"i\":{i},\"sheet\":3,\"mode\":\"warm_copy\",\"index\":1}}")
 }
 
-fn job(i: u64, id: u64, class: &str) -> String {
+fn request_message(i: u64, id: u64, class: &str) -> String {
     format!(
         "{{\"cmd\":\"JobIn\",\"i\":{i},\"requestId\":\"{id:016x}\",\"band\":\"{class}\",\"account\":null,\
          \"asset\":77,\"giveUpAtUs\":4000000,\"kbytes\":null,\"setNo\":3,\"slice\":0,\"bitmap\":0}}"
     )
 }
 
-fn settled(i: u64, id: u64, hop: u32, status: &str, closed: bool) -> String {
+fn attempt_ended_message(i: u64, id: u64, hop: u32, status: &str, closed: bool) -> String {
     format!(
         "{{\"cmd\":\"Settled\",\"i\":{i},\"requestId\":\"{id:016x}\",\"cache\":101,\"hop\":{hop},\"detail\":0,\
          \"status\":\"{status}\",\"tookUs\":2000,\"closed\":{closed},\"pressure\":null}}"
     )
 }
 
-fn value(line: &str) -> serde_json::Value {
+fn parse_json(line: &str) -> serde_json::Value {
     serde_json::from_str(line).expect("an action in JSON")
 }
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    assert_eq!(lines(&batch(5, &[])), ["{\"cmd\":\"End\"}"]);
-    assert!(lines("").is_empty());
+    assert_eq!(output_lines(&batch(5, &[])), ["{\"cmd\":\"End\"}"]);
+    assert!(output_lines("").is_empty());
 }
 
 #[test]
-fn a_request_is_sent_with_its_home_parent_and_tried_again() {
-    let start = batch(1_000, &[open(0), table(), endpoints(0)]);
-    let out = lines(
-        &(start + &batch(2_000, &[job(0, 7, "clip")]) + &batch(4_000, &[settled(0, 7, 0, "C", false)])),
+fn a_request_is_sent_with_its_parent_and_retried_at_the_other_cache() {
+    let start = batch(1_000, &[open_message(0), table_message(), endpoints_message(0)]);
+    let out = output_lines(
+        &(start
+            + &batch(2_000, &[request_message(0, 7, "clip")])
+            + &batch(4_000, &[attempt_ended_message(0, 7, 0, "C", false)])),
     );
-    let sent: Vec<_> = out.iter().map(|l| value(l)).filter(|v| v["cmd"] == "LookAndFill").collect();
+    let sent: Vec<_> = out.iter().map(|l| parse_json(l)).filter(|v| v["cmd"] == "LookAndFill").collect();
     assert_eq!(sent.len(), 2, "{out:?}");
     assert_eq!(sent[0]["requestId"], "0000000000000007");
     assert_eq!((&sent[0]["source"], &sent[0]["i"]), (&201.into(), &0.into()));
@@ -108,71 +110,103 @@
 }
 
 #[test]
-fn an_uncacheable_request_is_placed_at_the_origin() {
-    let start = batch(1_000, &[open(0), table(), endpoints(0), job(0, 8, "order")]);
-    let out = lines(&start);
-    let sent: Vec<_> = out.iter().map(|l| value(l)).filter(|v| v["cmd"] == "Place").collect();
+fn an_uncacheable_request_is_forwarded_to_the_origin() {
+    let start = batch(
+        1_000,
+        &[open_message(0), table_message(), endpoints_message(0), request_message(0, 8, "order")],
+    );
+    let out = output_lines(&start);
+    let sent: Vec<_> = out.iter().map(|l| parse_json(l)).filter(|v| v["cmd"] == "Place").collect();
     assert_eq!((sent.len(), &sent[0]["cache"]), (1, &301.into()));
 }
 
-/// The origin has refused a write for as long as the router runs: of an object that it may not fetch, its parent gives
-/// only what it holds.
+/// Guards against fills from an overloaded origin: after it rejected a request, the parent serves only from
+/// its cache.
 #[test]
-fn what_the_origin_is_spared_is_asked_of_what_the_parent_holds() {
-    let start = batch(1_000, &[open(0), table(), endpoints(0), job(0, 8, "order")]);
-    let before = lines(&(start.clone() + &batch(3_000_000, &[job(0, 9, "clip")])));
-    let after = lines(&(start + &batch(3_000_000, &[settled(0, 8, 0, "F", false), job(0, 9, "clip")])));
+fn the_parent_serves_only_cached_copies_after_the_origin_rejected() {
+    let start = batch(
+        1_000,
+        &[open_message(0), table_message(), endpoints_message(0), request_message(0, 8, "order")],
+    );
+    let before = output_lines(&(start.clone() + &batch(3_000_000, &[request_message(0, 9, "clip")])));
+    let after = output_lines(
+        &(start
+            + &batch(
+                3_000_000,
+                &[attempt_ended_message(0, 8, 0, "F", false), request_message(0, 9, "clip")],
+            )),
+    );
     let clip = |out: &[String]| {
-        let sent = out.iter().map(|l| value(l)).find(|v| v["cmd"] == "LookAndFill").expect("an attempt");
+        let sent = out.iter().map(|l| parse_json(l)).find(|v| v["cmd"] == "LookAndFill").expect("an attempt");
         (sent["source"].clone(), sent["how"].clone())
     };
     assert_eq!(clip(&before), (201.into(), 1.into()), "joins a fill");
-    assert_eq!(clip(&after), (201.into(), 3.into()), "joins a fill, and the source gives only what it holds");
+    assert_eq!(
+        clip(&after),
+        (201.into(), 3.into()),
+        "joins a fill, and the source serves only a cached copy"
+    );
 }
 
 #[test]
-fn a_purge_and_a_time_out_at_the_deadline_are_translated() {
+fn a_purge_and_a_timeout_at_the_deadline_are_translated() {
     let purge = "{\"cmd\":\"Outdated\",\"i\":0,\"asset\":77,\"familyId\":3,\"ageSpanUs\":85000}".to_string();
-    let start = batch(1_000_000, &[open(0), table(), endpoints(0), purge, job(0, 9, "clip")]);
-    let out = lines(&(start + &batch(4_000_000, &[settled(0, 9, 0, "T", false)])));
-    let sent = out.iter().map(|l| value(l)).find(|v| v["cmd"] == "LookAndFill").expect("an attempt");
+    let start = batch(
+        1_000_000,
+        &[open_message(0), table_message(), endpoints_message(0), purge, request_message(0, 9, "clip")],
+    );
+    let out = output_lines(&(start + &batch(4_000_000, &[attempt_ended_message(0, 9, 0, "T", false)])));
+    let sent = out.iter().map(|l| parse_json(l)).find(|v| v["cmd"] == "LookAndFill").expect("an attempt");
     assert!((1..=85_000).contains(&sent["ageSpanUs"].as_u64().unwrap()));
-    let last = out.iter().map(|l| value(l)).find(|v| v["cmd"] == "OverloadReply").expect("a refusal");
+    let last = out.iter().map(|l| parse_json(l)).find(|v| v["cmd"] == "OverloadReply").expect("a rejection");
     assert_eq!(last["requestId"], "0000000000000009");
 }
 
 #[test]
-fn instances_share_nothing_and_may_start_again_in_one_batch() {
-    let kill = "{\"cmd\":\"Teardown\",\"i\":0}".to_string();
-    let events =
-        [open(0), table(), endpoints(0), open(1), endpoints(1), job(0, 7, "clip"), job(1, 7, "clip")];
-    let again = [kill, settled(0, 7, 0, "T", false), open(0), endpoints(0), job(0, 7, "clip")];
-    let out = lines(&(batch(1_000, &events) + &batch(2_000, &again)));
-    let sent: Vec<_> = out.iter().map(|l| value(l)).filter(|v| v["cmd"] == "LookAndFill").collect();
-    let who: Vec<_> = sent.iter().map(|v| v["i"].as_u64().unwrap()).collect();
-    assert_eq!(who, [0, 1, 0]);
+fn instances_are_independent_and_may_restart_within_a_batch() {
+    let close = "{\"cmd\":\"Teardown\",\"i\":0}".to_string();
+    let events = [
+        open_message(0),
+        table_message(),
+        endpoints_message(0),
+        open_message(1),
+        endpoints_message(1),
+        request_message(0, 7, "clip"),
+        request_message(1, 7, "clip"),
+    ];
+    let restart = [
+        close,
+        attempt_ended_message(0, 7, 0, "T", false),
+        open_message(0),
+        endpoints_message(0),
+        request_message(0, 7, "clip"),
+    ];
+    let out = output_lines(&(batch(1_000, &events) + &batch(2_000, &restart)));
+    let sent: Vec<_> = out.iter().map(|l| parse_json(l)).filter(|v| v["cmd"] == "LookAndFill").collect();
+    let instances: Vec<_> = sent.iter().map(|v| v["i"].as_u64().unwrap()).collect();
+    assert_eq!(instances, [0, 1, 0]);
     assert_eq!(sent[0]["cache"], sent[2]["cache"]);
-    assert_eq!(sent[0]["capUs"], sent[2]["capUs"], "nothing of the killed one is left");
+    assert_eq!(sent[0]["capUs"], sent[2]["capUs"], "state of the closed instance was kept");
 }
 
 #[test]
-fn unknown_events_and_keys_and_late_news_are_skipped() {
-    let news = [
+fn unknown_messages_and_keys_and_late_events_are_ignored() {
+    let late = [
         "{\"cmd\":\"NewThing\",\"i\":0,\"x\":[1]}".to_string(),
         "{\"cmd\":\"Elapsed\",\"i\":0,\"ctx\":12345,\"extra\":{}}".to_string(),
         "{\"cmd\":\"Heard\",\"i\":0,\"originPeer\":1,\"blob\":\"hi\"}".to_string(),
         "{\"cmd\":\"Probed\",\"i\":0,\"cache\":101,\"status\":\"S\",\"tookUs\":5,\"pressure\":{\"x\":1.5}}"
             .to_string(),
         "{\"cmd\":\"Abandoned\",\"i\":0,\"requestId\":\"00000000000000ff\"}".to_string(),
-        settled(0, 255, 0, "S", true),
-        settled(9, 255, 0, "S", true),
+        attempt_ended_message(0, 255, 0, "S", true),
+        attempt_ended_message(9, 255, 0, "S", true),
     ];
-    let start = batch(1_000, &[open(0), table(), endpoints(0)]);
-    assert_eq!(lines(&(start + &batch(2_000, &news))).len(), 2);
+    let start = batch(1_000, &[open_message(0), table_message(), endpoints_message(0)]);
+    assert_eq!(output_lines(&(start + &batch(2_000, &late))).len(), 2);
 }
 
 #[test]
-fn a_line_that_is_not_legal_is_named_and_ends_the_process() {
+fn an_invalid_line_ends_the_process_and_is_named_by_number() {
     let clock = "{\"cmd\":\"Clock\",\"timeUs\":1000}\n";
     let bad = [
         ("not json", 2),
@@ -186,7 +220,7 @@
         let errors = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(!output.status.success(), "{line}");
         assert!(errors.contains(&format!("line {number}")), "{line}: {errors}");
-        assert!(output.stdout.is_empty(), "{line}: no half-written reply");
+        assert!(output.stdout.is_empty(), "{line}: partial reply");
     }
     let output = run("{\"cmd\":\"Eob\"}\n");
     assert!(!output.status.success() && String::from_utf8_lossy(&output.stderr).contains("outside a batch"));
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,5 +1,5 @@
-//! The command line of the program itself: the names of its options, arguments and variables, and the earlier spellings
-//! that are still read.
+//! The command line of the program: names of options, arguments and environment variables, and the deprecated
+//! names that are still accepted.
 
 mod stand_ins;
 
@@ -11,17 +11,17 @@
 use std::process::{Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// Old options of `serve` and `check`, the present ones, and an operator file for each.
+/// Deprecated options of `serve` and `check`, the current ones, and a configuration file for each.
 const OPTIONS: [(&str, &str, &str); 4] = [
     ("--door", "--admission", "door.json"),
     ("--poor", "--http3", "poor.json"),
     ("--duties", "--health-checks", "duties.json"),
     ("--front", "--signed-urls", "signed-urls.json"),
 ];
-/// How long a process may take to listen.
+/// Time limit for a process to start listening.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A folder of a test's own with copies of the operators' files and the keys that they name.
+/// Creates a folder for a test with copies of the operators' files and their keys.
 fn workspace(test: &str) -> PathBuf {
     let folder = stand_ins::folder(&format!("command_line_{test}"));
     for source in ["tests/fixtures/operator-files", "tests/fixtures/keys"] {
@@ -41,13 +41,13 @@
     String::from_utf8_lossy(&output.stderr).to_string()
 }
 
-/// `check` and `serve` read the file of an option in both of its spellings.
-fn reads_both_spellings(test: &str, old: &str) {
+/// Asserts that `check` and `serve` accept an option by both of its names.
+fn assert_both_names_accepted(test: &str, deprecated: &str) {
     let folder = workspace(test);
-    let (_, present, file) = OPTIONS.into_iter().find(|(other, ..)| *other == old).unwrap();
+    let (_, current, file) = OPTIONS.into_iter().find(|(other, ..)| *other == deprecated).unwrap();
     std::fs::write(folder.join("bad.json"), "{ \"unknown\": 1 }").unwrap();
     let mut messages = Vec::new();
-    for option in [old, present] {
+    for option in [deprecated, current] {
         let output = program(&folder, &["check", "--config", "config.json", option, file]);
         assert!(output.status.success(), "{option}: {}", stderr(&output));
         for command in ["check", "serve"] {
@@ -66,25 +66,25 @@
 
 #[test]
 fn door_is_read_as_admission() {
-    reads_both_spellings("door", "--door");
+    assert_both_names_accepted("door", "--door");
 }
 
 #[test]
 fn poor_is_read_as_http3() {
-    reads_both_spellings("poor", "--poor");
+    assert_both_names_accepted("poor", "--poor");
 }
 
 #[test]
 fn duties_is_read_as_health_checks() {
-    reads_both_spellings("duties", "--duties");
+    assert_both_names_accepted("duties", "--duties");
 }
 
 #[test]
 fn front_is_read_as_signed_urls() {
-    reads_both_spellings("front", "--front");
+    assert_both_names_accepted("front", "--front");
 }
 
-/// The request line that the program sends to the admin address for these arguments.
+/// Runs the program and returns the request line that it sends to the admin address.
 fn admin_request(arguments: &[&str]) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -96,7 +96,7 @@
         line
     });
     let output = Command::new(PROGRAM).args(arguments).args(["--at", &address]).output().unwrap();
-    // Ends the wait of a stand-in that was not called.
+    // Unblocks the admin thread if the program did not connect.
     let _ = TcpStream::connect(&address);
     assert!(output.status.success(), "{arguments:?}: {}", stderr(&output));
     assert_eq!(String::from_utf8_lossy(&output.stdout), "{}\n");
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn the_other_subsystems_are_shown_by_their_admin_calls() {
+fn show_requests_the_admin_call_of_each_subsystem() {
     for name in ["registry", "grpc", "vrrp", "purges"] {
         assert_eq!(admin_request(&["show", name]), format!("GET /{name} HTTP/1.1"));
     }
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn values_are_not_mistaken_for_old_spellings() {
+fn option_values_are_not_treated_as_deprecated_names() {
     let folder = workspace("values");
     std::fs::copy(folder.join("config.json"), folder.join("--door")).unwrap();
     let output = program(&folder, &["check", "--config", "--door", "--door", "door.json"]);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn the_help_shows_the_present_spellings_alone() {
+fn the_help_shows_only_the_current_names() {
     let folder = workspace("help");
     let cases: [(&str, &[&str], &[&str]); 4] = [
         (
@@ -156,17 +156,17 @@
         ("vrrp", &["step-down", "resume"], &["aside", "`back`"]),
         ("show", &["health-checks"], &["duties"]),
     ];
-    for (command, present, old) in cases {
+    for (command, current, deprecated) in cases {
         let output = program(&folder, &[command, "--help"]);
         assert!(output.status.success(), "{command}: {}", stderr(&output));
         let help = String::from_utf8_lossy(&output.stdout).to_string();
-        present.iter().for_each(|name| assert!(help.contains(name), "{command}, {name}: {help}"));
-        old.iter().for_each(|name| assert!(!help.contains(name), "{command}, {name}: {help}"));
+        current.iter().for_each(|name| assert!(help.contains(name), "{command}, {name}: {help}"));
+        deprecated.iter().for_each(|name| assert!(!help.contains(name), "{command}, {name}: {help}"));
     }
 }
 
 #[test]
-fn an_unknown_argument_fails_with_a_hint_at_the_help() {
+fn an_unknown_argument_fails_and_refers_to_the_help() {
     let folder = workspace("unknown");
     let output = program(&folder, &["serve", "--unknown"]);
     assert_eq!(output.status.code(), Some(1));
@@ -175,7 +175,7 @@
     assert!(stderr(&output).contains("\"away\""), "{}", stderr(&output));
 }
 
-/// The whole log of a process that serves with these variables until it is stopped.
+/// Runs the proxy with these environment variables, stops it once it listens, and returns its log.
 fn log(test: &str, variables: &[(&str, &str)]) -> String {
     let folder = workspace(test);
     let port = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().port();
@@ -189,9 +189,9 @@
     }
     let mut process =
         KillOnDrop(command.envs(variables.iter().copied()).stderr(Stdio::piped()).spawn().unwrap());
-    let by = Instant::now() + START_TIMEOUT;
+    let deadline = Instant::now() + START_TIMEOUT;
     while TcpStream::connect(("127.0.0.1", port)).is_err() {
-        assert!(Instant::now() < by, "the process does not listen");
+        assert!(Instant::now() < deadline, "the process does not listen");
         std::thread::sleep(Duration::from_millis(20));
     }
     process.signal("-TERM");
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn the_log_is_text_from_info_where_no_variable_is_set() {
+fn the_log_is_text_at_level_info_if_no_variable_is_set() {
     let log = log("log_unset", &[]);
     assert!(log.contains("serves on") && !is_json(&log), "{log}");
 }
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn calicobeam_log_filters_the_log_where_edge_proxy_log_is_unset() {
+fn calicobeam_log_filters_the_log_if_edge_proxy_log_is_unset() {
     let filtered = log("log_old_filter", &[("CALICOBEAM_LOG", "error")]);
     assert!(filtered.is_empty(), "{filtered}");
     let both = log("log_both_filters", &[("CALICOBEAM_LOG", "error"), ("EDGE_PROXY_LOG", "info")]);
@@ -226,15 +226,15 @@
 }
 
 #[test]
-fn edge_proxy_log_format_chooses_json() {
+fn edge_proxy_log_format_selects_json() {
     let log = log("log_format", &[("EDGE_PROXY_LOG_FORMAT", "json")]);
     assert!(log.contains("serves on") && is_json(&log), "{log}");
 }
 
 #[test]
-fn calicobeam_log_format_chooses_json_where_edge_proxy_log_format_is_unset() {
-    let old = log("log_old_format", &[("CALICOBEAM_LOG_FORMAT", "json")]);
-    assert!(old.contains("serves on") && is_json(&old), "{old}");
+fn calicobeam_log_format_selects_json_if_edge_proxy_log_format_is_unset() {
+    let deprecated = log("log_old_format", &[("CALICOBEAM_LOG_FORMAT", "json")]);
+    assert!(deprecated.contains("serves on") && is_json(&deprecated), "{deprecated}");
     let both =
         log("log_both_formats", &[("CALICOBEAM_LOG_FORMAT", "json"), ("EDGE_PROXY_LOG_FORMAT", "text")]);
     assert!(both.contains("serves on") && !is_json(&both), "{both}");
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,8 +1,8 @@
-//! The program itself: its command line, its signals, its end.
+//! The program as a process: configuration checks, signals, shutdown and upgrades.
 
 mod stand_ins;
 
-use stand_ins::running::{example, file, Running, PROGRAM};
+use stand_ins::running::{example_config, write_file, RunningProxy, PROGRAM};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::{Command, Output, Stdio};
@@ -12,8 +12,8 @@
 }
 
 #[test]
-fn the_example_is_in_order_and_faults_are_named_by_field() {
-    let good = file("good.json", &example());
+fn check_accepts_the_example_and_names_the_field_of_each_error() {
+    let good = write_file("good.json", &example_config());
     let output = check(&["--config", good.to_str().unwrap()]);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let cases = [
@@ -30,8 +30,8 @@
         ("{\n  \"name\"", "{{", "bad.json"),
     ];
     for (from, to, field) in cases {
-        assert!(example().contains(from), "{from}");
-        let bad = file("bad.json", &example().replacen(from, to, 1));
+        assert!(example_config().contains(from), "{from}");
+        let bad = write_file("bad.json", &example_config().replacen(from, to, 1));
         let output = check(&["--config", bad.to_str().unwrap()]);
         let message = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(!output.status.success() && message.contains(field), "{to}: {message}");
@@ -41,14 +41,14 @@
 }
 
 #[test]
-fn the_signed_urls_file_is_checked_too() {
-    let config = file("front-config.json", &example());
+fn check_names_the_field_of_each_error_in_the_signed_urls_file() {
+    let config = write_file("front-config.json", &example_config());
     let config = config.to_str().unwrap();
     let k = "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8";
-    file("keys.json", &format!("{{\"keys\":[{{\"kty\":\"oct\",\"kid\":\"a\",\"k\":\"{k}\"}}]}}"));
-    file("no-keys.json", "{\"keys\":[]}");
+    write_file("keys.json", &format!("{{\"keys\":[{{\"kty\":\"oct\",\"kid\":\"a\",\"k\":\"{k}\"}}]}}"));
+    write_file("no-keys.json", "{\"keys\":[]}");
     let shipped = include_str!("../deploy/signed-urls.json").replace("signed-urls-keys.json", "keys.json");
-    let good = file("front.json", &shipped);
+    let good = write_file("front.json", &shipped);
     let output = check(&["--config", config, "--signed-urls", good.to_str().unwrap()]);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let cases = [
@@ -62,7 +62,7 @@
         ("\"leeway_ms\"", "\"leniency\"", "leniency"),
     ];
     for (from, to, field) in cases {
-        let bad = file("bad-front.json", &shipped.replacen(from, to, 1));
+        let bad = write_file("bad-front.json", &shipped.replacen(from, to, 1));
         let output = check(&["--config", config, "--signed-urls", bad.to_str().unwrap()]);
         let message = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(!output.status.success() && message.contains(field), "{to}: {message}");
@@ -71,30 +71,30 @@
 
 #[test]
 fn signals_log_counters_and_stop_the_process_gracefully() {
-    let mut proxy = Running::start("signals.json", 256);
+    let mut proxy = RunningProxy::start("signals.json", 256);
     let mut client = proxy.connect();
-    assert!(proxy.alive(&mut client).starts_with("HTTP/1.1 200 OK"));
+    assert!(proxy.request_alive(&mut client).starts_with("HTTP/1.1 200 OK"));
     proxy.signal("-USR1");
-    assert_eq!(proxy.until("clients").trim(), "clients 1");
+    assert_eq!(proxy.wait_for_log("clients").trim(), "clients 1");
     proxy.signal("-HUP");
     proxy.signal("-TERM");
-    proxy.until("stops");
-    // New connections are still accepted for a while.
-    assert!(proxy.alive(&mut proxy.connect()).starts_with("HTTP/1.1 200 OK"));
-    assert_eq!(proxy.until("clients").trim(), "clients 2");
+    proxy.wait_for_log("stops");
+    // New connections are accepted for a grace period.
+    assert!(proxy.request_alive(&mut proxy.connect()).starts_with("HTTP/1.1 200 OK"));
+    assert_eq!(proxy.wait_for_log("clients").trim(), "clients 2");
     assert_eq!(proxy.child.wait().unwrap().code(), Some(0));
 }
 
-/// SIGTERM twice, with SIGHUP between them, while every endpoint hangs: what was in flight, what was half read and what
-/// came on a connection of the last moments is answered whole, once, and the process ends well.
+/// Guards against lost or duplicate responses at shutdown: requests in flight, partially read or on a late
+/// connection while every endpoint hangs.
 #[test]
-fn a_stop_that_is_asked_for_twice_answers_all_that_was_taken() {
-    // Endpoints that take connections and never answer.
-    let hanging = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = hanging.local_addr().unwrap().to_string();
-    let text = (7101..=7104).fold(example(), |text, k| text.replace(&format!("127.0.0.1:{k}"), &at));
-    let mut proxy = Running::start_of(&text, "twice.json", 256);
-    // With this much time all responses come well after listeners close, 0.7 s after the signal.
+fn a_repeated_sigterm_still_answers_every_accepted_request_once() {
+    // All endpoints accept connections and never respond.
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let at = listener.local_addr().unwrap().to_string();
+    let text = (7101..=7104).fold(example_config(), |text, k| text.replace(&format!("127.0.0.1:{k}"), &at));
+    let mut proxy = RunningProxy::start_with_config(&text, "twice.json", 256);
+    // With this deadline all responses are sent well after the listeners close, 0.7 s after the signal.
     let get = |id: u64| {
         format!(
             "GET /ops/small-object/{:016x} HTTP/1.1\r\nHost: o\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: 2000\r\n\
@@ -102,82 +102,82 @@
             id * 7_919
         )
     };
-    let mut flying = proxy.connect();
-    flying.write_all(get(1).as_bytes()).unwrap();
-    let (endpoint, _) = hanging.accept().unwrap();
+    let mut in_flight = proxy.connect();
+    in_flight.write_all(get(1).as_bytes()).unwrap();
+    let (endpoint, _) = listener.accept().unwrap();
     let mut line = String::new();
     BufReader::new(&endpoint).read_line(&mut line).unwrap();
-    assert!(line.starts_with("GET 0000000000000001 "), "it is at an endpoint: {line}");
-    let mut half = proxy.connect();
-    half.write_all(&get(2).as_bytes()[..40]).unwrap();
+    assert!(line.starts_with("GET 0000000000000001 "), "not sent to an endpoint: {line}");
+    let mut partial = proxy.connect();
+    partial.write_all(&get(2).as_bytes()[..40]).unwrap();
     proxy.signal("-TERM");
-    proxy.until("stops");
+    proxy.wait_for_log("stops");
     proxy.signal("-HUP");
     proxy.signal("-TERM");
-    half.write_all(&get(2).as_bytes()[40..]).unwrap();
+    partial.write_all(&get(2).as_bytes()[40..]).unwrap();
     let mut late = proxy.connect();
     late.write_all(get(3).as_bytes()).unwrap();
-    for client in [&mut flying, &mut half, &mut late] {
-        let mut answer = String::new();
-        client.read_to_string(&mut answer).expect("no reset");
-        let status = answer.get(9..12).unwrap_or_default().to_string();
-        assert!(["429", "503", "504", "502"].contains(&status.as_str()), "{answer}");
+    for client in [&mut in_flight, &mut partial, &mut late] {
+        let mut response = String::new();
+        client.read_to_string(&mut response).expect("the connection was reset");
+        let status = response.get(9..12).unwrap_or_default().to_string();
+        assert!(["429", "503", "504", "502"].contains(&status.as_str()), "{response}");
         assert_eq!(
-            (answer.matches("HTTP/1.1 ").count(), answer.contains("Connection: close")),
+            (response.matches("HTTP/1.1 ").count(), response.contains("Connection: close")),
             (1, true),
-            "{answer}"
+            "{response}"
         );
     }
     assert_eq!(proxy.child.wait().unwrap().code(), Some(0));
 }
 
-/// Guards the process against running out of descriptors: clients wait, and are served once there is room.
+/// Guards against failing when descriptors run out: clients wait, and are served once descriptors are free.
 #[test]
-fn a_lack_of_descriptors_ends_nothing() {
-    let mut proxy = Running::start("descriptors.json", 256);
-    // The system allows fewer from now on than the process counted on.
-    rlimit::prlimit(proxy.id(), rlimit::Resource::NOFILE, Some((24, 24)), None).unwrap();
+fn waiting_clients_are_served_once_exhausted_descriptors_are_free() {
+    let mut proxy = RunningProxy::start("descriptors.json", 256);
+    // Lowers the limit below the one that the process read at startup.
+    rlimit::prlimit(proxy.pid(), rlimit::Resource::NOFILE, Some((24, 24)), None).unwrap();
     let mut held: Vec<TcpStream> = (0..60).map(|_| proxy.connect()).collect();
-    // The first is served; the last waits in the machine's queue until others leave.
-    assert!(proxy.alive(&mut held[0]).starts_with("HTTP/1.1 200 OK"));
+    // The first client is served; the last waits in the listen backlog until others disconnect.
+    assert!(proxy.request_alive(&mut held[0]).starts_with("HTTP/1.1 200 OK"));
     let mut last = held.pop().unwrap();
     drop(held);
-    assert!(proxy.alive(&mut last).starts_with("HTTP/1.1 200 OK"));
+    assert!(proxy.request_alive(&mut last).starts_with("HTTP/1.1 200 OK"));
     proxy.signal("-USR1");
-    let failures = proxy.until("accept_failures");
+    let failures = proxy.wait_for_log("accept_failures");
     assert_ne!(failures.trim(), "accept_failures 0");
     proxy.signal("-TERM");
-    proxy.until("stops");
+    proxy.wait_for_log("stops");
     assert_eq!(proxy.child.wait().unwrap().code(), Some(0));
 }
 
-/// Guards a running proxy on SIGHUP: it takes the new address of the bulletin, keeps the old one where the file
-/// can't be used, and goes on serving.
+/// Guards against a reload that ignores a new discovery address, or that applies an invalid file.
 #[test]
-fn sighup_reloads_the_configuration() {
-    let bulletin = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut proxy = Running::start("reload.json", 256);
+fn sighup_applies_a_valid_configuration_and_ignores_an_invalid_one() {
+    let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut proxy = RunningProxy::start("reload.json", 256);
     let path = stand_ins::folder("process").join("reload.json");
     let text = std::fs::read_to_string(&path).unwrap();
     std::fs::write(&path, "nonsense").unwrap();
     proxy.signal("-HUP");
-    proxy.until("configuration not reloaded");
-    let at = bulletin.local_addr().unwrap().to_string();
+    proxy.wait_for_log("configuration not reloaded");
+    let at = discovery.local_addr().unwrap().to_string();
     std::fs::write(&path, text.replace("127.0.0.1:7070", &at)).unwrap();
     proxy.signal("-HUP");
     let mut last = [0; 8];
-    bulletin.accept().unwrap().0.read_exact(&mut last).unwrap();
-    assert!(u64::from_be_bytes(last) > 0, "from the last number that is known");
-    assert!(proxy.alive(&mut proxy.connect()).starts_with("HTTP/1.1 200 OK"));
+    discovery.accept().unwrap().0.read_exact(&mut last).unwrap();
+    assert!(u64::from_be_bytes(last) > 0, "the watch resumes from the last known event");
+    assert!(proxy.request_alive(&mut proxy.connect()).starts_with("HTTP/1.1 200 OK"));
 }
 
-/// Guards an upgrade: a new process serves on the socket that the platform holds while the old one still does, the
-/// old one ends after SIGTERM with all it had answered, and nobody who connects meanwhile is turned away.
+/// Guards against refused connections during an upgrade: the new process serves on the inherited socket while
+/// the old one completes its requests and exits.
 #[test]
-fn a_new_process_serves_on_the_socket_that_is_handed_over() {
+fn a_new_process_serves_on_the_inherited_socket_while_the_old_one_stops() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let port = listener.local_addr().unwrap().port();
-    let config = file("handed.json", &example().replace("127.0.0.1:5050", &format!("127.0.0.1:{port}")));
+    let config =
+        write_file("handed.json", &example_config().replace("127.0.0.1:5050", &format!("127.0.0.1:{port}")));
     let start = || {
         let socket = std::os::fd::OwnedFd::from(listener.try_clone().unwrap());
         let script = "exec \"$0\" serve --config \"$1\" 3<&0 </dev/null";
@@ -188,22 +188,22 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let errors = BufReader::new(child.stderr.take().unwrap());
-        let mut running = Running { child, errors, port };
-        running.until("serves on");
+        let log = BufReader::new(child.stderr.take().unwrap());
+        let mut running = RunningProxy { child, log, port };
+        running.wait_for_log("serves on");
         running
     };
     let mut old = start();
     let mut kept = old.connect();
-    assert!(old.alive(&mut kept).starts_with("HTTP/1.1 200 OK"));
+    assert!(old.request_alive(&mut kept).starts_with("HTTP/1.1 200 OK"));
     let mut new = start();
     old.signal("-TERM");
-    old.until("stops");
-    let last = old.alive(&mut kept);
+    old.wait_for_log("stops");
+    let last = old.request_alive(&mut kept);
     assert!(last.starts_with("HTTP/1.1 200 OK") && last.contains("Connection: close"), "{last}");
-    assert!(new.alive(&mut new.connect()).starts_with("HTTP/1.1 200 OK"));
+    assert!(new.request_alive(&mut new.connect()).starts_with("HTTP/1.1 200 OK"));
     assert_eq!(old.child.wait().unwrap().code(), Some(0));
-    assert!(new.alive(&mut new.connect()).starts_with("HTTP/1.1 200 OK"));
+    assert!(new.request_alive(&mut new.connect()).starts_with("HTTP/1.1 200 OK"));
     new.signal("-USR1");
-    assert_ne!(new.until("clients").trim(), "clients 0");
+    assert_ne!(new.wait_for_log("clients").trim(), "clients 0");
 }
--- a/tests/scarcity.rs
+++ b/tests/scarcity.rs
@@ -1,33 +1,32 @@
-//! The program as a process whose descriptors are few, whose endpoint watch is down or silent, and that
-//! is killed and started again: whatever the order, a request is served in the end, and what must not wait for
-//! anything else does not.
+//! The program under adverse conditions: few file descriptors, an endpoint watch that is down or silent, and
+//! restarts after SIGKILL. Requests must still be served.
 
 mod stand_ins;
 
 use stand_ins::blocking::*;
-use stand_ins::running::Running;
+use stand_ins::running::RunningProxy;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Descriptors of a process that is short of them.
-const FEW: u32 = 64;
-/// Idle clients, more than a process of [`FEW`] descriptors could hold.
-const IDLE: usize = 150;
+/// A low limit on file descriptors.
+const DESCRIPTOR_LIMIT: u32 = 64;
+/// Number of idle clients, more than a process with [`DESCRIPTOR_LIMIT`] descriptors can hold.
+const IDLE_CLIENTS: usize = 150;
 
-/// A configuration that knows these caches, for a process that is told to have 1,024 descriptors.
-fn known(watch: SocketAddr, caches: &[(u32, SocketAddr)], admin: Option<SocketAddr>) -> String {
+/// A configuration with these caches in its initial state and a limit of 1,024 descriptors.
+fn config_with_caches(watch: SocketAddr, caches: &[(u32, SocketAddr)], admin: Option<SocketAddr>) -> String {
     let endpoints: Vec<(u32, &str, SocketAddr)> = caches.iter().map(|(id, at)| (*id, "box", *at)).collect();
     let admin = admin.map_or(String::new(), |at| format!(r#""mgmt":"{at}","#));
     stand_ins::config(watch, &endpoints)
         .replace(r#""listen":"127.0.0.1:1","#, &format!(r#""listen":"127.0.0.1:5050",{admin}"#))
 }
 
-/// A free address on loopback, with nobody listening there by now.
-fn free() -> SocketAddr {
+/// A free loopback address, on which nothing listens yet.
+fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-fn get(id: u64) -> String {
+fn request_text(id: u64) -> String {
     format!(
         "GET /ops/clip/{:016x}/slice-3 HTTP/1.1\r\nHost: o\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: 1500\r\n\
          X-Set: 17\r\nX-Heap-Kb: 412.5\r\n\r\n",
@@ -35,12 +34,12 @@
     )
 }
 
-/// Reads one answer whole; its head and its body.
-fn read(stream: &mut TcpStream) -> (String, String) {
+/// Reads one complete response. Returns its head and its body.
+fn read_response(stream: &mut TcpStream) -> (String, String) {
     stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
-        stream.read_exact(&mut byte).expect("an answer");
+        stream.read_exact(&mut byte).expect("a response");
         head.push(byte[0]);
     }
     let head = String::from_utf8(head).unwrap();
@@ -50,226 +49,238 @@
     (head, String::from_utf8(body).unwrap())
 }
 
-/// One request on a connection: the status and the body.
-fn ask(stream: &mut TcpStream, id: u64) -> (String, String) {
-    stream.write_all(get(id).as_bytes()).unwrap();
-    let (head, body) = read(stream);
+/// Sends a request on a connection. Returns the status and the body of the response.
+fn send_request(stream: &mut TcpStream, id: u64) -> (String, String) {
+    stream.write_all(request_text(id).as_bytes()).unwrap();
+    let (head, body) = read_response(stream);
     (head[9..12].to_string(), body)
 }
 
-/// Asks until an endpoint of this name serves a request: the proxy hears of changes in its own time.
-fn served_by(proxy: &Running, ids: &mut u64, name: &str) {
+/// Sends requests until the endpoint `name` serves one, since the proxy applies changes asynchronously.
+fn wait_until_served_by(proxy: &RunningProxy, ids: &mut u64, name: &str) {
     loop {
         *ids += 1;
-        let (status, body) = ask(&mut proxy.connect(), *ids);
+        let (status, body) = send_request(&mut proxy.connect(), *ids);
         if (&*status, &*body) == ("200", name) {
             return;
         }
     }
 }
 
-fn figure(proxy: &mut Running, name: &str) -> u64 {
+fn read_counter(proxy: &mut RunningProxy, name: &str) -> u64 {
     proxy.signal("-USR1");
-    let line = proxy.until(&format!("{name} "));
+    let line = proxy.wait_for_log(&format!("{name} "));
     line.trim().split(' ').next_back().unwrap().parse().unwrap()
 }
 
-/// Idle clients fill all that clients may hold while the endpoint watch is down: the dial to an endpoint, the admin
-/// address and the watch, once it is back, get their descriptors. Nothing is ever accepted for which there is none.
+/// Guards against idle clients that exhaust the descriptors of endpoint connections, the admin address or the
+/// watch.
 #[test]
-fn idle_clients_leave_descriptors_to_the_watch_the_endpoints_and_the_admin_address() {
+fn idle_clients_leave_descriptors_for_the_watch_the_endpoints_and_the_admin_address() {
     let endpoint = NamedEndpoint::start("one");
-    let (watch, admin) = (free(), free());
-    let mut proxy =
-        Running::start_of(&known(watch, &[(0xc1, endpoint.address)], Some(admin)), "few.json", FEW);
-    let idle: Vec<TcpStream> = (0..IDLE).map(|_| proxy.connect()).collect();
-    // The dial to the endpoint. An honest client waits for its place behind the others, and gets one.
-    assert_eq!(ask(&mut proxy.connect(), 1), ("200".to_string(), "one".to_string()));
+    let (watch, admin) = (free_address(), free_address());
+    let mut proxy = RunningProxy::start_with_config(
+        &config_with_caches(watch, &[(0xc1, endpoint.address)], Some(admin)),
+        "few.json",
+        DESCRIPTOR_LIMIT,
+    );
+    let idle: Vec<TcpStream> = (0..IDLE_CLIENTS).map(|_| proxy.connect()).collect();
+    // The connection to the endpoint. A new client waits behind the idle ones and is then served.
+    assert_eq!(send_request(&mut proxy.connect(), 1), ("200".to_string(), "one".to_string()));
     // The admin address.
     let mut call = TcpStream::connect(admin).unwrap();
     call.write_all(b"GET /healthcheck HTTP/1.1\r\nHost: o\r\n\r\n").unwrap();
-    assert!(read(&mut call).0.starts_with("HTTP/1.1 200"));
-    // The watch comes back and brings a new endpoint, while the idle clients are still there.
+    assert!(read_response(&mut call).0.starts_with("HTTP/1.1 200"));
+    // The watch is established and delivers a new endpoint while the idle clients are still connected.
     let other = NamedEndpoint::start("two");
     let listener = TcpListener::bind(watch).unwrap();
     let (mut stream, last) = accept_watch(&listener);
     assert_eq!(last, 1);
     let list = [cache_record(0xc2, other.address, 0)].concat();
     stream.write_all(&frame(2, 1, &list)).unwrap();
-    served_by(&proxy, &mut 1, "two");
-    assert_eq!(figure(&mut proxy, "accept_failures"), 0);
+    wait_until_served_by(&proxy, &mut 1, "two");
+    assert_eq!(read_counter(&mut proxy, "accept_failures"), 0);
     drop(idle);
-    assert!(proxy.alive(&mut proxy.connect()).starts_with("HTTP/1.1 200"));
+    assert!(proxy.request_alive(&mut proxy.connect()).starts_with("HTTP/1.1 200"));
 }
 
-/// A process that starts with discovery down, or accepting connections and never answering, and with few descriptors under a
-/// flood of idle clients, is ready at once and serves from what its configuration knows.
+/// Guards against a startup that waits for the discovery service, also with few descriptors and many idle
+/// clients.
 #[test]
-fn a_process_is_ready_at_once_whatever_discovery_does() {
+fn a_process_serves_from_its_configuration_while_discovery_is_down_or_silent() {
     for silent in [false, true] {
         let endpoint = NamedEndpoint::start("known");
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let watch = listener.local_addr().unwrap();
-        // Accepted by the system and never answered; or refused.
+        // Connections are accepted by the system and never answered, or refused.
         let _silent = silent.then_some(listener);
-        let text = known(watch, &[(0xc1, endpoint.address)], None);
+        let text = config_with_caches(watch, &[(0xc1, endpoint.address)], None);
         let name = format!("ready{silent}.json");
-        let mut proxy = Running::start_of(&text, &name, FEW);
+        let mut proxy = RunningProxy::start_with_config(&text, &name, DESCRIPTOR_LIMIT);
         for round in 0..2 {
-            assert!(proxy.alive(&mut proxy.connect()).starts_with("HTTP/1.1 200"));
-            let idle: Vec<TcpStream> = (0..IDLE).map(|_| proxy.connect()).collect();
-            assert_eq!(ask(&mut proxy.connect(), 1), ("200".to_string(), "known".to_string()));
-            // Its first answer did not wait for a link: none has ever brought anything.
-            assert_eq!(figure(&mut proxy, "bulletin_events"), 1);
+            assert!(proxy.request_alive(&mut proxy.connect()).starts_with("HTTP/1.1 200"));
+            let idle: Vec<TcpStream> = (0..IDLE_CLIENTS).map(|_| proxy.connect()).collect();
+            assert_eq!(send_request(&mut proxy.connect(), 1), ("200".to_string(), "known".to_string()));
+            // The response did not wait for the watch: the only event is the initial state of the configuration.
+            assert_eq!(read_counter(&mut proxy, "bulletin_events"), 1);
             if round == 0 {
-                // Killed with all its clients, and started again at once at the same address.
+                // Killed with all its clients, and restarted immediately on the same address.
                 let port = proxy.port;
                 proxy.child.kill().unwrap();
-                proxy = Running::start_at(port, &text, &name, FEW).expect("the address is free again");
+                proxy = RunningProxy::start_at(port, &text, &name, DESCRIPTOR_LIMIT)
+                    .expect("the address is free again");
             }
             drop(idle);
         }
     }
 }
 
-/// SIGKILL with a connection that was just accepted and one that still waits in the machine's queue, and a start at the
-/// same address before the old process is waited for: the new one serves.
+/// Guards against a restart that fails because the killed process has not released the address yet.
 #[test]
-fn a_kill_right_after_an_accept_and_a_start_at_the_same_address_serves() {
+fn a_process_restarted_on_the_same_address_right_after_sigkill_serves() {
     let endpoint = NamedEndpoint::start("again");
-    let text = known(free(), &[(0xc1, endpoint.address)], None);
-    let mut proxy = Running::start_of(&text, "again.json", FEW);
+    let text = config_with_caches(free_address(), &[(0xc1, endpoint.address)], None);
+    let mut proxy = RunningProxy::start_with_config(&text, "again.json", DESCRIPTOR_LIMIT);
     for round in 1..=5 {
         let mut accepted = proxy.connect();
-        accepted.write_all(get(round).as_bytes()).unwrap();
-        // It is at the endpoint, or not yet taken: both in turn. What the last process had sent may be told late.
+        accepted.write_all(request_text(round).as_bytes()).unwrap();
+        // Alternates between a request that has reached the endpoint and one that may not have been accepted.
+        // Ids of the previous process may arrive late.
         if round % 2 == 0 {
             while endpoint.request_ids.recv_timeout(HANG_TIMEOUT).unwrap() != format!("{round:016x}") {}
         }
         let port = proxy.port;
         proxy.signal("-KILL");
-        // The old one may not be gone yet.
-        proxy = Running::start_at(port, &text, "again.json", FEW).expect("it takes the address");
-        let (status, body) = ask(&mut proxy.connect(), 100 + round);
+        // The old process may still exist.
+        proxy = RunningProxy::start_at(port, &text, "again.json", DESCRIPTOR_LIMIT)
+            .expect("it binds the address");
+        let (status, body) = send_request(&mut proxy.connect(), 100 + round);
         assert_eq!((&*status, &*body), ("200", "again"));
         while endpoint.request_ids.recv_timeout(HANG_TIMEOUT).unwrap() != format!("{:016x}", 100 + round) {}
     }
 }
 
-/// A start while another process still has the address, as one that was killed and not waited for may: it serves once the
-/// address is free.
+/// Guards against a process that exits because its predecessor still holds the address.
 #[test]
 fn a_start_at_an_address_that_is_still_in_use_serves_once_it_is_free() {
     let endpoint = NamedEndpoint::start("late");
-    // Who has the address first.
+    // The current owner of the address.
     let ending = TcpListener::bind("127.0.0.1:0").unwrap();
     let port = ending.local_addr().unwrap().port();
-    let text = known(free(), &[(0xc1, endpoint.address)], None);
-    let mut proxy = Running::spawn_at(port, &text, "in_use.json", FEW);
-    assert!(proxy.begins("the address is in use"), "it ended instead of waiting");
+    let text = config_with_caches(free_address(), &[(0xc1, endpoint.address)], None);
+    let mut proxy = RunningProxy::spawn_at(port, &text, "in_use.json", DESCRIPTOR_LIMIT);
+    assert!(proxy.try_wait_for_log("the address is in use"), "it exited instead of waiting");
     drop(ending);
-    proxy.until("serves on");
-    assert_eq!(ask(&mut proxy.connect(), 1), ("200".to_string(), "late".to_string()));
+    proxy.wait_for_log("serves on");
+    assert_eq!(send_request(&mut proxy.connect(), 1), ("200".to_string(), "late".to_string()));
 }
 
-/// SIGHUP, then a drain of the endpoint that served: the other one serves. And once more the other way round.
+/// Guards against a reload that brings back a draining endpoint, in both directions.
 #[test]
-fn a_drain_after_a_reload_leaves_a_proxy_that_serves() {
+fn the_other_endpoint_serves_after_a_drain_between_reloads() {
     let (one, two) = (NamedEndpoint::start("one"), NamedEndpoint::start("two"));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let watch = listener.local_addr().unwrap();
-    let text = known(watch, &[(0xc1, one.address), (0xc2, two.address)], None);
-    let mut proxy = Running::start_of(&text, "drain.json", 256);
+    let text = config_with_caches(watch, &[(0xc1, one.address), (0xc2, two.address)], None);
+    let mut proxy = RunningProxy::start_with_config(&text, "drain.json", 256);
     let (mut stream, _) = accept_watch(&listener);
-    let (mut ids, mut no) = (0, 1);
-    let mut tell = |stream: &mut TcpStream, record: Vec<u8>| {
-        no += 1;
-        stream.write_all(&frame(no, 2, &record)).unwrap();
+    let (mut ids, mut last_event) = (0, 1);
+    let mut send_record = |stream: &mut TcpStream, record: Vec<u8>| {
+        last_event += 1;
+        stream.write_all(&frame(last_event, 2, &record)).unwrap();
     };
     for (drains, at, serves) in [(0xc1, one.address, "two"), (0xc2, two.address, "one")] {
-        let back = if drains == 0xc2 { cache_record(0xc1, one.address, 0) } else { Vec::new() };
-        if !back.is_empty() {
-            tell(&mut stream, back);
-            served_by(&proxy, &mut ids, "one");
+        let restored = if drains == 0xc2 { cache_record(0xc1, one.address, 0) } else { Vec::new() };
+        if !restored.is_empty() {
+            send_record(&mut stream, restored);
+            wait_until_served_by(&proxy, &mut ids, "one");
         }
         proxy.signal("-HUP");
-        proxy.until("configuration reloaded");
-        tell(&mut stream, cache_record(drains, at, 1));
-        served_by(&proxy, &mut ids, serves);
-        // Told by now: nothing more goes to the one that drains.
+        proxy.wait_for_log("configuration reloaded");
+        send_record(&mut stream, cache_record(drains, at, 1));
+        wait_until_served_by(&proxy, &mut ids, serves);
+        // The drain has been applied: the draining endpoint gets no more requests.
         for _ in 0..20 {
             ids += 1;
-            assert_eq!(ask(&mut proxy.connect(), ids), ("200".to_string(), serves.to_string()));
+            assert_eq!(send_request(&mut proxy.connect(), ids), ("200".to_string(), serves.to_string()));
         }
         proxy.signal("-HUP");
-        proxy.until("configuration reloaded");
-        served_by(&proxy, &mut ids, serves);
+        proxy.wait_for_log("configuration reloaded");
+        wait_until_served_by(&proxy, &mut ids, serves);
     }
 }
 
-/// A watch that brings changes for a while and then falls silent with its connection up; and one that brings a whole list
-/// in the middle that replaces all endpoints. The last list told is served from, and the next link goes on from its number.
+/// Guards against a proxy that stops serving after a complete list replaced all endpoints, or that does not
+/// reconnect a silent watch from its last event.
 #[test]
-fn a_complete_list_and_a_silence_after_it_leave_a_proxy_that_serves() {
+fn a_silent_watch_is_reconnected_from_its_last_event_and_the_last_list_is_served() {
     let (old, new, last) =
         (NamedEndpoint::start("old"), NamedEndpoint::start("new"), NamedEndpoint::start("last"));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let watch = listener.local_addr().unwrap();
-    let proxy = Running::start_of(&known(watch, &[(0xc1, old.address)], None), "whole.json", 256);
+    let proxy = RunningProxy::start_with_config(
+        &config_with_caches(watch, &[(0xc1, old.address)], None),
+        "whole.json",
+        256,
+    );
     let mut ids = 0;
-    served_by(&proxy, &mut ids, "old");
-    let (mut stream, begun) = accept_watch(&listener);
-    assert_eq!(begun, 1);
+    wait_until_served_by(&proxy, &mut ids, "old");
+    let (mut stream, resumed_from) = accept_watch(&listener);
+    assert_eq!(resumed_from, 1);
     stream.write_all(&frame(1, 0, &[])).unwrap();
     stream.write_all(&frame(2, 2, &cache_record(0xc2, new.address, 1))).unwrap();
-    // The whole list: another endpoint altogether, in two writes with the cut inside a record.
+    // A complete list with a different endpoint, in two writes that split a record.
     let list = frame(3, 1, &[cache_record(0xc3, new.address, 0), origin_record(0xb0, new.address)].concat());
     stream.write_all(&list[..30]).unwrap();
     stream.flush().unwrap();
     stream.write_all(&list[30..]).unwrap();
-    served_by(&proxy, &mut ids, "new");
-    // Silence from here on, with the connection up. The proxy asks again, from the last number.
-    let (mut fresh, begun) = accept_watch(&listener);
-    assert_eq!(begun, 3);
-    served_by(&proxy, &mut ids, "new");
+    wait_until_served_by(&proxy, &mut ids, "new");
+    // The connection stays open and silent. The proxy reconnects from the last event.
+    let (mut fresh, resumed_from) = accept_watch(&listener);
+    assert_eq!(resumed_from, 3);
+    wait_until_served_by(&proxy, &mut ids, "new");
     fresh.write_all(&frame(4, 1, &cache_record(0xc4, last.address, 0))).unwrap();
-    served_by(&proxy, &mut ids, "last");
-    // A list that says what is known, and once more silence.
+    wait_until_served_by(&proxy, &mut ids, "last");
+    // A list without changes, then silence again.
     fresh.write_all(&frame(5, 1, &cache_record(0xc4, last.address, 0))).unwrap();
-    let (_third, begun) = accept_watch(&listener);
-    assert_eq!(begun, 5);
-    served_by(&proxy, &mut ids, "last");
+    let (_third, resumed_from) = accept_watch(&listener);
+    assert_eq!(resumed_from, 5);
+    wait_until_served_by(&proxy, &mut ids, "last");
     drop(stream);
 }
 
-/// Requests in pieces: a byte at a time, cut at every place in turn, and cut inside every CR LF.
+/// Guards against a parser that depends on read boundaries: byte by byte, and split at every position.
 #[test]
-fn requests_in_pieces_are_served() {
+fn requests_split_across_reads_are_served() {
     let endpoint = NamedEndpoint::start("pieces");
-    let proxy = Running::start_of(&known(free(), &[(0xc1, endpoint.address)], None), "pieces.json", 256);
+    let proxy = RunningProxy::start_with_config(
+        &config_with_caches(free_address(), &[(0xc1, endpoint.address)], None),
+        "pieces.json",
+        256,
+    );
     let mut client = proxy.connect();
     client.set_nodelay(true).unwrap();
     let mut id = 1;
     let expected = ("200".to_string(), "pieces".to_string());
-    let served = |client: &mut TcpStream| {
-        let (head, body) = read(client);
+    let response = |client: &mut TcpStream| {
+        let (head, body) = read_response(client);
         (head[9..12].to_string(), body)
     };
-    for byte in get(id).as_bytes() {
+    for byte in request_text(id).as_bytes() {
         client.write_all(&[*byte]).unwrap();
-        // Each byte is a packet of its own, and most likely a read of its own.
+        // Each byte is sent in its own packet, and most likely read separately.
         std::thread::yield_now();
     }
-    assert_eq!(served(&mut client), expected);
-    for cut in 1..get(id).len() {
+    assert_eq!(response(&mut client), expected);
+    for cut in 1..request_text(id).len() {
         id += 1;
-        let text = get(id);
+        let text = request_text(id);
         client.write_all(&text.as_bytes()[..cut]).unwrap();
         if cut % 16 == 0 || text.as_bytes()[cut - 1] == b'\r' {
-            // An answer on another connection says that the proxy has seen the first piece by itself.
-            assert!(proxy.alive(&mut proxy.connect()).starts_with("HTTP/1.1 200"));
+            // A response on another connection shows that the proxy has read the first part separately.
+            assert!(proxy.request_alive(&mut proxy.connect()).starts_with("HTTP/1.1 200"));
         }
         client.write_all(&text.as_bytes()[cut..]).unwrap();
-        assert_eq!(served(&mut client), expected, "cut at {cut}");
+        assert_eq!(response(&mut client), expected, "cut at {cut}");
     }
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -7,7 +7,7 @@
 use edge_proxy::health_check::config::HealthCheckConfig;
 use edge_proxy::vrrp::config::VrrpConfig;
 use stand_ins::blocking::*;
-use stand_ins::running::Running;
+use stand_ins::running::RunningProxy;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -44,18 +44,18 @@
 }
 
 /// The process's number of threads, resident memory in kilobytes and number of file descriptors.
-fn resource_usage(proxy: &Running) -> (u64, u64, usize) {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.id())).unwrap();
+fn resource_usage(proxy: &RunningProxy) -> (u64, u64, usize) {
+    let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.pid())).unwrap();
     let status_field = |name: &str| {
         let line = status.lines().find_map(|line| line.strip_prefix(name)).unwrap();
         line.split_whitespace().next().unwrap().parse().unwrap()
     };
-    let descriptors = std::fs::read_dir(format!("/proc/{}/fd", proxy.id())).unwrap().count();
+    let descriptors = std::fs::read_dir(format!("/proc/{}/fd", proxy.pid())).unwrap().count();
     (status_field("Threads:"), status_field("VmRSS:"), descriptors)
 }
 
 /// Requests `REQUESTS` objects in sequence, with ids from `first` on, and returns how many were served.
-fn send_requests(proxy: &Running, first: u64) -> usize {
+fn send_requests(proxy: &RunningProxy, first: u64) -> usize {
     let mut sink = proxy.connect();
     let mut source = BufReader::new(sink.try_clone().unwrap());
     let served = |id: u64| {
@@ -82,13 +82,13 @@
 
 /// Starts a proxy whose settings have 1,024 siblings, and sends it a list of `endpoints` caches and an
 /// origin, all with the address of one server.
-fn start_proxy(endpoints: u32, endpoint: SocketAddr) -> (Running, TcpStream) {
+fn start_proxy(endpoints: u32, endpoint: SocketAddr) -> (RunningProxy, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let text = stand_ins::config(listener.local_addr().unwrap(), &[(0xffff, "box", endpoint)])
         .replace(r#""listen":"127.0.0.1:1""#, r#""listen":"127.0.0.1:5050""#)
         .replace(r#""siblings":1"#, &format!(r#""siblings":{LARGE}"#))
         .replace(r#""seatsByZone":[0,1]"#, &format!(r#""seatsByZone":[{},{}]"#, LARGE / 2, LARGE / 2));
-    let proxy = Running::start_of(&text, &format!("size{endpoints}.json"), 1_024);
+    let proxy = RunningProxy::start_with_config(&text, &format!("size{endpoints}.json"), 1_024);
     let (mut stream, _) = accept_watch(&listener);
     let caches = (0..endpoints).flat_map(|k| cache_record(0x1000 + k, endpoint, 0));
     stream
@@ -104,13 +104,13 @@
     let measure = |endpoints: u32| {
         let (mut proxy, _watch) = start_proxy(endpoints, endpoint.address);
         proxy.signal("-USR1");
-        proxy.until("bulletin_events");
+        proxy.wait_for_log("bulletin_events");
         let idle = resource_usage(&proxy);
         let served = send_requests(&proxy, 1);
         let busy = resource_usage(&proxy);
         proxy.signal("-USR1");
         let connections: usize =
-            proxy.until("connections ").trim().split(' ').next_back().unwrap().parse().unwrap();
+            proxy.wait_for_log("connections ").trim().split(' ').next_back().unwrap().parse().unwrap();
         println!(
             "{endpoints} endpoints: idle {idle:?}, after {REQUESTS} requests {busy:?} (threads, resident KB, descriptors); \
              {served} served over {connections} connections to endpoints"
--- a/tests/stand_ins/running.rs
+++ b/tests/stand_ins/running.rs
@@ -1,4 +1,4 @@
-//! The program as a process of its own: started, signalled, and killed if a test ends early.
+//! Runs the program as a child process, which is killed when the test ends.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -8,34 +8,33 @@
 /// The program under test.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-proxy");
 
-/// The example's configuration.
-pub fn example() -> String {
+/// The example configuration.
+pub fn example_config() -> String {
     std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap()
 }
 
-/// Writes a file of the tests' own.
-pub fn file(name: &str, text: &str) -> PathBuf {
+/// Writes a file to the tests' own folder.
+pub fn write_file(name: &str, text: &str) -> PathBuf {
     let path = super::folder("process").join(name);
     std::fs::write(&path, text).unwrap();
     path
 }
 
-/// A running proxy; it is killed if a test ends early.
-pub struct Running {
+/// A running proxy. Killed on drop.
+pub struct RunningProxy {
     pub child: Child,
-    pub errors: BufReader<std::process::ChildStderr>,
+    pub log: BufReader<std::process::ChildStderr>,
     pub port: u16,
 }
 
-impl Running {
-    /// Starts one on a free port, under a limit on descriptors. Another process may take the port between the
-    /// look and the start, so there are further tries.
+impl RunningProxy {
+    /// Starts a proxy with the example configuration on a free port, with a limit on file descriptors.
     pub fn start(name: &str, descriptors: u32) -> Self {
-        Self::start_of(&example(), name, descriptors)
+        Self::start_with_config(&example_config(), name, descriptors)
     }
 
-    /// Starts it with a configuration of this text.
-    pub fn start_of(text: &str, name: &str, descriptors: u32) -> Self {
+    /// Starts a proxy with a configuration on a free port. Retries if another process takes the port first.
+    pub fn start_with_config(text: &str, name: &str, descriptors: u32) -> Self {
         (0..10).find_map(|_| Self::try_start(text, name, descriptors)).expect("a free port")
     }
 
@@ -44,74 +43,74 @@
         Self::start_at(port, text, name, descriptors)
     }
 
-    /// Starts it at this port; none if it ends at once.
+    /// Starts a proxy on a port. Returns `None` if it exits before it serves.
     pub fn start_at(port: u16, text: &str, name: &str, descriptors: u32) -> Option<Self> {
         let mut running = Self::spawn_at(port, text, name, descriptors);
-        running.begins("serves on").then_some(running)
+        running.try_wait_for_log("serves on").then_some(running)
     }
 
-    /// Starts it at this port, whatever comes of it.
+    /// Starts a proxy on a port without waiting until it serves.
     pub fn spawn_at(port: u16, text: &str, name: &str, descriptors: u32) -> Self {
         let text = text.replace("127.0.0.1:5050", &format!("127.0.0.1:{port}"));
-        let config = file(name, &text);
+        let config = write_file(name, &text);
         let script = format!("ulimit -n {descriptors}; exec \"$0\" serve --config \"$1\"");
         let mut child = Command::new("sh")
             .args(["-c", &script, PROGRAM, config.to_str().unwrap()])
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let errors = BufReader::new(child.stderr.take().unwrap());
-        Self { child, errors, port }
+        let log = BufReader::new(child.stderr.take().unwrap());
+        Self { child, log, port }
     }
 
-    /// Reads its log up to a line with this text; false where the log ends before.
-    pub fn begins(&mut self, text: &str) -> bool {
+    /// Reads the log up to a line with `text`. Returns false if the log ends first.
+    pub fn try_wait_for_log(&mut self, text: &str) -> bool {
         let mut line = String::new();
         while !line.contains(text) {
             line.clear();
-            if self.errors.read_line(&mut line).unwrap() == 0 {
+            if self.log.read_line(&mut line).unwrap() == 0 {
                 return false;
             }
         }
         true
     }
 
-    /// Its process.
-    pub fn id(&self) -> i32 {
+    /// The process id.
+    pub fn pid(&self) -> i32 {
         self.child.id() as i32
     }
 
-    /// Sends it a signal, `-TERM` for instance.
+    /// Sends a signal, for example `-TERM`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
-    /// A connection to its front.
+    /// Connects to the platform's front.
     pub fn connect(&self) -> TcpStream {
         TcpStream::connect(("127.0.0.1", self.port)).unwrap()
     }
 
-    /// Asks on a connection whether it is alive.
-    pub fn alive(&self, stream: &mut TcpStream) -> String {
+    /// Requests `/alive` on a connection and returns the start of the response.
+    pub fn request_alive(&self, stream: &mut TcpStream) -> String {
         stream.write_all(b"GET /alive HTTP/1.1\r\nHost: o\r\n\r\n").unwrap();
-        let mut answer = [0; 64];
-        let length = stream.read(&mut answer).unwrap();
-        String::from_utf8_lossy(&answer[..length]).to_string()
+        let mut response = [0; 64];
+        let length = stream.read(&mut response).unwrap();
+        String::from_utf8_lossy(&response[..length]).to_string()
     }
 
-    /// Reads its log up to a line with this text.
-    pub fn until(&mut self, text: &str) -> String {
+    /// Reads the log up to a line with `text` and returns that line. Panics if the log ends first.
+    pub fn wait_for_log(&mut self, text: &str) -> String {
         let mut line = String::new();
         while !line.contains(text) {
             line.clear();
-            assert!(self.errors.read_line(&mut line).unwrap() > 0, "no line with {text}");
+            assert!(self.log.read_line(&mut line).unwrap() > 0, "no line with {text}");
         }
         line
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningProxy {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -6,7 +6,7 @@
 use edge_proxy::health_check::config::HealthCheckConfig;
 use edge_proxy::vrrp::config::VrrpConfig;
 use serde_json::{json, Value};
-use stand_ins::running::{Running, PROGRAM};
+use stand_ins::running::{RunningProxy, PROGRAM};
 use std::io::{BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -63,7 +63,7 @@
 /// A proxy that serves in a folder; its admin calls are at port `admin`, and `front` is the port that replaces
 /// the one in an operators' file.
 struct Proxy {
-    _process: Running,
+    _process: RunningProxy,
     admin: u16,
     front: u16,
 }
@@ -97,8 +97,8 @@
             .env_remove("CALICOBEAM_LOG");
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let errors = BufReader::new(child.stderr.take().unwrap());
-        let mut process = Running { child, errors, port };
-        process.begins("serves on").then_some(Self { _process: process, admin, front })
+        let mut process = RunningProxy { child, log: errors, port };
+        process.try_wait_for_log("serves on").then_some(Self { _process: process, admin, front })
     }
 
     /// The JSON that an admin call answers.
