--- a/src/lifecycle/descriptors.rs
+++ b/src/lifecycle/descriptors.rs
@@ -41,7 +41,7 @@
 
     /// The descriptors of a hypothetical process with the limit `configured` and the usual number of open
     /// descriptors.
-    pub fn expected(configured: usize) -> Self {
+    pub fn estimated(configured: usize) -> Self {
         Self { max: configured, open: DEFAULT_OPEN_DESCRIPTORS }
     }
 }
--- a/src/lifecycle/descriptors/tests.rs
+++ b/src/lifecycle/descriptors/tests.rs
@@ -16,7 +16,7 @@
             for handed_over in [false, true] {
                 let signed_url_clients = other_subsystems / 2;
                 let demand = DescriptorDemand { signed_url_clients, other_subsystems, handed_over };
-                let budget = DescriptorBudget::new(Descriptors::expected(max), demand);
+                let budget = DescriptorBudget::new(Descriptors::estimated(max), demand);
                 if !budget.is_insufficient {
                     assert_within_limit(max, budget, demand);
                 }
@@ -28,7 +28,7 @@
 /// The reserve and the admin address come out of the last fifth.
 #[test]
 fn a_sufficient_limit_gives_two_fifths_each_to_clients_and_endpoints() {
-    let descriptors = Descriptors::expected(1_024);
+    let descriptors = Descriptors::estimated(1_024);
     let budget = DescriptorBudget::new(descriptors, DescriptorDemand::default());
     let fifths = DescriptorBudget { clients: 409, endpoints: 409, admin_clients: 16, is_insufficient: false };
     assert_eq!(budget, fifths);
@@ -39,10 +39,10 @@
 #[test]
 fn a_limit_too_low_for_the_demand_is_reported_and_leaves_each_kind_a_connection() {
     let demand = DescriptorDemand { other_subsystems: 60, ..DescriptorDemand::default() };
-    let budget = DescriptorBudget::new(Descriptors::expected(64), demand);
+    let budget = DescriptorBudget::new(Descriptors::estimated(64), demand);
     assert!(budget.is_insufficient);
     assert!(budget.clients == 1 && budget.endpoints == 1 && budget.admin_clients == 4);
-    let budget = DescriptorBudget::new(Descriptors::expected(24), DescriptorDemand::default());
+    let budget = DescriptorBudget::new(Descriptors::estimated(24), DescriptorDemand::default());
     assert!(!budget.is_insufficient);
 }
 
--- a/src/lifecycle/engine_setup.rs
+++ b/src/lifecycle/engine_setup.rs
@@ -30,7 +30,7 @@
         handed_over: config.handed_over,
         ..DescriptorDemand::default()
     };
-    let budget = DescriptorBudget::new(Descriptors::expected(config.limits.max_descriptors), demand);
+    let budget = DescriptorBudget::new(Descriptors::estimated(config.limits.max_descriptors), demand);
     engine_with_budget(config, clock, signed_connections, budget)
 }
 
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -8,7 +8,7 @@
 use super::signals::{SignalAction, Signals};
 use super::subsystem::{Context, StopStage, Subsystem};
 use super::subsystem_configs::SubsystemConfigs;
-use super::subsystems::configured;
+use super::subsystems::create_subsystems;
 use crate::clock::{duration_from_ms, Clock};
 use crate::engine::executor::Executor;
 use crate::wire::cache_connection::CacheDriver;
@@ -38,7 +38,7 @@
     let (engine, _) = engine_with_budget(&config, &clock, demand.signed_url_clients, budget)?;
     let listen = config.listen_address().map_err(ServeError::field("listen"))?;
     let seed = config.seed().map_err(ServeError::field("seed"))?;
-    let mut subsystems = configured(&config, configs, handed_over)?;
+    let mut subsystems = create_subsystems(&config, configs, handed_over)?;
     let executor = Executor::new(clock, engine, CacheDriver);
     let mut signals = Signals::install()?;
     let context = Context::new(config, executor, seed, budget);
--- a/src/lifecycle/signed_urls.rs
+++ b/src/lifecycle/signed_urls.rs
@@ -118,7 +118,7 @@
 }
 
 impl SignedUrlConfig {
-    /// Reads and checks the file and its keys, for a process that may hold `max_descriptors` file
+    /// Reads and validates the file and its keys, for a process with a limit of `max_descriptors` file
     /// descriptors.
     pub fn read(path: &Path, max_descriptors: usize) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
--- a/src/lifecycle/subsystem.rs
+++ b/src/lifecycle/subsystem.rs
@@ -22,7 +22,7 @@
 
 /// A subsystem of the server process. It starts in two steps, reloads its file on SIGHUP and stops in stages.
 ///
-/// Subsystems are called in the order of [`super::subsystems::configured`].
+/// Subsystems are called in the order of [`super::subsystems::create_subsystems`].
 pub trait Subsystem {
     /// Creates the state that other subsystems, metrics and admin calls use. Called before the admin listener
     /// opens.
--- a/src/lifecycle/subsystems/mod.rs
+++ b/src/lifecycle/subsystems/mod.rs
@@ -35,7 +35,7 @@
 /// 5. The other fronts open once purges and maintenance are in effect.
 /// 6. The engine's timer and the endpoint watch start once all fronts exist. The virtual router starts last:
 ///    it claims addresses for fronts that must be able to serve.
-pub fn configured(
+pub fn create_subsystems(
     config: &Config,
     configs: SubsystemConfigs,
     handed_over: Option<TcpListener>,
