--- a/src/http3/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -1,5 +1,5 @@
-//! Submits calls to the engine, keeps them while their clients reconnect, and hands each response to all clients that
-//! wait for it, whatever their connection.
+//! Submits calls to the engine, lets them continue while their clients reconnect, and delivers each response
+//! to all clients that wait for it, on any connection.
 
 use super::response_store::{Attachment, CallKey, ResponseStore, StoreLimits, StoreMetrics};
 use crate::clock::duration_from_ms;
@@ -12,22 +12,22 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// `retry_after` of a client that is rejected because the store is full, in milliseconds.
+/// Retry delay returned when the store is full, in milliseconds.
 const FULL_RETRY_AFTER_MS: f64 = 500.0;
-/// The response of a call that ended without one.
+/// The response delivered for a call that ended without one.
 const NO_RESPONSE: FinalResponse = FinalResponse::Failed { overdue: false };
 
-/// The calls of all sessions.
+/// The resumable calls of all sessions.
 pub struct CallRegistry {
     host: Rc<Executor>,
     store: RefCell<ResponseStore>,
     waiting: RefCell<HashMap<CallKey, Vec<oneshot::Sender<FinalResponse>>>>,
     hasher: ahash::RandomState,
-    /// Notified when the next due time of the store may have changed.
+    /// Notified when the time of the store's next expiry or cancellation may have changed.
     due_changed: Notify,
 }
 
-/// A call that was submitted.
+/// Result of submitting a call.
 pub enum SubmittedCall {
     /// The call has completed.
     Completed(FinalResponse),
@@ -35,20 +35,21 @@
     Running(PendingCall),
 }
 
-/// One client's wait for a call. If it is dropped before the response, the client counts as lost and the call goes on.
+/// A client's wait for the response of a running call. If it is dropped early, the client is detached and the
+/// call continues.
 pub struct PendingCall {
     response: oneshot::Receiver<FinalResponse>,
     attached: AttachedClient,
 }
 
-/// A client that is attached to a call, until the response has arrived or this is dropped.
+/// Guard that keeps a client attached to a call until the response arrives or the guard is dropped.
 struct AttachedClient {
     registry: Rc<CallRegistry>,
     key: CallKey,
     is_attached: bool,
 }
 
-/// Use of the store.
+/// Current size of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreUsage {
     /// Number of calls.
@@ -58,7 +59,7 @@
 }
 
 impl CallRegistry {
-    /// Creates a registry without calls.
+    /// Creates an empty registry.
     pub fn new(host: Rc<Executor>, limits: StoreLimits) -> Rc<Self> {
         Rc::new(Self {
             host,
@@ -69,7 +70,7 @@
         })
     }
 
-    /// Submits a request of a session. A request under the id of an earlier call is attached to that call.
+    /// Submits a request of a session. A request with the id of a stored call is attached to that call.
     pub fn submit(
         self: &Rc<Self>,
         session: SessionId,
@@ -96,7 +97,7 @@
         Ok(SubmittedCall::Running(PendingCall { response, attached }))
     }
 
-    /// Hash of what makes two requests the same.
+    /// Hash of the fields by which a retry is recognized as the same request.
     fn digest(&self, request: &IncomingRequest) -> u64 {
         self.hasher.hash_one((
             request.class,
@@ -114,7 +115,7 @@
         let response = self.host.submit(request).inspect_err(|_| self.store.borrow_mut().discard(key))?;
         let registry = self.clone();
         self.host.spawn("a resumable call", async move {
-            // A cancelled call has no response, and no client that waits for it.
+            // A cancelled call has no response and no waiting clients.
             let response = response.await.unwrap_or(NO_RESPONSE);
             registry.complete(key, &response);
         });
@@ -126,7 +127,7 @@
         self.store.borrow_mut().complete(now, key, response);
         let waiting = self.waiting.borrow_mut().remove(&key).unwrap_or_default();
         for client in waiting {
-            // A client that has left gets the response when it retries.
+            // Sending fails if the client has disconnected; it gets the stored response on a retry.
             let _ = client.send(response.clone());
         }
         self.due_changed.notify_one();
@@ -137,7 +138,7 @@
         self.host.client_disconnected(key.call);
     }
 
-    /// Removes expired responses and cancels reads without clients, without end.
+    /// Removes expired responses and cancels reads without clients when they are due. Never returns.
     pub async fn keep(self: Rc<Self>) {
         loop {
             let wait_ms = self.store.borrow().next_due_ms() - self.host.clock.now();
@@ -156,7 +157,7 @@
         self.store.borrow().metrics()
     }
 
-    /// The use of the store.
+    /// The current size of the store.
     pub fn usage(&self) -> StoreUsage {
         let store = self.store.borrow();
         StoreUsage { calls: store.len(), bytes: store.bytes() }
@@ -164,14 +165,14 @@
 }
 
 impl PendingCall {
-    /// Waits for the response. Cancel safe.
+    /// Waits for the response. This method is cancel safe.
     pub async fn response(&mut self) -> FinalResponse {
         let response = (&mut self.response).await.unwrap_or(NO_RESPONSE);
         self.attached.is_attached = false;
         response
     }
 
-    /// Ends the wait of a client that no longer wants the response. A read without other clients is cancelled.
+    /// Detaches a client that no longer wants the response. A read without other clients is cancelled.
     pub fn cancel(self) {
         self.attached.cancel();
     }
--- a/src/http3/config.rs
+++ b/src/http3/config.rs
@@ -1,4 +1,4 @@
-//! The operator file of HTTP/3, `serve --http3 FILE`. Without it HTTP/3 is not served.
+//! Configuration file of HTTP/3, given by `serve --http3 FILE`. Without it HTTP/3 is disabled.
 
 use super::session::SessionTokens;
 use super::settings::{Http3Limits, PathSettings, ResumableCallSettings};
@@ -11,29 +11,30 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The operator file.
+/// Contents of the configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Http3Config {
-    /// Address of QUIC, over UDP.
+    /// UDP address on which QUIC listens.
     pub listen: String,
-    /// Address of HTTP/1.1 over TCP, without TLS, for clients that UDP does not reach.
+    /// Address on which HTTP/1.1 over TCP listens, without TLS, for clients whose network blocks UDP.
     #[serde(default)]
     pub tcp: Option<String>,
-    /// Certificates, PEM, relative to this file.
+    /// PEM file with the certificate chain, relative to this file.
     pub certificate: PathBuf,
-    /// Private key, PEM, relative to this file.
+    /// PEM file with the private key, relative to this file.
     pub key: PathBuf,
-    /// Key file for session tokens, relative to this file; without it a process generates a key.
+    /// Key file for session tokens, relative to this file. Without it a random key is generated at startup,
+    /// and tokens are valid only in this process.
     #[serde(default)]
     pub session_keys: Option<PathBuf>,
-    /// Limits.
+    /// Limits of connections and requests.
     #[serde(default)]
     pub limits: Http3Limits,
-    /// What is kept of calls.
+    /// Limits of resumable calls and of their stored responses.
     #[serde(rename = "shelf", default)]
     pub resumable_calls: ResumableCallSettings,
-    /// The network paths to clients.
+    /// Congestion control and loss detection.
     #[serde(rename = "path", default)]
     pub path_settings: PathSettings,
     /// Path of this file.
@@ -42,7 +43,7 @@
 }
 
 impl Http3Config {
-    /// Reads and checks the file and the files that it names.
+    /// Reads and validates the file and the files that it names.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.file = path.to_path_buf();
@@ -92,33 +93,33 @@
         Ok(())
     }
 
-    /// Address of QUIC.
+    /// UDP address on which QUIC listens.
     pub fn quic_address(&self) -> SocketAddr {
         parse_address(&self.listen).expect("checked when read")
     }
 
-    /// Address of HTTP/1.1 over TCP.
+    /// TCP address on which HTTP/1.1 listens, if it is configured.
     pub fn tcp_address(&self) -> Option<SocketAddr> {
         self.tcp.as_ref().map(|tcp| parse_address(tcp).expect("checked when read"))
     }
 
-    /// The certificate files.
+    /// Paths of the certificate and key files.
     pub fn tls_files(&self) -> TlsFiles {
         let resolve = |file: &Path| resolve_beside(&self.file, file);
         TlsFiles { certificate: resolve(&self.certificate), key: resolve(&self.key) }
     }
 
-    /// Reads the certificate files and builds the configuration of the QUIC server.
+    /// Reads the certificate and key files and builds the QUIC server configuration.
     pub fn server_config(&self) -> Result<quinn::ServerConfig, TlsError> {
         server_config(&self.tls_files(), &self.limits, &self.path_settings)
     }
 
-    /// Builds the configuration of the transport, for a server or a client.
+    /// Builds the QUIC transport configuration, which suits a server or a client.
     pub fn transport_config(&self) -> quinn::TransportConfig {
         transport_config(&self.limits, &self.path_settings)
     }
 
-    /// Reads the keys of session tokens, or generates a key if no file is configured.
+    /// Reads the keys that sign session tokens, or generates a random one if no file is configured.
     pub fn session_tokens(&self) -> Result<SessionTokens, KeyFileError> {
         let keys = match &self.session_keys {
             Some(file) => read_keys_beside(&self.file, file)?,
--- a/src/http3/connection.rs
+++ b/src/http3/connection.rs
@@ -1,5 +1,6 @@
-//! One QUIC connection: accepts its requests and runs a task for each. If the client closes the connection, its reads
-//! are cancelled; if the connection is lost, its calls go on.
+//! One QUIC connection: accepts its requests and serves each in its own task. If the client closes the
+//! connection, its running reads are cancelled; if the connection is lost, its calls continue and the client
+//! can resume them.
 
 use super::path_estimate::{PathEstimate, PathSample};
 use super::request;
@@ -18,25 +19,26 @@
 
 /// Error code of a connection that is closed without an error (RFC 9114, section 8.1).
 const H3_NO_ERROR: u32 = 0x100;
-/// Time for which a connection whose requests are answered waits for the last acknowledgements, in milliseconds.
+/// Time to wait for the last bytes to be delivered before a connection is closed, in milliseconds.
 const FLUSH_TIMEOUT_MS: f64 = 400.0;
 
 type Http3Connection = h3::server::Connection<h3_quinn::Connection, Bytes>;
 
-/// A connection, shared by the tasks of its requests.
+/// State of a connection, shared by the tasks of its requests.
 pub(super) struct Connection {
     pub(super) server: Rc<Http3Server>,
     pub(super) quic: quinn::Connection,
     pub(super) peer: IpAddr,
     path: RefCell<PathEstimate>,
     pub(super) scheduler: RefCell<SendScheduler>,
-    /// Notified when a body ended and others may be sent.
+    /// Notified when a body is removed, which may allow others to be sent.
     pub(super) scheduler_changed: Notify,
     open_requests: Cell<usize>,
     request_ended: Notify,
 }
 
-/// Serves a connection until it ends, or until its requests are answered once `stop` has begun.
+/// Serves a connection until it ends. Once `stop` has begun, closes it as soon as its open requests are
+/// answered.
 pub(super) async fn serve(server: &Rc<Http3Server>, quic: quinn::Connection, stop: &GracefulShutdown) {
     let connection = Rc::new(Connection {
         server: server.clone(),
@@ -60,7 +62,8 @@
 }
 
 impl Connection {
-    /// Accepts requests until the connection ends, or until all are answered once `stop` has begun.
+    /// Accepts requests until the connection ends or, once `stop` has begun, until the open requests are
+    /// answered.
     async fn accept_requests(self: &Rc<Self>, http3: &mut Http3Connection, stop: &GracefulShutdown) {
         let mut stopping = false;
         loop {
@@ -72,7 +75,7 @@
                 },
                 () = stop.begun(), if !stopping => {
                     stopping = true;
-                    // GOAWAY: accepted requests are answered, and no further ones are accepted.
+                    // Sends GOAWAY: accepted requests are still answered, and no new ones are accepted.
                     if http3.shutdown(0).await.is_err() {
                         return;
                     }
@@ -97,11 +100,12 @@
         });
     }
 
-    /// Closes the connection after its last bytes are acknowledged, and counts it if it was lost.
+    /// Closes the connection if it is open, after a delay for its last bytes; counts it as lost if it failed.
     async fn close(&self) {
         match self.quic.close_reason() {
             None => {
-                // A close would overtake the last bytes.
+                // Closing discards data that is not acknowledged yet, so the client is given time to close
+                // first.
                 let _ = timeout(duration_from_ms(FLUSH_TIMEOUT_MS), self.quic.closed()).await;
                 self.quic.close(H3_NO_ERROR.into(), b"");
             }
@@ -113,7 +117,7 @@
         }
     }
 
-    /// Updates the estimate of the path.
+    /// Updates the path estimate from the transport's statistics and returns it.
     pub(super) fn estimate_path(&self) -> PathEstimate {
         let stats = self.quic.stats().path;
         let mut path = self.path.borrow_mut();
@@ -126,13 +130,13 @@
         *path
     }
 
-    /// Whether the client closed the connection.
+    /// Whether the client closed the connection, as opposed to a timeout or an error.
     pub(super) fn is_closed_by_client(&self) -> bool {
         matches!(self.quic.close_reason(), Some(ConnectionError::ApplicationClosed(_)))
     }
 }
 
-/// Counts a request as open until it is dropped.
+/// Guard that counts a request as open until it is dropped.
 struct OpenRequest {
     connection: Rc<Connection>,
 }
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -1,5 +1,5 @@
-//! The front of HTTP/3: the requests and responses of another front, with sessions, by which calls outlive their
-//! connections, and with ranges, by which a client resumes a response that was interrupted.
+//! The HTTP/3 front. It wraps another front and adds sessions, so that a client can reconnect to a running
+//! call, and range requests, so that a client can resume an interrupted response.
 
 use super::call_registry::CallRegistry;
 use super::session::SessionTokens;
@@ -13,19 +13,19 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Response header with a session token.
+/// Response header that carries a session token.
 pub const SESSION_HEADER: &str = "X-Session";
-/// The same header in a request, in lower case.
+/// Request header that carries a session token; request header names are matched in lower case.
 const SESSION_REQUEST_HEADER: &str = "x-session";
 
 /// The session of a request.
 struct RequestSession {
     id: SessionId,
-    /// A token that the client has to be given.
+    /// A token to return to the client, if it has none or its own needs renewal.
     new_token: Option<String>,
 }
 
-/// The front.
+/// A front that adds sessions and range requests to `inner`.
 pub struct Http3Front {
     inner: Rc<dyn Front>,
     limits: ConnectionLimits,
@@ -34,7 +34,7 @@
 }
 
 impl Http3Front {
-    /// Creates a front for the requests of `inner`.
+    /// Wraps `inner`.
     pub fn new(
         inner: Rc<dyn Front>,
         limits: ConnectionLimits,
@@ -44,12 +44,12 @@
         Self { inner, limits, tokens: RefCell::new(tokens), calls }
     }
 
-    /// Replaces the session tokens, after their keys were reloaded.
+    /// Replaces the token issuer after a reload of the session keys.
     pub fn set_tokens(&self, tokens: SessionTokens) {
         *self.tokens.borrow_mut() = tokens;
     }
 
-    /// The session of a request. A request without a valid token gets a new session.
+    /// Returns the session of a request, or a new session if the request has no valid token.
     fn session(&self, request: &HttpRequest, now: f64) -> RequestSession {
         let tokens = self.tokens.borrow();
         let token = request.single(SESSION_REQUEST_HEADER).ok().flatten();
@@ -62,13 +62,13 @@
     }
 }
 
-/// Reduces a complete response to the requested range, if the client's copy is still current.
+/// Reduces a complete response to the requested range, if `If-Range` permits it.
 fn apply_range(context: &ResponseContext, response: HttpResponse) -> HttpResponse {
     let Some(requested) = context.range.as_deref().filter(|_| response.status == 200) else {
         return response;
     };
     let etag = response.headers.iter().find(|(name, _)| *name == "ETag").map(|(_, etag)| etag.as_str());
-    // RFC 9110, section 13.1.5: if the client has a part of another copy, it gets the complete response.
+    // RFC 9110, section 13.1.5: a weak or different entity tag in `If-Range` disables the range.
     let is_other_copy = |if_range: &str| etag != Some(if_range) || if_range.starts_with("W/");
     if context.if_range.as_deref().is_some_and(is_other_copy) {
         return response;
--- a/src/http3/metrics.rs
+++ b/src/http3/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of HTTP/3. The metric names are those of the first version.
+//! HTTP/3 counters. Exported names differ from field names, for compatibility with earlier versions.
 
 use super::call_registry::CallRegistry;
 
@@ -7,20 +7,20 @@
 pub struct ServerMetrics {
     /// QUIC connections accepted.
     pub connections: u64,
-    /// QUIC connections rejected because of the limit.
+    /// QUIC connections rejected because the connection limit was reached.
     pub connections_rejected: u64,
-    /// QUIC connections that ended without being closed by their client.
+    /// QUIC connections that timed out or failed, instead of being closed by either side.
     pub connections_lost: u64,
-    /// Requests.
+    /// Requests received.
     pub requests: u64,
-    /// Responses that could not be sent completely.
+    /// Responses that could not be sent in full.
     pub unsent_responses: u64,
     /// Malformed requests.
     pub malformed_requests: u64,
 }
 
 impl ServerMetrics {
-    /// The metrics of the server and of its resumable calls in the Prometheus text format.
+    /// Formats the metrics of the server and of its resumable calls in the Prometheus text format.
     pub fn to_prometheus(self, open_connections: usize, calls: &CallRegistry) -> String {
         let (store, usage) = (calls.metrics(), calls.usage());
         let lines = [
--- a/src/http3/mod.rs
+++ b/src/http3/mod.rs
@@ -1,20 +1,20 @@
-//! HTTP/3 (RFC 9114) over QUIC (RFC 9000), for clients on unreliable networks: a lost packet delays one stream and not
-//! the others, and calls outlive their connections. HTTP/1.1 over TCP serves clients that UDP does not reach, with the
-//! same sessions and calls.
+//! HTTP/3 (RFC 9114) over QUIC (RFC 9000) for clients on unreliable networks: a lost packet blocks only its
+//! own stream, and a client can reconnect and resume a call. Clients behind networks that block UDP use
+//! HTTP/1.1 over TCP, with the same sessions and resumable calls.
 //!
 //! | module | responsibility | I/O |
 //! | --- | --- | --- |
-//! | [`config`], [`settings`] | the operator file and its sections | files |
-//! | [`transport`] | configuration of QUIC and TLS | certificate files |
-//! | [`response_store`] | running calls and kept responses | none |
-//! | [`call_registry`] | submits calls to the engine and hands responses to waiting clients | tasks |
-//! | [`session`] | session tokens | none |
-//! | [`path_estimate`] | estimate of a network path | none |
-//! | [`send_scheduler`] | order of response bodies (RFC 9218) | none |
-//! | [`front`] | requests and responses, with sessions and ranges | none |
-//! | [`server`] | accepts connections | UDP |
-//! | `connection`, `request`, `response_body` | the tasks of connections and requests | UDP |
-//! | [`metrics`] | counters | none |
+//! | [`config`], [`settings`] | the configuration file and its sections | files |
+//! | [`transport`] | QUIC and TLS configuration | certificate files |
+//! | [`response_store`] | bounded store of running calls and completed responses | none |
+//! | [`call_registry`] | submits calls to the engine and delivers responses to the waiting clients | tasks |
+//! | [`session`] | signed session tokens | none |
+//! | [`path_estimate`] | estimated delivery time to a client | none |
+//! | [`send_scheduler`] | prioritization of response bodies (RFC 9218) | none |
+//! | [`front`] | adds sessions and range requests to another front | none |
+//! | [`server`] | accepts QUIC connections | UDP |
+//! | `connection`, `request`, `response_body` | one task per connection and per request | UDP |
+//! | [`metrics`] | counters and their exposition | none |
 //!
 //! Design note: `docs/design-http3.md`. Operator page: `docs/http3.md`.
 
--- a/src/http3/path_estimate.rs
+++ b/src/http3/path_estimate.rs
@@ -1,33 +1,33 @@
-//! Estimates the network path to a client from the transport's measurements, and how much earlier than on a good path a
-//! response must be sent to arrive in time. No I/O.
+//! Estimates the network path to a client from the transport's statistics, and from it the time by which a
+//! response must be sent to meet the client's deadline. No I/O.
 
-/// Measurements of the transport.
+/// Statistics of the transport at one point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PathSample {
     /// Smoothed round-trip time, in milliseconds.
     pub rtt_ms: f64,
-    /// Packets sent since the connection began.
+    /// Packets sent on the connection so far.
     pub sent_packets: u64,
-    /// Packets lost since the connection began.
+    /// Packets declared lost on the connection so far.
     pub lost_packets: u64,
     /// Congestion window, in bytes.
     pub window_bytes: u64,
 }
 
-/// Least number of packets from which a loss rate is computed.
+/// Minimum number of sent packets before a loss rate is computed.
 const MIN_PACKETS: u64 = 20;
-/// Weight of a new sample in the deviation of the round-trip time, as in RFC 9002.
+/// Weight of a new sample in the moving average of the RTT deviation, as in RFC 9002.
 const DEVIATION_GAIN: f64 = 0.25;
-/// Deviations of the round-trip time that are allowed for.
+/// Multiple of the RTT deviation that is added to the delivery time.
 const DEVIATIONS: f64 = 2.0;
-/// Loss rate from which one more round trip is allowed for, because the last packet may be lost.
+/// Loss rate from which one round trip is added for a retransmission of the last packet.
 const LOSSY_RATE: f64 = 0.01;
-/// Most windows of bytes beyond the first that are allowed for.
+/// Maximum number of congestion windows beyond the first that the delivery time accounts for.
 const MAX_FURTHER_WINDOWS: f64 = 64.0;
-/// Largest share of a request's remaining time that is reserved for the delivery of its response.
+/// Maximum share of a request's remaining time that is reserved for delivering the response.
 const MAX_DELIVERY_SHARE: f64 = 0.5;
 
-/// Estimate of one path.
+/// Estimate of the network path to one client.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PathEstimate {
     rtt_ms: f64,
@@ -38,7 +38,7 @@
 }
 
 impl PathEstimate {
-    /// Applies a sample.
+    /// Updates the estimate with a sample.
     pub fn update(&mut self, sample: PathSample) {
         if self.samples == 0 {
             self.deviation_ms = sample.rtt_ms / 2.0;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Share of packets that were lost.
+    /// Fraction of packets that were lost.
     pub fn loss_rate(&self) -> f64 {
         self.loss_rate
     }
@@ -63,8 +63,9 @@
         self.rtt_ms
     }
 
-    /// Time until a response of `bytes` has arrived at the client, in milliseconds: half a round trip and its deviation,
-    /// a round trip for each further window of bytes, and one more if packets are lost.
+    /// Estimated time to deliver a response of `bytes` to the client, in milliseconds: half a round trip plus
+    /// a margin for jitter, a round trip for each further congestion window, and another if the path is
+    /// lossy.
     pub fn delivery_ms(&self, bytes: f64) -> f64 {
         if self.samples == 0 {
             return 0.0;
@@ -77,8 +78,8 @@
             + retransmission_ms
     }
 
-    /// When the response of `bytes` to a request must be sent. `deadline_ms` is the time for a good path, which is never
-    /// exceeded; at least half of the remaining time is left for the request.
+    /// Latest time to send a response of `bytes` so that it arrives by `deadline_ms`. At least half of the
+    /// remaining time is left for serving the request, even if delivery is estimated to take longer.
     pub fn send_deadline_ms(&self, now: f64, deadline_ms: f64, bytes: f64) -> f64 {
         let remaining_ms = (deadline_ms - now).max(0.0);
         deadline_ms - self.delivery_ms(bytes).min(MAX_DELIVERY_SHARE * remaining_ms)
--- a/src/http3/response_body.rs
+++ b/src/http3/response_body.rs
@@ -1,4 +1,4 @@
-//! Sends a response in chunks, in the order of the priorities of its connection's responses.
+//! Sends a response in chunks, scheduled by priority among the responses of its connection.
 
 use super::connection::Connection;
 use super::request::Stream;
@@ -9,7 +9,7 @@
 use http::Response;
 use tokio::time::timeout;
 
-/// Sends a response.
+/// Sends a response's head and body.
 pub(super) async fn send(
     connection: &Connection,
     head: Response<()>,
@@ -28,7 +28,7 @@
     stream.finish().await
 }
 
-/// A body in the scheduler of its connection, until it is dropped.
+/// Guard that registers a body with the scheduler of its connection until it is dropped.
 struct ScheduledBody<'a> {
     connection: &'a Connection,
     id: BodyId,
@@ -41,7 +41,7 @@
         Self { connection, id }
     }
 
-    /// Waits until bytes of the body may be sent.
+    /// Waits until the scheduler permits the next chunk.
     async fn wait_to_send(&self) {
         let recheck = duration_from_ms(RECHECK_INTERVAL_MS);
         while !self.may_send() {
--- a/src/http3/response_store.rs
+++ b/src/http3/response_store.rs
@@ -1,15 +1,17 @@
-//! Running calls and the responses of completed ones. No I/O; time is given by the caller in Unix milliseconds.
+//! Store of running calls and of the responses of completed ones. No I/O; the caller passes the time in Unix
+//! milliseconds.
 //!
-//! A call is identified by its session and its id. The first client starts it; a later one, whose earlier connection was
-//! lost, attaches to it while it runs and gets its response once it has completed. So a write is executed once however
-//! often it is retried. A read without clients is cancelled after a while; a write always runs to completion. The store
-//! is bounded in calls, calls per session and bytes.
+//! A call is identified by its session and its call id. The first request starts it. A retry, for example
+//! after a lost connection, attaches to the running call or gets the stored response, so a write is executed
+//! once however often it is retried. A read without clients is cancelled after a delay; a write always runs
+//! to completion. The store is bounded by the number of calls, the number of calls per session and the
+//! memory.
 
 use crate::state::requests::FinalResponse;
 use crate::wire::front::SessionId;
 use std::collections::{BTreeSet, HashMap};
 
-/// Memory of a call without the body of its response, in bytes.
+/// Memory accounted for a call without its response body, in bytes.
 pub const CALL_BYTES: usize = 320;
 
 /// Identifies a call.
@@ -25,46 +27,46 @@
     const MIN: Self = Self { session: 0, call: 0 };
 }
 
-/// Bounds of the store.
+/// Limits of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
-    /// Most calls.
+    /// Maximum number of running and completed calls.
     pub calls: usize,
-    /// Most calls of one session.
+    /// Maximum number of calls of one session.
     pub calls_per_session: usize,
-    /// Most bytes.
+    /// Maximum memory of calls and responses, in bytes.
     pub bytes: usize,
-    /// Time after which a read without clients is cancelled, in milliseconds.
+    /// Delay before a running read without clients is cancelled, in milliseconds.
     pub cancel_after_ms: f64,
-    /// Time for which the response of a read is kept, in milliseconds.
+    /// Retention time of a read's response, in milliseconds.
     pub keep_read_ms: f64,
-    /// Time for which the response of a write is kept, in milliseconds.
+    /// Retention time of a write's response, in milliseconds.
     pub keep_write_ms: f64,
 }
 
 /// The result of attaching a client to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Attachment {
-    /// The call is new and has to be started.
+    /// The call is new: the caller must start it.
     Started,
-    /// The call is running.
+    /// The call is already running.
     Running,
     /// The call has completed with this response.
     Completed(FinalResponse),
-    /// The call id belongs to a different request.
+    /// The call id is in use for a different request.
     Conflict,
     /// The store is full. The call was not started.
     Full,
 }
 
-/// A time that is ordered as a key. Negative times count as 0.
+/// A time in milliseconds with a total order, for use in sorted sets. Negative times are stored as 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct OrderedMs(u64);
 
 impl OrderedMs {
     const MIN: Self = Self(0);
 
-    /// The bits of floats that are not negative are ordered as the floats are.
+    /// Non-negative floats compare like their bit patterns.
     fn new(ms: f64) -> Self {
         Self(ms.max(0.0).to_bits())
     }
@@ -74,7 +76,7 @@
     }
 }
 
-/// Place of a completed call in the order of eviction: reads before writes, then by when they expire.
+/// A completed call in eviction order: reads before writes, then by expiry time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CompletedEntry {
     write: bool,
@@ -82,7 +84,7 @@
     key: CallKey,
 }
 
-/// Place of a running read without clients in the order of cancellation.
+/// A running read without clients, ordered by the time at which it is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DetachedEntry {
     cancel: OrderedMs,
@@ -93,7 +95,7 @@
 enum CallState {
     Running {
         clients: u32,
-        /// When the last client was lost, or infinity.
+        /// When the last client was detached; infinity while a client is attached.
         detached_ms: f64,
     },
     Completed {
@@ -105,7 +107,7 @@
 
 #[derive(Clone, Debug)]
 struct Call {
-    /// Hash of the request, which distinguishes it from a different request with the same id.
+    /// Hash of the request, to detect a different request with the same call id.
     digest: u64,
     write: bool,
     state: CallState,
@@ -118,15 +120,15 @@
     pub started: u64,
     /// Clients attached to a running call.
     pub joined: u64,
-    /// Clients that got the response of a completed call.
+    /// Clients that got the stored response of a completed call.
     pub replayed: u64,
-    /// Clients rejected because their call id belongs to a different request.
+    /// Clients rejected because their call id is in use for a different request.
     pub conflicts: u64,
     /// Clients rejected because the store was full.
     pub rejected_full: u64,
-    /// Running calls that lost their last client.
+    /// Number of times that a running call lost its last client.
     pub detached: u64,
-    /// Reads cancelled, by their client or after their time without clients.
+    /// Reads cancelled by their client, or after running without clients for too long.
     pub cancelled: u64,
     /// Responses of reads evicted before they expired.
     pub evicted_reads: u64,
@@ -134,7 +136,7 @@
     pub evicted_writes: u64,
 }
 
-/// The store.
+/// The store of running calls and stored responses.
 #[derive(Debug)]
 pub struct ResponseStore {
     limits: StoreLimits,
@@ -165,7 +167,7 @@
         self.metrics
     }
 
-    /// Attaches a client to the call `key`, which is started if it is new. `digest` is the hash of the request.
+    /// Attaches a client to the call `key`, which is added if it is new. `digest` is the hash of the request.
     pub fn attach(&mut self, now: f64, key: CallKey, digest: u64, write: bool) -> Attachment {
         self.remove_expired(now);
         if self.calls.contains_key(&key) {
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Completes a running call. Its response is kept, depending on what it is.
+    /// Completes a running call, and stores its response if a retry must get the same one.
     pub fn complete(&mut self, now: f64, key: CallKey, response: &FinalResponse) {
         let Some(call) = self.calls.get(&key) else { return };
         let CallState::Running { detached_ms, .. } = call.state else { return };
@@ -225,7 +227,7 @@
         let fits = body_bytes + CALL_BYTES <= self.limits.bytes && self.make_room(0, body_bytes);
         let (response, body_bytes) = match (fits, write) {
             (true, _) => (response.clone(), body_bytes),
-            // The write may have been executed: a retry must not start it again.
+            // The write may have been executed, so a failure is stored: a retry must not execute it again.
             (false, true) => (FinalResponse::Failed { overdue: false }, 0),
             (false, false) => return self.remove(key),
         };
@@ -237,10 +239,10 @@
         }
     }
 
-    /// How long a response is kept, in milliseconds.
+    /// Retention time of a response, in milliseconds; 0 if it is not stored.
     fn keep_ms(&self, write: bool, response: &FinalResponse) -> f64 {
         match response {
-            // Nothing was executed: a retry is a new call.
+            // The request was not executed, so a retry starts a new call.
             FinalResponse::Rejected { .. } => 0.0,
             FinalResponse::Failed { .. } if !write => 0.0,
             _ if write => self.limits.keep_write_ms,
@@ -248,12 +250,12 @@
         }
     }
 
-    /// Removes a call that the engine did not accept.
+    /// Removes a call that the engine rejected on submission.
     pub fn discard(&mut self, key: CallKey) {
         self.remove(key);
     }
 
-    /// Detaches a client whose connection was lost. It may attach again.
+    /// Detaches a client whose connection was lost. It can attach again.
     pub fn detach(&mut self, now: f64, key: CallKey) {
         let Some(call) = self.calls.get_mut(&key) else { return };
         let CallState::Running { clients, detached_ms } = &mut call.state else { return };
@@ -269,9 +271,9 @@
         }
     }
 
-    /// Detaches a client that no longer wants the response. Returns whether the call has to be cancelled.
+    /// Detaches a client that no longer wants the response. Returns whether the caller must cancel the call.
     ///
-    /// A write is never cancelled: it may have been executed, and a retry must not start it again.
+    /// A write is never cancelled: it may have been executed already, and a retry must not execute it again.
     pub fn cancel(&mut self, now: f64, key: CallKey) -> bool {
         self.detach(now, key);
         let Some(call) = self.calls.get(&key) else { return false };
@@ -284,7 +286,8 @@
         true
     }
 
-    /// Removes what has expired by `now`. Returns the reads that have to be cancelled.
+    /// Removes responses that have expired by `now`, and reads that were without clients for too long.
+    /// Returns the latter, which the caller must cancel.
     pub fn tick(&mut self, now: f64) -> Vec<CallKey> {
         self.remove_expired(now);
         let mut cancelled = Vec::new();
@@ -297,7 +300,7 @@
         cancelled
     }
 
-    /// When [`Self::tick`] has to be called next.
+    /// When [`Self::tick`] must be called next; infinity if nothing is pending.
     pub fn next_due_ms(&self) -> f64 {
         let expiries = [false, true].into_iter().filter_map(|write| self.first_completed(write));
         let expiries = expiries.map(|entry| entry.expires.ms());
@@ -310,7 +313,7 @@
         self.calls.len()
     }
 
-    /// Whether there is no call.
+    /// Whether the store holds no calls.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
@@ -320,7 +323,7 @@
         self.bytes
     }
 
-    /// The read or write that expires first.
+    /// The completed read or write that expires first.
     fn first_completed(&self, write: bool) -> Option<CompletedEntry> {
         let from = CompletedEntry { write, expires: OrderedMs::MIN, key: CallKey::MIN };
         self.completed.range(from..).next().copied().filter(|entry| entry.write == write)
@@ -334,7 +337,7 @@
         }
     }
 
-    /// Evicts responses until there is room for further calls and bytes: reads before writes, the oldest first.
+    /// Evicts responses, in eviction order, until the given calls and bytes fit. Returns whether they fit.
     fn make_room(&mut self, calls: usize, bytes: usize) -> bool {
         while self.calls.len() + calls > self.limits.calls || self.bytes + bytes > self.limits.bytes {
             if !self.evict(|_| true) {
@@ -344,7 +347,8 @@
         true
     }
 
-    /// Evicts the first response of those for which `is_candidate` is true.
+    /// Evicts the first response, in eviction order, that satisfies `is_candidate`. Returns whether there was
+    /// one.
     fn evict(&mut self, is_candidate: impl Fn(&CompletedEntry) -> bool) -> bool {
         let Some(entry) = self.completed.iter().find(|entry| is_candidate(entry)).copied() else {
             return false;
--- a/src/http3/response_store/tests.rs
+++ b/src/http3/response_store/tests.rs
@@ -34,20 +34,20 @@
     store.complete(30.0, write, &served(3));
     assert_eq!(store.attach(9_029.0, write, 5, true), Attachment::Completed(served(3)));
     assert_eq!(store.attach(9_030.0, write, 5, true), Attachment::Started, "expired");
-    // A failed write may have been executed: a retry gets the same response.
+    // A failed write may have been executed, so a retry gets the same response.
     store.complete(9_040.0, write, &FinalResponse::Failed { overdue: false });
     assert_eq!(
         store.attach(9_050.0, write, 5, true),
         Attachment::Completed(FinalResponse::Failed { overdue: false })
     );
-    // A write whose response is too large for the store is not started again either.
+    // A write whose response does not fit into the store is not executed again either.
     store.attach(9_045.0, key(7, 3), 5, true);
     store.complete(9_046.0, key(7, 3), &served(7_000));
     assert_eq!(
         store.attach(9_047.0, key(7, 3), 5, true),
         Attachment::Completed(FinalResponse::Failed { overdue: false })
     );
-    // A rejected write was not executed.
+    // A rejected write was not executed, so a retry starts it.
     assert_eq!(store.attach(9_050.0, key(7, 2), 5, true), Attachment::Started);
     store.complete(9_060.0, key(7, 2), &FinalResponse::Rejected { retry_after_ms: 1.0, overdue: false });
     assert_eq!(store.attach(9_070.0, key(7, 2), 5, true), Attachment::Started);
@@ -112,7 +112,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens, the limits hold, each call is started once while it is kept, and nothing is left at the end.
+    /// For any sequence of operations the limits hold, a stored call is not started again, and no state
+    /// leaks.
     #[test]
     fn the_limits_hold(steps in prop::collection::vec((0u8..6, 0u64..12, 0f64..400.0, 0usize..2_500), 1..300)) {
         let limits = limits();
--- a/src/http3/send_scheduler.rs
+++ b/src/http3/send_scheduler.rs
@@ -1,34 +1,35 @@
-//! Decides which response body of a connection is sent next, by the urgency and incrementality of RFC 9218, so that a
-//! large response does not delay small ones. The transport serves its streams in turn; this module decides whose bytes
-//! are handed to it. No I/O.
+//! Decides which response bodies of a connection may be sent, by the urgency and incremental parameters of
+//! RFC 9218, so that a large response does not delay small ones. The transport itself sends all streams
+//! round-robin, so this module limits which bodies are written to it. No I/O.
 
 use std::collections::BTreeMap;
 
-/// Highest value of the urgency parameter: the least urgent.
+/// Largest value of the urgency parameter, which is the least urgent.
 const MAX_URGENCY: u8 = 7;
 
 /// Priority of a response (RFC 9218, section 4).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Priority {
-    /// Urgency, from 0, the most urgent, to 7.
+    /// Urgency, from 0 (most urgent) to 7 (least urgent).
     pub urgency: u8,
-    /// Whether the response is useful in parts: it shares the connection with incremental responses of its urgency.
+    /// Whether the client can process the response incrementally. Incremental responses of the same urgency
+    /// are sent interleaved.
     pub incremental: bool,
 }
 
 impl Priority {
     /// The most urgent priority.
     pub const HIGHEST: Self = Self { urgency: 0, incremental: false };
-    /// The default of the RFC.
+    /// The default priority of RFC 9218.
     pub const DEFAULT: Self = Self { urgency: 3, incremental: false };
 
-    /// Parses a `Priority` header, a dictionary of structured fields (RFC 9651). Parameters that are missing or invalid
-    /// are those of `base`.
+    /// Parses a `Priority` header, a dictionary of structured fields (RFC 9651). Parameters that are missing
+    /// or invalid are taken from `base`.
     pub fn parse(text: &str, base: Self) -> Self {
         let mut priority = base;
         let Ok(members) = sfv::Parser::new(text).parse::<sfv::Dictionary>() else { return base };
         for (key, member) in members {
-            // Unknown members are ignored, as the RFC requires.
+            // Unknown members are ignored, as RFC 9218 requires.
             let sfv::ListEntry::Item(item) = member else { continue };
             match (key.as_str(), item.bare_item.as_integer(), item.bare_item.as_boolean()) {
                 ("u", Some(urgency), _) => {
@@ -43,7 +44,8 @@
         priority
     }
 
-    /// Whether a body of this priority, begun earlier or not, is sent before one of `other`.
+    /// Whether a body of this priority must be sent before a body of priority `other`. `begun_earlier` tells
+    /// whether the former was added first.
     fn precedes(self, other: Self, begun_earlier: bool) -> bool {
         if self.urgency != other.urgency {
             return self.urgency < other.urgency;
@@ -56,18 +58,19 @@
     }
 }
 
-/// Number of a body on its connection, in the order in which bodies begin.
+/// Identifier of a body on its connection, in the order in which bodies are added.
 pub type BodyId = u64;
 
-/// Time without progress after which a body no longer delays others, in milliseconds: its client may not be reading.
+/// Time without progress after which a body no longer blocks others, in milliseconds: the client may not be
+/// reading it.
 const STALL_TIMEOUT_MS: f64 = 200.0;
-/// Longest time after which a body that may not be sent asks again, in milliseconds.
+/// Interval at which a blocked body checks whether it may be sent, in milliseconds. Detects stalled bodies.
 pub const RECHECK_INTERVAL_MS: f64 = STALL_TIMEOUT_MS / 4.0;
 
 #[derive(Clone, Copy, Debug)]
 struct Body {
     priority: Priority,
-    /// When bytes of the body were last accepted by the transport.
+    /// When the transport last accepted bytes of the body.
     progress_ms: f64,
 }
 
@@ -85,14 +88,14 @@
 }
 
 impl SendScheduler {
-    /// Adds a body.
+    /// Adds a body and returns its identifier.
     pub fn add(&mut self, now: f64, priority: Priority) -> BodyId {
         self.last_id += 1;
         self.bodies.insert(self.last_id, Body { priority, progress_ms: now });
         self.last_id
     }
 
-    /// Whether bytes of a body may be sent now: no body that precedes it is unfinished, except stalled ones.
+    /// Whether bytes of a body may be sent now: all bodies that precede it are finished or stalled.
     pub fn may_send(&self, now: f64, id: BodyId) -> bool {
         let Some(body) = self.bodies.get(&id) else { return true };
         !self.bodies.iter().any(|(other_id, other)| {
@@ -100,14 +103,14 @@
         })
     }
 
-    /// Records that bytes of a body were accepted by the transport.
+    /// Records that the transport accepted bytes of a body.
     pub fn progressed(&mut self, now: f64, id: BodyId) {
         if let Some(body) = self.bodies.get_mut(&id) {
             body.progress_ms = now;
         }
     }
 
-    /// Removes a body that is complete or no longer wanted.
+    /// Removes a body that is complete or abandoned.
     pub fn remove(&mut self, id: BodyId) {
         self.bodies.remove(&id);
     }
--- a/src/http3/server.rs
+++ b/src/http3/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP/3 server: accepts QUIC connections within their limit and runs a task for each.
+//! The HTTP/3 server: accepts QUIC connections up to a limit and serves each in its own task.
 
 use super::call_registry::CallRegistry;
 use super::connection;
@@ -14,12 +14,12 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Share of the limit of connections from which a client has to prove its address.
+/// Fraction of the connection limit from which clients must validate their address.
 const VALIDATE_ADDRESS_SHARE: f64 = 0.5;
-/// Time between two looks at the open connections of a server that stops, in milliseconds.
+/// Interval at which a stopping server checks whether connections are still open, in milliseconds.
 const DRAIN_POLL_INTERVAL_MS: f64 = 50.0;
 
-/// The server, shared by its tasks.
+/// State of the server, shared by its tasks.
 pub struct Http3Server {
     pub(super) host: Rc<Executor>,
     pub(super) front: Rc<Http3Front>,
@@ -30,7 +30,7 @@
 }
 
 impl Http3Server {
-    /// Creates the server of a front.
+    /// Creates a server that passes requests to `front`.
     pub fn new(
         host: Rc<Executor>,
         front: Rc<Http3Front>,
@@ -47,12 +47,12 @@
         self.metrics.set(metrics);
     }
 
-    /// The metrics in the Prometheus text format.
+    /// Formats the metrics in the Prometheus text format.
     pub fn metrics(&self) -> String {
         self.metrics.get().to_prometheus(self.open_connections.get(), &self.calls)
     }
 
-    /// Accepts a connection, unless there are too many or the client has to prove its address first.
+    /// Admits a connection, unless the limit is reached or the client must validate its address first.
     fn admit(
         self: &Rc<Self>,
         incoming: Incoming,
@@ -64,10 +64,10 @@
             incoming.refuse();
             return None;
         }
-        // Protects against forged addresses under load (Retry, RFC 9000, section 8.1).
+        // A Retry packet guards against spoofed source addresses under load (RFC 9000, section 8.1.2).
         let is_loaded = open as f64 >= VALIDATE_ADDRESS_SHARE * limit as f64;
         if is_loaded && !incoming.remote_address_validated() {
-            // An error means that the client has proved its address already.
+            // `retry` fails only if the address is already validated.
             let _ = incoming.retry();
             return None;
         }
@@ -76,7 +76,7 @@
         Some((incoming, ConnectionSlot::new(self.clone(), stop.track_connection())))
     }
 
-    /// Runs the task of a connection.
+    /// Spawns the task that serves a connection.
     fn spawn_connection(
         self: &Rc<Self>,
         incoming: Incoming,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Counts a connection as open until it is dropped.
+/// Guard that counts a connection as open until it is dropped.
 struct ConnectionSlot {
     server: Rc<Http3Server>,
     _guard: ConnectionGuard,
@@ -114,7 +114,8 @@
     }
 }
 
-/// Accepts connections until `closing` is notified, and returns when all have ended. `stop` ends them.
+/// Accepts connections until `closing` is notified, then waits for the open ones to end, which `stop`
+/// initiates.
 pub async fn accept(
     server: Rc<Http3Server>,
     endpoint: Endpoint,
@@ -132,7 +133,7 @@
             server.spawn_connection(incoming, slot, stop.clone());
         }
     }
-    // The endpoint rejects new connections and serves the open ones.
+    // Without a server configuration, the endpoint refuses new connections and still serves the open ones.
     endpoint.set_server_config(None);
     while server.open_connections.get() > 0 {
         tokio::time::sleep(duration_from_ms(DRAIN_POLL_INTERVAL_MS)).await;
--- a/src/http3/session.rs
+++ b/src/http3/session.rs
@@ -1,7 +1,8 @@
-//! Session tokens, by which a client proves that a call is its own. No I/O.
+//! Signed session tokens, which authorize a client to resume the calls of its session. No I/O.
 //!
-//! A token is the session's id (16 bytes), the end of its validity (Unix milliseconds, 8 bytes) and the first 16 bytes of
-//! an HMAC-SHA256 over them, in URL-safe base64. No state is kept for it: any proxy with the same keys accepts it.
+//! A token is the session id (16 bytes), the expiry time (Unix milliseconds, 8 bytes) and the first 16 bytes
+//! of an HMAC-SHA256 over both, in unpadded URL-safe base64. Tokens are stateless: any proxy with the same
+//! keys accepts them.
 
 use crate::message_auth::MessageKeys;
 use crate::wire::front::SessionId;
@@ -9,24 +10,24 @@
 use base64::Engine as _;
 use thiserror::Error;
 
-/// Label of the signatures, which separates them from other uses of the keys.
+/// Domain separation label of the signatures.
 const LABEL: &[u8] = b"calicobeam session 1";
 /// Length of a session id, in bytes.
 const ID_BYTES: usize = 16;
-/// Length of the end of validity, in bytes.
+/// Length of the expiry time, in bytes.
 const EXPIRY_BYTES: usize = 8;
 /// Length of the truncated signature, in bytes.
 const SIGNATURE_BYTES: usize = 16;
-/// Length of a token before base64, in bytes.
+/// Length of a token before base64 encoding, in bytes.
 const TOKEN_BYTES: usize = ID_BYTES + EXPIRY_BYTES + SIGNATURE_BYTES;
 
-/// A token that is not valid.
+/// Reason why a token is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum TokenError {
-    /// The text is not a token.
+    /// The text is not base64 or has the wrong length.
     #[error("the text is not a session token")]
     Malformed,
-    /// The signature is that of no key.
+    /// The signature matches none of the keys.
     #[error("the signature matches no key")]
     WrongSignature,
     /// The token has expired.
@@ -34,16 +35,16 @@
     Expired,
 }
 
-/// A session, from its token.
+/// A session, as stated by a verified token.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Session {
     /// Identifier of the session.
     pub id: SessionId,
-    /// When its token expires, in Unix milliseconds.
+    /// Expiry time of the token, in Unix milliseconds.
     pub expires_ms: f64,
 }
 
-/// Issues and verifies tokens.
+/// Issues and verifies session tokens.
 #[derive(Clone, Debug)]
 pub struct SessionTokens {
     keys: MessageKeys,
@@ -51,19 +52,19 @@
 }
 
 impl SessionTokens {
-    /// Creates tokens that are signed by `keys` and valid for `lifetime_ms`.
+    /// Creates an issuer whose tokens are signed with `keys` and valid for `lifetime_ms`.
     pub fn new(keys: MessageKeys, lifetime_ms: f64) -> Self {
         Self { keys, lifetime_ms }
     }
 
-    /// Issues a token of a session at `now`, in Unix milliseconds.
+    /// Issues a token for a session at `now`, in Unix milliseconds.
     pub fn issue(&self, now: f64, id: SessionId) -> String {
         let (id, expiry) = (id.to_be_bytes(), ((now + self.lifetime_ms) as u64).to_be_bytes());
         let signature = self.keys.sign(LABEL, &[&id, &expiry]);
         URL_SAFE_NO_PAD.encode([&id[..], &expiry, &signature[..SIGNATURE_BYTES]].concat())
     }
 
-    /// Returns the session of a token.
+    /// Verifies a token at `now`, in Unix milliseconds, and returns its session.
     pub fn verify(&self, now: f64, token: &str) -> Result<Session, TokenError> {
         let bytes = URL_SAFE_NO_PAD.decode(token).map_err(|_| TokenError::Malformed)?;
         let bytes: [u8; TOKEN_BYTES] = bytes.try_into().map_err(|_| TokenError::Malformed)?;
@@ -79,7 +80,7 @@
         Ok(Session { id: SessionId::from_be_bytes(*id), expires_ms })
     }
 
-    /// Whether a new token of the session is due: less than half of the lifetime is left.
+    /// Whether the session's token should be replaced: less than half of its lifetime is left.
     pub fn needs_renewal(&self, now: f64, session: &Session) -> bool {
         session.expires_ms - now < self.lifetime_ms / 2.0
     }
--- a/src/http3/settings.rs
+++ b/src/http3/settings.rs
@@ -1,32 +1,33 @@
-//! The sections of the operator file: limits, kept calls and the network path. The keys are those of the first version.
+//! Sections of the configuration file: limits, resumable calls and the network path. Fields are renamed where
+//! the key in the file differs, for compatibility with earlier versions.
 
 use super::response_store::StoreLimits;
 use serde::Deserialize;
 
-/// Limits of the front's connections; times are in milliseconds.
+/// Limits of connections and requests. Durations are in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Http3Limits {
-    /// Most QUIC connections.
+    /// Maximum number of open QUIC connections.
     pub connections: usize,
-    /// Most TCP connections.
+    /// Maximum number of open TCP connections.
     pub tcp_connections: usize,
-    /// Most concurrent requests of a QUIC connection.
+    /// Maximum number of concurrent requests on a QUIC connection.
     pub streams: u32,
-    /// Most bytes of a header section.
+    /// Maximum size of a header section, in bytes.
     pub header_bytes: u64,
-    /// Most bytes of a request body.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Most bytes of responses that a connection's transport holds unacknowledged.
+    /// Send window of a connection: maximum number of buffered and unacknowledged bytes.
     pub send_bytes: u64,
-    /// Bytes of a response body that are sent before others may be.
+    /// Number of bytes of a response body that are sent before the scheduler is asked again.
     #[serde(rename = "turn_bytes")]
     pub chunk_bytes: usize,
-    /// Longest duration of a handshake.
+    /// Time limit of the QUIC handshake.
     pub handshake_ms: f64,
-    /// Longest silence of a connection.
+    /// Idle timeout of a connection.
     pub idle_ms: f64,
-    /// Longest time for the head of a request, and for its body.
+    /// Time limit for receiving a request's head, and separately its body.
     pub body_ms: f64,
 }
 
@@ -47,25 +48,25 @@
     }
 }
 
-/// What is kept of calls beyond their connections; times are in milliseconds.
+/// Limits of resumable calls and of their stored responses. Durations are in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ResumableCallSettings {
-    /// Most calls.
+    /// Maximum number of running and completed calls in the store.
     pub calls: usize,
-    /// Most calls of one session.
+    /// Maximum number of calls of one session.
     #[serde(rename = "per_session")]
     pub calls_per_session: usize,
-    /// Most bytes.
+    /// Maximum memory of calls and responses, in bytes.
     pub bytes: usize,
-    /// Time after which a read without clients is cancelled.
+    /// Delay before a running read without connected clients is cancelled.
     #[serde(rename = "linger_ms")]
     pub cancel_after_ms: f64,
-    /// Time for which the response of a read is kept.
+    /// Retention time of a read's response.
     pub keep_read_ms: f64,
-    /// Time for which the response of a write is kept.
+    /// Retention time of a write's response.
     pub keep_write_ms: f64,
-    /// Validity of a session token.
+    /// Lifetime of a session token.
     #[serde(rename = "session_ms")]
     pub session_lifetime_ms: f64,
 }
@@ -85,7 +86,7 @@
 }
 
 impl ResumableCallSettings {
-    /// Limits of the response store.
+    /// The limits of the response store.
     pub fn store_limits(&self) -> StoreLimits {
         StoreLimits {
             calls: self.calls,
@@ -98,31 +99,33 @@
     }
 }
 
-/// Congestion control of a connection.
+/// Congestion control algorithm.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum CongestionControl {
-    /// BBR, by the measured bandwidth and round-trip time: random loss does not slow it down.
+    /// BBR, based on measured bandwidth and round-trip time: random loss does not reduce its rate.
     #[default]
     Bbr,
-    /// CUBIC, by losses (RFC 9438).
+    /// CUBIC, based on loss (RFC 9438).
     Cubic,
 }
 
-/// The network paths to clients.
+/// Congestion control and loss detection (RFC 9002).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PathSettings {
-    /// Congestion control.
+    /// Congestion control algorithm.
     #[serde(rename = "congestion")]
     pub congestion_control: CongestionControl,
-    /// Packets by which one is overtaken until it counts as lost; 3 in RFC 9002.
+    /// Reordering threshold, in packets, before a packet is declared lost (kPacketThreshold; RFC 9002
+    /// recommends 3).
     #[serde(rename = "reorder_packets")]
     pub packet_threshold: u32,
-    /// Round trips by which a packet is late until it counts as lost; 1.125 in RFC 9002.
+    /// Reordering threshold, in round-trip times, before a packet is declared lost (kTimeThreshold; RFC 9002
+    /// recommends 1.125).
     #[serde(rename = "reorder_trips")]
     pub time_threshold: f32,
-    /// Initial estimate of the round-trip time, in milliseconds.
+    /// Round-trip time assumed before the first measurement, in milliseconds.
     #[serde(rename = "first_rtt_ms")]
     pub initial_rtt_ms: f64,
 }
--- a/src/http3/transport.rs
+++ b/src/http3/transport.rs
@@ -1,5 +1,5 @@
-//! Configuration of QUIC (RFC 9000) and TLS. There is no early data (0-RTT), so the transport replays no request
-//! (RFC 8470).
+//! QUIC (RFC 9000) and TLS configuration. Early data (0-RTT) is disabled, because it can be replayed (RFC
+//! 8470).
 
 use super::settings::{CongestionControl, Http3Limits, PathSettings};
 use crate::clock::duration_from_ms;
@@ -13,21 +13,22 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Name of HTTP/3 in the TLS handshake (RFC 9114, section 3.1).
+/// ALPN protocol identifier of HTTP/3 (RFC 9114, section 3.1).
 const ALPN: &[u8] = b"h3";
-/// Most unidirectional streams of a client: the control stream, those of QPACK, and some to spare.
+/// Maximum number of unidirectional streams of a client: the control stream, two for QPACK, and some in
+/// reserve for extensions.
 const MAX_UNI_STREAMS: u32 = 8;
 
-/// The certificate files.
+/// Paths of the certificate and key files.
 #[derive(Clone, Debug)]
 pub struct TlsFiles {
-    /// Certificates, PEM.
+    /// PEM file with the certificate chain.
     pub certificate: PathBuf,
-    /// Private key, PEM.
+    /// PEM file with the private key.
     pub key: PathBuf,
 }
 
-/// Certificate files that cannot be used.
+/// Error in the TLS configuration.
 #[derive(Debug, Error)]
 pub enum TlsError {
     /// A file cannot be read.
@@ -35,10 +36,10 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// The error of the system.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A file is not PEM of the expected kind.
+    /// A file holds no valid PEM section of the expected kind.
     #[error("{}: {source}", path.display())]
     Malformed {
         /// The file.
@@ -46,18 +47,18 @@
         /// The parser's error.
         source: pem::Error,
     },
-    /// The certificates and the key cannot be used together.
+    /// The certificate chain or the key is not supported, or they do not match.
     #[error("{}: {source}", path.display())]
     Unusable {
         /// The certificate file.
         path: PathBuf,
-        /// The error of TLS.
+        /// The TLS error.
         source: rustls::Error,
     },
     /// TLS 1.3 is not available.
     #[error("TLS 1.3 is not available: {0}")]
     Version(rustls::Error),
-    /// The cipher suite of QUIC's initial packets is not available.
+    /// The cipher suite of QUIC's Initial packets is not available.
     #[error(transparent)]
     CipherSuite(#[from] NoInitialCipherSuite),
 }
@@ -79,7 +80,7 @@
             .map_err(|source| TlsError::Malformed { path: self.key.clone(), source })
     }
 
-    /// Reads the files into a TLS configuration.
+    /// Reads the files and builds the TLS server configuration.
     fn tls_config(&self) -> Result<rustls::ServerConfig, TlsError> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let mut tls = rustls::ServerConfig::builder_with_provider(provider)
@@ -94,7 +95,7 @@
     }
 }
 
-/// Reads the certificate files and builds the configuration of a QUIC server.
+/// Reads the certificate and key files and builds the QUIC server configuration.
 pub fn server_config(
     files: &TlsFiles,
     limits: &Http3Limits,
@@ -103,12 +104,12 @@
     let crypto = QuicServerConfig::try_from(files.tls_config()?)?;
     let mut server = ServerConfig::with_crypto(Arc::new(crypto));
     server.transport_config(Arc::new(transport_config(limits, path)));
-    // A client that changes its address keeps its connection (RFC 9000, section 9).
+    // Connection migration: a client keeps its connection when its address changes (RFC 9000, section 9).
     server.migration(true);
     Ok(server)
 }
 
-/// Builds the configuration of the transport, for a server or a client.
+/// Builds the QUIC transport configuration, which suits a server or a client.
 pub fn transport_config(limits: &Http3Limits, path: &PathSettings) -> TransportConfig {
     let mut transport = TransportConfig::default();
     transport
