--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -10,7 +10,7 @@
 mod slow_cache_fleet;
 
 use edge_proxy::http3::config::Http3Config;
-use edge_proxy::http3::response_store::{Attachment, CallKey, ResponseStore, StoreLimits};
+use edge_proxy::http3::response_store::{AttachOutcome, CallKey, ResponseStore, StoreLimits};
 use edge_proxy::state::requests::FinalResponse;
 use hdrhistogram::Histogram;
 use http3_client::{write_certificate, Http3Client, ImpairedLink};
@@ -96,8 +96,8 @@
                     let id = number << 40 | k << 24 | n << 4;
                     let start = Instant::now();
                     let (response, timeout_ms, kind) = match n % 3 {
-                        0 => (client.post(id, 3_000).await, 3_000, 0),
-                        1 => (client.small(id, 3_000).await, 3_000, 0),
+                        0 => (client.put_ad_post(id, 3_000).await, 3_000, 0),
+                        1 => (client.get_small_object(id, 3_000).await, 3_000, 0),
                         _ => {
                             // A large response, and a small object during it on the same connection.
                             let during_large = spawn_local({
@@ -105,7 +105,7 @@
                                 async move {
                                     tokio::time::sleep(Duration::from_millis(50)).await;
                                     let start = Instant::now();
-                                    let response = client.small(id | 1, 3_000).await;
+                                    let response = client.get_small_object(id | 1, 3_000).await;
                                     let ok = response.is_some_and(|g| g.status == 200);
                                     let mut round = round.borrow_mut();
                                     round.all += 1;
@@ -148,9 +148,9 @@
 
 fn measure_store() {
     let limits = StoreLimits {
-        calls: 8_192,
-        calls_per_session: 64,
-        bytes: 64 << 20,
+        max_calls: 8_192,
+        max_calls_per_session: 64,
+        max_bytes: 64 << 20,
         cancel_after_ms: 5_000.0,
         keep_read_ms: 10_000.0,
         keep_write_ms: 60_000.0,
@@ -160,15 +160,15 @@
     let (start, mut max_bytes) = (Instant::now(), 0);
     for n in 0..calls {
         let (now, key) = (n as f64 / 4.0, CallKey { session: u128::from(n % 2_000), call: n });
-        assert_eq!(store.attach(now, key, n, n % 3 == 0), Attachment::Started);
+        assert_eq!(store.attach(now, key, n, n % 3 == 0), AttachOutcome::Started);
         store.complete(now + 0.1, key, &answer);
-        assert!(matches!(store.attach(now + 0.2, key, n, n % 3 == 0), Attachment::Completed(_)));
+        assert!(matches!(store.attach(now + 0.2, key, n, n % 3 == 0), AttachOutcome::Completed(_)));
         max_bytes = max_bytes.max(store.bytes());
     }
     let ns = start.elapsed().as_nanos() as f64 / calls as f64;
     println!(
         "store: {ns:.0} ns for a call, its response and a retry; {} calls and {max_bytes} bytes held at most",
-        limits.calls
+        limits.max_calls
     );
 }
 
--- a/src/http3/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -1,7 +1,7 @@
 //! Submits calls to the engine, lets them continue while their clients reconnect, and delivers each response
 //! to all clients that wait for it, on any connection.
 
-use super::response_store::{Attachment, CallKey, ResponseStore, StoreLimits, StoreMetrics};
+use super::response_store::{AttachOutcome, CallKey, ResponseStore, StoreLimits, StoreMetrics};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
@@ -13,13 +13,13 @@
 use tokio::sync::{oneshot, Notify};
 
 /// Retry delay returned when the store is full, in milliseconds.
-const FULL_RETRY_AFTER_MS: f64 = 500.0;
+const STORE_FULL_RETRY_AFTER_MS: f64 = 500.0;
 /// The response delivered for a call that ended without one.
 const NO_RESPONSE: FinalResponse = FinalResponse::Failed { overdue: false };
 
 /// The resumable calls of all sessions.
 pub struct CallRegistry {
-    host: Rc<Executor>,
+    executor: Rc<Executor>,
     store: RefCell<ResponseStore>,
     waiting: RefCell<HashMap<CallKey, Vec<oneshot::Sender<FinalResponse>>>>,
     hasher: ahash::RandomState,
@@ -60,9 +60,9 @@
 
 impl CallRegistry {
     /// Creates an empty registry.
-    pub fn new(host: Rc<Executor>, limits: StoreLimits) -> Rc<Self> {
+    pub fn new(executor: Rc<Executor>, limits: StoreLimits) -> Rc<Self> {
         Rc::new(Self {
-            host,
+            executor,
             store: RefCell::new(ResponseStore::new(limits)),
             waiting: RefCell::default(),
             hasher: ahash::RandomState::new(),
@@ -76,18 +76,18 @@
         session: SessionId,
         request: IncomingRequest,
     ) -> Result<SubmittedCall, AdmitError> {
-        let (key, now) = (CallKey { session, call: request.id }, self.host.clock.now());
-        let write = self.host.settings().is_write(request.class);
+        let (key, now) = (CallKey { session, call: request.id }, self.executor.clock.now());
+        let is_write = self.executor.settings().is_write(request.class);
         let digest = self.digest(&request);
-        let attachment = self.store.borrow_mut().attach(now, key, digest, write);
-        match attachment {
-            Attachment::Started => self.start(key, request)?,
-            Attachment::Running => {}
-            Attachment::Completed(response) => return Ok(SubmittedCall::Completed(response)),
-            Attachment::Conflict => return Err(AdmitError::Duplicate),
-            Attachment::Full => {
+        let outcome = self.store.borrow_mut().attach(now, key, digest, is_write);
+        match outcome {
+            AttachOutcome::Started => self.start(key, request)?,
+            AttachOutcome::Running => {}
+            AttachOutcome::Completed(response) => return Ok(SubmittedCall::Completed(response)),
+            AttachOutcome::Conflict => return Err(AdmitError::Duplicate),
+            AttachOutcome::Full => {
                 let rejected =
-                    FinalResponse::Rejected { retry_after_ms: FULL_RETRY_AFTER_MS, overdue: false };
+                    FinalResponse::Rejected { retry_after_ms: STORE_FULL_RETRY_AFTER_MS, overdue: false };
                 return Ok(SubmittedCall::Completed(rejected));
             }
         }
@@ -112,9 +112,9 @@
 
     /// Submits a new call to the engine.
     fn start(self: &Rc<Self>, key: CallKey, request: IncomingRequest) -> Result<(), AdmitError> {
-        let response = self.host.submit(request).inspect_err(|_| self.store.borrow_mut().discard(key))?;
+        let response = self.executor.submit(request).inspect_err(|_| self.store.borrow_mut().discard(key))?;
         let registry = self.clone();
-        self.host.spawn("a resumable call", async move {
+        self.executor.spawn("a resumable call", async move {
             // A cancelled call has no response and no waiting clients.
             let response = response.await.unwrap_or(NO_RESPONSE);
             registry.complete(key, &response);
@@ -123,7 +123,7 @@
     }
 
     fn complete(&self, key: CallKey, response: &FinalResponse) {
-        let now = self.host.clock.now();
+        let now = self.executor.clock.now();
         self.store.borrow_mut().complete(now, key, response);
         let waiting = self.waiting.borrow_mut().remove(&key).unwrap_or_default();
         for client in waiting {
@@ -135,16 +135,16 @@
 
     fn cancel(&self, key: CallKey) {
         self.waiting.borrow_mut().remove(&key);
-        self.host.client_disconnected(key.call);
+        self.executor.client_disconnected(key.call);
     }
 
     /// Removes expired responses and cancels reads without clients when they are due. Never returns.
-    pub async fn keep(self: Rc<Self>) {
+    pub async fn run_expiry(self: Rc<Self>) {
         loop {
-            let wait_ms = self.store.borrow().next_due_ms() - self.host.clock.now();
+            let wait_ms = self.store.borrow().next_due_ms() - self.executor.clock.now();
             tokio::select! {
                 () = tokio::time::sleep(duration_from_ms(wait_ms)) => {
-                    let cancelled = self.store.borrow_mut().tick(self.host.clock.now());
+                    let cancelled = self.store.borrow_mut().tick(self.executor.clock.now());
                     cancelled.into_iter().for_each(|key| self.cancel(key));
                 }
                 () = self.due_changed.notified() => {}
@@ -192,7 +192,7 @@
 impl AttachedClient {
     fn cancel(mut self) {
         self.is_attached = false;
-        let now = self.registry.host.clock.now();
+        let now = self.registry.executor.clock.now();
         let is_cancelled = self.registry.store.borrow_mut().cancel(now, self.key);
         if is_cancelled {
             self.registry.cancel(self.key);
@@ -210,7 +210,7 @@
 impl Drop for AttachedClient {
     fn drop(&mut self) {
         if self.is_attached {
-            let now = self.registry.host.clock.now();
+            let now = self.registry.executor.clock.now();
             self.registry.store.borrow_mut().detach(now, self.key);
             self.registry.due_changed.notify_one();
         }
--- a/src/http3/connection.rs
+++ b/src/http3/connection.rs
@@ -90,12 +90,12 @@
 
     fn spawn_request(self: &Rc<Self>, resolver: RequestResolver<h3_quinn::Connection, Bytes>) {
         let open_request = OpenRequest::new(self.clone());
-        self.server.host.spawn("a request over QUIC", async move {
+        self.server.executor.spawn("a request over QUIC", async move {
             let connection = &open_request.connection;
             let head_timeout = duration_from_ms(connection.server.limits.body_ms);
             match timeout(head_timeout, resolver.resolve_request()).await {
                 Ok(Ok((request, stream))) => request::serve(connection, request, stream).await,
-                _ => connection.server.count(|metrics| metrics.malformed_requests += 1),
+                _ => connection.server.update_metrics(|metrics| metrics.malformed_requests += 1),
             }
         });
     }
@@ -111,7 +111,7 @@
             }
             Some(ConnectionError::ApplicationClosed(_) | ConnectionError::LocallyClosed) => {}
             Some(reason) => {
-                self.server.count(|metrics| metrics.connections_lost += 1);
+                self.server.update_metrics(|metrics| metrics.connections_lost += 1);
                 tracing::debug!(peer = %self.peer, %reason, "HTTP/3: a connection was lost");
             }
         }
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -54,11 +54,11 @@
         let tokens = self.tokens.borrow();
         let token = request.single(SESSION_REQUEST_HEADER).ok().flatten();
         let verified = token.and_then(|token| tokens.verify(now, token).ok());
-        let (id, is_token_due) = match verified {
+        let (id, needs_token) = match verified {
             Some(session) => (session.id, tokens.needs_renewal(now, &session)),
             None => (rand::random::<SessionId>(), true),
         };
-        RequestSession { id, new_token: is_token_due.then(|| tokens.issue(now, id)) }
+        RequestSession { id, new_token: needs_token.then(|| tokens.issue(now, id)) }
     }
 }
 
@@ -69,8 +69,8 @@
     };
     let etag = response.headers.iter().find(|(name, _)| *name == "ETag").map(|(_, etag)| etag.as_str());
     // RFC 9110, section 13.1.5: a weak or different entity tag in `If-Range` disables the range.
-    let is_other_copy = |if_range: &str| etag != Some(if_range) || if_range.starts_with("W/");
-    if context.if_range.as_deref().is_some_and(is_other_copy) {
+    let is_mismatch = |if_range: &str| etag != Some(if_range) || if_range.starts_with("W/");
+    if context.if_range.as_deref().is_some_and(is_mismatch) {
         return response;
     }
     let length = response.body.len();
@@ -93,10 +93,10 @@
         &self.limits
     }
 
-    fn interpret(&self, host: &Rc<Executor>, request: &HttpRequest, now: f64) -> Disposition {
-        let (incoming, mut context) = match self.inner.interpret(host, request, now) {
+    fn interpret(&self, executor: &Rc<Executor>, request: &HttpRequest, now: f64) -> Disposition {
+        let (incoming, mut context) = match self.inner.interpret(executor, request, now) {
             Disposition::Forward(incoming, context) => (incoming, context),
-            decided => return decided,
+            other => return other,
         };
         if request.method == "GET" {
             let header = |name| request.single(name).ok().flatten().map(String::from);
--- a/src/http3/metrics.rs
+++ b/src/http3/metrics.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerMetrics {
     /// QUIC connections accepted.
-    pub connections: u64,
+    pub connections_accepted: u64,
     /// QUIC connections rejected because the connection limit was reached.
     pub connections_rejected: u64,
     /// QUIC connections that timed out or failed, instead of being closed by either side.
@@ -25,7 +25,7 @@
         let (store, usage) = (calls.metrics(), calls.usage());
         let lines = [
             ("connections_open", open_connections as u64),
-            ("connections_total", self.connections),
+            ("connections_total", self.connections_accepted),
             ("connections_refused_total", self.connections_rejected),
             ("connections_lost_total", self.connections_lost),
             ("requests_total", self.requests),
--- a/src/http3/path_estimate.rs
+++ b/src/http3/path_estimate.rs
@@ -15,15 +15,15 @@
 }
 
 /// Minimum number of sent packets before a loss rate is computed.
-const MIN_PACKETS: u64 = 20;
+const MIN_SENT_PACKETS: u64 = 20;
 /// Weight of a new sample in the moving average of the RTT deviation, as in RFC 9002.
 const DEVIATION_GAIN: f64 = 0.25;
 /// Multiple of the RTT deviation that is added to the delivery time.
-const DEVIATIONS: f64 = 2.0;
+const DEVIATION_FACTOR: f64 = 2.0;
 /// Loss rate from which one round trip is added for a retransmission of the last packet.
-const LOSSY_RATE: f64 = 0.01;
+const LOSS_RATE_THRESHOLD: f64 = 0.01;
 /// Maximum number of congestion windows beyond the first that the delivery time accounts for.
-const MAX_FURTHER_WINDOWS: f64 = 64.0;
+const MAX_ADDITIONAL_WINDOWS: f64 = 64.0;
 /// Maximum share of a request's remaining time that is reserved for delivering the response.
 const MAX_DELIVERY_SHARE: f64 = 0.5;
 
@@ -48,7 +48,7 @@
         }
         self.samples += 1;
         (self.rtt_ms, self.window_bytes) = (sample.rtt_ms, sample.window_bytes);
-        if sample.sent_packets >= MIN_PACKETS {
+        if sample.sent_packets >= MIN_SENT_PACKETS {
             self.loss_rate = sample.lost_packets as f64 / sample.sent_packets as f64;
         }
     }
@@ -70,11 +70,11 @@
         if self.samples == 0 {
             return 0.0;
         }
-        let further_windows = (bytes / self.window_bytes.max(1) as f64).max(1.0) - 1.0;
-        let retransmission_ms = if self.loss_rate >= LOSSY_RATE { self.rtt_ms } else { 0.0 };
+        let additional_windows = (bytes / self.window_bytes.max(1) as f64).max(1.0) - 1.0;
+        let retransmission_ms = if self.loss_rate >= LOSS_RATE_THRESHOLD { self.rtt_ms } else { 0.0 };
         self.rtt_ms / 2.0
-            + DEVIATIONS * self.deviation_ms
-            + further_windows.min(MAX_FURTHER_WINDOWS) * self.rtt_ms
+            + DEVIATION_FACTOR * self.deviation_ms
+            + additional_windows.min(MAX_ADDITIONAL_WINDOWS) * self.rtt_ms
             + retransmission_ms
     }
 
--- a/src/http3/request.rs
+++ b/src/http3/request.rs
@@ -63,25 +63,25 @@
 /// Serves one request and sends its response.
 pub(super) async fn serve(connection: &Rc<Connection>, request: Request<()>, mut stream: Stream) {
     let server = &connection.server;
-    server.count(|metrics| metrics.requests += 1);
+    server.update_metrics(|metrics| metrics.requests += 1);
     let is_head = request.method() == Method::HEAD;
-    let answered = match read(connection, request, &mut stream).await {
-        Ok(request) => match answer(connection, &request).await {
-            Some(answered) => answered,
+    let prioritized = match read(connection, request, &mut stream).await {
+        Ok(request) => match dispatch(connection, &request).await {
+            Some(prioritized) => prioritized,
             None => return,
         },
         Err(error) => {
-            server.count(|metrics| metrics.malformed_requests += 1);
-            server.host.with(|engine| engine.counters.malformed_requests += 1);
+            server.update_metrics(|metrics| metrics.malformed_requests += 1);
+            server.executor.with(|engine| engine.counters.malformed_requests += 1);
             PrioritizedResponse::immediate(HttpResponse::status(error.status()))
         }
     };
-    let PrioritizedResponse { response, priority } = answered;
+    let PrioritizedResponse { response, priority } = prioritized;
     let body = if is_head { Bytes::new() } else { response.wire_body() };
     let Some(head) = response_head(&response) else { return };
     if response_body::send(connection, head, body, priority, &mut stream).await.is_err() {
-        server.count(|metrics| metrics.unsent_responses += 1);
-        server.host.with(|engine| engine.counters.responses_unwritten += 1);
+        server.update_metrics(|metrics| metrics.unsent_responses += 1);
+        server.executor.with(|engine| engine.counters.responses_unwritten += 1);
     }
 }
 
@@ -92,16 +92,16 @@
     stream: &mut Stream,
 ) -> Result<HttpRequest, RequestError> {
     let (parts, ()) = request.into_parts();
-    let mut read = read_head(&parts)?;
+    let mut http_request = read_head(&parts)?;
     let limits = &connection.server.limits;
     let body = read_body(stream, limits.body_bytes);
     let body = timeout(duration_from_ms(limits.body_ms), body).await.map_err(|_| RequestError::Timeout)??;
-    let content_length = read.single("content-length").map_err(|_| RequestError::Malformed)?;
+    let content_length = http_request.single("content-length").map_err(|_| RequestError::Malformed)?;
     if content_length.is_some_and(|length| length.parse() != Ok(body.len())) {
         return Err(RequestError::Malformed);
     }
-    read.body = body;
-    Ok(read)
+    http_request.body = body;
+    Ok(http_request)
 }
 
 /// Converts the head of a request.
@@ -132,10 +132,10 @@
 }
 
 /// Passes a request to the front and the engine. Returns `None` if the connection ended before the response.
-async fn answer(connection: &Connection, request: &HttpRequest) -> Option<PrioritizedResponse> {
+async fn dispatch(connection: &Connection, request: &HttpRequest) -> Option<PrioritizedResponse> {
     let server = &connection.server;
-    let now = server.host.clock.now();
-    let (mut incoming, context) = match server.front.interpret(&server.host, request, now) {
+    let now = server.executor.clock.now();
+    let (mut incoming, context) = match server.front.interpret(&server.executor, request, now) {
         Disposition::Respond(response) => return Some(PrioritizedResponse::immediate(response)),
         Disposition::Forward(incoming, context) => (incoming, context),
     };
@@ -153,13 +153,13 @@
         Err(reason) => {
             return Some(PrioritizedResponse { response: server.front.reject(reason), priority });
         }
-        Ok(call) => wait(connection, call).await?,
+        Ok(call) => wait_for_response(connection, call).await?,
     };
     Some(PrioritizedResponse { response: server.front.respond(&context, response), priority })
 }
 
 /// Waits for the response of a call. Returns `None` if the connection ended first.
-async fn wait(connection: &Connection, call: SubmittedCall) -> Option<FinalResponse> {
+async fn wait_for_response(connection: &Connection, call: SubmittedCall) -> Option<FinalResponse> {
     let mut pending = match call {
         SubmittedCall::Completed(response) => return Some(response),
         SubmittedCall::Running(pending) => pending,
@@ -179,7 +179,7 @@
 /// The priority of a response if the request has no `Priority` header: writes first, then whole objects, then
 /// parts of large objects, which are sent interleaved.
 fn default_priority(connection: &Connection, incoming: &IncomingRequest) -> Priority {
-    let is_write = connection.server.host.settings().is_write(incoming.class);
+    let is_write = connection.server.executor.settings().is_write(incoming.class);
     match (is_write, incoming.part) {
         (true, _) => Priority { urgency: 1, incremental: false },
         (false, 0) => Priority { urgency: 2, incremental: false },
--- a/src/http3/response_body.rs
+++ b/src/http3/response_body.rs
@@ -23,7 +23,7 @@
         scheduled.wait_to_send().await;
         let chunk = body.split_to(body.len().min(connection.server.limits.chunk_bytes));
         stream.send_data(chunk).await?;
-        scheduled.progressed();
+        scheduled.record_progress();
     }
     stream.finish().await
 }
@@ -36,7 +36,7 @@
 
 impl<'a> ScheduledBody<'a> {
     fn new(connection: &'a Connection, priority: Priority) -> Self {
-        let now = connection.server.host.clock.now();
+        let now = connection.server.executor.clock.now();
         let id = connection.scheduler.borrow_mut().add(now, priority);
         Self { connection, id }
     }
@@ -50,13 +50,13 @@
     }
 
     fn may_send(&self) -> bool {
-        let now = self.connection.server.host.clock.now();
+        let now = self.connection.server.executor.clock.now();
         self.connection.scheduler.borrow().may_send(now, self.id)
     }
 
-    fn progressed(&self) {
-        let now = self.connection.server.host.clock.now();
-        self.connection.scheduler.borrow_mut().progressed(now, self.id);
+    fn record_progress(&self) {
+        let now = self.connection.server.executor.clock.now();
+        self.connection.scheduler.borrow_mut().record_progress(now, self.id);
     }
 }
 
--- a/src/http3/response_store.rs
+++ b/src/http3/response_store.rs
@@ -31,11 +31,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
     /// Maximum number of running and completed calls.
-    pub calls: usize,
+    pub max_calls: usize,
     /// Maximum number of calls of one session.
-    pub calls_per_session: usize,
+    pub max_calls_per_session: usize,
     /// Maximum memory of calls and responses, in bytes.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// Delay before a running read without clients is cancelled, in milliseconds.
     pub cancel_after_ms: f64,
     /// Retention time of a read's response, in milliseconds.
@@ -46,7 +46,7 @@
 
 /// The result of attaching a client to a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Attachment {
+pub enum AttachOutcome {
     /// The call is new: the caller must start it.
     Started,
     /// The call is already running.
@@ -79,15 +79,15 @@
 /// A completed call in eviction order: reads before writes, then by expiry time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CompletedEntry {
-    write: bool,
-    expires: OrderedMs,
+    is_write: bool,
+    expires_at: OrderedMs,
     key: CallKey,
 }
 
 /// A running read without clients, ordered by the time at which it is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DetachedEntry {
-    cancel: OrderedMs,
+    cancel_at: OrderedMs,
     key: CallKey,
 }
 
@@ -109,7 +109,7 @@
 struct Call {
     /// Hash of the request, to detect a different request with the same call id.
     digest: u64,
-    write: bool,
+    is_write: bool,
     state: CallState,
 }
 
@@ -168,43 +168,44 @@
     }
 
     /// Attaches a client to the call `key`, which is added if it is new. `digest` is the hash of the request.
-    pub fn attach(&mut self, now: f64, key: CallKey, digest: u64, write: bool) -> Attachment {
+    pub fn attach(&mut self, now: f64, key: CallKey, digest: u64, is_write: bool) -> AttachOutcome {
         self.remove_expired(now);
         if self.calls.contains_key(&key) {
-            return self.attach_to_known(key, digest, write);
+            return self.attach_to_existing(key, digest, is_write);
         }
         let of_session = self.calls_of_session.get(&key.session).copied().unwrap_or(0);
-        let session_has_room = of_session < self.limits.calls_per_session
+        let session_has_room = of_session < self.limits.max_calls_per_session
             || self.evict(|entry| entry.key.session == key.session);
         if !session_has_room || !self.make_room(1, CALL_BYTES) {
             self.metrics.rejected_full += 1;
-            return Attachment::Full;
+            return AttachOutcome::Full;
         }
         self.metrics.started += 1;
         let state = CallState::Running { clients: 1, detached_ms: f64::INFINITY };
-        self.calls.insert(key, Call { digest, write, state });
+        self.calls.insert(key, Call { digest, is_write, state });
         *self.calls_of_session.entry(key.session).or_default() += 1;
         self.bytes += CALL_BYTES;
-        Attachment::Started
+        AttachOutcome::Started
     }
 
-    fn attach_to_known(&mut self, key: CallKey, digest: u64, write: bool) -> Attachment {
-        let Some(call) = self.calls.get_mut(&key).filter(|call| call.digest == digest && call.write == write)
+    fn attach_to_existing(&mut self, key: CallKey, digest: u64, is_write: bool) -> AttachOutcome {
+        let Some(call) =
+            self.calls.get_mut(&key).filter(|call| call.digest == digest && call.is_write == is_write)
         else {
             self.metrics.conflicts += 1;
-            return Attachment::Conflict;
+            return AttachOutcome::Conflict;
         };
         match &mut call.state {
             CallState::Running { clients, detached_ms } => {
-                let cancel = OrderedMs::new(*detached_ms + self.limits.cancel_after_ms);
-                self.detached_reads.remove(&DetachedEntry { cancel, key });
+                let cancel_at = OrderedMs::new(*detached_ms + self.limits.cancel_after_ms);
+                self.detached_reads.remove(&DetachedEntry { cancel_at, key });
                 *clients += 1;
                 self.metrics.joined += 1;
-                Attachment::Running
+                AttachOutcome::Running
             }
             CallState::Completed { response, .. } => {
                 self.metrics.replayed += 1;
-                Attachment::Completed(response.clone())
+                AttachOutcome::Completed(response.clone())
             }
         }
     }
@@ -213,39 +214,39 @@
     pub fn complete(&mut self, now: f64, key: CallKey, response: &FinalResponse) {
         let Some(call) = self.calls.get(&key) else { return };
         let CallState::Running { detached_ms, .. } = call.state else { return };
-        let write = call.write;
-        let cancel = OrderedMs::new(detached_ms + self.limits.cancel_after_ms);
-        self.detached_reads.remove(&DetachedEntry { cancel, key });
-        let keep_ms = self.keep_ms(write, response);
-        if keep_ms <= 0.0 {
+        let is_write = call.is_write;
+        let cancel_at = OrderedMs::new(detached_ms + self.limits.cancel_after_ms);
+        self.detached_reads.remove(&DetachedEntry { cancel_at, key });
+        let retention_ms = self.retention_ms(is_write, response);
+        if retention_ms <= 0.0 {
             return self.remove(key);
         }
         let body_bytes = match response {
             FinalResponse::Served { body, .. } => body.len(),
             _ => 0,
         };
-        let fits = body_bytes + CALL_BYTES <= self.limits.bytes && self.make_room(0, body_bytes);
-        let (response, body_bytes) = match (fits, write) {
+        let fits = body_bytes + CALL_BYTES <= self.limits.max_bytes && self.make_room(0, body_bytes);
+        let (response, body_bytes) = match (fits, is_write) {
             (true, _) => (response.clone(), body_bytes),
             // The write may have been executed, so a failure is stored: a retry must not execute it again.
             (false, true) => (FinalResponse::Failed { overdue: false }, 0),
             (false, false) => return self.remove(key),
         };
-        let expires_ms = now + keep_ms;
+        let expires_ms = now + retention_ms;
         self.bytes += body_bytes;
-        self.completed.insert(CompletedEntry { write, expires: OrderedMs::new(expires_ms), key });
+        self.completed.insert(CompletedEntry { is_write, expires_at: OrderedMs::new(expires_ms), key });
         if let Some(call) = self.calls.get_mut(&key) {
             call.state = CallState::Completed { response, expires_ms, body_bytes };
         }
     }
 
     /// Retention time of a response, in milliseconds; 0 if it is not stored.
-    fn keep_ms(&self, write: bool, response: &FinalResponse) -> f64 {
+    fn retention_ms(&self, is_write: bool, response: &FinalResponse) -> f64 {
         match response {
             // The request was not executed, so a retry starts a new call.
             FinalResponse::Rejected { .. } => 0.0,
-            FinalResponse::Failed { .. } if !write => 0.0,
-            _ if write => self.limits.keep_write_ms,
+            FinalResponse::Failed { .. } if !is_write => 0.0,
+            _ if is_write => self.limits.keep_write_ms,
             _ => self.limits.keep_read_ms,
         }
     }
@@ -265,9 +266,9 @@
         }
         self.metrics.detached += 1;
         *detached_ms = now;
-        if !call.write {
-            let cancel = OrderedMs::new(now + self.limits.cancel_after_ms);
-            self.detached_reads.insert(DetachedEntry { cancel, key });
+        if !call.is_write {
+            let cancel_at = OrderedMs::new(now + self.limits.cancel_after_ms);
+            self.detached_reads.insert(DetachedEntry { cancel_at, key });
         }
     }
 
@@ -278,7 +279,7 @@
         self.detach(now, key);
         let Some(call) = self.calls.get(&key) else { return false };
         let has_no_clients = matches!(call.state, CallState::Running { clients: 0, .. });
-        if call.write || !has_no_clients {
+        if call.is_write || !has_no_clients {
             return false;
         }
         self.metrics.cancelled += 1;
@@ -291,7 +292,7 @@
     pub fn tick(&mut self, now: f64) -> Vec<CallKey> {
         self.remove_expired(now);
         let mut cancelled = Vec::new();
-        while let Some(entry) = self.detached_reads.first().copied().filter(|e| e.cancel.ms() <= now) {
+        while let Some(entry) = self.detached_reads.first().copied().filter(|e| e.cancel_at.ms() <= now) {
             self.detached_reads.remove(&entry);
             self.remove(entry.key);
             self.metrics.cancelled += 1;
@@ -302,9 +303,9 @@
 
     /// When [`Self::tick`] must be called next; infinity if nothing is pending.
     pub fn next_due_ms(&self) -> f64 {
-        let expiries = [false, true].into_iter().filter_map(|write| self.first_completed(write));
-        let expiries = expiries.map(|entry| entry.expires.ms());
-        let cancellation = self.detached_reads.first().map(|entry| entry.cancel.ms());
+        let expiries = [false, true].into_iter().filter_map(|is_write| self.first_completed(is_write));
+        let expiries = expiries.map(|entry| entry.expires_at.ms());
+        let cancellation = self.detached_reads.first().map(|entry| entry.cancel_at.ms());
         expiries.chain(cancellation).fold(f64::INFINITY, f64::min)
     }
 
@@ -324,14 +325,16 @@
     }
 
     /// The completed read or write that expires first.
-    fn first_completed(&self, write: bool) -> Option<CompletedEntry> {
-        let from = CompletedEntry { write, expires: OrderedMs::MIN, key: CallKey::MIN };
-        self.completed.range(from..).next().copied().filter(|entry| entry.write == write)
+    fn first_completed(&self, is_write: bool) -> Option<CompletedEntry> {
+        let from = CompletedEntry { is_write, expires_at: OrderedMs::MIN, key: CallKey::MIN };
+        self.completed.range(from..).next().copied().filter(|entry| entry.is_write == is_write)
     }
 
     fn remove_expired(&mut self, now: f64) {
-        for write in [false, true] {
-            while let Some(entry) = self.first_completed(write).filter(|entry| entry.expires.ms() <= now) {
+        for is_write in [false, true] {
+            while let Some(entry) =
+                self.first_completed(is_write).filter(|entry| entry.expires_at.ms() <= now)
+            {
                 self.remove(entry.key);
             }
         }
@@ -339,7 +342,7 @@
 
     /// Evicts responses, in eviction order, until the given calls and bytes fit. Returns whether they fit.
     fn make_room(&mut self, calls: usize, bytes: usize) -> bool {
-        while self.calls.len() + calls > self.limits.calls || self.bytes + bytes > self.limits.bytes {
+        while self.calls.len() + calls > self.limits.max_calls || self.bytes + bytes > self.limits.max_bytes {
             if !self.evict(|_| true) {
                 return false;
             }
@@ -353,7 +356,7 @@
         let Some(entry) = self.completed.iter().find(|entry| is_candidate(entry)).copied() else {
             return false;
         };
-        if entry.write {
+        if entry.is_write {
             self.metrics.evicted_writes += 1;
         } else {
             self.metrics.evicted_reads += 1;
@@ -363,16 +366,20 @@
     }
 
     fn remove(&mut self, key: CallKey) {
-        let Some(Call { write, state, .. }) = self.calls.remove(&key) else { return };
+        let Some(Call { is_write, state, .. }) = self.calls.remove(&key) else { return };
         self.bytes -= CALL_BYTES;
         match state {
             CallState::Completed { expires_ms, body_bytes, .. } => {
                 self.bytes -= body_bytes;
-                self.completed.remove(&CompletedEntry { write, expires: OrderedMs::new(expires_ms), key });
+                self.completed.remove(&CompletedEntry {
+                    is_write,
+                    expires_at: OrderedMs::new(expires_ms),
+                    key,
+                });
             }
             CallState::Running { detached_ms, .. } => {
-                let cancel = OrderedMs::new(detached_ms + self.limits.cancel_after_ms);
-                self.detached_reads.remove(&DetachedEntry { cancel, key });
+                let cancel_at = OrderedMs::new(detached_ms + self.limits.cancel_after_ms);
+                self.detached_reads.remove(&DetachedEntry { cancel_at, key });
             }
         }
         if let Some(count) = self.calls_of_session.get_mut(&key.session) {
--- a/src/http3/response_store/tests.rs
+++ b/src/http3/response_store/tests.rs
@@ -4,9 +4,9 @@
 
 fn limits() -> StoreLimits {
     StoreLimits {
-        calls: 6,
-        calls_per_session: 4,
-        bytes: 6_000,
+        max_calls: 6,
+        max_calls_per_session: 4,
+        max_bytes: 6_000,
         cancel_after_ms: 1_000.0,
         keep_read_ms: 2_000.0,
         keep_write_ms: 9_000.0,
@@ -25,47 +25,51 @@
 fn a_write_is_started_once_however_often_it_is_retried() {
     let mut store = ResponseStore::new(limits());
     let write = key(7, 1);
-    assert_eq!(store.attach(0.0, write, 5, true), Attachment::Started);
+    assert_eq!(store.attach(0.0, write, 5, true), AttachOutcome::Started);
     store.detach(10.0, write);
-    assert!(store.tick(500_000.0).is_empty(), "a write runs to its end");
-    assert_eq!(store.attach(20.0, write, 5, true), Attachment::Running);
-    assert_eq!(store.attach(20.0, write, 6, true), Attachment::Conflict, "another request under its id");
-    assert!(!store.cancel(25.0, write), "nor is it cancelled");
+    assert!(store.tick(500_000.0).is_empty(), "a write without clients continues");
+    assert_eq!(store.attach(20.0, write, 5, true), AttachOutcome::Running);
+    assert_eq!(
+        store.attach(20.0, write, 6, true),
+        AttachOutcome::Conflict,
+        "a different request with its id"
+    );
+    assert!(!store.cancel(25.0, write), "a write is not cancelled by its client");
     store.complete(30.0, write, &served(3));
-    assert_eq!(store.attach(9_029.0, write, 5, true), Attachment::Completed(served(3)));
-    assert_eq!(store.attach(9_030.0, write, 5, true), Attachment::Started, "expired");
+    assert_eq!(store.attach(9_029.0, write, 5, true), AttachOutcome::Completed(served(3)));
+    assert_eq!(store.attach(9_030.0, write, 5, true), AttachOutcome::Started, "expired");
     // A failed write may have been executed, so a retry gets the same response.
     store.complete(9_040.0, write, &FinalResponse::Failed { overdue: false });
     assert_eq!(
         store.attach(9_050.0, write, 5, true),
-        Attachment::Completed(FinalResponse::Failed { overdue: false })
+        AttachOutcome::Completed(FinalResponse::Failed { overdue: false })
     );
     // A write whose response does not fit into the store is not executed again either.
     store.attach(9_045.0, key(7, 3), 5, true);
     store.complete(9_046.0, key(7, 3), &served(7_000));
     assert_eq!(
         store.attach(9_047.0, key(7, 3), 5, true),
-        Attachment::Completed(FinalResponse::Failed { overdue: false })
+        AttachOutcome::Completed(FinalResponse::Failed { overdue: false })
     );
     // A rejected write was not executed, so a retry starts it.
-    assert_eq!(store.attach(9_050.0, key(7, 2), 5, true), Attachment::Started);
+    assert_eq!(store.attach(9_050.0, key(7, 2), 5, true), AttachOutcome::Started);
     store.complete(9_060.0, key(7, 2), &FinalResponse::Rejected { retry_after_ms: 1.0, overdue: false });
-    assert_eq!(store.attach(9_070.0, key(7, 2), 5, true), Attachment::Started);
+    assert_eq!(store.attach(9_070.0, key(7, 2), 5, true), AttachOutcome::Started);
     assert_eq!(
         store.attach(9_070.0, key(8, 2), 5, true),
-        Attachment::Started,
+        AttachOutcome::Started,
         "the same id in another session"
     );
 }
 
 #[test]
-fn a_read_without_clients_is_cancelled_after_a_while() {
+fn a_read_without_clients_is_cancelled_after_a_delay() {
     let mut store = ResponseStore::new(limits());
     store.attach(0.0, key(7, 1), 5, false);
     store.detach(100.0, key(7, 1));
     assert_eq!((store.next_due_ms(), store.tick(1_099.0)), (1_100.0, vec![]));
-    assert_eq!(store.attach(1_099.0, key(7, 1), 5, false), Attachment::Running);
-    assert_eq!(store.tick(5_000.0), vec![], "its client has attached again");
+    assert_eq!(store.attach(1_099.0, key(7, 1), 5, false), AttachOutcome::Running);
+    assert_eq!(store.tick(5_000.0), vec![], "a client has attached again");
     store.detach(5_000.0, key(7, 1));
     assert_eq!(store.tick(6_000.0), vec![key(7, 1)]);
     assert!(store.is_empty());
@@ -73,31 +77,35 @@
     assert!(store.cancel(7_000.0, key(7, 2)) && store.is_empty(), "an explicit cancellation is immediate");
     store.attach(7_000.0, key(7, 3), 5, false);
     store.attach(7_000.0, key(7, 3), 5, false);
-    assert!(!store.cancel(7_000.0, key(7, 3)), "another client still waits for it");
+    assert!(!store.cancel(7_000.0, key(7, 3)), "another client is still attached");
 }
 
 #[test]
 fn responses_are_evicted_reads_first_and_running_calls_never() {
     let mut store = ResponseStore::new(limits());
     for id in 0..3 {
-        assert_eq!(store.attach(0.0, key(1, id), 0, id == 0), Attachment::Started);
+        assert_eq!(store.attach(0.0, key(1, id), 0, id == 0), AttachOutcome::Started);
         store.complete(f64::from(id as u32), key(1, id), &served(1_000));
     }
     for id in 3..6 {
-        assert_eq!(store.attach(10.0, key(2, id), 0, false), Attachment::Started);
+        assert_eq!(store.attach(10.0, key(2, id), 0, false), AttachOutcome::Started);
     }
     assert_eq!(
         store.attach(11.0, key(3, 9), 0, false),
-        Attachment::Started,
+        AttachOutcome::Started,
         "the oldest response of a read was evicted"
     );
     assert_eq!(
         store.attach(11.0, key(1, 1), 0, false),
-        Attachment::Started,
-        "it was evicted, and the next one is"
+        AttachOutcome::Started,
+        "its response was evicted, and the next read's is evicted now"
+    );
+    assert_eq!(
+        store.attach(11.0, key(4, 9), 0, false),
+        AttachOutcome::Started,
+        "with no reads left, the response of the write is evicted"
     );
-    assert_eq!(store.attach(11.0, key(4, 9), 0, false), Attachment::Started, "now the response of the write");
-    assert_eq!(store.attach(11.0, key(5, 9), 0, false), Attachment::Full, "running calls are not evicted");
+    assert_eq!(store.attach(11.0, key(5, 9), 0, false), AttachOutcome::Full, "running calls are not evicted");
     assert_eq!((store.metrics().evicted_reads, store.metrics().evicted_writes), (2, 1));
     for id in 0..4 {
         store.attach(12.0, key(2, 100 + id), 0, false);
@@ -115,21 +123,23 @@
     /// For any sequence of operations the limits hold, a stored call is not started again, and no state
     /// leaks.
     #[test]
-    fn the_limits_hold(steps in prop::collection::vec((0u8..6, 0u64..12, 0f64..400.0, 0usize..2_500), 1..300)) {
+    fn limits_hold_for_any_sequence_of_operations(
+        steps in prop::collection::vec((0u8..6, 0u64..12, 0f64..400.0, 0usize..2_500), 1..300)
+    ) {
         let limits = limits();
         let mut store = ResponseStore::new(limits);
         let (mut now, mut running) = (0.0, HashMap::<CallKey, u32>::new());
-        for (kind, id, ms, bytes) in steps {
+        for (operation, id, ms, bytes) in steps {
             now += ms;
             let key = key(u128::from(id % 3), id);
-            let write = id % 2 == 0;
-            match kind {
-                0 | 1 => match store.attach(now, key, id, write) {
-                    Attachment::Started => prop_assert!(running.insert(key, 1).is_none(), "started twice"),
-                    Attachment::Running => *running.get_mut(&key).unwrap() += 1,
-                    Attachment::Completed(_) => prop_assert!(!running.contains_key(&key)),
-                    Attachment::Conflict => prop_assert!(false, "the digest is the id's"),
-                    Attachment::Full => {}
+            let is_write = id % 2 == 0;
+            match operation {
+                0 | 1 => match store.attach(now, key, id, is_write) {
+                    AttachOutcome::Started => prop_assert!(running.insert(key, 1).is_none(), "started twice"),
+                    AttachOutcome::Running => *running.get_mut(&key).unwrap() += 1,
+                    AttachOutcome::Completed(_) => prop_assert!(!running.contains_key(&key)),
+                    AttachOutcome::Conflict => prop_assert!(false, "the digest depends only on the id"),
+                    AttachOutcome::Full => {}
                 },
                 2 => if running.get(&key).is_some_and(|n| *n > 0) {
                     *running.get_mut(&key).unwrap() -= 1;
@@ -141,7 +151,7 @@
                 4 => if running.get(&key).is_some_and(|n| *n > 0) {
                     *running.get_mut(&key).unwrap() -= 1;
                     if store.cancel(now, key) {
-                        prop_assert!(!write);
+                        prop_assert!(!is_write);
                         running.remove(&key);
                     }
                 },
@@ -150,7 +160,7 @@
                     prop_assert!(cancelled.call % 2 == 1, "a write was cancelled");
                 },
             }
-            prop_assert!(store.len() <= limits.calls && store.bytes() <= limits.bytes);
+            prop_assert!(store.len() <= limits.max_calls && store.bytes() <= limits.max_bytes);
             prop_assert!(running.keys().all(|k| store.calls.contains_key(k)), "a running call was removed");
         }
         for key in running.into_keys() {
--- a/src/http3/send_scheduler.rs
+++ b/src/http3/send_scheduler.rs
@@ -44,15 +44,15 @@
         priority
     }
 
-    /// Whether a body of this priority must be sent before a body of priority `other`. `begun_earlier` tells
+    /// Whether a body of this priority must be sent before a body of priority `other`. `added_earlier` tells
     /// whether the former was added first.
-    fn precedes(self, other: Self, begun_earlier: bool) -> bool {
+    fn precedes(self, other: Self, added_earlier: bool) -> bool {
         if self.urgency != other.urgency {
             return self.urgency < other.urgency;
         }
         match (self.incremental, other.incremental) {
             (false, true) => true,
-            (false, false) => begun_earlier,
+            (false, false) => added_earlier,
             (true, _) => false,
         }
     }
@@ -104,7 +104,7 @@
     }
 
     /// Records that the transport accepted bytes of a body.
-    pub fn progressed(&mut self, now: f64, id: BodyId) {
+    pub fn record_progress(&mut self, now: f64, id: BodyId) {
         if let Some(body) = self.bodies.get_mut(&id) {
             body.progress_ms = now;
         }
--- a/src/http3/send_scheduler/tests.rs
+++ b/src/http3/send_scheduler/tests.rs
@@ -5,37 +5,40 @@
 }
 
 #[test]
-fn priority_headers_are_parsed_as_in_the_rfc() {
-    let read = |text| Priority::parse(text, Priority::DEFAULT);
-    assert_eq!(read("u=5, i"), priority(5, true));
-    assert_eq!(read("i=?0,u=0"), priority(0, false));
-    assert_eq!(read("u=1;x=2 , i;y"), priority(1, true));
-    for odd in ["", "u", "u=8", "u=-1", "u=3.5", "u=55", "i=1", "U=1", "u = 1", ",,;"] {
-        assert_eq!(read(odd), Priority::DEFAULT, "{odd:?}");
+fn priority_headers_are_parsed_as_in_rfc_9218() {
+    let parse = |text| Priority::parse(text, Priority::DEFAULT);
+    assert_eq!(parse("u=5, i"), priority(5, true));
+    assert_eq!(parse("i=?0,u=0"), priority(0, false));
+    assert_eq!(parse("u=1;x=2 , i;y"), priority(1, true));
+    for ignored in ["", "u", "u=8", "u=-1", "u=3.5", "u=55", "i=1", "U=1", "u = 1", ",,;"] {
+        assert_eq!(parse(ignored), Priority::DEFAULT, "{ignored:?}");
     }
     assert_eq!(Priority::parse("i", priority(6, false)), priority(6, true));
 }
 
 #[test]
-fn urgent_bodies_are_sent_first_and_stalled_ones_delay_no_others() {
+fn urgent_bodies_are_sent_first_and_stalled_bodies_block_no_others() {
     let mut scheduler = SendScheduler::default();
     let (large, other) = (scheduler.add(0.0, priority(5, true)), scheduler.add(0.0, priority(5, true)));
-    assert!(scheduler.may_send(0.0, large) && scheduler.may_send(0.0, other), "incremental bodies share");
+    assert!(
+        scheduler.may_send(0.0, large) && scheduler.may_send(0.0, other),
+        "incremental bodies are interleaved"
+    );
     let small = scheduler.add(1.0, priority(2, false));
     let later = scheduler.add(1.0, priority(2, false));
     assert!(
         scheduler.may_send(1.0, small) && !scheduler.may_send(1.0, later) && !scheduler.may_send(1.0, large)
     );
-    scheduler.progressed(150.0, small);
-    assert!(!scheduler.may_send(300.0, large), "it makes progress");
-    assert!(scheduler.may_send(350.0, later), "the first is stalled");
-    scheduler.progressed(350.0, later);
+    scheduler.record_progress(150.0, small);
+    assert!(!scheduler.may_send(300.0, large), "the urgent body makes progress");
+    assert!(scheduler.may_send(350.0, later), "the first urgent body is stalled");
+    scheduler.record_progress(350.0, later);
     scheduler.remove(later);
     assert!(scheduler.may_send(351.0, large));
     scheduler.remove(small);
     assert!(
         scheduler.may_send(351.0, large) && scheduler.may_send(351.0, small),
-        "a removed body is not delayed"
+        "a removed body is not blocked"
     );
     scheduler.remove(large);
     scheduler.remove(other);
--- a/src/http3/server.rs
+++ b/src/http3/server.rs
@@ -15,13 +15,13 @@
 use tokio::time::timeout;
 
 /// Fraction of the connection limit from which clients must validate their address.
-const VALIDATE_ADDRESS_SHARE: f64 = 0.5;
+const ADDRESS_VALIDATION_THRESHOLD: f64 = 0.5;
 /// Interval at which a stopping server checks whether connections are still open, in milliseconds.
 const DRAIN_POLL_INTERVAL_MS: f64 = 50.0;
 
 /// State of the server, shared by its tasks.
 pub struct Http3Server {
-    pub(super) host: Rc<Executor>,
+    pub(super) executor: Rc<Executor>,
     pub(super) front: Rc<Http3Front>,
     pub(super) calls: Rc<CallRegistry>,
     pub(super) limits: Http3Limits,
@@ -32,18 +32,18 @@
 impl Http3Server {
     /// Creates a server that passes requests to `front`.
     pub fn new(
-        host: Rc<Executor>,
+        executor: Rc<Executor>,
         front: Rc<Http3Front>,
         calls: Rc<CallRegistry>,
         limits: Http3Limits,
     ) -> Rc<Self> {
         let (open_connections, metrics) = Default::default();
-        Rc::new(Self { host, front, calls, limits, open_connections, metrics })
+        Rc::new(Self { executor, front, calls, limits, open_connections, metrics })
     }
 
-    pub(super) fn count(&self, change: impl FnOnce(&mut ServerMetrics)) {
+    pub(super) fn update_metrics(&self, update: impl FnOnce(&mut ServerMetrics)) {
         let mut metrics = self.metrics.get();
-        change(&mut metrics);
+        update(&mut metrics);
         self.metrics.set(metrics);
     }
 
@@ -60,19 +60,19 @@
     ) -> Option<(Incoming, ConnectionSlot)> {
         let (open, limit) = (self.open_connections.get(), self.limits.connections);
         if open >= limit {
-            self.count(|metrics| metrics.connections_rejected += 1);
+            self.update_metrics(|metrics| metrics.connections_rejected += 1);
             incoming.refuse();
             return None;
         }
         // A Retry packet guards against spoofed source addresses under load (RFC 9000, section 8.1.2).
-        let is_loaded = open as f64 >= VALIDATE_ADDRESS_SHARE * limit as f64;
-        if is_loaded && !incoming.remote_address_validated() {
+        let is_under_load = open as f64 >= ADDRESS_VALIDATION_THRESHOLD * limit as f64;
+        if is_under_load && !incoming.remote_address_validated() {
             // `retry` fails only if the address is already validated.
             let _ = incoming.retry();
             return None;
         }
-        self.count(|metrics| metrics.connections += 1);
-        self.host.with(|engine| engine.counters.client_connections += 1);
+        self.update_metrics(|metrics| metrics.connections_accepted += 1);
+        self.executor.with(|engine| engine.counters.client_connections += 1);
         Some((incoming, ConnectionSlot::new(self.clone(), stop.track_connection())))
     }
 
@@ -84,7 +84,7 @@
         stop: Rc<GracefulShutdown>,
     ) {
         let server = self.clone();
-        self.host.spawn("a QUIC connection", async move {
+        self.executor.spawn("a QUIC connection", async move {
             let _slot = slot;
             let handshake = timeout(duration_from_ms(server.limits.handshake_ms), incoming).await;
             if let Ok(Ok(quic)) = handshake {
--- a/src/http3/settings.rs
+++ b/src/http3/settings.rs
@@ -89,9 +89,9 @@
     /// The limits of the response store.
     pub fn store_limits(&self) -> StoreLimits {
         StoreLimits {
-            calls: self.calls,
-            calls_per_session: self.calls_per_session,
-            bytes: self.bytes,
+            max_calls: self.calls,
+            max_calls_per_session: self.calls_per_session,
+            max_bytes: self.bytes,
             cancel_after_ms: self.cancel_after_ms,
             keep_read_ms: self.keep_read_ms,
             keep_write_ms: self.keep_write_ms,
--- a/src/lifecycle/subsystems/http3.rs
+++ b/src/lifecycle/subsystems/http3.rs
@@ -74,7 +74,7 @@
         let endpoint = retry_while_in_use(listen, open_endpoint).await?;
         let (stop, closing) = (context.stop.clone(), self.quic_closing.clone());
         executor.spawn("accepting", accept_quic(server, endpoint.clone(), stop, closing));
-        supervise(executor, "the response store", move || calls.clone().keep());
+        supervise(executor, "the response store", move || calls.clone().run_expiry());
         if let Some(address) = self.config.tcp_address() {
             let listener = bind_tcp(address).await?;
             let (stop, closing) = (context.stop.clone(), self.tcp_closing.clone());
--- a/tests/stand_ins/http3_client.rs
+++ b/tests/stand_ins/http3_client.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for clients on unreliable networks: a UDP relay that loses, delays, reorders, throttles and cuts, and a client
-//! that uses HTTP/3 through it.
+//! A UDP relay that simulates an unreliable link (loss, jitter, reordering, limited bandwidth, outage), and
+//! an HTTP/3 client.
 #![allow(dead_code)]
 
 use bytes::{Buf, Bytes};
@@ -18,113 +18,114 @@
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 
-/// A relay with the impairments of a link, the same in both directions.
+/// A UDP relay that impairs the traffic in both directions alike.
 pub struct ImpairedLink {
-    /// Address for clients.
+    /// Address to which clients connect.
     pub address: SocketAddr,
-    /// Share of datagrams that is lost.
+    /// Probability that a datagram is dropped.
     pub loss: Rc<Cell<f64>>,
-    /// Longest random delay of a datagram, in milliseconds.
+    /// Maximum random delay of a datagram, in milliseconds. Datagrams may be reordered.
     pub jitter_ms: Rc<Cell<f64>>,
-    /// Bytes per second; 0 for no limit.
-    pub rate: Rc<Cell<f64>>,
-    /// Whether all datagrams are lost.
-    pub cut: Rc<Cell<bool>>,
-    /// Datagrams forwarded.
+    /// Bandwidth in each direction, in bytes per second; 0 for no limit.
+    pub bytes_per_second: Rc<Cell<f64>>,
+    /// Whether the link is down: all datagrams are dropped.
+    pub down: Rc<Cell<bool>>,
+    /// Number of datagrams forwarded.
     pub forwarded: Rc<Cell<u64>>,
-    /// Datagrams lost.
-    pub lost: Rc<Cell<u64>>,
+    /// Number of datagrams dropped.
+    pub dropped: Rc<Cell<u64>>,
 }
 
 impl ImpairedLink {
-    pub async fn start(ip: &str, to: SocketAddr, seed: u64) -> Rc<Self> {
-        let front = Rc::new(UdpSocket::bind(format!("{ip}:0")).await.unwrap());
-        let relay = Rc::new(Self {
-            address: front.local_addr().unwrap(),
+    pub async fn start(ip: &str, server: SocketAddr, seed: u64) -> Rc<Self> {
+        let client_socket = Rc::new(UdpSocket::bind(format!("{ip}:0")).await.unwrap());
+        let link = Rc::new(Self {
+            address: client_socket.local_addr().unwrap(),
             loss: Rc::default(),
             jitter_ms: Rc::default(),
-            rate: Rc::default(),
-            cut: Rc::default(),
+            bytes_per_second: Rc::default(),
+            down: Rc::default(),
             forwarded: Rc::default(),
-            lost: Rc::default(),
+            dropped: Rc::default(),
         });
-        let (own, rng) = (relay.clone(), Rc::new(RefCell::new(SmallRng::seed_from_u64(seed))));
+        let (relay, rng) = (link.clone(), Rc::new(RefCell::new(SmallRng::seed_from_u64(seed))));
         let ip = ip.to_string();
         spawn_local(async move {
-            let backs: RefCell<HashMap<SocketAddr, Rc<UdpSocket>>> = RefCell::default();
-            let up_free = Rc::new(Cell::new(Instant::now()));
-            let mut bytes = [0u8; 65_536];
+            let server_sockets: RefCell<HashMap<SocketAddr, Rc<UdpSocket>>> = RefCell::default();
+            let uplink_free_at = Rc::new(Cell::new(Instant::now()));
+            let mut buffer = [0u8; 65_536];
             loop {
-                let Ok((n, from)) = front.recv_from(&mut bytes).await else { continue };
-                let known = backs.borrow().get(&from).cloned();
-                let back = match known {
-                    Some(back) => back,
+                let Ok((n, client)) = client_socket.recv_from(&mut buffer).await else { continue };
+                let known = server_sockets.borrow().get(&client).cloned();
+                let server_socket = match known {
+                    Some(server_socket) => server_socket,
                     None => {
-                        let back = Rc::new(UdpSocket::bind(format!("{ip}:0")).await.unwrap());
-                        back.connect(to).await.unwrap();
-                        backs.borrow_mut().insert(from, back.clone());
-                        let (own, front, from_edge, rng) =
-                            (own.clone(), front.clone(), back.clone(), rng.clone());
+                        let server_socket = Rc::new(UdpSocket::bind(format!("{ip}:0")).await.unwrap());
+                        server_socket.connect(server).await.unwrap();
+                        server_sockets.borrow_mut().insert(client, server_socket.clone());
+                        let (relay, client_socket, from_server, rng) =
+                            (relay.clone(), client_socket.clone(), server_socket.clone(), rng.clone());
                         spawn_local(async move {
-                            let down_free = Rc::new(Cell::new(Instant::now()));
-                            let mut bytes = [0u8; 65_536];
+                            let downlink_free_at = Rc::new(Cell::new(Instant::now()));
+                            let mut buffer = [0u8; 65_536];
                             loop {
-                                let Ok(n) = from_edge.recv(&mut bytes).await else { continue };
-                                let (front, data) = (front.clone(), bytes[..n].to_vec());
-                                own.forward(&rng, &down_free, n, async move {
-                                    let _ = front.send_to(&data, from).await;
+                                let Ok(n) = from_server.recv(&mut buffer).await else { continue };
+                                let (client_socket, data) = (client_socket.clone(), buffer[..n].to_vec());
+                                relay.forward(&rng, &downlink_free_at, n, async move {
+                                    let _ = client_socket.send_to(&data, client).await;
                                 });
                             }
                         });
-                        back
+                        server_socket
                     }
                 };
-                let data = bytes[..n].to_vec();
-                own.forward(&rng, &up_free, n, async move {
-                    let _ = back.send(&data).await;
+                let data = buffer[..n].to_vec();
+                relay.forward(&rng, &uplink_free_at, n, async move {
+                    let _ = server_socket.send(&data).await;
                 });
             }
         });
-        relay
+        link
     }
 
     fn forward(
         &self,
         rng: &RefCell<SmallRng>,
-        free: &Cell<Instant>,
+        free_at: &Cell<Instant>,
         bytes: usize,
         send: impl std::future::Future<Output = ()> + 'static,
     ) {
         let mut rng = rng.borrow_mut();
-        let (dice, late) = (rng.random_range(0.0..1.0), rng.random_range(0.0..1.0) * self.jitter_ms.get());
+        let (loss_draw, delay_ms) =
+            (rng.random_range(0.0..1.0), rng.random_range(0.0..1.0) * self.jitter_ms.get());
         let now = Instant::now();
-        let mut at = now;
-        if self.rate.get() > 0.0 {
-            at = free.get().max(now);
-            free.set(at + Duration::from_secs_f64(bytes as f64 / self.rate.get()));
+        let mut send_at = now;
+        if self.bytes_per_second.get() > 0.0 {
+            send_at = free_at.get().max(now);
+            free_at.set(send_at + Duration::from_secs_f64(bytes as f64 / self.bytes_per_second.get()));
         }
-        // The queue holds half a second; further datagrams are lost.
-        if self.cut.get() || dice < self.loss.get() || at - now > Duration::from_millis(500) {
-            self.lost.set(self.lost.get() + 1);
+        // The queue holds datagrams for up to half a second; excess ones are dropped.
+        if self.down.get() || loss_draw < self.loss.get() || send_at - now > Duration::from_millis(500) {
+            self.dropped.set(self.dropped.get() + 1);
             return;
         }
         self.forwarded.set(self.forwarded.get() + 1);
-        let wait = (at - now) + Duration::from_secs_f64(late / 1_000.0);
+        let delay = (send_at - now) + Duration::from_secs_f64(delay_ms / 1_000.0);
         spawn_local(async move {
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(delay).await;
             send.await;
         });
     }
 }
 
-/// Writes a certificate for `edge` and its key into a folder.
+/// Writes a self-signed certificate for the name `edge` and its private key into a folder.
 pub fn write_certificate(dir: &Path) {
-    let made = rcgen::generate_simple_self_signed(vec!["edge".to_string()]).unwrap();
-    std::fs::write(dir.join("cert.pem"), made.cert.pem()).unwrap();
-    std::fs::write(dir.join("key.pem"), made.signing_key.serialize_pem()).unwrap();
+    let certified = rcgen::generate_simple_self_signed(vec!["edge".to_string()]).unwrap();
+    std::fs::write(dir.join("cert.pem"), certified.cert.pem()).unwrap();
+    std::fs::write(dir.join("key.pem"), certified.signing_key.serialize_pem()).unwrap();
 }
 
-/// A response as the client received it.
+/// A response received by the client.
 #[derive(Clone, Debug, Default)]
 pub struct ClientResponse {
     pub status: u16,
@@ -139,20 +140,20 @@
     }
 }
 
-type Send = h3::client::SendRequest<h3_quinn::OpenStreams, Bytes>;
+type RequestSender = h3::client::SendRequest<h3_quinn::OpenStreams, Bytes>;
 
-/// A client's connection.
+/// An HTTP/3 client with one connection.
 pub struct Http3Client {
     pub endpoint: quinn::Endpoint,
     pub connection: quinn::Connection,
-    send: Send,
-    /// Session token, once the server has sent one.
+    sender: RequestSender,
+    /// Latest session token received from the server.
     pub session: Rc<RefCell<Option<String>>>,
 }
 
 impl Http3Client {
-    /// Connects to an address with the transport settings of an operator file, and trusts its certificate.
-    pub async fn connect(at: SocketAddr, config: &Http3Config, session: Option<String>) -> Option<Self> {
+    /// Connects with the transport settings of `config`, and trusts its certificate.
+    pub async fn connect(address: SocketAddr, config: &Http3Config, session: Option<String>) -> Option<Self> {
         let pem = std::fs::read(config.tls_files().certificate).unwrap();
         let mut roots = rustls::RootCertStore::empty();
         roots.add(CertificateDer::from_pem_slice(&pem).unwrap()).unwrap();
@@ -164,19 +165,21 @@
             .with_no_client_auth();
         tls.alpn_protocols = vec![b"h3".to_vec()];
         let crypto = quinn::crypto::rustls::QuicClientConfig::try_from(tls).unwrap();
-        let mut client = quinn::ClientConfig::new(Arc::new(crypto));
-        let mut path = config.transport_config();
-        path.keep_alive_interval(Some(Duration::from_millis(300)));
-        client.transport_config(Arc::new(path));
-        let mut endpoint = quinn::Endpoint::client(SocketAddr::new(at.ip(), 0)).unwrap();
-        endpoint.set_default_client_config(client);
-        let connection = endpoint.connect(at, "edge").unwrap().await.ok()?;
-        let (mut driver, send) = h3::client::new(h3_quinn::Connection::new(connection.clone())).await.ok()?;
+        let mut client_config = quinn::ClientConfig::new(Arc::new(crypto));
+        let mut transport = config.transport_config();
+        transport.keep_alive_interval(Some(Duration::from_millis(300)));
+        client_config.transport_config(Arc::new(transport));
+        let mut endpoint = quinn::Endpoint::client(SocketAddr::new(address.ip(), 0)).unwrap();
+        endpoint.set_default_client_config(client_config);
+        let connection = endpoint.connect(address, "edge").unwrap().await.ok()?;
+        let (mut driver, sender) =
+            h3::client::new(h3_quinn::Connection::new(connection.clone())).await.ok()?;
         spawn_local(async move { drop(std::future::poll_fn(|cx| driver.poll_close(cx)).await) });
-        Some(Self { endpoint, connection, send, session: Rc::new(RefCell::new(session)) })
+        Some(Self { endpoint, connection, sender, session: Rc::new(RefCell::new(session)) })
     }
 
-    /// Sends a request and reads at max_bytes `max_bytes` of the response body. Returns none if the connection failed.
+    /// Sends a request and reads the response body until at least `max_bytes` have arrived or it ends.
+    /// Returns `None` if the request or the connection failed.
     pub async fn request_part(
         &self,
         method: &str,
@@ -193,8 +196,8 @@
         if let Some(token) = &*self.session.borrow() {
             request = request.header("x-session", token);
         }
-        let mut send = self.send.clone();
-        let mut stream = send.send_request(request.body(()).unwrap()).await.ok()?;
+        let mut sender = self.sender.clone();
+        let mut stream = sender.send_request(request.body(()).unwrap()).await.ok()?;
         if !body.is_empty() {
             stream.send_data(Bytes::copy_from_slice(body)).await.ok()?;
         }
@@ -226,15 +229,15 @@
         self.request_part(method, path, headers, body, usize::MAX).await
     }
 
-    /// Requests a small object under a call id.
-    pub async fn small(&self, id: u64, timeout_ms: u64) -> Option<ClientResponse> {
+    /// Requests a small object with the given call id.
+    pub async fn get_small_object(&self, id: u64, timeout_ms: u64) -> Option<ClientResponse> {
         let (id, timeout) = (format!("{id:016x}"), timeout_ms.to_string());
         let headers = [("x-call-id", id.as_str()), ("x-patience-ms", &timeout)];
         self.request("GET", &format!("/ops/small-object/{id}"), &headers, b"").await
     }
 
-    /// Sends an ad-post under a call id, with an idempotency key derived from it.
-    pub async fn post(&self, id: u64, timeout_ms: u64) -> Option<ClientResponse> {
+    /// Sends an ad-post with the given call id and an idempotency key derived from it.
+    pub async fn put_ad_post(&self, id: u64, timeout_ms: u64) -> Option<ClientResponse> {
         let (key, id, timeout) = (format!("k{id:x}"), format!("{id:016x}"), timeout_ms.to_string());
         let headers = [
             ("x-call-id", id.as_str()),
