--- a/src/http3/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -114,7 +114,7 @@
     fn start(self: &Rc<Self>, key: CallKey, request: IncomingRequest) -> Result<(), AdmitError> {
         let response = self.executor.submit(request).inspect_err(|_| self.store.borrow_mut().discard(key))?;
         let registry = self.clone();
-        self.executor.spawn("a resumable call", async move {
+        self.executor.spawn("resumable call", async move {
             // A cancelled call has no response and no waiting clients.
             let response = response.await.unwrap_or(NO_RESPONSE);
             registry.complete(key, &response);
--- a/src/http3/config.rs
+++ b/src/http3/config.rs
@@ -95,12 +95,12 @@
 
     /// UDP address on which QUIC listens.
     pub fn quic_address(&self) -> SocketAddr {
-        parse_address(&self.listen).expect("checked when read")
+        parse_address(&self.listen).expect("validated by `read`")
     }
 
     /// TCP address on which HTTP/1.1 listens, if it is configured.
     pub fn tcp_address(&self) -> Option<SocketAddr> {
-        self.tcp.as_ref().map(|tcp| parse_address(tcp).expect("checked when read"))
+        self.tcp.as_ref().map(|tcp| parse_address(tcp).expect("validated by `read`"))
     }
 
     /// Paths of the certificate and key files.
--- a/src/http3/connection.rs
+++ b/src/http3/connection.rs
@@ -90,7 +90,7 @@
 
     fn spawn_request(self: &Rc<Self>, resolver: RequestResolver<h3_quinn::Connection, Bytes>) {
         let open_request = OpenRequest::new(self.clone());
-        self.server.executor.spawn("a request over QUIC", async move {
+        self.server.executor.spawn("HTTP/3 request", async move {
             let connection = &open_request.connection;
             let head_timeout = duration_from_ms(connection.server.limits.body_ms);
             match timeout(head_timeout, resolver.resolve_request()).await {
@@ -112,7 +112,7 @@
             Some(ConnectionError::ApplicationClosed(_) | ConnectionError::LocallyClosed) => {}
             Some(reason) => {
                 self.server.update_metrics(|metrics| metrics.connections_lost += 1);
-                tracing::debug!(peer = %self.peer, %reason, "HTTP/3: a connection was lost");
+                tracing::debug!(peer = %self.peer, %reason, "HTTP/3 connection lost");
             }
         }
     }
--- a/src/http3/request.rs
+++ b/src/http3/request.rs
@@ -27,13 +27,13 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 enum RequestError {
     /// The request is malformed, or its stream was reset or ended early.
-    #[error("malformed request")]
+    #[error("the request is malformed or its stream ended early")]
     Malformed,
     /// The body was not received within the time limit.
-    #[error("the request body took too long")]
+    #[error("the request body was not received within the time limit")]
     Timeout,
     /// The body exceeds the size limit.
-    #[error("the request body is too long")]
+    #[error("the request body exceeds the size limit")]
     BodyTooLong,
 }
 
--- a/src/http3/server.rs
+++ b/src/http3/server.rs
@@ -84,7 +84,7 @@
         stop: Rc<GracefulShutdown>,
     ) {
         let server = self.clone();
-        self.executor.spawn("a QUIC connection", async move {
+        self.executor.spawn("QUIC connection", async move {
             let _slot = slot;
             let handshake = timeout(duration_from_ms(server.limits.handshake_ms), incoming).await;
             if let Ok(Ok(quic)) = handshake {
--- a/src/http3/session.rs
+++ b/src/http3/session.rs
@@ -25,13 +25,13 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum TokenError {
     /// The text is not base64 or has the wrong length.
-    #[error("the text is not a session token")]
+    #[error("malformed session token")]
     Malformed,
     /// The signature matches none of the keys.
-    #[error("the signature matches no key")]
+    #[error("the signature of the session token matches no key")]
     WrongSignature,
     /// The token has expired.
-    #[error("the token has expired")]
+    #[error("the session token has expired")]
     Expired,
 }
 
@@ -68,8 +68,9 @@
     pub fn verify(&self, now: f64, token: &str) -> Result<Session, TokenError> {
         let bytes = URL_SAFE_NO_PAD.decode(token).map_err(|_| TokenError::Malformed)?;
         let bytes: [u8; TOKEN_BYTES] = bytes.try_into().map_err(|_| TokenError::Malformed)?;
-        let (id, rest) = bytes.split_first_chunk::<ID_BYTES>().expect("a whole token");
-        let (expiry, signature) = rest.split_first_chunk::<EXPIRY_BYTES>().expect("a whole token");
+        let (id, rest) = bytes.split_first_chunk::<ID_BYTES>().expect("the token has a fixed length");
+        let (expiry, signature) =
+            rest.split_first_chunk::<EXPIRY_BYTES>().expect("the token has a fixed length");
         if !self.keys.verify(LABEL, &[id, expiry], signature) {
             return Err(TokenError::WrongSignature);
         }
--- a/src/http3/transport.rs
+++ b/src/http3/transport.rs
@@ -1,5 +1,4 @@
-//! QUIC (RFC 9000) and TLS configuration. Early data (0-RTT) is disabled, because it can be replayed (RFC
-//! 8470).
+//! QUIC (RFC 9000) and TLS configuration. Early data (0-RTT) is disabled: it can be replayed (RFC 8470).
 
 use super::settings::{CongestionControl, Http3Limits, PathSettings};
 use crate::clock::duration_from_ms;
@@ -32,7 +31,7 @@
 #[derive(Debug, Error)]
 pub enum TlsError {
     /// A file cannot be read.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read {}: {source}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
@@ -40,7 +39,7 @@
         source: io::Error,
     },
     /// A file holds no valid PEM section of the expected kind.
-    #[error("{}: {source}", path.display())]
+    #[error("invalid PEM in {}: {source}", path.display())]
     Malformed {
         /// The file.
         path: PathBuf,
@@ -48,7 +47,7 @@
         source: pem::Error,
     },
     /// The certificate chain or the key is not supported, or they do not match.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot use the certificate in {}: {source}", path.display())]
     Unusable {
         /// The certificate file.
         path: PathBuf,
