--- a/src/http3/response_body.rs
+++ b/src/http3/response_body.rs
@@ -1,4 +1,4 @@
-//! Sends a response in chunks, in the order of the priorities of its connection's responses.
+//! Sends a response in chunks, scheduled by priority among the responses of its connection.
 
 use super::connection::Connection;
 use super::request::Stream;
@@ -9,7 +9,7 @@
 use http::Response;
 use tokio::time::timeout;
 
-/// Sends a response.
+/// Sends a response's head and body.
 pub(super) async fn send(
     connection: &Connection,
     head: Response<()>,
@@ -23,12 +23,12 @@
         scheduled.wait_to_send().await;
         let chunk = body.split_to(body.len().min(connection.server.limits.chunk_bytes));
         stream.send_data(chunk).await?;
-        scheduled.progressed();
+        scheduled.record_progress();
     }
     stream.finish().await
 }
 
-/// A body in the scheduler of its connection, until it is dropped.
+/// Guard that registers a body with the scheduler of its connection until it is dropped.
 struct ScheduledBody<'a> {
     connection: &'a Connection,
     id: BodyId,
@@ -36,12 +36,12 @@
 
 impl<'a> ScheduledBody<'a> {
     fn new(connection: &'a Connection, priority: Priority) -> Self {
-        let now = connection.server.host.clock.now();
+        let now = connection.server.executor.clock.now();
         let id = connection.scheduler.borrow_mut().add(now, priority);
         Self { connection, id }
     }
 
-    /// Waits until bytes of the body may be sent.
+    /// Waits until the scheduler permits the next chunk.
     async fn wait_to_send(&self) {
         let recheck = duration_from_ms(RECHECK_INTERVAL_MS);
         while !self.may_send() {
@@ -50,13 +50,13 @@
     }
 
     fn may_send(&self) -> bool {
-        let now = self.connection.server.host.clock.now();
+        let now = self.connection.server.executor.clock.now();
         self.connection.scheduler.borrow().may_send(now, self.id)
     }
 
-    fn progressed(&self) {
-        let now = self.connection.server.host.clock.now();
-        self.connection.scheduler.borrow_mut().progressed(now, self.id);
+    fn record_progress(&self) {
+        let now = self.connection.server.executor.clock.now();
+        self.connection.scheduler.borrow_mut().record_progress(now, self.id);
     }
 }
 
--- a/src/http3/response_store.rs
+++ b/src/http3/response_store.rs
@@ -1,15 +1,17 @@
-//! Running calls and the responses of completed ones. No I/O; time is given by the caller in Unix milliseconds.
+//! Store of running calls and of the responses of completed ones. No I/O; the caller passes the time in Unix
+//! milliseconds.
 //!
-//! A call is identified by its session and its id. The first client starts it; a later one, whose earlier connection was
-//! lost, attaches to it while it runs and gets its response once it has completed. So a write is executed once however
-//! often it is retried. A read without clients is cancelled after a while; a write always runs to completion. The store
-//! is bounded in calls, calls per session and bytes.
+//! A call is identified by its session and its call id. The first request starts it. A retry, for example
+//! after a lost connection, attaches to the running call or gets the stored response, so a write is executed
+//! once however often it is retried. A read without clients is cancelled after a delay; a write always runs
+//! to completion. The store is bounded by the number of calls, the number of calls per session and the
+//! memory.
 
 use crate::state::requests::FinalResponse;
 use crate::wire::front::SessionId;
 use std::collections::{BTreeSet, HashMap};
 
-/// Memory of a call without the body of its response, in bytes.
+/// Memory accounted for a call without its response body, in bytes.
 pub const CALL_BYTES: usize = 320;
 
 /// Identifies a call.
@@ -25,46 +27,46 @@
     const MIN: Self = Self { session: 0, call: 0 };
 }
 
-/// Bounds of the store.
+/// Limits of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
-    /// Most calls.
-    pub calls: usize,
-    /// Most calls of one session.
-    pub calls_per_session: usize,
-    /// Most bytes.
-    pub bytes: usize,
-    /// Time after which a read without clients is cancelled, in milliseconds.
+    /// Maximum number of running and completed calls.
+    pub max_calls: usize,
+    /// Maximum number of calls of one session.
+    pub max_calls_per_session: usize,
+    /// Maximum memory of calls and responses, in bytes.
+    pub max_bytes: usize,
+    /// Delay before a running read without clients is cancelled, in milliseconds.
     pub cancel_after_ms: f64,
-    /// Time for which the response of a read is kept, in milliseconds.
+    /// Retention time of a read's response, in milliseconds.
     pub keep_read_ms: f64,
-    /// Time for which the response of a write is kept, in milliseconds.
+    /// Retention time of a write's response, in milliseconds.
     pub keep_write_ms: f64,
 }
 
 /// The result of attaching a client to a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Attachment {
-    /// The call is new and has to be started.
+pub enum AttachOutcome {
+    /// The call is new: the caller must start it.
     Started,
-    /// The call is running.
+    /// The call is already running.
     Running,
     /// The call has completed with this response.
     Completed(FinalResponse),
-    /// The call id belongs to a different request.
+    /// The call id is in use for a different request.
     Conflict,
     /// The store is full. The call was not started.
     Full,
 }
 
-/// A time that is ordered as a key. Negative times count as 0.
+/// A time in milliseconds with a total order, for use in sorted sets. Negative times are stored as 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct OrderedMs(u64);
 
 impl OrderedMs {
     const MIN: Self = Self(0);
 
-    /// The bits of floats that are not negative are ordered as the floats are.
+    /// Non-negative floats compare like their bit patterns.
     fn new(ms: f64) -> Self {
         Self(ms.max(0.0).to_bits())
     }
@@ -74,18 +76,18 @@
     }
 }
 
-/// Place of a completed call in the order of eviction: reads before writes, then by when they expire.
+/// A completed call in eviction order: reads before writes, then by expiry time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CompletedEntry {
-    write: bool,
-    expires: OrderedMs,
+    is_write: bool,
+    expires_at: OrderedMs,
     key: CallKey,
 }
 
-/// Place of a running read without clients in the order of cancellation.
+/// A running read without clients, ordered by the time at which it is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DetachedEntry {
-    cancel: OrderedMs,
+    cancel_at: OrderedMs,
     key: CallKey,
 }
 
@@ -93,7 +95,7 @@
 enum CallState {
     Running {
         clients: u32,
-        /// When the last client was lost, or infinity.
+        /// When the last client was detached; infinity while a client is attached.
         detached_ms: f64,
     },
     Completed {
@@ -105,9 +107,9 @@
 
 #[derive(Clone, Debug)]
 struct Call {
-    /// Hash of the request, which distinguishes it from a different request with the same id.
+    /// Hash of the request, to detect a different request with the same call id.
     digest: u64,
-    write: bool,
+    is_write: bool,
     state: CallState,
 }
 
@@ -118,15 +120,15 @@
     pub started: u64,
     /// Clients attached to a running call.
     pub joined: u64,
-    /// Clients that got the response of a completed call.
+    /// Clients that got the stored response of a completed call.
     pub replayed: u64,
-    /// Clients rejected because their call id belongs to a different request.
+    /// Clients rejected because their call id is in use for a different request.
     pub conflicts: u64,
     /// Clients rejected because the store was full.
     pub rejected_full: u64,
-    /// Running calls that lost their last client.
+    /// Number of times that a running call lost its last client.
     pub detached: u64,
-    /// Reads cancelled, by their client or after their time without clients.
+    /// Reads cancelled by their client, or after running without clients for too long.
     pub cancelled: u64,
     /// Responses of reads evicted before they expired.
     pub evicted_reads: u64,
@@ -134,7 +136,7 @@
     pub evicted_writes: u64,
 }
 
-/// The store.
+/// The store of running calls and stored responses.
 #[derive(Debug)]
 pub struct ResponseStore {
     limits: StoreLimits,
@@ -165,95 +167,96 @@
         self.metrics
     }
 
-    /// Attaches a client to the call `key`, which is started if it is new. `digest` is the hash of the request.
-    pub fn attach(&mut self, now: f64, key: CallKey, digest: u64, write: bool) -> Attachment {
+    /// Attaches a client to the call `key`, which is added if it is new. `digest` is the hash of the request.
+    pub fn attach(&mut self, now: f64, key: CallKey, digest: u64, is_write: bool) -> AttachOutcome {
         self.remove_expired(now);
         if self.calls.contains_key(&key) {
-            return self.attach_to_known(key, digest, write);
+            return self.attach_to_existing(key, digest, is_write);
         }
         let of_session = self.calls_of_session.get(&key.session).copied().unwrap_or(0);
-        let session_has_room = of_session < self.limits.calls_per_session
+        let session_has_room = of_session < self.limits.max_calls_per_session
             || self.evict(|entry| entry.key.session == key.session);
         if !session_has_room || !self.make_room(1, CALL_BYTES) {
             self.metrics.rejected_full += 1;
-            return Attachment::Full;
+            return AttachOutcome::Full;
         }
         self.metrics.started += 1;
         let state = CallState::Running { clients: 1, detached_ms: f64::INFINITY };
-        self.calls.insert(key, Call { digest, write, state });
+        self.calls.insert(key, Call { digest, is_write, state });
         *self.calls_of_session.entry(key.session).or_default() += 1;
         self.bytes += CALL_BYTES;
-        Attachment::Started
+        AttachOutcome::Started
     }
 
-    fn attach_to_known(&mut self, key: CallKey, digest: u64, write: bool) -> Attachment {
-        let Some(call) = self.calls.get_mut(&key).filter(|call| call.digest == digest && call.write == write)
+    fn attach_to_existing(&mut self, key: CallKey, digest: u64, is_write: bool) -> AttachOutcome {
+        let Some(call) =
+            self.calls.get_mut(&key).filter(|call| call.digest == digest && call.is_write == is_write)
         else {
             self.metrics.conflicts += 1;
-            return Attachment::Conflict;
+            return AttachOutcome::Conflict;
         };
         match &mut call.state {
             CallState::Running { clients, detached_ms } => {
-                let cancel = OrderedMs::new(*detached_ms + self.limits.cancel_after_ms);
-                self.detached_reads.remove(&DetachedEntry { cancel, key });
+                let cancel_at = OrderedMs::new(*detached_ms + self.limits.cancel_after_ms);
+                self.detached_reads.remove(&DetachedEntry { cancel_at, key });
                 *clients += 1;
                 self.metrics.joined += 1;
-                Attachment::Running
+                AttachOutcome::Running
             }
             CallState::Completed { response, .. } => {
                 self.metrics.replayed += 1;
-                Attachment::Completed(response.clone())
+                AttachOutcome::Completed(response.clone())
             }
         }
     }
 
-    /// Completes a running call. Its response is kept, depending on what it is.
+    /// Completes a running call, and stores its response if a retry must get the same one.
     pub fn complete(&mut self, now: f64, key: CallKey, response: &FinalResponse) {
         let Some(call) = self.calls.get(&key) else { return };
         let CallState::Running { detached_ms, .. } = call.state else { return };
-        let write = call.write;
-        let cancel = OrderedMs::new(detached_ms + self.limits.cancel_after_ms);
-        self.detached_reads.remove(&DetachedEntry { cancel, key });
-        let keep_ms = self.keep_ms(write, response);
-        if keep_ms <= 0.0 {
+        let is_write = call.is_write;
+        let cancel_at = OrderedMs::new(detached_ms + self.limits.cancel_after_ms);
+        self.detached_reads.remove(&DetachedEntry { cancel_at, key });
+        let retention_ms = self.retention_ms(is_write, response);
+        if retention_ms <= 0.0 {
             return self.remove(key);
         }
         let body_bytes = match response {
             FinalResponse::Served { body, .. } => body.len(),
             _ => 0,
         };
-        let fits = body_bytes + CALL_BYTES <= self.limits.bytes && self.make_room(0, body_bytes);
-        let (response, body_bytes) = match (fits, write) {
+        let fits = body_bytes + CALL_BYTES <= self.limits.max_bytes && self.make_room(0, body_bytes);
+        let (response, body_bytes) = match (fits, is_write) {
             (true, _) => (response.clone(), body_bytes),
-            // The write may have been executed: a retry must not start it again.
+            // The write may have been executed, so a failure is stored: a retry must not execute it again.
             (false, true) => (FinalResponse::Failed { overdue: false }, 0),
             (false, false) => return self.remove(key),
         };
-        let expires_ms = now + keep_ms;
+        let expires_ms = now + retention_ms;
         self.bytes += body_bytes;
-        self.completed.insert(CompletedEntry { write, expires: OrderedMs::new(expires_ms), key });
+        self.completed.insert(CompletedEntry { is_write, expires_at: OrderedMs::new(expires_ms), key });
         if let Some(call) = self.calls.get_mut(&key) {
             call.state = CallState::Completed { response, expires_ms, body_bytes };
         }
     }
 
-    /// How long a response is kept, in milliseconds.
-    fn keep_ms(&self, write: bool, response: &FinalResponse) -> f64 {
+    /// Retention time of a response, in milliseconds; 0 if it is not stored.
+    fn retention_ms(&self, is_write: bool, response: &FinalResponse) -> f64 {
         match response {
-            // Nothing was executed: a retry is a new call.
+            // The request was not executed, so a retry starts a new call.
             FinalResponse::Rejected { .. } => 0.0,
-            FinalResponse::Failed { .. } if !write => 0.0,
-            _ if write => self.limits.keep_write_ms,
+            FinalResponse::Failed { .. } if !is_write => 0.0,
+            _ if is_write => self.limits.keep_write_ms,
             _ => self.limits.keep_read_ms,
         }
     }
 
-    /// Removes a call that the engine did not accept.
+    /// Removes a call that the engine rejected on submission.
     pub fn discard(&mut self, key: CallKey) {
         self.remove(key);
     }
 
-    /// Detaches a client whose connection was lost. It may attach again.
+    /// Detaches a client whose connection was lost. It can attach again.
     pub fn detach(&mut self, now: f64, key: CallKey) {
         let Some(call) = self.calls.get_mut(&key) else { return };
         let CallState::Running { clients, detached_ms } = &mut call.state else { return };
@@ -263,20 +266,20 @@
         }
         self.metrics.detached += 1;
         *detached_ms = now;
-        if !call.write {
-            let cancel = OrderedMs::new(now + self.limits.cancel_after_ms);
-            self.detached_reads.insert(DetachedEntry { cancel, key });
+        if !call.is_write {
+            let cancel_at = OrderedMs::new(now + self.limits.cancel_after_ms);
+            self.detached_reads.insert(DetachedEntry { cancel_at, key });
         }
     }
 
-    /// Detaches a client that no longer wants the response. Returns whether the call has to be cancelled.
+    /// Detaches a client that no longer wants the response. Returns whether the caller must cancel the call.
     ///
-    /// A write is never cancelled: it may have been executed, and a retry must not start it again.
+    /// A write is never cancelled: it may have been executed already, and a retry must not execute it again.
     pub fn cancel(&mut self, now: f64, key: CallKey) -> bool {
         self.detach(now, key);
         let Some(call) = self.calls.get(&key) else { return false };
         let has_no_clients = matches!(call.state, CallState::Running { clients: 0, .. });
-        if call.write || !has_no_clients {
+        if call.is_write || !has_no_clients {
             return false;
         }
         self.metrics.cancelled += 1;
@@ -284,11 +287,12 @@
         true
     }
 
-    /// Removes what has expired by `now`. Returns the reads that have to be cancelled.
+    /// Removes responses that have expired by `now`, and reads that were without clients for too long.
+    /// Returns the latter, which the caller must cancel.
     pub fn tick(&mut self, now: f64) -> Vec<CallKey> {
         self.remove_expired(now);
         let mut cancelled = Vec::new();
-        while let Some(entry) = self.detached_reads.first().copied().filter(|e| e.cancel.ms() <= now) {
+        while let Some(entry) = self.detached_reads.first().copied().filter(|e| e.cancel_at.ms() <= now) {
             self.detached_reads.remove(&entry);
             self.remove(entry.key);
             self.metrics.cancelled += 1;
@@ -297,11 +301,11 @@
         cancelled
     }
 
-    /// When [`Self::tick`] has to be called next.
+    /// When [`Self::tick`] must be called next; infinity if nothing is pending.
     pub fn next_due_ms(&self) -> f64 {
-        let expiries = [false, true].into_iter().filter_map(|write| self.first_completed(write));
-        let expiries = expiries.map(|entry| entry.expires.ms());
-        let cancellation = self.detached_reads.first().map(|entry| entry.cancel.ms());
+        let expiries = [false, true].into_iter().filter_map(|is_write| self.first_completed(is_write));
+        let expiries = expiries.map(|entry| entry.expires_at.ms());
+        let cancellation = self.detached_reads.first().map(|entry| entry.cancel_at.ms());
         expiries.chain(cancellation).fold(f64::INFINITY, f64::min)
     }
 
@@ -310,7 +314,7 @@
         self.calls.len()
     }
 
-    /// Whether there is no call.
+    /// Whether the store holds no calls.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
@@ -320,23 +324,25 @@
         self.bytes
     }
 
-    /// The read or write that expires first.
-    fn first_completed(&self, write: bool) -> Option<CompletedEntry> {
-        let from = CompletedEntry { write, expires: OrderedMs::MIN, key: CallKey::MIN };
-        self.completed.range(from..).next().copied().filter(|entry| entry.write == write)
+    /// The completed read or write that expires first.
+    fn first_completed(&self, is_write: bool) -> Option<CompletedEntry> {
+        let from = CompletedEntry { is_write, expires_at: OrderedMs::MIN, key: CallKey::MIN };
+        self.completed.range(from..).next().copied().filter(|entry| entry.is_write == is_write)
     }
 
     fn remove_expired(&mut self, now: f64) {
-        for write in [false, true] {
-            while let Some(entry) = self.first_completed(write).filter(|entry| entry.expires.ms() <= now) {
+        for is_write in [false, true] {
+            while let Some(entry) =
+                self.first_completed(is_write).filter(|entry| entry.expires_at.ms() <= now)
+            {
                 self.remove(entry.key);
             }
         }
     }
 
-    /// Evicts responses until there is room for further calls and bytes: reads before writes, the oldest first.
+    /// Evicts responses, in eviction order, until the given calls and bytes fit. Returns whether they fit.
     fn make_room(&mut self, calls: usize, bytes: usize) -> bool {
-        while self.calls.len() + calls > self.limits.calls || self.bytes + bytes > self.limits.bytes {
+        while self.calls.len() + calls > self.limits.max_calls || self.bytes + bytes > self.limits.max_bytes {
             if !self.evict(|_| true) {
                 return false;
             }
@@ -344,12 +350,13 @@
         true
     }
 
-    /// Evicts the first response of those for which `is_candidate` is true.
+    /// Evicts the first response, in eviction order, that satisfies `is_candidate`. Returns whether there was
+    /// one.
     fn evict(&mut self, is_candidate: impl Fn(&CompletedEntry) -> bool) -> bool {
         let Some(entry) = self.completed.iter().find(|entry| is_candidate(entry)).copied() else {
             return false;
         };
-        if entry.write {
+        if entry.is_write {
             self.metrics.evicted_writes += 1;
         } else {
             self.metrics.evicted_reads += 1;
@@ -359,16 +366,20 @@
     }
 
     fn remove(&mut self, key: CallKey) {
-        let Some(Call { write, state, .. }) = self.calls.remove(&key) else { return };
+        let Some(Call { is_write, state, .. }) = self.calls.remove(&key) else { return };
         self.bytes -= CALL_BYTES;
         match state {
             CallState::Completed { expires_ms, body_bytes, .. } => {
                 self.bytes -= body_bytes;
-                self.completed.remove(&CompletedEntry { write, expires: OrderedMs::new(expires_ms), key });
+                self.completed.remove(&CompletedEntry {
+                    is_write,
+                    expires_at: OrderedMs::new(expires_ms),
+                    key,
+                });
             }
             CallState::Running { detached_ms, .. } => {
-                let cancel = OrderedMs::new(detached_ms + self.limits.cancel_after_ms);
-                self.detached_reads.remove(&DetachedEntry { cancel, key });
+                let cancel_at = OrderedMs::new(detached_ms + self.limits.cancel_after_ms);
+                self.detached_reads.remove(&DetachedEntry { cancel_at, key });
             }
         }
         if let Some(count) = self.calls_of_session.get_mut(&key.session) {
