--- a/src/vrrp/admin.rs
+++ b/src/vrrp/admin.rs
@@ -1,5 +1,5 @@
-//! What operators see and control of a virtual router: the admin calls and the metrics. Paths, JSON keys and metric
-//! names are those of the first version.
+//! The admin calls and the metrics of a virtual router. Paths, JSON keys and metric names are kept from the
+//! first version, so that existing tools work with them.
 
 use super::config::FrontKind;
 use super::machine::State;
@@ -9,14 +9,14 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Path of the call that shows the state.
+/// Path of the call that returns the state.
 const STATUS_PATH: &str = "/vrrp";
-/// Path of the call that has the router step down.
+/// Path of the call that makes the router step down.
 const STEP_DOWN_PATH: &str = "/vrrp/aside";
-/// Path of the call that has the router resume.
+/// Path of the call that lets the router become active again.
 const RESUME_PATH: &str = "/vrrp/back";
 
-/// Body of the answer to the admin calls.
+/// Response body of the admin calls.
 #[derive(Serialize)]
 struct Status {
     vrid: u8,
@@ -67,7 +67,8 @@
 }
 
 impl VirtualRouter {
-    /// Answers the admin calls `GET /vrrp`, `POST /vrrp/aside` and `POST /vrrp/back`. Returns none for other paths.
+    /// Handles the admin calls `GET /vrrp`, `POST /vrrp/aside` and `POST /vrrp/back`. Returns `None` for
+    /// other paths.
     pub fn answer(&self, request: &HttpRequest) -> Option<HttpResponse> {
         let method = match request.target.as_str() {
             STATUS_PATH => "GET",
@@ -113,7 +114,7 @@
         }
     }
 
-    /// The metrics in the Prometheus text format.
+    /// Renders the metrics in the Prometheus text format.
     pub fn metrics(&self) -> String {
         let metrics = self.counters();
         let state = match self.state() {
--- a/src/vrrp/config.rs
+++ b/src/vrrp/config.rs
@@ -1,6 +1,7 @@
-//! The operator file of a virtual router, `serve --vrrp FILE`. Without it no advertisement is sent.
+//! The configuration file of a virtual router, `serve --vrrp FILE`. Without it, the proxy runs no virtual
+//! router.
 //!
-//! The keys of the file are those of the first version.
+//! The keys of the file are kept from the first version, so that existing files stay valid.
 
 use super::machine::RouterSettings;
 use super::message::OWNER_PRIORITY;
@@ -12,10 +13,10 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Longest duration in the file, in milliseconds.
+/// Upper bound of the durations in the file, in milliseconds.
 const MAX_DURATION_MS: f64 = 3_600_000.0;
 
-/// The front that a listener of a virtual address belongs to.
+/// The front that serves a listener of a virtual address.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FrontKind {
@@ -23,7 +24,7 @@
     Platform,
     /// The front for signed URLs.
     Signed,
-    /// gRPC pass-through.
+    /// The gRPC front.
     Grpc,
 }
 
@@ -31,9 +32,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VirtualListenerConfig {
-    /// Socket address at which it listens while the router is active.
+    /// Socket address to listen at while the router is active.
     pub address: String,
-    /// Front that serves it.
+    /// Front that serves the connections.
     pub front: FrontKind,
 }
 
@@ -44,7 +45,7 @@
     }
 }
 
-/// The operator file.
+/// The configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VrrpConfig {
@@ -65,22 +66,23 @@
     max_activations: usize,
     #[serde(default = "default_hold_ms")]
     flap_hold_ms: f64,
-    /// File with the keys that authenticate advertisements; without it they are those of the RFC.
+    /// File with the keys that authenticate advertisements; without it, advertisements are not authenticated.
     #[serde(default)]
     pub key_file: Option<PathBuf>,
-    /// How far a peer's clock may be from this one if advertisements are authenticated, in milliseconds.
+    /// Maximum difference between the clocks of a peer and this proxy if advertisements are authenticated, in
+    /// milliseconds.
     #[serde(default = "default_clock_skew_ms")]
     pub clock_skew_ms: f64,
-    /// Listeners that are open while the router is active.
+    /// Listeners to open while the router is active.
     #[serde(rename = "serve", default)]
     pub listeners: Vec<VirtualListenerConfig>,
-    /// Time for which not all listeners may be open while the router is active, in milliseconds.
+    /// How long an active router may fail to open all its listeners before it steps down, in milliseconds.
     #[serde(rename = "open_patience_ms", default = "default_open_timeout_ms")]
     pub open_timeout_ms: f64,
-    /// Time for which the router steps down after that, in milliseconds.
+    /// How long the router then stays out of the election, in milliseconds.
     #[serde(rename = "aside_ms", default = "default_hold_ms")]
     pub step_down_ms: f64,
-    /// Rules that lower the priority or put the router into the fault state.
+    /// Rules that reduce the priority or put the router into the fault state.
     #[serde(rename = "track", default)]
     pub track_rules: Vec<TrackRule>,
     /// Path of the file.
@@ -112,7 +114,7 @@
     2_000.0
 }
 
-/// The subsystems of a process that a virtual router may depend on.
+/// The enabled subsystems of the process that a virtual router may depend on.
 #[derive(Clone, Debug, Default)]
 pub struct EnabledSubsystems {
     /// Whether the front for signed URLs is enabled.
@@ -125,16 +127,16 @@
     pub registry: bool,
 }
 
-/// A field that depends on a subsystem that is disabled.
+/// A reference in the configuration file to a disabled subsystem.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum DisabledSubsystem {
-    /// The front of a listener is disabled.
+    /// The front that a listener refers to is disabled.
     #[error("`serve`: the front of {address} is disabled")]
     Front {
         /// Address of the listener.
         address: String,
     },
-    /// The subsystem of a tracked object is disabled.
+    /// The subsystem that provides the value of a tracked object is disabled.
     #[error("`track`: the subsystem of {object} is disabled")]
     TrackedObject {
         /// The object.
@@ -143,7 +145,7 @@
 }
 
 impl VrrpConfig {
-    /// Reads and checks the file.
+    /// Reads and validates the file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
@@ -151,7 +153,7 @@
         Ok(config)
     }
 
-    /// Reads and checks the same file again. Fields that need a new process must not have changed.
+    /// Reads and validates the file again. Returns an error if a field changed that requires a restart.
     pub fn reload(&self) -> Result<Self, ConfigError> {
         let reloaded = Self::read(&self.path)?;
         if reloaded.fixed_fields() != self.fixed_fields() {
@@ -213,7 +215,7 @@
         Ok(())
     }
 
-    /// Checks that the subsystems that listeners and tracked objects depend on are enabled.
+    /// Checks that the subsystems used by the listeners and the tracked objects are enabled.
     pub fn check_dependencies(&self, enabled: &EnabledSubsystems) -> Result<(), DisabledSubsystem> {
         let is_served = |listener: &&VirtualListenerConfig| match listener.front {
             FrontKind::Platform => true,
@@ -235,7 +237,7 @@
         Ok(())
     }
 
-    /// Settings of the state machine.
+    /// The settings of the state machine.
     pub fn router_settings(&self) -> RouterSettings {
         RouterSettings {
             listen: self.listen,
@@ -252,7 +254,7 @@
         }
     }
 
-    /// Reads the keys that authenticate advertisements, if a file is configured.
+    /// Reads the keys that authenticate advertisements, if a key file is configured.
     pub fn keys(&self) -> Result<Option<MessageKeys>, KeyFileError> {
         self.key_file.as_ref().map(|file| read_keys_beside(&self.path, file)).transpose()
     }
--- a/src/vrrp/driver.rs
+++ b/src/vrrp/driver.rs
@@ -1,4 +1,4 @@
-//! The task of a virtual router: its UDP socket, its timers and the sampling of tracked objects.
+//! The task that runs a virtual router: UDP socket, timers and sampling of tracked objects.
 
 use super::machine::State;
 use super::message::Advertisement;
@@ -13,7 +13,7 @@
 /// Size of the receive buffer, in bytes. Longer datagrams are truncated and then rejected as malformed.
 const MAX_DATAGRAM_BYTES: usize = 512;
 
-/// Runs a virtual router until `stop` is notified. Its listeners stay open then, until the caller closes them.
+/// Runs a virtual router until `stop` is notified. The caller then closes the router's listeners.
 pub async fn run(router: Rc<VirtualRouter>, socket: UdpSocket, stop: Rc<Notify>) {
     let clock = router.host.clock.clone();
     let mut buffer = [0u8; MAX_DATAGRAM_BYTES];
@@ -47,7 +47,7 @@
                     outgoing.extend(router.sample_tracked_objects());
                 }
             }
-            // An error is that of an earlier send to a failed peer.
+            // A receive error reports the failure of an earlier send, such as ICMP port unreachable.
             received = socket.recv_from(&mut buffer) => if let Ok((length, from)) = received {
                 outgoing.extend(router.receive(from, &buffer[..length]));
             },
@@ -58,7 +58,7 @@
 async fn send_to_peers(router: &VirtualRouter, socket: &UdpSocket, advertisement: &Advertisement) {
     let peers = router.config.borrow().router_settings().peers;
     for peer in peers {
-        // Errors are only counted: a failed peer is detected by its silence.
+        // A send error needs no handling: a failed peer is detected by its missing advertisements.
         let sent = socket.send_to(&router.encode(advertisement), peer).await.is_ok();
         router.count(|metrics| metrics.sent += u64::from(sent));
         router.host.with(|engine| engine.counters.vrrp_sent += u64::from(sent));
--- a/src/vrrp/host_values.rs
+++ b/src/vrrp/host_values.rs
@@ -1,18 +1,18 @@
-//! The values of tracked objects that the proxy itself knows.
+//! The values of tracked objects that the engine, admission control and the file system provide.
 
 use super::track::{EndedRequests, RejectedShare, TrackedObject, TrackedValues};
 use crate::engine::executor::Executor;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Values of the engine, of admission control and of files. Values of other subsystems are unknown here.
+/// Provides the values of the engine, of admission control and of files; other values are unknown to it.
 pub struct HostValues {
     host: Rc<Executor>,
     rejected_share: RefCell<RejectedShare>,
 }
 
 impl HostValues {
-    /// Creates the source of values of a host.
+    /// Creates the source of the values of `host`.
     pub fn new(host: Rc<Executor>) -> Self {
         Self { host, rejected_share: RefCell::default() }
     }
--- a/src/vrrp/listeners.rs
+++ b/src/vrrp/listeners.rs
@@ -1,20 +1,20 @@
-//! Decides which listeners of the virtual addresses are open: all while the router is active, none otherwise. A listener
-//! that cannot be opened is retried with backoff. If that goes on for too long, the router steps down for a while,
-//! because a backup may be able to serve. No I/O.
+//! Decides which listeners of the virtual addresses are open: all while the router is active, none otherwise.
+//! A listener that cannot be opened is retried with exponential backoff. If not all are open within a
+//! timeout, the router steps down for a while, because a backup may be able to serve. No I/O.
 
 use super::machine::State;
 
-/// First backoff after a listener could not be opened, in milliseconds.
+/// Backoff after the first failure to open a listener, in milliseconds.
 const MIN_BACKOFF_MS: f64 = 20.0;
-/// Longest backoff, in milliseconds.
+/// Upper bound of the backoff, in milliseconds.
 const MAX_BACKOFF_MS: f64 = 500.0;
 
-/// A command to open or close the listener of an index.
+/// A command to open or close the listener with the given index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerCommand {
-    /// Open the listener and report the result by [`ListenerSet::opened`].
+    /// Open the listener and pass the result to [`ListenerSet::opened`].
     Open(usize),
-    /// Accept no new connections and answer all open requests.
+    /// Stop accepting connections and drain the open ones.
     Close(usize),
 }
 
@@ -22,12 +22,12 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ListenerState {
     Closed,
-    /// The listener could not be opened and is retried.
+    /// The last attempt to open the listener failed; the next one is due at `retry_ms`.
     Backoff {
         retry_ms: f64,
         next_backoff_ms: f64,
     },
-    /// The command to open was given and its result is not yet reported.
+    /// [`ListenerCommand::Open`] was returned and its result is not yet known.
     Opening {
         backoff_ms: f64,
     },
@@ -39,7 +39,7 @@
 pub struct ListenerSet {
     listeners: Vec<ListenerState>,
     active: bool,
-    /// Since when the router is active and not all listeners are open.
+    /// Since when the router has been active without all listeners open.
     incomplete_since_ms: Option<f64>,
     open_timeout_ms: f64,
     step_down_ms: f64,
@@ -50,8 +50,8 @@
 impl ListenerSet {
     /// Creates a set of closed listeners.
     ///
-    /// `open_timeout_ms` is how long some of them may not be open while the router is active, and `step_down_ms` is how
-    /// long the router steps down after that.
+    /// If the router is active and not all listeners are open for `open_timeout_ms`, it steps down for
+    /// `step_down_ms`.
     pub fn new(listeners: usize, open_timeout_ms: f64, step_down_ms: f64) -> Self {
         Self {
             listeners: vec![ListenerState::Closed; listeners],
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Applies the router's state. Returns the commands that follow from it.
+    /// Applies the router's state. Returns the commands to execute.
     pub fn follow(&mut self, now: f64, state: State) -> Vec<ListenerCommand> {
         self.active = state == State::Active;
         let active = self.active;
@@ -78,7 +78,7 @@
         commands
     }
 
-    /// Has the router step down if not all listeners could be opened in time.
+    /// Makes the router step down if not all listeners were opened within the timeout.
     fn check_timeout(&mut self, now: f64) {
         let incomplete = self.active && self.listeners.iter().any(|state| *state != ListenerState::Open);
         self.incomplete_since_ms = incomplete.then(|| self.incomplete_since_ms.unwrap_or(now));
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Reports whether a listener could be opened.
+    /// Records the result of an attempt to open a listener.
     pub fn opened(&mut self, now: f64, index: usize, success: bool) {
         let Some(listener) = self.listeners.get_mut(index) else { return };
         let ListenerState::Opening { backoff_ms } = *listener else { return };
@@ -101,12 +101,12 @@
         };
     }
 
-    /// Whether the router has to step down because listeners could not be opened.
+    /// Whether the router must stay out of the election because listeners could not be opened.
     pub fn has_stepped_down(&self, now: f64) -> bool {
         now < self.stepped_down_until_ms
     }
 
-    /// How often the router stepped down because listeners could not be opened.
+    /// Number of times that the router stepped down because listeners could not be opened.
     pub fn step_downs(&self) -> u64 {
         self.step_downs
     }
@@ -116,7 +116,7 @@
         self.listeners.get(index) == Some(&ListenerState::Open)
     }
 
-    /// When [`Self::follow`] has to be called next.
+    /// When [`Self::follow`] must be called next at the latest.
     pub fn due_ms(&self) -> f64 {
         let retries = self.listeners.iter().map(|listener| match listener {
             ListenerState::Backoff { retry_ms, .. } if self.active => *retry_ms,
@@ -128,7 +128,7 @@
 }
 
 impl ListenerState {
-    /// Moves the listener towards being open while the router is active, and closed otherwise.
+    /// Returns the command that opens the listener if the router is active, or closes it otherwise.
     fn follow(&mut self, now: f64, active: bool, index: usize) -> Option<ListenerCommand> {
         match (*self, active) {
             (Self::Closed, true) => {
--- a/src/vrrp/listeners/tests.rs
+++ b/src/vrrp/listeners/tests.rs
@@ -7,7 +7,7 @@
     assert_eq!(listeners.follow(1.0, State::Active), [ListenerCommand::Open(0), ListenerCommand::Open(1)]);
     assert_eq!(listeners.follow(2.0, State::Active), [], "given once");
     listeners.opened(2.0, 0, true);
-    // It ceases to be active before the second result is reported: that listener is closed too.
+    // The router ceases to be active before the second result is known: that listener is closed too.
     assert_eq!(listeners.follow(3.0, State::Backup), [ListenerCommand::Close(0), ListenerCommand::Close(1)]);
     listeners.opened(4.0, 1, true);
     assert!(!listeners.is_open(1), "the result came after the command to close");
@@ -38,7 +38,7 @@
     assert!((5..12).contains(&attempts.len()), "{attempts:?}");
     assert_eq!(listeners.follow(now, State::Fault), [], "nothing is open");
     assert!(listeners.has_stepped_down(11_999.0) && !listeners.has_stepped_down(12_000.0));
-    // It takes part again, and the listener can be opened.
+    // The router becomes active again, and the listener can be opened.
     assert_eq!(listeners.follow(13_000.0, State::Active), [ListenerCommand::Open(0)]);
     listeners.opened(13_000.0, 0, true);
     assert!(listeners.is_open(0) && listeners.follow(20_000.0, State::Active).is_empty());
--- a/src/vrrp/machine.rs
+++ b/src/vrrp/machine.rs
@@ -1,72 +1,78 @@
-//! The state machine of one virtual router (RFC 9568, section 6.4). No I/O; time is given by the caller in milliseconds.
+//! The state machine of one virtual router (RFC 9568, section 6.4). No I/O: callers pass the current time, in
+//! milliseconds.
 //!
-//! Beyond the RFC, each off by default: a priority that follows tracked objects, a fault state in which the router does
-//! not take part, a preemption delay, more missed advertisements before the active router counts as down, and no
-//! preemption for a while after flapping. A failed active router is replaced regardless of these.
+//! Extensions to the RFC, all off by default: a priority that depends on tracked objects, a fault state in
+//! which the router takes no part in the election, a preemption delay, a configurable number of missed
+//! advertisements before the active router counts as down, and a pause of preemption after flapping. None of
+//! the preemption settings delays the replacement of a failed active router.
 
 use super::message::{Advertisement, CENTISECOND_MS, OWNER_PRIORITY, STOP_PRIORITY};
 use crate::config_file::FieldError;
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Most other routers.
+/// Maximum number of peers.
 pub const MAX_PEERS: usize = 4_096;
-/// Most virtual addresses of one router.
+/// Maximum number of virtual addresses of one router.
 pub const MAX_ADDRESSES: usize = 16;
 
-/// Longest advertisement interval that a message holds, in centiseconds.
+/// Longest advertisement interval that the 12-bit field of the message can hold, in centiseconds.
 const MAX_INTERVAL_CS: u16 = 4_095;
-/// Longest delay, in milliseconds.
+/// Upper bound of the delays, in milliseconds.
 const MAX_DELAY_MS: f64 = 3_600_000.0;
-/// Most consecutive missed advertisements until the active router counts as down.
+/// Upper bound of [`RouterSettings::down_intervals`].
 const MAX_DOWN_INTERVALS: u8 = 100;
 
-/// The states of RFC 9568, section 6.4, and a fault state.
+/// The states of RFC 9568, section 6.4, and the fault state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Not started.
+    /// Not started, or stopped.
     Initialize,
-    /// Another router is active, or none is yet.
+    /// Monitors the active router, to replace it if it fails.
     Backup,
-    /// This router is active.
+    /// Serves the virtual addresses and sends advertisements.
     Active,
-    /// This router cannot serve, or its operator had it step down: it must not become active.
+    /// Cannot serve, or stepped down by request of an operator: must not become active.
     Fault,
 }
 
-/// Configuration of one proxy for a virtual router.
+/// The settings of one proxy for a virtual router.
 #[derive(Clone, Debug)]
 pub struct RouterSettings {
-    /// Address at which this proxy receives advertisements; it decides between equal priorities.
+    /// Address at which this proxy receives advertisements. Of two routers of equal priority, the one with
+    /// the higher address wins the election.
     pub listen: SocketAddr,
     /// Addresses of the other proxies of the virtual router.
     pub peers: Vec<SocketAddr>,
-    /// Identifier of the virtual router, from 1.
+    /// Virtual router identifier (VRID), 1 to 255.
     pub vrid: u8,
     /// Priority: 1 to 254, or 255 for the owner of the addresses.
     pub priority: u8,
-    /// Time between advertisements, in centiseconds.
+    /// Advertisement interval, in centiseconds.
     pub interval_cs: u16,
-    /// Whether this router takes over from an active router of a lower priority.
+    /// Whether this router preempts an active router of lower priority.
     pub preempt: bool,
     /// The virtual addresses.
     pub addresses: Vec<Ipv4Addr>,
-    /// Time for which a router of a lower priority must have been active before it is preempted, in milliseconds.
+    /// How long an active router of lower priority must have been observed before it is preempted, in
+    /// milliseconds.
     pub preempt_delay_ms: f64,
-    /// Consecutive missed advertisements after which the active router counts as down; 3 in the RFC.
+    /// Number of consecutive missed advertisements after which the active router counts as down; the RFC uses
+    /// 3.
     pub down_intervals: u8,
-    /// Most times that this router may become active within a minute before it stops preempting; 0 for no bound.
+    /// Maximum number of times that this router may become active within [`FLAP_WINDOW_MS`] before it pauses
+    /// preemption; 0 for no limit.
     pub max_activations: usize,
-    /// Time without preemption after too many activations, in milliseconds.
+    /// Duration of the pause of preemption after too many activations, in milliseconds.
     pub flap_hold_ms: f64,
 }
 
-/// Time over which activations are counted, in milliseconds.
+/// Length of the sliding window in which activations are counted, in milliseconds.
 const FLAP_WINDOW_MS: f64 = 60_000.0;
 
 impl RouterSettings {
-    /// The defaults of the RFC, with one advertisement per second.
+    /// Creates settings with the defaults of the RFC: one advertisement per second, with preemption.
     pub fn new(
         listen: SocketAddr,
         peers: Vec<SocketAddr>,
@@ -89,7 +95,7 @@
         }
     }
 
-    /// Checks the values of all fields.
+    /// Validates all fields.
     pub fn check(&self) -> Result<(), FieldError> {
         let error = |field, reason: String| Err(FieldError::new(field, reason));
         let all = self.peers.iter().chain([&self.listen]);
@@ -125,20 +131,21 @@
         Ok(())
     }
 
-    /// Time after the active router's last advertisement at which a backup of `priority` takes over, in milliseconds, if
-    /// the active router has the same interval.
+    /// Time from the active router's last advertisement until a backup of `priority` takes over, in
+    /// milliseconds, if both routers have the same advertisement interval.
     pub fn takeover_ms(&self, priority: u8) -> f64 {
         let interval_ms = self.interval_ms();
         f64::from(self.down_intervals) * interval_ms + skew_ms(priority, interval_ms)
     }
 
-    /// Time between advertisements, in milliseconds.
+    /// Advertisement interval, in milliseconds.
     fn interval_ms(&self) -> f64 {
         f64::from(self.interval_cs) * CENTISECOND_MS
     }
 }
 
-/// `Skew_Time` of the RFC, in milliseconds: the lower the priority, the longer.
+/// `Skew_Time` of the RFC, in milliseconds. It decreases with the priority, so that the backup of the highest
+/// priority takes over first.
 fn skew_ms(priority: u8, interval_ms: f64) -> f64 {
     f64::from(256 - u16::from(priority)) * interval_ms / 256.0
 }
@@ -148,19 +155,19 @@
 pub struct Machine {
     settings: RouterSettings,
     state: State,
-    /// Current priority.
+    /// Current priority, after reductions by tracked objects.
     priority: u8,
     /// Advertisement interval of the active router, in milliseconds.
     active_interval_ms: f64,
-    /// When the next advertisement (active) or the end of the active router (backup) is due.
+    /// When the `Adver_Timer` (active) or the `Active_Down_Timer` (backup) of the RFC expires.
     due_ms: f64,
-    /// When the wait for the end of the active router began.
+    /// When the `Active_Down_Timer` was started.
     wait_started_ms: f64,
-    /// Since when a router of a lower priority is active.
+    /// Since when advertisements of an active router of lower priority have been received.
     lower_active_since_ms: Option<f64>,
-    /// When this router became active within [`FLAP_WINDOW_MS`].
+    /// Times of the activations within [`FLAP_WINDOW_MS`].
     activations: VecDeque<f64>,
-    /// No preemption before this time.
+    /// End of the pause of preemption after flapping.
     no_preemption_until_ms: f64,
 }
 
@@ -190,17 +197,17 @@
         self.priority
     }
 
-    /// Time until which this router preempts no other, because of flapping.
+    /// End of the pause of preemption after flapping; in the past if there is none.
     pub fn no_preemption_until_ms(&self) -> f64 {
         self.no_preemption_until_ms
     }
 
-    /// When [`Self::tick`] has to be called next.
+    /// When [`Self::tick`] must be called next.
     pub fn due_ms(&self) -> f64 {
         self.due_ms
     }
 
-    /// Replaces the settings. The state and a wait in progress stay.
+    /// Replaces the settings. The state and running timers are kept.
     pub fn reconfigure(&mut self, settings: RouterSettings) {
         self.settings = settings;
     }
@@ -225,7 +232,7 @@
         Some(self.advertisement(self.priority))
     }
 
-    /// Starts the wait for the end of the active router.
+    /// Starts the `Active_Down_Timer`.
     fn wait(&mut self, now: f64) {
         (self.wait_started_ms, self.due_ms) = (now, now + self.active_down_ms());
     }
@@ -249,7 +256,7 @@
         self.advertise(now)
     }
 
-    /// Starts the router. Returns the advertisement to send, if any; so do the other methods.
+    /// Starts the router. Like the other event handlers, returns the advertisement to send, if any.
     pub fn start(&mut self, now: f64) -> Option<Advertisement> {
         if self.state != State::Initialize {
             return None;
@@ -261,19 +268,21 @@
         None
     }
 
-    /// Stops the router. An active one advertises priority 0, so that a backup takes over without waiting.
+    /// Stops the router. An active router advertises priority 0, so that a backup takes over after its
+    /// `Skew_Time` alone.
     pub fn stop(&mut self) -> Option<Advertisement> {
         self.leave(State::Initialize)
     }
 
-    /// Leaves the current state for one without timers.
+    /// Stops taking part in the election: enters `to`, a state without timers.
     fn leave(&mut self, to: State) -> Option<Advertisement> {
         self.due_ms = f64::INFINITY;
         let previous = std::mem::replace(&mut self.state, to);
         (previous == State::Active).then(|| self.advertisement(STOP_PRIORITY))
     }
 
-    /// Enters or leaves the fault state. An active router advertises priority 0; one that recovers becomes a backup.
+    /// Enters or leaves the fault state. An active router that enters it advertises priority 0; a router that
+    /// leaves it becomes a backup.
     pub fn set_fault(&mut self, now: f64, fault: bool) -> Option<Advertisement> {
         match (self.state, fault) {
             (State::Backup | State::Active, true) => self.leave(State::Fault),
@@ -285,8 +294,8 @@
         }
     }
 
-    /// Changes the priority. An active router advertises it at once, so that a router of a higher priority takes over
-    /// without waiting.
+    /// Changes the priority. An active router advertises it immediately, so that a router of higher priority
+    /// can preempt it without waiting for the next advertisement.
     pub fn set_priority(&mut self, now: f64, priority: u8) -> Option<Advertisement> {
         let priority = if self.settings.priority == OWNER_PRIORITY {
             OWNER_PRIORITY
@@ -300,7 +309,7 @@
         match self.state {
             State::Active => self.advertise(now),
             State::Backup => {
-                // The skew of the wait in progress depends on the priority.
+                // The `Skew_Time` in the running timer depends on the priority.
                 self.due_ms = self.wait_started_ms + self.active_down_ms();
                 None
             }
@@ -308,7 +317,7 @@
         }
     }
 
-    /// Handles timers that are due by `now`.
+    /// Handles the expiry of a timer by `now`.
     pub fn tick(&mut self, now: f64) -> Option<Advertisement> {
         if now < self.due_ms || matches!(self.state, State::Initialize | State::Fault) {
             return None;
@@ -316,7 +325,8 @@
         self.become_active(now)
     }
 
-    /// Whether this router may preempt the active router, which has a lower priority.
+    /// Whether this router may now preempt the active router of lower priority whose advertisement it
+    /// received.
     fn may_preempt(&mut self, now: f64) -> bool {
         let since = *self.lower_active_since_ms.get_or_insert(now);
         self.settings.preempt
@@ -324,7 +334,7 @@
             && now >= self.no_preemption_until_ms
     }
 
-    /// Handles an advertisement of the router at `from`.
+    /// Handles an advertisement from the router at `from`.
     pub fn receive(&mut self, now: f64, from: SocketAddr, received: &Advertisement) -> Option<Advertisement> {
         if received.vrid != self.settings.vrid {
             return None;
@@ -341,7 +351,7 @@
 
     fn receive_as_backup(&mut self, now: f64, received: &Advertisement) {
         if received.priority == STOP_PRIORITY {
-            // Only the skew time of the wait is left.
+            // The active router stopped: wait for the `Skew_Time` only.
             self.wait_started_ms = now - self.active_down_ms() + self.skew_ms();
             self.due_ms = now + self.skew_ms();
             self.lower_active_since_ms = None;
@@ -365,7 +375,7 @@
             self.become_backup(now, received.interval_ms());
             return None;
         }
-        // A router that stops, or that must not be active, learns that this one is active.
+        // Inform a router that stopped, or an active router of lower precedence, that this router is active.
         self.advertise(now)
     }
 }
--- a/src/vrrp/machine/tests.rs
+++ b/src/vrrp/machine/tests.rs
@@ -58,8 +58,8 @@
         }
         assert!(now < 20_000.0);
     }
-    // A router of a lower priority advertises from 1 s on and holds preemption back until 6 s; then three intervals and
-    // the skew pass.
+    // A router of lower priority advertises from 1 s on, so that preemption is delayed until 6 s; then three
+    // intervals and the skew time elapse.
     assert!((8_000.0..9_500.0).contains(&now), "{now}");
     let mut machine = self::machine(200, |settings| settings.preempt_delay_ms = 60_000.0);
     machine.start(0.0);
@@ -72,7 +72,7 @@
     let mut machine = machine(150, |settings| settings.max_activations = 3);
     machine.start(0.0);
     let (mut now, mut changes) = (0.0, 0);
-    // A peer whose priority is alternately higher and lower, so that this router becomes active and backup in turn.
+    // The peer's priority alternates between higher and lower, so that this router alternates between states.
     while now < 60_000.0 {
         now += 100.0;
         let was = machine.state();
--- a/src/vrrp/message.rs
+++ b/src/vrrp/message.rs
@@ -1,25 +1,25 @@
-//! The VRRP version 3 advertisement for IPv4 (RFC 9568, section 5), carried in a UDP datagram. The checksum covers the
-//! message alone, without a pseudo-header. No I/O.
+//! The VRRP version 3 advertisement for IPv4 (RFC 9568, section 5), carried in a UDP datagram. The checksum
+//! covers the message alone, without a pseudo-header. No I/O.
 
 use std::net::Ipv4Addr;
 use thiserror::Error;
 
 /// Priority of the owner of the virtual addresses.
 pub const OWNER_PRIORITY: u8 = 255;
-/// Priority in the advertisement of an active router that gives up the addresses.
+/// Priority that an active router advertises when it stops serving the virtual addresses.
 pub const STOP_PRIORITY: u8 = 0;
-/// Label of the signatures of authenticated advertisements, which separates them from other protocols under the same
-/// keys.
+/// Domain separation label of the signatures of advertisements: signatures of other protocols under the same
+/// keys are not valid for them.
 pub const LABEL: &[u8] = b"calicobeam vrrp 1";
 /// Milliseconds in a centisecond.
 pub const CENTISECOND_MS: f64 = 10.0;
-/// Length of a message before its addresses, in bytes.
+/// Length of the fixed part of a message, before the addresses, in bytes.
 const HEADER_BYTES: usize = 8;
 /// Length of an IPv4 address, in bytes.
 const ADDRESS_BYTES: usize = 4;
 /// First byte of an advertisement: version 3, type 1.
 const VERSION_AND_TYPE: u8 = 0x31;
-/// Where the checksum is in a message.
+/// Byte range of the checksum in a message.
 const CHECKSUM: std::ops::Range<usize> = 6..8;
 
 /// A message that is not a valid advertisement.
@@ -34,7 +34,7 @@
     /// The checksum is wrong.
     #[error("wrong checksum")]
     Checksum,
-    /// The interval is 0.
+    /// The advertisement interval is 0.
     #[error("the interval is 0")]
     Interval,
 }
@@ -42,9 +42,9 @@
 /// An advertisement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advertisement {
-    /// Identifier of the virtual router.
+    /// Virtual router identifier (VRID).
     pub vrid: u8,
-    /// Priority of the sender, or [`STOP_PRIORITY`] if it gives up the addresses.
+    /// Priority of the sender, or [`STOP_PRIORITY`] if it stops serving the virtual addresses.
     pub priority: u8,
     /// Advertisement interval of the sender, in centiseconds: 1 to 4095.
     pub interval_cs: u16,
@@ -52,7 +52,7 @@
     pub addresses: Vec<Ipv4Addr>,
 }
 
-/// The ones' complement sum of RFC 1071.
+/// The Internet checksum (RFC 1071): complement of the ones' complement sum.
 fn checksum(bytes: &[u8]) -> u16 {
     let word = |pair: &[u8]| u32::from(pair[0]) << 8 | u32::from(*pair.get(1).unwrap_or(&0));
     let mut sum: u32 = bytes.chunks(2).map(word).sum();
--- a/src/vrrp/mod.rs
+++ b/src/vrrp/mod.rs
@@ -1,21 +1,21 @@
-//! A virtual router (VRRP version 3, RFC 9568) over unicast UDP: its state opens and closes the listeners of the virtual
-//! addresses, and its priority follows tracked objects.
+//! A virtual router (VRRP version 3, RFC 9568) over unicast UDP. The active router opens the listeners of the
+//! virtual addresses; the priority of a router depends on tracked objects.
 //!
 //! | module | responsibility | I/O |
 //! | --- | --- | --- |
-//! | [`message`] | the advertisement on the wire | none |
+//! | [`message`] | encoding and decoding of advertisements | none |
 //! | [`machine`] | the state machine | none |
-//! | [`track`] | tracked objects and the priority that follows | none |
-//! | [`listeners`] | which listeners are open, and backoff | none |
-//! | [`config`] | the operator file | a file |
-//! | [`host_values`] | values of tracked objects that the proxy itself knows | files |
+//! | [`track`] | tracked objects and the resulting priority | none |
+//! | [`listeners`] | which listeners to open or close, with backoff | none |
+//! | [`config`] | the configuration file | files |
+//! | [`host_values`] | values of tracked objects of the engine, admission control and files | files |
 //! | [`virtual_addresses`] | opens and closes the listeners | TCP listeners |
-//! | [`router`] | the router: state machine, authentication, peers, counters | none |
+//! | [`router`] | state machine, authentication, peers and counters of a running router | none |
 //! | [`driver`] | the task: datagrams and timers | a UDP socket |
 //! | `admin` | the admin calls and the metrics | none |
 //!
-//! Datagrams are authenticated by [`crate::datagram_auth`]. Design note: `docs/design-vrrp.md`. Operator page:
-//! `docs/vrrp.md`.
+//! Datagrams are authenticated by [`crate::datagram_auth`]. Design note: `docs/design-vrrp.md`. Operator
+//! page: `docs/vrrp.md`.
 
 mod admin;
 pub mod config;
--- a/src/vrrp/router.rs
+++ b/src/vrrp/router.rs
@@ -1,5 +1,5 @@
-//! A virtual router in service: its state machine, its tracked objects, the authentication of its peers' datagrams and
-//! its listeners. The task in [`super::driver`] drives it.
+//! A running virtual router: state machine, tracked objects, authentication of the peers' datagrams, and
+//! listeners. The task in [`super::driver`] drives it.
 
 use super::config::VrrpConfig;
 use super::machine::{Machine, State};
@@ -17,65 +17,65 @@
 use thiserror::Error;
 use tokio::sync::Notify;
 
-/// What is known of a peer, as the admin call shows it.
+/// Last advertisement of a peer, as reported by the admin call.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Peer {
-    /// When its last advertisement was received, in Unix milliseconds.
+    /// Time of receipt, in Unix milliseconds.
     #[serde(rename = "heard_ms")]
     last_received_ms: f64,
-    /// Priority in its last advertisement.
+    /// Advertised priority.
     priority: u8,
 }
 
-/// Counters of a virtual router, as the admin call shows them.
+/// Counters of a virtual router, as reported by the admin call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RouterMetrics {
-    /// Times that the router became active.
+    /// Number of times that the router became active.
     pub became_active: u64,
-    /// Times that the router ceased to be active.
+    /// Number of times that the router ceased to be active.
     #[serde(rename = "gave_up")]
     pub ceased_active: u64,
     /// Datagrams sent.
     pub sent: u64,
-    /// Advertisements received.
+    /// Valid advertisements received.
     pub received: u64,
-    /// Datagrams that are not a valid advertisement.
+    /// Datagrams that do not contain a valid advertisement.
     pub malformed: u64,
-    /// Datagrams without a signature or with a wrong one.
+    /// Datagrams with a missing or wrong signature.
     #[serde(rename = "unsealed")]
     pub unauthenticated: u64,
-    /// Datagrams that are replayed or too old.
+    /// Datagrams that were replayed, or whose timestamp is too far from this proxy's clock.
     pub replayed: u64,
-    /// Datagrams from an address that is no peer's.
+    /// Datagrams from addresses that are not configured as peers.
     #[serde(rename = "strangers")]
     pub unknown_senders: u64,
-    /// Advertisements of another virtual router, or of other addresses.
+    /// Advertisements with another VRID or other virtual addresses.
     pub mismatched: u64,
-    /// Advertisements of another active router while this one was active.
+    /// Advertisements received from another active router while this one was active.
     #[serde(rename = "splits")]
     pub active_conflicts: u64,
-    /// Times that a listener could not be opened.
+    /// Number of failed attempts to open a listener.
     pub open_failures: u64,
 }
 
-/// A datagram that is rejected.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 enum Rejection {
-    /// The sender's address is no peer's.
+    /// The sender's address is not configured as a peer.
     #[error("the sender is not a peer")]
     UnknownSender,
-    /// The datagram is not authentic.
+    /// The signature or the sequence number of the datagram is not valid.
     #[error(transparent)]
     NotAuthentic(#[from] AuthError),
     /// The message is not a valid advertisement.
     #[error("malformed advertisement: {0}")]
     Malformed(#[from] DecodeError),
-    /// The advertisement is of another virtual router, or of other addresses.
+    /// The advertisement has another VRID or other virtual addresses.
     #[error("another virtual router, or other addresses")]
     Mismatched,
 }
 
-/// A virtual router, shared by its task and the admin address.
+/// A virtual router, shared by its task and the admin calls.
 pub struct VirtualRouter {
     pub(super) host: Rc<Executor>,
     pub(super) config: RefCell<VrrpConfig>,
@@ -85,17 +85,17 @@
     tracked_values: Box<dyn TrackedValues>,
     auth: RefCell<Option<DatagramAuth>>,
     pub(super) peers: RefCell<BTreeMap<SocketAddr, Peer>>,
-    /// Whether the operator had the router step down.
+    /// Whether an operator made the router step down.
     pub(super) stepped_down: Cell<bool>,
     /// When the state last changed, in Unix milliseconds.
     pub(super) state_since_ms: Cell<f64>,
-    /// Notified when the task has to sample the tracked objects at once.
+    /// Makes the task sample the tracked objects immediately.
     pub(super) wake: Notify,
     metrics: Cell<RouterMetrics>,
 }
 
 impl VirtualRouter {
-    /// Creates the router of an operator file, not yet started.
+    /// Creates a router from its configuration file, without starting it.
     pub fn new(
         host: Rc<Executor>,
         config: VrrpConfig,
@@ -119,8 +119,8 @@
         }))
     }
 
-    /// Applies a reloaded operator file: priority, keys, tracking rules and delays. If the keys cannot be read, nothing
-    /// changes.
+    /// Applies a reloaded configuration file: priority, keys, tracking rules and delays. If the keys cannot
+    /// be read, nothing changes.
     pub fn reconfigure(&self, config: VrrpConfig) -> Result<(), KeyFileError> {
         let keys = config.keys()?;
         match (&mut *self.auth.borrow_mut(), keys) {
@@ -134,7 +134,7 @@
         Ok(())
     }
 
-    /// Replaces the tracking rules. An object that is failed stays so until it recovers by its new rule.
+    /// Replaces the tracking rules. A failed object stays failed until it recovers according to its new rule.
     fn replace_trackers(&self, config: &VrrpConfig) {
         let mut trackers = self.trackers.borrow_mut();
         let replaced = config.track_rules.iter().cloned().map(|rule| {
@@ -149,29 +149,29 @@
         self.machine.borrow().state()
     }
 
-    /// Has the router step down until [`Self::resume`], by its operator's request.
+    /// Keeps the router out of the election until [`Self::resume`], by request of an operator.
     pub fn step_down(&self) {
         self.stepped_down.set(true);
         self.wake.notify_one();
     }
 
-    /// Has the router take part again, as a backup.
+    /// Lets the router take part in the election again, as a backup.
     pub fn resume(&self) {
         self.stepped_down.set(false);
         self.wake.notify_one();
     }
 
-    /// Closes the listeners of the virtual addresses. Open requests are answered.
+    /// Closes the listeners of the virtual addresses and drains their connections.
     pub fn close_all(&self) {
         self.addresses.close_all();
     }
 
-    /// Clients' connections at the virtual addresses.
+    /// Number of open client connections at the virtual addresses.
     pub fn open_connections(&self) -> usize {
         self.addresses.open_connections()
     }
 
-    /// The counters.
+    /// The current values of the counters.
     pub fn counters(&self) -> RouterMetrics {
         RouterMetrics { open_failures: self.addresses.open_failures(), ..self.metrics.get() }
     }
@@ -182,7 +182,7 @@
         self.metrics.set(metrics);
     }
 
-    /// Records a change of the state.
+    /// Counts and logs a change of the state.
     pub(super) fn state_changed(&self, now: f64, previous: State, state: State) {
         self.state_since_ms.set(now);
         self.host.with(|engine| engine.counters.vrrp_changes += 1);
@@ -199,7 +199,8 @@
         );
     }
 
-    /// Samples the tracked objects and applies the priority that follows. Returns the advertisements to send.
+    /// Samples the tracked objects and applies the resulting priority and fault state. Returns the
+    /// advertisements to send.
     pub(super) fn sample_tracked_objects(&self) -> Vec<Advertisement> {
         let now = self.host.clock.now();
         self.update_trackers(now);
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Handles a datagram. Returns the advertisement to send, if any.
+    /// Handles a received datagram. Returns the advertisement to send, if any.
     pub(super) fn receive(&self, from: SocketAddr, datagram: &[u8]) -> Option<Advertisement> {
         let now = self.host.clock.now();
         let advertisement = match self.accept(now, from, datagram) {
@@ -246,7 +247,7 @@
         self.machine.borrow_mut().receive(now, from, &advertisement)
     }
 
-    /// Authenticates, decodes and checks a datagram.
+    /// Authenticates, decodes and validates a datagram.
     fn accept(&self, now: f64, from: SocketAddr, datagram: &[u8]) -> Result<Advertisement, Rejection> {
         let settings = self.config.borrow().router_settings();
         if !settings.peers.contains(&from) {
@@ -263,8 +264,8 @@
         Ok(advertisement)
     }
 
-    /// Counts a rejected datagram. Of those from peers, the first is logged and then each whose number is a power of
-    /// two.
+    /// Counts a rejected datagram. To limit the log volume, datagrams from unknown senders are not logged,
+    /// and others only if their count is a power of two.
     fn reject(&self, from: SocketAddr, rejection: Rejection) {
         self.count(|metrics| match rejection {
             Rejection::UnknownSender => metrics.unknown_senders += 1,
@@ -285,7 +286,8 @@
         }
     }
 
-    /// Encodes an advertisement, with a signature of its own if the datagrams are authenticated.
+    /// Encodes an advertisement, and signs it if authentication is configured. Each call returns a new
+    /// sequence number.
     pub(super) fn encode(&self, advertisement: &Advertisement) -> Vec<u8> {
         let message = advertisement.encode();
         match &mut *self.auth.borrow_mut() {
--- a/src/vrrp/track.rs
+++ b/src/vrrp/track.rs
@@ -1,5 +1,6 @@
-//! Tracked objects and the priority that follows from them. Each object has a value that is sampled over and over; it
-//! counts as failed once the value was out of bounds for a while, and as recovered once it was back for a while. No I/O.
+//! Tracked objects and the resulting priority of the router. The value of each object is sampled
+//! periodically. An object fails when its value has been out of bounds for a configured time, and recovers
+//! when the value has been within bounds for a configured time. No I/O.
 
 use super::message::OWNER_PRIORITY;
 use serde::Deserialize;
@@ -8,30 +9,31 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// An object whose value is tracked. The operator file and the admin call spell it as in the first version.
+/// An object whose value is tracked. Its names in the configuration file and the admin call are kept from the
+/// first version.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum TrackedObject {
-    /// Share of this location's caches that accept new requests and are not ejected.
+    /// Fraction of this location's caches that accept new requests and are not ejected.
     #[serde(rename = "pool")]
     CachePool,
-    /// Fullness of the admission queue, from 0 to 1.
+    /// Fill level of the admission queue, from 0 to 1.
     #[serde(rename = "door")]
     AdmissionQueue,
-    /// Share of rejected and failed requests among those that ended within [`SHARE_WINDOW_MS`].
+    /// Fraction of the requests that ended within [`SHARE_WINDOW_MS`] that were rejected or failed.
     #[serde(rename = "refused")]
     RejectedShare,
-    /// Milliseconds since the registry last answered.
+    /// Time since the last response of the registry, in milliseconds.
     Registry,
-    /// Share of a gRPC pool's backends that accept calls and are not ejected.
+    /// Fraction of a gRPC pool's backends that accept calls and are not ejected.
     #[serde(rename = "grpc")]
     GrpcPool(String),
-    /// 1 if a file exists, 0 otherwise: a switch for operators.
+    /// 1 if a file exists, 0 otherwise: a manual switch for operators and scripts.
     File(PathBuf),
 }
 
 impl fmt::Display for TrackedObject {
-    /// Writes the name in the admin call.
+    /// Writes the name that the admin call and the log use.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::CachePool => f.write_str("Pool"),
@@ -46,28 +48,28 @@
 
 /// Source of the values of tracked objects.
 pub trait TrackedValues {
-    /// The current value of an object, or none if it is unknown.
+    /// The current value of an object, or `None` if it is unknown.
     fn value(&self, object: &TrackedObject) -> Option<f64>;
 }
 
-/// Time over which [`TrackedObject::RejectedShare`] is measured, in milliseconds.
+/// Length of the sliding window of [`TrackedObject::RejectedShare`], in milliseconds.
 pub const SHARE_WINDOW_MS: f64 = 3_000.0;
-/// Least number of ended requests from which a share is computed.
+/// Minimum number of ended requests in the window for a share to be computed.
 const MIN_ENDED_REQUESTS: u64 = 20;
-/// Longest delay of a rule, in milliseconds.
+/// Upper bound of the delays of a rule, in milliseconds.
 const MAX_DELAY_MS: f64 = 3_600_000.0;
 
-/// A tracking rule of the operator file.
+/// A tracking rule of the configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrackRule {
     /// The tracked object.
     #[serde(rename = "what")]
     pub object: TrackedObject,
-    /// The object is out of bounds below this value.
+    /// Lower bound of the value.
     #[serde(default)]
     pub below: Option<f64>,
-    /// The object is out of bounds above this value.
+    /// Upper bound of the value.
     #[serde(default)]
     pub above: Option<f64>,
     /// Reduction of the priority while the object is failed.
@@ -92,13 +94,13 @@
     3_000.0
 }
 
-/// A tracking rule that cannot be used.
+/// An invalid tracking rule.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum TrackRuleError {
-    /// The rule has no bound, both bounds, or one that is not a number.
+    /// The rule has no bound, both bounds, or a bound that is not finite.
     #[error("{0}: exactly one of `below` and `above` is needed")]
     Bounds(TrackedObject),
-    /// The rule has no effect, or both effects.
+    /// The rule has neither a priority reduction nor `fault`, or both.
     #[error("{0}: exactly one of `lower_by` and `fault` is needed")]
     Effect(TrackedObject),
     /// A delay is out of range.
@@ -107,7 +109,7 @@
 }
 
 impl TrackRule {
-    /// Checks the values of all fields.
+    /// Validates all fields.
     pub fn check(&self) -> Result<(), TrackRuleError> {
         let bounds = [self.below, self.above];
         if bounds.iter().flatten().count() != 1 || bounds.iter().flatten().any(|bound| !bound.is_finite()) {
@@ -128,44 +130,44 @@
     }
 }
 
-/// Tracks one object by its rule.
+/// Tracks the value of one object against its rule.
 #[derive(Clone, Debug)]
 pub struct Tracker {
     rule: TrackRule,
     failed: bool,
     value: Option<f64>,
-    /// Since when the value contradicts `failed`, in milliseconds.
+    /// Since when the value has called for the opposite of `failed`, in milliseconds.
     contradicted_since_ms: Option<f64>,
 }
 
 impl Tracker {
-    /// Creates a tracker whose object is not failed.
+    /// Creates a tracker of an object that has not failed.
     pub fn new(rule: TrackRule) -> Self {
         Self::with_state(rule, false)
     }
 
-    /// Creates a tracker whose object is failed or not, as under an earlier rule.
+    /// Creates a tracker with the state that the object has under an earlier rule.
     pub fn with_state(rule: TrackRule, failed: bool) -> Self {
         Self { rule, failed, value: None, contradicted_since_ms: None }
     }
 
-    /// The rule.
+    /// The rule that applies to the object.
     pub fn rule(&self) -> &TrackRule {
         &self.rule
     }
 
-    /// Whether the object is failed.
+    /// Whether the object has failed and not yet recovered.
     pub fn is_failed(&self) -> bool {
         self.failed
     }
 
-    /// The last value, or none if it was unknown.
+    /// The last sampled value, or `None` if it was unknown.
     pub fn value(&self) -> Option<f64> {
         self.value
     }
 
-    /// Applies the value at `now`. Returns whether the object failed or recovered. An unknown value changes nothing and
-    /// restarts the wait.
+    /// Applies the value sampled at `now`. Returns whether the object failed or recovered. An unknown value
+    /// keeps the state and restarts the delay.
     pub fn sample(&mut self, now: f64, value: Option<f64>) -> bool {
         self.value = value;
         let out_of_bounds = value.map(|value| self.rule.is_out_of_bounds(value));
@@ -183,17 +185,18 @@
     }
 }
 
-/// What follows from the tracked objects for the router.
+/// The effect of the tracked objects on the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrackedPriority {
-    /// Priority after all reductions, 1 at least.
+    /// Priority after all reductions, at least 1.
     pub priority: u8,
-    /// Whether the router is in the fault state.
+    /// Whether the router must be in the fault state.
     pub fault: bool,
 }
 
 impl TrackedPriority {
-    /// Applies the failed objects to the configured priority. The owner's priority is not reduced.
+    /// Reduces the configured priority by the rules of all failed objects. The owner's priority is never
+    /// reduced.
     pub fn of(configured: u8, trackers: &[Tracker]) -> Self {
         let failed_rules = || trackers.iter().filter(|tracker| tracker.failed).map(|tracker| &tracker.rule);
         let fault = failed_rules().any(|rule| rule.fault);
@@ -206,24 +209,25 @@
     }
 }
 
-/// Counts of ended requests since the start of the process.
+/// Cumulative counts of ended requests since the start of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedRequests {
     /// All requests that ended.
     pub total: u64,
-    /// Rejected and failed requests among them.
+    /// Requests that were rejected or failed.
     pub rejected: u64,
 }
 
-/// Share of rejected requests over a sliding window, from counts that only grow.
+/// Computes the share of rejected requests in a sliding window from cumulative counts.
 #[derive(Clone, Debug, Default)]
 pub struct RejectedShare {
-    /// Times in milliseconds, and the counts at these times.
+    /// Sampling times in milliseconds, each with the counts at that time.
     samples: VecDeque<(f64, EndedRequests)>,
 }
 
 impl RejectedShare {
-    /// Adds the counts at `now`. Returns the share within [`SHARE_WINDOW_MS`], or none if too few requests ended.
+    /// Adds the counts at `now`. Returns the share within [`SHARE_WINDOW_MS`], or `None` if fewer than
+    /// [`MIN_ENDED_REQUESTS`] ended.
     pub fn sample(&mut self, now: f64, ended: EndedRequests) -> Option<f64> {
         self.samples.push_back((now, ended));
         while self.samples.get(1).is_some_and(|(at, _)| now - at >= SHARE_WINDOW_MS) {
--- a/src/vrrp/track/tests.rs
+++ b/src/vrrp/track/tests.rs
@@ -9,7 +9,7 @@
 #[test]
 fn an_object_fails_after_its_delay_and_short_changes_are_ignored() {
     let mut pool = tracker(r#"{"what":"pool","below":0.5,"lower_by":60,"after_ms":500,"back_ms":3000}"#);
-    // Out of its bound every other 200 ms: never long enough.
+    // Out of bounds for 200 ms at a time, which is less than the delay.
     let mut changes = 0;
     for k in 0..100u32 {
         let value = if (k / 2) % 2 == 0 { 0.2 } else { 0.9 };
--- a/src/vrrp/virtual_addresses.rs
+++ b/src/vrrp/virtual_addresses.rs
@@ -1,4 +1,4 @@
-//! Opens and closes the listeners of the virtual addresses as the router's state requires.
+//! Opens and closes the listeners of the virtual addresses according to the state of the router.
 
 use super::config::{FrontKind, VirtualListenerConfig, VrrpConfig};
 use super::listeners::{ListenerCommand, ListenerSet};
@@ -12,12 +12,13 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::Notify;
 
-/// Most connections that the kernel holds before they are accepted.
+/// Maximum number of established connections in the kernel's accept queue.
 const LISTEN_BACKLOG: u32 = 1_024;
 
 /// The fronts that serve clients at virtual addresses.
 pub trait VirtualFronts {
-    /// Serves the clients of a listener until `closing` is notified. `stop` ends the accepted connections.
+    /// Accepts and serves the connections of a listener until `closing` is notified. `stop` shuts the
+    /// accepted connections down gracefully.
     fn serve(&self, front: FrontKind, listener: TcpListener, stop: Rc<GracefulShutdown>, closing: Rc<Notify>);
 }
 
@@ -33,13 +34,13 @@
     fronts: Box<dyn VirtualFronts>,
     listeners: RefCell<ListenerSet>,
     open: RefCell<BTreeMap<usize, OpenListener>>,
-    /// Connections of closed listeners.
+    /// Connections of closed listeners that are still draining.
     draining: RefCell<Vec<Rc<GracefulShutdown>>>,
     open_failures: Cell<u64>,
 }
 
 impl VirtualAddresses {
-    /// Creates the listeners of an operator file, all closed.
+    /// Creates the listeners of a configuration file, all closed.
     pub fn new(config: &VrrpConfig, fronts: Box<dyn VirtualFronts>) -> Self {
         let configs = config.listeners.clone();
         let listeners = ListenerSet::new(configs.len(), config.open_timeout_ms, config.step_down_ms);
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Opens and closes listeners by the router's state.
+    /// Opens or closes the listeners according to the state of the router.
     pub fn follow(&self, now: f64, state: State) {
         let commands = self.listeners.borrow_mut().follow(now, state);
         for command in commands {
@@ -84,7 +85,7 @@
         true
     }
 
-    /// Closes a listener. Connections that the kernel has accepted are served, idle ones end.
+    /// Closes a listener. Established connections complete their requests, and idle ones are closed.
     fn close(&self, index: usize) {
         let closed = self.open.borrow_mut().remove(&index);
         if let Some(OpenListener { stop, closing }) = closed {
@@ -105,7 +106,7 @@
         self.draining.borrow_mut().retain(|stop| stop.open_connections() > 0);
     }
 
-    /// Connections of open and closed listeners that are not yet closed.
+    /// Number of open connections, including those of closed listeners.
     pub fn open_connections(&self) -> usize {
         self.forget_drained();
         let open: usize = self.open.borrow().values().map(|listener| listener.stop.open_connections()).sum();
@@ -113,29 +114,29 @@
         open + draining
     }
 
-    /// Whether the router has to step down because listeners could not be opened.
+    /// Whether the router must stay out of the election because listeners could not be opened.
     pub fn has_stepped_down(&self, now: f64) -> bool {
         self.listeners.borrow().has_stepped_down(now)
     }
 
-    /// How often the router stepped down because listeners could not be opened.
+    /// Number of times that the router stepped down because listeners could not be opened.
     pub fn step_downs(&self) -> u64 {
         self.listeners.borrow().step_downs()
     }
 
-    /// How often a listener could not be opened.
+    /// Number of failed attempts to open a listener.
     pub fn open_failures(&self) -> u64 {
         self.open_failures.get()
     }
 
-    /// The configured listeners, each with whether it is open.
+    /// The configured listeners, and whether each is open.
     pub fn status(&self) -> Vec<(VirtualListenerConfig, bool)> {
         let listeners = self.listeners.borrow();
         let configs = self.configs.iter().cloned().enumerate();
         configs.map(|(index, config)| (config, listeners.is_open(index))).collect()
     }
 
-    /// When [`Self::follow`] has to be called next.
+    /// When [`Self::follow`] must be called next at the latest.
     pub fn due_ms(&self) -> f64 {
         self.listeners.borrow().due_ms()
     }
@@ -143,8 +144,8 @@
 
 /// Binds the listener of a virtual address.
 ///
-/// Another active router on the same machine may bind the address too (`SO_REUSEPORT`), as two hosts may that both
-/// claim it; each connection then goes to one of them.
+/// `SO_REUSEPORT` lets two active routers on one machine bind the same address, like two hosts that both
+/// claim it; the kernel then assigns each connection to one of them.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
