--- a/src/vrrp/config.rs
+++ b/src/vrrp/config.rs
@@ -131,13 +131,13 @@
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum DisabledSubsystem {
     /// The front that a listener refers to is disabled.
-    #[error("`serve`: the front of {address} is disabled")]
+    #[error("`serve`: the front for {address} is disabled")]
     Front {
         /// Address of the listener.
         address: String,
     },
     /// The subsystem that provides the value of a tracked object is disabled.
-    #[error("`track`: the subsystem of {object} is disabled")]
+    #[error("`track`: the subsystem that {object} belongs to is disabled")]
     TrackedObject {
         /// The object.
         object: TrackedObject,
@@ -157,7 +157,7 @@
     pub fn reload(&self) -> Result<Self, ConfigError> {
         let reloaded = Self::read(&self.path)?;
         if reloaded.fixed_fields() != self.fixed_fields() {
-            let reason = "`listen`, `vrid` and `serve` need a new process";
+            let reason = "`listen`, `vrid` and `serve` cannot change without a restart";
             return Err(FieldError::new("listen", reason).in_file(&self.path));
         }
         Ok(reloaded)
@@ -181,7 +181,7 @@
         ];
         for (field, ms) in durations {
             if !ms.is_finite() || !(1.0..=MAX_DURATION_MS).contains(&ms) {
-                return Err(FieldError::new(field, format!("{ms} is not within 1 to {MAX_DURATION_MS}")));
+                return Err(FieldError::new(field, format!("{ms} is not between 1 and {MAX_DURATION_MS}")));
             }
         }
         Ok(())
@@ -194,10 +194,10 @@
             let address =
                 parse_address(&listener.address).map_err(|error| FieldError::new("serve", error))?;
             if !self.addresses.iter().any(|virtual_ip| address.ip() == IpAddr::V4(*virtual_ip)) {
-                return error(format!("{address} is on none of `addresses`"));
+                return error(format!("the IP address of {address} is not listed in `addresses`"));
             }
             if seen.contains(&address) || address.port() == 0 {
-                return error(format!("{address} is listed twice, or has no port"));
+                return error(format!("{address} is a duplicate or has port 0"));
             }
             seen.push(address);
         }
@@ -208,7 +208,8 @@
         for rule in &self.track_rules {
             rule.check().map_err(|error| FieldError::new("track", error))?;
             if self.priority == OWNER_PRIORITY && !rule.fault {
-                let reason = "the priority of the owner is fixed: only `fault` can be used with 255";
+                let reason =
+                    "priority 255 (address owner) cannot be reduced; use `fault` instead of `lower_by`";
                 return Err(FieldError::new("track", reason));
             }
         }
--- a/src/vrrp/machine.rs
+++ b/src/vrrp/machine.rs
@@ -103,29 +103,36 @@
             return error("peers", format!("{address} is not a loopback address"));
         }
         if self.peers.is_empty() || self.peers.len() > MAX_PEERS {
-            return error("peers", format!("{} are not within 1 to {MAX_PEERS}", self.peers.len()));
+            return error(
+                "peers",
+                format!("number of peers is {}, must be between 1 and {MAX_PEERS}", self.peers.len()),
+            );
         }
         if self.vrid == 0 {
-            return error("vrid", "0 is not an identifier".into());
+            return error("vrid", "0 is not a valid virtual router identifier".into());
         }
         if self.priority == STOP_PRIORITY {
-            return error("priority", "0 is reserved for a router that stops".into());
+            return error("priority", "0 is reserved for a router that shuts down".into());
         }
         if !(1..=MAX_INTERVAL_CS).contains(&self.interval_cs) {
-            let reason = format!("{} is not within 1 to {MAX_INTERVAL_CS}", self.interval_cs);
+            let reason = format!("{} is not between 1 and {MAX_INTERVAL_CS}", self.interval_cs);
             return error("interval_cs", reason);
         }
         if self.addresses.is_empty() || self.addresses.len() > MAX_ADDRESSES {
-            let reason = format!("{} are not within 1 to {MAX_ADDRESSES}", self.addresses.len());
+            let reason = format!(
+                "number of addresses is {}, must be between 1 and {MAX_ADDRESSES}",
+                self.addresses.len()
+            );
             return error("addresses", reason);
         }
         let is_valid = |ms: f64| ms.is_finite() && (0.0..=MAX_DELAY_MS).contains(&ms);
         if !is_valid(self.preempt_delay_ms) || !is_valid(self.flap_hold_ms) {
-            let reason = format!("it and `flap_hold_ms` must be within 0 to {MAX_DELAY_MS}");
+            let reason =
+                format!("`preempt_delay_ms` and `flap_hold_ms` must be between 0 and {MAX_DELAY_MS}");
             return error("preempt_delay_ms", reason);
         }
         if !(1..=MAX_DOWN_INTERVALS).contains(&self.down_intervals) {
-            let reason = format!("{} is not within 1 to {MAX_DOWN_INTERVALS}", self.down_intervals);
+            let reason = format!("{} is not between 1 and {MAX_DOWN_INTERVALS}", self.down_intervals);
             return error("down_intervals", reason);
         }
         Ok(())
--- a/src/vrrp/message.rs
+++ b/src/vrrp/message.rs
@@ -26,16 +26,16 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
     /// The length does not match the number of addresses, or there is no address.
-    #[error("the length does not match the addresses")]
+    #[error("the length does not match the number of addresses")]
     Length,
     /// The version is not 3, or the type is not an advertisement.
-    #[error("unknown version or type")]
+    #[error("unsupported version or message type")]
     Version,
     /// The checksum is wrong.
-    #[error("wrong checksum")]
+    #[error("invalid checksum")]
     Checksum,
     /// The advertisement interval is 0.
-    #[error("the interval is 0")]
+    #[error("the advertisement interval is 0")]
     Interval,
 }
 
--- a/src/vrrp/router.rs
+++ b/src/vrrp/router.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 enum Rejection {
     /// The sender's address is not configured as a peer.
-    #[error("the sender is not a peer")]
+    #[error("the sender is not a configured peer")]
     UnknownSender,
     /// The signature or the sequence number of the datagram is not valid.
     #[error(transparent)]
@@ -71,7 +71,7 @@
     #[error("malformed advertisement: {0}")]
     Malformed(#[from] DecodeError),
     /// The advertisement has another VRID or other virtual addresses.
-    #[error("another virtual router, or other addresses")]
+    #[error("the VRID or the virtual addresses differ from the configured ones")]
     Mismatched,
 }
 
@@ -195,7 +195,7 @@
             ?state,
             ?previous,
             priority = self.machine.borrow().priority(),
-            "virtual router: the state changed"
+            "virtual router: state changed"
         );
     }
 
@@ -220,7 +220,7 @@
                     object = %tracker.rule().object,
                     value,
                     failed = tracker.is_failed(),
-                    "virtual router: a tracked object failed or recovered"
+                    "virtual router: tracked object failed or recovered"
                 );
             }
         }
@@ -282,7 +282,7 @@
         let metrics = self.metrics.get();
         let rejected = metrics.malformed + metrics.unauthenticated + metrics.replayed + metrics.mismatched;
         if rejected.is_power_of_two() {
-            tracing::warn!(%from, reason = %rejection, rejected, "virtual router: a datagram is rejected");
+            tracing::warn!(%from, reason = %rejection, rejected, "virtual router: datagram rejected");
         }
     }
 
--- a/src/vrrp/track.rs
+++ b/src/vrrp/track.rs
@@ -98,13 +98,13 @@
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum TrackRuleError {
     /// The rule has no bound, both bounds, or a bound that is not finite.
-    #[error("{0}: exactly one of `below` and `above` is needed")]
+    #[error("{0}: exactly one of `below` and `above` must be set, to a finite number")]
     Bounds(TrackedObject),
     /// The rule has neither a priority reduction nor `fault`, or both.
-    #[error("{0}: exactly one of `lower_by` and `fault` is needed")]
+    #[error("{0}: exactly one of `lower_by` and `fault` must be set")]
     Effect(TrackedObject),
     /// A delay is out of range.
-    #[error("{0}: `after_ms` and `back_ms` must be within 0 to {MAX_DELAY_MS}")]
+    #[error("{0}: `after_ms` and `back_ms` must be between 0 and {MAX_DELAY_MS}")]
     Delay(TrackedObject),
 }
 
--- a/src/vrrp/virtual_addresses.rs
+++ b/src/vrrp/virtual_addresses.rs
@@ -74,14 +74,14 @@
             Ok(listener) => listener,
             Err(error) => {
                 self.open_failures.set(self.open_failures.get() + 1);
-                tracing::warn!(%address, %error, "virtual router: a virtual address cannot be served");
+                tracing::warn!(%address, %error, "virtual router: cannot listen at virtual address; retrying");
                 return false;
             }
         };
         let (stop, closing) = (Rc::new(GracefulShutdown::default()), Rc::new(Notify::new()));
         self.fronts.serve(*front, listener, stop.clone(), closing.clone());
         self.open.borrow_mut().insert(index, OpenListener { stop, closing });
-        tracing::info!(%address, "virtual router: a virtual address is served");
+        tracing::info!(%address, "virtual router: listening at virtual address");
         true
     }
 
--- a/tests/vrrp_service.rs
+++ b/tests/vrrp_service.rs
@@ -398,7 +398,7 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         assert_eq!(proxy.status().await["state"].as_str(), Some("active"), "a replay had an effect");
         let log = std::fs::read_to_string(proxy.dir.join("proxy.log")).unwrap();
-        assert!(log.contains("a datagram is rejected"), "{log}");
+        assert!(log.contains("virtual router: datagram rejected"), "{log}");
     });
 }
 
