--- a/src/vrrp/config.rs
+++ b/src/vrrp/config.rs
@@ -218,21 +218,21 @@
 
     /// Checks that the subsystems used by the listeners and the tracked objects are enabled.
     pub fn check_dependencies(&self, enabled: &EnabledSubsystems) -> Result<(), DisabledSubsystem> {
-        let is_served = |listener: &&VirtualListenerConfig| match listener.front {
+        let is_front_enabled = |listener: &&VirtualListenerConfig| match listener.front {
             FrontKind::Platform => true,
             FrontKind::Signed => enabled.signed_urls,
             FrontKind::Grpc => !enabled.grpc_pools.is_empty(),
         };
-        if let Some(listener) = self.listeners.iter().find(|listener| !is_served(listener)) {
+        if let Some(listener) = self.listeners.iter().find(|listener| !is_front_enabled(listener)) {
             return Err(DisabledSubsystem::Front { address: listener.address.clone() });
         }
-        let is_known = |rule: &&TrackRule| match &rule.object {
+        let is_object_enabled = |rule: &&TrackRule| match &rule.object {
             TrackedObject::AdmissionQueue => enabled.admission,
             TrackedObject::Registry => enabled.registry,
             TrackedObject::GrpcPool(pool) => enabled.grpc_pools.contains(pool),
             TrackedObject::CachePool | TrackedObject::RejectedShare | TrackedObject::File(_) => true,
         };
-        if let Some(rule) = self.track_rules.iter().find(|rule| !is_known(rule)) {
+        if let Some(rule) = self.track_rules.iter().find(|rule| !is_object_enabled(rule)) {
             return Err(DisabledSubsystem::TrackedObject { object: rule.object.clone() });
         }
         Ok(())
--- a/src/vrrp/driver.rs
+++ b/src/vrrp/driver.rs
@@ -33,7 +33,7 @@
                 return;
             }
         }
-        router.addresses.follow(now, state);
+        router.addresses.apply_state(now, state);
         let timer_due_ms = router.machine.borrow().due_ms().min(router.addresses.due_ms());
         let due_ms = timer_due_ms.min(sample_due_ms);
         tokio::select! {
--- a/src/vrrp/listeners.rs
+++ b/src/vrrp/listeners.rs
@@ -12,7 +12,7 @@
 /// A command to open or close the listener with the given index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerCommand {
-    /// Open the listener and pass the result to [`ListenerSet::opened`].
+    /// Open the listener and pass the result to [`ListenerSet::record_open_result`].
     Open(usize),
     /// Stop accepting connections and drain the open ones.
     Close(usize),
@@ -65,14 +65,14 @@
     }
 
     /// Applies the router's state. Returns the commands to execute.
-    pub fn follow(&mut self, now: f64, state: State) -> Vec<ListenerCommand> {
+    pub fn apply_state(&mut self, now: f64, state: State) -> Vec<ListenerCommand> {
         self.active = state == State::Active;
         let active = self.active;
         let commands = self
             .listeners
             .iter_mut()
             .enumerate()
-            .filter_map(|(index, listener)| listener.follow(now, active, index))
+            .filter_map(|(index, listener)| listener.next_command(now, active, index))
             .collect();
         self.check_timeout(now);
         commands
@@ -90,7 +90,7 @@
     }
 
     /// Records the result of an attempt to open a listener.
-    pub fn opened(&mut self, now: f64, index: usize, success: bool) {
+    pub fn record_open_result(&mut self, now: f64, index: usize, success: bool) {
         let Some(listener) = self.listeners.get_mut(index) else { return };
         let ListenerState::Opening { backoff_ms } = *listener else { return };
         *listener = if success {
@@ -116,7 +116,7 @@
         self.listeners.get(index) == Some(&ListenerState::Open)
     }
 
-    /// When [`Self::follow`] must be called next at the latest.
+    /// When [`Self::apply_state`] must be called next at the latest.
     pub fn due_ms(&self) -> f64 {
         let retries = self.listeners.iter().map(|listener| match listener {
             ListenerState::Backoff { retry_ms, .. } if self.active => *retry_ms,
@@ -128,8 +128,9 @@
 }
 
 impl ListenerState {
-    /// Returns the command that opens the listener if the router is active, or closes it otherwise.
-    fn follow(&mut self, now: f64, active: bool, index: usize) -> Option<ListenerCommand> {
+    /// Returns the command that opens the listener if the router is active, or closes it otherwise, if one is
+    /// due, and advances the state of the listener.
+    fn next_command(&mut self, now: f64, active: bool, index: usize) -> Option<ListenerCommand> {
         match (*self, active) {
             (Self::Closed, true) => {
                 *self = Self::Opening { backoff_ms: MIN_BACKOFF_MS };
--- a/src/vrrp/machine.rs
+++ b/src/vrrp/machine.rs
@@ -169,7 +169,7 @@
     /// When the `Adver_Timer` (active) or the `Active_Down_Timer` (backup) of the RFC expires.
     due_ms: f64,
     /// When the `Active_Down_Timer` was started.
-    wait_started_ms: f64,
+    down_timer_started_ms: f64,
     /// Since when advertisements of an active router of lower priority have been received.
     lower_active_since_ms: Option<f64>,
     /// Times of the activations within [`FLAP_WINDOW_MS`].
@@ -187,7 +187,7 @@
             settings,
             state: State::Initialize,
             due_ms: f64::INFINITY,
-            wait_started_ms: 0.0,
+            down_timer_started_ms: 0.0,
             lower_active_since_ms: None,
             activations: VecDeque::new(),
             no_preemption_until_ms: f64::NEG_INFINITY,
@@ -240,14 +240,14 @@
     }
 
     /// Starts the `Active_Down_Timer`.
-    fn wait(&mut self, now: f64) {
-        (self.wait_started_ms, self.due_ms) = (now, now + self.active_down_ms());
+    fn start_active_down_timer(&mut self, now: f64) {
+        (self.down_timer_started_ms, self.due_ms) = (now, now + self.active_down_ms());
     }
 
     fn become_backup(&mut self, now: f64, interval_ms: f64) {
         self.active_interval_ms = interval_ms;
         (self.state, self.lower_active_since_ms) = (State::Backup, None);
-        self.wait(now);
+        self.start_active_down_timer(now);
     }
 
     fn become_active(&mut self, now: f64) -> Option<Advertisement> {
@@ -278,13 +278,13 @@
     /// Stops the router. An active router advertises priority 0, so that a backup takes over after its
     /// `Skew_Time` alone.
     pub fn stop(&mut self) -> Option<Advertisement> {
-        self.leave(State::Initialize)
+        self.stop_participating(State::Initialize)
     }
 
-    /// Stops taking part in the election: enters `to`, a state without timers.
-    fn leave(&mut self, to: State) -> Option<Advertisement> {
+    /// Stops taking part in the election: enters `next`, a state without timers.
+    fn stop_participating(&mut self, next: State) -> Option<Advertisement> {
         self.due_ms = f64::INFINITY;
-        let previous = std::mem::replace(&mut self.state, to);
+        let previous = std::mem::replace(&mut self.state, next);
         (previous == State::Active).then(|| self.advertisement(STOP_PRIORITY))
     }
 
@@ -292,7 +292,7 @@
     /// leaves it becomes a backup.
     pub fn set_fault(&mut self, now: f64, fault: bool) -> Option<Advertisement> {
         match (self.state, fault) {
-            (State::Backup | State::Active, true) => self.leave(State::Fault),
+            (State::Backup | State::Active, true) => self.stop_participating(State::Fault),
             (State::Fault, false) => {
                 self.become_backup(now, self.settings.interval_ms());
                 None
@@ -317,7 +317,7 @@
             State::Active => self.advertise(now),
             State::Backup => {
                 // The `Skew_Time` in the running timer depends on the priority.
-                self.due_ms = self.wait_started_ms + self.active_down_ms();
+                self.due_ms = self.down_timer_started_ms + self.active_down_ms();
                 None
             }
             State::Initialize | State::Fault => None,
@@ -359,14 +359,14 @@
     fn receive_as_backup(&mut self, now: f64, received: &Advertisement) {
         if received.priority == STOP_PRIORITY {
             // The active router stopped: wait for the `Skew_Time` only.
-            self.wait_started_ms = now - self.active_down_ms() + self.skew_ms();
+            self.down_timer_started_ms = now - self.active_down_ms() + self.skew_ms();
             self.due_ms = now + self.skew_ms();
             self.lower_active_since_ms = None;
         } else if received.priority >= self.priority {
             self.become_backup(now, received.interval_ms());
         } else if !self.may_preempt(now) {
             self.active_interval_ms = received.interval_ms();
-            self.wait(now);
+            self.start_active_down_timer(now);
         }
     }
 
--- a/src/vrrp/machine/tests.rs
+++ b/src/vrrp/machine/tests.rs
@@ -1,60 +1,72 @@
 use super::*;
 
-fn at(host: u8) -> SocketAddr {
+fn router_address(host: u8) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, host], 5_100))
 }
 
-fn machine(priority: u8, change: impl FnOnce(&mut RouterSettings)) -> Machine {
-    let mut settings =
-        RouterSettings::new(at(1), vec![at(2)], 7, priority, vec![Ipv4Addr::new(127, 1, 0, 1)]);
-    change(&mut settings);
+fn machine(priority: u8, customize: impl FnOnce(&mut RouterSettings)) -> Machine {
+    let mut settings = RouterSettings::new(
+        router_address(1),
+        vec![router_address(2)],
+        7,
+        priority,
+        vec![Ipv4Addr::new(127, 1, 0, 1)],
+    );
+    customize(&mut settings);
     Machine::new(settings)
 }
 
-fn ad(priority: u8) -> Advertisement {
+fn advertisement(priority: u8) -> Advertisement {
     Advertisement { vrid: 7, priority, interval_cs: 100, addresses: vec![Ipv4Addr::new(127, 1, 0, 1)] }
 }
 
 #[test]
-fn a_lowered_priority_is_advertised_at_once_and_changes_the_wait() {
+fn a_changed_priority_is_advertised_immediately_and_adjusts_the_down_timer() {
     let mut active = machine(200, |_| {});
     active.start(0.0);
-    assert_eq!(active.tick(active.due_ms()).map(|a| a.priority), Some(200));
-    assert_eq!(active.set_priority(4_000.0, 90).map(|a| a.priority), Some(90));
-    assert_eq!(active.set_priority(4_000.0, 90), None, "advertised once");
+    assert_eq!(active.tick(active.due_ms()).map(|sent| sent.priority), Some(200));
+    assert_eq!(active.set_priority(4_000.0, 90).map(|sent| sent.priority), Some(90));
+    assert_eq!(active.set_priority(4_000.0, 90), None, "an unchanged priority is not advertised");
     let mut backup = machine(100, |_| {});
     backup.start(0.0);
-    backup.receive(100.0, at(2), &ad(200));
+    backup.receive(100.0, router_address(2), &advertisement(200));
     assert_eq!(backup.due_ms(), 100.0 + 3_000.0 + 156.0 * 1_000.0 / 256.0);
     backup.set_priority(2_000.0, 228);
-    assert_eq!(backup.due_ms(), 100.0 + 3_000.0 + 28.0 * 1_000.0 / 256.0, "from the last advertisement on");
+    assert_eq!(
+        backup.due_ms(),
+        100.0 + 3_000.0 + 28.0 * 1_000.0 / 256.0,
+        "measured from the last advertisement"
+    );
     backup.set_priority(2_000.0, 0);
-    assert_eq!(backup.priority(), 1, "a tracked priority is never that of a router that stops");
-    assert_eq!(machine(OWNER_PRIORITY, |_| {}).set_priority(0.0, 3), None, "the owner's is fixed");
+    assert_eq!(backup.priority(), 1, "the priority never becomes that of a router that stops");
+    assert_eq!(machine(OWNER_PRIORITY, |_| {}).set_priority(0.0, 3), None, "the owner's priority is fixed");
 }
 
 #[test]
-fn a_router_in_fault_steps_down_and_recovers_as_a_backup() {
+fn a_router_in_the_fault_state_steps_down_and_recovers_as_a_backup() {
     let mut machine = machine(200, |_| {});
     machine.start(0.0);
     machine.tick(9_000.0);
-    assert_eq!(machine.set_fault(9_100.0, true).map(|a| a.priority), Some(STOP_PRIORITY));
+    assert_eq!(machine.set_fault(9_100.0, true).map(|sent| sent.priority), Some(STOP_PRIORITY));
     assert_eq!(machine.state(), State::Fault);
-    assert!(machine.receive(9_200.0, at(2), &ad(1)).is_none() && machine.tick(99_999.0).is_none());
+    assert!(
+        machine.receive(9_200.0, router_address(2), &advertisement(1)).is_none()
+            && machine.tick(99_999.0).is_none()
+    );
     assert_eq!(machine.set_fault(100_000.0, false), None);
     assert_eq!(machine.state(), State::Backup);
-    assert!(machine.due_ms() > 103_000.0, "it waits for the other routers first");
+    assert!(machine.due_ms() > 103_000.0, "it waits a full down interval before it may become active");
 }
 
 #[test]
-fn preemption_is_delayed_and_replacing_a_failed_router_is_not() {
+fn the_preempt_delay_applies_to_preemption_but_not_to_replacing_a_failed_router() {
     let mut machine = machine(200, |settings| settings.preempt_delay_ms = 5_000.0);
     machine.start(0.0);
     let mut now = 0.0;
     while machine.tick(now).is_none() {
         now += 100.0;
         if (now as u64) % 1_000 == 0 {
-            machine.receive(now, at(2), &ad(100));
+            machine.receive(now, router_address(2), &advertisement(100));
         }
         assert!(now < 20_000.0);
     }
@@ -63,28 +75,28 @@
     assert!((8_000.0..9_500.0).contains(&now), "{now}");
     let mut machine = self::machine(200, |settings| settings.preempt_delay_ms = 60_000.0);
     machine.start(0.0);
-    machine.receive(1_000.0, at(2), &ad(100));
-    assert!(machine.tick(4_300.0).is_some(), "silence is no preemption");
+    machine.receive(1_000.0, router_address(2), &advertisement(100));
+    assert!(machine.tick(4_300.0).is_some(), "replacing a silent router is not preemption");
 }
 
 #[test]
-fn flapping_holds_preemption_back_but_not_the_takeover_from_a_failed_router() {
+fn flapping_pauses_preemption_but_not_the_takeover_from_a_failed_router() {
     let mut machine = machine(150, |settings| settings.max_activations = 3);
     machine.start(0.0);
-    let (mut now, mut changes) = (0.0, 0);
+    let (mut now, mut transitions) = (0.0, 0);
     // The peer's priority alternates between higher and lower, so that this router alternates between states.
     while now < 60_000.0 {
         now += 100.0;
-        let was = machine.state();
+        let previous = machine.state();
         machine.tick(now);
         if (now as u64) % 1_000 == 0 {
             let priority = if (now as u64 / 5_000) % 2 == 0 { 250 } else { 10 };
-            machine.receive(now, at(2), &ad(priority));
+            machine.receive(now, router_address(2), &advertisement(priority));
         }
-        changes += u32::from(machine.state() != was);
+        transitions += u32::from(machine.state() != previous);
     }
-    assert!(changes <= 10, "{changes} changes in a minute");
-    assert!(machine.no_preemption_until_ms() > 0.0, "it was held back");
-    machine.receive(now, at(2), &ad(250));
-    assert!(machine.tick(now + 3_500.0).is_some(), "the peer has failed: it is replaced all the same");
+    assert!(transitions <= 10, "{transitions} transitions in a minute");
+    assert!(machine.no_preemption_until_ms() > 0.0, "preemption was paused");
+    machine.receive(now, router_address(2), &advertisement(250));
+    assert!(machine.tick(now + 3_500.0).is_some(), "a failed peer is replaced during the pause");
 }
--- a/src/vrrp/message.rs
+++ b/src/vrrp/message.rs
@@ -20,7 +20,7 @@
 /// First byte of an advertisement: version 3, type 1.
 const VERSION_AND_TYPE: u8 = 0x31;
 /// Byte range of the checksum in a message.
-const CHECKSUM: std::ops::Range<usize> = 6..8;
+const CHECKSUM_RANGE: std::ops::Range<usize> = 6..8;
 
 /// A message that is not a valid advertisement.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
@@ -76,7 +76,7 @@
             vec![VERSION_AND_TYPE, self.vrid, self.priority, count, interval_high, interval_low, 0, 0];
         self.addresses.iter().for_each(|address| out.extend(address.octets()));
         let sum = checksum(&out).to_be_bytes();
-        out[CHECKSUM].copy_from_slice(&sum);
+        out[CHECKSUM_RANGE].copy_from_slice(&sum);
         out
     }
 
--- a/src/vrrp/router.rs
+++ b/src/vrrp/router.rs
@@ -205,7 +205,8 @@
         let now = self.host.clock.now();
         self.update_trackers(now);
         let configured = self.config.borrow().router_settings().priority;
-        let TrackedPriority { priority, fault } = TrackedPriority::of(configured, &self.trackers.borrow());
+        let TrackedPriority { priority, fault } =
+            TrackedPriority::compute(configured, &self.trackers.borrow());
         let fault = fault || self.stepped_down.get() || self.addresses.has_stepped_down(now);
         let mut machine = self.machine.borrow_mut();
         let advertisements = [machine.set_priority(now, priority), machine.set_fault(now, fault)];
@@ -229,7 +230,7 @@
     /// Handles a received datagram. Returns the advertisement to send, if any.
     pub(super) fn receive(&self, from: SocketAddr, datagram: &[u8]) -> Option<Advertisement> {
         let now = self.host.clock.now();
-        let advertisement = match self.accept(now, from, datagram) {
+        let advertisement = match self.authenticate_and_decode(now, from, datagram) {
             Ok(advertisement) => advertisement,
             Err(rejection) => {
                 self.reject(from, rejection);
@@ -248,7 +249,12 @@
     }
 
     /// Authenticates, decodes and validates a datagram.
-    fn accept(&self, now: f64, from: SocketAddr, datagram: &[u8]) -> Result<Advertisement, Rejection> {
+    fn authenticate_and_decode(
+        &self,
+        now: f64,
+        from: SocketAddr,
+        datagram: &[u8],
+    ) -> Result<Advertisement, Rejection> {
         let settings = self.config.borrow().router_settings();
         if !settings.peers.contains(&from) {
             return Err(Rejection::UnknownSender);
--- a/src/vrrp/track.rs
+++ b/src/vrrp/track.rs
@@ -137,7 +137,7 @@
     failed: bool,
     value: Option<f64>,
     /// Since when the value has called for the opposite of `failed`, in milliseconds.
-    contradicted_since_ms: Option<f64>,
+    transition_pending_since_ms: Option<f64>,
 }
 
 impl Tracker {
@@ -148,7 +148,7 @@
 
     /// Creates a tracker with the state that the object has under an earlier rule.
     pub fn with_state(rule: TrackRule, failed: bool) -> Self {
-        Self { rule, failed, value: None, contradicted_since_ms: None }
+        Self { rule, failed, value: None, transition_pending_since_ms: None }
     }
 
     /// The rule that applies to the object.
@@ -172,15 +172,15 @@
         self.value = value;
         let out_of_bounds = value.map(|value| self.rule.is_out_of_bounds(value));
         let Some(out_of_bounds) = out_of_bounds.filter(|out_of_bounds| *out_of_bounds != self.failed) else {
-            self.contradicted_since_ms = None;
+            self.transition_pending_since_ms = None;
             return false;
         };
-        let since = *self.contradicted_since_ms.get_or_insert(now);
+        let since = *self.transition_pending_since_ms.get_or_insert(now);
         let delay = if out_of_bounds { self.rule.fail_after_ms } else { self.rule.recover_after_ms };
         if now - since < delay {
             return false;
         }
-        (self.failed, self.contradicted_since_ms) = (out_of_bounds, None);
+        (self.failed, self.transition_pending_since_ms) = (out_of_bounds, None);
         true
     }
 }
@@ -197,7 +197,7 @@
 impl TrackedPriority {
     /// Reduces the configured priority by the rules of all failed objects. The owner's priority is never
     /// reduced.
-    pub fn of(configured: u8, trackers: &[Tracker]) -> Self {
+    pub fn compute(configured: u8, trackers: &[Tracker]) -> Self {
         let failed_rules = || trackers.iter().filter(|tracker| tracker.failed).map(|tracker| &tracker.rule);
         let fault = failed_rules().any(|rule| rule.fault);
         if configured == OWNER_PRIORITY {
@@ -233,9 +233,9 @@
         while self.samples.get(1).is_some_and(|(at, _)| now - at >= SHARE_WINDOW_MS) {
             self.samples.pop_front();
         }
-        let (_, before) = *self.samples.front()?;
-        let total = ended.total.saturating_sub(before.total);
-        let rejected = ended.rejected.saturating_sub(before.rejected);
+        let (_, oldest) = *self.samples.front()?;
+        let total = ended.total.saturating_sub(oldest.total);
+        let rejected = ended.rejected.saturating_sub(oldest.rejected);
         (total >= MIN_ENDED_REQUESTS).then(|| rejected as f64 / total as f64)
     }
 }
--- a/src/vrrp/virtual_addresses.rs
+++ b/src/vrrp/virtual_addresses.rs
@@ -55,13 +55,13 @@
     }
 
     /// Opens or closes the listeners according to the state of the router.
-    pub fn follow(&self, now: f64, state: State) {
-        let commands = self.listeners.borrow_mut().follow(now, state);
+    pub fn apply_state(&self, now: f64, state: State) {
+        let commands = self.listeners.borrow_mut().apply_state(now, state);
         for command in commands {
             match command {
                 ListenerCommand::Open(index) => {
                     let success = self.open(index);
-                    self.listeners.borrow_mut().opened(now, index, success);
+                    self.listeners.borrow_mut().record_open_result(now, index, success);
                 }
                 ListenerCommand::Close(index) => self.close(index),
             }
@@ -74,7 +74,7 @@
             Ok(listener) => listener,
             Err(error) => {
                 self.open_failures.set(self.open_failures.get() + 1);
-                tracing::warn!(%address, %error, "virtual router: cannot listen at virtual address; retrying");
+                tracing::warn!(%address, %error, "virtual router: cannot listen at virtual address");
                 return false;
             }
         };
@@ -91,7 +91,7 @@
         if let Some(OpenListener { stop, closing }) = closed {
             closing.notify_one();
             stop.begin();
-            self.forget_drained();
+            self.remove_drained();
             self.draining.borrow_mut().push(stop);
         }
     }
@@ -102,13 +102,13 @@
         open.into_iter().for_each(|index| self.close(index));
     }
 
-    fn forget_drained(&self) {
+    fn remove_drained(&self) {
         self.draining.borrow_mut().retain(|stop| stop.open_connections() > 0);
     }
 
     /// Number of open connections, including those of closed listeners.
     pub fn open_connections(&self) -> usize {
-        self.forget_drained();
+        self.remove_drained();
         let open: usize = self.open.borrow().values().map(|listener| listener.stop.open_connections()).sum();
         let draining: usize = self.draining.borrow().iter().map(|stop| stop.open_connections()).sum();
         open + draining
@@ -136,7 +136,7 @@
         configs.map(|(index, config)| (config, listeners.is_open(index))).collect()
     }
 
-    /// When [`Self::follow`] must be called next at the latest.
+    /// When [`Self::apply_state`] must be called next at the latest.
     pub fn due_ms(&self) -> f64 {
         self.listeners.borrow().due_ms()
     }
