--- a/examples/vrrp_takeover.rs
+++ b/examples/vrrp_takeover.rs
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
-use vrrp_peer::Load;
+use vrrp_peer::LoadGenerator;
 
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(5_000);
 
@@ -100,7 +100,7 @@
         let mut pair = [0, 1].map(|k| start(&program, &dir, k, &fleet, routers, virtual_address));
         wait_for(&pair[0], "active").await;
         wait_for(&pair[1], "backup").await;
-        let load = Load::start(virtual_address, 16, CLIENT_TIMEOUT);
+        let load = LoadGenerator::start(virtual_address, 16, CLIENT_TIMEOUT);
         let (mut takeovers, mut first_responses, mut active) = (Vec::new(), Vec::new(), 0);
         for _ in 0..kills {
             tokio::time::sleep(Duration::from_millis(300)).await;
@@ -109,7 +109,7 @@
             wait_for(&pair[1 - active], "active").await;
             takeovers.push(killed.elapsed().as_secs_f64() * 1_000.0);
             tokio::time::sleep(Duration::from_millis(200)).await;
-            let first = load.ended.borrow().iter().filter(|(_, _, e)| e.ended > killed).map(|(_, _, e)| e.ended).min();
+            let first = load.outcomes.borrow().iter().filter(|(_, _, e)| e.ended_at > killed).map(|(_, _, e)| e.ended_at).min();
             first_responses.push(first.map_or(f64::NAN, |t| (t - killed).as_secs_f64() * 1_000.0));
             let fresh = start(&program, &dir, active, &fleet, routers, virtual_address);
             pair[active] = fresh;
--- a/tests/stand_ins/vrrp_peer.rs
+++ b/tests/stand_ins/vrrp_peer.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for VRRP on loopback UDP: a relay between two routers that loses datagrams or partitions them, and a client
-//! of a virtual address that retries when its connection is refused or ends without a response.
+//! Test doubles for VRRP: a relay between two routers that drops datagrams, and HTTP clients of a virtual
+//! address that retry when a connection is refused or closed without a response.
 #![allow(dead_code)]
 
 use rand::rngs::SmallRng;
@@ -12,17 +12,18 @@
 use tokio::net::{TcpStream, UdpSocket};
 use tokio::task::spawn_local;
 
-/// Two sockets between two routers. A datagram that one receives from its router leaves by the other to the other router.
+/// Forwards datagrams between two routers through two UDP sockets: each router sends to one socket, and the
+/// other socket forwards to the other router.
 pub struct Relay {
-    /// The peers of the first and of the second router.
-    pub sides: [SocketAddr; 2],
-    /// Share of datagrams that is lost.
-    pub loss: Rc<Cell<f64>>,
-    /// Datagrams forwarded.
+    /// Peer address to configure in the first and in the second router.
+    pub peer_addresses: [SocketAddr; 2],
+    /// Probability that a datagram is dropped.
+    pub loss_rate: Rc<Cell<f64>>,
+    /// Number of datagrams forwarded.
     pub forwarded: Rc<Cell<u64>>,
-    /// Datagrams lost.
-    pub lost: Rc<Cell<u64>>,
-    /// All forwarded datagrams, for a replay.
+    /// Number of datagrams dropped.
+    pub dropped: Rc<Cell<u64>>,
+    /// All forwarded datagrams, to be replayed.
     pub recorded: Rc<RefCell<Vec<Vec<u8>>>>,
 }
 
@@ -30,31 +31,35 @@
     pub async fn start(ip: &str, routers: [SocketAddr; 2], seed: u64) -> Self {
         let bind = || UdpSocket::bind(format!("{ip}:0"));
         let sockets = [Rc::new(bind().await.unwrap()), Rc::new(bind().await.unwrap())];
-        let sides = [sockets[0].local_addr().unwrap(), sockets[1].local_addr().unwrap()];
+        let peer_addresses = [sockets[0].local_addr().unwrap(), sockets[1].local_addr().unwrap()];
         let relay = Self {
-            sides,
-            loss: Rc::default(),
+            peer_addresses,
+            loss_rate: Rc::default(),
             forwarded: Rc::default(),
-            lost: Rc::default(),
+            dropped: Rc::default(),
             recorded: Rc::default(),
         };
-        for k in 0..2 {
-            let (from, to, at) = (sockets[k].clone(), sockets[1 - k].clone(), routers[1 - k]);
-            let (loss, forwarded, lost, recorded) =
-                (relay.loss.clone(), relay.forwarded.clone(), relay.lost.clone(), relay.recorded.clone());
-            let mut rng = SmallRng::seed_from_u64(seed + k as u64);
+        for index in 0..2 {
+            let (from, to, router) = (sockets[index].clone(), sockets[1 - index].clone(), routers[1 - index]);
+            let (loss_rate, forwarded, dropped, recorded) = (
+                relay.loss_rate.clone(),
+                relay.forwarded.clone(),
+                relay.dropped.clone(),
+                relay.recorded.clone(),
+            );
+            let mut rng = SmallRng::seed_from_u64(seed + index as u64);
             spawn_local(async move {
-                let mut bytes = [0u8; 512];
+                let mut buffer = [0u8; 512];
                 loop {
-                    // An error is that of an earlier send to a failed router.
-                    let Ok((n, _)) = from.recv_from(&mut bytes).await else { continue };
-                    if rng.random_range(0.0..1.0) < loss.get() {
-                        lost.set(lost.get() + 1);
+                    // A receive error reports the failure of an earlier send to a stopped router.
+                    let Ok((length, _)) = from.recv_from(&mut buffer).await else { continue };
+                    if rng.random_range(0.0..1.0) < loss_rate.get() {
+                        dropped.set(dropped.get() + 1);
                         continue;
                     }
                     forwarded.set(forwarded.get() + 1);
-                    recorded.borrow_mut().push(bytes[..n].to_vec());
-                    let _ = to.send_to(&bytes[..n], at).await;
+                    recorded.borrow_mut().push(buffer[..length].to_vec());
+                    let _ = to.send_to(&buffer[..length], router).await;
                 }
             });
         }
@@ -65,89 +70,100 @@
 /// The outcome of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestOutcome {
-    /// Status of its response, or none if there was none in time.
+    /// Status of the response, or `None` if there was no response within the timeout.
     pub status: Option<u16>,
-    /// Connections that were refused or ended before a byte of a response.
+    /// Number of connections that were refused, or closed before the first byte of a response.
     pub retries: u32,
-    /// Whether the response was truncated or followed by further bytes.
+    /// Whether the response was truncated or followed by excess data.
     pub malformed: bool,
-    pub began: Instant,
-    pub ended: Instant,
+    pub started_at: Instant,
+    pub ended_at: Instant,
 }
 
-/// Sends one request to a virtual address, and retries within its timeout until there is a response.
-pub async fn send_request(at: SocketAddr, id: u64, write: bool, timeout: Duration) -> RequestOutcome {
-    let began = Instant::now();
-    let mut outcome = RequestOutcome { status: None, retries: 0, malformed: false, began, ended: began };
-    while began.elapsed() < timeout {
-        let left = (timeout - began.elapsed()).as_millis();
+/// Sends one request to a virtual address, with retries until there is a response or the timeout expires.
+pub async fn send_request(
+    virtual_address: SocketAddr,
+    id: u64,
+    write: bool,
+    timeout: Duration,
+) -> RequestOutcome {
+    let started_at = Instant::now();
+    let mut outcome =
+        RequestOutcome { status: None, retries: 0, malformed: false, started_at, ended_at: started_at };
+    while started_at.elapsed() < timeout {
+        let remaining_ms = (timeout - started_at.elapsed()).as_millis();
         let head = if write {
             format!("PUT /ops/ad-post/{id:016x} HTTP/1.1\r\nX-Dedupe-Key: k{id:x}\r\nContent-Length: 2\r\n")
         } else {
             format!("GET /ops/small-object/{:016x} HTTP/1.1\r\n", id % 211)
         };
         let request = format!(
-            "{head}Host: t\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: {left}\r\nConnection: close\r\n\r\n{}",
+            "{head}Host: t\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: {remaining_ms}\r\n\
+             Connection: close\r\n\r\n{}",
             if write { "ad" } else { "" }
         );
-        let once = async {
-            let mut stream = TcpStream::connect(at).await.ok()?;
+        let exchange = async {
+            let mut stream = TcpStream::connect(virtual_address).await.ok()?;
             stream.write_all(request.as_bytes()).await.ok()?;
             let mut response = Vec::new();
             let complete = stream.read_to_end(&mut response).await.is_ok();
             (!response.is_empty()).then_some((response, complete))
         };
-        if let Ok(Some((response, complete))) = tokio::time::timeout(timeout - began.elapsed(), once).await {
+        if let Ok(Some((response, complete))) =
+            tokio::time::timeout(timeout - started_at.elapsed(), exchange).await
+        {
             let text = String::from_utf8_lossy(&response);
-            let body = text.split("\r\n\r\n").nth(1).unwrap_or_default().len();
-            let length = text
+            let body_length = text.split("\r\n\r\n").nth(1).unwrap_or_default().len();
+            let content_length = text
                 .lines()
-                .find_map(|l| l.to_ascii_lowercase().strip_prefix("content-length: ")?.parse().ok());
-            outcome.status = text.get(9..12).and_then(|s| s.parse().ok());
-            outcome.malformed = !complete || length != Some(body) || text.matches("HTTP/1.1 ").count() != 1;
+                .find_map(|line| line.to_ascii_lowercase().strip_prefix("content-length: ")?.parse().ok());
+            outcome.status = text.get(9..12).and_then(|status| status.parse().ok());
+            outcome.malformed =
+                !complete || content_length != Some(body_length) || text.matches("HTTP/1.1 ").count() != 1;
             break;
         }
         outcome.retries += 1;
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    outcome.ended = Instant::now();
+    outcome.ended_at = Instant::now();
     outcome
 }
 
-/// Clients of a virtual address, until they are stopped. Every third request is an ad-post.
-pub struct Load {
-    pub ended: Rc<RefCell<Vec<(u64, bool, RequestOutcome)>>>,
+/// Concurrent clients of a virtual address. Every third request of a client is an ad-post.
+pub struct LoadGenerator {
+    /// Id of each completed request, whether it was an ad-post, and its outcome.
+    pub outcomes: Rc<RefCell<Vec<(u64, bool, RequestOutcome)>>>,
     stop: Rc<Cell<bool>>,
     clients: Vec<tokio::task::JoinHandle<()>>,
 }
 
-impl Load {
-    pub fn start(at: SocketAddr, clients: u64, timeout: Duration) -> Self {
-        let (ended, stop): (Rc<RefCell<Vec<_>>>, Rc<Cell<bool>>) = Default::default();
-        let tasks = (0..clients).map(|k| {
-            let (ended, stop) = (ended.clone(), stop.clone());
+impl LoadGenerator {
+    pub fn start(virtual_address: SocketAddr, clients: u64, timeout: Duration) -> Self {
+        let (outcomes, stop): (Rc<RefCell<Vec<_>>>, Rc<Cell<bool>>) = Default::default();
+        let tasks = (0..clients).map(|client| {
+            let (outcomes, stop) = (outcomes.clone(), stop.clone());
             spawn_local(async move {
-                let mut n = 0u64;
+                let mut sequence = 0u64;
                 while !stop.get() {
-                    n += 1;
-                    let (id, write) = ((k + 1) << 32 | n, n % 3 == 0);
-                    let end = send_request(at, id, write, timeout).await;
-                    ended.borrow_mut().push((id, write, end));
+                    sequence += 1;
+                    let (id, write) = ((client + 1) << 32 | sequence, sequence % 3 == 0);
+                    let outcome = send_request(virtual_address, id, write, timeout).await;
+                    outcomes.borrow_mut().push((id, write, outcome));
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
             })
         });
         let clients = tasks.collect();
-        Self { ended, stop, clients }
+        Self { outcomes, stop, clients }
     }
 
-    /// Stops the clients and returns all requests with their outcomes.
+    /// Stops the clients after their current requests and returns all outcomes.
     pub async fn stop(self) -> Vec<(u64, bool, RequestOutcome)> {
         self.stop.set(true);
         for client in self.clients {
             client.await.unwrap();
         }
-        let ended = self.ended.borrow().clone();
-        ended
+        let outcomes = self.outcomes.borrow().clone();
+        outcomes
     }
 }
--- a/tests/vrrp_service.rs
+++ b/tests/vrrp_service.rs
@@ -1,6 +1,6 @@
-//! VRRP in the program itself: two proxy processes that share a virtual address on loopback, a relay between their
-//! routers that loses or partitions their advertisements, a stand-in peer, and clients of the address. Where two proxies
-//! are active at once both listen there (SO_REUSEPORT), as two hosts may that both claim an address.
+//! End-to-end tests of VRRP: two proxy processes that share a virtual address on loopback, a relay between
+//! them that drops advertisements, a stand-in peer, and clients of the virtual address. While both proxies
+//! are active, both listen at it (`SO_REUSEPORT`), like two hosts that claim the same address.
 
 mod stand_ins;
 
@@ -13,7 +13,7 @@
 use rand::{RngExt, SeedableRng};
 use simd_json::prelude::*;
 use stand_ins::slow_cache_fleet::{unix_ms, SlowCacheFleet};
-use stand_ins::vrrp_peer::{send_request, Load, Relay, RequestOutcome};
+use stand_ins::vrrp_peer::{send_request, LoadGenerator, Relay, RequestOutcome};
 use stand_ins::{folder, run, KillOnDrop};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -23,83 +23,95 @@
 
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-fn free(ip: &str) -> SocketAddr {
+fn unused_tcp_address(ip: &str) -> SocketAddr {
     std::net::TcpListener::bind(format!("{ip}:0")).unwrap().local_addr().unwrap()
 }
 
-fn free_udp(ip: &str) -> SocketAddr {
+fn unused_udp_address(ip: &str) -> SocketAddr {
     std::net::UdpSocket::bind(format!("{ip}:0")).unwrap().local_addr().unwrap()
 }
 
 struct Proxy {
     process: KillOnDrop,
-    mgmt: SocketAddr,
+    admin_address: SocketAddr,
     dir: PathBuf,
 }
 
-/// Starts a proxy whose router listens at `router` and has the peer `peer`. `more` are further fields of its file.
-fn start(
+/// Starts a proxy whose virtual router listens at `router` and has the peer `peer`. `extra_fields` are added
+/// to its VRRP file.
+fn start_proxy(
     name: &str,
     fleet: &SlowCacheFleet,
     router: SocketAddr,
     peer: SocketAddr,
     virtual_address: SocketAddr,
-    more: &str,
+    extra_fields: &str,
 ) -> Proxy {
     let dir = folder(name);
     let ip = router.ip().to_string();
-    let (listen, mgmt) = (free(&ip), free(&ip));
+    let (listen, admin_address) = (unused_tcp_address(&ip), unused_tcp_address(&ip));
     let mut text =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
-    for (k, at) in (7101..=7104).enumerate() {
-        text = text.replace(&format!("127.0.0.1:{at}"), &fleet.addresses[k].to_string());
+    for (index, port) in (7101..=7104).enumerate() {
+        text = text.replace(&format!("127.0.0.1:{port}"), &fleet.addresses[index].to_string());
     }
-    let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
+    let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{admin_address}\",");
     std::fs::write(dir.join("config.json"), text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses))
         .unwrap();
-    vrrp_file(&dir, router, peer, virtual_address, more);
+    write_vrrp_file(&dir, router, peer, virtual_address, extra_fields);
     let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
     let (config, file) = (dir.join("config.json"), dir.join("vrrp.json"));
     let args = ["serve", "--config", config.to_str().unwrap(), "--vrrp", file.to_str().unwrap()];
-    let child = Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(Stdio::from(log)).spawn();
-    Proxy { process: KillOnDrop(child.unwrap()), mgmt, dir }
+    let process = Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(Stdio::from(log)).spawn();
+    Proxy { process: KillOnDrop(process.unwrap()), admin_address, dir }
 }
 
-fn vrrp_file(dir: &Path, router: SocketAddr, peer: SocketAddr, virtual_address: SocketAddr, more: &str) {
+fn write_vrrp_file(
+    dir: &Path,
+    router: SocketAddr,
+    peer: SocketAddr,
+    virtual_address: SocketAddr,
+    extra_fields: &str,
+) {
     let text = format!(
         r#"{{"listen":"{router}","peers":["{peer}"],"vrid":7,"addresses":["{}"],
-            "serve":[{{"address":"{virtual_address}","front":"platform"}}],{more}}}"#,
+            "serve":[{{"address":"{virtual_address}","front":"platform"}}],{extra_fields}}}"#,
         virtual_address.ip()
     );
     std::fs::write(dir.join("vrrp.json"), text).unwrap();
 }
 
 impl Proxy {
-    async fn call(&self, method: &str, path: &str) -> Option<simd_json::OwnedValue> {
-        let within = Duration::from_secs(1);
-        let mut body = edge_proxy::http_client::call(self.mgmt, method, path, b"", within).await.ok()?.body;
+    async fn call_admin(&self, method: &str, path: &str) -> Option<simd_json::OwnedValue> {
+        let timeout = Duration::from_secs(1);
+        let mut body =
+            edge_proxy::http_client::call(self.admin_address, method, path, b"", timeout).await.ok()?.body;
         simd_json::to_owned_value(&mut body).ok()
     }
 
     async fn status(&self) -> simd_json::OwnedValue {
         for _ in 0..500 {
-            if let Some(status) = self.call("GET", "/vrrp").await {
+            if let Some(status) = self.call_admin("GET", "/vrrp").await {
                 return status;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("no answer at the second address");
+        panic!("no response at the admin address");
     }
 
     async fn counter(&self, name: &str) -> u64 {
         self.status().await["figures"][name].as_u64().unwrap()
     }
 
-    /// Waits until the state is this, or not this.
-    async fn until(&self, state: &str, is: bool) {
-        let end = Instant::now() + Duration::from_secs(8);
-        while (self.status().await["state"].as_str() == Some(state)) != is {
-            assert!(Instant::now() < end, "{state} {is}: {:?}", self.status().await);
+    /// Waits until the router is in `state` if `expected`, or in another state otherwise.
+    async fn wait_for_state(&self, state: &str, expected: bool) {
+        let deadline = Instant::now() + Duration::from_secs(8);
+        while (self.status().await["state"].as_str() == Some(state)) != expected {
+            assert!(
+                Instant::now() < deadline,
+                "state {state}: expected {expected}, status: {:?}",
+                self.status().await
+            );
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
@@ -109,87 +121,112 @@
     }
 }
 
-/// Starts two proxies with a relay between their routers. The first has the higher priority.
-async fn pair(net: u8, name: &str, more: [&str; 2]) -> (SlowCacheFleet, Relay, [Proxy; 2], SocketAddr) {
-    let fleet = SlowCacheFleet::start(net, 4, 256, 4).await;
-    let ip = format!("127.0.{net}.10");
-    let virtual_address = free(&format!("127.1.{net}.1"));
-    let routers = [free_udp(&ip), free_udp(&ip)];
-    let relay = Relay::start(&format!("127.0.{net}.20"), routers, 11).await;
-    let go = |k: usize| {
-        start(&format!("{name}-{k}"), &fleet, routers[k], relay.sides[k], virtual_address, more[k])
+/// Starts two proxies with a relay between their virtual routers. The first becomes active; its extra fields
+/// must give it the higher priority.
+async fn start_pair(
+    subnet: u8,
+    name: &str,
+    extra_fields: [&str; 2],
+) -> (SlowCacheFleet, Relay, [Proxy; 2], SocketAddr) {
+    let fleet = SlowCacheFleet::start(subnet, 4, 256, 4).await;
+    let ip = format!("127.0.{subnet}.10");
+    let virtual_address = unused_tcp_address(&format!("127.1.{subnet}.1"));
+    let routers = [unused_udp_address(&ip), unused_udp_address(&ip)];
+    let relay = Relay::start(&format!("127.0.{subnet}.20"), routers, 11).await;
+    let start_one = |index: usize| {
+        start_proxy(
+            &format!("{name}-{index}"),
+            &fleet,
+            routers[index],
+            relay.peer_addresses[index],
+            virtual_address,
+            extra_fields[index],
+        )
     };
-    // One after the other: their waits for a first advertisement differ by the skew of 10 in priority alone, some
-    // milliseconds, so that of two processes started at once either may be active first.
-    let first = go(0);
-    first.until("active", true).await;
-    let proxies = [first, go(1)];
-    proxies[1].until("backup", true).await;
+    // The skew times of the two priorities differ by a few milliseconds only, so that either of two proxies
+    // started at the same time could become active first.
+    let first = start_one(0);
+    first.wait_for_state("active", true).await;
+    let proxies = [first, start_one(1)];
+    proxies[1].wait_for_state("backup", true).await;
     (fleet, relay, proxies, virtual_address)
 }
 
-/// Asserts that every request got one complete response with status 200.
-fn all_served(what: &str, ended: &[(u64, bool, RequestOutcome)]) {
-    assert!(ended.len() > 50, "{what}: only {} requests", ended.len());
-    let lost: Vec<_> = ended.iter().filter(|(_, _, e)| e.status != Some(200) || e.malformed).collect();
+/// Asserts that every request received exactly one complete response with status 200.
+fn assert_all_served(scenario: &str, outcomes: &[(u64, bool, RequestOutcome)]) {
+    assert!(outcomes.len() > 50, "{scenario}: only {} requests", outcomes.len());
+    let lost: Vec<_> =
+        outcomes.iter().filter(|(_, _, outcome)| outcome.status != Some(200) || outcome.malformed).collect();
     assert!(
         lost.is_empty(),
-        "{what}: {} of {} requests: {:?}",
+        "{scenario}: {} of {} requests not served: {:?}",
         lost.len(),
-        ended.len(),
+        outcomes.len(),
         &lost[..lost.len().min(5)]
     );
 }
 
-/// Number of ad-posts that reached caches more than once though their clients sent them once.
-fn sent_twice(fleet: &SlowCacheFleet, ended: &[(u64, bool, RequestOutcome)]) -> usize {
+/// Number of ad-post requests that reached the caches more than once although the client sent them once.
+fn count_duplicates(fleet: &SlowCacheFleet, outcomes: &[(u64, bool, RequestOutcome)]) -> usize {
     let keys = fleet.keys.borrow();
-    let twice = |id: u64| keys.get(&format!("k{id:x}")).copied().unwrap_or(0) > 1;
-    ended.iter().filter(|(id, write, e)| *write && e.retries == 0 && twice(*id)).count()
+    let is_duplicated = |id: u64| keys.get(&format!("k{id:x}")).copied().unwrap_or(0) > 1;
+    outcomes
+        .iter()
+        .filter(|(id, write, outcome)| *write && outcome.retries == 0 && is_duplicated(*id))
+        .count()
 }
 
 #[test]
 fn a_killed_active_router_is_replaced_within_three_seconds_and_no_request_is_lost() {
     run(async {
-        let more = [100, 90].map(|p| format!(r#""priority":{p},"interval_cs":20,"down_intervals":8"#));
-        let (fleet, _relay, mut proxies, virtual_address) = pair(94, "vrrp-kill", [&more[0], &more[1]]).await;
-        let load = Load::start(virtual_address, 8, CLIENT_TIMEOUT);
+        let extra_fields =
+            [100, 90].map(|priority| format!(r#""priority":{priority},"interval_cs":20,"down_intervals":8"#));
+        let (fleet, _relay, mut proxies, virtual_address) =
+            start_pair(94, "vrrp-kill", [&extra_fields[0], &extra_fields[1]]).await;
+        let load = LoadGenerator::start(virtual_address, 8, CLIENT_TIMEOUT);
         tokio::time::sleep(Duration::from_millis(400)).await;
         let killed = Instant::now();
         proxies[0].process.0.kill().unwrap();
-        proxies[1].until("active", true).await;
+        proxies[1].wait_for_state("active", true).await;
         assert!(killed.elapsed() < Duration::from_secs(3), "took over after {:?}", killed.elapsed());
         tokio::time::sleep(Duration::from_millis(400)).await;
-        let ended = load.stop().await;
-        all_served("killed", &ended);
-        let first = ended.iter().filter(|(_, _, e)| e.began < killed && e.ended < killed).count();
-        let after = ended.iter().filter(|(_, _, e)| e.began > killed).count();
-        assert!(first > 20 && after > 20, "load before and after: {first}, {after}");
-        assert_eq!(sent_twice(&fleet, &ended), 0, "an ad-post was sent twice");
-        // A retried ad-post carried the same key, by which caches drop duplicates.
-        assert!(fleet.keys.borrow().keys().all(|k| k.starts_with('k')));
+        let outcomes = load.stop().await;
+        assert_all_served("killed", &outcomes);
+        let before = outcomes
+            .iter()
+            .filter(|(_, _, outcome)| outcome.started_at < killed && outcome.ended_at < killed)
+            .count();
+        let after = outcomes.iter().filter(|(_, _, outcome)| outcome.started_at > killed).count();
+        assert!(before > 20 && after > 20, "requests before and after: {before}, {after}");
+        assert_eq!(count_duplicates(&fleet, &outcomes), 0, "an ad-post request was duplicated");
+        // A retried ad-post request carries the same key, by which the caches detect duplicates.
+        assert!(fleet.keys.borrow().keys().all(|key| key.starts_with('k')));
     });
 }
 
 #[test]
 fn two_active_routers_answer_each_request_once_and_one_becomes_backup() {
     run(async {
-        let more = [100, 90].map(|p| format!(r#""priority":{p},"interval_cs":10"#));
-        let (fleet, relay, proxies, virtual_address) = pair(95, "vrrp-split", [&more[0], &more[1]]).await;
-        let load = Load::start(virtual_address, 8, CLIENT_TIMEOUT);
+        let extra_fields = [100, 90].map(|priority| format!(r#""priority":{priority},"interval_cs":10"#));
+        let (fleet, relay, proxies, virtual_address) =
+            start_pair(95, "vrrp-split", [&extra_fields[0], &extra_fields[1]]).await;
+        let load = LoadGenerator::start(virtual_address, 8, CLIENT_TIMEOUT);
         tokio::time::sleep(Duration::from_millis(200)).await;
-        relay.loss.set(1.0);
-        proxies[1].until("active", true).await;
-        let split = load.ended.borrow().len();
+        relay.loss_rate.set(1.0);
+        proxies[1].wait_for_state("active", true).await;
+        let served_before = load.outcomes.borrow().len();
         tokio::time::sleep(Duration::from_millis(700)).await;
-        assert_eq!(proxies[0].status().await["state"].as_str(), Some("active"), "both are active");
-        assert!(load.ended.borrow().len() > split + 50, "requests were served by two active routers");
-        relay.loss.set(0.0);
-        proxies[1].until("backup", true).await;
+        assert_eq!(proxies[0].status().await["state"].as_str(), Some("active"), "both routers are active");
+        assert!(
+            load.outcomes.borrow().len() > served_before + 50,
+            "requests are served while both routers are active"
+        );
+        relay.loss_rate.set(0.0);
+        proxies[1].wait_for_state("backup", true).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let ended = load.stop().await;
-        all_served("split", &ended);
-        assert_eq!(sent_twice(&fleet, &ended), 0, "an ad-post was sent twice");
+        let outcomes = load.stop().await;
+        assert_all_served("split", &outcomes);
+        assert_eq!(count_duplicates(&fleet, &outcomes), 0, "an ad-post request was duplicated");
         assert_eq!(
             proxies[0].status().await["state"].as_str(),
             Some("active"),
@@ -199,277 +236,308 @@
             proxies[0].counter("splits").await + proxies[1].counter("splits").await > 0,
             "the conflict was detected"
         );
-        // Both served clients.
-        let mut served = Vec::new();
+        // Both proxies served requests.
+        let mut served_requests = Vec::new();
         for proxy in &proxies {
-            let within = Duration::from_secs(1);
-            let stats =
-                edge_proxy::http_client::call(proxy.mgmt, "GET", "/stats", b"", within).await.unwrap();
+            let timeout = Duration::from_secs(1);
+            let stats = edge_proxy::http_client::call(proxy.admin_address, "GET", "/stats", b"", timeout)
+                .await
+                .unwrap();
             let text = String::from_utf8_lossy(&stats.body).to_string();
-            let ok = text
+            let ok_counts = text
                 .lines()
-                .filter(|l| l.starts_with("app_ok_total"))
-                .filter_map(|l| l.split(' ').nth(1)?.parse::<u64>().ok());
-            served.push(ok.sum::<u64>());
+                .filter(|line| line.starts_with("app_ok_total"))
+                .filter_map(|line| line.split(' ').nth(1)?.parse::<u64>().ok());
+            served_requests.push(ok_counts.sum::<u64>());
         }
-        assert!(served.iter().all(|n| *n > 10), "served by each: {served:?}");
+        assert!(served_requests.iter().all(|count| *count > 10), "served by each proxy: {served_requests:?}");
     });
 }
 
-/// The priority of the first router changes every 200 ms by a tracked file. Because one missed advertisement suffices,
-/// the address moves each time.
+/// A tracked file changes the priority of the first router every 200 ms. Guards against duplicated requests
+/// while the virtual address moves back and forth, and against such moves once the delays of the tracked
+/// object damp them.
 #[test]
-fn a_flapping_priority_sends_no_ad_post_twice_and_damping_prevents_the_flapping() {
+fn a_flapping_priority_duplicates_no_request_and_tracking_delays_prevent_the_flapping() {
     run(async {
-        let switch = folder("vrrp-flap-switch").join("low");
+        let switch_file = folder("vrrp-flap-switch").join("low");
         let track = format!(
             r#""track":[{{"what":{{"file":"{}"}},"above":0,"lower_by":80,"after_ms":0,"back_ms":0}}]"#,
-            switch.display()
+            switch_file.display()
         );
-        let first = format!(r#""priority":120,"interval_cs":5,"down_intervals":1,{track}"#);
-        let second = r#""priority":100,"interval_cs":5,"down_intervals":1"#;
-        let (fleet, _relay, proxies, virtual_address) = pair(96, "vrrp-flap", [&first, second]).await;
-        let load = Load::start(virtual_address, 8, CLIENT_TIMEOUT);
-        for k in 0..16 {
-            if k % 2 == 0 {
-                std::fs::write(&switch, "").unwrap();
+        let first_fields = format!(r#""priority":120,"interval_cs":5,"down_intervals":1,{track}"#);
+        let second_fields = r#""priority":100,"interval_cs":5,"down_intervals":1"#;
+        let (fleet, _relay, proxies, virtual_address) =
+            start_pair(96, "vrrp-flap", [&first_fields, second_fields]).await;
+        let load = LoadGenerator::start(virtual_address, 8, CLIENT_TIMEOUT);
+        for step in 0..16 {
+            if step % 2 == 0 {
+                std::fs::write(&switch_file, "").unwrap();
             } else {
-                std::fs::remove_file(&switch).unwrap();
+                std::fs::remove_file(&switch_file).unwrap();
             }
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
         let changes = proxies[1].counter("became_active").await;
-        assert!(changes >= 4, "the address moved {changes} times only");
-        let ended = load.stop().await;
-        all_served("flapping", &ended);
-        assert_eq!(sent_twice(&fleet, &ended), 0, "an ad-post was sent twice");
-        // With delays of the tracked object the same flapping changes nothing.
-        let calm = first.replace("\"after_ms\":0,\"back_ms\":0", "\"after_ms\":500,\"back_ms\":2000");
+        assert!(changes >= 4, "the virtual address moved only {changes} times");
+        let outcomes = load.stop().await;
+        assert_all_served("flapping", &outcomes);
+        assert_eq!(count_duplicates(&fleet, &outcomes), 0, "an ad-post request was duplicated");
+        // With delays of the tracked object, the same changes of the file have no effect.
+        let damped_fields =
+            first_fields.replace("\"after_ms\":0,\"back_ms\":0", "\"after_ms\":500,\"back_ms\":2000");
         let router = proxies[0].status().await;
         assert!(router["priority"].as_u64().is_some());
         let file = std::fs::read_to_string(proxies[0].dir.join("vrrp.json")).unwrap();
-        std::fs::write(proxies[0].dir.join("vrrp.json"), file.replace(&first, &calm)).unwrap();
+        std::fs::write(proxies[0].dir.join("vrrp.json"), file.replace(&first_fields, &damped_fields))
+            .unwrap();
         proxies[0].signal("-HUP");
-        // An advertisement that a busy machine holds back must not pass for the flapping: three may be missed, which a low
-        // priority of 200 ms still outlasts (3 x 50 ms and a skew of 30).
+        // Tolerates three missed advertisements, so that a delayed one causes no takeover. The resulting
+        // timeout (3 x 50 ms and a skew time of 30 ms) is still shorter than the 200 ms for which the
+        // priority is low.
         let file = std::fs::read_to_string(proxies[1].dir.join("vrrp.json")).unwrap();
-        let patient = second.replace("\"down_intervals\":1", "\"down_intervals\":3");
-        assert!(file.contains(second));
-        std::fs::write(proxies[1].dir.join("vrrp.json"), file.replace(second, &patient)).unwrap();
+        let tolerant_fields = second_fields.replace("\"down_intervals\":1", "\"down_intervals\":3");
+        assert!(file.contains(second_fields));
+        std::fs::write(proxies[1].dir.join("vrrp.json"), file.replace(second_fields, &tolerant_fields))
+            .unwrap();
         proxies[1].signal("-HUP");
-        proxies[0].until("active", true).await;
-        proxies[1].until("backup", true).await;
+        proxies[0].wait_for_state("active", true).await;
+        proxies[1].wait_for_state("backup", true).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         let before = proxies[1].counter("became_active").await;
-        for k in 0..10 {
-            if k % 2 == 0 {
-                std::fs::write(&switch, "").unwrap();
+        for step in 0..10 {
+            if step % 2 == 0 {
+                std::fs::write(&switch_file, "").unwrap();
             } else {
-                std::fs::remove_file(&switch).unwrap();
+                std::fs::remove_file(&switch_file).unwrap();
             }
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
-        assert_eq!(proxies[1].counter("became_active").await, before, "the flapping moved the address");
+        assert_eq!(proxies[1].counter("became_active").await, before, "the virtual address moved");
     });
 }
 
 #[test]
 fn lost_advertisements_cause_no_takeover() {
     run(async {
-        let more = [100, 90].map(|p| format!(r#""priority":{p},"interval_cs":10,"down_intervals":8"#));
-        let (_fleet, relay, proxies, virtual_address) = pair(97, "vrrp-loss", [&more[0], &more[1]]).await;
-        relay.loss.set(0.2);
-        let load = Load::start(virtual_address, 4, CLIENT_TIMEOUT);
+        let extra_fields =
+            [100, 90].map(|priority| format!(r#""priority":{priority},"interval_cs":10,"down_intervals":8"#));
+        let (_fleet, relay, proxies, virtual_address) =
+            start_pair(97, "vrrp-loss", [&extra_fields[0], &extra_fields[1]]).await;
+        relay.loss_rate.set(0.2);
+        let load = LoadGenerator::start(virtual_address, 4, CLIENT_TIMEOUT);
         tokio::time::sleep(Duration::from_secs(5)).await;
-        all_served("lossy", &load.stop().await);
+        assert_all_served("lossy", &load.stop().await);
         assert!(
-            relay.lost.get() > 3 && relay.forwarded.get() > 30,
-            "{} lost of {}",
-            relay.lost.get(),
+            relay.dropped.get() > 3 && relay.forwarded.get() > 30,
+            "{} dropped, {} forwarded",
+            relay.dropped.get(),
             relay.forwarded.get()
         );
         assert_eq!((proxies[0].counter("gave_up").await, proxies[1].counter("became_active").await), (0, 0));
     });
 }
 
-/// A simulated day of advertisements of which a fifth is lost, on two state machines: how often the backup takes over
-/// from an active router that has not failed.
+/// Simulates two state machines for a day while a fifth of the advertisements is lost. Guards against
+/// takeovers from an active router that has not failed.
 #[test]
-fn needless_takeovers_in_a_day_by_the_missed_advertisements_allowed() {
-    let day = |down_intervals: u8| {
-        let at = |host: u8| SocketAddr::from(([127, 0, 0, host], 5_112));
+fn needless_takeovers_are_common_after_three_missed_advertisements_and_rare_after_eight() {
+    let needless_takeovers = |down_intervals: u8| {
+        let router_address = |host: u8| SocketAddr::from(([127, 0, 0, host], 5_112));
         let machine = |host: u8, priority: u8| {
-            let set = RouterSettings::new(
-                at(host),
-                vec![at(3 - host)],
+            let settings = RouterSettings::new(
+                router_address(host),
+                vec![router_address(3 - host)],
                 7,
                 priority,
                 vec![Ipv4Addr::new(127, 1, 0, 1)],
             );
-            Machine::new(RouterSettings { interval_cs: 20, down_intervals, ..set })
+            Machine::new(RouterSettings { interval_cs: 20, down_intervals, ..settings })
         };
         let mut rng = SmallRng::seed_from_u64(3);
-        let mut pair = [machine(1, 100), machine(2, 90)];
-        pair.iter_mut().for_each(|m| drop(m.start(0.0)));
-        let (mut now, mut needless) = (0.0, 0);
+        let mut machines = [machine(1, 100), machine(2, 90)];
+        machines.iter_mut().for_each(|machine| drop(machine.start(0.0)));
+        let (mut now, mut takeovers) = (0.0, 0);
         while now < 86_400_000.0 {
-            now = pair[0].due_ms().min(pair[1].due_ms());
-            for k in 0..2 {
-                let previous = pair[k].state();
-                let mut sent = pair[k].tick(now);
-                needless += u32::from(
-                    k == 1 && previous == State::Backup && pair[1].state() == State::Active && now > 60_000.0,
+            now = machines[0].due_ms().min(machines[1].due_ms());
+            for index in 0..2 {
+                let previous = machines[index].state();
+                let mut sent = machines[index].tick(now);
+                takeovers += u32::from(
+                    index == 1
+                        && previous == State::Backup
+                        && machines[1].state() == State::Active
+                        && now > 60_000.0,
                 );
-                // The answer of the other router, and so on, each lost by chance.
-                let (mut from, mut to) = (k, 1 - k);
-                while let Some(ad) = sent.take().filter(|_| rng.random_range(0.0..1.0) >= 0.2) {
-                    sent = pair[to].receive(now, at(from as u8 + 1), &ad);
+                // Delivers the advertisement and the replies to it, each of which is lost with a probability
+                // of 0.2.
+                let (mut from, mut to) = (index, 1 - index);
+                while let Some(advertisement) = sent.take().filter(|_| rng.random_range(0.0..1.0) >= 0.2) {
+                    sent = machines[to].receive(now, router_address(from as u8 + 1), &advertisement);
                     (from, to) = (to, from);
                 }
             }
         }
-        needless
+        takeovers
     };
-    let (three, eight) = (day(3), day(8));
-    assert!(three > 100, "three missed in a row are common: {three}");
-    assert!(eight <= 3, "eight in a row are rare: {eight}");
+    let (three, eight) = (needless_takeovers(3), needless_takeovers(8));
+    assert!(three > 100, "takeovers after three missed advertisements: {three}");
+    assert!(eight <= 3, "takeovers after eight missed advertisements: {eight}");
 }
 
-/// A peer that sends invalid datagrams: each is counted, none has an effect.
+/// Guards against state changes by forged, replayed or malformed datagrams.
 #[test]
-fn invalid_advertisements_are_counted_and_rejected() {
+fn invalid_datagrams_are_counted_and_change_no_state() {
     run(async {
         let fleet = SlowCacheFleet::start(98, 4, 64, 2).await;
-        let (router, virtual_address) = (free_udp("127.0.98.10"), free("127.1.98.1"));
+        let (router, virtual_address) = (unused_udp_address("127.0.98.10"), unused_tcp_address("127.1.98.1"));
         let peer = UdpSocket::bind("127.0.98.20:0").await.unwrap();
-        let stranger = UdpSocket::bind("127.0.98.21:0").await.unwrap();
-        let key = |byte: u8| base64::engine::general_purpose::STANDARD.encode([byte; 32]);
+        let unknown_sender = UdpSocket::bind("127.0.98.21:0").await.unwrap();
+        let key_text = |byte: u8| base64::engine::general_purpose::STANDARD.encode([byte; 32]);
         let dir = folder("vrrp-bad");
-        std::fs::write(dir.join("vrrp.key"), key(1)).unwrap();
-        let more = r#""priority":100,"interval_cs":10,"key_file":"vrrp.key""#;
-        let proxy = start("vrrp-bad", &fleet, router, peer.local_addr().unwrap(), virtual_address, more);
-        proxy.until("active", true).await;
+        std::fs::write(dir.join("vrrp.key"), key_text(1)).unwrap();
+        let extra_fields = r#""priority":100,"interval_cs":10,"key_file":"vrrp.key""#;
+        let proxy = start_proxy(
+            "vrrp-bad",
+            &fleet,
+            router,
+            peer.local_addr().unwrap(),
+            virtual_address,
+            extra_fields,
+        );
+        proxy.wait_for_state("active", true).await;
         let virtual_ip = match virtual_address.ip() {
             std::net::IpAddr::V4(ip) => ip,
             _ => unreachable!(),
         };
-        let ad = |vrid: u8, address: Ipv4Addr| {
+        let encode = |vrid: u8, address: Ipv4Addr| {
             Advertisement { vrid, priority: 250, interval_cs: 10, addresses: vec![address] }.encode()
         };
-        let better = ad(7, virtual_ip);
-        let mut valid_auth = DatagramAuth::new(MessageKeys::parse(&key(1)).unwrap(), 5_000.0, LABEL);
-        let mut old_auth = DatagramAuth::new(MessageKeys::parse(&key(1)).unwrap(), 5_000.0, LABEL);
-        let mut wrong_auth = DatagramAuth::new(MessageKeys::parse(&key(2)).unwrap(), 5_000.0, LABEL);
+        let valid_message = encode(7, virtual_ip);
+        let mut valid_auth = DatagramAuth::new(MessageKeys::parse(&key_text(1)).unwrap(), 5_000.0, LABEL);
+        let mut old_auth = DatagramAuth::new(MessageKeys::parse(&key_text(1)).unwrap(), 5_000.0, LABEL);
+        let mut wrong_auth = DatagramAuth::new(MessageKeys::parse(&key_text(2)).unwrap(), 5_000.0, LABEL);
         let now = unix_ms;
-        let mut broken = better.clone();
-        broken[6] ^= 1;
-        let bad: Vec<(&str, Vec<u8>)> = vec![
-            ("unsealed", better.clone()),
+        let mut wrong_checksum = valid_message.clone();
+        wrong_checksum[6] ^= 1;
+        let invalid: Vec<(&str, Vec<u8>)> = vec![
+            ("unsealed", valid_message.clone()),
             ("unsealed", b"x".to_vec()),
-            ("unsealed", wrong_auth.sign(now(), better.clone())),
-            ("malformed", valid_auth.sign(now(), broken)),
+            ("unsealed", wrong_auth.sign(now(), valid_message.clone())),
+            ("malformed", valid_auth.sign(now(), wrong_checksum)),
             ("malformed", valid_auth.sign(now(), vec![0x21, 7, 250, 0])),
-            ("mismatched", valid_auth.sign(now(), ad(8, virtual_ip))),
-            ("mismatched", valid_auth.sign(now(), ad(7, Ipv4Addr::new(127, 9, 9, 9)))),
-            ("replayed", old_auth.sign(now() - 60_000.0, better.clone())),
+            ("mismatched", valid_auth.sign(now(), encode(8, virtual_ip))),
+            ("mismatched", valid_auth.sign(now(), encode(7, Ipv4Addr::new(127, 9, 9, 9)))),
+            ("replayed", old_auth.sign(now() - 60_000.0, valid_message.clone())),
         ];
-        for (what, datagram) in &bad {
-            let before = proxy.counter(what).await;
+        for (counter, datagram) in &invalid {
+            let before = proxy.counter(counter).await;
             peer.send_to(datagram, router).await.unwrap();
-            let end = Instant::now() + Duration::from_secs(2);
-            while proxy.counter(what).await == before {
-                assert!(Instant::now() < end, "{what} is not counted");
+            let deadline = Instant::now() + Duration::from_secs(2);
+            while proxy.counter(counter).await == before {
+                assert!(Instant::now() < deadline, "{counter} is not counted");
             }
         }
-        let signed = valid_auth.sign(now(), better.clone());
-        stranger.send_to(&signed, router).await.unwrap();
-        let end = Instant::now() + Duration::from_secs(2);
+        let signed = valid_auth.sign(now(), valid_message.clone());
+        unknown_sender.send_to(&signed, router).await.unwrap();
+        let deadline = Instant::now() + Duration::from_secs(2);
         while proxy.counter("strangers").await == 0 {
-            assert!(Instant::now() < end, "a stranger is not counted");
+            assert!(Instant::now() < deadline, "a datagram from an unknown sender is not counted");
         }
-        assert_eq!(proxy.status().await["state"].as_str(), Some("active"), "none of them had an effect");
+        assert_eq!(
+            proxy.status().await["state"].as_str(),
+            Some("active"),
+            "an invalid datagram changed the state"
+        );
         assert_eq!(proxy.counter("gave_up").await, 0);
-        // The same advertisement, signed and new, has an effect; a replay has none.
-        let signed = valid_auth.sign(now(), better);
+        // A new, signed advertisement changes the state; its replay does not.
+        let signed = valid_auth.sign(now(), valid_message);
         peer.send_to(&signed, router).await.unwrap();
-        proxy.until("backup", true).await;
-        proxy.until("active", true).await;
+        proxy.wait_for_state("backup", true).await;
+        proxy.wait_for_state("active", true).await;
         peer.send_to(&signed, router).await.unwrap();
         tokio::time::sleep(Duration::from_millis(100)).await;
-        assert_eq!(proxy.status().await["state"].as_str(), Some("active"), "a replay had an effect");
+        assert_eq!(proxy.status().await["state"].as_str(), Some("active"), "a replay changed the state");
         let log = std::fs::read_to_string(proxy.dir.join("proxy.log")).unwrap();
         assert!(log.contains("virtual router: datagram rejected"), "{log}");
     });
 }
 
 #[test]
-fn stop_and_step_down_hand_over_without_losing_a_request() {
+fn stopping_or_stepping_down_hands_over_without_losing_a_request() {
     run(async {
-        let more = [100, 90].map(|p| format!(r#""priority":{p},"interval_cs":10"#));
-        let (fleet, _relay, mut proxies, virtual_address) = pair(99, "vrrp-stop", [&more[0], &more[1]]).await;
-        let load = Load::start(virtual_address, 8, CLIENT_TIMEOUT);
+        let extra_fields = [100, 90].map(|priority| format!(r#""priority":{priority},"interval_cs":10"#));
+        let (fleet, _relay, mut proxies, virtual_address) =
+            start_pair(99, "vrrp-stop", [&extra_fields[0], &extra_fields[1]]).await;
+        let load = LoadGenerator::start(virtual_address, 8, CLIENT_TIMEOUT);
         tokio::time::sleep(Duration::from_millis(200)).await;
-        // The operator has it step down and resume.
-        assert!(proxies[0].call("POST", "/vrrp/aside").await.is_some());
-        proxies[0].until("fault", true).await;
-        proxies[1].until("active", true).await;
+        // An operator makes the active router step down and then resume.
+        assert!(proxies[0].call_admin("POST", "/vrrp/aside").await.is_some());
+        proxies[0].wait_for_state("fault", true).await;
+        proxies[1].wait_for_state("active", true).await;
         assert_eq!(proxies[0].status().await["serve"][0]["open"].as_bool(), Some(false));
-        assert!(proxies[0].call("POST", "/vrrp/back").await.is_some());
-        proxies[0].until("active", true).await;
-        proxies[1].until("backup", true).await;
-        // A stop: the peer is notified, and open requests are answered before the process ends.
+        assert!(proxies[0].call_admin("POST", "/vrrp/back").await.is_some());
+        proxies[0].wait_for_state("active", true).await;
+        proxies[1].wait_for_state("backup", true).await;
+        // On SIGTERM, the peer is notified and open requests are answered before the process exits.
         proxies[0].signal("-TERM");
-        proxies[1].until("active", true).await;
+        proxies[1].wait_for_state("active", true).await;
         proxies[0].process.exits_successfully().await;
         tokio::time::sleep(Duration::from_millis(200)).await;
-        let ended = load.stop().await;
-        all_served("handed over", &ended);
-        assert_eq!(sent_twice(&fleet, &ended), 0, "an ad-post was sent twice");
-        let one = send_request(virtual_address, 5, true, CLIENT_TIMEOUT).await;
-        assert_eq!((one.status, one.retries), (Some(200), 0));
+        let outcomes = load.stop().await;
+        assert_all_served("handed over", &outcomes);
+        assert_eq!(count_duplicates(&fleet, &outcomes), 0, "an ad-post request was duplicated");
+        let outcome = send_request(virtual_address, 5, true, CLIENT_TIMEOUT).await;
+        assert_eq!((outcome.status, outcome.retries), (Some(200), 0));
     });
 }
 
-/// A master whose caches are all gone gives the address to one that still has some: decided by what it tracks.
+/// Guards against an active router that keeps the virtual address although none of its caches accepts
+/// requests.
 #[test]
-fn an_active_router_whose_pool_fails_hands_over() {
+fn an_active_router_whose_cache_pool_fails_hands_over_and_takes_over_after_recovery() {
     run(async {
         let track = r#""track":[{"what":"pool","below":0.5,"lower_by":50,"after_ms":200,"back_ms":1000}]"#;
-        let more = [
+        let extra_fields = [
             format!(r#""priority":100,"interval_cs":10,{track}"#),
             r#""priority":90,"interval_cs":10"#.into(),
         ];
-        let (_fleet, _relay, proxies, virtual_address) = pair(101, "vrrp-track", [&more[0], &more[1]]).await;
-        let load = Load::start(virtual_address, 6, CLIENT_TIMEOUT);
+        let (_fleet, _relay, proxies, virtual_address) =
+            start_pair(101, "vrrp-track", [&extra_fields[0], &extra_fields[1]]).await;
+        let load = LoadGenerator::start(virtual_address, 6, CLIENT_TIMEOUT);
         tokio::time::sleep(Duration::from_millis(200)).await;
         for cache in ["s-000000c1", "s-000000c2"] {
-            let within = Duration::from_secs(1);
+            let timeout = Duration::from_secs(1);
             let path = format!("/pop-caches/{cache}/maint");
-            let answer =
-                edge_proxy::http_client::call(proxies[0].mgmt, "POST", &path, b"", within).await.unwrap();
-            assert_eq!(answer.status, 200);
+            let response =
+                edge_proxy::http_client::call(proxies[0].admin_address, "POST", &path, b"", timeout)
+                    .await
+                    .unwrap();
+            assert_eq!(response.status, 200);
         }
-        proxies[1].until("active", true).await;
-        proxies[0].until("backup", true).await;
+        proxies[1].wait_for_state("active", true).await;
+        proxies[0].wait_for_state("backup", true).await;
         let status = proxies[0].status().await;
         assert_eq!(
             (status["priority"].as_u64(), status["track"][0]["bad"].as_bool()),
             (Some(50), Some(true))
         );
         for cache in ["s-000000c1", "s-000000c2"] {
-            let within = Duration::from_secs(1);
+            let timeout = Duration::from_secs(1);
             let path = format!("/pop-caches/{cache}/ready");
-            edge_proxy::http_client::call(proxies[0].mgmt, "POST", &path, b"", within).await.unwrap();
+            edge_proxy::http_client::call(proxies[0].admin_address, "POST", &path, b"", timeout)
+                .await
+                .unwrap();
         }
-        proxies[0].until("active", true).await;
-        proxies[1].until("backup", true).await;
-        // Requests that found no cache were refused at once; none hung, none was cut.
-        let ended = load.stop().await;
+        proxies[0].wait_for_state("active", true).await;
+        proxies[1].wait_for_state("backup", true).await;
+        // Requests without an available cache were rejected; none timed out or received a truncated response.
+        let outcomes = load.stop().await;
         assert!(
-            ended.iter().all(|(_, _, e)| e.status.is_some() && !e.malformed),
-            "a request had no whole answer"
+            outcomes.iter().all(|(_, _, outcome)| outcome.status.is_some() && !outcome.malformed),
+            "a request received no complete response"
         );
-        let served = ended.iter().filter(|(_, _, e)| e.status == Some(200)).count();
-        assert!(served * 10 > ended.len() * 5, "{served} of {} served", ended.len());
+        let served = outcomes.iter().filter(|(_, _, outcome)| outcome.status == Some(200)).count();
+        assert!(served * 10 > outcomes.len() * 5, "{served} of {} served", outcomes.len());
     });
 }
