--- a/src/vrrp/admin.rs
+++ b/src/vrrp/admin.rs
@@ -9,11 +9,8 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Path of the call that returns the state.
 const STATUS_PATH: &str = "/vrrp";
-/// Path of the call that makes the router step down.
 const STEP_DOWN_PATH: &str = "/vrrp/aside";
-/// Path of the call that lets the router become active again.
 const RESUME_PATH: &str = "/vrrp/back";
 
 /// Response body of the admin calls.
--- a/src/vrrp/listeners.rs
+++ b/src/vrrp/listeners.rs
@@ -18,7 +18,6 @@
     Close(usize),
 }
 
-/// State of one listener.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ListenerState {
     Closed,
--- a/src/vrrp/machine.rs
+++ b/src/vrrp/machine.rs
@@ -58,11 +58,9 @@
     /// How long an active router of lower priority must have been observed before it is preempted, in
     /// milliseconds.
     pub preempt_delay_ms: f64,
-    /// Number of consecutive missed advertisements after which the active router counts as down; the RFC uses
-    /// 3.
+    /// Consecutive missed advertisements after which the active router counts as down; 3 in the RFC.
     pub down_intervals: u8,
-    /// Maximum number of times that this router may become active within [`FLAP_WINDOW_MS`] before it pauses
-    /// preemption; 0 for no limit.
+    /// Maximum number of activations of this router within a minute before it pauses preemption; 0 for no limit.
     pub max_activations: usize,
     /// Duration of the pause of preemption after too many activations, in milliseconds.
     pub flap_hold_ms: f64,
--- a/src/vrrp/track.rs
+++ b/src/vrrp/track.rs
@@ -226,8 +226,8 @@
 }
 
 impl RejectedShare {
-    /// Adds the counts at `now`. Returns the share within [`SHARE_WINDOW_MS`], or `None` if fewer than
-    /// [`MIN_ENDED_REQUESTS`] ended.
+    /// Adds the counts at `now`. Returns the share within [`SHARE_WINDOW_MS`], or `None` if too few requests
+    /// ended.
     pub fn sample(&mut self, now: f64, ended: EndedRequests) -> Option<f64> {
         self.samples.push_back((now, ended));
         while self.samples.get(1).is_some_and(|(at, _)| now - at >= SHARE_WINDOW_MS) {
--- a/src/vrrp/virtual_addresses.rs
+++ b/src/vrrp/virtual_addresses.rs
@@ -22,7 +22,6 @@
     fn serve(&self, front: FrontKind, listener: TcpListener, stop: Rc<GracefulShutdown>, closing: Rc<Notify>);
 }
 
-/// An open listener.
 struct OpenListener {
     stop: Rc<GracefulShutdown>,
     closing: Rc<Notify>,
