--- a/src/vrrp/machine.rs
+++ b/src/vrrp/machine.rs
@@ -60,7 +60,8 @@
     pub preempt_delay_ms: f64,
     /// Consecutive missed advertisements after which the active router counts as down; 3 in the RFC.
     pub down_intervals: u8,
-    /// Maximum number of activations of this router within a minute before it pauses preemption; 0 for no limit.
+    /// Maximum number of activations of this router within a minute before it pauses preemption; 0 for no
+    /// limit.
     pub max_activations: usize,
     /// Duration of the pause of preemption after too many activations, in milliseconds.
     pub flap_hold_ms: f64,
