--- a/src/health_check/admin.rs
+++ b/src/health_check/admin.rs
@@ -1,5 +1,5 @@
-//! What operators see of shared health checks: the admin call `GET /duties` and the metrics. Paths, JSON keys and metric
-//! names are those of the first version.
+//! Admin endpoint `GET /duties` and metrics of the shared health checks. Paths, JSON keys and metric names
+//! are kept for compatibility with the first version.
 
 use super::driver::HealthChecker;
 use super::health_status::EndpointHealth;
@@ -10,10 +10,10 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Path of the admin call.
+/// Path of the admin endpoint.
 const STATUS_PATH: &str = "/duties";
 
-/// Body of the answer to the admin call.
+/// Response body of the admin endpoint.
 #[derive(Serialize)]
 struct Status {
     id: InstanceId,
@@ -29,7 +29,7 @@
 }
 
 impl HealthChecker {
-    /// Answers the admin call `GET /duties`. Returns none for other paths.
+    /// Handles admin requests for `/duties`. Returns `None` for other paths.
     pub fn answer(&self, request: &HttpRequest) -> Option<HttpResponse> {
         if request.target != STATUS_PATH {
             return None;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The metrics in the Prometheus text format.
+    /// Renders the metrics in the Prometheus text format.
     pub fn metrics(&self) -> String {
         let scheduler = self.scheduler.borrow();
         let metrics = scheduler.metrics;
--- a/src/health_check/checker.rs
+++ b/src/health_check/checker.rs
@@ -1,4 +1,4 @@
-//! Runs one health check of an endpoint.
+//! Runs a single health check of an endpoint.
 
 use super::config::CheckKind;
 use std::net::SocketAddr;
@@ -7,12 +7,12 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Most bytes of a response that are read.
+/// Bytes of a response within which its status line must end.
 const MAX_RESPONSE_BYTES: usize = 1_024;
-/// Most headers of a response that are parsed.
+/// Maximum number of headers for the response parser.
 const MAX_HEADERS: usize = 32;
 
-/// Checks the endpoint at `address` and returns whether it passed within `limit`.
+/// Checks the endpoint at `address`. Errors and checks that take longer than `limit` count as failed.
 pub async fn check(address: SocketAddr, kind: &CheckKind, limit: Duration) -> bool {
     let passed = async {
         let stream = TcpStream::connect(address).await?;
@@ -24,7 +24,7 @@
     matches!(timeout(limit, passed).await, Ok(Ok(true)))
 }
 
-/// Sends a `GET` over a new connection and returns whether the response has a 2xx status.
+/// Sends a `GET` request and returns whether the response has a 2xx status.
 async fn check_http(mut stream: TcpStream, address: SocketAddr, path: &str) -> std::io::Result<bool> {
     let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).await?;
@@ -40,11 +40,12 @@
     Ok(false)
 }
 
-/// The status of a response, of which the headers may be incomplete.
+/// Parses the status of a response whose headers may be incomplete.
 fn parse_status(received: &[u8]) -> Option<u16> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    // The status line suffices: the parser sets the status before it fails in headers that are incomplete or too many.
+    // The result is ignored because the parser sets the status before it reaches headers that are incomplete
+    // or too many.
     let _ = response.parse(received);
     response.code
 }
--- a/src/health_check/config.rs
+++ b/src/health_check/config.rs
@@ -1,6 +1,7 @@
-//! The operator file of shared health checks, `serve --health-checks FILE`. Without it no health checks run.
+//! Configuration file of the shared health checks, `serve --health-checks FILE`. Shared health checks are
+//! disabled without it.
 //!
-//! The keys of the file are those of the first version.
+//! Keys of the file that differ from the field names are kept for compatibility with the first version.
 
 use super::health_status::HealthThresholds;
 use super::lease::InstanceId;
@@ -12,87 +13,87 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Most other instances.
+/// Maximum number of peers.
 pub const MAX_PEERS: usize = 4_096;
-/// Attempts of a vote request within one rank's delay.
+/// Number of times a vote request is sent per rank delay.
 const ATTEMPTS_PER_RANK_DELAY: f64 = 4.0;
-/// Ranks' delays after which a vote request is given up.
+/// Timeout of a vote request, in rank delays.
 const REQUEST_TIMEOUT_RANKS: f64 = 2.0;
-/// Heartbeats within the time after which a silent instance counts as failed.
+/// Number of heartbeats sent per failure timeout.
 const HEARTBEATS_PER_FAILURE_TIMEOUT: f64 = 4.0;
 
-/// Another instance that takes part.
+/// Another instance that shares the health checks.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
-    /// Its number, the same in every instance's file.
+    /// Instance number, which must be the same in the files of all instances.
     pub id: InstanceId,
-    /// Address at which it receives datagrams.
+    /// Address on which the peer receives datagrams.
     pub address: String,
 }
 
-/// What a health check does.
+/// Type of health check.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum CheckKind {
-    /// Opens a TCP connection.
+    /// Passes if a TCP connection can be established.
     Connect,
-    /// Sends an HTTP/1.1 `GET` of this path and expects a 2xx status.
+    /// Passes if an HTTP/1.1 `GET` request for this path returns a 2xx status.
     Http(String),
 }
 
-/// The endpoints that are checked.
+/// Selects the endpoints to check.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CheckedEndpoints {
-    /// Models of endpoints.
+    /// Endpoint models to check.
     pub models: Vec<String>,
-    /// Port for health checks, or none for each endpoint's own port.
+    /// Port to check. Defaults to the port of each endpoint.
     #[serde(default)]
     pub port: Option<u16>,
 }
 
-/// The operator file.
+/// Contents of the configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HealthCheckConfig {
     /// Number of this instance.
     pub id: InstanceId,
-    /// Address at which this instance receives datagrams.
+    /// Address on which this instance receives datagrams.
     pub listen: String,
     /// The other instances.
     pub peers: Vec<Peer>,
-    /// File with the keys that authenticate datagrams; without it datagrams are not authenticated.
+    /// File with the keys that authenticate datagrams. Datagrams are not authenticated without it.
     #[serde(default)]
     pub key_file: Option<PathBuf>,
-    /// How far a peer's clock may be from this one, in milliseconds.
+    /// Maximum clock skew between instances, in milliseconds.
     #[serde(default = "default_clock_skew_ms")]
     pub clock_skew_ms: f64,
-    /// The endpoints that are checked.
+    /// The endpoints to check.
     #[serde(rename = "servers")]
     pub endpoints: CheckedEndpoints,
-    /// What a check does.
+    /// Type of health check.
     #[serde(rename = "probe")]
     pub check: CheckKind,
-    /// Longest duration of a check, in milliseconds.
+    /// Timeout of a check, in milliseconds.
     #[serde(rename = "probe_ms", default = "default_check_timeout_ms")]
     pub check_timeout_ms: f64,
-    /// Time between two checks of an endpoint, in milliseconds.
+    /// Interval between checks of an endpoint, in milliseconds.
     #[serde(default = "default_period_ms")]
     pub period_ms: f64,
-    /// Delay after which each next instance requests a lease, in milliseconds.
+    /// Delay between the lease requests of successive ranks, in milliseconds.
     #[serde(rename = "step_ms", default = "default_rank_delay_ms")]
     pub rank_delay_ms: f64,
-    /// Silence after which an instance counts as failed, in milliseconds.
+    /// Time without a message after which an instance counts as failed, in milliseconds.
     #[serde(rename = "dead_ms", default = "default_failure_timeout_ms")]
     pub failure_timeout_ms: f64,
-    /// Consecutive failed checks until an endpoint is unhealthy.
+    /// Consecutive failed checks after which an endpoint becomes unhealthy.
     #[serde(default = "default_threshold")]
     pub fall: u32,
-    /// Consecutive passed checks until an endpoint is healthy.
+    /// Consecutive passed checks after which an endpoint becomes healthy.
     #[serde(default = "default_threshold")]
     pub rise: u32,
-    /// Path of the file.
+    /// Path from which the file was read.
     #[serde(skip)]
     pub path: PathBuf,
 }
@@ -122,7 +123,7 @@
 }
 
 impl HealthCheckConfig {
-    /// Reads and checks the file.
+    /// Reads and validates the file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
@@ -184,18 +185,18 @@
         Ok(())
     }
 
-    /// Address at which this instance receives datagrams.
+    /// Parses `listen`.
     pub fn listen_address(&self) -> SocketAddr {
         parse_address(&self.listen).expect("checked when read")
     }
 
-    /// Numbers and addresses of the other instances.
+    /// Ids and addresses of the peers.
     pub fn peer_addresses(&self) -> impl Iterator<Item = (InstanceId, SocketAddr)> + '_ {
         let address = |peer: &Peer| parse_address(&peer.address).expect("checked when read");
         self.peers.iter().map(move |peer| (peer.id, address(peer)))
     }
 
-    /// Times of the scheduler.
+    /// Intervals and timeouts of the scheduler.
     pub fn scheduler_times(&self) -> SchedulerTimes {
         SchedulerTimes {
             period_ms: self.period_ms,
@@ -207,12 +208,12 @@
         }
     }
 
-    /// Results that change an endpoint's health.
+    /// Thresholds at which the health of an endpoint changes.
     pub fn thresholds(&self) -> HealthThresholds {
         HealthThresholds { fall: self.fall, rise: self.rise }
     }
 
-    /// Reads the keys that authenticate datagrams, if a file is configured.
+    /// Reads the keys that authenticate datagrams if `key_file` is set.
     pub fn keys(&self) -> Result<Option<MessageKeys>, KeyFileError> {
         self.key_file.as_ref().map(|file| read_keys_beside(&self.path, file)).transpose()
     }
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -1,5 +1,5 @@
-//! Shared health checks as a task: exchanges datagrams with the other instances, runs the checks that the scheduler
-//! decides on, and reports changes of endpoints' health to the engine.
+//! The task of the shared health checks: exchanges datagrams with the other instances, runs the checks that
+//! the scheduler selects, and reports health changes of endpoints to the engine.
 
 use super::checker;
 use super::config::HealthCheckConfig;
@@ -21,23 +21,23 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Semaphore;
 
-/// Time between two looks at the endpoint list, in milliseconds.
+/// Interval at which the endpoint list is polled for changes, in milliseconds.
 const ENDPOINT_POLL_INTERVAL_MS: f64 = 100.0;
-/// Time after which a result is sent once more, in milliseconds, because a datagram may get lost.
+/// Delay after which a result is sent a second time in case the first datagram was lost, in milliseconds.
 const RESULT_RESEND_MS: f64 = 100.0;
-/// Most checks at once. Each needs a descriptor.
+/// Maximum number of concurrent checks. Each uses a file descriptor.
 pub const MAX_CONCURRENT_CHECKS: usize = 64;
 
-/// A datagram that is rejected.
+/// Reason for rejecting a datagram.
 #[derive(Debug, Error)]
 enum DatagramError {
-    /// The sender's address is no peer's.
+    /// The source address is not that of a configured peer.
     #[error("the sender is not a peer")]
     UnknownSender,
-    /// The datagram is not authentic.
+    /// Authentication failed.
     #[error(transparent)]
     NotAuthentic(#[from] crate::datagram_auth::AuthError),
-    /// The text is no message.
+    /// The payload is not a valid message.
     #[error("the message is malformed: {0}")]
     Malformed(#[from] simd_json::Error),
 }
@@ -50,9 +50,9 @@
     pub(super) scheduler: RefCell<Scheduler>,
     pub(super) health: RefCell<HealthStatus>,
     auth: RefCell<Option<DatagramAuth>>,
-    /// Addresses for health checks.
+    /// Address to check for each endpoint.
     pub(super) endpoints: RefCell<BTreeMap<EndpointId, SocketAddr>>,
-    /// Version of the endpoint list that `endpoints` is from.
+    /// Version of the endpoint list from which `endpoints` was built.
     endpoints_version: Cell<u64>,
     pub(super) rejected_datagrams: Cell<u64>,
     peers: BTreeMap<InstanceId, SocketAddr>,
@@ -60,8 +60,8 @@
 }
 
 impl HealthChecker {
-    /// Creates the health checks of an operator file over a socket that is bound to its address. From then on the
-    /// engine runs no checks of its own.
+    /// Creates the health checks from a configuration and a socket that is bound to its `listen` address. The
+    /// engine stops running health checks of its own.
     pub fn new(
         host: Rc<Executor>,
         config: HealthCheckConfig,
@@ -87,12 +87,12 @@
         }))
     }
 
-    /// The time, in Unix milliseconds.
+    /// Current time, in Unix milliseconds.
     pub(super) fn now(&self) -> f64 {
         self.host.clock.now()
     }
 
-    /// Reads the key file again. If it cannot be used, the old keys stay.
+    /// Reloads the key file. Keeps the current keys on an error.
     pub fn reload_keys(&self) -> Result<(), KeyFileError> {
         let keys = self.config.keys()?;
         if let (Some(auth), Some(keys)) = (&mut *self.auth.borrow_mut(), keys) {
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// Applies the endpoint list if it changed.
+    /// Updates the endpoints to check if the endpoint list changed.
     fn update_endpoints(&self) {
         let version = self.host.endpoint_list_changes();
         if self.endpoints_version.replace(version) == version {
@@ -128,7 +128,7 @@
             Some(auth) => auth.sign(self.now(), text),
             None => text,
         };
-        // Errors are ignored: a failed instance is detected by its silence.
+        // Send errors are ignored: failed instances are detected by missing messages.
         let _ = self.socket.send_to(&datagram, address).await;
     }
 
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Runs a check, applies its result and sends it to the other instances.
+    /// Runs a check, applies its result and broadcasts it.
     async fn run_check(&self, lease: Lease) {
         let Some(address) = self.endpoints.borrow().get(&lease.endpoint).copied() else { return };
         let _permit = self.check_permits.acquire().await;
@@ -167,7 +167,7 @@
         self.broadcast(&message).await;
     }
 
-    /// Applies a result and reports a change of the endpoint's health to the engine.
+    /// Applies a check result and reports a health change to the engine.
     fn apply(&self, result: CheckResult) {
         let endpoint = result.endpoint;
         if !self.endpoints.borrow().contains_key(&endpoint) || !result.duration_ms.is_finite() {
@@ -195,7 +195,7 @@
         Ok((*id, simd_json::from_slice(&mut text)?))
     }
 
-    /// Counts a rejected datagram, and logs it if the count is a power of two.
+    /// Counts a rejected datagram. Logs only at counts that are powers of two, to limit the log volume.
     fn reject(&self, from: SocketAddr, reason: &DatagramError) {
         let rejected = self.rejected_datagrams.get() + 1;
         self.rejected_datagrams.set(rejected);
@@ -217,7 +217,7 @@
     }
 }
 
-/// Runs shared health checks without end.
+/// Runs the shared health checks. Never returns.
 pub async fn run(checker: Rc<HealthChecker>) {
     let mut buffer = [0u8; MAX_DATAGRAM_BYTES];
     let mut endpoint_poll_ms = f64::NEG_INFINITY;
@@ -233,7 +233,7 @@
         tokio::select! {
             () = tokio::time::sleep(duration_from_ms((due_ms - now).max(1.0))) => {}
             received = checker.socket.recv_from(&mut buffer) => {
-                // An error is that of an earlier send to a failed instance.
+                // An error here results from an earlier send to an unreachable peer; ignore it.
                 if let Ok((length, from)) = received {
                     checker.receive(from, &buffer[..length]).await;
                 }
--- a/src/health_check/health_status.rs
+++ b/src/health_check/health_status.rs
@@ -1,41 +1,42 @@
-//! The health of each endpoint by the results of its checks, from whatever instance ran them. An endpoint becomes
-//! unhealthy after a number of consecutive failures and healthy after a number of consecutive passes. No I/O.
+//! Tracks the health of each endpoint from check results, whichever instance ran the checks. An endpoint
+//! becomes unhealthy after a number of consecutive failures, and healthy again after a number of consecutive
+//! passes. No I/O.
 
 use super::lease::Slot;
 use super::message::CheckResult;
 use crate::EndpointId;
 use std::collections::BTreeMap;
 
-/// Consecutive results that change an endpoint's health.
+/// Numbers of consecutive results that change the health of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HealthThresholds {
-    /// Failed checks until a healthy endpoint is unhealthy.
+    /// Failed checks after which a healthy endpoint becomes unhealthy.
     pub fall: u32,
-    /// Passed checks until an unhealthy endpoint is healthy.
+    /// Passed checks after which an unhealthy endpoint becomes healthy.
     pub rise: u32,
 }
 
-/// Health of one endpoint, as the admin call shows it.
+/// Health of one endpoint, as the admin endpoint reports it.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize)]
 pub struct EndpointHealth {
     /// Whether the endpoint is healthy.
     #[serde(rename = "up")]
     pub healthy: bool,
-    /// Slot of the last result.
+    /// Slot of the latest result.
     #[serde(rename = "slot")]
     pub last_slot: Slot,
-    /// Consecutive results that contradict `healthy`.
+    /// Latest consecutive results that contradict `healthy`.
     #[serde(rename = "against")]
     pub contrary_results: u32,
-    /// When the last result was received, in Unix milliseconds.
+    /// Time of the latest result, in Unix milliseconds.
     #[serde(rename = "heard_ms")]
     pub updated_ms: f64,
-    /// Duration of the last check, in milliseconds.
+    /// Duration of the latest check, in milliseconds.
     #[serde(rename = "took_ms")]
     pub duration_ms: f64,
 }
 
-/// Health of all endpoints with results.
+/// Health of all endpoints that have results.
 #[derive(Clone, Debug)]
 pub struct HealthStatus {
     thresholds: HealthThresholds,
@@ -43,14 +44,14 @@
 }
 
 impl HealthStatus {
-    /// Creates the status without any result: every endpoint counts as healthy.
+    /// Creates the status without results. Endpoints are healthy until checks show otherwise.
     pub fn new(thresholds: HealthThresholds) -> Self {
         Self { thresholds, endpoints: BTreeMap::new() }
     }
 
-    /// Applies a result. Returns the new health if it changed.
+    /// Applies a result and returns the new health if it changed.
     ///
-    /// A second result of the same slot, or one of an earlier slot, is ignored.
+    /// A result is ignored if its slot is not later than that of the latest result.
     pub fn apply(&mut self, now: f64, result: CheckResult) -> Option<bool> {
         let CheckResult { endpoint, slot, passed, duration_ms } = result;
         let initial =
@@ -73,12 +74,12 @@
         Some(passed)
     }
 
-    /// Slot of an endpoint's last result, or 0.
+    /// Slot of an endpoint's latest result, or 0 without results.
     pub fn last_slot(&self, endpoint: EndpointId) -> Slot {
         self.endpoints.get(&endpoint).map_or(0, |health| health.last_slot)
     }
 
-    /// All endpoints with results.
+    /// Iterates over the endpoints that have results.
     pub fn iter(&self) -> impl Iterator<Item = (EndpointId, &EndpointHealth)> {
         self.endpoints.iter().map(|(endpoint, health)| (*endpoint, health))
     }
@@ -88,7 +89,7 @@
         self.endpoints.values().filter(|health| !health.healthy).count()
     }
 
-    /// Drops endpoints for which `keep` is false.
+    /// Drops all endpoints except those for which `keep` returns true.
     pub fn retain(&mut self, keep: impl Fn(EndpointId) -> bool) {
         self.endpoints.retain(|endpoint, _| keep(*endpoint));
     }
--- a/src/health_check/message.rs
+++ b/src/health_check/message.rs
@@ -1,46 +1,47 @@
-//! The messages between instances, as JSON in one datagram each. The names on the wire are those of the first version.
+//! Messages between instances: one JSON object per datagram. Serialized names are kept for compatibility with
+//! the first version.
 
 use super::lease::{Lease, Slot};
 use crate::EndpointId;
 use serde::{Deserialize, Serialize};
 
-/// Label of the signatures of datagrams, which separates them from other protocols under the same keys.
+/// Domain separation label for datagram signatures: other protocols may use the same keys.
 pub const LABEL: &[u8] = b"calicobeam duties 1";
-/// Longest datagram, in bytes.
+/// Maximum size of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 512;
 
-/// A message of one instance to another.
+/// A message from one instance to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub enum Message {
-    /// The sender is alive.
+    /// Sent periodically; shows that the sender is alive.
     #[serde(rename = "beat")]
     Heartbeat,
-    /// The sender is a candidate for a lease.
+    /// Requests the receiver's vote for a lease.
     #[serde(rename = "claim")]
     VoteRequest(Lease),
-    /// The sender's answer to a vote request.
+    /// Reply to a vote request.
     #[serde(rename = "grant")]
     Vote {
-        /// Endpoint to be checked.
+        /// Endpoint of the lease.
         #[serde(rename = "duty")]
         endpoint: EndpointId,
-        /// Slot of the check.
+        /// Slot of the lease.
         slot: Slot,
-        /// Whether the vote is given to the candidate.
+        /// Whether the candidate gets the vote.
         #[serde(rename = "yes")]
         granted: bool,
     },
-    /// The result of a check that the sender ran.
+    /// Result of a check that the sender ran.
     #[serde(rename = "result")]
     Result(CheckResult),
 }
 
-/// The result of one check.
+/// Result of one check.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CheckResult {
-    /// Endpoint that was checked.
+    /// The checked endpoint.
     #[serde(rename = "duty")]
     pub endpoint: EndpointId,
     /// Slot of the check.
--- a/src/health_check/mod.rs
+++ b/src/health_check/mod.rs
@@ -1,17 +1,17 @@
-//! Health checks shared among instances: each endpoint is checked once per period by one instance, and all instances
-//! apply the result. If an instance fails, the next one runs its checks.
+//! Health checks shared among proxy instances: one instance checks each endpoint once per period and sends
+//! the result to all others. If that instance fails, another one takes over its checks.
 //!
 //! | module | responsibility | I/O |
 //! | --- | --- | --- |
-//! | [`lease`] | when each check is due, and the order of instances as candidates for its lease | none |
-//! | [`quorum`] | the votes that ensure one lease holder | none |
-//! | [`scheduler`] | vote requests, votes, live instances, checks to run | none |
-//! | [`health_status`] | health of each endpoint by the results | none |
-//! | [`message`] | messages between instances | none |
-//! | [`config`] | the operator file | a file |
-//! | [`checker`] | one health check of an endpoint | a connection |
-//! | [`driver`] | the task: datagrams, checks, reports to the engine | a UDP socket |
-//! | `admin` | the admin call and the metrics | none |
+//! | [`lease`] | due time of each check, and the rank of each instance as a candidate for its lease | none |
+//! | [`quorum`] | votes, which ensure that a lease has at most one holder | none |
+//! | [`scheduler`] | which checks this instance runs: vote requests, replies, liveness of instances | none |
+//! | [`health_status`] | health of each endpoint, derived from the check results | none |
+//! | [`message`] | datagram format of the messages between instances | none |
+//! | [`config`] | the configuration file | a file |
+//! | [`checker`] | a single health check of an endpoint | a TCP connection |
+//! | [`driver`] | the task: exchanges datagrams, runs checks, reports to the engine | a UDP socket |
+//! | `admin` | the admin endpoint and the metrics | none |
 //!
 //! Design note: `docs/design-health-checks.md`. Operator page: `docs/health-checks.md`.
 
--- a/src/health_check/scheduler.rs
+++ b/src/health_check/scheduler.rs
@@ -1,9 +1,11 @@
-//! Decides which checks this instance runs: it requests votes for leases, votes for other instances, and runs a check
-//! once it holds the lease. No I/O; time is given by the caller in Unix milliseconds.
+//! Decides which checks this instance runs: requests votes for leases, votes on the requests of other
+//! instances, and schedules a check once this instance holds the lease. No I/O; the caller passes the time in
+//! Unix milliseconds.
 //!
-//! The instance of rank 0 for an endpoint requests the lease when the check is due, rank 1 one step later, and so on.
-//! If an instance has failed, the next one runs the check in the same slot, before the failure is known. Instances
-//! that are known to be silent have no rank, so their checks are on time again in the following slots.
+//! The instance of rank 0 for an endpoint requests the lease when the check is due, rank 1 does so one rank
+//! delay later, and so on. If an instance fails, the next rank runs its check in the same slot, before the
+//! failure is detected. Instances detected as failed are not ranked, so the checks of later slots are on time
+//! again.
 
 use super::lease::{rank, slot_at, InstanceId, Lease, Slot};
 use super::message::Message;
@@ -12,54 +14,54 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Highest rank with a delay of its own. Instances of a higher rank request leases together with it, so that all
-/// delays fit into a period; the votes still ensure that one instance runs the check.
+/// Highest rank for the computation of delays. Instances of higher ranks use its delay as well, so that all
+/// delays fit into a period. Voting still ensures that only one instance runs the check.
 pub const MAX_RANK: usize = 30;
 
-/// An action of the caller.
+/// An action that the caller must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message to all other instances.
     Broadcast(Message),
     /// Send a message to one instance.
     Reply(InstanceId, Message),
-    /// Run the check of a lease now, once.
+    /// Run the check of a lease now.
     RunCheck(Lease),
 }
 
-/// Times of the scheduler, in milliseconds.
+/// Intervals and timeouts of the scheduler, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SchedulerTimes {
     /// Time between two checks of an endpoint.
     pub period_ms: f64,
-    /// Delay of each rank after the one before.
+    /// Delay between the lease requests of successive ranks.
     pub rank_delay_ms: f64,
-    /// Time between two attempts of a vote request.
+    /// Interval at which a vote request is resent.
     pub retry_interval_ms: f64,
-    /// Time after which a vote request is given up.
+    /// Time after which a vote request is abandoned.
     pub request_timeout_ms: f64,
-    /// Time between two heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat_interval_ms: f64,
-    /// Silence after which an instance counts as failed.
+    /// Time without a message after which an instance counts as failed.
     pub failure_timeout_ms: f64,
 }
 
-/// Counters of the scheduler, as the admin call shows them.
+/// Counters of the scheduler, as the admin endpoint reports them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct SchedulerMetrics {
     /// Checks run by this instance.
     #[serde(rename = "ran")]
     pub checks_run: u64,
-    /// Vote requests for leases that an instance of a lower rank had not requested.
+    /// Vote requests made by this instance because no instance of a lower rank had requested the lease.
     #[serde(rename = "stood_in")]
     pub failovers: u64,
-    /// Vote requests begun.
+    /// Vote requests started.
     #[serde(rename = "claims")]
     pub vote_requests: u64,
-    /// Vote requests that another candidate won.
+    /// Vote requests denied by so many instances that a majority became impossible.
     #[serde(rename = "outvoted")]
     pub outvoted: u64,
-    /// Vote requests without an answer of a majority, because of a partition or failed instances.
+    /// Vote requests that timed out, because of a network partition or failed instances.
     #[serde(rename = "unanswered")]
     pub timed_out: u64,
     /// Results received from other instances.
@@ -67,7 +69,7 @@
     pub results_received: u64,
 }
 
-/// A vote request that is not yet decided.
+/// A vote request of this instance that is still undecided.
 #[derive(Clone, Debug)]
 struct PendingLease {
     lease: Lease,
@@ -78,7 +80,7 @@
 }
 
 impl PendingLease {
-    /// A request by the instance `me`, which votes for itself.
+    /// Creates a request of the instance `me`, which counts its own vote.
     fn new(now: f64, lease: Lease, me: InstanceId) -> Self {
         let (granted_by, denied_by) = (BTreeSet::from([me]), BTreeSet::new());
         Self { lease, requested_ms: now, retry_ms: now, granted_by, denied_by }
@@ -91,20 +93,21 @@
     me: InstanceId,
     instances: BTreeSet<InstanceId>,
     times: SchedulerTimes,
-    /// When the last message of each instance was received, in Unix milliseconds.
+    /// Arrival time of the latest message from each instance, in Unix milliseconds.
     last_message_ms: BTreeMap<InstanceId, f64>,
     voter: Voter,
     endpoints: BTreeSet<EndpointId>,
     pending: BTreeMap<EndpointId, PendingLease>,
-    /// Last slot of each endpoint that is settled here: requested by this instance, or checked by another.
+    /// Latest slot of each endpoint that needs no request of this instance: it has already requested the
+    /// lease, or another instance has run the check.
     settled: BTreeMap<EndpointId, Slot>,
     heartbeat_due_ms: f64,
-    /// Counters.
+    /// Counters for the admin endpoint and the metrics.
     pub metrics: SchedulerMetrics,
 }
 
 impl Scheduler {
-    /// Creates the scheduler of the instance `me`, which starts at `now` and is one of `instances`.
+    /// Creates the scheduler of the instance `me`, which starts at `now`. `instances` may omit `me`.
     pub fn new(
         now: f64,
         me: InstanceId,
@@ -113,11 +116,12 @@
     ) -> Self {
         let mut instances: BTreeSet<InstanceId> = instances.into_iter().collect();
         instances.insert(me);
-        // A vote before the start may be of the slot that is due, or of the next one by another instance's clock.
+        // A vote from before the start may be for the current slot, or for the next one if the candidate's
+        // clock was ahead.
         let silence_ms = if instances.len() > 1 { 2.0 * times.period_ms } else { 0.0 };
         Self {
             me,
-            // All instances count as alive until their silence shows that they have failed.
+            // All instances count as alive until they exceed the failure timeout.
             last_message_ms: instances.iter().map(|id| (*id, now)).collect(),
             instances,
             times,
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Replaces the endpoints to be checked. A new endpoint is first checked in its next slot.
+    /// Replaces the endpoints to check. The first check of a new endpoint is due in its next slot.
     pub fn set_endpoints(&mut self, now: f64, endpoints: impl IntoIterator<Item = EndpointId>) {
         self.endpoints = endpoints.into_iter().collect();
         let endpoints = &self.endpoints;
@@ -143,7 +147,7 @@
         }
     }
 
-    /// Votes needed for a lease, this instance's own included.
+    /// Number of votes needed for a lease, including the candidate's own.
     pub fn majority(&self) -> usize {
         self.instances.len() / 2 + 1
     }
@@ -154,22 +158,22 @@
         id == self.me || self.last_message_ms.get(&id).is_some_and(is_recent)
     }
 
-    /// Instances that count as alive.
+    /// Instances that count as alive, including this one.
     pub fn live_instances(&self, now: f64) -> impl Iterator<Item = InstanceId> + '_ {
         self.instances.iter().copied().filter(move |id| self.is_alive(now, *id))
     }
 
-    /// This instance's rank for an endpoint. The cost grows with the number of instances.
+    /// This instance's rank for an endpoint, at most [`MAX_RANK`]. Linear in the number of instances.
     fn own_rank(&self, now: f64, endpoint: EndpointId) -> usize {
         rank(endpoint, self.me, self.live_instances(now)).min(MAX_RANK)
     }
 
-    /// When this instance requests a lease at a rank.
+    /// Time at which an instance of the given rank requests the lease.
     fn request_due_ms(&self, lease: Lease, rank: usize) -> f64 {
         lease.due_ms(self.times.period_ms) + rank as f64 * self.times.rank_delay_ms
     }
 
-    /// The lease of an endpoint's latest slot that is due.
+    /// The lease of an endpoint's current slot.
     fn current_lease(&self, now: f64, endpoint: EndpointId) -> Lease {
         Lease { endpoint, slot: slot_at(now, endpoint, self.times.period_ms) }
     }
@@ -196,7 +200,7 @@
         actions
     }
 
-    /// Begins the vote request for an endpoint's current slot if this instance is to request it now.
+    /// Starts a vote request for an endpoint's current slot if this instance must request it now.
     fn begin_request(&mut self, now: f64, endpoint: EndpointId) {
         let lease = self.current_lease(now, endpoint);
         if self.is_settled(lease) || self.voted_for_another(lease) || self.pending.contains_key(&endpoint) {
@@ -215,7 +219,8 @@
         self.pending.insert(endpoint, PendingLease::new(now, lease, self.me));
     }
 
-    /// Ends the vote request of an endpoint if it is decided or timed out, and repeats it otherwise.
+    /// Completes the vote request for an endpoint if it is decided or timed out, or resends it if that is
+    /// due.
     fn advance_request(&mut self, now: f64, endpoint: EndpointId, actions: &mut Vec<Action>) {
         let (majority, instances) = (self.majority(), self.instances.len());
         let Some(pending) = self.pending.get_mut(&endpoint) else { return };
@@ -236,7 +241,8 @@
         }
     }
 
-    /// Processes a message from another instance. The caller applies check results itself.
+    /// Handles a message from another instance. The caller must apply check results to the health status
+    /// itself.
     pub fn receive(&mut self, now: f64, from: InstanceId, message: &Message) -> Vec<Action> {
         let mut actions = Vec::new();
         if from == self.me || !self.instances.contains(&from) {
@@ -247,7 +253,7 @@
             Message::Heartbeat => {}
             Message::VoteRequest(lease) => {
                 let current = slot_at(now, lease.endpoint, self.times.period_ms);
-                // Unknown endpoints get votes too: this instance's list may be older than the candidate's.
+                // Vote for unknown endpoints too: the candidate's endpoint list may be newer than this one's.
                 let granted = self.voter.decide(now, current, lease, from);
                 let vote = Message::Vote { endpoint: lease.endpoint, slot: lease.slot, granted };
                 actions.push(Action::Reply(from, vote));
@@ -271,7 +277,7 @@
         actions
     }
 
-    /// When [`Self::tick`] has actions next.
+    /// Time at which [`Self::tick`] must be called next.
     pub fn next_due_ms(&self, now: f64) -> f64 {
         let requests = self
             .pending
@@ -281,7 +287,7 @@
         requests.chain(leases).fold(self.heartbeat_due_ms, f64::min)
     }
 
-    /// When this instance may request a lease of an endpoint next.
+    /// Time at which this instance may next request a lease of an endpoint.
     fn next_lease_due_ms(&self, now: f64, endpoint: EndpointId) -> f64 {
         let current = self.current_lease(now, endpoint);
         let next_ms = Lease { slot: current.slot + 1, ..current }.due_ms(self.times.period_ms);
