--- a/src/registry/client.rs
+++ b/src/registry/client.rs
@@ -1,5 +1,6 @@
-//! Calls of etcd's v3 API over HTTP/1.1, one on a connection: the read of a prefix, and a watch, which is one long
-//! chunked answer. Every read is bounded: the head of an answer, a line of a watch, the body of a range.
+//! Calls of etcd's v3 API over HTTP/1.1, one per connection: a range call, which reads all keys with a
+//! prefix, and a watch, whose messages arrive as one long chunked response. The sizes of response heads,
+//! range bodies and watch lines are limited.
 
 use super::codec::{
     decode_range, decode_watch_line, range_request, watch_request, RangeResponse, WatchResponse,
@@ -12,22 +13,22 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The largest answer to a range call, in bytes.
+/// Maximum size of the response body of a range call, in bytes.
 pub const MAX_RANGE: usize = 16 << 20;
-/// The longest line of a watch, in bytes.
+/// Maximum length of a message line or chunk of a watch, in bytes.
 pub const MAX_LINE: usize = 4 << 20;
-/// The longest head of an answer, in bytes.
+/// Maximum size of a response head, in bytes.
 const MAX_HEAD: usize = 16_384;
-/// The most headers of an answer.
+/// Maximum number of response headers.
 const MAX_HEADERS: usize = 32;
-/// The longest line with the size of a chunk, in bytes.
+/// Maximum length of a line with a chunk size, in bytes.
 const MAX_CHUNK_SIZE_LINE: usize = 64;
-/// Bytes read at once.
+/// Size of the buffer for one read from the socket, in bytes.
 const READ_BUFFER: usize = 16_384;
-/// The end of a line in HTTP/1.1.
+/// Line terminator of HTTP/1.1.
 const CRLF: &[u8] = b"\r\n";
 
-/// Reads every key under a prefix. `call_timeout` bounds the whole call.
+/// Reads all keys with a prefix. `call_timeout` limits the whole call.
 pub async fn read_range(
     address: SocketAddr,
     prefix: &str,
@@ -43,17 +44,17 @@
     result.map_err(|source| RegistryError { address, source })
 }
 
-/// A watch of a prefix.
+/// An open watch of all keys with a prefix.
 pub struct Watch {
     address: SocketAddr,
     answer: Answer,
-    /// Received bytes of lines that were not yet returned.
+    /// Received bytes of the body that were not yet decoded.
     lines: Vec<u8>,
 }
 
 impl Watch {
-    /// Opens a watch for the changes from a revision on. `call_timeout` bounds the connection and the answer's head,
-    /// each.
+    /// Opens a watch for changes from a revision on. `call_timeout` applies separately to the connection
+    /// attempt and to the wait for the response head.
     pub async fn open(
         address: SocketAddr,
         prefix: &str,
@@ -70,7 +71,7 @@
         Ok(Self { address, answer, lines: Vec::new() })
     }
 
-    /// Waits for the next message, without a time-out. An error ends the watch.
+    /// Waits for the next message, without a timeout. The watch can't be used after an error.
     pub async fn next(&mut self) -> Result<WatchResponse, RegistryError> {
         let address = self.address;
         self.next_line().await.map_err(|source| RegistryError { address, source })
@@ -104,14 +105,14 @@
     )
 }
 
-/// The parts of an answer's head that are used.
+/// The relevant fields of a response head.
 struct Head {
     status: u16,
     chunked: bool,
     content_length: Option<usize>,
 }
 
-/// An answer, read as it arrives.
+/// A response that is read incrementally.
 struct Answer {
     stream: TcpStream,
     received: Vec<u8>,
@@ -120,7 +121,7 @@
 }
 
 impl Answer {
-    /// Sends a request and reads the head of its answer.
+    /// Connects, sends a request and reads the response head. Fails unless the status is 200.
     async fn open(address: SocketAddr, request: String, call_timeout: Duration) -> Result<Self, CallFailure> {
         let connect = timeout(call_timeout, TcpStream::connect(address));
         let mut stream = connect.await.map_err(|_| CallFailure::Timeout)??;
@@ -157,7 +158,7 @@
         }
     }
 
-    /// The whole body of an answer with a length.
+    /// Reads the whole body of a response with a `Content-Length`.
     async fn body(&mut self, max_length: usize) -> Result<Vec<u8>, CallFailure> {
         let length = self.content_length.ok_or(ProtocolError::MissingLength)?;
         if length > max_length {
@@ -169,7 +170,7 @@
         Ok(self.received.drain(..length).collect())
     }
 
-    /// The next chunk of a chunked answer; an empty one at its end.
+    /// Reads the next chunk of a chunked response. An empty chunk ends the body.
     async fn chunk(&mut self) -> Result<Vec<u8>, CallFailure> {
         loop {
             if let Some(chunk) = self.take_chunk()? {
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Takes a chunk from the received bytes, once it is complete.
+    /// Removes the first chunk from the received bytes if it is complete.
     fn take_chunk(&mut self) -> Result<Option<Vec<u8>>, ProtocolError> {
         let Some(size_end) = self.received.windows(CRLF.len()).position(|window| window == CRLF) else {
             return match self.received.len() > MAX_CHUNK_SIZE_LINE {
@@ -202,7 +203,7 @@
     }
 }
 
-/// Parses the head of an answer, once it is complete; returns it with its length in bytes.
+/// Parses a response head if it is complete, and returns it with its length in bytes.
 fn parse_head(received: &[u8]) -> Result<Option<(Head, usize)>, ProtocolError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -219,7 +220,7 @@
     Ok(Some((head, length)))
 }
 
-/// Parses the line with the size of a chunk, in hex; extensions after `;` are ignored.
+/// Parses the hexadecimal size on the first line of a chunk. Ignores chunk extensions, which follow a `;`.
 fn chunk_size(line: &[u8]) -> Result<usize, ProtocolError> {
     let line = std::str::from_utf8(line).map_err(|_| ProtocolError::ChunkSize)?;
     let digits = line.split(';').next().unwrap_or_default().trim();
--- a/src/registry/codec.rs
+++ b/src/registry/codec.rs
@@ -1,7 +1,7 @@
-//! The JSON bodies of etcd's v3 API, as its JSON gateway encodes them: keys and values are base64, 64-bit numbers are
-//! strings, and a watch is answered with one JSON object a line.
+//! JSON bodies of etcd's v3 API as encoded by its JSON gateway: keys and values are base64, 64-bit numbers
+//! are strings, and the response to a watch request is a stream of JSON objects, one per line.
 //!
-//! | call | body | answer |
+//! | call | request body | response body |
 //! | --- | --- | --- |
 //! | `POST /v3/kv/range` | `{"key", "range_end"}` | `{"header":{"revision"}, "kvs":[{"key","value","mod_revision"}]}` |
 //! | `POST /v3/watch` | `{"create_request":{"key","range_end","start_revision","progress_notify"}}` | lines of `{"result":{"header","created"|"events"|"canceled","compact_revision"}}` |
@@ -12,7 +12,7 @@
 use base64::Engine as _;
 use serde::{Deserialize, Deserializer};
 
-/// The type of an event that deletes a key; a missing type means that the key was written.
+/// Type of an event that deletes a key. The gateway omits the type if the key was written.
 const DELETE_EVENT: &str = "DELETE";
 
 #[derive(Debug, Default, Deserialize)]
@@ -65,7 +65,7 @@
     error: Option<simd_json::OwnedValue>,
 }
 
-/// Deserializes a 64-bit number from a string or a number; 0 where it is null.
+/// Deserializes a 64-bit integer from a string or a number. `null` is 0.
 fn int64<'de, D: Deserializer<'de>>(deserializer: D) -> Result<i64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
@@ -103,12 +103,12 @@
     }
 }
 
-/// All keys under a prefix, at a revision.
+/// All keys with a prefix, at one revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RangeResponse {
-    /// The revision of the registry at the read.
+    /// Revision of the registry at the time of the read.
     pub revision: i64,
-    /// The keys with their values.
+    /// Keys with their values.
     pub entries: Vec<KeyValue>,
 }
 
@@ -117,37 +117,37 @@
 pub enum WatchResponse {
     /// The watch was created.
     Created {
-        /// The revision of the registry.
+        /// Current revision of the registry.
         revision: i64,
     },
-    /// Keys were changed.
+    /// Keys were written or deleted.
     Changes {
-        /// The revision up to which the changes are complete.
+        /// Revision up to which the changes are complete.
         revision: i64,
-        /// The changes.
+        /// Changes in the order of the message.
         changes: Vec<Change>,
     },
-    /// A progress notification: there are no further changes up to a revision.
+    /// Progress notification: all changes up to this revision have been sent.
     Progress {
-        /// The revision.
+        /// Current revision of the registry.
         revision: i64,
     },
-    /// The revisions from which the watch was to start were compacted away.
+    /// The watch was canceled because its start revision was compacted.
     Compacted {
-        /// The revision up to which they were.
+        /// Revision up to which the history was compacted.
         revision: i64,
     },
-    /// The registry ended the watch for another reason.
+    /// The registry canceled the watch for another reason.
     Canceled,
 }
 
-/// The body of a call that reads every key under a prefix.
+/// Request body of a range call for all keys with a prefix.
 pub fn range_request(prefix: &str) -> String {
     let (key, end) = (STANDARD.encode(prefix), STANDARD.encode(range_end(prefix)));
     format!(r#"{{"key":"{key}","range_end":"{end}"}}"#)
 }
 
-/// The body of a call that watches every key under a prefix from a revision on, with progress notifications.
+/// Request body of a watch call for all keys with a prefix, from a revision on, with progress notifications.
 pub fn watch_request(prefix: &str, from_revision: i64) -> String {
     let (key, end) = (STANDARD.encode(prefix), STANDARD.encode(range_end(prefix)));
     format!(
@@ -155,7 +155,8 @@
     )
 }
 
-/// The end of a prefix's range: the prefix with its last byte increased, or 0 for all keys.
+/// Exclusive end of the key range of a prefix: the prefix with its last byte incremented. A single 0 byte
+/// stands for the end of all keys.
 pub fn range_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -167,14 +168,14 @@
     vec![0]
 }
 
-/// Decodes the answer to a range call. The bytes are used as scratch space.
+/// Decodes the response body of a range call. Overwrites `body` while parsing.
 pub fn decode_range(body: &mut [u8]) -> Result<RangeResponse, ProtocolError> {
     let range: RangeJson = simd_json::from_slice(body)?;
     let entries = range.kvs.into_iter().map(KeyValue::try_from).collect::<Result<_, _>>()?;
     Ok(RangeResponse { revision: range.header.revision, entries })
 }
 
-/// Decodes a line of a watch. The bytes are used as scratch space.
+/// Decodes one message line of a watch. Overwrites `line` while parsing.
 pub fn decode_watch_line(line: &mut [u8]) -> Result<WatchResponse, ProtocolError> {
     let line: WatchLineJson = simd_json::from_slice(line)?;
     if let Some(error) = line.error {
--- a/src/registry/config.rs
+++ b/src/registry/config.rs
@@ -1,5 +1,5 @@
-//! The operator file of the registry client, `serve --registry FILE`. Without it the endpoint list comes from the
-//! discovery service only.
+//! Configuration file of the registry client, `serve --registry FILE`. Without it the endpoint list comes
+//! from the discovery service.
 
 use crate::backoff::Backoff;
 use crate::config_file::{parse_address, read_json, ConfigError};
@@ -7,22 +7,22 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The operator file.
+/// Contents of the configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RegistryConfig {
-    /// The address of the registry's JSON gateway.
+    /// Address of the registry's JSON gateway.
     pub address: String,
-    /// The prefix of the endpoints' keys. Each value is an endpoint's JSON.
+    /// Key prefix of the endpoints. Each value is the JSON of one endpoint.
     pub prefix: String,
-    /// Time-out of a call, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: f64,
-    /// Time without a message after which a watch counts as broken, in milliseconds. The registry's interval of progress
-    /// notifications must be shorter.
+    /// Idle timeout of a watch, in milliseconds. Must be longer than the registry's interval of progress
+    /// notifications.
     #[serde(default = "default_silence_timeout_ms", rename = "stall_ms")]
     pub silence_timeout_ms: f64,
-    /// The delays between retries.
+    /// Delays between retries.
     #[serde(default)]
     pub backoff: Backoff,
 }
@@ -35,7 +35,7 @@
 }
 
 impl RegistryConfig {
-    /// Reads and checks the file.
+    /// Reads and validates the file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let config: Self = read_json(path)?;
         parse_address(&config.address).map_err(|error| ConfigError::field(path, "address", error))?;
@@ -55,7 +55,7 @@
         Ok(config)
     }
 
-    /// The address of the registry.
+    /// Parses `address`.
     pub fn socket_address(&self) -> SocketAddr {
         parse_address(&self.address).expect("checked when the file was read")
     }
--- a/src/registry/mod.rs
+++ b/src/registry/mod.rs
@@ -1,18 +1,18 @@
-//! The endpoint list from a key-value registry with revisions and watches, as in etcd's v3 API: a full read, then a watch
-//! from the revision after it, and a full read again where revisions were compacted away. The engine applies every change
-//! as it applies those of the discovery service.
+//! Client of a key-value registry (etcd's v3 API) that provides the endpoint list: a full read, then a watch
+//! from the next revision on, and another full read if those revisions were compacted. The engine applies
+//! changes in the same way as those of the discovery service.
 //!
-//! | module | concern | I/O |
+//! | module | responsibility | I/O |
 //! | --- | --- | --- |
-//! | [`view`] | endpoints by revision: duplicate, outdated and compacted changes | none |
-//! | [`session`] | the next step, and backoff | none |
-//! | [`codec`] | the JSON bodies of range and watch | none |
-//! | [`client`] | the calls over HTTP/1.1 | sockets |
-//! | [`service`] | the task, and its status | sockets |
-//! | [`config`] | the operator file | a file |
-//! | [`error`] | errors of calls | none |
+//! | [`view`] | endpoint list at a revision; handles duplicate, outdated and compacted changes | none |
+//! | [`session`] | next step of the client, and backoff | none |
+//! | [`codec`] | JSON bodies of range and watch calls | none |
+//! | [`client`] | range and watch calls over HTTP/1.1 | sockets |
+//! | [`service`] | the client's task and the admin endpoint for its status | sockets |
+//! | [`config`] | the configuration file | a file |
+//! | [`error`] | error types | none |
 //!
-//! The design note is `docs/design-registry.md`, the operators' page `docs/registry.md`.
+//! Design note: `docs/design-registry.md`. Operator page: `docs/registry.md`.
 
 pub mod client;
 pub mod codec;
--- a/src/registry/service.rs
+++ b/src/registry/service.rs
@@ -1,5 +1,5 @@
-//! The registry client's task: a full read, then a watch from the revision after it, for ever. Every change is passed to
-//! the engine at once.
+//! The task of the registry client: reads all endpoints, then watches for changes, and passes each change to
+//! the engine immediately. Also handles the admin endpoint for the client's status.
 
 use super::client::{read_range, Watch};
 use super::codec::WatchResponse;
@@ -17,32 +17,32 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// The status of the client, as `GET /registry` reports it.
+/// Status of the client, as `GET /registry` reports it.
 #[derive(Debug, Default, serde::Serialize)]
 pub struct RegistryStatus {
-    /// The revision up to which the endpoint list is complete.
+    /// Revision up to which the endpoint list is complete.
     pub revision: i64,
-    /// When the endpoint list last changed, in Unix milliseconds.
+    /// Time of the last change of the endpoint list, in Unix milliseconds.
     #[serde(rename = "heard_ms")]
     pub last_change_ms: f64,
-    /// When the registry last answered, in Unix milliseconds.
+    /// Time of the last valid response or watch message, in Unix milliseconds.
     #[serde(rename = "answered_ms")]
     pub last_answer_ms: f64,
-    /// Endpoints in the list.
+    /// Number of endpoints in the list.
     #[serde(rename = "members")]
     pub endpoints: usize,
-    /// Watches opened.
+    /// Number of watches opened.
     pub watches: u64,
-    /// Calls and watches that failed.
+    /// Number of failed calls and watches.
     pub failures: u64,
-    /// The last failure.
+    /// Last error, if any.
     pub last_error: Option<String>,
-    /// The counters of the endpoint view.
+    /// Counters of the endpoint view.
     #[serde(rename = "view")]
     pub view_metrics: ViewMetrics,
 }
 
-/// Reads and watches the endpoints of a registry, for ever.
+/// Runs the registry client: reads and watches the endpoints. Never returns.
 pub async fn run(host: Rc<Executor>, config: RegistryConfig, status: Rc<RefCell<RegistryStatus>>, seed: u64) {
     let mut client = Client {
         host,
@@ -72,7 +72,7 @@
 }
 
 impl Client {
-    /// Reads all endpoints, or follows a watch until it ends.
+    /// Runs the next step: a full read, or a watch until it ends.
     async fn step(&mut self) -> Result<(), RegistryError> {
         match self.session.next_step(&self.view) {
             Step::ReadAll => self.read_all().await,
@@ -97,14 +97,14 @@
         Ok(())
     }
 
-    /// Follows a watch until it fails or a full read is due.
+    /// Processes the messages of a watch until it fails or a full read is needed.
     async fn follow(&mut self, mut watch: Watch) -> Result<(), RegistryError> {
         let silence_timeout = duration_from_ms(self.session.silence_timeout_ms);
         let error = |source| RegistryError { address: self.address, source };
         loop {
             let message = timeout(silence_timeout, watch.next()).await;
             let response = message.map_err(|_| error(CallFailure::Silent))??;
-            // A watch that is created and then fails is not evidence that the registry works.
+            // `Created` doesn't reset the backoff: a registry may accept watches and then fail each of them.
             if !matches!(response, WatchResponse::Created { .. }) {
                 self.session.record_answer();
             }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Passes an update to the engine and updates the status.
+    /// Passes an update to the engine and refreshes the status.
     fn publish(&self, update: Update) {
         for value in &update.rejected {
             tracing::error!(
@@ -159,7 +159,8 @@
         status.view_metrics = self.view.metrics;
     }
 
-    /// Records a failure; returns the delay before the next attempt, in milliseconds.
+    /// Records a failure and returns the delay before the next attempt, in milliseconds. Logs only at failure
+    /// counts that are powers of two.
     fn record_failure(&mut self, error: &RegistryError) -> f64 {
         let delay_ms = self.session.record_failure();
         let failures = self.session.failures;
@@ -173,7 +174,7 @@
     }
 }
 
-/// Answers `GET /registry` at the admin address; `None` for any other path.
+/// Handles admin requests for `/registry`. Returns `None` for other paths.
 pub fn answer(status: &Rc<RefCell<RegistryStatus>>, request: &HttpRequest) -> Option<HttpResponse> {
     if request.target != "/registry" {
         return None;
--- a/src/registry/view.rs
+++ b/src/registry/view.rs
@@ -1,33 +1,33 @@
-//! The endpoints by the revisions of a registry. No I/O.
+//! Local copy of the endpoint list in the registry. No I/O.
 //!
-//! The registry has one key for each endpoint under a prefix, with the endpoint's JSON as its value, and numbers every
-//! change with a revision, as etcd's v3 API does. The view is a full read at a revision and the changes after it.
+//! The registry has one key per endpoint, with the endpoint's JSON as value, and assigns a revision to every
+//! change, as etcd's v3 API does. The view consists of a full read at some revision and the changes since.
 //!
-//! A change is applied only if it is newer than what the view has of its key, so that a duplicate, or a change that
-//! arrives after a newer one of its key, has no effect, while one that arrives after newer changes of other keys is
-//! applied. Nothing at or below the revision of the last full read is applied.
+//! A change is applied only if its revision is above that of the last full read and above the one that the
+//! view has for the same key. So duplicate and outdated changes have no effect, but changes of different keys
+//! may arrive out of order.
 //!
-//! Where changes were compacted away, the next step is a full read, and the view derives from it what changed: an
-//! endpoint that began to drain meanwhile is reported as draining. A registry whose revision is below the view's was
-//! restored from an older copy and has begun a new history, in which a watch from the old revision would stay silent,
-//! so the next step is a full read as well.
+//! If changes were compacted before they were received, the view needs a full read, and reports endpoints
+//! that began to drain in the meantime. It needs one as well if the registry's revision is lower than before:
+//! the registry was restored from a backup, so that a watch from the old revision would receive nothing.
 
 use crate::endpoint_list::ListedEndpoint;
 use crate::wire::discovery_json::{EndpointJson, EndpointJsonError};
 use crate::{EndpointId, EndpointState};
 use std::collections::BTreeMap;
 
-/// The most tombstones. Beyond it the older half is dropped, and changes up to the newest dropped one are rejected.
+/// Maximum number of tombstones. Beyond it, the older half is dropped, and changes up to the revision of the
+/// newest dropped one are skipped.
 pub const MAX_TOMBSTONES: usize = 4_096;
 
-/// A key with its value at a revision.
+/// A key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValue {
-    /// The key.
+    /// Key.
     pub key: String,
-    /// The value.
+    /// Value.
     pub value: Vec<u8>,
-    /// The revision of its last change.
+    /// Revision of its last change.
     pub mod_revision: i64,
 }
 
@@ -38,9 +38,9 @@
     Put(KeyValue),
     /// The key was deleted.
     Delete {
-        /// The key.
+        /// Deleted key.
         key: String,
-        /// The revision of the deletion.
+        /// Revision of the deletion.
         revision: i64,
     },
 }
@@ -61,30 +61,30 @@
     }
 }
 
-/// A value that can't be used. Its endpoint remains as it was.
+/// A value that isn't valid endpoint JSON. The previous state of its endpoint is kept.
 #[derive(Debug)]
 pub struct RejectedValue {
-    /// The key.
+    /// Key of the value.
     pub key: String,
-    /// What is wrong with the value.
+    /// Parse error.
     pub error: EndpointJsonError,
 }
 
-/// A change of the endpoint list.
+/// Changes to pass to the engine, and events to log.
 #[derive(Debug, Default)]
 pub struct Update {
-    /// Endpoints that are new, changed or removed.
+    /// New, changed and removed endpoints; after a full read all endpoints.
     pub endpoints: Vec<ListedEndpoint>,
-    /// Whether the list is complete: endpoints absent from it are removed.
+    /// Whether `endpoints` is the complete list: endpoints that are absent from it are removed.
     pub full: bool,
-    /// Endpoints that began to drain.
+    /// Endpoints that started to drain.
     pub draining: Vec<EndpointId>,
-    /// Values that can't be used.
+    /// Values that were rejected as malformed.
     pub rejected: Vec<RejectedValue>,
 }
 
 impl Update {
-    /// Whether the endpoint list is unchanged.
+    /// Whether there is nothing to pass to the engine.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty() && !self.full
     }
@@ -96,25 +96,25 @@
     /// Full reads.
     #[serde(rename = "reads")]
     pub full_reads: u64,
-    /// Full reads because changes were compacted away.
+    /// Full reads because changes were compacted before they were received.
     pub resyncs: u64,
-    /// Full reads because the registry's revision went back.
+    /// Full reads because the registry's revision decreased.
     pub resets: u64,
-    /// Changes newer than the view.
+    /// Changes of a watch that were not outdated.
     #[serde(rename = "changes")]
     pub applied_changes: u64,
-    /// Changes skipped as outdated or duplicate.
+    /// Changes of a watch that were skipped as outdated or duplicate.
     #[serde(rename = "stale")]
     pub stale_changes: u64,
-    /// Values that can't be used.
+    /// Values that were rejected as malformed.
     #[serde(rename = "faults")]
     pub rejected_values: u64,
-    /// Endpoints that a full read after the first one found changed.
+    /// Endpoints that were new, removed or in another state in a full read other than the first.
     #[serde(rename = "found")]
     pub changes_in_full_reads: u64,
 }
 
-/// An endpoint at a revision.
+/// An endpoint with the revision of its last change.
 #[derive(Clone, Debug)]
 struct Entry {
     endpoint: ListedEndpoint,
@@ -127,45 +127,45 @@
     }
 }
 
-/// The endpoints of a registry.
+/// The endpoint list of a registry, as far as it was received.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointView {
-    /// The endpoints by key.
+    /// Endpoints by key.
     entries: BTreeMap<String, Entry>,
-    /// The revision of each deleted key, since the last full read.
+    /// Revisions of the keys that were deleted since the last full read.
     tombstones: BTreeMap<String, i64>,
-    /// The revision up to which the view is complete.
+    /// Revision up to which the view is complete.
     revision: i64,
-    /// Changes at or below this revision are skipped.
+    /// Changes up to this revision are skipped.
     skip_through: i64,
-    /// Whether the next step is a full read.
+    /// Whether a full read is needed.
     needs_full_read: bool,
-    /// Its counters.
+    /// Counters for the admin endpoint.
     pub metrics: ViewMetrics,
 }
 
 impl EndpointView {
-    /// A view without endpoints, before the first full read.
+    /// Creates an empty view, which needs a full read.
     pub fn new() -> Self {
         Self { needs_full_read: true, ..Self::default() }
     }
 
-    /// The revision up to which the view is complete.
+    /// Revision up to which the view is complete.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// The endpoints.
+    /// Iterates over the endpoints.
     pub fn endpoints(&self) -> impl Iterator<Item = &ListedEndpoint> {
         self.entries.values().map(|entry| &entry.endpoint)
     }
 
-    /// The revision from which a watch is to start; `None` where a full read must be first.
+    /// Revision from which to start a watch. `None` if a full read is needed first.
     pub fn resume_from(&self) -> Option<i64> {
         (!self.needs_full_read).then_some(self.revision + 1)
     }
 
-    /// Records that the changes from which a watch would start were compacted away.
+    /// Records that the start revision of a watch was compacted, so that a full read is needed.
     pub fn record_compaction(&mut self, compact_revision: i64) {
         if !self.needs_full_read {
             self.metrics.resyncs += 1;
@@ -178,8 +178,8 @@
         );
     }
 
-    /// Compares the registry's revision with the view's. Returns whether it went back: the history is a new one, and
-    /// the next step is a full read.
+    /// Returns whether the registry's revision is lower than the view's, which means that its history was
+    /// reset and a full read is needed.
     pub fn detect_reset(&mut self, registry_revision: i64) -> bool {
         if registry_revision >= self.revision || self.needs_full_read {
             return false;
@@ -194,7 +194,8 @@
         true
     }
 
-    /// Replaces the endpoints by a full read at a revision, also one below the view's. Returns the complete list.
+    /// Replaces the endpoints with those of a full read at `revision`, which may be lower than the view's.
+    /// Returns the complete list.
     pub fn replace_all(&mut self, revision: i64, values: Vec<KeyValue>) -> Update {
         let mut update = Update { full: true, ..Update::default() };
         let entries = self.read_entries(values, &mut update);
@@ -213,7 +214,7 @@
         update
     }
 
-    /// Parses the values of a full read. An endpoint whose value can't be used remains as it was.
+    /// Parses the values of a full read. Keeps the previous state of an endpoint whose value is malformed.
     fn read_entries(&mut self, values: Vec<KeyValue>, update: &mut Update) -> BTreeMap<String, Entry> {
         let mut entries = BTreeMap::new();
         for KeyValue { key, value, mod_revision } in values {
@@ -232,7 +233,8 @@
         entries
     }
 
-    /// Counts the endpoints that are new, removed or in another state, and adds those that began to drain to `update`.
+    /// Counts the endpoints that are new, removed or in another state. Adds those that started to drain to
+    /// `update`.
     fn count_changes(&self, entries: &BTreeMap<String, Entry>, update: &mut Update) -> u64 {
         let mut changes = 0;
         for (key, entry) in entries {
@@ -248,7 +250,7 @@
         changes + removed as u64
     }
 
-    /// Applies the changes of a watch, which are complete up to a revision.
+    /// Applies the changes of a watch message. The view is then complete up to `revision`.
     pub fn apply_changes(&mut self, revision: i64, changes: Vec<Change>) -> Update {
         let mut update = Update::default();
         for change in changes {
@@ -267,7 +269,7 @@
         update
     }
 
-    /// Whether the view has the change, or a newer one of its key.
+    /// Whether the change is a duplicate or older than the view's state of its key.
     fn is_stale(&self, change: &Change) -> bool {
         let entry = self.entries.get(change.key()).map(|entry| entry.revision);
         let known = entry.or_else(|| self.tombstones.get(change.key()).copied());
@@ -303,7 +305,7 @@
         update.rejected.push(RejectedValue { key, error });
     }
 
-    /// Drops the older half of too many tombstones.
+    /// Drops the older half of the tombstones if there are more than [`MAX_TOMBSTONES`].
     fn drop_old_tombstones(&mut self) {
         if self.tombstones.len() <= MAX_TOMBSTONES {
             return;
