--- a/src/health_check/config.rs
+++ b/src/health_check/config.rs
@@ -135,11 +135,14 @@
         self.check_addresses()?;
         self.keys().map_err(|error| FieldError::new("key_file", error))?;
         if self.endpoints.models.is_empty() || self.endpoints.port == Some(0) {
-            return Err(FieldError::new("servers", "`models` is empty, or `port` is 0"));
+            return Err(FieldError::new("servers", "`models` must not be empty, and `port` must not be 0"));
         }
         if let CheckKind::Http(path) = &self.check {
             if !path.starts_with('/') || !path.bytes().all(|b| b.is_ascii_graphic()) {
-                return Err(FieldError::new("probe", format!("{path:?} is not a path")));
+                return Err(FieldError::new(
+                    "probe",
+                    format!("{path:?} is not an absolute path of visible ASCII characters"),
+                ));
             }
         }
         self.check_numbers()
@@ -151,12 +154,15 @@
         for peer in &self.peers {
             let address = parse_address(&peer.address).map_err(|error| FieldError::new("peers", error))?;
             if !ids.insert(peer.id) || !addresses.insert(address) {
-                let reason = format!("{} at {address} is listed twice, or is this instance", peer.id);
+                let reason = format!(
+                    "peer {} at {address}: the id or address is a duplicate or that of this instance",
+                    peer.id
+                );
                 return Err(FieldError::new("peers", reason));
             }
         }
         if self.peers.len() > MAX_PEERS {
-            let reason = format!("{} are more than {MAX_PEERS}", self.peers.len());
+            let reason = format!("{} peers exceed the maximum of {MAX_PEERS}", self.peers.len());
             return Err(FieldError::new("peers", reason));
         }
         match addresses.iter().find(|address| !address.ip().is_loopback()) {
@@ -179,7 +185,7 @@
         ];
         for (field, value, min, max) in bounds {
             if !value.is_finite() || !(min..=max).contains(&value) {
-                return Err(FieldError::new(field, format!("{value} is not within {min} to {max}")));
+                return Err(FieldError::new(field, format!("{value} is outside the range {min} to {max}")));
             }
         }
         Ok(())
@@ -187,12 +193,12 @@
 
     /// Parses `listen`.
     pub fn listen_address(&self) -> SocketAddr {
-        parse_address(&self.listen).expect("checked when read")
+        parse_address(&self.listen).expect("validated when the file was read")
     }
 
     /// Ids and addresses of the peers.
     pub fn peer_addresses(&self) -> impl Iterator<Item = (InstanceId, SocketAddr)> + '_ {
-        let address = |peer: &Peer| parse_address(&peer.address).expect("checked when read");
+        let address = |peer: &Peer| parse_address(&peer.address).expect("validated when the file was read");
         self.peers.iter().map(move |peer| (peer.id, address(peer)))
     }
 
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -32,13 +32,13 @@
 #[derive(Debug, Error)]
 enum DatagramError {
     /// The source address is not that of a configured peer.
-    #[error("the sender is not a peer")]
+    #[error("the source address is not that of a peer")]
     UnknownSender,
     /// Authentication failed.
     #[error(transparent)]
     NotAuthentic(#[from] crate::datagram_auth::AuthError),
     /// The payload is not a valid message.
-    #[error("the message is malformed: {0}")]
+    #[error("malformed message: {0}")]
     Malformed(#[from] simd_json::Error),
 }
 
@@ -178,7 +178,7 @@
             tracing::warn!(
                 endpoint = %format_endpoint_id(endpoint),
                 healthy,
-                "health checks: an endpoint's health changed"
+                "health checks: health of an endpoint changed"
             );
             self.host.with(|engine| engine.report_health_check(endpoint, healthy));
         }
@@ -200,7 +200,7 @@
         let rejected = self.rejected_datagrams.get() + 1;
         self.rejected_datagrams.set(rejected);
         if rejected.is_power_of_two() {
-            tracing::warn!(%from, %reason, rejected, "health checks: a datagram is rejected");
+            tracing::warn!(%from, %reason, rejected, "health checks: datagram rejected");
         }
     }
 
--- a/src/registry/config.rs
+++ b/src/registry/config.rs
@@ -40,14 +40,14 @@
         let config: Self = read_json(path)?;
         parse_address(&config.address).map_err(|error| ConfigError::field(path, "address", error))?;
         if config.prefix.is_empty() || config.prefix.len() > 256 {
-            return Err(ConfigError::field(path, "prefix", "1 to 256 bytes"));
+            return Err(ConfigError::field(path, "prefix", "must be 1 to 256 bytes long"));
         }
         let within = |v: f64, low: f64, high: f64| v.is_finite() && v >= low && v <= high;
         if !within(config.timeout_ms, 10.0, 60_000.0) {
-            return Err(ConfigError::field(path, "timeout_ms", "10 to 60,000"));
+            return Err(ConfigError::field(path, "timeout_ms", "must be 10 to 60,000"));
         }
         if !within(config.silence_timeout_ms, 100.0, 3_600_000.0) {
-            return Err(ConfigError::field(path, "stall_ms", "100 to 3,600,000"));
+            return Err(ConfigError::field(path, "stall_ms", "must be 100 to 3,600,000"));
         }
         if !config.backoff.is_valid() {
             return Err(ConfigError::field(path, "backoff", Backoff::BOUNDS));
@@ -57,6 +57,6 @@
 
     /// Parses `address`.
     pub fn socket_address(&self) -> SocketAddr {
-        parse_address(&self.address).expect("checked when the file was read")
+        parse_address(&self.address).expect("validated when the file was read")
     }
 }
--- a/src/registry/error.rs
+++ b/src/registry/error.rs
@@ -20,16 +20,16 @@
     #[error(transparent)]
     Connection(#[from] std::io::Error),
     /// The call timed out.
-    #[error("no answer in time")]
+    #[error("timed out")]
     Timeout,
     /// The registry returned an HTTP status other than 200.
-    #[error("status {0}")]
+    #[error("unexpected HTTP status {0}")]
     Status(u16),
     /// A watch received neither changes nor progress notifications within the timeout.
-    #[error("the watch fell silent")]
+    #[error("no message on the watch within the idle timeout")]
     Silent,
     /// The registry canceled the watch.
-    #[error("the registry ended the watch")]
+    #[error("the registry canceled the watch")]
     Canceled,
     /// The response is malformed or exceeds a limit.
     #[error(transparent)]
@@ -49,42 +49,42 @@
     #[error(transparent)]
     Http(#[from] httparse::Error),
     /// The response head is too long.
-    #[error("an answer's head is too long")]
+    #[error("response head too long")]
     HeadTooLong,
     /// The response has no valid `Content-Length`.
-    #[error("no length")]
+    #[error("response without a valid Content-Length")]
     MissingLength,
     /// The response body is too long.
-    #[error("a body of {0} bytes")]
+    #[error("response body too long: {0} bytes")]
     BodyTooLong(usize),
     /// The response to a watch request is not chunked.
-    #[error("a watch whose answer is not in chunks")]
+    #[error("response to a watch request is not chunked")]
     NotChunked,
     /// The chunk size is malformed.
-    #[error("a chunk's size")]
+    #[error("malformed chunk size")]
     ChunkSize,
     /// The line with the chunk size is too long.
-    #[error("a chunk's size line too long")]
+    #[error("chunk size line too long")]
     ChunkSizeTooLong,
     /// A chunk is too long.
-    #[error("a chunk too large")]
+    #[error("chunk too large")]
     ChunkTooLong,
     /// A message line of a watch is too long.
-    #[error("a watch line too long")]
+    #[error("watch message too long")]
     LineTooLong,
     /// The body is not JSON of the expected type.
     #[error(transparent)]
     Json(#[from] simd_json::Error),
     /// A key or value is not valid base64.
-    #[error("base64: {0}")]
+    #[error("invalid base64 in a key or value: {0}")]
     Base64(#[from] base64::DecodeError),
     /// A key is not valid UTF-8.
-    #[error("a key that is not UTF-8")]
+    #[error("key is not valid UTF-8")]
     KeyNotUtf8,
     /// The registry reported an error on a watch.
-    #[error("the watch failed: {0}")]
+    #[error("the registry reported an error on the watch: {0}")]
     WatchFailed(String),
     /// A message of a watch has no result.
-    #[error("a line without a result")]
+    #[error("watch message without a result")]
     MissingResult,
 }
--- a/src/registry/service.rs
+++ b/src/registry/service.rs
@@ -91,7 +91,7 @@
         tracing::info!(
             revision = range.revision,
             endpoints = update.endpoints.len(),
-            "registry: all endpoints read"
+            "registry: endpoint list read"
         );
         self.publish(update);
         Ok(())
@@ -138,11 +138,11 @@
             tracing::error!(
                 key = value.key,
                 error = %value.error,
-                "registry: an endpoint's value can't be used; the endpoint remains as it was"
+                "registry: malformed endpoint value rejected; keeping the previous state of the endpoint"
             );
         }
         for id in &update.draining {
-            tracing::info!(endpoint = %format_endpoint_id(*id), "registry: an endpoint is draining");
+            tracing::info!(endpoint = %format_endpoint_id(*id), "registry: endpoint started to drain");
         }
         let now_ms = self.host.clock.now();
         let changed = !update.is_empty();
@@ -168,7 +168,7 @@
         status.failures += 1;
         status.last_error = Some(error.to_string());
         if failures.is_power_of_two() {
-            tracing::warn!(%error, failures, delay_ms, "registry: the connection failed; retrying");
+            tracing::warn!(%error, failures, delay_ms, "registry: call or watch failed; retrying");
         }
         delay_ms
     }
--- a/src/registry/view.rs
+++ b/src/registry/view.rs
@@ -174,7 +174,7 @@
         tracing::warn!(
             revision = self.revision,
             compact_revision,
-            "registry: changes were compacted away; starting a full read"
+            "registry: start revision of the watch was compacted; starting a full read"
         );
     }
 
@@ -189,7 +189,7 @@
         tracing::warn!(
             revision = self.revision,
             registry_revision,
-            "registry: its revision went back; starting a full read"
+            "registry: revision is lower than before; starting a full read"
         );
         true
     }
