--- a/src/health_check/admin.rs
+++ b/src/health_check/admin.rs
@@ -38,8 +38,8 @@
             return Some(HttpResponse::status(405).with("Allow", "GET"));
         }
         let body = simd_json::to_vec(&self.status()).unwrap_or_default();
-        let answer = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
-        Some(answer.with("Content-Type", "application/json"))
+        let response = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
+        Some(response.with("Content-Type", "application/json"))
     }
 
     fn status(&self) -> Status {
--- a/src/health_check/checker.rs
+++ b/src/health_check/checker.rs
@@ -12,8 +12,8 @@
 /// Maximum number of headers for the response parser.
 const MAX_HEADERS: usize = 32;
 
-/// Checks the endpoint at `address`. Errors and checks that take longer than `limit` count as failed.
-pub async fn check(address: SocketAddr, kind: &CheckKind, limit: Duration) -> bool {
+/// Checks the endpoint at `address`. Errors and checks that take longer than `time_limit` count as failed.
+pub async fn check(address: SocketAddr, kind: &CheckKind, time_limit: Duration) -> bool {
     let passed = async {
         let stream = TcpStream::connect(address).await?;
         match kind {
@@ -21,7 +21,7 @@
             CheckKind::Http(path) => check_http(stream, address, path).await,
         }
     };
-    matches!(timeout(limit, passed).await, Ok(Ok(true)))
+    matches!(timeout(time_limit, passed).await, Ok(Ok(true)))
 }
 
 /// Sends a `GET` request and returns whether the response has a 2xx status.
--- a/src/health_check/config.rs
+++ b/src/health_check/config.rs
@@ -16,9 +16,9 @@
 /// Maximum number of peers.
 pub const MAX_PEERS: usize = 4_096;
 /// Number of times a vote request is sent per rank delay.
-const ATTEMPTS_PER_RANK_DELAY: f64 = 4.0;
+const REQUESTS_PER_RANK_DELAY: f64 = 4.0;
 /// Timeout of a vote request, in rank delays.
-const REQUEST_TIMEOUT_RANKS: f64 = 2.0;
+const REQUEST_TIMEOUT_RANK_DELAYS: f64 = 2.0;
 /// Number of heartbeats sent per failure timeout.
 const HEARTBEATS_PER_FAILURE_TIMEOUT: f64 = 4.0;
 
@@ -127,12 +127,12 @@
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        config.check().map_err(|error| error.in_file(path))?;
+        config.validate().map_err(|error| error.in_file(path))?;
         Ok(config)
     }
 
-    fn check(&self) -> Result<(), FieldError> {
-        self.check_addresses()?;
+    fn validate(&self) -> Result<(), FieldError> {
+        self.validate_addresses()?;
         self.keys().map_err(|error| FieldError::new("key_file", error))?;
         if self.endpoints.models.is_empty() || self.endpoints.port == Some(0) {
             return Err(FieldError::new("servers", "`models` must not be empty, and `port` must not be 0"));
@@ -145,10 +145,10 @@
                 ));
             }
         }
-        self.check_numbers()
+        self.validate_numbers()
     }
 
-    fn check_addresses(&self) -> Result<(), FieldError> {
+    fn validate_addresses(&self) -> Result<(), FieldError> {
         let own = parse_address(&self.listen).map_err(|error| FieldError::new("listen", error))?;
         let (mut ids, mut addresses) = (BTreeSet::from([self.id]), BTreeSet::from([own]));
         for peer in &self.peers {
@@ -171,9 +171,9 @@
         }
     }
 
-    fn check_numbers(&self) -> Result<(), FieldError> {
+    fn validate_numbers(&self) -> Result<(), FieldError> {
         let ranks = self.peers.len().min(MAX_RANK) as f64;
-        let max_rank_delay_ms = self.period_ms / (ranks + REQUEST_TIMEOUT_RANKS);
+        let max_rank_delay_ms = self.period_ms / (ranks + REQUEST_TIMEOUT_RANK_DELAYS);
         let bounds = [
             ("clock_skew_ms", self.clock_skew_ms, 1.0, 3_600_000.0),
             ("period_ms", self.period_ms, 100.0, 3_600_000.0),
@@ -207,8 +207,8 @@
         SchedulerTimes {
             period_ms: self.period_ms,
             rank_delay_ms: self.rank_delay_ms,
-            retry_interval_ms: self.rank_delay_ms / ATTEMPTS_PER_RANK_DELAY,
-            request_timeout_ms: self.rank_delay_ms * REQUEST_TIMEOUT_RANKS,
+            retry_interval_ms: self.rank_delay_ms / REQUESTS_PER_RANK_DELAY,
+            request_timeout_ms: self.rank_delay_ms * REQUEST_TIMEOUT_RANK_DELAYS,
             heartbeat_interval_ms: self.failure_timeout_ms / HEARTBEATS_PER_FAILURE_TIMEOUT,
             failure_timeout_ms: self.failure_timeout_ms,
         }
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -44,7 +44,7 @@
 
 /// Shared health checks of one instance.
 pub struct HealthChecker {
-    host: Rc<Executor>,
+    executor: Rc<Executor>,
     pub(super) config: HealthCheckConfig,
     socket: UdpSocket,
     pub(super) scheduler: RefCell<Scheduler>,
@@ -53,7 +53,7 @@
     /// Address to check for each endpoint.
     pub(super) endpoints: RefCell<BTreeMap<EndpointId, SocketAddr>>,
     /// Version of the endpoint list from which `endpoints` was built.
-    endpoints_version: Cell<u64>,
+    endpoint_list_version: Cell<u64>,
     pub(super) rejected_datagrams: Cell<u64>,
     peers: BTreeMap<InstanceId, SocketAddr>,
     check_permits: Semaphore,
@@ -63,25 +63,25 @@
     /// Creates the health checks from a configuration and a socket that is bound to its `listen` address. The
     /// engine stops running health checks of its own.
     pub fn new(
-        host: Rc<Executor>,
+        executor: Rc<Executor>,
         config: HealthCheckConfig,
         socket: UdpSocket,
     ) -> Result<Rc<Self>, KeyFileError> {
         let auth = config.keys()?.map(|keys| DatagramAuth::new(keys, config.clock_skew_ms, LABEL));
         let peers: BTreeMap<InstanceId, SocketAddr> = config.peer_addresses().collect();
         let times = config.scheduler_times();
-        let scheduler = Scheduler::new(host.clock.now(), config.id, peers.keys().copied(), times);
-        host.with(|engine| engine.delegate_health_checks());
+        let scheduler = Scheduler::new(executor.clock.now(), config.id, peers.keys().copied(), times);
+        executor.with(|engine| engine.delegate_health_checks());
         Ok(Rc::new(Self {
             scheduler: RefCell::new(scheduler),
             health: RefCell::new(HealthStatus::new(config.thresholds())),
             auth: RefCell::new(auth),
             endpoints: RefCell::default(),
-            endpoints_version: Cell::new(u64::MAX),
+            endpoint_list_version: Cell::new(u64::MAX),
             rejected_datagrams: Cell::new(0),
             peers,
             check_permits: Semaphore::new(MAX_CONCURRENT_CHECKS),
-            host,
+            executor,
             config,
             socket,
         }))
@@ -89,7 +89,7 @@
 
     /// Current time, in Unix milliseconds.
     pub(super) fn now(&self) -> f64 {
-        self.host.clock.now()
+        self.executor.clock.now()
     }
 
     /// Reloads the key file. Keeps the current keys on an error.
@@ -103,16 +103,16 @@
 
     /// Updates the endpoints to check if the endpoint list changed.
     fn update_endpoints(&self) {
-        let version = self.host.endpoint_list_changes();
-        if self.endpoints_version.replace(version) == version {
+        let version = self.executor.endpoint_list_changes();
+        if self.endpoint_list_version.replace(version) == version {
             return;
         }
-        let checked = &self.config.endpoints;
-        let listed = checked.models.iter().flat_map(|model| self.host.endpoints_of_kind(model));
+        let selector = &self.config.endpoints;
+        let listed = selector.models.iter().flat_map(|model| self.executor.endpoints_of_kind(model));
         let endpoints: BTreeMap<_, _> = listed
             .map(|endpoint| {
                 let address = endpoint.address;
-                let port = checked.port.unwrap_or(address.port());
+                let port = selector.port.unwrap_or(address.port());
                 (endpoint.id, SocketAddr::new((*address.ip()).into(), port))
             })
             .collect();
@@ -123,10 +123,10 @@
 
     async fn send(&self, to: InstanceId, message: &Message) {
         let Some(address) = self.peers.get(&to) else { return };
-        let text = simd_json::to_vec(message).unwrap_or_default();
+        let payload = simd_json::to_vec(message).unwrap_or_default();
         let datagram = match &mut *self.auth.borrow_mut() {
-            Some(auth) => auth.sign(self.now(), text),
-            None => text,
+            Some(auth) => auth.sign(self.now(), payload),
+            None => payload,
         };
         // Send errors are ignored: failed instances are detected by missing messages.
         let _ = self.socket.send_to(&datagram, address).await;
@@ -138,14 +138,14 @@
         }
     }
 
-    async fn perform(self: &Rc<Self>, actions: Vec<Action>) {
+    async fn perform_actions(self: &Rc<Self>, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Broadcast(message) => self.broadcast(&message).await,
                 Action::Reply(to, message) => self.send(to, &message).await,
                 Action::RunCheck(lease) => {
                     let checker = self.clone();
-                    self.host.spawn("a health check", async move { checker.run_check(lease).await });
+                    self.executor.spawn("a health check", async move { checker.run_check(lease).await });
                 }
             }
         }
@@ -156,11 +156,11 @@
         let Some(address) = self.endpoints.borrow().get(&lease.endpoint).copied() else { return };
         let _permit = self.check_permits.acquire().await;
         let started_ms = self.now();
-        let limit = duration_from_ms(self.config.check_timeout_ms);
-        let passed = checker::check(address, &self.config.check, limit).await;
+        let check_timeout = duration_from_ms(self.config.check_timeout_ms);
+        let passed = checker::check(address, &self.config.check, check_timeout).await;
         let duration_ms = self.now() - started_ms;
         let result = CheckResult { endpoint: lease.endpoint, slot: lease.slot, passed, duration_ms };
-        self.apply(result);
+        self.apply_result(result);
         let message = Message::Result(result);
         self.broadcast(&message).await;
         tokio::time::sleep(duration_from_ms(RESULT_RESEND_MS)).await;
@@ -168,7 +168,7 @@
     }
 
     /// Applies a check result and reports a health change to the engine.
-    fn apply(&self, result: CheckResult) {
+    fn apply_result(&self, result: CheckResult) {
         let endpoint = result.endpoint;
         if !self.endpoints.borrow().contains_key(&endpoint) || !result.duration_ms.is_finite() {
             return;
@@ -180,7 +180,7 @@
                 healthy,
                 "health checks: health of an endpoint changed"
             );
-            self.host.with(|engine| engine.report_health_check(endpoint, healthy));
+            self.executor.with(|engine| engine.report_health_check(endpoint, healthy));
         }
     }
 
@@ -188,15 +188,15 @@
     fn decode(&self, from: SocketAddr, datagram: &[u8]) -> Result<(InstanceId, Message), DatagramError> {
         let peer = self.peers.iter().find(|(_, address)| **address == from);
         let (id, _) = peer.ok_or(DatagramError::UnknownSender)?;
-        let mut text = match &mut *self.auth.borrow_mut() {
+        let mut payload = match &mut *self.auth.borrow_mut() {
             Some(auth) => auth.verify(self.now(), from, datagram)?.to_vec(),
             None => datagram.to_vec(),
         };
-        Ok((*id, simd_json::from_slice(&mut text)?))
+        Ok((*id, simd_json::from_slice(&mut payload)?))
     }
 
     /// Counts a rejected datagram. Logs only at counts that are powers of two, to limit the log volume.
-    fn reject(&self, from: SocketAddr, reason: &DatagramError) {
+    fn record_rejected(&self, from: SocketAddr, reason: &DatagramError) {
         let rejected = self.rejected_datagrams.get() + 1;
         self.rejected_datagrams.set(rejected);
         if rejected.is_power_of_two() {
@@ -207,13 +207,13 @@
     async fn receive(self: &Rc<Self>, from: SocketAddr, datagram: &[u8]) {
         let (id, message) = match self.decode(from, datagram) {
             Ok(received) => received,
-            Err(reason) => return self.reject(from, &reason),
+            Err(reason) => return self.record_rejected(from, &reason),
         };
         if let Message::Result(result) = message {
-            self.apply(result);
+            self.apply_result(result);
         }
         let actions = self.scheduler.borrow_mut().receive(self.now(), id, &message);
-        self.perform(actions).await;
+        self.perform_actions(actions).await;
     }
 }
 
@@ -228,7 +228,7 @@
             checker.update_endpoints();
         }
         let actions = checker.scheduler.borrow_mut().tick(now);
-        checker.perform(actions).await;
+        checker.perform_actions(actions).await;
         let due_ms = checker.scheduler.borrow().next_due_ms(now).min(endpoint_poll_ms);
         tokio::select! {
             () = tokio::time::sleep(duration_from_ms((due_ms - now).max(1.0))) => {}
--- a/src/health_check/lease.rs
+++ b/src/health_check/lease.rs
@@ -32,12 +32,12 @@
 }
 
 /// Second hash input for [`offset_ms`], distinct from those for the ranks of instances.
-const OFFSET_INPUT: u64 = 1;
+const OFFSET_HASH_INPUT: u64 = 1;
 /// Second hash input for the rank of instance 0; the instance id is added to it.
-const RANK_INPUT: u64 = 1_000;
+const RANK_HASH_INPUT_BASE: u64 = 1_000;
 
 /// Hashes two numbers with the SplitMix64 finalizer. All instances must compute the same value.
-fn mix(a: u64, b: u64) -> u64 {
+fn hash(a: u64, b: u64) -> u64 {
     let mut z = a.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ b.wrapping_add(0xD1B5_4A32_D192_ED03);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
@@ -46,7 +46,7 @@
 
 /// Offset of an endpoint's check from the start of the period, in milliseconds.
 pub fn offset_ms(endpoint: EndpointId, period_ms: f64) -> f64 {
-    let fraction = (mix(u64::from(endpoint), OFFSET_INPUT) >> 11) as f64 / (1u64 << 53) as f64;
+    let fraction = (hash(u64::from(endpoint), OFFSET_HASH_INPUT) >> 11) as f64 / (1u64 << 53) as f64;
     fraction * period_ms
 }
 
@@ -55,13 +55,13 @@
     ((now - offset_ms(endpoint, period_ms)) / period_ms).floor().max(0.0) as Slot
 }
 
-/// Rank of the instance `me` among the candidates for the leases of an endpoint, from 0.
+/// Rank of the instance `own_id` among the candidates for the leases of an endpoint, from 0.
 ///
 /// Uses rendezvous hashing: if an instance fails, the order of the others stays the same, and its checks are
 /// distributed evenly among them.
-pub fn rank(endpoint: EndpointId, me: InstanceId, others: impl Iterator<Item = InstanceId>) -> usize {
-    let score = |id: InstanceId| (mix(u64::from(endpoint), RANK_INPUT + u64::from(id)), id);
-    others.filter(|id| *id != me && score(*id) < score(me)).count()
+pub fn rank(endpoint: EndpointId, own_id: InstanceId, others: impl Iterator<Item = InstanceId>) -> usize {
+    let score = |id: InstanceId| (hash(u64::from(endpoint), RANK_HASH_INPUT_BASE + u64::from(id)), id);
+    others.filter(|id| *id != own_id && score(*id) < score(own_id)).count()
 }
 
 #[cfg(test)]
--- a/src/health_check/quorum.rs
+++ b/src/health_check/quorum.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// Votes kept per endpoint. Covers the slots near the current one, which clock skew lets candidates request.
-const REMEMBERED_SLOTS: usize = 4;
+const MAX_VOTES_PER_ENDPOINT: usize = 4;
 /// Maximum distance of a requested slot from the slot that is current by this instance's clock.
 const MAX_SLOT_DISTANCE: u64 = 1;
 
@@ -25,14 +25,14 @@
 #[derive(Clone, Debug)]
 pub struct Voter {
     /// All requests are rejected before this time, in Unix milliseconds.
-    votes_from_ms: f64,
+    voting_starts_ms: f64,
     votes: BTreeMap<EndpointId, Vec<Vote>>,
 }
 
 impl Voter {
-    /// Creates the voter of an instance that starts at `now` and rejects all requests for `silence_ms`.
-    pub fn new(now: f64, silence_ms: f64) -> Self {
-        Self { votes_from_ms: now + silence_ms, votes: BTreeMap::new() }
+    /// Creates the voter of an instance that starts at `now` and rejects all requests for `voting_delay_ms`.
+    pub fn new(now: f64, voting_delay_ms: f64) -> Self {
+        Self { voting_starts_ms: now + voting_delay_ms, votes: BTreeMap::new() }
     }
 
     /// Decides on a vote request and returns whether the candidate gets the vote.
@@ -41,7 +41,7 @@
     /// and its neighbours are rejected.
     pub fn decide(&mut self, now: f64, current: Slot, lease: Lease, candidate: InstanceId) -> bool {
         let Lease { endpoint, slot } = lease;
-        if now < self.votes_from_ms || slot.abs_diff(current) > MAX_SLOT_DISTANCE {
+        if now < self.voting_starts_ms || slot.abs_diff(current) > MAX_SLOT_DISTANCE {
             return false;
         }
         let votes = self.votes.entry(endpoint).or_default();
@@ -53,7 +53,7 @@
             return false;
         }
         votes.push(Vote { slot, candidate });
-        if votes.len() > REMEMBERED_SLOTS {
+        if votes.len() > MAX_VOTES_PER_ENDPOINT {
             votes.remove(0);
         }
         true
--- a/src/health_check/quorum/tests.rs
+++ b/src/health_check/quorum/tests.rs
@@ -24,7 +24,7 @@
         assert!(voter.decide(300.0, slot, lease(7, slot), 3));
         assert!(!voter.decide(300.0, slot, lease(7, slot - 1), 9), "over");
     }
-    assert!(voter.votes[&7].len() <= REMEMBERED_SLOTS);
+    assert!(voter.votes[&7].len() <= MAX_VOTES_PER_ENDPOINT);
     voter.retain(|endpoint| endpoint == 8);
     assert_eq!((voter.voted_for(lease(7, 39)), voter.voted_for(lease(8, 10))), (None, Some(2)));
 }
--- a/src/health_check/scheduler.rs
+++ b/src/health_check/scheduler.rs
@@ -71,64 +71,64 @@
 
 /// A vote request of this instance that is still undecided.
 #[derive(Clone, Debug)]
-struct PendingLease {
+struct PendingVoteRequest {
     lease: Lease,
-    requested_ms: f64,
-    retry_ms: f64,
+    requested_at_ms: f64,
+    resend_at_ms: f64,
     granted_by: BTreeSet<InstanceId>,
     denied_by: BTreeSet<InstanceId>,
 }
 
-impl PendingLease {
-    /// Creates a request of the instance `me`, which counts its own vote.
-    fn new(now: f64, lease: Lease, me: InstanceId) -> Self {
-        let (granted_by, denied_by) = (BTreeSet::from([me]), BTreeSet::new());
-        Self { lease, requested_ms: now, retry_ms: now, granted_by, denied_by }
+impl PendingVoteRequest {
+    /// Creates a request of the instance `own_id`, which counts its own vote.
+    fn new(now: f64, lease: Lease, own_id: InstanceId) -> Self {
+        let (granted_by, denied_by) = (BTreeSet::from([own_id]), BTreeSet::new());
+        Self { lease, requested_at_ms: now, resend_at_ms: now, granted_by, denied_by }
     }
 }
 
 /// Schedules the checks of one instance.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
-    me: InstanceId,
+    own_id: InstanceId,
     instances: BTreeSet<InstanceId>,
     times: SchedulerTimes,
     /// Arrival time of the latest message from each instance, in Unix milliseconds.
     last_message_ms: BTreeMap<InstanceId, f64>,
     voter: Voter,
     endpoints: BTreeSet<EndpointId>,
-    pending: BTreeMap<EndpointId, PendingLease>,
+    pending: BTreeMap<EndpointId, PendingVoteRequest>,
     /// Latest slot of each endpoint that needs no request of this instance: it has already requested the
     /// lease, or another instance has run the check.
-    settled: BTreeMap<EndpointId, Slot>,
+    last_handled_slots: BTreeMap<EndpointId, Slot>,
     heartbeat_due_ms: f64,
     /// Counters for the admin endpoint and the metrics.
     pub metrics: SchedulerMetrics,
 }
 
 impl Scheduler {
-    /// Creates the scheduler of the instance `me`, which starts at `now`. `instances` may omit `me`.
+    /// Creates the scheduler of the instance `own_id`, which starts at `now`. `instances` may omit `own_id`.
     pub fn new(
         now: f64,
-        me: InstanceId,
+        own_id: InstanceId,
         instances: impl IntoIterator<Item = InstanceId>,
         times: SchedulerTimes,
     ) -> Self {
         let mut instances: BTreeSet<InstanceId> = instances.into_iter().collect();
-        instances.insert(me);
+        instances.insert(own_id);
         // A vote from before the start may be for the current slot, or for the next one if the candidate's
         // clock was ahead.
-        let silence_ms = if instances.len() > 1 { 2.0 * times.period_ms } else { 0.0 };
+        let voting_delay_ms = if instances.len() > 1 { 2.0 * times.period_ms } else { 0.0 };
         Self {
-            me,
+            own_id,
             // All instances count as alive until they exceed the failure timeout.
             last_message_ms: instances.iter().map(|id| (*id, now)).collect(),
             instances,
             times,
-            voter: Voter::new(now, silence_ms),
+            voter: Voter::new(now, voting_delay_ms),
             endpoints: BTreeSet::new(),
             pending: BTreeMap::new(),
-            settled: BTreeMap::new(),
+            last_handled_slots: BTreeMap::new(),
             heartbeat_due_ms: f64::NEG_INFINITY,
             metrics: SchedulerMetrics::default(),
         }
@@ -139,11 +139,11 @@
         self.endpoints = endpoints.into_iter().collect();
         let endpoints = &self.endpoints;
         self.pending.retain(|endpoint, _| endpoints.contains(endpoint));
-        self.settled.retain(|endpoint, _| endpoints.contains(endpoint));
+        self.last_handled_slots.retain(|endpoint, _| endpoints.contains(endpoint));
         self.voter.retain(|endpoint| endpoints.contains(&endpoint));
         for endpoint in endpoints {
             let current = slot_at(now, *endpoint, self.times.period_ms);
-            self.settled.entry(*endpoint).or_insert(current);
+            self.last_handled_slots.entry(*endpoint).or_insert(current);
         }
     }
 
@@ -155,7 +155,7 @@
     /// Whether an instance counts as alive.
     pub fn is_alive(&self, now: f64, id: InstanceId) -> bool {
         let is_recent = |message_ms: &f64| now - message_ms < self.times.failure_timeout_ms;
-        id == self.me || self.last_message_ms.get(&id).is_some_and(is_recent)
+        id == self.own_id || self.last_message_ms.get(&id).is_some_and(is_recent)
     }
 
     /// Instances that count as alive, including this one.
@@ -165,7 +165,7 @@
 
     /// This instance's rank for an endpoint, at most [`MAX_RANK`]. Linear in the number of instances.
     fn own_rank(&self, now: f64, endpoint: EndpointId) -> usize {
-        rank(endpoint, self.me, self.live_instances(now)).min(MAX_RANK)
+        rank(endpoint, self.own_id, self.live_instances(now)).min(MAX_RANK)
     }
 
     /// Time at which an instance of the given rank requests the lease.
@@ -178,12 +178,12 @@
         Lease { endpoint, slot: slot_at(now, endpoint, self.times.period_ms) }
     }
 
-    fn is_settled(&self, lease: Lease) -> bool {
-        self.settled.get(&lease.endpoint).is_some_and(|slot| *slot >= lease.slot)
+    fn is_handled(&self, lease: Lease) -> bool {
+        self.last_handled_slots.get(&lease.endpoint).is_some_and(|slot| *slot >= lease.slot)
     }
 
     fn voted_for_another(&self, lease: Lease) -> bool {
-        self.voter.voted_for(lease).is_some_and(|candidate| candidate != self.me)
+        self.voter.voted_for(lease).is_some_and(|candidate| candidate != self.own_id)
     }
 
     /// Returns the actions that are due by `now`.
@@ -194,34 +194,34 @@
             actions.push(Action::Broadcast(Message::Heartbeat));
         }
         for endpoint in self.endpoints.clone() {
-            self.begin_request(now, endpoint);
-            self.advance_request(now, endpoint, &mut actions);
+            self.start_vote_request(now, endpoint);
+            self.advance_vote_request(now, endpoint, &mut actions);
         }
         actions
     }
 
     /// Starts a vote request for an endpoint's current slot if this instance must request it now.
-    fn begin_request(&mut self, now: f64, endpoint: EndpointId) {
+    fn start_vote_request(&mut self, now: f64, endpoint: EndpointId) {
         let lease = self.current_lease(now, endpoint);
-        if self.is_settled(lease) || self.voted_for_another(lease) || self.pending.contains_key(&endpoint) {
+        if self.is_handled(lease) || self.voted_for_another(lease) || self.pending.contains_key(&endpoint) {
             return;
         }
         let rank = self.own_rank(now, endpoint);
         if now < self.request_due_ms(lease, rank) {
             return;
         }
-        self.settled.insert(endpoint, lease.slot);
-        if !self.voter.decide(now, lease.slot, lease, self.me) {
+        self.last_handled_slots.insert(endpoint, lease.slot);
+        if !self.voter.decide(now, lease.slot, lease, self.own_id) {
             return;
         }
         self.metrics.vote_requests += 1;
         self.metrics.failovers += u64::from(rank > 0);
-        self.pending.insert(endpoint, PendingLease::new(now, lease, self.me));
+        self.pending.insert(endpoint, PendingVoteRequest::new(now, lease, self.own_id));
     }
 
     /// Completes the vote request for an endpoint if it is decided or timed out, or resends it if that is
     /// due.
-    fn advance_request(&mut self, now: f64, endpoint: EndpointId, actions: &mut Vec<Action>) {
+    fn advance_vote_request(&mut self, now: f64, endpoint: EndpointId, actions: &mut Vec<Action>) {
         let (majority, instances) = (self.majority(), self.instances.len());
         let Some(pending) = self.pending.get_mut(&endpoint) else { return };
         let lease = pending.lease;
@@ -232,11 +232,11 @@
         } else if pending.denied_by.len() > instances - majority {
             self.pending.remove(&endpoint);
             self.metrics.outvoted += 1;
-        } else if now - pending.requested_ms >= self.times.request_timeout_ms {
+        } else if now - pending.requested_at_ms >= self.times.request_timeout_ms {
             self.pending.remove(&endpoint);
             self.metrics.timed_out += 1;
-        } else if now >= pending.retry_ms {
-            pending.retry_ms = now + self.times.retry_interval_ms;
+        } else if now >= pending.resend_at_ms {
+            pending.resend_at_ms = now + self.times.retry_interval_ms;
             actions.push(Action::Broadcast(Message::VoteRequest(lease)));
         }
     }
@@ -245,7 +245,7 @@
     /// itself.
     pub fn receive(&mut self, now: f64, from: InstanceId, message: &Message) -> Vec<Action> {
         let mut actions = Vec::new();
-        if from == self.me || !self.instances.contains(&from) {
+        if from == self.own_id || !self.instances.contains(&from) {
             return actions;
         }
         self.last_message_ms.insert(from, now);
@@ -263,14 +263,14 @@
                 if let Some(pending) = pending {
                     let votes = if granted { &mut pending.granted_by } else { &mut pending.denied_by };
                     votes.insert(from);
-                    self.advance_request(now, endpoint, &mut actions);
+                    self.advance_vote_request(now, endpoint, &mut actions);
                 }
             }
             Message::Result(result) => {
                 self.metrics.results_received += 1;
                 if self.endpoints.contains(&result.endpoint) {
-                    let settled = self.settled.entry(result.endpoint).or_insert(result.slot);
-                    *settled = result.slot.max(*settled);
+                    let last_slot = self.last_handled_slots.entry(result.endpoint).or_insert(result.slot);
+                    *last_slot = result.slot.max(*last_slot);
                 }
             }
         }
@@ -282,7 +282,7 @@
         let requests = self
             .pending
             .values()
-            .map(|pending| pending.retry_ms.min(pending.requested_ms + self.times.request_timeout_ms));
+            .map(|pending| pending.resend_at_ms.min(pending.requested_at_ms + self.times.request_timeout_ms));
         let leases = self.endpoints.iter().map(|endpoint| self.next_lease_due_ms(now, *endpoint));
         requests.chain(leases).fold(self.heartbeat_due_ms, f64::min)
     }
@@ -291,7 +291,7 @@
     fn next_lease_due_ms(&self, now: f64, endpoint: EndpointId) -> f64 {
         let current = self.current_lease(now, endpoint);
         let next_ms = Lease { slot: current.slot + 1, ..current }.due_ms(self.times.period_ms);
-        if self.is_settled(current) || self.voted_for_another(current) {
+        if self.is_handled(current) || self.voted_for_another(current) {
             return next_ms;
         }
         let request_ms = self.request_due_ms(current, self.own_rank(now, endpoint));
