--- a/src/registry/client.rs
+++ b/src/registry/client.rs
@@ -14,17 +14,17 @@
 use tokio::time::timeout;
 
 /// Maximum size of the response body of a range call, in bytes.
-pub const MAX_RANGE: usize = 16 << 20;
+pub const MAX_RANGE_BODY_BYTES: usize = 16 << 20;
 /// Maximum length of a message line or chunk of a watch, in bytes.
-pub const MAX_LINE: usize = 4 << 20;
+pub const MAX_WATCH_LINE_BYTES: usize = 4 << 20;
 /// Maximum size of a response head, in bytes.
-const MAX_HEAD: usize = 16_384;
+const MAX_HEAD_BYTES: usize = 16_384;
 /// Maximum number of response headers.
 const MAX_HEADERS: usize = 32;
 /// Maximum length of a line with a chunk size, in bytes.
-const MAX_CHUNK_SIZE_LINE: usize = 64;
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 64;
 /// Size of the buffer for one read from the socket, in bytes.
-const READ_BUFFER: usize = 16_384;
+const READ_BUFFER_BYTES: usize = 16_384;
 /// Line terminator of HTTP/1.1.
 const CRLF: &[u8] = b"\r\n";
 
@@ -35,9 +35,9 @@
     call_timeout: Duration,
 ) -> Result<RangeResponse, RegistryError> {
     let read = async {
-        let request = post(address, "/v3/kv/range", &range_request(prefix));
-        let mut answer = Answer::open(address, request, call_timeout).await?;
-        let mut body = answer.body(MAX_RANGE).await?;
+        let request = post_request(address, "/v3/kv/range", &range_request(prefix));
+        let mut response = Response::open(address, request, call_timeout).await?;
+        let mut body = response.read_body(MAX_RANGE_BODY_BYTES).await?;
         Ok(decode_range(&mut body)?)
     };
     let result = timeout(call_timeout, read).await.unwrap_or(Err(CallFailure::Timeout));
@@ -47,9 +47,9 @@
 /// An open watch of all keys with a prefix.
 pub struct Watch {
     address: SocketAddr,
-    answer: Answer,
+    response: Response,
     /// Received bytes of the body that were not yet decoded.
-    lines: Vec<u8>,
+    unparsed: Vec<u8>,
 }
 
 impl Watch {
@@ -61,44 +61,44 @@
         from_revision: i64,
         call_timeout: Duration,
     ) -> Result<Self, RegistryError> {
-        let request = post(address, "/v3/watch", &watch_request(prefix, from_revision));
-        let opened = Answer::open(address, request, call_timeout).await;
-        let answer = opened.and_then(|answer| match answer.chunked {
-            true => Ok(answer),
+        let request = post_request(address, "/v3/watch", &watch_request(prefix, from_revision));
+        let opened = Response::open(address, request, call_timeout).await;
+        let response = opened.and_then(|response| match response.chunked {
+            true => Ok(response),
             false => Err(ProtocolError::NotChunked.into()),
         });
-        let answer = answer.map_err(|source| RegistryError { address, source })?;
-        Ok(Self { address, answer, lines: Vec::new() })
+        let response = response.map_err(|source| RegistryError { address, source })?;
+        Ok(Self { address, response, unparsed: Vec::new() })
     }
 
     /// Waits for the next message, without a timeout. The watch can't be used after an error.
     pub async fn next(&mut self) -> Result<WatchResponse, RegistryError> {
         let address = self.address;
-        self.next_line().await.map_err(|source| RegistryError { address, source })
+        self.next_response().await.map_err(|source| RegistryError { address, source })
     }
 
-    async fn next_line(&mut self) -> Result<WatchResponse, CallFailure> {
+    async fn next_response(&mut self) -> Result<WatchResponse, CallFailure> {
         loop {
-            if let Some(end) = self.lines.iter().position(|byte| *byte == b'\n') {
-                let mut line: Vec<u8> = self.lines.drain(..=end).collect();
+            if let Some(end) = self.unparsed.iter().position(|byte| *byte == b'\n') {
+                let mut line: Vec<u8> = self.unparsed.drain(..=end).collect();
                 if line.iter().all(u8::is_ascii_whitespace) {
                     continue;
                 }
                 return Ok(decode_watch_line(&mut line)?);
             }
-            if self.lines.len() > MAX_LINE {
+            if self.unparsed.len() > MAX_WATCH_LINE_BYTES {
                 return Err(ProtocolError::LineTooLong.into());
             }
-            let chunk = self.answer.chunk().await?;
+            let chunk = self.response.read_chunk().await?;
             if chunk.is_empty() {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
-            self.lines.extend_from_slice(&chunk);
+            self.unparsed.extend_from_slice(&chunk);
         }
     }
 }
 
-fn post(address: SocketAddr, target: &str, body: &str) -> String {
+fn post_request(address: SocketAddr, target: &str, body: &str) -> String {
     format!(
         "POST {target} HTTP/1.1\r\nHost: {address}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -113,30 +113,30 @@
 }
 
 /// A response that is read incrementally.
-struct Answer {
+struct Response {
     stream: TcpStream,
     received: Vec<u8>,
     chunked: bool,
     content_length: Option<usize>,
 }
 
-impl Answer {
+impl Response {
     /// Connects, sends a request and reads the response head. Fails unless the status is 200.
     async fn open(address: SocketAddr, request: String, call_timeout: Duration) -> Result<Self, CallFailure> {
         let connect = timeout(call_timeout, TcpStream::connect(address));
         let mut stream = connect.await.map_err(|_| CallFailure::Timeout)??;
         let _ = stream.set_nodelay(true);
         stream.write_all(request.as_bytes()).await?;
-        let mut answer = Self { stream, received: Vec::new(), chunked: false, content_length: None };
-        let head = timeout(call_timeout, answer.head()).await.map_err(|_| CallFailure::Timeout)??;
+        let mut response = Self { stream, received: Vec::new(), chunked: false, content_length: None };
+        let head = timeout(call_timeout, response.read_head()).await.map_err(|_| CallFailure::Timeout)??;
         if head.status != 200 {
             return Err(CallFailure::Status(head.status));
         }
-        Ok(Self { chunked: head.chunked, content_length: head.content_length, ..answer })
+        Ok(Self { chunked: head.chunked, content_length: head.content_length, ..response })
     }
 
-    async fn receive(&mut self) -> Result<(), CallFailure> {
-        let mut buffer = [0u8; READ_BUFFER];
+    async fn read_more(&mut self) -> Result<(), CallFailure> {
+        let mut buffer = [0u8; READ_BUFFER_BYTES];
         let n = self.stream.read(&mut buffer).await?;
         if n == 0 {
             return Err(ErrorKind::UnexpectedEof.into());
@@ -145,51 +145,51 @@
         Ok(())
     }
 
-    async fn head(&mut self) -> Result<Head, CallFailure> {
+    async fn read_head(&mut self) -> Result<Head, CallFailure> {
         loop {
             if let Some((head, length)) = parse_head(&self.received)? {
                 self.received.drain(..length);
                 return Ok(head);
             }
-            if self.received.len() > MAX_HEAD {
+            if self.received.len() > MAX_HEAD_BYTES {
                 return Err(ProtocolError::HeadTooLong.into());
             }
-            self.receive().await?;
+            self.read_more().await?;
         }
     }
 
     /// Reads the whole body of a response with a `Content-Length`.
-    async fn body(&mut self, max_length: usize) -> Result<Vec<u8>, CallFailure> {
+    async fn read_body(&mut self, max_length: usize) -> Result<Vec<u8>, CallFailure> {
         let length = self.content_length.ok_or(ProtocolError::MissingLength)?;
         if length > max_length {
             return Err(ProtocolError::BodyTooLong(length).into());
         }
         while self.received.len() < length {
-            self.receive().await?;
+            self.read_more().await?;
         }
         Ok(self.received.drain(..length).collect())
     }
 
     /// Reads the next chunk of a chunked response. An empty chunk ends the body.
-    async fn chunk(&mut self) -> Result<Vec<u8>, CallFailure> {
+    async fn read_chunk(&mut self) -> Result<Vec<u8>, CallFailure> {
         loop {
             if let Some(chunk) = self.take_chunk()? {
                 return Ok(chunk);
             }
-            self.receive().await?;
+            self.read_more().await?;
         }
     }
 
     /// Removes the first chunk from the received bytes if it is complete.
     fn take_chunk(&mut self) -> Result<Option<Vec<u8>>, ProtocolError> {
         let Some(size_end) = self.received.windows(CRLF.len()).position(|window| window == CRLF) else {
-            return match self.received.len() > MAX_CHUNK_SIZE_LINE {
+            return match self.received.len() > MAX_CHUNK_SIZE_LINE_BYTES {
                 true => Err(ProtocolError::ChunkSizeTooLong),
                 false => Ok(None),
             };
         };
-        let size = chunk_size(&self.received[..size_end])?;
-        if size > MAX_LINE {
+        let size = parse_chunk_size(&self.received[..size_end])?;
+        if size > MAX_WATCH_LINE_BYTES {
             return Err(ProtocolError::ChunkTooLong);
         }
         let start = size_end + CRLF.len();
@@ -221,7 +221,7 @@
 }
 
 /// Parses the hexadecimal size on the first line of a chunk. Ignores chunk extensions, which follow a `;`.
-fn chunk_size(line: &[u8]) -> Result<usize, ProtocolError> {
+fn parse_chunk_size(line: &[u8]) -> Result<usize, ProtocolError> {
     let line = std::str::from_utf8(line).map_err(|_| ProtocolError::ChunkSize)?;
     let digits = line.split(';').next().unwrap_or_default().trim();
     usize::from_str_radix(digits, 16).map_err(|_| ProtocolError::ChunkSize)
--- a/src/registry/config.rs
+++ b/src/registry/config.rs
@@ -20,8 +20,8 @@
     pub timeout_ms: f64,
     /// Idle timeout of a watch, in milliseconds. Must be longer than the registry's interval of progress
     /// notifications.
-    #[serde(default = "default_silence_timeout_ms", rename = "stall_ms")]
-    pub silence_timeout_ms: f64,
+    #[serde(default = "default_idle_timeout_ms", rename = "stall_ms")]
+    pub idle_timeout_ms: f64,
     /// Delays between retries.
     #[serde(default)]
     pub backoff: Backoff,
@@ -30,7 +30,7 @@
 fn default_timeout_ms() -> f64 {
     2_000.0
 }
-fn default_silence_timeout_ms() -> f64 {
+fn default_idle_timeout_ms() -> f64 {
     3_000.0
 }
 
@@ -46,7 +46,7 @@
         if !within(config.timeout_ms, 10.0, 60_000.0) {
             return Err(ConfigError::field(path, "timeout_ms", "must be 10 to 60,000"));
         }
-        if !within(config.silence_timeout_ms, 100.0, 3_600_000.0) {
+        if !within(config.idle_timeout_ms, 100.0, 3_600_000.0) {
             return Err(ConfigError::field(path, "stall_ms", "must be 100 to 3,600,000"));
         }
         if !config.backoff.is_valid() {
--- a/src/registry/error.rs
+++ b/src/registry/error.rs
@@ -27,10 +27,10 @@
     Status(u16),
     /// A watch received neither changes nor progress notifications within the timeout.
     #[error("no message on the watch within the idle timeout")]
-    Silent,
+    WatchIdle,
     /// The registry canceled the watch.
     #[error("the registry canceled the watch")]
-    Canceled,
+    WatchCanceled,
     /// The response is malformed or exceeds a limit.
     #[error(transparent)]
     Malformed(#[from] ProtocolError),
--- a/src/registry/service.rs
+++ b/src/registry/service.rs
@@ -43,18 +43,23 @@
 }
 
 /// Runs the registry client: reads and watches the endpoints. Never returns.
-pub async fn run(host: Rc<Executor>, config: RegistryConfig, status: Rc<RefCell<RegistryStatus>>, seed: u64) {
+pub async fn run(
+    executor: Rc<Executor>,
+    config: RegistryConfig,
+    status: Rc<RefCell<RegistryStatus>>,
+    seed: u64,
+) {
     let mut client = Client {
-        host,
+        executor,
         status,
         address: config.socket_address(),
         call_timeout: duration_from_ms(config.timeout_ms),
         view: EndpointView::new(),
-        session: Session::new(config.backoff, config.silence_timeout_ms, seed),
+        session: Session::new(config.backoff, config.idle_timeout_ms, seed),
         prefix: config.prefix,
     };
     loop {
-        if let Err(error) = client.step().await {
+        if let Err(error) = client.run_next_step().await {
             let delay_ms = client.record_failure(&error);
             tokio::time::sleep(duration_from_ms(delay_ms)).await;
         }
@@ -62,7 +67,7 @@
 }
 
 struct Client {
-    host: Rc<Executor>,
+    executor: Rc<Executor>,
     status: Rc<RefCell<RegistryStatus>>,
     address: SocketAddr,
     prefix: String,
@@ -73,40 +78,40 @@
 
 impl Client {
     /// Runs the next step: a full read, or a watch until it ends.
-    async fn step(&mut self) -> Result<(), RegistryError> {
+    async fn run_next_step(&mut self) -> Result<(), RegistryError> {
         match self.session.next_step(&self.view) {
             Step::ReadAll => self.read_all().await,
             Step::Watch { from_revision } => {
                 let watch = Watch::open(self.address, &self.prefix, from_revision, self.call_timeout).await?;
                 self.status.borrow_mut().watches += 1;
-                self.follow(watch).await
+                self.process_watch(watch).await
             }
         }
     }
 
     async fn read_all(&mut self) -> Result<(), RegistryError> {
         let range = read_range(self.address, &self.prefix, self.call_timeout).await?;
-        self.session.record_answer();
+        self.session.record_success();
         let update = self.view.replace_all(range.revision, range.entries);
         tracing::info!(
             revision = range.revision,
             endpoints = update.endpoints.len(),
             "registry: endpoint list read"
         );
-        self.publish(update);
+        self.apply_update(update);
         Ok(())
     }
 
     /// Processes the messages of a watch until it fails or a full read is needed.
-    async fn follow(&mut self, mut watch: Watch) -> Result<(), RegistryError> {
-        let silence_timeout = duration_from_ms(self.session.silence_timeout_ms);
+    async fn process_watch(&mut self, mut watch: Watch) -> Result<(), RegistryError> {
+        let idle_timeout = duration_from_ms(self.session.idle_timeout_ms);
         let error = |source| RegistryError { address: self.address, source };
         loop {
-            let message = timeout(silence_timeout, watch.next()).await;
-            let response = message.map_err(|_| error(CallFailure::Silent))??;
+            let message = timeout(idle_timeout, watch.next()).await;
+            let response = message.map_err(|_| error(CallFailure::WatchIdle))??;
             // `Created` doesn't reset the backoff: a registry may accept watches and then fail each of them.
             if !matches!(response, WatchResponse::Created { .. }) {
-                self.session.record_answer();
+                self.session.record_success();
             }
             match response {
                 WatchResponse::Created { revision } | WatchResponse::Progress { revision }
@@ -114,26 +119,26 @@
                 {
                     return Ok(());
                 }
-                WatchResponse::Created { .. } => self.publish(Update::default()),
+                WatchResponse::Created { .. } => self.apply_update(Update::default()),
                 WatchResponse::Progress { revision } => {
                     let update = self.view.apply_changes(revision, Vec::new());
-                    self.publish(update);
+                    self.apply_update(update);
                 }
                 WatchResponse::Changes { revision, changes } => {
                     let update = self.view.apply_changes(revision, changes);
-                    self.publish(update);
+                    self.apply_update(update);
                 }
                 WatchResponse::Compacted { revision } => {
                     self.view.record_compaction(revision);
                     return Ok(());
                 }
-                WatchResponse::Canceled => return Err(error(CallFailure::Canceled)),
+                WatchResponse::Canceled => return Err(error(CallFailure::WatchCanceled)),
             }
         }
     }
 
     /// Passes an update to the engine and refreshes the status.
-    fn publish(&self, update: Update) {
+    fn apply_update(&self, update: Update) {
         for value in &update.rejected {
             tracing::error!(
                 key = value.key,
@@ -144,10 +149,10 @@
         for id in &update.draining {
             tracing::info!(endpoint = %format_endpoint_id(*id), "registry: endpoint started to drain");
         }
-        let now_ms = self.host.clock.now();
+        let now_ms = self.executor.clock.now();
         let changed = !update.is_empty();
         if changed {
-            self.host.with(|engine| engine.apply_endpoints(update.full, update.endpoints));
+            self.executor.with(|engine| engine.apply_endpoints(update.full, update.endpoints));
         }
         let mut status = self.status.borrow_mut();
         if changed {
--- a/src/registry/session.rs
+++ b/src/registry/session.rs
@@ -24,24 +24,24 @@
     /// Consecutive failures since the last successful call.
     pub failures: u32,
     /// Idle timeout of a watch, in milliseconds.
-    pub silence_timeout_ms: f64,
+    pub idle_timeout_ms: f64,
     rng: SmallRng,
 }
 
 impl Session {
     /// Creates a session without failures. `seed` seeds the jitter.
-    pub fn new(backoff: Backoff, silence_timeout_ms: f64, seed: u64) -> Self {
+    pub fn new(backoff: Backoff, idle_timeout_ms: f64, seed: u64) -> Self {
         let rng = SmallRng::seed_from_u64(seed);
-        Self { retry_delay: backoff.start(), failures: 0, silence_timeout_ms, rng }
+        Self { retry_delay: backoff.start(), failures: 0, idle_timeout_ms, rng }
     }
 
     /// Selects the next step by the state of the view.
     pub fn next_step(&self, view: &EndpointView) -> Step {
-        view.resume_from().map_or(Step::ReadAll, |from_revision| Step::Watch { from_revision })
+        view.next_watch_revision().map_or(Step::ReadAll, |from_revision| Step::Watch { from_revision })
     }
 
     /// Records a successful call and resets the backoff.
-    pub fn record_answer(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.retry_delay.reset();
     }
--- a/src/registry/session/tests.rs
+++ b/src/registry/session/tests.rs
@@ -6,7 +6,7 @@
     let mut session = Session::new(backoff, 3_000.0, 1);
     let delays: Vec<f64> = (0..5).map(|_| session.record_failure()).collect();
     assert_eq!(delays, [0.0, 100.0, 200.0, 300.0, 300.0]);
-    session.record_answer();
+    session.record_success();
     assert_eq!((session.record_failure(), session.record_failure()), (0.0, 100.0));
     assert_eq!(session.next_step(&EndpointView::new()), Step::ReadAll);
 }
--- a/src/registry/view.rs
+++ b/src/registry/view.rs
@@ -161,7 +161,7 @@
     }
 
     /// Revision from which to start a watch. `None` if a full read is needed first.
-    pub fn resume_from(&self) -> Option<i64> {
+    pub fn next_watch_revision(&self) -> Option<i64> {
         (!self.needs_full_read).then_some(self.revision + 1)
     }
 
@@ -198,9 +198,9 @@
     /// Returns the complete list.
     pub fn replace_all(&mut self, revision: i64, values: Vec<KeyValue>) -> Update {
         let mut update = Update { full: true, ..Update::default() };
-        let entries = self.read_entries(values, &mut update);
+        let entries = self.parse_entries(values, &mut update);
         let is_first_read = self.metrics.full_reads == 0;
-        let changes = self.count_changes(&entries, &mut update);
+        let changes = self.record_state_changes(&entries, &mut update);
         if !is_first_read {
             self.metrics.changes_in_full_reads += changes;
         }
@@ -215,7 +215,7 @@
     }
 
     /// Parses the values of a full read. Keeps the previous state of an endpoint whose value is malformed.
-    fn read_entries(&mut self, values: Vec<KeyValue>, update: &mut Update) -> BTreeMap<String, Entry> {
+    fn parse_entries(&mut self, values: Vec<KeyValue>, update: &mut Update) -> BTreeMap<String, Entry> {
         let mut entries = BTreeMap::new();
         for KeyValue { key, value, mod_revision } in values {
             match EndpointJson::parse(&value) {
@@ -235,7 +235,7 @@
 
     /// Counts the endpoints that are new, removed or in another state. Adds those that started to drain to
     /// `update`.
-    fn count_changes(&self, entries: &BTreeMap<String, Entry>, update: &mut Update) -> u64 {
+    fn record_state_changes(&self, entries: &BTreeMap<String, Entry>, update: &mut Update) -> u64 {
         let mut changes = 0;
         for (key, entry) in entries {
             if self.entries.get(key).map(Entry::state) == Some(entry.state()) {
--- a/src/registry/view/tests.rs
+++ b/src/registry/view/tests.rs
@@ -15,10 +15,10 @@
 #[test]
 fn duplicate_and_outdated_changes_have_no_effect() {
     let mut view = EndpointView::new();
-    assert_eq!(view.resume_from(), None);
+    assert_eq!(view.next_watch_revision(), None);
     let values = vec![KeyValue { key: "/m/1".into(), value: value(1, "Ready"), mod_revision: 5 }];
     assert!(view.replace_all(10, values).full);
-    assert_eq!(view.resume_from(), Some(11));
+    assert_eq!(view.next_watch_revision(), Some(11));
     let update = view
         .apply_changes(12, vec![put(1, "Terminating", 12), put(1, "Terminating", 12), put(1, "Ready", 11)]);
     assert_eq!((update.endpoints.len(), update.draining.clone()), (1, vec![1]));
@@ -42,9 +42,9 @@
         |state, revision| KeyValue { key: "/m/1".into(), value: value(1, state), mod_revision: revision };
     view.replace_all(100, vec![entry("Ready", 90)]);
     assert!(!view.detect_reset(100) && view.detect_reset(7), "below the revision of the view");
-    assert_eq!(view.resume_from(), None);
+    assert_eq!(view.next_watch_revision(), None);
     let update = view.replace_all(7, vec![entry("Terminating", 5)]);
-    assert_eq!((update.draining, view.resume_from()), (vec![1], Some(8)));
+    assert_eq!((update.draining, view.next_watch_revision()), (vec![1], Some(8)));
     assert_eq!(view.apply_changes(8, vec![put(1, "Ready", 8)]).endpoints.len(), 1, "the new history applies");
     assert_eq!(view.metrics.resets, 1);
 }
@@ -78,7 +78,7 @@
     };
     view.replace_all(10, vec![entry(1, "Ready", 3), entry(2, "Ready", 4), entry(3, "Ready", 5)]);
     view.record_compaction(30);
-    assert_eq!(view.resume_from(), None);
+    assert_eq!(view.next_watch_revision(), None);
     let update = view.replace_all(31, vec![entry(1, "Terminating", 20), entry(2, "Ready", 4)]);
     assert_eq!(update.draining, [1]);
     assert_eq!(
@@ -86,7 +86,7 @@
         (2, 1),
         "one draining and one removed endpoint"
     );
-    assert_eq!(view.resume_from(), Some(32));
+    assert_eq!(view.next_watch_revision(), Some(32));
 }
 
 #[test]
