--- a/src/health_check/health_status/tests.rs
+++ b/src/health_check/health_status/tests.rs
@@ -1,18 +1,22 @@
 use super::*;
 
 #[test]
-fn health_changes_after_consecutive_results_of_different_slots() {
+fn health_changes_after_consecutive_contrary_results_of_different_slots() {
     let mut status = HealthStatus::new(HealthThresholds { fall: 3, rise: 2 });
     let mut apply =
         |slot, passed| status.apply(slot as f64, CheckResult { endpoint: 7, slot, passed, duration_ms: 1.0 });
     assert_eq!(
         (apply(1, false), apply(1, false), apply(1, false)),
         (None, None, None),
-        "one slot, received three times"
+        "repeated results of one slot count once"
     );
     assert_eq!((apply(2, false), apply(3, true), apply(4, false), apply(5, false)), (None, None, None, None));
     assert_eq!(apply(6, false), Some(false));
-    assert_eq!((apply(7, false), apply(8, true), apply(6, true)), (None, None, None), "late results");
+    assert_eq!(
+        (apply(7, false), apply(8, true), apply(6, true)),
+        (None, None, None),
+        "the third result is of an earlier slot"
+    );
     assert_eq!(apply(9, true), Some(true));
     assert_eq!(status.last_slot(7), 9);
     status.retain(|_| false);
--- a/src/health_check/quorum/tests.rs
+++ b/src/health_check/quorum/tests.rs
@@ -5,24 +5,24 @@
 }
 
 #[test]
-fn one_candidate_per_slot_gets_a_vote_and_none_after_a_later_slot() {
+fn one_candidate_per_slot_gets_the_vote_and_none_after_a_vote_for_a_later_slot() {
     let mut voter = Voter::new(0.0, 100.0);
-    assert!(!voter.decide(99.0, 10, lease(7, 10), 1), "it may have voted before it started");
+    assert!(!voter.decide(99.0, 10, lease(7, 10), 1), "it may have voted before a restart");
     assert!(
         voter.decide(100.0, 10, lease(7, 10), 1) && voter.decide(101.0, 10, lease(7, 10), 1),
-        "the same request again"
+        "a repeated request gets the same vote"
     );
     assert!(!voter.decide(101.0, 10, lease(7, 10), 2), "another candidate has the vote");
-    assert!(voter.decide(102.0, 10, lease(8, 10), 2), "another endpoint");
-    assert!(voter.decide(200.0, 10, lease(7, 11), 2), "a clock that is ahead");
+    assert!(voter.decide(102.0, 10, lease(8, 10), 2), "votes of different endpoints are independent");
+    assert!(voter.decide(200.0, 10, lease(7, 11), 2), "the next slot, by a clock that is ahead");
     assert!(
         !voter.decide(200.0, 10, lease(7, 12), 2) && !voter.decide(200.0, 10, lease(7, 8), 2),
-        "a clock that is far off"
+        "slots beyond the neighbours of the current one"
     );
     assert!(voter.decide(201.0, 11, lease(7, 10), 1) && !voter.decide(201.0, 11, lease(7, 10), 3));
     for slot in 12..40 {
         assert!(voter.decide(300.0, slot, lease(7, slot), 3));
-        assert!(!voter.decide(300.0, slot, lease(7, slot - 1), 9), "over");
+        assert!(!voter.decide(300.0, slot, lease(7, slot - 1), 9), "a vote for a later slot was given");
     }
     assert!(voter.votes[&7].len() <= MAX_VOTES_PER_ENDPOINT);
     voter.retain(|endpoint| endpoint == 8);
--- a/src/health_check/scheduler/tests.rs
+++ b/src/health_check/scheduler/tests.rs
@@ -12,17 +12,17 @@
     failure_timeout_ms: 1_200.0,
 };
 
-/// Instances in one thread, with a network that loses and delays messages.
+/// Schedulers on a simulated network that loses and delays messages.
 struct Network {
     schedulers: BTreeMap<InstanceId, Scheduler>,
     in_flight: Vec<(f64, InstanceId, InstanceId, Message)>,
     rng: SmallRng,
-    loss: f64,
+    loss_rate: f64,
     /// Instances on the minority side of a partition.
     isolated: BTreeSet<InstanceId>,
-    /// When and by which instance each check was run.
+    /// Time, instance and lease of each check that was run.
     checks: Vec<(f64, InstanceId, Lease)>,
-    skew: BTreeMap<InstanceId, f64>,
+    clock_skew_ms: BTreeMap<InstanceId, f64>,
 }
 
 impl Network {
@@ -34,9 +34,9 @@
             scheduler.set_endpoints(0.0, 0..endpoints);
             schedulers.insert(*me, scheduler);
         }
-        let (rng, in_flight, isolated, checks, skew) =
+        let (rng, in_flight, isolated, checks, clock_skew_ms) =
             (SmallRng::seed_from_u64(seed), vec![], BTreeSet::new(), vec![], BTreeMap::new());
-        Self { schedulers, in_flight, rng, loss: 0.0, isolated, checks, skew }
+        Self { schedulers, in_flight, rng, loss_rate: 0.0, isolated, checks, clock_skew_ms }
     }
 
     fn send(&mut self, now: f64, from: InstanceId, actions: Vec<Action>) {
@@ -61,8 +61,8 @@
             }
         }
         for (to, message) in out {
-            let cut = self.isolated.contains(&from) != self.isolated.contains(&to);
-            if !cut && self.rng.random_range(0.0..1.0) >= self.loss {
+            let partitioned = self.isolated.contains(&from) != self.isolated.contains(&to);
+            if !partitioned && self.rng.random_range(0.0..1.0) >= self.loss_rate {
                 self.in_flight.push((now + self.rng.random_range(0.5..20.0), from, to, message));
             }
         }
@@ -73,24 +73,24 @@
         while now < to {
             now += 10.0;
             for id in self.schedulers.keys().copied().collect::<Vec<_>>() {
-                let own = now + self.skew.get(&id).copied().unwrap_or(0.0);
-                let actions = self.schedulers.get_mut(&id).unwrap().tick(own);
+                let local_now = now + self.clock_skew_ms.get(&id).copied().unwrap_or(0.0);
+                let actions = self.schedulers.get_mut(&id).unwrap().tick(local_now);
                 self.send(now, id, actions);
             }
             let (due, later): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut self.in_flight).into_iter().partition(|w| w.0 <= now);
+                std::mem::take(&mut self.in_flight).into_iter().partition(|message| message.0 <= now);
             self.in_flight = later;
             for (_, from, to, message) in due {
-                let own = now + self.skew.get(&to).copied().unwrap_or(0.0);
+                let local_now = now + self.clock_skew_ms.get(&to).copied().unwrap_or(0.0);
                 if let Some(scheduler) = self.schedulers.get_mut(&to) {
-                    let actions = scheduler.receive(own, from, &message);
+                    let actions = scheduler.receive(local_now, from, &message);
                     self.send(now, to, actions);
                 }
             }
         }
     }
 
-    /// Number of leases whose checks were run between two times, and most runs of one of them.
+    /// Number of leases whose checks were run in an interval, and the maximum number of runs of one lease.
     fn checks_between(&self, from: f64, to: f64) -> (usize, usize) {
         let mut counts = BTreeMap::<Lease, usize>::new();
         for (_, _, lease) in self.checks.iter().filter(|(at, ..)| *at >= from && *at < to) {
@@ -101,20 +101,20 @@
 }
 
 #[test]
-fn each_check_runs_once_and_every_instance_runs_some() {
+fn each_check_runs_once_and_every_instance_runs_a_share_of_them() {
     let mut network = Network::new(3, 30, 1);
     network.run(0.0, 24_000.0);
     assert_eq!(network.checks_between(8_000.0, 24_000.0), (30 * 8, 1), "30 endpoints, 8 periods");
     for id in 1..=3 {
-        let part = network.checks.iter().filter(|(at, who, ..)| *at >= 8_000.0 && *who == id).count();
-        assert!((40..130).contains(&part), "instance {id} ran {part} of 240");
+        let count = network.checks.iter().filter(|(at, who, ..)| *at >= 8_000.0 && *who == id).count();
+        assert!((40..130).contains(&count), "instance {id} ran {count} of 240");
     }
 }
 
 #[test]
-fn no_check_runs_twice_under_loss_and_clock_skew() {
+fn no_check_runs_twice_under_message_loss_and_clock_skew() {
     let mut network = Network::new(3, 30, 2);
-    (network.loss, network.skew) = (0.2, BTreeMap::from([(1, -150.0), (2, 250.0)]));
+    (network.loss_rate, network.clock_skew_ms) = (0.2, BTreeMap::from([(1, -150.0), (2, 250.0)]));
     network.run(0.0, 44_000.0);
     let (slots, max_runs) = network.checks_between(8_000.0, 44_000.0);
     assert_eq!(max_runs, 1, "a check ran twice");
@@ -122,13 +122,13 @@
 }
 
 #[test]
-fn the_checks_of_a_failed_instance_go_on_in_the_next_slots() {
+fn the_checks_of_a_failed_instance_continue_in_the_following_slots() {
     let mut network = Network::new(3, 30, 3);
     network.run(0.0, 10_000.0);
     network.schedulers.remove(&2);
     network.run(10_000.0, 20_000.0);
     let (slots, max_runs) = network.checks_between(10_500.0, 18_500.0);
-    assert_eq!((slots, max_runs), (30 * 4, 1), "no slot was skipped");
+    assert_eq!((slots, max_runs), (30 * 4, 1), "no slot was skipped or checked twice");
     let late: Vec<f64> = network
         .checks
         .iter()
@@ -152,7 +152,7 @@
     );
     assert!(network.schedulers[&3].metrics.timed_out > 0);
     network.isolated.clear();
-    // An instance that restarts over and over does not know its earlier votes.
+    // An instance restarts repeatedly. It doesn't know its earlier votes after each restart.
     for k in 0..20 {
         let now = 20_000.0 + f64::from(k) * 900.0;
         let mut scheduler = Scheduler::new(now, 1, [1, 2, 3], TIMES);
@@ -166,18 +166,18 @@
 }
 
 #[test]
-fn messages_of_strangers_and_late_votes_are_ignored() {
+fn messages_from_unknown_instances_and_unrequested_votes_are_ignored() {
     let mut scheduler = Scheduler::new(0.0, 1, [1, 2, 3], TIMES);
     scheduler.set_endpoints(0.0, [7]);
     assert!(
         scheduler.receive(9_000.0, 9, &Message::VoteRequest(Lease { endpoint: 7, slot: 4 })).is_empty(),
-        "a stranger"
+        "the sender is not a configured instance"
     );
     let far = scheduler.receive(9_000.0, 2, &Message::VoteRequest(Lease { endpoint: 7, slot: 900 }));
     assert_eq!(far, [Action::Reply(2, Message::Vote { endpoint: 7, slot: 900, granted: false })]);
     assert!(
         scheduler.receive(9_000.0, 2, &Message::Vote { endpoint: 7, slot: 3, granted: true }).is_empty(),
-        "a vote without a request"
+        "no vote was requested"
     );
     let mut alone = Scheduler::new(0.0, 1, [], TIMES);
     alone.set_endpoints(0.0, [7]);
@@ -190,9 +190,10 @@
     assert_eq!(checks, due, "a single instance runs every check from the next slot on");
 }
 
-/// Of a thousand instances those of high ranks request leases within the period, and a majority of votes runs the check once.
+/// Guards against request delays beyond the period, and against repeated checks as votes beyond the majority
+/// arrive.
 #[test]
-fn a_thousand_instances_request_leases_within_a_period() {
+fn with_a_thousand_instances_leases_are_requested_within_the_period() {
     let times = SchedulerTimes { rank_delay_ms: 50.0, ..TIMES };
     let all = 1..=1_024;
     for me in [1, 512, 1_024] {
@@ -201,7 +202,7 @@
         let mut requested = 0;
         for step in 0..80 {
             let now = 4_000.0 + f64::from(step) * 50.0;
-            // All other instances are alive and request no lease.
+            // All other instances are alive but request no lease.
             all.clone().for_each(|id| drop(scheduler.receive(now, id, &Message::Heartbeat)));
             for action in scheduler.tick(now) {
                 let Action::Broadcast(Message::VoteRequest(lease)) = action else { continue };
@@ -211,9 +212,9 @@
                 let vote = Message::Vote { endpoint: lease.endpoint, slot: lease.slot, granted: true };
                 let actions: Vec<Action> =
                     all.clone().flat_map(|id| scheduler.receive(now, id, &vote)).collect();
-                assert_eq!(actions, [Action::RunCheck(lease)], "once, with a majority of votes");
+                assert_eq!(actions, [Action::RunCheck(lease)], "the check runs once, on a majority of votes");
             }
         }
-        assert!(requested >= 3, "instance {me} requested {requested} leases that no other instance did");
+        assert!(requested >= 3, "instance {me} requested only {requested} leases");
     }
 }
--- a/src/registry/view/tests.rs
+++ b/src/registry/view/tests.rs
@@ -23,34 +23,49 @@
         .apply_changes(12, vec![put(1, "Terminating", 12), put(1, "Terminating", 12), put(1, "Ready", 11)]);
     assert_eq!((update.endpoints.len(), update.draining.clone()), (1, vec![1]));
     assert_eq!(view.endpoints().next().unwrap().record.state, EndpointState::Draining);
-    assert_eq!(view.apply_changes(12, vec![put(2, "Ready", 9)]).endpoints.len(), 0, "older than the read");
+    assert_eq!(
+        view.apply_changes(12, vec![put(2, "Ready", 9)]).endpoints.len(),
+        0,
+        "older than the full read"
+    );
     let removed = view
         .apply_changes(14, vec![Change::Delete { key: "/m/1".into(), revision: 14 }, put(1, "Ready", 13)]);
     assert_eq!(
-        removed.endpoints.iter().map(|t| t.record.state).collect::<Vec<_>>(),
+        removed.endpoints.iter().map(|endpoint| endpoint.record.state).collect::<Vec<_>>(),
         [EndpointState::Removed]
     );
-    assert_eq!(view.metrics.stale_changes, 4, "one duplicate, two outdated, one older than the read");
+    assert_eq!(view.metrics.stale_changes, 4, "one duplicate, two outdated, one older than the full read");
     let outdated = view.apply_changes(14, vec![put(3, "Terminating", 13)]);
-    assert_eq!(outdated.draining, [3], "after newer changes of other keys, but the newest of its own");
+    assert_eq!(
+        outdated.draining,
+        [3],
+        "applied: older than changes of other keys, but the newest of its own key"
+    );
 }
 
 #[test]
-fn a_registry_whose_revision_goes_back_gets_a_full_read() {
+fn a_lower_registry_revision_requires_a_full_read() {
     let mut view = EndpointView::new();
     let entry =
         |state, revision| KeyValue { key: "/m/1".into(), value: value(1, state), mod_revision: revision };
     view.replace_all(100, vec![entry("Ready", 90)]);
-    assert!(!view.detect_reset(100) && view.detect_reset(7), "below the revision of the view");
+    assert!(
+        !view.detect_reset(100) && view.detect_reset(7),
+        "only a revision below that of the view is a reset"
+    );
     assert_eq!(view.next_watch_revision(), None);
     let update = view.replace_all(7, vec![entry("Terminating", 5)]);
     assert_eq!((update.draining, view.next_watch_revision()), (vec![1], Some(8)));
-    assert_eq!(view.apply_changes(8, vec![put(1, "Ready", 8)]).endpoints.len(), 1, "the new history applies");
+    assert_eq!(
+        view.apply_changes(8, vec![put(1, "Ready", 8)]).endpoints.len(),
+        1,
+        "changes of the new history are applied"
+    );
     assert_eq!(view.metrics.resets, 1);
 }
 
 #[test]
-fn tombstones_are_bounded_and_no_deleted_endpoint_returns() {
+fn tombstones_are_bounded_and_outdated_changes_restore_no_deleted_endpoint() {
     let mut view = EndpointView::new();
     view.replace_all(1, Vec::new());
     let mut revision = 1;
@@ -69,7 +84,7 @@
 }
 
 #[test]
-fn a_full_read_after_compaction_finds_what_changed_meanwhile() {
+fn a_full_read_after_a_compaction_reports_the_missed_changes() {
     let mut view = EndpointView::new();
     let entry = |id, state, revision| KeyValue {
         key: format!("/m/{id}"),
@@ -90,13 +105,13 @@
 }
 
 #[test]
-fn an_endpoint_with_a_malformed_value_remains_as_it_was() {
+fn a_malformed_value_leaves_the_endpoint_unchanged() {
     let mut view = EndpointView::new();
     view.replace_all(10, vec![KeyValue { key: "/m/1".into(), value: value(1, "Ready"), mod_revision: 3 }]);
     let bad = KeyValue { key: "/m/1".into(), value: b"{not json".to_vec(), mod_revision: 11 };
     let update = view.apply_changes(11, vec![Change::Put(bad.clone())]);
     assert_eq!((update.endpoints.len(), update.rejected.len()), (0, 1));
     let update = view.replace_all(12, vec![bad]);
-    assert_eq!(update.endpoints.len(), 1, "the old value remains");
+    assert_eq!(update.endpoints.len(), 1, "the previous value is kept");
     assert_eq!(view.endpoints().next().unwrap().record.state, EndpointState::Active);
 }
