--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -127,16 +127,16 @@
     fn interrupt(&mut self, registry: &Registry, rng: &mut SmallRng) -> bool {
         match rng.random_range(0..20) {
             0..=4 => {
-                registry.drop_all();
+                registry.close_watches();
                 self.closed += 1;
             }
             5..=7 => {
-                registry.fall_silent(Duration::from_millis(300));
+                registry.stop_responding(Duration::from_millis(300));
                 self.compacted += 1;
                 return true;
             }
             8..=9 => {
-                registry.fall_silent(Duration::from_millis(rng.random_range(500..2_000)));
+                registry.stop_responding(Duration::from_millis(rng.random_range(500..2_000)));
                 self.silent += 1;
             }
             _ => {}
@@ -259,7 +259,7 @@
         registry.put(&format!("{PREFIX}{}", ENDPOINTS[k].0), &endpoint_json(k, at, state));
         changes += 1;
         if rng.random_range(0..4) == 0 {
-            registry.drop_all();
+            registry.close_watches();
         }
         if rng.random_range(0..10) == 0 {
             registry.compact();
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -1,5 +1,4 @@
-//! Shared health checks in the program itself: three proxy processes that share the checks of stand-in endpoints, of
-//! which one is killed, others are stopped, and endpoints fail.
+//! Shared health checks among three proxy processes, with failures of processes and of endpoints.
 
 mod stand_ins;
 
@@ -17,7 +16,7 @@
 use tokio::net::UdpSocket;
 
 const PERIOD_MS: f64 = 500.0;
-/// Ids of the checked endpoints of the example's list.
+/// Ids of the checked endpoints in `examples/config.json`.
 const ENDPOINTS: [u32; 3] = [0xc1, 0xc2, 0xa0];
 
 struct Instance {
@@ -26,20 +25,20 @@
 }
 
 impl Instance {
-    async fn call(&self, path: &str) -> Option<String> {
-        let within = Duration::from_secs(1);
-        let answer = edge_proxy::http_client::call(self.mgmt, "GET", path, b"", within).await.ok()?;
+    async fn get(&self, path: &str) -> Option<String> {
+        let timeout = Duration::from_secs(1);
+        let answer = edge_proxy::http_client::call(self.mgmt, "GET", path, b"", timeout).await.ok()?;
         Some(String::from_utf8_lossy(&answer.body).to_string())
     }
 
     async fn status(&self) -> simd_json::OwnedValue {
         for _ in 0..500 {
-            if let Some(mut text) = self.call("/duties").await.map(String::into_bytes) {
+            if let Some(mut text) = self.get("/duties").await.map(String::into_bytes) {
                 return simd_json::to_owned_value(&mut text).unwrap();
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("no answer at the second address");
+        panic!("no response at the admin address");
     }
 
     fn signal(&self, name: &str) {
@@ -47,16 +46,17 @@
     }
 }
 
-/// Starts three instances before a fleet, with the endpoints that they check and the addresses of the instances.
-async fn start_three(net: u8, name: &str) -> (Vec<Instance>, Vec<CheckedEndpoint>, [SocketAddr; 3]) {
+/// Starts a fleet, three endpoints that answer health checks, and three proxies that share the checks.
+/// Returns the proxies, the endpoints and the addresses on which the proxies receive datagrams.
+async fn start_instances(net: u8, name: &str) -> (Vec<Instance>, Vec<CheckedEndpoint>, [SocketAddr; 3]) {
     let fleet = SlowFleet::start(net, 4, 64, 2).await;
-    // The endpoints answer checks on one port, besides those of the fleet.
+    // Health checks use a separate port, which is the same at all endpoints.
     let port = std::net::TcpListener::bind(format!("127.0.{net}.1:0")).unwrap().local_addr().unwrap().port();
     let mut endpoints = Vec::new();
     for k in 1..=3 {
         endpoints.push(CheckedEndpoint::start(&format!("127.0.{net}.{k}:{port}")).await);
     }
-    // All sockets are held until every address is drawn, so that no port is drawn twice.
+    // Keep all sockets open until every port is allocated, so that no port is allocated twice.
     let udp = [(); 3].map(|()| std::net::UdpSocket::bind(format!("127.0.{net}.10:0")).unwrap());
     let tcp = [(); 6].map(|()| std::net::TcpListener::bind(format!("127.0.{net}.10:0")).unwrap());
     let instance_addresses = udp.each_ref().map(|socket| socket.local_addr().unwrap());
@@ -79,7 +79,7 @@
             .filter(|n| *n != k)
             .map(|n| format!(r#"{{"id":{},"address":"{}"}}"#, n + 1, instance_addresses[n]))
             .collect();
-        let file = format!(
+        let health_check_json = format!(
             r#"{{"id":{},"listen":"{}","peers":[{}],"key_file":"health-checks.key","probe":{{"http":"/health"}},
                 "servers":{{"models":["std","box","parent"],"port":{port}}},"probe_ms":200,
                 "period_ms":{PERIOD_MS},"step_ms":60,"dead_ms":400}}"#,
@@ -87,29 +87,30 @@
             instance_addresses[k],
             peers.join(",")
         );
-        std::fs::write(dir.join("health-checks.json"), file).unwrap();
+        std::fs::write(dir.join("health-checks.json"), health_check_json).unwrap();
         let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
-        let (config, own) = (dir.join("config.json"), dir.join("health-checks.json"));
-        let args = ["serve", "--config", config.to_str().unwrap(), "--health-checks", own.to_str().unwrap()];
+        let (config, health_check_file) = (dir.join("config.json"), dir.join("health-checks.json"));
+        let args = ["serve", "--config", config.to_str().unwrap(), "--health-checks", health_check_file.to_str().unwrap()];
         let child =
             Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(Stdio::from(log)).spawn();
         Instance { process: Killed(child.unwrap()), mgmt }
     });
     let instances: Vec<Instance> = instances.collect();
-    let end = Instant::now() + Duration::from_secs(10);
-    while endpoints.iter().any(|s| s.checks.borrow().len() < 2) {
-        assert!(Instant::now() < end, "the endpoints are not checked");
+    let deadline = Instant::now() + Duration::from_secs(10);
+    while endpoints.iter().any(|endpoint| endpoint.checks.borrow().len() < 2) {
+        assert!(Instant::now() < deadline, "not every endpoint was checked twice in time");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     (instances, endpoints, instance_addresses)
 }
 
-/// Asserts that no slot of an endpoint was checked twice. Returns the longest time between two checks of one endpoint.
+/// Asserts that no slot of an endpoint was checked twice. Returns the longest interval between checks of an
+/// endpoint.
 fn assert_one_check_per_slot(endpoints: &[CheckedEndpoint], from: f64, to: f64) -> f64 {
     let mut longest = 0.0f64;
     for (k, endpoint) in endpoints.iter().enumerate() {
-        let checks = endpoint.between(from, to);
-        // A check arrives within the slot in which it is due.
+        let checks = endpoint.checks_between(from, to);
+        // Assumes that a check arrives within the slot in which it is due.
         let slots: BTreeSet<u64> = checks.iter().map(|at| slot_at(*at, ENDPOINTS[k], PERIOD_MS)).collect();
         assert_eq!(slots.len(), checks.len(), "endpoint {k} was checked twice in a slot: {checks:?}");
         longest = checks.windows(2).map(|w| w[1] - w[0]).fold(longest, f64::max);
@@ -118,126 +119,130 @@
 }
 
 #[test]
-fn each_endpoint_is_checked_once_a_period_also_after_an_instance_is_killed() {
+fn each_endpoint_is_checked_once_per_period_and_checks_continue_after_an_instance_is_killed() {
     run(async {
-        let (mut instances, endpoints, _) = start_three(121, "health-checks-kill").await;
+        let (mut instances, endpoints, _) = start_instances(121, "health-checks-kill").await;
         tokio::time::sleep(Duration::from_millis(500)).await;
         let from = unix_ms();
         tokio::time::sleep(Duration::from_millis(4_000)).await;
         let to = unix_ms();
         for endpoint in &endpoints {
-            let n = endpoint.between(from, to).len();
-            assert!((7..=9).contains(&n), "{n} checks in eight periods");
+            let n = endpoint.checks_between(from, to).len();
+            assert!((7..=9).contains(&n), "{n} checks in 8 periods");
         }
         assert_one_check_per_slot(&endpoints, from, to);
         let mut checks_run = Vec::new();
         for instance in &instances {
             checks_run.push(instance.status().await["figures"]["ran"].as_u64().unwrap());
         }
-        assert!(checks_run.iter().filter(|n| **n > 0).count() >= 2, "the checks are shared: {checks_run:?}");
-        // The instance that runs most checks is killed: its checks go on at once.
-        let most = (0..3).max_by_key(|k| checks_run[*k]).unwrap();
-        let killed = unix_ms();
-        instances[most].process.0.kill().unwrap();
+        assert!(
+            checks_run.iter().filter(|n| **n > 0).count() >= 2,
+            "fewer than two instances run checks: {checks_run:?}"
+        );
+        // After the instance that ran the most checks is killed, the others take over its checks.
+        let busiest = (0..3).max_by_key(|k| checks_run[*k]).unwrap();
+        let killed_ms = unix_ms();
+        instances[busiest].process.0.kill().unwrap();
         tokio::time::sleep(Duration::from_millis(3_000)).await;
-        let longest = assert_one_check_per_slot(&endpoints, killed - 2_000.0, unix_ms());
+        let longest = assert_one_check_per_slot(&endpoints, killed_ms - 2_000.0, unix_ms());
         assert!(longest < 1_500.0, "no check for {longest:.0} ms");
-        let left = instances.iter().enumerate().find(|(k, _)| *k != most).unwrap().1;
-        let living = left.status().await["living"].as_array().map(|a| a.len());
-        assert_eq!(living, Some(2), "its failure was detected");
+        let remaining = instances.iter().enumerate().find(|(k, _)| *k != busiest).unwrap().1;
+        let live_count = remaining.status().await["living"].as_array().map(|a| a.len());
+        assert_eq!(live_count, Some(2), "the killed instance still counts as alive");
     });
 }
 
-/// Two of three instances are stopped: the third has no majority and runs no check. When they continue, with the state
-/// that they had, no check runs twice.
+/// Guards against checks by an instance without a majority, and against repeated checks when paused instances
+/// resume with outdated state.
 #[test]
 fn without_a_majority_no_check_runs_and_none_runs_twice_afterwards() {
     run(async {
-        let (instances, endpoints, instance_addresses) = start_three(122, "health-checks-split").await;
+        let (instances, endpoints, instance_addresses) = start_instances(122, "health-checks-split").await;
         instances[0].signal("-STOP");
         instances[1].signal("-STOP");
         tokio::time::sleep(Duration::from_millis(400)).await;
         let from = unix_ms();
         tokio::time::sleep(Duration::from_millis(2_000)).await;
-        let alone: usize = endpoints.iter().map(|s| s.between(from, unix_ms()).len()).sum();
-        assert_eq!(alone, 0, "a single instance ran a check");
+        let checks_without_majority: usize =
+            endpoints.iter().map(|endpoint| endpoint.checks_between(from, unix_ms()).len()).sum();
+        assert_eq!(checks_without_majority, 0, "a single instance ran a check");
         assert!(instances[2].status().await["figures"]["unanswered"].as_u64() > Some(0));
         instances[0].signal("-CONT");
         instances[1].signal("-CONT");
         let from = unix_ms();
         tokio::time::sleep(Duration::from_millis(2_500)).await;
         for endpoint in &endpoints {
-            assert!(endpoint.between(from + 500.0, unix_ms()).len() >= 3, "checks go on");
+            assert!(endpoint.checks_between(from + 500.0, unix_ms()).len() >= 3, "checks resume");
         }
         assert_one_check_per_slot(&endpoints, from, unix_ms());
-        // Datagrams of strangers, unauthenticated or malformed, are counted and change nothing.
-        let stranger = UdpSocket::bind("127.0.122.30:0").await.unwrap();
+        // Unauthenticated and malformed datagrams from unknown senders are counted as rejected.
+        let unknown_sender = UdpSocket::bind("127.0.122.30:0").await.unwrap();
         let before = instances[2].status().await["ignored"].as_u64().unwrap();
         for text in [&b"{\"claim\":{\"duty\":193,\"slot\":1}}"[..], b"", b"{", &[0xff; 500]] {
-            stranger.send_to(text, instance_addresses[2]).await.unwrap();
+            unknown_sender.send_to(text, instance_addresses[2]).await.unwrap();
         }
-        let end = Instant::now() + Duration::from_secs(2);
+        let deadline = Instant::now() + Duration::from_secs(2);
         while instances[2].status().await["ignored"].as_u64().unwrap() < before + 4 {
-            assert!(Instant::now() < end, "a stranger's datagram is not counted");
+            assert!(Instant::now() < deadline, "a datagram from an unknown sender was not counted");
         }
     });
 }
 
-/// An endpoint that fails its checks is ejected by every instance, whichever ran the check, and used again later.
+/// Guards against health changes that only the instance which ran the check applies.
 #[test]
 fn every_instance_applies_the_result_of_a_check() {
     run(async {
-        let (instances, endpoints, _) = start_three(123, "health-checks-board").await;
-        let ejected = |n: u64| {
+        let (instances, endpoints, _) = start_instances(123, "health-checks-board").await;
+        let wait_for_ejected = |n: u64| {
             let instances = &instances;
             async move {
-                let end = Instant::now() + Duration::from_secs(8);
+                let deadline = Instant::now() + Duration::from_secs(8);
                 for instance in instances {
                     let line = format!("app_pool_ejected {n}\n");
-                    while !instance.call("/stats").await.is_some_and(|text| text.contains(&line)) {
-                        assert!(Instant::now() < end, "not every instance reports {line:?}");
+                    while !instance.get("/stats").await.is_some_and(|text| text.contains(&line)) {
+                        assert!(Instant::now() < deadline, "not every instance reports {line:?}");
                         tokio::time::sleep(Duration::from_millis(20)).await;
                     }
                 }
             }
         };
-        ejected(0).await;
+        wait_for_ejected(0).await;
         endpoints[0].status.set(500);
-        ejected(1).await;
+        wait_for_ejected(1).await;
         endpoints[1].status.set(0);
-        ejected(2).await;
+        wait_for_ejected(2).await;
         let up = instances[0].status().await["servers"]["s-000000c1"]["up"].as_bool();
         assert_eq!(up, Some(false));
         endpoints[0].status.set(200);
         endpoints[1].status.set(204);
-        ejected(0).await;
+        wait_for_ejected(0).await;
     });
 }
 
 #[test]
-fn invalid_files_are_rejected_with_the_field() {
+fn an_invalid_file_is_rejected_with_the_name_of_the_field() {
     let dir = folder("health-checks-files");
     let read = |text: &str| {
         std::fs::write(dir.join("d.json"), text).unwrap();
         HealthCheckConfig::read(&dir.join("d.json")).map(|_| ()).map_err(|e| e.to_string())
     };
-    let file = |more: &str| {
+    let config_with = |more: &str| {
         format!(
             r#"{{"id":1,"listen":"127.0.0.1:1","servers":{{"models":["box"]}},"probe":"connect","peers":[{{"id":2,"address":"127.0.0.1:2"}}]{more}}}"#
         )
     };
-    assert_eq!(read(&file("")), Ok(()));
+    assert_eq!(read(&config_with("")), Ok(()));
     for (text, word) in [
-        (file(r#","period_ms":1"#), "period_ms"),
-        (file(r#","probe_ms":9000"#), "probe_ms"),
-        (file(r#","step_ms":1900"#), "step_ms"),
-        (file(r#","fall":0"#), "fall"),
-        (file(r#","key_file":"none""#), "key_file"),
-        (file("").replace("\"id\":2", "\"id\":1"), "peers"),
-        (file("").replace("127.0.0.1:2", "10.0.0.1:2"), "peers"),
-        (file("").replace("\"connect\"", "{\"http\":\"health\"}"), "probe"),
-        (file("").replace("[\"box\"]", "[]"), "servers"),
-        (file(r#","shares":1"#), "shares"),
+        (config_with(r#","period_ms":1"#), "period_ms"),
+        (config_with(r#","probe_ms":9000"#), "probe_ms"),
+        (config_with(r#","step_ms":1900"#), "step_ms"),
+        (config_with(r#","fall":0"#), "fall"),
+        (config_with(r#","key_file":"none""#), "key_file"),
+        (config_with("").replace("\"id\":2", "\"id\":1"), "peers"),
+        (config_with("").replace("127.0.0.1:2", "10.0.0.1:2"), "peers"),
+        (config_with("").replace("\"connect\"", "{\"http\":\"health\"}"), "probe"),
+        (config_with("").replace("[\"box\"]", "[]"), "servers"),
+        (config_with(r#","shares":1"#), "shares"),
     ] {
         let reason = read(&text).expect_err(&text);
         assert!(reason.contains(word), "{reason} does not name {word}");
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -1,6 +1,6 @@
-//! The endpoint list from a registry, in the program: a proxy process with `--registry`, a stand-in registry that
-//! compacts, falls silent for ten seconds, sends duplicate and reordered changes, and answers with malformed bodies, and
-//! a stand-in fleet that records which server each request reached and when.
+//! A proxy process with `--registry` must apply endpoint changes promptly, also after outages, compactions
+//! and restores of the registry, and must keep its endpoint list on malformed, duplicate and reordered
+//! changes.
 
 mod stand_ins;
 
@@ -45,14 +45,15 @@
     }
 }
 
-async fn start(net: u8, name: &str, registry: &Registry) -> Proxy {
+async fn start_proxy(net: u8, name: &str, registry: &Registry) -> Proxy {
     let dir = folder(name);
     let ip = format!("127.0.{net}.10");
     let port = || TcpListener::bind(format!("{ip}:0")).unwrap().local_addr().unwrap();
     let (listen, mgmt) = (port(), port());
     let mut text =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
-    // The addresses in the configuration are not those of the fleet: only the registry has them.
+    // The configuration file has other addresses than the fleet, so that the proxy needs those of the
+    // registry.
     let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
     text = text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses);
     std::fs::write(dir.join("config.json"), text).unwrap();
@@ -69,7 +70,7 @@
     Proxy { child, listen, mgmt }
 }
 
-/// The status of the proxy's registry client.
+/// Status of the proxy's registry client.
 async fn status(mgmt: SocketAddr) -> Option<simd_json::OwnedValue> {
     let answer =
         edge_proxy::http_client::call(mgmt, "GET", "/registry", b"", Duration::from_secs(1)).await.ok()?;
@@ -77,10 +78,11 @@
     simd_json::to_owned_value(&mut body).ok()
 }
 
-/// Waits until the proxy has applied `revision`; returns when its list last changed, in Unix milliseconds.
+/// Waits until the proxy has applied `revision`. Returns the time of the last change of its endpoint list, in
+/// Unix milliseconds.
 async fn wait_for_revision(mgmt: SocketAddr, revision: i64, seconds: u64) -> f64 {
-    let end = unix_ms() + seconds as f64 * 1_000.0;
-    while unix_ms() < end {
+    let deadline_ms = unix_ms() + seconds as f64 * 1_000.0;
+    while unix_ms() < deadline_ms {
         if let Some(state) = status(mgmt).await {
             if state["revision"].as_i64().unwrap_or(0) >= revision {
                 return state["heard_ms"].as_f64().unwrap_or(0.0);
@@ -91,8 +93,8 @@
     panic!("the proxy did not apply revision {revision} within {seconds} s");
 }
 
-/// Sends reads through the proxy, for ever, so that every server gets requests.
-fn load(listen: SocketAddr, served: Rc<Cell<u64>>) {
+/// Continuously sends requests through the proxy and counts the successful ones in `served`.
+fn generate_load(listen: SocketAddr, served: Rc<Cell<u64>>) {
     for k in 0..4u64 {
         let served = served.clone();
         spawn_local(async move {
@@ -119,60 +121,72 @@
     }
 }
 
-/// Requests that reached server `k` after a time, in Unix milliseconds.
-fn reached_after(fleet: &SlowFleet, k: usize, ms: f64) -> usize {
+/// Number of requests that reached server `k` after `ms` (Unix milliseconds).
+fn requests_after(fleet: &SlowFleet, k: usize, ms: f64) -> usize {
     fleet.arrivals.borrow().iter().filter(|(b, at)| *b == k && *at > ms).count()
 }
 
 #[test]
-fn draining_takes_effect_at_once_and_after_ten_seconds_of_silence_and_a_compaction() {
+fn draining_takes_effect_within_250_ms_also_after_a_ten_second_outage_with_compaction() {
     run(async {
         let fleet = SlowFleet::start(80, 4, 64, 2).await;
         let registry = Registry::start("127.0.80.100").await;
         for (k, at) in fleet.addresses.iter().enumerate() {
             registry.put(&format!("{PREFIX}{}", ENDPOINTS[k].0), &endpoint_json(k, *at, "Ready"));
         }
-        let proxy = start(80, "registry-drains", &registry).await;
+        let proxy = start_proxy(80, "registry-drains", &registry).await;
         wait_for_revision(proxy.mgmt, 4, 10).await;
         let served = Rc::new(Cell::new(0));
-        load(proxy.listen, served.clone());
+        generate_load(proxy.listen, served.clone());
         tokio::time::sleep(Duration::from_millis(500)).await;
         assert!(
-            reached_after(&fleet, 0, 0.0) > 0 && reached_after(&fleet, 1, 0.0) > 0,
-            "both caches get requests"
+            requests_after(&fleet, 0, 0.0) > 0 && requests_after(&fleet, 1, 0.0) > 0,
+            "both caches must get requests"
         );
 
-        // An endpoint begins to drain.
-        let written = unix_ms();
+        // An endpoint starts to drain.
+        let written_ms = unix_ms();
         let rev = registry
             .put(&format!("{PREFIX}s-000000c1"), &endpoint_json(0, fleet.addresses[0], "Terminating"));
-        let at = wait_for_revision(proxy.mgmt, rev, 5).await;
+        let applied_ms = wait_for_revision(proxy.mgmt, rev, 5).await;
         tokio::time::sleep(Duration::from_millis(600)).await;
-        assert_eq!(reached_after(&fleet, 0, at + 250.0), 0, "the draining server got a request after 250 ms");
-        assert!(at - written < 250.0, "applied {:.0} ms after it was written", at - written);
+        assert_eq!(
+            requests_after(&fleet, 0, applied_ms + 250.0),
+            0,
+            "the draining server got a request after 250 ms"
+        );
+        assert!(
+            applied_ms - written_ms < 250.0,
+            "applied {:.0} ms after it was written",
+            applied_ms - written_ms
+        );
 
-        // Ten seconds of silence, in which the other cache begins to drain and the registry compacts its history.
-        registry.fall_silent(Duration::from_secs(10));
+        // While the registry doesn't respond for 10 s, the other cache starts to drain and the history is
+        // compacted.
+        registry.stop_responding(Duration::from_secs(10));
         tokio::time::sleep(Duration::from_millis(200)).await;
         let rev = registry
             .put(&format!("{PREFIX}s-000000c2"), &endpoint_json(1, fleet.addresses[1], "Terminating"));
         registry.put(&format!("{PREFIX}s-000000c1"), &endpoint_json(0, fleet.addresses[0], "Ready"));
         registry.compact();
         let before = served.get();
-        let at = wait_for_revision(proxy.mgmt, rev + 1, 20).await;
+        let applied_ms = wait_for_revision(proxy.mgmt, rev + 1, 20).await;
         tokio::time::sleep(Duration::from_millis(600)).await;
         assert_eq!(
-            reached_after(&fleet, 1, at + 250.0),
+            requests_after(&fleet, 1, applied_ms + 250.0),
             0,
-            "the server that began to drain meanwhile got a request after 250 ms"
+            "the server that started to drain during the outage got a request after 250 ms"
         );
-        assert!(reached_after(&fleet, 0, at + 250.0) > 0, "the server that is active again gets requests");
-        assert!(served.get() > before, "requests were served throughout");
+        assert!(
+            requests_after(&fleet, 0, applied_ms + 250.0) > 0,
+            "the server that is active again must get requests"
+        );
+        assert!(served.get() > before, "no requests were served after the outage began");
         let state = status(proxy.mgmt).await.unwrap();
         assert!(state["view"]["resyncs"].as_u64() >= Some(1), "{state:?}");
         assert!(
             state["view"]["found"].as_u64() >= Some(2),
-            "the read after the break found both changes: {state:?}"
+            "the full read after the outage must find both changes: {state:?}"
         );
     });
 }
@@ -185,55 +199,55 @@
         for (k, at) in fleet.addresses.iter().enumerate() {
             registry.put(&format!("{PREFIX}{}", ENDPOINTS[k].0), &endpoint_json(k, *at, "Ready"));
         }
-        let proxy = start(81, "registry-malformed", &registry).await;
+        let proxy = start_proxy(81, "registry-malformed", &registry).await;
         wait_for_revision(proxy.mgmt, 4, 10).await;
         let served = Rc::new(Cell::new(0));
-        load(proxy.listen, served.clone());
-        // Each change arrives twice, the later one first: the endpoint must remain draining.
+        generate_load(proxy.listen, served.clone());
+        // Changes arrive twice and out of order: the endpoint must remain draining.
         registry.store.duplicates.set(true);
         let key = format!("{PREFIX}s-000000c1");
         registry.put(&key, &endpoint_json(0, fleet.addresses[0], "Ready"));
         let rev = registry.put(&key, &endpoint_json(0, fleet.addresses[0], "Terminating"));
-        let at = wait_for_revision(proxy.mgmt, rev, 5).await;
+        let applied_ms = wait_for_revision(proxy.mgmt, rev, 5).await;
         tokio::time::sleep(Duration::from_millis(600)).await;
         assert_eq!(
-            reached_after(&fleet, 0, at + 250.0),
+            requests_after(&fleet, 0, applied_ms + 250.0),
             0,
-            "a duplicate, reordered change ended the draining"
+            "an outdated change made the draining endpoint active again"
         );
         let state = status(proxy.mgmt).await.unwrap();
         assert!(state["view"]["stale"].as_u64() >= Some(2), "{state:?}");
-        // A malformed value has no effect; then every answer of the registry is malformed.
+        // First one malformed value, then only malformed responses.
         registry.store.duplicates.set(false);
         let rev = registry.put(&format!("{PREFIX}s-000000c2"), "{not json");
         wait_for_revision(proxy.mgmt, rev, 5).await;
         registry.store.malformed.set(true);
-        registry.drop_all();
+        registry.close_watches();
         let before = served.get();
         tokio::time::sleep(Duration::from_millis(1_500)).await;
-        assert!(served.get() > before, "the endpoints of before continue to serve");
+        assert!(served.get() > before, "the previous endpoints must continue to serve");
         assert!(
-            reached_after(&fleet, 1, unix_ms() - 1_000.0) > 0,
-            "the server with a malformed value still gets requests"
+            requests_after(&fleet, 1, unix_ms() - 1_000.0) > 0,
+            "the server with a malformed value must still get requests"
         );
         let state = status(proxy.mgmt).await.unwrap();
         assert!(state["failures"].as_u64() >= Some(1) && state["last_error"].as_str().is_some(), "{state:?}");
         assert!(state["view"]["faults"].as_u64() >= Some(1), "{state:?}");
-        assert_eq!(reached_after(&fleet, 0, unix_ms() - 1_000.0), 0, "the endpoint remains draining");
+        assert_eq!(requests_after(&fleet, 0, unix_ms() - 1_000.0), 0, "the endpoint must remain draining");
         registry.store.malformed.set(false);
         let rev = registry.put(&key, &endpoint_json(0, fleet.addresses[0], "Ready"));
         wait_for_revision(proxy.mgmt, rev, 10).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         assert!(
-            reached_after(&fleet, 0, unix_ms() - 250.0) > 0,
-            "active again once the registry has recovered"
+            requests_after(&fleet, 0, unix_ms() - 250.0) > 0,
+            "the server must get requests again once the registry has recovered"
         );
     });
 }
 
-/// A registry restored from an older copy has revisions below the proxy's, where a watch would wait for ever.
+/// Guards against a watch from a revision that a registry restored from a backup reaches only much later.
 #[test]
-fn a_registry_restored_from_an_older_copy_is_read_completely() {
+fn a_registry_restored_from_a_backup_is_fully_read_again() {
     run(async {
         let fleet = SlowFleet::start(84, 4, 64, 2).await;
         let registry = Registry::start("127.0.84.100").await;
@@ -243,24 +257,28 @@
                 registry.put(&key(k), &endpoint_json(k, *at, "Ready"));
             }
         }
-        let proxy = start(84, "registry-restored", &registry).await;
+        let proxy = start_proxy(84, "registry-restored", &registry).await;
         wait_for_revision(proxy.mgmt, 80, 10).await;
-        load(proxy.listen, Rc::new(Cell::new(0)));
+        generate_load(proxy.listen, Rc::new(Cell::new(0)));
         tokio::time::sleep(Duration::from_millis(300)).await;
-        assert!(reached_after(&fleet, 0, 0.0) > 0, "the cache gets requests");
+        assert!(requests_after(&fleet, 0, 0.0) > 0, "the cache must get requests");
         let state = |k| if k == 0 { "Terminating" } else { "Ready" };
         let kvs: Vec<_> = (0..4).map(|k| (key(k), endpoint_json(k, fleet.addresses[k], state(k)))).collect();
         let rev = registry.restore(&kvs);
-        let end = unix_ms() + 5_000.0;
+        let deadline_ms = unix_ms() + 5_000.0;
         while status(proxy.mgmt).await.is_none_or(|s| s["revision"].as_i64() != Some(rev)) {
-            assert!(unix_ms() < end, "the new history was not read");
+            assert!(unix_ms() < deadline_ms, "the endpoints of the restored registry were not read");
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         let reported = status(proxy.mgmt).await.unwrap();
         assert_eq!(reported["view"]["resets"].as_u64(), Some(1), "{reported:?}");
-        let at = reported["heard_ms"].as_f64().unwrap();
+        let applied_ms = reported["heard_ms"].as_f64().unwrap();
         tokio::time::sleep(Duration::from_millis(600)).await;
-        assert_eq!(reached_after(&fleet, 0, at + 250.0), 0, "the draining state of the new history applies");
-        assert!(reached_after(&fleet, 1, at + 250.0) > 0, "the other one serves");
+        assert_eq!(
+            requests_after(&fleet, 0, applied_ms + 250.0),
+            0,
+            "the server that drains in the restored registry got a request after 250 ms"
+        );
+        assert!(requests_after(&fleet, 1, applied_ms + 250.0) > 0, "the other cache must get requests");
     });
 }
--- a/tests/stand_ins/checked_endpoint.rs
+++ b/tests/stand_ins/checked_endpoint.rs
@@ -1,4 +1,5 @@
-//! A stand-in endpoint for health checks: it records when each check arrives and answers with a given status.
+//! Stand-in endpoint for health checks: records the arrival time of each check and responds with a
+//! configurable status.
 #![allow(dead_code)]
 
 use super::slow_box::unix_ms;
@@ -8,40 +9,40 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// The endpoint.
+/// A stand-in endpoint.
 pub struct CheckedEndpoint {
-    /// When each check arrived, in Unix milliseconds.
+    /// Arrival times of the checks, in Unix milliseconds.
     pub checks: Rc<RefCell<Vec<f64>>>,
-    /// Status of its answers; 0 for no answer.
+    /// HTTP status of the responses; 0 for no response.
     pub status: Rc<Cell<u16>>,
 }
 
 impl CheckedEndpoint {
-    /// Listens at `ip:port`.
-    pub async fn start(at: &str) -> Self {
-        let listener = TcpListener::bind(at).await.unwrap();
+    /// Starts an endpoint that listens on `address` (`IP:PORT`).
+    pub async fn start(address: &str) -> Self {
+        let listener = TcpListener::bind(address).await.unwrap();
         let (checks, status): (Rc<RefCell<Vec<f64>>>, _) = (Rc::default(), Rc::new(Cell::new(200u16)));
-        let (recorded, answer) = (checks.clone(), status.clone());
+        let (recorded, response_status) = (checks.clone(), status.clone());
         spawn_local(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 recorded.borrow_mut().push(unix_ms());
-                let answer = answer.get();
+                let status = response_status.get();
                 spawn_local(async move {
-                    let mut bytes = [0u8; 512];
-                    let _ = stream.read(&mut bytes).await;
-                    if answer == 0 {
+                    let mut request = [0u8; 512];
+                    let _ = stream.read(&mut request).await;
+                    if status == 0 {
                         return std::future::pending().await;
                     }
-                    let text = format!("HTTP/1.1 {answer} Answer\r\nContent-Length: 0\r\n\r\n");
-                    let _ = stream.write_all(text.as_bytes()).await;
+                    let response = format!("HTTP/1.1 {status} Answer\r\nContent-Length: 0\r\n\r\n");
+                    let _ = stream.write_all(response.as_bytes()).await;
                 });
             }
         });
         Self { checks, status }
     }
 
-    /// Checks between two times.
-    pub fn between(&self, from: f64, to: f64) -> Vec<f64> {
+    /// Arrival times of the checks within an interval.
+    pub fn checks_between(&self, from: f64, to: f64) -> Vec<f64> {
         self.checks.borrow().iter().copied().filter(|at| *at >= from && *at < to).collect()
     }
 }
--- a/tests/stand_ins/registry.rs
+++ b/tests/stand_ins/registry.rs
@@ -1,6 +1,6 @@
-//! A stand-in key-value registry on loopback, with the part of etcd's v3 JSON gateway that the proxy uses: range, watch
-//! with progress notifications, and compaction. It can compact at any time, drop every connection, fall silent for a
-//! while, answer with malformed bodies, and send each change twice and out of order.
+//! Stand-in key-value registry on loopback. Implements the part of etcd's v3 JSON gateway that the proxy
+//! uses: range calls, and watches with progress notifications and compaction. Simulates faults: closed
+//! connections, missing responses, malformed bodies, and duplicate changes out of order.
 #![allow(dead_code)]
 
 use base64::engine::general_purpose::STANDARD;
@@ -15,7 +15,7 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// One change in the history.
+/// A change in the history. `value` is `None` if the key was deleted.
 #[derive(Clone, Debug)]
 struct Event {
     rev: i64,
@@ -23,24 +23,24 @@
     value: Option<Vec<u8>>,
 }
 
-/// The store and its faults.
+/// State of the registry and the simulated faults.
 #[derive(Default)]
 pub struct Store {
     pub revision: Cell<i64>,
     kv: RefCell<BTreeMap<String, (Vec<u8>, i64)>>,
     history: RefCell<Vec<Event>>,
     pub compacted: Cell<i64>,
-    /// Every connection is closed when this changes.
-    generation: Cell<u64>,
-    /// Until then no call is answered and no watch sends a message.
-    silent_until: Cell<Option<Instant>>,
-    /// Whether ranges and watches have malformed answers.
+    /// Incremented to close all watches.
+    watch_generation: Cell<u64>,
+    /// Until this time, responses are withheld and watches send no messages.
+    unresponsive_until: Cell<Option<Instant>>,
+    /// Whether responses and watch messages are malformed.
     pub malformed: Cell<bool>,
-    /// Whether each change is sent twice, the later one first.
+    /// Whether each change is sent twice, first in reverse order.
     pub duplicates: Cell<bool>,
-    /// Range calls.
+    /// Number of range calls.
     pub ranges: Cell<u64>,
-    /// Watches opened.
+    /// Number of watch calls.
     pub watches: Cell<u64>,
     changed: Notify,
 }
@@ -58,13 +58,13 @@
         let store = registry.store.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(serve(stream, store.clone()));
+                spawn_local(serve_call(stream, store.clone()));
             }
         });
         registry
     }
 
-    /// Writes a key; returns its revision.
+    /// Writes a key and returns its revision.
     pub fn put(&self, key: &str, value: &str) -> i64 {
         let s = &self.store;
         let rev = s.revision.get() + 1;
@@ -75,7 +75,7 @@
         rev
     }
 
-    /// Deletes a key; returns the revision.
+    /// Deletes a key and returns the revision of the deletion.
     pub fn delete(&self, key: &str) -> i64 {
         let s = &self.store;
         let rev = s.revision.get() + 1;
@@ -86,7 +86,7 @@
         rev
     }
 
-    /// Drops the history up to the present revision.
+    /// Compacts the history up to the current revision.
     pub fn compact(&self) {
         let s = &self.store;
         s.compacted.set(s.revision.get());
@@ -94,7 +94,8 @@
         s.history.borrow_mut().retain(|e| e.rev > at);
     }
 
-    /// Replaces the store by a copy of revision 0 with these keys, without the history.
+    /// Simulates a restore from a backup: drops the history, writes the given keys from revision 1 on, and
+    /// closes all watches. Returns the new revision.
     pub fn restore(&self, kvs: &[(String, String)]) -> i64 {
         let s = &self.store;
         s.revision.set(0);
@@ -104,40 +105,40 @@
         for (key, value) in kvs {
             self.put(key, value);
         }
-        self.drop_all();
+        self.close_watches();
         s.revision.get()
     }
 
-    /// Closes every connection.
-    pub fn drop_all(&self) {
-        self.store.generation.set(self.store.generation.get() + 1);
+    /// Closes all watches.
+    pub fn close_watches(&self) {
+        self.store.watch_generation.set(self.store.watch_generation.get() + 1);
         self.store.changed.notify_waiters();
     }
 
-    /// Closes every connection and answers nothing for a time.
-    pub fn fall_silent(&self, duration: Duration) {
-        self.store.silent_until.set(Some(Instant::now() + duration));
-        self.drop_all();
+    /// Closes all watches and withholds all responses and watch messages for `duration`.
+    pub fn stop_responding(&self, duration: Duration) {
+        self.store.unresponsive_until.set(Some(Instant::now() + duration));
+        self.close_watches();
     }
 }
 
-fn silent(store: &Store) -> bool {
-    store.silent_until.get().is_some_and(|until| Instant::now() < until)
+fn is_unresponsive(store: &Store) -> bool {
+    store.unresponsive_until.get().is_some_and(|until| Instant::now() < until)
 }
 
-fn b64(bytes: &[u8]) -> String {
+fn encode_base64(bytes: &[u8]) -> String {
     STANDARD.encode(bytes)
 }
 
 fn kv_json(key: &str, value: &[u8], rev: i64) -> String {
     format!(
         r#"{{"key":"{}","value":"{}","mod_revision":"{rev}","create_revision":"{rev}","version":"1"}}"#,
-        b64(key.as_bytes()),
-        b64(value)
+        encode_base64(key.as_bytes()),
+        encode_base64(value)
     )
 }
 
-/// The key and range end in the body of a call.
+/// Decodes the key and range end in the body of a call.
 fn key_range(body: &str) -> Option<(String, String)> {
     let field = |name: &str| {
         let from = body.find(&format!("\"{name}\":\""))? + name.len() + 4;
@@ -147,7 +148,7 @@
     Some((field("key")?, field("range_end")?))
 }
 
-fn start_of(body: &str) -> i64 {
+fn start_revision_of(body: &str) -> i64 {
     let Some(from) = body.find("\"start_revision\":\"") else { return 0 };
     let from = from + 18;
     body[from..].split('"').next().and_then(|n| n.parse().ok()).unwrap_or(0)
@@ -175,9 +176,9 @@
     }
 }
 
-async fn serve(mut stream: TcpStream, store: Rc<Store>) {
+async fn serve_call(mut stream: TcpStream, store: Rc<Store>) {
     let Some((target, body)) = read_request(&mut stream).await else { return };
-    while silent(&store) {
+    while is_unresponsive(&store) {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     match target.as_str() {
@@ -205,7 +206,7 @@
         "/v3/watch" => {
             store.watches.set(store.watches.get() + 1);
             let Some((key, end)) = key_range(&body) else { return };
-            watch(stream, store, key, end, start_of(&body)).await;
+            serve_watch(stream, store, key, end, start_revision_of(&body)).await;
         }
         _ => {
             let _ = stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await;
@@ -213,13 +214,13 @@
     }
 }
 
-async fn chunk(stream: &mut TcpStream, line: &str) -> bool {
+async fn write_chunk(stream: &mut TcpStream, line: &str) -> bool {
     let data = format!("{line}\n");
     stream.write_all(format!("{:x}\r\n{data}\r\n", data.len()).as_bytes()).await.is_ok()
 }
 
-async fn watch(mut stream: TcpStream, store: Rc<Store>, key: String, end: String, start: i64) {
-    let generation = store.generation.get();
+async fn serve_watch(mut stream: TcpStream, store: Rc<Store>, key: String, end: String, start: i64) {
+    let generation = store.watch_generation.get();
     let head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
     if stream.write_all(head).await.is_err() {
         return;
@@ -230,20 +231,20 @@
             r#"{{"result":{{"header":{{"revision":"{rev}"}},"canceled":true,"compact_revision":"{}","cancel_reason":"mvcc: required revision has been compacted"}}}}"#,
             store.compacted.get()
         );
-        let _ = chunk(&mut stream, &line).await;
+        let _ = write_chunk(&mut stream, &line).await;
         let _ = stream.write_all(b"0\r\n\r\n").await;
         return;
     }
     let created = format!(r#"{{"result":{{"header":{{"revision":"{rev}"}},"created":true}}}}"#);
-    if !chunk(&mut stream, &created).await {
+    if !write_chunk(&mut stream, &created).await {
         return;
     }
     let mut next = start;
-    while store.generation.get() == generation {
-        if !silent(&store) {
+    while store.watch_generation.get() == generation {
+        if !is_unresponsive(&store) {
             let line = watch_line(&store, &key, &end, next);
             next = store.revision.get() + 1;
-            if !chunk(&mut stream, &line).await {
+            if !write_chunk(&mut stream, &line).await {
                 return;
             }
         }
@@ -254,15 +255,16 @@
     }
 }
 
-/// The changes of a key range from a revision on, or a progress notification.
+/// A watch message with the changes of a key range from a revision on, or a progress notification without
+/// changes.
 fn watch_line(store: &Store, key: &str, end: &str, from: i64) -> String {
     if store.malformed.get() {
         return "{\"result\":{\"events\":[{\"kv\":".to_string();
     }
     let rev = store.revision.get();
     let history = store.history.borrow();
-    let in_range = |e: &&Event| e.rev >= from && e.key.as_str() >= key && e.key.as_str() < end;
-    let mut events: Vec<String> = history.iter().filter(in_range).map(event_json).collect();
+    let is_included = |e: &&Event| e.rev >= from && e.key.as_str() >= key && e.key.as_str() < end;
+    let mut events: Vec<String> = history.iter().filter(is_included).map(event_json).collect();
     if events.is_empty() {
         return format!(r#"{{"result":{{"header":{{"revision":"{rev}"}}}}}}"#);
     }
@@ -278,7 +280,7 @@
         Some(value) => format!(r#"{{"kv":{}}}"#, kv_json(&event.key, value, event.rev)),
         None => format!(
             r#"{{"type":"DELETE","kv":{{"key":"{}","mod_revision":"{}"}}}}"#,
-            b64(event.key.as_bytes()),
+            encode_base64(event.key.as_bytes()),
             event.rev
         ),
     }
