--- a/src/registry/client.rs
+++ b/src/registry/client.rs
@@ -87,7 +87,7 @@
                 return Ok(decode_watch_line(&mut line)?);
             }
             if self.unparsed.len() > MAX_WATCH_LINE_BYTES {
-                return Err(ProtocolError::LineTooLong.into());
+                return Err(ProtocolError::WatchLineTooLong.into());
             }
             let chunk = self.response.read_chunk().await?;
             if chunk.is_empty() {
@@ -184,7 +184,7 @@
     fn take_chunk(&mut self) -> Result<Option<Vec<u8>>, ProtocolError> {
         let Some(size_end) = self.received.windows(CRLF.len()).position(|window| window == CRLF) else {
             return match self.received.len() > MAX_CHUNK_SIZE_LINE_BYTES {
-                true => Err(ProtocolError::ChunkSizeTooLong),
+                true => Err(ProtocolError::ChunkSizeLineTooLong),
                 false => Ok(None),
             };
         };
@@ -222,7 +222,7 @@
 
 /// Parses the hexadecimal size on the first line of a chunk. Ignores chunk extensions, which follow a `;`.
 fn parse_chunk_size(line: &[u8]) -> Result<usize, ProtocolError> {
-    let line = std::str::from_utf8(line).map_err(|_| ProtocolError::ChunkSize)?;
+    let line = std::str::from_utf8(line).map_err(|_| ProtocolError::MalformedChunkSize)?;
     let digits = line.split(';').next().unwrap_or_default().trim();
-    usize::from_str_radix(digits, 16).map_err(|_| ProtocolError::ChunkSize)
+    usize::from_str_radix(digits, 16).map_err(|_| ProtocolError::MalformedChunkSize)
 }
--- a/src/registry/error.rs
+++ b/src/registry/error.rs
@@ -47,7 +47,7 @@
 pub enum ProtocolError {
     /// The response head is not valid HTTP/1.1.
     #[error(transparent)]
-    Http(#[from] httparse::Error),
+    MalformedHead(#[from] httparse::Error),
     /// The response head is too long.
     #[error("response head too long")]
     HeadTooLong,
@@ -62,16 +62,16 @@
     NotChunked,
     /// The chunk size is malformed.
     #[error("malformed chunk size")]
-    ChunkSize,
+    MalformedChunkSize,
     /// The line with the chunk size is too long.
     #[error("chunk size line too long")]
-    ChunkSizeTooLong,
+    ChunkSizeLineTooLong,
     /// A chunk is too long.
     #[error("chunk too large")]
     ChunkTooLong,
     /// A message line of a watch is too long.
     #[error("watch message too long")]
-    LineTooLong,
+    WatchLineTooLong,
     /// The body is not JSON of the expected type.
     #[error(transparent)]
     Json(#[from] simd_json::Error),
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -89,8 +89,8 @@
         );
         std::fs::write(dir.join("health-checks.json"), health_check_json).unwrap();
         let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
-        let (config, health_check_file) = (dir.join("config.json"), dir.join("health-checks.json"));
-        let args = ["serve", "--config", config.to_str().unwrap(), "--health-checks", health_check_file.to_str().unwrap()];
+        let (config, file) = (dir.join("config.json"), dir.join("health-checks.json"));
+        let args = ["serve", "--config", config.to_str().unwrap(), "--health-checks", file.to_str().unwrap()];
         let child =
             Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(Stdio::from(log)).spawn();
         Instance { process: Killed(child.unwrap()), mgmt }
