--- a/src/health_check/checker.rs
+++ b/src/health_check/checker.rs
@@ -1,4 +1,4 @@
-//! Runs one health check of an endpoint.
+//! Runs a single health check of an endpoint.
 
 use super::config::CheckKind;
 use std::net::SocketAddr;
@@ -7,13 +7,13 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Most bytes of a response that are read.
+/// Bytes of a response within which its status line must end.
 const MAX_RESPONSE_BYTES: usize = 1_024;
-/// Most headers of a response that are parsed.
+/// Maximum number of headers for the response parser.
 const MAX_HEADERS: usize = 32;
 
-/// Checks the endpoint at `address` and returns whether it passed within `limit`.
-pub async fn check(address: SocketAddr, kind: &CheckKind, limit: Duration) -> bool {
+/// Checks the endpoint at `address`. Errors and checks that take longer than `time_limit` count as failed.
+pub async fn check(address: SocketAddr, kind: &CheckKind, time_limit: Duration) -> bool {
     let passed = async {
         let stream = TcpStream::connect(address).await?;
         match kind {
@@ -21,10 +21,10 @@
             CheckKind::Http(path) => check_http(stream, address, path).await,
         }
     };
-    matches!(timeout(limit, passed).await, Ok(Ok(true)))
+    matches!(timeout(time_limit, passed).await, Ok(Ok(true)))
 }
 
-/// Sends a `GET` over a new connection and returns whether the response has a 2xx status.
+/// Sends a `GET` request and returns whether the response has a 2xx status.
 async fn check_http(mut stream: TcpStream, address: SocketAddr, path: &str) -> std::io::Result<bool> {
     let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).await?;
@@ -40,11 +40,12 @@
     Ok(false)
 }
 
-/// The status of a response, of which the headers may be incomplete.
+/// Parses the status of a response whose headers may be incomplete.
 fn parse_status(received: &[u8]) -> Option<u16> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    // The status line suffices: the parser sets the status before it fails in headers that are incomplete or too many.
+    // The result is ignored because the parser sets the status before it reaches headers that are incomplete
+    // or too many.
     let _ = response.parse(received);
     response.code
 }
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -1,5 +1,5 @@
-//! Shared health checks as a task: exchanges datagrams with the other instances, runs the checks that the scheduler
-//! decides on, and reports changes of endpoints' health to the engine.
+//! The task of the shared health checks: exchanges datagrams with the other instances, runs the checks that
+//! the scheduler selects, and reports health changes of endpoints to the engine.
 
 use super::checker;
 use super::config::HealthCheckConfig;
@@ -21,78 +21,78 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Semaphore;
 
-/// Time between two looks at the endpoint list, in milliseconds.
+/// Interval at which the endpoint list is polled for changes, in milliseconds.
 const ENDPOINT_POLL_INTERVAL_MS: f64 = 100.0;
-/// Time after which a result is sent once more, in milliseconds, because a datagram may get lost.
+/// Delay after which a result is sent a second time in case the first datagram was lost, in milliseconds.
 const RESULT_RESEND_MS: f64 = 100.0;
-/// Most checks at once. Each needs a descriptor.
+/// Maximum number of concurrent checks. Each uses a file descriptor.
 pub const MAX_CONCURRENT_CHECKS: usize = 64;
 
-/// A datagram that is rejected.
+/// Reason for rejecting a datagram.
 #[derive(Debug, Error)]
 enum DatagramError {
-    /// The sender's address is no peer's.
-    #[error("the sender is not a peer")]
+    /// The source address is not that of a configured peer.
+    #[error("the source address is not that of a peer")]
     UnknownSender,
-    /// The datagram is not authentic.
+    /// Authentication failed.
     #[error(transparent)]
     NotAuthentic(#[from] crate::datagram_auth::AuthError),
-    /// The text is no message.
-    #[error("the message is malformed: {0}")]
+    /// The payload is not a valid message.
+    #[error("malformed message: {0}")]
     Malformed(#[from] simd_json::Error),
 }
 
 /// Shared health checks of one instance.
 pub struct HealthChecker {
-    host: Rc<Executor>,
+    executor: Rc<Executor>,
     pub(super) config: HealthCheckConfig,
     socket: UdpSocket,
     pub(super) scheduler: RefCell<Scheduler>,
     pub(super) health: RefCell<HealthStatus>,
     auth: RefCell<Option<DatagramAuth>>,
-    /// Addresses for health checks.
+    /// Address to check for each endpoint.
     pub(super) endpoints: RefCell<BTreeMap<EndpointId, SocketAddr>>,
-    /// Version of the endpoint list that `endpoints` is from.
-    endpoints_version: Cell<u64>,
+    /// Version of the endpoint list from which `endpoints` was built.
+    endpoint_list_version: Cell<u64>,
     pub(super) rejected_datagrams: Cell<u64>,
     peers: BTreeMap<InstanceId, SocketAddr>,
     check_permits: Semaphore,
 }
 
 impl HealthChecker {
-    /// Creates the health checks of an operator file over a socket that is bound to its address. From then on the
-    /// engine runs no checks of its own.
+    /// Creates the health checks from a configuration and a socket that is bound to its `listen` address. The
+    /// engine stops running health checks of its own.
     pub fn new(
-        host: Rc<Executor>,
+        executor: Rc<Executor>,
         config: HealthCheckConfig,
         socket: UdpSocket,
     ) -> Result<Rc<Self>, KeyFileError> {
         let auth = config.keys()?.map(|keys| DatagramAuth::new(keys, config.clock_skew_ms, LABEL));
         let peers: BTreeMap<InstanceId, SocketAddr> = config.peer_addresses().collect();
         let times = config.scheduler_times();
-        let scheduler = Scheduler::new(host.clock.now(), config.id, peers.keys().copied(), times);
-        host.with(|engine| engine.delegate_health_checks());
+        let scheduler = Scheduler::new(executor.clock.now(), config.id, peers.keys().copied(), times);
+        executor.with(|engine| engine.delegate_health_checks());
         Ok(Rc::new(Self {
             scheduler: RefCell::new(scheduler),
             health: RefCell::new(HealthStatus::new(config.thresholds())),
             auth: RefCell::new(auth),
             endpoints: RefCell::default(),
-            endpoints_version: Cell::new(u64::MAX),
+            endpoint_list_version: Cell::new(u64::MAX),
             rejected_datagrams: Cell::new(0),
             peers,
             check_permits: Semaphore::new(MAX_CONCURRENT_CHECKS),
-            host,
+            executor,
             config,
             socket,
         }))
     }
 
-    /// The time, in Unix milliseconds.
+    /// Current time, in Unix milliseconds.
     pub(super) fn now(&self) -> f64 {
-        self.host.clock.now()
+        self.executor.clock.now()
     }
 
-    /// Reads the key file again. If it cannot be used, the old keys stay.
+    /// Reloads the key file. Keeps the current keys on an error.
     pub fn reload_keys(&self) -> Result<(), KeyFileError> {
         let keys = self.config.keys()?;
         if let (Some(auth), Some(keys)) = (&mut *self.auth.borrow_mut(), keys) {
@@ -101,18 +101,18 @@
         Ok(())
     }
 
-    /// Applies the endpoint list if it changed.
+    /// Updates the endpoints to check if the endpoint list changed.
     fn update_endpoints(&self) {
-        let version = self.host.endpoint_list_changes();
-        if self.endpoints_version.replace(version) == version {
+        let version = self.executor.endpoint_list_changes();
+        if self.endpoint_list_version.replace(version) == version {
             return;
         }
-        let checked = &self.config.endpoints;
-        let listed = checked.models.iter().flat_map(|model| self.host.endpoints_of_kind(model));
+        let selector = &self.config.endpoints;
+        let listed = selector.models.iter().flat_map(|model| self.executor.endpoints_of_kind(model));
         let endpoints: BTreeMap<_, _> = listed
             .map(|endpoint| {
                 let address = endpoint.address;
-                let port = checked.port.unwrap_or(address.port());
+                let port = selector.port.unwrap_or(address.port());
                 (endpoint.id, SocketAddr::new((*address.ip()).into(), port))
             })
             .collect();
@@ -123,12 +123,12 @@
 
     async fn send(&self, to: InstanceId, message: &Message) {
         let Some(address) = self.peers.get(&to) else { return };
-        let text = simd_json::to_vec(message).unwrap_or_default();
+        let payload = simd_json::to_vec(message).unwrap_or_default();
         let datagram = match &mut *self.auth.borrow_mut() {
-            Some(auth) => auth.sign(self.now(), text),
-            None => text,
+            Some(auth) => auth.sign(self.now(), payload),
+            None => payload,
         };
-        // Errors are ignored: a failed instance is detected by its silence.
+        // Send errors are ignored: failed instances are detected by missing messages.
         let _ = self.socket.send_to(&datagram, address).await;
     }
 
@@ -138,37 +138,37 @@
         }
     }
 
-    async fn perform(self: &Rc<Self>, actions: Vec<Action>) {
+    async fn perform_actions(self: &Rc<Self>, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Broadcast(message) => self.broadcast(&message).await,
                 Action::Reply(to, message) => self.send(to, &message).await,
                 Action::RunCheck(lease) => {
                     let checker = self.clone();
-                    self.host.spawn("a health check", async move { checker.run_check(lease).await });
+                    self.executor.spawn("a health check", async move { checker.run_check(lease).await });
                 }
             }
         }
     }
 
-    /// Runs a check, applies its result and sends it to the other instances.
+    /// Runs a check, applies its result and broadcasts it.
     async fn run_check(&self, lease: Lease) {
         let Some(address) = self.endpoints.borrow().get(&lease.endpoint).copied() else { return };
         let _permit = self.check_permits.acquire().await;
         let started_ms = self.now();
-        let limit = duration_from_ms(self.config.check_timeout_ms);
-        let passed = checker::check(address, &self.config.check, limit).await;
+        let check_timeout = duration_from_ms(self.config.check_timeout_ms);
+        let passed = checker::check(address, &self.config.check, check_timeout).await;
         let duration_ms = self.now() - started_ms;
         let result = CheckResult { endpoint: lease.endpoint, slot: lease.slot, passed, duration_ms };
-        self.apply(result);
+        self.apply_result(result);
         let message = Message::Result(result);
         self.broadcast(&message).await;
         tokio::time::sleep(duration_from_ms(RESULT_RESEND_MS)).await;
         self.broadcast(&message).await;
     }
 
-    /// Applies a result and reports a change of the endpoint's health to the engine.
-    fn apply(&self, result: CheckResult) {
+    /// Applies a check result and reports a health change to the engine.
+    fn apply_result(&self, result: CheckResult) {
         let endpoint = result.endpoint;
         if !self.endpoints.borrow().contains_key(&endpoint) || !result.duration_ms.is_finite() {
             return;
@@ -178,9 +178,9 @@
             tracing::warn!(
                 endpoint = %format_endpoint_id(endpoint),
                 healthy,
-                "health checks: an endpoint's health changed"
+                "health checks: health of an endpoint changed"
             );
-            self.host.with(|engine| engine.report_health_check(endpoint, healthy));
+            self.executor.with(|engine| engine.report_health_check(endpoint, healthy));
         }
     }
 
@@ -188,36 +188,36 @@
     fn decode(&self, from: SocketAddr, datagram: &[u8]) -> Result<(InstanceId, Message), DatagramError> {
         let peer = self.peers.iter().find(|(_, address)| **address == from);
         let (id, _) = peer.ok_or(DatagramError::UnknownSender)?;
-        let mut text = match &mut *self.auth.borrow_mut() {
+        let mut payload = match &mut *self.auth.borrow_mut() {
             Some(auth) => auth.verify(self.now(), from, datagram)?.to_vec(),
             None => datagram.to_vec(),
         };
-        Ok((*id, simd_json::from_slice(&mut text)?))
+        Ok((*id, simd_json::from_slice(&mut payload)?))
     }
 
-    /// Counts a rejected datagram, and logs it if the count is a power of two.
-    fn reject(&self, from: SocketAddr, reason: &DatagramError) {
+    /// Counts a rejected datagram. Logs only at counts that are powers of two, to limit the log volume.
+    fn record_rejected(&self, from: SocketAddr, reason: &DatagramError) {
         let rejected = self.rejected_datagrams.get() + 1;
         self.rejected_datagrams.set(rejected);
         if rejected.is_power_of_two() {
-            tracing::warn!(%from, %reason, rejected, "health checks: a datagram is rejected");
+            tracing::warn!(%from, %reason, rejected, "health checks: datagram rejected");
         }
     }
 
     async fn receive(self: &Rc<Self>, from: SocketAddr, datagram: &[u8]) {
         let (id, message) = match self.decode(from, datagram) {
             Ok(received) => received,
-            Err(reason) => return self.reject(from, &reason),
+            Err(reason) => return self.record_rejected(from, &reason),
         };
         if let Message::Result(result) = message {
-            self.apply(result);
+            self.apply_result(result);
         }
         let actions = self.scheduler.borrow_mut().receive(self.now(), id, &message);
-        self.perform(actions).await;
+        self.perform_actions(actions).await;
     }
 }
 
-/// Runs shared health checks without end.
+/// Runs the shared health checks. Never returns.
 pub async fn run(checker: Rc<HealthChecker>) {
     let mut buffer = [0u8; MAX_DATAGRAM_BYTES];
     let mut endpoint_poll_ms = f64::NEG_INFINITY;
@@ -228,12 +228,12 @@
             checker.update_endpoints();
         }
         let actions = checker.scheduler.borrow_mut().tick(now);
-        checker.perform(actions).await;
+        checker.perform_actions(actions).await;
         let due_ms = checker.scheduler.borrow().next_due_ms(now).min(endpoint_poll_ms);
         tokio::select! {
             () = tokio::time::sleep(duration_from_ms((due_ms - now).max(1.0))) => {}
             received = checker.socket.recv_from(&mut buffer) => {
-                // An error is that of an earlier send to a failed instance.
+                // An error here results from an earlier send to an unreachable peer; ignore it.
                 if let Ok((length, from)) = received {
                     checker.receive(from, &buffer[..length]).await;
                 }
--- a/src/registry/client.rs
+++ b/src/registry/client.rs
@@ -1,5 +1,6 @@
-//! Calls of etcd's v3 API over HTTP/1.1, one on a connection: the read of a prefix, and a watch, which is one long
-//! chunked answer. Every read is bounded: the head of an answer, a line of a watch, the body of a range.
+//! Calls of etcd's v3 API over HTTP/1.1, one per connection: a range call, which reads all keys with a
+//! prefix, and a watch, whose messages arrive as one long chunked response. The sizes of response heads,
+//! range bodies and watch lines are limited.
 
 use super::codec::{
     decode_range, decode_watch_line, range_request, watch_request, RangeResponse, WatchResponse,
@@ -12,130 +13,130 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The largest answer to a range call, in bytes.
-pub const MAX_RANGE: usize = 16 << 20;
-/// The longest line of a watch, in bytes.
-pub const MAX_LINE: usize = 4 << 20;
-/// The longest head of an answer, in bytes.
-const MAX_HEAD: usize = 16_384;
-/// The most headers of an answer.
+/// Maximum size of the response body of a range call, in bytes.
+pub const MAX_RANGE_BODY_BYTES: usize = 16 << 20;
+/// Maximum length of a message line or chunk of a watch, in bytes.
+pub const MAX_WATCH_LINE_BYTES: usize = 4 << 20;
+/// Maximum size of a response head, in bytes.
+const MAX_HEAD_BYTES: usize = 16_384;
+/// Maximum number of response headers.
 const MAX_HEADERS: usize = 32;
-/// The longest line with the size of a chunk, in bytes.
-const MAX_CHUNK_SIZE_LINE: usize = 64;
-/// Bytes read at once.
-const READ_BUFFER: usize = 16_384;
-/// The end of a line in HTTP/1.1.
+/// Maximum length of a line with a chunk size, in bytes.
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 64;
+/// Size of the buffer for one read from the socket, in bytes.
+const READ_BUFFER_BYTES: usize = 16_384;
+/// Line terminator of HTTP/1.1.
 const CRLF: &[u8] = b"\r\n";
 
-/// Reads every key under a prefix. `call_timeout` bounds the whole call.
+/// Reads all keys with a prefix. `call_timeout` limits the whole call.
 pub async fn read_range(
     address: SocketAddr,
     prefix: &str,
     call_timeout: Duration,
 ) -> Result<RangeResponse, RegistryError> {
     let read = async {
-        let request = post(address, "/v3/kv/range", &range_request(prefix));
-        let mut answer = Answer::open(address, request, call_timeout).await?;
-        let mut body = answer.body(MAX_RANGE).await?;
+        let request = post_request(address, "/v3/kv/range", &range_request(prefix));
+        let mut response = Response::open(address, request, call_timeout).await?;
+        let mut body = response.read_body(MAX_RANGE_BODY_BYTES).await?;
         Ok(decode_range(&mut body)?)
     };
     let result = timeout(call_timeout, read).await.unwrap_or(Err(CallFailure::Timeout));
     result.map_err(|source| RegistryError { address, source })
 }
 
-/// A watch of a prefix.
+/// An open watch of all keys with a prefix.
 pub struct Watch {
     address: SocketAddr,
-    answer: Answer,
-    /// Received bytes of lines that were not yet returned.
-    lines: Vec<u8>,
+    response: Response,
+    /// Received bytes of the body that were not yet decoded.
+    unparsed: Vec<u8>,
 }
 
 impl Watch {
-    /// Opens a watch for the changes from a revision on. `call_timeout` bounds the connection and the answer's head,
-    /// each.
+    /// Opens a watch for changes from a revision on. `call_timeout` applies separately to the connection
+    /// attempt and to the wait for the response head.
     pub async fn open(
         address: SocketAddr,
         prefix: &str,
         from_revision: i64,
         call_timeout: Duration,
     ) -> Result<Self, RegistryError> {
-        let request = post(address, "/v3/watch", &watch_request(prefix, from_revision));
-        let opened = Answer::open(address, request, call_timeout).await;
-        let answer = opened.and_then(|answer| match answer.chunked {
-            true => Ok(answer),
+        let request = post_request(address, "/v3/watch", &watch_request(prefix, from_revision));
+        let opened = Response::open(address, request, call_timeout).await;
+        let response = opened.and_then(|response| match response.chunked {
+            true => Ok(response),
             false => Err(ProtocolError::NotChunked.into()),
         });
-        let answer = answer.map_err(|source| RegistryError { address, source })?;
-        Ok(Self { address, answer, lines: Vec::new() })
+        let response = response.map_err(|source| RegistryError { address, source })?;
+        Ok(Self { address, response, unparsed: Vec::new() })
     }
 
-    /// Waits for the next message, without a time-out. An error ends the watch.
+    /// Waits for the next message, without a timeout. The watch can't be used after an error.
     pub async fn next(&mut self) -> Result<WatchResponse, RegistryError> {
         let address = self.address;
-        self.next_line().await.map_err(|source| RegistryError { address, source })
+        self.next_response().await.map_err(|source| RegistryError { address, source })
     }
 
-    async fn next_line(&mut self) -> Result<WatchResponse, CallFailure> {
+    async fn next_response(&mut self) -> Result<WatchResponse, CallFailure> {
         loop {
-            if let Some(end) = self.lines.iter().position(|byte| *byte == b'\n') {
-                let mut line: Vec<u8> = self.lines.drain(..=end).collect();
+            if let Some(end) = self.unparsed.iter().position(|byte| *byte == b'\n') {
+                let mut line: Vec<u8> = self.unparsed.drain(..=end).collect();
                 if line.iter().all(u8::is_ascii_whitespace) {
                     continue;
                 }
                 return Ok(decode_watch_line(&mut line)?);
             }
-            if self.lines.len() > MAX_LINE {
-                return Err(ProtocolError::LineTooLong.into());
+            if self.unparsed.len() > MAX_WATCH_LINE_BYTES {
+                return Err(ProtocolError::WatchLineTooLong.into());
             }
-            let chunk = self.answer.chunk().await?;
+            let chunk = self.response.read_chunk().await?;
             if chunk.is_empty() {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
-            self.lines.extend_from_slice(&chunk);
+            self.unparsed.extend_from_slice(&chunk);
         }
     }
 }
 
-fn post(address: SocketAddr, target: &str, body: &str) -> String {
+fn post_request(address: SocketAddr, target: &str, body: &str) -> String {
     format!(
         "POST {target} HTTP/1.1\r\nHost: {address}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// The parts of an answer's head that are used.
+/// The relevant fields of a response head.
 struct Head {
     status: u16,
     chunked: bool,
     content_length: Option<usize>,
 }
 
-/// An answer, read as it arrives.
-struct Answer {
+/// A response that is read incrementally.
+struct Response {
     stream: TcpStream,
     received: Vec<u8>,
     chunked: bool,
     content_length: Option<usize>,
 }
 
-impl Answer {
-    /// Sends a request and reads the head of its answer.
+impl Response {
+    /// Connects, sends a request and reads the response head. Fails unless the status is 200.
     async fn open(address: SocketAddr, request: String, call_timeout: Duration) -> Result<Self, CallFailure> {
         let connect = timeout(call_timeout, TcpStream::connect(address));
         let mut stream = connect.await.map_err(|_| CallFailure::Timeout)??;
         let _ = stream.set_nodelay(true);
         stream.write_all(request.as_bytes()).await?;
-        let mut answer = Self { stream, received: Vec::new(), chunked: false, content_length: None };
-        let head = timeout(call_timeout, answer.head()).await.map_err(|_| CallFailure::Timeout)??;
+        let mut response = Self { stream, received: Vec::new(), chunked: false, content_length: None };
+        let head = timeout(call_timeout, response.read_head()).await.map_err(|_| CallFailure::Timeout)??;
         if head.status != 200 {
             return Err(CallFailure::Status(head.status));
         }
-        Ok(Self { chunked: head.chunked, content_length: head.content_length, ..answer })
+        Ok(Self { chunked: head.chunked, content_length: head.content_length, ..response })
     }
 
-    async fn receive(&mut self) -> Result<(), CallFailure> {
-        let mut buffer = [0u8; READ_BUFFER];
+    async fn read_more(&mut self) -> Result<(), CallFailure> {
+        let mut buffer = [0u8; READ_BUFFER_BYTES];
         let n = self.stream.read(&mut buffer).await?;
         if n == 0 {
             return Err(ErrorKind::UnexpectedEof.into());
@@ -144,51 +145,51 @@
         Ok(())
     }
 
-    async fn head(&mut self) -> Result<Head, CallFailure> {
+    async fn read_head(&mut self) -> Result<Head, CallFailure> {
         loop {
             if let Some((head, length)) = parse_head(&self.received)? {
                 self.received.drain(..length);
                 return Ok(head);
             }
-            if self.received.len() > MAX_HEAD {
+            if self.received.len() > MAX_HEAD_BYTES {
                 return Err(ProtocolError::HeadTooLong.into());
             }
-            self.receive().await?;
+            self.read_more().await?;
         }
     }
 
-    /// The whole body of an answer with a length.
-    async fn body(&mut self, max_length: usize) -> Result<Vec<u8>, CallFailure> {
+    /// Reads the whole body of a response with a `Content-Length`.
+    async fn read_body(&mut self, max_length: usize) -> Result<Vec<u8>, CallFailure> {
         let length = self.content_length.ok_or(ProtocolError::MissingLength)?;
         if length > max_length {
             return Err(ProtocolError::BodyTooLong(length).into());
         }
         while self.received.len() < length {
-            self.receive().await?;
+            self.read_more().await?;
         }
         Ok(self.received.drain(..length).collect())
     }
 
-    /// The next chunk of a chunked answer; an empty one at its end.
-    async fn chunk(&mut self) -> Result<Vec<u8>, CallFailure> {
+    /// Reads the next chunk of a chunked response. An empty chunk ends the body.
+    async fn read_chunk(&mut self) -> Result<Vec<u8>, CallFailure> {
         loop {
             if let Some(chunk) = self.take_chunk()? {
                 return Ok(chunk);
             }
-            self.receive().await?;
+            self.read_more().await?;
         }
     }
 
-    /// Takes a chunk from the received bytes, once it is complete.
+    /// Removes the first chunk from the received bytes if it is complete.
     fn take_chunk(&mut self) -> Result<Option<Vec<u8>>, ProtocolError> {
         let Some(size_end) = self.received.windows(CRLF.len()).position(|window| window == CRLF) else {
-            return match self.received.len() > MAX_CHUNK_SIZE_LINE {
-                true => Err(ProtocolError::ChunkSizeTooLong),
+            return match self.received.len() > MAX_CHUNK_SIZE_LINE_BYTES {
+                true => Err(ProtocolError::ChunkSizeLineTooLong),
                 false => Ok(None),
             };
         };
-        let size = chunk_size(&self.received[..size_end])?;
-        if size > MAX_LINE {
+        let size = parse_chunk_size(&self.received[..size_end])?;
+        if size > MAX_WATCH_LINE_BYTES {
             return Err(ProtocolError::ChunkTooLong);
         }
         let start = size_end + CRLF.len();
@@ -202,7 +203,7 @@
     }
 }
 
-/// Parses the head of an answer, once it is complete; returns it with its length in bytes.
+/// Parses a response head if it is complete, and returns it with its length in bytes.
 fn parse_head(received: &[u8]) -> Result<Option<(Head, usize)>, ProtocolError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -219,9 +220,9 @@
     Ok(Some((head, length)))
 }
 
-/// Parses the line with the size of a chunk, in hex; extensions after `;` are ignored.
-fn chunk_size(line: &[u8]) -> Result<usize, ProtocolError> {
-    let line = std::str::from_utf8(line).map_err(|_| ProtocolError::ChunkSize)?;
+/// Parses the hexadecimal size on the first line of a chunk. Ignores chunk extensions, which follow a `;`.
+fn parse_chunk_size(line: &[u8]) -> Result<usize, ProtocolError> {
+    let line = std::str::from_utf8(line).map_err(|_| ProtocolError::MalformedChunkSize)?;
     let digits = line.split(';').next().unwrap_or_default().trim();
-    usize::from_str_radix(digits, 16).map_err(|_| ProtocolError::ChunkSize)
+    usize::from_str_radix(digits, 16).map_err(|_| ProtocolError::MalformedChunkSize)
 }
--- a/src/registry/config.rs
+++ b/src/registry/config.rs
@@ -1,5 +1,5 @@
-//! The operator file of the registry client, `serve --registry FILE`. Without it the endpoint list comes from the
-//! discovery service only.
+//! Configuration file of the registry client, `serve --registry FILE`. Without it the endpoint list comes
+//! from the discovery service.
 
 use crate::backoff::Backoff;
 use crate::config_file::{parse_address, read_json, ConfigError};
@@ -7,22 +7,22 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The operator file.
+/// Contents of the configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RegistryConfig {
-    /// The address of the registry's JSON gateway.
+    /// Address of the registry's JSON gateway.
     pub address: String,
-    /// The prefix of the endpoints' keys. Each value is an endpoint's JSON.
+    /// Key prefix of the endpoints. Each value is the JSON of one endpoint.
     pub prefix: String,
-    /// Time-out of a call, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: f64,
-    /// Time without a message after which a watch counts as broken, in milliseconds. The registry's interval of progress
-    /// notifications must be shorter.
-    #[serde(default = "default_silence_timeout_ms", rename = "stall_ms")]
-    pub silence_timeout_ms: f64,
-    /// The delays between retries.
+    /// Idle timeout of a watch, in milliseconds. Must be longer than the registry's interval of progress
+    /// notifications.
+    #[serde(default = "default_idle_timeout_ms", rename = "stall_ms")]
+    pub idle_timeout_ms: f64,
+    /// Delays between retries.
     #[serde(default)]
     pub backoff: Backoff,
 }
@@ -30,24 +30,24 @@
 fn default_timeout_ms() -> f64 {
     2_000.0
 }
-fn default_silence_timeout_ms() -> f64 {
+fn default_idle_timeout_ms() -> f64 {
     3_000.0
 }
 
 impl RegistryConfig {
-    /// Reads and checks the file.
+    /// Reads and validates the file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let config: Self = read_json(path)?;
         parse_address(&config.address).map_err(|error| ConfigError::field(path, "address", error))?;
         if config.prefix.is_empty() || config.prefix.len() > 256 {
-            return Err(ConfigError::field(path, "prefix", "1 to 256 bytes"));
+            return Err(ConfigError::field(path, "prefix", "must be 1 to 256 bytes long"));
         }
         let within = |v: f64, low: f64, high: f64| v.is_finite() && v >= low && v <= high;
         if !within(config.timeout_ms, 10.0, 60_000.0) {
-            return Err(ConfigError::field(path, "timeout_ms", "10 to 60,000"));
+            return Err(ConfigError::field(path, "timeout_ms", "must be 10 to 60,000"));
         }
-        if !within(config.silence_timeout_ms, 100.0, 3_600_000.0) {
-            return Err(ConfigError::field(path, "stall_ms", "100 to 3,600,000"));
+        if !within(config.idle_timeout_ms, 100.0, 3_600_000.0) {
+            return Err(ConfigError::field(path, "stall_ms", "must be 100 to 3,600,000"));
         }
         if !config.backoff.is_valid() {
             return Err(ConfigError::field(path, "backoff", Backoff::BOUNDS));
@@ -55,8 +55,8 @@
         Ok(config)
     }
 
-    /// The address of the registry.
+    /// Parses `address`.
     pub fn socket_address(&self) -> SocketAddr {
-        parse_address(&self.address).expect("checked when the file was read")
+        parse_address(&self.address).expect("validated when the file was read")
     }
 }
--- a/src/registry/service.rs
+++ b/src/registry/service.rs
@@ -1,5 +1,5 @@
-//! The registry client's task: a full read, then a watch from the revision after it, for ever. Every change is passed to
-//! the engine at once.
+//! The task of the registry client: reads all endpoints, then watches for changes, and passes each change to
+//! the engine immediately. Also handles the admin endpoint for the client's status.
 
 use super::client::{read_range, Watch};
 use super::codec::WatchResponse;
@@ -17,44 +17,49 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// The status of the client, as `GET /registry` reports it.
+/// Status of the client, as `GET /registry` reports it.
 #[derive(Debug, Default, serde::Serialize)]
 pub struct RegistryStatus {
-    /// The revision up to which the endpoint list is complete.
+    /// Revision up to which the endpoint list is complete.
     pub revision: i64,
-    /// When the endpoint list last changed, in Unix milliseconds.
+    /// Time of the last change of the endpoint list, in Unix milliseconds.
     #[serde(rename = "heard_ms")]
     pub last_change_ms: f64,
-    /// When the registry last answered, in Unix milliseconds.
+    /// Time of the last valid response or watch message, in Unix milliseconds.
     #[serde(rename = "answered_ms")]
     pub last_answer_ms: f64,
-    /// Endpoints in the list.
+    /// Number of endpoints in the list.
     #[serde(rename = "members")]
     pub endpoints: usize,
-    /// Watches opened.
+    /// Number of watches opened.
     pub watches: u64,
-    /// Calls and watches that failed.
+    /// Number of failed calls and watches.
     pub failures: u64,
-    /// The last failure.
+    /// Last error, if any.
     pub last_error: Option<String>,
-    /// The counters of the endpoint view.
+    /// Counters of the endpoint view.
     #[serde(rename = "view")]
     pub view_metrics: ViewMetrics,
 }
 
-/// Reads and watches the endpoints of a registry, for ever.
-pub async fn run(host: Rc<Executor>, config: RegistryConfig, status: Rc<RefCell<RegistryStatus>>, seed: u64) {
+/// Runs the registry client: reads and watches the endpoints. Never returns.
+pub async fn run(
+    executor: Rc<Executor>,
+    config: RegistryConfig,
+    status: Rc<RefCell<RegistryStatus>>,
+    seed: u64,
+) {
     let mut client = Client {
-        host,
+        executor,
         status,
         address: config.socket_address(),
         call_timeout: duration_from_ms(config.timeout_ms),
         view: EndpointView::new(),
-        session: Session::new(config.backoff, config.silence_timeout_ms, seed),
+        session: Session::new(config.backoff, config.idle_timeout_ms, seed),
         prefix: config.prefix,
     };
     loop {
-        if let Err(error) = client.step().await {
+        if let Err(error) = client.run_next_step().await {
             let delay_ms = client.record_failure(&error);
             tokio::time::sleep(duration_from_ms(delay_ms)).await;
         }
@@ -62,7 +67,7 @@
 }
 
 struct Client {
-    host: Rc<Executor>,
+    executor: Rc<Executor>,
     status: Rc<RefCell<RegistryStatus>>,
     address: SocketAddr,
     prefix: String,
@@ -72,41 +77,41 @@
 }
 
 impl Client {
-    /// Reads all endpoints, or follows a watch until it ends.
-    async fn step(&mut self) -> Result<(), RegistryError> {
+    /// Runs the next step: a full read, or a watch until it ends.
+    async fn run_next_step(&mut self) -> Result<(), RegistryError> {
         match self.session.next_step(&self.view) {
             Step::ReadAll => self.read_all().await,
             Step::Watch { from_revision } => {
                 let watch = Watch::open(self.address, &self.prefix, from_revision, self.call_timeout).await?;
                 self.status.borrow_mut().watches += 1;
-                self.follow(watch).await
+                self.process_watch(watch).await
             }
         }
     }
 
     async fn read_all(&mut self) -> Result<(), RegistryError> {
         let range = read_range(self.address, &self.prefix, self.call_timeout).await?;
-        self.session.record_answer();
+        self.session.record_success();
         let update = self.view.replace_all(range.revision, range.entries);
         tracing::info!(
             revision = range.revision,
             endpoints = update.endpoints.len(),
-            "registry: all endpoints read"
+            "registry: endpoint list read"
         );
-        self.publish(update);
+        self.apply_update(update);
         Ok(())
     }
 
-    /// Follows a watch until it fails or a full read is due.
-    async fn follow(&mut self, mut watch: Watch) -> Result<(), RegistryError> {
-        let silence_timeout = duration_from_ms(self.session.silence_timeout_ms);
+    /// Processes the messages of a watch until it fails or a full read is needed.
+    async fn process_watch(&mut self, mut watch: Watch) -> Result<(), RegistryError> {
+        let idle_timeout = duration_from_ms(self.session.idle_timeout_ms);
         let error = |source| RegistryError { address: self.address, source };
         loop {
-            let message = timeout(silence_timeout, watch.next()).await;
-            let response = message.map_err(|_| error(CallFailure::Silent))??;
-            // A watch that is created and then fails is not evidence that the registry works.
+            let message = timeout(idle_timeout, watch.next()).await;
+            let response = message.map_err(|_| error(CallFailure::WatchIdle))??;
+            // `Created` doesn't reset the backoff: a registry may accept watches and then fail each of them.
             if !matches!(response, WatchResponse::Created { .. }) {
-                self.session.record_answer();
+                self.session.record_success();
             }
             match response {
                 WatchResponse::Created { revision } | WatchResponse::Progress { revision }
@@ -114,40 +119,40 @@
                 {
                     return Ok(());
                 }
-                WatchResponse::Created { .. } => self.publish(Update::default()),
+                WatchResponse::Created { .. } => self.apply_update(Update::default()),
                 WatchResponse::Progress { revision } => {
                     let update = self.view.apply_changes(revision, Vec::new());
-                    self.publish(update);
+                    self.apply_update(update);
                 }
                 WatchResponse::Changes { revision, changes } => {
                     let update = self.view.apply_changes(revision, changes);
-                    self.publish(update);
+                    self.apply_update(update);
                 }
                 WatchResponse::Compacted { revision } => {
                     self.view.record_compaction(revision);
                     return Ok(());
                 }
-                WatchResponse::Canceled => return Err(error(CallFailure::Canceled)),
+                WatchResponse::Canceled => return Err(error(CallFailure::WatchCanceled)),
             }
         }
     }
 
-    /// Passes an update to the engine and updates the status.
-    fn publish(&self, update: Update) {
+    /// Passes an update to the engine and refreshes the status.
+    fn apply_update(&self, update: Update) {
         for value in &update.rejected {
             tracing::error!(
                 key = value.key,
                 error = %value.error,
-                "registry: an endpoint's value can't be used; the endpoint remains as it was"
+                "registry: malformed endpoint value rejected; keeping the previous state of the endpoint"
             );
         }
         for id in &update.draining {
-            tracing::info!(endpoint = %format_endpoint_id(*id), "registry: an endpoint is draining");
+            tracing::info!(endpoint = %format_endpoint_id(*id), "registry: endpoint started to drain");
         }
-        let now_ms = self.host.clock.now();
+        let now_ms = self.executor.clock.now();
         let changed = !update.is_empty();
         if changed {
-            self.host.with(|engine| engine.apply_endpoints(update.full, update.endpoints));
+            self.executor.with(|engine| engine.apply_endpoints(update.full, update.endpoints));
         }
         let mut status = self.status.borrow_mut();
         if changed {
@@ -159,7 +164,8 @@
         status.view_metrics = self.view.metrics;
     }
 
-    /// Records a failure; returns the delay before the next attempt, in milliseconds.
+    /// Records a failure and returns the delay before the next attempt, in milliseconds. Logs only at failure
+    /// counts that are powers of two.
     fn record_failure(&mut self, error: &RegistryError) -> f64 {
         let delay_ms = self.session.record_failure();
         let failures = self.session.failures;
@@ -167,13 +173,13 @@
         status.failures += 1;
         status.last_error = Some(error.to_string());
         if failures.is_power_of_two() {
-            tracing::warn!(%error, failures, delay_ms, "registry: the connection failed; retrying");
+            tracing::warn!(%error, failures, delay_ms, "registry: call or watch failed; retrying");
         }
         delay_ms
     }
 }
 
-/// Answers `GET /registry` at the admin address; `None` for any other path.
+/// Handles admin requests for `/registry`. Returns `None` for other paths.
 pub fn answer(status: &Rc<RefCell<RegistryStatus>>, request: &HttpRequest) -> Option<HttpResponse> {
     if request.target != "/registry" {
         return None;
