--- a/src/rules/config.rs
+++ b/src/rules/config.rs
@@ -1,4 +1,4 @@
-//! The operator file of rules, `serve --rules FILE`. Without it the platform's own form of targets applies.
+//! The routing rules file, `serve --rules FILE`. Without it, the platform's path format classifies requests.
 
 use super::definitions::Definitions;
 use super::error::RulesError;
@@ -8,23 +8,23 @@
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
-/// The most rules of a file.
+/// The maximum number of rules in a file.
 const MAX_RULES: usize = 256;
 
-/// A rule, its fields as expressions.
+/// A rule; each field is the text of an expression.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RuleConfig {
-    /// Whether it applies to a request: a bool.
+    /// Whether the rule matches a request; of type bool.
     pub when: String,
-    /// The name of the class: a str.
+    /// The name of the request class; of type str.
     pub class: String,
-    /// The object: a key.
+    /// The object ID; of type key.
     pub object: String,
-    /// The part: an int.
+    /// The part of the object; of type int.
     #[serde(default = "zero")]
     pub part: String,
-    /// The object's group: an int.
+    /// The group of the object; of type int.
     #[serde(default = "zero")]
     pub group: String,
 }
@@ -37,17 +37,17 @@
     500_000
 }
 
-/// The operator file.
+/// The contents of the routing rules file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RulesConfig {
-    /// The greatest cost of a request, in steps (about one for each byte that is read or written).
+    /// The maximum cost of classifying a request, in steps (about one step per byte read or written).
     #[serde(default = "default_max_cost", rename = "cost_most")]
     pub max_cost: u64,
-    /// Definitions, `name(parameter: type, ...) = body`.
+    /// Functions that the rules may call, `name(parameter: type, ...) = body`.
     #[serde(default, rename = "define")]
     pub definitions: Vec<String>,
-    /// The rules; the first that applies is used.
+    /// The rules, in order; the first that matches is used.
     pub rules: Vec<RuleConfig>,
     /// The path of this file.
     #[serde(skip)]
@@ -63,7 +63,7 @@
         Ok((config, rules))
     }
 
-    /// Compiles the rules.
+    /// Checks the definitions and compiles the rules.
     pub fn compile(&self) -> Result<Rules, RulesError> {
         let count = self.rules.len();
         if !(1..=MAX_RULES).contains(&count) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Compiles the rule with a number, from 1.
+    /// Compiles a rule; `number` is its position in the file, from 1.
     fn compile_rule(
         &self,
         number: usize,
--- a/src/rules/definitions.rs
+++ b/src/rules/definitions.rs
@@ -1,4 +1,4 @@
-//! Definitions: functions in the rules' language, `name(parameter: type, …) = body`. No I/O.
+//! User-defined functions in the rule language, `name(parameter: type, …) = body`. No I/O.
 
 use super::error::{CompileError, DefinitionError};
 use super::parser::{parse, Expression};
@@ -6,27 +6,26 @@
 use super::type_check::{check_definition, compile, FORMS};
 use std::collections::BTreeMap;
 
-/// A parameter of a definition.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Parameter {
     pub(super) name: String,
     pub(super) value_type: Type,
 }
 
-/// A definition.
+/// A user-defined function.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Definition {
     pub(super) parameters: Vec<Parameter>,
     pub(super) body: Expression,
 }
 
-/// The definitions of an operator file, by name.
+/// The definitions of a rules file, by name.
 #[derive(Clone, Debug, Default)]
 pub struct Definitions(BTreeMap<String, Definition>);
 
 impl Definitions {
-    /// Parses and checks definitions. They may call one another in any order, but not themselves. Each is checked by
-    /// itself, also one that no rule calls.
+    /// Parses and type-checks definitions. They may call one another in any order, but recursion is rejected.
+    /// Every definition is checked, even if no rule calls it.
     pub fn parse(texts: &[String]) -> Result<Self, CompileError> {
         let mut definitions = Self::default();
         for text in texts {
@@ -50,12 +49,11 @@
         Ok(definitions)
     }
 
-    /// Compiles an expression that must have a type, and cost at most `max_cost` steps.
+    /// Compiles an expression of type `expected` whose maximum cost is within `max_cost` steps.
     pub fn compile(&self, text: &str, expected: Type, max_cost: u64) -> Result<Program, CompileError> {
         compile(self, text, expected, max_cost)
     }
 
-    /// The definition with a name.
     pub(super) fn get(&self, name: &str) -> Option<&Definition> {
         self.0.get(name)
     }
@@ -90,7 +88,7 @@
     Ok(parameters)
 }
 
-/// Whether a text is a name: ASCII letters, digits and underscores, without a digit first.
+/// Whether `text` is an identifier: ASCII letters, digits and underscores, not starting with a digit.
 fn is_name(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'_';
     !text.is_empty() && text.bytes().all(allowed) && !text.as_bytes()[0].is_ascii_digit()
--- a/src/rules/error.rs
+++ b/src/rules/error.rs
@@ -1,48 +1,48 @@
-//! Errors of rules, each with its place: the byte of an expression, the definition, the rule and its field.
+//! Errors in routing rules, each with its location: rule and field, definition, or byte offset.
 
 use super::lexer::MAX_TEXT;
 use super::parser::{BinaryOperator, MAX_DEPTH};
 use super::program::Type;
 use thiserror::Error;
 
-/// An expression that can't be parsed.
+/// A syntax error in an expression.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("at byte {at}: {kind}")]
 pub struct SyntaxError {
-    /// The byte at which it is wrong.
+    /// The byte offset of the error in the expression.
     pub at: usize,
-    /// What is wrong.
+    /// The kind of error.
     pub kind: SyntaxErrorKind,
 }
 
-/// What is wrong with the syntax of an expression.
+/// Kinds of syntax errors.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SyntaxErrorKind {
-    /// The text is too long.
+    /// The expression is longer than [`MAX_TEXT`].
     #[error("longer than {MAX_TEXT} bytes")]
     TooLong,
     /// The expression nests deeper than [`MAX_DEPTH`].
     #[error("nested deeper than {MAX_DEPTH}")]
     TooDeep,
-    /// There are more than [`MAX_DEPTH`] operators of one precedence in a row.
+    /// A chain of operators of one precedence has more than [`MAX_DEPTH`] operands.
     #[error("more than {MAX_DEPTH} operators in a row")]
     TooManyOperators,
-    /// The number is malformed or too large.
+    /// An integer literal is malformed or does not fit into 64 bits.
     #[error("no whole number, or one too large")]
     InvalidNumber,
-    /// A backslash in a string literal is followed by something other than a backslash or quote.
+    /// A backslash in a string literal is not followed by a backslash or quote.
     #[error("after a backslash only \\ and \" are allowed")]
     InvalidEscape,
     /// A string literal has no closing quote.
     #[error("a string without its closing quote")]
     UnterminatedString,
-    /// The character begins no token.
+    /// No token starts with this character.
     #[error("an unknown character")]
     UnknownCharacter,
-    /// Something follows the expression.
+    /// The expression is followed by another token.
     #[error("{found} after the end of the expression")]
     TrailingToken {
-        /// The token that follows.
+        /// The token after the expression.
         found: String,
     },
     /// A keyword or symbol is missing.
@@ -57,51 +57,51 @@
     /// A value is missing.
     #[error("{found} in place of a value")]
     ExpectedValue {
-        /// The token in its place.
+        /// The token found instead.
         found: String,
     },
-    /// A keyword is in the place of a value.
+    /// A keyword was found where a value is expected.
     #[error("keyword {0:?} in place of a value")]
     UnexpectedKeyword(String),
-    /// Comparisons follow one another.
+    /// Comparison operators are chained, such as `a < b < c`.
     #[error("comparisons do not chain")]
     ChainedComparison,
 }
 
-/// What is wrong with the types or names of an expression.
+/// Type errors and unresolved names in an expression.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum TypeError {
-    /// The value has another type than its place needs.
+    /// An expression does not have the required type.
     #[error("{found} in place of {expected}")]
     Mismatch {
-        /// The type of the value.
+        /// The actual type.
         found: Type,
-        /// The type that is needed.
+        /// The required type.
         expected: Type,
     },
-    /// No value has this name.
+    /// The name is neither a binding in scope nor a property of the request.
     #[error("nothing is named {0:?}")]
     UnknownName(String),
-    /// No function has this name.
+    /// No function, built-in or user-defined, has this name.
     #[error("nothing is called {0:?}")]
     UnknownFunction(String),
     /// A call has the wrong number of arguments.
     #[error("{function:?} has {expected} arguments, not {found}")]
     ArgumentCount {
-        /// The function.
+        /// The name of the function.
         function: String,
         /// The number of its parameters.
         expected: usize,
         /// The number of arguments.
         found: usize,
     },
-    /// The argument of `header` or `has` is no string literal.
+    /// The argument of `header` or `has` is not a string literal.
     #[error("{0:?} needs the name of a header in quotes")]
     HeaderNotLiteral(String),
-    /// The text is no name of a header in lower case.
+    /// The text is not a valid header name in lower case.
     #[error("{0:?} is no header's name in lower case")]
     InvalidHeaderName(String),
-    /// The operator is not defined for the type.
+    /// The operator does not accept operands of this type.
     #[error("{operator:?} is not defined for {operand}")]
     Operator {
         /// The operator.
@@ -111,48 +111,48 @@
     },
 }
 
-/// What is wrong with a definition.
+/// Errors in a definition.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum DefinitionError {
-    /// The text has another form.
+    /// The text does not have the form `name(parameter: type, …) = body`.
     #[error("`name(x: type) = body`")]
     Malformed,
-    /// The name is malformed or that of a built-in function.
+    /// The name is not an identifier, or is the name of a built-in function.
     #[error("no name, or one that is taken")]
     InvalidName,
-    /// A parameter has another form.
+    /// A parameter does not have the form `name: type`.
     #[error("a parameter is `x: type`")]
     MalformedParameter,
-    /// The type of a parameter is unknown.
+    /// A parameter has an unknown type.
     #[error("a type is bool, int, key or str")]
     UnknownType,
-    /// The name of a parameter is malformed or repeated.
+    /// A parameter name is not an identifier, or is repeated.
     #[error("a parameter's name is malformed, or repeated")]
     InvalidParameterName,
     /// An earlier definition has the same name.
     #[error("it is defined twice")]
     Duplicate,
-    /// The definition calls itself.
+    /// The definition calls itself, directly or through others.
     #[error("it calls itself: {chain}")]
     Recursive {
-        /// The calls that lead to it.
+        /// The chain of calls, up to the recursive one.
         chain: String,
     },
-    /// The body can't be compiled.
+    /// The body cannot be compiled.
     #[error(transparent)]
     Body(Box<CompileError>),
 }
 
-/// A property of a program that is bounded.
+/// A limited property of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Quantity {
-    /// The depth of nested nodes.
+    /// The nesting depth of nodes.
     Depth,
     /// The number of nodes.
     Nodes,
-    /// The length of a text, in bytes.
+    /// The length of a string, in bytes.
     TextLength,
-    /// The cost, in steps.
+    /// The cost of evaluation, in steps.
     Cost,
 }
 
@@ -167,70 +167,70 @@
     }
 }
 
-/// An expression that can't be compiled.
+/// A compilation error in an expression or definition.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CompileError {
-    /// It can't be parsed.
+    /// A syntax error.
     #[error(transparent)]
     Syntax(#[from] SyntaxError),
-    /// A type or name is wrong.
+    /// A type error or an unresolved name.
     #[error("at byte {at}: {source}")]
     Type {
-        /// The byte at which the wrong part begins.
+        /// The byte offset of the subexpression at fault.
         at: usize,
-        /// What is wrong.
+        /// The type error.
         source: TypeError,
     },
-    /// A definition is wrong.
+    /// An error in a definition.
     #[error("definition {name:?}: {source}")]
     Definition {
         /// The name of the definition.
         name: String,
-        /// What is wrong.
+        /// The error in the definition.
         source: DefinitionError,
     },
-    /// The program could exceed a limit.
+    /// For some request, the program could exceed a limit.
     #[error("{quantity} may be {value}, above {limit}")]
     Limit {
-        /// What exceeds it.
+        /// The limited property.
         quantity: Quantity,
-        /// Its greatest value.
+        /// The maximum that the program can reach.
         value: u64,
-        /// The limit.
+        /// The allowed maximum.
         limit: u64,
     },
 }
 
-/// Rules that can't be used.
+/// An error in a routing rules file.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RulesError {
-    /// There are too few or too many rules.
+    /// The file has no rules or too many.
     #[error("{count} are not within 1 to {max}")]
     Count {
         /// The number of rules.
         count: usize,
-        /// The most rules.
+        /// The maximum number of rules.
         max: usize,
     },
-    /// A definition can't be used.
+    /// A definition is invalid.
     #[error(transparent)]
     Definitions(CompileError),
-    /// An expression of a rule can't be used.
+    /// An expression in a rule is invalid.
     #[error("rule {number}, `{field}`: {source}")]
     Rule {
-        /// The number of the rule, from 1.
+        /// The position of the rule in the file, from 1.
         number: usize,
-        /// The field with the expression.
+        /// The field that contains the expression.
         field: &'static str,
-        /// What is wrong.
+        /// The error in the expression.
         source: CompileError,
     },
-    /// A request could cost more than is allowed.
+    /// Classifying a request could cost more than the operator allows.
     #[error("a request may cost {cost} steps, above `cost_most` {max}")]
     Cost {
-        /// The greatest cost of a request, in steps.
+        /// The maximum cost of classifying a request, in steps.
         cost: u64,
-        /// The greatest cost that is allowed, in steps.
+        /// The allowed cost (`cost_most`), in steps.
         max: u64,
     },
 }
--- a/src/rules/evaluator.rs
+++ b/src/rules/evaluator.rs
@@ -1,5 +1,5 @@
-//! Evaluation of programs on requests. No I/O. A program is a tree without loops, and each node is evaluated at most
-//! once.
+//! Evaluation of compiled expressions against a request. No I/O. A program is a tree without loops, and each
+//! node is evaluated at most once.
 
 use super::parser::BinaryOperator;
 use super::program::{Function, Input, Node, Program};
@@ -9,32 +9,32 @@
 use std::borrow::Cow;
 use thiserror::Error;
 
-/// The most digits of a number in a text.
+/// The maximum number of digits that `int` parses.
 const MAX_DIGITS: usize = 9;
 
-/// A value.
+/// The value of an expression.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value<'r> {
-    /// True or false.
+    /// A truth value.
     Bool(bool),
-    /// A whole number.
+    /// A 64-bit signed integer.
     Int(i64),
-    /// The key of an object.
+    /// A 64-bit object key.
     Key(u64),
-    /// A text.
+    /// A string, borrowed from the request or program where possible.
     Str(Cow<'r, str>),
 }
 
-/// The request has no such value: for instance a text that is no number, or a header that is repeated.
+/// The expression has no value for this request, for instance because a string to parse is not a number, a
+/// header is repeated or an integer overflows.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("the request has no such value")]
 pub struct EvaluationError;
 
-/// The result of an evaluation.
 type Evaluation<T> = Result<T, EvaluationError>;
 
-/// Evaluates a program on a request. Adds its cost to `steps`: about one for each byte that is read or written, and one
-/// for each node.
+/// Evaluates a program against a request. Adds the cost to `steps`: one per node, and about one per byte read
+/// or written.
 pub fn evaluate<'r>(
     program: &'r Program,
     request: &'r HttpRequest,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A text that is read completely.
+    /// Evaluates to a string, and counts one step per byte because the caller reads all of it.
     fn read_str(&mut self, node: &'r Node) -> Evaluation<Cow<'r, str>> {
         let text = self.str(node)?;
         *self.steps += text.len() as u64;
@@ -209,14 +209,14 @@
         })
     }
 
-    /// `between(value, low, high)`. All arguments are evaluated before the first failure is returned.
+    /// `between(value, low, high)`. All arguments are evaluated, even if one of them fails.
     fn between(&mut self, arguments: &'r [Node]) -> Evaluation<Value<'r>> {
         let (low, value, high) = (self.int(&arguments[1]), self.int(&arguments[0]), self.int(&arguments[2]));
         Ok(Value::Bool((low?..=high?).contains(&value?)))
     }
 }
 
-/// A part of a text, borrowed where the text is.
+/// A substring, borrowed if `text` is borrowed.
 fn slice<'r>(text: Cow<'r, str>, part: impl Fn(&str) -> &str) -> Cow<'r, str> {
     match text {
         Cow::Borrowed(text) => Cow::Borrowed(part(text)),
@@ -224,20 +224,20 @@
     }
 }
 
-/// The segment of a path with a number, from 1; empty where there is none.
+/// The path segment with this number, from 1; empty if the path has no such segment.
 fn segment(path: &str, number: usize) -> &str {
     let Some(rest) = path.strip_prefix('/').filter(|_| number > 0) else { return "" };
     rest.split('/').nth(number - 1).unwrap_or("")
 }
 
-/// The number that a text of 1 to [`MAX_DIGITS`] decimal digits denotes.
+/// Parses 1 to [`MAX_DIGITS`] decimal digits, without a sign.
 fn parse_int(text: &str) -> Evaluation<i64> {
     let well_formed =
         (1..=MAX_DIGITS).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_digit());
     well_formed.then(|| text.parse().ok()).flatten().ok_or(EvaluationError)
 }
 
-/// The first 8 bytes of a text's SHA-256.
+/// The first 8 bytes of the SHA-256 digest of `text`, in big-endian order.
 fn hash(text: &str) -> u64 {
     let digest = Sha256::digest(text.as_bytes());
     u64::from_be_bytes(digest[..8].try_into().expect("a digest has 32 bytes"))
--- a/src/rules/evaluator/tests.rs
+++ b/src/rules/evaluator/tests.rs
@@ -49,7 +49,6 @@
     assert_eq!(value(r#"hash("")"#, Type::Key), Ok(format!("Key({})", 0xe3b0_c442_98fc_1c14u64)));
 }
 
-/// Loops, unbounded growth and wrong types are rejected when an expression is compiled.
 #[test]
 fn loops_unbounded_growth_and_wrong_types_are_rejected_at_compilation() {
     let none = Definitions::default();
@@ -76,12 +75,12 @@
     ] {
         assert!(none.compile(invalid, Type::Bool, u64::MAX).is_err(), "{invalid}");
     }
-    // A text that doubles with each `let` is rejected before it is built.
+    // A string that doubles with each `let` exceeds the length limit at compilation.
     let doubling = (0..40).map(|k| format!("let a{} = a{k} + a{k} in ", k + 1)).collect::<String>();
     let text = format!("let a0 = path in {doubling} a40 == path");
     let error = none.compile(&text, Type::Bool, u64::MAX).unwrap_err().to_string();
     assert!(error.contains("length") && error.contains(&MAX_LENGTH.to_string()), "{error}");
-    // So are definitions that call themselves, directly or through others, and calls that multiply.
+    // Definitions that are recursive, directly or through others, or whose inlining grows exponentially.
     let parse = |lines: &[&str]| Definitions::parse(&lines.iter().map(|l| l.to_string()).collect::<Vec<_>>());
     let error = parse(&["f(n: int) = g(n)", "g(n: int) = f(n) + 1"]).unwrap_err().to_string();
     assert!(error.contains("calls itself"), "{error}");
@@ -120,7 +119,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// A program ends within its greatest cost, whatever the request.
+    /// The cost computed at compilation bounds the cost of evaluation for every request.
     #[test]
     fn no_request_exceeds_the_greatest_cost(target in "/[a-z0-9/?-]{0,300}", set in "[0-9a-z]{0,40}") {
         let definitions = Definitions::parse(&["last(p: str) = seg(p, segs(p))".to_string()]).unwrap();
--- a/src/rules/lexer.rs
+++ b/src/rules/lexer.rs
@@ -1,27 +1,26 @@
-//! The tokens of an expression. No I/O.
+//! The lexer: splits the text of an expression into tokens. No I/O.
 
 use super::error::{SyntaxError, SyntaxErrorKind};
 use std::fmt;
 
-/// The longest expression, in bytes.
+/// The maximum length of an expression, in bytes.
 pub const MAX_TEXT: usize = 4_096;
 
-/// The operators and punctuation, longer ones before those with which they begin.
+/// Operators and punctuation. A symbol comes before its own prefixes, because the first match is used.
 const SYMBOLS: [&str; 17] =
     ["&&", "||", "==", "!=", "<=", ">=", "<", ">", "+", "-", "!", "(", ")", ",", "=", "|", "&"];
 
-/// A token.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Token {
-    /// A whole number.
+    /// An integer literal.
     Int(i64),
-    /// A string literal, without its quotes and escapes.
+    /// The value of a string literal, unquoted and unescaped.
     Str(String),
-    /// A name or keyword.
+    /// An identifier or keyword.
     Identifier(String),
-    /// An operator or punctuation.
+    /// An operator or punctuation mark.
     Symbol(&'static str),
-    /// The end of the text.
+    /// The end of the expression.
     End,
 }
 
@@ -37,15 +36,15 @@
     }
 }
 
-/// A token with its place.
+/// A token and its position.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct PlacedToken {
-    /// The byte at which it begins.
+    /// The byte offset of its first character.
     pub(super) at: usize,
     pub(super) token: Token,
 }
 
-/// The tokens of a text, the last of them [`Token::End`].
+/// Splits `text` into tokens and appends [`Token::End`].
 pub(super) fn tokenize(text: &str) -> Result<Vec<PlacedToken>, SyntaxError> {
     if text.len() > MAX_TEXT {
         return Err(SyntaxError { at: MAX_TEXT, kind: SyntaxErrorKind::TooLong });
@@ -65,7 +64,7 @@
     Ok(tokens)
 }
 
-/// The first token of a text that begins with the character `first`, and its length in bytes.
+/// Reads the first token of `text`, which starts with `first`; returns it and its length in bytes.
 fn first_token(text: &str, first: char) -> Result<(Token, usize), SyntaxErrorKind> {
     let prefix = |matches: fn(char) -> bool| &text[..text.find(|c| !matches(c)).unwrap_or(text.len())];
     if first.is_ascii_digit() {
@@ -85,7 +84,7 @@
     Ok((Token::Symbol(symbol), symbol.len()))
 }
 
-/// The string literal with which a text begins, and its length in bytes with quotes.
+/// Reads the string literal at the start of `text`; returns it and its length in bytes, quotes included.
 fn string_literal(text: &str) -> Result<(Token, usize), SyntaxErrorKind> {
     let mut value = String::new();
     let mut chars = text.char_indices().skip(1);
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -1,18 +1,20 @@
-//! Routing rules: expressions over a request that give its class and keys. They are typed, compiled once when the
-//! operator file is read, and bounded in cost: loops and unbounded growth are rejected then, not while serving.
+//! Routing rules: expressions over a request that determine its class and keys. They are statically typed and
+//! compiled once, when the rules file is read. The language has no loops or recursion, and compilation
+//! rejects an expression that could exceed a limit on cost or string length, so evaluation ends within a
+//! known cost.
 //!
-//! | module | concern | I/O |
+//! | module | purpose | I/O |
 //! | --- | --- | --- |
-//! | [`parser`], `lexer` | text to syntax tree | none |
-//! | [`definitions`] | functions of the operator file | none |
-//! | [`type_check`] | types, names, expansion of definitions, bounds of length and cost | none |
-//! | [`program`] | compiled expressions, types and built-in functions | none |
-//! | [`evaluator`] | a program on a request | none |
-//! | [`table`] | the rules: the first that applies gives class and keys | none |
-//! | [`config`] | the operator file | a file |
-//! | [`error`] | errors with their places | none |
+//! | [`parser`], `lexer` | parsing into a syntax tree | none |
+//! | [`definitions`] | user-defined functions | none |
+//! | [`type_check`] | type checking, name resolution, inlining of definitions, limits | none |
+//! | [`program`] | compiled expressions, types, built-in functions | none |
+//! | [`evaluator`] | evaluation of programs | none |
+//! | [`table`] | classification by the first matching rule | none |
+//! | [`config`] | the rules file | reads the file |
+//! | [`error`] | errors and their locations | none |
 //!
-//! The design note is `docs/design-rules.md`, the operators' page `docs/rules.md`.
+//! Design: `docs/design-rules.md`. Operator documentation: `docs/rules.md`.
 
 pub mod config;
 pub mod definitions;
--- a/src/rules/parser.rs
+++ b/src/rules/parser.rs
@@ -1,15 +1,16 @@
-//! The syntax of expressions: text to syntax tree. Precedence from the lowest: `if` and `let`, `||`, `&&`, comparisons
-//! (which do not chain), `+` and `-`, `!` and unary `-`, calls. No I/O.
+//! A recursive-descent parser for expressions. Precedence, lowest first: `if` and `let`, `||`, `&&`,
+//! comparisons (which cannot be chained), `+` and `-`, `!` and unary `-`, calls. No I/O.
 
 use super::error::{SyntaxError, SyntaxErrorKind};
 use super::lexer::{tokenize, PlacedToken, Token};
 
-/// The greatest depth of nested expressions, and the most operators of one precedence in a row.
+/// The maximum nesting depth of an expression, and the maximum number of operands in a chain of operators of
+/// one precedence.
 pub const MAX_DEPTH: usize = 64;
-/// Words that are no names.
+/// Reserved words, which cannot be used as names.
 const KEYWORDS: [&str; 5] = ["if", "then", "else", "let", "in"];
 
-/// Operators with two operands.
+/// A binary operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BinaryOperator {
     /// `&&`
@@ -34,7 +35,7 @@
     Sub,
 }
 
-/// The binary operators by precedence, lowest first.
+/// Binary operators grouped by precedence, lowest first.
 const PRECEDENCE: [&[(&str, BinaryOperator)]; 4] = [
     &[("||", BinaryOperator::Or)],
     &[("&&", BinaryOperator::And)],
@@ -48,28 +49,28 @@
     ],
     &[("+", BinaryOperator::Add), ("-", BinaryOperator::Sub)],
 ];
-/// The precedence of comparisons.
+/// The index of the comparison operators in [`PRECEDENCE`].
 const COMPARISON: usize = 2;
 
-/// A syntax tree.
+/// A node of the syntax tree.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expression {
-    /// The byte at which its text begins.
+    /// The byte offset of the expression in the text.
     pub at: usize,
-    /// Its kind.
+    /// The expression itself.
     pub kind: ExpressionKind,
 }
 
-/// The kinds of expressions.
+/// The kind of an expression, with its operands.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExpressionKind {
     /// `true`, `false`.
     Bool(bool),
-    /// A whole number.
+    /// An integer literal.
     Int(i64),
     /// A string literal.
     Str(String),
-    /// A name.
+    /// A reference to a binding or a property of the request.
     Name(String),
     /// `name(argument, …)`.
     Call(String, Vec<Expression>),
@@ -85,7 +86,7 @@
     Let(String, Box<Expression>, Box<Expression>),
 }
 
-/// Parses an expression.
+/// Parses `text`, which must be a single expression.
 pub fn parse(text: &str) -> Result<Expression, SyntaxError> {
     let mut parser = Parser { tokens: tokenize(text)?, next: 0, depth: 0 };
     let expression = parser.expression()?;
@@ -107,17 +108,17 @@
         &self.tokens[self.next].token
     }
 
-    /// The place of the next token.
+    /// The byte offset of the next token.
     fn at(&self) -> usize {
         self.tokens[self.next].at
     }
 
-    /// An error at the next token.
+    /// A syntax error at the next token.
     fn error(&self, kind: SyntaxErrorKind) -> SyntaxError {
         SyntaxError { at: self.at(), kind }
     }
 
-    /// Consumes the next token.
+    /// Consumes and returns the next token; [`Token::End`] is never consumed.
     fn take(&mut self) -> Token {
         let token = self.peek().clone();
         if token != Token::End {
@@ -126,14 +127,14 @@
         token
     }
 
-    /// Consumes a symbol, if it is next; whether it was.
+    /// Consumes the next token if it is `symbol`, and returns whether it was.
     fn take_symbol(&mut self, symbol: &str) -> bool {
         let is_next = matches!(self.peek(), Token::Symbol(s) if *s == symbol);
         self.next += usize::from(is_next);
         is_next
     }
 
-    /// Consumes a keyword, if it is next; whether it was.
+    /// Consumes the next token if it is `keyword`, and returns whether it was.
     fn take_keyword(&mut self, keyword: &str) -> bool {
         let is_next = matches!(self.peek(), Token::Identifier(word) if word == keyword);
         self.next += usize::from(is_next);
@@ -154,6 +155,7 @@
         }
     }
 
+    /// Enters one more level of nesting. The limit bounds the stack use of the parser.
     fn descend(&mut self) -> Result<(), SyntaxError> {
         self.depth += 1;
         match self.depth > MAX_DEPTH {
@@ -176,7 +178,7 @@
         Ok(expression)
     }
 
-    /// The rest of a conditional after `if`.
+    /// Parses the rest of a conditional after `if`.
     fn conditional(&mut self) -> Result<ExpressionKind, SyntaxError> {
         let condition = self.expression()?;
         self.expect_keyword("then")?;
@@ -186,7 +188,7 @@
         Ok(ExpressionKind::If(condition.into(), then.into(), otherwise.into()))
     }
 
-    /// The rest of a binding after `let`.
+    /// Parses the rest of a binding after `let`.
     fn binding(&mut self) -> Result<ExpressionKind, SyntaxError> {
         let Token::Identifier(name) = self.take() else {
             return Err(self.error(SyntaxErrorKind::ExpectedName));
@@ -198,7 +200,8 @@
         Ok(ExpressionKind::Let(name, value.into(), body.into()))
     }
 
-    /// Binary operators of a precedence or higher. A chain nests to the left, so its length is bounded like the depth.
+    /// Parses binary operators of this precedence or higher. A chain makes a left-deep tree, so its length is
+    /// limited like the nesting depth.
     fn binary(&mut self, precedence: usize) -> Result<Expression, SyntaxError> {
         let Some(operators) = PRECEDENCE.get(precedence) else { return self.unary() };
         let at = self.at();
@@ -259,7 +262,7 @@
         Ok(Expression { at, kind })
     }
 
-    /// The arguments of a call after `(`, up to and with `)`.
+    /// Parses the arguments of a call after `(`, including the closing `)`.
     fn arguments(&mut self) -> Result<Vec<Expression>, SyntaxError> {
         let mut arguments = Vec::new();
         if self.take_symbol(")") {
--- a/src/rules/program.rs
+++ b/src/rules/program.rs
@@ -1,4 +1,4 @@
-//! Compiled expressions: trees with resolved names, known types and bounds. No I/O.
+//! Compiled expressions: trees with resolved names, checked types and limits on cost and length. No I/O.
 
 use super::parser::BinaryOperator;
 use std::fmt;
@@ -7,13 +7,13 @@
 /// The type of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Type {
-    /// True or false.
+    /// `bool`: true or false.
     Bool,
-    /// A whole number, 64 bits with sign.
+    /// `int`: a 64-bit signed integer.
     Int,
-    /// The key of an object, 64 bits.
+    /// `key`: a 64-bit object key.
     Key,
-    /// A text.
+    /// `str`: a string.
     Str,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A text that names no type.
+/// The text is not the name of a type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownType;
 
@@ -46,19 +46,18 @@
     }
 }
 
-/// A property of a request that has a name in expressions.
+/// A property of the request that expressions refer to by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// The method.
+    /// `method`: the request method.
     Method,
-    /// The target up to its `?`.
+    /// `path`: the request target up to the first `?`.
     Path,
-    /// The target after its `?`; empty without one.
+    /// `query`: the request target after the first `?`; empty if it has none.
     Query,
 }
 
 impl Input {
-    /// The property with a name.
     pub(super) fn by_name(name: &str) -> Option<Self> {
         Some(match name {
             "method" => Self::Method,
@@ -69,38 +68,38 @@
     }
 }
 
-/// The built-in functions of values.
+/// The built-in functions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Function {
-    /// The n-th segment of a path, from 1; empty where there is none.
+    /// `seg(path, n)`: the n-th segment of a path, from 1; empty if the path has no such segment.
     Segment,
-    /// The number of segments of a path.
+    /// `segs(path)`: the number of segments of a path.
     SegmentCount,
-    /// Whether a text begins with another.
+    /// `starts(text, prefix)`: whether a string starts with another.
     StartsWith,
-    /// Whether a text ends with another.
+    /// `ends(text, suffix)`: whether a string ends with another.
     EndsWith,
-    /// Whether a text contains another.
+    /// `contains(text, substring)`: whether a string contains another.
     Contains,
-    /// A text without a prefix; fails where it has another.
+    /// `strip(text, prefix)`: a string without a prefix; fails if the string does not start with it.
     StripPrefix,
-    /// The length of a text, in bytes.
+    /// `len(text)`: the length of a string, in bytes.
     Length,
-    /// The number that 1 to 9 decimal digits denote; fails for other texts.
+    /// `int(text)`: parses 1 to 9 decimal digits; fails for any other string.
     ParseInt,
-    /// The key that 16 hex digits denote; fails for other texts.
+    /// `hex(text)`: parses a key of 16 hexadecimal digits; fails for any other string.
     ParseHex,
-    /// The first 8 bytes of a text's SHA-256, as a key.
+    /// `hash(text)`: the first 8 bytes of the SHA-256 digest of a string, as a key.
     Hash,
-    /// A text in ASCII lower case.
+    /// `lower(text)`: a string with its ASCII letters in lower case.
     Lowercase,
-    /// Whether a number is within two others, both included.
+    /// `between(value, low, high)`: whether an integer is within an inclusive range.
     Between,
-    /// A text, or another where it is empty.
+    /// `default(text, fallback)`: a string, or another if it is empty.
     Default,
 }
 
-/// The parameters and result of a function.
+/// The parameter and result types of a built-in function.
 pub(super) struct Signature {
     pub(super) function: Function,
     pub(super) parameters: &'static [Type],
@@ -108,7 +107,6 @@
 }
 
 impl Signature {
-    /// The function with a name.
     pub(super) fn by_name(name: &str) -> Option<Self> {
         use Type::{Bool, Int, Key, Str};
         let (function, parameters, result): (_, &'static [Type], _) = match name {
@@ -131,60 +129,60 @@
     }
 }
 
-/// A node of a program.
+/// A node of a compiled expression.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Node {
-    /// A constant.
+    /// A bool constant.
     Bool(bool),
-    /// A constant.
+    /// An integer constant.
     Int(i64),
-    /// A constant.
+    /// A string constant.
     Str(String),
     /// A property of the request.
     Input(Input),
-    /// The value of a header; empty where it is absent, a failure where it is repeated.
+    /// The value of a header; empty if it is absent. Evaluation fails if it is repeated.
     Header(String),
     /// Whether a header is present.
     HasHeader(String),
-    /// The value of a `let`, by the number of those that enclose it.
+    /// A value bound by a `let`, by its index among the enclosing bindings, outermost first.
     Local(usize),
-    /// A call of a function.
+    /// A call of a built-in function.
     Call(Function, Vec<Node>),
-    /// The first value, or where that fails the fallback.
+    /// `try(first, fallback)`: the first value, or the fallback if evaluating the first fails.
     Fallback {
         /// The first value.
         first: Box<Node>,
         /// The fallback.
         fallback: Box<Node>,
     },
-    /// Negation of a bool.
+    /// Logical negation.
     Not(Box<Node>),
-    /// Negation of a number.
+    /// Arithmetic negation; fails on overflow.
     Neg(Box<Node>),
-    /// Conjunction; the second operand is evaluated only where the first is true.
+    /// Conjunction; the second operand is evaluated only if the first is true.
     And(Box<Node>, Box<Node>),
-    /// Disjunction; the second operand is evaluated only where the first is false.
+    /// Disjunction; the second operand is evaluated only if the first is false.
     Or(Box<Node>, Box<Node>),
     /// A comparison.
     Compare(BinaryOperator, Box<Node>, Box<Node>),
-    /// A sum or difference.
+    /// Addition or subtraction; fails on overflow.
     Arithmetic(BinaryOperator, Box<Node>, Box<Node>),
-    /// Concatenation of texts.
+    /// String concatenation.
     Concat(Box<Node>, Box<Node>),
-    /// One of two values.
+    /// A conditional; only the chosen branch is evaluated.
     If {
         /// The condition.
         condition: Box<Node>,
-        /// The value where it is true.
+        /// The value if the condition is true.
         then: Box<Node>,
-        /// The value where it is false.
+        /// The value if the condition is false.
         otherwise: Box<Node>,
     },
-    /// Binds a value to a name for a body.
+    /// Binds a value while the body is evaluated.
     Let {
-        /// The value.
+        /// The bound value.
         value: Box<Node>,
-        /// The body.
+        /// The expression that can refer to it.
         body: Box<Node>,
     },
 }
@@ -192,12 +190,12 @@
 /// A compiled expression.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Program {
-    /// Its root.
+    /// The root of the tree.
     pub root: Node,
-    /// The type of its value.
+    /// The type of the result.
     pub value_type: Type,
-    /// The greatest cost, in steps: about one for each byte that is read or written, and one for each node.
+    /// The maximum cost of evaluation, in steps: one per node, and about one per byte read or written.
     pub max_cost: u64,
-    /// The greatest length of its value where that is a text, in bytes.
+    /// The maximum length of the result in bytes, if it is a string; otherwise 0.
     pub max_length: u64,
 }
--- a/src/rules/table.rs
+++ b/src/rules/table.rs
@@ -1,22 +1,23 @@
-//! The rules of an operator file: the first whose condition is true gives a request's class and keys. No I/O.
+//! The compiled rules of a rules file. The first rule whose condition holds determines the class and keys of
+//! a request. No I/O.
 
 use super::evaluator::{evaluate, EvaluationError, Value};
 use super::program::Program;
 use crate::wire::classification::{Classification, RequestClassifier, Target};
 use crate::wire::http::HttpRequest;
 
-/// A rule.
+/// A compiled rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// Whether it applies to a request; it does not where the evaluation fails.
+    /// The condition; the rule does not match a request for which its evaluation fails.
     pub when: Program,
-    /// The name of the class.
+    /// The name of the request class.
     pub class: Program,
-    /// The object.
+    /// The object ID.
     pub object: Program,
-    /// The part.
+    /// The part of the object.
     pub part: Program,
-    /// The object's group.
+    /// The group of the object.
     pub group: Program,
 }
 
@@ -33,7 +34,7 @@
         Ok(Target { class: class.into_owned(), object, part, group })
     }
 
-    /// The greatest cost of [`Self::target`], in steps.
+    /// The maximum cost of [`Self::target`], in steps.
     fn max_target_cost(&self) -> u64 {
         self.class.max_cost + self.object.max_cost + self.part.max_cost + self.group.max_cost
     }
@@ -46,12 +47,12 @@
     }
 }
 
-/// The rules in their order.
+/// Compiled rules, in the order of the file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules(pub Vec<Rule>);
 
 impl Rules {
-    /// Classifies a request by the first rule that applies. Adds the cost to `steps`.
+    /// Classifies a request by the first rule that matches, and adds the cost to `steps`.
     pub fn classify(&self, request: &HttpRequest, steps: &mut u64) -> Classification {
         let Some(rule) = self.0.iter().find(|rule| rule.applies(request, steps)) else {
             return Classification::NoMatch;
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The greatest cost of a request, in steps: that of all conditions and of one rule's values.
+    /// The maximum cost of classifying a request, in steps: all conditions and the most expensive target.
     pub fn max_cost(&self) -> u64 {
         let conditions: u64 = self.0.iter().map(|rule| rule.when.max_cost).sum();
         conditions + self.0.iter().map(Rule::max_target_cost).max().unwrap_or(0)
--- a/src/rules/type_check.rs
+++ b/src/rules/type_check.rs
@@ -1,8 +1,9 @@
-//! Type checking, and compilation to programs that end within a known cost. No I/O.
+//! Type checking, and compilation to programs whose evaluation ends within a known cost. No I/O.
 //!
-//! There are no loops. Calls of definitions are replaced by their bodies, and a definition that calls itself, directly
-//! or through others, is rejected. The greatest length of each text follows from the limits of a request, and each node
-//! has a greatest cost. Programs beyond [`MAX_LENGTH`], [`MAX_NODES`], [`MAX_NESTING`] or the allowed cost are rejected.
+//! The language has no loops. Calls of definitions are inlined, and recursive definitions are rejected. The
+//! maximum length of each string and the maximum cost of each node are computed from the size limits of a
+//! request. A program that could exceed [`MAX_LENGTH`], [`MAX_NODES`], [`MAX_NESTING`] or the allowed cost is
+//! rejected.
 
 use super::definitions::{Definition, Definitions};
 use super::error::{CompileError, DefinitionError, Quantity, TypeError};
@@ -10,29 +11,29 @@
 use super::program::{Function, Input, Node, Program, Signature, Type};
 use crate::wire::http_codec::{MAX_HEAD, MAX_HEADERS};
 
-/// The greatest length of a text, in bytes.
+/// The maximum length of a string, in bytes.
 pub const MAX_LENGTH: u64 = 65_536;
-/// The most nodes of a program, with its definitions expanded.
+/// The maximum number of nodes in a program, with definitions inlined.
 pub const MAX_NODES: usize = 4_096;
-/// The greatest depth of a program's nodes, which bounds the stack of its evaluation.
+/// The maximum nesting depth of a program, which bounds the stack use of its evaluation.
 pub const MAX_NESTING: usize = 160;
-/// The greatest length of a text from a request, in bytes: that of its head.
+/// The maximum length of a string taken from a request, in bytes: that of the whole request head.
 const MAX_INPUT_LENGTH: u64 = MAX_HEAD as u64;
-/// The greatest length of a header's name, in bytes.
+/// The maximum length of a header name in an expression, in bytes.
 const MAX_HEADER_NAME: usize = 64;
-/// The greatest cost of the search for a header, in steps: every header's name may be compared.
+/// The maximum cost of a header lookup, in steps: the name may be compared with that of every header.
 const HEADER_COST: u64 = 1 + MAX_HEADERS as u64 * MAX_HEADER_NAME as u64;
 
-/// The form `header("name")`.
+/// `header("name")`: the value of a header.
 const HEADER: &str = "header";
-/// The form `has("name")`.
+/// `has("name")`: whether a header is present.
 const HAS: &str = "has";
-/// The form `try(value, fallback)`.
+/// `try(value, fallback)`: the fallback if evaluating the value fails.
 const TRY: &str = "try";
-/// Forms that look like calls of functions, and whose names are taken.
+/// Special forms: written like function calls but checked by rules of their own. Their names are reserved.
 pub(super) const FORMS: [&str; 3] = [HEADER, HAS, TRY];
 
-/// Compiles an expression that must have a type, and cost at most `max_cost` steps.
+/// Compiles an expression of type `expected` whose maximum cost is within `max_cost` steps.
 pub(super) fn compile(
     definitions: &Definitions,
     text: &str,
@@ -50,7 +51,7 @@
     })
 }
 
-/// Checks the body of a definition, with texts of the greatest length as arguments.
+/// Checks the body of a definition, assuming string arguments of the maximum length of a request's strings.
 pub(super) fn check_definition(
     definitions: &Definitions,
     name: &str,
@@ -77,7 +78,7 @@
 /// A name in scope.
 #[derive(Clone, Debug)]
 struct Binding {
-    /// The name; empty where the present expression can't refer to it.
+    /// The name; empty if the expression being checked cannot refer to the binding.
     name: String,
     value_type: Type,
     max_length: u64,
@@ -94,7 +95,8 @@
     }
 }
 
-/// The names in scope, outermost first. The index of a binding is that of its value at evaluation.
+/// The bindings in scope, outermost first. The index of a binding is also the index of its value at
+/// evaluation.
 type Scope = Vec<Binding>;
 
 /// A checked and compiled expression.
@@ -106,7 +108,7 @@
 }
 
 impl Checked {
-    /// A node of cost 1 that is no text.
+    /// A node of cost 1 without a string result.
     fn simple(node: Node, value_type: Type) -> Self {
         Self { node, value_type, max_cost: 1, max_length: 0 }
     }
@@ -122,7 +124,7 @@
 
 struct Checker<'a> {
     definitions: &'a Definitions,
-    /// The names of the definitions that are being expanded, outermost first.
+    /// The names of the definitions being inlined, outermost first.
     expanding: Vec<String>,
     nodes: usize,
     nesting: usize,
@@ -145,7 +147,7 @@
         Ok(checked)
     }
 
-    /// Checks an expression that must have a type.
+    /// Checks an expression that must have type `expected`.
     fn expect(
         &mut self,
         expression: &Expression,
@@ -310,8 +312,8 @@
         })
     }
 
-    /// Checks a call of a built-in function. Its cost is that every byte of its arguments is read and every byte of its
-    /// result written.
+    /// Checks a call of a built-in function. Its cost assumes that every byte of the arguments is read and
+    /// every byte of the result written.
     fn check_function(
         &mut self,
         signature: &Signature,
@@ -335,8 +337,8 @@
         Ok(Checked { node, value_type: signature.result, max_cost, max_length })
     }
 
-    /// Replaces the call of a definition by its body, within a `let` for each argument. The body can refer to the
-    /// parameters only, not to the names at the call.
+    /// Inlines the call of a definition: its body, wrapped in a `let` for each argument. The body can refer
+    /// only to the parameters, not to the names in scope at the call.
     fn expand(
         &mut self,
         name: &str,
@@ -352,7 +354,7 @@
             let argument = self.expect(argument, parameter.value_type, scope)?;
             max_cost += argument.max_cost + 1;
             let binding = Binding::new(&parameter.name, parameter.value_type, argument.max_length);
-            // The next argument is within the `let` of this one, and can't refer to it.
+            // The next argument is evaluated inside the `let` of this one, but cannot refer to it.
             scope.push(binding.hidden());
             body_scope.push(binding);
             values.push(argument.node);
@@ -371,7 +373,7 @@
     }
 }
 
-/// Resolves a name: the innermost binding, or a property of the request.
+/// Resolves a name to the innermost binding, or otherwise to a property of the request.
 fn check_name(at: usize, name: &str, scope: &Scope) -> Result<Checked, CompileError> {
     if let Some(index) = scope.iter().rposition(|binding| binding.name == name) {
         let Binding { value_type, max_length, .. } = scope[index];
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -1,5 +1,5 @@
-//! The rules' language compared with the platform's code: the same class and keys for every request, within the known
-//! cost; and the program with rules of its own.
+//! Routing rules: the deployed rules file classifies requests like the built-in platform path parser, invalid
+//! files are rejected with the location of the error, and the proxy applies and reloads a rules file.
 
 mod stand_ins;
 
@@ -21,7 +21,7 @@
     RulesConfig::read(Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/rules.json"))).unwrap().1
 }
 
-/// Requests as clients send them, and malformed ones.
+/// A random request, either as clients send it or malformed.
 fn request(rng: &mut SmallRng) -> HttpRequest {
     let mut pick = |list: &[&str]| list[rng.random_range(0..list.len())].to_string();
     let base = pick(&["/ops/", "/ops/", "/ops/", "/ops/", "/ops", "/op/", "ops/", "//ops/", ""]);
@@ -70,7 +70,7 @@
         let request = request(&mut rng);
         let mut steps = 0;
         let (by_rules, by_code) = (rules.classify(&request, &mut steps), PlatformPath.classify(&request));
-        // An empty `X-Set` is malformed for the code, and absent for `default`.
+        // The path parser rejects an empty `X-Set`; `default` in the rules treats it as absent.
         let empty = request.headers.iter().any(|(n, v)| n == "x-set" && v.is_empty());
         if !empty {
             assert_eq!(by_rules, by_code, "{request:?}");
@@ -110,8 +110,8 @@
     }
 }
 
-/// The program with rules of its own: other paths for the same classes, reloaded at SIGHUP; an invalid file changes
-/// nothing.
+/// A rules file replaces the built-in path format, SIGHUP reloads it, and an invalid file leaves the old
+/// rules in force.
 #[test]
 fn the_program_classifies_requests_by_its_rules() {
     run(async {
