--- a/src/rules/definitions.rs
+++ b/src/rules/definitions.rs
@@ -3,7 +3,7 @@
 use super::error::{CompileError, DefinitionError};
 use super::parser::{parse, Expression};
 use super::program::{Program, Signature, Type};
-use super::type_check::{check_definition, compile, FORMS};
+use super::type_check::{check_definition, compile, SPECIAL_FORMS};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -39,7 +39,7 @@
         }
         for (name, definition) in &definitions.0 {
             check_definition(&definitions, name, definition).map_err(|error| match error {
-                own @ CompileError::Definition { .. } => own,
+                in_definition @ CompileError::Definition { .. } => in_definition,
                 other => CompileError::Definition {
                     name: name.clone(),
                     source: DefinitionError::Body(Box::new(other)),
@@ -65,7 +65,7 @@
     let head = head.trim().strip_suffix(')').and_then(|head| head.split_once('('));
     let (name, parameters) = head.ok_or(DefinitionError::Malformed)?;
     let name = name.trim();
-    if !is_name(name) || Signature::by_name(name).is_some() || FORMS.contains(&name) {
+    if !is_identifier(name) || Signature::by_name(name).is_some() || SPECIAL_FORMS.contains(&name) {
         return Err(DefinitionError::InvalidName);
     }
     let parameters = parse_parameters(parameters)?;
@@ -80,7 +80,7 @@
         let (name, type_name) = parameter.split_once(':').ok_or(DefinitionError::MalformedParameter)?;
         let value_type = type_name.trim().parse().map_err(|_| DefinitionError::UnknownType)?;
         let name = name.trim();
-        if !is_name(name) || parameters.iter().any(|known| known.name == name) {
+        if !is_identifier(name) || parameters.iter().any(|earlier| earlier.name == name) {
             return Err(DefinitionError::InvalidParameterName);
         }
         parameters.push(Parameter { name: name.to_string(), value_type });
@@ -89,7 +89,7 @@
 }
 
 /// Whether `text` is an identifier: ASCII letters, digits and underscores, not starting with a digit.
-fn is_name(text: &str) -> bool {
+fn is_identifier(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'_';
     !text.is_empty() && text.bytes().all(allowed) && !text.as_bytes()[0].is_ascii_digit()
 }
--- a/src/rules/error.rs
+++ b/src/rules/error.rs
@@ -1,16 +1,16 @@
 //! Errors in routing rules, each with its location: rule and field, definition, or byte offset.
 
-use super::lexer::MAX_TEXT;
+use super::lexer::MAX_EXPRESSION_BYTES;
 use super::parser::{BinaryOperator, MAX_DEPTH};
 use super::program::Type;
 use thiserror::Error;
 
 /// A syntax error in an expression.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("at byte {at}: {kind}")]
+#[error("at byte {offset}: {kind}")]
 pub struct SyntaxError {
     /// The byte offset of the error in the expression.
-    pub at: usize,
+    pub offset: usize,
     /// The kind of error.
     pub kind: SyntaxErrorKind,
 }
@@ -18,15 +18,15 @@
 /// Kinds of syntax errors.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SyntaxErrorKind {
-    /// The expression is longer than [`MAX_TEXT`].
-    #[error("longer than {MAX_TEXT} bytes")]
+    /// The expression is longer than [`MAX_EXPRESSION_BYTES`].
+    #[error("longer than {MAX_EXPRESSION_BYTES} bytes")]
     TooLong,
     /// The expression nests deeper than [`MAX_DEPTH`].
     #[error("nested deeper than {MAX_DEPTH}")]
     TooDeep,
     /// A chain of operators of one precedence has more than [`MAX_DEPTH`] operands.
     #[error("more than {MAX_DEPTH} operators in a row")]
-    TooManyOperators,
+    TooManyOperands,
     /// An integer literal is malformed or does not fit into 64 bits.
     #[error("no whole number, or one too large")]
     InvalidNumber,
@@ -149,9 +149,9 @@
     /// The nesting depth of nodes.
     Depth,
     /// The number of nodes.
-    Nodes,
+    NodeCount,
     /// The length of a string, in bytes.
-    TextLength,
+    StrLength,
     /// The cost of evaluation, in steps.
     Cost,
 }
@@ -160,8 +160,8 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Self::Depth => "its depth",
-            Self::Nodes => "its nodes",
-            Self::TextLength => "a text's length in bytes",
+            Self::NodeCount => "its nodes",
+            Self::StrLength => "a text's length in bytes",
             Self::Cost => "its cost in steps",
         })
     }
@@ -174,10 +174,10 @@
     #[error(transparent)]
     Syntax(#[from] SyntaxError),
     /// A type error or an unresolved name.
-    #[error("at byte {at}: {source}")]
+    #[error("at byte {offset}: {source}")]
     Type {
         /// The byte offset of the subexpression at fault.
-        at: usize,
+        offset: usize,
         /// The type error.
         source: TypeError,
     },
--- a/src/rules/evaluator.rs
+++ b/src/rules/evaluator.rs
@@ -40,7 +40,7 @@
     request: &'r HttpRequest,
     steps: &mut u64,
 ) -> Evaluation<Value<'r>> {
-    Evaluator { request, locals: Vec::new(), steps }.value(&program.root)
+    Evaluator { request, locals: Vec::new(), steps }.evaluate(&program.root)
 }
 
 struct Evaluator<'r, 's> {
@@ -51,22 +51,22 @@
 }
 
 impl<'r> Evaluator<'r, '_> {
-    fn bool(&mut self, node: &'r Node) -> Evaluation<bool> {
-        match self.value(node)? {
+    fn evaluate_bool(&mut self, node: &'r Node) -> Evaluation<bool> {
+        match self.evaluate(node)? {
             Value::Bool(value) => Ok(value),
             _ => Err(EvaluationError),
         }
     }
 
-    fn int(&mut self, node: &'r Node) -> Evaluation<i64> {
-        match self.value(node)? {
+    fn evaluate_int(&mut self, node: &'r Node) -> Evaluation<i64> {
+        match self.evaluate(node)? {
             Value::Int(value) => Ok(value),
             _ => Err(EvaluationError),
         }
     }
 
-    fn str(&mut self, node: &'r Node) -> Evaluation<Cow<'r, str>> {
-        match self.value(node)? {
+    fn evaluate_str(&mut self, node: &'r Node) -> Evaluation<Cow<'r, str>> {
+        match self.evaluate(node)? {
             Value::Str(value) => Ok(value),
             _ => Err(EvaluationError),
         }
@@ -74,12 +74,12 @@
 
     /// Evaluates to a string, and counts one step per byte because the caller reads all of it.
     fn read_str(&mut self, node: &'r Node) -> Evaluation<Cow<'r, str>> {
-        let text = self.str(node)?;
+        let text = self.evaluate_str(node)?;
         *self.steps += text.len() as u64;
         Ok(text)
     }
 
-    fn value(&mut self, node: &'r Node) -> Evaluation<Value<'r>> {
+    fn evaluate(&mut self, node: &'r Node) -> Evaluation<Value<'r>> {
         *self.steps += 1;
         Ok(match node {
             Node::Bool(value) => Value::Bool(*value),
@@ -90,26 +90,28 @@
             Node::HasHeader(name) => Value::Bool(self.has_header(name)),
             Node::Local(index) => self.local(*index)?,
             Node::Call(function, arguments) => self.call(*function, arguments)?,
-            Node::Fallback { first, fallback } => self.first_or(first, fallback)?,
-            Node::Not(operand) => Value::Bool(!self.bool(operand)?),
-            Node::Neg(operand) => Value::Int(self.int(operand)?.checked_neg().ok_or(EvaluationError)?),
-            Node::And(left, right) => Value::Bool(self.bool(left)? && self.bool(right)?),
-            Node::Or(left, right) => Value::Bool(self.bool(left)? || self.bool(right)?),
+            Node::Fallback { first, fallback } => self.value_or_fallback(first, fallback)?,
+            Node::Not(operand) => Value::Bool(!self.evaluate_bool(operand)?),
+            Node::Neg(operand) => {
+                Value::Int(self.evaluate_int(operand)?.checked_neg().ok_or(EvaluationError)?)
+            }
+            Node::And(left, right) => Value::Bool(self.evaluate_bool(left)? && self.evaluate_bool(right)?),
+            Node::Or(left, right) => Value::Bool(self.evaluate_bool(left)? || self.evaluate_bool(right)?),
             Node::Compare(operator, left, right) => Value::Bool(self.compare(*operator, left, right)?),
             Node::Arithmetic(operator, left, right) => Value::Int(self.arithmetic(*operator, left, right)?),
             Node::Concat(left, right) => {
-                let (left, right) = (self.str(left)?, self.str(right)?);
+                let (left, right) = (self.evaluate_str(left)?, self.evaluate_str(right)?);
                 *self.steps += (left.len() + right.len()) as u64;
                 Value::Str(Cow::Owned(left.into_owned() + &right))
             }
             Node::If { condition, then, otherwise } => {
-                let branch = if self.bool(condition)? { then } else { otherwise };
-                self.value(branch)?
+                let branch = if self.evaluate_bool(condition)? { then } else { otherwise };
+                self.evaluate(branch)?
             }
             Node::Let { value, body } => {
-                let value = self.value(value)?;
+                let value = self.evaluate(value)?;
                 self.locals.push(value);
-                let body = self.value(body)?;
+                let body = self.evaluate(body)?;
                 self.locals.pop();
                 body
             }
@@ -143,16 +145,16 @@
         Ok(value)
     }
 
-    fn first_or(&mut self, first: &'r Node, fallback: &'r Node) -> Evaluation<Value<'r>> {
-        let depth = self.locals.len();
-        self.value(first).or_else(|EvaluationError| {
-            self.locals.truncate(depth);
-            self.value(fallback)
+    fn value_or_fallback(&mut self, first: &'r Node, fallback: &'r Node) -> Evaluation<Value<'r>> {
+        let outer_locals = self.locals.len();
+        self.evaluate(first).or_else(|EvaluationError| {
+            self.locals.truncate(outer_locals);
+            self.evaluate(fallback)
         })
     }
 
     fn compare(&mut self, operator: BinaryOperator, left: &'r Node, right: &'r Node) -> Evaluation<bool> {
-        let (left, right) = (self.value(left)?, self.value(right)?);
+        let (left, right) = (self.evaluate(left)?, self.evaluate(right)?);
         if let (Value::Str(a), Value::Str(b)) = (&left, &right) {
             *self.steps += a.len().min(b.len()) as u64;
         }
@@ -168,7 +170,7 @@
     }
 
     fn arithmetic(&mut self, operator: BinaryOperator, left: &'r Node, right: &'r Node) -> Evaluation<i64> {
-        let (a, b) = (self.int(left)?, self.int(right)?);
+        let (a, b) = (self.evaluate_int(left)?, self.evaluate_int(right)?);
         let result = if operator == BinaryOperator::Add { a.checked_add(b) } else { a.checked_sub(b) };
         result.ok_or(EvaluationError)
     }
@@ -180,8 +182,8 @@
         let text = self.read_str(&arguments[0])?;
         Ok(match function {
             Function::Segment => {
-                let number = usize::try_from(self.int(&arguments[1])?).unwrap_or(0);
-                Value::Str(slice(text, |text| segment(text, number)))
+                let number = usize::try_from(self.evaluate_int(&arguments[1])?).unwrap_or(0);
+                Value::Str(substring(text, |text| segment(text, number)))
             }
             Function::SegmentCount => {
                 Value::Int(text.strip_prefix('/').map_or(0, |rest| rest.split('/').count() as i64))
@@ -194,7 +196,7 @@
                 if !text.starts_with(&*prefix) {
                     return Err(EvaluationError);
                 }
-                Value::Str(slice(text, |text| &text[prefix.len()..]))
+                Value::Str(substring(text, |text| &text[prefix.len()..]))
             }
             Function::Default => {
                 let default = self.read_str(&arguments[1])?;
@@ -211,13 +213,17 @@
 
     /// `between(value, low, high)`. All arguments are evaluated, even if one of them fails.
     fn between(&mut self, arguments: &'r [Node]) -> Evaluation<Value<'r>> {
-        let (low, value, high) = (self.int(&arguments[1]), self.int(&arguments[0]), self.int(&arguments[2]));
+        let (low, value, high) = (
+            self.evaluate_int(&arguments[1]),
+            self.evaluate_int(&arguments[0]),
+            self.evaluate_int(&arguments[2]),
+        );
         Ok(Value::Bool((low?..=high?).contains(&value?)))
     }
 }
 
 /// A substring, borrowed if `text` is borrowed.
-fn slice<'r>(text: Cow<'r, str>, part: impl Fn(&str) -> &str) -> Cow<'r, str> {
+fn substring<'r>(text: Cow<'r, str>, part: impl Fn(&str) -> &str) -> Cow<'r, str> {
     match text {
         Cow::Borrowed(text) => Cow::Borrowed(part(text)),
         Cow::Owned(text) => Cow::Owned(part(&text).to_string()),
--- a/src/rules/evaluator/tests.rs
+++ b/src/rules/evaluator/tests.rs
@@ -1,6 +1,6 @@
 use super::super::definitions::Definitions;
 use super::super::program::Type;
-use super::super::type_check::MAX_LENGTH;
+use super::super::type_check::MAX_STR_BYTES;
 use super::*;
 use proptest::prelude::*;
 
@@ -9,7 +9,7 @@
     HttpRequest { method: "GET".into(), target: target.into(), headers, ..HttpRequest::default() }
 }
 
-fn value(text: &str, expected: Type) -> Result<String, EvaluationError> {
+fn evaluate_text(text: &str, expected: Type) -> Result<String, EvaluationError> {
     let definitions = Definitions::parse(&[
         "slice(s: str) = int(strip(s, \"slice-\"))".to_string(),
         "twice(n: int, m: int) = let n = n + n in n + m".to_string(),
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn expressions_have_their_values() {
-    for (text, want) in [
+fn expressions_evaluate_to_the_expected_values_or_fail() {
+    for (text, expected_value) in [
         (r#"seg(path, 2) == "clip" && segs(path) == 4 && query == "a=1" && method == "GET""#, true),
         (r#"slice(seg(path, 4)) == 3 && int(header("x-set")) == 17 && !has("x-none")"#, true),
         (r#"header("x-none") == "" && default(header("x-none"), "d") == "d""#, true),
@@ -36,7 +36,7 @@
         (r#"between(slice(seg(path, 4)), 0, 2) || seg(path, 9) + seg(path, 0) != """#, false),
         (r#"if contains(path, "clip") then ends(path, "-3") else false"#, true),
     ] {
-        assert_eq!(value(text, Type::Bool), Ok(format!("Bool({want})")), "{text}");
+        assert_eq!(evaluate_text(text, Type::Bool), Ok(format!("Bool({expected_value})")), "{text}");
     }
     for failing in [
         r#"int("x") == 1"#,
@@ -44,14 +44,14 @@
         r#"strip(path, "/no") == "" "#,
         "9223372036854775807 + 1 == 0",
     ] {
-        assert_eq!(value(failing, Type::Bool), Err(EvaluationError), "{failing}");
+        assert_eq!(evaluate_text(failing, Type::Bool), Err(EvaluationError), "{failing}");
     }
-    assert_eq!(value(r#"hash("")"#, Type::Key), Ok(format!("Key({})", 0xe3b0_c442_98fc_1c14u64)));
+    assert_eq!(evaluate_text(r#"hash("")"#, Type::Key), Ok(format!("Key({})", 0xe3b0_c442_98fc_1c14u64)));
 }
 
 #[test]
-fn loops_unbounded_growth_and_wrong_types_are_rejected_at_compilation() {
-    let none = Definitions::default();
+fn recursion_unbounded_growth_and_type_errors_are_rejected_at_compilation() {
+    let no_definitions = Definitions::default();
     for invalid in [
         "1",
         "path",
@@ -73,13 +73,13 @@
         "let x = 1 in y",
         "x",
     ] {
-        assert!(none.compile(invalid, Type::Bool, u64::MAX).is_err(), "{invalid}");
+        assert!(no_definitions.compile(invalid, Type::Bool, u64::MAX).is_err(), "{invalid}");
     }
     // A string that doubles with each `let` exceeds the length limit at compilation.
     let doubling = (0..40).map(|k| format!("let a{} = a{k} + a{k} in ", k + 1)).collect::<String>();
     let text = format!("let a0 = path in {doubling} a40 == path");
-    let error = none.compile(&text, Type::Bool, u64::MAX).unwrap_err().to_string();
-    assert!(error.contains("length") && error.contains(&MAX_LENGTH.to_string()), "{error}");
+    let error = no_definitions.compile(&text, Type::Bool, u64::MAX).unwrap_err().to_string();
+    assert!(error.contains("length") && error.contains(&MAX_STR_BYTES.to_string()), "{error}");
     // Definitions that are recursive, directly or through others, or whose inlining grows exponentially.
     let parse = |lines: &[&str]| Definitions::parse(&lines.iter().map(|l| l.to_string()).collect::<Vec<_>>());
     let error = parse(&["f(n: int) = g(n)", "g(n: int) = f(n) + 1"]).unwrap_err().to_string();
@@ -108,7 +108,7 @@
         assert!(parse(&[invalid]).is_err(), "{invalid}");
     }
     assert!(parse(&["f() = 1", "f() = 2"]).is_err());
-    let costly = none.compile(r#"contains(path, "a") && contains(path, "b")"#, Type::Bool, 20_000);
+    let costly = no_definitions.compile(r#"contains(path, "a") && contains(path, "b")"#, Type::Bool, 20_000);
     assert!(costly.unwrap_err().to_string().contains("cost"));
 }
 
@@ -121,7 +121,7 @@
 
     /// The cost computed at compilation bounds the cost of evaluation for every request.
     #[test]
-    fn no_request_exceeds_the_greatest_cost(target in "/[a-z0-9/?-]{0,300}", set in "[0-9a-z]{0,40}") {
+    fn evaluation_cost_never_exceeds_the_maximum(target in "/[a-z0-9/?-]{0,300}", set in "[0-9a-z]{0,40}") {
         let definitions = Definitions::parse(&["last(p: str) = seg(p, segs(p))".to_string()]).unwrap();
         let text = r#"let x = lower(path) + header("x-set") in
             if contains(x, "clip") then hash(x + last(path)) else try(hex(seg(path, 2)), hash(query + x))"#;
--- a/src/rules/parser.rs
+++ b/src/rules/parser.rs
@@ -2,7 +2,7 @@
 //! comparisons (which cannot be chained), `+` and `-`, `!` and unary `-`, calls. No I/O.
 
 use super::error::{SyntaxError, SyntaxErrorKind};
-use super::lexer::{tokenize, PlacedToken, Token};
+use super::lexer::{tokenize, PositionedToken, Token};
 
 /// The maximum nesting depth of an expression, and the maximum number of operands in a chain of operators of
 /// one precedence.
@@ -36,7 +36,7 @@
 }
 
 /// Binary operators grouped by precedence, lowest first.
-const PRECEDENCE: [&[(&str, BinaryOperator)]; 4] = [
+const OPERATORS_BY_PRECEDENCE: [&[(&str, BinaryOperator)]; 4] = [
     &[("||", BinaryOperator::Or)],
     &[("&&", BinaryOperator::And)],
     &[
@@ -49,14 +49,14 @@
     ],
     &[("+", BinaryOperator::Add), ("-", BinaryOperator::Sub)],
 ];
-/// The index of the comparison operators in [`PRECEDENCE`].
-const COMPARISON: usize = 2;
+/// The index of the comparison operators in [`OPERATORS_BY_PRECEDENCE`].
+const COMPARISON_PRECEDENCE: usize = 2;
 
 /// A node of the syntax tree.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expression {
     /// The byte offset of the expression in the text.
-    pub at: usize,
+    pub offset: usize,
     /// The expression itself.
     pub kind: ExpressionKind,
 }
@@ -88,7 +88,7 @@
 
 /// Parses `text`, which must be a single expression.
 pub fn parse(text: &str) -> Result<Expression, SyntaxError> {
-    let mut parser = Parser { tokens: tokenize(text)?, next: 0, depth: 0 };
+    let mut parser = Parser { tokens: tokenize(text)?, position: 0, depth: 0 };
     let expression = parser.expression()?;
     match parser.peek() {
         Token::End => Ok(expression),
@@ -97,66 +97,66 @@
 }
 
 struct Parser {
-    tokens: Vec<PlacedToken>,
+    tokens: Vec<PositionedToken>,
     /// The index of the next token.
-    next: usize,
+    position: usize,
     depth: usize,
 }
 
 impl Parser {
     fn peek(&self) -> &Token {
-        &self.tokens[self.next].token
+        &self.tokens[self.position].token
     }
 
     /// The byte offset of the next token.
-    fn at(&self) -> usize {
-        self.tokens[self.next].at
+    fn offset(&self) -> usize {
+        self.tokens[self.position].offset
     }
 
     /// A syntax error at the next token.
     fn error(&self, kind: SyntaxErrorKind) -> SyntaxError {
-        SyntaxError { at: self.at(), kind }
+        SyntaxError { offset: self.offset(), kind }
     }
 
     /// Consumes and returns the next token; [`Token::End`] is never consumed.
-    fn take(&mut self) -> Token {
+    fn advance(&mut self) -> Token {
         let token = self.peek().clone();
         if token != Token::End {
-            self.next += 1;
+            self.position += 1;
         }
         token
     }
 
     /// Consumes the next token if it is `symbol`, and returns whether it was.
-    fn take_symbol(&mut self, symbol: &str) -> bool {
+    fn consume_symbol(&mut self, symbol: &str) -> bool {
         let is_next = matches!(self.peek(), Token::Symbol(s) if *s == symbol);
-        self.next += usize::from(is_next);
+        self.position += usize::from(is_next);
         is_next
     }
 
     /// Consumes the next token if it is `keyword`, and returns whether it was.
-    fn take_keyword(&mut self, keyword: &str) -> bool {
+    fn consume_keyword(&mut self, keyword: &str) -> bool {
         let is_next = matches!(self.peek(), Token::Identifier(word) if word == keyword);
-        self.next += usize::from(is_next);
+        self.position += usize::from(is_next);
         is_next
     }
 
     fn expect_symbol(&mut self, expected: &'static str) -> Result<(), SyntaxError> {
-        match self.take_symbol(expected) {
+        match self.consume_symbol(expected) {
             true => Ok(()),
             false => Err(self.error(SyntaxErrorKind::Expected { expected })),
         }
     }
 
     fn expect_keyword(&mut self, expected: &'static str) -> Result<(), SyntaxError> {
-        match self.take_keyword(expected) {
+        match self.consume_keyword(expected) {
             true => Ok(()),
             false => Err(self.error(SyntaxErrorKind::Expected { expected })),
         }
     }
 
     /// Enters one more level of nesting. The limit bounds the stack use of the parser.
-    fn descend(&mut self) -> Result<(), SyntaxError> {
+    fn enter_nesting(&mut self) -> Result<(), SyntaxError> {
         self.depth += 1;
         match self.depth > MAX_DEPTH {
             true => Err(self.error(SyntaxErrorKind::TooDeep)),
@@ -165,12 +165,12 @@
     }
 
     fn expression(&mut self) -> Result<Expression, SyntaxError> {
-        self.descend()?;
-        let at = self.at();
-        let expression = if self.take_keyword("if") {
-            Expression { at, kind: self.conditional()? }
-        } else if self.take_keyword("let") {
-            Expression { at, kind: self.binding()? }
+        self.enter_nesting()?;
+        let offset = self.offset();
+        let expression = if self.consume_keyword("if") {
+            Expression { offset, kind: self.conditional()? }
+        } else if self.consume_keyword("let") {
+            Expression { offset, kind: self.binding()? }
         } else {
             self.binary(0)?
         };
@@ -190,7 +190,7 @@
 
     /// Parses the rest of a binding after `let`.
     fn binding(&mut self) -> Result<ExpressionKind, SyntaxError> {
-        let Token::Identifier(name) = self.take() else {
+        let Token::Identifier(name) = self.advance() else {
             return Err(self.error(SyntaxErrorKind::ExpectedName));
         };
         self.expect_symbol("=")?;
@@ -203,31 +203,31 @@
     /// Parses binary operators of this precedence or higher. A chain makes a left-deep tree, so its length is
     /// limited like the nesting depth.
     fn binary(&mut self, precedence: usize) -> Result<Expression, SyntaxError> {
-        let Some(operators) = PRECEDENCE.get(precedence) else { return self.unary() };
-        let at = self.at();
+        let Some(operators) = OPERATORS_BY_PRECEDENCE.get(precedence) else { return self.unary() };
+        let offset = self.offset();
         let mut left = self.binary(precedence + 1)?;
         let mut operands = 1;
-        while let Some((_, operator)) = operators.iter().find(|(symbol, _)| self.take_symbol(symbol)) {
-            if precedence == COMPARISON && operands == 2 {
+        while let Some((_, operator)) = operators.iter().find(|(symbol, _)| self.consume_symbol(symbol)) {
+            if precedence == COMPARISON_PRECEDENCE && operands == 2 {
                 return Err(self.error(SyntaxErrorKind::ChainedComparison));
             }
             let right = self.binary(precedence + 1)?;
-            left = Expression { at, kind: ExpressionKind::Binary(*operator, left.into(), right.into()) };
+            left = Expression { offset, kind: ExpressionKind::Binary(*operator, left.into(), right.into()) };
             operands += 1;
             if operands > MAX_DEPTH {
-                return Err(self.error(SyntaxErrorKind::TooManyOperators));
+                return Err(self.error(SyntaxErrorKind::TooManyOperands));
             }
         }
         Ok(left)
     }
 
     fn unary(&mut self) -> Result<Expression, SyntaxError> {
-        let at = self.at();
-        self.descend()?;
-        let expression = if self.take_symbol("!") {
-            Expression { at, kind: ExpressionKind::Not(self.unary()?.into()) }
-        } else if self.take_symbol("-") {
-            Expression { at, kind: ExpressionKind::Neg(self.unary()?.into()) }
+        let offset = self.offset();
+        self.enter_nesting()?;
+        let expression = if self.consume_symbol("!") {
+            Expression { offset, kind: ExpressionKind::Not(self.unary()?.into()) }
+        } else if self.consume_symbol("-") {
+            Expression { offset, kind: ExpressionKind::Neg(self.unary()?.into()) }
         } else {
             self.primary()?
         };
@@ -236,18 +236,20 @@
     }
 
     fn primary(&mut self) -> Result<Expression, SyntaxError> {
-        let at = self.at();
-        let kind = match self.take() {
+        let offset = self.offset();
+        let kind = match self.advance() {
             Token::Int(number) => ExpressionKind::Int(number),
             Token::Str(text) => ExpressionKind::Str(text),
             Token::Identifier(word) if word == "true" || word == "false" => {
                 ExpressionKind::Bool(word == "true")
             }
             Token::Identifier(word) if KEYWORDS.contains(&word.as_str()) => {
-                self.next -= 1;
+                self.position -= 1;
                 return Err(self.error(SyntaxErrorKind::UnexpectedKeyword(word)));
             }
-            Token::Identifier(name) if self.take_symbol("(") => ExpressionKind::Call(name, self.arguments()?),
+            Token::Identifier(name) if self.consume_symbol("(") => {
+                ExpressionKind::Call(name, self.arguments()?)
+            }
             Token::Identifier(name) => ExpressionKind::Name(name),
             Token::Symbol("(") => {
                 let expression = self.expression()?;
@@ -255,22 +257,22 @@
                 return Ok(expression);
             }
             other => {
-                self.next = self.next.saturating_sub(usize::from(other != Token::End));
+                self.position = self.position.saturating_sub(usize::from(other != Token::End));
                 return Err(self.error(SyntaxErrorKind::ExpectedValue { found: other.to_string() }));
             }
         };
-        Ok(Expression { at, kind })
+        Ok(Expression { offset, kind })
     }
 
     /// Parses the arguments of a call after `(`, including the closing `)`.
     fn arguments(&mut self) -> Result<Vec<Expression>, SyntaxError> {
         let mut arguments = Vec::new();
-        if self.take_symbol(")") {
+        if self.consume_symbol(")") {
             return Ok(arguments);
         }
         loop {
             arguments.push(self.expression()?);
-            if self.take_symbol(")") {
+            if self.consume_symbol(")") {
                 return Ok(arguments);
             }
             self.expect_symbol(",")?;
--- a/src/rules/parser/tests.rs
+++ b/src/rules/parser/tests.rs
@@ -1,8 +1,8 @@
-use super::super::lexer::MAX_TEXT;
+use super::super::lexer::MAX_EXPRESSION_BYTES;
 use super::*;
 
 #[test]
-fn operators_have_their_precedence() {
+fn operators_parse_by_precedence() {
     fn show(expression: &Expression) -> String {
         match &expression.kind {
             ExpressionKind::Not(a) => format!("(! {})", show(a)),
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn syntax_errors_have_their_place() {
-    for (text, at) in [
+fn syntax_errors_report_their_offset() {
+    for (text, offset) in [
         ("", 0),
         ("a b", 2),
         ("a ==", 4),
@@ -43,7 +43,7 @@
         ("then", 0),
     ] {
         let error = parse(text).expect_err(text);
-        assert!(error.at.abs_diff(at) <= 2, "{text:?}: {error}");
+        assert!(error.offset.abs_diff(offset) <= 2, "{text:?}: {error}");
     }
     for deep in [
         "(".repeat(5_000),
@@ -53,5 +53,5 @@
     ] {
         assert!(parse(&deep).is_err(), "{}", &deep[..20]);
     }
-    assert!(parse(&"a".repeat(MAX_TEXT + 1)).is_err());
+    assert!(parse(&"a".repeat(MAX_EXPRESSION_BYTES + 1)).is_err());
 }
--- a/src/rules/table.rs
+++ b/src/rules/table.rs
@@ -22,7 +22,7 @@
 }
 
 impl Rule {
-    fn applies(&self, request: &HttpRequest, steps: &mut u64) -> bool {
+    fn matches(&self, request: &HttpRequest, steps: &mut u64) -> bool {
         matches!(evaluate(&self.when, request, steps), Ok(Value::Bool(true)))
     }
 
@@ -54,7 +54,7 @@
 impl Rules {
     /// Classifies a request by the first rule that matches, and adds the cost to `steps`.
     pub fn classify(&self, request: &HttpRequest, steps: &mut u64) -> Classification {
-        let Some(rule) = self.0.iter().find(|rule| rule.applies(request, steps)) else {
+        let Some(rule) = self.0.iter().find(|rule| rule.matches(request, steps)) else {
             return Classification::NoMatch;
         };
         match rule.target(request, steps) {
--- a/src/rules/type_check.rs
+++ b/src/rules/type_check.rs
@@ -2,8 +2,8 @@
 //!
 //! The language has no loops. Calls of definitions are inlined, and recursive definitions are rejected. The
 //! maximum length of each string and the maximum cost of each node are computed from the size limits of a
-//! request. A program that could exceed [`MAX_LENGTH`], [`MAX_NODES`], [`MAX_NESTING`] or the allowed cost is
-//! rejected.
+//! request. A program that could exceed [`MAX_STR_BYTES`], [`MAX_NODES`], [`MAX_NODE_DEPTH`] or the allowed
+//! cost is rejected.
 
 use super::definitions::{Definition, Definitions};
 use super::error::{CompileError, DefinitionError, Quantity, TypeError};
@@ -12,26 +12,26 @@
 use crate::wire::http_codec::{MAX_HEAD, MAX_HEADERS};
 
 /// The maximum length of a string, in bytes.
-pub const MAX_LENGTH: u64 = 65_536;
+pub const MAX_STR_BYTES: u64 = 65_536;
 /// The maximum number of nodes in a program, with definitions inlined.
 pub const MAX_NODES: usize = 4_096;
 /// The maximum nesting depth of a program, which bounds the stack use of its evaluation.
-pub const MAX_NESTING: usize = 160;
+pub const MAX_NODE_DEPTH: usize = 160;
 /// The maximum length of a string taken from a request, in bytes: that of the whole request head.
-const MAX_INPUT_LENGTH: u64 = MAX_HEAD as u64;
+const MAX_INPUT_BYTES: u64 = MAX_HEAD as u64;
 /// The maximum length of a header name in an expression, in bytes.
-const MAX_HEADER_NAME: usize = 64;
+const MAX_HEADER_NAME_BYTES: usize = 64;
 /// The maximum cost of a header lookup, in steps: the name may be compared with that of every header.
-const HEADER_COST: u64 = 1 + MAX_HEADERS as u64 * MAX_HEADER_NAME as u64;
+const MAX_HEADER_LOOKUP_COST: u64 = 1 + MAX_HEADERS as u64 * MAX_HEADER_NAME_BYTES as u64;
 
 /// `header("name")`: the value of a header.
-const HEADER: &str = "header";
+const HEADER_FORM: &str = "header";
 /// `has("name")`: whether a header is present.
-const HAS: &str = "has";
+const HAS_FORM: &str = "has";
 /// `try(value, fallback)`: the fallback if evaluating the value fails.
-const TRY: &str = "try";
+const TRY_FORM: &str = "try";
 /// Special forms: written like function calls but checked by rules of their own. Their names are reserved.
-pub(super) const FORMS: [&str; 3] = [HEADER, HAS, TRY];
+pub(super) const SPECIAL_FORMS: [&str; 3] = [HEADER_FORM, HAS_FORM, TRY_FORM];
 
 /// Compiles an expression of type `expected` whose maximum cost is within `max_cost` steps.
 pub(super) fn compile(
@@ -41,7 +41,7 @@
     max_cost: u64,
 ) -> Result<Program, CompileError> {
     let expression = parse(text)?;
-    let checked = Checker::new(definitions).expect(&expression, expected, &mut Vec::new())?;
+    let checked = Checker::new(definitions).check_type(&expression, expected, &mut Vec::new())?;
     check_limit(Quantity::Cost, checked.max_cost, max_cost)?;
     Ok(Program {
         root: checked.node,
@@ -57,9 +57,9 @@
     name: &str,
     definition: &Definition,
 ) -> Result<(), CompileError> {
-    let mut checker = Checker { expanding: vec![name.to_string()], ..Checker::new(definitions) };
+    let mut checker = Checker { inline_stack: vec![name.to_string()], ..Checker::new(definitions) };
     let parameters = definition.parameters.iter();
-    let mut scope = parameters.map(|p| Binding::new(&p.name, p.value_type, MAX_INPUT_LENGTH)).collect();
+    let mut scope = parameters.map(|p| Binding::new(&p.name, p.value_type, MAX_INPUT_BYTES)).collect();
     checker.check(&definition.body, &mut scope)?;
     Ok(())
 }
@@ -71,8 +71,8 @@
     }
 }
 
-fn type_error<T>(at: usize, source: TypeError) -> Result<T, CompileError> {
-    Err(CompileError::Type { at, source })
+fn type_error<T>(offset: usize, source: TypeError) -> Result<T, CompileError> {
+    Err(CompileError::Type { offset, source })
 }
 
 /// A name in scope.
@@ -109,15 +109,15 @@
 
 impl Checked {
     /// A node of cost 1 without a string result.
-    fn simple(node: Node, value_type: Type) -> Self {
+    fn new(node: Node, value_type: Type) -> Self {
         Self { node, value_type, max_cost: 1, max_length: 0 }
     }
 
-    fn with_cost(self, max_cost: u64) -> Self {
+    fn with_max_cost(self, max_cost: u64) -> Self {
         Self { max_cost, ..self }
     }
 
-    fn with_length(self, max_length: u64) -> Self {
+    fn with_max_length(self, max_length: u64) -> Self {
         Self { max_length, ..self }
     }
 }
@@ -125,30 +125,30 @@
 struct Checker<'a> {
     definitions: &'a Definitions,
     /// The names of the definitions being inlined, outermost first.
-    expanding: Vec<String>,
-    nodes: usize,
-    nesting: usize,
+    inline_stack: Vec<String>,
+    node_count: usize,
+    depth: usize,
 }
 
 impl<'a> Checker<'a> {
     fn new(definitions: &'a Definitions) -> Self {
-        Self { definitions, expanding: Vec::new(), nodes: 0, nesting: 0 }
+        Self { definitions, inline_stack: Vec::new(), node_count: 0, depth: 0 }
     }
 
     /// Checks an expression of any type.
     fn check(&mut self, expression: &Expression, scope: &mut Scope) -> Result<Checked, CompileError> {
-        self.nesting += 1;
-        check_limit(Quantity::Depth, self.nesting as u64, MAX_NESTING as u64)?;
-        self.nodes += 1;
-        check_limit(Quantity::Nodes, self.nodes as u64, MAX_NODES as u64)?;
+        self.depth += 1;
+        check_limit(Quantity::Depth, self.depth as u64, MAX_NODE_DEPTH as u64)?;
+        self.node_count += 1;
+        check_limit(Quantity::NodeCount, self.node_count as u64, MAX_NODES as u64)?;
         let checked = self.check_kind(expression, scope)?;
-        self.nesting -= 1;
-        check_limit(Quantity::TextLength, checked.max_length, MAX_LENGTH)?;
+        self.depth -= 1;
+        check_limit(Quantity::StrLength, checked.max_length, MAX_STR_BYTES)?;
         Ok(checked)
     }
 
     /// Checks an expression that must have type `expected`.
-    fn expect(
+    fn check_type(
         &mut self,
         expression: &Expression,
         expected: Type,
@@ -157,33 +157,33 @@
         let checked = self.check(expression, scope)?;
         match checked.value_type {
             found if found == expected => Ok(checked),
-            found => type_error(expression.at, TypeError::Mismatch { found, expected }),
+            found => type_error(expression.offset, TypeError::Mismatch { found, expected }),
         }
     }
 
     fn check_kind(&mut self, expression: &Expression, scope: &mut Scope) -> Result<Checked, CompileError> {
-        let at = expression.at;
+        let offset = expression.offset;
         match &expression.kind {
-            ExpressionKind::Bool(value) => Ok(Checked::simple(Node::Bool(*value), Type::Bool)),
-            ExpressionKind::Int(value) => Ok(Checked::simple(Node::Int(*value), Type::Int)),
+            ExpressionKind::Bool(value) => Ok(Checked::new(Node::Bool(*value), Type::Bool)),
+            ExpressionKind::Int(value) => Ok(Checked::new(Node::Int(*value), Type::Int)),
             ExpressionKind::Str(text) => {
                 let node = Node::Str(text.clone());
-                Ok(Checked::simple(node, Type::Str).with_length(text.len() as u64))
+                Ok(Checked::new(node, Type::Str).with_max_length(text.len() as u64))
             }
-            ExpressionKind::Name(name) => check_name(at, name, scope),
-            ExpressionKind::Call(name, arguments) => self.check_call(at, name, arguments, scope),
+            ExpressionKind::Name(name) => check_name(offset, name, scope),
+            ExpressionKind::Call(name, arguments) => self.check_call(offset, name, arguments, scope),
             ExpressionKind::Not(operand) => {
-                let operand = self.expect(operand, Type::Bool, scope)?;
+                let operand = self.check_type(operand, Type::Bool, scope)?;
                 let node = Node::Not(operand.node.into());
-                Ok(Checked::simple(node, Type::Bool).with_cost(operand.max_cost + 1))
+                Ok(Checked::new(node, Type::Bool).with_max_cost(operand.max_cost + 1))
             }
             ExpressionKind::Neg(operand) => {
-                let operand = self.expect(operand, Type::Int, scope)?;
+                let operand = self.check_type(operand, Type::Int, scope)?;
                 let node = Node::Neg(operand.node.into());
-                Ok(Checked::simple(node, Type::Int).with_cost(operand.max_cost + 1))
+                Ok(Checked::new(node, Type::Int).with_max_cost(operand.max_cost + 1))
             }
             ExpressionKind::Binary(operator, left, right) => {
-                self.check_binary(at, *operator, left, right, scope)
+                self.check_binary(offset, *operator, left, right, scope)
             }
             ExpressionKind::If(condition, then, otherwise) => {
                 self.check_conditional(condition, then, otherwise, scope)
@@ -199,9 +199,9 @@
         otherwise: &Expression,
         scope: &mut Scope,
     ) -> Result<Checked, CompileError> {
-        let condition = self.expect(condition, Type::Bool, scope)?;
+        let condition = self.check_type(condition, Type::Bool, scope)?;
         let then = self.check(then, scope)?;
-        let otherwise = self.expect(otherwise, then.value_type, scope)?;
+        let otherwise = self.check_type(otherwise, then.value_type, scope)?;
         Ok(Checked {
             node: Node::If {
                 condition: condition.node.into(),
@@ -235,7 +235,7 @@
 
     fn check_binary(
         &mut self,
-        at: usize,
+        offset: usize,
         operator: BinaryOperator,
         left: &Expression,
         right: &Expression,
@@ -244,66 +244,66 @@
         use BinaryOperator::{Add, And, Eq, Ge, Gt, Le, Lt, Ne, Or, Sub};
         let left = self.check(left, scope)?;
         let operand = left.value_type;
-        let right = self.expect(right, operand, scope)?;
+        let right = self.check_type(right, operand, scope)?;
         let cost = 1 + left.max_cost + right.max_cost;
         let text_length = left.max_length + right.max_length;
         let (a, b) = (left.node.into(), right.node.into());
         Ok(match (operator, operand) {
-            (And, Type::Bool) => Checked::simple(Node::And(a, b), Type::Bool).with_cost(cost),
-            (Or, Type::Bool) => Checked::simple(Node::Or(a, b), Type::Bool).with_cost(cost),
+            (And, Type::Bool) => Checked::new(Node::And(a, b), Type::Bool).with_max_cost(cost),
+            (Or, Type::Bool) => Checked::new(Node::Or(a, b), Type::Bool).with_max_cost(cost),
             (Eq | Ne, _) => {
-                Checked::simple(Node::Compare(operator, a, b), Type::Bool).with_cost(cost + text_length)
+                Checked::new(Node::Compare(operator, a, b), Type::Bool).with_max_cost(cost + text_length)
             }
             (Lt | Le | Gt | Ge, Type::Int) => {
-                Checked::simple(Node::Compare(operator, a, b), Type::Bool).with_cost(cost)
+                Checked::new(Node::Compare(operator, a, b), Type::Bool).with_max_cost(cost)
             }
             (Add | Sub, Type::Int) => {
-                Checked::simple(Node::Arithmetic(operator, a, b), Type::Int).with_cost(cost)
+                Checked::new(Node::Arithmetic(operator, a, b), Type::Int).with_max_cost(cost)
             }
-            (Add, Type::Str) => Checked::simple(Node::Concat(a, b), Type::Str)
-                .with_cost(cost + text_length)
-                .with_length(text_length),
-            _ => return type_error(at, TypeError::Operator { operator, operand }),
+            (Add, Type::Str) => Checked::new(Node::Concat(a, b), Type::Str)
+                .with_max_cost(cost + text_length)
+                .with_max_length(text_length),
+            _ => return type_error(offset, TypeError::Operator { operator, operand }),
         })
     }
 
     fn check_call(
         &mut self,
-        at: usize,
+        offset: usize,
         name: &str,
         arguments: &[Expression],
         scope: &mut Scope,
     ) -> Result<Checked, CompileError> {
         match name {
-            HEADER | HAS => return check_header(at, name, arguments),
-            TRY => return self.check_try(at, arguments, scope),
+            HEADER_FORM | HAS_FORM => return check_header(offset, name, arguments),
+            TRY_FORM => return self.check_try(offset, arguments, scope),
             _ => {}
         }
         if let Some(signature) = Signature::by_name(name) {
-            check_argument_count(at, name, signature.parameters.len(), arguments)?;
+            check_argument_count(offset, name, signature.parameters.len(), arguments)?;
             return self.check_function(&signature, arguments, scope);
         }
         let Some(definition) = self.definitions.get(name) else {
-            return type_error(at, TypeError::UnknownFunction(name.to_string()));
+            return type_error(offset, TypeError::UnknownFunction(name.to_string()));
         };
-        if self.expanding.iter().any(|expanding| expanding == name) {
-            let chain = format!("{} calls {name}", self.expanding.join(" calls "));
+        if self.inline_stack.iter().any(|outer| outer == name) {
+            let chain = format!("{} calls {name}", self.inline_stack.join(" calls "));
             let source = DefinitionError::Recursive { chain };
             return Err(CompileError::Definition { name: name.to_string(), source });
         }
-        check_argument_count(at, name, definition.parameters.len(), arguments)?;
-        self.expand(name, definition, arguments, scope)
+        check_argument_count(offset, name, definition.parameters.len(), arguments)?;
+        self.inline(name, definition, arguments, scope)
     }
 
     fn check_try(
         &mut self,
-        at: usize,
+        offset: usize,
         arguments: &[Expression],
         scope: &mut Scope,
     ) -> Result<Checked, CompileError> {
-        check_argument_count(at, TRY, 2, arguments)?;
+        check_argument_count(offset, TRY_FORM, 2, arguments)?;
         let first = self.check(&arguments[0], scope)?;
-        let fallback = self.expect(&arguments[1], first.value_type, scope)?;
+        let fallback = self.check_type(&arguments[1], first.value_type, scope)?;
         Ok(Checked {
             node: Node::Fallback { first: first.node.into(), fallback: fallback.node.into() },
             value_type: first.value_type,
@@ -322,7 +322,7 @@
     ) -> Result<Checked, CompileError> {
         let mut checked = Vec::with_capacity(arguments.len());
         for (argument, parameter) in arguments.iter().zip(signature.parameters) {
-            checked.push(self.expect(argument, *parameter, scope)?);
+            checked.push(self.check_type(argument, *parameter, scope)?);
         }
         let lengths = checked.iter().map(|argument| argument.max_length);
         let max_length = match (signature.result, signature.function) {
@@ -339,7 +339,7 @@
 
     /// Inlines the call of a definition: its body, wrapped in a `let` for each argument. The body can refer
     /// only to the parameters, not to the names in scope at the call.
-    fn expand(
+    fn inline(
         &mut self,
         name: &str,
         definition: &Definition,
@@ -351,7 +351,7 @@
         let mut values = Vec::with_capacity(arguments.len());
         let mut max_cost = 1;
         for (argument, parameter) in arguments.iter().zip(&definition.parameters) {
-            let argument = self.expect(argument, parameter.value_type, scope)?;
+            let argument = self.check_type(argument, parameter.value_type, scope)?;
             max_cost += argument.max_cost + 1;
             let binding = Binding::new(&parameter.name, parameter.value_type, argument.max_length);
             // The next argument is evaluated inside the `let` of this one, but cannot refer to it.
@@ -360,9 +360,9 @@
             values.push(argument.node);
         }
         scope.truncate(caller_depth);
-        self.expanding.push(name.to_string());
+        self.inline_stack.push(name.to_string());
         let body = self.check(&definition.body, &mut body_scope)?;
-        self.expanding.pop();
+        self.inline_stack.pop();
         let bind = |body: Node, value: Node| Node::Let { value: value.into(), body: body.into() };
         Ok(Checked {
             node: values.into_iter().rev().fold(body.node, bind),
@@ -374,42 +374,44 @@
 }
 
 /// Resolves a name to the innermost binding, or otherwise to a property of the request.
-fn check_name(at: usize, name: &str, scope: &Scope) -> Result<Checked, CompileError> {
+fn check_name(offset: usize, name: &str, scope: &Scope) -> Result<Checked, CompileError> {
     if let Some(index) = scope.iter().rposition(|binding| binding.name == name) {
         let Binding { value_type, max_length, .. } = scope[index];
         return Ok(Checked { node: Node::Local(index), value_type, max_cost: 1 + max_length, max_length });
     }
     match Input::by_name(name) {
-        Some(input) => Ok(Checked::simple(Node::Input(input), Type::Str).with_length(MAX_INPUT_LENGTH)),
-        None => type_error(at, TypeError::UnknownName(name.to_string())),
+        Some(input) => Ok(Checked::new(Node::Input(input), Type::Str).with_max_length(MAX_INPUT_BYTES)),
+        None => type_error(offset, TypeError::UnknownName(name.to_string())),
     }
 }
 
 /// Checks `header("name")` or `has("name")`.
-fn check_header(at: usize, form: &str, arguments: &[Expression]) -> Result<Checked, CompileError> {
-    check_argument_count(at, form, 1, arguments)?;
+fn check_header(offset: usize, form: &str, arguments: &[Expression]) -> Result<Checked, CompileError> {
+    check_argument_count(offset, form, 1, arguments)?;
     let ExpressionKind::Str(header) = &arguments[0].kind else {
-        return type_error(at, TypeError::HeaderNotLiteral(form.to_string()));
+        return type_error(offset, TypeError::HeaderNotLiteral(form.to_string()));
     };
     let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
-    if header.is_empty() || header.len() > MAX_HEADER_NAME || !header.bytes().all(allowed) {
-        return type_error(at, TypeError::InvalidHeaderName(header.clone()));
+    if header.is_empty() || header.len() > MAX_HEADER_NAME_BYTES || !header.bytes().all(allowed) {
+        return type_error(offset, TypeError::InvalidHeaderName(header.clone()));
     }
     let checked = match form {
-        HAS => Checked::simple(Node::HasHeader(header.clone()), Type::Bool),
-        _ => Checked::simple(Node::Header(header.clone()), Type::Str).with_length(MAX_INPUT_LENGTH),
+        HAS_FORM => Checked::new(Node::HasHeader(header.clone()), Type::Bool),
+        _ => Checked::new(Node::Header(header.clone()), Type::Str).with_max_length(MAX_INPUT_BYTES),
     };
-    Ok(checked.with_cost(HEADER_COST))
+    Ok(checked.with_max_cost(MAX_HEADER_LOOKUP_COST))
 }
 
 fn check_argument_count(
-    at: usize,
+    offset: usize,
     function: &str,
     expected: usize,
     arguments: &[Expression],
 ) -> Result<(), CompileError> {
     match arguments.len() {
         found if found == expected => Ok(()),
-        found => type_error(at, TypeError::ArgumentCount { function: function.to_string(), expected, found }),
+        found => {
+            type_error(offset, TypeError::ArgumentCount { function: function.to_string(), expected, found })
+        }
     }
 }
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -17,12 +17,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-fn deployed() -> Rules {
+fn deployed_rules() -> Rules {
     RulesConfig::read(Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/rules.json"))).unwrap().1
 }
 
 /// A random request, either as clients send it or malformed.
-fn request(rng: &mut SmallRng) -> HttpRequest {
+fn random_request(rng: &mut SmallRng) -> HttpRequest {
     let mut pick = |list: &[&str]| list[rng.random_range(0..list.len())].to_string();
     let base = pick(&["/ops/", "/ops/", "/ops/", "/ops/", "/ops", "/op/", "ops/", "//ops/", ""]);
     let class = pick(&["video-part", "small-object", "ad-post", "none", "", "a/b"]);
@@ -62,21 +62,22 @@
 }
 
 #[test]
-fn the_deployed_rules_give_the_same_keys_as_the_code() {
-    let rules = deployed();
+fn deployed_rules_classify_requests_like_the_built_in_path_format() {
+    let rules = deployed_rules();
     let mut rng = SmallRng::seed_from_u64(21);
     let (mut targets, mut malformed, mut unmatched) = (0, 0, 0);
     for _ in 0..200_000 {
-        let request = request(&mut rng);
+        let request = random_request(&mut rng);
         let mut steps = 0;
-        let (by_rules, by_code) = (rules.classify(&request, &mut steps), PlatformPath.classify(&request));
-        // The path parser rejects an empty `X-Set`; `default` in the rules treats it as absent.
-        let empty = request.headers.iter().any(|(n, v)| n == "x-set" && v.is_empty());
-        if !empty {
-            assert_eq!(by_rules, by_code, "{request:?}");
+        let (by_rules, by_path_format) =
+            (rules.classify(&request, &mut steps), PlatformPath.classify(&request));
+        // The path format rejects an empty `X-Set`; `default` in the rules treats it as absent.
+        let has_empty_group_header = request.headers.iter().any(|(n, v)| n == "x-set" && v.is_empty());
+        if !has_empty_group_header {
+            assert_eq!(by_rules, by_path_format, "{request:?}");
         }
         assert!(steps <= rules.max_cost(), "{steps} of {}", rules.max_cost());
-        match by_code {
+        match by_path_format {
             Classification::Target(_) => targets += 1,
             Classification::Malformed => malformed += 1,
             Classification::NoMatch => unmatched += 1,
@@ -86,17 +87,17 @@
 }
 
 #[test]
-fn invalid_files_are_rejected_with_the_rule_and_the_place() {
+fn invalid_files_are_rejected_with_the_rule_and_the_location() {
     let file = folder("rules-bad").join("rules.json");
-    let check = |rule: &str, more: &str| {
-        std::fs::write(&file, format!(r#"{{{more}"rules":[{rule}]}}"#)).unwrap();
+    let read_rules = |rule: &str, other_fields: &str| {
+        std::fs::write(&file, format!(r#"{{{other_fields}"rules":[{rule}]}}"#)).unwrap();
         RulesConfig::read(&file).map(|_| ()).map_err(|e| e.to_string())
     };
     let rule = |when: &str, object: &str| {
         format!(r#"{{"when":{:?},"class":"\"small-object\"","object":{object:?}}}"#, when)
     };
-    assert_eq!(check(&rule("true", "hash(path)"), ""), Ok(()));
-    for (text, more, word) in [
+    assert_eq!(read_rules(&rule("true", "hash(path)"), ""), Ok(()));
+    for (text, other_fields, expected) in [
         (rule("path", "hash(path)"), "", "rule 1, `when`"),
         (rule("true", "path"), "", "rule 1, `object`"),
         (rule("true", "hash(path"), "", "at byte"),
@@ -105,24 +106,24 @@
         (rule("f(1) == 1", "hash(path)"), r#""define":["f(n: int) = f(n)"],"#, "calls itself"),
         (String::new(), "", "not within 1 to 256"),
     ] {
-        let reason = check(&text, more).expect_err(&text);
-        assert!(reason.contains(word), "{reason} does not name {word}");
+        let reason = read_rules(&text, other_fields).expect_err(&text);
+        assert!(reason.contains(expected), "{reason} does not contain {expected}");
     }
 }
 
 /// A rules file replaces the built-in path format, SIGHUP reloads it, and an invalid file leaves the old
 /// rules in force.
 #[test]
-fn the_program_classifies_requests_by_its_rules() {
+fn a_rules_file_replaces_the_path_format_and_is_reloaded_at_sighup() {
     run(async {
         let dir = folder("rules-program");
         let fleet = SlowCacheFleet::start(125, 4, 64, 2).await;
-        let free = || std::net::TcpListener::bind("127.0.125.9:0").unwrap().local_addr().unwrap();
-        let listen = free();
+        let unused_address = || std::net::TcpListener::bind("127.0.125.9:0").unwrap().local_addr().unwrap();
+        let listen = unused_address();
         let mut text =
             std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
-        for (k, at) in (7101..=7104).enumerate() {
-            text = text.replace(&format!("127.0.0.1:{at}"), &fleet.addresses[k].to_string());
+        for (index, port) in (7101..=7104).enumerate() {
+            text = text.replace(&format!("127.0.0.1:{port}"), &fleet.addresses[index].to_string());
         }
         std::fs::write(dir.join("config.json"), text.replace("127.0.0.1:5050", &listen.to_string())).unwrap();
         let rules = |prefix: &str| {
@@ -148,18 +149,18 @@
                 "GET {target} HTTP/1.1\r\nHost: t\r\nX-Call-Id: {id:016x}\r\nConnection: close\r\n\r\n"
             );
             stream.write_all(text.as_bytes()).await.unwrap();
-            let mut answer = String::new();
-            stream.read_to_string(&mut answer).await.unwrap();
-            answer.get(9..12).unwrap_or_default().to_string()
+            let mut response = String::new();
+            stream.read_to_string(&mut response).await.unwrap();
+            response.get(9..12).unwrap_or_default().to_string()
         };
         assert_eq!(get("/photos/Cat.jpg", 1).await, "200");
         assert_eq!(get("/ops/small-object/7f3a9c21e0b4d655", 2).await, "404", "only the rules apply");
         rules("/pictures/");
         program.signal("-HUP");
-        let end = Instant::now() + Duration::from_secs(5);
+        let deadline = Instant::now() + Duration::from_secs(5);
         let mut id = 10;
         while get("/pictures/cat.jpg", id).await != "200" {
-            assert!(Instant::now() < end, "the rules were not reloaded");
+            assert!(Instant::now() < deadline, "the rules were not reloaded");
             id += 1;
         }
         std::fs::write(dir.join("rules.json"), r#"{"rules":[{"when":"1","class":"1","object":"1"}]}"#)
