--- a/src/rules/error.rs
+++ b/src/rules/error.rs
@@ -19,28 +19,28 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SyntaxErrorKind {
     /// The expression is longer than [`MAX_EXPRESSION_BYTES`].
-    #[error("longer than {MAX_EXPRESSION_BYTES} bytes")]
+    #[error("the expression is longer than {MAX_EXPRESSION_BYTES} bytes")]
     TooLong,
     /// The expression nests deeper than [`MAX_DEPTH`].
-    #[error("nested deeper than {MAX_DEPTH}")]
+    #[error("the expression is nested deeper than {MAX_DEPTH} levels")]
     TooDeep,
     /// A chain of operators of one precedence has more than [`MAX_DEPTH`] operands.
-    #[error("more than {MAX_DEPTH} operators in a row")]
+    #[error("more than {MAX_DEPTH} operands in a chain of operators of one precedence")]
     TooManyOperands,
     /// An integer literal is malformed or does not fit into 64 bits.
-    #[error("no whole number, or one too large")]
+    #[error("invalid integer literal, or one that does not fit into 64 bits")]
     InvalidNumber,
     /// A backslash in a string literal is not followed by a backslash or quote.
-    #[error("after a backslash only \\ and \" are allowed")]
+    #[error("invalid escape: a backslash can be followed only by \\ or \"")]
     InvalidEscape,
     /// A string literal has no closing quote.
-    #[error("a string without its closing quote")]
+    #[error("unterminated string literal")]
     UnterminatedString,
     /// No token starts with this character.
-    #[error("an unknown character")]
+    #[error("unexpected character")]
     UnknownCharacter,
     /// The expression is followed by another token.
-    #[error("{found} after the end of the expression")]
+    #[error("unexpected {found} after the end of the expression")]
     TrailingToken {
         /// The token after the expression.
         found: String,
@@ -55,16 +55,16 @@
     #[error("expected a name")]
     ExpectedName,
     /// A value is missing.
-    #[error("{found} in place of a value")]
+    #[error("expected a value, found {found}")]
     ExpectedValue {
         /// The token found instead.
         found: String,
     },
     /// A keyword was found where a value is expected.
-    #[error("keyword {0:?} in place of a value")]
+    #[error("expected a value, found keyword {0:?}")]
     UnexpectedKeyword(String),
     /// Comparison operators are chained, such as `a < b < c`.
-    #[error("comparisons do not chain")]
+    #[error("comparison operators cannot be chained")]
     ChainedComparison,
 }
 
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum TypeError {
     /// An expression does not have the required type.
-    #[error("{found} in place of {expected}")]
+    #[error("expected type {expected}, found {found}")]
     Mismatch {
         /// The actual type.
         found: Type,
@@ -80,13 +80,13 @@
         expected: Type,
     },
     /// The name is neither a binding in scope nor a property of the request.
-    #[error("nothing is named {0:?}")]
+    #[error("unknown name {0:?}")]
     UnknownName(String),
     /// No function, built-in or user-defined, has this name.
-    #[error("nothing is called {0:?}")]
+    #[error("unknown function {0:?}")]
     UnknownFunction(String),
     /// A call has the wrong number of arguments.
-    #[error("{function:?} has {expected} arguments, not {found}")]
+    #[error("function {function:?} takes {expected} argument(s), found {found}")]
     ArgumentCount {
         /// The name of the function.
         function: String,
@@ -96,13 +96,13 @@
         found: usize,
     },
     /// The argument of `header` or `has` is not a string literal.
-    #[error("{0:?} needs the name of a header in quotes")]
+    #[error("the argument of {0:?} must be a header name in quotes")]
     HeaderNotLiteral(String),
     /// The text is not a valid header name in lower case.
-    #[error("{0:?} is no header's name in lower case")]
+    #[error("{0:?} is not a valid header name in lower case")]
     InvalidHeaderName(String),
     /// The operator does not accept operands of this type.
-    #[error("{operator:?} is not defined for {operand}")]
+    #[error("operator {operator:?} is not defined for type {operand}")]
     Operator {
         /// The operator.
         operator: BinaryOperator,
@@ -115,27 +115,27 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum DefinitionError {
     /// The text does not have the form `name(parameter: type, …) = body`.
-    #[error("`name(x: type) = body`")]
+    #[error("a definition must have the form `name(parameter: type, ...) = body`")]
     Malformed,
     /// The name is not an identifier, or is the name of a built-in function.
-    #[error("no name, or one that is taken")]
+    #[error("invalid name, or the name of a built-in function")]
     InvalidName,
     /// A parameter does not have the form `name: type`.
-    #[error("a parameter is `x: type`")]
+    #[error("a parameter must have the form `name: type`")]
     MalformedParameter,
     /// A parameter has an unknown type.
-    #[error("a type is bool, int, key or str")]
+    #[error("unknown parameter type; expected bool, int, key or str")]
     UnknownType,
     /// A parameter name is not an identifier, or is repeated.
-    #[error("a parameter's name is malformed, or repeated")]
+    #[error("a parameter name is invalid or repeated")]
     InvalidParameterName,
     /// An earlier definition has the same name.
-    #[error("it is defined twice")]
+    #[error("defined more than once")]
     Duplicate,
     /// The definition calls itself, directly or through others.
-    #[error("it calls itself: {chain}")]
+    #[error("the definition calls itself: {chain}")]
     Recursive {
-        /// The chain of calls, up to the recursive one.
+        /// The chain of calls, ending with the recursive one.
         chain: String,
     },
     /// The body cannot be compiled.
@@ -159,10 +159,10 @@
 impl std::fmt::Display for Quantity {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Self::Depth => "its depth",
-            Self::NodeCount => "its nodes",
-            Self::StrLength => "a text's length in bytes",
-            Self::Cost => "its cost in steps",
+            Self::Depth => "nesting depth",
+            Self::NodeCount => "number of nodes",
+            Self::StrLength => "string length in bytes",
+            Self::Cost => "cost in steps",
         })
     }
 }
@@ -190,7 +190,7 @@
         source: DefinitionError,
     },
     /// For some request, the program could exceed a limit.
-    #[error("{quantity} may be {value}, above {limit}")]
+    #[error("{quantity} can reach {value}, which exceeds the limit of {limit}")]
     Limit {
         /// The limited property.
         quantity: Quantity,
@@ -205,7 +205,7 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RulesError {
     /// The file has no rules or too many.
-    #[error("{count} are not within 1 to {max}")]
+    #[error("the number of rules, {count}, is not within 1 to {max}")]
     Count {
         /// The number of rules.
         count: usize,
@@ -226,7 +226,7 @@
         source: CompileError,
     },
     /// Classifying a request could cost more than the operator allows.
-    #[error("a request may cost {cost} steps, above `cost_most` {max}")]
+    #[error("classifying a request can cost {cost} steps, which exceeds `cost_most` ({max})")]
     Cost {
         /// The maximum cost of classifying a request, in steps.
         cost: u64,
--- a/src/rules/evaluator.rs
+++ b/src/rules/evaluator.rs
@@ -28,7 +28,7 @@
 /// The expression has no value for this request, for instance because a string to parse is not a number, a
 /// header is repeated or an integer overflows.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the request has no such value")]
+#[error("the expression has no value for this request")]
 pub struct EvaluationError;
 
 type Evaluation<T> = Result<T, EvaluationError>;
@@ -246,7 +246,7 @@
 /// The first 8 bytes of the SHA-256 digest of `text`, in big-endian order.
 fn hash(text: &str) -> u64 {
     let digest = Sha256::digest(text.as_bytes());
-    u64::from_be_bytes(digest[..8].try_into().expect("a digest has 32 bytes"))
+    u64::from_be_bytes(digest[..8].try_into().expect("a SHA-256 digest has 32 bytes"))
 }
 
 #[cfg(test)]
--- a/src/rules/lexer.rs
+++ b/src/rules/lexer.rs
@@ -31,7 +31,7 @@
             Self::Str(text) => write!(f, "{text:?}"),
             Self::Identifier(word) => write!(f, "`{word}`"),
             Self::Symbol(symbol) => write!(f, "`{symbol}`"),
-            Self::End => f.write_str("the end"),
+            Self::End => f.write_str("the end of the expression"),
         }
     }
 }
