--- a/src/rules/evaluator/tests.rs
+++ b/src/rules/evaluator/tests.rs
@@ -76,16 +76,17 @@
         assert!(no_definitions.compile(invalid, Type::Bool, u64::MAX).is_err(), "{invalid}");
     }
     // A string that doubles with each `let` exceeds the length limit at compilation.
-    let doubling = (0..40).map(|k| format!("let a{} = a{k} + a{k} in ", k + 1)).collect::<String>();
-    let text = format!("let a0 = path in {doubling} a40 == path");
+    let bindings = (0..40).map(|k| format!("let a{} = a{k} + a{k} in ", k + 1)).collect::<String>();
+    let text = format!("let a0 = path in {bindings} a40 == path");
     let error = no_definitions.compile(&text, Type::Bool, u64::MAX).unwrap_err().to_string();
     assert!(error.contains("length") && error.contains(&MAX_STR_BYTES.to_string()), "{error}");
     // Definitions that are recursive, directly or through others, or whose inlining grows exponentially.
-    let parse = |lines: &[&str]| Definitions::parse(&lines.iter().map(|l| l.to_string()).collect::<Vec<_>>());
-    let error = parse(&["f(n: int) = g(n)", "g(n: int) = f(n) + 1"]).unwrap_err().to_string();
+    let parse_definitions =
+        |lines: &[&str]| Definitions::parse(&lines.iter().map(|l| l.to_string()).collect::<Vec<_>>());
+    let error = parse_definitions(&["f(n: int) = g(n)", "g(n: int) = f(n) + 1"]).unwrap_err().to_string();
     assert!(error.contains("calls itself"), "{error}");
-    assert!(parse(&["f(n: int) = f(n)"]).is_err());
-    let many: Vec<String> = (0..30)
+    assert!(parse_definitions(&["f(n: int) = f(n)"]).is_err());
+    let exponential: Vec<String> = (0..30)
         .map(|k| {
             if k == 0 {
                 "f0(n: int) = n + 1".into()
@@ -94,7 +95,7 @@
             }
         })
         .collect();
-    let error = Definitions::parse(&many).unwrap_err().to_string();
+    let error = Definitions::parse(&exponential).unwrap_err().to_string();
     assert!(error.contains("nodes"), "{error}");
     for invalid in [
         "f",
@@ -105,9 +106,9 @@
         "f(x: int) = y",
         "1f() = 1",
     ] {
-        assert!(parse(&[invalid]).is_err(), "{invalid}");
+        assert!(parse_definitions(&[invalid]).is_err(), "{invalid}");
     }
-    assert!(parse(&["f() = 1", "f() = 2"]).is_err());
+    assert!(parse_definitions(&["f() = 1", "f() = 2"]).is_err());
     let costly = no_definitions.compile(r#"contains(path, "a") && contains(path, "b")"#, Type::Bool, 20_000);
     assert!(costly.unwrap_err().to_string().contains("cost"));
 }
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -126,14 +126,14 @@
             text = text.replace(&format!("127.0.0.1:{port}"), &fleet.addresses[index].to_string());
         }
         std::fs::write(dir.join("config.json"), text.replace("127.0.0.1:5050", &listen.to_string())).unwrap();
-        let rules = |prefix: &str| {
+        let write_rules = |prefix: &str| {
             let text = format!(
                 r#"{{"rules":[{{"when":"starts(path, \"{prefix}\") && ends(path, \".jpg\")","class":"\"small-object\"",
                     "object":"hash(lower(path))","group":"try(int(header(\"x-set\")), 0)"}}]}}"#
             );
             std::fs::write(dir.join("rules.json"), text).unwrap();
         };
-        rules("/photos/");
+        write_rules("/photos/");
         let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
         let (config, file) = (dir.join("config.json"), dir.join("rules.json"));
         let args = ["serve", "--config", config.to_str().unwrap(), "--rules", file.to_str().unwrap()];
@@ -155,7 +155,7 @@
         };
         assert_eq!(get("/photos/Cat.jpg", 1).await, "200");
         assert_eq!(get("/ops/small-object/7f3a9c21e0b4d655", 2).await, "404", "only the rules apply");
-        rules("/pictures/");
+        write_rules("/pictures/");
         program.signal("-HUP");
         let deadline = Instant::now() + Duration::from_secs(5);
         let mut id = 10;
