--- a/src/rules/error.rs
+++ b/src/rules/error.rs
@@ -1,48 +1,48 @@
-//! Errors of rules, each with its place: the byte of an expression, the definition, the rule and its field.
+//! Errors in routing rules, each with its location: rule and field, definition, or byte offset.
 
-use super::lexer::MAX_TEXT;
+use super::lexer::MAX_EXPRESSION_BYTES;
 use super::parser::{BinaryOperator, MAX_DEPTH};
 use super::program::Type;
 use thiserror::Error;
 
-/// An expression that can't be parsed.
+/// A syntax error in an expression.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("at byte {at}: {kind}")]
+#[error("at byte {offset}: {kind}")]
 pub struct SyntaxError {
-    /// The byte at which it is wrong.
-    pub at: usize,
-    /// What is wrong.
+    /// The byte offset of the error in the expression.
+    pub offset: usize,
+    /// The kind of error.
     pub kind: SyntaxErrorKind,
 }
 
-/// What is wrong with the syntax of an expression.
+/// Kinds of syntax errors.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SyntaxErrorKind {
-    /// The text is too long.
-    #[error("longer than {MAX_TEXT} bytes")]
+    /// The expression is longer than [`MAX_EXPRESSION_BYTES`].
+    #[error("the expression is longer than {MAX_EXPRESSION_BYTES} bytes")]
     TooLong,
     /// The expression nests deeper than [`MAX_DEPTH`].
-    #[error("nested deeper than {MAX_DEPTH}")]
+    #[error("the expression is nested deeper than {MAX_DEPTH} levels")]
     TooDeep,
-    /// There are more than [`MAX_DEPTH`] operators of one precedence in a row.
-    #[error("more than {MAX_DEPTH} operators in a row")]
-    TooManyOperators,
-    /// The number is malformed or too large.
-    #[error("no whole number, or one too large")]
+    /// A chain of operators of one precedence has more than [`MAX_DEPTH`] operands.
+    #[error("more than {MAX_DEPTH} operands in a chain of operators of one precedence")]
+    TooManyOperands,
+    /// An integer literal is malformed or does not fit into 64 bits.
+    #[error("invalid integer literal, or one that does not fit into 64 bits")]
     InvalidNumber,
-    /// A backslash in a string literal is followed by something other than a backslash or quote.
-    #[error("after a backslash only \\ and \" are allowed")]
+    /// A backslash in a string literal is not followed by a backslash or quote.
+    #[error("invalid escape: a backslash can be followed only by \\ or \"")]
     InvalidEscape,
     /// A string literal has no closing quote.
-    #[error("a string without its closing quote")]
+    #[error("unterminated string literal")]
     UnterminatedString,
-    /// The character begins no token.
-    #[error("an unknown character")]
+    /// No token starts with this character.
+    #[error("unexpected character")]
     UnknownCharacter,
-    /// Something follows the expression.
-    #[error("{found} after the end of the expression")]
+    /// The expression is followed by another token.
+    #[error("unexpected {found} after the end of the expression")]
     TrailingToken {
-        /// The token that follows.
+        /// The token after the expression.
         found: String,
     },
     /// A keyword or symbol is missing.
@@ -55,54 +55,54 @@
     #[error("expected a name")]
     ExpectedName,
     /// A value is missing.
-    #[error("{found} in place of a value")]
+    #[error("expected a value, found {found}")]
     ExpectedValue {
-        /// The token in its place.
+        /// The token found instead.
         found: String,
     },
-    /// A keyword is in the place of a value.
-    #[error("keyword {0:?} in place of a value")]
+    /// A keyword was found where a value is expected.
+    #[error("expected a value, found keyword {0:?}")]
     UnexpectedKeyword(String),
-    /// Comparisons follow one another.
-    #[error("comparisons do not chain")]
+    /// Comparison operators are chained, such as `a < b < c`.
+    #[error("comparison operators cannot be chained")]
     ChainedComparison,
 }
 
-/// What is wrong with the types or names of an expression.
+/// Type errors and unresolved names in an expression.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum TypeError {
-    /// The value has another type than its place needs.
-    #[error("{found} in place of {expected}")]
+    /// An expression does not have the required type.
+    #[error("expected type {expected}, found {found}")]
     Mismatch {
-        /// The type of the value.
+        /// The actual type.
         found: Type,
-        /// The type that is needed.
+        /// The required type.
         expected: Type,
     },
-    /// No value has this name.
-    #[error("nothing is named {0:?}")]
+    /// The name is neither a binding in scope nor a property of the request.
+    #[error("unknown name {0:?}")]
     UnknownName(String),
-    /// No function has this name.
-    #[error("nothing is called {0:?}")]
+    /// No function, built-in or user-defined, has this name.
+    #[error("unknown function {0:?}")]
     UnknownFunction(String),
     /// A call has the wrong number of arguments.
-    #[error("{function:?} has {expected} arguments, not {found}")]
+    #[error("function {function:?} takes {expected} argument(s), found {found}")]
     ArgumentCount {
-        /// The function.
+        /// The name of the function.
         function: String,
         /// The number of its parameters.
         expected: usize,
         /// The number of arguments.
         found: usize,
     },
-    /// The argument of `header` or `has` is no string literal.
-    #[error("{0:?} needs the name of a header in quotes")]
+    /// The argument of `header` or `has` is not a string literal.
+    #[error("the argument of {0:?} must be a header name in quotes")]
     HeaderNotLiteral(String),
-    /// The text is no name of a header in lower case.
-    #[error("{0:?} is no header's name in lower case")]
+    /// The text is not a valid header name in lower case.
+    #[error("{0:?} is not a valid header name in lower case")]
     InvalidHeaderName(String),
-    /// The operator is not defined for the type.
-    #[error("{operator:?} is not defined for {operand}")]
+    /// The operator does not accept operands of this type.
+    #[error("operator {operator:?} is not defined for type {operand}")]
     Operator {
         /// The operator.
         operator: BinaryOperator,
@@ -111,126 +111,126 @@
     },
 }
 
-/// What is wrong with a definition.
+/// Errors in a definition.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum DefinitionError {
-    /// The text has another form.
-    #[error("`name(x: type) = body`")]
+    /// The text does not have the form `name(parameter: type, …) = body`.
+    #[error("a definition must have the form `name(parameter: type, ...) = body`")]
     Malformed,
-    /// The name is malformed or that of a built-in function.
-    #[error("no name, or one that is taken")]
+    /// The name is not an identifier, or is the name of a built-in function.
+    #[error("invalid name, or the name of a built-in function")]
     InvalidName,
-    /// A parameter has another form.
-    #[error("a parameter is `x: type`")]
+    /// A parameter does not have the form `name: type`.
+    #[error("a parameter must have the form `name: type`")]
     MalformedParameter,
-    /// The type of a parameter is unknown.
-    #[error("a type is bool, int, key or str")]
+    /// A parameter has an unknown type.
+    #[error("unknown parameter type; expected bool, int, key or str")]
     UnknownType,
-    /// The name of a parameter is malformed or repeated.
-    #[error("a parameter's name is malformed, or repeated")]
+    /// A parameter name is not an identifier, or is repeated.
+    #[error("a parameter name is invalid or repeated")]
     InvalidParameterName,
     /// An earlier definition has the same name.
-    #[error("it is defined twice")]
+    #[error("defined more than once")]
     Duplicate,
-    /// The definition calls itself.
-    #[error("it calls itself: {chain}")]
+    /// The definition calls itself, directly or through others.
+    #[error("the definition calls itself: {chain}")]
     Recursive {
-        /// The calls that lead to it.
+        /// The chain of calls, ending with the recursive one.
         chain: String,
     },
-    /// The body can't be compiled.
+    /// The body cannot be compiled.
     #[error(transparent)]
     Body(Box<CompileError>),
 }
 
-/// A property of a program that is bounded.
+/// A limited property of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Quantity {
-    /// The depth of nested nodes.
+    /// The nesting depth of nodes.
     Depth,
     /// The number of nodes.
-    Nodes,
-    /// The length of a text, in bytes.
-    TextLength,
-    /// The cost, in steps.
+    NodeCount,
+    /// The length of a string, in bytes.
+    StrLength,
+    /// The cost of evaluation, in steps.
     Cost,
 }
 
 impl std::fmt::Display for Quantity {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Self::Depth => "its depth",
-            Self::Nodes => "its nodes",
-            Self::TextLength => "a text's length in bytes",
-            Self::Cost => "its cost in steps",
+            Self::Depth => "nesting depth",
+            Self::NodeCount => "number of nodes",
+            Self::StrLength => "string length in bytes",
+            Self::Cost => "cost in steps",
         })
     }
 }
 
-/// An expression that can't be compiled.
+/// A compilation error in an expression or definition.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CompileError {
-    /// It can't be parsed.
+    /// A syntax error.
     #[error(transparent)]
     Syntax(#[from] SyntaxError),
-    /// A type or name is wrong.
-    #[error("at byte {at}: {source}")]
+    /// A type error or an unresolved name.
+    #[error("at byte {offset}: {source}")]
     Type {
-        /// The byte at which the wrong part begins.
-        at: usize,
-        /// What is wrong.
+        /// The byte offset of the subexpression at fault.
+        offset: usize,
+        /// The type error.
         source: TypeError,
     },
-    /// A definition is wrong.
+    /// An error in a definition.
     #[error("definition {name:?}: {source}")]
     Definition {
         /// The name of the definition.
         name: String,
-        /// What is wrong.
+        /// The error in the definition.
         source: DefinitionError,
     },
-    /// The program could exceed a limit.
-    #[error("{quantity} may be {value}, above {limit}")]
+    /// For some request, the program could exceed a limit.
+    #[error("{quantity} can reach {value}, which exceeds the limit of {limit}")]
     Limit {
-        /// What exceeds it.
+        /// The limited property.
         quantity: Quantity,
-        /// Its greatest value.
+        /// The maximum that the program can reach.
         value: u64,
-        /// The limit.
+        /// The allowed maximum.
         limit: u64,
     },
 }
 
-/// Rules that can't be used.
+/// An error in a routing rules file.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RulesError {
-    /// There are too few or too many rules.
-    #[error("{count} are not within 1 to {max}")]
+    /// The file has no rules or too many.
+    #[error("the number of rules, {count}, is not within 1 to {max}")]
     Count {
         /// The number of rules.
         count: usize,
-        /// The most rules.
+        /// The maximum number of rules.
         max: usize,
     },
-    /// A definition can't be used.
+    /// A definition is invalid.
     #[error(transparent)]
     Definitions(CompileError),
-    /// An expression of a rule can't be used.
+    /// An expression in a rule is invalid.
     #[error("rule {number}, `{field}`: {source}")]
     Rule {
-        /// The number of the rule, from 1.
+        /// The position of the rule in the file, from 1.
         number: usize,
-        /// The field with the expression.
+        /// The field that contains the expression.
         field: &'static str,
-        /// What is wrong.
+        /// The error in the expression.
         source: CompileError,
     },
-    /// A request could cost more than is allowed.
-    #[error("a request may cost {cost} steps, above `cost_most` {max}")]
+    /// Classifying a request could cost more than the operator allows.
+    #[error("classifying a request can cost {cost} steps, which exceeds `cost_most` ({max})")]
     Cost {
-        /// The greatest cost of a request, in steps.
+        /// The maximum cost of classifying a request, in steps.
         cost: u64,
-        /// The greatest cost that is allowed, in steps.
+        /// The allowed cost (`cost_most`), in steps.
         max: u64,
     },
 }
--- a/src/rules/lexer.rs
+++ b/src/rules/lexer.rs
@@ -1,27 +1,26 @@
-//! The tokens of an expression. No I/O.
+//! The lexer: splits the text of an expression into tokens. No I/O.
 
 use super::error::{SyntaxError, SyntaxErrorKind};
 use std::fmt;
 
-/// The longest expression, in bytes.
-pub const MAX_TEXT: usize = 4_096;
+/// The maximum length of an expression, in bytes.
+pub const MAX_EXPRESSION_BYTES: usize = 4_096;
 
-/// The operators and punctuation, longer ones before those with which they begin.
+/// Operators and punctuation. A symbol comes before its own prefixes, because the first match is used.
 const SYMBOLS: [&str; 17] =
     ["&&", "||", "==", "!=", "<=", ">=", "<", ">", "+", "-", "!", "(", ")", ",", "=", "|", "&"];
 
-/// A token.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Token {
-    /// A whole number.
+    /// An integer literal.
     Int(i64),
-    /// A string literal, without its quotes and escapes.
+    /// The value of a string literal, unquoted and unescaped.
     Str(String),
-    /// A name or keyword.
+    /// An identifier or keyword.
     Identifier(String),
-    /// An operator or punctuation.
+    /// An operator or punctuation mark.
     Symbol(&'static str),
-    /// The end of the text.
+    /// The end of the expression.
     End,
 }
 
@@ -32,66 +31,68 @@
             Self::Str(text) => write!(f, "{text:?}"),
             Self::Identifier(word) => write!(f, "`{word}`"),
             Self::Symbol(symbol) => write!(f, "`{symbol}`"),
-            Self::End => f.write_str("the end"),
+            Self::End => f.write_str("the end of the expression"),
         }
     }
 }
 
-/// A token with its place.
+/// A token and its position.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct PlacedToken {
-    /// The byte at which it begins.
-    pub(super) at: usize,
+pub(super) struct PositionedToken {
+    /// The byte offset of its first character.
+    pub(super) offset: usize,
     pub(super) token: Token,
 }
 
-/// The tokens of a text, the last of them [`Token::End`].
-pub(super) fn tokenize(text: &str) -> Result<Vec<PlacedToken>, SyntaxError> {
-    if text.len() > MAX_TEXT {
-        return Err(SyntaxError { at: MAX_TEXT, kind: SyntaxErrorKind::TooLong });
+/// Splits `text` into tokens and appends [`Token::End`].
+pub(super) fn tokenize(text: &str) -> Result<Vec<PositionedToken>, SyntaxError> {
+    if text.len() > MAX_EXPRESSION_BYTES {
+        return Err(SyntaxError { offset: MAX_EXPRESSION_BYTES, kind: SyntaxErrorKind::TooLong });
     }
     let mut tokens = Vec::new();
-    let mut at = 0;
-    while let Some(first) = text[at..].chars().next() {
+    let mut offset = 0;
+    while let Some(first) = text[offset..].chars().next() {
         if first.is_ascii_whitespace() {
-            at += first.len_utf8();
+            offset += first.len_utf8();
             continue;
         }
-        let (token, length) = first_token(&text[at..], first).map_err(|kind| SyntaxError { at, kind })?;
-        tokens.push(PlacedToken { at, token });
-        at += length;
+        let (token, length) =
+            read_token(&text[offset..], first).map_err(|kind| SyntaxError { offset, kind })?;
+        tokens.push(PositionedToken { offset, token });
+        offset += length;
     }
-    tokens.push(PlacedToken { at, token: Token::End });
+    tokens.push(PositionedToken { offset, token: Token::End });
     Ok(tokens)
 }
 
-/// The first token of a text that begins with the character `first`, and its length in bytes.
-fn first_token(text: &str, first: char) -> Result<(Token, usize), SyntaxErrorKind> {
-    let prefix = |matches: fn(char) -> bool| &text[..text.find(|c| !matches(c)).unwrap_or(text.len())];
+/// Reads the first token of `text`, which starts with `first`; returns it and its length in bytes.
+fn read_token(text: &str, first: char) -> Result<(Token, usize), SyntaxErrorKind> {
+    let longest_prefix =
+        |matches: fn(char) -> bool| &text[..text.find(|c| !matches(c)).unwrap_or(text.len())];
     if first.is_ascii_digit() {
-        let digits = prefix(|c| c.is_ascii_alphanumeric());
+        let digits = longest_prefix(|c| c.is_ascii_alphanumeric());
         let number = digits.parse().map_err(|_| SyntaxErrorKind::InvalidNumber)?;
         return Ok((Token::Int(number), digits.len()));
     }
     if first.is_ascii_alphabetic() || first == '_' {
-        let word = prefix(|c| c.is_ascii_alphanumeric() || c == '_');
+        let word = longest_prefix(|c| c.is_ascii_alphanumeric() || c == '_');
         return Ok((Token::Identifier(word.to_string()), word.len()));
     }
     if first == '"' {
-        return string_literal(text);
+        return read_string_literal(text);
     }
     let symbol = SYMBOLS.iter().find(|symbol| text.starts_with(**symbol));
     let symbol = symbol.ok_or(SyntaxErrorKind::UnknownCharacter)?;
     Ok((Token::Symbol(symbol), symbol.len()))
 }
 
-/// The string literal with which a text begins, and its length in bytes with quotes.
-fn string_literal(text: &str) -> Result<(Token, usize), SyntaxErrorKind> {
+/// Reads the string literal at the start of `text`; returns it and its length in bytes, quotes included.
+fn read_string_literal(text: &str) -> Result<(Token, usize), SyntaxErrorKind> {
     let mut value = String::new();
     let mut chars = text.char_indices().skip(1);
-    while let Some((offset, c)) = chars.next() {
+    while let Some((index, c)) = chars.next() {
         match c {
-            '"' => return Ok((Token::Str(value), offset + 1)),
+            '"' => return Ok((Token::Str(value), index + 1)),
             '\\' => match chars.next() {
                 Some((_, escaped @ ('"' | '\\'))) => value.push(escaped),
                 _ => return Err(SyntaxErrorKind::InvalidEscape),
