--- a/examples/admission_heavy.rs
+++ b/examples/admission_heavy.rs
@@ -1,6 +1,7 @@
-//! The heavy client on loopback, with admission control and without: a proxy process before a stand-in
-//! fleet of 8 slots at 20 ms a request, ten clients at 10 requests a second each, and one client at a hundred
-//! times that. Prints the others' delay (p50, p99) and what the heavy client got, in each of four runs.
+//! Measures fairness between clients on loopback, with and without admission control: a proxy process in front of
+//! a stand-in cache fleet with 8 slots at 20 ms per request, ten clients at 10 requests per second each, and
+//! optionally one heavy client at 1,000 per second. Prints the latency of the ten clients (p50, p99) and the
+//! responses to the heavy client for each of the four combinations.
 //!
 //!     cargo build --release && cargo run --release --example admission_heavy -- [SECONDS]
 
@@ -35,7 +36,7 @@
     Some((status, start.elapsed().as_secs_f64() * 1_000.0))
 }
 
-/// The proxy, ended however the run ends.
+/// Kills the proxy process when dropped.
 struct Running(std::process::Child);
 
 impl Drop for Running {
--- a/examples/grpc_load.rs
+++ b/examples/grpc_load.rs
@@ -1,10 +1,10 @@
-//! gRPC pass-through measured on loopback, in one run: the same calls at a stand-in server directly and through the
-//! proxy process, turn by turn, so that both see the same machine. Bounded in count; ends by itself.
+//! Measures gRPC proxying on loopback: sends the same calls to a stand-in server directly and through the proxy
+//! process, alternating between the two so that both run under the same machine load. The number of calls is fixed.
 //!
 //!     cargo build --release && cargo run --release --example grpc_load -- [ROUNDS]
 //!
-//! Unary calls: a lone caller, then 32, one call after another each. Ping-pong: 16 bidirectional streams, each message sent when the
-//! one before is back. Flood: 4 server streams of 1,000-byte messages, as fast as they are taken.
+//! Unary: sequential calls, from 1 client and then from 32. Ping-pong: 16 bidirectional streams, where each message
+//! is sent after the echo of the one before. Flood: 4 server streams of 1,000-byte messages at full speed.
 
 #[path = "../tests/stand_ins/grpc.rs"]
 mod grpc;
@@ -22,7 +22,7 @@
 
 const UNARY: usize = 20_000;
 const CALLERS: usize = 32;
-/// Calls of the lone caller.
+/// Calls made with a single client.
 const ALONE: usize = 4_000;
 const STREAMS: usize = 16;
 const PINGS: usize = 500;
@@ -42,7 +42,6 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap()
 }
 
-/// Times in microseconds, and what failed.
 struct Seen {
     times: Histogram<u64>,
     failed: u64,
@@ -120,7 +119,7 @@
     Seen { times: seen.0.clone(), failed: seen.1, took: start.elapsed() }
 }
 
-/// Megabytes a second, and how many streams failed.
+/// Returns the throughput in megabytes per second and the number of failed streams.
 async fn flood(at: SocketAddr) -> (f64, u64) {
     let start = Instant::now();
     let streams: Vec<_> = (0..FLOODS)
@@ -148,7 +147,7 @@
     let rounds: usize = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or(3);
     let program =
         PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
-    // The stand-in server has a thread of its own.
+    // The stand-in server runs on a separate thread.
     let (tell, told) = mpsc::channel();
     std::thread::spawn(move || {
         LocalSet::new().block_on(&runtime(), async {
@@ -185,13 +184,13 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     LocalSet::new().block_on(&runtime(), async {
-        println!("| what | way | calls or messages a second | p50 us | p99 us | failed |");
+        println!("| workload | path | calls or messages per second | p50 us | p99 us | failed |");
         println!("| --- | --- | ---: | ---: | ---: | ---: |");
         let ways = [("direct", server), ("proxy", edge)];
         let mut all: Vec<(Seen, Seen, Seen)> = Vec::new();
         let mut floods = Vec::new();
         for (_, at) in ways {
-            // A first turn warms both up and is not counted.
+            // Warms up both paths; not measured.
             unary(at, CALLERS, UNARY).await;
         }
         for round in 0..rounds {
--- a/examples/health_checks_shared.rs
+++ b/examples/health_checks_shared.rs
@@ -1,6 +1,6 @@
-//! Measures shared health checks without sockets, on a simulated clock: instances with a network that loses and delays
-//! messages, of which one is killed over and over. Prints how late checks are, how many messages each costs, and what a
-//! tick costs.
+//! Measures shared health checks without sockets, on a simulated clock: the instances exchange messages over a lossy,
+//! delayed network, and one instance at a time is killed and restarted. Prints the lateness of checks, the messages
+//! per check and the CPU time per tick.
 //!
 //!     cargo run --release --example health_checks_shared -- [KILLS]
 
@@ -22,7 +22,7 @@
     heartbeat_interval_ms: 375.0,
     failure_timeout_ms: 1_500.0,
 };
-/// Time that the simulated clock advances per step, in milliseconds.
+/// Step of the simulated clock, in milliseconds.
 const STEP_MS: f64 = 5.0;
 
 struct Network {
--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -1,6 +1,6 @@
-//! Measures HTTP/3 on loopback: the program before a stand-in fleet, and clients through a relay that loses 5 % of the
-//! datagrams and delays each by up to 300 ms, with several path settings. Then the cost of a call in the response store.
-//! Bounded in count; ends by itself.
+//! Measures HTTP/3 on loopback: the proxy in front of a stand-in cache fleet, and clients behind a relay that drops 5 %
+//! of the datagrams and delays each by up to 300 ms, with several path settings. Then measures the cost of a call in
+//! the response store. The number of requests is fixed.
 //!
 //!     cargo build --release && cargo run --release --example http3_links -- [REQUESTS]
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Results of one setting.
+/// Results with one combination of link and path settings. Histograms are in milliseconds.
 struct Round {
     small: Histogram<u64>,
     large: Histogram<u64>,
--- a/examples/purge_fleet.rs
+++ b/examples/purge_fleet.rs
@@ -1,12 +1,12 @@
-//! A measurement of fleet purges on loopback: stand-in cache servers with a thousand tagged objects, a leader and a
-//! follower proxy as processes, clients that read through both, a purge every 400 ms, and the leader killed (SIGKILL)
-//! halfway and restarted. Every answer's copy is checked against every purge: a request sent more than 500 ms after a
-//! purge's issue must not be answered from an older copy.
+//! Measures fleet-wide purges on loopback: stand-in cache servers with a thousand tagged objects, a leader and a
+//! follower proxy process, clients that read through both, a purge every 400 ms, and a leader that is killed (SIGKILL)
+//! halfway and restarted. Every response is checked against every purge: a request sent more than 500 ms after a
+//! purge was issued must not be served from a copy generated before it.
 //!
 //!     cargo build --release && cargo run --release --example purge_fleet -- [SECONDS]
 //!
-//! It prints a table: answers checked, stale answers and their delay, the purge-to-visible delay of each purge (p50, p99,
-//! max), and the cost of the leader's restart.
+//! Prints a table: responses checked, stale responses, the purge-to-visible delay (p50, p99, max), and the recovery
+//! after the leader's restart.
 
 #[path = "../tests/stand_ins/purge_target.rs"]
 mod purge_target;
@@ -34,13 +34,12 @@
 const MAX_STALE_MS: f64 = 500.0;
 /// Endpoints of the example's configuration: two caches, a parent and the origin.
 const ENDPOINTS: [&str; 4] = ["s-000000c1", "s-000000c2", "s-000000a0", "s-000000b0"];
-/// The index of the server that acknowledges slowly, so that it is behind when the leader is killed.
+/// Index of the server that acknowledges slowly, so that it lags behind when the leader is killed.
 const SLOW: usize = 1;
 const SLOW_ACK_MS: u64 = 700;
-/// The longest wait for servers to catch up, in milliseconds.
+/// Timeout for servers to catch up, in milliseconds.
 const MAX_CATCH_UP_MS: f64 = 10_000.0;
 
-/// An answer to a client.
 struct Answer {
     sent_ms: f64,
     object: usize,
@@ -48,20 +47,18 @@
     generated_ms: Option<f64>,
 }
 
-/// A purge that the leader issued.
 struct Issued {
     seq: u64,
     issued_ms: f64,
     selector: Selector,
 }
 
-/// An object with its surrogate key.
 struct Object {
     id: u64,
     key: SurrogateKey,
 }
 
-/// What clients and the issuer of purges recorded.
+/// Observations of the clients and of the task that issues purges.
 #[derive(Default)]
 struct Recorded {
     answers: RefCell<Vec<Answer>>,
@@ -69,7 +66,7 @@
     rejected_submissions: Cell<u64>,
 }
 
-/// A proxy process.
+/// A proxy process, killed when dropped.
 struct Proxy {
     child: Child,
     listen: SocketAddr,
@@ -83,7 +80,6 @@
     }
 }
 
-/// A free address.
 fn free(ip: &str) -> SocketAddr {
     TcpListener::bind(format!("{ip}:0")).unwrap().local_addr().unwrap()
 }
@@ -97,10 +93,9 @@
         .env("EDGE_PROXY_LOG", "warn")
         .stderr(Stdio::from(log))
         .spawn()
-        .expect("the program: build it with cargo build --release")
+        .expect("could not start the proxy; build it with cargo build --release")
 }
 
-/// Waits until a proxy answers at its admin address.
 async fn wait_until_up(mgmt: SocketAddr) {
     for _ in 0..1_000 {
         if call(mgmt, "GET", "/purges", b"", Duration::from_secs(1)).await.is_ok_and(|a| a.status == 200) {
@@ -108,10 +103,10 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("a proxy did not come up");
+    panic!("a proxy did not answer within its start timeout");
 }
 
-/// A read: the status, 0 without an answer, and the generation time of the copy.
+/// Requests an object; returns the status (0 if there was no response) and the generation time of the copy.
 async fn fetch(listen: SocketAddr, object: u64, serial: u64) -> (u16, Option<f64>) {
     let attempt = async {
         let mut stream = tokio::net::TcpStream::connect(listen).await.ok()?;
@@ -129,7 +124,7 @@
     tokio::time::timeout(Duration::from_secs(3), attempt).await.ok().flatten().unwrap_or((0, None))
 }
 
-/// A target's acknowledgement, by the leader's status.
+/// Returns the last purge that a target has acknowledged, as reported by the leader.
 async fn acknowledged(mgmt: SocketAddr, target: &str) -> Option<u64> {
     use simd_json::prelude::*;
     let answer = call(mgmt, "GET", "/purges", b"", Duration::from_secs(1)).await.ok()?;
@@ -186,7 +181,7 @@
     issuer.await.unwrap();
     let caught_up_ms = wait_until_caught_up(&servers, &recorded).await;
 
-    println!("| what | figure |");
+    println!("| metric | value |");
     println!("| --- | ---: |");
     println!("| run | {seconds} s, {OBJECTS} objects tagged by {SELLERS} sellers, {CLIENTS} clients, two proxies, four stand-in cache servers |");
     print_staleness(&objects, &recorded);
@@ -195,14 +190,13 @@
     let _ = std::fs::remove_dir_all(&dir);
 }
 
-/// The objects, each with the surrogate key of its seller.
 fn objects() -> Vec<Object> {
     let mut rng = SmallRng::seed_from_u64(11);
     let key = |index: usize| SurrogateKey::new(&format!("seller-{}", index as u32 % SELLERS)).unwrap();
     (0..OBJECTS).map(|index| Object { id: rng.random::<u64>(), key: key(index) }).collect()
 }
 
-/// Starts the stand-in cache servers, with their purge addresses on one port.
+/// Starts the stand-in cache servers, which all listen for purges on `port` of their own IP address.
 async fn start_servers(objects: &[Object], port: u16) -> Vec<PurgeTarget> {
     let origin = Rc::new(Origin::default());
     for object in objects {
@@ -218,7 +212,7 @@
     servers
 }
 
-/// Starts a proxy with the example's configuration and these servers.
+/// Starts a proxy with the example configuration, pointed at these cache servers.
 async fn start_proxy(
     program: &Path,
     dir: &Path,
@@ -243,7 +237,7 @@
     Proxy { child, listen, mgmt }
 }
 
-/// A client: reads random objects and records the answers.
+/// Requests random objects and records the responses.
 async fn read_until(
     end_ms: f64,
     client: u64,
@@ -285,18 +279,18 @@
     }
 }
 
-/// What was observed at the kill and restart of the leader.
+/// Observations of the leader's kill and restart.
 struct Restart {
     killed_ms: f64,
     last_seq: u64,
     applied_at_kill: Vec<u64>,
-    /// The slow server's first acknowledgement after the restart.
+    /// The first purge number that the restarted leader reported as acknowledged by the slow server.
     recovered_acknowledgement: Option<u64>,
-    /// From the restart until the slow server had acknowledged all purges of before the kill.
+    /// Time from the restart until the slow server had acknowledged all purges issued before the kill.
     resumed_ms: f64,
 }
 
-/// Kills the leader with SIGKILL, and restarts it a second later.
+/// Kills the leader with SIGKILL and restarts it one second later.
 async fn kill_and_restart(
     program: &Path,
     dir: &Path,
@@ -326,7 +320,7 @@
     Restart { killed_ms, last_seq, applied_at_kill, recovered_acknowledgement, resumed_ms }
 }
 
-/// Waits until the servers that cache have applied the last purge; returns the time since its issue, in milliseconds.
+/// Waits until all caches have applied the last purge; returns the time since it was issued, in milliseconds.
 async fn wait_until_caught_up(servers: &[PurgeTarget], recorded: &Recorded) -> f64 {
     let last = recorded.purges.borrow().last().map(|purge| (purge.seq, purge.issued_ms));
     let (last_seq, issued_ms) = last.unwrap_or_else(|| (0, now_ms()));
@@ -337,7 +331,7 @@
     now_ms() - issued_ms
 }
 
-/// Compares every answer with every purge.
+/// Compares every response with every purge: a copy generated before a purge that covers it is stale.
 fn print_staleness(objects: &[Object], recorded: &Recorded) {
     let (answers, purges) = (recorded.answers.borrow(), recorded.purges.borrow());
     let mut visible_ms = vec![0.0f64; purges.len()];
@@ -367,8 +361,8 @@
         purges.len(),
         recorded.rejected_submissions.get()
     );
-    println!("| answers checked | {} ({served} served, {failed} not served) |", answers.len());
-    println!("| answers from a copy older than a purge sent before them | {} |", stale_ms.len());
+    println!("| responses checked | {} ({served} served, {failed} not served) |", answers.len());
+    println!("| responses from a copy that was purged before the request was sent | {} |", stale_ms.len());
     println!("| of those, sent more than 500 ms after the purge | {too_stale} |");
     println!(
         "| purge-to-visible delay p50 / p99 / max, ms | {:.1} / {:.1} / {:.1} |",
@@ -386,11 +380,11 @@
         restart.applied_at_kill
     );
     println!(
-        "| the slow server's acknowledgement in the log of the restarted leader | {:?} |",
+        "| last purge acknowledged by the slow server, recovered by the restarted leader | {:?} |",
         restart.recovered_acknowledgement
     );
     println!(
-        "| the slow server acknowledged all purges of before the kill, after the restart | {:.0} ms |",
+        "| time from the restart until the slow server acknowledged all earlier purges | {:.0} ms |",
         restart.resumed_ms
     );
 }
@@ -404,8 +398,8 @@
     let out_of_order =
         |server: &PurgeTarget| server.observed.applied.borrow().windows(2).any(|pair| pair[1] != pair[0] + 1);
     println!(
-        "| all servers had applied the last purge ({last_seq}), after its issue | {caught_up_ms:.0} ms |"
+        "| time from issuing the last purge ({last_seq}) until all caches had applied it | {caught_up_ms:.0} ms |"
     );
-    println!("| purges repeated to servers | {} |", caches.iter().map(repeats).sum::<u64>());
-    println!("| a server applied a number twice or skipped one | {} |", caches.iter().any(out_of_order));
+    println!("| repeated deliveries of a purge to a cache | {} |", caches.iter().map(repeats).sum::<u64>());
+    println!("| any cache applied a purge twice or skipped one | {} |", caches.iter().any(out_of_order));
 }
--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -1,8 +1,8 @@
-//! Measurements of the registry client on loopback. First, one proxy process and a stand-in registry that fails at
-//! random (closed connections, compacted history, silence of up to two seconds): the time from the write of each
-//! `Terminating` to the proxy applying it, and whether the server got requests 250 ms after that. Then a hundred
-//! simulated proxies (the same client, each with its own engine, in this process) and one registry for twenty seconds:
-//! the calls of each.
+//! Measures the registry client on loopback. The first part runs one proxy process against a stand-in registry with
+//! random failures (closed connections, compacted history, no responses for up to two seconds) and measures the time
+//! from writing each `Terminating` state until the proxy applies it, and the requests the server still gets 250 ms
+//! later. The second part runs a hundred registry clients, each with its own engine, in this process for twenty
+//! seconds and counts their calls.
 //!
 //!     cargo build --release && cargo run --release --example registry_drains -- [DRAINS]
 
@@ -95,7 +95,6 @@
     simd_json::to_owned_value(&mut body).ok()
 }
 
-/// Sends reads to a proxy, for ever.
 async fn read_forever(listen: SocketAddr, first_id: u64) {
     let mut id = first_id;
     loop {
@@ -114,7 +113,7 @@
     }
 }
 
-/// The interruptions before drains, by kind.
+/// Number of registry failures injected before drains, by kind.
 #[derive(Default)]
 struct Interruptions {
     closed: u32,
@@ -123,7 +122,7 @@
 }
 
 impl Interruptions {
-    /// Interrupts the registry at random; whether the next change is to be compacted away.
+    /// Injects a random failure, or none; returns whether the caller has to compact the next change away.
     fn interrupt(&mut self, registry: &Registry, rng: &mut SmallRng) -> bool {
         match rng.random_range(0..20) {
             0..=4 => {
@@ -145,7 +144,7 @@
     }
 }
 
-/// Waits until the proxy has applied a revision; returns when its list last changed, in Unix milliseconds.
+/// Waits until the proxy has applied a revision; returns the time of its last update, in Unix milliseconds.
 async fn wait_for_revision(mgmt: SocketAddr, revision: i64) -> f64 {
     loop {
         let status = state(mgmt).await;
@@ -189,7 +188,7 @@
         let written = unix_ms();
         let revision = put(k, "Terminating");
         if compacts {
-            // The change is compacted away while the proxy has no connection: only a full read has it.
+            // The proxy is disconnected, so it can learn of the compacted change only by a full read.
             registry.compact();
         }
         let applied = wait_for_revision(mgmt, revision).await;
@@ -211,7 +210,7 @@
     requests_after: usize,
     status: &simd_json::OwnedValue,
 ) {
-    println!("| drains | closed / compacted / silent before | written to applied p50 ms | p99 ms | max ms | requests 250 ms after | full reads (resyncs) |");
+    println!("| drains | closed / compacted / unresponsive | write to apply p50 ms | p99 ms | max ms | requests 250 ms after | full reads (resyncs) |");
     println!("| ---: | --- | ---: | ---: | ---: | ---: | ---: |");
     println!(
         "| {} | {} / {} / {} | {:.1} | {:.1} | {:.1} | {requests_after} | {} ({}) |",
@@ -271,7 +270,7 @@
     let behind =
         statuses.iter().filter(|status| status.borrow().revision < registry.store.revision.get() - 1).count();
     println!();
-    println!("| simulated proxies | seconds | changes | closed connections and compactions | ranges | watches | calls a second per proxy | behind at the end |");
+    println!("| simulated proxies | seconds | changes | failures | ranges | watches | calls per second per proxy | outdated at the end |");
     println!("| ---: | ---: | ---: | --- | ---: | ---: | ---: | ---: |");
     println!(
         "| {proxies} | {wall:.0} | {changes} | random | {ranges} | {watches} | {:.3} | {behind} |",
--- a/examples/rules_load.rs
+++ b/examples/rules_load.rs
@@ -1,6 +1,6 @@
-//! The cost of rules: a million requests classified by the deployed rules and by the platform's code, their keys compared
-//! and the steps checked against the bound; then requests over loopback through the program, without rules and with them,
-//! in turns. The number of requests is bounded.
+//! Measures the cost of classification rules: a million requests are classified by the deployed rules and by the
+//! built-in code, and both results compared; then requests are sent over loopback to a proxy without rules and to one
+//! with them, alternating between the two. The number of requests is fixed.
 //!
 //!     cargo build --release && cargo run --release --example rules_load -- [LOOPBACK]
 
@@ -67,14 +67,14 @@
     }
     let ns = |d: Duration| d.as_nanos() as f64 / EVALUATIONS as f64;
     println!(
-        "{EVALUATIONS} requests: {:.0} ns by rules, {:.0} ns by code; {max_steps} steps at most, bound {}; {different} with other keys",
+        "{EVALUATIONS} requests: {:.0} ns by rules, {:.0} ns by code; {max_steps} steps at most, limit {}; {different} classified differently",
         ns(by_rules),
         ns(by_code),
         rules.max_cost()
     );
 }
 
-/// The requests to one program.
+/// Results of the requests to one proxy.
 struct Measured {
     latency_us: Histogram<u64>,
     duration: Duration,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Sends requests over [`CALLERS`] connections.
+/// Sends requests over [`CALLERS`] connections, one at a time on each.
 async fn measure(at: SocketAddr, requests: u64, ids: u64) -> Measured {
     let seen = Rc::new(RefCell::new((Histogram::<u64>::new(3).unwrap(), 0)));
     let start = Instant::now();
@@ -131,7 +131,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, loopback(&program, requests));
 }
 
-/// Starts a proxy with these servers, with or without rules.
+/// Starts a proxy in front of a fleet, with or without rules.
 fn start(program: &Path, dir: &Path, fleet: &SlowCacheFleet, rules: Option<&str>) -> (Running, SocketAddr) {
     let listen = std::net::TcpListener::bind("127.0.126.9:0").unwrap().local_addr().unwrap();
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json");
@@ -150,7 +150,7 @@
     (Running(child), listen)
 }
 
-/// Measures requests to a program without rules and one with them, in turns.
+/// Measures a proxy without rules and one with them, alternating between the two.
 async fn loopback(program: &Path, requests: u64) {
     let dir = std::env::temp_dir().join(format!("edge-proxy-rules-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
@@ -171,7 +171,7 @@
             }
         }
     }
-    println!("| classification | requests | a second | p50 / p99 us | not served |");
+    println!("| classification | requests | per second | p50 / p99 us | not served |");
     println!("| --- | ---: | ---: | --- | ---: |");
     for (name, total) in ["by code", "by rules"].iter().zip(&totals) {
         println!(
--- a/examples/sign_link.rs
+++ b/examples/sign_link.rs
@@ -1,5 +1,5 @@
-//! A toy signer: makes a link for the front of `examples/signed-urls.json` that is good for ten minutes. The
-//! first call writes a fresh key beside that file.
+//! Prints a signed URL for the listener of `examples/signed-urls.json`, valid for ten minutes. The first run
+//! creates the signing key next to that file.
 //!
 //!     cargo run --example sign_link -- /media/video-part/17/7f3a9c21e0b4d655/3
 
@@ -20,7 +20,7 @@
     cdniuc: String,
 }
 
-/// Unpadded base64url.
+/// Encodes as base64url without padding.
 fn base64url(bytes: &[u8]) -> String {
     const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
     let mut out = String::new();
@@ -40,14 +40,18 @@
         std::fs::write(KEYS, format!("{{\"keys\":[{{\"kty\":\"oct\",\"kid\":\"toy\",\"k\":\"{k}\"}}]}}\n"))?;
     }
     let text = std::fs::read_to_string(KEYS)?;
-    let secret =
-        text.split("\"k\":\"").nth(1).and_then(|t| t.split('"').next()).ok_or("no key in the file")?;
+    let secret = text
+        .split("\"k\":\"")
+        .nth(1)
+        .and_then(|t| t.split('"').next())
+        .ok_or("the key file has no \"k\" member")?;
     let exp = SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs() + 600;
     let hash = base64url(&Sha256::digest(format!("http://127.0.0.1:8080{path}")));
     let claims = Claims { iss: "toy-links", exp, cdniv: 1, cdniuc: format!("hash:sha-256;{hash}") };
     let header = Header { kid: Some("toy".into()), ..Header::new(Algorithm::HS256) };
     let key = EncodingKey::from_secret(
-        &edge_proxy::wire::signed_urls::jwk::decode_base64url(secret).ok_or("the key is not base64url")?,
+        &edge_proxy::wire::signed_urls::jwk::decode_base64url(secret)
+            .ok_or("the \"k\" member of the key file is not base64url")?,
     );
     println!("http://127.0.0.1:8080{path}?URISigningPackage={}", encode(&header, &claims, &key)?);
     Ok(())
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,5 +1,6 @@
-//! A toy of all that a proxy talks to, at the addresses of `examples/config.json`: two pop caches, a parent, an
-//! origin and the bulletin. Every object is a line of text that names its part and who sent it.
+//! Minimal versions of every server that the proxy connects to, at the addresses of `examples/config.json`: two pop
+//! caches, a parent, an origin and the discovery server. The body of every object is a line of text that names the
+//! object, the part and the server.
 //!
 //!     cargo run --example toy_server
 
@@ -8,7 +9,6 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Answers each request of a connection with a line of text.
 fn cache(name: &'static str, stream: TcpStream) -> std::io::Result<()> {
     let mut output = stream.try_clone()?;
     let mut input = BufReader::new(stream);
@@ -17,7 +17,7 @@
         print!("{name}: {line}");
         let words: Vec<String> = line.split_whitespace().map(String::from).collect();
         line.clear();
-        // DROP needs no answer: what it gives up was answered at once.
+        // DROP cancels a request and gets no response; this server has already responded to that request.
         let [verb, id, fields, length] = &words[..] else { continue };
         if verb != "GET" {
             continue;
@@ -33,7 +33,7 @@
     Ok(())
 }
 
-/// Tells each second that there is nothing new.
+/// Sends an empty update every second.
 fn bulletin(mut stream: TcpStream) -> std::io::Result<()> {
     let mut last = [0; 8];
     stream.read_exact(&mut last)?;
@@ -52,7 +52,7 @@
             }
         });
     }
-    println!("toy caches, parent, origin and bulletin are up");
+    println!("caches, parent, origin and discovery server are listening");
     for stream in TcpListener::bind("127.0.0.1:7070")?.incoming() {
         let stream = stream?;
         spawn(move || bulletin(stream));
--- a/examples/vrrp_takeover.rs
+++ b/examples/vrrp_takeover.rs
@@ -1,5 +1,5 @@
-//! Measures takeovers on loopback: two proxy processes share a virtual address under a load of clients; the active one is
-//! killed (SIGKILL) over and over, and restarted. Bounded in count; ends by itself.
+//! Measures VRRP takeovers on loopback: two proxy processes share a virtual address under client load, and the active
+//! one is repeatedly killed (SIGKILL) and restarted. The number of kills is fixed.
 //!
 //!     cargo build --release && cargo run --release --example vrrp_takeover -- [KILLS]
 
@@ -51,7 +51,7 @@
     let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
     let (config, file) = (dir.join(format!("config-{k}.json")), dir.join(format!("vrrp-{k}.json")));
     std::fs::write(&config, text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses)).unwrap();
-    // Without preemption each kill finds one active router and one backup.
+    // Without preemption, a restarted router stays backup until the active one is killed.
     let text = format!(
         r#"{{"listen":"{}","peers":["{}"],"vrid":7,"priority":{},"interval_cs":20,"down_intervals":8,"preempt":false,
             "addresses":["{}"],"serve":[{{"address":"{virtual_address}","front":"platform"}}]}}"#,
@@ -76,7 +76,7 @@
 async fn wait_for(proxy: &Proxy, wanted: &str) {
     let end = Instant::now() + Duration::from_secs(10);
     while state(proxy).await.as_deref() != Some(wanted) {
-        assert!(Instant::now() < end, "not {wanted} in ten seconds");
+        assert!(Instant::now() < end, "the router did not become {wanted} within ten seconds");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
@@ -126,7 +126,7 @@
         let sends = |id: u64| keys.get(&format!("k{id:x}")).copied().unwrap_or(0);
         let sent_twice = ended.iter().filter(|(id, write, e)| *write && e.retries == 0 && sends(*id) > 1).count();
         let repeated = ended.iter().filter(|(id, write, e)| *write && e.retries > 0 && sends(*id) > 1).count();
-        println!("| kills | takeover p50 / p99 / max ms | first response after the kill p50 / max ms | requests | lost | retried | ad-posts | sent_twice | retried under their key |");
+        println!("| kills | takeover p50 / p99 / max ms | first response after the kill p50 / max ms | requests | lost | retried | ad-posts | sent twice | sent again by a client's retry with the same key |");
         println!("| ---: | --- | --- | ---: | ---: | ---: | ---: | ---: | ---: |");
         println!(
             "| {kills} | {:.0} / {:.0} / {:.0} | {:.0} / {:.0} | {} | {lost} | {retried} | {posts} | {sent_twice} | {repeated} |",
