--- a/examples/admission_heavy.rs
+++ b/examples/admission_heavy.rs
@@ -19,9 +19,9 @@
 use tokio::net::TcpSocket;
 use tokio::task::spawn_local;
 
-async fn ask(proxy: SocketAddr, from: IpAddr, id: u64) -> Option<(u16, f64)> {
+async fn get_small_object(proxy: SocketAddr, source: IpAddr, id: u64) -> Option<(u16, f64)> {
     let socket = TcpSocket::new_v4().ok()?;
-    socket.bind(SocketAddr::new(from, 0)).ok()?;
+    socket.bind(SocketAddr::new(source, 0)).ok()?;
     let start = Instant::now();
     let mut stream = socket.connect(proxy).await.ok()?;
     let request = format!(
@@ -37,17 +37,17 @@
 }
 
 /// Kills the proxy process when dropped.
-struct Running(std::process::Child);
+struct KillOnDrop(std::process::Child);
 
-impl Drop for Running {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn percentile(sorted: &[f64], share: f64) -> f64 {
-    sorted.get(((sorted.len().max(1) - 1) as f64 * share).round() as usize).copied().unwrap_or(0.0)
+fn percentile(sorted: &[f64], quantile: f64) -> f64 {
+    sorted.get(((sorted.len().max(1) - 1) as f64 * quantile).round() as usize).copied().unwrap_or(0.0)
 }
 
 fn main() {
@@ -67,19 +67,20 @@
     let ids = Rc::new(Cell::new(0u64));
     for admission in [false, true] {
         for heavy in [false, true] {
-            let (others, heavy_got) =
-                play(&program, &dir, &fleet, admission, heavy, seconds, ids.clone()).await;
-            let mut times: Vec<f64> = others.iter().filter(|(s, _)| *s == 200).map(|(_, t)| *t).collect();
-            times.sort_by(f64::total_cmp);
-            let served = heavy_got.iter().filter(|s| **s == 200).count();
-            let shed = heavy_got.iter().filter(|s| **s == 503 || **s == 429).count();
+            let (others, heavy_statuses) =
+                measure(&program, &dir, &fleet, admission, heavy, seconds, ids.clone()).await;
+            let mut latencies_ms: Vec<f64> =
+                others.iter().filter(|(s, _)| *s == 200).map(|(_, t)| *t).collect();
+            latencies_ms.sort_by(f64::total_cmp);
+            let served = heavy_statuses.iter().filter(|s| **s == 200).count();
+            let shed = heavy_statuses.iter().filter(|s| **s == 503 || **s == 429).count();
             println!(
                 "| {} | {} | {:.1} | {:.1} | {} of {} | {served} | {shed} |",
                 if admission { "on" } else { "off" },
                 if heavy { "yes" } else { "no" },
-                percentile(&times, 0.5),
-                percentile(&times, 0.99),
-                times.len(),
+                percentile(&latencies_ms, 0.5),
+                percentile(&latencies_ms, 0.99),
+                latencies_ms.len(),
                 others.len(),
             );
         }
@@ -87,7 +88,7 @@
     let _ = std::fs::remove_dir_all(&dir);
 }
 
-async fn play(
+async fn measure(
     program: &Path,
     dir: &Path,
     fleet: &SlowCacheFleet,
@@ -96,15 +97,15 @@
     seconds: f64,
     ids: Rc<Cell<u64>>,
 ) -> (Vec<(u16, f64)>, Vec<u16>) {
-    let listen = TcpListener::bind("127.0.74.10:0").unwrap().local_addr().unwrap();
-    let mut text =
+    let proxy_address = TcpListener::bind("127.0.74.10:0").unwrap().local_addr().unwrap();
+    let mut config_text =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
-    for (k, at) in (7101..=7104).enumerate() {
-        text = text.replace(&format!("127.0.0.1:{at}"), &fleet.addresses[k].to_string());
+    for (index, port) in (7101..=7104).enumerate() {
+        config_text = config_text.replace(&format!("127.0.0.1:{port}"), &fleet.addresses[index].to_string());
     }
-    let text = text.replace("127.0.0.1:5050", &listen.to_string());
+    let config_text = config_text.replace("127.0.0.1:5050", &proxy_address.to_string());
     let config = dir.join("config.json");
-    std::fs::write(&config, text).unwrap();
+    std::fs::write(&config, config_text).unwrap();
     let file = dir.join("admission.json");
     std::fs::write(&file, r#"{"limit":{"first":8,"least":8,"most":8},"per_client_most":16}"#).unwrap();
     let mut args = vec!["serve".to_string(), "--config".into(), config.display().to_string()];
@@ -113,26 +114,28 @@
     }
     let mut command = Command::new(program);
     command.args(&args).env("EDGE_PROXY_LOG", "warn").stdout(Stdio::null()).stderr(Stdio::null());
-    let _child = Running(command.spawn().unwrap());
-    while tokio::net::TcpStream::connect(listen).await.is_err() {
+    let _proxy = KillOnDrop(command.spawn().unwrap());
+    while tokio::net::TcpStream::connect(proxy_address).await.is_err() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let next = move || {
+    let next_id = move || {
         ids.set(ids.get() + 1);
         ids.get()
     };
-    let heavy_got: Rc<RefCell<Vec<u16>>> = Rc::default();
+    let heavy_statuses: Rc<RefCell<Vec<u16>>> = Rc::default();
     let end = Instant::now() + Duration::from_secs_f64(seconds + 0.5);
-    let mut loops = Vec::new();
+    let mut tasks = Vec::new();
     if heavy {
         for _ in 0..20 {
-            let (got, next) = (heavy_got.clone(), next.clone());
-            loops.push(spawn_local(async move {
+            let (recorded, next_id) = (heavy_statuses.clone(), next_id.clone());
+            tasks.push(spawn_local(async move {
                 while Instant::now() < end {
-                    let (got, id) = (got.clone(), next());
+                    let (recorded, id) = (recorded.clone(), next_id());
                     spawn_local(async move {
-                        let status = ask(listen, "127.0.75.2".parse().unwrap(), id).await.map_or(0, |a| a.0);
-                        got.borrow_mut().push(status);
+                        let status = get_small_object(proxy_address, "127.0.75.2".parse().unwrap(), id)
+                            .await
+                            .map_or(0, |a| a.0);
+                        recorded.borrow_mut().push(status);
                     });
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
@@ -141,22 +144,22 @@
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     let others: Rc<RefCell<Vec<(u16, f64)>>> = Rc::default();
-    for k in 0..10u8 {
-        let (got, next) = (others.clone(), next.clone());
-        loops.push(spawn_local(async move {
-            let from: IpAddr = format!("127.0.75.{}", 10 + k).parse().unwrap();
+    for client in 0..10u8 {
+        let (recorded, next_id) = (others.clone(), next_id.clone());
+        tasks.push(spawn_local(async move {
+            let source: IpAddr = format!("127.0.75.{}", 10 + client).parse().unwrap();
             while Instant::now() < end {
-                let answer = ask(listen, from, next()).await.unwrap_or((0, 0.0));
-                got.borrow_mut().push(answer);
+                let outcome = get_small_object(proxy_address, source, next_id()).await.unwrap_or((0, 0.0));
+                recorded.borrow_mut().push(outcome);
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
         }));
     }
-    for task in loops {
+    for task in tasks {
         task.await.unwrap();
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     let others = others.borrow().clone();
-    let heavy = heavy_got.borrow().clone();
+    let heavy = heavy_statuses.borrow().clone();
     (others, heavy)
 }
--- a/examples/grpc_load.rs
+++ b/examples/grpc_load.rs
@@ -20,18 +20,18 @@
 use std::time::{Duration, Instant};
 use tokio::task::{spawn_local, LocalSet};
 
-const UNARY: usize = 20_000;
-const CALLERS: usize = 32;
+const UNARY_CALLS: usize = 20_000;
+const CONCURRENT_CLIENTS: usize = 32;
 /// Calls made with a single client.
-const ALONE: usize = 4_000;
-const STREAMS: usize = 16;
-const PINGS: usize = 500;
-const FLOODS: usize = 4;
-const FLOOD: usize = 10_000;
+const SINGLE_CLIENT_CALLS: usize = 4_000;
+const PING_PONG_STREAMS: usize = 16;
+const PINGS_PER_STREAM: usize = 500;
+const FLOOD_STREAMS: usize = 4;
+const MESSAGES_PER_FLOOD: usize = 10_000;
 
-struct Running(std::process::Child);
+struct KillOnDrop(std::process::Child);
 
-impl Drop for Running {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -42,105 +42,105 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap()
 }
 
-struct Seen {
-    times: Histogram<u64>,
+struct Measurement {
+    latency_us: Histogram<u64>,
     failed: u64,
-    took: Duration,
+    duration: Duration,
 }
 
-async fn unary(at: SocketAddr, callers: usize, calls: usize) -> Seen {
-    let times = Rc::new(RefCell::new((Histogram::new(3).unwrap(), 0)));
+async fn unary(address: SocketAddr, clients: usize, calls: usize) -> Measurement {
+    let recorded = Rc::new(RefCell::new((Histogram::new(3).unwrap(), 0)));
     let start = Instant::now();
-    let callers: Vec<_> = (0..callers)
+    let tasks: Vec<_> = (0..clients)
         .map(|_| {
-            let times = times.clone();
+            let recorded = recorded.clone();
             spawn_local(async move {
-                let caller = GrpcClient::connect(at).await;
-                for _ in 0..calls / callers {
-                    let got = caller.call("/b.Bench/Unary", &[], message(64)).await;
-                    let mut times = times.borrow_mut();
-                    times.0.record((got.took_ms * 1_000.0) as u64).unwrap();
-                    times.1 += u64::from(got.status() != 0);
+                let client = GrpcClient::connect(address).await;
+                for _ in 0..calls / clients {
+                    let response = client.call("/b.Bench/Unary", &[], message(64)).await;
+                    let mut recorded = recorded.borrow_mut();
+                    recorded.0.record((response.took_ms * 1_000.0) as u64).unwrap();
+                    recorded.1 += u64::from(response.status() != 0);
                 }
             })
         })
         .collect();
-    for caller in callers {
-        caller.await.unwrap();
+    for task in tasks {
+        task.await.unwrap();
     }
-    let seen = times.borrow();
-    Seen { times: seen.0.clone(), failed: seen.1, took: start.elapsed() }
+    let recorded = recorded.borrow();
+    Measurement { latency_us: recorded.0.clone(), failed: recorded.1, duration: start.elapsed() }
 }
 
-async fn ping_pong(at: SocketAddr) -> Seen {
-    let times = Rc::new(RefCell::new((Histogram::new(3).unwrap(), 0)));
+async fn ping_pong(address: SocketAddr) -> Measurement {
+    let recorded = Rc::new(RefCell::new((Histogram::new(3).unwrap(), 0)));
     let start = Instant::now();
-    let streams: Vec<_> = (0..STREAMS)
+    let streams: Vec<_> = (0..PING_PONG_STREAMS)
         .map(|_| {
-            let times = times.clone();
+            let recorded = recorded.clone();
             spawn_local(async move {
-                let caller = GrpcClient::connect(at).await;
+                let client = GrpcClient::connect(address).await;
                 let (response, mut stream) =
-                    caller.begin("/b.Bench/Chat", &[("x-script", "echo")]).await.unwrap();
+                    client.begin("/b.Bench/Chat", &[("x-script", "echo")]).await.unwrap();
                 let ping = message(64);
                 stream.send_data(ping.clone().into(), false).unwrap();
                 let mut sent = Instant::now();
                 let mut body = response.await.unwrap().into_body();
-                let (mut have, mut back) = (0, 0);
-                while back < PINGS {
+                let (mut received_bytes, mut echoes) = (0, 0);
+                while echoes < PINGS_PER_STREAM {
                     let Some(Ok(chunk)) = body.data().await else {
-                        times.borrow_mut().1 += 1;
+                        recorded.borrow_mut().1 += 1;
                         return;
                     };
                     let _ = body.flow_control().release_capacity(chunk.len());
-                    have += chunk.len();
-                    if have == ping.len() {
-                        times.borrow_mut().0.record(sent.elapsed().as_micros() as u64).unwrap();
-                        (have, back) = (0, back + 1);
-                        let last = back == PINGS;
+                    received_bytes += chunk.len();
+                    if received_bytes == ping.len() {
+                        recorded.borrow_mut().0.record(sent.elapsed().as_micros() as u64).unwrap();
+                        (received_bytes, echoes) = (0, echoes + 1);
+                        let last = echoes == PINGS_PER_STREAM;
                         let next = if last { Default::default() } else { ping.clone().into() };
                         stream.send_data(next, last).unwrap();
                         sent = Instant::now();
                     }
                 }
-                let status = match body.data().await {
+                let trailers = match body.data().await {
                     None => body.trailers().await.ok().flatten(),
                     Some(_) => None,
                 };
-                let ok = status.is_some_and(|t| t.get("grpc-status").is_some_and(|v| v == "0"));
-                times.borrow_mut().1 += u64::from(!ok);
+                let ok = trailers.is_some_and(|t| t.get("grpc-status").is_some_and(|v| v == "0"));
+                recorded.borrow_mut().1 += u64::from(!ok);
             })
         })
         .collect();
     for stream in streams {
         stream.await.unwrap();
     }
-    let seen = times.borrow();
-    Seen { times: seen.0.clone(), failed: seen.1, took: start.elapsed() }
+    let recorded = recorded.borrow();
+    Measurement { latency_us: recorded.0.clone(), failed: recorded.1, duration: start.elapsed() }
 }
 
 /// Returns the throughput in megabytes per second and the number of failed streams.
-async fn flood(at: SocketAddr) -> (f64, u64) {
+async fn flood(address: SocketAddr) -> (f64, u64) {
     let start = Instant::now();
-    let streams: Vec<_> = (0..FLOODS)
+    let streams: Vec<_> = (0..FLOOD_STREAMS)
         .map(|_| {
             spawn_local(async move {
-                let caller = GrpcClient::connect(at).await;
-                let act = format!("read head flood:{FLOOD} status:0");
+                let client = GrpcClient::connect(address).await;
+                let script = format!("read head flood:{MESSAGES_PER_FLOOD} status:0");
                 let (response, mut stream) =
-                    caller.begin("/b.Bench/Watch", &[("x-script", &act)]).await.unwrap();
+                    client.begin("/b.Bench/Watch", &[("x-script", &script)]).await.unwrap();
                 stream.send_data(message(1).into(), true).unwrap();
-                let got = receive_response(response).await;
-                (got.body.len(), u64::from(got.status() != 0))
+                let response = receive_response(response).await;
+                (response.body.len(), u64::from(response.status() != 0))
             })
         })
         .collect();
-    let (mut bytes, mut failed) = (0, 0);
+    let (mut total_bytes, mut total_failed) = (0, 0);
     for stream in streams {
-        let (b, f) = stream.await.unwrap();
-        (bytes, failed) = (bytes + b, failed + f);
+        let (bytes, failed) = stream.await.unwrap();
+        (total_bytes, total_failed) = (total_bytes + bytes, total_failed + failed);
     }
-    (bytes as f64 / 1e6 / start.elapsed().as_secs_f64(), failed)
+    (total_bytes as f64 / 1e6 / start.elapsed().as_secs_f64(), total_failed)
 }
 
 fn main() {
@@ -148,30 +148,32 @@
     let program =
         PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
     // The stand-in server runs on a separate thread.
-    let (tell, told) = mpsc::channel();
+    let (address_sender, address_receiver) = mpsc::channel();
     std::thread::spawn(move || {
         LocalSet::new().block_on(&runtime(), async {
             let server = ScriptedBackend::start("127.0.93.1:0").await;
-            tell.send(server.address).unwrap();
+            address_sender.send(server.address).unwrap();
             loop {
                 tokio::time::sleep(Duration::from_secs(1)).await;
                 server.calls.borrow_mut().shrink_to_fit();
             }
         });
     });
-    let server: SocketAddr = told.recv().unwrap();
+    let server: SocketAddr = address_receiver.recv().unwrap();
     let dir = std::env::temp_dir().join(format!("edge-proxy-grpc-load-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let free = || std::net::TcpListener::bind("127.0.93.9:0").unwrap().local_addr().unwrap();
-    let (listen, edge) = (free(), free());
-    let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
-    std::fs::write(dir.join("config.json"), text.replace("127.0.0.1:5050", &listen.to_string())).unwrap();
-    let file = format!(
-        r#"{{"listen":"{edge}","pools":[{{"name":"b","backends":[{{"address":"{server}"}}]}}],"routes":[
+    let free_address = || std::net::TcpListener::bind("127.0.93.9:0").unwrap().local_addr().unwrap();
+    let (http_address, grpc_address) = (free_address(), free_address());
+    let config =
+        std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
+    std::fs::write(dir.join("config.json"), config.replace("127.0.0.1:5050", &http_address.to_string()))
+        .unwrap();
+    let grpc_config = format!(
+        r#"{{"listen":"{grpc_address}","pools":[{{"name":"b","backends":[{{"address":"{server}"}}]}}],"routes":[
             {{"method":"/b.Bench/Unary","pool":"b","kind":"unary","repeat":"safe","deadline_ms":5000}},
             {{"method":"/b.Bench/*","pool":"b"}}]}}"#
     );
-    std::fs::write(dir.join("grpc.json"), file).unwrap();
+    std::fs::write(dir.join("grpc.json"), grpc_config).unwrap();
     let mut command = Command::new(&program);
     command
         .arg("serve")
@@ -179,55 +181,62 @@
         .arg(dir.join("config.json"))
         .arg("--grpc")
         .arg(dir.join("grpc.json"));
-    let _proxy = Running(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap());
-    while std::net::TcpStream::connect(edge).is_err() {
+    let _proxy = KillOnDrop(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap());
+    while std::net::TcpStream::connect(grpc_address).is_err() {
         std::thread::sleep(Duration::from_millis(10));
     }
     LocalSet::new().block_on(&runtime(), async {
         println!("| workload | path | calls or messages per second | p50 us | p99 us | failed |");
         println!("| --- | --- | ---: | ---: | ---: | ---: |");
-        let ways = [("direct", server), ("proxy", edge)];
-        let mut all: Vec<(Seen, Seen, Seen)> = Vec::new();
+        let paths = [("direct", server), ("proxy", grpc_address)];
+        let mut totals: Vec<(Measurement, Measurement, Measurement)> = Vec::new();
         let mut floods = Vec::new();
-        for (_, at) in ways {
+        for (_, address) in paths {
             // Warms up both paths; not measured.
-            unary(at, CALLERS, UNARY).await;
+            unary(address, CONCURRENT_CLIENTS, UNARY_CALLS).await;
         }
         for round in 0..rounds {
-            for (k, (_, at)) in ways.iter().enumerate() {
-                let one = unary(*at, 1, ALONE).await;
-                let (u, p, f) = (unary(*at, CALLERS, UNARY).await, ping_pong(*at).await, flood(*at).await);
+            for (index, (_, address)) in paths.iter().enumerate() {
+                let single = unary(*address, 1, SINGLE_CLIENT_CALLS).await;
+                let (u, p, f) = (
+                    unary(*address, CONCURRENT_CLIENTS, UNARY_CALLS).await,
+                    ping_pong(*address).await,
+                    flood(*address).await,
+                );
                 if round == 0 {
-                    all.push((one, u, p));
+                    totals.push((single, u, p));
                     floods.push((f.0, f.1, 1.0));
                 } else {
-                    let (alone, unary, ping) = &mut all[k];
-                    for (sum, new) in [(alone, one), (unary, u), (ping, p)] {
-                        sum.times.add(&new.times).unwrap();
+                    let (single_client, unary, ping) = &mut totals[index];
+                    for (sum, new) in [(single_client, single), (unary, u), (ping, p)] {
+                        sum.latency_us.add(&new.latency_us).unwrap();
                         sum.failed += new.failed;
-                        sum.took += new.took;
+                        sum.duration += new.duration;
                     }
-                    floods[k] = (floods[k].0 + f.0, floods[k].1 + f.1, floods[k].2 + 1.0);
+                    floods[index] = (floods[index].0 + f.0, floods[index].1 + f.1, floods[index].2 + 1.0);
                 }
             }
         }
-        for (k, (name, _)) in ways.iter().enumerate() {
-            let (alone, unary, ping) = &all[k];
-            let rows =
-                [("unary, 1 caller", alone), ("unary, 32 callers", unary), ("ping-pong, 16 streams", ping)];
-            for (what, seen) in rows {
+        for (index, (name, _)) in paths.iter().enumerate() {
+            let (single_client, unary, ping) = &totals[index];
+            let rows = [
+                ("unary, 1 client", single_client),
+                ("unary, 32 clients", unary),
+                ("ping-pong, 16 streams", ping),
+            ];
+            for (workload, measurement) in rows {
                 println!(
-                    "| {what} | {name} | {:.0} | {} | {} | {} |",
-                    seen.times.len() as f64 / seen.took.as_secs_f64(),
-                    seen.times.value_at_quantile(0.5),
-                    seen.times.value_at_quantile(0.99),
-                    seen.failed
+                    "| {workload} | {name} | {:.0} | {} | {} | {} |",
+                    measurement.latency_us.len() as f64 / measurement.duration.as_secs_f64(),
+                    measurement.latency_us.value_at_quantile(0.5),
+                    measurement.latency_us.value_at_quantile(0.99),
+                    measurement.failed
                 );
             }
             println!(
                 "| flood, 4 streams | {name} | {:.0} MB/s | | | {} |",
-                floods[k].0 / floods[k].2,
-                floods[k].1
+                floods[index].0 / floods[index].2,
+                floods[index].1
             );
         }
     });
--- a/examples/health_checks_shared.rs
+++ b/examples/health_checks_shared.rs
@@ -27,41 +27,43 @@
 
 struct Network {
     schedulers: BTreeMap<InstanceId, Scheduler>,
+    /// Messages as (sender, recipient, message), by the step at which they arrive.
     in_flight: BTreeMap<u64, Vec<(InstanceId, InstanceId, Message)>>,
     rng: SmallRng,
     loss: f64,
     messages: u64,
     ticks: u64,
     tick_ns: u128,
+    /// Executed checks with their times.
     checks: Vec<(f64, Lease)>,
 }
 
 impl Network {
     fn send(&mut self, now: f64, from: InstanceId, actions: Vec<Action>) {
         let others = |me| self.schedulers.keys().copied().filter(|id| *id != me).collect::<Vec<_>>();
-        let mut out = Vec::new();
+        let mut outgoing = Vec::new();
         for action in actions {
             match action {
                 Action::Broadcast(message) => {
-                    out.extend(others(from).into_iter().map(|to| (to, message.clone())))
+                    outgoing.extend(others(from).into_iter().map(|to| (to, message.clone())))
                 }
-                Action::Reply(to, message) => out.push((to, message)),
+                Action::Reply(to, message) => outgoing.push((to, message)),
                 Action::RunCheck(lease) => {
                     self.checks.push((now, lease));
                     let Lease { endpoint, slot } = lease;
                     let result = CheckResult { endpoint, slot, passed: true, duration_ms: 1.0 };
                     let message = Message::Result(result);
                     for _ in 0..2 {
-                        out.extend(others(from).into_iter().map(|to| (to, message.clone())));
+                        outgoing.extend(others(from).into_iter().map(|to| (to, message.clone())));
                     }
                 }
             }
         }
-        for (to, message) in out {
+        for (to, message) in outgoing {
             self.messages += 1;
             if self.rng.random_range(0.0..1.0) >= self.loss {
-                let at = ((now + self.rng.random_range(0.5..10.0)) / STEP_MS).ceil() as u64;
-                self.in_flight.entry(at).or_default().push((from, to, message));
+                let arrival_step = ((now + self.rng.random_range(0.5..10.0)) / STEP_MS).ceil() as u64;
+                self.in_flight.entry(arrival_step).or_default().push((from, to, message));
             }
         }
     }
@@ -89,53 +91,53 @@
 }
 
 fn measure(instances: u16, endpoints: u32, loss: f64, kills: u32) {
-    let all: Vec<InstanceId> = (1..=instances).collect();
-    let scheduler = |now: f64, me: InstanceId| {
-        let mut scheduler = Scheduler::new(now, me, all.iter().copied(), TIMES);
+    let instance_ids: Vec<InstanceId> = (1..=instances).collect();
+    let new_scheduler = |now: f64, me: InstanceId| {
+        let mut scheduler = Scheduler::new(now, me, instance_ids.iter().copied(), TIMES);
         scheduler.set_endpoints(now, 0..endpoints);
         scheduler
     };
-    let schedulers = all.iter().map(|me| (*me, scheduler(0.0, *me))).collect();
+    let schedulers = instance_ids.iter().map(|me| (*me, new_scheduler(0.0, *me))).collect();
     let (in_flight, rng) = (BTreeMap::new(), SmallRng::seed_from_u64(7));
     let mut network =
         Network { schedulers, in_flight, rng, loss, messages: 0, ticks: 0, tick_ns: 0, checks: Vec::new() };
     network.run(0.0, 10_000.0);
     let (mut now, mut messages, mut slots) = (10_000.0, 0, 0u64);
-    let mut late = Histogram::<u64>::new(3).unwrap();
-    let mut gaps = Histogram::<u64>::new(3).unwrap();
+    let mut lateness_ms = Histogram::<u64>::new(3).unwrap();
+    let mut intervals_ms = Histogram::<u64>::new(3).unwrap();
     let mut repeated = 0usize;
     for k in 0..kills.max(1) {
-        let (from, before) = (now, network.messages);
+        let (round_start, messages_before) = (now, network.messages);
         network.checks.clear();
         let victim = (k % u32::from(instances)) as InstanceId + 1;
         if kills > 0 {
             network.schedulers.remove(&victim);
         }
         network.run(now, now + 8_000.0);
-        messages += network.messages - before;
+        messages += network.messages - messages_before;
         now += 8_000.0;
         let mut seen = BTreeSet::new();
         let mut last = BTreeMap::<EndpointId, f64>::new();
         for (at, lease) in &network.checks {
             repeated += usize::from(!seen.insert(*lease));
-            late.record((at - lease.due_ms(TIMES.period_ms)).max(0.0) as u64).unwrap();
-            let gap = at - last.insert(lease.endpoint, *at).unwrap_or(from);
-            gaps.record(gap as u64).unwrap();
+            lateness_ms.record((at - lease.due_ms(TIMES.period_ms)).max(0.0) as u64).unwrap();
+            let interval_ms = at - last.insert(lease.endpoint, *at).unwrap_or(round_start);
+            intervals_ms.record(interval_ms as u64).unwrap();
         }
         slots += seen.len() as u64;
         if kills > 0 {
-            network.schedulers.insert(victim, scheduler(now, victim));
+            network.schedulers.insert(victim, new_scheduler(now, victim));
             network.run(now, now + 8_000.0);
             now += 8_000.0;
         }
     }
     println!(
         "| {instances} | {endpoints} | {loss} | {kills} | {} / {} / {} | {} / {} | {repeated} | {:.1} | {:.0} |",
-        late.value_at_quantile(0.5),
-        late.value_at_quantile(0.99),
-        late.max(),
-        gaps.value_at_quantile(0.99),
-        gaps.max(),
+        lateness_ms.value_at_quantile(0.5),
+        lateness_ms.value_at_quantile(0.99),
+        lateness_ms.max(),
+        intervals_ms.value_at_quantile(0.99),
+        intervals_ms.max(),
         messages as f64 / slots as f64,
         network.tick_ns as f64 / network.ticks as f64
     );
@@ -143,7 +145,7 @@
 
 fn main() {
     let kills: u32 = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or(20);
-    println!("| instances | endpoints | loss | kills | checks late p50 / p99 / max ms | time between two checks of an endpoint p99 / max ms | run twice | messages per check | ns per tick |");
+    println!("| instances | endpoints | loss | kills | lateness of checks p50 / p99 / max ms | interval between checks of an endpoint p99 / max ms | run twice | messages per check | ns per tick |");
     println!("| ---: | ---: | ---: | ---: | --- | --- | ---: | ---: | ---: |");
     for (instances, endpoints, loss, kills) in [
         (3, 100, 0.0, 0),
--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -24,9 +24,9 @@
 
 const CLIENTS: u64 = 8;
 
-struct Running(Child);
+struct KillOnDrop(Child);
 
-impl Drop for Running {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -34,33 +34,36 @@
 }
 
 /// Results with one combination of link and path settings. Histograms are in milliseconds.
-struct Round {
+struct Measurement {
     small: Histogram<u64>,
     large: Histogram<u64>,
     /// Small objects requested during a large response on the same connection.
     during_large: Histogram<u64>,
-    all: u32,
+    requests: u32,
     in_time: u32,
     sent_twice: usize,
 }
 
-fn program(
+fn start_proxy(
     dir: &Path,
     fleet: &SlowCacheFleet,
-    at: std::net::SocketAddr,
-    path: &str,
-) -> (Running, Http3Config) {
+    quic_address: std::net::SocketAddr,
+    path_settings: &str,
+) -> (KillOnDrop, Http3Config) {
     let program =
         PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
     let listen = std::net::TcpListener::bind("127.0.120.9:0").unwrap().local_addr().unwrap();
-    let mut node =
+    let mut node_config =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
-    for (k, from) in (7101..=7104).enumerate() {
-        node = node.replace(&format!("127.0.0.1:{from}"), &fleet.addresses[k].to_string());
+    for (index, port) in (7101..=7104).enumerate() {
+        node_config = node_config.replace(&format!("127.0.0.1:{port}"), &fleet.addresses[index].to_string());
     }
-    std::fs::write(dir.join("config.json"), node.replace("127.0.0.1:5050", &listen.to_string())).unwrap();
+    std::fs::write(dir.join("config.json"), node_config.replace("127.0.0.1:5050", &listen.to_string()))
+        .unwrap();
     let file = dir.join("http3.json");
-    let text = format!(r#"{{"listen":"{at}","certificate":"cert.pem","key":"key.pem","path":{path}}}"#);
+    let text = format!(
+        r#"{{"listen":"{quic_address}","certificate":"cert.pem","key":"key.pem","path":{path_settings}}}"#
+    );
     std::fs::write(&file, text).unwrap();
     let mut command = Command::new(program);
     command.arg("serve").arg("--config").arg(dir.join("config.json")).arg("--http3").arg(&file);
@@ -69,27 +72,41 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     std::thread::sleep(Duration::from_millis(50));
-    (Running(child), Http3Config::read(&file).unwrap())
+    (KillOnDrop(child), Http3Config::read(&file).unwrap())
 }
 
-async fn round(dir: &Path, path: &str, loss: f64, jitter_ms: f64, requests: u64, number: u64) -> Round {
+async fn measure_path(
+    dir: &Path,
+    path_settings: &str,
+    loss: f64,
+    jitter_ms: f64,
+    requests: u64,
+    number: u64,
+) -> Measurement {
     let fleet = SlowCacheFleet::start(119, 4, 256, 4).await;
     fleet.part_bytes.set(120_000);
-    let at = std::net::UdpSocket::bind("127.0.120.9:0").unwrap().local_addr().unwrap();
-    let (_program, config) = program(dir, &fleet, at, path);
-    let link = ImpairedLink::start("127.0.120.20", at, 5 + number).await;
+    let quic_address = std::net::UdpSocket::bind("127.0.120.9:0").unwrap().local_addr().unwrap();
+    let (_proxy, config) = start_proxy(dir, &fleet, quic_address, path_settings);
+    let link = ImpairedLink::start("127.0.120.20", quic_address, 5 + number).await;
     link.loss.set(loss);
     link.jitter_ms.set(jitter_ms);
-    let new = || Histogram::<u64>::new(3).unwrap();
-    let round = Round { small: new(), large: new(), during_large: new(), all: 0, in_time: 0, sent_twice: 0 };
-    let round = Rc::new(RefCell::new(round));
+    let histogram = || Histogram::<u64>::new(3).unwrap();
+    let measurement = Measurement {
+        small: histogram(),
+        large: histogram(),
+        during_large: histogram(),
+        requests: 0,
+        in_time: 0,
+        sent_twice: 0,
+    };
+    let measurement = Rc::new(RefCell::new(measurement));
     let clients: Vec<_> = (0..CLIENTS)
         .map(|k| {
-            let (round, config, at) = (round.clone(), config.clone(), link.address);
+            let (measurement, config, address) = (measurement.clone(), config.clone(), link.address);
             spawn_local(async move {
                 let mut client = None;
                 while client.is_none() {
-                    client = Http3Client::connect(at, &config, None).await;
+                    client = Http3Client::connect(address, &config, None).await;
                 }
                 let client = Rc::new(client.unwrap());
                 for n in 0..requests {
@@ -101,17 +118,20 @@
                         _ => {
                             // A large response, and a small object during it on the same connection.
                             let during_large = spawn_local({
-                                let (client, round) = (client.clone(), round.clone());
+                                let (client, measurement) = (client.clone(), measurement.clone());
                                 async move {
                                     tokio::time::sleep(Duration::from_millis(50)).await;
                                     let start = Instant::now();
                                     let response = client.get_small_object(id | 1, 3_000).await;
                                     let ok = response.is_some_and(|g| g.status == 200);
-                                    let mut round = round.borrow_mut();
-                                    round.all += 1;
-                                    round.in_time +=
+                                    let mut measurement = measurement.borrow_mut();
+                                    measurement.requests += 1;
+                                    measurement.in_time +=
                                         u32::from(ok && start.elapsed() < Duration::from_millis(3_000));
-                                    round.during_large.record(start.elapsed().as_millis() as u64).unwrap();
+                                    measurement
+                                        .during_large
+                                        .record(start.elapsed().as_millis() as u64)
+                                        .unwrap();
                                 }
                             });
                             let text = format!("{id:016x}");
@@ -126,14 +146,14 @@
                         Some(response) => response.elapsed_ms as u64,
                         None => start.elapsed().as_millis() as u64,
                     };
-                    let mut round = round.borrow_mut();
-                    round.all += 1;
-                    round.in_time +=
+                    let mut measurement = measurement.borrow_mut();
+                    measurement.requests += 1;
+                    measurement.in_time +=
                         u32::from(response.is_some_and(|g| g.status == 200) && elapsed_ms < timeout_ms);
                     if kind == 0 {
-                        round.small.record(elapsed_ms).unwrap();
+                        measurement.small.record(elapsed_ms).unwrap();
                     } else {
-                        round.large.record(elapsed_ms).unwrap();
+                        measurement.large.record(elapsed_ms).unwrap();
                     }
                 }
             })
@@ -142,8 +162,8 @@
     for client in clients {
         client.await.unwrap();
     }
-    round.borrow_mut().sent_twice = fleet.keys.borrow().values().filter(|n| **n > 1).count();
-    Rc::try_unwrap(round).ok().unwrap().into_inner()
+    measurement.borrow_mut().sent_twice = fleet.keys.borrow().values().filter(|n| **n > 1).count();
+    Rc::try_unwrap(measurement).ok().unwrap().into_inner()
 }
 
 fn measure_store() {
@@ -191,16 +211,17 @@
             ("5 %, 300 ms", "bbr, 32 packets", bbr, 0.05, 300.0),
         ];
         for (number, (link, name, path, loss, jitter)) in rounds.into_iter().enumerate() {
-            let r = round(&dir, path, loss, jitter, requests, number as u64 + 1).await;
-            let two = |h: &Histogram<u64>| format!("{} / {}", h.value_at_quantile(0.5), h.value_at_quantile(0.99));
+            let measurement = measure_path(&dir, path, loss, jitter, requests, number as u64 + 1).await;
+            let p50_p99 =
+                |h: &Histogram<u64>| format!("{} / {}", h.value_at_quantile(0.5), h.value_at_quantile(0.99));
             println!(
                 "| {link} | {name} | {} | {:.3} | {} | {} | {} | {} |",
-                r.all,
-                f64::from(r.in_time) / f64::from(r.all),
-                two(&r.small),
-                two(&r.during_large),
-                two(&r.large),
-                r.sent_twice
+                measurement.requests,
+                f64::from(measurement.in_time) / f64::from(measurement.requests),
+                p50_p99(&measurement.small),
+                p50_p99(&measurement.during_large),
+                p50_p99(&measurement.large),
+                measurement.sent_twice
             );
         }
     });
--- a/examples/purge_fleet.rs
+++ b/examples/purge_fleet.rs
@@ -35,19 +35,19 @@
 /// Endpoints of the example's configuration: two caches, a parent and the origin.
 const ENDPOINTS: [&str; 4] = ["s-000000c1", "s-000000c2", "s-000000a0", "s-000000b0"];
 /// Index of the server that acknowledges slowly, so that it lags behind when the leader is killed.
-const SLOW: usize = 1;
+const SLOW_SERVER: usize = 1;
 const SLOW_ACK_MS: u64 = 700;
 /// Timeout for servers to catch up, in milliseconds.
 const MAX_CATCH_UP_MS: f64 = 10_000.0;
 
-struct Answer {
+struct Response {
     sent_ms: f64,
     object: usize,
     status: u16,
     generated_ms: Option<f64>,
 }
 
-struct Issued {
+struct IssuedPurge {
     seq: u64,
     issued_ms: f64,
     selector: Selector,
@@ -61,8 +61,8 @@
 /// Observations of the clients and of the task that issues purges.
 #[derive(Default)]
 struct Recorded {
-    answers: RefCell<Vec<Answer>>,
-    purges: RefCell<Vec<Issued>>,
+    responses: RefCell<Vec<Response>>,
+    purges: RefCell<Vec<IssuedPurge>>,
     rejected_submissions: Cell<u64>,
 }
 
@@ -80,11 +80,11 @@
     }
 }
 
-fn free(ip: &str) -> SocketAddr {
+fn free_address(ip: &str) -> SocketAddr {
     TcpListener::bind(format!("{ip}:0")).unwrap().local_addr().unwrap()
 }
 
-fn spawn(program: &Path, dir: &Path, name: &str) -> Child {
+fn spawn_proxy(program: &Path, dir: &Path, name: &str) -> Child {
     let log = std::fs::File::create(dir.join(format!("{name}.err"))).unwrap();
     let config = dir.join(format!("{name}.json"));
     let purges = dir.join(format!("{name}-purges.json"));
@@ -96,7 +96,7 @@
         .expect("could not start the proxy; build it with cargo build --release")
 }
 
-async fn wait_until_up(mgmt: SocketAddr) {
+async fn wait_for_admin(mgmt: SocketAddr) {
     for _ in 0..1_000 {
         if call(mgmt, "GET", "/purges", b"", Duration::from_secs(1)).await.is_ok_and(|a| a.status == 200) {
             return;
@@ -107,11 +107,11 @@
 }
 
 /// Requests an object; returns the status (0 if there was no response) and the generation time of the copy.
-async fn fetch(listen: SocketAddr, object: u64, serial: u64) -> (u16, Option<f64>) {
+async fn get_small_object(listen: SocketAddr, object: u64, call_id: u64) -> (u16, Option<f64>) {
     let attempt = async {
         let mut stream = tokio::net::TcpStream::connect(listen).await.ok()?;
         let request = format!(
-            "GET /ops/small-object/{object:016x} HTTP/1.1\r\nHost: t\r\nX-Call-Id: {serial:016x}\r\n\
+            "GET /ops/small-object/{object:016x} HTTP/1.1\r\nHost: t\r\nX-Call-Id: {call_id:016x}\r\n\
              X-Patience-Ms: 2000\r\nConnection: close\r\n\r\n"
         );
         stream.write_all(request.as_bytes()).await.ok()?;
@@ -125,19 +125,19 @@
 }
 
 /// Returns the last purge that a target has acknowledged, as reported by the leader.
-async fn acknowledged(mgmt: SocketAddr, target: &str) -> Option<u64> {
+async fn acknowledged_purge(mgmt: SocketAddr, target: &str) -> Option<u64> {
     use simd_json::prelude::*;
-    let answer = call(mgmt, "GET", "/purges", b"", Duration::from_secs(1)).await.ok()?;
-    let mut body = answer.body;
+    let response = call(mgmt, "GET", "/purges", b"", Duration::from_secs(1)).await.ok()?;
+    let mut body = response.body;
     let status = simd_json::to_owned_value(&mut body).ok()?;
     status["targets"][target]["acked"].as_u64()
 }
 
-fn percentile(sorted: &[f64], share: f64) -> f64 {
+fn percentile(sorted: &[f64], quantile: f64) -> f64 {
     if sorted.is_empty() {
         return 0.0;
     }
-    sorted[((sorted.len() - 1) as f64 * share).round() as usize]
+    sorted[((sorted.len() - 1) as f64 * quantile).round() as usize]
 }
 
 fn main() {
@@ -151,8 +151,8 @@
 async fn run(program: PathBuf, seconds: u64) {
     let dir = std::env::temp_dir().join(format!("edge-proxy-purge-fleet-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let objects = Rc::new(objects());
-    let port = free("127.0.60.1").port();
+    let objects = Rc::new(create_objects());
+    let port = free_address("127.0.60.1").port();
     let servers = start_servers(&objects, port).await;
     let follower_file = r#"{"role":"follower","name":"follower","state":"follower.log"}"#;
     let follower = start_proxy(&program, &dir, "follower", "127.0.60.11", &servers, follower_file).await;
@@ -172,13 +172,13 @@
             spawn_local(read_until(end_ms, client as u64, listen, objects.clone(), recorded.clone()))
         })
         .collect();
-    let issuer = spawn_local(purge_until(end_ms - 1_000.0, leader.mgmt, objects.clone(), recorded.clone()));
+    let purger = spawn_local(purge_until(end_ms - 1_000.0, leader.mgmt, objects.clone(), recorded.clone()));
     tokio::time::sleep(Duration::from_millis(seconds * 500)).await;
     let restart = kill_and_restart(&program, &dir, &mut leader, &servers, &recorded).await;
     for task in clients {
         task.await.unwrap();
     }
-    issuer.await.unwrap();
+    purger.await.unwrap();
     let caught_up_ms = wait_until_caught_up(&servers, &recorded).await;
 
     println!("| metric | value |");
@@ -190,7 +190,7 @@
     let _ = std::fs::remove_dir_all(&dir);
 }
 
-fn objects() -> Vec<Object> {
+fn create_objects() -> Vec<Object> {
     let mut rng = SmallRng::seed_from_u64(11);
     let key = |index: usize| SurrogateKey::new(&format!("seller-{}", index as u32 % SELLERS)).unwrap();
     (0..OBJECTS).map(|index| Object { id: rng.random::<u64>(), key: key(index) }).collect()
@@ -208,7 +208,7 @@
         servers.push(PurgeTarget::start(name, &ip, port, origin.clone()).await);
     }
     servers[3].always_generates.set(true);
-    servers[SLOW].ack_delay_ms.set(SLOW_ACK_MS);
+    servers[SLOW_SERVER].ack_delay_ms.set(SLOW_ACK_MS);
     servers
 }
 
@@ -221,7 +221,7 @@
     servers: &[PurgeTarget],
     purges_file: &str,
 ) -> Proxy {
-    let (listen, mgmt) = (free(ip), free(ip));
+    let (listen, mgmt) = (free_address(ip), free_address(ip));
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json");
     let mut config = std::fs::read_to_string(example).unwrap().replace(
         "\"listen\": \"127.0.0.1:5050\",",
@@ -232,8 +232,8 @@
     }
     std::fs::write(dir.join(format!("{name}.json")), config).unwrap();
     std::fs::write(dir.join(format!("{name}-purges.json")), purges_file).unwrap();
-    let child = spawn(program, dir, name);
-    wait_until_up(mgmt).await;
+    let child = spawn_proxy(program, dir, name);
+    wait_for_admin(mgmt).await;
     Proxy { child, listen, mgmt }
 }
 
@@ -246,13 +246,13 @@
     recorded: Rc<Recorded>,
 ) {
     let mut rng = SmallRng::seed_from_u64(client);
-    let mut serial = client << 40;
+    let mut call_id = client << 40;
     while now_ms() < end_ms {
         let object = rng.random_range(0..OBJECTS);
-        serial += 1;
+        call_id += 1;
         let sent_ms = now_ms();
-        let (status, generated_ms) = fetch(listen, objects[object].id, serial).await;
-        recorded.answers.borrow_mut().push(Answer { sent_ms, object, status, generated_ms });
+        let (status, generated_ms) = get_small_object(listen, objects[object].id, call_id).await;
+        recorded.responses.borrow_mut().push(Response { sent_ms, object, status, generated_ms });
     }
 }
 
@@ -268,10 +268,10 @@
         };
         let body = format!("{{\"sel\":\"{selector}\"}}");
         match call(leader, "POST", "/purges", body.as_bytes(), Duration::from_secs(1)).await {
-            Ok(answer) if answer.status == 200 => {
-                let Submitted { seq, issued_ms } = from_json(&answer.body).unwrap();
+            Ok(response) if response.status == 200 => {
+                let Submitted { seq, issued_ms } = from_json(&response.body).unwrap();
                 let selector = selector.parse().unwrap();
-                recorded.purges.borrow_mut().push(Issued { seq, issued_ms, selector });
+                recorded.purges.borrow_mut().push(IssuedPurge { seq, issued_ms, selector });
             }
             _ => recorded.rejected_submissions.set(recorded.rejected_submissions.get() + 1),
         }
@@ -304,12 +304,12 @@
     leader.child.kill().unwrap();
     leader.child.wait().unwrap();
     tokio::time::sleep(Duration::from_secs(1)).await;
-    leader.child = spawn(program, dir, "leader");
-    wait_until_up(leader.mgmt).await;
+    leader.child = spawn_proxy(program, dir, "leader");
+    wait_for_admin(leader.mgmt).await;
     let restarted_ms = now_ms();
     let mut recovered_acknowledgement = None;
     while now_ms() < restarted_ms + MAX_CATCH_UP_MS {
-        let acknowledged = acknowledged(leader.mgmt, ENDPOINTS[SLOW]).await;
+        let acknowledged = acknowledged_purge(leader.mgmt, ENDPOINTS[SLOW_SERVER]).await;
         recovered_acknowledgement = recovered_acknowledgement.or(acknowledged);
         if acknowledged.is_some_and(|seq| seq >= last_seq) {
             break;
@@ -333,19 +333,19 @@
 
 /// Compares every response with every purge: a copy generated before a purge that covers it is stale.
 fn print_staleness(objects: &[Object], recorded: &Recorded) {
-    let (answers, purges) = (recorded.answers.borrow(), recorded.purges.borrow());
+    let (responses, purges) = (recorded.responses.borrow(), recorded.purges.borrow());
     let mut visible_ms = vec![0.0f64; purges.len()];
     let mut stale_ms = Vec::new();
-    let served = |answer: &&Answer| answer.status == 200 && answer.generated_ms.is_some();
-    for answer in answers.iter().filter(served) {
-        let Object { id, key } = &objects[answer.object];
+    let served = |response: &&Response| response.status == 200 && response.generated_ms.is_some();
+    for response in responses.iter().filter(served) {
+        let Object { id, key } = &objects[response.object];
         let (name, keys) = (copy_name("small-object", *id, 0), [key.clone()]);
         let copy = CachedCopy { name: &name, object: *id, group: 0, surrogate_keys: &keys };
         let mut max_delay_ms = None;
         for (purge, visible_ms) in purges.iter().zip(&mut visible_ms) {
-            let is_older = answer.generated_ms.is_some_and(|generated_ms| purge.issued_ms >= generated_ms);
-            if is_older && purge.issued_ms < answer.sent_ms && purge.selector.covers(&copy) {
-                let delay_ms = answer.sent_ms - purge.issued_ms;
+            let is_older = response.generated_ms.is_some_and(|generated_ms| purge.issued_ms >= generated_ms);
+            if is_older && purge.issued_ms < response.sent_ms && purge.selector.covers(&copy) {
+                let delay_ms = response.sent_ms - purge.issued_ms;
                 *visible_ms = visible_ms.max(delay_ms);
                 max_delay_ms = Some(max_delay_ms.map_or(delay_ms, |max: f64| max.max(delay_ms)));
             }
@@ -353,15 +353,15 @@
         stale_ms.extend(max_delay_ms);
     }
     visible_ms.sort_by(f64::total_cmp);
-    let served = answers.iter().filter(served).count();
-    let failed = answers.iter().filter(|answer| answer.status != 200).count();
+    let served = responses.iter().filter(served).count();
+    let failed = responses.iter().filter(|response| response.status != 200).count();
     let too_stale = stale_ms.iter().filter(|delay_ms| **delay_ms > MAX_STALE_MS).count();
     println!(
         "| purges issued | {} ({} submissions rejected while the leader was down) |",
         purges.len(),
         recorded.rejected_submissions.get()
     );
-    println!("| responses checked | {} ({served} served, {failed} not served) |", answers.len());
+    println!("| responses checked | {} ({served} served, {failed} not served) |", responses.len());
     println!("| responses from a copy that was purged before the request was sent | {} |", stale_ms.len());
     println!("| of those, sent more than 500 ms after the purge | {too_stale} |");
     println!(
--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -38,20 +38,20 @@
     ("s-000000b0", "hub", "origin"),
 ];
 
-fn endpoint_json(k: usize, at: SocketAddr, state: &str) -> String {
-    let (uid, az, model) = ENDPOINTS[k];
+fn endpoint_json(index: usize, address: SocketAddr, state: &str) -> String {
+    let (uid, az, model) = ENDPOINTS[index];
     format!(
-        r#"{{"uid":"{uid}","endpoint":"{at}","az":"{az}","model":"{model}","pod_group":0,"state":"{state}","capacity_hint":4,"boot_ms":0}}"#
+        r#"{{"uid":"{uid}","endpoint":"{address}","az":"{az}","model":"{model}","pod_group":0,"state":"{state}","capacity_hint":4,"boot_ms":0}}"#
     )
 }
 
-fn percentile(sorted: &[f64], share: f64) -> f64 {
-    sorted.get(((sorted.len().max(1) - 1) as f64 * share).round() as usize).copied().unwrap_or(0.0)
+fn percentile(sorted: &[f64], quantile: f64) -> f64 {
+    sorted.get(((sorted.len().max(1) - 1) as f64 * quantile).round() as usize).copied().unwrap_or(0.0)
 }
 
-struct Running(std::process::Child);
+struct KillOnDrop(std::process::Child);
 
-impl Drop for Running {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -64,12 +64,12 @@
         PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        one_proxy(program, drains).await;
-        many_proxies(100, 20).await;
+        measure_drains(program, drains).await;
+        measure_call_rate(100, 20).await;
     });
 }
 
-fn files(
+fn write_config_files(
     dir: &std::path::Path,
     registry: SocketAddr,
     listen: &str,
@@ -88,10 +88,10 @@
     (dir.join("config.json"), dir.join("registry.json"))
 }
 
-async fn state(mgmt: SocketAddr) -> Option<simd_json::OwnedValue> {
-    let answer =
+async fn registry_status(mgmt: SocketAddr) -> Option<simd_json::OwnedValue> {
+    let response =
         edge_proxy::http_client::call(mgmt, "GET", "/registry", b"", Duration::from_secs(1)).await.ok()?;
-    let mut body = answer.body;
+    let mut body = response.body;
     simd_json::to_owned_value(&mut body).ok()
 }
 
@@ -105,9 +105,9 @@
             id % 97
         );
         if let Ok(mut stream) = tokio::net::TcpStream::connect(listen).await {
-            let mut answer = Vec::new();
+            let mut response = Vec::new();
             let _ = stream.write_all(request.as_bytes()).await;
-            let _ = stream.read_to_end(&mut answer).await;
+            let _ = stream.read_to_end(&mut response).await;
         }
         tokio::time::sleep(Duration::from_millis(4)).await;
     }
@@ -115,15 +115,15 @@
 
 /// Number of registry failures injected before drains, by kind.
 #[derive(Default)]
-struct Interruptions {
+struct InjectedFailures {
     closed: u32,
     compacted: u32,
-    silent: u32,
+    unresponsive: u32,
 }
 
-impl Interruptions {
+impl InjectedFailures {
     /// Injects a random failure, or none; returns whether the caller has to compact the next change away.
-    fn interrupt(&mut self, registry: &Registry, rng: &mut SmallRng) -> bool {
+    fn inject(&mut self, registry: &Registry, rng: &mut SmallRng) -> bool {
         match rng.random_range(0..20) {
             0..=4 => {
                 registry.close_watches();
@@ -136,7 +136,7 @@
             }
             8..=9 => {
                 registry.stop_responding(Duration::from_millis(rng.random_range(500..2_000)));
-                self.silent += 1;
+                self.unresponsive += 1;
             }
             _ => {}
         }
@@ -147,7 +147,7 @@
 /// Waits until the proxy has applied a revision; returns the time of its last update, in Unix milliseconds.
 async fn wait_for_revision(mgmt: SocketAddr, revision: i64) -> f64 {
     loop {
-        let status = state(mgmt).await;
+        let status = registry_status(mgmt).await;
         if status.as_ref().and_then(|s| s["revision"].as_i64()).unwrap_or(0) >= revision {
             return status.and_then(|s| s["heard_ms"].as_f64()).unwrap_or(0.0);
         }
@@ -155,7 +155,7 @@
     }
 }
 
-async fn one_proxy(program: PathBuf, drains: usize) {
+async fn measure_drains(program: PathBuf, drains: usize) {
     let dir = std::env::temp_dir().join(format!("edge-proxy-registry-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let fleet = SlowCacheFleet::start(82, 4, 64, 2).await;
@@ -167,12 +167,13 @@
     (0..ENDPOINTS.len()).for_each(|k| {
         put(k, "Ready");
     });
-    let port = || TcpListener::bind("127.0.82.10:0").unwrap().local_addr().unwrap();
-    let (listen, mgmt) = (port(), port());
-    let (config, file) = files(&dir, registry.address, &listen.to_string(), Some(&mgmt.to_string()));
+    let free_address = || TcpListener::bind("127.0.82.10:0").unwrap().local_addr().unwrap();
+    let (listen, mgmt) = (free_address(), free_address());
+    let (config, file) =
+        write_config_files(&dir, registry.address, &listen.to_string(), Some(&mgmt.to_string()));
     let mut command = Command::new(&program);
     command.args(["serve", "--config", config.to_str().unwrap(), "--registry", file.to_str().unwrap()]);
-    let _proxy = Running(
+    let _proxy = KillOnDrop(
         command.env("EDGE_PROXY_LOG", "warn").stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap(),
     );
     wait_for_revision(mgmt, 4).await;
@@ -180,33 +181,33 @@
         tokio::task::spawn_local(read_forever(listen, k << 40));
     }
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut interruptions = Interruptions::default();
+    let mut failures = InjectedFailures::default();
     let (mut delays, mut requests_after) = (Vec::new(), 0usize);
     for n in 0..drains {
         let k = n % 2;
-        let compacts = interruptions.interrupt(&registry, &mut rng);
-        let written = unix_ms();
+        let must_compact = failures.inject(&registry, &mut rng);
+        let written_ms = unix_ms();
         let revision = put(k, "Terminating");
-        if compacts {
+        if must_compact {
             // The proxy is disconnected, so it can learn of the compacted change only by a full read.
             registry.compact();
         }
-        let applied = wait_for_revision(mgmt, revision).await;
-        delays.push(applied - written);
+        let applied_ms = wait_for_revision(mgmt, revision).await;
+        delays.push(applied_ms - written_ms);
         tokio::time::sleep(Duration::from_millis(400)).await;
         requests_after +=
-            fleet.arrivals.borrow().iter().filter(|(b, at)| *b == k && *at > applied + 250.0).count();
+            fleet.arrivals.borrow().iter().filter(|(b, at)| *b == k && *at > applied_ms + 250.0).count();
         put(k, "Ready");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     delays.sort_by(f64::total_cmp);
-    print_drains(&delays, &interruptions, requests_after, &state(mgmt).await.unwrap());
+    print_drains(&delays, &failures, requests_after, &registry_status(mgmt).await.unwrap());
     let _ = std::fs::remove_dir_all(&dir);
 }
 
 fn print_drains(
     delays: &[f64],
-    interruptions: &Interruptions,
+    failures: &InjectedFailures,
     requests_after: usize,
     status: &simd_json::OwnedValue,
 ) {
@@ -215,9 +216,9 @@
     println!(
         "| {} | {} / {} / {} | {:.1} | {:.1} | {:.1} | {requests_after} | {} ({}) |",
         delays.len(),
-        interruptions.closed,
-        interruptions.compacted,
-        interruptions.silent,
+        failures.closed,
+        failures.compacted,
+        failures.unresponsive,
         percentile(delays, 0.5),
         percentile(delays, 0.99),
         delays.last().copied().unwrap_or(0.0),
@@ -226,7 +227,7 @@
     );
 }
 
-async fn many_proxies(proxies: usize, seconds: u64) {
+async fn measure_call_rate(proxies: usize, seconds: u64) {
     let dir = std::env::temp_dir().join(format!("edge-proxy-registry-many-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let registry = Registry::start("127.0.83.100").await;
@@ -234,17 +235,17 @@
         let at: SocketAddr = format!("127.0.83.{}:7000", k + 1).parse().unwrap();
         registry.put(&format!("{PREFIX}{}", endpoint.0), &endpoint_json(k, at, "Ready"));
     }
-    let (config, file) = files(&dir, registry.address, "127.0.83.10:1", None);
+    let (config, file) = write_config_files(&dir, registry.address, "127.0.83.10:1", None);
     let (config, file) = (Config::read(&config).unwrap(), RegistryConfig::read(&file).unwrap());
     let mut statuses = Vec::new();
     for n in 0..proxies {
         let clock = Clock::system();
         let (engine, _) = edge_proxy::lifecycle::engine_setup::engine(&config, &clock, 0).unwrap();
-        let host = Executor::new(clock, engine, CacheDriver);
-        host.with(|engine| engine.use_registry());
+        let executor = Executor::new(clock, engine, CacheDriver);
+        executor.with(|engine| engine.use_registry());
         let status = Rc::new(RefCell::new(RegistryStatus::default()));
         statuses.push(status.clone());
-        tokio::task::spawn_local(run(host, file.clone(), status, n as u64));
+        tokio::task::spawn_local(run(executor, file.clone(), status, n as u64));
     }
     let start = std::time::Instant::now();
     let (ranges, watches) = (registry.store.ranges.get(), registry.store.watches.get());
@@ -267,13 +268,13 @@
     let wall = start.elapsed().as_secs_f64();
     let ranges = registry.store.ranges.get() - ranges;
     let watches = registry.store.watches.get() - watches;
-    let behind =
+    let outdated =
         statuses.iter().filter(|status| status.borrow().revision < registry.store.revision.get() - 1).count();
     println!();
     println!("| simulated proxies | seconds | changes | failures | ranges | watches | calls per second per proxy | outdated at the end |");
     println!("| ---: | ---: | ---: | --- | ---: | ---: | ---: | ---: |");
     println!(
-        "| {proxies} | {wall:.0} | {changes} | random | {ranges} | {watches} | {:.3} | {behind} |",
+        "| {proxies} | {wall:.0} | {changes} | random | {ranges} | {watches} | {:.3} | {outdated} |",
         (ranges + watches) as f64 / proxies as f64 / wall
     );
     let _ = std::fs::remove_dir_all(&dir);
--- a/examples/rules_load.rs
+++ b/examples/rules_load.rs
@@ -24,18 +24,18 @@
 
 const RULES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/rules.json");
 const EVALUATIONS: u64 = 1_000_000;
-const CALLERS: u64 = 8;
+const CONNECTIONS: u64 = 8;
 
-struct Running(Child);
+struct KillOnDrop(Child);
 
-impl Drop for Running {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn evaluations() {
+fn measure_classification() {
     let (_, rules) = RulesConfig::read(Path::new(RULES)).unwrap();
     let requests: Vec<HttpRequest> = (0..4_096u64)
         .map(|n| HttpRequest {
@@ -49,7 +49,7 @@
             ..HttpRequest::default()
         })
         .collect();
-    let (mut max_steps, mut different) = (0u64, 0u64);
+    let (mut max_steps, mut mismatches) = (0u64, 0u64);
     let start = Instant::now();
     for n in 0..EVALUATIONS {
         let mut steps = 0;
@@ -63,11 +63,11 @@
     }
     let by_code = start.elapsed();
     for request in &requests {
-        different += u64::from(rules.classify(request, &mut 0) != PlatformPath.classify(request));
+        mismatches += u64::from(rules.classify(request, &mut 0) != PlatformPath.classify(request));
     }
     let ns = |d: Duration| d.as_nanos() as f64 / EVALUATIONS as f64;
     println!(
-        "{EVALUATIONS} requests: {:.0} ns by rules, {:.0} ns by code; {max_steps} steps at most, limit {}; {different} classified differently",
+        "{EVALUATIONS} requests: {:.0} ns by rules, {:.0} ns by code; {max_steps} steps at most, limit {}; {mismatches} classified differently",
         ns(by_rules),
         ns(by_code),
         rules.max_cost()
@@ -75,64 +75,69 @@
 }
 
 /// Results of the requests to one proxy.
-struct Measured {
+struct Measurement {
     latency_us: Histogram<u64>,
     duration: Duration,
     not_served: u64,
 }
 
-impl Measured {
-    fn add(&mut self, other: Measured) {
+impl Measurement {
+    fn add(&mut self, other: Measurement) {
         self.latency_us.add(other.latency_us).unwrap();
         self.duration += other.duration;
         self.not_served += other.not_served;
     }
 }
 
-/// Sends requests over [`CALLERS`] connections, one at a time on each.
-async fn measure(at: SocketAddr, requests: u64, ids: u64) -> Measured {
-    let seen = Rc::new(RefCell::new((Histogram::<u64>::new(3).unwrap(), 0)));
+/// Sends requests over [`CONNECTIONS`] connections, one at a time on each.
+async fn measure_proxy(address: SocketAddr, requests: u64, id_prefix: u64) -> Measurement {
+    let recorded = Rc::new(RefCell::new((Histogram::<u64>::new(3).unwrap(), 0)));
     let start = Instant::now();
-    let callers: Vec<_> = (0..CALLERS)
+    let tasks: Vec<_> = (0..CONNECTIONS)
         .map(|k| {
-            let seen = seen.clone();
+            let recorded = recorded.clone();
             tokio::task::spawn_local(async move {
-                let mut stream = TcpStream::connect(at).await.unwrap();
+                let mut stream = TcpStream::connect(address).await.unwrap();
                 let _ = stream.set_nodelay(true);
-                let mut answer = vec![0u8; 4_096];
-                for n in 0..requests / CALLERS {
-                    let (id, start) = (ids << 40 | k << 32 | n, Instant::now());
-                    let text = format!(
+                let mut response = vec![0u8; 4_096];
+                for n in 0..requests / CONNECTIONS {
+                    let (id, start) = (id_prefix << 40 | k << 32 | n, Instant::now());
+                    let request = format!(
                         "GET /ops/small-object/{:016x} HTTP/1.1\r\nHost: t\r\nX-Call-Id: {id:016x}\r\nX-Set: 7\r\n\r\n",
                         n % 997
                     );
-                    stream.write_all(text.as_bytes()).await.unwrap();
-                    let got = stream.read(&mut answer).await.unwrap();
-                    let mut seen = seen.borrow_mut();
-                    seen.0.record(start.elapsed().as_micros() as u64).unwrap();
-                    seen.1 += u64::from(!answer[..got].starts_with(b"HTTP/1.1 200"));
+                    stream.write_all(request.as_bytes()).await.unwrap();
+                    let length = stream.read(&mut response).await.unwrap();
+                    let mut recorded = recorded.borrow_mut();
+                    recorded.0.record(start.elapsed().as_micros() as u64).unwrap();
+                    recorded.1 += u64::from(!response[..length].starts_with(b"HTTP/1.1 200"));
                 }
             })
         })
         .collect();
-    for caller in callers {
-        caller.await.unwrap();
+    for task in tasks {
+        task.await.unwrap();
     }
-    let seen = seen.borrow();
-    Measured { latency_us: seen.0.clone(), duration: start.elapsed(), not_served: seen.1 }
+    let recorded = recorded.borrow();
+    Measurement { latency_us: recorded.0.clone(), duration: start.elapsed(), not_served: recorded.1 }
 }
 
 fn main() {
-    evaluations();
+    measure_classification();
     let requests: u64 = std::env::args().nth(1).and_then(|s| s.parse().ok()).unwrap_or(60_000);
     let program =
         PathBuf::from(std::env::var("EDGE_PROXY").unwrap_or_else(|_| "target/release/edge-proxy".into()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&runtime, loopback(&program, requests));
+    tokio::task::LocalSet::new().block_on(&runtime, measure_loopback(&program, requests));
 }
 
 /// Starts a proxy in front of a fleet, with or without rules.
-fn start(program: &Path, dir: &Path, fleet: &SlowCacheFleet, rules: Option<&str>) -> (Running, SocketAddr) {
+fn start_proxy(
+    program: &Path,
+    dir: &Path,
+    fleet: &SlowCacheFleet,
+    rules: Option<&str>,
+) -> (KillOnDrop, SocketAddr) {
     let listen = std::net::TcpListener::bind("127.0.126.9:0").unwrap().local_addr().unwrap();
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json");
     let mut config = std::fs::read_to_string(example).unwrap().replace("127.0.0.1:5050", &listen.to_string());
@@ -147,25 +152,25 @@
         command.arg("--rules").arg(rules);
     }
     let child = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
-    (Running(child), listen)
+    (KillOnDrop(child), listen)
 }
 
 /// Measures a proxy without rules and one with them, alternating between the two.
-async fn loopback(program: &Path, requests: u64) {
+async fn measure_loopback(program: &Path, requests: u64) {
     let dir = std::env::temp_dir().join(format!("edge-proxy-rules-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let fleet = SlowCacheFleet::start(126, 4, 256, 0).await;
-    let programs = [start(program, &dir, &fleet, None), start(program, &dir, &fleet, Some(RULES))];
-    for (_, at) in &programs {
-        while std::net::TcpStream::connect(at).is_err() {
+    let proxies = [start_proxy(program, &dir, &fleet, None), start_proxy(program, &dir, &fleet, Some(RULES))];
+    for (_, address) in &proxies {
+        while std::net::TcpStream::connect(address).is_err() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
-    let mut totals: Vec<Measured> = Vec::new();
+    let mut totals: Vec<Measurement> = Vec::new();
     for round in 0..4u64 {
-        for (k, (_, at)) in programs.iter().enumerate() {
-            let measured = measure(*at, requests / 4, round * 2 + k as u64 + 1).await;
-            match totals.get_mut(k) {
+        for (index, (_, address)) in proxies.iter().enumerate() {
+            let measured = measure_proxy(*address, requests / 4, round * 2 + index as u64 + 1).await;
+            match totals.get_mut(index) {
                 None => totals.push(measured),
                 Some(total) => total.add(measured),
             }
--- a/examples/sign_link.rs
+++ b/examples/sign_link.rs
@@ -45,9 +45,10 @@
         .nth(1)
         .and_then(|t| t.split('"').next())
         .ok_or("the key file has no \"k\" member")?;
-    let exp = SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs() + 600;
+    let expires_at = SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs() + 600;
     let hash = base64url(&Sha256::digest(format!("http://127.0.0.1:8080{path}")));
-    let claims = Claims { iss: "toy-links", exp, cdniv: 1, cdniuc: format!("hash:sha-256;{hash}") };
+    let claims =
+        Claims { iss: "toy-links", exp: expires_at, cdniv: 1, cdniuc: format!("hash:sha-256;{hash}") };
     let header = Header { kid: Some("toy".into()), ..Header::new(Algorithm::HS256) };
     let key = EncodingKey::from_secret(
         &edge_proxy::wire::signed_urls::jwk::decode_base64url(secret)
--- a/examples/vrrp_takeover.rs
+++ b/examples/vrrp_takeover.rs
@@ -30,34 +30,34 @@
     }
 }
 
-fn free(ip: &str) -> SocketAddr {
+fn free_address(ip: &str) -> SocketAddr {
     std::net::TcpListener::bind(format!("{ip}:0")).unwrap().local_addr().unwrap()
 }
 
-fn start(
+fn start_proxy(
     program: &Path,
     dir: &Path,
-    k: usize,
+    index: usize,
     fleet: &SlowCacheFleet,
     routers: [SocketAddr; 2],
     virtual_address: SocketAddr,
 ) -> Proxy {
-    let (listen, mgmt) = (free("127.0.102.10"), free("127.0.102.10"));
+    let (listen, mgmt) = (free_address("127.0.102.10"), free_address("127.0.102.10"));
     let mut text =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
-    for (n, at) in (7101..=7104).enumerate() {
-        text = text.replace(&format!("127.0.0.1:{at}"), &fleet.addresses[n].to_string());
+    for (n, port) in (7101..=7104).enumerate() {
+        text = text.replace(&format!("127.0.0.1:{port}"), &fleet.addresses[n].to_string());
     }
     let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
-    let (config, file) = (dir.join(format!("config-{k}.json")), dir.join(format!("vrrp-{k}.json")));
+    let (config, file) = (dir.join(format!("config-{index}.json")), dir.join(format!("vrrp-{index}.json")));
     std::fs::write(&config, text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses)).unwrap();
     // Without preemption, a restarted router stays backup until the active one is killed.
     let text = format!(
         r#"{{"listen":"{}","peers":["{}"],"vrid":7,"priority":{},"interval_cs":20,"down_intervals":8,"preempt":false,
             "addresses":["{}"],"serve":[{{"address":"{virtual_address}","front":"platform"}}]}}"#,
-        routers[k],
-        routers[1 - k],
-        [120, 100][k],
+        routers[index],
+        routers[1 - index],
+        [120, 100][index],
         virtual_address.ip()
     );
     std::fs::write(&file, text).unwrap();
@@ -66,23 +66,23 @@
     Proxy { child: command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap(), mgmt }
 }
 
-async fn state(proxy: &Proxy) -> Option<String> {
-    let within = Duration::from_secs(1);
-    let mut body = edge_proxy::http_client::call(proxy.mgmt, "GET", "/vrrp", b"", within).await.ok()?.body;
+async fn vrrp_state(proxy: &Proxy) -> Option<String> {
+    let timeout = Duration::from_secs(1);
+    let mut body = edge_proxy::http_client::call(proxy.mgmt, "GET", "/vrrp", b"", timeout).await.ok()?.body;
     let status = simd_json::to_owned_value(&mut body).ok()?;
     status["state"].as_str().map(String::from)
 }
 
-async fn wait_for(proxy: &Proxy, wanted: &str) {
+async fn wait_for_state(proxy: &Proxy, expected: &str) {
     let end = Instant::now() + Duration::from_secs(10);
-    while state(proxy).await.as_deref() != Some(wanted) {
-        assert!(Instant::now() < end, "the router did not become {wanted} within ten seconds");
+    while vrrp_state(proxy).await.as_deref() != Some(expected) {
+        assert!(Instant::now() < end, "the router did not become {expected} within ten seconds");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-fn at(sorted: &[f64], share: f64) -> f64 {
-    sorted[((sorted.len() - 1) as f64 * share).round() as usize]
+fn percentile(sorted: &[f64], quantile: f64) -> f64 {
+    sorted[((sorted.len() - 1) as f64 * quantile).round() as usize]
 }
 
 fn main() {
@@ -94,48 +94,51 @@
         let dir = std::env::temp_dir().join(format!("edge-proxy-takeover-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
         let fleet = SlowCacheFleet::start(102, 4, 512, 4).await;
-        let virtual_address = free("127.1.102.1");
+        let virtual_address = free_address("127.1.102.1");
         let udp = || std::net::UdpSocket::bind("127.0.102.10:0").unwrap().local_addr().unwrap();
         let routers = [udp(), udp()];
-        let mut pair = [0, 1].map(|k| start(&program, &dir, k, &fleet, routers, virtual_address));
-        wait_for(&pair[0], "active").await;
-        wait_for(&pair[1], "backup").await;
+        let mut proxies =
+            [0, 1].map(|index| start_proxy(&program, &dir, index, &fleet, routers, virtual_address));
+        wait_for_state(&proxies[0], "active").await;
+        wait_for_state(&proxies[1], "backup").await;
         let load = LoadGenerator::start(virtual_address, 16, CLIENT_TIMEOUT);
-        let (mut takeovers, mut first_responses, mut active) = (Vec::new(), Vec::new(), 0);
+        let (mut takeover_ms, mut first_response_ms, mut active) = (Vec::new(), Vec::new(), 0);
         for _ in 0..kills {
             tokio::time::sleep(Duration::from_millis(300)).await;
             let killed = Instant::now();
-            pair[active].child.kill().unwrap();
-            wait_for(&pair[1 - active], "active").await;
-            takeovers.push(killed.elapsed().as_secs_f64() * 1_000.0);
+            proxies[active].child.kill().unwrap();
+            wait_for_state(&proxies[1 - active], "active").await;
+            takeover_ms.push(killed.elapsed().as_secs_f64() * 1_000.0);
             tokio::time::sleep(Duration::from_millis(200)).await;
             let first = load.outcomes.borrow().iter().filter(|(_, _, e)| e.ended_at > killed).map(|(_, _, e)| e.ended_at).min();
-            first_responses.push(first.map_or(f64::NAN, |t| (t - killed).as_secs_f64() * 1_000.0));
-            let fresh = start(&program, &dir, active, &fleet, routers, virtual_address);
-            pair[active] = fresh;
-            wait_for(&pair[active], "backup").await;
+            first_response_ms.push(first.map_or(f64::NAN, |t| (t - killed).as_secs_f64() * 1_000.0));
+            let restarted = start_proxy(&program, &dir, active, &fleet, routers, virtual_address);
+            proxies[active] = restarted;
+            wait_for_state(&proxies[active], "backup").await;
             active = 1 - active;
         }
-        let ended = load.stop().await;
-        takeovers.sort_by(f64::total_cmp);
-        first_responses.sort_by(f64::total_cmp);
-        let lost = ended.iter().filter(|(_, _, e)| e.status != Some(200) || e.malformed).count();
-        let retried = ended.iter().filter(|(_, _, e)| e.retries > 0).count();
-        let posts = ended.iter().filter(|(_, write, _)| *write).count();
+        let outcomes = load.stop().await;
+        takeover_ms.sort_by(f64::total_cmp);
+        first_response_ms.sort_by(f64::total_cmp);
+        let lost = outcomes.iter().filter(|(_, _, e)| e.status != Some(200) || e.malformed).count();
+        let retried = outcomes.iter().filter(|(_, _, e)| e.retries > 0).count();
+        let posts = outcomes.iter().filter(|(_, write, _)| *write).count();
         let keys = fleet.keys.borrow();
-        let sends = |id: u64| keys.get(&format!("k{id:x}")).copied().unwrap_or(0);
-        let sent_twice = ended.iter().filter(|(id, write, e)| *write && e.retries == 0 && sends(*id) > 1).count();
-        let repeated = ended.iter().filter(|(id, write, e)| *write && e.retries > 0 && sends(*id) > 1).count();
+        let send_count = |id: u64| keys.get(&format!("k{id:x}")).copied().unwrap_or(0);
+        let sent_twice =
+            outcomes.iter().filter(|(id, write, e)| *write && e.retries == 0 && send_count(*id) > 1).count();
+        let resent_by_client =
+            outcomes.iter().filter(|(id, write, e)| *write && e.retries > 0 && send_count(*id) > 1).count();
         println!("| kills | takeover p50 / p99 / max ms | first response after the kill p50 / max ms | requests | lost | retried | ad-posts | sent twice | sent again by a client's retry with the same key |");
         println!("| ---: | --- | --- | ---: | ---: | ---: | ---: | ---: | ---: |");
         println!(
-            "| {kills} | {:.0} / {:.0} / {:.0} | {:.0} / {:.0} | {} | {lost} | {retried} | {posts} | {sent_twice} | {repeated} |",
-            at(&takeovers, 0.5),
-            at(&takeovers, 0.99),
-            at(&takeovers, 1.0),
-            at(&first_responses, 0.5),
-            at(&first_responses, 1.0),
-            ended.len(),
+            "| {kills} | {:.0} / {:.0} / {:.0} | {:.0} / {:.0} | {} | {lost} | {retried} | {posts} | {sent_twice} | {resent_by_client} |",
+            percentile(&takeover_ms, 0.5),
+            percentile(&takeover_ms, 0.99),
+            percentile(&takeover_ms, 1.0),
+            percentile(&first_response_ms, 0.5),
+            percentile(&first_response_ms, 1.0),
+            outcomes.len(),
         );
         let _ = std::fs::remove_dir_all(&dir);
     });
