--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -1,6 +1,6 @@
-//! The cost of an admission decision, and the memory held, against the number of distinct clients: a queue at its
-//! limit takes a stream of arrivals from 1,000 to 100,000 clients, each ended in turn. Run with
-//! `cargo bench --bench admission`.
+//! Measures the time of an admission decision and the memory of the fair queue by the number of distinct clients: a
+//! queue at its concurrency limit gets requests from 1,000 to 100,000 clients, completed in order of admission. Run
+//! with `cargo bench --bench admission`.
 
 use edge_proxy::admission::bounds::AdmissionBounds;
 use edge_proxy::admission::concurrency_limit::LimitSettings;
@@ -27,20 +27,20 @@
         min_service_ms: 50.0,
     };
     let limit = LimitSettings { initial: 64.0, min: 64.0, max: 64.0, adaptive: false };
-    println!("| distinct clients | ends per arrival | ns per arrival and end | admitted | queued then admitted | refused | most bytes held | stated bound |");
+    println!("| distinct clients | completions per arrival | ns per arrival and completion | admitted | queued then admitted | rejected | max bytes held | calculated max bytes |");
     println!("| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
-    for (clients, every) in
+    for (clients, skip_every) in
         [(1_000u64, 10), (10_000, 10), (100_000, 10), (1_000, 2), (10_000, 2), (100_000, 2)]
     {
         let mut queue =
             FairQueue::new(bounds, limit, Weights { default: 1.0, by_tenant: Default::default() });
         let mut rng = SmallRng::seed_from_u64(3);
         let mut in_flight = std::collections::VecDeque::new();
-        let (mut now, mut most) = (1_000.0, 0usize);
+        let (mut now, mut max_bytes) = (1_000.0, 0usize);
         let start = Instant::now();
         for id in 0..ARRIVALS {
             now += 0.01;
-            // A quarter of the arrivals come from one heavy client; the rest spread over all.
+            // One heavy client sends a quarter of the requests; the rest are spread over all clients.
             let client = if rng.random_range(0..4) == 0 { 0 } else { rng.random_range(1..=clients) };
             let arrival = Arrival {
                 id,
@@ -53,25 +53,25 @@
                 AdmissionDecision::Admit => in_flight.push_back(id),
                 AdmissionDecision::Queue | AdmissionDecision::Shed { .. } | AdmissionDecision::Duplicate => {}
             }
-            // The fleet ends one request for every arrival but a tenth (or a half): the queue stays at its limit.
-            if id % every != 0 {
+            // Fewer completions than arrivals keep the queue at its limit.
+            if id % skip_every != 0 {
                 if let Some(done) = in_flight.pop_front() {
                     in_flight.extend(queue.completed(now, done, Completion::Succeeded));
                 }
             }
             if id % 4_096 == 0 {
                 queue.expire(now);
-                most = most.max(queue.heap_bytes());
+                max_bytes = max_bytes.max(queue.heap_bytes());
             }
         }
         let ns = start.elapsed().as_nanos() as f64 / ARRIVALS as f64;
-        let f = queue.counters;
-        let refused: u64 = f.shed.iter().sum();
-        let ends = 1.0 - 1.0 / every as f64;
+        let counters = queue.counters;
+        let rejected_count: u64 = counters.shed.iter().sum();
+        let completions_per_arrival = 1.0 - 1.0 / skip_every as f64;
         println!(
-            "| {clients} | {ends:.1} | {ns:.0} | {} | {} | {refused} | {most} | {} |",
-            f.admitted,
-            f.released,
+            "| {clients} | {completions_per_arrival:.1} | {ns:.0} | {} | {} | {rejected_count} | {max_bytes} | {} |",
+            counters.admitted,
+            counters.released,
             bounds.max_heap_bytes(64)
         );
     }
--- a/benches/purge_lookup.rs
+++ b/benches/purge_lookup.rs
@@ -1,5 +1,5 @@
-//! The cost of a purge lookup by the number of active purges: nanoseconds per lookup and heap bytes, for 100 to 100,000
-//! purges of every kind. Run with `cargo bench --bench purge_lookup`.
+//! Measures the time of a purge lookup and the memory of the index by the number of active purges: 100 to 100,000
+//! purges with tag, object, pattern and group selectors. Run with `cargo bench --bench purge_lookup`.
 
 use edge_proxy::purge::active_purges::{ActivePurges, Purge, RetentionLimits};
 use edge_proxy::purge::selector::{copy_name, CachedCopy, Selector};
@@ -9,7 +9,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Lookups timed for each size.
+/// Lookups timed for each number of purges.
 const LOOKUPS: usize = 400_000;
 const CLASSES: [&str; 3] = ["video-part", "small-object", "ad-post"];
 
@@ -23,7 +23,7 @@
         }
         _ => format!("group:{}", rng.random_range(0..256u32)),
     };
-    text.parse().expect("a good selector")
+    text.parse().expect("the selector is valid")
 }
 
 fn main() {
@@ -49,8 +49,8 @@
             .collect();
         let mut covered = 0usize;
         let start = Instant::now();
-        for k in 0..LOOKUPS {
-            let (name, object, group, surrogate_keys) = &copies[k % copies.len()];
+        for index in 0..LOOKUPS {
+            let (name, object, group, surrogate_keys) = &copies[index % copies.len()];
             let copy = CachedCopy { name, object: *object, group: *group, surrogate_keys };
             covered += usize::from(black_box(active.newest(black_box(&copy))).is_some());
         }
