--- a/deploy/sites/derive.py
+++ b/deploy/sites/derive.py
@@ -1,12 +1,13 @@
 #!/usr/bin/env python3
-"""Derives a customer's site for the standing bench from a given one and a list of differences.
+"""Generates a customer's benchmark site from an existing site and a list of changes.
 
     deploy/sites/derive.py print-hub clip-desk
 
-For each NAME, `deploy/sites/NAME.toml` says where it starts (`base`, a path below `../given`) and what differs
-(`set`: section, place among the sections of that name, key, value; `drop`: section, place, key). The site goes to
-`deploy/sites/derived/NAME/`, with the `real.json`, `wire.json` and `unlock.txt` that lie beside its base, or else
-beside the wire file that its base names. What is derived is never committed.
+For each NAME, `deploy/sites/NAME.toml` names the base site (`base`, a path relative to the folder `given` next to
+the repository) and the changes (`set`: section, place, key, value; `drop`: section, place, key; `place` is the
+index among the sections with the same name). The site is written to `deploy/sites/derived/NAME/`, together with
+copies of `real.json`, `wire.json` and `unlock.txt` from the folder of the base or else of the wire file named in
+the base. Generated sites are not committed.
 """
 
 import pathlib
@@ -16,91 +17,91 @@
 
 HERE = pathlib.Path(__file__).resolve().parent
 GIVEN = HERE.parent.parent.parent / "given"
-BESIDE = ["real.json", "wire.json", "unlock.txt"]
+COMPANION_FILES = ["real.json", "wire.json", "unlock.txt"]
 
 
-def section_of(line):
-    """The section that a line begins, if it begins one."""
+def section_header(line):
+    """Returns the section name if the line is a section header."""
     text = line.strip()
     return text.strip("[]") if text.startswith("[") and text.endswith("]") and "=" not in text else None
 
 
-def key_of(line):
+def assigned_key(line):
     name, sep, _ = line.partition("=")
     return name.strip() if sep else None
 
 
-def worded(value):
+def format_toml_value(value):
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, str):
         return f'"{value}"'
     if isinstance(value, list):
-        return "[" + ", ".join(worded(v) for v in value) + "]"
+        return "[" + ", ".join(format_toml_value(v) for v in value) + "]"
     return repr(value)
 
 
-def bounds(lines, section, place):
-    """First and last line of the place-th section of a name; of the head where the name is empty."""
-    starts = [k for k, line in enumerate(lines) if section_of(line) == section] if section else [-1]
-    if place >= len(starts):
-        sys.exit(f"derive.py: no section {section!r} at place {place}")
-    start = starts[place] + 1
-    end = next((k for k in range(start, len(lines)) if section_of(lines[k]) is not None), len(lines))
+def section_range(lines, section, place):
+    """Returns the line range of a section; an empty name means the lines before the first section."""
+    headers = [k for k, line in enumerate(lines) if section_header(line) == section] if section else [-1]
+    if place >= len(headers):
+        sys.exit(f"derive.py: section {section!r} with index {place} does not exist")
+    start = headers[place] + 1
+    end = next((k for k in range(start, len(lines)) if section_header(lines[k]) is not None), len(lines))
     return start, end
 
 
-def apply(lines, change, value):
-    start, end = bounds(lines, change.get("section", ""), change.get("place", 0))
-    at = next((k for k in range(start, end) if key_of(lines[k]) == change["key"]), None)
+def apply_change(lines, change, value):
+    start, end = section_range(lines, change.get("section", ""), change.get("place", 0))
+    index = next((k for k in range(start, end) if assigned_key(lines[k]) == change["key"]), None)
     if value is None:
-        if at is None:
-            sys.exit(f"derive.py: nothing to drop: {change}")
-        del lines[at]
-    elif at is None:
-        lines.insert(start, f"{change['key']} = {worded(value)}")
+        if index is None:
+            sys.exit(f"derive.py: the key to drop does not exist: {change}")
+        del lines[index]
+    elif index is None:
+        lines.insert(start, f"{change['key']} = {format_toml_value(value)}")
     else:
-        lines[at] = f"{change['key']} = {worded(value)}"
+        lines[index] = f"{change['key']} = {format_toml_value(value)}"
 
 
-def beside(base, name):
-    """A file that belongs to a base site: next to it, or next to the wire file that it names."""
+def find_companion(base, name):
+    """Finds a file in the folder of a base site, or else in the folder of the wire file it names."""
     with open(base, "rb") as file:
         wire = tomllib.load(file)["wire"]
-    places = [base.parent / name, (base.parent / wire).parent / name]
-    found = next((place for place in places if place.is_file()), None)
+    candidates = [base.parent / name, (base.parent / wire).parent / name]
+    found = next((path for path in candidates if path.is_file()), None)
     if found is None:
-        sys.exit(f"derive.py: {name} is neither beside {base} nor beside its wire file")
+        sys.exit(f"derive.py: {name} is neither in the folder of {base} nor in that of its wire file")
     return found
 
 
-def derive(name):
+def generate_site(name):
     with open(HERE / f"{name}.toml", "rb") as file:
-        wanted = tomllib.load(file)
-    base = GIVEN / wanted["base"]
+        definition = tomllib.load(file)
+    base = GIVEN / definition["base"]
     if not base.is_file():
-        sys.exit(f"derive.py: {base} is not here: sites can be derived only where the operators' kit is laid")
+        sys.exit(f"derive.py: {base} does not exist; generating sites requires the files in `given`")
     lines = base.read_text().splitlines()
-    apply(lines, {"key": "name"}, name)
-    apply(lines, {"key": "wire"}, "wire.json")
-    for change in wanted.get("set", []):
-        apply(lines, change, change["value"])
-    for change in wanted.get("drop", []):
-        apply(lines, change, None)
+    apply_change(lines, {"key": "name"}, name)
+    apply_change(lines, {"key": "wire"}, "wire.json")
+    for change in definition.get("set", []):
+        apply_change(lines, change, change["value"])
+    for change in definition.get("drop", []):
+        apply_change(lines, change, None)
     text = "\n".join(lines) + "\n"
     tomllib.loads(text)
-    out = HERE / "derived" / name
-    out.mkdir(parents=True, exist_ok=True)
-    (out / f"{name}.toml").write_text(text)
-    for other in BESIDE:
-        target = out / other
+    output = HERE / "derived" / name
+    output.mkdir(parents=True, exist_ok=True)
+    (output / f"{name}.toml").write_text(text)
+    for file_name in COMPANION_FILES:
+        target = output / file_name
         target.unlink(missing_ok=True)
-        shutil.copyfile(beside(base, other), target)
-    print(out / f"{name}.toml")
+        shutil.copyfile(find_companion(base, file_name), target)
+    print(output / f"{name}.toml")
 
 
 if __name__ == "__main__":
     if len(sys.argv) < 2:
         sys.exit(__doc__)
     for site in sys.argv[1:]:
-        derive(site)
+        generate_site(site)
