--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -1,4 +1,4 @@
-//! The second address on loopback: health, figures, and maintenance of members by hand.
+//! The admin address on loopback: health check, statistics, and maintenance of endpoints.
 
 mod stand_ins;
 
@@ -10,35 +10,36 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-async fn open(name: &str) -> (TestProxy, SocketAddr, SocketAddr) {
-    let site = TestProxy::start(name).await;
+async fn start_with_admin(name: &str) -> (TestProxy, SocketAddr, SocketAddr) {
+    let proxy = TestProxy::start(name).await;
     let store = MaintenanceFile::at(folder(name).join("maintenance.json"));
     let front: Rc<dyn Front> = Rc::new(AdminFront::new(Box::new(move |host: &_| store.write(host))));
-    let calls = site.open(front).await;
+    let admin = proxy.open(front).await;
     let front: Rc<dyn Front> = Rc::new(Platform::new(limits(400)));
-    let at = site.open(front).await;
-    (site, at, calls)
+    let platform = proxy.open(front).await;
+    (proxy, platform, admin)
 }
 
 fn headers(id: u64) -> String {
     format!("X-Call-Id: {id:016x}\r\nX-Patience-Ms: 1500\r\nX-Set: 17\r\nX-Heap-Kb: 412.5\r\n")
 }
 
-async fn clips(at: SocketAddr, ids: std::ops::Range<u64>) {
+async fn request_clips(platform: SocketAddr, ids: std::ops::Range<u64>) {
     for id in ids {
-        let answer = ask(at, "GET", &format!("/ops/clip/{:016x}/slice-0", id * 7_919), &headers(id)).await;
-        assert_eq!(answer.status, 200);
+        let response =
+            ask(platform, "GET", &format!("/ops/clip/{:016x}/slice-0", id * 7_919), &headers(id)).await;
+        assert_eq!(response.status, 200);
     }
 }
 
 #[test]
-fn calls_are_answered_with_yes_or_no_and_end_their_connection() {
+fn admin_calls_return_their_status_and_close_the_connection() {
     run(async {
-        let (_site, _, calls) = open("calls").await;
-        // A caller that never completes its call keeps nobody waiting.
-        let mut silent = Vec::new();
+        let (_proxy, _, admin) = start_with_admin("calls").await;
+        // Clients that connect and send nothing must not block the calls of others.
+        let mut idle_clients = Vec::new();
         for _ in 0..10 {
-            silent.push(Client::connect(calls).await);
+            idle_clients.push(Client::connect(admin).await);
         }
         let cases = [
             ("GET", "/healthcheck", 200),
@@ -56,83 +57,86 @@
             ("GET", "/", 404),
         ];
         for (method, target, status) in cases {
-            let answer = ask(calls, method, target, "").await;
-            assert_eq!((answer.status, answer.closed), (status, true), "{method} {target}");
+            let response = ask(admin, method, target, "").await;
+            assert_eq!((response.status, response.closed), (status, true), "{method} {target}");
         }
     });
 }
 
-/// Guards the figures: each end of a request is counted once, under its class, and every class is listed.
+/// Guards the statistics: each request outcome is counted once, under its class, and every class is listed.
 #[test]
-fn the_figures_tell_what_became_of_each_class() {
+fn stats_count_each_outcome_once_under_its_class() {
     run(async {
-        let (site, at, calls) = open("figures").await;
-        clips(at, 1..4).await;
-        site.script_all(reply_status("EIO"));
-        let failed = ask(at, "GET", "/ops/clip/00000000000000aa", &headers(9)).await.status;
-        assert_eq!(failed, 503, "a safe request is refused once its attempts are spent");
-        let text = String::from_utf8(ask(calls, "GET", "/stats", "").await.body).unwrap();
-        let figure = |name: &str| {
-            let line = text.lines().find_map(|line| line.strip_prefix(&format!("{name} ")));
-            line.unwrap_or_else(|| panic!("no {name} in {text}")).parse::<u64>().unwrap()
+        let (proxy, platform, admin) = start_with_admin("figures").await;
+        request_clips(platform, 1..4).await;
+        proxy.script_all(reply_status("EIO"));
+        let failed = ask(platform, "GET", "/ops/clip/00000000000000aa", &headers(9)).await.status;
+        assert_eq!(failed, 503, "an idempotent request is rejected after its last attempt");
+        let stats = String::from_utf8(ask(admin, "GET", "/stats", "").await.body).unwrap();
+        let metric = |name: &str| {
+            let line = stats.lines().find_map(|line| line.strip_prefix(&format!("{name} ")));
+            line.unwrap_or_else(|| panic!("no {name} in {stats}")).parse::<u64>().unwrap()
         };
-        assert_eq!(figure("app_ok_total{kind=\"clip\"}"), 3);
-        assert_eq!(figure("app_shed_total{kind=\"clip\"}"), 1);
-        assert_eq!(figure("app_errors_total{kind=\"clip\"}"), 0);
-        assert_eq!(figure("app_tries_total{kind=\"clip\"}"), site.total_requests() as u64);
-        assert_eq!(figure("app_ok_total{kind=\"post\"}"), 0);
-        assert_eq!((figure("app_active"), figure("app_pool_size")), (0, 2));
-        assert_eq!((figure("app_config_applied_total"), figure("app_config_rejected_total")), (0, 0));
-        ask(calls, "POST", "/pop-caches/s-000000c2/maint", "").await;
-        let text = String::from_utf8(ask(calls, "GET", "/stats", "").await.body).unwrap();
-        assert!(text.contains("app_pool_ejected 1\n"), "{text}");
+        assert_eq!(metric("app_ok_total{kind=\"clip\"}"), 3);
+        assert_eq!(metric("app_shed_total{kind=\"clip\"}"), 1);
+        assert_eq!(metric("app_errors_total{kind=\"clip\"}"), 0);
+        assert_eq!(metric("app_tries_total{kind=\"clip\"}"), proxy.total_requests() as u64);
+        assert_eq!(metric("app_ok_total{kind=\"post\"}"), 0);
+        assert_eq!((metric("app_active"), metric("app_pool_size")), (0, 2));
+        assert_eq!((metric("app_config_applied_total"), metric("app_config_rejected_total")), (0, 0));
+        ask(admin, "POST", "/pop-caches/s-000000c2/maint", "").await;
+        let stats = String::from_utf8(ask(admin, "GET", "/stats", "").await.body).unwrap();
+        assert!(stats.contains("app_pool_ejected 1\n"), "{stats}");
     });
 }
 
-/// Guards the rule on drains: what is out of use by hand gets nothing, as a request or as a source, whatever the
-/// bulletin lists; and the rule on cold starts: put back, it gets a part of its own at first, but something.
+/// Guards maintenance: an endpoint in maintenance is neither sent requests nor used as a fill source,
+/// whatever state discovery reports; and slow start: once it is ready again, it first gets only a part of its
+/// share of requests.
 #[test]
-fn a_member_out_of_use_gets_nothing_until_it_is_put_back() {
+fn an_endpoint_in_maintenance_gets_no_requests_until_it_is_ready() {
     run(async {
-        let (site, at, calls) = open("maintenance").await;
-        let (first, parent) = (CACHES[0], PARENT);
-        clips(at, 1..20).await;
-        assert!(site.request_count(first) > 0);
-        for id in [first, parent] {
-            ask(calls, "POST", &format!("/pop-caches/s-{id:08x}/maint"), "").await;
+        let (proxy, platform, admin) = start_with_admin("maintenance").await;
+        let (cache, parent) = (CACHES[0], PARENT);
+        request_clips(platform, 1..20).await;
+        assert!(proxy.request_count(cache) > 0);
+        for id in [cache, parent] {
+            ask(admin, "POST", &format!("/pop-caches/s-{id:08x}/maint"), "").await;
         }
-        let (before, later) = (site.request_count(first), site.request_count(CACHES[1]));
-        // The list names it as ready once more.
-        let line = edge_proxy::endpoint_list::EndpointRecord {
+        let (before, other_before) = (proxy.request_count(cache), proxy.request_count(CACHES[1]));
+        // Discovery reports the endpoint as active again.
+        let record = edge_proxy::endpoint_list::EndpointRecord {
             zone: "town".into(),
             kind: "box".into(),
             state: edge_proxy::EndpointState::Active,
             started_at: 0,
-            id: first,
+            id: cache,
             capacity_hint: Some(4.0),
             cell: 0,
         };
-        let SocketAddr::V4(address) = site.endpoints[&first].address else { panic!() };
-        let targets = vec![edge_proxy::endpoint_list::ListedEndpoint { record: line, address }];
-        let news = edge_proxy::endpoint_list::WatchEvent::Endpoints { full: false, endpoints: targets };
-        site.executor.with(|engine| {
-            engine.apply_event(edge_proxy::endpoint_list::Sequenced { number: 99, event: news })
-        });
-        clips(at, 100..120).await;
-        assert_eq!(site.request_count(first), before);
-        let asked = site.endpoints[&CACHES[1]].requests.borrow()[later..].to_vec();
-        assert!(asked.len() >= 20 && asked.iter().all(|fields| fields["next"] != "s-000000a0"));
-        // Another process of this proxy takes that over.
-        let other = TestProxy::start("maintenance_other").await;
+        let SocketAddr::V4(address) = proxy.endpoints[&cache].address else { panic!() };
+        let targets = vec![edge_proxy::endpoint_list::ListedEndpoint { record, address }];
+        let event = edge_proxy::endpoint_list::WatchEvent::Endpoints { full: false, endpoints: targets };
+        proxy
+            .executor
+            .with(|engine| engine.apply_event(edge_proxy::endpoint_list::Sequenced { number: 99, event }));
+        request_clips(platform, 100..120).await;
+        assert_eq!(proxy.request_count(cache), before);
+        let other_requests = proxy.endpoints[&CACHES[1]].requests.borrow()[other_before..].to_vec();
+        assert!(
+            other_requests.len() >= 20 && other_requests.iter().all(|fields| fields["next"] != "s-000000a0")
+        );
+        // A new process restores the maintenance state from the file.
+        let restarted = TestProxy::start("maintenance_other").await;
         let store = MaintenanceFile::at(folder("maintenance").join("maintenance.json"));
-        store.load(&other.executor);
-        assert!(other.executor.with(|engine| engine.maintenance().is_out_of_use(first)));
-        site.advance_clock(10_000.0);
-        ask(calls, "POST", &format!("/pop-caches/s-{first:08x}/ready"), "").await;
-        clips(at, 200..260).await;
-        let back = site.request_count(first) - before;
-        assert!((1..20).contains(&back), "a part of its slice, not all at once: {back} of 60");
-        store.load(&other.executor);
-        assert!(!other.executor.with(|engine| engine.maintenance().is_out_of_use(first)));
+        store.load(&restarted.executor);
+        assert!(restarted.executor.with(|engine| engine.maintenance().is_out_of_use(cache)));
+        proxy.advance_clock(10_000.0);
+        ask(admin, "POST", &format!("/pop-caches/s-{cache:08x}/ready"), "").await;
+        request_clips(platform, 200..260).await;
+        let requests = proxy.request_count(cache) - before;
+        assert!((1..20).contains(&requests), "slow start limits the requests: {requests} of 60");
+        store.load(&restarted.executor);
+        assert!(!restarted.executor.with(|engine| engine.maintenance().is_out_of_use(cache)));
     });
 }
--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -1,4 +1,5 @@
-//! `docs/ARCHITECTURE.md` against the source: what it names exists, and modules import only what its layers allow.
+//! Checks `docs/ARCHITECTURE.md` against the source: all paths and identifiers in it exist, and modules
+//! import only lower layers.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -6,13 +7,13 @@
 const ROOT: &str = env!("CARGO_MANIFEST_DIR");
 const PAGE: &str = include_str!("../docs/ARCHITECTURE.md");
 
-/// Every Rust file below a folder of the repository.
+/// All Rust files below a folder of the repository.
 fn rust_files(folder: &str) -> Vec<PathBuf> {
     let mut files = Vec::new();
     let mut folders = vec![Path::new(ROOT).join(folder)];
     while let Some(folder) = folders.pop() {
-        for entry in std::fs::read_dir(folder).expect("a folder") {
-            let path = entry.expect("an entry").path();
+        for entry in std::fs::read_dir(folder).expect("the folder is readable") {
+            let path = entry.expect("the folder entry is readable").path();
             if path.is_dir() {
                 folders.push(path);
             } else if path.extension().is_some_and(|extension| extension == "rs") {
@@ -23,39 +24,41 @@
     files
 }
 
-/// The whole source of the programs.
-fn source() -> String {
-    let texts = rust_files("src").into_iter().map(|path| std::fs::read_to_string(path).expect("text"));
+/// The text of all source files.
+fn source_text() -> String {
+    let texts = rust_files("src")
+        .into_iter()
+        .map(|path| std::fs::read_to_string(path).expect("the file is readable UTF-8 text"));
     texts.collect::<Vec<_>>().join("\n")
 }
 
-/// The code spans of a text.
+/// The code spans of a Markdown text.
 fn code_spans(text: &str) -> impl Iterator<Item = &str> {
     text.split('`').skip(1).step_by(2)
 }
 
-/// The part of the page below a heading.
+/// The section of the page below a heading.
 fn section(heading: &str) -> &'static str {
-    let (_, rest) = PAGE.split_once(&format!("## {heading}\n")).expect("the heading");
-    rest.split("\n## ").next().expect("a section")
+    let (_, rest) = PAGE.split_once(&format!("## {heading}\n")).expect("the page has the heading");
+    rest.split("\n## ").next().expect("the section is not empty")
 }
 
-/// Whether a word stands in a text between other characters than those of identifiers.
+/// Whether a text contains an identifier as a whole word.
 fn has_word(text: &str, word: &str) -> bool {
-    let is_inner = |c: char| c.is_alphanumeric() || c == '_';
+    let is_identifier_char = |c: char| c.is_alphanumeric() || c == '_';
     text.match_indices(word).any(|(at, _)| {
         let before = text[..at].chars().next_back();
         let after = text[at + word.len()..].chars().next();
-        !before.is_some_and(is_inner) && !after.is_some_and(is_inner)
+        !before.is_some_and(is_identifier_char) && !after.is_some_and(is_identifier_char)
     })
 }
 
-/// Paths begin with one of the repository's folders.
+/// Whether a code span is a path in the repository.
 fn is_path(span: &str) -> bool {
     ["src/", "tests/", "docs/", "deploy/"].iter().any(|folder| span.starts_with(folder))
 }
 
-/// An identifier, or a path of them.
+/// Whether a code span is an identifier or a `::` path.
 fn is_identifier(span: &str) -> bool {
     !span.is_empty()
         && span.split("::").all(|part| {
@@ -65,7 +68,7 @@
 }
 
 #[test]
-fn every_path_that_the_page_names_exists() {
+fn every_path_in_the_page_exists() {
     let paths: Vec<&str> = code_spans(PAGE).filter(|span| is_path(span)).collect();
     assert!(paths.len() > 20, "{paths:?}");
     for path in paths {
@@ -74,11 +77,11 @@
 }
 
 #[test]
-fn every_identifier_that_the_page_names_exists() {
-    // Names of metrics are composed in the source; the page for staff on call lists them.
-    let source = source() + include_str!("../docs/second-address.md");
-    // The glossary lists older spellings on purpose.
-    let page = PAGE.split("## Glossary").next().expect("the page");
+fn every_identifier_in_the_page_exists() {
+    // Metric names are assembled in the source, so they are looked up in the operators' page.
+    let source = source_text() + include_str!("../docs/second-address.md");
+    // The glossary also lists names that no longer exist.
+    let page = PAGE.split("## Glossary").next().expect("the page has text");
     let identifiers: Vec<&str> = code_spans(page).filter(|span| is_identifier(span)).collect();
     assert!(identifiers.len() > 40, "{identifiers:?}");
     for identifier in identifiers {
@@ -90,19 +93,19 @@
     }
 }
 
-/// The row of each module in the table of layers, from the top.
+/// The row number of each module in the table of layers; higher layers come first.
 fn layers() -> BTreeMap<&'static str, usize> {
     let rows = section("Layers").lines().filter(|line| line.starts_with("| ")).skip(2);
     let modules = rows.enumerate().flat_map(|(row, line)| {
-        let cell = line.split('|').nth(2).expect("the modules");
+        let cell = line.split('|').nth(2).expect("the row has a cell of modules");
         code_spans(cell).map(move |module| (module, row)).collect::<Vec<_>>()
     });
     modules.collect()
 }
 
-/// The module of the library to which a file below `src/` belongs; none for the programs and the library's root.
+/// The library module of a file below `src/`; `None` for the programs and the library root.
 fn module_of(path: &Path) -> Option<String> {
-    let path = path.strip_prefix(Path::new(ROOT).join("src")).expect("below src");
+    let path = path.strip_prefix(Path::new(ROOT).join("src")).expect("the file is below src");
     let first = path.iter().next()?.to_str()?;
     let module = first.strip_suffix(".rs").unwrap_or(first);
     (!["main", "lib", "bin", "cli"].contains(&module)).then(|| module.to_string())
@@ -123,11 +126,12 @@
     let mut checked = 0;
     for path in rust_files("src").iter().filter(|path| !path.ends_with("tests.rs")) {
         let Some(module) = module_of(path) else { continue };
-        let own = layers.get(module.as_str()).unwrap_or_else(|| panic!("{module} stands in no layer"));
-        let text = std::fs::read_to_string(path).expect("text");
+        let layer =
+            layers.get(module.as_str()).unwrap_or_else(|| panic!("{module} is not in the table of layers"));
+        let text = std::fs::read_to_string(path).expect("the file is readable UTF-8 text");
         for import in imports(&text).iter().filter(|import| **import != module) {
-            let Some(other) = layers.get(import.as_str()) else { continue };
-            assert!(other > own, "{}: `{module}` imports `{import}`", path.display());
+            let Some(imported_layer) = layers.get(import.as_str()) else { continue };
+            assert!(imported_layer > layer, "{}: `{module}` imports `{import}`", path.display());
             checked += 1;
         }
     }
@@ -135,7 +139,7 @@
 }
 
 #[test]
-fn every_module_of_the_layers_exists() {
+fn every_module_in_the_layer_table_exists() {
     for module in layers().keys() {
         let folder = Path::new(ROOT).join("src").join(module);
         assert!(folder.exists() || folder.with_extension("rs").exists(), "{module}");
