--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,5 +1,5 @@
-//! Data stored by earlier versions (`tests/fixtures/README.md`), opened with this one: purge logs, maintenance, keys
-//! with what they signed, and operators' files.
+//! Compatibility with data of earlier versions (`tests/fixtures/README.md`): purge logs, the maintenance
+//! file, keys with the URLs, tokens and messages they sign, and configuration files.
 
 mod stand_ins;
 
@@ -12,8 +12,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
 
-/// The operators' files, by the option that names them.
-const OPERATOR_FILES: [(&str, &str); 9] = [
+/// The configuration files with their command-line options.
+const CONFIG_FILES: [(&str, &str); 9] = [
     ("--signed-urls", "signed-urls.json"),
     ("--vrrp", "vrrp.json"),
     ("--purges", "purges.json"),
@@ -33,7 +33,7 @@
     std::fs::read_to_string(fixture(name)).unwrap()
 }
 
-/// A folder of a test's own with copies of the operators' files and the keys they name.
+/// Creates a folder for a test, with copies of the configuration files and the keys.
 fn workspace(test: &str) -> PathBuf {
     let folder = stand_ins::folder(&format!("stored_data_{test}"));
     for source in ["operator-files", "keys"] {
@@ -45,14 +45,14 @@
     folder
 }
 
-/// Replaces text that must be there in a file.
-fn edit(path: &Path, from: &str, to: &str) {
+/// Replaces text in a file, and fails if the file does not contain it.
+fn replace_in_file(path: &Path, from: &str, to: &str) {
     let text = std::fs::read_to_string(path).unwrap();
     assert!(text.contains(from), "{from} in {}", path.display());
     std::fs::write(path, text.replacen(from, to, 1)).unwrap();
 }
 
-fn program(folder: &Path, arguments: &[&str]) -> Output {
+fn run_program(folder: &Path, arguments: &[&str]) -> Output {
     Command::new(PROGRAM).args(arguments).current_dir(folder).env_remove("NODE_CONFIG").output().unwrap()
 }
 
@@ -60,8 +60,8 @@
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().port()
 }
 
-/// A proxy that serves in a folder; its admin calls are at port `admin`, and `front` is the port that replaces
-/// the one in an operators' file.
+/// A proxy process with the port of its admin address and the port of the listener in the optional
+/// configuration file.
 struct Proxy {
     _process: RunningProxy,
     admin: u16,
@@ -69,24 +69,25 @@
 }
 
 impl Proxy {
-    /// Starts one with an operators' file; `listen` is the address in it that is moved to a free port.
+    /// Starts a proxy with an optional configuration file, in which the address `listen` is moved to a free
+    /// port.
     fn start(folder: &Path, option: Option<(&str, &str)>, listen: Option<&str>) -> Self {
-        let tries = (0..10).find_map(|_| Self::try_start(folder, option, listen));
-        tries.expect("free ports")
+        let started = (0..10).find_map(|_| Self::try_start(folder, option, listen));
+        started.expect("the proxy starts on free ports")
     }
 
     fn try_start(folder: &Path, option: Option<(&str, &str)>, listen: Option<&str>) -> Option<Self> {
         let (port, admin, front) = (free_port(), free_port(), free_port());
         let config = folder.join("serve.json");
         std::fs::copy(folder.join("config.json"), &config).unwrap();
-        let own = format!("\"listen\": \"127.0.0.1:{port}\", \"mgmt\": \"127.0.0.1:{admin}\"");
-        edit(&config, "\"listen\": \"127.0.0.1:5050\"", &own);
+        let listeners = format!("\"listen\": \"127.0.0.1:{port}\", \"mgmt\": \"127.0.0.1:{admin}\"");
+        replace_in_file(&config, "\"listen\": \"127.0.0.1:5050\"", &listeners);
         let mut command = Command::new(PROGRAM);
         command.args(["serve", "--config", "serve.json"]);
         if let Some((option, file)) = option {
             std::fs::copy(folder.join(file), folder.join("option.json")).unwrap();
             if let Some(listen) = listen {
-                edit(&folder.join("option.json"), listen, &format!("127.0.0.1:{front}"));
+                replace_in_file(&folder.join("option.json"), listen, &format!("127.0.0.1:{front}"));
             }
             command.args([option, "option.json"]);
         }
@@ -96,38 +97,38 @@
             .env_remove("EDGE_PROXY_LOG")
             .env_remove("CALICOBEAM_LOG");
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
-        let errors = BufReader::new(child.stderr.take().unwrap());
-        let mut process = RunningProxy { child, log: errors, port };
+        let log = BufReader::new(child.stderr.take().unwrap());
+        let mut process = RunningProxy { child, log, port };
         process.try_wait_for_log("serves on").then_some(Self { _process: process, admin, front })
     }
 
-    /// The JSON that an admin call answers.
-    fn json(&self, target: &str) -> Value {
-        let answer = call(self.admin, "GET", target, "");
-        serde_json::from_str(answer.split_once("\r\n\r\n").unwrap().1).unwrap()
+    /// Makes an admin call that returns JSON.
+    fn get_json(&self, target: &str) -> Value {
+        let response = call(self.admin, "GET", target, "");
+        serde_json::from_str(response.split_once("\r\n\r\n").unwrap().1).unwrap()
     }
 }
 
-/// One call over HTTP/1.1; the whole answer.
+/// Sends a request over HTTP/1.1 and returns the whole response.
 fn call(port: u16, method: &str, target: &str, headers: &str) -> String {
     let mut stream = TcpStream::connect(("127.0.0.1", port)).unwrap();
     let request =
         format!("{method} {target} HTTP/1.1\r\nConnection: close\r\nContent-Length: 0\r\n{headers}");
     let host = if headers.contains("Host:") { "" } else { "Host: o\r\n" };
     stream.write_all(format!("{request}{host}\r\n").as_bytes()).unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    response
 }
 
-fn status(answer: &str) -> &str {
-    &answer[9..12]
+fn status(response: &str) -> &str {
+    &response[9..12]
 }
 
 #[test]
 fn every_record_of_a_stored_purge_log_is_read() {
     for (name, count) in [("leader", 9), ("rewritten", 7), ("follower", 9)] {
-        let output = program(&fixture("purges"), &["purge", "log", &format!("{name}.log")]);
+        let output = run_program(&fixture("purges"), &["purge", "log", &format!("{name}.log")]);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         let records = String::from_utf8(output.stdout).unwrap();
         assert_eq!(records, text(&format!("purges/{name}.records")));
@@ -139,8 +140,8 @@
     }
 }
 
-/// Starts a proxy on a copy of a stored log; its status, and the numbers and whole list of the purges it holds.
-fn resumed(name: &str) -> (Value, Value) {
+/// Starts a proxy with a copy of a stored log; returns its purge status and its list of purges.
+fn resume_from(name: &str) -> (Value, Value) {
     let folder = workspace(&format!("purges_{name}"));
     std::fs::copy(fixture(&format!("purges/{name}.log")), folder.join("purges.log")).unwrap();
     if name == "follower" {
@@ -148,7 +149,7 @@
         std::fs::write(folder.join("purges.json"), file).unwrap();
     }
     let proxy = Proxy::start(&folder, Some(("--purges", "purges.json")), None);
-    let (status, list) = (proxy.json("/purges"), proxy.json("/purges/log?from=1&most=100"));
+    let (status, list) = (proxy.get_json("/purges"), proxy.get_json("/purges/log?from=1&most=100"));
     let log = std::fs::read(folder.join("purges.log")).unwrap();
     assert_eq!(
         log,
@@ -158,7 +159,7 @@
     (status, list)
 }
 
-/// The purges among a log's stored records, from a number on.
+/// The purges in the stored records of a log, starting at a sequence number.
 fn stored_purges(name: &str, from: u64) -> Vec<Value> {
     let records = text(&format!("purges/{name}.records"));
     let records = records.lines().map(|line| serde_json::from_str::<Value>(line).unwrap());
@@ -169,7 +170,7 @@
 #[test]
 fn a_leader_resumes_from_a_stored_purge_log() {
     for (name, first) in [("leader", 1), ("rewritten", 5)] {
-        let (status, list) = resumed(name);
+        let (status, list) = resume_from(name);
         assert_eq!(list, json!({"entries": stored_purges(name, first), "last": 7}), "{name}");
         let marks = ["last", "done", "first", "held", "binding"].map(|field| status[field].as_u64().unwrap());
         assert_eq!(marks, [7, 4, first, 8 - first, 3], "{name}: {status}");
@@ -180,7 +181,7 @@
 
 #[test]
 fn a_follower_resumes_from_a_stored_purge_log() {
-    let (status, list) = resumed("follower");
+    let (status, list) = resume_from("follower");
     assert_eq!(list, json!({"entries": stored_purges("follower", 11), "last": 17}));
     let marks = ["last", "done", "binding"].map(|field| status[field].as_u64().unwrap());
     assert_eq!(marks, [17, 9, 7], "{status}");
@@ -189,24 +190,24 @@
 }
 
 #[test]
-fn maintenance_of_endpoints_outlives_an_upgrade() {
+fn maintenance_of_endpoints_survives_an_upgrade() {
     let folder = workspace("maintenance");
     let path = folder.join("calicobeam-toy-maintenance.json");
     std::fs::copy(fixture("maintenance.json"), &path).unwrap();
     let proxy = Proxy::start(&folder, None, None);
-    let ejected = |count: u32| {
-        let figures = call(proxy.admin, "GET", "/stats", "");
-        assert!(figures.contains(&format!("app_pool_ejected {count}\n")), "{figures}");
+    let assert_ejected = |count: u32| {
+        let stats = call(proxy.admin, "GET", "/stats", "");
+        assert!(stats.contains(&format!("app_pool_ejected {count}\n")), "{stats}");
     };
-    ejected(1);
-    // A call that changes nothing rewrites the file: both members are kept with their stored times.
+    assert_ejected(1);
+    // A call without effect still writes the file; both endpoints keep their stored times.
     assert_eq!(status(&call(proxy.admin, "POST", "/pop-caches/s-000000c1/maint", "")), "200");
     let out = "[{\"member\":\"s-000000a0\",\"out\":true,\"at_ms\":1796281264455.602},\n\
                {\"member\":\"s-000000c1\",\"out\":true,\"at_ms\":1796281264444.6116}";
     assert!(text("maintenance.json").starts_with(out), "the fixture");
     assert_eq!(std::fs::read_to_string(&path).unwrap(), format!("{out}]\n"));
     assert_eq!(status(&call(proxy.admin, "POST", "/pop-caches/s-000000c1/ready", "")), "200");
-    ejected(0);
+    assert_ejected(0);
 }
 
 #[test]
@@ -215,43 +216,43 @@
     let proxy = Proxy::start(&folder, Some(("--signed-urls", "signed-urls.json")), Some("127.0.0.1:8080"));
     let links: Value = serde_json::from_str(&text("keys/links.json")).unwrap();
     let host = format!("Host: {}\r\n", links["host"].as_str().unwrap());
-    let ask = |link: &str| status(&call(proxy.front, "GET", link, &host)).to_string();
+    let request_status = |link: &str| status(&call(proxy.front, "GET", link, &host)).to_string();
     for key in ["by_secret", "by_curve"] {
         let link = links[key].as_str().unwrap();
-        // Accepted: 503, since none of the configured members runs.
-        assert_eq!(ask(link), "503", "{key}");
-        assert_eq!(ask(&link.replace("/3?", "/4?")), "403", "{key}: not the path that it signs");
+        // The signature is accepted; the status is 503 because no endpoint is running.
+        assert_eq!(request_status(link), "503", "{key}");
+        assert_eq!(request_status(&link.replace("/3?", "/4?")), "403", "{key}: not the path that it signs");
     }
-    assert_eq!(ask(links["by_another_key"].as_str().unwrap()), "403");
+    assert_eq!(request_status(links["by_another_key"].as_str().unwrap()), "403");
 }
 
 #[test]
 fn session_tokens_by_stored_keys_are_accepted() {
     let folder = workspace("sessions");
-    edit(&folder.join("poor.json"), "127.0.0.1:5444", "127.0.0.1:0");
+    replace_in_file(&folder.join("poor.json"), "127.0.0.1:5444", "127.0.0.1:0");
     let proxy = Proxy::start(&folder, Some(("--http3", "poor.json")), Some("127.0.0.1:5445"));
     let tokens: Value = serde_json::from_str(&text("keys/session-tokens.json")).unwrap();
     let target = "/ops/video-part/7f3a9c21e0b4d655/slice-3";
-    // A device whose token is refused gets a new one in the answer.
+    // A client whose token is rejected gets a new one in the response.
     for (key, accepted) in [("by_first_key", true), ("by_second_key", true), ("by_another_key", false)] {
         let headers = format!(
             "X-Call-Id: 0000000000000001\r\nX-Patience-Ms: 1500\r\nX-Set: 17\r\nX-Session: {}\r\n",
             tokens[key].as_str().unwrap()
         );
-        let answer = call(proxy.front, "GET", target, &headers);
-        assert_eq!(status(&answer), "503", "{answer}");
-        assert_eq!(!answer.to_ascii_lowercase().contains("\r\nx-session:"), accepted, "{key}: {answer}");
+        let response = call(proxy.front, "GET", target, &headers);
+        assert_eq!(status(&response), "503", "{response}");
+        assert_eq!(!response.to_ascii_lowercase().contains("\r\nx-session:"), accepted, "{key}: {response}");
     }
 }
 
 #[test]
-fn stored_datagram_keys_sign_as_before() {
+fn stored_datagram_keys_produce_the_same_signatures() {
     let folder = workspace("datagrams");
-    edit(&folder.join("duties.json"), "{", "{ \"key_file\": \"duties.key\",");
-    edit(&folder.join("vrrp.json"), "{", "{ \"key_file\": \"vrrp.key\",");
+    replace_in_file(&folder.join("duties.json"), "{", "{ \"key_file\": \"duties.key\",");
+    replace_in_file(&folder.join("vrrp.json"), "{", "{ \"key_file\": \"vrrp.key\",");
     let duties = HealthCheckConfig::read(&folder.join("duties.json")).unwrap().keys().unwrap().unwrap();
     let vrrp = VrrpConfig::read(&folder.join("vrrp.json")).unwrap().keys().unwrap().unwrap();
-    // HMAC-SHA256 by each file's first key.
+    // HMAC-SHA256 with the first key of each file.
     let cases = [
         (duties, "309b423e516e5fea6ef2ad4152de63a1a86921c0bd1123246c1bb7e723e884d3"),
         (vrrp, "4c2d54a196566247539124a5711f4250256e1c01d588a585cb52438a4bbbc8e4"),
@@ -263,32 +264,32 @@
 }
 
 #[test]
-fn operators_files_of_earlier_versions_are_accepted() {
+fn configuration_files_of_earlier_versions_are_accepted() {
     let folder = workspace("operators_files");
     let mut all = vec!["check", "--config", "config.json"];
-    for (option, file) in OPERATOR_FILES {
+    for (option, file) in CONFIG_FILES {
         all.extend([option, file]);
-        // Every key is read: one that is not known is refused.
-        edit(&folder.join(file), "{", "{ \"unknown_field\": 1,");
-        let output = program(&folder, &["check", "--config", "config.json", option, file]);
-        let errors = String::from_utf8_lossy(&output.stderr).to_string();
-        assert!(!output.status.success() && errors.contains("unknown_field"), "{file}: {errors}");
-        edit(&folder.join(file), "{ \"unknown_field\": 1,", "{");
+        // An unknown field is rejected, which shows that the program reads the file.
+        replace_in_file(&folder.join(file), "{", "{ \"unknown_field\": 1,");
+        let output = run_program(&folder, &["check", "--config", "config.json", option, file]);
+        let stderr = String::from_utf8_lossy(&output.stderr).to_string();
+        assert!(!output.status.success() && stderr.contains("unknown_field"), "{file}: {stderr}");
+        replace_in_file(&folder.join(file), "{ \"unknown_field\": 1,", "{");
     }
-    let output = program(&folder, &all);
+    let output = run_program(&folder, &all);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
 }
 
 #[test]
-fn operators_rules_and_routes_of_earlier_versions_mean_the_same() {
+fn rules_and_routes_of_earlier_versions_give_the_same_results() {
     let folder = workspace("meaning");
-    let said = |arguments: &[&str]| {
-        let output = program(&folder, arguments);
+    let run = |arguments: &[&str]| {
+        let output = run_program(&folder, arguments);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         String::from_utf8(output.stdout).unwrap()
     };
     let target = "/ops/video-part/7f3a9c21e0b4d655/slice-3";
-    let rule = said(&["rule", "--rules", "rules.json", "--header", "x-set: 17", target]);
+    let rule = run(&["rule", "--rules", "rules.json", "--header", "x-set: 17", target]);
     assert!(rule.starts_with("class video-part  object 7f3a9c21e0b4d655  part 3  group 17"), "{rule}");
     let routes = [
         ("/ads.v1.Ads/Get", "pool ads  kind Unary  repeat Safe  deadline 1500 ms"),
@@ -297,7 +298,7 @@
         ("/media.v1.Parts/Read", "pool media  kind Stream  repeat Safe  deadline the client's"),
     ];
     for (method, expected) in routes {
-        let route = said(&["grpc-route", "--grpc", "grpc.json", method]);
+        let route = run(&["grpc-route", "--grpc", "grpc.json", method]);
         assert!(route.starts_with(expected), "{method}: {route}");
     }
 }
