--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -1,6 +1,6 @@
-//! Measures the time of an admission decision and the memory of the fair queue by the number of distinct clients: a
-//! queue at its concurrency limit gets requests from 1,000 to 100,000 clients, completed in order of admission. Run
-//! with `cargo bench --bench admission`.
+//! Measures the time of an admission decision and the memory of the fair queue by the number of distinct
+//! clients: a queue at its concurrency limit gets requests from 1,000 to 100,000 clients, completed in order
+//! of admission. Run with `cargo bench --bench admission`.
 
 use edge_proxy::admission::bounds::AdmissionBounds;
 use edge_proxy::admission::concurrency_limit::LimitSettings;
--- a/benches/purge_lookup.rs
+++ b/benches/purge_lookup.rs
@@ -1,5 +1,5 @@
-//! Measures the time of a purge lookup and the memory of the index by the number of active purges: 100 to 100,000
-//! purges with tag, object, pattern and group selectors. Run with `cargo bench --bench purge_lookup`.
+//! Measures the time of a purge lookup and the memory of the index by the number of active purges: 100 to
+//! 100,000 purges with tag, object, pattern and group selectors. Run with `cargo bench --bench purge_lookup`.
 
 use edge_proxy::purge::active_purges::{ActivePurges, Purge, RetentionLimits};
 use edge_proxy::purge::selector::{copy_name, CachedCopy, Selector};
--- a/deploy/sites/derive.py
+++ b/deploy/sites/derive.py
@@ -3,11 +3,11 @@
 
     deploy/sites/derive.py print-hub clip-desk
 
-For each NAME, `deploy/sites/NAME.toml` names the base site (`base`, a path relative to the folder `given` next to
-the repository) and the changes (`set`: section, place, key, value; `drop`: section, place, key; `place` is the
-index among the sections with the same name). The site is written to `deploy/sites/derived/NAME/`, together with
-copies of `real.json`, `wire.json` and `unlock.txt` from the folder of the base or else of the wire file named in
-the base. Generated sites are not committed.
+For each NAME, `deploy/sites/NAME.toml` names the base site (`base`, a path relative to the folder `given`
+next to the repository) and the changes (`set`: section, place, key, value; `drop`: section, place, key;
+`place` is the index among the sections with the same name). The site is written to
+`deploy/sites/derived/NAME/`, together with copies of `real.json`, `wire.json` and `unlock.txt` from the folder
+of the base or else of the wire file named in the base. Generated sites are not committed.
 """
 
 import pathlib
--- a/examples/admission_heavy.rs
+++ b/examples/admission_heavy.rs
@@ -1,7 +1,7 @@
-//! Measures fairness between clients on loopback, with and without admission control: a proxy process in front of
-//! a stand-in cache fleet with 8 slots at 20 ms per request, ten clients at 10 requests per second each, and
-//! optionally one heavy client at 1,000 per second. Prints the latency of the ten clients (p50, p99) and the
-//! responses to the heavy client for each of the four combinations.
+//! Measures fairness between clients on loopback, with and without admission control: a proxy process in
+//! front of a stand-in cache fleet with 8 slots at 20 ms per request, ten clients at 10 requests per second
+//! each, and optionally one heavy client at 1,000 per second. Prints the latency of the ten clients (p50,
+//! p99) and the responses to the heavy client for each of the four combinations.
 //!
 //!     cargo build --release && cargo run --release --example admission_heavy -- [SECONDS]
 
--- a/examples/grpc_load.rs
+++ b/examples/grpc_load.rs
@@ -1,10 +1,12 @@
-//! Measures gRPC proxying on loopback: sends the same calls to a stand-in server directly and through the proxy
-//! process, alternating between the two so that both run under the same machine load. The number of calls is fixed.
+//! Measures gRPC proxying on loopback: sends the same calls to a stand-in server directly and through the
+//! proxy process, alternating between the two so that both run under the same machine load. Stops after
+//! ROUNDS rounds.
 //!
 //!     cargo build --release && cargo run --release --example grpc_load -- [ROUNDS]
 //!
-//! Unary: sequential calls, from 1 client and then from 32. Ping-pong: 16 bidirectional streams, where each message
-//! is sent after the echo of the one before. Flood: 4 server streams of 1,000-byte messages at full speed.
+//! Unary: sequential calls, from 1 client and then from 32. Ping-pong: 16 bidirectional streams, where each
+//! message is sent after the echo of the one before. Flood: 4 server streams of 1,000-byte messages at full
+//! speed.
 
 #[path = "../tests/stand_ins/grpc.rs"]
 mod grpc;
--- a/examples/health_checks_shared.rs
+++ b/examples/health_checks_shared.rs
@@ -1,6 +1,6 @@
-//! Measures shared health checks without sockets, on a simulated clock: the instances exchange messages over a lossy,
-//! delayed network, and one instance at a time is killed and restarted. Prints the lateness of checks, the messages
-//! per check and the CPU time per tick.
+//! Measures shared health checks without sockets, on a simulated clock: the instances exchange messages over
+//! a lossy, delayed network, and one instance at a time is killed and restarted. Prints the lateness of
+//! checks, the messages per check and the CPU time per tick.
 //!
 //!     cargo run --release --example health_checks_shared -- [KILLS]
 
--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -1,6 +1,6 @@
-//! Measures HTTP/3 on loopback: the proxy in front of a stand-in cache fleet, and clients behind a relay that drops 5 %
-//! of the datagrams and delays each by up to 300 ms, with several path settings. Then measures the cost of a call in
-//! the response store. The number of requests is fixed.
+//! Measures HTTP/3 on loopback: the proxy in front of a stand-in cache fleet, and clients behind a relay that
+//! drops 5 % of the datagrams and delays each by up to 300 ms, with several path settings. Then measures the
+//! cost of a call in the response store. Each client sends REQUESTS requests per setting.
 //!
 //!     cargo build --release && cargo run --release --example http3_links -- [REQUESTS]
 
--- a/examples/purge_fleet.rs
+++ b/examples/purge_fleet.rs
@@ -1,12 +1,12 @@
-//! Measures fleet-wide purges on loopback: stand-in cache servers with a thousand tagged objects, a leader and a
-//! follower proxy process, clients that read through both, a purge every 400 ms, and a leader that is killed (SIGKILL)
-//! halfway and restarted. Every response is checked against every purge: a request sent more than 500 ms after a
-//! purge was issued must not be served from a copy generated before it.
+//! Measures fleet-wide purges on loopback: stand-in cache servers with a thousand tagged objects, a leader
+//! and a follower proxy process, clients that read through both, a purge every 400 ms, and a leader that is
+//! killed (SIGKILL) halfway and restarted. Every response is checked against every purge: a request sent more
+//! than 500 ms after a purge was issued must not be served from a copy generated before it.
 //!
 //!     cargo build --release && cargo run --release --example purge_fleet -- [SECONDS]
 //!
-//! Prints a table: responses checked, stale responses, the purge-to-visible delay (p50, p99, max), and the recovery
-//! after the leader's restart.
+//! Prints a table: responses checked, stale responses, the purge-to-visible delay (p50, p99, max), and the
+//! recovery after the leader's restart.
 
 #[path = "../tests/stand_ins/purge_target.rs"]
 mod purge_target;
--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -1,8 +1,8 @@
-//! Measures the registry client on loopback. The first part runs one proxy process against a stand-in registry with
-//! random failures (closed connections, compacted history, no responses for up to two seconds) and measures the time
-//! from writing each `Terminating` state until the proxy applies it, and the requests the server still gets 250 ms
-//! later. The second part runs a hundred registry clients, each with its own engine, in this process for twenty
-//! seconds and counts their calls.
+//! Measures the registry client on loopback. The first part runs one proxy process against a stand-in
+//! registry with random failures (closed connections, compacted history, no responses for up to two seconds)
+//! and measures the time from writing each `Terminating` state until the proxy applies it, and the requests
+//! the server still gets 250 ms later. The second part runs a hundred registry clients, each with its own
+//! engine, in this process for twenty seconds and counts their calls.
 //!
 //!     cargo build --release && cargo run --release --example registry_drains -- [DRAINS]
 
--- a/examples/rules_load.rs
+++ b/examples/rules_load.rs
@@ -1,6 +1,6 @@
-//! Measures the cost of classification rules: a million requests are classified by the deployed rules and by the
-//! built-in code, and both results compared; then requests are sent over loopback to a proxy without rules and to one
-//! with them, alternating between the two. The number of requests is fixed.
+//! Measures the cost of classification rules: a million requests are classified by the deployed rules and by
+//! the built-in code, and both results compared; then requests are sent over loopback to a proxy without
+//! rules and to one with them, alternating between the two. LOOPBACK is the number per proxy.
 //!
 //!     cargo build --release && cargo run --release --example rules_load -- [LOOPBACK]
 
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,6 +1,6 @@
-//! Minimal versions of every server that the proxy connects to, at the addresses of `examples/config.json`: two pop
-//! caches, a parent, an origin and the discovery server. The body of every object is a line of text that names the
-//! object, the part and the server.
+//! Minimal versions of every server that the proxy connects to, at the addresses of `examples/config.json`:
+//! two pop caches, a parent, an origin and the discovery server. The body of every object is a line of text
+//! that names the object, the part and the server.
 //!
 //!     cargo run --example toy_server
 
--- a/examples/vrrp_takeover.rs
+++ b/examples/vrrp_takeover.rs
@@ -1,5 +1,5 @@
-//! Measures VRRP takeovers on loopback: two proxy processes share a virtual address under client load, and the active
-//! one is repeatedly killed (SIGKILL) and restarted. The number of kills is fixed.
+//! Measures VRRP takeovers on loopback: two proxy processes share a virtual address under client load, and
+//! the active one is repeatedly killed (SIGKILL) and restarted. Stops after KILLS kills.
 //!
 //!     cargo build --release && cargo run --release --example vrrp_takeover -- [KILLS]
 
@@ -110,7 +110,13 @@
             wait_for_state(&proxies[1 - active], "active").await;
             takeover_ms.push(killed.elapsed().as_secs_f64() * 1_000.0);
             tokio::time::sleep(Duration::from_millis(200)).await;
-            let first = load.outcomes.borrow().iter().filter(|(_, _, e)| e.ended_at > killed).map(|(_, _, e)| e.ended_at).min();
+            let first = load
+                .outcomes
+                .borrow()
+                .iter()
+                .filter(|(_, _, e)| e.ended_at > killed)
+                .map(|(_, _, e)| e.ended_at)
+                .min();
             first_response_ms.push(first.map_or(f64::NAN, |t| (t - killed).as_secs_f64() * 1_000.0));
             let restarted = start_proxy(&program, &dir, active, &fleet, routers, virtual_address);
             proxies[active] = restarted;
