--- a/examples/grpc_load.rs
+++ b/examples/grpc_load.rs
@@ -200,22 +200,23 @@
         for round in 0..rounds {
             for (index, (_, address)) in paths.iter().enumerate() {
                 let single = unary(*address, 1, SINGLE_CLIENT_CALLS).await;
-                let (u, p, f) = (
+                let (unary_new, ping_new, flood_new) = (
                     unary(*address, CONCURRENT_CLIENTS, UNARY_CALLS).await,
                     ping_pong(*address).await,
                     flood(*address).await,
                 );
                 if round == 0 {
-                    totals.push((single, u, p));
-                    floods.push((f.0, f.1, 1.0));
+                    totals.push((single, unary_new, ping_new));
+                    floods.push((flood_new.0, flood_new.1, 1.0));
                 } else {
                     let (single_client, unary, ping) = &mut totals[index];
-                    for (sum, new) in [(single_client, single), (unary, u), (ping, p)] {
+                    for (sum, new) in [(single_client, single), (unary, unary_new), (ping, ping_new)] {
                         sum.latency_us.add(&new.latency_us).unwrap();
                         sum.failed += new.failed;
                         sum.duration += new.duration;
                     }
-                    floods[index] = (floods[index].0 + f.0, floods[index].1 + f.1, floods[index].2 + 1.0);
+                    floods[index] =
+                        (floods[index].0 + flood_new.0, floods[index].1 + flood_new.1, floods[index].2 + 1.0);
                 }
             }
         }
--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -176,12 +176,12 @@
         keep_write_ms: 60_000.0,
     };
     let (mut store, calls) = (ResponseStore::new(limits), 400_000u64);
-    let answer = FinalResponse::Served { tag: None, body: vec![1u8; 600].into() };
+    let response = FinalResponse::Served { tag: None, body: vec![1u8; 600].into() };
     let (start, mut max_bytes) = (Instant::now(), 0);
     for n in 0..calls {
         let (now, key) = (n as f64 / 4.0, CallKey { session: u128::from(n % 2_000), call: n });
         assert_eq!(store.attach(now, key, n, n % 3 == 0), AttachOutcome::Started);
-        store.complete(now + 0.1, key, &answer);
+        store.complete(now + 0.1, key, &response);
         assert!(matches!(store.attach(now + 0.2, key, n, n % 3 == 0), AttachOutcome::Completed(_)));
         max_bytes = max_bytes.max(store.bytes());
     }
--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -13,7 +13,7 @@
 async fn start_with_admin(name: &str) -> (TestProxy, SocketAddr, SocketAddr) {
     let proxy = TestProxy::start(name).await;
     let store = MaintenanceFile::at(folder(name).join("maintenance.json"));
-    let front: Rc<dyn Front> = Rc::new(AdminFront::new(Box::new(move |host: &_| store.write(host))));
+    let front: Rc<dyn Front> = Rc::new(AdminFront::new(Box::new(move |executor: &_| store.write(executor))));
     let admin = proxy.open(front).await;
     let front: Rc<dyn Front> = Rc::new(Platform::new(limits(400)));
     let platform = proxy.open(front).await;
