--- a/src/wire/signed_urls/front.rs
+++ b/src/wire/signed_urls/front.rs
@@ -1,4 +1,4 @@
-//! The front of signed URLs: what its clients' requests mean, and its responses.
+//! The front for signed URLs: authorizes requests, and turns results into HTTP responses.
 
 use super::link::MediaLink;
 use super::verifier::{SignedUri, TokenVerifier};
@@ -14,28 +14,29 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Taken off a class's deadline for the way back to the client, in milliseconds.
+/// The part of a class's deadline that is reserved for sending the response, in milliseconds.
 const RETURN_MARGIN_MS: f64 = 40.0;
-/// An odd multiplier, by which each count gives another id.
+/// Spreads consecutive counts over the id space. It is odd, so that distinct counts give distinct ids.
 const ID_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// The front.
+/// The front for signed URLs.
 pub struct SignedUrlFront {
     limits: ConnectionLimits,
     scheme: String,
-    /// Verifies the tokens.
+    /// Verifies the tokens; its keys are replaced at a reload.
     pub verifier: RefCell<TokenVerifier>,
     id_salt: u64,
     requests: Cell<u64>,
 }
 
 impl SignedUrlFront {
-    /// A front whose links have `scheme`. `id_salt` keeps its requests' ids apart from those of its last start.
+    /// Creates a front for URLs with `scheme`. A random `id_salt` makes request ids differ from those before
+    /// a restart.
     pub fn new(limits: ConnectionLimits, scheme: String, verifier: TokenVerifier, id_salt: u64) -> Self {
         Self { limits, scheme, verifier: RefCell::new(verifier), id_salt, requests: Cell::new(0) }
     }
 
-    /// Parses and verifies a request; else the response to it.
+    /// Parses a request and verifies its token; the error is the response to a rejected request.
     fn authorize(
         &self,
         settings: &PlatformSettings,
@@ -43,7 +44,7 @@
         now: f64,
     ) -> Result<(Box<IncomingRequest>, ResponseContext), HttpResponse> {
         let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
-        // One spelling: nothing is decoded, and no segment is empty or a dot.
+        // Only canonical paths: no percent-encoding, and no empty or dot segments.
         if path.contains('%') || path.split('/').skip(1).any(|s| matches!(s, "" | "." | "..")) {
             return Err(HttpResponse::status(400));
         }
@@ -54,7 +55,7 @@
         let token = token(request, query)?;
         let host = field(request, "host")?.unwrap_or_default().to_ascii_lowercase();
         let requested = format!("{}://{host}{path}", self.scheme);
-        // A pattern that leaves the group open would let a client name another one, and evade its purges.
+        // A token that is valid for more than one group would let a client choose a group that is not purged.
         let excluded = format!("{}://{host}{}", self.scheme, link.in_other_group().path(settings));
         let uri = SignedUri { requested: &requested, excluded: &excluded };
         let renewal = self.verifier.borrow().verify(token, uri, now);
@@ -74,7 +75,7 @@
     ) -> IncomingRequest {
         self.requests.set(self.requests.get().wrapping_add(1));
         let id = self.id_salt.wrapping_add(self.requests.get().wrapping_mul(ID_MULTIPLIER));
-        // With `If-Match` the bytes decide, so a cache must not answer that the client's copy is current.
+        // `If-Match` takes precedence, so a cache must not answer `If-None-Match` with "not modified".
         let condition = context.if_none_match.as_deref().filter(|_| context.if_match.is_none());
         IncomingRequest {
             id,
@@ -96,7 +97,7 @@
     request.single(name).map_err(|_| HttpResponse::status(400))
 }
 
-/// What the response depends on besides its result (RFC 9110, sections 13 and 14).
+/// The conditions and the range of a request (RFC 9110, sections 13 and 14), and the cookie for its response.
 fn response_context(
     request: &HttpRequest,
     set_cookie: Option<String>,
@@ -114,8 +115,8 @@
     })
 }
 
-/// The token of a request: the query has it and nothing else, since a signature covers no other parameter; a renewed
-/// token comes as a cookie, without a query.
+/// The token of a request, from the query or, if that is empty, from the cookie that carries a renewed token.
+/// Other query parameters are rejected, as the signature does not cover them.
 fn token<'r>(request: &'r HttpRequest, query: &'r str) -> Result<&'r str, HttpResponse> {
     match query.strip_prefix(TOKEN_PARAMETER).and_then(|rest| rest.strip_prefix('=')) {
         Some(token) if !token.contains(['&', ';', '%', '?', '#']) => Ok(token),
@@ -124,7 +125,7 @@
     }
 }
 
-/// The token of a request's cookie.
+/// The token from the `Cookie` fields, which must contain exactly one.
 fn cookie_token(request: &HttpRequest) -> Result<&str, HttpResponse> {
     let fields = request.headers.iter().filter(|(name, _)| name == "cookie");
     let pairs = fields.flat_map(|(_, value)| value.split(';'));
@@ -132,12 +133,12 @@
     match (tokens.next(), tokens.next()) {
         (Some(token), None) => Ok(token),
         (None, _) => Err(HttpResponse::status(403)),
-        // Which of two is valid would be a guess that an attacker could make, too.
+        // Ambiguous: one of the two tokens may have been set by an attacker.
         (Some(_), Some(_)) => Err(HttpResponse::status(400)),
     }
 }
 
-/// The response with a copy's bytes, under the request's conditions (RFC 9110, section 13.2.2).
+/// The response with an object's content, after evaluating the preconditions (RFC 9110, section 13.2.2).
 fn served(context: &ResponseContext, tag: &str, body: Bytes) -> HttpResponse {
     let matches =
         |list: &Option<String>, comparison| list.as_deref().map(|list| list_contains(list, tag, comparison));
@@ -147,7 +148,7 @@
     if matches(&context.if_none_match, Comparison::Weak) == Some(true) {
         return HttpResponse::status(304).with_entity_tag(tag);
     }
-    // Another copy than the one that the client has a part of is sent in full.
+    // If `If-Range` does not match the entity tag, the range is ignored and the full content is sent.
     let is_other_copy =
         context.if_range.is_some() && matches(&context.if_range, Comparison::Strong) != Some(true);
     let length = body.len();
@@ -164,7 +165,7 @@
     response.with("Accept-Ranges", "bytes").with("Content-Type", "application/octet-stream")
 }
 
-/// A rejection (RFC 9110, section 15.6.4), with the wait in whole seconds, at least one.
+/// A 503 response (RFC 9110, section 15.6.4); `Retry-After` is rounded up to whole seconds, at least one.
 fn rejected(retry_after_ms: f64) -> HttpResponse {
     let seconds = (retry_after_ms / 1_000.0).ceil().max(1.0);
     HttpResponse::status(503).with("Retry-After", format!("{seconds}"))
@@ -204,7 +205,7 @@
         if let Some(cookie) = context.set_cookie.as_ref().filter(|_| is_success) {
             response = response.with("Set-Cookie", cookie.clone());
         }
-        // The response to one client's token is for that client alone.
+        // Shared caches must not store a response that depends on a client's token.
         response.with("Cache-Control", "private")
     }
 
--- a/src/wire/signed_urls/jwk.rs
+++ b/src/wire/signed_urls/jwk.rs
@@ -1,4 +1,4 @@
-//! The keys that links are signed with, as a JWK set (RFC 7517).
+//! The keys of signed URLs, read from a JWK set (RFC 7517).
 
 use base64::prelude::{Engine, BASE64_URL_SAFE_NO_PAD};
 use jsonwebtoken::{Algorithm, DecodingKey, EncodingKey};
@@ -6,36 +6,37 @@
 use std::collections::HashMap;
 use thiserror::Error;
 
-/// The most keys of a set, and the most retired keys of a ring.
+/// Maximum number of keys in a set, and of retired keys in a key ring.
 pub(super) const MAX_KEYS: usize = 64;
-/// The shortest secret of HS256, in bytes: the size of its hash (RFC 7518, section 3.2).
+/// Minimum size of an HS256 secret, in bytes: the size of the hash output (RFC 7518, section 3.2).
 const MIN_SECRET_BYTES: usize = 32;
-/// The size of a coordinate and of the private part of a P-256 key, in bytes.
+/// The size of a coordinate and of the private value of a P-256 key, in bytes.
 const P256_BYTES: usize = 32;
 
-/// The bytes before, and between, the numbers of a P-256 key in PKCS #8 (RFC 5208, RFC 5915).
+/// The DER encoding of a P-256 key in PKCS #8 (RFC 5208, RFC 5915), up to the private value.
 const P256_PREFIX: [u8; 36] = [
     0x30, 0x81, 0x87, 0x02, 0x01, 0x00, 0x30, 0x13, 0x06, 0x07, 0x2a, 0x86, 0x48, 0xce, 0x3d, 0x02, 0x01,
     0x06, 0x08, 0x2a, 0x86, 0x48, 0xce, 0x3d, 0x03, 0x01, 0x07, 0x04, 0x6d, 0x30, 0x6b, 0x02, 0x01, 0x01,
     0x04, 0x20,
 ];
+/// The DER encoding between the private value and the coordinates.
 const P256_MIDDLE: [u8; 6] = [0xa1, 0x44, 0x03, 0x42, 0x00, 0x04];
 
-/// A set of keys that cannot be used.
+/// A JWK set is invalid.
 #[derive(Debug, Error)]
 pub enum JwkError {
-    /// The text is no JWK set.
+    /// The text is not a JWK set.
     #[error("not a JWK set: {0}")]
     Malformed(simd_json::Error),
-    /// A key cannot be used.
+    /// A key is invalid.
     #[error("key {index}: {fault}")]
     Key {
-        /// Its index in the set.
+        /// The key's index in the set.
         index: usize,
-        /// What is wrong with it.
+        /// Why the key is invalid.
         fault: KeyFault,
     },
-    /// No key can be used.
+    /// The set has no key of a supported type.
     #[error("no key that can be used")]
     NoKeys,
     /// There are more than `MAX_KEYS` keys.
@@ -43,31 +44,31 @@
     TooManyKeys,
 }
 
-/// What is wrong with a key.
+/// Why a key is invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum KeyFault {
-    /// The algorithm does not belong to the key's type.
+    /// The algorithm does not match the key's type.
     #[error("`alg` is not that of its type")]
     Algorithm,
-    /// It has no id.
+    /// The key has no id, or an empty one.
     #[error("no `kid`")]
     MissingId,
-    /// Its id is that of another key.
+    /// Another key of the set has the same id.
     #[error("a `kid` stands twice")]
     DuplicateId,
-    /// A member is absent or not base64url.
+    /// A member is missing or not base64url.
     #[error("`{0}` is not base64url")]
     NotBase64url(&'static str),
     /// The secret is shorter than `MIN_SECRET_BYTES`.
     #[error("`k` is too short")]
     SecretTooShort,
-    /// A coordinate does not have the size of the curve.
+    /// The size of a coordinate is not that of the curve.
     #[error("a coordinate has not 32 bytes")]
     CoordinateLength,
-    /// The coordinates are those of no point.
+    /// The coordinates are not accepted as a public key.
     #[error("not a point")]
     NotAPoint,
-    /// The private part does not have the size of the curve.
+    /// The private value is not base64url, or its size is not that of the curve.
     #[error("`d` has not 32 bytes")]
     PrivateKeyLength,
 }
@@ -75,14 +76,14 @@
 /// Keys by their ids.
 pub type KeySet = HashMap<String, Key>;
 
-/// A key with the one algorithm that its type allows.
+/// A key with the algorithm of its type.
 #[derive(Clone)]
 pub struct Key {
     /// Verifies signatures.
     pub verifying: DecodingKey,
-    /// Signs renewed tokens, where the set has the private part.
+    /// Signs renewed tokens; `None` for a public key.
     pub signing: Option<EncodingKey>,
-    /// The algorithm.
+    /// The only algorithm that the key is used with.
     pub algorithm: Algorithm,
     /// The secret, or the coordinates of the public point.
     material: Vec<u8>,
@@ -90,13 +91,12 @@
 
 impl std::fmt::Debug for Key {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // Never the key itself.
+        // Key material must not be logged.
         write!(f, "Key({:?})", self.algorithm)
     }
 }
 
 impl Key {
-    /// Whether another key has the same material.
     pub(super) fn is_same_key(&self, other: &Self) -> bool {
         self.material == other.material
     }
@@ -127,18 +127,18 @@
     private: Option<String>,
 }
 
-/// Decodes unpadded base64url, in its one spelling (RFC 4648, section 5).
+/// Decodes unpadded base64url (RFC 4648, section 5); rejects non-canonical encodings.
 pub fn decode_base64url(text: &str) -> Option<Vec<u8>> {
     BASE64_URL_SAFE_NO_PAD.decode(text).ok()
 }
 
-/// Decodes a member of a key.
+/// Decodes a required member of a JWK.
 fn decode_member(text: &Option<String>, name: &'static str) -> Result<Vec<u8>, KeyFault> {
     text.as_deref().and_then(decode_base64url).ok_or(KeyFault::NotBase64url(name))
 }
 
 impl Jwk {
-    /// The key with its id; none for a type or purpose that is not supported.
+    /// The key with its id; `None` if its type or purpose is not supported.
     fn key(&self) -> Result<Option<(String, Key)>, KeyFault> {
         let (algorithm, name) = match (self.key_type.as_str(), self.curve.as_deref()) {
             ("oct", _) => (Algorithm::HS256, "HS256"),
--- a/src/wire/signed_urls/key_ring.rs
+++ b/src/wire/signed_urls/key_ring.rs
@@ -1,26 +1,26 @@
-//! The keys in force, and those that a rotation has replaced and that are still accepted for a while.
+//! The current keys, and the keys that a rotation replaced and that are still accepted for an overlap period.
 
 use super::jwk::{Key, KeySet, MAX_KEYS};
 
-/// A key that a rotation has replaced.
+/// A key that a rotation replaced.
 #[derive(Debug)]
 struct RetiredKey {
     key_id: String,
     key: Key,
-    /// Until when it is accepted, in Unix milliseconds.
+    /// The end of its overlap period, in Unix milliseconds.
     until: f64,
 }
 
-/// A key that renewed tokens are signed with, and its id.
+/// A key that signs renewed tokens.
 #[derive(Clone, Copy, Debug)]
 pub struct Signer<'a> {
-    /// The key's id.
+    /// The key's id, for the header parameter `kid`.
     pub key_id: &'a str,
     /// The key.
     pub key: &'a Key,
 }
 
-/// The keys that tokens are verified with.
+/// The keys that verify tokens.
 #[derive(Debug)]
 pub struct KeyRing {
     current: KeySet,
@@ -29,13 +29,13 @@
 }
 
 impl KeyRing {
-    /// A ring of these keys; a key that is rotated out is accepted for `overlap_ms` milliseconds more.
+    /// Creates a ring. A key that is rotated out remains accepted for `overlap_ms` milliseconds.
     pub fn new(keys: KeySet, overlap_ms: f64) -> Self {
         Self { current: keys, retired: Vec::new(), overlap_ms }
     }
 
-    /// Puts another set of keys in force. Keys that it lacks are accepted for the overlap, so that links that were
-    /// issued a moment before stay valid.
+    /// Replaces the current keys. Keys that the new set lacks are accepted for the overlap period, so that
+    /// URLs that were signed shortly before the rotation remain valid.
     pub fn rotate(&mut self, keys: KeySet, now: f64) {
         let until = now + self.overlap_ms;
         self.retired.retain(|retired| now < retired.until);
@@ -48,8 +48,9 @@
         self.retired.drain(..excess);
     }
 
-    /// The key that renewed tokens are signed with: the current key of the id, or, where that was rotated out, the
-    /// first current one that can sign, so that a renewal goes on across a rotation.
+    /// The key that signs renewed tokens: the current key with this id or, if that was rotated out, the
+    /// current signing key with the lowest id, so that tokens are still renewed after a rotation. `None` if
+    /// the current key with this id cannot sign, or no key can.
     pub fn signer<'a>(&'a self, key_id: &'a str) -> Option<Signer<'a>> {
         let can_sign = |key: &Key| key.signing.is_some();
         match self.current.get(key_id) {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The keys of an id that are accepted at `now`, the current one first.
+    /// The keys with this id that are accepted at `now`, the current one first.
     pub fn find<'a>(&'a self, key_id: &'a str, now: f64) -> impl Iterator<Item = &'a Key> {
         let retired = self.retired.iter().filter(move |old| old.key_id == key_id && now < old.until);
         self.current.get(key_id).into_iter().chain(retired.map(|old| &old.key))
--- a/src/wire/signed_urls/key_ring/tests.rs
+++ b/src/wire/signed_urls/key_ring/tests.rs
@@ -22,7 +22,7 @@
         Some("b"),
         "a renewal goes on across the rotation"
     );
-    // The same id with another key: both are accepted for a while.
+    // A new key with the same id: both are accepted during the overlap.
     ring.rotate(set("b", &other).unwrap(), 9_000.0);
     assert_eq!((ring.find("b", 9_500.0).count(), ring.find("b", 10_000.0).count()), (2, 1));
     (0..200).for_each(|k| ring.rotate(set(&format!("k{k}"), K).unwrap(), 9_100.0));
--- a/src/wire/signed_urls/link.rs
+++ b/src/wire/signed_urls/link.rs
@@ -1,25 +1,25 @@
-//! The path of a link: which part of which object it names.
+//! The path of a signed URL, which names a part of an object.
 
 use crate::settings::PlatformSettings;
 use crate::text::parse_hex16;
 use thiserror::Error;
 
-/// The highest number of a group.
+/// The highest group number.
 const MAX_GROUP: u32 = 255;
 
-/// A path that names no part of an object.
+/// Why a path does not name a part of an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LinkError {
-    /// There is no such resource.
+    /// The path has another structure, or its class is unknown or for writes.
     #[error("no such path or class")]
     NotFound,
-    /// A segment has no valid value, or not in its one spelling.
+    /// The value of a segment is invalid or not in canonical form.
     #[error("a segment of the path has no valid value")]
     Malformed,
 }
 
 impl LinkError {
-    /// The status of the response.
+    /// The HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             Self::NotFound => 404,
@@ -28,34 +28,33 @@
     }
 }
 
-/// What a link names.
+/// The parsed path of a signed URL.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct MediaLink {
-    /// Index of the class in the settings.
+    /// Index of the object class in the settings.
     pub class: usize,
-    /// The group.
+    /// The number of the object's purge group.
     pub group: u32,
-    /// The object.
+    /// The object's id.
     pub object: u64,
-    /// The part.
+    /// The index of the part.
     pub part: u32,
-    /// Size of the part in KB; 0 where unknown.
+    /// The size of the part in KB; 0 if unknown.
     pub size_kb: f64,
 }
 
-/// Parses an integer in its one spelling.
+/// Parses an integer in canonical form: no sign and no leading zeros.
 fn parse_integer(text: &str) -> Option<u32> {
     text.parse().ok().filter(|number: &u32| number.to_string() == text)
 }
 
-/// Parses a size in its one spelling.
+/// Parses a positive size, written exactly as `f64` displays it.
 fn parse_size(text: &str) -> Option<f64> {
     let size = text.parse::<f64>().ok().filter(|size| size.is_finite() && *size > 0.0)?;
     (size.to_string() == text).then_some(size)
 }
 
 impl MediaLink {
-    /// Parses a path.
     pub(super) fn parse(path: &str, settings: &PlatformSettings) -> Result<Self, LinkError> {
         let segments = path.strip_prefix("/media/").ok_or(LinkError::NotFound)?;
         let segments: Vec<&str> = segments.split('/').collect();
@@ -77,12 +76,12 @@
         Ok(Self { class, group, object, part, size_kb })
     }
 
-    /// The same link in another group.
+    /// The same part in another group.
     pub(super) fn in_other_group(&self) -> Self {
         Self { group: (self.group + 1) % (MAX_GROUP + 1), ..self.clone() }
     }
 
-    /// The path.
+    /// Formats the path in canonical form.
     pub(super) fn path(&self, settings: &PlatformSettings) -> String {
         let class = settings.class_name(self.class).unwrap_or_default();
         let path = format!("/media/{class}/{}/{:016x}/{}", self.group, self.object, self.part);
--- a/src/wire/signed_urls/mod.rs
+++ b/src/wire/signed_urls/mod.rs
@@ -1,8 +1,9 @@
-//! Signed URLs: URI Signing for CDNI (RFC 9246), with tokens that are signed JWTs.
+//! Signed URLs: URI Signing for CDNI (RFC 9246), with signed JWTs as tokens.
 //!
-//! A link is `/media/CLASS/GROUP/OBJECT/PART` or the same with the part's size in KB as a last segment, and one query
-//! parameter, `URISigningPackage`, with the token. Nothing else of a request determines what is fetched. A path has one
-//! spelling only, so that a signature for one object cannot be stretched to another.
+//! A signed URL has the path `/media/CLASS/GROUP/OBJECT/PART`, optionally followed by the part's size in KB
+//! as a last segment, and a single query parameter, `URISigningPackage`, which holds the token. Only the path
+//! determines what is fetched. Paths that are not in canonical form are rejected, so that a signature for one
+//! object cannot be used for another.
 
 pub mod front;
 pub mod jwk;
@@ -12,5 +13,5 @@
 mod uri_container;
 pub mod verifier;
 
-/// The name of the query parameter, and of the cookie, that holds a token.
+/// The name of the query parameter and of the cookie that hold a token.
 pub const TOKEN_PARAMETER: &str = "URISigningPackage";
--- a/src/wire/signed_urls/renewal.rs
+++ b/src/wire/signed_urls/renewal.rs
@@ -1,4 +1,4 @@
-//! Signed token renewal (RFC 9246, section 3): a token that replaces another, sent as a cookie.
+//! Signed token renewal (RFC 9246, section 3): a response sets a cookie with a new token that expires later.
 
 use super::jwk::{decode_base64url, Key};
 use super::key_ring::Signer;
@@ -7,24 +7,24 @@
 use jsonwebtoken::{encode, Header};
 use simd_json::prelude::*;
 
-/// The longest validity of a renewed token, in seconds.
+/// Maximum validity of a renewed token, in seconds.
 const MAX_VALIDITY_S: f64 = 86_400.0;
-/// The most path segments of a cookie's scope.
+/// Maximum number of path segments in a cookie's scope.
 const MAX_PATH_SEGMENTS: f64 = 16.0;
 
-/// A token that replaces another.
+/// A renewed token and the attributes of its cookie.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Renewal {
     token: String,
-    /// For how long it is valid, in seconds.
+    /// Validity from the time of renewal, in seconds.
     validity_s: f64,
-    /// How many segments of the path its cookie is scoped to; 0 for all paths.
+    /// Number of leading path segments in the cookie's scope; 0 for all paths.
     path_segments: usize,
 }
 
 impl Renewal {
-    /// Signs the claims of a token anew, with a later expiry; `payload` is the second part of the token. None where the
-    /// token does not ask for it in a valid form, or the key cannot sign.
+    /// Signs the claims of a token again with a new expiry time; `payload` is the second part of the token.
+    /// `None` if the renewal claims are missing or invalid, or if signing fails.
     pub(super) fn sign(payload: &str, claims: &Claims, signer: &Signer<'_>, now: f64) -> Option<Self> {
         let validity_s = claims.renewal_s.filter(|s| (1.0..=MAX_VALIDITY_S).contains(s))?;
         let path_segments = claims.renewal_path_segments.unwrap_or(0.0);
@@ -40,7 +40,7 @@
         Some(Self { token, validity_s, path_segments: path_segments as usize })
     }
 
-    /// The cookie that carries the token to a client that requested `path`.
+    /// The value of `Set-Cookie` in the response to a request for `path`.
     pub(super) fn cookie(&self, path: &str, secure: bool) -> String {
         let segments: Vec<&str> = path.split('/').skip(1).take(self.path_segments).collect();
         let secure = if secure { "; Secure" } else { "" };
--- a/src/wire/signed_urls/verifier.rs
+++ b/src/wire/signed_urls/verifier.rs
@@ -1,4 +1,4 @@
-//! The verification of tokens: signature, claims, and the URI that a token opens.
+//! Token verification: the signature, the claims and the requested URI.
 
 use super::jwk::{decode_base64url, Key};
 use super::key_ring::KeyRing;
@@ -8,28 +8,28 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// The claims that a token may mark as critical: those that are understood and verified here.
+/// The claims that a token may mark as critical.
 const UNDERSTOOD_CLAIMS: [&str; 10] =
     ["iss", "exp", "nbf", "iat", "sub", "cdniv", "cdniuc", "cdniets", "cdnistt", "cdnistd"];
-/// The version of URI signing (RFC 9246, section 2.1.11).
+/// The supported URI Signing version (RFC 9246, section 2.1.11).
 const VERSION: f64 = 1.0;
-/// The transports of renewed tokens (RFC 9246, section 2.1.17).
+/// The supported values of the claim for token transport (RFC 9246, section 2.1.17).
 const NO_RENEWAL: f64 = 0.0;
 const RENEWAL_BY_COOKIE: f64 = 1.0;
 
-/// Why a token opens nothing.
+/// Why a token is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TokenError {
-    /// It cannot be parsed.
+    /// The token is not a well-formed JWT.
     #[error("the token cannot be parsed")]
     Malformed,
-    /// It does not open this request at this time.
+    /// The token is invalid, expired or issued for another URI.
     #[error("the token does not open this request")]
     Forbidden,
 }
 
 impl TokenError {
-    /// The status of the response.
+    /// The HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             Self::Malformed => 400,
@@ -38,7 +38,7 @@
     }
 }
 
-/// The claims that are verified. Those that must be rejected where they cannot be verified are parsed as present.
+/// The verified claims, and the unsupported claims whose presence causes a token to be rejected.
 #[derive(Debug, Deserialize)]
 pub(super) struct Claims {
     #[serde(rename = "iss")]
@@ -67,7 +67,7 @@
     pub(super) renewal_path_segments: Option<f64>,
 }
 
-/// A value of any type, of which only its presence matters.
+/// A claim or header parameter of any type, parsed only for its presence.
 #[derive(Debug, Deserialize)]
 #[serde(from = "serde::de::IgnoredAny")]
 struct Present;
@@ -84,45 +84,47 @@
         critical.into_iter().any(|name| !UNDERSTOOD_CLAIMS.contains(&name))
     }
 
-    /// Whether it has a claim that cannot be verified here: RFC 9246 has such tokens rejected.
+    /// Whether the token has an unsupported claim that must not be ignored (RFC 9246).
     fn has_unverifiable_claim(&self) -> bool {
         [&self.audience, &self.nonce, &self.client_ip].iter().any(|claim| claim.is_some())
     }
 
-    /// Whether the token is valid at `now`, in Unix milliseconds, with clocks that differ by `leeway_ms`.
+    /// Whether the token is valid at `now`, in Unix milliseconds, with a permitted clock skew of `leeway_ms`.
     fn is_valid_at(&self, now: f64, leeway_ms: f64) -> bool {
         let is_current = self.expires_s.is_some_and(|expires| now < expires * 1_000.0 + leeway_ms);
         is_current && self.not_before_s.is_none_or(|from| now >= from * 1_000.0 - leeway_ms)
     }
 }
 
-/// The URI of a request, as tokens name it.
+/// The absolute URIs that a token is checked against.
 #[derive(Clone, Copy, Debug)]
 pub struct SignedUri<'a> {
-    /// The URI that the token must open.
+    /// The URI of the request, which the token must match.
     pub requested: &'a str,
-    /// A URI that the same token must not open.
+    /// A URI that the token must not match.
     pub excluded: &'a str,
 }
 
-/// Verifies tokens.
+/// Verifies tokens of one issuer.
 #[derive(Debug)]
 pub struct TokenVerifier {
-    /// The keys.
+    /// The keys that verify tokens and sign renewed ones.
     pub keys: KeyRing,
-    /// The one issuer whose tokens are accepted.
+    /// The only accepted value of the claim `iss`.
     pub issuer: String,
-    /// How far clocks may differ, in milliseconds.
+    /// Permitted clock skew, in milliseconds.
     pub leeway_ms: f64,
 }
 
 impl TokenVerifier {
-    /// Verifies that a token opens a URI at `now`, in Unix milliseconds; returns its renewal, if it asks for one.
+    /// Verifies that a token grants access to a URI at `now`, in Unix milliseconds. Returns the renewed token
+    /// if the claims request one.
     pub fn verify(&self, token: &str, uri: SignedUri<'_>, now: f64) -> Result<Option<Renewal>, TokenError> {
         let mut parts = token.split('.');
         let shape = (parts.next(), parts.next(), parts.next(), parts.next());
         let (Some(header), Some(payload), Some(_), None) = shape else { return Err(TokenError::Malformed) };
-        // A header with critical extensions is rejected (RFC 7515, section 4.1.11): none is supported.
+        // No critical extension is supported, so a header that lists any is rejected (RFC 7515, section
+        // 4.1.11).
         if has_critical_extensions(header)? {
             return Err(TokenError::Forbidden);
         }
@@ -143,7 +145,7 @@
     }
 
     fn verify_claims(&self, claims: &Claims, uri: SignedUri<'_>, now: f64) -> Result<(), TokenError> {
-        // A missing version is the first one; any other is not understood.
+        // A missing version means version 1; no other version is supported.
         let is_acceptable = claims.version.is_none_or(|version| version == VERSION)
             && !claims.has_unsupported_critical_claim()
             && !claims.has_unverifiable_claim()
@@ -159,17 +161,17 @@
     }
 }
 
-/// The claims of a token whose signature a key verifies, by the key's own algorithm: a token must not choose how it is
-/// verified.
+/// Verifies a token's signature with a key and returns the claims. The algorithm is the key's: a token must
+/// not choose how it is verified.
 fn verify_signature(token: &str, key: &Key) -> Option<Claims> {
     let mut validation = Validation::new(key.algorithm);
-    // The claims are verified here, by the proxy's clock.
+    // The caller verifies the claims against the proxy's own clock.
     (validation.validate_exp, validation.validate_nbf, validation.validate_aud) = (false, false, false);
     validation.required_spec_claims.clear();
     decode::<Claims>(token, &key.verifying, &validation).ok().map(|token| token.claims)
 }
 
-/// Whether a token's header has the member `crit`.
+/// Whether a token's header has the parameter `crit`.
 fn has_critical_extensions(header: &str) -> Result<bool, TokenError> {
     #[derive(Deserialize)]
     struct Extensions {
