--- a/src/wire/signed_urls/jwk.rs
+++ b/src/wire/signed_urls/jwk.rs
@@ -37,10 +37,10 @@
         fault: KeyFault,
     },
     /// The set has no key of a supported type.
-    #[error("no key that can be used")]
+    #[error("no usable key")]
     NoKeys,
     /// There are more than `MAX_KEYS` keys.
-    #[error("too many keys")]
+    #[error("more than {MAX_KEYS} keys")]
     TooManyKeys,
 }
 
@@ -48,28 +48,28 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum KeyFault {
     /// The algorithm does not match the key's type.
-    #[error("`alg` is not that of its type")]
+    #[error("`alg` does not match `kty` and `crv`")]
     Algorithm,
     /// The key has no id, or an empty one.
-    #[error("no `kid`")]
+    #[error("`kid` is missing or empty")]
     MissingId,
     /// Another key of the set has the same id.
-    #[error("a `kid` stands twice")]
+    #[error("duplicate `kid`")]
     DuplicateId,
     /// A member is missing or not base64url.
-    #[error("`{0}` is not base64url")]
+    #[error("`{0}` is missing or not base64url")]
     NotBase64url(&'static str),
     /// The secret is shorter than `MIN_SECRET_BYTES`.
-    #[error("`k` is too short")]
+    #[error("`k` is shorter than {MIN_SECRET_BYTES} bytes")]
     SecretTooShort,
     /// The size of a coordinate is not that of the curve.
-    #[error("a coordinate has not 32 bytes")]
+    #[error("a coordinate is not {P256_BYTES} bytes long")]
     CoordinateLength,
     /// The coordinates are not accepted as a public key.
-    #[error("not a point")]
+    #[error("`x` and `y` are not a valid public key")]
     NotAPoint,
     /// The private value is not base64url, or its size is not that of the curve.
-    #[error("`d` has not 32 bytes")]
+    #[error("`d` is not {P256_BYTES} bytes of base64url")]
     PrivateKeyLength,
 }
 
--- a/src/wire/signed_urls/key_ring/tests.rs
+++ b/src/wire/signed_urls/key_ring/tests.rs
@@ -20,7 +20,7 @@
     assert_eq!(
         ring.signer("a").map(|signer| signer.key_id),
         Some("b"),
-        "a renewal goes on across the rotation"
+        "tokens are still renewed after the rotation"
     );
     // A new key with the same id: both are accepted during the overlap.
     ring.rotate(set("b", &other).unwrap(), 9_000.0);
--- a/src/wire/signed_urls/link.rs
+++ b/src/wire/signed_urls/link.rs
@@ -11,10 +11,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LinkError {
     /// The path has another structure, or its class is unknown or for writes.
-    #[error("no such path or class")]
+    #[error("unknown path or class")]
     NotFound,
     /// The value of a segment is invalid or not in canonical form.
-    #[error("a segment of the path has no valid value")]
+    #[error("a path segment is invalid or not in canonical form")]
     Malformed,
 }
 
--- a/src/wire/signed_urls/verifier.rs
+++ b/src/wire/signed_urls/verifier.rs
@@ -21,10 +21,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TokenError {
     /// The token is not a well-formed JWT.
-    #[error("the token cannot be parsed")]
+    #[error("the token is malformed")]
     Malformed,
     /// The token is invalid, expired or issued for another URI.
-    #[error("the token does not open this request")]
+    #[error("the token does not authorize this request")]
     Forbidden,
 }
 
