--- a/src/wire/signed_urls/front.rs
+++ b/src/wire/signed_urls/front.rs
@@ -26,14 +26,14 @@
     /// Verifies the tokens; its keys are replaced at a reload.
     pub verifier: RefCell<TokenVerifier>,
     id_salt: u64,
-    requests: Cell<u64>,
+    request_count: Cell<u64>,
 }
 
 impl SignedUrlFront {
     /// Creates a front for URLs with `scheme`. A random `id_salt` makes request ids differ from those before
     /// a restart.
     pub fn new(limits: ConnectionLimits, scheme: String, verifier: TokenVerifier, id_salt: u64) -> Self {
-        Self { limits, scheme, verifier: RefCell::new(verifier), id_salt, requests: Cell::new(0) }
+        Self { limits, scheme, verifier: RefCell::new(verifier), id_salt, request_count: Cell::new(0) }
     }
 
     /// Parses a request and verifies its token; the error is the response to a rejected request.
@@ -52,8 +52,8 @@
         if !matches!(request.method.as_str(), "GET" | "HEAD") {
             return Err(HttpResponse::status(405).with("Allow", "GET, HEAD"));
         }
-        let token = token(request, query)?;
-        let host = field(request, "host")?.unwrap_or_default().to_ascii_lowercase();
+        let token = request_token(request, query)?;
+        let host = single_header(request, "host")?.unwrap_or_default().to_ascii_lowercase();
         let requested = format!("{}://{host}{path}", self.scheme);
         // A token that is valid for more than one group would let a client choose a group that is not purged.
         let excluded = format!("{}://{host}{}", self.scheme, link.in_other_group().path(settings));
@@ -73,8 +73,8 @@
         settings: &PlatformSettings,
         now: f64,
     ) -> IncomingRequest {
-        self.requests.set(self.requests.get().wrapping_add(1));
-        let id = self.id_salt.wrapping_add(self.requests.get().wrapping_mul(ID_MULTIPLIER));
+        self.request_count.set(self.request_count.get().wrapping_add(1));
+        let id = self.id_salt.wrapping_add(self.request_count.get().wrapping_mul(ID_MULTIPLIER));
         // `If-Match` takes precedence, so a cache must not answer `If-None-Match` with "not modified".
         let condition = context.if_none_match.as_deref().filter(|_| context.if_match.is_none());
         IncomingRequest {
@@ -93,7 +93,7 @@
     }
 }
 
-fn field<'r>(request: &'r HttpRequest, name: &str) -> Result<Option<&'r str>, HttpResponse> {
+fn single_header<'r>(request: &'r HttpRequest, name: &str) -> Result<Option<&'r str>, HttpResponse> {
     request.single(name).map_err(|_| HttpResponse::status(400))
 }
 
@@ -102,7 +102,7 @@
     request: &HttpRequest,
     set_cookie: Option<String>,
 ) -> Result<ResponseContext, HttpResponse> {
-    let owned = |name| field(request, name).map(|value| value.map(String::from));
+    let owned = |name| single_header(request, name).map(|value| value.map(String::from));
     Ok(ResponseContext {
         head_only: request.method == "HEAD",
         if_none_match: owned("if-none-match")?,
@@ -117,7 +117,7 @@
 
 /// The token of a request, from the query or, if that is empty, from the cookie that carries a renewed token.
 /// Other query parameters are rejected, as the signature does not cover them.
-fn token<'r>(request: &'r HttpRequest, query: &'r str) -> Result<&'r str, HttpResponse> {
+fn request_token<'r>(request: &'r HttpRequest, query: &'r str) -> Result<&'r str, HttpResponse> {
     match query.strip_prefix(TOKEN_PARAMETER).and_then(|rest| rest.strip_prefix('=')) {
         Some(token) if !token.contains(['&', ';', '%', '?', '#']) => Ok(token),
         None if query.is_empty() => cookie_token(request),
@@ -139,7 +139,7 @@
 }
 
 /// The response with an object's content, after evaluating the preconditions (RFC 9110, section 13.2.2).
-fn served(context: &ResponseContext, tag: &str, body: Bytes) -> HttpResponse {
+fn content_response(context: &ResponseContext, tag: &str, body: Bytes) -> HttpResponse {
     let matches =
         |list: &Option<String>, comparison| list.as_deref().map(|list| list_contains(list, tag, comparison));
     if matches(&context.if_match, Comparison::Strong) == Some(false) {
@@ -149,11 +149,11 @@
         return HttpResponse::status(304).with_entity_tag(tag);
     }
     // If `If-Range` does not match the entity tag, the range is ignored and the full content is sent.
-    let is_other_copy =
+    let is_outdated_range =
         context.if_range.is_some() && matches(&context.if_range, Comparison::Strong) != Some(true);
     let length = body.len();
-    let range = context.range.as_deref().filter(|_| !is_other_copy);
-    let response = match range.map_or(ByteRange::All, |field| ByteRange::parse(field, length)) {
+    let range = context.range.as_deref().filter(|_| !is_outdated_range);
+    let response = match range.map_or(ByteRange::All, |range| ByteRange::parse(range, length)) {
         ByteRange::All => HttpResponse { body, ..HttpResponse::status(200) },
         ByteRange::Part(from, to) => HttpResponse { body: body.slice(from..to), ..HttpResponse::status(206) }
             .with("Content-Range", format!("bytes {from}-{}/{length}", to - 1)),
@@ -166,7 +166,7 @@
 }
 
 /// A 503 response (RFC 9110, section 15.6.4); `Retry-After` is rounded up to whole seconds, at least one.
-fn rejected(retry_after_ms: f64) -> HttpResponse {
+fn unavailable_response(retry_after_ms: f64) -> HttpResponse {
     let seconds = (retry_after_ms / 1_000.0).ceil().max(1.0);
     HttpResponse::status(503).with("Retry-After", format!("{seconds}"))
 }
@@ -193,11 +193,11 @@
     fn respond(&self, context: &ResponseContext, result: FinalResponse) -> HttpResponse {
         let mut response = match result {
             FinalResponse::NotModified { tag } => HttpResponse::status(304).with_entity_tag(&tag),
-            FinalResponse::Served { tag, body } => served(context, &tag.unwrap_or_default(), body),
+            FinalResponse::Served { tag, body } => content_response(context, &tag.unwrap_or_default(), body),
             FinalResponse::Rejected { overdue: true, .. } | FinalResponse::Failed { overdue: true } => {
                 HttpResponse::status(504)
             }
-            FinalResponse::Rejected { retry_after_ms, .. } => rejected(retry_after_ms),
+            FinalResponse::Rejected { retry_after_ms, .. } => unavailable_response(retry_after_ms),
             FinalResponse::Failed { .. } => HttpResponse::status(502),
         };
         response.head_only = context.head_only;
@@ -211,7 +211,7 @@
 
     fn reject(&self, reason: AdmitError) -> HttpResponse {
         match reason {
-            AdmitError::Full => rejected(0.0),
+            AdmitError::Full => unavailable_response(0.0),
             AdmitError::Duplicate => HttpResponse::status(502),
         }
     }
--- a/src/wire/signed_urls/jwk.rs
+++ b/src/wire/signed_urls/jwk.rs
@@ -14,13 +14,13 @@
 const P256_BYTES: usize = 32;
 
 /// The DER encoding of a P-256 key in PKCS #8 (RFC 5208, RFC 5915), up to the private value.
-const P256_PREFIX: [u8; 36] = [
+const P256_DER_PREFIX: [u8; 36] = [
     0x30, 0x81, 0x87, 0x02, 0x01, 0x00, 0x30, 0x13, 0x06, 0x07, 0x2a, 0x86, 0x48, 0xce, 0x3d, 0x02, 0x01,
     0x06, 0x08, 0x2a, 0x86, 0x48, 0xce, 0x3d, 0x03, 0x01, 0x07, 0x04, 0x6d, 0x30, 0x6b, 0x02, 0x01, 0x01,
     0x04, 0x20,
 ];
 /// The DER encoding between the private value and the coordinates.
-const P256_MIDDLE: [u8; 6] = [0xa1, 0x44, 0x03, 0x42, 0x00, 0x04];
+const P256_DER_MIDDLE: [u8; 6] = [0xa1, 0x44, 0x03, 0x42, 0x00, 0x04];
 
 /// A JWK set is invalid.
 #[derive(Debug, Error)]
@@ -29,12 +29,12 @@
     #[error("not a JWK set: {0}")]
     Malformed(simd_json::Error),
     /// A key is invalid.
-    #[error("key {index}: {fault}")]
+    #[error("key {index}: {error}")]
     Key {
         /// The key's index in the set.
         index: usize,
         /// Why the key is invalid.
-        fault: KeyFault,
+        error: KeyError,
     },
     /// The set has no key of a supported type.
     #[error("no usable key")]
@@ -46,10 +46,10 @@
 
 /// Why a key is invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum KeyFault {
+pub enum KeyError {
     /// The algorithm does not match the key's type.
     #[error("`alg` does not match `kty` and `crv`")]
-    Algorithm,
+    AlgorithmMismatch,
     /// The key has no id, or an empty one.
     #[error("`kid` is missing or empty")]
     MissingId,
@@ -67,7 +67,7 @@
     CoordinateLength,
     /// The coordinates are not accepted as a public key.
     #[error("`x` and `y` are not a valid public key")]
-    NotAPoint,
+    InvalidPublicKey,
     /// The private value is not base64url, or its size is not that of the curve.
     #[error("`d` is not {P256_BYTES} bytes of base64url")]
     PrivateKeyLength,
@@ -80,9 +80,9 @@
 #[derive(Clone)]
 pub struct Key {
     /// Verifies signatures.
-    pub verifying: DecodingKey,
+    pub verifying_key: DecodingKey,
     /// Signs renewed tokens; `None` for a public key.
-    pub signing: Option<EncodingKey>,
+    pub signing_key: Option<EncodingKey>,
     /// The only algorithm that the key is used with.
     pub algorithm: Algorithm,
     /// The secret, or the coordinates of the public point.
@@ -124,7 +124,7 @@
     x: Option<String>,
     y: Option<String>,
     #[serde(rename = "d")]
-    private: Option<String>,
+    private_value: Option<String>,
 }
 
 /// Decodes unpadded base64url (RFC 4648, section 5); rejects non-canonical encodings.
@@ -133,13 +133,13 @@
 }
 
 /// Decodes a required member of a JWK.
-fn decode_member(text: &Option<String>, name: &'static str) -> Result<Vec<u8>, KeyFault> {
-    text.as_deref().and_then(decode_base64url).ok_or(KeyFault::NotBase64url(name))
+fn decode_member(text: &Option<String>, name: &'static str) -> Result<Vec<u8>, KeyError> {
+    text.as_deref().and_then(decode_base64url).ok_or(KeyError::NotBase64url(name))
 }
 
 impl Jwk {
     /// The key with its id; `None` if its type or purpose is not supported.
-    fn key(&self) -> Result<Option<(String, Key)>, KeyFault> {
+    fn key(&self) -> Result<Option<(String, Key)>, KeyError> {
         let (algorithm, name) = match (self.key_type.as_str(), self.curve.as_deref()) {
             ("oct", _) => (Algorithm::HS256, "HS256"),
             ("EC", Some("P-256")) => (Algorithm::ES256, "ES256"),
@@ -148,42 +148,44 @@
         if self.purpose.as_deref().is_some_and(|purpose| purpose != "sig") {
             return Ok(None);
         }
-        if self.algorithm.as_deref().is_some_and(|stated| stated != name) {
-            return Err(KeyFault::Algorithm);
+        if self.algorithm.as_deref().is_some_and(|alg| alg != name) {
+            return Err(KeyError::AlgorithmMismatch);
         }
-        let id = self.id.clone().filter(|id| !id.is_empty()).ok_or(KeyFault::MissingId)?;
+        let id = self.id.clone().filter(|id| !id.is_empty()).ok_or(KeyError::MissingId)?;
         let key = if algorithm == Algorithm::HS256 { self.hmac_key()? } else { self.p256_key()? };
         Ok(Some((id, key)))
     }
 
-    fn hmac_key(&self) -> Result<Key, KeyFault> {
+    fn hmac_key(&self) -> Result<Key, KeyError> {
         let secret = decode_member(&self.secret, "k")?;
         if secret.len() < MIN_SECRET_BYTES {
-            return Err(KeyFault::SecretTooShort);
+            return Err(KeyError::SecretTooShort);
         }
         Ok(Key {
-            verifying: DecodingKey::from_secret(&secret),
-            signing: Some(EncodingKey::from_secret(&secret)),
+            verifying_key: DecodingKey::from_secret(&secret),
+            signing_key: Some(EncodingKey::from_secret(&secret)),
             algorithm: Algorithm::HS256,
             material: secret,
         })
     }
 
-    fn p256_key(&self) -> Result<Key, KeyFault> {
+    fn p256_key(&self) -> Result<Key, KeyError> {
         let (x, y) = (decode_member(&self.x, "x")?, decode_member(&self.y, "y")?);
         if x.len() != P256_BYTES || y.len() != P256_BYTES {
-            return Err(KeyFault::CoordinateLength);
+            return Err(KeyError::CoordinateLength);
         }
         let (x_text, y_text) = (self.x.as_deref().unwrap_or_default(), self.y.as_deref().unwrap_or_default());
-        let verifying = DecodingKey::from_ec_components(x_text, y_text).map_err(|_| KeyFault::NotAPoint)?;
-        let signing = self.private.as_deref().map(|text| {
-            let private = decode_base64url(text).filter(|private| private.len() == P256_BYTES);
-            let private = private.ok_or(KeyFault::PrivateKeyLength)?;
-            let der = [&P256_PREFIX[..], &private, &P256_MIDDLE, &x, &y].concat();
+        let verifying_key =
+            DecodingKey::from_ec_components(x_text, y_text).map_err(|_| KeyError::InvalidPublicKey)?;
+        let signing_key = self.private_value.as_deref().map(|text| {
+            let private_value =
+                decode_base64url(text).filter(|private_value| private_value.len() == P256_BYTES);
+            let private_value = private_value.ok_or(KeyError::PrivateKeyLength)?;
+            let der = [&P256_DER_PREFIX[..], &private_value, &P256_DER_MIDDLE, &x, &y].concat();
             Ok(EncodingKey::from_ec_der(&der))
         });
-        let signing = signing.transpose()?;
-        Ok(Key { verifying, signing, algorithm: Algorithm::ES256, material: [x, y].concat() })
+        let signing_key = signing_key.transpose()?;
+        Ok(Key { verifying_key, signing_key, algorithm: Algorithm::ES256, material: [x, y].concat() })
     }
 }
 
@@ -192,10 +194,10 @@
     let set: JwkSet = simd_json::from_slice(&mut text.to_vec()).map_err(JwkError::Malformed)?;
     let mut keys = KeySet::new();
     for (index, jwk) in set.keys.iter().enumerate() {
-        let fault = |fault| JwkError::Key { index, fault };
-        if let Some((id, key)) = jwk.key().map_err(fault)? {
+        let error = |error| JwkError::Key { index, error };
+        if let Some((id, key)) = jwk.key().map_err(error)? {
             if keys.insert(id, key).is_some() {
-                return Err(fault(KeyFault::DuplicateId));
+                return Err(error(KeyError::DuplicateId));
             }
         }
     }
--- a/src/wire/signed_urls/key_ring.rs
+++ b/src/wire/signed_urls/key_ring.rs
@@ -8,7 +8,7 @@
     key_id: String,
     key: Key,
     /// The end of its overlap period, in Unix milliseconds.
-    until: f64,
+    accepted_until_ms: f64,
 }
 
 /// A key that signs renewed tokens.
@@ -37,11 +37,11 @@
     /// Replaces the current keys. Keys that the new set lacks are accepted for the overlap period, so that
     /// URLs that were signed shortly before the rotation remain valid.
     pub fn rotate(&mut self, keys: KeySet, now: f64) {
-        let until = now + self.overlap_ms;
-        self.retired.retain(|retired| now < retired.until);
+        let accepted_until_ms = now + self.overlap_ms;
+        self.retired.retain(|retired| now < retired.accepted_until_ms);
         for (key_id, key) in std::mem::replace(&mut self.current, keys) {
             if self.current.get(&key_id).is_none_or(|current| !current.is_same_key(&key)) {
-                self.retired.push(RetiredKey { key_id, key, until });
+                self.retired.push(RetiredKey { key_id, key, accepted_until_ms });
             }
         }
         let excess = self.retired.len().saturating_sub(MAX_KEYS);
@@ -52,7 +52,7 @@
     /// current signing key with the lowest id, so that tokens are still renewed after a rotation. `None` if
     /// the current key with this id cannot sign, or no key can.
     pub fn signer<'a>(&'a self, key_id: &'a str) -> Option<Signer<'a>> {
-        let can_sign = |key: &Key| key.signing.is_some();
+        let can_sign = |key: &Key| key.signing_key.is_some();
         match self.current.get(key_id) {
             Some(key) => can_sign(key).then_some(Signer { key_id, key }),
             None => {
@@ -65,8 +65,9 @@
 
     /// The keys with this id that are accepted at `now`, the current one first.
     pub fn find<'a>(&'a self, key_id: &'a str, now: f64) -> impl Iterator<Item = &'a Key> {
-        let retired = self.retired.iter().filter(move |old| old.key_id == key_id && now < old.until);
-        self.current.get(key_id).into_iter().chain(retired.map(|old| &old.key))
+        let retired =
+            self.retired.iter().filter(move |entry| entry.key_id == key_id && now < entry.accepted_until_ms);
+        self.current.get(key_id).into_iter().chain(retired.map(|entry| &entry.key))
     }
 }
 
--- a/src/wire/signed_urls/link.rs
+++ b/src/wire/signed_urls/link.rs
@@ -66,8 +66,8 @@
         let class = settings.class_index(class).filter(|class| !settings.is_write(*class));
         let class = class.ok_or(LinkError::NotFound)?;
         let group = parse_integer(group).filter(|group| *group <= MAX_GROUP).ok_or(LinkError::Malformed)?;
-        let is_lower = !object.bytes().any(|b| b.is_ascii_uppercase());
-        let object = parse_hex16(object).filter(|_| is_lower).ok_or(LinkError::Malformed)?;
+        let is_lowercase = !object.bytes().any(|b| b.is_ascii_uppercase());
+        let object = parse_hex16(object).filter(|_| is_lowercase).ok_or(LinkError::Malformed)?;
         let part = parse_integer(part).ok_or(LinkError::Malformed)?;
         let size_kb = match size {
             None => 0.0,
--- a/src/wire/signed_urls/renewal.rs
+++ b/src/wire/signed_urls/renewal.rs
@@ -34,9 +34,9 @@
         let mut text = decode_base64url(payload)?;
         let mut body = simd_json::to_owned_value(&mut text).ok()?;
         body.try_insert("exp", (now / 1_000.0 + validity_s).floor() as u64);
-        let Signer { key_id, key: Key { algorithm, signing, .. } } = signer;
+        let Signer { key_id, key: Key { algorithm, signing_key, .. } } = signer;
         let header = Header { kid: Some(key_id.to_string()), ..Header::new(*algorithm) };
-        let token = encode(&header, &body, signing.as_ref()?).ok()?;
+        let token = encode(&header, &body, signing_key.as_ref()?).ok()?;
         Some(Self { token, validity_s, path_segments: path_segments as usize })
     }
 
--- a/src/wire/signed_urls/verifier.rs
+++ b/src/wire/signed_urls/verifier.rs
@@ -9,10 +9,10 @@
 use thiserror::Error;
 
 /// The claims that a token may mark as critical.
-const UNDERSTOOD_CLAIMS: [&str; 10] =
+const SUPPORTED_CLAIMS: [&str; 10] =
     ["iss", "exp", "nbf", "iat", "sub", "cdniv", "cdniuc", "cdniets", "cdnistt", "cdnistd"];
 /// The supported URI Signing version (RFC 9246, section 2.1.11).
-const VERSION: f64 = 1.0;
+const SUPPORTED_VERSION: f64 = 1.0;
 /// The supported values of the claim for token transport (RFC 9246, section 2.1.17).
 const NO_RENEWAL: f64 = 0.0;
 const RENEWAL_BY_COOKIE: f64 = 1.0;
@@ -50,7 +50,7 @@
     #[serde(rename = "aud")]
     audience: Option<Present>,
     #[serde(rename = "jti")]
-    nonce: Option<Present>,
+    jwt_id: Option<Present>,
     #[serde(rename = "cdniv")]
     version: Option<f64>,
     #[serde(rename = "cdnicrit")]
@@ -81,18 +81,18 @@
 impl Claims {
     fn has_unsupported_critical_claim(&self) -> bool {
         let critical = self.critical.iter().flat_map(|names| names.split(',')).map(str::trim);
-        critical.into_iter().any(|name| !UNDERSTOOD_CLAIMS.contains(&name))
+        critical.into_iter().any(|name| !SUPPORTED_CLAIMS.contains(&name))
     }
 
     /// Whether the token has an unsupported claim that must not be ignored (RFC 9246).
     fn has_unverifiable_claim(&self) -> bool {
-        [&self.audience, &self.nonce, &self.client_ip].iter().any(|claim| claim.is_some())
+        [&self.audience, &self.jwt_id, &self.client_ip].iter().any(|claim| claim.is_some())
     }
 
     /// Whether the token is valid at `now`, in Unix milliseconds, with a permitted clock skew of `leeway_ms`.
     fn is_valid_at(&self, now: f64, leeway_ms: f64) -> bool {
-        let is_current = self.expires_s.is_some_and(|expires| now < expires * 1_000.0 + leeway_ms);
-        is_current && self.not_before_s.is_none_or(|from| now >= from * 1_000.0 - leeway_ms)
+        let is_unexpired = self.expires_s.is_some_and(|expires| now < expires * 1_000.0 + leeway_ms);
+        is_unexpired && self.not_before_s.is_none_or(|from| now >= from * 1_000.0 - leeway_ms)
     }
 }
 
@@ -121,8 +121,8 @@
     /// if the claims request one.
     pub fn verify(&self, token: &str, uri: SignedUri<'_>, now: f64) -> Result<Option<Renewal>, TokenError> {
         let mut parts = token.split('.');
-        let shape = (parts.next(), parts.next(), parts.next(), parts.next());
-        let (Some(header), Some(payload), Some(_), None) = shape else { return Err(TokenError::Malformed) };
+        let jwt = (parts.next(), parts.next(), parts.next(), parts.next());
+        let (Some(header), Some(payload), Some(_), None) = jwt else { return Err(TokenError::Malformed) };
         // No critical extension is supported, so a header that lists any is rejected (RFC 7515, section
         // 4.1.11).
         if has_critical_extensions(header)? {
@@ -146,7 +146,7 @@
 
     fn verify_claims(&self, claims: &Claims, uri: SignedUri<'_>, now: f64) -> Result<(), TokenError> {
         // A missing version means version 1; no other version is supported.
-        let is_acceptable = claims.version.is_none_or(|version| version == VERSION)
+        let is_acceptable = claims.version.is_none_or(|version| version == SUPPORTED_VERSION)
             && !claims.has_unsupported_critical_claim()
             && !claims.has_unverifiable_claim()
             && claims.issuer.as_deref() == Some(&self.issuer)
@@ -155,9 +155,9 @@
             return Err(TokenError::Forbidden);
         }
         let container = claims.uri_container.as_deref().ok_or(TokenError::Forbidden)?;
-        let opens = uri_container::contains(container, uri.requested)?
+        let is_granted = uri_container::contains(container, uri.requested)?
             && !uri_container::contains(container, uri.excluded)?;
-        opens.then_some(()).ok_or(TokenError::Forbidden)
+        is_granted.then_some(()).ok_or(TokenError::Forbidden)
     }
 }
 
@@ -168,7 +168,7 @@
     // The caller verifies the claims against the proxy's own clock.
     (validation.validate_exp, validation.validate_nbf, validation.validate_aud) = (false, false, false);
     validation.required_spec_claims.clear();
-    decode::<Claims>(token, &key.verifying, &validation).ok().map(|token| token.claims)
+    decode::<Claims>(token, &key.verifying_key, &validation).ok().map(|token| token.claims)
 }
 
 /// Whether a token's header has the parameter `crit`.
