--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -1,4 +1,4 @@
-//! The front of signed URLs on loopback, with a stand-in signer.
+//! The front for signed URLs over loopback connections. The tests sign the URLs themselves.
 
 mod stand_ins;
 
@@ -30,7 +30,7 @@
     out
 }
 
-/// The stand-in signer: a name and a key, as the operators' link service would hold them.
+/// Signs URLs with a key, as the operators' link service does.
 #[derive(Clone)]
 struct Signer {
     kid: &'static str,
@@ -59,7 +59,7 @@
         encode(&header, claims, &self.key).unwrap()
     }
 
-    /// The target of a link with these claims.
+    /// A request target for a path, with a token that has these claims.
     fn link(&self, path: &str, claims: &Value) -> String {
         format!("{path}?URISigningPackage={}", self.sign(claims))
     }
@@ -69,12 +69,12 @@
     format!("hash:sha-256;{}", base64url(&Sha256::digest(uri)))
 }
 
-/// The claims of a link that is good for a minute.
+/// The claims of a token that is valid for a URI for one minute.
 fn fresh(uri: &str) -> Value {
     json!({"iss":"links","exp":START_MS / 1000.0 + 60.0,"cdniv":1,"cdniuc":hash(uri)})
 }
 
-/// The claims of a link for all parts of an object that renews itself by a cookie.
+/// The claims of a token for all parts of an object that is renewed by cookie.
 fn renewing(uri: &str) -> Value {
     let (all, _) = uri.rsplit_once('/').unwrap();
     let claims = with(fresh(uri), "cdniuc", json!(format!("regex:{all}/[0-9]+")));
@@ -91,7 +91,7 @@
     claims
 }
 
-/// A site with its second front open.
+/// A test proxy with a front for signed URLs.
 struct Front {
     site: TestProxy,
     at: SocketAddr,
@@ -132,11 +132,11 @@
             assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
             assert_eq!(answer.headers["etag"], "\"t1\"");
         }
-        // The fields come from the path alone, and every size has its one spelling.
+        // The path may end in the size of the part, which the signature covers.
         let sized = format!("{PATH}/412.5");
         let answer = ask(f.at, "GET", &hs.link(&sized, &fresh(&format!("{URI}/412.5"))), "").await;
         assert_eq!(answer.status, 200);
-        // A pattern may open all parts of one object.
+        // A pattern may match all parts of one object.
         let all = with(
             fresh(URI),
             "cdniuc",
@@ -158,7 +158,7 @@
         let good = fresh(URI);
         let forged = Signer { key: EncodingKey::from_secret(&OTHER), ..hs.clone() };
         let unknown = Signer { kid: "c", ..hs.clone() };
-        // The public key of "b" taken for a secret: the old trick of a verifier that believes the token's `alg`.
+        // Algorithm confusion: an HMAC computed with the public key of "b" as the secret.
         let point = format!("{}{}", es.jwk["x"], es.jwk["y"]);
         let confused = Signer { kid: "b", key: EncodingKey::from_secret(point.as_bytes()), ..hs.clone() };
         let crossed = Signer { kid: "a", ..es.clone() };
@@ -212,18 +212,18 @@
         for (what, target) in cases {
             assert_eq!(ask(f.at, "GET", &target, "").await.status, 403, "{what}");
         }
-        assert_eq!(f.site.total_requests(), 0, "no decision was taken");
+        assert_eq!(f.site.total_requests(), 0, "a rejected request reached an endpoint");
         let (requests, forbidden) =
             f.site.executor.with(|e| (e.counters.requests, e.counters.forbidden_requests));
         assert_eq!((requests, forbidden), (0, count));
-        // Within the leeway both ends of a link's time are good; known critical claims are, too.
+        // `exp` and `nbf` are accepted within the leeway, and supported claims may be critical.
         let edge = with(with(good, "exp", json!(now - 1.9)), "nbf", json!(now + 1.9));
         let edge = with(edge, "cdnicrit", json!("exp,nbf"));
         assert_eq!(ask(f.at, "GET", &hs.link(PATH, &edge), "").await.status, 200);
     });
 }
 
-/// Guards against any spelling that a signature doesn't cover changing what is fetched.
+/// Guards against parts of a URL that the signature does not cover changing what is fetched.
 #[test]
 fn no_trick_with_path_or_parameters_changes_what_is_fetched() {
     run(async {
@@ -257,7 +257,7 @@
         for target in malformed {
             assert_eq!(ask(f.at, "GET", &target, "").await.status, 400, "{target:.60}");
         }
-        // A token for one host opens nothing on another.
+        // A token for one host is not valid for another.
         let mut client = Client::connect(f.at).await;
         let text = format!("GET {PATH}?URISigningPackage={token} HTTP/1.1\r\nHost: other.test\r\n\r\n");
         client.write(text.as_bytes()).await;
@@ -287,7 +287,7 @@
             let (front, clock) = (f.front.clone(), f.site.clock.clone());
             move || front.verifier.borrow().keys.find(kid, clock.now()).count() > 0
         };
-        // A file that can't be used changes nothing.
+        // An invalid key file leaves the keys unchanged.
         std::fs::write(&f.keys, "{\"keys\":[").unwrap();
         f.reload.notify_one();
         assert_eq!(ask(f.at, "GET", &before, "").await.status, 200);
@@ -295,19 +295,19 @@
         f.reload.notify_one();
         until(knows("b")).await;
         assert_eq!(ask(f.at, "GET", &after, "").await.status, 200);
-        assert_eq!(ask(f.at, "GET", &before, "").await.status, 200, "issued a moment before the rotation");
+        assert_eq!(ask(f.at, "GET", &before, "").await.status, 200, "signed before the rotation");
         f.site.advance_clock(29_999.0);
         assert_eq!(ask(f.at, "GET", &before, "").await.status, 200);
         f.site.advance_clock(2.0);
-        assert_eq!(ask(f.at, "GET", &before, "").await.status, 403, "the overlap is over");
-        // A change of the file is seen without a signal, too.
+        assert_eq!(ask(f.at, "GET", &before, "").await.status, 403, "the overlap has ended");
+        // A change of the file is also detected without a reload signal.
         write_keys(&f.keys, &[&new, &old]);
         until(knows("a")).await;
         assert_eq!(ask(f.at, "GET", &before, "").await.status, 200);
     });
 }
 
-/// A clip is fetched part by part: the first link's token is renewed by a cookie for as long as parts are asked.
+/// Guards against a client losing access while it fetches an object part by part.
 #[test]
 fn a_token_that_asks_for_it_is_renewed_by_cookie() {
     run(async {
@@ -322,7 +322,7 @@
             format!("Cookie: other=1; {pair}\r\n")
         };
         for signer in [&hs, &es] {
-            // The first token ends after 60 s; each renewed one 30 s after its own answer.
+            // The first token expires after 60 s, and each renewed one 30 s after its response.
             let claims = with(renewing(URI), "exp", json!(f.site.clock.now() / 1000.0 + 60.0));
             let mut answer = ask(f.at, "GET", &signer.link(&part(0), &claims), "").await;
             for k in 1..4 {
@@ -333,7 +333,7 @@
             }
             assert_eq!(answer.status, 200);
             let cookie = token(&answer);
-            // It opens what the first one opened, and ends as it says.
+            // A renewed token is valid for the same URIs as the first one, and expires.
             assert_eq!(ask(f.at, "GET", "/media/clip/17/7f3a9c21e0b4d656/0", &cookie).await.status, 403);
             assert_eq!(ask(f.at, "GET", &part(5), &format!("{cookie}{cookie}")).await.status, 400);
             f.site.advance_clock(32_000.0);
@@ -391,7 +391,7 @@
         f.site.script_all(reply_status("AGAIN"));
         let refused = ask(f.at, "GET", &link, "").await;
         assert_eq!((refused.status, refused.headers["retry-after"].as_str()), (503, "1"));
-        // With nobody answering, a class of short patience ends at its deadline, a longer one is given up.
+        // If no endpoint replies, a class with a short deadline gets 504, and one with a longer deadline 503.
         f.site.script_all(never_reply());
         let thumb = "/media/thumb/17/7f3a9c21e0b4d655/0";
         let short = hs.link(thumb, &fresh(&format!("https://media.test{thumb}")));
@@ -399,16 +399,16 @@
             let (began, at) = (f.site.clock.now(), f.at);
             let waits = spawn_local(async move { ask(at, "GET", &link, "").await });
             while !waits.is_finished() {
-                // Time passes only while an attempt is out, in steps, so that its own time-out is met.
+                // Small steps, and only while requests are open, so that each attempt times out on its own.
                 if f.site.executor.with(|e| e.open_requests()) > 0 {
                     f.site.advance_clock(10.0);
                 }
                 tokio::time::sleep(std::time::Duration::from_millis(1)).await;
             }
             assert_eq!(waits.await.unwrap().status, status);
-            assert!(f.site.clock.now() - began < most, "not in the client's time");
+            assert!(f.site.clock.now() - began < most, "the response was late");
         }
-        // A failed end, as the front words it: the module refuses what may be repeated, so none comes by itself.
+        // The engine rejects repeatable requests rather than failing them, so `Failed` is passed in directly.
         use edge_proxy::state::requests::FinalResponse;
         use edge_proxy::wire::front::{Front, ResponseContext};
         let word = |end| f.front.respond(&ResponseContext::default(), end).status;
@@ -419,7 +419,7 @@
     });
 }
 
-/// Guards the rule on drains on this front too, token valid or not.
+/// Guards against requests of this front, with a valid token or not, reaching a draining endpoint.
 #[test]
 fn nothing_goes_to_a_draining_box_after_its_grace() {
     run(async {
@@ -447,7 +447,7 @@
             assert_eq!(client.ask("GET", link, "").await.status, status);
         }
         assert_eq!(f.site.request_count(CACHES[0]), before);
-        // As a source it is as good as gone: here the parent drains.
+        // A draining parent is no longer named to the caches as their next tier.
         let at = f.site.endpoints[&PARENT].address;
         let no = f.site.discovery.send_state(PARENT, at, 1, 1);
         until(|| f.site.executor.with(|e| e.last_event_number()) >= no).await;
@@ -469,7 +469,7 @@
     run(async {
         let hs = Signer::secret("a", &SECRET);
         let f = open("poor", &[&hs]).await;
-        // A head that never ends is answered when its time is over, by the clock.
+        // An incomplete head gets 408 once its time limit has passed.
         let mut slow = Client::connect(f.at).await;
         slow.write(b"GET /media/clip").await;
         until(|| f.site.executor.with(|e| e.counters.client_connections) == 1).await;
@@ -478,14 +478,14 @@
             f.site.advance_clock(100.0);
             tokio::time::sleep(std::time::Duration::from_millis(1)).await;
         }
-        assert!(f.site.clock.now() > START_MS + 5_000.0, "not before its time");
+        assert!(f.site.clock.now() > START_MS + 5_000.0, "the head timed out too early");
         let answer = reads.await.unwrap();
         assert_eq!((answer.status, answer.closed), (408, true));
-        // A body is not wanted here.
+        // Request bodies are not accepted.
         let mut body = Client::connect(f.at).await;
         let answer = body.ask("GET", &hs.link(PATH, &fresh(URI)), "Content-Length: 5\r\n").await;
         assert_eq!((answer.status, answer.closed), (413, true));
-        // Above the cap a client waits while all others have requests open, and gets the place of an idle one.
+        // Above the limit, a client waits while all others have open requests, and replaces an idle one.
         f.site.script_all(never_reply());
         let mut held = Vec::new();
         for k in 0..4 {
@@ -511,7 +511,8 @@
     });
 }
 
-/// Guards against a client that takes nothing holding its answer's bytes for ever; its cut answer shows as cut.
+/// Guards against a client that reads nothing occupying response memory indefinitely, and against a truncated
+/// response that appears complete.
 #[test]
 fn a_client_that_takes_nothing_is_cut_off() {
     run(async {
@@ -521,7 +522,7 @@
         let link = hs.link(PATH, &fresh(URI));
         let text = format!("GET {link} HTTP/1.1\r\nHost: media.test\r\n\r\n");
         let mut client = Client::connect(f.at).await;
-        // Enough requests ahead that their answers fill every buffer on the way.
+        // Enough pipelined requests that their responses fill every socket buffer.
         client.write(text.repeat(100).as_bytes()).await;
         until(|| f.site.executor.with(|e| e.counters.responses_unwritten) == 1).await;
         let mut whole = 0;
