--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -16,7 +16,7 @@
 use tokio::task::spawn_local;
 
 const SECRET: [u8; 32] = [7; 32];
-const OTHER: [u8; 32] = [9; 32];
+const OTHER_SECRET: [u8; 32] = [9; 32];
 const PATH: &str = "/media/clip/17/7f3a9c21e0b4d655/3";
 const URI: &str = "https://media.test/media/clip/17/7f3a9c21e0b4d655/3";
 
@@ -40,12 +40,12 @@
 }
 
 impl Signer {
-    fn secret(kid: &'static str, secret: &[u8; 32]) -> Self {
+    fn hmac(kid: &'static str, secret: &[u8; 32]) -> Self {
         let jwk = json!({"kty":"oct","kid":kid,"k":base64url(secret)});
         Self { kid, key: EncodingKey::from_secret(secret), algorithm: Algorithm::HS256, jwk }
     }
 
-    fn curve(kid: &'static str, seed: u8) -> Self {
+    fn ecdsa(kid: &'static str, seed: u8) -> Self {
         let key = p256::ecdsa::SigningKey::from_slice(&[seed; 32]).unwrap();
         let point = key.verifying_key().to_encoded_point(false);
         let jwk = json!({"kty":"EC","crv":"P-256","kid":kid,
@@ -60,42 +60,42 @@
     }
 
     /// A request target for a path, with a token that has these claims.
-    fn link(&self, path: &str, claims: &Value) -> String {
+    fn target(&self, path: &str, claims: &Value) -> String {
         format!("{path}?URISigningPackage={}", self.sign(claims))
     }
 }
 
-fn hash(uri: &str) -> String {
+fn hash_container(uri: &str) -> String {
     format!("hash:sha-256;{}", base64url(&Sha256::digest(uri)))
 }
 
 /// The claims of a token that is valid for a URI for one minute.
-fn fresh(uri: &str) -> Value {
-    json!({"iss":"links","exp":START_MS / 1000.0 + 60.0,"cdniv":1,"cdniuc":hash(uri)})
+fn valid_claims(uri: &str) -> Value {
+    json!({"iss":"links","exp":START_MS / 1000.0 + 60.0,"cdniv":1,"cdniuc":hash_container(uri)})
 }
 
 /// The claims of a token for all parts of an object that is renewed by cookie.
-fn renewing(uri: &str) -> Value {
-    let (all, _) = uri.rsplit_once('/').unwrap();
-    let claims = with(fresh(uri), "cdniuc", json!(format!("regex:{all}/[0-9]+")));
-    with(with(with(claims, "cdnistt", json!(1)), "cdniets", json!(30)), "cdnistd", json!(2))
+fn renewable_claims(uri: &str) -> Value {
+    let (object, _) = uri.rsplit_once('/').unwrap();
+    let claims = with_claim(valid_claims(uri), "cdniuc", json!(format!("regex:{object}/[0-9]+")));
+    with_claim(with_claim(with_claim(claims, "cdnistt", json!(1)), "cdniets", json!(30)), "cdnistd", json!(2))
 }
 
-fn with(mut claims: Value, name: &str, value: Value) -> Value {
+fn with_claim(mut claims: Value, name: &str, value: Value) -> Value {
     claims[name] = value;
     claims
 }
 
-fn without(mut claims: Value, name: &str) -> Value {
+fn without_claim(mut claims: Value, name: &str) -> Value {
     claims.as_object_mut().unwrap().remove(name);
     claims
 }
 
 /// A test proxy with a front for signed URLs.
-struct Front {
-    site: TestProxy,
-    at: SocketAddr,
-    keys: PathBuf,
+struct Fixture {
+    proxy: TestProxy,
+    address: SocketAddr,
+    key_file: PathBuf,
     reload: Rc<Notify>,
     front: Rc<SignedUrlFront>,
 }
@@ -105,64 +105,68 @@
     std::fs::write(path, json!({ "keys": keys }).to_string()).unwrap();
 }
 
-async fn open(name: &str, signers: &[&Signer]) -> Front {
-    let site = TestProxy::start(name).await;
-    let keys = folder(name).join("keys.json");
-    write_keys(&keys, signers);
-    let file = folder(name).join("front.json");
+async fn start_front(name: &str, signers: &[&Signer]) -> Fixture {
+    let proxy = TestProxy::start(name).await;
+    let key_file = folder(name).join("keys.json");
+    write_keys(&key_file, signers);
+    let config_file = folder(name).join("front.json");
     let text = json!({"listen":"127.0.0.1:1","keys":"keys.json","issuer":"links","scheme":"https",
         "leeway_ms":2000,"overlap_ms":30000,
         "limits":{"connections":4,"head_ms":5000,"write_ms":300,"body_bytes":0}});
-    std::fs::write(&file, text.to_string()).unwrap();
-    let config = SignedUrlConfig::read(&file, 1_024).unwrap();
+    std::fs::write(&config_file, text.to_string()).unwrap();
+    let config = SignedUrlConfig::read(&config_file, 1_024).unwrap();
     let front = Rc::new(config.front(77).unwrap());
     let reload = Rc::new(Notify::new());
-    spawn_local(follow_key_file(site.executor.clone(), config, front.clone(), reload.clone()));
-    let at = site.open(front.clone()).await;
-    Front { site, at, keys, reload, front }
+    spawn_local(follow_key_file(proxy.executor.clone(), config, front.clone(), reload.clone()));
+    let address = proxy.open(front.clone()).await;
+    Fixture { proxy, address, key_file, reload, front }
 }
 
 #[test]
-fn a_fresh_link_is_served_with_either_kind_of_key() {
+fn a_valid_url_is_served_with_an_hmac_or_an_ecdsa_key() {
     run(async {
-        let (hs, es) = (Signer::secret("a", &SECRET), Signer::curve("b", 3));
-        let f = open("fresh", &[&hs, &es]).await;
+        let (hs, es) = (Signer::hmac("a", &SECRET), Signer::ecdsa("b", 3));
+        let f = start_front("fresh", &[&hs, &es]).await;
         for signer in [&hs, &es] {
-            let answer = ask(f.at, "GET", &signer.link(PATH, &fresh(URI)), "").await;
-            assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
-            assert_eq!(answer.headers["etag"], "\"t1\"");
+            let response = ask(f.address, "GET", &signer.target(PATH, &valid_claims(URI)), "").await;
+            assert_eq!(
+                (response.status, &response.body[..]),
+                (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..])
+            );
+            assert_eq!(response.headers["etag"], "\"t1\"");
         }
         // The path may end in the size of the part, which the signature covers.
         let sized = format!("{PATH}/412.5");
-        let answer = ask(f.at, "GET", &hs.link(&sized, &fresh(&format!("{URI}/412.5"))), "").await;
-        assert_eq!(answer.status, 200);
+        let response =
+            ask(f.address, "GET", &hs.target(&sized, &valid_claims(&format!("{URI}/412.5"))), "").await;
+        assert_eq!(response.status, 200);
         // A pattern may match all parts of one object.
-        let all = with(
-            fresh(URI),
+        let any_part = with_claim(
+            valid_claims(URI),
             "cdniuc",
             json!("regex:https\\:\\/\\/media\\.test/media/clip/17/7f3a9c21e0b4d655/[0-9]+"),
         );
         for part in [0, 12] {
             let path = format!("/media/clip/17/7f3a9c21e0b4d655/{part}");
-            assert_eq!(ask(f.at, "GET", &hs.link(&path, &all), "").await.status, 200);
+            assert_eq!(ask(f.address, "GET", &hs.target(&path, &any_part), "").await.status, 200);
         }
     });
 }
 
 #[test]
-fn what_is_expired_forged_or_absent_is_forbidden_before_any_decision() {
+fn an_invalid_or_missing_token_gets_403_and_sends_no_request() {
     run(async {
-        let (hs, es) = (Signer::secret("a", &SECRET), Signer::curve("b", 3));
-        let f = open("forbidden", &[&hs, &es]).await;
+        let (hs, es) = (Signer::hmac("a", &SECRET), Signer::ecdsa("b", 3));
+        let f = start_front("forbidden", &[&hs, &es]).await;
         let now = START_MS / 1000.0;
-        let good = fresh(URI);
-        let forged = Signer { key: EncodingKey::from_secret(&OTHER), ..hs.clone() };
+        let good = valid_claims(URI);
+        let forged = Signer { key: EncodingKey::from_secret(&OTHER_SECRET), ..hs.clone() };
         let unknown = Signer { kid: "c", ..hs.clone() };
         // Algorithm confusion: an HMAC computed with the public key of "b" as the secret.
         let point = format!("{}{}", es.jwk["x"], es.jwk["y"]);
         let confused = Signer { kid: "b", key: EncodingKey::from_secret(point.as_bytes()), ..hs.clone() };
-        let crossed = Signer { kid: "a", ..es.clone() };
-        let none = format!(
+        let wrong_algorithm = Signer { kid: "a", ..es.clone() };
+        let unsigned = format!(
             "{}.{}.",
             base64url(br#"{"alg":"none","kid":"a"}"#),
             base64url(good.to_string().as_bytes())
@@ -172,70 +176,85 @@
             let (_, rest) = text.split_once('.').unwrap();
             format!("{}.{rest}", base64url(br#"{"alg":"HS256","kid":"a","crit":["x"],"x":1}"#))
         };
-        let nameless = encode(&Header::new(Algorithm::HS256), &good, &hs.key).unwrap();
+        let without_key_id = encode(&Header::new(Algorithm::HS256), &good, &hs.key).unwrap();
         let any_group = "regex:https://media.test/media/clip/[0-9]+/7f3a9c21e0b4d655/3";
         let cases = [
-            ("absent", PATH.to_string()),
-            ("expired", hs.link(PATH, &with(good.clone(), "exp", json!(now - 2.0)))),
-            ("no exp", hs.link(PATH, &without(good.clone(), "exp"))),
-            ("not yet", hs.link(PATH, &with(good.clone(), "nbf", json!(now + 2.5)))),
-            ("forged", forged.link(PATH, &good)),
-            ("unknown kid", unknown.link(PATH, &good)),
-            ("public key as secret", confused.link(PATH, &good)),
-            ("another kind of key", crossed.link(PATH, &good)),
-            ("alg none", format!("{PATH}?URISigningPackage={none}")),
-            ("critical header", format!("{PATH}?URISigningPackage={critical}")),
-            ("no kid", format!("{PATH}?URISigningPackage={nameless}")),
-            ("wrong uri", hs.link("/media/clip/17/7f3a9c21e0b4d655/4", &good)),
-            ("wrong group", hs.link("/media/clip/18/7f3a9c21e0b4d655/3", &good)),
-            ("wrong issuer", hs.link(PATH, &with(good.clone(), "iss", json!("others")))),
-            ("no issuer", hs.link(PATH, &without(good.clone(), "iss"))),
-            ("no container", hs.link(PATH, &without(good.clone(), "cdniuc"))),
-            ("other container", hs.link(PATH, &with(good.clone(), "cdniuc", json!("prefix:https")))),
+            ("no token", PATH.to_string()),
+            ("expired", hs.target(PATH, &with_claim(good.clone(), "exp", json!(now - 2.0)))),
+            ("no exp", hs.target(PATH, &without_claim(good.clone(), "exp"))),
+            ("not yet valid", hs.target(PATH, &with_claim(good.clone(), "nbf", json!(now + 2.5)))),
+            ("forged", forged.target(PATH, &good)),
+            ("unknown kid", unknown.target(PATH, &good)),
+            ("public key as secret", confused.target(PATH, &good)),
+            ("algorithm of another key", wrong_algorithm.target(PATH, &good)),
+            ("alg none", format!("{PATH}?URISigningPackage={unsigned}")),
+            ("critical header parameter", format!("{PATH}?URISigningPackage={critical}")),
+            ("no kid", format!("{PATH}?URISigningPackage={without_key_id}")),
+            ("wrong part", hs.target("/media/clip/17/7f3a9c21e0b4d655/4", &good)),
+            ("wrong group", hs.target("/media/clip/18/7f3a9c21e0b4d655/3", &good)),
+            ("wrong issuer", hs.target(PATH, &with_claim(good.clone(), "iss", json!("others")))),
+            ("no issuer", hs.target(PATH, &without_claim(good.clone(), "iss"))),
+            ("no container", hs.target(PATH, &without_claim(good.clone(), "cdniuc"))),
             (
-                "part of the uri",
-                hs.link(PATH, &with(good.clone(), "cdniuc", json!("regex:https://media.test/media"))),
+                "unknown container type",
+                hs.target(PATH, &with_claim(good.clone(), "cdniuc", json!("prefix:https"))),
             ),
-            ("breaks out", hs.link(PATH, &with(good.clone(), "cdniuc", json!("regex:x)|(?:.*")))),
-            ("any group", hs.link(PATH, &with(good.clone(), "cdniuc", json!(any_group)))),
-            ("other version", hs.link(PATH, &with(good.clone(), "cdniv", json!(2)))),
-            ("unknown critical claim", hs.link(PATH, &with(good.clone(), "cdnicrit", json!("exp,geo")))),
-            ("nonce", hs.link(PATH, &with(good.clone(), "jti", json!("1")))),
-            ("audience", hs.link(PATH, &with(good.clone(), "aud", json!("x")))),
-            ("client address", hs.link(PATH, &with(good.clone(), "cdniip", json!("x")))),
-            ("renewal without its time", hs.link(PATH, &with(good.clone(), "cdnistt", json!(1)))),
-            ("renewal by no known way", hs.link(PATH, &with(renewing(URI), "cdnistt", json!(2)))),
-            ("renewal for ever", hs.link(PATH, &with(renewing(URI), "cdniets", json!(1e9)))),
-            ("renewal with no key to sign", es.link(PATH, &renewing(URI))),
+            (
+                "pattern for a prefix of the uri",
+                hs.target(PATH, &with_claim(good.clone(), "cdniuc", json!("regex:https://media.test/media"))),
+            ),
+            (
+                "pattern that escapes its group",
+                hs.target(PATH, &with_claim(good.clone(), "cdniuc", json!("regex:x)|(?:.*"))),
+            ),
+            ("pattern for any group", hs.target(PATH, &with_claim(good.clone(), "cdniuc", json!(any_group)))),
+            ("unsupported version", hs.target(PATH, &with_claim(good.clone(), "cdniv", json!(2)))),
+            (
+                "unsupported critical claim",
+                hs.target(PATH, &with_claim(good.clone(), "cdnicrit", json!("exp,geo"))),
+            ),
+            ("jti", hs.target(PATH, &with_claim(good.clone(), "jti", json!("1")))),
+            ("aud", hs.target(PATH, &with_claim(good.clone(), "aud", json!("x")))),
+            ("cdniip", hs.target(PATH, &with_claim(good.clone(), "cdniip", json!("x")))),
+            ("renewal without validity", hs.target(PATH, &with_claim(good.clone(), "cdnistt", json!(1)))),
+            (
+                "unsupported renewal transport",
+                hs.target(PATH, &with_claim(renewable_claims(URI), "cdnistt", json!(2))),
+            ),
+            (
+                "renewal validity too long",
+                hs.target(PATH, &with_claim(renewable_claims(URI), "cdniets", json!(1e9))),
+            ),
+            ("renewal without a signing key", es.target(PATH, &renewable_claims(URI))),
         ];
         let count = cases.len() as u64;
-        for (what, target) in cases {
-            assert_eq!(ask(f.at, "GET", &target, "").await.status, 403, "{what}");
+        for (case, target) in cases {
+            assert_eq!(ask(f.address, "GET", &target, "").await.status, 403, "{case}");
         }
-        assert_eq!(f.site.total_requests(), 0, "a rejected request reached an endpoint");
+        assert_eq!(f.proxy.total_requests(), 0, "a rejected request reached an endpoint");
         let (requests, forbidden) =
-            f.site.executor.with(|e| (e.counters.requests, e.counters.forbidden_requests));
+            f.proxy.executor.with(|e| (e.counters.requests, e.counters.forbidden_requests));
         assert_eq!((requests, forbidden), (0, count));
         // `exp` and `nbf` are accepted within the leeway, and supported claims may be critical.
-        let edge = with(with(good, "exp", json!(now - 1.9)), "nbf", json!(now + 1.9));
-        let edge = with(edge, "cdnicrit", json!("exp,nbf"));
-        assert_eq!(ask(f.at, "GET", &hs.link(PATH, &edge), "").await.status, 200);
+        let within_leeway = with_claim(with_claim(good, "exp", json!(now - 1.9)), "nbf", json!(now + 1.9));
+        let within_leeway = with_claim(within_leeway, "cdnicrit", json!("exp,nbf"));
+        assert_eq!(ask(f.address, "GET", &hs.target(PATH, &within_leeway), "").await.status, 200);
     });
 }
 
 /// Guards against parts of a URL that the signature does not cover changing what is fetched.
 #[test]
-fn no_trick_with_path_or_parameters_changes_what_is_fetched() {
+fn a_non_canonical_url_or_extra_parameter_is_rejected_without_a_fetch() {
     run(async {
-        let hs = Signer::secret("a", &SECRET);
-        let f = open("tricks", &[&hs]).await;
-        let token = hs.sign(&fresh(URI));
-        let open = with(
-            fresh(URI),
+        let hs = Signer::hmac("a", &SECRET);
+        let f = start_front("tricks", &[&hs]).await;
+        let token = hs.sign(&valid_claims(URI));
+        let loose_claims = with_claim(
+            valid_claims(URI),
             "cdniuc",
             json!("regex:https://media.test/media/clip/17/[^/]*7f3a9c21e0b4d655.*"),
         );
-        let loose = hs.sign(&open);
+        let loose_token = hs.sign(&loose_claims);
         let malformed = [
             format!("{PATH}?URISigningPackage={token}&URISigningPackage={token}"),
             format!("{PATH}?part=4&URISigningPackage={token}"),
@@ -247,22 +266,22 @@
             format!("/media/clip/17/7f3a9c21e0b4d655/%33?URISigningPackage={token}"),
             format!("/media/clip/17/7F3A9C21E0B4D655/3?URISigningPackage={token}"),
             format!("/media/clip/017/7f3a9c21e0b4d655/3?URISigningPackage={token}"),
-            format!("/media/clip/17/7f3a9c21e0b4d655/+3?URISigningPackage={loose}"),
-            format!("/media/clip/17/7f3a9c21e0b4d655/03?URISigningPackage={loose}"),
-            format!("/media/clip/17/7f3a9c21e0b4d655/3/1e3?URISigningPackage={loose}"),
+            format!("/media/clip/17/7f3a9c21e0b4d655/+3?URISigningPackage={loose_token}"),
+            format!("/media/clip/17/7f3a9c21e0b4d655/03?URISigningPackage={loose_token}"),
+            format!("/media/clip/17/7f3a9c21e0b4d655/3/1e3?URISigningPackage={loose_token}"),
             format!("/media/clip/256/7f3a9c21e0b4d655/3?URISigningPackage={token}"),
             format!("{PATH}?URISigningPackage=not-a-token"),
             format!("{PATH}?URISigningPackage=a.b.c"),
         ];
         for target in malformed {
-            assert_eq!(ask(f.at, "GET", &target, "").await.status, 400, "{target:.60}");
+            assert_eq!(ask(f.address, "GET", &target, "").await.status, 400, "{target:.60}");
         }
         // A token for one host is not valid for another.
-        let mut client = Client::connect(f.at).await;
+        let mut client = Client::connect(f.address).await;
         let text = format!("GET {PATH}?URISigningPackage={token} HTTP/1.1\r\nHost: other.test\r\n\r\n");
         client.write(text.as_bytes()).await;
         assert_eq!(client.read(false).await.unwrap().status, 403);
-        assert_eq!(f.site.total_requests(), 0);
+        assert_eq!(f.proxy.total_requests(), 0);
         for (method, target, status) in [
             ("GET", "/media/clip/17".to_string(), 404),
             ("GET", format!("/media/nothing/17/7f3a9c21e0b4d655/3?URISigningPackage={token}"), 404),
@@ -270,88 +289,88 @@
             ("GET", "/alive".to_string(), 404),
             ("DELETE", format!("{PATH}?URISigningPackage={token}"), 405),
         ] {
-            assert_eq!(ask(f.at, method, &target, "").await.status, status, "{method} {target:.40}");
+            assert_eq!(ask(f.address, method, &target, "").await.status, status, "{method} {target:.40}");
         }
     });
 }
 
 #[test]
-fn a_link_issued_just_before_a_rotation_is_served_through_the_overlap() {
+fn a_url_signed_before_a_key_rotation_is_served_until_the_overlap_ends() {
     run(async {
-        let (old, new) = (Signer::secret("a", &SECRET), Signer::curve("b", 5));
-        let f = open("rotation", &[&old]).await;
-        let claims = with(fresh(URI), "exp", json!(START_MS / 1000.0 + 3_600.0));
-        let (before, after) = (old.link(PATH, &claims), new.link(PATH, &claims));
-        assert_eq!(ask(f.at, "GET", &after, "").await.status, 403);
-        let knows = |kid: &'static str| {
-            let (front, clock) = (f.front.clone(), f.site.clock.clone());
+        let (old, new) = (Signer::hmac("a", &SECRET), Signer::ecdsa("b", 5));
+        let f = start_front("rotation", &[&old]).await;
+        let claims = with_claim(valid_claims(URI), "exp", json!(START_MS / 1000.0 + 3_600.0));
+        let (before, after) = (old.target(PATH, &claims), new.target(PATH, &claims));
+        assert_eq!(ask(f.address, "GET", &after, "").await.status, 403);
+        let has_key = |kid: &'static str| {
+            let (front, clock) = (f.front.clone(), f.proxy.clock.clone());
             move || front.verifier.borrow().keys.find(kid, clock.now()).count() > 0
         };
         // An invalid key file leaves the keys unchanged.
-        std::fs::write(&f.keys, "{\"keys\":[").unwrap();
+        std::fs::write(&f.key_file, "{\"keys\":[").unwrap();
         f.reload.notify_one();
-        assert_eq!(ask(f.at, "GET", &before, "").await.status, 200);
-        write_keys(&f.keys, &[&new]);
+        assert_eq!(ask(f.address, "GET", &before, "").await.status, 200);
+        write_keys(&f.key_file, &[&new]);
         f.reload.notify_one();
-        until(knows("b")).await;
-        assert_eq!(ask(f.at, "GET", &after, "").await.status, 200);
-        assert_eq!(ask(f.at, "GET", &before, "").await.status, 200, "signed before the rotation");
-        f.site.advance_clock(29_999.0);
-        assert_eq!(ask(f.at, "GET", &before, "").await.status, 200);
-        f.site.advance_clock(2.0);
-        assert_eq!(ask(f.at, "GET", &before, "").await.status, 403, "the overlap has ended");
+        until(has_key("b")).await;
+        assert_eq!(ask(f.address, "GET", &after, "").await.status, 200);
+        assert_eq!(ask(f.address, "GET", &before, "").await.status, 200, "signed before the rotation");
+        f.proxy.advance_clock(29_999.0);
+        assert_eq!(ask(f.address, "GET", &before, "").await.status, 200);
+        f.proxy.advance_clock(2.0);
+        assert_eq!(ask(f.address, "GET", &before, "").await.status, 403, "the overlap has ended");
         // A change of the file is also detected without a reload signal.
-        write_keys(&f.keys, &[&new, &old]);
-        until(knows("a")).await;
-        assert_eq!(ask(f.at, "GET", &before, "").await.status, 200);
+        write_keys(&f.key_file, &[&new, &old]);
+        until(has_key("a")).await;
+        assert_eq!(ask(f.address, "GET", &before, "").await.status, 200);
     });
 }
 
 /// Guards against a client losing access while it fetches an object part by part.
 #[test]
-fn a_token_that_asks_for_it_is_renewed_by_cookie() {
+fn a_token_that_requests_renewal_is_renewed_by_cookie() {
     run(async {
-        let (hs, mut es) = (Signer::secret("a", &SECRET), Signer::curve("b", 3));
+        let (hs, mut es) = (Signer::hmac("a", &SECRET), Signer::ecdsa("b", 3));
         es.jwk["d"] = json!(base64url(&[3; 32]));
-        let f = open("renewal", &[&hs, &es]).await;
+        let f = start_front("renewal", &[&hs, &es]).await;
         let part = |k: u32| format!("/media/clip/17/7f3a9c21e0b4d655/{k}");
-        let token = |answer: &Response| {
-            let cookie = answer.headers["set-cookie"].clone();
+        let renewed_cookie = |response: &Response| {
+            let cookie = response.headers["set-cookie"].clone();
             let (pair, rest) = cookie.split_once("; ").unwrap();
             assert_eq!(rest, "Path=/media/clip; Max-Age=30; HttpOnly; Secure");
             format!("Cookie: other=1; {pair}\r\n")
         };
         for signer in [&hs, &es] {
             // The first token expires after 60 s, and each renewed one 30 s after its response.
-            let claims = with(renewing(URI), "exp", json!(f.site.clock.now() / 1000.0 + 60.0));
-            let mut answer = ask(f.at, "GET", &signer.link(&part(0), &claims), "").await;
+            let claims = with_claim(renewable_claims(URI), "exp", json!(f.proxy.clock.now() / 1000.0 + 60.0));
+            let mut response = ask(f.address, "GET", &signer.target(&part(0), &claims), "").await;
             for k in 1..4 {
-                assert_eq!(answer.status, 200);
-                let cookie = token(&answer);
-                f.site.advance_clock(29_000.0);
-                answer = ask(f.at, "GET", &part(k), &cookie).await;
+                assert_eq!(response.status, 200);
+                let cookie = renewed_cookie(&response);
+                f.proxy.advance_clock(29_000.0);
+                response = ask(f.address, "GET", &part(k), &cookie).await;
             }
-            assert_eq!(answer.status, 200);
-            let cookie = token(&answer);
+            assert_eq!(response.status, 200);
+            let cookie = renewed_cookie(&response);
             // A renewed token is valid for the same URIs as the first one, and expires.
-            assert_eq!(ask(f.at, "GET", "/media/clip/17/7f3a9c21e0b4d656/0", &cookie).await.status, 403);
-            assert_eq!(ask(f.at, "GET", &part(5), &format!("{cookie}{cookie}")).await.status, 400);
-            f.site.advance_clock(32_000.0);
-            let late = ask(f.at, "GET", &part(4), &cookie).await;
+            assert_eq!(ask(f.address, "GET", "/media/clip/17/7f3a9c21e0b4d656/0", &cookie).await.status, 403);
+            assert_eq!(ask(f.address, "GET", &part(5), &format!("{cookie}{cookie}")).await.status, 400);
+            f.proxy.advance_clock(32_000.0);
+            let late = ask(f.address, "GET", &part(4), &cookie).await;
             assert_eq!((late.status, late.headers.get("set-cookie")), (403, None));
         }
     });
 }
 
 #[test]
-fn head_conditions_and_ranges_are_answered() {
+fn head_conditional_and_range_requests_get_the_specified_response() {
     run(async {
-        let hs = Signer::secret("a", &SECRET);
-        let f = open("conditions", &[&hs]).await;
-        let link = hs.link(PATH, &fresh(URI));
-        let mut client = Client::connect(f.at).await;
-        let head = client.ask("HEAD", &link, "Range: bytes=0-3\r\n").await;
-        assert_eq!((head.status, head.headers["content-length"].as_str()), (200, "32"));
+        let hs = Signer::hmac("a", &SECRET);
+        let f = start_front("conditions", &[&hs]).await;
+        let target = hs.target(PATH, &valid_claims(URI));
+        let mut client = Client::connect(f.address).await;
+        let head_response = client.ask("HEAD", &target, "Range: bytes=0-3\r\n").await;
+        assert_eq!((head_response.status, head_response.headers["content-length"].as_str()), (200, "32"));
         let cases = [
             ("If-None-Match: \"t1\"\r\n", 304, ""),
             ("If-None-Match: W/\"t1\"\r\n", 304, ""),
@@ -373,140 +392,140 @@
             ("Range: bytes=0-4\r\nIf-None-Match: \"t1\"\r\n", 304, ""),
         ];
         for (headers, status, body) in cases {
-            let answer = client.ask("GET", &link, headers).await;
-            let got = String::from_utf8(answer.body).unwrap();
-            assert_eq!((answer.status, got.as_str()), (status, body), "{headers}");
+            let response = client.ask("GET", &target, headers).await;
+            let got = String::from_utf8(response.body).unwrap();
+            assert_eq!((response.status, got.as_str()), (status, body), "{headers}");
         }
-        let part = client.ask("GET", &link, "Range: bytes=0-4\r\n").await;
+        let part = client.ask("GET", &target, "Range: bytes=0-4\r\n").await;
         assert_eq!(part.headers["content-range"], "bytes 0-4/32");
     });
 }
 
 #[test]
-fn each_end_has_its_status() {
+fn each_final_result_has_its_status() {
     run(async {
-        let hs = Signer::secret("a", &SECRET);
-        let f = open("ends", &[&hs]).await;
-        let link = hs.link(PATH, &fresh(URI));
-        f.site.script_all(reply_status("AGAIN"));
-        let refused = ask(f.at, "GET", &link, "").await;
-        assert_eq!((refused.status, refused.headers["retry-after"].as_str()), (503, "1"));
+        let hs = Signer::hmac("a", &SECRET);
+        let f = start_front("ends", &[&hs]).await;
+        let target = hs.target(PATH, &valid_claims(URI));
+        f.proxy.script_all(reply_status("AGAIN"));
+        let rejected = ask(f.address, "GET", &target, "").await;
+        assert_eq!((rejected.status, rejected.headers["retry-after"].as_str()), (503, "1"));
         // If no endpoint replies, a class with a short deadline gets 504, and one with a longer deadline 503.
-        f.site.script_all(never_reply());
+        f.proxy.script_all(never_reply());
         let thumb = "/media/thumb/17/7f3a9c21e0b4d655/0";
-        let short = hs.link(thumb, &fresh(&format!("https://media.test{thumb}")));
-        for (link, status, most) in [(short, 504, 200.0), (link, 503, 5_000.0)] {
-            let (began, at) = (f.site.clock.now(), f.at);
-            let waits = spawn_local(async move { ask(at, "GET", &link, "").await });
-            while !waits.is_finished() {
+        let short = hs.target(thumb, &valid_claims(&format!("https://media.test{thumb}")));
+        for (target, status, max_ms) in [(short, 504, 200.0), (target, 503, 5_000.0)] {
+            let (started_ms, at) = (f.proxy.clock.now(), f.address);
+            let request = spawn_local(async move { ask(at, "GET", &target, "").await });
+            while !request.is_finished() {
                 // Small steps, and only while requests are open, so that each attempt times out on its own.
-                if f.site.executor.with(|e| e.open_requests()) > 0 {
-                    f.site.advance_clock(10.0);
+                if f.proxy.executor.with(|e| e.open_requests()) > 0 {
+                    f.proxy.advance_clock(10.0);
                 }
                 tokio::time::sleep(std::time::Duration::from_millis(1)).await;
             }
-            assert_eq!(waits.await.unwrap().status, status);
-            assert!(f.site.clock.now() - began < most, "the response was late");
+            assert_eq!(request.await.unwrap().status, status);
+            assert!(f.proxy.clock.now() - started_ms < max_ms, "the response was late");
         }
         // The engine rejects repeatable requests rather than failing them, so `Failed` is passed in directly.
         use edge_proxy::state::requests::FinalResponse;
         use edge_proxy::wire::front::{Front, ResponseContext};
-        let word = |end| f.front.respond(&ResponseContext::default(), end).status;
-        assert_eq!(word(FinalResponse::Failed { overdue: false }), 502);
-        assert_eq!(word(FinalResponse::Failed { overdue: true }), 504);
-        assert_eq!(word(FinalResponse::Rejected { retry_after_ms: 5.0, overdue: true }), 504);
-        assert_eq!(word(FinalResponse::Rejected { retry_after_ms: 1_200.0, overdue: false }), 503);
+        let status_of = |result| f.front.respond(&ResponseContext::default(), result).status;
+        assert_eq!(status_of(FinalResponse::Failed { overdue: false }), 502);
+        assert_eq!(status_of(FinalResponse::Failed { overdue: true }), 504);
+        assert_eq!(status_of(FinalResponse::Rejected { retry_after_ms: 5.0, overdue: true }), 504);
+        assert_eq!(status_of(FinalResponse::Rejected { retry_after_ms: 1_200.0, overdue: false }), 503);
     });
 }
 
 /// Guards against requests of this front, with a valid token or not, reaching a draining endpoint.
 #[test]
-fn nothing_goes_to_a_draining_box_after_its_grace() {
+fn a_draining_endpoint_gets_no_requests_after_its_grace_period() {
     run(async {
-        let hs = Signer::secret("a", &SECRET);
-        let f = open("drain", &[&hs]).await;
-        let links: Vec<String> = (0..40)
+        let hs = Signer::hmac("a", &SECRET);
+        let f = start_front("drain", &[&hs]).await;
+        let targets: Vec<String> = (0..40)
             .map(|k| {
                 let path = format!("/media/clip/17/{:016x}/0", k * 7_919);
-                hs.link(&path, &fresh(&format!("https://media.test{path}")))
+                hs.target(&path, &valid_claims(&format!("https://media.test{path}")))
             })
             .collect();
-        let mut client = Client::connect(f.at).await;
-        for link in &links {
-            assert_eq!(client.ask("GET", link, "").await.status, 200);
+        let mut client = Client::connect(f.address).await;
+        for target in &targets {
+            assert_eq!(client.ask("GET", target, "").await.status, 200);
         }
-        assert!(f.site.request_count(CACHES[0]) > 0 && f.site.request_count(CACHES[1]) > 0);
-        let at = f.site.endpoints[&CACHES[0]].address;
-        let no = f.site.discovery.send_state(CACHES[0], at, 0, 1);
-        until(|| f.site.executor.with(|e| e.last_event_number()) >= no).await;
-        f.site.advance_clock(250.0);
-        let before = f.site.request_count(CACHES[0]);
-        for (k, link) in links.iter().enumerate() {
-            let forged = format!("{link}x");
-            let (link, status) = if k % 4 == 3 { (&forged, 403) } else { (link, 200) };
-            assert_eq!(client.ask("GET", link, "").await.status, status);
+        assert!(f.proxy.request_count(CACHES[0]) > 0 && f.proxy.request_count(CACHES[1]) > 0);
+        let at = f.proxy.endpoints[&CACHES[0]].address;
+        let event = f.proxy.discovery.send_state(CACHES[0], at, 0, 1);
+        until(|| f.proxy.executor.with(|e| e.last_event_number()) >= event).await;
+        f.proxy.advance_clock(250.0);
+        let before = f.proxy.request_count(CACHES[0]);
+        for (k, target) in targets.iter().enumerate() {
+            let forged = format!("{target}x");
+            let (target, status) = if k % 4 == 3 { (&forged, 403) } else { (target, 200) };
+            assert_eq!(client.ask("GET", target, "").await.status, status);
         }
-        assert_eq!(f.site.request_count(CACHES[0]), before);
+        assert_eq!(f.proxy.request_count(CACHES[0]), before);
         // A draining parent is no longer named to the caches as their next tier.
-        let at = f.site.endpoints[&PARENT].address;
-        let no = f.site.discovery.send_state(PARENT, at, 1, 1);
-        until(|| f.site.executor.with(|e| e.last_event_number()) >= no).await;
-        f.site.advance_clock(250.0);
-        let seen = f.site.request_count(CACHES[1]);
-        for link in &links {
-            assert_eq!(client.ask("GET", link, "").await.status, 200);
+        let at = f.proxy.endpoints[&PARENT].address;
+        let event = f.proxy.discovery.send_state(PARENT, at, 1, 1);
+        until(|| f.proxy.executor.with(|e| e.last_event_number()) >= event).await;
+        f.proxy.advance_clock(250.0);
+        let before = f.proxy.request_count(CACHES[1]);
+        for target in &targets {
+            assert_eq!(client.ask("GET", target, "").await.status, 200);
         }
-        let asked = f.site.endpoints[&CACHES[1]].requests.borrow();
-        assert!(asked[seen..]
+        let requests = f.proxy.endpoints[&CACHES[1]].requests.borrow();
+        assert!(requests[before..]
             .iter()
             .all(|fields| fields.get("next").is_none_or(|next| next != "s-000000a0")));
-        assert_eq!(asked[seen..].len(), links.len());
+        assert_eq!(requests[before..].len(), targets.len());
     });
 }
 
 #[test]
-fn poor_links_are_bounded() {
+fn slow_heads_request_bodies_and_excess_connections_are_limited() {
     run(async {
-        let hs = Signer::secret("a", &SECRET);
-        let f = open("poor", &[&hs]).await;
+        let hs = Signer::hmac("a", &SECRET);
+        let f = start_front("poor", &[&hs]).await;
         // An incomplete head gets 408 once its time limit has passed.
-        let mut slow = Client::connect(f.at).await;
+        let mut slow = Client::connect(f.address).await;
         slow.write(b"GET /media/clip").await;
-        until(|| f.site.executor.with(|e| e.counters.client_connections) == 1).await;
-        let reads = spawn_local(async move { slow.read(false).await.unwrap() });
-        while !reads.is_finished() {
-            f.site.advance_clock(100.0);
+        until(|| f.proxy.executor.with(|e| e.counters.client_connections) == 1).await;
+        let read = spawn_local(async move { slow.read(false).await.unwrap() });
+        while !read.is_finished() {
+            f.proxy.advance_clock(100.0);
             tokio::time::sleep(std::time::Duration::from_millis(1)).await;
         }
-        assert!(f.site.clock.now() > START_MS + 5_000.0, "the head timed out too early");
-        let answer = reads.await.unwrap();
-        assert_eq!((answer.status, answer.closed), (408, true));
+        assert!(f.proxy.clock.now() > START_MS + 5_000.0, "the head timed out too early");
+        let response = read.await.unwrap();
+        assert_eq!((response.status, response.closed), (408, true));
         // Request bodies are not accepted.
-        let mut body = Client::connect(f.at).await;
-        let answer = body.ask("GET", &hs.link(PATH, &fresh(URI)), "Content-Length: 5\r\n").await;
-        assert_eq!((answer.status, answer.closed), (413, true));
+        let mut body = Client::connect(f.address).await;
+        let response = body.ask("GET", &hs.target(PATH, &valid_claims(URI)), "Content-Length: 5\r\n").await;
+        assert_eq!((response.status, response.closed), (413, true));
         // Above the limit, a client waits while all others have open requests, and replaces an idle one.
-        f.site.script_all(never_reply());
-        let mut held = Vec::new();
+        f.proxy.script_all(never_reply());
+        let mut busy_clients = Vec::new();
         for k in 0..4 {
-            let mut client = Client::connect(f.at).await;
-            let link = hs.link(PATH, &fresh(URI));
-            client.write(format!("GET {link} HTTP/1.1\r\nHost: media.test\r\n\r\n").as_bytes()).await;
-            until(|| f.site.total_requests() == k + 1).await;
-            held.push(client);
+            let mut client = Client::connect(f.address).await;
+            let target = hs.target(PATH, &valid_claims(URI));
+            client.write(format!("GET {target} HTTP/1.1\r\nHost: media.test\r\n\r\n").as_bytes()).await;
+            until(|| f.proxy.total_requests() == k + 1).await;
+            busy_clients.push(client);
         }
-        f.site.script_all(serve_content());
+        f.proxy.script_all(serve_content());
         let fifth = spawn_local({
-            let (at, link) = (f.at, hs.link(PATH, &fresh(URI)));
-            async move { ask(at, "GET", &link, "").await.status }
+            let (at, target) = (f.address, hs.target(PATH, &valid_claims(URI)));
+            async move { ask(at, "GET", &target, "").await.status }
         });
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
         assert!(!fifth.is_finished());
-        held.pop();
+        busy_clients.pop();
         assert_eq!(fifth.await.unwrap(), 200);
-        let mut idle = Client::connect(f.at).await;
-        assert_eq!(idle.ask("GET", &hs.link(PATH, &fresh(URI)), "").await.status, 200);
-        assert_eq!(ask(f.at, "GET", &hs.link(PATH, &fresh(URI)), "").await.status, 200);
+        let mut idle = Client::connect(f.address).await;
+        assert_eq!(idle.ask("GET", &hs.target(PATH, &valid_claims(URI)), "").await.status, 200);
+        assert_eq!(ask(f.address, "GET", &hs.target(PATH, &valid_claims(URI)), "").await.status, 200);
         assert!(idle.read(false).await.is_none());
     });
 }
@@ -514,23 +533,26 @@
 /// Guards against a client that reads nothing occupying response memory indefinitely, and against a truncated
 /// response that appears complete.
 #[test]
-fn a_client_that_takes_nothing_is_cut_off() {
+fn a_client_that_reads_nothing_is_disconnected() {
     run(async {
-        let hs = Signer::secret("a", &SECRET);
-        let f = open("takes_nothing", &[&hs]).await;
-        f.site.script_all(Rc::new(|_| Some(("ACK", "sum=t1,t0=5".into(), vec![b'x'; 240_000]))));
-        let link = hs.link(PATH, &fresh(URI));
-        let text = format!("GET {link} HTTP/1.1\r\nHost: media.test\r\n\r\n");
-        let mut client = Client::connect(f.at).await;
+        let hs = Signer::hmac("a", &SECRET);
+        let f = start_front("takes_nothing", &[&hs]).await;
+        f.proxy.script_all(Rc::new(|_| Some(("ACK", "sum=t1,t0=5".into(), vec![b'x'; 240_000]))));
+        let target = hs.target(PATH, &valid_claims(URI));
+        let text = format!("GET {target} HTTP/1.1\r\nHost: media.test\r\n\r\n");
+        let mut client = Client::connect(f.address).await;
         // Enough pipelined requests that their responses fill every socket buffer.
         client.write(text.repeat(100).as_bytes()).await;
-        until(|| f.site.executor.with(|e| e.counters.responses_unwritten) == 1).await;
-        let mut whole = 0;
-        while let Some(answer) = client.read(false).await {
-            assert_eq!((answer.status, answer.body.len()), (200, 240_000));
-            whole += 1;
+        until(|| f.proxy.executor.with(|e| e.counters.responses_unwritten) == 1).await;
+        let mut complete = 0;
+        while let Some(response) = client.read(false).await {
+            assert_eq!((response.status, response.body.len()), (200, 240_000));
+            complete += 1;
         }
-        let served = f.site.executor.with(|e| e.counters.served);
-        assert!(whole < served, "{whole} of {served}: the last one was cut, and did not pass for whole");
+        let served = f.proxy.executor.with(|e| e.counters.served);
+        assert!(
+            complete < served,
+            "{complete} of {served} responses were complete; the last one must be truncated"
+        );
     });
 }
