--- a/src/cache_message.rs
+++ b/src/cache_message.rs
@@ -22,7 +22,7 @@
     Expired,
 }
 
-/// The reply to a request.
+/// A reply of a cache, a parent or the origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CacheReply {
     /// Id of the request.
@@ -59,17 +59,17 @@
 /// A request to a cache.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CacheRequest {
-    /// Id as text, as the client wrote it.
+    /// Id as text, in the form that is forwarded.
     pub id: String,
     /// Name of the class.
     pub class: String,
-    /// Id of the object as text, as the client wrote it.
+    /// Id of the object as text, in the form that is forwarded.
     pub object: String,
     /// Part of the object.
     pub part: u32,
     /// How long the proxy waits for the reply, in milliseconds.
     pub timeout_ms: u64,
-    /// Idempotency key.
+    /// The client's idempotency key, if the request has one.
     pub idempotency_key: Option<String>,
     /// The endpoint from which a miss is filled; `None` for no fill.
     pub fill_source: Option<EndpointId>,
@@ -79,9 +79,9 @@
     pub max_age_ms: u64,
     /// Whether the request may join a fill in progress.
     pub join_fill: bool,
-    /// Whether the source may serve only a copy that it has in cache.
+    /// Whether the source may fill the miss only from its own copy, without a fill of its own.
     pub only_if_cached: bool,
-    /// Whether the cache is to refresh an ageing copy in the background.
+    /// Whether the cache is to serve a stale copy and revalidate it in the background.
     pub background_refresh: bool,
     /// Entity tag of the client's copy, without quotes.
     pub client_etag: Option<String>,
--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of an attempt: placement on a connection, write, time-out, cancellation and outcome.
+//! The life cycle of an attempt: placement on a connection, write, time-out, cancellation and outcome.
 
 use super::purge_filter::RequestedCopy;
 use super::{Effect, Engine};
@@ -11,10 +11,10 @@
 use crate::state::requests::IncomingRequest;
 use crate::{AttemptOutcome, CacheStatus, EndpointId, Event, Micros, RequestId};
 
-/// Time without reads on a connection, in milliseconds, after which an attempt that times out closes it:
-/// a new connection shows immediately whether the endpoint's machine still responds.
+/// An attempt that times out closes its connection if nothing was read on it for longer than this since the
+/// attempt was written, in milliseconds, because the endpoint may be unreachable.
 const MAX_SILENCE_MS: f64 = 1_500.0;
-/// Consecutive time-outs on a connection without a read in between, which also close it.
+/// Number of time-outs on a connection since the last read at which it is closed.
 const MAX_TIMEOUTS_SINCE_READ: u32 = 2;
 /// An attempt with less time left than this is not written, in milliseconds.
 const MIN_TIME_LEFT_MS: f64 = 1.0;
@@ -59,8 +59,8 @@
         self.place_attempt(now, AttemptId { request, number }, attempt);
     }
 
-    /// Queues an attempt on a connection to its endpoint, and opens one if none has capacity. If the limits
-    /// allow no connection, the attempt ends as [`AttemptOutcome::NotSent`].
+    /// Queues an attempt on a connection to its endpoint, and opens one if none has capacity. If the endpoint
+    /// is not usable or the limits allow no connection, the attempt ends as [`AttemptOutcome::NotSent`].
     pub(super) fn place_attempt(&mut self, now: f64, id: AttemptId, mut attempt: Attempt) {
         let endpoint = attempt.to;
         let Some(address) = self.membership.address(endpoint) else {
@@ -157,8 +157,8 @@
         Some(RequestedCopy { class, object: request.object, part: request.part, group: request.group })
     }
 
-    /// Queues the attempt that [`Self::next_write`] returned last again, because not even its first byte
-    /// could be written. It is checked again before the next try.
+    /// Puts an attempt that [`Self::next_write`] returned back at the head of its connection's queue, because
+    /// none of its bytes could be written. `next_write` checks it again.
     pub fn write_blocked(&mut self, conn: ConnectionId, request: RequestId) {
         let Some(connection) = self.connections.get_mut(conn) else { return };
         let Some(id) = connection.in_flight.remove(&request) else { return };
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Ends an attempt that timed out, and closes its connection if that seems dead.
+    /// Ends an attempt that timed out, and closes its connection if the endpoint may be unreachable.
     pub(super) fn expire_attempt(&mut self, now: f64, id: AttemptId) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let (conn, stage) = (attempt.conn, attempt.stage);
@@ -222,7 +222,8 @@
         });
     }
 
-    /// Removes an attempt from its connection. If it was written, the endpoint gets a cancellation.
+    /// Removes an attempt from its connection. If it was written, a cancellation is queued for the endpoint.
+    /// If `wake` is set, the connection's driver is woken.
     pub(super) fn detach_attempt(&mut self, id: AttemptId, wake: bool) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let conn = attempt.conn;
@@ -254,8 +255,8 @@
     }
 }
 
-/// The maximum age of a copy for an attempt written now, in milliseconds; 0 for the limit of the class. It
-/// shrinks while the attempt is queued, because the copy ages in that time.
+/// The maximum age of a copy for an attempt written now, in milliseconds; 0 for the limit of the class. The
+/// time in the queue is subtracted, down to 1, because 0 would select the limit of the class.
 fn remaining_age_ms(now: f64, attempt: &Attempt) -> u64 {
     if attempt.max_age_ms == 0.0 {
         return 0;
--- a/src/engine/connections.rs
+++ b/src/engine/connections.rs
@@ -10,7 +10,7 @@
 /// This side closes an idle connection after this fraction of the endpoints' keep-alive time, before the
 /// endpoint does.
 const IDLE_TIMEOUT_KEEPALIVE_FRACTION: f64 = 0.8;
-/// How often an unwritten attempt moves to another connection when its connection is lost.
+/// Maximum number of times that a queued attempt moves to another connection because its own ended.
 const MAX_MIGRATIONS: u32 = 2;
 
 impl Engine {
@@ -40,7 +40,7 @@
         self.end_connection(conn, AttemptOutcome::ConnectionLost);
     }
 
-    /// Ends a connection that was dropped because of malformed data.
+    /// Ends a connection that was dropped because of malformed data or a stalled reply.
     pub fn connection_malformed(&mut self, conn: ConnectionId) {
         self.counters.connections_dropped += 1;
         self.end_connection(conn, AttemptOutcome::Malformed);
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Closes connections that have been idle for most of the endpoints' keep-alive time.
+    /// Closes connections that have been idle for longer than `IDLE_TIMEOUT_KEEPALIVE_FRACTION` of the
+    /// endpoints' keep-alive time.
     pub(super) fn close_idle_connections(&mut self, now: f64) {
         let idle_timeout_ms = self.settings.keepalive_ms() * IDLE_TIMEOUT_KEEPALIVE_FRACTION;
         for (id, connection) in self.connections.iter_mut() {
--- a/src/engine/effects.rs
+++ b/src/engine/effects.rs
@@ -25,7 +25,7 @@
     Respond(RequestId, FinalResponse),
 }
 
-/// The next step of a connection's driver.
+/// What a connection's driver does next: write, wait or close.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NextWrite {
     /// Write this command now.
--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -53,7 +53,8 @@
     fn drive(&self, executor: Rc<Executor>, dial: Dial) -> LocalBoxFuture<'static, ()>;
 }
 
-/// An engine with the state that the tasks around it share.
+/// Owns an engine and carries out its effects: holds the connections' wakers and the channels to waiting
+/// clients.
 pub struct Executor {
     /// The clock that all subsystems share.
     pub clock: Clock,
@@ -121,7 +122,7 @@
         self.engine.borrow().settings()
     }
 
-    /// How often the list of endpoints has changed.
+    /// See [`Engine::endpoint_list_changes`].
     pub fn endpoint_list_changes(&self) -> u64 {
         self.engine.borrow().endpoint_list_changes()
     }
@@ -177,7 +178,7 @@
         });
     }
 
-    /// Delivers a final response, and admits queued requests to the capacity that it frees.
+    /// Delivers a final response, and submits the queued requests that admission control releases.
     fn finish(self: &Rc<Self>, id: RequestId, response: FinalResponse) {
         let now = self.clock.now();
         let admitted = self.with_admission(|admission| admission.completed(now, id, Some(&response)));
@@ -232,7 +233,8 @@
         }
     }
 
-    /// Submits a request to the engine that admission control had queued.
+    /// Submits a request that admission control had queued. It is rejected if the engine does not accept
+    /// it.
     fn admit_queued(self: &Rc<Self>, request: IncomingRequest) {
         let id = request.id;
         if let Err(error) = self.engine.borrow_mut().submit(request) {
@@ -242,8 +244,8 @@
         }
     }
 
-    /// Releases the admission of a request that ended without a response from the engine, and admits queued
-    /// requests.
+    /// Tells admission control that a request ended without a response from the engine, and submits the
+    /// queued requests that this releases.
     fn release_admission(self: &Rc<Self>, id: RequestId) {
         let now = self.clock.now();
         let admitted = self.with_admission(|admission| admission.completed(now, id, None));
@@ -271,7 +273,8 @@
         }
     }
 
-    /// Spawns a task. A panic in it is logged and counted, and does not affect other tasks.
+    /// Spawns a task. A panic in it is logged with `what` as the task's name, and counted; it does not affect
+    /// other tasks.
     pub fn spawn(self: &Rc<Self>, what: &'static str, task: impl Future<Output = ()> + 'static) {
         let task = tokio::task::spawn_local(task);
         let executor = self.clone();
--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -9,7 +9,7 @@
 use crate::{AttemptOutcome, EndpointId, EndpointState, Event, ObjectId, Tier};
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// A listed endpoint, as the result of a lookup by kind.
+/// Id, address and usability of a listed endpoint, as returned by [`Engine::endpoints_of_kind`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointOfKind {
     /// Its id.
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The number of changes to the endpoint list so far.
+    /// The number of updates of the endpoint list so far, including those by reloads and maintenance calls.
     pub fn endpoint_list_changes(&self) -> u64 {
         self.endpoint_list_changes
     }
@@ -144,7 +144,8 @@
         true
     }
 
-    /// Merges maintenance calls that another process of this proxy may have received.
+    /// Records maintenance calls, also those that another process of this proxy received, and applies the
+    /// ones that change an endpoint's state.
     pub fn merge_maintenance(&mut self, calls: impl IntoIterator<Item = (EndpointId, MaintenanceCall)>) {
         for (id, call) in calls {
             if !self.maintenance.record(id, call) {
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The engine behind all fronts: it passes [`Event`]s to the [`Router`], which makes the decisions, and
+//! The engine shared by all fronts: it passes [`Event`]s to the [`Router`], which makes the decisions, and
 //! carries out the [`Action`]s that the router returns. It does no I/O: it returns the operations on sockets
 //! as [`Effect`]s.
 //!
@@ -35,7 +35,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Interval of housekeeping, in milliseconds.
+/// Interval at which idle connections are closed and expired maintenance calls dropped, in milliseconds.
 const HOUSEKEEPING_INTERVAL_MS: f64 = 1_000.0;
 
 /// Limits on the state of an engine.
@@ -47,7 +47,8 @@
     pub connections: ConnectionLimits,
 }
 
-/// The engine. See the [module documentation](self).
+/// Drives a [`Router`]: holds the state of requests, attempts and connections, and queues effects for the
+/// executor.
 pub struct Engine {
     clock: Clock,
     settings: Rc<PlatformSettings>,
@@ -64,7 +65,7 @@
     timers: Deadlines<u64>,
     /// Events that have not been passed to the router yet.
     events: VecDeque<Event>,
-    /// An empty list, kept to reuse its allocation.
+    /// Buffer for the router's actions, empty between events; kept to reuse its allocation.
     actions: Vec<Action>,
     effects: VecDeque<Effect>,
     last_event_number: u64,
@@ -151,6 +152,7 @@
         while let Some(id) = self.requests.pop_overdue(now) {
             self.counters.overdue += 1;
             self.respond(id, FinalResponse::Failed { overdue: true });
+            // The router must drop the request and cancel its attempts, as after a disconnect.
             self.events.push_back(Event::ClientDisconnected { id });
             self.process_events();
         }
--- a/src/engine/purge_filter.rs
+++ b/src/engine/purge_filter.rs
@@ -8,7 +8,7 @@
 pub struct RequestedCopy<'a> {
     /// Name of the request's class.
     pub class: &'a str,
-    /// The object.
+    /// Id of the object.
     pub object: ObjectId,
     /// Part of the object.
     pub part: u32,
--- a/src/engine/replies.rs
+++ b/src/engine/replies.rs
@@ -6,8 +6,8 @@
 use crate::state::requests::FinalResponse;
 use crate::{AttemptOutcome, RequestId};
 
-/// A request that ends with no more time left than this counts as overdue, in milliseconds: the router sends
-/// no further attempt in so short a time.
+/// A request that is rejected or fails with no more than this time left, in milliseconds, counts as ended by
+/// its deadline.
 const OVERDUE_MARGIN_MS: f64 = 50.0;
 
 impl Engine {
@@ -19,8 +19,8 @@
         connection.last_active_ms = now;
         connection.timeouts_since_read = 0;
         let Some(id) = connection.in_flight.remove(&reply.request_id) else {
-            // The reply crossed the attempt's cancellation, is a duplicate, or belongs to no request of this
-            // connection.
+            // The attempt ended before its reply arrived, or the reply is a duplicate or for a request that
+            // was never sent on this connection.
             self.counters.replies_late += 1;
             return;
         };
@@ -94,7 +94,7 @@
         self.effects.push_back(Effect::Respond(id, response));
     }
 
-    /// Whether a request that ends now ends because its deadline is reached or too close.
+    /// Whether a request that ends now counts as ended by its deadline: at most `OVERDUE_MARGIN_MS` is left.
     pub(super) fn is_overdue(&self, now: f64, id: RequestId) -> bool {
         self.requests.get(id).is_some_and(|request| now + OVERDUE_MARGIN_MS >= request.deadline_ms)
     }
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -19,15 +19,15 @@
 pub struct Attempt {
     /// The id of its request as text, in the form that is forwarded.
     pub id_text: String,
-    /// The endpoint that gets it.
+    /// The endpoint to which it is sent.
     pub to: EndpointId,
     /// The endpoint from which a cache miss is filled, if any.
     pub source: Option<EndpointId>,
     /// Whether it may join a fill in progress.
     pub join_fill: bool,
-    /// Whether the source may serve only a copy that it has in cache.
+    /// Whether the source may fill the miss only from its own copy, without a fill of its own.
     pub only_if_cached: bool,
-    /// Whether the endpoint is to revalidate a stale copy in the background.
+    /// Whether the endpoint is to serve a stale copy and revalidate it in the background.
     pub revalidate: bool,
     /// Maximum age of a copy at the time when the attempt was created, in milliseconds; 0 for the limit of
     /// the class.
@@ -38,10 +38,10 @@
     pub created_ms: f64,
     /// When it times out, in Unix milliseconds.
     pub timeout_at_ms: f64,
-    /// Its first byte must be written before this time, in Unix milliseconds. Later it could run a request a
-    /// second time.
+    /// Its first byte must be written before this time, in Unix milliseconds. A later write could run the
+    /// request a second time.
     pub first_byte_by_ms: f64,
-    /// Its connection.
+    /// The connection on which it is queued or written.
     pub conn: ConnectionId,
     /// Whether it is queued or written.
     pub stage: Stage,
--- a/src/state/client_slots.rs
+++ b/src/state/client_slots.rs
@@ -8,7 +8,6 @@
 /// How long a new connection that has sent nothing is protected from eviction, in milliseconds.
 const FIRST_BYTE_GRACE_MS: f64 = 100.0;
 /// How long a connection that is receiving a request is protected from eviction, in milliseconds.
-/// Well-behaved clients send a request without pauses.
 const REQUEST_ARRIVAL_GRACE_MS: f64 = 500.0;
 
 /// The activity of a client connection; times in Unix milliseconds.
@@ -100,7 +99,7 @@
         self.set_requested(id, true);
     }
 
-    /// Records that the connection needs no more service, so that it is evicted before all others.
+    /// Records that this side has closed the connection, so that it is evicted before all others.
     pub fn finished(&mut self, id: SlotId) {
         self.set_activity(id, Activity::Idle(f64::MIN));
         self.set_requested(id, false);
@@ -113,9 +112,10 @@
 
     /// Chooses a connection to evict for a new one. The caller closes it; it keeps its slot until then.
     ///
-    /// Protects clients that send requests from clients that connect and send nothing, remain idle, or send a
-    /// request byte by byte. Returns `None` if no connection may be evicted, or while one that was chosen
-    /// before is still closing. Connections with an open request are never evicted.
+    /// Connections on which no request was answered are evicted first, then idle ones, then those whose
+    /// request is slow to arrive; in each group, the one longest in its activity. A connection whose request
+    /// is being processed is never evicted. Returns `None` if no connection may be evicted, or while an
+    /// evicted one is still closing.
     pub fn evict_one(&mut self, now: f64) -> Option<SlotId> {
         if self.slots.values().any(|slot| slot.closing) {
             return None;
--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -12,7 +12,7 @@
 pub struct Connection {
     /// The endpoint at its other end.
     pub endpoint: EndpointId,
-    /// Whether it is established.
+    /// Whether the connect has completed.
     pub established: bool,
     /// Whether it is to be closed once its attempts have ended; it gets no new ones.
     pub closing: bool,
@@ -111,8 +111,8 @@
         Self { all: BTreeMap::new(), last_id: 0, limits }
     }
 
-    /// Chooses a connection to an endpoint for a request: the least loaded one, or a new one if that has
-    /// `spread_above` requests and the limits allow another.
+    /// Chooses a connection to an endpoint for a request: the least loaded one, or a new one if each has at
+    /// least `spread_above` requests and the limits allow another connection.
     pub fn place(&mut self, endpoint: EndpointId, id: RequestId, now: f64) -> Placement {
         let can_open = self.can_open(endpoint);
         let ConnectionLimits { spread_above, streams, .. } = self.limits;
@@ -153,8 +153,7 @@
     }
 
     /// Marks the connection that has been idle for longest as closing, to make room for an endpoint without
-    /// connections. Otherwise idle connections could use up the limit, and a cache that has just started
-    /// would get none.
+    /// connections. Otherwise idle connections could use up the limit, and a new endpoint would get none.
     pub fn evict(&mut self, endpoint: EndpointId) -> Option<ConnectionId> {
         if self.all.values().any(|connection| connection.endpoint == endpoint) {
             return None;
--- a/src/state/counters.rs
+++ b/src/state/counters.rs
@@ -69,7 +69,7 @@
 counters! {
     /// Client connections accepted.
     client_connections => "clients",
-    /// Idle client connections evicted for new ones.
+    /// Idle or slow client connections evicted for new ones.
     client_connections_evicted => "clients_displaced",
     /// Client connections closed because their first request was not complete in time.
     client_connections_too_slow => "clients_too_slow",
@@ -79,7 +79,7 @@
     requests => "requests",
     /// Requests that could not be parsed.
     malformed_requests => "malformed_requests",
-    /// Requests without a valid token.
+    /// Signed-URL requests refused with status 403.
     forbidden_requests => "forbidden_requests",
     /// Requests whose client disconnected before the response.
     clients_disconnected => "left",
@@ -91,7 +91,7 @@
     rejected => "refused",
     /// Responses: failed.
     failed => "failed",
-    /// Responses sent on expiry of a request because the router had not ended it in time.
+    /// Responses that the engine sent at the deadline because the router had not ended the request.
     overdue => "overdue",
     /// Responses that could not be written completely.
     responses_unwritten => "unwritten",
@@ -111,7 +111,7 @@
     attempts => "attempts",
     /// Attempts written.
     attempts_written => "attempts_written",
-    /// Attempts found stale before their first byte.
+    /// Attempts found stale before their first byte was written.
     attempts_stale => "attempts_stale",
     /// Moves of attempts to another connection because theirs was lost before they were written.
     attempts_migrated => "attempts_moved",
@@ -123,19 +123,19 @@
     attempts_unplaced => "attempts_unplaced",
     /// Replies of endpoints: served, or the client's copy is current.
     replies_served => "member_ok",
-    /// Replies of endpoints: a miss.
+    /// Replies of endpoints: a miss, or the request arrived after its time-out.
     replies_miss => "member_miss",
     /// Replies of endpoints: overloaded.
     replies_overloaded => "member_full",
     /// Replies of endpoints: an error.
     replies_error => "member_error",
-    /// Replies of endpoints whose attempt had already ended.
+    /// Replies to attempts that had already ended or are unknown to the connection.
     replies_late => "member_late",
     /// Connections made to the discovery service.
     discovery_connections => "bulletin_links",
     /// Connections to the discovery service dropped because of inactivity or malformed data.
     discovery_faults => "bulletin_faults",
-    /// Discovery events skipped because they were malformed on every connection.
+    /// Discovery events skipped because they were malformed each time they were received.
     discovery_skipped => "bulletin_skipped",
     /// Gaps in the sequence numbers of discovery events.
     discovery_gaps => "bulletin_gaps",
@@ -153,7 +153,7 @@
     vrrp_sent => "vrrp_sent",
     /// VRRP advertisements received from peers.
     vrrp_received => "vrrp_received",
-    /// VRRP messages of peers that are malformed.
+    /// Malformed VRRP messages received.
     vrrp_malformed => "vrrp_malformed",
     /// Changes of the VRRP state.
     vrrp_changes => "vrrp_changes",
--- a/src/state/deadlines.rs
+++ b/src/state/deadlines.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// A priority queue of deadlines. Entries are not removed when they become obsolete, but dropped when they
-/// reach the head of the queue. A predicate of the caller tells whether an entry is still current.
+/// A priority queue of deadlines. Obsolete entries are dropped when they reach the head of the queue; the
+/// caller's predicate `is_current` identifies the others.
 #[derive(Debug)]
 pub struct Deadlines<T>(BinaryHeap<Entry<T>>);
 
--- a/src/state/maintenance.rs
+++ b/src/state/maintenance.rs
@@ -5,13 +5,14 @@
 use crate::{EndpointId, EndpointState};
 use std::collections::BTreeMap;
 
-/// How long the return of an endpoint to use is recorded, in milliseconds; longer than any slow start.
+/// How long a call that put an endpoint back into use is kept, in milliseconds. While it is kept, the
+/// endpoint counts as started no earlier than the call.
 const RETURN_RETENTION_MS: f64 = 120_000.0;
 
 /// The last maintenance call for an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MaintenanceCall {
-    /// Whether the call took the endpoint out of use or put it back.
+    /// Whether the call took the endpoint out of use; false if it put the endpoint back into use.
     pub out_of_use: bool,
     /// When the call was made, in Unix milliseconds.
     pub at_ms: f64,
@@ -28,7 +29,8 @@
     }
 
     /// Records a call and returns whether it changes the endpoint's state. A repeated call changes nothing,
-    /// so a single return undoes any number of removals. A call older than the recorded one is ignored.
+    /// so one call puts an endpoint back into use however often it was taken out. A call older than the
+    /// recorded one is ignored.
     pub fn record(&mut self, id: EndpointId, call: MaintenanceCall) -> bool {
         let is_older = self.0.get(&id).is_some_and(|recorded| recorded.at_ms > call.at_ms);
         if self.is_out_of_use(id) == call.out_of_use || is_older {
@@ -38,7 +40,8 @@
         true
     }
 
-    /// Drops the returns to use recorded longer ago than the retention time; `now` is in Unix milliseconds.
+    /// Drops the calls that put an endpoint back into use and are older than `RETURN_RETENTION_MS`; `now` is
+    /// in Unix milliseconds.
     pub fn forget_old_returns(&mut self, now: f64) {
         self.0.retain(|_, call| call.out_of_use || now < call.at_ms + RETURN_RETENTION_MS);
     }
@@ -49,8 +52,8 @@
     }
 
     /// Adjusts an endpoint's record for maintenance. An endpoint out of use is draining even if the list has
-    /// it as active. One that was put back starts at the time of that call at the earliest, because its cache
-    /// is cold after maintenance.
+    /// it as active. One that was put back counts as started no earlier than that call, because its cache is
+    /// cold after maintenance.
     pub fn apply(&self, record: &mut EndpointRecord) {
         match self.0.get(&record.id) {
             Some(call) if call.out_of_use && record.state == EndpointState::Active => {
--- a/src/state/membership.rs
+++ b/src/state/membership.rs
@@ -6,7 +6,7 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
 
-/// The endpoints known to the proxy.
+/// The published endpoint list, and the endpoints of it that may get new attempts.
 #[derive(Debug, Default)]
 pub struct Membership {
     /// Endpoints as published, not adjusted for maintenance.
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -27,7 +27,7 @@
     pub size_kb: f64,
     /// Deadline of the response, in Unix milliseconds.
     pub deadline_ms: f64,
-    /// Idempotency key.
+    /// The client's idempotency key, if the request has one.
     pub idempotency_key: Option<String>,
     /// Entity tag of the client's copy (`If-None-Match`), without quotes.
     pub client_etag: Option<String>,
@@ -119,7 +119,8 @@
         self.open.get(&id).map(|open| &open.request)
     }
 
-    /// Allocates the number of a request's next attempt, from 0 in the order of the router's actions.
+    /// Allocates the number of a request's next attempt; numbers start from 0. `None` if the request is not
+    /// open.
     pub fn next_attempt_number(&mut self, id: RequestId) -> Option<u32> {
         let open = self.open.get_mut(&id)?;
         let number = open.next_attempt;
