--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -156,7 +156,7 @@
         keep_write_ms: 60_000.0,
     };
     let (mut store, calls) = (ResponseStore::new(limits), 400_000u64);
-    let answer = FinalResponse::Served { tag: None, body: vec![1u8; 600].into() };
+    let answer = FinalResponse::Served { entity_tag: None, body: vec![1u8; 600].into() };
     let (start, mut max_bytes) = (Instant::now(), 0);
     for n in 0..calls {
         let (now, key) = (n as f64 / 4.0, CallKey { session: u128::from(n % 2_000), call: n });
--- a/src/cache_message.rs
+++ b/src/cache_message.rs
@@ -36,7 +36,7 @@
     /// The copy's surrogate keys, if the cache supports fleet purges.
     pub surrogate_keys: Vec<SurrogateKey>,
     /// Where the content came from, or where a fill failed; `None` if the cache does not report it.
-    pub path: Option<ResponsePath>,
+    pub response_path: Option<ResponsePath>,
     /// The content.
     pub body: Bytes,
 }
@@ -50,7 +50,7 @@
             entity_tag: None,
             generated_at_ms: None,
             surrogate_keys: Vec::new(),
-            path: None,
+            response_path: None,
             body: Bytes::new(),
         }
     }
@@ -82,7 +82,7 @@
     /// Whether the source may fill the miss only from its own copy, without a fill of its own.
     pub only_if_cached: bool,
     /// Whether the cache is to serve a stale copy and revalidate it in the background.
-    pub background_refresh: bool,
+    pub revalidate: bool,
     /// Entity tag of the client's copy, without quotes.
     pub client_etag: Option<String>,
     /// The object's group, for caches that support fleet purges by group; `None` if fleet purges are
--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -125,7 +125,7 @@
         connection.in_flight.insert(id.request, id);
         attempt.stage = Stage::Written(now);
         self.counters.attempts_written += 1;
-        self.class_counters.of(class).attempts += 1;
+        self.class_counters.class_mut(class).attempts += 1;
         Some(CacheRequest {
             id: request.id_text.clone(),
             class: class.to_string(),
@@ -138,7 +138,7 @@
             max_age_ms,
             join_fill: attempt.join_fill,
             only_if_cached: attempt.only_if_cached,
-            background_refresh: attempt.revalidate,
+            revalidate: attempt.revalidate,
             client_etag: request.client_etag.clone(),
             group,
             body: request.body.clone(),
--- a/src/engine/connections.rs
+++ b/src/engine/connections.rs
@@ -41,16 +41,16 @@
     }
 
     /// Ends a connection that was dropped because of malformed data or a stalled reply.
-    pub fn connection_malformed(&mut self, conn: ConnectionId) {
+    pub fn connection_dropped(&mut self, conn: ConnectionId) {
         self.counters.connections_dropped += 1;
         self.end_connection(conn, AttemptOutcome::Malformed);
     }
 
-    /// Ends a connection. Attempts that were written end with `outcome_of_written`, as they may have run.
+    /// Ends a connection. Attempts that were written end with `written_outcome`, as they may have run.
     /// Queued ones migrate to another connection: unlike a failed connect, the end of a connection does not
     /// show that the endpoint is down.
-    fn end_connection(&mut self, conn: ConnectionId, outcome_of_written: AttemptOutcome) {
-        let queued = self.remove_connection(conn, outcome_of_written);
+    fn end_connection(&mut self, conn: ConnectionId, written_outcome: AttemptOutcome) {
+        let queued = self.remove_connection(conn, written_outcome);
         let now = self.clock.now();
         for id in queued {
             let Some(attempt) = self.attempts.remove(id) else { continue };
--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -1,12 +1,12 @@
 //! Carries out the effects of an engine on a single thread, with one task for each connection to an endpoint.
 //! It is independent of the protocol, which a [`ConnectionDriver`] implements.
 
-use super::{Effect, EndpointOfKind, Engine};
+use super::{Effect, EndpointSummary, Engine};
 use crate::admission::control::{AdmissionControl, NotAdmitted};
 use crate::clock::{duration_from_ms, Clock};
 use crate::settings::PlatformSettings;
 use crate::state::ids::ConnectionId;
-use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::state::requests::{FinalResponse, IncomingRequest, SubmitError};
 use crate::{EndpointId, RequestId};
 use futures_util::future::LocalBoxFuture;
 use std::cell::RefCell;
@@ -49,7 +49,7 @@
 pub trait ConnectionDriver {
     /// Serves one connection until either side closes it. Reports to the executor's engine whether it was
     /// established ([`Engine::connection_established`] or [`Engine::connection_failed`]) and how it ended
-    /// ([`Engine::connection_lost`] or [`Engine::connection_malformed`]).
+    /// ([`Engine::connection_lost`] or [`Engine::connection_dropped`]).
     fn drive(&self, executor: Rc<Executor>, dial: Dial) -> LocalBoxFuture<'static, ()>;
 }
 
@@ -97,9 +97,9 @@
         self.metrics_sources.borrow_mut().push(source);
     }
 
-    /// Runs `act` on admission control, if that is enabled.
-    pub fn with_admission<R>(&self, act: impl FnOnce(&mut AdmissionControl) -> R) -> Option<R> {
-        self.admission.borrow_mut().as_mut().map(act)
+    /// Runs `f` on admission control, if that is enabled.
+    pub fn with_admission<R>(&self, f: impl FnOnce(&mut AdmissionControl) -> R) -> Option<R> {
+        self.admission.borrow_mut().as_mut().map(f)
     }
 
     /// The metrics of the engine and of all subsystems, as exposed to the platform.
@@ -110,9 +110,9 @@
         engine + &admission + &subsystems
     }
 
-    /// Runs `act` on the engine and carries out the resulting effects.
-    pub fn with<R>(self: &Rc<Self>, act: impl FnOnce(&mut Engine) -> R) -> R {
-        let result = act(&mut self.engine.borrow_mut());
+    /// Runs `f` on the engine and carries out the resulting effects.
+    pub fn with<R>(self: &Rc<Self>, f: impl FnOnce(&mut Engine) -> R) -> R {
+        let result = f(&mut self.engine.borrow_mut());
         self.run_effects();
         result
     }
@@ -142,7 +142,7 @@
     }
 
     /// The listed endpoints of a kind in any state, with their published addresses.
-    pub fn endpoints_of_kind(&self, kind: &str) -> Vec<EndpointOfKind> {
+    pub fn endpoints_of_kind(&self, kind: &str) -> Vec<EndpointSummary> {
         self.engine.borrow().endpoints_of_kind(kind).collect()
     }
 
@@ -160,7 +160,7 @@
                         waker.notify_one();
                     }
                 }
-                Some(Effect::Respond(id, response)) => self.finish(id, response),
+                Some(Effect::Respond(id, response)) => self.complete_request(id, response),
             }
         }
         self.timers_changed.notify_one();
@@ -179,7 +179,7 @@
     }
 
     /// Delivers a final response, and submits the queued requests that admission control releases.
-    fn finish(self: &Rc<Self>, id: RequestId, response: FinalResponse) {
+    fn complete_request(self: &Rc<Self>, id: RequestId, response: FinalResponse) {
         let now = self.clock.now();
         let admitted = self.with_admission(|admission| admission.completed(now, id, Some(&response)));
         self.deliver(id, response);
@@ -199,11 +199,11 @@
     ///
     /// # Errors
     ///
-    /// [`AdmitError`] if a request with its id is open or the request table is full.
+    /// [`SubmitError`] if a request with its id is open or the request table is full.
     pub fn submit(
         self: &Rc<Self>,
         request: IncomingRequest,
-    ) -> Result<oneshot::Receiver<FinalResponse>, AdmitError> {
+    ) -> Result<oneshot::Receiver<FinalResponse>, SubmitError> {
         let id = request.id;
         let (sender, receiver) = oneshot::channel();
         let now = self.clock.now();
@@ -212,7 +212,7 @@
             None => Ok(Some(request)),
         };
         match decision {
-            Err(NotAdmitted::Duplicate) => Err(AdmitError::Duplicate),
+            Err(NotAdmitted::Duplicate) => Err(SubmitError::Duplicate),
             Err(NotAdmitted::Shed { retry_after_ms }) => {
                 let _ = sender.send(FinalResponse::Rejected { retry_after_ms, overdue: false });
                 Ok(receiver)
@@ -238,7 +238,7 @@
     fn admit_queued(self: &Rc<Self>, request: IncomingRequest) {
         let id = request.id;
         if let Err(error) = self.engine.borrow_mut().submit(request) {
-            let retry_after_ms = if error == AdmitError::Full { FULL_RETRY_AFTER_MS } else { 0.0 };
+            let retry_after_ms = if error == SubmitError::Full { FULL_RETRY_AFTER_MS } else { 0.0 };
             self.deliver(id, FinalResponse::Rejected { retry_after_ms, overdue: false });
             self.release_admission(id);
         }
--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -11,7 +11,7 @@
 
 /// Id, address and usability of a listed endpoint, as returned by [`Engine::endpoints_of_kind`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EndpointOfKind {
+pub struct EndpointSummary {
     /// Its id.
     pub id: EndpointId,
     /// Its address.
@@ -58,9 +58,9 @@
     }
 
     /// The listed endpoints of a kind.
-    pub fn endpoints_of_kind<'e>(&'e self, kind: &'e str) -> impl Iterator<Item = EndpointOfKind> + 'e {
+    pub fn endpoints_of_kind<'e>(&'e self, kind: &'e str) -> impl Iterator<Item = EndpointSummary> + 'e {
         let listed = self.membership.all_listed().filter(move |endpoint| endpoint.record.kind == kind);
-        listed.map(|endpoint| EndpointOfKind {
+        listed.map(|endpoint| EndpointSummary {
             id: endpoint.record.id,
             address: endpoint.address,
             usable: self.membership.is_usable(endpoint.record.id),
@@ -167,9 +167,9 @@
     pub fn cache_servers(&self, port: u16) -> Vec<CacheServer> {
         let listed = self.membership.all_listed();
         let present = listed.filter(|endpoint| endpoint.record.state != EndpointState::Removed);
-        let holding =
+        let caches_and_parents =
             present.filter(|endpoint| self.settings.endpoint(&endpoint.record).tier != Tier::Origin);
-        let servers = holding.map(|endpoint| CacheServer {
+        let servers = caches_and_parents.map(|endpoint| CacheServer {
             name: format_endpoint_id(endpoint.record.id),
             address: SocketAddr::new((*endpoint.address.ip()).into(), port),
             state: endpoint.record.state,
--- a/src/engine/metrics.rs
+++ b/src/engine/metrics.rs
@@ -10,7 +10,7 @@
     pub fn metrics(&mut self) -> String {
         // Lists every class, even before its first request.
         for class in (0..).map_while(|index| self.settings.class_name(index)) {
-            self.class_counters.of(class);
+            self.class_counters.class_mut(class);
         }
         let listed = self.membership.all_listed().map(|endpoint| &endpoint.record);
         let caches = listed.filter(|record| self.settings.is_cache(record)).map(|record| record.id);
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -16,7 +16,7 @@
 mod requests;
 
 pub use effects::{Effect, NextWrite};
-pub use membership::{CacheServer, EndpointOfKind};
+pub use membership::{CacheServer, EndpointSummary};
 
 use crate::clock::{micros_from_ms, ms_from_micros, Clock};
 use crate::settings::PlatformSettings;
@@ -158,7 +158,7 @@
         }
         if now >= self.last_housekeeping_ms + HOUSEKEEPING_INTERVAL_MS {
             self.last_housekeeping_ms = now;
-            self.maintenance.forget_old_returns(now);
+            self.maintenance.drop_expired_calls(now);
             self.close_idle_connections(now);
         }
     }
--- a/src/engine/replies.rs
+++ b/src/engine/replies.rs
@@ -12,7 +12,7 @@
 
 impl Engine {
     /// Handles a reply received on a connection.
-    pub fn handle_response(&mut self, conn: ConnectionId, reply: CacheReply) {
+    pub fn handle_reply(&mut self, conn: ConnectionId, reply: CacheReply) {
         let now = self.clock.now();
         let Some(connection) = self.connections.get_mut(conn) else { return };
         connection.last_read_ms = now;
@@ -25,11 +25,11 @@
             return;
         };
         connection.exclude(id.request);
-        let cache_status = reply.path.into();
+        let cache_status = reply.response_path.into();
         let outcome = self.count_reply(reply.status);
         if outcome != AttemptOutcome::Served {
             self.end_attempt_with_status(id, outcome, cache_status);
-        } else if self.is_purged(id.request, &reply) || !self.is_plausible(id.request, &reply) {
+        } else if self.is_purged(id.request, &reply) || !self.is_valid(id.request, &reply) {
             self.end_attempt(id, AttemptOutcome::Malformed);
         } else {
             self.respond(id.request, final_response(reply));
@@ -57,7 +57,7 @@
 
     /// Whether a reply is valid for its request. [`ReplyStatus::NotModified`] is valid only for the entity
     /// tag that the request carried.
-    fn is_plausible(&self, id: RequestId, reply: &CacheReply) -> bool {
+    fn is_valid(&self, id: RequestId, reply: &CacheReply) -> bool {
         if reply.status != ReplyStatus::NotModified {
             return true;
         }
@@ -71,23 +71,25 @@
     fn is_purged(&mut self, id: RequestId, reply: &CacheReply) -> bool {
         let (Some(filter), Some(request)) = (&self.purge_filter, self.requests.get(id)) else { return false };
         let Some(copy) = Self::requested_copy(&self.settings, request) else { return false };
-        let purge = filter.borrow_mut().purge_of_reply(copy, reply);
-        if let Some(seq) = purge {
+        let purge_seq = filter.borrow_mut().purge_of_reply(copy, reply);
+        if let Some(seq) = purge_seq {
             tracing::debug!(id = request.id_text, seq, "discarding a reply with a purged copy");
         }
-        purge.is_some()
+        purge_seq.is_some()
     }
 
     /// Closes a request with its final response, unless it has one already.
     pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) {
         let Some(request) = self.requests.remove(id) else { return };
         let class = self.settings.class_name(request.class).unwrap_or_default();
-        let of_class = self.class_counters.of(class);
+        let class_counters = self.class_counters.class_mut(class);
         let (counter, class_counter) = match &response {
-            FinalResponse::Served { .. } => (&mut self.counters.served, &mut of_class.served),
-            FinalResponse::NotModified { .. } => (&mut self.counters.not_modified, &mut of_class.served),
-            FinalResponse::Rejected { .. } => (&mut self.counters.rejected, &mut of_class.rejected),
-            FinalResponse::Failed { .. } => (&mut self.counters.failed, &mut of_class.failed),
+            FinalResponse::Served { .. } => (&mut self.counters.served, &mut class_counters.served),
+            FinalResponse::NotModified { .. } => {
+                (&mut self.counters.not_modified, &mut class_counters.served)
+            }
+            FinalResponse::Rejected { .. } => (&mut self.counters.rejected, &mut class_counters.rejected),
+            FinalResponse::Failed { .. } => (&mut self.counters.failed, &mut class_counters.failed),
         };
         *counter += 1;
         *class_counter += 1;
@@ -103,7 +105,9 @@
 /// The response to the client for a successful reply.
 fn final_response(reply: CacheReply) -> FinalResponse {
     match reply.status {
-        ReplyStatus::NotModified => FinalResponse::NotModified { tag: reply.entity_tag.unwrap_or_default() },
-        _ => FinalResponse::Served { tag: reply.entity_tag, body: reply.body },
+        ReplyStatus::NotModified => {
+            FinalResponse::NotModified { entity_tag: reply.entity_tag.unwrap_or_default() }
+        }
+        _ => FinalResponse::Served { entity_tag: reply.entity_tag, body: reply.body },
     }
 }
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -2,7 +2,7 @@
 
 use super::Engine;
 use crate::clock::micros_from_ms;
-use crate::state::requests::{AdmitError, IncomingRequest};
+use crate::state::requests::{IncomingRequest, SubmitError};
 use crate::{Event, RequestId};
 
 impl Engine {
@@ -11,8 +11,8 @@
     ///
     /// # Errors
     ///
-    /// [`AdmitError`] if a request with its id is open or the request table is full.
-    pub fn submit(&mut self, request: IncomingRequest) -> Result<(), AdmitError> {
+    /// [`SubmitError`] if a request with its id is open or the request table is full.
+    pub fn submit(&mut self, request: IncomingRequest) -> Result<(), SubmitError> {
         let class = request.class;
         let event = Event::Request {
             id: request.id,
@@ -23,11 +23,11 @@
             size_kb: request.size_kb,
             deadline_at: micros_from_ms(request.deadline_ms),
         };
-        if let Err(error) = self.requests.admit(request) {
-            let counters = self.class_counters.of(self.settings.class_name(class).unwrap_or_default());
+        if let Err(error) = self.requests.insert(request) {
+            let counters = self.class_counters.class_mut(self.settings.class_name(class).unwrap_or_default());
             match error {
-                AdmitError::Duplicate => counters.failed += 1,
-                AdmitError::Full => counters.rejected += 1,
+                SubmitError::Duplicate => counters.failed += 1,
+                SubmitError::Full => counters.rejected += 1,
             }
             return Err(error);
         }
--- a/src/grpc/admission.rs
+++ b/src/grpc/admission.rs
@@ -131,7 +131,9 @@
             return;
         }
         let response = match self.outcome.get() {
-            Some(CallOutcome::Served) => Some(FinalResponse::Served { tag: None, body: Default::default() }),
+            Some(CallOutcome::Served) => {
+                Some(FinalResponse::Served { entity_tag: None, body: Default::default() })
+            }
             Some(CallOutcome::Rejected) => {
                 Some(FinalResponse::Rejected { retry_after_ms: 0.0, overdue: false })
             }
--- a/src/grpc/limits.rs
+++ b/src/grpc/limits.rs
@@ -130,7 +130,7 @@
             total: self.connections,
             per_endpoint: self.connections_per_backend,
             spread_above: self.spread_above.min(self.streams_per_connection),
-            streams: self.streams_per_connection,
+            streams_per_connection: self.streams_per_connection,
         }
     }
 }
--- a/src/http3/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -4,7 +4,7 @@
 use super::response_store::{AttachOutcome, CallKey, ResponseStore, StoreLimits, StoreMetrics};
 use crate::clock::duration_from_ms;
 use crate::engine::executor::Executor;
-use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::state::requests::{FinalResponse, IncomingRequest, SubmitError};
 use crate::wire::front::SessionId;
 use crate::wire::submission::{PendingResponse, ResponseWait, Submission};
 use std::cell::RefCell;
@@ -75,7 +75,7 @@
         self: &Rc<Self>,
         session: SessionId,
         request: IncomingRequest,
-    ) -> Result<SubmittedCall, AdmitError> {
+    ) -> Result<SubmittedCall, SubmitError> {
         let (key, now) = (CallKey { session, call: request.id }, self.executor.clock.now());
         let is_write = self.executor.settings().is_write(request.class);
         let digest = self.digest(&request);
@@ -84,7 +84,7 @@
             AttachOutcome::Started => self.start(key, request)?,
             AttachOutcome::Running => {}
             AttachOutcome::Completed(response) => return Ok(SubmittedCall::Completed(response)),
-            AttachOutcome::Conflict => return Err(AdmitError::Duplicate),
+            AttachOutcome::Conflict => return Err(SubmitError::Duplicate),
             AttachOutcome::Full => {
                 let rejected =
                     FinalResponse::Rejected { retry_after_ms: STORE_FULL_RETRY_AFTER_MS, overdue: false };
@@ -111,7 +111,7 @@
     }
 
     /// Submits a new call to the engine.
-    fn start(self: &Rc<Self>, key: CallKey, request: IncomingRequest) -> Result<(), AdmitError> {
+    fn start(self: &Rc<Self>, key: CallKey, request: IncomingRequest) -> Result<(), SubmitError> {
         let response = self.executor.submit(request).inspect_err(|_| self.store.borrow_mut().discard(key))?;
         let registry = self.clone();
         self.executor.spawn("resumable call", async move {
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -4,7 +4,7 @@
 use super::call_registry::CallRegistry;
 use super::session::SessionTokens;
 use crate::engine::executor::Executor;
-use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::state::requests::{FinalResponse, IncomingRequest, SubmitError};
 use crate::wire::byte_range::ByteRange;
 use crate::wire::front::{ConnectionLimits, Disposition, Front, ResponseContext, SessionId};
 use crate::wire::http::{HttpRequest, HttpResponse};
@@ -116,7 +116,7 @@
         }
     }
 
-    fn reject(&self, reason: AdmitError) -> HttpResponse {
+    fn reject(&self, reason: SubmitError) -> HttpResponse {
         self.inner.reject(reason)
     }
 
@@ -125,7 +125,7 @@
         executor: &Rc<Executor>,
         context: &ResponseContext,
         request: IncomingRequest,
-    ) -> Result<Submission, AdmitError> {
+    ) -> Result<Submission, SubmitError> {
         match context.session {
             Some(session) => Ok(self.calls.submit(session, request)?.into()),
             None => Submission::to_engine(executor, request),
--- a/src/http3/response_store/tests.rs
+++ b/src/http3/response_store/tests.rs
@@ -18,7 +18,7 @@
 }
 
 fn served(n: usize) -> FinalResponse {
-    FinalResponse::Served { tag: Some("t".into()), body: Bytes::from(vec![1; n]) }
+    FinalResponse::Served { entity_tag: Some("t".into()), body: Bytes::from(vec![1; n]) }
 }
 
 #[test]
--- a/src/lifecycle/engine_setup.rs
+++ b/src/lifecycle/engine_setup.rs
@@ -49,7 +49,7 @@
         per_endpoint: (max_descriptors / DESCRIPTORS_PER_ENDPOINT_CONNECTION)
             .clamp(MIN_ENDPOINT_CONNECTIONS, MAX_ENDPOINT_CONNECTIONS),
         spread_above: SPREAD_CONNECTIONS,
-        streams: settings.streams_per_connection(),
+        streams_per_connection: settings.streams_per_connection(),
     };
     let bounds = EngineLimits { requests: max_descriptors * 2 / 5 + signed_connections, connections };
     let mut engine = Engine::new(clock.clone(), settings.clone(), seed, bounds);
--- a/src/state/client_slots.rs
+++ b/src/state/client_slots.rs
@@ -18,14 +18,14 @@
     /// Receiving a request since this time.
     Reading(f64),
     /// Processing a request or writing its response.
-    Open,
+    Processing,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Slot {
     activity: Activity,
     /// Whether a request of this connection was answered.
-    has_requested: bool,
+    has_been_answered: bool,
     /// Whether the connection has been evicted and is closing.
     closing: bool,
 }
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
     /// No request of the connection was answered.
-    NeverRequested,
+    NoResponse,
     /// The connection is idle after a request.
     Idle,
     /// The connection's request is slow to arrive.
@@ -46,9 +46,9 @@
     /// slot is protected.
     fn eviction_order(&self, now: f64) -> Option<(EvictionRank, f64)> {
         match self.activity {
-            Activity::Idle(since) if self.has_requested => Some((EvictionRank::Idle, since)),
+            Activity::Idle(since) if self.has_been_answered => Some((EvictionRank::Idle, since)),
             Activity::Idle(since) if now - since >= FIRST_BYTE_GRACE_MS => {
-                Some((EvictionRank::NeverRequested, since))
+                Some((EvictionRank::NoResponse, since))
             }
             Activity::Reading(since) if now - since >= REQUEST_ARRIVAL_GRACE_MS => {
                 Some((EvictionRank::SlowRequest, since))
@@ -78,7 +78,7 @@
             return None;
         }
         self.last_id += 1;
-        let slot = Slot { activity: Activity::Idle(now), has_requested: false, closing: false };
+        let slot = Slot { activity: Activity::Idle(now), has_been_answered: false, closing: false };
         self.slots.insert(self.last_id, slot);
         Some(self.last_id)
     }
@@ -90,19 +90,19 @@
 
     /// Records that a request is complete or its response is being written. Protects the slot from eviction.
     pub fn request_open(&mut self, id: SlotId) {
-        self.set_activity(id, Activity::Open);
+        self.set_activity(id, Activity::Processing);
     }
 
     /// Records that a request was answered and the connection waits for the next one.
-    pub fn idle(&mut self, id: SlotId, now: f64) {
+    pub fn request_answered(&mut self, id: SlotId, now: f64) {
         self.set_activity(id, Activity::Idle(now));
-        self.set_requested(id, true);
+        self.set_answered(id, true);
     }
 
     /// Records that this side has closed the connection, so that it is evicted before all others.
-    pub fn finished(&mut self, id: SlotId) {
+    pub fn closed(&mut self, id: SlotId) {
         self.set_activity(id, Activity::Idle(f64::MIN));
-        self.set_requested(id, false);
+        self.set_answered(id, false);
     }
 
     /// Frees the slot of a connection that has ended.
@@ -122,8 +122,8 @@
         }
         let slots = self.slots.iter_mut();
         let evictable = slots.filter_map(|(id, slot)| Some((slot.eviction_order(now)?, id, slot)));
-        let first = evictable.min_by(|(a, ..), (b, ..)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        let (_, id, slot) = first?;
+        let chosen = evictable.min_by(|(a, ..), (b, ..)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+        let (_, id, slot) = chosen?;
         slot.closing = true;
         Some(*id)
     }
@@ -134,9 +134,9 @@
         }
     }
 
-    fn set_requested(&mut self, id: SlotId, has_requested: bool) {
+    fn set_answered(&mut self, id: SlotId, has_been_answered: bool) {
         if let Some(slot) = self.slots.get_mut(&id) {
-            slot.has_requested = has_requested;
+            slot.has_been_answered = has_been_answered;
         }
     }
 }
--- a/src/state/connections.rs
+++ b/src/state/connections.rs
@@ -83,7 +83,7 @@
     /// Number of requests on a connection at which another connection is opened, if the limits allow it.
     pub spread_above: usize,
     /// Maximum number of concurrent requests on a connection.
-    pub streams: usize,
+    pub streams_per_connection: usize,
 }
 
 /// The connection chosen for an attempt.
@@ -100,7 +100,7 @@
 /// All connections to endpoints.
 #[derive(Debug)]
 pub struct Connections {
-    all: BTreeMap<ConnectionId, Connection>,
+    by_id: BTreeMap<ConnectionId, Connection>,
     last_id: ConnectionId,
     limits: ConnectionLimits,
 }
@@ -108,16 +108,16 @@
 impl Connections {
     /// Creates an empty table.
     pub fn new(limits: ConnectionLimits) -> Self {
-        Self { all: BTreeMap::new(), last_id: 0, limits }
+        Self { by_id: BTreeMap::new(), last_id: 0, limits }
     }
 
     /// Chooses a connection to an endpoint for a request: the least loaded one, or a new one if each has at
     /// least `spread_above` requests and the limits allow another connection.
     pub fn place(&mut self, endpoint: EndpointId, id: RequestId, now: f64) -> Placement {
         let can_open = self.can_open(endpoint);
-        let ConnectionLimits { spread_above, streams, .. } = self.limits;
+        let ConnectionLimits { spread_above, streams_per_connection, .. } = self.limits;
         match self.least_loaded(endpoint, id) {
-            Some((conn, load)) if load < streams && (load < spread_above || !can_open) => {
+            Some((conn, load)) if load < streams_per_connection && (load < spread_above || !can_open) => {
                 Placement::Existing(conn)
             }
             _ if can_open => Placement::New(self.add(endpoint, now)),
@@ -128,7 +128,7 @@
     /// The least loaded connection to an endpoint that accepts a request, with its load. At equal load an
     /// established connection is preferred.
     fn least_loaded(&self, endpoint: EndpointId, id: RequestId) -> Option<(ConnectionId, usize)> {
-        let to_endpoint = self.all.iter().filter(|(_, connection)| connection.endpoint == endpoint);
+        let to_endpoint = self.by_id.iter().filter(|(_, connection)| connection.endpoint == endpoint);
         let accepting = to_endpoint.filter(|(_, connection)| connection.accepts(id));
         let least =
             accepting.min_by_key(|(id, connection)| (connection.load(), !connection.established, **id))?;
@@ -138,28 +138,28 @@
     /// Whether the limits allow another connection to an endpoint. Established connections that are finished
     /// are about to close and do not count towards the total.
     fn can_open(&self, endpoint: EndpointId) -> bool {
-        let held =
-            self.all.values().filter(|connection| !(connection.is_finished() && connection.established));
-        let to_endpoint = self.all.values().filter(|connection| connection.endpoint == endpoint);
-        held.count() < self.limits.total && to_endpoint.count() < self.limits.per_endpoint
+        let counted =
+            self.by_id.values().filter(|connection| !(connection.is_finished() && connection.established));
+        let to_endpoint = self.by_id.values().filter(|connection| connection.endpoint == endpoint);
+        counted.count() < self.limits.total && to_endpoint.count() < self.limits.per_endpoint
     }
 
     fn add(&mut self, endpoint: EndpointId, now: f64) -> ConnectionId {
         self.last_id += 1;
         let connection =
             Connection { endpoint, last_active_ms: now, last_read_ms: now, ..Connection::default() };
-        self.all.insert(self.last_id, connection);
+        self.by_id.insert(self.last_id, connection);
         self.last_id
     }
 
     /// Marks the connection that has been idle for longest as closing, to make room for an endpoint without
     /// connections. Otherwise idle connections could use up the limit, and a new endpoint would get none.
     pub fn evict(&mut self, endpoint: EndpointId) -> Option<ConnectionId> {
-        if self.all.values().any(|connection| connection.endpoint == endpoint) {
+        if self.by_id.values().any(|connection| connection.endpoint == endpoint) {
             return None;
         }
-        let all = self.all.iter_mut();
-        let idle = all.filter(|(_, connection)| {
+        let connections = self.by_id.iter_mut();
+        let idle = connections.filter(|(_, connection)| {
             connection.established && !connection.closing && connection.load() == 0
         });
         let (id, connection) = idle.min_by(|a, b| a.1.last_active_ms.total_cmp(&b.1.last_active_ms))?;
@@ -168,33 +168,33 @@
     }
 
     /// Sets the maximum number of concurrent requests on a connection.
-    pub fn set_stream_limit(&mut self, streams: usize) {
-        self.limits.streams = streams;
+    pub fn set_stream_limit(&mut self, streams_per_connection: usize) {
+        self.limits.streams_per_connection = streams_per_connection;
     }
 
     /// Returns a connection, mutably.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
-        self.all.get_mut(&id)
+        self.by_id.get_mut(&id)
     }
 
     /// Removes a connection that has ended.
     pub fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
-        self.all.remove(&id)
+        self.by_id.remove(&id)
     }
 
     /// Iterates over all connections, mutably.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&ConnectionId, &mut Connection)> {
-        self.all.iter_mut()
+        self.by_id.iter_mut()
     }
 
     /// The number of connections.
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.by_id.len()
     }
 
     /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.by_id.is_empty()
     }
 }
 
--- a/src/state/counters.rs
+++ b/src/state/counters.rs
@@ -23,7 +23,7 @@
 
 impl CountersByClass {
     /// The counters of a class. The class is displayed from now on.
-    pub fn of(&mut self, class: &str) -> &mut ClassCounters {
+    pub fn class_mut(&mut self, class: &str) -> &mut ClassCounters {
         if !self.0.contains_key(class) {
             self.0.insert(class.to_string(), ClassCounters::default());
         }
--- a/src/state/deadlines.rs
+++ b/src/state/deadlines.rs
@@ -7,7 +7,7 @@
 /// earliest deadline first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Entry<T> {
-    at: f64,
+    due_ms: f64,
     item: T,
 }
 
@@ -21,7 +21,7 @@
 
 impl<T: PartialEq> Ord for Entry<T> {
     fn cmp(&self, other: &Self) -> Ordering {
-        other.at.total_cmp(&self.at)
+        other.due_ms.total_cmp(&self.due_ms)
     }
 }
 
@@ -38,15 +38,15 @@
 
 impl<T: PartialEq + Copy> Deadlines<T> {
     /// Adds an item with its deadline in Unix milliseconds.
-    pub fn push(&mut self, at: f64, item: T) {
-        self.0.push(Entry { at, item });
+    pub fn push(&mut self, due_ms: f64, item: T) {
+        self.0.push(Entry { due_ms, item });
     }
 
     /// The earliest current deadline.
     pub fn next_due(&mut self, is_current: impl Fn(T, f64) -> bool) -> Option<f64> {
-        while let Some(Entry { at, item }) = self.0.peek() {
-            if is_current(*item, *at) {
-                return Some(*at);
+        while let Some(Entry { due_ms, item }) = self.0.peek() {
+            if is_current(*item, *due_ms) {
+                return Some(*due_ms);
             }
             self.0.pop();
         }
--- a/src/state/maintenance.rs
+++ b/src/state/maintenance.rs
@@ -42,7 +42,7 @@
 
     /// Drops the calls that put an endpoint back into use and are older than `RETURN_RETENTION_MS`; `now` is
     /// in Unix milliseconds.
-    pub fn forget_old_returns(&mut self, now: f64) {
+    pub fn drop_expired_calls(&mut self, now: f64) {
         self.0.retain(|_, call| call.out_of_use || now < call.at_ms + RETURN_RETENTION_MS);
     }
 
--- a/src/state/membership/tests.rs
+++ b/src/state/membership/tests.rs
@@ -16,21 +16,21 @@
 }
 
 #[test]
-fn endpoints_that_drain_vanish_or_change_address_are_returned() {
+fn update_usable_returns_endpoints_that_drain_are_removed_or_change_address() {
     let mut membership = Membership::default();
     let start: Vec<_> =
         [1, 2, 3, 4].map(|id| listed_endpoint(id, EndpointState::Active, 100 + id as u16)).into();
     assert!(membership.update_usable(true, &start).is_empty());
     assert_eq!(membership.update_usable(false, &[listed_endpoint(1, EndpointState::Draining, 101)]), [1]);
-    let mut gone = membership.update_usable(
+    let mut changed = membership.update_usable(
         true,
         &[listed_endpoint(2, EndpointState::Active, 102), listed_endpoint(3, EndpointState::Active, 99)],
     );
-    gone.sort_unstable();
-    assert_eq!(gone, [3, 4]);
+    changed.sort_unstable();
+    assert_eq!(changed, [3, 4]);
     assert_eq!(membership.address(1), None);
-    assert_eq!(membership.address(3).map(|a| a.port()), Some(99));
+    assert_eq!(membership.address(3).map(|address| address.port()), Some(99));
     // A new endpoint at the address of a removed one.
     assert!(membership.update_usable(false, &[listed_endpoint(9, EndpointState::Active, 101)]).is_empty());
-    assert_eq!(membership.address(9).map(|a| a.port()), Some(101));
+    assert_eq!(membership.address(9).map(|address| address.port()), Some(101));
 }
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -43,14 +43,14 @@
     /// The content of the part, from an endpoint's reply to this request.
     Served {
         /// Entity tag of the copy, without quotes, if it has one.
-        tag: Option<String>,
+        entity_tag: Option<String>,
         /// The content.
         body: Bytes,
     },
     /// The client's copy is current.
     NotModified {
         /// Entity tag of the copy, without quotes.
-        tag: String,
+        entity_tag: String,
     },
     /// Rejected: the request did not take effect, so the client may retry it.
     Rejected {
@@ -68,7 +68,7 @@
 
 /// Why a request was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AdmitError {
+pub enum SubmitError {
     /// Another request with its id is open.
     Duplicate,
     /// The request table is full.
@@ -101,13 +101,13 @@
     ///
     /// # Errors
     ///
-    /// [`AdmitError`] if a request with its id is open or the table is full.
-    pub fn admit(&mut self, request: IncomingRequest) -> Result<(), AdmitError> {
+    /// [`SubmitError`] if a request with its id is open or the table is full.
+    pub fn insert(&mut self, request: IncomingRequest) -> Result<(), SubmitError> {
         if self.open.contains_key(&request.id) {
-            return Err(AdmitError::Duplicate);
+            return Err(SubmitError::Duplicate);
         }
         if self.open.len() >= self.capacity {
-            return Err(AdmitError::Full);
+            return Err(SubmitError::Full);
         }
         self.deadlines.push(request.deadline_ms, request.id);
         self.open.insert(request.id, OpenRequest { request, next_attempt: 0 });
@@ -135,17 +135,17 @@
 
     /// The earliest deadline of an open request, in Unix milliseconds.
     pub fn next_due(&mut self) -> Option<f64> {
-        self.deadlines.next_due(|id, at| Self::is_current(&self.open, id, at))
+        self.deadlines.next_due(|id, due_ms| Self::is_current(&self.open, id, due_ms))
     }
 
     /// Returns a request whose deadline has passed by `now`; the caller removes it.
     pub fn pop_overdue(&mut self, now: f64) -> Option<RequestId> {
-        self.deadlines.pop_due(now, |id, at| Self::is_current(&self.open, id, at))
+        self.deadlines.pop_due(now, |id, due_ms| Self::is_current(&self.open, id, due_ms))
     }
 
     /// Whether a deadline belongs to the open request with this id, not to an earlier one with the same id.
-    fn is_current(open: &HashMap<RequestId, OpenRequest>, id: RequestId, at: f64) -> bool {
-        open.get(&id).is_some_and(|open| open.request.deadline_ms == at)
+    fn is_current(open: &HashMap<RequestId, OpenRequest>, id: RequestId, due_ms: f64) -> bool {
+        open.get(&id).is_some_and(|open| open.request.deadline_ms == due_ms)
     }
 
     /// Removes and returns a request. Only the caller that gets it may respond to it.
--- a/src/wire/admin.rs
+++ b/src/wire/admin.rs
@@ -4,7 +4,7 @@
 use super::front::{ConnectionLimits, Disposition, Front, ResponseContext};
 use super::http::{HttpRequest, HttpResponse};
 use crate::engine::executor::Executor;
-use crate::state::requests::{AdmitError, FinalResponse};
+use crate::state::requests::{FinalResponse, SubmitError};
 use crate::text::parse_endpoint_id;
 use crate::EndpointId;
 use std::io;
@@ -159,7 +159,7 @@
         HttpResponse::closing(404)
     }
 
-    fn reject(&self, _: AdmitError) -> HttpResponse {
+    fn reject(&self, _: SubmitError) -> HttpResponse {
         HttpResponse::closing(404)
     }
 }
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -218,7 +218,7 @@
     }
     let (name, value) = field.split_once('=')?;
     match name {
-        reply_field::PATH => reply.path = ResponsePath::from_name(value),
+        reply_field::PATH => reply.response_path = ResponsePath::from_name(value),
         reply_field::ENTITY_TAG => reply.entity_tag = Some(value.to_string()),
         reply_field::GENERATED_AT => reply.generated_at_ms = Some(value.parse().ok()?),
         reply_field::SURROGATE_KEYS => {
@@ -331,7 +331,7 @@
     let options = [
         (request.join_fill, request_option::JOIN_FILL),
         (request.only_if_cached, request_option::ONLY_IF_CACHED),
-        (request.background_refresh, request_option::BACKGROUND_REFRESH),
+        (request.revalidate, request_option::BACKGROUND_REFRESH),
     ];
     options.into_iter().filter_map(|(is_set, name)| is_set.then_some(name)).collect()
 }
--- a/src/wire/cache_codec/tests.rs
+++ b/src/wire/cache_codec/tests.rs
@@ -88,7 +88,7 @@
                  000000000000000d AGAIN - 0\r\n\r\n";
     let replies = decode_all(&mut LineCodec::default(), text).unwrap();
     assert_eq!(
-        replies.iter().map(|reply| (reply.status, reply.path)).collect::<Vec<_>>(),
+        replies.iter().map(|reply| (reply.status, reply.response_path)).collect::<Vec<_>>(),
         [
             (ReplyStatus::Served, Some(ResponsePath::Collapsed)),
             (ReplyStatus::Error, Some(ResponsePath::OriginFailed)),
@@ -106,7 +106,7 @@
         let replies = decode_all(&mut LineCodec::default(), text.as_bytes()).unwrap();
         let [reply] = &replies[..] else { panic!("{note}: {replies:?}") };
         assert_eq!(
-            (reply.status, reply.path, &reply.body[..]),
+            (reply.status, reply.response_path, &reply.body[..]),
             (ReplyStatus::Served, None, &b"ok"[..]),
             "{note}"
         );
@@ -127,7 +127,7 @@
         retention_rank: 2,
         max_age_ms: 1_500,
         join_fill: true,
-        background_refresh: true,
+        revalidate: true,
         client_etag: Some("4be0".into()),
         ..CacheRequest::default()
     };
--- a/src/wire/cache_connection.rs
+++ b/src/wire/cache_connection.rs
@@ -112,7 +112,7 @@
         Ok(()) | Err(ConnectionError::Io(_)) => executor.with(|engine| engine.connection_lost(conn)),
         Err(ConnectionError::Stalled) => executor.with(|engine| {
             engine.counters.connections_stalled += 1;
-            engine.connection_malformed(conn);
+            engine.connection_dropped(conn);
         }),
         Err(error @ ConnectionError::Reply(_)) => {
             let count = executor.with(|engine| {
@@ -124,7 +124,7 @@
             if count.is_power_of_two() {
                 tracing::warn!(endpoint = %address, %error, count, "malformed reply; closing the connection");
             }
-            executor.with(|engine| engine.connection_malformed(conn));
+            executor.with(|engine| engine.connection_dropped(conn));
         }
     }
 }
@@ -148,7 +148,7 @@
             Ok(Some(reply)) => {
                 let reply = reply?;
                 partial_bytes = None;
-                executor.with(|engine| engine.handle_response(conn, reply));
+                executor.with(|engine| engine.handle_reply(conn, reply));
             }
             Ok(None) => return Ok(()),
             Err(_) => {
--- a/src/wire/connection_slots.rs
+++ b/src/wire/connection_slots.rs
@@ -75,13 +75,13 @@
 
     /// Marks the connection as waiting for the next request.
     pub(super) fn set_idle(&self, now: f64) {
-        self.slots.slots.borrow_mut().idle(self.id, now);
+        self.slots.slots.borrow_mut().request_answered(self.id, now);
         self.slots.changed.notify_one();
     }
 
     /// Marks the connection as closed by this side and lingering.
     pub(super) fn set_lingering(&self) {
-        self.slots.slots.borrow_mut().finished(self.id);
+        self.slots.slots.borrow_mut().closed(self.id);
         self.slots.changed.notify_one();
     }
 
--- a/src/wire/front.rs
+++ b/src/wire/front.rs
@@ -3,7 +3,7 @@
 use super::http::{HttpRequest, HttpResponse};
 use super::submission::Submission;
 use crate::engine::executor::Executor;
-use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::state::requests::{FinalResponse, IncomingRequest, SubmitError};
 use serde::Deserialize;
 use std::rc::Rc;
 
@@ -93,7 +93,7 @@
         executor: &Rc<Executor>,
         _context: &ResponseContext,
         request: IncomingRequest,
-    ) -> Result<Submission, AdmitError> {
+    ) -> Result<Submission, SubmitError> {
         Submission::to_engine(executor, request)
     }
 
@@ -101,5 +101,5 @@
     fn respond(&self, context: &ResponseContext, result: FinalResponse) -> HttpResponse;
 
     /// The response to a request that was not admitted.
-    fn reject(&self, reason: AdmitError) -> HttpResponse;
+    fn reject(&self, reason: SubmitError) -> HttpResponse;
 }
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -7,7 +7,7 @@
 use super::platform_path::PlatformPath;
 use crate::engine::executor::Executor;
 use crate::settings::PlatformSettings;
-use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::state::requests::{FinalResponse, IncomingRequest, SubmitError};
 use crate::text::parse_hex16;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -220,23 +220,25 @@
 
     fn respond(&self, _: &ResponseContext, result: FinalResponse) -> HttpResponse {
         match result {
-            FinalResponse::Served { tag, body } => {
+            FinalResponse::Served { entity_tag, body } => {
                 let response = HttpResponse { body, ..HttpResponse::status(200) };
-                match tag {
+                match entity_tag {
                     Some(tag) => response.with_entity_tag(&tag),
                     None => response,
                 }
             }
-            FinalResponse::NotModified { tag } => HttpResponse::status(304).with_entity_tag(&tag),
+            FinalResponse::NotModified { entity_tag } => {
+                HttpResponse::status(304).with_entity_tag(&entity_tag)
+            }
             FinalResponse::Rejected { retry_after_ms, .. } => rejected(retry_after_ms),
             FinalResponse::Failed { overdue } => HttpResponse::status(if overdue { 504 } else { 502 }),
         }
     }
 
-    fn reject(&self, reason: AdmitError) -> HttpResponse {
+    fn reject(&self, reason: SubmitError) -> HttpResponse {
         match reason {
-            AdmitError::Duplicate => HttpResponse::status(409),
-            AdmitError::Full => rejected(FULL_RETRY_AFTER_MS),
+            SubmitError::Duplicate => HttpResponse::status(409),
+            SubmitError::Full => rejected(FULL_RETRY_AFTER_MS),
         }
     }
 }
--- a/src/wire/signed_urls/front.rs
+++ b/src/wire/signed_urls/front.rs
@@ -5,7 +5,7 @@
 use super::TOKEN_PARAMETER;
 use crate::engine::executor::Executor;
 use crate::settings::PlatformSettings;
-use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::state::requests::{FinalResponse, IncomingRequest, SubmitError};
 use crate::wire::byte_range::ByteRange;
 use crate::wire::entity_tag::{list_contains, parse_single, Comparison};
 use crate::wire::front::{ConnectionLimits, Disposition, Front, ResponseContext};
@@ -191,8 +191,12 @@
 
     fn respond(&self, context: &ResponseContext, result: FinalResponse) -> HttpResponse {
         let mut response = match result {
-            FinalResponse::NotModified { tag } => HttpResponse::status(304).with_entity_tag(&tag),
-            FinalResponse::Served { tag, body } => served(context, &tag.unwrap_or_default(), body),
+            FinalResponse::NotModified { entity_tag } => {
+                HttpResponse::status(304).with_entity_tag(&entity_tag)
+            }
+            FinalResponse::Served { entity_tag, body } => {
+                served(context, &entity_tag.unwrap_or_default(), body)
+            }
             FinalResponse::Rejected { overdue: true, .. } | FinalResponse::Failed { overdue: true } => {
                 HttpResponse::status(504)
             }
@@ -208,10 +212,10 @@
         response.with("Cache-Control", "private")
     }
 
-    fn reject(&self, reason: AdmitError) -> HttpResponse {
+    fn reject(&self, reason: SubmitError) -> HttpResponse {
         match reason {
-            AdmitError::Full => rejected(0.0),
-            AdmitError::Duplicate => HttpResponse::status(502),
+            SubmitError::Full => rejected(0.0),
+            SubmitError::Duplicate => HttpResponse::status(502),
         }
     }
 }
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -1,7 +1,7 @@
 //! The submission of a request, with an immediate or a pending result.
 
 use crate::engine::executor::Executor;
-use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::state::requests::{FinalResponse, IncomingRequest, SubmitError};
 use crate::RequestId;
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -17,7 +17,7 @@
 impl Submission {
     /// Submits a request to the engine. Dropping the pending response reports a client disconnect to the
     /// engine.
-    pub fn to_engine(executor: &Rc<Executor>, request: IncomingRequest) -> Result<Self, AdmitError> {
+    pub fn to_engine(executor: &Rc<Executor>, request: IncomingRequest) -> Result<Self, SubmitError> {
         let id = request.id;
         let receiver = executor.submit(request)?;
         let wait = EngineWait { executor: executor.clone(), id: Some(id) };
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -42,7 +42,8 @@
     fn new(ids: &[u32]) -> Self {
         let settings = settings(4);
         let clock = Clock::manual(START);
-        let connections = ConnectionLimits { total: 8, per_endpoint: 4, spread_above: 4, streams: 4 };
+        let connections =
+            ConnectionLimits { total: 8, per_endpoint: 4, spread_above: 4, streams_per_connection: 4 };
         let engine =
             Engine::new(clock.clone(), Rc::new(settings), 7, EngineLimits { requests: 9, connections });
         let mut harness = Self { clock, engine, last_event_number: 0 };
@@ -114,16 +115,18 @@
         conn: ConnectionId,
         id: u64,
         status: ReplyStatus,
-        path: Option<ResponsePath>,
+        response_path: Option<ResponsePath>,
     ) {
         let (entity_tag, body) = (Some("t".to_string()), "bytes".into());
-        self.engine
-            .handle_response(conn, CacheReply { entity_tag, path, body, ..CacheReply::new(id, status) });
+        self.engine.handle_reply(
+            conn,
+            CacheReply { entity_tag, response_path, body, ..CacheReply::new(id, status) },
+        );
     }
 
-    /// Establishes all connections and replies to all requests: with an error and `path` if the request names
-    /// the source `failing`, else with content.
-    fn reply_to_all(&mut self, failing: Option<u32>, path: Option<ResponsePath>) {
+    /// Establishes all connections and replies to all requests: with an error and `response_path` if the
+    /// request's fill source is `failing_source`, else with content.
+    fn reply_to_all(&mut self, failing_source: Option<u32>, response_path: Option<ResponsePath>) {
         loop {
             let conns: Vec<ConnectionId> = self.effects().iter().filter_map(connection_of).collect();
             if conns.is_empty() {
@@ -133,8 +136,8 @@
                 self.engine.connection_established(conn);
                 while let Some(request) = self.next_request(conn) {
                     let id = u64::from_str_radix(&request.id, 16).unwrap();
-                    if request.fill_source == failing {
-                        self.reply_with_path(conn, id, ReplyStatus::Error, path);
+                    if request.fill_source == failing_source {
+                        self.reply_with_path(conn, id, ReplyStatus::Error, response_path);
                     } else {
                         self.reply(conn, id, ReplyStatus::Served);
                     }
@@ -161,8 +164,8 @@
     }
 }
 
-/// Guards against ejecting a parent for failures of the origin behind it. Errors whose path reports that the
-/// origin failed leave the parent in use; errors without a path, or with an unreachable source, do not.
+/// Guards against ejecting a parent for failures of the origin behind it. Only errors with the path
+/// `OriginFailed` leave the parent in use.
 #[test]
 fn errors_of_the_origin_leave_the_parent_in_use() {
     let paths = [
@@ -170,16 +173,16 @@
         (None, false),
         (Some(ResponsePath::SourceUnreachable), false),
     ];
-    for (path, stays) in paths {
+    for (response_path, stays_in_use) in paths {
         let mut harness = Harness::new(&[1, 2, 7, PARENT, 9]);
         let parent = harness.first_source(1);
         harness.engine.client_disconnected(1);
         for id in 2..=30 {
             harness.request_object(id, 42);
-            harness.reply_to_all(parent, path);
+            harness.reply_to_all(parent, response_path);
             harness.advance(50.0);
         }
-        assert_eq!(harness.first_source(31) == parent, stays, "{path:?}");
+        assert_eq!(harness.first_source(31) == parent, stays_in_use, "{response_path:?}");
     }
 }
 
@@ -511,7 +514,7 @@
     assert_eq!(harness.engine.counters.overdue, 0, "the router ended them");
 }
 
-/// Guards against failing an attempt whose connection was lost before its first byte, and against moving it
+/// Guards against failing an attempt whose connection was lost before its first byte, and against migrating it
 /// without limit.
 #[test]
 fn unwritten_attempts_migrate_to_a_new_connection_at_once() {
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -58,7 +58,8 @@
             .to_vec();
         let settings: PlatformSettings = simd_json::from_slice(&mut text).unwrap();
         let clock = Clock::manual(START);
-        let connections = ConnectionLimits { total: 4, per_endpoint: 2, spread_above: 1, streams: 4 };
+        let connections =
+            ConnectionLimits { total: 4, per_endpoint: 2, spread_above: 1, streams_per_connection: 4 };
         let limits = EngineLimits { requests: 32, connections };
         let engine = Engine::new(clock.clone(), Rc::new(settings), 7, limits);
         let (connections, open, active_endpoints) = Default::default();
@@ -182,7 +183,7 @@
         let status = statuses[usize::from(b / 8) % statuses.len()];
         let body = format!("{conn}:{id}").into();
         let before = self.engine.open_requests();
-        self.engine.handle_response(
+        self.engine.handle_reply(
             conn,
             CacheReply { entity_tag: Some("t".into()), body, ..CacheReply::new(id, status) },
         );
