--- a/tests/endpoints/mod.rs
+++ b/tests/endpoints/mod.rs
@@ -1,15 +1,15 @@
-//! The endpoints of the engine tests: caches 1 to 6, parents 7 and 8, and the origin 9.
+//! Endpoints for the tests of the engine: 7 and 8 are parents, 9 is the origin, all other ids are caches.
 
 use edge_proxy::endpoint_list::EndpointRecord;
 use edge_proxy::endpoint_list::ListedEndpoint;
 use edge_proxy::EndpointState;
 use std::net::SocketAddrV4;
 
-/// Id of a parent.
+/// Id of the parent that tests refer to. Unused in some of the test crates that include this module.
 #[allow(dead_code)]
 pub const PARENT: u32 = 8;
 
-/// The listed endpoint with this id and state. Its port is 5,000 plus its id.
+/// A listed endpoint with this id and state, and port 5,000 plus its id.
 pub fn listed_endpoint(id: u32, state: EndpointState) -> ListedEndpoint {
     let (zone, kind) = match id {
         PARENT | 7 => ("hub", "parent"),
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -15,9 +15,21 @@
 use endpoints::{listed_endpoint, PARENT};
 use std::rc::Rc;
 
-const START: f64 = 1_764_576_000_000.0;
-
-/// Settings that allow `streams` concurrent requests on a connection.
+/// Time at which the manual clock starts, in Unix milliseconds.
+const START_MS: f64 = 1_764_576_000_000.0;
+/// Time from the submission of a request to its deadline, in milliseconds.
+const REQUEST_DEADLINE_MS: f64 = 2_000.0;
+/// Class of reads.
+const CLIP: usize = 0;
+/// Class of writes without an idempotency key.
+const POST: usize = 1;
+/// Class of writes with an idempotency key.
+const ORDER: usize = 2;
+/// Entity tag of all replies.
+const REPLY_ETAG: &str = "t";
+
+/// Settings with the classes [`CLIP`], [`POST`] and [`ORDER`], and `streams` concurrent requests per
+/// connection.
 fn settings(streams: u32) -> PlatformSettings {
     let text = r#"{"classes":[{"name":"clip","deadlineUs":5000000,"promiseUs":600000,"semantics":"pure",
             "worth":2.0},{"name":"post","deadlineUs":3000000,"promiseUs":700000,"semantics":"side_effect",
@@ -38,10 +50,10 @@
 }
 
 impl Harness {
-    /// An engine with these endpoints.
+    /// Creates an engine with the active endpoints `ids`.
     fn new(ids: &[u32]) -> Self {
         let settings = settings(4);
-        let clock = Clock::manual(START);
+        let clock = Clock::manual(START_MS);
         let connections =
             ConnectionLimits { total: 8, per_endpoint: 4, spread_above: 4, streams_per_connection: 4 };
         let engine =
@@ -66,7 +78,7 @@
     }
 
     fn submit(&mut self, request: IncomingRequest) {
-        let (deadline_ms, id_text) = (self.clock.now() + 2_000.0, format!("{:016x}", request.id));
+        let (deadline_ms, id_text) = (self.clock.now() + REQUEST_DEADLINE_MS, format!("{:016x}", request.id));
         self.engine.submit(IncomingRequest { id_text, deadline_ms, ..request }).unwrap();
     }
 
@@ -76,22 +88,22 @@
     }
 
     /// Takes all effects and returns the connections to open, with their endpoints.
-    fn opened(&mut self) -> Vec<(ConnectionId, u32)> {
-        self.effects()
+    fn take_opened(&mut self) -> Vec<(ConnectionId, u32)> {
+        self.take_effects()
             .into_iter()
-            .filter_map(|e| match e {
+            .filter_map(|effect| match effect {
                 Effect::Open { conn, address, .. } => Some((conn, u32::from(address.port() - 5_000))),
                 _ => None,
             })
             .collect()
     }
 
-    fn effects(&mut self) -> Vec<Effect> {
+    fn take_effects(&mut self) -> Vec<Effect> {
         std::iter::from_fn(|| self.engine.take_effect()).collect()
     }
 
-    fn responses(&mut self) -> Vec<(u64, FinalResponse)> {
-        let responses = self.effects().into_iter().filter_map(|e| match e {
+    fn take_responses(&mut self) -> Vec<(u64, FinalResponse)> {
+        let responses = self.take_effects().into_iter().filter_map(|effect| match effect {
             Effect::Respond(id, response) => Some((id, response)),
             _ => None,
         });
@@ -117,7 +129,7 @@
         status: ReplyStatus,
         response_path: Option<ResponsePath>,
     ) {
-        let (entity_tag, body) = (Some("t".to_string()), "bytes".into());
+        let (entity_tag, body) = (Some(REPLY_ETAG.to_string()), "bytes".into());
         self.engine.handle_reply(
             conn,
             CacheReply { entity_tag, response_path, body, ..CacheReply::new(id, status) },
@@ -128,7 +140,7 @@
     /// request's fill source is `failing_source`, else with content.
     fn reply_to_all(&mut self, failing_source: Option<u32>, response_path: Option<ResponsePath>) {
         loop {
-            let conns: Vec<ConnectionId> = self.effects().iter().filter_map(connection_of).collect();
+            let conns: Vec<ConnectionId> = self.take_effects().iter().filter_map(connection_of).collect();
             if conns.is_empty() {
                 return;
             }
@@ -146,10 +158,10 @@
         }
     }
 
-    /// Submits a request and returns the source that its first attempt names.
+    /// Submits a request and returns the fill source of its first attempt.
     fn first_source(&mut self, id: u64) -> Option<u32> {
         self.request_object(id, 42);
-        let conns: Vec<ConnectionId> = self.effects().iter().filter_map(connection_of).collect();
+        let conns: Vec<ConnectionId> = self.take_effects().iter().filter_map(connection_of).collect();
         conns.iter().for_each(|conn| self.engine.connection_established(*conn));
         let written = conns.iter().find_map(|conn| self.next_request(*conn));
         written.expect("an attempt is written").fill_source
@@ -188,25 +200,29 @@
 
 /// Guards against serving a purged copy after the attempt waited for its connection.
 #[test]
-fn the_age_limit_shrinks_by_the_time_in_the_queue() {
+fn the_maximum_age_is_reduced_by_the_time_in_the_queue() {
     let mut harness = Harness::new(&[1, PARENT, 9]);
-    harness.apply_event(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START - 1_000.0 });
-    harness.request(1, 0);
-    let (conn, _) = harness.opened()[0];
+    harness.apply_event(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START_MS - 1_000.0 });
+    harness.request(1, CLIP);
+    let (conn, _) = harness.take_opened()[0];
     harness.advance(300.0);
     harness.engine.connection_established(conn);
     let request = harness.next_request(conn).unwrap();
     // The purge was 1,000 ms before submission; less the router's margin of 10 ms and 300 ms in the queue.
     assert_eq!(request.max_age_ms, 690);
-    assert!(request.timeout_ms <= 1_700);
+    assert!(
+        request.timeout_ms <= 1_700,
+        "the time-out is reduced by the time in the queue: {}",
+        request.timeout_ms
+    );
 }
 
 #[test]
 fn an_exhausted_age_limit_does_not_become_the_limit_of_the_class() {
     let mut harness = Harness::new(&[1, PARENT, 9]);
-    harness.apply_event(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START - 50.0 });
-    harness.request(1, 0);
-    let (conn, _) = harness.opened()[0];
+    harness.apply_event(WatchEvent::Purge { object: Some(42), group: 0, issued_ms: START_MS - 50.0 });
+    harness.request(1, CLIP);
+    let (conn, _) = harness.take_opened()[0];
     harness.advance(300.0);
     harness.engine.connection_established(conn);
     assert_eq!(harness.next_request(conn).unwrap().max_age_ms, 1, "0 would select the limit of the class");
@@ -216,10 +232,10 @@
 #[test]
 fn a_purge_ends_queued_attempts_and_the_router_replaces_them() {
     let mut harness = Harness::new(&[1, 2, PARENT, 9]);
-    harness.request(1, 0);
-    let first = harness.opened();
-    harness.apply_event(WatchEvent::Purge { object: None, group: 17, issued_ms: START - 100.0 });
-    let second = harness.opened();
+    harness.request(1, CLIP);
+    let first = harness.take_opened();
+    harness.apply_event(WatchEvent::Purge { object: None, group: 17, issued_ms: START_MS - 100.0 });
+    let second = harness.take_opened();
     assert_ne!(first[0].1, second[0].1, "the router chooses another cache for the second attempt");
     harness.engine.connection_established(first[0].0);
     assert_eq!(harness.next_request(first[0].0), None);
@@ -230,13 +246,14 @@
 /// Guards against new requests to a draining endpoint, or with a draining source.
 #[test]
 fn queued_attempts_for_a_draining_endpoint_or_source_are_replaced() {
-    for drained in [1, PARENT] {
-        // Searches for an object whose cache is 1 and whose parent is 8.
+    for draining in [1, PARENT] {
+        // Searches for an object that the router sends to cache 1 with `PARENT` as the fill source. The ids
+        // are multiples of a prime.
         let (mut harness, conn, object) = (1u64..)
             .find_map(|k| {
                 let (mut harness, object) = (Harness::new(&[1, 2, 7, PARENT, 9]), k * 7_919);
                 harness.request_object(1, object);
-                let (conn, endpoint) = harness.opened()[0];
+                let (conn, endpoint) = harness.take_opened()[0];
                 harness.engine.connection_established(conn);
                 let source = harness.next_request(conn).and_then(|request| request.fill_source);
                 (endpoint == 1 && source == Some(PARENT)).then_some((harness, conn, object))
@@ -245,15 +262,20 @@
         harness.request_object(2, object);
         harness.apply_event(WatchEvent::Endpoints {
             full: false,
-            endpoints: vec![listed_endpoint(drained, EndpointState::Draining)],
+            endpoints: vec![listed_endpoint(draining, EndpointState::Draining)],
         });
-        assert_eq!(harness.next_request(conn), None, "no new request for draining endpoint {drained}");
-        assert_eq!((harness.engine.counters.attempts_stale, harness.engine.open_requests()), (1, 2));
+        assert_eq!(
+            harness.next_request(conn),
+            None,
+            "no request goes to, or is filled from, draining endpoint {draining}"
+        );
+        assert_eq!(harness.engine.counters.attempts_stale, 1);
+        assert_eq!(harness.engine.open_requests(), 2);
         // The second request gets an attempt that avoids the draining endpoint.
-        let (other, _) = harness.opened().first().copied().unwrap_or((conn, 1));
-        harness.engine.connection_established(other);
-        let request = harness.next_request(other).unwrap();
-        assert!(request.id.ends_with('2') && request.fill_source != Some(drained));
+        let (replacement, _) = harness.take_opened().first().copied().unwrap_or((conn, 1));
+        harness.engine.connection_established(replacement);
+        let request = harness.next_request(replacement).unwrap();
+        assert!(request.id.ends_with('2') && request.fill_source != Some(draining));
     }
 }
 
@@ -261,54 +283,55 @@
 #[test]
 fn a_lost_connection_fails_written_attempts_and_retries_queued_ones() {
     let mut harness = Harness::new(&[1, PARENT, 9]);
-    harness.request(1, 1);
-    let (conn, endpoint) = harness.opened()[0];
-    assert_eq!(endpoint, 9);
+    harness.request(1, POST);
+    let (conn, endpoint) = harness.take_opened()[0];
+    assert_eq!(endpoint, 9, "writes go to the origin");
     harness.engine.connection_established(conn);
     assert!(harness.next_request(conn).is_some());
-    harness.request(2, 1);
+    harness.request(2, POST);
     harness.engine.connection_lost(conn);
-    let effects: Vec<_> = harness.effects();
+    let effects: Vec<_> = harness.take_effects();
     let failed = Effect::Respond(1, FinalResponse::Failed { overdue: false });
     assert!(effects.contains(&failed), "the written attempt may have run and is not retried: {effects:?}");
-    let opened = effects.iter().filter(|e| matches!(e, Effect::Open { .. })).count();
+    let opened = effects.iter().filter(|effect| matches!(effect, Effect::Open { .. })).count();
     assert_eq!((opened, harness.engine.open_requests()), (1, 1), "the queued attempt gets a new connection");
 }
 
 /// Guards against delivering or counting a reply that arrives after its request has ended.
 #[test]
-fn a_reply_after_the_end_is_dropped() {
+fn a_reply_after_the_end_of_its_request_is_dropped() {
     let mut harness = Harness::new(&[1, PARENT, 9]);
-    harness.request(1, 0);
-    let (conn, _) = harness.opened()[0];
+    harness.request(1, CLIP);
+    let (conn, _) = harness.take_opened()[0];
     harness.engine.connection_established(conn);
     harness.next_request(conn).unwrap();
     harness.engine.client_disconnected(1);
     harness.reply(conn, 1, ReplyStatus::Served);
+    // A reply to a request that was never sent.
     harness.reply(conn, 77, ReplyStatus::Served);
-    assert!(harness.responses().is_empty());
+    assert!(harness.take_responses().is_empty());
     assert_eq!((harness.engine.counters.replies_late, harness.engine.counters.served), (2, 0));
 }
 
 /// Guards against a 304 response to a client that sent no entity tag.
 #[test]
-fn not_modified_is_rejected_for_a_request_without_an_entity_tag() {
+fn not_modified_is_malformed_for_a_request_without_an_entity_tag() {
     let mut harness = Harness::new(&[1, PARENT, 9]);
-    harness.request(1, 0);
-    let (conn, _) = harness.opened()[0];
+    harness.request(1, CLIP);
+    let (conn, _) = harness.take_opened()[0];
     harness.engine.connection_established(conn);
     harness.next_request(conn).unwrap();
     harness.reply(conn, 1, ReplyStatus::NotModified);
     assert!(harness
-        .responses()
+        .take_responses()
         .iter()
         .all(|(_, response)| !matches!(response, FinalResponse::NotModified { .. })));
 }
 
-/// Guards against a 304 response for a copy other than the client's; the reply has the entity tag `t`.
+/// Guards against a 304 response for a copy other than the client's.
 #[test]
 fn not_modified_is_accepted_only_for_the_entity_tag_of_the_request() {
-    for (client_etag, accepted) in [("t", true), ("u", false)] {
+    for (client_etag, accepted) in [(REPLY_ETAG, true), ("u", false)] {
         let mut harness = Harness::new(&[1, PARENT, 9]);
         harness.submit(IncomingRequest {
             id: 1,
@@ -316,14 +339,17 @@
             client_etag: Some(client_etag.into()),
             ..IncomingRequest::default()
         });
-        let (conn, _) = harness.opened()[0];
+        let (conn, _) = harness.take_opened()[0];
         harness.engine.connection_established(conn);
         assert_eq!(harness.next_request(conn).unwrap().client_etag.as_deref(), Some(client_etag));
         harness.reply(conn, 1, ReplyStatus::NotModified);
         assert_eq!(
-            harness.responses().iter().any(|(_, a)| matches!(a, FinalResponse::NotModified { .. })),
+            harness
+                .take_responses()
+                .iter()
+                .any(|(_, response)| matches!(response, FinalResponse::NotModified { .. })),
             accepted,
-            "{client_etag}"
+            "entity tag {client_etag} of the client, {REPLY_ETAG} of the reply"
         );
     }
 }
@@ -331,24 +357,24 @@
 /// Guards against taking a duplicate reply for the reply to a later attempt of the same request, which has
 /// the same id in the protocol.
 #[test]
-fn a_second_reply_to_an_ended_attempt_ends_no_later_attempt() {
+fn a_duplicate_reply_does_not_end_a_later_attempt() {
     let mut harness = Harness::new(&[1, PARENT, 9]);
-    harness.request(1, 0);
-    let (conn, endpoint) = harness.opened()[0];
+    harness.request(1, CLIP);
+    let (conn, endpoint) = harness.take_opened()[0];
     harness.engine.connection_established(conn);
     harness.next_request(conn).unwrap();
     // The reply is invalid, since the request had no entity tag, and the same cache gets the next attempt.
     harness.reply(conn, 1, ReplyStatus::NotModified);
-    let (second, again) = harness.opened()[0];
-    assert_eq!((endpoint, again), (1, 1));
+    let (second, second_endpoint) = harness.take_opened()[0];
+    assert_eq!((endpoint, second_endpoint), (1, 1));
     assert_ne!(second, conn);
     assert_eq!(harness.next_request(conn), None);
     harness.engine.connection_established(second);
     harness.next_request(second).unwrap();
     harness.reply(conn, 1, ReplyStatus::Served);
-    assert!(harness.responses().is_empty(), "the reply is for the attempt that has ended");
+    assert!(harness.take_responses().is_empty(), "the reply is for the attempt that has ended");
     harness.reply(second, 1, ReplyStatus::Served);
-    assert_eq!(harness.responses().len(), 1);
+    assert_eq!(harness.take_responses().len(), 1);
     assert_eq!((harness.engine.counters.replies_late, harness.engine.open_requests()), (1, 0));
 }
 
@@ -356,9 +382,9 @@
 #[test]
 fn a_queued_request_whose_client_disconnected_is_never_written() {
     let mut harness = Harness::new(&[1, PARENT, 9]);
-    harness.request(1, 0);
-    harness.request(2, 0);
-    let (conn, _) = harness.opened()[0];
+    harness.request(1, CLIP);
+    harness.request(2, CLIP);
+    let (conn, _) = harness.take_opened()[0];
     harness.engine.client_disconnected(1);
     harness.engine.connection_established(conn);
     assert!(
@@ -371,7 +397,7 @@
         "the written request is cancelled at the endpoint"
     );
     assert_eq!(
-        (harness.engine.next_write(conn), harness.engine.open_requests(), harness.responses().len()),
+        (harness.engine.next_write(conn), harness.engine.open_requests(), harness.take_responses().len()),
         (NextWrite::Idle, 0, 0)
     );
     assert_eq!(
@@ -382,20 +408,20 @@
 
 /// Guards against sending a stale attempt after a write that blocked before its first byte.
 #[test]
-fn a_blocked_write_is_checked_again_before_its_first_byte() {
-    let blocked = || {
+fn a_blocked_attempt_is_checked_again_before_it_is_written() {
+    let with_blocked_write = || {
         let mut harness = Harness::new(&[1, PARENT, 9]);
-        harness.request(1, 0);
-        let (conn, _) = harness.opened()[0];
+        harness.request(1, CLIP);
+        let (conn, _) = harness.take_opened()[0];
         harness.engine.connection_established(conn);
         harness.next_request(conn).unwrap();
         harness.engine.write_blocked(conn, 1);
         assert_eq!(harness.engine.counters.attempts_written, 0);
         (harness, conn)
     };
-    let (mut harness, conn) = blocked();
+    let (mut harness, conn) = with_blocked_write();
     assert!(harness.next_request(conn).is_some(), "nothing has changed");
-    let (mut harness, conn) = blocked();
+    let (mut harness, conn) = with_blocked_write();
     harness.apply_event(WatchEvent::Endpoints {
         full: false,
         endpoints: vec![listed_endpoint(1, EndpointState::Draining)],
@@ -405,42 +431,43 @@
         (None, 1),
         "its endpoint is draining"
     );
-    let (mut harness, conn) = blocked();
+    let (mut harness, conn) = with_blocked_write();
     harness.engine.client_disconnected(1);
     assert_eq!(
         harness.engine.next_write(conn),
         NextWrite::Idle,
         "its client disconnected before anything was written"
     );
-    let (mut harness, conn) = blocked();
+    let (mut harness, conn) = with_blocked_write();
+    // 0.5 ms are left until the deadline, less than the 1 ms that a write needs.
     harness.advance(1_999.5);
     assert!(
         !matches!(harness.engine.next_write(conn), NextWrite::Write(CacheCommand::Send(_))),
-        "its deadline has passed"
+        "too little time is left until its deadline"
     );
 }
 
 /// Guards against retrying a write after the endpoints have forgotten its idempotency key.
 #[test]
-fn a_retry_whose_key_window_closes_while_it_is_queued_is_never_sent() {
+fn a_retry_queued_past_the_end_of_its_key_window_is_not_sent() {
     for (queued_ms, sent) in [(90.0, true), (120.0, false)] {
         let mut harness = Harness::new(&[1, PARENT, 9]);
-        harness.request(1, 2);
-        let (first, _) = harness.opened()[0];
+        harness.request(1, ORDER);
+        let (first, _) = harness.take_opened()[0];
         harness.engine.connection_established(first);
         harness.next_request(first).unwrap();
         harness.advance(300.0);
         harness.reply(first, 1, ReplyStatus::Error);
         // 300 ms of the key window's 400 ms have passed when the retry is queued.
-        let (second, _) = harness.opened()[0];
+        let (second, _) = harness.take_opened()[0];
         harness.advance(queued_ms);
         harness.engine.connection_established(second);
         assert_eq!(harness.next_request(second).is_some(), sent, "{queued_ms} ms");
         if !sent {
-            let responses = harness.responses();
+            let responses = harness.take_responses();
             assert!(
                 matches!(responses[..], [(1, FinalResponse::Failed { .. })]),
-                "failed, not rejected, since it may have run: {responses:?}"
+                "the first attempt may have run, so the request must fail and not be rejected: {responses:?}"
             );
         }
     }
@@ -448,36 +475,37 @@
 
 /// Guards against keeping the old limit on concurrent requests of a connection after a reload.
 #[test]
-fn the_limit_on_a_connections_requests_follows_the_settings() {
+fn reconfigure_changes_the_limit_of_requests_per_connection() {
     let mut harness = Harness::new(&[1]);
     harness.engine.reconfigure(settings(1));
-    harness.effects();
-    (1..=9).for_each(|id| harness.request(id, 0));
-    assert_eq!(harness.opened().len(), 4, "the limit on connections per endpoint");
+    harness.take_effects();
+    (1..=9).for_each(|id| harness.request(id, CLIP));
+    assert_eq!(harness.take_opened().len(), 4, "the limit on connections per endpoint");
     assert!(
         harness.engine.counters.attempts_unplaced >= 5,
-        "one attempt per connection, none for the others"
+        "requests beyond one per connection are not placed, got {} unplaced attempts",
+        harness.engine.counters.attempts_unplaced
     );
 }
 
-/// Guards against sending more attempts on connections to a machine that has vanished without closing them.
+/// Guards against sending more attempts on a connection whose endpoint became unreachable without closing it.
 #[test]
-fn a_connection_on_which_attempts_time_out_gets_nothing_new() {
+fn a_connection_whose_attempts_time_out_gets_no_new_attempts() {
     let mut harness = Harness::new(&[1]);
     for id in 1..=2 {
-        harness.request(id, 0);
+        harness.request(id, CLIP);
     }
-    let (conn, _) = harness.opened()[0];
+    let (conn, _) = harness.take_opened()[0];
     harness.engine.connection_established(conn);
     while harness.next_request(conn).is_some() {}
     for _ in 0..40 {
         harness.advance(50.0);
     }
     let timed_out = harness.engine.counters.attempts_timed_out;
-    assert!(timed_out >= 2, "{timed_out}");
-    harness.effects();
-    harness.request(3, 0);
-    let opened = harness.opened();
+    assert!(timed_out >= 2, "expected at least 2 timed-out attempts, got {timed_out}");
+    harness.take_effects();
+    harness.request(3, CLIP);
+    let opened = harness.take_opened();
     assert!(opened.iter().all(|(new, _)| *new != conn));
     let mut next = harness.engine.next_write(conn);
     while matches!(next, NextWrite::Write(CacheCommand::Cancel(_))) {
@@ -488,48 +516,52 @@
 
 /// Guards against a missing or second response when no endpoint ever replies.
 #[test]
-fn each_request_is_answered_once_and_in_time() {
+fn each_request_gets_one_response_before_its_deadline() {
     let mut harness = Harness::new(&[1, 2, PARENT, 9]);
     for id in 1..=5 {
         harness.request(id, (id % 2) as usize);
     }
     let mut answered = Vec::new();
     for _ in 0..200 {
-        let opened: Vec<_> = harness.effects();
-        for effect in opened {
+        let effects: Vec<_> = harness.take_effects();
+        for effect in effects {
             match effect {
                 Effect::Open { conn, .. } => harness.engine.connection_established(conn),
                 Effect::Respond(id, _) => answered.push(id),
                 Effect::Wake(_) => {}
             }
         }
+        // More ids than the test opens connections.
         for conn in 1..40 {
             while harness.next_request(conn).is_some() {}
         }
         harness.advance(10.0);
     }
-    answered.extend(harness.responses().into_iter().map(|(id, _)| id));
+    answered.extend(harness.take_responses().into_iter().map(|(id, _)| id));
     answered.sort_unstable();
     assert_eq!(answered, [1, 2, 3, 4, 5]);
-    assert_eq!(harness.engine.counters.overdue, 0, "the router ended them");
+    assert_eq!(
+        harness.engine.counters.overdue, 0,
+        "the router ended every request; none was left to the engine's safeguard"
+    );
 }
 
-/// Guards against failing an attempt whose connection was lost before its first byte, and against migrating it
-/// without limit.
+/// Guards against failing an attempt whose connection was lost before its first byte, and against migrating
+/// it without limit.
 #[test]
-fn unwritten_attempts_migrate_to_a_new_connection_at_once() {
+fn unwritten_attempts_migrate_to_a_new_connection_at_most_twice() {
     let mut harness = Harness::new(&[1, PARENT, 9]);
-    harness.request(1, 0);
-    for moves in 1..=2 {
-        let (conn, endpoint) = harness.opened()[0];
+    harness.request(1, CLIP);
+    for migrations in 1..=2 {
+        let (conn, endpoint) = harness.take_opened()[0];
         harness.engine.connection_established(conn);
         harness.engine.connection_lost(conn);
         assert_eq!(
             (endpoint, harness.engine.counters.attempts_migrated, harness.engine.counters.attempts),
-            (1, moves, 1)
+            (1, migrations, 1)
         );
     }
-    let (conn, endpoint) = harness.opened()[0];
+    let (conn, endpoint) = harness.take_opened()[0];
     harness.engine.connection_lost(conn);
     assert_eq!(
         (endpoint, harness.engine.counters.attempts_migrated, harness.engine.counters.attempts),
@@ -538,24 +570,28 @@
     assert_eq!(harness.engine.open_requests(), 1, "the router has sent another attempt");
 }
 
-/// Guards against growth of the class table with every change of settings.
+/// Guards against a class table that grows at every reload.
 #[test]
-fn indexes_of_classes_are_reused() {
-    let settings = |name: &str| -> PlatformSettings {
+fn indexes_of_retired_classes_are_reused() {
+    let settings_with_class = |name: &str| -> PlatformSettings {
         let text = format!(
             r#"{{"classes":[{{"name":"clip","deadlineUs":5,"promiseUs":6,"semantics":"pure"}},
             {{"name":"{name}","deadlineUs":5,"promiseUs":6,"semantics":"pure"}}],"familyInfo":{{"uncached":[false,true]}}}}"#
         );
         simd_json::from_slice(&mut text.into_bytes()).unwrap()
     };
-    let mut current = settings("a");
+    let mut current = settings_with_class("a");
     for round in 0..50 {
         let name = format!("b{round}");
-        current = settings(&name).with_class_indexes_of(&current, |_| false);
+        current = settings_with_class(&name).with_class_indexes_of(&current, |_| false);
         assert_eq!(current.class_index("clip"), Some(0));
         let index = current.class_index(&name).unwrap();
-        assert!(index < 4 && current.is_write(index) && !current.is_write(0), "{index}");
+        assert!(
+            index < 4 && current.is_write(index) && !current.is_write(0),
+            "index {index} of class {name}"
+        );
     }
-    let next = settings("z").with_class_indexes_of(&current, |_| true);
+    let next = settings_with_class("z").with_class_indexes_of(&current, |_| true);
+    // All indexes are in use, so the new class gets the next one.
     assert_eq!(next.class_index("z"), Some((0..).take_while(|k| current.class_name(*k).is_some()).count()));
 }
