--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Checks the size of the files under `src/policy` and the paths in the deploy file.
+//! Checks the size of the files under `src/policy` and the paths in `deploy/balancer.toml`.
 
 use std::path::Path;
 
@@ -11,13 +11,20 @@
 /// Every file under `src/policy`, recursively, with its text.
 fn policy_files() -> Vec<(String, String)> {
     fn collect(folder: &Path, files: &mut Vec<(String, String)>) {
-        for entry in std::fs::read_dir(folder).expect("a folder") {
-            let path = entry.expect("an entry").path();
+        for entry in std::fs::read_dir(folder).expect("cannot read a folder under src/policy") {
+            let path = entry.expect("cannot read an entry of a folder under src/policy").path();
             if path.is_dir() {
                 collect(&path, files);
             } else {
-                let name = path.strip_prefix(ROOT).expect("under the root").display().to_string();
-                files.push((name, std::fs::read_to_string(&path).expect("text")));
+                let name = path
+                    .strip_prefix(ROOT)
+                    .expect("path is not under the manifest folder")
+                    .display()
+                    .to_string();
+                files.push((
+                    name,
+                    std::fs::read_to_string(&path).expect("source file is not readable as UTF-8"),
+                ));
             }
         }
     }
@@ -29,28 +36,38 @@
 #[test]
 fn policy_files_stay_within_the_line_limits() {
     let files = policy_files();
-    assert!(files.len() > 1, "{files:?}");
+    assert!(files.len() > 1, "expected several files under src/policy, found {}", files.len());
     for (name, text) in &files {
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= MAX_LINES, "{name} has {lines} non-blank lines");
+        assert!(lines <= MAX_LINES, "{name} has {lines} non-blank lines; at most {MAX_LINES} are allowed");
         for (number, line) in text.lines().enumerate() {
-            assert!(line.chars().count() <= MAX_LINE_LENGTH, "{name}:{} is too long", number + 1);
+            assert!(
+                line.chars().count() <= MAX_LINE_LENGTH,
+                "{name}:{} is longer than {MAX_LINE_LENGTH} characters",
+                number + 1
+            );
         }
     }
-    assert!(!Path::new(ROOT).join("src/policy.rs").exists(), "the module consists of the folder only");
+    assert!(
+        !Path::new(ROOT).join("src/policy.rs").exists(),
+        "src/policy.rs must not exist: the module is src/policy/mod.rs"
+    );
 }
 
-/// The documentation of the module refers to the file of its interface.
 #[test]
 fn policy_documentation_names_its_interface() {
-    let head: Vec<&str> = include_str!("../src/policy/mod.rs").lines().take(3).collect();
-    assert!(head.join(" ").contains("interface.rs"));
+    let first_lines: Vec<&str> = include_str!("../src/policy/mod.rs").lines().take(3).collect();
+    assert!(
+        first_lines.join(" ").contains("interface.rs"),
+        "the documentation of src/policy/mod.rs does not name interface.rs: {first_lines:?}"
+    );
 }
 
-/// The paths in a list of the deploy file.
-fn deploy_paths(list: &str) -> Vec<&'static str> {
+/// The paths in the array `key` of `deploy/balancer.toml`, which stands on one line.
+fn deploy_paths(key: &str) -> Vec<&'static str> {
     let text = include_str!("../deploy/balancer.toml");
-    let line = text.lines().find(|line| line.starts_with(list)).expect("the list");
+    let line = text.lines().find(|line| line.starts_with(key)).expect("deploy/balancer.toml lacks the list");
+    // Every other piece between quotation marks is a path.
     line.split('"').skip(1).step_by(2).collect()
 }
 
@@ -59,15 +76,18 @@
     let paths = [deploy_paths("policy"), deploy_paths("node")].concat();
     assert!(paths.len() > 2, "{paths:?}");
     for path in paths {
-        assert!(Path::new(ROOT).join(path).exists(), "{path}");
+        assert!(
+            Path::new(ROOT).join(path).exists(),
+            "{path}, listed in deploy/balancer.toml, does not exist"
+        );
     }
 }
 
 #[test]
 fn the_deploy_file_lists_exactly_the_policy_files() {
-    let mut named = deploy_paths("policy");
+    let mut listed = deploy_paths("policy");
     let mut files: Vec<String> = policy_files().into_iter().map(|(name, _)| name).collect();
-    named.sort();
+    listed.sort();
     files.sort();
-    assert_eq!(named, files);
+    assert_eq!(listed, files);
 }
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -23,7 +23,14 @@
 use std::rc::Rc;
 use tokio_util::codec::Decoder;
 
-const START: f64 = 1_764_576_000_000.0;
+/// Time at which the manual clock starts, in Unix milliseconds.
+const START_MS: f64 = 1_764_576_000_000.0;
+/// Maximum number of open requests.
+const MAX_REQUESTS: usize = 32;
+/// Maximum number of connections to all endpoints.
+const MAX_CONNECTIONS: usize = 4;
+/// Maximum number of requests in flight on a connection.
+const MAX_IN_FLIGHT: usize = 4;
 
 /// The model's state of a connection.
 #[derive(Default)]
@@ -36,6 +43,7 @@
     port: u16,
 }
 
+/// The engine under test, and the state that it is expected to have.
 struct Model {
     clock: Clock,
     engine: Engine,
@@ -57,10 +65,14 @@
             "streamsPerConn":4}}"#
             .to_vec();
         let settings: PlatformSettings = simd_json::from_slice(&mut text).unwrap();
-        let clock = Clock::manual(START);
-        let connections =
-            ConnectionLimits { total: 4, per_endpoint: 2, spread_above: 1, streams_per_connection: 4 };
-        let limits = EngineLimits { requests: 32, connections };
+        let clock = Clock::manual(START_MS);
+        let connections = ConnectionLimits {
+            total: MAX_CONNECTIONS,
+            per_endpoint: 2,
+            spread_above: 1,
+            streams_per_connection: MAX_IN_FLIGHT,
+        };
+        let limits = EngineLimits { requests: MAX_REQUESTS, connections };
         let engine = Engine::new(clock.clone(), Rc::new(settings), 7, limits);
         let (connections, open, active_endpoints) = Default::default();
         let mut model = Self {
@@ -84,11 +96,12 @@
         self.engine.apply_event(Sequenced { number: self.last_event_number, event });
     }
 
-    /// Does one step of a kind, with parameters derived from `a` and `b`.
+    /// Does one random step: `kind` selects what happens, `a` and `b` its parameters.
     fn step(&mut self, kind: u8, a: u16, b: u16) {
         let pick = |n: usize| usize::from(a) % n.max(1);
         let conn = self.connections.keys().nth(pick(self.connections.len())).copied();
         match kind {
+            // A client submits a request.
             0..=2 => {
                 self.last_request_id += 1;
                 let deadline_ms = self.clock.now() + 100.0 + f64::from(b % 1_400);
@@ -105,18 +118,23 @@
                 };
                 match self.engine.submit(request) {
                     Ok(()) => assert!(self.open.insert(self.last_request_id, deadline_ms).is_none()),
-                    Err(_) => assert!(self.open.len() >= 32),
+                    Err(_) => assert!(
+                        self.open.len() >= MAX_REQUESTS,
+                        "a request was refused although the table is not full"
+                    ),
                 }
             }
+            // A client disconnects.
             3 => {
                 if let Some(id) = self.open.keys().nth(pick(self.open.len())).copied() {
                     self.open.remove(&id);
                     self.engine.client_disconnected(id);
                 }
             }
+            // A connect fails or completes, or an established connection is lost.
             4 | 5 => {
                 if let Some((conn, connection)) =
-                    conn.and_then(|c| self.connections.get_mut(&c).map(|connection| (c, connection)))
+                    conn.and_then(|conn| self.connections.get_mut(&conn).map(|connection| (conn, connection)))
                 {
                     if !connection.established && b % 4 == 0 {
                         self.connections.remove(&conn);
@@ -130,11 +148,13 @@
                     }
                 }
             }
+            // An endpoint replies.
             6..=9 => {
                 if let Some(conn) = conn {
                     self.reply(conn, b);
                 }
             }
+            // An endpoint changes its state.
             10 => {
                 let id = [1, 2, 3, 8][pick(4)];
                 let state = [EndpointState::Active, EndpointState::Draining, EndpointState::Removed]
@@ -149,14 +169,12 @@
                     endpoints: vec![listed_endpoint(id, state)],
                 });
             }
+            // A group is purged.
             11 => {
-                let issued = self.clock.now() - 50.0;
-                self.apply_event(WatchEvent::Purge {
-                    object: None,
-                    group: u32::from(a % 4),
-                    issued_ms: issued,
-                });
+                let issued_ms = self.clock.now() - 50.0;
+                self.apply_event(WatchEvent::Purge { object: None, group: u32::from(a % 4), issued_ms });
             }
+            // Time passes.
             _ => {
                 self.clock.advance(f64::from(b % 200));
                 self.engine.tick();
@@ -165,8 +183,9 @@
         self.process_effects();
     }
 
-    /// Replies on a connection to a request in flight or to a cancelled one.
-    fn reply(&mut self, conn: ConnectionId, b: u16) {
+    /// Replies on a connection to a request in flight or to a cancelled one; `random` selects the request and
+    /// the status.
+    fn reply(&mut self, conn: ConnectionId, random: u16) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         let statuses = [
             ReplyStatus::Served,
@@ -176,50 +195,60 @@
             ReplyStatus::Error,
             ReplyStatus::Expired,
         ];
-        let late = b % 5 == 0 && !connection.cancelled.is_empty();
-        let from = if late { &mut connection.cancelled } else { &mut connection.in_flight };
-        let Some(id) = from.iter().nth(usize::from(b) % from.len().max(1)).copied() else { return };
-        from.remove(&id);
-        let status = statuses[usize::from(b / 8) % statuses.len()];
+        let late = random % 5 == 0 && !connection.cancelled.is_empty();
+        let candidates = if late { &mut connection.cancelled } else { &mut connection.in_flight };
+        let Some(id) = candidates.iter().nth(usize::from(random) % candidates.len().max(1)).copied() else {
+            return;
+        };
+        candidates.remove(&id);
+        let status = statuses[usize::from(random / 8) % statuses.len()];
         let body = format!("{conn}:{id}").into();
-        let before = self.engine.open_requests();
+        let open_before = self.engine.open_requests();
         self.engine.handle_reply(
             conn,
             CacheReply { entity_tag: Some("t".into()), body, ..CacheReply::new(id, status) },
         );
-        assert!(!late || self.engine.open_requests() == before, "a late reply ended a request");
+        assert!(!late || self.engine.open_requests() == open_before, "a late reply ended a request");
     }
 
     /// Carries out effects and writes on all connections until neither causes new effects.
     fn process_effects(&mut self) {
         loop {
-            let up: Vec<ConnectionId> = self
+            let established: Vec<ConnectionId> = self
                 .connections
                 .iter()
                 .filter(|(_, connection)| connection.established)
-                .map(|(c, _)| *c)
+                .map(|(conn, _)| *conn)
                 .collect();
-            up.into_iter().for_each(|conn| self.write(conn));
+            established.into_iter().for_each(|conn| self.write_pending(conn));
             let Some(effect) = self.engine.take_effect() else { break };
-            self.effect(effect);
+            self.apply_effect(effect);
             while let Some(effect) = self.engine.take_effect() {
-                self.effect(effect);
+                self.apply_effect(effect);
             }
         }
-        assert_eq!(self.engine.open_requests(), self.open.len());
+        assert_eq!(
+            self.engine.open_requests(),
+            self.open.len(),
+            "the engine and the model disagree on the number of open requests"
+        );
     }
 
-    fn effect(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Open { conn, address, .. } => {
                 let connection = ModelConnection { port: address.port(), ..ModelConnection::default() };
                 assert!(self.connections.insert(conn, connection).is_none(), "a connection id was reused");
-                assert!(self.connections.len() <= 4, "too many connections");
+                assert!(
+                    self.connections.len() <= MAX_CONNECTIONS,
+                    "{} connections, at most {MAX_CONNECTIONS} are allowed",
+                    self.connections.len()
+                );
             }
             Effect::Wake(conn)
                 if self.connections.get(&conn).is_some_and(|connection| connection.established) =>
             {
-                self.write(conn)
+                self.write_pending(conn)
             }
             Effect::Wake(_) => {}
             Effect::Respond(id, response) => {
@@ -231,7 +260,8 @@
         }
     }
 
-    fn write(&mut self, conn: ConnectionId) {
+    /// Takes and checks the next writes of a connection until it is idle or closed.
+    fn write_pending(&mut self, conn: ConnectionId) {
         loop {
             let next = self.engine.next_write(conn);
             let Some(connection) = self.connections.get_mut(&conn) else { return };
@@ -250,19 +280,35 @@
                 NextWrite::Write(CacheCommand::Send(request)) => {
                     let id = u64::from_str_radix(&request.id, 16).unwrap();
                     let endpoint = u32::from(connection.port - 5_000);
-                    assert!(self.active_endpoints.contains(&endpoint), "a request to a draining endpoint");
                     assert!(
-                        request.fill_source.is_none_or(|s| self.active_endpoints.contains(&s)),
-                        "a draining source"
+                        self.active_endpoints.contains(&endpoint),
+                        "request {id} was sent to endpoint {endpoint}, which is not active"
+                    );
+                    assert!(
+                        request.fill_source.is_none_or(|source| self.active_endpoints.contains(&source)),
+                        "request {id} has a fill source that is not active: {:?}",
+                        request.fill_source
                     );
-                    let left =
+                    let time_left_ms =
                         self.open.get(&id).expect("written after the request has ended") - self.clock.now();
-                    assert!(request.timeout_ms as f64 <= left.max(1.0), "a time-out after the deadline");
+                    assert!(
+                        request.timeout_ms as f64 <= time_left_ms.max(1.0),
+                        "time-out of {} ms, but {time_left_ms} ms are left until the deadline",
+                        request.timeout_ms
+                    );
                     assert!(
                         !connection.cancelled.contains(&id),
                         "sent again on a connection where it was cancelled"
                     );
-                    assert!(connection.in_flight.insert(id) && connection.in_flight.len() <= 4);
+                    assert!(
+                        connection.in_flight.insert(id),
+                        "request {id} was written twice on connection {conn}"
+                    );
+                    assert!(
+                        connection.in_flight.len() <= MAX_IN_FLIGHT,
+                        "{} requests in flight, at most {MAX_IN_FLIGHT} are allowed",
+                        connection.in_flight.len()
+                    );
                 }
             }
         }
@@ -273,26 +319,36 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn random_steps_keep_every_invariant(steps in prop::collection::vec((0u8..16, any::<u16>(), any::<u16>()), 1..250)) {
+    fn the_engine_agrees_with_the_model_after_random_steps(
+        steps in prop::collection::vec((0u8..16, any::<u16>(), any::<u16>()), 1..250),
+    ) {
         let mut model = Model::new();
         for (kind, a, b) in steps {
             model.step(kind, a, b);
             let now = model.clock.now();
-            prop_assert!(model.open.values().all(|deadline| now < *deadline + 200.0), "a response is overdue");
+            // A step advances the clock by less than 200 ms.
+            prop_assert!(
+                model.open.values().all(|deadline| now < *deadline + 200.0),
+                "a request is open 200 ms after its deadline"
+            );
         }
         // After all deadlines, no request may be open.
         model.clock.advance(2_000.0);
         model.engine.tick();
         model.process_effects();
-        prop_assert!(model.open.is_empty());
+        prop_assert!(model.open.is_empty(), "requests without a response: {:?}", model.open);
     }
 }
 
-/// The bytes of a request, with the length of its head.
-fn request_bytes(body: usize, pad: usize) -> (Vec<u8>, usize) {
-    let head = format!("PUT /{} HTTP/1.1\r\nHost: o\r\nContent-Length: {body}\r\n\r\n", "p".repeat(pad));
-    let length = head.len();
-    ([head.into_bytes(), vec![b'b'; body]].concat(), length)
+/// A PUT request with a body of `body_length` bytes and a path of `path_length` letters; returns its bytes
+/// and the length of its head.
+fn request_bytes(body_length: usize, path_length: usize) -> (Vec<u8>, usize) {
+    let head = format!(
+        "PUT /{} HTTP/1.1\r\nHost: o\r\nContent-Length: {body_length}\r\n\r\n",
+        "p".repeat(path_length)
+    );
+    let head_length = head.len();
+    ([head.into_bytes(), vec![b'b'; body_length]].concat(), head_length)
 }
 
 proptest! {
@@ -302,39 +358,42 @@
     #[test]
     fn the_phase_of_a_client_connection_follows_from_the_bytes_received(
         requests in prop::collection::vec((0usize..300, 0usize..60), 1..6),
-        cuts in prop::collection::vec((1usize..120, 0f64..50.0), 1..80),
+        chunks in prop::collection::vec((1usize..120, 0f64..50.0), 1..80),
     ) {
-        let clock = Clock::manual(START);
+        let clock = Clock::manual(START_MS);
         let mut codec = HttpCodec::new(clock.clone(), 1_000);
         let (mut stream, mut buf) = (Vec::new(), BytesMut::new());
         // Offsets of each request's start, body and end.
         let mut offsets = Vec::new();
-        for (body, pad) in &requests {
-            let (bytes, head) = request_bytes(*body, *pad);
-            offsets.push((stream.len(), stream.len() + head, stream.len() + bytes.len()));
+        for (body_length, path_length) in &requests {
+            let (bytes, head_length) = request_bytes(*body_length, *path_length);
+            offsets.push((stream.len(), stream.len() + head_length, stream.len() + bytes.len()));
             stream.extend(bytes);
         }
-        let (mut at, mut whole, mut state) = (0, 0, (Phase::Idle, START));
-        for (length, ms) in cuts {
-            clock.advance(ms);
-            let to = (at + length).min(stream.len());
-            buf.extend_from_slice(&stream[at..to]);
-            at = to;
+        let (mut received, mut decoded, mut previous) = (0, 0, (Phase::Idle, START_MS));
+        for (length, pause_ms) in chunks {
+            clock.advance(pause_ms);
+            let end = (received + length).min(stream.len());
+            buf.extend_from_slice(&stream[received..end]);
+            received = end;
             while let Some(request) = codec.decode(&mut buf).unwrap() {
-                prop_assert_eq!(request.unwrap().body.len(), requests[whole].0);
-                whole += 1;
+                prop_assert_eq!(request.unwrap().body.len(), requests[decoded].0);
+                decoded += 1;
             }
-            prop_assert_eq!(whole, offsets.iter().filter(|(_, _, end)| *end <= at).count());
-            let phase = match offsets.get(whole) {
-                Some((begin, body, _)) if at > *begin => if at < *body { Phase::Head } else { Phase::Body },
+            prop_assert_eq!(decoded, offsets.iter().filter(|(_, _, end)| *end <= received).count());
+            let phase = match offsets.get(decoded) {
+                Some((begin, body, _)) if received > *begin => {
+                    if received < *body { Phase::Head } else { Phase::Body }
+                }
                 _ => Phase::Idle,
             };
-            // The start time changes only with the phase.
-            let began = codec.phase().1;
+            // The start of the phase is never earlier than before and, before the first whole request,
+            // changes only with the phase.
+            let phase_start = codec.phase().1;
             prop_assert_eq!(codec.phase().0, phase);
-            prop_assert!(began >= state.1 && began <= clock.now());
-            prop_assert!(phase != state.0 || whole > 0 || began == state.1);
-            state = (phase, began);
+            prop_assert!(phase_start >= previous.1 && phase_start <= clock.now());
+            prop_assert!(phase != previous.0 || decoded > 0 || phase_start == previous.1);
+            previous = (phase, phase_start);
         }
     }
 
@@ -344,18 +403,21 @@
     fn arbitrary_input_is_decoded_or_rejected_within_the_buffer_limits(
         chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..700), 0..40),
     ) {
-        let (mut lines, mut frames) = (LineCodec::default(), FrameCodec);
+        let (mut line_codec, mut frame_codec) = (LineCodec::default(), FrameCodec);
         let (mut line_bytes, mut frame_bytes) = (BytesMut::new(), BytesMut::new());
         for chunk in chunks {
             line_bytes.extend_from_slice(&chunk);
             frame_bytes.extend_from_slice(&chunk);
-            let line = std::iter::from_fn(|| lines.decode(&mut line_bytes).transpose()).find(|r| r.is_err());
-            let frame = std::iter::from_fn(|| frames.decode(&mut frame_bytes).transpose()).find(|r| r.is_err());
-            if line.is_some() && frame.is_some() {
+            let line_error = std::iter::from_fn(|| line_codec.decode(&mut line_bytes).transpose())
+                .find(|reply| reply.is_err());
+            let frame_error = std::iter::from_fn(|| frame_codec.decode(&mut frame_bytes).transpose())
+                .find(|frame| frame.is_err());
+            if line_error.is_some() && frame_error.is_some() {
                 return Ok(());
             }
-            prop_assert!(line.is_some() || line_bytes.len() <= MAX_LINE);
-            prop_assert!(frame.is_some() || frame_bytes.len() <= MAX_FRAME + 4);
+            prop_assert!(line_error.is_some() || line_bytes.len() <= MAX_LINE);
+            // The length field is 4 bytes.
+            prop_assert!(frame_error.is_some() || frame_bytes.len() <= MAX_FRAME + 4);
         }
     }
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,6 +1,6 @@
-//! Tests of large fleets: lists of 1,024 endpoints and 1,024 proxies are accepted, and the use of threads and
-//! memory stays within its limits. The last test prints its measurements: `cargo test --test size --
-//! --nocapture`.
+//! Tests of large fleets: lists of 1,024 endpoints and 1,024 proxies are accepted, the number of threads does
+//! not grow, and memory stays within the limit. The last test prints its measurements:
+//! `cargo test --test size -- --nocapture`.
 
 mod stand_ins;
 
@@ -12,29 +12,33 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 /// Number of endpoints, and of proxies, in a large fleet.
-const LARGE: u32 = 1_024;
-/// Number of endpoints in a small fleet.
-const SMALL: u32 = 10;
+const LARGE_FLEET: u32 = 1_024;
+/// Number of endpoints with which the large fleet is compared.
+const SMALL_FLEET: u32 = 10;
 /// Number of requests to each fleet, each for another object.
 const REQUESTS: u64 = 2_000;
 /// Memory limit of the deployment for one proxy, in kilobytes.
-const MEMORY_KB: u64 = 192 * 1_024;
+const MEMORY_LIMIT_KB: u64 = 192 * 1_024;
+/// Number of the watch frame with the endpoint list.
+const LIST_NUMBER: u64 = 2;
+/// Kind of a watch frame with a full endpoint list.
+const FULL_LIST: u8 = 1;
 
-/// Guards against limits in the operator files that a fleet of 1,024 other proxies exceeds.
+/// Guards against limits on the number of peers that are too low for a fleet of 1,024 proxies.
 #[test]
-fn operator_files_accept_a_thousand_peers() {
+fn health_check_and_vrrp_configs_accept_1024_peers() {
     let folder = stand_ins::folder("size");
-    let at = |k: u32| format!("127.0.{}.{}:5100", 1 + k / 250, 1 + k % 250);
+    let address = |k: u32| format!("127.0.{}.{}:5100", 1 + k / 250, 1 + k % 250);
     let peers: Vec<String> =
-        (0..LARGE).map(|k| format!(r#"{{"id":{},"address":"{}"}}"#, k + 2, at(k))).collect();
+        (0..LARGE_FLEET).map(|k| format!(r#"{{"id":{},"address":"{}"}}"#, k + 2, address(k))).collect();
     let text = format!(
         r#"{{"id":1,"listen":"127.0.0.1:1","servers":{{"models":["box"]}},"probe":"connect","step_ms":50,"peers":[{}]}}"#,
         peers.join(",")
     );
     std::fs::write(folder.join("health-checks.json"), text).unwrap();
     let health_checks = HealthCheckConfig::read(&folder.join("health-checks.json")).unwrap();
-    assert_eq!(health_checks.peer_addresses().count(), LARGE as usize);
-    let peers: Vec<String> = (0..LARGE).map(|k| format!("{:?}", at(k))).collect();
+    assert_eq!(health_checks.peer_addresses().count(), LARGE_FLEET as usize);
+    let peers: Vec<String> = (0..LARGE_FLEET).map(|k| format!("{:?}", address(k))).collect();
     let text = format!(
         r#"{{"listen":"127.0.0.1:5100","peers":[{}],"vrid":7,"priority":100,"addresses":["127.1.0.1"]}}"#,
         peers.join(",")
@@ -56,43 +60,50 @@
 
 /// Requests `REQUESTS` objects in sequence, with ids from `first` on, and returns how many were served.
 fn send_requests(proxy: &RunningProxy, first: u64) -> usize {
-    let mut sink = proxy.connect();
-    let mut source = BufReader::new(sink.try_clone().unwrap());
-    let served = |id: u64| {
+    let mut writer = proxy.connect();
+    let mut reader = BufReader::new(writer.try_clone().unwrap());
+    let request_is_served = |id: u64| {
         let object = id.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let text = format!(
             "GET /ops/clip/{object:016x}/slice-0 HTTP/1.1\r\nHost: o\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: 1500\r\n\
              X-Set: {}\r\nX-Heap-Kb: 412.5\r\n\r\n",
             id % 256
         );
-        sink.write_all(text.as_bytes()).unwrap();
+        writer.write_all(text.as_bytes()).unwrap();
         let (mut line, mut length) = (String::new(), 0);
-        source.read_line(&mut line).unwrap();
-        let ok = line.starts_with("HTTP/1.1 200");
+        reader.read_line(&mut line).unwrap();
+        let is_served = line.starts_with("HTTP/1.1 200");
         while line != "\r\n" {
             line.clear();
-            source.read_line(&mut line).unwrap();
+            reader.read_line(&mut line).unwrap();
             length = line.strip_prefix("Content-Length: ").map_or(length, |n| n.trim().parse().unwrap());
         }
-        source.read_exact(&mut vec![0; length]).unwrap();
-        ok
+        reader.read_exact(&mut vec![0; length]).unwrap();
+        is_served
     };
-    (first..first + REQUESTS).map(served).filter(|ok| *ok).count()
+    (first..first + REQUESTS).map(request_is_served).filter(|is_served| *is_served).count()
 }
 
-/// Starts a proxy whose settings have 1,024 siblings, and sends it a list of `endpoints` caches and an
-/// origin, all with the address of one server.
-fn start_proxy(endpoints: u32, endpoint: SocketAddr) -> (RunningProxy, TcpStream) {
+/// Starts a proxy in a fleet of `LARGE_FLEET` proxies, and sends it a list of `endpoint_count` caches and an
+/// origin, all at `address`.
+fn start_proxy(endpoint_count: u32, address: SocketAddr) -> (RunningProxy, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let text = stand_ins::config(listener.local_addr().unwrap(), &[(0xffff, "box", endpoint)])
+    let text = stand_ins::config(listener.local_addr().unwrap(), &[(0xffff, "box", address)])
         .replace(r#""listen":"127.0.0.1:1""#, r#""listen":"127.0.0.1:5050""#)
-        .replace(r#""siblings":1"#, &format!(r#""siblings":{LARGE}"#))
-        .replace(r#""seatsByZone":[0,1]"#, &format!(r#""seatsByZone":[{},{}]"#, LARGE / 2, LARGE / 2));
-    let proxy = RunningProxy::start_with_config(&text, &format!("size{endpoints}.json"), 1_024);
+        .replace(r#""siblings":1"#, &format!(r#""siblings":{LARGE_FLEET}"#))
+        .replace(
+            r#""seatsByZone":[0,1]"#,
+            &format!(r#""seatsByZone":[{},{}]"#, LARGE_FLEET / 2, LARGE_FLEET / 2),
+        );
+    let proxy = RunningProxy::start_with_config(&text, &format!("size{endpoint_count}.json"), 1_024);
     let (mut stream, _) = accept_watch(&listener);
-    let caches = (0..endpoints).flat_map(|k| cache_record(0x1000 + k, endpoint, 0));
+    let caches = (0..endpoint_count).flat_map(|k| cache_record(0x1000 + k, address, 0));
     stream
-        .write_all(&frame(2, 1, &caches.chain(origin_record(0xb0, endpoint)).collect::<Vec<u8>>()))
+        .write_all(&frame(
+            LIST_NUMBER,
+            FULL_LIST,
+            &caches.chain(origin_record(0xb0, address)).collect::<Vec<u8>>(),
+        ))
         .unwrap();
     (proxy, stream)
 }
@@ -101,8 +112,8 @@
 #[test]
 fn a_thousand_endpoints_need_no_more_threads_and_stay_within_the_memory_limit() {
     let endpoint = NamedEndpoint::start("large");
-    let measure = |endpoints: u32| {
-        let (mut proxy, _watch) = start_proxy(endpoints, endpoint.address);
+    let measure = |endpoint_count: u32| {
+        let (mut proxy, _watch) = start_proxy(endpoint_count, endpoint.address);
         proxy.signal("-USR1");
         proxy.wait_for_log("bulletin_events");
         let idle = resource_usage(&proxy);
@@ -112,14 +123,29 @@
         let connections: usize =
             proxy.wait_for_log("connections ").trim().split(' ').next_back().unwrap().parse().unwrap();
         println!(
-            "{endpoints} endpoints: idle {idle:?}, after {REQUESTS} requests {busy:?} (threads, resident KB, descriptors); \
+            "{endpoint_count} endpoints: idle {idle:?}, after {REQUESTS} requests {busy:?} (threads, resident KB, descriptors); \
              {served} served over {connections} connections to endpoints"
         );
-        assert!(served as u64 > REQUESTS * 9 / 10, "{served} served");
-        assert!(busy.1 < MEMORY_KB, "{} KB", busy.1);
-        (idle, busy, connections)
+        let ((idle_threads, ..), (busy_threads, resident_kb, _)) = (idle, busy);
+        assert!(
+            served as u64 > REQUESTS * 9 / 10,
+            "{served} of {REQUESTS} requests were served, more than 90% are expected"
+        );
+        assert!(
+            resident_kb < MEMORY_LIMIT_KB,
+            "resident memory is {resident_kb} KB, the limit is {MEMORY_LIMIT_KB} KB"
+        );
+        ((idle_threads, busy_threads), connections)
     };
-    let (small, large) = (measure(SMALL), measure(LARGE));
-    assert_eq!((small.0 .0, small.1 .0), (large.0 .0, large.1 .0), "threads");
-    assert!(large.2 > 10 * small.2 / 2, "expected connections to many of the endpoints, got {}", large.2);
+    let (small_threads, small_connections) = measure(SMALL_FLEET);
+    let (large_threads, large_connections) = measure(LARGE_FLEET);
+    assert_eq!(
+        small_threads, large_threads,
+        "number of threads (idle, busy) with {SMALL_FLEET} and with {LARGE_FLEET} endpoints"
+    );
+    assert!(
+        large_connections > 5 * small_connections,
+        "expected more than 5 times the {small_connections} connections of the small fleet, \
+         got {large_connections}"
+    );
 }
