--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -1,12 +1,12 @@
 //! Carries out the effects of an engine on a single thread, with one task for each connection to an endpoint.
 //! It is independent of the protocol, which a [`ConnectionDriver`] implements.
 
-use super::{Effect, EndpointOfKind, Engine};
+use super::{Effect, EndpointSummary, Engine};
 use crate::admission::control::{AdmissionControl, NotAdmitted};
 use crate::clock::{duration_from_ms, Clock};
 use crate::settings::PlatformSettings;
 use crate::state::ids::ConnectionId;
-use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
+use crate::state::requests::{FinalResponse, IncomingRequest, SubmitError};
 use crate::{EndpointId, RequestId};
 use futures_util::future::LocalBoxFuture;
 use std::cell::RefCell;
@@ -49,11 +49,12 @@
 pub trait ConnectionDriver {
     /// Serves one connection until either side closes it. Reports to the executor's engine whether it was
     /// established ([`Engine::connection_established`] or [`Engine::connection_failed`]) and how it ended
-    /// ([`Engine::connection_lost`] or [`Engine::connection_malformed`]).
+    /// ([`Engine::connection_lost`] or [`Engine::connection_dropped`]).
     fn drive(&self, executor: Rc<Executor>, dial: Dial) -> LocalBoxFuture<'static, ()>;
 }
 
-/// An engine with the state that the tasks around it share.
+/// Owns an engine and carries out its effects: holds the connections' wakers and the channels to waiting
+/// clients.
 pub struct Executor {
     /// The clock that all subsystems share.
     pub clock: Clock,
@@ -96,9 +97,9 @@
         self.metrics_sources.borrow_mut().push(source);
     }
 
-    /// Runs `act` on admission control, if that is enabled.
-    pub fn with_admission<R>(&self, act: impl FnOnce(&mut AdmissionControl) -> R) -> Option<R> {
-        self.admission.borrow_mut().as_mut().map(act)
+    /// Runs `f` on admission control, if that is enabled.
+    pub fn with_admission<R>(&self, f: impl FnOnce(&mut AdmissionControl) -> R) -> Option<R> {
+        self.admission.borrow_mut().as_mut().map(f)
     }
 
     /// The metrics of the engine and of all subsystems, as exposed to the platform.
@@ -109,9 +110,9 @@
         engine + &admission + &subsystems
     }
 
-    /// Runs `act` on the engine and carries out the resulting effects.
-    pub fn with<R>(self: &Rc<Self>, act: impl FnOnce(&mut Engine) -> R) -> R {
-        let result = act(&mut self.engine.borrow_mut());
+    /// Runs `f` on the engine and carries out the resulting effects.
+    pub fn with<R>(self: &Rc<Self>, f: impl FnOnce(&mut Engine) -> R) -> R {
+        let result = f(&mut self.engine.borrow_mut());
         self.run_effects();
         result
     }
@@ -121,7 +122,7 @@
         self.engine.borrow().settings()
     }
 
-    /// How often the list of endpoints has changed.
+    /// See [`Engine::endpoint_list_changes`].
     pub fn endpoint_list_changes(&self) -> u64 {
         self.engine.borrow().endpoint_list_changes()
     }
@@ -141,7 +142,7 @@
     }
 
     /// The listed endpoints of a kind in any state, with their published addresses.
-    pub fn endpoints_of_kind(&self, kind: &str) -> Vec<EndpointOfKind> {
+    pub fn endpoints_of_kind(&self, kind: &str) -> Vec<EndpointSummary> {
         self.engine.borrow().endpoints_of_kind(kind).collect()
     }
 
@@ -159,7 +160,7 @@
                         waker.notify_one();
                     }
                 }
-                Some(Effect::Respond(id, response)) => self.finish(id, response),
+                Some(Effect::Respond(id, response)) => self.complete_request(id, response),
             }
         }
         self.timers_changed.notify_one();
@@ -177,8 +178,8 @@
         });
     }
 
-    /// Delivers a final response, and admits queued requests to the capacity that it frees.
-    fn finish(self: &Rc<Self>, id: RequestId, response: FinalResponse) {
+    /// Delivers a final response, and submits the queued requests that admission control releases.
+    fn complete_request(self: &Rc<Self>, id: RequestId, response: FinalResponse) {
         let now = self.clock.now();
         let admitted = self.with_admission(|admission| admission.completed(now, id, Some(&response)));
         self.deliver(id, response);
@@ -198,11 +199,11 @@
     ///
     /// # Errors
     ///
-    /// [`AdmitError`] if a request with its id is open or the request table is full.
+    /// [`SubmitError`] if a request with its id is open or the request table is full.
     pub fn submit(
         self: &Rc<Self>,
         request: IncomingRequest,
-    ) -> Result<oneshot::Receiver<FinalResponse>, AdmitError> {
+    ) -> Result<oneshot::Receiver<FinalResponse>, SubmitError> {
         let id = request.id;
         let (sender, receiver) = oneshot::channel();
         let now = self.clock.now();
@@ -211,7 +212,7 @@
             None => Ok(Some(request)),
         };
         match decision {
-            Err(NotAdmitted::Duplicate) => Err(AdmitError::Duplicate),
+            Err(NotAdmitted::Duplicate) => Err(SubmitError::Duplicate),
             Err(NotAdmitted::Shed { retry_after_ms }) => {
                 let _ = sender.send(FinalResponse::Rejected { retry_after_ms, overdue: false });
                 Ok(receiver)
@@ -232,18 +233,19 @@
         }
     }
 
-    /// Submits a request to the engine that admission control had queued.
+    /// Submits a request that admission control had queued. It is rejected if the engine does not accept
+    /// it.
     fn admit_queued(self: &Rc<Self>, request: IncomingRequest) {
         let id = request.id;
         if let Err(error) = self.engine.borrow_mut().submit(request) {
-            let retry_after_ms = if error == AdmitError::Full { FULL_RETRY_AFTER_MS } else { 0.0 };
+            let retry_after_ms = if error == SubmitError::Full { FULL_RETRY_AFTER_MS } else { 0.0 };
             self.deliver(id, FinalResponse::Rejected { retry_after_ms, overdue: false });
             self.release_admission(id);
         }
     }
 
-    /// Releases the admission of a request that ended without a response from the engine, and admits queued
-    /// requests.
+    /// Tells admission control that a request ended without a response from the engine, and submits the
+    /// queued requests that this releases.
     fn release_admission(self: &Rc<Self>, id: RequestId) {
         let now = self.clock.now();
         let admitted = self.with_admission(|admission| admission.completed(now, id, None));
@@ -271,7 +273,8 @@
         }
     }
 
-    /// Spawns a task. A panic in it is logged and counted, and does not affect other tasks.
+    /// Spawns a task. A panic in it is logged with `what` as the task's name, and counted; it does not affect
+    /// other tasks.
     pub fn spawn(self: &Rc<Self>, what: &'static str, task: impl Future<Output = ()> + 'static) {
         let task = tokio::task::spawn_local(task);
         let executor = self.clone();
--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -9,9 +9,9 @@
 use crate::{AttemptOutcome, EndpointId, EndpointState, Event, ObjectId, Tier};
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// A listed endpoint, as the result of a lookup by kind.
+/// Id, address and usability of a listed endpoint, as returned by [`Engine::endpoints_of_kind`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EndpointOfKind {
+pub struct EndpointSummary {
     /// Its id.
     pub id: EndpointId,
     /// Its address.
@@ -52,15 +52,15 @@
         }
     }
 
-    /// The number of changes to the endpoint list so far.
+    /// The number of updates of the endpoint list so far, including those by reloads and maintenance calls.
     pub fn endpoint_list_changes(&self) -> u64 {
         self.endpoint_list_changes
     }
 
     /// The listed endpoints of a kind.
-    pub fn endpoints_of_kind<'e>(&'e self, kind: &'e str) -> impl Iterator<Item = EndpointOfKind> + 'e {
+    pub fn endpoints_of_kind<'e>(&'e self, kind: &'e str) -> impl Iterator<Item = EndpointSummary> + 'e {
         let listed = self.membership.all_listed().filter(move |endpoint| endpoint.record.kind == kind);
-        listed.map(|endpoint| EndpointOfKind {
+        listed.map(|endpoint| EndpointSummary {
             id: endpoint.record.id,
             address: endpoint.address,
             usable: self.membership.is_usable(endpoint.record.id),
@@ -144,7 +144,8 @@
         true
     }
 
-    /// Merges maintenance calls that another process of this proxy may have received.
+    /// Records maintenance calls, also those that another process of this proxy received, and applies the
+    /// ones that change an endpoint's state.
     pub fn merge_maintenance(&mut self, calls: impl IntoIterator<Item = (EndpointId, MaintenanceCall)>) {
         for (id, call) in calls {
             if !self.maintenance.record(id, call) {
@@ -166,9 +167,9 @@
     pub fn cache_servers(&self, port: u16) -> Vec<CacheServer> {
         let listed = self.membership.all_listed();
         let present = listed.filter(|endpoint| endpoint.record.state != EndpointState::Removed);
-        let holding =
+        let caches_and_parents =
             present.filter(|endpoint| self.settings.endpoint(&endpoint.record).tier != Tier::Origin);
-        let servers = holding.map(|endpoint| CacheServer {
+        let servers = caches_and_parents.map(|endpoint| CacheServer {
             name: format_endpoint_id(endpoint.record.id),
             address: SocketAddr::new((*endpoint.address.ip()).into(), port),
             state: endpoint.record.state,
--- a/src/engine/replies.rs
+++ b/src/engine/replies.rs
@@ -6,30 +6,30 @@
 use crate::state::requests::FinalResponse;
 use crate::{AttemptOutcome, RequestId};
 
-/// A request that ends with no more time left than this counts as overdue, in milliseconds: the router sends
-/// no further attempt in so short a time.
+/// A request that is rejected or fails with no more than this time left, in milliseconds, counts as ended by
+/// its deadline.
 const OVERDUE_MARGIN_MS: f64 = 50.0;
 
 impl Engine {
     /// Handles a reply received on a connection.
-    pub fn handle_response(&mut self, conn: ConnectionId, reply: CacheReply) {
+    pub fn handle_reply(&mut self, conn: ConnectionId, reply: CacheReply) {
         let now = self.clock.now();
         let Some(connection) = self.connections.get_mut(conn) else { return };
         connection.last_read_ms = now;
         connection.last_active_ms = now;
         connection.timeouts_since_read = 0;
         let Some(id) = connection.in_flight.remove(&reply.request_id) else {
-            // The reply crossed the attempt's cancellation, is a duplicate, or belongs to no request of this
-            // connection.
+            // The attempt ended before its reply arrived, or the reply is a duplicate or for a request that
+            // was never sent on this connection.
             self.counters.replies_late += 1;
             return;
         };
         connection.exclude(id.request);
-        let cache_status = reply.path.into();
+        let cache_status = reply.response_path.into();
         let outcome = self.count_reply(reply.status);
         if outcome != AttemptOutcome::Served {
             self.end_attempt_with_status(id, outcome, cache_status);
-        } else if self.is_purged(id.request, &reply) || !self.is_plausible(id.request, &reply) {
+        } else if self.is_purged(id.request, &reply) || !self.is_valid(id.request, &reply) {
             self.end_attempt(id, AttemptOutcome::Malformed);
         } else {
             self.respond(id.request, final_response(reply));
@@ -57,7 +57,7 @@
 
     /// Whether a reply is valid for its request. [`ReplyStatus::NotModified`] is valid only for the entity
     /// tag that the request carried.
-    fn is_plausible(&self, id: RequestId, reply: &CacheReply) -> bool {
+    fn is_valid(&self, id: RequestId, reply: &CacheReply) -> bool {
         if reply.status != ReplyStatus::NotModified {
             return true;
         }
@@ -71,30 +71,32 @@
     fn is_purged(&mut self, id: RequestId, reply: &CacheReply) -> bool {
         let (Some(filter), Some(request)) = (&self.purge_filter, self.requests.get(id)) else { return false };
         let Some(copy) = Self::requested_copy(&self.settings, request) else { return false };
-        let purge = filter.borrow_mut().purge_of_reply(copy, reply);
-        if let Some(seq) = purge {
+        let purge_seq = filter.borrow_mut().purge_of_reply(copy, reply);
+        if let Some(seq) = purge_seq {
             tracing::debug!(id = request.id_text, seq, "discarding a reply with a purged copy");
         }
-        purge.is_some()
+        purge_seq.is_some()
     }
 
     /// Closes a request with its final response, unless it has one already.
     pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) {
         let Some(request) = self.requests.remove(id) else { return };
         let class = self.settings.class_name(request.class).unwrap_or_default();
-        let of_class = self.class_counters.of(class);
+        let class_counters = self.class_counters.class_mut(class);
         let (counter, class_counter) = match &response {
-            FinalResponse::Served { .. } => (&mut self.counters.served, &mut of_class.served),
-            FinalResponse::NotModified { .. } => (&mut self.counters.not_modified, &mut of_class.served),
-            FinalResponse::Rejected { .. } => (&mut self.counters.rejected, &mut of_class.rejected),
-            FinalResponse::Failed { .. } => (&mut self.counters.failed, &mut of_class.failed),
+            FinalResponse::Served { .. } => (&mut self.counters.served, &mut class_counters.served),
+            FinalResponse::NotModified { .. } => {
+                (&mut self.counters.not_modified, &mut class_counters.served)
+            }
+            FinalResponse::Rejected { .. } => (&mut self.counters.rejected, &mut class_counters.rejected),
+            FinalResponse::Failed { .. } => (&mut self.counters.failed, &mut class_counters.failed),
         };
         *counter += 1;
         *class_counter += 1;
         self.effects.push_back(Effect::Respond(id, response));
     }
 
-    /// Whether a request that ends now ends because its deadline is reached or too close.
+    /// Whether a request that ends now counts as ended by its deadline: at most `OVERDUE_MARGIN_MS` is left.
     pub(super) fn is_overdue(&self, now: f64, id: RequestId) -> bool {
         self.requests.get(id).is_some_and(|request| now + OVERDUE_MARGIN_MS >= request.deadline_ms)
     }
@@ -103,7 +105,9 @@
 /// The response to the client for a successful reply.
 fn final_response(reply: CacheReply) -> FinalResponse {
     match reply.status {
-        ReplyStatus::NotModified => FinalResponse::NotModified { tag: reply.entity_tag.unwrap_or_default() },
-        _ => FinalResponse::Served { tag: reply.entity_tag, body: reply.body },
+        ReplyStatus::NotModified => {
+            FinalResponse::NotModified { entity_tag: reply.entity_tag.unwrap_or_default() }
+        }
+        _ => FinalResponse::Served { entity_tag: reply.entity_tag, body: reply.body },
     }
 }
