--- a/src/wire/admin.rs
+++ b/src/wire/admin.rs
@@ -1,20 +1,21 @@
-//! The front of the admin address: health of the process, metrics, maintenance of endpoints, and the calls of
-//! other subsystems. Each connection carries one call; a 2xx status means that the call took effect.
+//! The front of the admin address: liveness, metrics, endpoint maintenance, and the admin calls of other
+//! subsystems. A connection is closed after one call; a 2xx status means that the call took effect.
 
 use super::front::{ConnectionLimits, Disposition, Front, ResponseContext};
 use super::http::{HttpRequest, HttpResponse};
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse};
-use crate::text::parse_endpoint_id;
+use crate::text::{format_endpoint_id, parse_endpoint_id};
 use crate::EndpointId;
 use std::io;
 use std::rc::Rc;
 
-/// Concurrent connections. At the limit, an idle connection is evicted for a new one.
+/// The most concurrent connections. At the limit, an idle or slow connection is evicted for a new one.
 pub const MAX_CLIENTS: usize = 16;
 /// Time limit of a complete call, in milliseconds.
 const CALL_MS: f64 = 6_000.0;
-/// The longest body of a call, in bytes. This module's own calls ignore their bodies.
+/// The longest body of a call, in bytes, unless a handler allows more. The calls of this module ignore their
+/// bodies.
 const MAX_BODY: usize = 4_096;
 
 /// Persists the current maintenance state across restarts of the process.
@@ -31,7 +32,7 @@
 
 /// The admin calls of a subsystem.
 pub trait AdminHandler {
-    /// The response to a call, or `None` where the call is not one of the subsystem's.
+    /// The response to a call; `None` if the subsystem does not handle it.
     fn answer(&self, call: &HttpRequest) -> Option<HttpResponse>;
 }
 
@@ -47,12 +48,11 @@
     HealthCheck,
     /// The metrics, in the Prometheus text format.
     Metrics,
-    /// Takes an endpoint out of use, or puts it back.
+    /// Puts an endpoint into maintenance, or ends its maintenance.
     Maintenance { endpoint: Option<EndpointId>, out_of_use: bool },
 }
 
 impl AdminCall {
-    /// Parses a path.
     fn parse(path: &str) -> Option<Self> {
         let segments: Vec<&str> = path.split('/').skip(1).collect();
         match segments[..] {
@@ -73,7 +73,7 @@
     }
 }
 
-/// The front of the admin address.
+/// Answers admin calls itself or through the handlers of other subsystems.
 pub struct AdminFront {
     limits: ConnectionLimits,
     store: Box<dyn MaintenanceStore>,
@@ -95,7 +95,8 @@
         Self { limits, store, handlers: Vec::new() }
     }
 
-    /// Lowers the limit of concurrent connections, for a process with few file descriptors.
+    /// Lowers the limit of concurrent connections, for a process with few file descriptors. A value above
+    /// [`MAX_CLIENTS`] has no effect.
     pub fn with_max_clients(mut self, clients: usize) -> Self {
         self.limits.connections = clients.min(MAX_CLIENTS);
         self
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Takes an endpoint out of use, or puts it back. Succeeds only once the change is applied and stored.
+    /// Puts an endpoint into maintenance, or ends its maintenance. Succeeds only once the change is applied
+    /// and stored.
     fn set_out_of_use(&self, executor: &Rc<Executor>, id: EndpointId, out_of_use: bool) -> HttpResponse {
         if !executor.with(|engine| engine.set_out_of_use(id, out_of_use)) {
             return HttpResponse::status(404);
@@ -134,7 +136,8 @@
         match self.store.save(executor) {
             Ok(()) => plain_text("ok\n".into()),
             Err(error) => {
-                tracing::error!(%error, "cannot store the maintenance state");
+                let endpoint = format_endpoint_id(id);
+                tracing::error!(%endpoint, %error, "cannot store the maintenance state");
                 HttpResponse::status(500)
             }
         }
@@ -155,6 +158,8 @@
         Disposition::Respond(HttpResponse { close: true, ..self.answer(executor, request) })
     }
 
+    // `interpret` answers every request itself, so no request reaches the engine, and the two methods below
+    // are not called.
     fn respond(&self, _: &ResponseContext, _: FinalResponse) -> HttpResponse {
         HttpResponse::closing(404)
     }
--- a/src/wire/byte_range.rs
+++ b/src/wire/byte_range.rs
@@ -1,6 +1,6 @@
 //! Byte ranges (RFC 9110, section 14).
 
-/// The part of a body that a `Range` field requests.
+/// The bytes of a body that a `Range` field selects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ByteRange {
     /// The whole body: the field is invalid or of an unsupported form, and is ignored.
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -20,7 +20,7 @@
 /// Denotes an empty list of fields.
 const NO_FIELDS: &str = "-";
 
-/// The words of the protocol.
+/// The commands and statuses of the protocol.
 mod word {
     pub const SEND: &str = "GET";
     pub const CANCEL: &str = "DROP";
@@ -30,7 +30,7 @@
     pub const OVERLOADED: &str = "AGAIN";
     pub const ERROR: &str = "EIO";
     pub const EXPIRED: &str = "STALE";
-    /// The reply to a ping, which is not passed on.
+    /// The reply to a ping, which the codec discards.
     pub const PING_REPLY: &str = "READY";
 }
 
@@ -49,7 +49,7 @@
     pub const GROUP: &str = "g";
 }
 
-/// The options of a request, joined by `+`.
+/// The values of [`request_field::OPTIONS`], joined by `+`.
 mod request_option {
     pub const JOIN_FILL: &str = "ride";
     pub const ONLY_IF_CACHED: &str = "have-only";
@@ -68,7 +68,7 @@
 #[derive(Debug, Error)]
 pub enum ReplyError {
     /// The connection failed.
-    #[error("socket: {0}")]
+    #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
     /// A line is longer than [`MAX_LINE`].
     #[error("line is longer than {MAX_LINE} bytes")]
@@ -77,28 +77,28 @@
     #[error("line is not UTF-8")]
     NotUtf8,
     /// A line has a single word.
-    #[error("reply has no status")]
+    #[error("reply line has no status after the request id")]
     MissingStatus,
     /// A line has words after the length of the body.
-    #[error("unexpected words after the body length")]
+    #[error("reply line has more than four words")]
     TooManyWords,
     /// The status is unknown.
     #[error("unknown status {0:?}")]
     UnknownStatus(String),
     /// The request's id is not 16 hex digits.
-    #[error("invalid request id {0:?}")]
+    #[error("invalid request id {0:?}: expected 16 hex digits")]
     RequestId(String),
     /// The length of the body is not a number.
-    #[error("invalid body length {0:?}")]
+    #[error("invalid body length {0:?}: expected a decimal number")]
     BodyLength(String),
     /// The body is longer than [`MAX_BODY`].
-    #[error("body of {0} bytes is too large")]
+    #[error("body of {0} bytes exceeds the limit of {MAX_BODY} bytes")]
     BodyTooLarge(usize),
     /// The status allows no body, but the reply has one.
-    #[error("body of {0} bytes where the status allows none")]
+    #[error("body of {0} bytes with a status that allows none")]
     UnexpectedBody(usize),
     /// The body is not followed by a line end.
-    #[error("body does not end at its stated length")]
+    #[error("body is not followed by CR LF at its stated length")]
     BodyEnd,
     /// A field has no value, or an invalid one.
     #[error("invalid field {0:?}")]
--- a/src/wire/cache_codec/tests.rs
+++ b/src/wire/cache_codec/tests.rs
@@ -34,7 +34,8 @@
     }
 }
 
-/// The stall check depends on it: a stalled reply would block all replies after it.
+/// The stall check relies on `is_within_reply`: a missed stall blocks all later replies, and a false one
+/// closes an idle connection.
 #[test]
 fn incomplete_replies_are_recognised() {
     let text = b"000000000000000a ACK sum=1,t0=1 3\r\nabc\r\n000000000000000b NOENT - 0\r\n\r\n";
@@ -98,7 +99,7 @@
     );
 }
 
-/// The path is informational.
+/// The path is only used to attribute failures, so the rest of the reply must still be decoded.
 #[test]
 fn an_unknown_or_malformed_path_does_not_invalidate_a_reply() {
     for note in ["note=", "note", "note=hit", "note=HIT=MISS", "note=7", "note=\u{e9}"] {
--- a/src/wire/cache_connection.rs
+++ b/src/wire/cache_connection.rs
@@ -22,7 +22,7 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Encoder, FramedRead};
 
-/// Time limit of one write, in milliseconds. An endpoint that reads nothing for that long counts as lost.
+/// Time limit of one write, in milliseconds. The connection is closed if the write is not complete by then.
 const WRITE_MS: f64 = 2_000.0;
 /// How long replies that arrived before a connection broke are still read, in milliseconds.
 const LAST_READ_MS: f64 = 100.0;
@@ -34,13 +34,13 @@
 #[derive(Debug, Error)]
 enum ConnectionError {
     /// The connection failed.
-    #[error("socket: {0}")]
+    #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
     /// A reply is malformed.
     #[error(transparent)]
     Reply(ReplyError),
     /// A partial reply made no progress.
-    #[error("reply stalled")]
+    #[error("reply made no progress for {STALL_CHECK_MS} ms")]
     Stalled,
 }
 
@@ -119,8 +119,8 @@
                 engine.counters.connections_malformed += 1;
                 engine.counters.connections_malformed
             });
-            // Logged only when the count reaches a power of two: an endpoint may send malformed replies all
-            // the time.
+            // Logged only when the count is a power of two, which limits the log volume of an endpoint that
+            // keeps sending malformed replies.
             if count.is_power_of_two() {
                 tracing::warn!(endpoint = %address, %error, count, "malformed reply; closing the connection");
             }
@@ -141,7 +141,7 @@
     conn: ConnectionId,
     mut source: FramedRead<OwnedReadHalf, LineCodec>,
 ) -> Result<(), ConnectionError> {
-    // The number of buffered bytes of a partial reply at the last check.
+    // The number of buffered bytes at the last check; `None` between replies.
     let mut partial_bytes = None;
     loop {
         match timeout(duration_from_ms(STALL_CHECK_MS), source.next()).await {
@@ -187,8 +187,8 @@
         codec.encode(command, &mut bytes)?;
         match (sink.try_write(&bytes), request_id) {
             (Ok(written), _) => drop(bytes.split_to(written)),
-            // A request of which no byte was written returns to the engine, which checks it again once the
-            // socket is writable: its deadline may pass meanwhile, or its endpoint may begin to drain.
+            // If no byte of a request was written, the engine queues it again and checks it again once the
+            // socket is writable: by then its deadline may have passed, or its endpoint may be draining.
             (Err(error), Some(request_id)) if error.kind() == ErrorKind::WouldBlock => {
                 bytes.clear();
                 executor.with(|engine| engine.write_blocked(conn, request_id));
--- a/src/wire/classification.rs
+++ b/src/wire/classification.rs
@@ -20,13 +20,13 @@
 pub enum Classification {
     /// The request's class and keys.
     Target(Target),
-    /// The request has a known form, but its class or a key is missing or invalid.
+    /// The request matches a path form or rule, but its class or a key is missing or invalid.
     Malformed,
-    /// The request has no known form.
+    /// The request matches no path form or rule.
     NoMatch,
 }
 
-/// Classifies requests.
+/// Maps requests to targets, by the platform's path form or by an operator's rules.
 pub trait RequestClassifier {
     /// Classifies a request.
     fn classify(&self, request: &HttpRequest) -> Classification;
--- a/src/wire/client_connection.rs
+++ b/src/wire/client_connection.rs
@@ -18,8 +18,8 @@
 
 /// How often a connection that waits for bytes checks its deadlines, in milliseconds.
 const DEADLINE_CHECK_MS: f64 = 250.0;
-/// How long a response is still written after its request's deadline, in milliseconds. Then the connection is
-/// closed, and its slot is free.
+/// How long after its request's deadline a response may still be written before the connection is closed, in
+/// milliseconds. Applies where clients send one request at a time.
 const LATE_WRITE_MS: f64 = 500.0;
 
 /// How a connection ends.
@@ -36,7 +36,6 @@
     write_ms: f64,
 }
 
-/// A client's connection.
 pub(super) struct ClientConnection {
     executor: Rc<Executor>,
     front: Rc<dyn Front>,
@@ -48,7 +47,6 @@
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted.
     pub(super) fn new(
         executor: Rc<Executor>,
         front: Rc<dyn Front>,
@@ -63,8 +61,8 @@
         Self { executor, front, shutdown, slot, stream, peer }
     }
 
-    /// Serves the connection to its end. A shutdown waits for `open` first, and then for the lingering close,
-    /// so that the last response arrives.
+    /// Serves the connection until it ends. `guard` counts it as open until the last response is written; the
+    /// lingering close after that is counted separately.
     pub(super) async fn serve(mut self, open: ConnectionGuard) {
         let end = self.serve_requests().await;
         drop(open);
@@ -138,7 +136,8 @@
             let check_ms =
                 deadline.map_or(DEADLINE_CHECK_MS, |due| (due - now).clamp(1.0, DEADLINE_CHECK_MS));
             tokio::select! {
-                // Bytes that have arrived are read first: a request may cross the eviction of its slot.
+                // Arrived bytes are read first: a request may have arrived just before its connection was
+                // evicted.
                 biased;
                 received = timeout(duration_from_ms(check_ms), self.stream.next()) => if let Ok(received) = received {
                     return Ok(received);
@@ -157,7 +156,8 @@
         }
     }
 
-    /// Whether the wait for a request is over, in a phase that began at `since`.
+    /// Whether to stop waiting for a request, in a phase that began at `since`. Counts a client that missed
+    /// the deadline of its first request.
     fn wait_is_over(&self, phase: Phase, since: f64, deadline: Option<f64>) -> bool {
         let limits = self.front.limits();
         let limit_ms = match phase {
@@ -183,8 +183,8 @@
             }
         };
         let deadline_ms = request.deadline_ms;
-        // The client may have disconnected while its request waited for a slot, or for the response to
-        // another.
+        // The client may have disconnected while its request waited for a connection slot, or for the
+        // response to an earlier pipelined request.
         if self.stream.has_left().await {
             executor.with(|engine| engine.counters.clients_disconnected += 1);
             return None;
--- a/src/wire/client_stream.rs
+++ b/src/wire/client_stream.rs
@@ -12,17 +12,18 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Decoder, Framed};
 
-/// The most bytes that are buffered from a client that sends more while its request is open.
+/// The most bytes that are buffered from a client that sends further bytes before the response to its
+/// request.
 pub const MAX_AHEAD: usize = MAX_HEAD;
-/// How often a client that sends more after its request is checked for a disconnect before the request is
-/// submitted. Socket buffers hold some hundreds of kilobytes, and the checks together read as many.
+/// The most checks for a client's disconnect before its request is submitted, while more bytes arrive.
+/// Together they read what the socket buffers hold, since the end of the stream follows its last byte.
 const MAX_DISCONNECT_CHECKS: u32 = 64;
 /// Time limit of a lingering close, in milliseconds.
 const LINGER_MS: f64 = 1_500.0;
-/// Bytes that are read at once while nothing is decoded.
+/// Size of the buffer for bytes that are read without being decoded.
 const READ_CHUNK: usize = 2_048;
 
-/// What arrives from a client.
+/// The result of waiting for a request.
 #[derive(Debug)]
 pub enum Received {
     /// A request.
@@ -37,9 +38,9 @@
 #[derive(Debug)]
 pub struct ClientStream {
     framed: Framed<TcpStream, HttpCodec>,
-    /// Clients may pipeline requests (RFC 9112, section 9.3.2).
+    /// Whether clients may pipeline requests (RFC 9112, section 9.3.2).
     pipelining: bool,
-    /// Bytes that arrived ahead of a response exceeded the limit, and some were discarded.
+    /// Whether bytes that arrived ahead of a response exceeded the limit, so that some were discarded.
     overrun: bool,
     /// The number of bytes that arrived ahead of responses, buffered or discarded.
     bytes_ahead: u64,
@@ -50,7 +51,7 @@
     ///
     /// Bytes that a client sends ahead of a response beyond [`MAX_AHEAD`] are discarded. Without
     /// `pipelining`, the connection is closed after that response; with it, after the response to the last
-    /// request that is buffered complete.
+    /// request that is buffered completely.
     pub fn new(stream: TcpStream, codec: HttpCodec, pipelining: bool) -> Self {
         let _ = stream.set_nodelay(true);
         Self { framed: Framed::new(stream, codec), pipelining, overrun: false, bytes_ahead: 0 }
@@ -67,7 +68,7 @@
 
     /// The next request if it has arrived by now, for a caller whose wait has ended.
     pub async fn next_now(&mut self) -> Option<Received> {
-        // The reactor reports bytes that arrived since the last poll on its next turn.
+        // Yields, so that the reactor polls the socket for bytes that arrived since its last poll.
         tokio::task::yield_now().await;
         self.next().now_or_never()
     }
@@ -94,15 +95,15 @@
         matches!(self.framed.codec().clone().decode(&mut buffer), Ok(Some(_)))
     }
 
-    /// Whether bytes arrived ahead of a response: usually the start of another request.
+    /// Whether bytes that arrived ahead of the response are buffered, usually the start of another request.
     pub fn has_bytes_ahead(&self) -> bool {
         !self.framed.read_buffer().is_empty()
     }
 
-    /// Waits until the client disconnects: it closes, resets or shuts down its side. Bytes that it sends
-    /// meanwhile are buffered for the next request, up to a limit, and are no disconnect. Reading never
-    /// pauses, since the end of the stream arrives after its last byte, which a full receive window would
-    /// keep out. To be called between a request and its response only. Cancel safe.
+    /// Waits until the client closes, resets or shuts down its side. Bytes that it sends meanwhile are
+    /// buffered for the next request, up to a limit. Reading continues beyond the limit, since a full receive
+    /// window would hide the end of the stream. Call this only between a request and its response. Cancel
+    /// safe.
     pub async fn left(&mut self) {
         let mut chunk = [0u8; READ_CHUNK];
         loop {
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Buffers bytes that arrived ahead of a response. After the first that exceed the limit no more are
-    /// buffered, so that the buffer has no gap.
+    /// Buffers bytes that arrived ahead of a response. From the first read that exceeds the limit, all bytes
+    /// are discarded, so that the buffered bytes stay contiguous.
     fn buffer_ahead(&mut self, bytes: &[u8]) {
         self.bytes_ahead += bytes.len() as u64;
         let buffer = self.framed.read_buffer_mut();
@@ -127,11 +128,11 @@
         }
     }
 
-    /// Whether the client has disconnected by now. The end of its stream may follow more bytes than one check
-    /// reads.
+    /// Whether the client has already disconnected. Checks repeatedly, since the end of its stream may follow
+    /// more bytes than one check reads.
     pub async fn has_left(&mut self) -> bool {
         for _ in 0..MAX_DISCONNECT_CHECKS {
-            // The reactor reports bytes that arrived with the request on its next turn.
+            // Yields, so that the reactor polls the socket for bytes that followed the request.
             tokio::task::yield_now().await;
             let before = self.bytes_ahead;
             if self.left().now_or_never().is_some() {
--- a/src/wire/connection_slots.rs
+++ b/src/wire/connection_slots.rs
@@ -63,12 +63,12 @@
 }
 
 impl ConnectionSlot {
-    /// Marks the connection as reading a request, whose first byte arrived at `since`.
+    /// Marks the connection as reading a request or its body since `since`, in Unix milliseconds.
     pub(super) fn set_reading(&self, since: f64) {
         self.slots.slots.borrow_mut().request_started(self.id, since);
     }
 
-    /// Marks a request as open: the connection cannot be evicted.
+    /// Marks a request as open, which protects the connection from eviction.
     pub(super) fn set_busy(&self) {
         self.slots.slots.borrow_mut().request_open(self.id);
     }
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -1,8 +1,7 @@
 //! The watch on the discovery service: a connection over which endpoint lists and purges arrive as sequenced
 //! events.
 //!
-//! The platform expects a proxy to know an event as soon as the service has it, connected or not. So the
-//! watch is always re-established, and resumes after the last event that was applied.
+//! The watch reconnects whenever its connection ends, and resumes after the last event that was applied.
 
 use super::discovery_codec::{Frame, FrameCodec, FrameError};
 use crate::clock::duration_from_ms;
@@ -18,15 +17,15 @@
 use tokio_util::codec::Framed;
 
 /// Bounds of the idle timeout, in milliseconds, after which a connection counts as broken; a frame is due
-/// each second. Each connection draws a random value between them, so that a fleet does not reconnect in step
-/// after an outage.
+/// each second. Each connection draws a random value between them, so that the proxies of a fleet do not all
+/// reconnect at the same time after an outage.
 pub const SILENCE_MS: (f64, f64) = (1_600.0, 2_000.0);
 /// Time limit of a connect and of the first write, in milliseconds.
 const CONNECT_MS: f64 = 700.0;
 /// The least backoff after a malformed frame or a gap, in milliseconds.
 const MALFORMED_BACKOFF_MS: f64 = 200.0;
 /// The backoff after the first connection without an event, in milliseconds. It doubles with each further
-/// one.
+/// connection without an event.
 const INITIAL_BACKOFF_MS: f64 = 50.0;
 /// The longest backoff, in milliseconds: a drain must take effect within 250 ms.
 const MAX_BACKOFF_MS: f64 = 240.0;
@@ -40,13 +39,13 @@
 #[derive(Debug, Error)]
 enum WatchError {
     /// The connection failed or timed out.
-    #[error("socket: {0}")]
+    #[error("connection failed: {0}")]
     Io(std::io::Error),
     /// A frame is malformed.
     #[error(transparent)]
     Frame(FrameError),
     /// Events between the last one applied and the one received are missing.
-    #[error("event {received} follows event {last}")]
+    #[error("received event {received} after event {last}: the events between them are missing")]
     Gap {
         /// The number of the last event that was applied.
         last: u64,
@@ -81,8 +80,9 @@
 struct WatchState {
     /// Consecutive connections without an event.
     without_event: u32,
-    /// The number of the event that failed last, and its consecutive failures.
+    /// The number of the event that failed last.
     failed_event: u64,
+    /// Consecutive failures of `failed_event`.
     failures: u32,
 }
 
@@ -97,7 +97,8 @@
     /// The backoff before the next connection, in milliseconds; `random` is uniform in 0..1.
     fn backoff_ms(&self, random: f64) -> f64 {
         match self.without_event {
-            // After a connection that worked: only jitter, so that the fleet does not reconnect in step.
+            // After a connection with an event: only jitter, so that the proxies of a fleet do not all
+            // reconnect at the same time.
             0 => INITIAL_BACKOFF_MS * random,
             without_event => {
                 let doubled = INITIAL_BACKOFF_MS * f64::from(1u32 << (without_event - 1).min(8));
@@ -128,10 +129,11 @@
         if let Err(error) = ended {
             executor.with(|engine| engine.counters.discovery_faults += 1);
             if !matches!(error, WatchError::Io(_)) {
-                tracing::warn!(%error, "the watch on the discovery service failed");
+                tracing::warn!(address = %current, %error, "discovery watch failed; reconnecting");
                 backoff_ms = backoff_ms.max(MALFORMED_BACKOFF_MS);
             }
         }
+        // Connects to a changed address without waiting for the backoff.
         tokio::select! {
             biased;
             Ok(()) = async { address.changed().await.map(|()| address.mark_changed()) } => {}
@@ -179,8 +181,9 @@
 /// then it is skipped, so that it does not block the events after it.
 fn apply(executor: &Rc<Executor>, frame: &Frame, state: &mut WatchState) -> Result<(), WatchError> {
     let (number, last) = (frame.number, executor.with(|engine| engine.last_event_number()));
-    // Numbers are consecutive. With a larger one, either the number is corrupted, and accepting it would make
-    // all later events count as old, or events are missing. A gap that persists is accepted.
+    // Sequence numbers are consecutive. A gap means that the number is corrupted or that events are missing.
+    // Accepting a corrupted number would discard all later events as already applied, so a gap is accepted
+    // only when it persists.
     let gap = !frame.is_heartbeat() && number > last + 1;
     if gap && state.count_failure(number) < MAX_EVENT_FAILURES {
         executor.with(|engine| engine.counters.discovery_gaps += 1);
@@ -192,7 +195,7 @@
             executor.with(|engine| {
                 engine.apply_event(event);
                 if !frame.is_heartbeat() {
-                    // Also for an event of an unknown kind, which is not applied.
+                    // `apply_event` ignores an event of an unknown kind, but its number counts as received.
                     engine.skip_events_to(number);
                 }
             });
@@ -204,7 +207,7 @@
             return Err(error.into());
         }
         Err(error) => {
-            tracing::warn!(%error, number, "skipping a malformed event of the discovery service");
+            tracing::warn!(%error, number, "skipping a malformed discovery event");
             executor.with(|engine| {
                 engine.counters.discovery_skipped += 1;
                 engine.skip_events_to(number);
--- a/src/wire/discovery/tests.rs
+++ b/src/wire/discovery/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Proxies must not reconnect in step while the service is down.
+/// The proxies of a fleet must not all reconnect at the same time while the service is down.
 #[test]
 fn backoff_grows_is_bounded_and_has_jitter() {
     let backoffs = |random| {
--- a/src/wire/discovery_codec.rs
+++ b/src/wire/discovery_codec.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The longest frame, in bytes after its length field: some thousands of records.
+/// The longest frame, in bytes after its length field.
 pub const MAX_FRAME: usize = 262_144;
 /// Bytes of a frame's length field.
 const LENGTH_BYTES: usize = 4;
@@ -37,16 +37,16 @@
 #[derive(Debug, Error)]
 pub enum FrameError {
     /// The connection failed.
-    #[error("socket: {0}")]
+    #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
     /// The stated length does not cover the number and the kind.
-    #[error("frame of {0} bytes is too short")]
+    #[error("frame length {0} is below the minimum of {HEADER_BYTES} bytes")]
     TooShort(usize),
     /// The stated length is above [`MAX_FRAME`].
-    #[error("frame of {0} bytes is too large")]
+    #[error("frame length {0} exceeds the limit of {MAX_FRAME} bytes")]
     TooLarge(usize),
     /// The payload's length does not match the kind.
-    #[error("frame of kind {kind} has an invalid payload of {length} bytes")]
+    #[error("frame of kind {kind}: invalid payload length {length}")]
     PayloadLength {
         /// The kind.
         kind: u8,
@@ -54,7 +54,7 @@
         length: usize,
     },
     /// A field of an endpoint's record has an unknown value.
-    #[error("endpoint {id:08x}: unknown {field} {value}")]
+    #[error("endpoint s-{id:08x}: unknown {field} {value}")]
     RecordField {
         /// The endpoint's id.
         id: u32,
@@ -107,12 +107,12 @@
         Ok(Sequenced { number: self.number, event })
     }
 
-    /// The endpoints whose records are valid, whatever else is in the frame.
+    /// The endpoints of the valid records; malformed records are left out.
     pub fn readable_endpoints(&self, settings: &PlatformSettings) -> Vec<ListedEndpoint> {
         self.records().filter_map(|record| decode_record(record, settings).ok()).collect()
     }
 
-    /// The complete records of a list or of its changes.
+    /// The records of an endpoint list or of changes to it; a trailing partial record is ignored.
     fn records(&self) -> impl Iterator<Item = &[u8]> {
         let is_list = matches!(self.kind, kind::FULL_LIST | kind::CHANGES);
         let payload = if is_list { &self.payload[..] } else { &[] };
--- a/src/wire/discovery_json.rs
+++ b/src/wire/discovery_json.rs
@@ -1,5 +1,5 @@
-//! The events of the discovery service as JSON, as found under `known` in the configuration and in the values
-//! of a registry. Maps them to [`WatchEvent`] and [`ListedEndpoint`].
+//! The JSON form of discovery events and endpoints, mapped to [`WatchEvent`] and [`ListedEndpoint`]. The
+//! configuration has events under `known`, and a registry has one endpoint in each value.
 
 use crate::endpoint_list::{EndpointRecord, ListedEndpoint, Sequenced, WatchEvent};
 use crate::text::{parse_endpoint_id, parse_hex16};
@@ -11,10 +11,10 @@
 #[derive(Debug, Error)]
 pub enum EndpointJsonError {
     /// The text is not valid JSON, or not of the expected type.
-    #[error("{0}")]
+    #[error("invalid endpoint JSON: {0}")]
     Malformed(#[from] simd_json::Error),
     /// A field has an invalid value.
-    #[error("invalid {field} {value:?}")]
+    #[error("invalid `{field}` {value:?}")]
     Field {
         /// The field.
         field: &'static str,
@@ -29,17 +29,17 @@
     }
 }
 
-/// What is wrong with an event of the initial state.
+/// Why an event of the initial state is invalid.
 #[derive(Debug, Error)]
 pub enum EventFault {
     /// An endpoint of the list is invalid.
     #[error(transparent)]
     Endpoint(#[from] EndpointJsonError),
     /// The id of a purged object is not 16 hex digits.
-    #[error("invalid object id {0:?}")]
+    #[error("invalid `item` {0:?}: expected 16 hex digits")]
     PurgedObject(String),
     /// A purge names neither an object nor a group.
-    #[error("purge names neither an object nor a group")]
+    #[error("purge has neither `item` nor `lot`")]
     EmptyPurge,
 }
 
@@ -49,11 +49,11 @@
 pub struct InitialStateError {
     /// The event's sequence number.
     pub number: u64,
-    /// What is wrong with it.
+    /// Why the event is invalid.
     pub source: EventFault,
 }
 
-/// The events in the configuration at startup, under `known`.
+/// The initial state in the configuration (`known`): the events that are applied at startup.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct InitialState {
     /// The sequence number of the last event.
@@ -113,7 +113,7 @@
 }
 
 impl InitialState {
-    /// The events in their order.
+    /// The events, in the order of the configuration.
     pub fn events(&self) -> Result<Vec<Sequenced>, InitialStateError> {
         self.events.iter().map(EventJson::sequenced).collect()
     }
--- a/src/wire/front.rs
+++ b/src/wire/front.rs
@@ -1,4 +1,4 @@
-//! The trait of a front, which implements one client protocol, and its types.
+//! The [`Front`] trait, which implements one client protocol, and the types it uses.
 
 use super::http::{HttpRequest, HttpResponse};
 use super::submission::Submission;
@@ -11,21 +11,21 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ConnectionLimits {
-    /// Concurrent connections.
+    /// The most concurrent connections.
     pub connections: usize,
     /// Time limit of the complete first request, from the accept of its connection.
     pub first_ms: f64,
-    /// Time limit of the first byte of each further request.
+    /// How long a connection may stay idle before the first byte of its next request.
     pub idle_ms: f64,
     /// Time limit of a complete head, from its first byte.
     pub head_ms: f64,
-    /// Time limit of a complete body, from its first byte.
+    /// Time limit of a complete body, from the end of its head.
     pub body_ms: f64,
     /// Time limit of the write of a complete response.
     pub write_ms: f64,
-    /// Clients do not pipeline requests (RFC 9112, section 9.3.2), and state how long they wait for a
-    /// response. A response is written until half a second after that wait at most, and bytes sent far ahead
-    /// of it are not parsed.
+    /// Whether clients send one request at a time and state how long they wait for its response. Writing a
+    /// response then ends half a second after the request's deadline at the latest, and a connection closes
+    /// after the response if its client sent more than `client_stream::MAX_AHEAD` bytes ahead of it.
     #[serde(skip)]
     pub one_at_a_time: bool,
     /// The longest body, in bytes.
@@ -79,7 +79,7 @@
     Forward(Box<IncomingRequest>, ResponseContext),
 }
 
-/// A front, which implements one client protocol.
+/// Implements one client protocol: parses requests and builds responses.
 pub trait Front {
     /// The limits of its connections.
     fn limits(&self) -> &ConnectionLimits;
@@ -87,7 +87,8 @@
     /// Parses and authenticates a request that was complete at `now`, in Unix milliseconds.
     fn interpret(&self, executor: &Rc<Executor>, request: &HttpRequest, now: f64) -> Disposition;
 
-    /// Submits a request that [`Self::interpret`] forwards.
+    /// Submits a request for which [`Self::interpret`] returned [`Disposition::Forward`]; by default to the
+    /// engine.
     fn submit(
         &self,
         executor: &Rc<Executor>,
@@ -97,7 +98,7 @@
         Submission::to_engine(executor, request)
     }
 
-    /// The response for a final result.
+    /// The HTTP response for the engine's final response.
     fn respond(&self, context: &ResponseContext, result: FinalResponse) -> HttpResponse;
 
     /// The response to a request that was not admitted.
--- a/src/wire/http.rs
+++ b/src/wire/http.rs
@@ -19,7 +19,7 @@
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Bytes,
-    /// The client wants a persistent connection.
+    /// Whether the connection persists after the response (RFC 9112, section 9.3).
     pub keep_alive: bool,
 }
 
@@ -49,9 +49,9 @@
     pub headers: Vec<(&'static str, String)>,
     /// Body.
     pub body: Bytes,
-    /// Only the head is sent; `Content-Length` is still that of the body.
+    /// Whether only the head is sent; `Content-Length` is then still that of the body.
     pub head_only: bool,
-    /// The connection is closed after it.
+    /// Whether the connection is closed after the response.
     pub close: bool,
 }
 
--- a/src/wire/http_codec.rs
+++ b/src/wire/http_codec.rs
@@ -24,13 +24,13 @@
 pub enum Phase {
     /// The first byte of a request.
     Idle,
-    /// The rest of a head.
+    /// The rest of a request's head.
     Head,
-    /// The rest of a body.
+    /// The rest of a request's body, whose head is complete.
     Body,
 }
 
-/// The codec of a connection. After a [`BadRequest`] it discards all further bytes.
+/// Decodes requests and encodes responses. Discards all bytes after a request that it rejects.
 #[derive(Clone, Debug)]
 pub struct HttpCodec {
     clock: Clock,
--- a/src/wire/http_codec/tests.rs
+++ b/src/wire/http_codec/tests.rs
@@ -98,7 +98,7 @@
     let long = HttpResponse { body: vec![b'x'; MAX_INLINE + 1].into(), ..HttpResponse::status(200) };
     assert!(
         encode(long).ends_with("Content-Length: 4097\r\n\r\n"),
-        "its body is written by the client stream"
+        "a body above MAX_INLINE is not encoded with the head"
     );
     assert!(encode(HttpResponse::closing(400)).contains("Connection: close\r\n"));
 }
--- a/src/wire/listener.rs
+++ b/src/wire/listener.rs
@@ -13,12 +13,12 @@
 
 /// The delay after a failed accept, in milliseconds; the usual cause is a lack of file descriptors.
 const ACCEPT_RETRY_MS: f64 = 20.0;
-/// How long a closing listener waits for a further connection in its backlog, in milliseconds.
+/// Time limit of each accept while a closing listener empties its backlog, in milliseconds.
 const LAST_ACCEPT_MS: f64 = 1.0;
 
-/// Accepts connections until `closing` is notified, then those still in the backlog, whose requests count as
-/// received, and returns. At the front's limit of connections one accepted connection waits for a slot here,
-/// the others wait in the backlog.
+/// Accepts connections until `closing` is notified, then accepts those still in the backlog, which may
+/// already have sent requests, and returns. At the front's connection limit, the last accepted connection
+/// waits for a slot, and later ones stay in the backlog.
 pub async fn accept(
     executor: Rc<Executor>,
     front: Rc<dyn Front>,
@@ -54,6 +54,6 @@
         let slot = slots.acquire(&executor).await;
         let (front, shutdown) = (front.clone(), shutdown.clone());
         let connection = ClientConnection::new(executor.clone(), front, shutdown, slot, socket, peer.ip());
-        executor.spawn("a client's connection", connection.serve(open));
+        executor.spawn("client connection", connection.serve(open));
     }
 }
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -1,4 +1,4 @@
-//! The front of the platform's own HTTP API: parses its requests and builds its responses.
+//! The front of the platform's HTTP API: parses requests and builds responses.
 
 use super::classification::{Classification, RequestClassifier, Target};
 use super::entity_tag::parse_single;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// The target of the platform's liveness check.
+/// The request target of the liveness check.
 const HEALTH_TARGET: &str = "/alive";
 /// Subtracted from a client's wait to get the request's deadline, in milliseconds: allows for the network
 /// round trip and the transfer of the response.
@@ -60,11 +60,11 @@
     }
 }
 
-/// A request that is not forwarded.
+/// Why a request is rejected without being forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 enum RequestError {
-    /// A part of it is missing, has no valid value, or is out of bounds.
-    #[error("the request is malformed")]
+    /// A required value is missing, or a value is invalid or out of bounds.
+    #[error("a value of the request is missing, invalid or out of bounds")]
     Malformed,
     /// Its target or class is unknown.
     #[error("unknown target or class")]
@@ -84,26 +84,26 @@
     }
 }
 
-/// The platform's front.
+/// The front of the platform's HTTP API.
 pub struct Platform {
     limits: ConnectionLimits,
-    /// Classifies requests by an operator's rules; `None` selects the platform's own form of a target.
+    /// Classifies requests by an operator's rules; `None` selects [`PlatformPath`].
     classifier: RefCell<Option<Rc<dyn RequestClassifier>>>,
 }
 
 impl Platform {
-    /// A front with these limits.
+    /// Creates a front that classifies requests by [`PlatformPath`].
     pub fn new(limits: ConnectionLimits) -> Self {
         Self { limits, classifier: RefCell::default() }
     }
 
-    /// Sets the classifier of new requests; `None` selects the platform's own form of a target.
+    /// Sets the classifier of new requests; `None` selects [`PlatformPath`].
     pub fn set_classifier(&self, classifier: Option<Rc<dyn RequestClassifier>>) {
         *self.classifier.borrow_mut() = classifier;
     }
 
-    /// Parses a request. Values are validated strictly: an endpoint that receives a malformed one closes the
-    /// connection, which fails all requests on it.
+    /// Parses a request. Values are validated strictly: an endpoint that receives a malformed value closes
+    /// the connection, which fails all requests on it.
     fn parse(
         &self,
         settings: &PlatformSettings,
@@ -146,7 +146,7 @@
             class,
             object,
             object_text: match classifier {
-                // In the platform's own form the object's text is forwarded as received.
+                // In the platform's path form, the object's text is forwarded as received.
                 None => PlatformPath::object_text(request).to_string(),
                 Some(_) => format!("{object:016x}"),
             },
--- a/src/wire/platform_path.rs
+++ b/src/wire/platform_path.rs
@@ -1,5 +1,5 @@
-//! The platform's own form of a target: `/ops/CLASS/OBJECT` or `/ops/CLASS/OBJECT/slice-PART`, with the group
-//! in a header field.
+//! The platform's path form: `/ops/CLASS/OBJECT` or `/ops/CLASS/OBJECT/slice-PART`, with the group in the
+//! header field `x-set`.
 
 use super::classification::{Classification, RequestClassifier, Target};
 use super::http::HttpRequest;
@@ -8,20 +8,20 @@
 const PREFIX: &str = "/ops/";
 const PART_PREFIX: &str = "slice-";
 const GROUP_FIELD: &str = "x-set";
-/// The most digits of a number.
+/// The most digits of a part or group number.
 const MAX_DIGITS: usize = 9;
 
-/// Classifies requests by the platform's own form of a target.
+/// Classifies requests by the platform's path form.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformPath;
 
 impl PlatformPath {
-    /// The class in a target, as received.
+    /// The class segment of the path, unvalidated; empty if there is none.
     pub(super) fn class_text(request: &HttpRequest) -> &str {
         request.path().split('/').nth(2).unwrap_or_default()
     }
 
-    /// The object in a target, as received.
+    /// The object segment of the path, unvalidated; empty if there is none.
     pub(super) fn object_text(request: &HttpRequest) -> &str {
         request.path().split('/').nth(3).unwrap_or_default()
     }
--- a/src/wire/shutdown.rs
+++ b/src/wire/shutdown.rs
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Waits for the shutdown to begin; does not return at once if it has begun already.
+    /// Waits for the notification that the shutdown begins. Unlike [`Self::begun`], does not return if the
+    /// shutdown has begun already.
     pub(super) async fn begins(&self) {
         self.wake.notified().await;
     }
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -6,11 +6,11 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// The outcome of submitting a request.
+/// A submitted request, completed or pending.
 pub enum Submission {
-    /// The result is available.
+    /// The front has the response without a wait.
     Completed(FinalResponse),
-    /// The result is pending.
+    /// The response arrives later.
     Pending(PendingResponse),
 }
 
@@ -25,10 +25,10 @@
     }
 }
 
-/// The end of the wait for a request's result. An implementation that is dropped without
-/// [`ResponseWait::completed`] treats the client as disconnected.
+/// Guards a pending request: if it is dropped before [`ResponseWait::completed`] is called, the client counts
+/// as disconnected.
 pub trait ResponseWait {
-    /// The result has arrived.
+    /// Disarms the guard: the result has arrived.
     fn completed(self: Box<Self>);
 }
 
@@ -39,12 +39,12 @@
 }
 
 impl PendingResponse {
-    /// Waits for the result from `receiver`.
+    /// Creates a pending response whose result arrives on `receiver`.
     pub fn new(receiver: oneshot::Receiver<FinalResponse>, wait: Box<dyn ResponseWait>) -> Self {
         Self { receiver, wait }
     }
 
-    /// Waits for the result.
+    /// Waits for the result. A dropped sender counts as a failure.
     pub async fn result(self) -> FinalResponse {
         let Self { receiver, wait } = self;
         let result = receiver.await;
@@ -53,7 +53,7 @@
     }
 }
 
-/// The wait for a request that was submitted to the engine.
+/// Reports a client disconnect to the engine if it is dropped before the result has arrived.
 struct EngineWait {
     executor: Rc<Executor>,
     /// The request; `None` once its result has arrived.
