--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -46,7 +46,7 @@
 
     /// Applies the well-formed endpoints of a discovery event that is malformed otherwise. The event does not
     /// count as applied.
-    pub fn apply_readable_endpoints(&mut self, endpoints: Vec<ListedEndpoint>) {
+    pub fn apply_valid_endpoints(&mut self, endpoints: Vec<ListedEndpoint>) {
         if !self.uses_registry && !endpoints.is_empty() {
             self.apply_endpoints(false, endpoints);
         }
--- a/src/grpc/admin.rs
+++ b/src/grpc/admin.rs
@@ -60,7 +60,7 @@
             return None;
         }
         if request.method != "GET" {
-            return Some(HttpResponse::status(405).with("Allow", "GET"));
+            return Some(HttpResponse::status(405).with_header("Allow", "GET"));
         }
         let status = self.with_calls(|calls| FrontStatus {
             open: calls.open_calls(),
@@ -69,6 +69,6 @@
         });
         let body = simd_json::to_vec(&status).unwrap_or_default();
         let response = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
-        Some(response.with("Content-Type", "application/json"))
+        Some(response.with_header("Content-Type", "application/json"))
     }
 }
--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -49,7 +49,7 @@
 
 /// Aborts the calls that are still open when the grace period after the start of the shutdown is over.
 pub async fn abort_calls_at_shutdown(front: Rc<GrpcFront>, stop: Rc<GracefulShutdown>) {
-    stop.begun().await;
+    stop.wait_until_begun().await;
     tokio::time::sleep(duration_from_ms(front.limits().stop_ms)).await;
     front.abort_calls();
 }
@@ -180,7 +180,7 @@
                     });
                 }
             },
-            () = stop.begun(), if !shutting_down => {
+            () = stop.wait_until_begun(), if !shutting_down => {
                 shutting_down = true;
                 connection.graceful_shutdown();
             }
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -6,7 +6,7 @@
 use crate::clock::{duration_from_ms, Clock};
 use crate::state::connections::{ConnectionLimits, Connections, Placement};
 use crate::state::ids::{AttemptId, ConnectionId};
-use crate::wire::cache_connection::is_local;
+use crate::wire::cache_connection::is_local_resource_error;
 use crate::EndpointId;
 use bytes::Bytes;
 use h2::client::SendRequest;
@@ -161,7 +161,7 @@
         close: Rc<Notify>,
     ) {
         let connect = async {
-            let stream = TcpStream::connect(address).await.map_err(|e| is_local(&e))?;
+            let stream = TcpStream::connect(address).await.map_err(|e| is_local_resource_error(&e))?;
             let _ = stream.set_nodelay(true);
             let limits = &self.limits;
             let mut builder = h2::client::Builder::new();
--- a/src/health_check/admin.rs
+++ b/src/health_check/admin.rs
@@ -35,11 +35,11 @@
             return None;
         }
         if request.method != "GET" {
-            return Some(HttpResponse::status(405).with("Allow", "GET"));
+            return Some(HttpResponse::status(405).with_header("Allow", "GET"));
         }
         let body = simd_json::to_vec(&self.status()).unwrap_or_default();
         let response = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
-        Some(response.with("Content-Type", "application/json"))
+        Some(response.with_header("Content-Type", "application/json"))
     }
 
     fn status(&self) -> Status {
--- a/src/http3/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -6,7 +6,7 @@
 use crate::engine::executor::Executor;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use crate::wire::front::SessionId;
-use crate::wire::submission::{PendingResponse, ResponseWait, Submission};
+use crate::wire::submission::{DisconnectGuard, PendingResponse, Submission};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -201,7 +201,7 @@
     }
 }
 
-impl ResponseWait for AttachedClient {
+impl DisconnectGuard for AttachedClient {
     fn completed(mut self: Box<Self>) {
         self.is_attached = false;
     }
--- a/src/http3/connection.rs
+++ b/src/http3/connection.rs
@@ -73,7 +73,7 @@
                     Ok(Some(resolver)) => self.spawn_request(resolver),
                     Ok(None) | Err(_) => return,
                 },
-                () = stop.begun(), if !stopping => {
+                () = stop.wait_until_begun(), if !stopping => {
                     stopping = true;
                     // Sends GOAWAY: accepted requests are still answered, and no new ones are accepted.
                     if http3.shutdown(0).await.is_err() {
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -52,7 +52,7 @@
     /// Returns the session of a request, or a new session if the request has no valid token.
     fn session(&self, request: &HttpRequest, now: f64) -> RequestSession {
         let tokens = self.tokens.borrow();
-        let token = request.single(SESSION_REQUEST_HEADER).ok().flatten();
+        let token = request.single_value(SESSION_REQUEST_HEADER).ok().flatten();
         let verified = token.and_then(|token| tokens.verify(now, token).ok());
         let (id, needs_token) = match verified {
             Some(session) => (session.id, tokens.needs_renewal(now, &session)),
@@ -79,11 +79,11 @@
         ByteRange::Part(start, end) => {
             let content_range = format!("bytes {start}-{}/{length}", end - 1);
             let body = response.body.slice(start..end);
-            HttpResponse { status: 206, body, ..response }.with("Content-Range", content_range)
+            HttpResponse { status: 206, body, ..response }.with_header("Content-Range", content_range)
         }
         ByteRange::Unsatisfiable => {
             let unsatisfied = HttpResponse { status: 416, body: Bytes::new(), ..response };
-            unsatisfied.with("Content-Range", format!("bytes */{length}"))
+            unsatisfied.with_header("Content-Range", format!("bytes */{length}"))
         }
     }
 }
@@ -99,7 +99,7 @@
             other => return other,
         };
         if request.method == "GET" {
-            let header = |name| request.single(name).ok().flatten().map(String::from);
+            let header = |name| request.single_value(name).ok().flatten().map(String::from);
             (context.range, context.if_range) = (header("range"), header("if-range"));
         }
         let session = self.session(request, now);
@@ -109,9 +109,9 @@
 
     fn respond(&self, context: &ResponseContext, response: FinalResponse) -> HttpResponse {
         let response =
-            apply_range(context, self.inner.respond(context, response)).with("Accept-Ranges", "bytes");
+            apply_range(context, self.inner.respond(context, response)).with_header("Accept-Ranges", "bytes");
         match &context.session_token {
-            Some(token) => response.with(SESSION_HEADER, token.clone()),
+            Some(token) => response.with_header(SESSION_HEADER, token.clone()),
             None => response,
         }
     }
@@ -128,7 +128,7 @@
     ) -> Result<Submission, AdmitError> {
         match context.session {
             Some(session) => Ok(self.calls.submit(session, request)?.into()),
-            None => Submission::to_engine(executor, request),
+            None => Submission::submit_to_engine(executor, request),
         }
     }
 }
--- a/src/http3/request.rs
+++ b/src/http3/request.rs
@@ -96,7 +96,7 @@
     let limits = &connection.server.limits;
     let body = read_body(stream, limits.body_bytes);
     let body = timeout(duration_from_ms(limits.body_ms), body).await.map_err(|_| RequestError::Timeout)??;
-    let content_length = http_request.single("content-length").map_err(|_| RequestError::Malformed)?;
+    let content_length = http_request.single_value("content-length").map_err(|_| RequestError::Malformed)?;
     if content_length.is_some_and(|length| length.parse() != Ok(body.len())) {
         return Err(RequestError::Malformed);
     }
@@ -140,7 +140,7 @@
         Disposition::Forward(incoming, context) => (incoming, context),
     };
     let default_priority = default_priority(connection, &incoming);
-    let requested = request.single("priority").ok().flatten();
+    let requested = request.single_value("priority").ok().flatten();
     let priority = requested.map_or(default_priority, |text| Priority::parse(text, default_priority));
     incoming.client = Some(connection.peer);
     let response_bytes = incoming.size_kb * BYTES_PER_KB;
--- a/src/lifecycle/descriptors.rs
+++ b/src/lifecycle/descriptors.rs
@@ -1,7 +1,7 @@
 //! The file descriptor budget. Each kind of connection has its own share, so that idle clients cannot exhaust
 //! the descriptors of the endpoint watch, the connections to endpoints or the admin address.
 
-use crate::wire::admin::MAX_CLIENTS as MAX_ADMIN_CLIENTS;
+use crate::wire::admin::MAX_CONNECTIONS as MAX_ADMIN_CONNECTIONS;
 use rlimit::Resource;
 use thiserror::Error;
 
@@ -14,7 +14,7 @@
 const DEFAULT_OPEN_DESCRIPTORS: usize = 8;
 /// Minimum number of connections, both to clients and to endpoints.
 const MIN_CONNECTIONS: usize = 1;
-/// The admin address gets one descriptor in this many, up to [`MAX_ADMIN_CLIENTS`].
+/// The admin address gets one descriptor in this many, up to [`MAX_ADMIN_CONNECTIONS`].
 const DESCRIPTORS_PER_ADMIN_CLIENT: usize = 16;
 /// Linux's list of the open descriptors of this process.
 const DESCRIPTOR_DIR: &str = "/proc/self/fd";
@@ -103,7 +103,7 @@
     pub fn new(descriptors: Descriptors, demand: DescriptorDemand) -> Self {
         let Descriptors { max, open } = descriptors;
         let two_fifths = max * 2 / 5;
-        let admin_clients = MAX_ADMIN_CLIENTS.min(max / DESCRIPTORS_PER_ADMIN_CLIENT).max(1);
+        let admin_clients = MAX_ADMIN_CONNECTIONS.min(max / DESCRIPTORS_PER_ADMIN_CLIENT).max(1);
         let spare = max.saturating_sub(open + RESERVED_DESCRIPTORS + admin_clients + demand.subsystems());
         let endpoint_share = if demand.handed_over { max / 4 } else { two_fifths };
         let clients = two_fifths.min(spare / 2);
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -105,7 +105,7 @@
     let deadline_ms = executor.clock.now() + ACCEPT_GRACE_MS + request_grace_ms + RESPONSE_WRITE_MS;
     if context.config.handed_over {
         // New connections go to the new process, which keeps the shared listening socket open.
-        context.stop.close_after_response();
+        context.stop.set_close_after_response();
         advance_stop(subsystems, StopStage::CloseListeners);
         tokio::time::sleep(duration_from_ms(IDLE_GRACE_MS)).await;
     } else {
--- a/src/lifecycle/subsystems/admin.rs
+++ b/src/lifecycle/subsystems/admin.rs
@@ -45,7 +45,7 @@
         file.write(executor)
     }));
     let calls = context.admin_calls.take();
-    calls.into_iter().fold(front.with_max_clients(context.budget.admin_clients), |front, calls| {
+    calls.into_iter().fold(front.with_max_connections(context.budget.admin_clients), |front, calls| {
         front.with_handler(calls.handler, calls.max_body)
     })
 }
--- a/src/purge/service.rs
+++ b/src/purge/service.rs
@@ -151,9 +151,9 @@
             ("/purges", "GET") => self.status(),
             ("/purges/log", "GET") => self.list(query),
             ("/purges/apply", "POST") => self.receive(&request.body),
-            ("/purges", _) => HttpResponse::status(405).with("Allow", "GET, POST"),
-            ("/purges/log", _) => HttpResponse::status(405).with("Allow", "GET"),
-            ("/purges/apply", _) => HttpResponse::status(405).with("Allow", "POST"),
+            ("/purges", _) => HttpResponse::status(405).with_header("Allow", "GET, POST"),
+            ("/purges/log", _) => HttpResponse::status(405).with_header("Allow", "GET"),
+            ("/purges/apply", _) => HttpResponse::status(405).with_header("Allow", "POST"),
             _ => return None,
         })
     }
@@ -216,7 +216,7 @@
 
 fn json_answer<T: Serialize>(status: u16, body: &T) -> HttpResponse {
     let answer = HttpResponse { body: to_json(body).into(), ..HttpResponse::status(status) };
-    answer.with("Content-Type", "application/json")
+    answer.with_header("Content-Type", "application/json")
 }
 
 fn error_answer(status: u16, error: impl ToString) -> HttpResponse {
--- a/src/registry/service.rs
+++ b/src/registry/service.rs
@@ -185,11 +185,11 @@
         return None;
     }
     if request.method != "GET" {
-        return Some(HttpResponse::status(405).with("Allow", "GET"));
+        return Some(HttpResponse::status(405).with_header("Allow", "GET"));
     }
     let body = simd_json::to_vec(&*status.borrow()).unwrap_or_default();
     Some(
         HttpResponse { body: body.into(), ..HttpResponse::status(200) }
-            .with("Content-Type", "application/json"),
+            .with_header("Content-Type", "application/json"),
     )
 }
--- a/src/rules/evaluator.rs
+++ b/src/rules/evaluator.rs
@@ -127,7 +127,7 @@
 
     fn header(&mut self, name: &str) -> Evaluation<&'r str> {
         *self.steps += self.request.headers.len() as u64;
-        Ok(self.request.single(name).map_err(|_| EvaluationError)?.unwrap_or(""))
+        Ok(self.request.single_value(name).map_err(|_| EvaluationError)?.unwrap_or(""))
     }
 
     fn has_header(&mut self, name: &str) -> bool {
--- a/src/state/counters.rs
+++ b/src/state/counters.rs
@@ -140,7 +140,7 @@
     /// Gaps in the sequence numbers of discovery events.
     discovery_gaps => "bulletin_gaps",
     /// Changes of the discovery service's address.
-    discovery_moves => "bulletin_moves",
+    discovery_address_changes => "bulletin_moves",
     /// Configurations reloaded on SIGHUP.
     reloads => "reloads",
     /// Configurations that could not be reloaded on SIGHUP.
--- a/src/vrrp/admin.rs
+++ b/src/vrrp/admin.rs
@@ -73,7 +73,7 @@
             _ => return None,
         };
         if request.method != method {
-            return Some(HttpResponse::status(405).with("Allow", method));
+            return Some(HttpResponse::status(405).with_header("Allow", method));
         }
         match request.target.as_str() {
             STEP_DOWN_PATH => self.step_down(),
@@ -82,7 +82,7 @@
         }
         let body = simd_json::to_vec(&self.status()).unwrap_or_default();
         let response = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
-        Some(response.with("Content-Type", "application/json"))
+        Some(response.with_header("Content-Type", "application/json"))
     }
 
     fn status(&self) -> Status {
--- a/src/wire/admin.rs
+++ b/src/wire/admin.rs
@@ -11,9 +11,9 @@
 use std::rc::Rc;
 
 /// The most concurrent connections. At the limit, an idle or slow connection is evicted for a new one.
-pub const MAX_CLIENTS: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// Time limit of a complete call, in milliseconds.
-const CALL_MS: f64 = 6_000.0;
+const CALL_TIMEOUT_MS: f64 = 6_000.0;
 /// The longest body of a call, in bytes, unless a handler allows more. The calls of this module ignore their
 /// bodies.
 const MAX_BODY: usize = 4_096;
@@ -84,11 +84,11 @@
     /// A front that persists maintenance in `store`.
     pub fn new(store: Box<dyn MaintenanceStore>) -> Self {
         let limits = ConnectionLimits {
-            connections: MAX_CLIENTS,
-            first_ms: CALL_MS,
-            idle_ms: CALL_MS,
-            head_ms: CALL_MS,
-            body_ms: CALL_MS,
+            connections: MAX_CONNECTIONS,
+            first_ms: CALL_TIMEOUT_MS,
+            idle_ms: CALL_TIMEOUT_MS,
+            head_ms: CALL_TIMEOUT_MS,
+            body_ms: CALL_TIMEOUT_MS,
             body_bytes: MAX_BODY,
             ..ConnectionLimits::default()
         };
@@ -96,9 +96,9 @@
     }
 
     /// Lowers the limit of concurrent connections, for a process with few file descriptors. A value above
-    /// [`MAX_CLIENTS`] has no effect.
-    pub fn with_max_clients(mut self, clients: usize) -> Self {
-        self.limits.connections = clients.min(MAX_CLIENTS);
+    /// [`MAX_CONNECTIONS`] has no effect.
+    pub fn with_max_connections(mut self, connections: usize) -> Self {
+        self.limits.connections = connections.min(MAX_CONNECTIONS);
         self
     }
 
@@ -115,7 +115,7 @@
         }
         let Some(call) = AdminCall::parse(request.path()) else { return HttpResponse::status(404) };
         if request.method != call.method() {
-            return HttpResponse::status(405).with("Allow", call.method());
+            return HttpResponse::status(405).with_header("Allow", call.method());
         }
         match call {
             AdminCall::HealthCheck => plain_text("ok\n".into()),
@@ -146,7 +146,7 @@
 
 fn plain_text(body: String) -> HttpResponse {
     let response = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
-    response.with("Content-Type", "text/plain; charset=utf-8")
+    response.with_header("Content-Type", "text/plain; charset=utf-8")
 }
 
 impl Front for AdminFront {
--- a/src/wire/cache_codec.rs
+++ b/src/wire/cache_codec.rs
@@ -107,7 +107,7 @@
 
 /// The codec of a connection to a cache: decodes replies, encodes commands.
 #[derive(Debug, Default)]
-pub struct LineCodec {
+pub struct CacheCodec {
     /// A reply whose body is not complete yet.
     partial: Option<PartialReply>,
     /// Length of the buffer's prefix that is known to contain no line end, so that no byte is searched twice.
@@ -121,7 +121,7 @@
     body_length: usize,
 }
 
-impl LineCodec {
+impl CacheCodec {
     /// Whether the codec is in the middle of a reply; `buffer` holds the bytes that are not yet decoded.
     pub fn is_within_reply(&self, buffer: &[u8]) -> bool {
         // The line end after an empty body may arrive together with the next reply.
@@ -169,7 +169,7 @@
     }
 
     /// The number of bytes of the body and its line end that are not in the buffer yet.
-    fn missing(&self, buffer: &BytesMut) -> usize {
+    fn missing_bytes(&self, buffer: &BytesMut) -> usize {
         (self.body_length + LINE_END.len()).saturating_sub(buffer.len())
     }
 
@@ -230,15 +230,15 @@
     Some(())
 }
 
-impl Decoder for LineCodec {
+impl Decoder for CacheCodec {
     type Item = CacheReply;
     type Error = ReplyError;
 
     fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<CacheReply>, ReplyError> {
         loop {
-            let missing = self.partial.as_ref().map_or(0, |partial| partial.missing(buffer));
-            if missing > 0 {
-                buffer.reserve(missing);
+            let missing_bytes = self.partial.as_ref().map_or(0, |partial| partial.missing_bytes(buffer));
+            if missing_bytes > 0 {
+                buffer.reserve(missing_bytes);
                 return Ok(None);
             }
             if let Some(partial) = self.partial.take() {
@@ -263,7 +263,7 @@
     }
 }
 
-impl Encoder<CacheCommand> for LineCodec {
+impl Encoder<CacheCommand> for CacheCodec {
     type Error = ReplyError;
 
     fn encode(&mut self, command: CacheCommand, out: &mut BytesMut) -> Result<(), ReplyError> {
--- a/src/wire/cache_codec/tests.rs
+++ b/src/wire/cache_codec/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn decode_all(codec: &mut LineCodec, bytes: &[u8]) -> Result<Vec<CacheReply>, ReplyError> {
+fn decode_all(codec: &mut CacheCodec, bytes: &[u8]) -> Result<Vec<CacheReply>, ReplyError> {
     let mut buffer = BytesMut::from(bytes);
     let mut out = Vec::new();
     while let Some(reply) = codec.decode(&mut buffer)? {
@@ -13,7 +13,7 @@
 fn replies_decode_in_any_order_and_split_at_any_byte() {
     let text = b"000000000000000a ACK sum=4be0,t0=1764576000123,load=inflight:7;util:0.61 5\r\na\r\nbc\r\n\
                      000000000000000b NOENT - 0\r\n\r\n000000000000000c NOMOD sum=9,t0=5 0\r\n\r\n";
-    let expected = decode_all(&mut LineCodec::default(), text).unwrap();
+    let expected = decode_all(&mut CacheCodec::default(), text).unwrap();
     assert_eq!(
         expected.iter().map(|r| (r.request_id, r.status)).collect::<Vec<_>>(),
         [(10, ReplyStatus::Served), (11, ReplyStatus::Miss), (12, ReplyStatus::NotModified)]
@@ -23,7 +23,7 @@
         (&b"a\r\nbc"[..], Some(1_764_576_000_123.0))
     );
     for cut in 0..text.len() {
-        let (mut codec, mut buffer, mut replies) = (LineCodec::default(), BytesMut::new(), Vec::new());
+        let (mut codec, mut buffer, mut replies) = (CacheCodec::default(), BytesMut::new(), Vec::new());
         for part in [&text[..cut], &text[cut..]] {
             buffer.extend_from_slice(part);
             while let Some(reply) = codec.decode(&mut buffer).unwrap() {
@@ -40,11 +40,12 @@
 fn incomplete_replies_are_recognised() {
     let text = b"000000000000000a ACK sum=1,t0=1 3\r\nabc\r\n000000000000000b NOENT - 0\r\n\r\n";
     for cut in 0..=text.len() {
-        let (mut codec, mut buffer) = (LineCodec::default(), BytesMut::from(&text[..cut]));
+        let (mut codec, mut buffer) = (CacheCodec::default(), BytesMut::from(&text[..cut]));
         while codec.decode(&mut buffer).unwrap().is_some() {}
-        let first = text.iter().position(|b| *b == b'c').unwrap() + 3;
-        let between = [0, first, text.len() - 2, text.len() - 1, text.len()].contains(&cut);
-        assert_eq!(codec.is_within_reply(&buffer), !between, "cut at {cut}");
+        let first_reply_end = text.iter().position(|b| *b == b'c').unwrap() + 3;
+        let is_between_replies =
+            [0, first_reply_end, text.len() - 2, text.len() - 1, text.len()].contains(&cut);
+        assert_eq!(codec.is_within_reply(&buffer), !is_between_replies, "cut at {cut}");
     }
 }
 
@@ -64,7 +65,7 @@
     ];
     for bytes in bad {
         assert!(
-            decode_all(&mut LineCodec::default(), bytes).is_err(),
+            decode_all(&mut CacheCodec::default(), bytes).is_err(),
             "{:?}",
             String::from_utf8_lossy(bytes)
         );
@@ -74,7 +75,7 @@
 /// No copy of a write is stored, so its reply may have no entity tag.
 #[test]
 fn a_reply_to_a_write_needs_no_entity_tag() {
-    let replies = decode_all(&mut LineCodec::default(), b"000000000000000a ACK - 2\r\nok\r\n").unwrap();
+    let replies = decode_all(&mut CacheCodec::default(), b"000000000000000a ACK - 2\r\nok\r\n").unwrap();
     assert_eq!(
         (replies[0].status, &replies[0].body[..], &replies[0].entity_tag),
         (ReplyStatus::Served, &b"ok"[..], &None)
@@ -87,7 +88,7 @@
                  000000000000000b EIO note=ORIGIN_ERR,slow=140 0\r\n\r\n\
                  000000000000000c NOENT note=UP_MISS 0\r\n\r\n\
                  000000000000000d AGAIN - 0\r\n\r\n";
-    let replies = decode_all(&mut LineCodec::default(), text).unwrap();
+    let replies = decode_all(&mut CacheCodec::default(), text).unwrap();
     assert_eq!(
         replies.iter().map(|reply| (reply.status, reply.path)).collect::<Vec<_>>(),
         [
@@ -104,7 +105,7 @@
 fn an_unknown_or_malformed_path_does_not_invalidate_a_reply() {
     for note in ["note=", "note", "note=hit", "note=HIT=MISS", "note=7", "note=\u{e9}"] {
         let text = format!("000000000000000a ACK sum=4be0,{note},t0=5 2\r\nok\r\n");
-        let replies = decode_all(&mut LineCodec::default(), text.as_bytes()).unwrap();
+        let replies = decode_all(&mut CacheCodec::default(), text.as_bytes()).unwrap();
         let [reply] = &replies[..] else { panic!("{note}: {replies:?}") };
         assert_eq!(
             (reply.status, reply.path, &reply.body[..]),
@@ -132,16 +133,16 @@
         client_etag: Some("4be0".into()),
         ..CacheRequest::default()
     };
-    LineCodec::default().encode(CacheCommand::Send(Box::new(request)), &mut out).unwrap();
-    LineCodec::default().encode(CacheCommand::Cancel("9b1f03aa5c7e2d41".into()), &mut out).unwrap();
-    let conditional = CacheRequest {
+    CacheCodec::default().encode(CacheCommand::Send(Box::new(request)), &mut out).unwrap();
+    CacheCodec::default().encode(CacheCommand::Cancel("9b1f03aa5c7e2d41".into()), &mut out).unwrap();
+    let only_if_cached = CacheRequest {
         id: "000000000000000a".into(),
         join_fill: true,
         only_if_cached: true,
         timeout_ms: 5,
         ..CacheRequest::default()
     };
-    LineCodec::default().encode(CacheCommand::Send(Box::new(conditional)), &mut out).unwrap();
+    CacheCodec::default().encode(CacheCommand::Send(Box::new(only_if_cached)), &mut out).unwrap();
     assert_eq!(
         &out[..],
         &b"GET 9b1f03aa5c7e2d41 c=segment,k=7f3a9c21e0b4d655,p=3,w=900,next=s-00c41f7a,admit=2,agelim=1500,\
--- a/src/wire/cache_connection.rs
+++ b/src/wire/cache_connection.rs
@@ -1,7 +1,7 @@
 //! The driver of a connection to a cache, a parent or the origin: connects, writes the engine's commands, and
 //! passes it the replies.
 
-use super::cache_codec::{LineCodec, ReplyError};
+use super::cache_codec::{CacheCodec, ReplyError};
 use crate::cache_message::CacheCommand;
 use crate::clock::duration_from_ms;
 use crate::engine::executor::{ConnectionDriver, Dial, Executor};
@@ -23,7 +23,7 @@
 use tokio_util::codec::{Encoder, FramedRead};
 
 /// Time limit of one write, in milliseconds. The connection is closed if the write is not complete by then.
-const WRITE_MS: f64 = 2_000.0;
+const WRITE_TIMEOUT_MS: f64 = 2_000.0;
 /// How long replies that arrived before a connection broke are still read, in milliseconds.
 const LAST_READ_MS: f64 = 100.0;
 /// Interval of the stall check, in milliseconds. A partial reply that makes no progress between two checks
@@ -68,7 +68,9 @@
     let Dial { conn, address, connect_timeout_ms, waker } = dial;
     let stream = match timeout(duration_from_ms(connect_timeout_ms), TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(error)) => return executor.with(|engine| engine.connection_failed(conn, is_local(&error))),
+        Ok(Err(error)) => {
+            return executor.with(|engine| engine.connection_failed(conn, is_local_resource_error(&error)))
+        }
         Err(_) => return executor.with(|engine| engine.connection_failed(conn, false)),
     };
     let _ = stream.set_nodelay(true);
@@ -85,7 +87,7 @@
     waker: &Notify,
 ) -> Result<(), ConnectionError> {
     let (source, sink) = stream.into_split();
-    let source = FramedRead::new(source, LineCodec::default());
+    let source = FramedRead::new(source, CacheCodec::default());
     let mut reading = Box::pin(read(executor, conn, source));
     tokio::select! {
         biased;
@@ -130,7 +132,7 @@
 }
 
 /// Whether a connect failed for lack of a local resource, such as file descriptors.
-pub(crate) fn is_local(error: &std::io::Error) -> bool {
+pub(crate) fn is_local_resource_error(error: &std::io::Error) -> bool {
     // EMFILE, ENFILE, EADDRNOTAVAIL, ENOBUFS, ENOMEM.
     matches!(error.raw_os_error(), Some(24 | 23 | 99 | 105 | 12))
 }
@@ -139,25 +141,25 @@
 async fn read(
     executor: &Rc<Executor>,
     conn: ConnectionId,
-    mut source: FramedRead<OwnedReadHalf, LineCodec>,
+    mut source: FramedRead<OwnedReadHalf, CacheCodec>,
 ) -> Result<(), ConnectionError> {
     // The number of buffered bytes at the last check; `None` between replies.
-    let mut partial_bytes = None;
+    let mut last_buffered_bytes = None;
     loop {
         match timeout(duration_from_ms(STALL_CHECK_MS), source.next()).await {
             Ok(Some(reply)) => {
                 let reply = reply?;
-                partial_bytes = None;
+                last_buffered_bytes = None;
                 executor.with(|engine| engine.handle_response(conn, reply));
             }
             Ok(None) => return Ok(()),
             Err(_) => {
                 let buffer = source.read_buffer();
-                let now = source.decoder().is_within_reply(buffer).then_some(buffer.len());
-                if now.is_some() && now == partial_bytes {
+                let buffered_bytes = source.decoder().is_within_reply(buffer).then_some(buffer.len());
+                if buffered_bytes.is_some() && buffered_bytes == last_buffered_bytes {
                     return Err(ConnectionError::Stalled);
                 }
-                partial_bytes = now;
+                last_buffered_bytes = buffered_bytes;
             }
         }
     }
@@ -170,7 +172,7 @@
     mut sink: OwnedWriteHalf,
     waker: &Notify,
 ) -> Result<(), ConnectionError> {
-    let (mut codec, mut bytes) = (LineCodec::default(), BytesMut::new());
+    let (mut codec, mut bytes) = (CacheCodec::default(), BytesMut::new());
     loop {
         let command = match executor.with(|engine| engine.next_write(conn)) {
             NextWrite::Write(command) => command,
@@ -192,8 +194,8 @@
             (Err(error), Some(request_id)) if error.kind() == ErrorKind::WouldBlock => {
                 bytes.clear();
                 executor.with(|engine| engine.write_blocked(conn, request_id));
-                match timeout(duration_from_ms(WRITE_MS), sink.writable()).await {
-                    Ok(room) => room?,
+                match timeout(duration_from_ms(WRITE_TIMEOUT_MS), sink.writable()).await {
+                    Ok(writable) => writable?,
                     Err(_) => return Ok(()),
                 }
                 continue;
@@ -201,7 +203,7 @@
             (Err(error), _) if error.kind() == ErrorKind::WouldBlock => {}
             (Err(error), _) => return Err(error.into()),
         }
-        match timeout(duration_from_ms(WRITE_MS), sink.write_all_buf(&mut bytes)).await {
+        match timeout(duration_from_ms(WRITE_TIMEOUT_MS), sink.write_all_buf(&mut bytes)).await {
             Ok(written) => written?,
             Err(_) => return Ok(()),
         }
--- a/src/wire/client_connection.rs
+++ b/src/wire/client_connection.rs
@@ -5,7 +5,7 @@
 use super::connection_slots::ConnectionSlot;
 use super::front::{Disposition, Front};
 use super::http::{HttpRequest, HttpResponse};
-use super::http_codec::{BadRequest, HttpCodec, Phase};
+use super::http_codec::{HttpCodec, Phase, RejectedRequest};
 use super::shutdown::{ConnectionGuard, GracefulShutdown};
 use super::submission::Submission;
 use crate::clock::duration_from_ms;
@@ -20,10 +20,10 @@
 const DEADLINE_CHECK_MS: f64 = 250.0;
 /// How long after its request's deadline a response may still be written before the connection is closed, in
 /// milliseconds. Applies where clients send one request at a time.
-const LATE_WRITE_MS: f64 = 500.0;
+const WRITE_GRACE_MS: f64 = 500.0;
 
 /// How a connection ends.
-enum End {
+enum ConnectionEnd {
     /// The client has disconnected, or cannot be written to.
     Disconnected,
     /// The proxy closes the connection gracefully.
@@ -63,10 +63,10 @@
 
     /// Serves the connection until it ends. `guard` counts it as open until the last response is written; the
     /// lingering close after that is counted separately.
-    pub(super) async fn serve(mut self, open: ConnectionGuard) {
+    pub(super) async fn serve(mut self, guard: ConnectionGuard) {
         let end = self.serve_requests().await;
-        drop(open);
-        if let End::Disconnected = end {
+        drop(guard);
+        if let ConnectionEnd::Disconnected = end {
             return;
         }
         let _lingering = self.shutdown.track_lingering();
@@ -81,7 +81,7 @@
     }
 
     /// Serves requests until the connection ends.
-    async fn serve_requests(&mut self) -> End {
+    async fn serve_requests(&mut self) -> ConnectionEnd {
         // Bounds the first request, so that a client that sends nothing, or a byte at a time, does not keep
         // its slot.
         let mut first_deadline = Some(self.executor.clock.now() + self.front.limits().first_ms);
@@ -92,16 +92,16 @@
             };
             self.slot.set_busy();
             let Some(TimedResponse { mut response, write_ms }) = self.respond(&request).await else {
-                return End::Disconnected;
+                return ConnectionEnd::Disconnected;
             };
             response.close |=
                 !request.keep_alive || self.shutdown.closes_after_response() || self.stream.is_overrun();
             let close = response.close;
             if !self.write(response, write_ms).await {
-                return End::Disconnected;
+                return ConnectionEnd::Disconnected;
             }
             if close {
-                return End::Close;
+                return ConnectionEnd::Close;
             }
             self.stream.restart_wait();
             let now = self.executor.clock.now();
@@ -115,16 +115,16 @@
 
     /// The next request, or how the connection ends. A client that is too slow or sends a malformed request
     /// gets an error response first.
-    async fn next_request(&mut self, deadline: Option<f64>) -> Result<HttpRequest, End> {
+    async fn next_request(&mut self, deadline: Option<f64>) -> Result<HttpRequest, ConnectionEnd> {
         match self.receive(deadline).await {
             Ok(Received::Request(request)) => Ok(request),
-            Ok(Received::Bad(BadRequest(status))) => {
+            Ok(Received::Rejected(RejectedRequest(status))) => {
                 self.executor.with(|engine| engine.counters.malformed_requests += 1);
-                Err(self.fail(status).await)
+                Err(self.send_error(status).await)
             }
-            Ok(Received::End) => Err(End::Disconnected),
-            Err(Phase::Idle) => Err(End::Close),
-            Err(Phase::Head | Phase::Body) => Err(self.fail(408).await),
+            Ok(Received::End) => Err(ConnectionEnd::Disconnected),
+            Err(Phase::Idle) => Err(ConnectionEnd::Close),
+            Err(Phase::Head | Phase::Body) => Err(self.send_error(408).await),
         }
     }
 
@@ -142,14 +142,14 @@
                 received = timeout(duration_from_ms(check_ms), self.stream.next()) => if let Ok(received) = received {
                     return Ok(received);
                 },
-                () = self.shutdown.begins() => {}
+                () = self.shutdown.begin_notified() => {}
                 () = self.slot.evicted() => {}
             }
             let (phase, since) = self.stream.phase();
             if phase != Phase::Idle {
                 self.slot.set_reading(since);
             }
-            if self.wait_is_over(phase, since, deadline) {
+            if self.should_stop_waiting(phase, since, deadline) {
                 // The socket may hold a request that arrived since the last poll.
                 return self.stream.next_now().await.ok_or(phase);
             }
@@ -158,7 +158,7 @@
 
     /// Whether to stop waiting for a request, in a phase that began at `since`. Counts a client that missed
     /// the deadline of its first request.
-    fn wait_is_over(&self, phase: Phase, since: f64, deadline: Option<f64>) -> bool {
+    fn should_stop_waiting(&self, phase: Phase, since: f64, deadline: Option<f64>) -> bool {
         let limits = self.front.limits();
         let limit_ms = match phase {
             Phase::Idle => limits.idle_ms,
@@ -185,39 +185,39 @@
         let deadline_ms = request.deadline_ms;
         // The client may have disconnected while its request waited for a connection slot, or for the
         // response to an earlier pipelined request.
-        if self.stream.has_left().await {
+        if self.stream.has_disconnected().await {
             executor.with(|engine| engine.counters.clients_disconnected += 1);
             return None;
         }
         let response = match front.submit(&executor, &context, request) {
-            Ok(submission) => front.respond(&context, self.wait(submission).await?),
+            Ok(submission) => front.respond(&context, self.wait_for_response(submission).await?),
             Err(reason) => front.reject(reason),
         };
         if front.limits().one_at_a_time {
-            write_ms = (deadline_ms + LATE_WRITE_MS - executor.clock.now()).clamp(1.0, write_ms);
+            write_ms = (deadline_ms + WRITE_GRACE_MS - executor.clock.now()).clamp(1.0, write_ms);
         }
         Some(TimedResponse { response, write_ms })
     }
 
     /// Waits for the result of a request; `None` where the client disconnects first.
-    async fn wait(&mut self, submission: Submission) -> Option<FinalResponse> {
+    async fn wait_for_response(&mut self, submission: Submission) -> Option<FinalResponse> {
         match submission {
             Submission::Completed(result) => Some(result),
             Submission::Pending(pending) => tokio::select! {
                 biased;
                 result = pending.result() => Some(result),
-                () = self.stream.left() => None,
+                () = self.stream.disconnected() => None,
             },
         }
     }
 
     /// Sends an error response, after which the connection is closed.
-    async fn fail(&mut self, status: u16) -> End {
+    async fn send_error(&mut self, status: u16) -> ConnectionEnd {
         self.slot.set_busy();
         let write_ms = self.front.limits().write_ms;
         match self.write(HttpResponse::closing(status), write_ms).await {
-            true => End::Close,
-            false => End::Disconnected,
+            true => ConnectionEnd::Close,
+            false => ConnectionEnd::Disconnected,
         }
     }
 
--- a/src/wire/client_stream.rs
+++ b/src/wire/client_stream.rs
@@ -2,7 +2,7 @@
 //! responses, and closes the connection so that the last response arrives.
 
 use super::http::{HttpRequest, HttpResponse};
-use super::http_codec::{BadRequest, HttpCodec, Phase, MAX_HEAD, MAX_INLINE};
+use super::http_codec::{HttpCodec, Phase, RejectedRequest, MAX_HEAD, MAX_INLINE};
 use crate::clock::duration_from_ms;
 use futures_util::{FutureExt, SinkExt, StreamExt};
 use std::future::Future;
@@ -14,7 +14,7 @@
 
 /// The most bytes that are buffered from a client that sends further bytes before the response to its
 /// request.
-pub const MAX_AHEAD: usize = MAX_HEAD;
+pub const MAX_BYTES_AHEAD: usize = MAX_HEAD;
 /// The most checks for a client's disconnect before its request is submitted, while more bytes arrive.
 /// Together they read what the socket buffers hold, since the end of the stream follows its last byte.
 const MAX_DISCONNECT_CHECKS: u32 = 64;
@@ -29,7 +29,7 @@
     /// A request.
     Request(HttpRequest),
     /// A malformed request, after which nothing more is read.
-    Bad(BadRequest),
+    Rejected(RejectedRequest),
     /// The client closed or shut down its side, or the connection failed.
     End,
 }
@@ -49,7 +49,7 @@
 impl ClientStream {
     /// The stream of an accepted connection. Sets `TCP_NODELAY`.
     ///
-    /// Bytes that a client sends ahead of a response beyond [`MAX_AHEAD`] are discarded. Without
+    /// Bytes that a client sends ahead of a response beyond [`MAX_BYTES_AHEAD`] are discarded. Without
     /// `pipelining`, the connection is closed after that response; with it, after the response to the last
     /// request that is buffered completely.
     pub fn new(stream: TcpStream, codec: HttpCodec, pipelining: bool) -> Self {
@@ -61,7 +61,7 @@
     pub async fn next(&mut self) -> Received {
         match self.framed.next().await {
             Some(Ok(Ok(request))) => Received::Request(request),
-            Some(Ok(Err(bad))) => Received::Bad(bad),
+            Some(Ok(Err(rejected))) => Received::Rejected(rejected),
             None | Some(Err(_)) => Received::End,
         }
     }
@@ -104,7 +104,7 @@
     /// buffered for the next request, up to a limit. Reading continues beyond the limit, since a full receive
     /// window would hide the end of the stream. Call this only between a request and its response. Cancel
     /// safe.
-    pub async fn left(&mut self) {
+    pub async fn disconnected(&mut self) {
         let mut chunk = [0u8; READ_CHUNK];
         loop {
             let read = self.framed.get_mut().read(&mut chunk).await;
@@ -118,7 +118,7 @@
     fn buffer_ahead(&mut self, bytes: &[u8]) {
         self.bytes_ahead += bytes.len() as u64;
         let buffer = self.framed.read_buffer_mut();
-        if !self.overrun && buffer.len() + bytes.len() <= MAX_AHEAD {
+        if !self.overrun && buffer.len() + bytes.len() <= MAX_BYTES_AHEAD {
             buffer.extend_from_slice(bytes);
             return;
         }
@@ -130,12 +130,12 @@
 
     /// Whether the client has already disconnected. Checks repeatedly, since the end of its stream may follow
     /// more bytes than one check reads.
-    pub async fn has_left(&mut self) -> bool {
+    pub async fn has_disconnected(&mut self) -> bool {
         for _ in 0..MAX_DISCONNECT_CHECKS {
             // Yields, so that the reactor polls the socket for bytes that followed the request.
             tokio::task::yield_now().await;
             let before = self.bytes_ahead;
-            if self.left().now_or_never().is_some() {
+            if self.disconnected().now_or_never().is_some() {
                 return true;
             }
             if self.bytes_ahead == before {
--- a/src/wire/connection_slots.rs
+++ b/src/wire/connection_slots.rs
@@ -14,17 +14,17 @@
 
 /// A listener's slots.
 pub(super) struct ConnectionSlots {
-    slots: RefCell<ClientSlots>,
+    table: RefCell<ClientSlots>,
     evictions: RefCell<HashMap<SlotId, Rc<Notify>>>,
     /// Notified when a slot becomes free or idle.
     changed: Notify,
 }
 
 impl ConnectionSlots {
-    /// A set of `max` free slots.
+    /// Creates a table of `max` slots, at least one, all free.
     pub(super) fn new(max: usize) -> Rc<Self> {
         Rc::new(Self {
-            slots: RefCell::new(ClientSlots::new(max)),
+            table: RefCell::new(ClientSlots::new(max)),
             evictions: RefCell::default(),
             changed: Notify::new(),
         })
@@ -37,8 +37,8 @@
             if let Some(slot) = self.try_acquire(now) {
                 return slot;
             }
-            let idle = self.slots.borrow_mut().evict_one(now);
-            if let Some(eviction) = idle.and_then(|id| self.evictions.borrow().get(&id).cloned()) {
+            let evicted_id = self.table.borrow_mut().evict_one(now);
+            if let Some(eviction) = evicted_id.and_then(|id| self.evictions.borrow().get(&id).cloned()) {
                 executor.with(|engine| engine.counters.client_connections_evicted += 1);
                 eviction.notify_one();
             }
@@ -47,7 +47,7 @@
     }
 
     fn try_acquire(self: &Rc<Self>, now: f64) -> Option<ConnectionSlot> {
-        let id = self.slots.borrow_mut().claim(now)?;
+        let id = self.table.borrow_mut().claim(now)?;
         let eviction = Rc::new(Notify::new());
         self.evictions.borrow_mut().insert(id, eviction.clone());
         Some(ConnectionSlot { slots: self.clone(), id, eviction, evicted: Cell::new(false) })
@@ -65,23 +65,23 @@
 impl ConnectionSlot {
     /// Marks the connection as reading a request or its body since `since`, in Unix milliseconds.
     pub(super) fn set_reading(&self, since: f64) {
-        self.slots.slots.borrow_mut().request_started(self.id, since);
+        self.slots.table.borrow_mut().request_started(self.id, since);
     }
 
     /// Marks a request as open, which protects the connection from eviction.
     pub(super) fn set_busy(&self) {
-        self.slots.slots.borrow_mut().request_open(self.id);
+        self.slots.table.borrow_mut().request_open(self.id);
     }
 
     /// Marks the connection as waiting for the next request.
     pub(super) fn set_idle(&self, now: f64) {
-        self.slots.slots.borrow_mut().idle(self.id, now);
+        self.slots.table.borrow_mut().idle(self.id, now);
         self.slots.changed.notify_one();
     }
 
     /// Marks the connection as closed by this side and lingering.
     pub(super) fn set_lingering(&self) {
-        self.slots.slots.borrow_mut().finished(self.id);
+        self.slots.table.borrow_mut().finished(self.id);
         self.slots.changed.notify_one();
     }
 
@@ -99,7 +99,7 @@
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.slots.slots.borrow_mut().release(self.id);
+        self.slots.table.borrow_mut().release(self.id);
         self.slots.evictions.borrow_mut().remove(&self.id);
         self.slots.changed.notify_one();
     }
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -19,9 +19,9 @@
 /// Bounds of the idle timeout, in milliseconds, after which a connection counts as broken; a frame is due
 /// each second. Each connection draws a random value between them, so that the proxies of a fleet do not all
 /// reconnect at the same time after an outage.
-pub const SILENCE_MS: (f64, f64) = (1_600.0, 2_000.0);
+pub const IDLE_TIMEOUT_MS: (f64, f64) = (1_600.0, 2_000.0);
 /// Time limit of a connect and of the first write, in milliseconds.
-const CONNECT_MS: f64 = 700.0;
+const CONNECT_TIMEOUT_MS: f64 = 700.0;
 /// The least backoff after a malformed frame or a gap, in milliseconds.
 const MALFORMED_BACKOFF_MS: f64 = 200.0;
 /// The backoff after the first connection without an event, in milliseconds. It doubles with each further
@@ -79,7 +79,7 @@
 #[derive(Default)]
 struct WatchState {
     /// Consecutive connections without an event.
-    without_event: u32,
+    connections_without_event: u32,
     /// The number of the event that failed last.
     failed_event: u64,
     /// Consecutive failures of `failed_event`.
@@ -96,12 +96,12 @@
 
     /// The backoff before the next connection, in milliseconds; `random` is uniform in 0..1.
     fn backoff_ms(&self, random: f64) -> f64 {
-        match self.without_event {
+        match self.connections_without_event {
             // After a connection with an event: only jitter, so that the proxies of a fleet do not all
             // reconnect at the same time.
             0 => INITIAL_BACKOFF_MS * random,
-            without_event => {
-                let doubled = INITIAL_BACKOFF_MS * f64::from(1u32 << (without_event - 1).min(8));
+            connections_without_event => {
+                let doubled = INITIAL_BACKOFF_MS * f64::from(1u32 << (connections_without_event - 1).min(8));
                 doubled.min(MAX_BACKOFF_MS) * (1.0 - BACKOFF_JITTER * random)
             }
         }
@@ -119,11 +119,11 @@
             // address.
             biased;
             Ok(()) = address.changed() => {
-                executor.with(|engine| engine.counters.discovery_moves += 1);
+                executor.with(|engine| engine.counters.discovery_address_changes += 1);
                 state = WatchState::default();
                 continue;
             }
-            ended = follow(&executor, current, &mut state) => ended,
+            ended = watch_once(&executor, current, &mut state) => ended,
         };
         let mut backoff_ms = state.backoff_ms(rand::random());
         if let Err(error) = ended {
@@ -143,16 +143,16 @@
 }
 
 /// Applies the events of one connection until it ends.
-async fn follow(
+async fn watch_once(
     executor: &Rc<Executor>,
     address: SocketAddr,
     state: &mut WatchState,
 ) -> Result<(), WatchError> {
-    state.without_event += 1;
+    state.connections_without_event += 1;
     let mut frames = connect(executor, address).await?;
-    let silence_ms = SILENCE_MS.0 + (SILENCE_MS.1 - SILENCE_MS.0) * rand::random::<f64>();
+    let idle_timeout_ms = IDLE_TIMEOUT_MS.0 + (IDLE_TIMEOUT_MS.1 - IDLE_TIMEOUT_MS.0) * rand::random::<f64>();
     loop {
-        let next = timeout(duration_from_ms(silence_ms), frames.next()).await;
+        let next = timeout(duration_from_ms(idle_timeout_ms), frames.next()).await;
         match next.map_err(|_| WatchError::timed_out())? {
             Some(frame) => apply(executor, &frame?, state)?,
             None => return Ok(()),
@@ -165,7 +165,7 @@
     executor: &Rc<Executor>,
     address: SocketAddr,
 ) -> Result<Framed<TcpStream, FrameCodec>, WatchError> {
-    let limit = duration_from_ms(CONNECT_MS);
+    let limit = duration_from_ms(CONNECT_TIMEOUT_MS);
     let stream = timeout(limit, TcpStream::connect(address)).await.map_err(|_| WatchError::timed_out())??;
     let _ = stream.set_nodelay(true);
     let mut frames = Framed::new(stream, FrameCodec);
@@ -191,7 +191,7 @@
     }
     match frame.event(&executor.settings()) {
         Ok(event) => {
-            state.without_event = 0;
+            state.connections_without_event = 0;
             executor.with(|engine| {
                 engine.apply_event(event);
                 if !frame.is_heartbeat() {
@@ -202,8 +202,7 @@
         }
         Err(error) if number > last && state.count_failure(number) < MAX_EVENT_FAILURES => {
             // The valid records take effect at once: a drain must not wait for a malformed record beside it.
-            executor
-                .with(|engine| engine.apply_readable_endpoints(frame.readable_endpoints(&engine.settings())));
+            executor.with(|engine| engine.apply_valid_endpoints(frame.valid_endpoints(&engine.settings())));
             return Err(error.into());
         }
         Err(error) => {
--- a/src/wire/discovery/tests.rs
+++ b/src/wire/discovery/tests.rs
@@ -4,13 +4,14 @@
 #[test]
 fn backoff_grows_is_bounded_and_has_jitter() {
     let backoffs = |random| {
-        [1, 2, 3, 4, 40]
-            .map(|without_event| WatchState { without_event, ..WatchState::default() }.backoff_ms(random))
+        [1, 2, 3, 4, 40].map(|connections_without_event| {
+            WatchState { connections_without_event, ..WatchState::default() }.backoff_ms(random)
+        })
     };
     assert_eq!(backoffs(0.0), [50.0, 100.0, 200.0, 240.0, 240.0]);
     assert_eq!(backoffs(1.0), [25.0, 50.0, 100.0, 120.0, 120.0]);
-    let after_service = |random| WatchState::default().backoff_ms(random);
-    assert_eq!((after_service(0.0), after_service(1.0)), (0.0, INITIAL_BACKOFF_MS));
+    let after_event = |random| WatchState::default().backoff_ms(random);
+    assert_eq!((after_event(0.0), after_event(1.0)), (0.0, INITIAL_BACKOFF_MS));
 }
 
 #[test]
--- a/src/wire/discovery_codec.rs
+++ b/src/wire/discovery_codec.rs
@@ -108,7 +108,7 @@
     }
 
     /// The endpoints of the valid records; malformed records are left out.
-    pub fn readable_endpoints(&self, settings: &PlatformSettings) -> Vec<ListedEndpoint> {
+    pub fn valid_endpoints(&self, settings: &PlatformSettings) -> Vec<ListedEndpoint> {
         self.records().filter_map(|record| decode_record(record, settings).ok()).collect()
     }
 
--- a/src/wire/discovery_json.rs
+++ b/src/wire/discovery_json.rs
@@ -31,7 +31,7 @@
 
 /// Why an event of the initial state is invalid.
 #[derive(Debug, Error)]
-pub enum EventFault {
+pub enum EventError {
     /// An endpoint of the list is invalid.
     #[error(transparent)]
     Endpoint(#[from] EndpointJsonError),
@@ -50,7 +50,7 @@
     /// The event's sequence number.
     pub number: u64,
     /// Why the event is invalid.
-    pub source: EventFault,
+    pub source: EventError,
 }
 
 /// The initial state in the configuration (`known`): the events that are applied at startup.
@@ -126,7 +126,7 @@
         Ok(Sequenced { number, event })
     }
 
-    fn event(&self) -> Result<WatchEvent, EventFault> {
+    fn event(&self) -> Result<WatchEvent, EventError> {
         match (&self.list, &self.purge) {
             (Some(list), _) => list.event(),
             (None, Some(purge)) => purge.event(),
@@ -136,20 +136,20 @@
 }
 
 impl ListJson {
-    fn event(&self) -> Result<WatchEvent, EventFault> {
+    fn event(&self) -> Result<WatchEvent, EventError> {
         let endpoints = self.endpoints.iter().map(ListedEndpoint::try_from).collect::<Result<_, _>>()?;
         Ok(WatchEvent::Endpoints { full: self.full, endpoints })
     }
 }
 
 impl PurgeJson {
-    fn event(&self) -> Result<WatchEvent, EventFault> {
+    fn event(&self) -> Result<WatchEvent, EventError> {
         let issued_ms = self.issued_ms;
         if let Some(text) = &self.object {
-            let object = parse_hex16(text).ok_or_else(|| EventFault::PurgedObject(text.clone()))?;
+            let object = parse_hex16(text).ok_or_else(|| EventError::PurgedObject(text.clone()))?;
             return Ok(WatchEvent::Purge { object: Some(object), group: 0, issued_ms });
         }
-        let group = self.group.ok_or(EventFault::EmptyPurge)?;
+        let group = self.group.ok_or(EventError::EmptyPurge)?;
         Ok(WatchEvent::Purge { object: None, group, issued_ms })
     }
 }
--- a/src/wire/entity_tag.rs
+++ b/src/wire/entity_tag.rs
@@ -16,7 +16,7 @@
 
 /// The tag of an `If-None-Match` field; `None` where it has several tags, or one that the cache protocol
 /// cannot carry.
-pub fn parse_single(field: &str) -> Option<String> {
+pub fn parse_single_tag(field: &str) -> Option<String> {
     let tag = field.strip_prefix("W/").unwrap_or(field).strip_prefix('"')?.strip_suffix('"')?;
     (is_field_value(tag) && !tag.contains('"') && tag.len() <= MAX_TAG).then(|| tag.to_string())
 }
--- a/src/wire/front.rs
+++ b/src/wire/front.rs
@@ -25,7 +25,7 @@
     pub write_ms: f64,
     /// Whether clients send one request at a time and state how long they wait for its response. Writing a
     /// response then ends half a second after the request's deadline at the latest, and a connection closes
-    /// after the response if its client sent more than `client_stream::MAX_AHEAD` bytes ahead of it.
+    /// after the response if its client sent more than `client_stream::MAX_BYTES_AHEAD` bytes ahead of it.
     #[serde(skip)]
     pub one_at_a_time: bool,
     /// The longest body, in bytes.
@@ -95,7 +95,7 @@
         _context: &ResponseContext,
         request: IncomingRequest,
     ) -> Result<Submission, AdmitError> {
-        Submission::to_engine(executor, request)
+        Submission::submit_to_engine(executor, request)
     }
 
     /// The HTTP response for the engine's final response.
--- a/src/wire/http.rs
+++ b/src/wire/http.rs
@@ -30,7 +30,7 @@
     }
 
     /// The value of a field that may occur only once; `name` in lower case.
-    pub fn single(&self, name: &str) -> Result<Option<&str>, RepeatedField> {
+    pub fn single_value(&self, name: &str) -> Result<Option<&str>, RepeatedField> {
         let mut values = self.headers.iter().filter(|(n, _)| n == name).map(|(_, v)| v.as_str());
         let first = values.next();
         match values.next() {
@@ -76,14 +76,14 @@
     }
 
     /// Adds a header field.
-    pub fn with(mut self, name: &'static str, value: impl Into<String>) -> Self {
+    pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
     }
 
     /// Adds an entity tag, in quotes.
     pub fn with_entity_tag(self, tag: &str) -> Self {
-        self.with("ETag", format!("\"{tag}\""))
+        self.with_header("ETag", format!("\"{tag}\""))
     }
 }
 
--- a/src/wire/http_codec.rs
+++ b/src/wire/http_codec.rs
@@ -17,7 +17,7 @@
 
 /// A malformed or unsupported request: the status to respond with before the connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadRequest(pub u16);
+pub struct RejectedRequest(pub u16);
 
 /// What a connection is waiting to read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     clock: Clock,
     max_body: usize,
     phase: Phase,
-    since: f64,
+    phase_started_at: f64,
     pending: Option<PendingRequest>,
     failed: bool,
 }
@@ -51,27 +51,27 @@
 impl HttpCodec {
     /// A codec that accepts request bodies of at most `max_body` bytes.
     pub fn new(clock: Clock, max_body: usize) -> Self {
-        let since = clock.now();
-        Self { clock, max_body, phase: Phase::Idle, since, pending: None, failed: false }
+        let phase_started_at = clock.now();
+        Self { clock, max_body, phase: Phase::Idle, phase_started_at, pending: None, failed: false }
     }
 
     /// The current phase, and when it began, in Unix milliseconds.
     pub fn phase(&self) -> (Phase, f64) {
-        (self.phase, self.since)
+        (self.phase, self.phase_started_at)
     }
 
     /// Restarts the wait for the next request, after a response.
     pub fn restart_wait(&mut self) {
-        self.since = self.clock.now();
+        self.phase_started_at = self.clock.now();
     }
 
     fn enter(&mut self, phase: Phase) {
         if self.phase != phase {
-            (self.phase, self.since) = (phase, self.clock.now());
+            (self.phase, self.phase_started_at) = (phase, self.clock.now());
         }
     }
 
-    fn next_request(&mut self, buffer: &mut BytesMut) -> Result<Option<HttpRequest>, BadRequest> {
+    fn next_request(&mut self, buffer: &mut BytesMut) -> Result<Option<HttpRequest>, RejectedRequest> {
         if self.pending.is_none() {
             self.pending = self.next_head(buffer)?;
         }
@@ -87,7 +87,7 @@
         Ok(Some(request))
     }
 
-    fn next_head(&mut self, buffer: &mut BytesMut) -> Result<Option<PendingRequest>, BadRequest> {
+    fn next_head(&mut self, buffer: &mut BytesMut) -> Result<Option<PendingRequest>, RejectedRequest> {
         // Empty lines before a request are skipped (RFC 9112, section 2.2).
         while buffer.starts_with(b"\r\n") {
             buffer.advance(2);
@@ -99,12 +99,12 @@
         self.enter(Phase::Head);
         let Some(Head { mut request, is_http_1_1 }) = Head::parse(buffer)? else { return Ok(None) };
         request.keep_alive = is_persistent(&request, is_http_1_1);
-        if single(&request, "host")?.is_none() && is_http_1_1 {
-            return Err(BadRequest(400));
+        if single_value(&request, "host")?.is_none() && is_http_1_1 {
+            return Err(RejectedRequest(400));
         }
         let body_length = body_length(&request)?;
         if body_length > self.max_body {
-            return Err(BadRequest(413));
+            return Err(RejectedRequest(413));
         }
         Ok(Some(PendingRequest { request, body_length }))
     }
@@ -118,14 +118,14 @@
 
 impl Head {
     /// Takes a head out of the buffer; `None` where it is not complete.
-    fn parse(buffer: &mut BytesMut) -> Result<Option<Self>, BadRequest> {
+    fn parse(buffer: &mut BytesMut) -> Result<Option<Self>, RejectedRequest> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
         let length = match parsed.parse(buffer) {
             Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD => length,
             Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD => return Ok(None),
-            Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(BadRequest(431)),
-            Err(_) => return Err(BadRequest(400)),
+            Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(RejectedRequest(431)),
+            Err(_) => return Err(RejectedRequest(400)),
         };
         let mut request = HttpRequest {
             method: parsed.method.unwrap_or_default().to_string(),
@@ -133,7 +133,7 @@
             ..HttpRequest::default()
         };
         for header in parsed.headers.iter() {
-            let value = std::str::from_utf8(header.value).map_err(|_| BadRequest(400))?.trim();
+            let value = std::str::from_utf8(header.value).map_err(|_| RejectedRequest(400))?.trim();
             request.headers.push((header.name.to_ascii_lowercase(), value.to_string()));
         }
         let is_http_1_1 = parsed.version == Some(1);
@@ -142,8 +142,8 @@
     }
 }
 
-fn single<'r>(request: &'r HttpRequest, name: &str) -> Result<Option<&'r str>, BadRequest> {
-    request.single(name).map_err(|_| BadRequest(400))
+fn single_value<'r>(request: &'r HttpRequest, name: &str) -> Result<Option<&'r str>, RejectedRequest> {
+    request.single_value(name).map_err(|_| RejectedRequest(400))
 }
 
 /// Whether the connection persists after the response (RFC 9112, section 9.3).
@@ -159,22 +159,22 @@
 
 /// The length of a request's body (RFC 9112, section 6.3). Transfer codings are not supported, and ambiguous
 /// framing is rejected, which prevents request smuggling.
-fn body_length(request: &HttpRequest) -> Result<usize, BadRequest> {
-    let has_coding = single(request, "transfer-encoding")?.is_some();
-    let length = single(request, "content-length")?;
+fn body_length(request: &HttpRequest) -> Result<usize, RejectedRequest> {
+    let has_coding = single_value(request, "transfer-encoding")?.is_some();
+    let length = single_value(request, "content-length")?;
     match length {
-        Some(_) if has_coding => Err(BadRequest(400)),
-        None if has_coding => Err(BadRequest(501)),
+        Some(_) if has_coding => Err(RejectedRequest(400)),
+        None if has_coding => Err(RejectedRequest(501)),
         None => Ok(0),
         Some(text) if !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit()) => {
-            text.parse().map_err(|_| BadRequest(413))
+            text.parse().map_err(|_| RejectedRequest(413))
         }
-        Some(_) => Err(BadRequest(400)),
+        Some(_) => Err(RejectedRequest(400)),
     }
 }
 
 impl Decoder for HttpCodec {
-    type Item = Result<HttpRequest, BadRequest>;
+    type Item = Result<HttpRequest, RejectedRequest>;
     type Error = io::Error;
 
     fn decode(&mut self, buffer: &mut BytesMut) -> io::Result<Option<Self::Item>> {
--- a/src/wire/http_codec/tests.rs
+++ b/src/wire/http_codec/tests.rs
@@ -5,7 +5,7 @@
     HttpCodec::new(Clock::manual(0.0), 100)
 }
 
-fn decode_first(bytes: &[u8]) -> Option<Result<HttpRequest, BadRequest>> {
+fn decode_first(bytes: &[u8]) -> Option<Result<HttpRequest, RejectedRequest>> {
     codec().decode(&mut BytesMut::from(bytes)).unwrap()
 }
 
@@ -47,7 +47,11 @@
         (&many, 431),
     ];
     for (text, status) in cases {
-        assert_eq!(decode_first(text.as_bytes()).unwrap().unwrap_err(), BadRequest(status), "{text:.60}");
+        assert_eq!(
+            decode_first(text.as_bytes()).unwrap().unwrap_err(),
+            RejectedRequest(status),
+            "{text:.60}"
+        );
     }
     let mut codec = codec();
     let mut buffer = BytesMut::from(&b"nonsense\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n"[..]);
@@ -57,12 +61,12 @@
 
 #[test]
 fn a_head_beyond_the_limit_is_rejected_before_its_end() {
-    assert_eq!(decode_first(&vec![b'a'; MAX_HEAD + 1]).unwrap().unwrap_err(), BadRequest(431));
+    assert_eq!(decode_first(&vec![b'a'; MAX_HEAD + 1]).unwrap().unwrap_err(), RejectedRequest(431));
     assert!(decode_first(&vec![b'a'; MAX_HEAD - 1]).is_none());
 }
 
 #[test]
-fn phases_are_timed_from_their_first_byte() {
+fn each_phase_is_timed_from_its_start() {
     let clock = Clock::manual(1_000.0);
     let mut codec = HttpCodec::new(clock.clone(), 100);
     let mut buffer = BytesMut::new();
@@ -81,7 +85,7 @@
 }
 
 #[test]
-fn responses_state_their_length_also_without_a_body() {
+fn responses_have_a_content_length_except_304() {
     let encode = |response| {
         let mut out = BytesMut::new();
         codec().encode(response, &mut out).unwrap();
@@ -92,7 +96,7 @@
     let head = HttpResponse { head_only: true, ..full };
     assert_eq!(encode(head), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n");
     assert_eq!(
-        encode(HttpResponse::status(304).with("ETag", "\"x\"")),
+        encode(HttpResponse::status(304).with_header("ETag", "\"x\"")),
         "HTTP/1.1 304 Not Modified\r\nETag: \"x\"\r\n\r\n"
     );
     let long = HttpResponse { body: vec![b'x'; MAX_INLINE + 1].into(), ..HttpResponse::status(200) };
--- a/src/wire/listener.rs
+++ b/src/wire/listener.rs
@@ -14,7 +14,7 @@
 /// The delay after a failed accept, in milliseconds; the usual cause is a lack of file descriptors.
 const ACCEPT_RETRY_MS: f64 = 20.0;
 /// Time limit of each accept while a closing listener empties its backlog, in milliseconds.
-const LAST_ACCEPT_MS: f64 = 1.0;
+const BACKLOG_ACCEPT_MS: f64 = 1.0;
 
 /// Accepts connections until `closing` is notified, then accepts those still in the backlog, which may
 /// already have sent requests, and returns. At the front's connection limit, the last accepted connection
@@ -30,7 +30,7 @@
     let mut is_closing = false;
     loop {
         let accepted = if is_closing {
-            match timeout(duration_from_ms(LAST_ACCEPT_MS), listener.accept()).await {
+            match timeout(duration_from_ms(BACKLOG_ACCEPT_MS), listener.accept()).await {
                 Ok(accepted) => accepted,
                 Err(_) => return,
             }
@@ -50,10 +50,10 @@
             continue;
         };
         executor.with(|engine| engine.counters.client_connections += 1);
-        let open = shutdown.track_connection();
+        let guard = shutdown.track_connection();
         let slot = slots.acquire(&executor).await;
         let (front, shutdown) = (front.clone(), shutdown.clone());
         let connection = ClientConnection::new(executor.clone(), front, shutdown, slot, socket, peer.ip());
-        executor.spawn("client connection", connection.serve(open));
+        executor.spawn("client connection", connection.serve(guard));
     }
 }
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -1,7 +1,7 @@
 //! The front of the platform's HTTP API: parses requests and builds responses.
 
 use super::classification::{Classification, RequestClassifier, Target};
-use super::entity_tag::parse_single;
+use super::entity_tag::parse_single_tag;
 use super::front::{ConnectionLimits, Disposition, Front, ResponseContext};
 use super::http::{HttpRequest, HttpResponse};
 use super::platform_path::PlatformPath;
@@ -14,7 +14,7 @@
 use thiserror::Error;
 
 /// The request target of the liveness check.
-const HEALTH_TARGET: &str = "/alive";
+const LIVENESS_TARGET: &str = "/alive";
 /// Subtracted from a client's wait to get the request's deadline, in milliseconds: allows for the network
 /// round trip and the transfer of the response.
 const CLIENT_MARGIN_MS: f64 = 40.0;
@@ -79,7 +79,7 @@
         match error {
             RequestError::Malformed => Self::closing(400),
             RequestError::NotFound => Self::closing(404),
-            RequestError::Method(allowed) => Self::closing(405).with("Allow", allowed),
+            RequestError::Method(allowed) => Self::closing(405).with_header("Allow", allowed),
         }
     }
 }
@@ -155,7 +155,7 @@
             size_kb,
             deadline_ms: now + wait_ms - CLIENT_MARGIN_MS.min(MAX_MARGIN_SHARE * wait_ms),
             idempotency_key: key.map(String::from),
-            client_etag: field(request, header_field::IF_NONE_MATCH)?.and_then(parse_single),
+            client_etag: field(request, header_field::IF_NONE_MATCH)?.and_then(parse_single_tag),
             body: request.body.clone(),
             client: None,
         })
@@ -175,7 +175,7 @@
 }
 
 fn field<'r>(request: &'r HttpRequest, name: &str) -> Result<Option<&'r str>, RequestError> {
-    request.single(name).map_err(|_| RequestError::Malformed)
+    request.single_value(name).map_err(|_| RequestError::Malformed)
 }
 
 /// A field with a decimal number up to `max`: plain digits and at most one point, without sign or exponent.
@@ -197,7 +197,7 @@
 
 /// A rejection with the delay after which the client may retry.
 fn rejected(retry_after_ms: f64) -> HttpResponse {
-    HttpResponse::status(503).with(header_field::RETRY_AFTER, format!("{}", retry_after_ms.ceil()))
+    HttpResponse::status(503).with_header(header_field::RETRY_AFTER, format!("{}", retry_after_ms.ceil()))
 }
 
 impl Front for Platform {
@@ -206,10 +206,10 @@
     }
 
     fn interpret(&self, executor: &Rc<Executor>, request: &HttpRequest, now: f64) -> Disposition {
-        if request.target == HEALTH_TARGET {
+        if request.target == LIVENESS_TARGET {
             return Disposition::Respond(match request.method.as_str() {
                 "GET" => HttpResponse::status(200),
-                _ => HttpResponse::status(405).with("Allow", "GET"),
+                _ => HttpResponse::status(405).with_header("Allow", "GET"),
             });
         }
         match self.parse(&executor.settings(), request, now) {
--- a/src/wire/platform_path.rs
+++ b/src/wire/platform_path.rs
@@ -43,7 +43,7 @@
         if segments.next().is_some() {
             return Classification::NoMatch;
         }
-        let group = match request.single(GROUP_FIELD) {
+        let group = match request.single_value(GROUP_FIELD) {
             Ok(value) => value.map_or(Some(0), parse_digits),
             Err(_) => None,
         };
--- a/src/wire/shutdown.rs
+++ b/src/wire/shutdown.rs
@@ -45,15 +45,15 @@
     }
 
     /// Waits until the shutdown has begun.
-    pub async fn begun(&self) {
+    pub async fn wait_until_begun(&self) {
         while !self.begun.get() {
             self.wake.notified().await;
         }
     }
 
-    /// Waits for the notification that the shutdown begins. Unlike [`Self::begun`], does not return if the
-    /// shutdown has begun already.
-    pub(super) async fn begins(&self) {
+    /// Waits for the notification that the shutdown begins. Unlike [`Self::wait_until_begun`], does not return
+    /// if the shutdown has begun already.
+    pub(super) async fn begin_notified(&self) {
         self.wake.notified().await;
     }
 
@@ -63,14 +63,14 @@
     }
 
     /// Makes each connection close after its next response.
-    pub fn close_after_response(&self) {
+    pub fn set_close_after_response(&self) {
         self.close_after_response.set(true);
     }
 
     /// Begins the shutdown: connections with an open request are closed after its response, all others at
     /// once.
     pub fn begin(&self) {
-        self.close_after_response();
+        self.set_close_after_response();
         self.begun.set(true);
         self.wake.notify_waiters();
     }
--- a/src/wire/signed_urls/front.rs
+++ b/src/wire/signed_urls/front.rs
@@ -7,7 +7,7 @@
 use crate::settings::PlatformSettings;
 use crate::state::requests::{AdmitError, FinalResponse, IncomingRequest};
 use crate::wire::byte_range::ByteRange;
-use crate::wire::entity_tag::{list_contains, parse_single, Comparison};
+use crate::wire::entity_tag::{list_contains, parse_single_tag, Comparison};
 use crate::wire::front::{ConnectionLimits, Disposition, Front, ResponseContext};
 use crate::wire::http::{HttpRequest, HttpResponse};
 use bytes::Bytes;
@@ -49,7 +49,7 @@
         }
         let link = MediaLink::parse(path, settings).map_err(|error| HttpResponse::status(error.status()))?;
         if !matches!(request.method.as_str(), "GET" | "HEAD") {
-            return Err(HttpResponse::status(405).with("Allow", "GET, HEAD"));
+            return Err(HttpResponse::status(405).with_header("Allow", "GET, HEAD"));
         }
         let token = token(request, query)?;
         let host = field(request, "host")?.unwrap_or_default().to_ascii_lowercase();
@@ -86,14 +86,14 @@
             group: link.group,
             size_kb: link.size_kb,
             deadline_ms: now + (settings.deadline_ms(link.class) - RETURN_MARGIN_MS).max(0.0),
-            client_etag: condition.and_then(parse_single),
+            client_etag: condition.and_then(parse_single_tag),
             ..IncomingRequest::default()
         }
     }
 }
 
 fn field<'r>(request: &'r HttpRequest, name: &str) -> Result<Option<&'r str>, HttpResponse> {
-    request.single(name).map_err(|_| HttpResponse::status(400))
+    request.single_value(name).map_err(|_| HttpResponse::status(400))
 }
 
 /// What the response depends on besides its result (RFC 9110, sections 13 and 14).
@@ -155,19 +155,19 @@
     let response = match range.map_or(ByteRange::All, |field| ByteRange::parse(field, length)) {
         ByteRange::All => HttpResponse { body, ..HttpResponse::status(200) },
         ByteRange::Part(from, to) => HttpResponse { body: body.slice(from..to), ..HttpResponse::status(206) }
-            .with("Content-Range", format!("bytes {from}-{}/{length}", to - 1)),
+            .with_header("Content-Range", format!("bytes {from}-{}/{length}", to - 1)),
         ByteRange::Unsatisfiable => {
-            HttpResponse::status(416).with("Content-Range", format!("bytes */{length}"))
+            HttpResponse::status(416).with_header("Content-Range", format!("bytes */{length}"))
         }
     };
     let response = if tag.is_empty() { response } else { response.with_entity_tag(tag) };
-    response.with("Accept-Ranges", "bytes").with("Content-Type", "application/octet-stream")
+    response.with_header("Accept-Ranges", "bytes").with_header("Content-Type", "application/octet-stream")
 }
 
 /// A rejection (RFC 9110, section 15.6.4), with the wait in whole seconds, at least one.
 fn rejected(retry_after_ms: f64) -> HttpResponse {
     let seconds = (retry_after_ms / 1_000.0).ceil().max(1.0);
-    HttpResponse::status(503).with("Retry-After", format!("{seconds}"))
+    HttpResponse::status(503).with_header("Retry-After", format!("{seconds}"))
 }
 
 impl Front for SignedUrlFront {
@@ -202,10 +202,10 @@
         response.head_only = context.head_only;
         let is_success = matches!(response.status, 200 | 206 | 304);
         if let Some(cookie) = context.set_cookie.as_ref().filter(|_| is_success) {
-            response = response.with("Set-Cookie", cookie.clone());
+            response = response.with_header("Set-Cookie", cookie.clone());
         }
         // The response to one client's token is for that client alone.
-        response.with("Cache-Control", "private")
+        response.with_header("Cache-Control", "private")
     }
 
     fn reject(&self, reason: AdmitError) -> HttpResponse {
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -17,17 +17,17 @@
 impl Submission {
     /// Submits a request to the engine. Dropping the pending response reports a client disconnect to the
     /// engine.
-    pub fn to_engine(executor: &Rc<Executor>, request: IncomingRequest) -> Result<Self, AdmitError> {
+    pub fn submit_to_engine(executor: &Rc<Executor>, request: IncomingRequest) -> Result<Self, AdmitError> {
         let id = request.id;
         let receiver = executor.submit(request)?;
-        let wait = EngineWait { executor: executor.clone(), id: Some(id) };
-        Ok(Self::Pending(PendingResponse::new(receiver, Box::new(wait))))
+        let guard = EngineDisconnectGuard { executor: executor.clone(), id: Some(id) };
+        Ok(Self::Pending(PendingResponse::new(receiver, Box::new(guard))))
     }
 }
 
-/// Guards a pending request: if it is dropped before [`ResponseWait::completed`] is called, the client counts
-/// as disconnected.
-pub trait ResponseWait {
+/// Guards a pending request: if it is dropped before [`DisconnectGuard::completed`] is called, the client
+/// counts as disconnected.
+pub trait DisconnectGuard {
     /// Disarms the guard: the result has arrived.
     fn completed(self: Box<Self>);
 }
@@ -35,38 +35,38 @@
 /// The pending result of a request. Dropping it early reports a client disconnect.
 pub struct PendingResponse {
     receiver: oneshot::Receiver<FinalResponse>,
-    wait: Box<dyn ResponseWait>,
+    guard: Box<dyn DisconnectGuard>,
 }
 
 impl PendingResponse {
     /// Creates a pending response whose result arrives on `receiver`.
-    pub fn new(receiver: oneshot::Receiver<FinalResponse>, wait: Box<dyn ResponseWait>) -> Self {
-        Self { receiver, wait }
+    pub fn new(receiver: oneshot::Receiver<FinalResponse>, guard: Box<dyn DisconnectGuard>) -> Self {
+        Self { receiver, guard }
     }
 
     /// Waits for the result. A dropped sender counts as a failure.
     pub async fn result(self) -> FinalResponse {
-        let Self { receiver, wait } = self;
+        let Self { receiver, guard } = self;
         let result = receiver.await;
-        wait.completed();
+        guard.completed();
         result.unwrap_or(FinalResponse::Failed { overdue: false })
     }
 }
 
 /// Reports a client disconnect to the engine if it is dropped before the result has arrived.
-struct EngineWait {
+struct EngineDisconnectGuard {
     executor: Rc<Executor>,
     /// The request; `None` once its result has arrived.
     id: Option<RequestId>,
 }
 
-impl ResponseWait for EngineWait {
+impl DisconnectGuard for EngineDisconnectGuard {
     fn completed(mut self: Box<Self>) {
         self.id = None;
     }
 }
 
-impl Drop for EngineWait {
+impl Drop for EngineDisconnectGuard {
     fn drop(&mut self) {
         if let Some(id) = self.id {
             self.executor.client_disconnected(id);
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -5,7 +5,7 @@
 
 use edge_proxy::clock::Clock;
 use edge_proxy::state::requests::IncomingRequest;
-use edge_proxy::wire::client_stream::{ClientStream, Received, MAX_AHEAD};
+use edge_proxy::wire::client_stream::{ClientStream, Received, MAX_BYTES_AHEAD};
 use edge_proxy::wire::front::{ConnectionLimits, Front};
 use edge_proxy::wire::http_codec::HttpCodec;
 use edge_proxy::wire::platform::{limits, Platform};
@@ -307,22 +307,25 @@
         let codec = HttpCodec::new(Clock::manual(START_MS), 100);
         let mut stream = ClientStream::new(server, codec, true);
         let length = get(1).len();
-        let sent: String = (1..=4 * (MAX_AHEAD / length) as u64).map(get).collect();
+        let sent: String = (1..=4 * (MAX_BYTES_AHEAD / length) as u64).map(get).collect();
         client.write_all(sent.as_bytes()).await.unwrap();
         client.shutdown().await.unwrap();
-        // `left` returns at the end of the stream, once all bytes were read.
+        // `disconnected` returns at the end of the stream, once all bytes were read.
         let mut answered = 0;
         loop {
             let Received::Request(request) = stream.next().await else { panic!("no request") };
             answered += 1;
-            assert_eq!(request.single("x-call-id"), Ok(Some(&*format!("{answered:016x}"))));
-            stream.left().await;
+            assert_eq!(request.single_value("x-call-id"), Ok(Some(&*format!("{answered:016x}"))));
+            stream.disconnected().await;
             if stream.is_overrun() {
                 break;
             }
         }
         let held = answered * length;
-        assert!(held > MAX_AHEAD / 2 && held <= MAX_AHEAD + 2 * length, "{held} bytes of requests");
+        assert!(
+            held > MAX_BYTES_AHEAD / 2 && held <= MAX_BYTES_AHEAD + 2 * length,
+            "{held} bytes of requests"
+        );
     });
 }
 
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -12,7 +12,7 @@
 use edge_proxy::state::connections::ConnectionLimits;
 use edge_proxy::state::ids::ConnectionId;
 use edge_proxy::state::requests::{FinalResponse, IncomingRequest};
-use edge_proxy::wire::cache_codec::{LineCodec, MAX_LINE};
+use edge_proxy::wire::cache_codec::{CacheCodec, MAX_LINE};
 use edge_proxy::wire::discovery_codec::{FrameCodec, MAX_FRAME};
 use edge_proxy::wire::http_codec::{HttpCodec, Phase};
 use edge_proxy::EndpointState;
@@ -343,7 +343,7 @@
     fn arbitrary_input_is_decoded_or_rejected_within_the_buffer_limits(
         chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..700), 0..40),
     ) {
-        let (mut lines, mut frames) = (LineCodec::default(), FrameCodec);
+        let (mut lines, mut frames) = (CacheCodec::default(), FrameCodec);
         let (mut line_bytes, mut frame_bytes) = (BytesMut::new(), BytesMut::new());
         for chunk in chunks {
             line_bytes.extend_from_slice(&chunk);
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -336,7 +336,7 @@
         assert_eq!(proxy.discovery.connections.borrow().len(), 1);
         assert_eq!(ask(at, "GET", CLIP, &headers(1)).await.status, 200);
         assert_eq!(
-            proxy.executor.with(|e| (e.counters.discovery_moves, e.counters.discovery_faults)),
+            proxy.executor.with(|e| (e.counters.discovery_address_changes, e.counters.discovery_faults)),
             (1, 0)
         );
     });
