--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// The platform's clients shut down their side only when they no longer read a response.
+/// A client that shuts down its sending side no longer reads the response.
 #[test]
 fn a_half_closed_client_counts_as_disconnected_and_stray_bytes_do_not() {
     run(async {
@@ -80,7 +80,7 @@
         assert_eq!(
             proxy.executor.with(|e| (e.counters.clients_disconnected, e.open_requests())),
             (0, 1),
-            "stray bytes are no disconnect"
+            "stray bytes do not count as a disconnect"
         );
         stream.shutdown(std::net::Shutdown::Write).unwrap();
         until(|| cancelled_count(&proxy) == 1).await;
@@ -103,8 +103,8 @@
     });
 }
 
-/// A client without a connection slot fills every socket buffer after its request and closes: the end of its
-/// stream, after all those bytes, must still be seen before its request is forwarded.
+/// A client that waits for a connection slot fills the socket buffers after its request and closes. The proxy
+/// must read to the end of its stream before it forwards the request.
 #[test]
 fn a_request_whose_client_flooded_and_closed_while_queued_is_not_forwarded() {
     for pipelining in [false, true] {
@@ -115,7 +115,7 @@
             let mut first = Client::connect(at).await;
             first.write(get(1).as_bytes()).await;
             until(|| proxy.total_requests() == 1).await;
-            // Accepted by the kernel, and not read while the only slot is taken.
+            // The kernel accepts this connection; the proxy does not read it while the only slot is taken.
             let mut second = BlockingStream::connect(at).unwrap();
             second.write_all(get(2).as_bytes()).unwrap();
             flood(&mut second).await;
@@ -162,7 +162,7 @@
             proxy.discovery.send_state(CACHES[0], cache, 0, 0);
             proxy.discovery.send_state(CACHES[1], cache, 0, 2);
             until(|| proxy.executor.with(|e| e.last_event_number()) == 3).await;
-            // Both wait for the same connect.
+            // Both requests wait for the same pending connect.
             let clients: Vec<BlockingStream> = (1..=2)
                 .map(|id| {
                     let mut stream = BlockingStream::connect(at).unwrap();
@@ -184,7 +184,7 @@
             assert_eq!(
                 proxy.executor.with(|e| (e.open_requests(), e.counters.connection_failures)),
                 (0, 0),
-                "before the connect fails"
+                "the disconnects are detected before the connect fails"
             );
             until(|| proxy.executor.with(|e| e.counters.connection_failures) > 0).await;
             tokio::task::yield_now().await;
@@ -230,8 +230,8 @@
     });
 }
 
-/// Unparseable bytes after an open request are bounded and not taken for a disconnect; the connection closes
-/// after the response.
+/// Bytes that cannot be parsed, sent while a request is open, must not be buffered without limit or count as
+/// a disconnect.
 #[test]
 fn a_flood_after_a_request_is_discarded_and_the_response_is_sent() {
     run(async {
@@ -252,15 +252,15 @@
     });
 }
 
-/// Writes until `FLOOD` bytes are sent or every socket buffer up to the proxy stays full.
+/// Writes until `MAX_FLOOD_BYTES` are sent or every socket buffer up to the proxy stays full.
 async fn flood(stream: &mut BlockingStream) {
-    /// Bytes, more than the buffers of a loopback connection hold.
-    const FLOOD: usize = 16 << 20;
+    /// More than the socket buffers of a loopback connection hold.
+    const MAX_FLOOD_BYTES: usize = 16 << 20;
     /// Consecutive failed writes, 1 ms apart, after which the buffers count as full.
     const BLOCKED_WRITES: u32 = 50;
     stream.set_nonblocking(true).unwrap();
     let (mut sent, mut blocked) = (0, 0);
-    while sent < FLOOD && blocked < BLOCKED_WRITES {
+    while sent < MAX_FLOOD_BYTES && blocked < BLOCKED_WRITES {
         match stream.write(&[b'x'; 65_536]) {
             Ok(length) => (sent, blocked) = (sent + length, 0),
             Err(_) => {
@@ -271,7 +271,7 @@
     }
 }
 
-/// If reading paused at a full buffer, a close after a full receive window would never be seen.
+/// The proxy must keep reading once its buffer is full, or it never reaches the end of the stream.
 #[test]
 fn a_disconnect_after_a_flood_is_detected_with_and_without_pipelining() {
     for (pipelining, reset) in [(false, false), (false, true), (true, false), (true, true)] {
@@ -286,7 +286,7 @@
             assert_eq!(
                 proxy.executor.with(|e| (e.counters.clients_disconnected, e.open_requests())),
                 (0, 1),
-                "a flood is no disconnect"
+                "a flood does not count as a disconnect"
             );
             if reset {
                 SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
@@ -299,7 +299,8 @@
     }
 }
 
-/// Requests that are buffered complete are read in order; discarded bytes must not be parsed as requests.
+/// Completely buffered requests are read in order; bytes after a discarded one must not be parsed as
+/// requests.
 #[test]
 fn requests_pipelined_beyond_the_buffer_are_read_up_to_its_limit() {
     run(async {
@@ -348,10 +349,10 @@
         until(|| proxy.shutdown.open_connections() == 0).await;
         // The proxy has shut down its side.
         for id in 1..=50 {
-            client.write_all(get(id).as_bytes()).expect("no reset");
+            client.write_all(get(id).as_bytes()).expect("the proxy reset the connection");
             tokio::task::yield_now().await;
         }
-        assert_eq!(client.read(&mut [0; 64]).expect("end of stream"), 0);
+        assert_eq!(client.read(&mut [0; 64]).expect("the connection failed before the end of the stream"), 0);
         assert_eq!(proxy.total_requests(), 0);
         drop(client);
         until(|| proxy.shutdown.open_or_lingering() == 0).await;
@@ -370,7 +371,10 @@
             // A blocking write: the runtime has not polled the socket when the shutdown begins.
             client.write_all(get(1).as_bytes()).unwrap();
             proxy.shutdown.begin();
-            let response = Client::from_blocking(client).read(false).await.expect("a response");
+            let response = Client::from_blocking(client)
+                .read(false)
+                .await
+                .expect("the connection closed before a response");
             assert!(response.status == 200 && response.closed, "{response:?}");
         });
     }
@@ -387,17 +391,17 @@
         let mut client = BlockingStream::connect(at).unwrap();
         let request = get(1).replace("Host: o\r\n", "Host: o\r\nConnection: close\r\n");
         client.write_all(request.as_bytes()).unwrap();
-        // Further bytes, unread when the proxy closes.
+        // The proxy has not read these bytes when it closes the connection.
         client.write_all(&vec![b'z'; 100_000]).unwrap();
         client.set_nonblocking(true).unwrap();
         let mut client = TcpStream::from_std(client).unwrap();
         let mut got = Vec::new();
-        client.read_to_end(&mut got).await.expect("no reset because of unread bytes");
+        client.read_to_end(&mut got).await.expect("the connection was reset because of unread bytes");
         assert!(got.starts_with(b"HTTP/1.1 200") && got.ends_with(&body));
     });
 }
 
-/// Every client's connection has `TCP_NODELAY`.
+/// Nagle's algorithm would delay the end of small responses.
 #[test]
 fn small_writes_are_not_held_back() {
     run(async {
@@ -420,7 +424,7 @@
 
 // ---- slow clients ----
 
-/// Partial requests hold every slot: the one that began first is evicted.
+/// Clients with partial requests must not keep others out at the connection limit.
 #[test]
 fn the_oldest_partial_request_is_evicted_when_every_slot_is_taken() {
     run(async {
@@ -440,7 +444,8 @@
     });
 }
 
-/// A client that reads no response loses its slot half a second after the end of its stated wait.
+/// A client that reads no response must not keep its slot beyond its stated wait, even with a longer write
+/// limit.
 #[test]
 fn a_client_that_reads_no_response_loses_its_slot() {
     run(async {
@@ -487,8 +492,7 @@
             let (stream, response) = endpoint.await.unwrap();
             let mut stream = stream.into_std().unwrap();
             stream.set_nonblocking(false).unwrap();
-            // Without a poll of the runtime between them: a complete reply, a reset, and a further request to
-            // write.
+            // The runtime does not poll between the complete reply, the reset and the second request.
             stream.write_all(response.as_bytes()).unwrap();
             SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
             drop(stream);
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front, end to end on loopback.
+//! End-to-end tests of the platform's front on loopback.
 
 mod stand_ins;
 
@@ -127,7 +127,7 @@
         let response = ask(at, "GET", CLIP, &headers(1)).await;
         assert_eq!(response.status, 503);
         assert!(response.headers["x-come-back-ms"].parse::<f64>().unwrap() > 0.0);
-        assert_eq!(proxy.clock.now(), START_MS, "no time has passed");
+        assert_eq!(proxy.clock.now(), START_MS, "the rejection does not wait on the clock");
     });
 }
 
@@ -148,7 +148,7 @@
     });
 }
 
-/// The connection is closed and the request is retried on another endpoint.
+/// A malformed reply closes the connection and must not fail the request.
 #[test]
 fn a_cache_with_malformed_replies_is_replaced_by_another() {
     run(async {
@@ -173,7 +173,11 @@
         let response = ask(at, "GET", CLIP, &headers(1)).await;
         assert_eq!((response.status, &response.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
         let (lost, served) = proxy.executor.with(|e| (e.counters.connections_lost, e.counters.served));
-        assert_eq!((lost, served), (4, 1), "each cache is tried twice: a lost connection is not its failure");
+        assert_eq!(
+            (lost, served),
+            (4, 1),
+            "each cache is tried twice: a lost connection does not rule out a retry at the same cache"
+        );
         proxy.endpoints.values().for_each(|m| m.truncate_and_close.set(true));
         let response = ask(at, "GET", CLIP, &headers(2)).await;
         assert!(response.status >= 500 && response.body.is_empty(), "{response:?}");
@@ -192,7 +196,7 @@
     });
 }
 
-/// No event is lost or applied twice.
+/// A reconnect must not lose an event or apply one twice.
 #[test]
 fn a_watch_resumes_from_the_last_event_after_a_disconnect() {
     run(async {
@@ -219,14 +223,18 @@
         until(|| proxy.total_requests() == 1).await;
         let mut idle = Client::connect(at).await;
         assert_eq!(idle.ask("GET", "/alive", "").await.status, 200);
-        // In the listener's backlog, and not accepted yet, when the shutdown begins.
+        // This connection is still in the listener's backlog when the shutdown begins.
         let mut queued = Client::connect(at).await;
         queued.write(b"GET /alive HTTP/1.1\r\nHost: o\r\n\r\n").await;
         proxy.closing.notify_one();
         proxy.shutdown.begin();
         assert_eq!(queued.read(false).await.unwrap().status, 200);
         assert!(idle.read(false).await.is_none(), "an idle connection is closed");
-        assert_eq!(proxy.shutdown.open_connections(), 1, "the one with an open request stays");
+        assert_eq!(
+            proxy.shutdown.open_connections(),
+            1,
+            "only the connection with an open request stays open"
+        );
         let pending = spawn_local(async move { busy.read(false).await.unwrap() });
         while !pending.is_finished() {
             proxy.advance_clock(20.0);
@@ -243,7 +251,7 @@
 fn a_panic_in_one_task_is_counted_and_requests_are_still_served() {
     run(async {
         let (proxy, at) = open("panic").await;
-        proxy.executor.spawn("a test", async { panic!("on purpose") });
+        proxy.executor.spawn("test task", async { panic!("intentional panic") });
         until(|| proxy.executor.with(|e| e.counters.panics) == 1).await;
         assert_eq!(ask(at, "GET", CLIP, &headers(1)).await.status, 200);
     });
@@ -265,10 +273,13 @@
         proxy.advance_clock(150.0);
         let mut third = Client::connect(at).await;
         assert_eq!(third.ask("GET", "/alive", "").await.status, 200);
-        assert!(silent.read(false).await.is_none(), "the one without any request is evicted first");
+        assert!(silent.read(false).await.is_none(), "the connection without a request is evicted first");
         let mut fourth = Client::connect(at).await;
         assert_eq!(fourth.ask("GET", "/alive", "").await.status, 200);
-        assert!(idle.read(false).await.is_none(), "then the one that has been idle for longest");
+        assert!(
+            idle.read(false).await.is_none(),
+            "the connection that was idle for longest is evicted second"
+        );
         assert_eq!(third.ask("GET", "/alive", "").await.status, 200);
         assert_eq!(
             proxy.executor.with(|e| (e.counters.client_connections_evicted, e.counters.clients_disconnected)),
@@ -373,10 +384,14 @@
         assert_eq!(proxy.total_requests(), before + 1);
         let thumb = CLIP.replace("clip", "thumb");
         assert_eq!(ask(at, "GET", &thumb, &headers(4)).await.status, 503);
-        assert_eq!(proxy.total_requests(), before + 2, "one attempt each");
+        assert_eq!(proxy.total_requests(), before + 2, "`sendCap` 1 allows a single attempt");
         proxy.advance_clock(2_000.0);
-        assert_eq!(open_request.read(false).await.unwrap().status, 503, "as an idempotent request");
-        // The old class replaces the new one.
+        assert_eq!(
+            open_request.read(false).await.unwrap().status,
+            503,
+            "the open request keeps its idempotent class"
+        );
+        // Restores the original configuration.
         proxy.script_all(serve_content());
         std::fs::write(&path, &text).unwrap();
         reload_config(&proxy.executor, &proxy.config, &proxy.discovery_address);
@@ -410,7 +425,7 @@
             changed.replace("\"deadlineUs\":5000000", "\"deadlineUs\":null"),
         ];
         for (k, case) in cases.iter().enumerate() {
-            assert_ne!(*case, changed, "case {k} changes nothing");
+            assert_ne!(*case, changed, "case {k}: the replaced text is not in the configuration");
             std::fs::write(&path, case).unwrap();
             reload_config(&proxy.executor, &proxy.config, &proxy.discovery_address);
             assert_eq!(proxy.executor.with(|e| e.counters.reload_failures), k as u64 + 1, "{case}");
@@ -422,7 +437,7 @@
     });
 }
 
-/// The margin for the client's network is bounded to a share of its wait.
+/// The network margin is at most 10% of the client's wait.
 #[test]
 fn a_short_client_wait_leaves_time_for_an_attempt() {
     run(async {
@@ -435,8 +450,8 @@
     });
 }
 
-/// Other requests share the connection: it is closed, and the request is retried at the same cache, which has
-/// the object.
+/// A stalled reply blocks the other requests on its connection, so the connection is closed and the request
+/// is retried at once on the same cache.
 #[test]
 fn a_stalled_reply_is_retried_at_once() {
     run(async {
--- a/tests/stand_ins/blocking.rs
+++ b/tests/stand_ins/blocking.rs
@@ -77,7 +77,7 @@
     record
 }
 
-/// Accepts a watch connection; returns it with the sequence number that it begins with.
+/// Accepts a watch connection; returns it with the sequence number that the proxy sent first.
 pub fn accept_watch(listener: &TcpListener) -> (TcpStream, u64) {
     let (mut stream, _) = listener.accept().unwrap();
     stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -44,8 +44,11 @@
 /// Runs a test on a single-threaded runtime, with a timeout that only stops a test that hangs.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let bounded =
-        async { tokio::time::timeout(Duration::from_secs(60), test).await.expect("the test timed out") };
+    let bounded = async {
+        tokio::time::timeout(Duration::from_secs(60), test)
+            .await
+            .expect("the test did not finish within 60 s")
+    };
     tokio::task::LocalSet::new().block_on(&runtime, bounded);
 }
 
@@ -79,7 +82,7 @@
     format!("bytes of {} part {}", fields["k"], fields["p"]).into_bytes()
 }
 
-/// Serves the content with the entity tag `t1`; not modified where the request names that tag.
+/// Replies with the content and entity tag `t1`, or with `NOMOD` if the request has that tag.
 pub fn serve_content() -> Script {
     Rc::new(|fields| match fields.get("cached").map(String::as_str) {
         Some("t1") => Some(("NOMOD", "sum=t1,t0=5".into(), Vec::new())),
@@ -175,16 +178,17 @@
     }
 }
 
-/// A frame and its sequence number.
+/// A sequence number and the encoded frame.
 type Frame = (u64, Vec<u8>);
 
-/// The discovery service: sends each connection the frames after the sequence number with which it begins.
+/// The discovery service: sends each connection the frames after the sequence number that the proxy sent
+/// first.
 pub struct DiscoveryServer {
     pub address: SocketAddr,
     frames: Rc<RefCell<Vec<Frame>>>,
     frame_added: Rc<Notify>,
     disconnect_requested: Rc<Notify>,
-    /// The sequence number with which each connection began.
+    /// The sequence number that the proxy sent first on each connection.
     pub connections: Rc<RefCell<Vec<u64>>>,
 }
 
@@ -225,6 +229,7 @@
     }
 
     fn push(&self, kind: u8, payload: &[u8]) -> u64 {
+        // Event 1 is in the configuration.
         let number = self.frames.borrow().len() as u64 + 2;
         let mut frame = (payload.len() as u32 + 9).to_be_bytes().to_vec();
         frame.extend(number.to_be_bytes());
@@ -266,13 +271,13 @@
     pub endpoints: HashMap<u32, Cache>,
     pub discovery: DiscoveryServer,
     pub config: Config,
-    /// The configured address of the discovery service.
+    /// Sends the watch a changed address of the discovery service.
     pub discovery_address: watch::Sender<SocketAddr>,
     pub shutdown: Rc<GracefulShutdown>,
     pub closing: Rc<Notify>,
 }
 
-/// Creates a folder for a test's files.
+/// Creates a directory for a test's files.
 pub fn folder(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&path).unwrap();
@@ -313,7 +318,7 @@
 }
 
 impl TestProxy {
-    /// Starts the proxy without a front. `name` is the test's folder.
+    /// Starts the proxy without a listener. `name` is the test's directory, unique to the test.
     pub async fn start(name: &str) -> Self {
         let discovery = DiscoveryServer::start().await;
         let mut endpoints = HashMap::new();
@@ -378,7 +383,7 @@
     pub status: u16,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
-    /// The proxy closes the connection after it.
+    /// Whether the proxy closed the connection after the response.
     pub closed: bool,
 }
 
@@ -410,7 +415,8 @@
         self.stream.get_mut().write_all(bytes).await.unwrap();
     }
 
-    /// Reads a response, `None` at the end of the stream. With `head` the response has no body.
+    /// Reads a response; `None` at the end of the stream. `head` is set for the response to HEAD, which has
+    /// no body.
     pub async fn read(&mut self, head: bool) -> Option<Response> {
         let mut line = String::new();
         if self.stream.read_line(&mut line).await.ok()? == 0 {
@@ -430,7 +436,7 @@
         if response.closed {
             let mut rest = Vec::new();
             let _ = self.stream.read_to_end(&mut rest).await;
-            assert!(rest.is_empty(), "more than one response: {rest:?}");
+            assert!(rest.is_empty(), "unexpected bytes after a response with Connection: close: {rest:?}");
         }
         Some(response)
     }
@@ -439,7 +445,7 @@
     pub async fn ask(&mut self, method: &str, target: &str, headers: &str) -> Response {
         let text = format!("{method} {target} HTTP/1.1\r\nHost: media.test\r\n{headers}\r\n");
         self.write(text.as_bytes()).await;
-        self.read(method == "HEAD").await.expect("a response")
+        self.read(method == "HEAD").await.expect("the connection closed before a response")
     }
 }
 
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,5 +1,5 @@
-//! The discovery watch against a scripted service that disconnects, stalls, sends malformed frames, skips
-//! sequence numbers and repeats old ones.
+//! Tests of the discovery watch against a scripted service that disconnects, stalls, and sends malformed
+//! frames, gaps and repeated events.
 
 mod stand_ins;
 
@@ -38,8 +38,8 @@
     frame(number, 4, &[&group.to_be_bytes()[..], &(START_MS as u64).to_be_bytes()[..]].concat())
 }
 
-/// Serves the k-th connection by the k-th script, further ones by the last. Returns the sequence number with
-/// which each connection began.
+/// Serves the k-th connection by the k-th script, and further connections by the last one. Returns the
+/// sequence number that the proxy sent first on each connection.
 fn serve_scripts(listener: TcpListener, scripts: Vec<ScriptedWatch>) -> Rc<RefCell<Vec<u64>>> {
     let connections: Rc<RefCell<Vec<u64>>> = Rc::default();
     let recorded = connections.clone();
@@ -102,8 +102,7 @@
     });
 }
 
-/// A malformed frame, requested again in case it was corrupted in transit, must not block the events after
-/// it.
+/// A frame that is malformed on every connection must not block the events after it.
 #[test]
 fn a_persistently_unreadable_frame_is_skipped_and_later_events_apply() {
     run(async {
@@ -111,7 +110,7 @@
         let (proxy, connections) =
             proxy_with_watch("unreadable", vec![sends(&[malformed, purge(3, 18)])]).await;
         until(|| last_event(&proxy) == 3).await;
-        assert_eq!(*connections.borrow(), [1, 1, 1], "it is requested again twice");
+        assert_eq!(*connections.borrow(), [1, 1, 1], "the malformed event is requested three times");
         assert_eq!(
             proxy.executor.with(|e| (e.counters.discovery_skipped, e.counters.discovery_events)),
             (1, 2)
@@ -155,7 +154,7 @@
     });
 }
 
-/// A later version's event is ignored, and its sequence number counts as received.
+/// An event kind of a later protocol version is ignored, but its sequence number counts as received.
 #[test]
 fn an_event_of_an_unknown_kind_leaves_no_gap() {
     run(async {
@@ -179,7 +178,7 @@
     });
 }
 
-/// If a corrupted, too large number were accepted, all later events would count as stale.
+/// Accepting a corrupted, too large sequence number would discard all later events as already applied.
 #[test]
 fn a_corrupted_sequence_number_does_not_discard_later_events() {
     run(async {
