--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -12,11 +12,11 @@
 
 async fn open(name: &str) -> (TestProxy, SocketAddr, SocketAddr) {
     let site = TestProxy::start(name).await;
-    let store = MaintenanceFile::at(folder(name).join("maintenance.json"));
+    let store = MaintenanceFile::at(test_dir(name).join("maintenance.json"));
     let front: Rc<dyn Front> = Rc::new(AdminFront::new(Box::new(move |host: &_| store.write(host))));
-    let calls = site.open(front).await;
+    let calls = site.listen(front).await;
     let front: Rc<dyn Front> = Rc::new(Platform::new(limits(400)));
-    let at = site.open(front).await;
+    let at = site.listen(front).await;
     (site, at, calls)
 }
 
@@ -26,7 +26,8 @@
 
 async fn clips(at: SocketAddr, ids: std::ops::Range<u64>) {
     for id in ids {
-        let answer = ask(at, "GET", &format!("/ops/clip/{:016x}/slice-0", id * 7_919), &headers(id)).await;
+        let answer =
+            send_request(at, "GET", &format!("/ops/clip/{:016x}/slice-0", id * 7_919), &headers(id)).await;
         assert_eq!(answer.status, 200);
     }
 }
@@ -56,7 +57,7 @@
             ("GET", "/", 404),
         ];
         for (method, target, status) in cases {
-            let answer = ask(calls, method, target, "").await;
+            let answer = send_request(calls, method, target, "").await;
             assert_eq!((answer.status, answer.closed), (status, true), "{method} {target}");
         }
     });
@@ -69,9 +70,9 @@
         let (site, at, calls) = open("figures").await;
         clips(at, 1..4).await;
         site.script_all(reply_status("EIO"));
-        let failed = ask(at, "GET", "/ops/clip/00000000000000aa", &headers(9)).await.status;
+        let failed = send_request(at, "GET", "/ops/clip/00000000000000aa", &headers(9)).await.status;
         assert_eq!(failed, 503, "a safe request is refused once its attempts are spent");
-        let text = String::from_utf8(ask(calls, "GET", "/stats", "").await.body).unwrap();
+        let text = String::from_utf8(send_request(calls, "GET", "/stats", "").await.body).unwrap();
         let figure = |name: &str| {
             let line = text.lines().find_map(|line| line.strip_prefix(&format!("{name} ")));
             line.unwrap_or_else(|| panic!("no {name} in {text}")).parse::<u64>().unwrap()
@@ -83,8 +84,8 @@
         assert_eq!(figure("app_ok_total{kind=\"post\"}"), 0);
         assert_eq!((figure("app_active"), figure("app_pool_size")), (0, 2));
         assert_eq!((figure("app_config_applied_total"), figure("app_config_rejected_total")), (0, 0));
-        ask(calls, "POST", "/pop-caches/s-000000c2/maint", "").await;
-        let text = String::from_utf8(ask(calls, "GET", "/stats", "").await.body).unwrap();
+        send_request(calls, "POST", "/pop-caches/s-000000c2/maint", "").await;
+        let text = String::from_utf8(send_request(calls, "GET", "/stats", "").await.body).unwrap();
         assert!(text.contains("app_pool_ejected 1\n"), "{text}");
     });
 }
@@ -99,7 +100,7 @@
         clips(at, 1..20).await;
         assert!(site.request_count(first) > 0);
         for id in [first, parent] {
-            ask(calls, "POST", &format!("/pop-caches/s-{id:08x}/maint"), "").await;
+            send_request(calls, "POST", &format!("/pop-caches/s-{id:08x}/maint"), "").await;
         }
         let (before, later) = (site.request_count(first), site.request_count(CACHES[1]));
         // The list names it as ready once more.
@@ -124,11 +125,11 @@
         assert!(asked.len() >= 20 && asked.iter().all(|fields| fields["next"] != "s-000000a0"));
         // Another process of this proxy takes that over.
         let other = TestProxy::start("maintenance_other").await;
-        let store = MaintenanceFile::at(folder("maintenance").join("maintenance.json"));
+        let store = MaintenanceFile::at(test_dir("maintenance").join("maintenance.json"));
         store.load(&other.executor);
         assert!(other.executor.with(|engine| engine.maintenance().is_out_of_use(first)));
         site.advance_clock(10_000.0);
-        ask(calls, "POST", &format!("/pop-caches/s-{first:08x}/ready"), "").await;
+        send_request(calls, "POST", &format!("/pop-caches/s-{first:08x}/ready"), "").await;
         clips(at, 200..260).await;
         let back = site.request_count(first) - before;
         assert!((1..20).contains(&back), "a part of its slice, not all at once: {back} of 60");
--- a/tests/admission_loopback.rs
+++ b/tests/admission_loopback.rs
@@ -4,7 +4,7 @@
 mod stand_ins;
 
 use stand_ins::slow_cache_fleet::SlowCacheFleet;
-use stand_ins::{folder, run};
+use stand_ins::{run, test_dir};
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::process::{Child, Command, Stdio};
@@ -111,7 +111,7 @@
     name: &str,
     admission: &str,
 ) -> (Proxy, SocketAddr, SocketAddr) {
-    let dir = folder(name);
+    let dir = test_dir(name);
     let ip = format!("127.0.{net}.10");
     let port = |ip: &str| TcpListener::bind(format!("{ip}:0")).unwrap().local_addr().unwrap();
     let (listen, mgmt) = (port(&ip), port(&ip));
@@ -348,7 +348,7 @@
             })
             .collect();
         tokio::time::sleep(Duration::from_millis(1_500)).await;
-        std::fs::write(folder("admission-reload").join("admission.json"), file(3.0)).unwrap();
+        std::fs::write(test_dir("admission-reload").join("admission.json"), file(3.0)).unwrap();
         assert!(Command::new("kill").args(["-HUP", &proxy.0.id().to_string()]).status().unwrap().success());
         let reloaded_at = Instant::now();
         for task in loops {
@@ -372,7 +372,7 @@
         assert!((0.7..1.4).contains(&ratio(before)), "shares should be even before the reload: {before:?}");
         assert!(ratio(after) > 2.2, "shares should be three to one after the reload: {after:?}");
         assert!(responses.iter().all(|(_, _, status)| status.is_some()), "a request got no response");
-        let log = std::fs::read_to_string(folder("admission-reload").join("proxy.log")).unwrap();
+        let log = std::fs::read_to_string(test_dir("admission-reload").join("proxy.log")).unwrap();
         assert!(log.contains("configuration reloaded subsystem=\"admission\""), "{log}");
     });
 }
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -22,15 +22,15 @@
 
 const CLIP: &str = "/ops/clip/7f3a9c21e0b4d655/slice-3";
 
-async fn open_with(name: &str, limits: ConnectionLimits) -> (TestProxy, SocketAddr) {
+async fn start_proxy_with_limits(name: &str, limits: ConnectionLimits) -> (TestProxy, SocketAddr) {
     let proxy = TestProxy::start(name).await;
     let front: Rc<dyn Front> = Rc::new(Platform::new(limits));
-    let at = proxy.open(front).await;
-    (proxy, at)
+    let address = proxy.listen(front).await;
+    (proxy, address)
 }
 
-async fn open(name: &str) -> (TestProxy, SocketAddr) {
-    open_with(name, limits(400)).await
+async fn start_proxy(name: &str) -> (TestProxy, SocketAddr) {
+    start_proxy_with_limits(name, limits(400)).await
 }
 
 fn get(id: u64) -> String {
@@ -40,7 +40,7 @@
 }
 
 fn cancelled_count(proxy: &TestProxy) -> usize {
-    proxy.endpoints.values().map(|m| m.cancelled_ids.borrow().len()).sum()
+    proxy.endpoints.values().map(|cache| cache.cancelled_ids.borrow().len()).sum()
 }
 
 // ---- client disconnects ----
@@ -48,18 +48,17 @@
 /// Bytes that a client sends ahead of its response must not hide its disconnect.
 #[test]
 fn a_disconnect_after_a_pipelined_request_or_stray_bytes_is_detected() {
-    for (k, pipelined) in
-        [get(2), get(2) + &get(3), "GE".to_string(), "\r\n".to_string()].into_iter().enumerate()
+    for (k, extra) in [get(2), get(2) + &get(3), "GE".to_string(), "\r\n".to_string()].into_iter().enumerate()
     {
         run(async move {
-            let (proxy, at) = open(&format!("pipelined{k}")).await;
+            let (proxy, address) = start_proxy(&format!("pipelined{k}")).await;
             proxy.script_all(never_reply());
-            let mut client = Client::connect(at).await;
+            let mut client = Client::connect(address).await;
             client.write(get(1).as_bytes()).await;
-            until(|| proxy.total_requests() == 1).await;
-            client.write(pipelined.as_bytes()).await;
+            wait_until(|| proxy.total_requests() == 1).await;
+            client.write(extra.as_bytes()).await;
             drop(client);
-            until(|| cancelled_count(&proxy) == 1).await;
+            wait_until(|| cancelled_count(&proxy) == 1).await;
             assert_eq!(proxy.executor.with(|e| (e.counters.clients_disconnected, e.open_requests())), (1, 0));
             assert_eq!(proxy.total_requests(), 1, "pipelined requests are not forwarded");
         });
@@ -70,11 +69,11 @@
 #[test]
 fn a_half_closed_client_counts_as_disconnected_and_stray_bytes_do_not() {
     run(async {
-        let (proxy, at) = open("half").await;
+        let (proxy, address) = start_proxy("half_closed").await;
         proxy.script_all(never_reply());
-        let mut stream = BlockingStream::connect(at).unwrap();
+        let mut stream = BlockingStream::connect(address).unwrap();
         stream.write_all(get(1).as_bytes()).unwrap();
-        until(|| proxy.total_requests() == 1).await;
+        wait_until(|| proxy.total_requests() == 1).await;
         stream.write_all(b"\r\n\r\nGET").unwrap();
         tokio::task::yield_now().await;
         assert_eq!(
@@ -83,7 +82,7 @@
             "stray bytes do not count as a disconnect"
         );
         stream.shutdown(std::net::Shutdown::Write).unwrap();
-        until(|| cancelled_count(&proxy) == 1).await;
+        wait_until(|| cancelled_count(&proxy) == 1).await;
         assert_eq!(proxy.executor.with(|e| e.counters.clients_disconnected), 1);
     });
 }
@@ -92,14 +91,14 @@
 #[test]
 fn a_request_whose_client_closed_before_the_accept_is_not_forwarded() {
     run(async {
-        let (proxy, at) = open("gone_already").await;
+        let (proxy, address) = start_proxy("closed_before_accept").await;
         for id in 1..=20 {
-            let mut stream = BlockingStream::connect(at).unwrap();
+            let mut stream = BlockingStream::connect(address).unwrap();
             stream.write_all(get(id).as_bytes()).unwrap();
         }
-        until(|| proxy.executor.with(|e| e.counters.clients_disconnected) == 20).await;
+        wait_until(|| proxy.executor.with(|e| e.counters.clients_disconnected) == 20).await;
         assert_eq!((proxy.total_requests(), proxy.executor.with(|e| e.counters.requests)), (0, 0));
-        assert_eq!(ask(at, "GET", "/alive", "").await.status, 200);
+        assert_eq!(send_request(address, "GET", "/alive", "").await.status, 200);
     });
 }
 
@@ -110,19 +109,20 @@
     for pipelining in [false, true] {
         run(async move {
             let limits = ConnectionLimits { one_at_a_time: !pipelining, ..limits(1) };
-            let (proxy, at) = open_with(&format!("before_turn{pipelining}"), limits).await;
+            let (proxy, address) =
+                start_proxy_with_limits(&format!("flood_while_queued{pipelining}"), limits).await;
             proxy.script_all(never_reply());
-            let mut first = Client::connect(at).await;
+            let mut first = Client::connect(address).await;
             first.write(get(1).as_bytes()).await;
-            until(|| proxy.total_requests() == 1).await;
+            wait_until(|| proxy.total_requests() == 1).await;
             // The kernel accepts this connection; the proxy does not read it while the only slot is taken.
-            let mut second = BlockingStream::connect(at).unwrap();
+            let mut second = BlockingStream::connect(address).unwrap();
             second.write_all(get(2).as_bytes()).unwrap();
             flood(&mut second).await;
             drop(second);
-            until(|| proxy.executor.with(|e| e.counters.client_connections) == 2).await;
+            wait_until(|| proxy.executor.with(|e| e.counters.client_connections) == 2).await;
             drop(first);
-            until(|| proxy.shutdown.open_or_lingering() == 0).await;
+            wait_until(|| proxy.shutdown.open_or_lingering() == 0).await;
             assert_eq!(
                 proxy.executor.with(|e| (e.counters.clients_disconnected, e.counters.requests)),
                 (2, 1)
@@ -138,15 +138,15 @@
     let listener = tcp();
     listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     listener.listen(0).unwrap();
-    let at = listener.local_addr().unwrap().as_socket().unwrap();
+    let address = listener.local_addr().unwrap().as_socket().unwrap();
     let connect = || {
         let socket = tcp();
         socket.set_nonblocking(true).unwrap();
-        let _ = socket.connect(&at.into());
+        let _ = socket.connect(&address.into());
         socket
     };
     let pending = (0..4).map(|_| connect()).collect();
-    (listener, pending, at)
+    (listener, pending, address)
 }
 
 /// Clients close or reset, with or without a pipelined request, while the connect to their endpoint is
@@ -157,15 +157,15 @@
         [(false, false), (false, true), (true, false), (true, true)].into_iter().enumerate()
     {
         run(async move {
-            let (proxy, at) = open(&format!("hanging{k}")).await;
+            let (proxy, address) = start_proxy(&format!("hanging_connect{k}")).await;
             let (_listener, _pending, cache) = unresponsive_listener();
             proxy.discovery.send_state(CACHES[0], cache, 0, 0);
             proxy.discovery.send_state(CACHES[1], cache, 0, 2);
-            until(|| proxy.executor.with(|e| e.last_event_number()) == 3).await;
+            wait_until(|| proxy.executor.with(|e| e.last_event_number()) == 3).await;
             // Both requests wait for the same pending connect.
             let clients: Vec<BlockingStream> = (1..=2)
                 .map(|id| {
-                    let mut stream = BlockingStream::connect(at).unwrap();
+                    let mut stream = BlockingStream::connect(address).unwrap();
                     stream.write_all(get(id).as_bytes()).unwrap();
                     if pipelined {
                         stream.write_all(get(10 + id).as_bytes()).unwrap();
@@ -173,20 +173,20 @@
                     stream
                 })
                 .collect();
-            until(|| proxy.executor.with(|e| e.counters.attempts) == 2).await;
+            wait_until(|| proxy.executor.with(|e| e.counters.attempts) == 2).await;
             assert_eq!(proxy.executor.with(|e| e.counters.connection_failures), 0, "the connect is pending");
             for stream in clients {
                 if reset {
                     SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
                 }
             }
-            until(|| proxy.executor.with(|e| e.counters.clients_disconnected) == 2).await;
+            wait_until(|| proxy.executor.with(|e| e.counters.clients_disconnected) == 2).await;
             assert_eq!(
                 proxy.executor.with(|e| (e.open_requests(), e.counters.connection_failures)),
                 (0, 0),
                 "the disconnects are detected before the connect fails"
             );
-            until(|| proxy.executor.with(|e| e.counters.connection_failures) > 0).await;
+            wait_until(|| proxy.executor.with(|e| e.counters.connection_failures) > 0).await;
             tokio::task::yield_now().await;
             assert_eq!((proxy.total_requests(), proxy.executor.with(|e| e.counters.attempts)), (0, 2));
         });
@@ -198,21 +198,21 @@
 #[test]
 fn requests_of_disconnected_clients_are_not_retried() {
     run(async {
-        let (proxy, at) = open("no_further").await;
+        let (proxy, address) = start_proxy("disconnect_no_retry").await;
         proxy.script_all(never_reply());
         let mut clients = Vec::new();
         for id in 1..=12 {
-            let mut client = Client::connect(at).await;
+            let mut client = Client::connect(address).await;
             client.write(get(id).as_bytes()).await;
             clients.push(client);
         }
-        until(|| proxy.total_requests() == 12).await;
+        wait_until(|| proxy.total_requests() == 12).await;
         let attempts = proxy.executor.with(|e| e.counters.attempts);
         drop(clients);
-        until(|| cancelled_count(&proxy) == 12).await;
+        wait_until(|| cancelled_count(&proxy) == 12).await;
         // Longer than every timeout.
         (0..40).for_each(|_| proxy.advance_clock(100.0));
-        until(|| proxy.executor.with(|e| e.open_requests()) == 0).await;
+        wait_until(|| proxy.executor.with(|e| e.open_requests()) == 0).await;
         assert_eq!((proxy.total_requests(), proxy.executor.with(|e| e.counters.attempts)), (12, attempts));
     });
 }
@@ -220,8 +220,8 @@
 #[test]
 fn pipelined_requests_are_each_answered_once() {
     run(async {
-        let (proxy, at) = open("turns").await;
-        let mut client = Client::connect(at).await;
+        let (proxy, address) = start_proxy("pipelined_responses").await;
+        let mut client = Client::connect(address).await;
         client.write((get(1) + &get(2) + &get(3)).as_bytes()).await;
         for _ in 0..3 {
             assert_eq!(client.read(false).await.unwrap().status, 200);
@@ -235,11 +235,11 @@
 #[test]
 fn a_flood_after_a_request_is_discarded_and_the_response_is_sent() {
     run(async {
-        let (proxy, at) = open("flood").await;
+        let (proxy, address) = start_proxy("flood").await;
         proxy.script_all(never_reply());
-        let mut client = Client::connect(at).await;
+        let mut client = Client::connect(address).await;
         client.write(get(1).as_bytes()).await;
-        until(|| proxy.total_requests() == 1).await;
+        wait_until(|| proxy.total_requests() == 1).await;
         client.write(&vec![b'x'; 400_000]).await;
         let response = spawn_local(async move { client.read(false).await.unwrap() });
         while !response.is_finished() {
@@ -277,11 +277,12 @@
     for (pipelining, reset) in [(false, false), (false, true), (true, false), (true, true)] {
         run(async move {
             let limits = ConnectionLimits { one_at_a_time: !pipelining, ..limits(400) };
-            let (proxy, at) = open_with(&format!("behind_flood{pipelining}{reset}"), limits).await;
+            let (proxy, address) =
+                start_proxy_with_limits(&format!("disconnect_after_flood{pipelining}{reset}"), limits).await;
             proxy.script_all(never_reply());
-            let mut stream = BlockingStream::connect(at).unwrap();
+            let mut stream = BlockingStream::connect(address).unwrap();
             stream.write_all(get(1).as_bytes()).unwrap();
-            until(|| proxy.total_requests() == 1).await;
+            wait_until(|| proxy.total_requests() == 1).await;
             flood(&mut stream).await;
             assert_eq!(
                 proxy.executor.with(|e| (e.counters.clients_disconnected, e.open_requests())),
@@ -292,7 +293,7 @@
                 SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
             }
             drop(stream);
-            until(|| cancelled_count(&proxy) == 1).await;
+            wait_until(|| cancelled_count(&proxy) == 1).await;
             assert_eq!(proxy.executor.with(|e| (e.counters.clients_disconnected, e.open_requests())), (1, 0));
             assert_eq!(proxy.total_requests(), 1, "no further request was forwarded");
         });
@@ -302,7 +303,7 @@
 /// Completely buffered requests are read in order; bytes after a discarded one must not be parsed as
 /// requests.
 #[test]
-fn requests_pipelined_beyond_the_buffer_are_read_up_to_its_limit() {
+fn pipelined_requests_beyond_the_buffer_limit_are_discarded() {
     run(async {
         let (mut client, server) = connected_pair().await;
         let codec = HttpCodec::new(Clock::manual(START_MS), 100);
@@ -312,20 +313,20 @@
         client.write_all(sent.as_bytes()).await.unwrap();
         client.shutdown().await.unwrap();
         // `disconnected` returns at the end of the stream, once all bytes were read.
-        let mut answered = 0;
+        let mut received = 0;
         loop {
             let Received::Request(request) = stream.next().await else { panic!("no request") };
-            answered += 1;
-            assert_eq!(request.single_value("x-call-id"), Ok(Some(&*format!("{answered:016x}"))));
+            received += 1;
+            assert_eq!(request.single_value("x-call-id"), Ok(Some(&*format!("{received:016x}"))));
             stream.disconnected().await;
             if stream.is_overrun() {
                 break;
             }
         }
-        let held = answered * length;
+        let received_bytes = received * length;
         assert!(
-            held > MAX_BYTES_AHEAD / 2 && held <= MAX_BYTES_AHEAD + 2 * length,
-            "{held} bytes of requests"
+            received_bytes > MAX_BYTES_AHEAD / 2 && received_bytes <= MAX_BYTES_AHEAD + 2 * length,
+            "{received_bytes} bytes of requests"
         );
     });
 }
@@ -334,19 +335,19 @@
 
 /// Requests that arrive after the proxy shut down its side must not be forwarded, nor cause a reset.
 #[test]
-fn a_request_that_crosses_the_close_of_an_idle_connection_is_neither_forwarded_nor_reset() {
+fn requests_sent_after_the_proxy_closes_an_idle_connection_are_neither_forwarded_nor_reset() {
     run(async {
-        let (proxy, at) = open("crossing").await;
-        let mut client = BlockingStream::connect(at).unwrap();
+        let (proxy, address) = start_proxy("request_after_close").await;
+        let mut client = BlockingStream::connect(address).unwrap();
         client.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
         client.write_all(b"GET /alive HTTP/1.1\r\nHost: o\r\n\r\n").unwrap();
-        until(|| proxy.executor.with(|e| e.counters.client_connections) == 1).await;
+        wait_until(|| proxy.executor.with(|e| e.counters.client_connections) == 1).await;
         let mut response = [0; 4_096];
         let read = spawn_local(async move { (client.read(&mut response).unwrap(), client) });
         let (length, mut client) = read.await.unwrap();
         assert!(length > 0);
         proxy.shutdown.begin();
-        until(|| proxy.shutdown.open_connections() == 0).await;
+        wait_until(|| proxy.shutdown.open_connections() == 0).await;
         // The proxy has shut down its side.
         for id in 1..=50 {
             client.write_all(get(id).as_bytes()).expect("the proxy reset the connection");
@@ -355,7 +356,7 @@
         assert_eq!(client.read(&mut [0; 64]).expect("the connection failed before the end of the stream"), 0);
         assert_eq!(proxy.total_requests(), 0);
         drop(client);
-        until(|| proxy.shutdown.open_or_lingering() == 0).await;
+        wait_until(|| proxy.shutdown.open_or_lingering() == 0).await;
     });
 }
 
@@ -364,9 +365,9 @@
 fn a_request_that_arrives_as_the_shutdown_begins_is_answered() {
     for round in 0..8u64 {
         run(async move {
-            let (proxy, at) = open(&format!("moment{round}")).await;
-            let mut client = Client::connect(at).await;
-            assert_eq!(client.ask("GET", "/alive", "").await.status, 200);
+            let (proxy, address) = start_proxy(&format!("request_at_shutdown{round}")).await;
+            let mut client = Client::connect(address).await;
+            assert_eq!(client.send_request("GET", "/alive", "").await.status, 200);
             let mut client = client.into_blocking();
             // A blocking write: the runtime has not polled the socket when the shutdown begins.
             client.write_all(get(1).as_bytes()).unwrap();
@@ -384,11 +385,11 @@
 #[test]
 fn connection_close_is_honoured_after_the_complete_response() {
     run(async {
-        let (proxy, at) = open("asked_close").await;
+        let (proxy, address) = start_proxy("connection_close").await;
         let body = vec![b'y'; 200_000];
         let content = body.clone();
         proxy.script_all(Rc::new(move |_| Some(("ACK", "sum=t1,t0=5".into(), content.clone()))));
-        let mut client = BlockingStream::connect(at).unwrap();
+        let mut client = BlockingStream::connect(address).unwrap();
         let request = get(1).replace("Host: o\r\n", "Host: o\r\nConnection: close\r\n");
         client.write_all(request.as_bytes()).unwrap();
         // The proxy has not read these bytes when it closes the connection.
@@ -403,10 +404,10 @@
 
 /// Nagle's algorithm would delay the end of small responses.
 #[test]
-fn small_writes_are_not_held_back() {
+fn client_connections_have_tcp_nodelay() {
     run(async {
-        let (proxy, at) = open("nodelay").await;
-        assert_eq!(ask(at, "GET", "/alive", "").await.status, 200);
+        let (proxy, address) = start_proxy("nodelay").await;
+        assert_eq!(send_request(address, "GET", "/alive", "").await.status, 200);
         let (_client, server) = connected_pair().await;
         // A second descriptor of the same socket.
         let duplicate = server.as_fd().try_clone_to_owned().unwrap();
@@ -426,20 +427,20 @@
 
 /// Clients with partial requests must not keep others out at the connection limit.
 #[test]
-fn the_oldest_partial_request_is_evicted_when_every_slot_is_taken() {
+fn a_partial_request_is_evicted_when_every_slot_is_taken() {
     run(async {
-        let (proxy, at) = open_with("partial", limits(3)).await;
+        let (proxy, address) = start_proxy_with_limits("partial", limits(3)).await;
         let mut partial = Vec::new();
         for _ in 0..3 {
-            let mut client = Client::connect(at).await;
+            let mut client = Client::connect(address).await;
             client.write(b"GET /al").await;
             partial.push(client);
         }
-        until(|| proxy.executor.with(|e| e.counters.client_connections) == 3).await;
+        wait_until(|| proxy.executor.with(|e| e.counters.client_connections) == 3).await;
         tokio::task::yield_now().await;
         proxy.advance_clock(600.0);
-        let mut another = Client::connect(at).await;
-        assert_eq!(another.ask("GET", "/alive", "").await.status, 200);
+        let mut another = Client::connect(address).await;
+        assert_eq!(another.send_request("GET", "/alive", "").await.status, 200);
         assert_eq!(proxy.executor.with(|e| e.counters.client_connections_evicted), 1);
     });
 }
@@ -449,19 +450,20 @@
 #[test]
 fn a_client_that_reads_no_response_loses_its_slot() {
     run(async {
-        let (proxy, at) = open_with("unread", ConnectionLimits { write_ms: 1e7, ..limits(400) }).await;
+        let (proxy, address) =
+            start_proxy_with_limits("unread", ConnectionLimits { write_ms: 1e7, ..limits(400) }).await;
         let body = vec![b'y'; 240_000];
         proxy.script_all(Rc::new(move |_| Some(("ACK", "sum=t1,t0=5".into(), body.clone()))));
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(2_048).unwrap();
-        let mut stream = socket.connect(at).await.unwrap();
+        let mut stream = socket.connect(address).await.unwrap();
         // More responses than the socket buffers hold.
-        let ask = |id: u64| get(id).replace("X-Patience-Ms: 1500", "X-Patience-Ms: 300");
+        let request_text = |id: u64| get(id).replace("X-Patience-Ms: 1500", "X-Patience-Ms: 300");
         for id in 1..=40 {
-            stream.write_all(ask(id).as_bytes()).await.unwrap();
+            stream.write_all(request_text(id).as_bytes()).await.unwrap();
         }
-        until(|| proxy.executor.with(|e| e.counters.responses_unwritten) == 1).await;
-        until(|| proxy.shutdown.open_or_lingering() == 0).await;
+        wait_until(|| proxy.executor.with(|e| e.counters.responses_unwritten) == 1).await;
+        wait_until(|| proxy.shutdown.open_or_lingering() == 0).await;
     });
 }
 
@@ -472,12 +474,12 @@
 fn a_reply_that_arrived_before_a_reset_is_used() {
     for round in 0..12 {
         run(async move {
-            let (proxy, at) = open(&format!("reset{round}")).await;
+            let (proxy, address) = start_proxy(&format!("reset{round}")).await;
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let cache = listener.local_addr().unwrap();
             proxy.discovery.send_state(CACHES[0], cache, 0, 0);
             proxy.discovery.send_state(CACHES[1], cache, 0, 2);
-            until(|| proxy.executor.with(|e| e.last_event_number()) == 3).await;
+            wait_until(|| proxy.executor.with(|e| e.last_event_number()) == 3).await;
             let endpoint = spawn_local(async move {
                 let (stream, _) = listener.accept().await.unwrap();
                 let mut stream = BufReader::new(stream);
@@ -487,7 +489,7 @@
                 let response = format!("{id} ACK sum=t1,t0=5 5\r\nhello\r\n");
                 (stream.into_inner(), response)
             });
-            let mut first = Client::connect(at).await;
+            let mut first = Client::connect(address).await;
             first.write(get(1).as_bytes()).await;
             let (stream, response) = endpoint.await.unwrap();
             let mut stream = stream.into_std().unwrap();
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -23,7 +23,7 @@
 
 /// Creates a folder for a test with copies of the operators' files and their keys.
 fn workspace(test: &str) -> PathBuf {
-    let folder = stand_ins::folder(&format!("command_line_{test}"));
+    let folder = stand_ins::test_dir(&format!("command_line_{test}"));
     for source in ["tests/fixtures/operator-files", "tests/fixtures/keys"] {
         for entry in std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join(source)).unwrap() {
             let entry = entry.unwrap();
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -13,7 +13,7 @@
 use edge_proxy::wire::cache_connection::CacheDriver;
 use edge_proxy::wire::shutdown::GracefulShutdown;
 use stand_ins::grpc::{message, receive_response, GrpcClient, ScriptedBackend};
-use stand_ins::{folder, run, START_MS};
+use stand_ins::{run, test_dir, START_MS};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::rc::Rc;
@@ -82,7 +82,7 @@
 
     async fn start_with(clock: Clock, name: &str, all: Vec<ScriptedBackend>, limits: &str) -> Self {
         let listener = TcpListener::bind("127.0.90.9:0").await.unwrap();
-        let (at, dir) = (listener.local_addr().unwrap(), folder(name));
+        let (at, dir) = (listener.local_addr().unwrap(), test_dir(name));
         let mut backends: Vec<_> = all.iter().map(|b| (b.address, false)).collect();
         if all.is_empty() {
             backends.push(("127.0.90.1:1".parse().unwrap(), false));
@@ -703,7 +703,7 @@
 #[test]
 fn the_process_serves_calls_reloads_at_sighup_and_drains_at_sigterm() {
     run(async {
-        let dir = folder("grpc-process");
+        let dir = test_dir("grpc-process");
         let (one, two) =
             (ScriptedBackend::start("127.0.92.1:0").await, ScriptedBackend::start("127.0.92.1:0").await);
         let port = || std::net::TcpListener::bind("127.0.92.9:0").unwrap().local_addr().unwrap();
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -8,7 +8,7 @@
 use simd_json::prelude::*;
 use stand_ins::checked_endpoint::CheckedEndpoint;
 use stand_ins::slow_cache_fleet::{unix_ms, SlowCacheFleet};
-use stand_ins::{folder, run, KillOnDrop};
+use stand_ins::{run, test_dir, KillOnDrop};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
@@ -64,7 +64,7 @@
     drop((udp, tcp));
     let key = base64::engine::general_purpose::STANDARD.encode([9; 32]);
     let instances = (0..3).map(|k| {
-        let dir = folder(&format!("{name}-{k}"));
+        let dir = test_dir(&format!("{name}-{k}"));
         let (listen, mgmt) = (tcp_addresses[2 * k], tcp_addresses[2 * k + 1]);
         let mut text =
             std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
@@ -221,7 +221,7 @@
 
 #[test]
 fn an_invalid_file_is_rejected_with_the_name_of_the_field() {
-    let dir = folder("health-checks-files");
+    let dir = test_dir("health-checks-files");
     let read = |text: &str| {
         std::fs::write(dir.join("d.json"), text).unwrap();
         HealthCheckConfig::read(&dir.join("d.json")).map(|_| ()).map_err(|e| e.to_string())
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -18,7 +18,7 @@
 use edge_proxy::wire::shutdown::GracefulShutdown;
 use stand_ins::http3_client::{write_certificate, Http3Client, ImpairedLink};
 use stand_ins::slow_cache_fleet::SlowCacheFleet;
-use stand_ins::{folder, run, KillOnDrop};
+use stand_ins::{run, test_dir, KillOnDrop};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -59,7 +59,7 @@
 
 impl Fixture {
     async fn start(net: u8, name: &str, extra_fields: &str) -> Self {
-        let dir = folder(name);
+        let dir = test_dir(name);
         let fleet = SlowCacheFleet::start(net, 4, 256, 2).await;
         std::fs::write(dir.join("config.json"), proxy_config_text(&fleet)).unwrap();
         let proxy_config = Config::read(&dir.join("config.json")).unwrap();
@@ -495,7 +495,7 @@
 #[test]
 fn the_program_serves_http3_reloads_certificates_and_stops_gracefully() {
     run(async {
-        let dir = folder("http3-program");
+        let dir = test_dir("http3-program");
         let fleet = SlowCacheFleet::start(117, 4, 64, 2).await;
         let free_address = || std::net::TcpListener::bind("127.0.117.9:0").unwrap().local_addr().unwrap();
         let (listen, mgmt) = (free_address(), free_address());
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -156,7 +156,7 @@
 fn sighup_applies_a_valid_configuration_and_ignores_an_invalid_one() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut proxy = RunningProxy::start("reload.json", 256);
-    let path = stand_ins::folder("process").join("reload.json");
+    let path = stand_ins::test_dir("process").join("reload.json");
     let text = std::fs::read_to_string(&path).unwrap();
     std::fs::write(&path, "nonsense").unwrap();
     proxy.signal("-HUP");
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -12,7 +12,7 @@
 use edge_proxy::surrogate_key::SurrogateKey;
 use simd_json::prelude::*;
 use stand_ins::purge_target::{now_ms, Origin, PurgeTarget};
-use stand_ins::{folder, run};
+use stand_ins::{run, test_dir};
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -210,7 +210,7 @@
         let fleet = Fleet::start(41).await;
         // The parent acknowledges slowly, so that it lags when the leader is killed.
         fleet.servers[2].ack_delay_ms.set(400);
-        let dir = folder("purges-kill");
+        let dir = test_dir("purges-kill");
         let _ = std::fs::remove_file(dir.join("edge-1-state.log"));
         let extra = format!(",\"roster_port\":{}", fleet.port);
         let mut leader =
@@ -264,7 +264,7 @@
 fn overlapping_purges_apply_in_order_everywhere() {
     run(async {
         let fleet = Fleet::start(42).await;
-        let dir = folder("purges-order");
+        let dir = test_dir("purges-order");
         for file in ["lead-state.log", "follow-state.log"] {
             let _ = std::fs::remove_file(dir.join(file));
         }
@@ -353,7 +353,7 @@
 fn a_target_unreachable_for_seconds_catches_up_and_retains_copies_newer_than_the_purge() {
     run(async {
         let fleet = Fleet::start(43).await;
-        let dir = folder("purges-unreachable");
+        let dir = test_dir("purges-unreachable");
         let _ = std::fs::remove_file(dir.join("lead-state.log"));
         let extra = format!(",\"roster_port\":{}", fleet.port);
         let leader = Proxy::start(&dir, "lead", "127.0.43.10", &fleet, &leader_config("lead", &extra)).await;
@@ -437,7 +437,7 @@
 
 #[test]
 fn a_torn_or_corrupt_log_retains_its_intact_prefix_and_issues_no_number_twice() {
-    let dir = folder("purges-log");
+    let dir = test_dir("purges-log");
     let config = read_purge_config(&dir, "leader", "{\"name\":\"a\",\"address\":\"127.0.0.1:9\"}");
     let path = config.log_path.clone().unwrap();
     let _ = std::fs::remove_file(&path);
@@ -496,7 +496,7 @@
 fn invalid_input_to_purge_submit_is_rejected_and_changes_nothing() {
     run(async {
         let fleet = Fleet::start(44).await;
-        let dir = folder("purges-invalid");
+        let dir = test_dir("purges-invalid");
         let _ = std::fs::remove_file(dir.join("lead-state.log"));
         let leader = Proxy::start(&dir, "lead", "127.0.44.10", &fleet, &leader_config("lead", "")).await;
         let at = leader.admin.to_string();
@@ -540,7 +540,7 @@
     const SHORT_LIVED: usize = 8;
     run(async {
         let fleet = Fleet::start(47).await;
-        let dir = folder("purges-hanging");
+        let dir = test_dir("purges-hanging");
         let _ = std::fs::remove_file(dir.join("edge-1-state.log"));
         let hanging = tokio::net::TcpListener::bind("127.0.47.20:0").await.unwrap();
         let at = hanging.local_addr().unwrap();
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -7,7 +7,7 @@
 use simd_json::prelude::*;
 use stand_ins::registry::Registry;
 use stand_ins::slow_cache_fleet::{unix_ms, SlowCacheFleet};
-use stand_ins::{folder, run};
+use stand_ins::{run, test_dir};
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
 use std::process::{Child, Command, Stdio};
@@ -46,7 +46,7 @@
 }
 
 async fn start_proxy(net: u8, name: &str, registry: &Registry) -> Proxy {
-    let dir = folder(name);
+    let dir = test_dir(name);
     let ip = format!("127.0.{net}.10");
     let port = || TcpListener::bind(format!("{ip}:0")).unwrap().local_addr().unwrap();
     let (listen, mgmt) = (port(), port());
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -11,7 +11,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use stand_ins::slow_cache_fleet::SlowCacheFleet;
-use stand_ins::{folder, run, KillOnDrop};
+use stand_ins::{run, test_dir, KillOnDrop};
 use std::path::Path;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -87,7 +87,7 @@
 
 #[test]
 fn invalid_files_are_rejected_with_the_rule_and_the_place() {
-    let file = folder("rules-bad").join("rules.json");
+    let file = test_dir("rules-bad").join("rules.json");
     let check = |rule: &str, more: &str| {
         std::fs::write(&file, format!(r#"{{{more}"rules":[{rule}]}}"#)).unwrap();
         RulesConfig::read(&file).map(|_| ()).map_err(|e| e.to_string())
@@ -115,7 +115,7 @@
 #[test]
 fn the_program_classifies_requests_by_its_rules() {
     run(async {
-        let dir = folder("rules-program");
+        let dir = test_dir("rules-program");
         let fleet = SlowCacheFleet::start(125, 4, 64, 2).await;
         let free = || std::net::TcpListener::bind("127.0.125.9:0").unwrap().local_addr().unwrap();
         let listen = free();
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -107,9 +107,9 @@
 
 async fn open(name: &str, signers: &[&Signer]) -> Front {
     let site = TestProxy::start(name).await;
-    let keys = folder(name).join("keys.json");
+    let keys = test_dir(name).join("keys.json");
     write_keys(&keys, signers);
-    let file = folder(name).join("front.json");
+    let file = test_dir(name).join("front.json");
     let text = json!({"listen":"127.0.0.1:1","keys":"keys.json","issuer":"links","scheme":"https",
         "leeway_ms":2000,"overlap_ms":30000,
         "limits":{"connections":4,"head_ms":5000,"write_ms":300,"body_bytes":0}});
@@ -118,7 +118,7 @@
     let front = Rc::new(config.front(77).unwrap());
     let reload = Rc::new(Notify::new());
     spawn_local(follow_key_file(site.executor.clone(), config, front.clone(), reload.clone()));
-    let at = site.open(front.clone()).await;
+    let at = site.listen(front.clone()).await;
     Front { site, at, keys, reload, front }
 }
 
@@ -128,13 +128,13 @@
         let (hs, es) = (Signer::secret("a", &SECRET), Signer::curve("b", 3));
         let f = open("fresh", &[&hs, &es]).await;
         for signer in [&hs, &es] {
-            let answer = ask(f.at, "GET", &signer.link(PATH, &fresh(URI)), "").await;
+            let answer = send_request(f.at, "GET", &signer.link(PATH, &fresh(URI)), "").await;
             assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..]));
             assert_eq!(answer.headers["etag"], "\"t1\"");
         }
         // The fields come from the path alone, and every size has its one spelling.
         let sized = format!("{PATH}/412.5");
-        let answer = ask(f.at, "GET", &hs.link(&sized, &fresh(&format!("{URI}/412.5"))), "").await;
+        let answer = send_request(f.at, "GET", &hs.link(&sized, &fresh(&format!("{URI}/412.5"))), "").await;
         assert_eq!(answer.status, 200);
         // A pattern may open all parts of one object.
         let all = with(
@@ -144,7 +144,7 @@
         );
         for part in [0, 12] {
             let path = format!("/media/clip/17/7f3a9c21e0b4d655/{part}");
-            assert_eq!(ask(f.at, "GET", &hs.link(&path, &all), "").await.status, 200);
+            assert_eq!(send_request(f.at, "GET", &hs.link(&path, &all), "").await.status, 200);
         }
     });
 }
@@ -210,7 +210,7 @@
         ];
         let count = cases.len() as u64;
         for (what, target) in cases {
-            assert_eq!(ask(f.at, "GET", &target, "").await.status, 403, "{what}");
+            assert_eq!(send_request(f.at, "GET", &target, "").await.status, 403, "{what}");
         }
         assert_eq!(f.site.total_requests(), 0, "no decision was taken");
         let (requests, forbidden) =
@@ -219,7 +219,7 @@
         // Within the leeway both ends of a link's time are good; known critical claims are, too.
         let edge = with(with(good, "exp", json!(now - 1.9)), "nbf", json!(now + 1.9));
         let edge = with(edge, "cdnicrit", json!("exp,nbf"));
-        assert_eq!(ask(f.at, "GET", &hs.link(PATH, &edge), "").await.status, 200);
+        assert_eq!(send_request(f.at, "GET", &hs.link(PATH, &edge), "").await.status, 200);
     });
 }
 
@@ -255,7 +255,7 @@
             format!("{PATH}?URISigningPackage=a.b.c"),
         ];
         for target in malformed {
-            assert_eq!(ask(f.at, "GET", &target, "").await.status, 400, "{target:.60}");
+            assert_eq!(send_request(f.at, "GET", &target, "").await.status, 400, "{target:.60}");
         }
         // A token for one host opens nothing on another.
         let mut client = Client::connect(f.at).await;
@@ -270,7 +270,7 @@
             ("GET", "/alive".to_string(), 404),
             ("DELETE", format!("{PATH}?URISigningPackage={token}"), 405),
         ] {
-            assert_eq!(ask(f.at, method, &target, "").await.status, status, "{method} {target:.40}");
+            assert_eq!(send_request(f.at, method, &target, "").await.status, status, "{method} {target:.40}");
         }
     });
 }
@@ -282,7 +282,7 @@
         let f = open("rotation", &[&old]).await;
         let claims = with(fresh(URI), "exp", json!(START_MS / 1000.0 + 3_600.0));
         let (before, after) = (old.link(PATH, &claims), new.link(PATH, &claims));
-        assert_eq!(ask(f.at, "GET", &after, "").await.status, 403);
+        assert_eq!(send_request(f.at, "GET", &after, "").await.status, 403);
         let knows = |kid: &'static str| {
             let (front, clock) = (f.front.clone(), f.site.clock.clone());
             move || front.verifier.borrow().keys.find(kid, clock.now()).count() > 0
@@ -290,20 +290,24 @@
         // A file that can't be used changes nothing.
         std::fs::write(&f.keys, "{\"keys\":[").unwrap();
         f.reload.notify_one();
-        assert_eq!(ask(f.at, "GET", &before, "").await.status, 200);
+        assert_eq!(send_request(f.at, "GET", &before, "").await.status, 200);
         write_keys(&f.keys, &[&new]);
         f.reload.notify_one();
-        until(knows("b")).await;
-        assert_eq!(ask(f.at, "GET", &after, "").await.status, 200);
-        assert_eq!(ask(f.at, "GET", &before, "").await.status, 200, "issued a moment before the rotation");
+        wait_until(knows("b")).await;
+        assert_eq!(send_request(f.at, "GET", &after, "").await.status, 200);
+        assert_eq!(
+            send_request(f.at, "GET", &before, "").await.status,
+            200,
+            "issued a moment before the rotation"
+        );
         f.site.advance_clock(29_999.0);
-        assert_eq!(ask(f.at, "GET", &before, "").await.status, 200);
+        assert_eq!(send_request(f.at, "GET", &before, "").await.status, 200);
         f.site.advance_clock(2.0);
-        assert_eq!(ask(f.at, "GET", &before, "").await.status, 403, "the overlap is over");
+        assert_eq!(send_request(f.at, "GET", &before, "").await.status, 403, "the overlap is over");
         // A change of the file is seen without a signal, too.
         write_keys(&f.keys, &[&new, &old]);
-        until(knows("a")).await;
-        assert_eq!(ask(f.at, "GET", &before, "").await.status, 200);
+        wait_until(knows("a")).await;
+        assert_eq!(send_request(f.at, "GET", &before, "").await.status, 200);
     });
 }
 
@@ -324,20 +328,23 @@
         for signer in [&hs, &es] {
             // The first token ends after 60 s; each renewed one 30 s after its own answer.
             let claims = with(renewing(URI), "exp", json!(f.site.clock.now() / 1000.0 + 60.0));
-            let mut answer = ask(f.at, "GET", &signer.link(&part(0), &claims), "").await;
+            let mut answer = send_request(f.at, "GET", &signer.link(&part(0), &claims), "").await;
             for k in 1..4 {
                 assert_eq!(answer.status, 200);
                 let cookie = token(&answer);
                 f.site.advance_clock(29_000.0);
-                answer = ask(f.at, "GET", &part(k), &cookie).await;
+                answer = send_request(f.at, "GET", &part(k), &cookie).await;
             }
             assert_eq!(answer.status, 200);
             let cookie = token(&answer);
             // It opens what the first one opened, and ends as it says.
-            assert_eq!(ask(f.at, "GET", "/media/clip/17/7f3a9c21e0b4d656/0", &cookie).await.status, 403);
-            assert_eq!(ask(f.at, "GET", &part(5), &format!("{cookie}{cookie}")).await.status, 400);
+            assert_eq!(
+                send_request(f.at, "GET", "/media/clip/17/7f3a9c21e0b4d656/0", &cookie).await.status,
+                403
+            );
+            assert_eq!(send_request(f.at, "GET", &part(5), &format!("{cookie}{cookie}")).await.status, 400);
             f.site.advance_clock(32_000.0);
-            let late = ask(f.at, "GET", &part(4), &cookie).await;
+            let late = send_request(f.at, "GET", &part(4), &cookie).await;
             assert_eq!((late.status, late.headers.get("set-cookie")), (403, None));
         }
     });
@@ -350,7 +357,7 @@
         let f = open("conditions", &[&hs]).await;
         let link = hs.link(PATH, &fresh(URI));
         let mut client = Client::connect(f.at).await;
-        let head = client.ask("HEAD", &link, "Range: bytes=0-3\r\n").await;
+        let head = client.send_request("HEAD", &link, "Range: bytes=0-3\r\n").await;
         assert_eq!((head.status, head.headers["content-length"].as_str()), (200, "32"));
         let cases = [
             ("If-None-Match: \"t1\"\r\n", 304, ""),
@@ -373,11 +380,11 @@
             ("Range: bytes=0-4\r\nIf-None-Match: \"t1\"\r\n", 304, ""),
         ];
         for (headers, status, body) in cases {
-            let answer = client.ask("GET", &link, headers).await;
+            let answer = client.send_request("GET", &link, headers).await;
             let got = String::from_utf8(answer.body).unwrap();
             assert_eq!((answer.status, got.as_str()), (status, body), "{headers}");
         }
-        let part = client.ask("GET", &link, "Range: bytes=0-4\r\n").await;
+        let part = client.send_request("GET", &link, "Range: bytes=0-4\r\n").await;
         assert_eq!(part.headers["content-range"], "bytes 0-4/32");
     });
 }
@@ -389,7 +396,7 @@
         let f = open("ends", &[&hs]).await;
         let link = hs.link(PATH, &fresh(URI));
         f.site.script_all(reply_status("AGAIN"));
-        let refused = ask(f.at, "GET", &link, "").await;
+        let refused = send_request(f.at, "GET", &link, "").await;
         assert_eq!((refused.status, refused.headers["retry-after"].as_str()), (503, "1"));
         // With nobody answering, a class of short patience ends at its deadline, a longer one is given up.
         f.site.script_all(never_reply());
@@ -397,7 +404,7 @@
         let short = hs.link(thumb, &fresh(&format!("https://media.test{thumb}")));
         for (link, status, most) in [(short, 504, 200.0), (link, 503, 5_000.0)] {
             let (began, at) = (f.site.clock.now(), f.at);
-            let waits = spawn_local(async move { ask(at, "GET", &link, "").await });
+            let waits = spawn_local(async move { send_request(at, "GET", &link, "").await });
             while !waits.is_finished() {
                 // Time passes only while an attempt is out, in steps, so that its own time-out is met.
                 if f.site.executor.with(|e| e.open_requests()) > 0 {
@@ -433,28 +440,28 @@
             .collect();
         let mut client = Client::connect(f.at).await;
         for link in &links {
-            assert_eq!(client.ask("GET", link, "").await.status, 200);
+            assert_eq!(client.send_request("GET", link, "").await.status, 200);
         }
         assert!(f.site.request_count(CACHES[0]) > 0 && f.site.request_count(CACHES[1]) > 0);
         let at = f.site.endpoints[&CACHES[0]].address;
         let no = f.site.discovery.send_state(CACHES[0], at, 0, 1);
-        until(|| f.site.executor.with(|e| e.last_event_number()) >= no).await;
+        wait_until(|| f.site.executor.with(|e| e.last_event_number()) >= no).await;
         f.site.advance_clock(250.0);
         let before = f.site.request_count(CACHES[0]);
         for (k, link) in links.iter().enumerate() {
             let forged = format!("{link}x");
             let (link, status) = if k % 4 == 3 { (&forged, 403) } else { (link, 200) };
-            assert_eq!(client.ask("GET", link, "").await.status, status);
+            assert_eq!(client.send_request("GET", link, "").await.status, status);
         }
         assert_eq!(f.site.request_count(CACHES[0]), before);
         // As a source it is as good as gone: here the parent drains.
         let at = f.site.endpoints[&PARENT].address;
         let no = f.site.discovery.send_state(PARENT, at, 1, 1);
-        until(|| f.site.executor.with(|e| e.last_event_number()) >= no).await;
+        wait_until(|| f.site.executor.with(|e| e.last_event_number()) >= no).await;
         f.site.advance_clock(250.0);
         let seen = f.site.request_count(CACHES[1]);
         for link in &links {
-            assert_eq!(client.ask("GET", link, "").await.status, 200);
+            assert_eq!(client.send_request("GET", link, "").await.status, 200);
         }
         let asked = f.site.endpoints[&CACHES[1]].requests.borrow();
         assert!(asked[seen..]
@@ -472,7 +479,7 @@
         // A head that never ends is answered when its time is over, by the clock.
         let mut slow = Client::connect(f.at).await;
         slow.write(b"GET /media/clip").await;
-        until(|| f.site.executor.with(|e| e.counters.client_connections) == 1).await;
+        wait_until(|| f.site.executor.with(|e| e.counters.client_connections) == 1).await;
         let reads = spawn_local(async move { slow.read(false).await.unwrap() });
         while !reads.is_finished() {
             f.site.advance_clock(100.0);
@@ -483,7 +490,7 @@
         assert_eq!((answer.status, answer.closed), (408, true));
         // A body is not wanted here.
         let mut body = Client::connect(f.at).await;
-        let answer = body.ask("GET", &hs.link(PATH, &fresh(URI)), "Content-Length: 5\r\n").await;
+        let answer = body.send_request("GET", &hs.link(PATH, &fresh(URI)), "Content-Length: 5\r\n").await;
         assert_eq!((answer.status, answer.closed), (413, true));
         // Above the cap a client waits while all others have requests open, and gets the place of an idle one.
         f.site.script_all(never_reply());
@@ -492,21 +499,21 @@
             let mut client = Client::connect(f.at).await;
             let link = hs.link(PATH, &fresh(URI));
             client.write(format!("GET {link} HTTP/1.1\r\nHost: media.test\r\n\r\n").as_bytes()).await;
-            until(|| f.site.total_requests() == k + 1).await;
+            wait_until(|| f.site.total_requests() == k + 1).await;
             held.push(client);
         }
         f.site.script_all(serve_content());
         let fifth = spawn_local({
             let (at, link) = (f.at, hs.link(PATH, &fresh(URI)));
-            async move { ask(at, "GET", &link, "").await.status }
+            async move { send_request(at, "GET", &link, "").await.status }
         });
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
         assert!(!fifth.is_finished());
         held.pop();
         assert_eq!(fifth.await.unwrap(), 200);
         let mut idle = Client::connect(f.at).await;
-        assert_eq!(idle.ask("GET", &hs.link(PATH, &fresh(URI)), "").await.status, 200);
-        assert_eq!(ask(f.at, "GET", &hs.link(PATH, &fresh(URI)), "").await.status, 200);
+        assert_eq!(idle.send_request("GET", &hs.link(PATH, &fresh(URI)), "").await.status, 200);
+        assert_eq!(send_request(f.at, "GET", &hs.link(PATH, &fresh(URI)), "").await.status, 200);
         assert!(idle.read(false).await.is_none());
     });
 }
@@ -523,7 +530,7 @@
         let mut client = Client::connect(f.at).await;
         // Enough requests ahead that their answers fill every buffer on the way.
         client.write(text.repeat(100).as_bytes()).await;
-        until(|| f.site.executor.with(|e| e.counters.responses_unwritten) == 1).await;
+        wait_until(|| f.site.executor.with(|e| e.counters.responses_unwritten) == 1).await;
         let mut whole = 0;
         while let Some(answer) = client.read(false).await {
             assert_eq!((answer.status, answer.body.len()), (200, 240_000));
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -23,7 +23,7 @@
 /// Guards against limits in the operator files that a fleet of 1,024 other proxies exceeds.
 #[test]
 fn operator_files_accept_a_thousand_peers() {
-    let folder = stand_ins::folder("size");
+    let folder = stand_ins::test_dir("size");
     let at = |k: u32| format!("127.0.{}.{}:5100", 1 + k / 250, 1 + k % 250);
     let peers: Vec<String> =
         (0..LARGE).map(|k| format!(r#"{{"id":{},"address":"{}"}}"#, k + 2, at(k))).collect();
--- a/tests/stand_ins/blocking.rs
+++ b/tests/stand_ins/blocking.rs
@@ -58,19 +58,19 @@
 }
 
 /// A record of a pop cache in the proxy's zone; state 0 is active, 1 draining, 2 removed.
-pub fn cache_record(id: u32, at: SocketAddr, state: u8) -> Vec<u8> {
-    record(id, at, state, 1, 0)
+pub fn cache_record(id: u32, address: SocketAddr, state: u8) -> Vec<u8> {
+    record(id, address, state, 1, 0)
 }
 
 /// A record of an origin.
-pub fn origin_record(id: u32, at: SocketAddr) -> Vec<u8> {
-    record(id, at, 0, 0, 2)
+pub fn origin_record(id: u32, address: SocketAddr) -> Vec<u8> {
+    record(id, address, 0, 0, 2)
 }
 
-fn record(id: u32, at: SocketAddr, state: u8, zone: u8, kind: u8) -> Vec<u8> {
+fn record(id: u32, address: SocketAddr, state: u8, zone: u8, kind: u8) -> Vec<u8> {
     let mut record = id.to_be_bytes().to_vec();
     record.extend([127, 0, 0, 1]);
-    record.extend(at.port().to_be_bytes());
+    record.extend(address.port().to_be_bytes());
     record.extend([state, zone, kind, 0, 0]);
     record.extend(4_000u32.to_be_bytes());
     record.extend(0u64.to_be_bytes());
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -53,7 +53,7 @@
 }
 
 /// Polls until a condition holds.
-pub async fn until(condition: impl Fn() -> bool) {
+pub async fn wait_until(condition: impl Fn() -> bool) {
     while !condition() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
@@ -241,10 +241,10 @@
     }
 
     /// Sends an endpoint's state (0 active, 1 draining, 2 removed); returns the event's number.
-    pub fn send_state(&self, id: u32, at: SocketAddr, kind: u8, state: u8) -> u64 {
+    pub fn send_state(&self, id: u32, address: SocketAddr, kind: u8, state: u8) -> u64 {
         let mut record = id.to_be_bytes().to_vec();
         record.extend([127, 0, 0, 1]);
-        record.extend(at.port().to_be_bytes());
+        record.extend(address.port().to_be_bytes());
         record.extend([state, if kind == 0 { 1 } else { 0 }, kind]);
         record.extend(0u16.to_be_bytes());
         record.extend(4_000u32.to_be_bytes());
@@ -278,7 +278,7 @@
 }
 
 /// Creates a directory for a test's files.
-pub fn folder(name: &str) -> PathBuf {
+pub fn test_dir(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&path).unwrap();
     path
@@ -286,14 +286,14 @@
 
 /// A configuration file's text. Endpoints are `(id, kind, address)`.
 pub fn config(discovery: SocketAddr, endpoints: &[(u32, &str, SocketAddr)]) -> String {
-    let line = |(id, kind, at): &(u32, &str, SocketAddr)| {
+    let endpoint_json = |(id, kind, address): &(u32, &str, SocketAddr)| {
         let zone = if *kind == "box" { "town" } else { "hub" };
         format!(
-            r#"{{"uid":"s-{id:08x}","endpoint":"{at}","az":"{zone}","model":"{kind}","pod_group":0,
+            r#"{{"uid":"s-{id:08x}","endpoint":"{address}","az":"{zone}","model":"{kind}","pod_group":0,
                 "state":"Ready","capacity_hint":4,"boot_ms":0}}"#
         )
     };
-    let targets: Vec<String> = endpoints.iter().map(line).collect();
+    let targets: Vec<String> = endpoints.iter().map(endpoint_json).collect();
     let targets = targets.join(",");
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:1","seed":"8c1f30d27a5be964","limits":{{"sockets":1024}},
@@ -322,14 +322,14 @@
     pub async fn start(name: &str) -> Self {
         let discovery = DiscoveryServer::start().await;
         let mut endpoints = HashMap::new();
-        let mut lines = Vec::new();
+        let mut listed = Vec::new();
         for (id, kind) in [(CACHES[0], "box"), (CACHES[1], "box"), (PARENT, "parent"), (ORIGIN, "origin")] {
             let cache = Cache::start().await;
-            lines.push((id, kind, cache.address));
+            listed.push((id, kind, cache.address));
             endpoints.insert(id, cache);
         }
-        let path = folder(name).join("config.json");
-        std::fs::write(&path, config(discovery.address, &lines)).unwrap();
+        let path = test_dir(name).join("config.json");
+        std::fs::write(&path, config(discovery.address, &listed)).unwrap();
         let config = Config::read(&path).unwrap();
         let clock = Clock::manual(START_MS);
         let (engine, settings) = engine(&config, &clock, 0).unwrap();
@@ -342,9 +342,9 @@
     }
 
     /// Starts a listener for a front and returns its address.
-    pub async fn open(&self, front: Rc<dyn Front>) -> SocketAddr {
+    pub async fn listen(&self, front: Rc<dyn Front>) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         spawn_local(accept(
             self.executor.clone(),
             front,
@@ -352,7 +352,7 @@
             self.shutdown.clone(),
             self.closing.clone(),
         ));
-        at
+        address
     }
 
     /// Advances the manual clock and runs the timers that are due.
@@ -363,7 +363,7 @@
 
     /// Sets the script of every endpoint.
     pub fn script_all(&self, script: Script) {
-        self.endpoints.values().for_each(|m| *m.script.borrow_mut() = script.clone());
+        self.endpoints.values().for_each(|cache| *cache.script.borrow_mut() = script.clone());
     }
 
     /// The number of requests that an endpoint received.
@@ -373,7 +373,7 @@
 
     /// The number of requests that all endpoints received.
     pub fn total_requests(&self) -> usize {
-        self.endpoints.values().map(|m| m.requests.borrow().len()).sum()
+        self.endpoints.values().map(|cache| cache.requests.borrow().len()).sum()
     }
 }
 
@@ -393,8 +393,8 @@
 }
 
 impl Client {
-    pub async fn connect(at: SocketAddr) -> Self {
-        Self { stream: BufReader::new(TcpStream::connect(at).await.unwrap()) }
+    pub async fn connect(address: SocketAddr) -> Self {
+        Self { stream: BufReader::new(TcpStream::connect(address).await.unwrap()) }
     }
 
     /// Wraps a connected blocking socket.
@@ -442,7 +442,7 @@
     }
 
     /// Sends a request and reads its response.
-    pub async fn ask(&mut self, method: &str, target: &str, headers: &str) -> Response {
+    pub async fn send_request(&mut self, method: &str, target: &str, headers: &str) -> Response {
         let text = format!("{method} {target} HTTP/1.1\r\nHost: media.test\r\n{headers}\r\n");
         self.write(text.as_bytes()).await;
         self.read(method == "HEAD").await.expect("the connection closed before a response")
@@ -450,8 +450,8 @@
 }
 
 /// Sends a request on a new connection.
-pub async fn ask(at: SocketAddr, method: &str, target: &str, headers: &str) -> Response {
-    Client::connect(at).await.ask(method, target, headers).await
+pub async fn send_request(address: SocketAddr, method: &str, target: &str, headers: &str) -> Response {
+    Client::connect(address).await.send_request(method, target, headers).await
 }
 
 /// A child process that is killed when dropped.
--- a/tests/stand_ins/running.rs
+++ b/tests/stand_ins/running.rs
@@ -15,7 +15,7 @@
 
 /// Writes a file to the tests' own folder.
 pub fn write_file(name: &str, text: &str) -> PathBuf {
-    let path = super::folder("process").join(name);
+    let path = super::test_dir("process").join(name);
     std::fs::write(&path, text).unwrap();
     path
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -35,7 +35,7 @@
 
 /// A folder of a test's own with copies of the operators' files and the keys they name.
 fn workspace(test: &str) -> PathBuf {
-    let folder = stand_ins::folder(&format!("stored_data_{test}"));
+    let folder = stand_ins::test_dir(&format!("stored_data_{test}"));
     for source in ["operator-files", "keys"] {
         for entry in std::fs::read_dir(fixture(source)).unwrap() {
             let entry = entry.unwrap();
--- a/tests/vrrp_service.rs
+++ b/tests/vrrp_service.rs
@@ -14,7 +14,7 @@
 use simd_json::prelude::*;
 use stand_ins::slow_cache_fleet::{unix_ms, SlowCacheFleet};
 use stand_ins::vrrp_peer::{send_request, LoadGenerator, Relay, RequestOutcome};
-use stand_ins::{folder, run, KillOnDrop};
+use stand_ins::{run, test_dir, KillOnDrop};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -47,7 +47,7 @@
     virtual_address: SocketAddr,
     extra_fields: &str,
 ) -> Proxy {
-    let dir = folder(name);
+    let dir = test_dir(name);
     let ip = router.ip().to_string();
     let (listen, admin_address) = (unused_tcp_address(&ip), unused_tcp_address(&ip));
     let mut text =
@@ -260,7 +260,7 @@
 #[test]
 fn a_flapping_priority_duplicates_no_request_and_tracking_delays_prevent_the_flapping() {
     run(async {
-        let switch_file = folder("vrrp-flap-switch").join("low");
+        let switch_file = test_dir("vrrp-flap-switch").join("low");
         let track = format!(
             r#""track":[{{"what":{{"file":"{}"}},"above":0,"lower_by":80,"after_ms":0,"back_ms":0}}]"#,
             switch_file.display()
@@ -394,7 +394,7 @@
         let peer = UdpSocket::bind("127.0.98.20:0").await.unwrap();
         let unknown_sender = UdpSocket::bind("127.0.98.21:0").await.unwrap();
         let key_text = |byte: u8| base64::engine::general_purpose::STANDARD.encode([byte; 32]);
-        let dir = folder("vrrp-bad");
+        let dir = test_dir("vrrp-bad");
         std::fs::write(dir.join("vrrp.key"), key_text(1)).unwrap();
         let extra_fields = r#""priority":100,"interval_cs":10,"key_file":"vrrp.key""#;
         let proxy = start_proxy(
