--- a/src/wire/client_stream.rs
+++ b/src/wire/client_stream.rs
@@ -2,7 +2,7 @@
 //! responses, and closes the connection so that the last response arrives.
 
 use super::http::{HttpRequest, HttpResponse};
-use super::http_codec::{BadRequest, HttpCodec, Phase, MAX_HEAD, MAX_INLINE};
+use super::http_codec::{HttpCodec, Phase, RejectedRequest, MAX_HEAD, MAX_INLINE};
 use crate::clock::duration_from_ms;
 use futures_util::{FutureExt, SinkExt, StreamExt};
 use std::future::Future;
@@ -12,23 +12,24 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Decoder, Framed};
 
-/// The most bytes that are buffered from a client that sends more while its request is open.
-pub const MAX_AHEAD: usize = MAX_HEAD;
-/// How often a client that sends more after its request is checked for a disconnect before the request is
-/// submitted. Socket buffers hold some hundreds of kilobytes, and the checks together read as many.
+/// The most bytes that are buffered from a client that sends further bytes before the response to its
+/// request.
+pub const MAX_BYTES_AHEAD: usize = MAX_HEAD;
+/// The most checks for a client's disconnect before its request is submitted, while more bytes arrive.
+/// Together they read what the socket buffers hold, since the end of the stream follows its last byte.
 const MAX_DISCONNECT_CHECKS: u32 = 64;
 /// Time limit of a lingering close, in milliseconds.
 const LINGER_MS: f64 = 1_500.0;
-/// Bytes that are read at once while nothing is decoded.
+/// Size of the buffer for bytes that are read without being decoded.
 const READ_CHUNK: usize = 2_048;
 
-/// What arrives from a client.
+/// The result of waiting for a request.
 #[derive(Debug)]
 pub enum Received {
     /// A request.
     Request(HttpRequest),
     /// A malformed request, after which nothing more is read.
-    Bad(BadRequest),
+    Rejected(RejectedRequest),
     /// The client closed or shut down its side, or the connection failed.
     End,
 }
@@ -37,9 +38,9 @@
 #[derive(Debug)]
 pub struct ClientStream {
     framed: Framed<TcpStream, HttpCodec>,
-    /// Clients may pipeline requests (RFC 9112, section 9.3.2).
+    /// Whether clients may pipeline requests (RFC 9112, section 9.3.2).
     pipelining: bool,
-    /// Bytes that arrived ahead of a response exceeded the limit, and some were discarded.
+    /// Whether bytes that arrived ahead of a response exceeded the limit, so that some were discarded.
     overrun: bool,
     /// The number of bytes that arrived ahead of responses, buffered or discarded.
     bytes_ahead: u64,
@@ -48,9 +49,9 @@
 impl ClientStream {
     /// The stream of an accepted connection. Sets `TCP_NODELAY`.
     ///
-    /// Bytes that a client sends ahead of a response beyond [`MAX_AHEAD`] are discarded. Without
+    /// Bytes that a client sends ahead of a response beyond [`MAX_BYTES_AHEAD`] are discarded. Without
     /// `pipelining`, the connection is closed after that response; with it, after the response to the last
-    /// request that is buffered complete.
+    /// request that is buffered completely.
     pub fn new(stream: TcpStream, codec: HttpCodec, pipelining: bool) -> Self {
         let _ = stream.set_nodelay(true);
         Self { framed: Framed::new(stream, codec), pipelining, overrun: false, bytes_ahead: 0 }
@@ -60,14 +61,14 @@
     pub async fn next(&mut self) -> Received {
         match self.framed.next().await {
             Some(Ok(Ok(request))) => Received::Request(request),
-            Some(Ok(Err(bad))) => Received::Bad(bad),
+            Some(Ok(Err(rejected))) => Received::Rejected(rejected),
             None | Some(Err(_)) => Received::End,
         }
     }
 
     /// The next request if it has arrived by now, for a caller whose wait has ended.
     pub async fn next_now(&mut self) -> Option<Received> {
-        // The reactor reports bytes that arrived since the last poll on its next turn.
+        // Yields, so that the reactor polls the socket for bytes that arrived since its last poll.
         tokio::task::yield_now().await;
         self.next().now_or_never()
     }
@@ -94,16 +95,16 @@
         matches!(self.framed.codec().clone().decode(&mut buffer), Ok(Some(_)))
     }
 
-    /// Whether bytes arrived ahead of a response: usually the start of another request.
+    /// Whether bytes that arrived ahead of the response are buffered, usually the start of another request.
     pub fn has_bytes_ahead(&self) -> bool {
         !self.framed.read_buffer().is_empty()
     }
 
-    /// Waits until the client disconnects: it closes, resets or shuts down its side. Bytes that it sends
-    /// meanwhile are buffered for the next request, up to a limit, and are no disconnect. Reading never
-    /// pauses, since the end of the stream arrives after its last byte, which a full receive window would
-    /// keep out. To be called between a request and its response only. Cancel safe.
-    pub async fn left(&mut self) {
+    /// Waits until the client closes, resets or shuts down its side. Bytes that it sends meanwhile are
+    /// buffered for the next request, up to a limit. Reading continues beyond the limit, since a full receive
+    /// window would hide the end of the stream. Call this only between a request and its response. Cancel
+    /// safe.
+    pub async fn disconnected(&mut self) {
         let mut chunk = [0u8; READ_CHUNK];
         loop {
             let read = self.framed.get_mut().read(&mut chunk).await;
@@ -112,12 +113,12 @@
         }
     }
 
-    /// Buffers bytes that arrived ahead of a response. After the first that exceed the limit no more are
-    /// buffered, so that the buffer has no gap.
+    /// Buffers bytes that arrived ahead of a response. From the first read that exceeds the limit, all bytes
+    /// are discarded, so that the buffered bytes stay contiguous.
     fn buffer_ahead(&mut self, bytes: &[u8]) {
         self.bytes_ahead += bytes.len() as u64;
         let buffer = self.framed.read_buffer_mut();
-        if !self.overrun && buffer.len() + bytes.len() <= MAX_AHEAD {
+        if !self.overrun && buffer.len() + bytes.len() <= MAX_BYTES_AHEAD {
             buffer.extend_from_slice(bytes);
             return;
         }
@@ -127,14 +128,14 @@
         }
     }
 
-    /// Whether the client has disconnected by now. The end of its stream may follow more bytes than one check
-    /// reads.
-    pub async fn has_left(&mut self) -> bool {
+    /// Whether the client has already disconnected. Checks repeatedly, since the end of its stream may follow
+    /// more bytes than one check reads.
+    pub async fn has_disconnected(&mut self) -> bool {
         for _ in 0..MAX_DISCONNECT_CHECKS {
-            // The reactor reports bytes that arrived with the request on its next turn.
+            // Yields, so that the reactor polls the socket for bytes that followed the request.
             tokio::task::yield_now().await;
             let before = self.bytes_ahead;
-            if self.left().now_or_never().is_some() {
+            if self.disconnected().now_or_never().is_some() {
                 return true;
             }
             if self.bytes_ahead == before {
--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -1,8 +1,7 @@
 //! The watch on the discovery service: a connection over which endpoint lists and purges arrive as sequenced
 //! events.
 //!
-//! The platform expects a proxy to know an event as soon as the service has it, connected or not. So the
-//! watch is always re-established, and resumes after the last event that was applied.
+//! The watch reconnects whenever its connection ends, and resumes after the last event that was applied.
 
 use super::discovery_codec::{Frame, FrameCodec, FrameError};
 use crate::clock::duration_from_ms;
@@ -18,15 +17,15 @@
 use tokio_util::codec::Framed;
 
 /// Bounds of the idle timeout, in milliseconds, after which a connection counts as broken; a frame is due
-/// each second. Each connection draws a random value between them, so that a fleet does not reconnect in step
-/// after an outage.
-pub const SILENCE_MS: (f64, f64) = (1_600.0, 2_000.0);
+/// each second. Each connection draws a random value between them, so that the proxies of a fleet do not all
+/// reconnect at the same time after an outage.
+pub const IDLE_TIMEOUT_MS: (f64, f64) = (1_600.0, 2_000.0);
 /// Time limit of a connect and of the first write, in milliseconds.
-const CONNECT_MS: f64 = 700.0;
+const CONNECT_TIMEOUT_MS: f64 = 700.0;
 /// The least backoff after a malformed frame or a gap, in milliseconds.
 const MALFORMED_BACKOFF_MS: f64 = 200.0;
 /// The backoff after the first connection without an event, in milliseconds. It doubles with each further
-/// one.
+/// connection without an event.
 const INITIAL_BACKOFF_MS: f64 = 50.0;
 /// The longest backoff, in milliseconds: a drain must take effect within 250 ms.
 const MAX_BACKOFF_MS: f64 = 240.0;
@@ -40,13 +39,13 @@
 #[derive(Debug, Error)]
 enum WatchError {
     /// The connection failed or timed out.
-    #[error("socket: {0}")]
+    #[error("connection failed: {0}")]
     Io(std::io::Error),
     /// A frame is malformed.
     #[error(transparent)]
     Frame(FrameError),
     /// Events between the last one applied and the one received are missing.
-    #[error("event {received} follows event {last}")]
+    #[error("received event {received} after event {last}: the events between them are missing")]
     Gap {
         /// The number of the last event that was applied.
         last: u64,
@@ -80,9 +79,10 @@
 #[derive(Default)]
 struct WatchState {
     /// Consecutive connections without an event.
-    without_event: u32,
-    /// The number of the event that failed last, and its consecutive failures.
+    connections_without_event: u32,
+    /// The number of the event that failed last.
     failed_event: u64,
+    /// Consecutive failures of `failed_event`.
     failures: u32,
 }
 
@@ -96,11 +96,12 @@
 
     /// The backoff before the next connection, in milliseconds; `random` is uniform in 0..1.
     fn backoff_ms(&self, random: f64) -> f64 {
-        match self.without_event {
-            // After a connection that worked: only jitter, so that the fleet does not reconnect in step.
+        match self.connections_without_event {
+            // After a connection with an event: only jitter, so that the proxies of a fleet do not all
+            // reconnect at the same time.
             0 => INITIAL_BACKOFF_MS * random,
-            without_event => {
-                let doubled = INITIAL_BACKOFF_MS * f64::from(1u32 << (without_event - 1).min(8));
+            connections_without_event => {
+                let doubled = INITIAL_BACKOFF_MS * f64::from(1u32 << (connections_without_event - 1).min(8));
                 doubled.min(MAX_BACKOFF_MS) * (1.0 - BACKOFF_JITTER * random)
             }
         }
@@ -118,20 +119,21 @@
             // address.
             biased;
             Ok(()) = address.changed() => {
-                executor.with(|engine| engine.counters.discovery_moves += 1);
+                executor.with(|engine| engine.counters.discovery_address_changes += 1);
                 state = WatchState::default();
                 continue;
             }
-            ended = follow(&executor, current, &mut state) => ended,
+            ended = watch_once(&executor, current, &mut state) => ended,
         };
         let mut backoff_ms = state.backoff_ms(rand::random());
         if let Err(error) = ended {
             executor.with(|engine| engine.counters.discovery_faults += 1);
             if !matches!(error, WatchError::Io(_)) {
-                tracing::warn!(%error, "the watch on the discovery service failed");
+                tracing::warn!(address = %current, %error, "discovery watch failed; reconnecting");
                 backoff_ms = backoff_ms.max(MALFORMED_BACKOFF_MS);
             }
         }
+        // Connects to a changed address without waiting for the backoff.
         tokio::select! {
             biased;
             Ok(()) = async { address.changed().await.map(|()| address.mark_changed()) } => {}
@@ -141,16 +143,16 @@
 }
 
 /// Applies the events of one connection until it ends.
-async fn follow(
+async fn watch_once(
     executor: &Rc<Executor>,
     address: SocketAddr,
     state: &mut WatchState,
 ) -> Result<(), WatchError> {
-    state.without_event += 1;
+    state.connections_without_event += 1;
     let mut frames = connect(executor, address).await?;
-    let silence_ms = SILENCE_MS.0 + (SILENCE_MS.1 - SILENCE_MS.0) * rand::random::<f64>();
+    let idle_timeout_ms = IDLE_TIMEOUT_MS.0 + (IDLE_TIMEOUT_MS.1 - IDLE_TIMEOUT_MS.0) * rand::random::<f64>();
     loop {
-        let next = timeout(duration_from_ms(silence_ms), frames.next()).await;
+        let next = timeout(duration_from_ms(idle_timeout_ms), frames.next()).await;
         match next.map_err(|_| WatchError::timed_out())? {
             Some(frame) => apply(executor, &frame?, state)?,
             None => return Ok(()),
@@ -163,7 +165,7 @@
     executor: &Rc<Executor>,
     address: SocketAddr,
 ) -> Result<Framed<TcpStream, FrameCodec>, WatchError> {
-    let limit = duration_from_ms(CONNECT_MS);
+    let limit = duration_from_ms(CONNECT_TIMEOUT_MS);
     let stream = timeout(limit, TcpStream::connect(address)).await.map_err(|_| WatchError::timed_out())??;
     let _ = stream.set_nodelay(true);
     let mut frames = Framed::new(stream, FrameCodec);
@@ -179,8 +181,9 @@
 /// then it is skipped, so that it does not block the events after it.
 fn apply(executor: &Rc<Executor>, frame: &Frame, state: &mut WatchState) -> Result<(), WatchError> {
     let (number, last) = (frame.number, executor.with(|engine| engine.last_event_number()));
-    // Numbers are consecutive. With a larger one, either the number is corrupted, and accepting it would make
-    // all later events count as old, or events are missing. A gap that persists is accepted.
+    // Sequence numbers are consecutive. A gap means that the number is corrupted or that events are missing.
+    // Accepting a corrupted number would discard all later events as already applied, so a gap is accepted
+    // only when it persists.
     let gap = !frame.is_heartbeat() && number > last + 1;
     if gap && state.count_failure(number) < MAX_EVENT_FAILURES {
         executor.with(|engine| engine.counters.discovery_gaps += 1);
@@ -188,23 +191,22 @@
     }
     match frame.event(&executor.settings()) {
         Ok(event) => {
-            state.without_event = 0;
+            state.connections_without_event = 0;
             executor.with(|engine| {
                 engine.apply_event(event);
                 if !frame.is_heartbeat() {
-                    // Also for an event of an unknown kind, which is not applied.
+                    // `apply_event` ignores an event of an unknown kind, but its number counts as received.
                     engine.skip_events_to(number);
                 }
             });
         }
         Err(error) if number > last && state.count_failure(number) < MAX_EVENT_FAILURES => {
             // The valid records take effect at once: a drain must not wait for a malformed record beside it.
-            executor
-                .with(|engine| engine.apply_readable_endpoints(frame.readable_endpoints(&engine.settings())));
+            executor.with(|engine| engine.apply_valid_endpoints(frame.valid_endpoints(&engine.settings())));
             return Err(error.into());
         }
         Err(error) => {
-            tracing::warn!(%error, number, "skipping a malformed event of the discovery service");
+            tracing::warn!(%error, number, "skipping a malformed discovery event");
             executor.with(|engine| {
                 engine.counters.discovery_skipped += 1;
                 engine.skip_events_to(number);
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -1,7 +1,7 @@
-//! The front of the platform's own HTTP API: parses its requests and builds its responses.
+//! The front of the platform's HTTP API: parses requests and builds responses.
 
 use super::classification::{Classification, RequestClassifier, Target};
-use super::entity_tag::parse_single;
+use super::entity_tag::parse_single_tag;
 use super::front::{ConnectionLimits, Disposition, Front, ResponseContext};
 use super::http::{HttpRequest, HttpResponse};
 use super::platform_path::PlatformPath;
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// The target of the platform's liveness check.
-const HEALTH_TARGET: &str = "/alive";
+/// The request target of the liveness check.
+const LIVENESS_TARGET: &str = "/alive";
 /// Subtracted from a client's wait to get the request's deadline, in milliseconds: allows for the network
 /// round trip and the transfer of the response.
 const CLIENT_MARGIN_MS: f64 = 40.0;
@@ -60,11 +60,11 @@
     }
 }
 
-/// A request that is not forwarded.
+/// Why a request is rejected without being forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 enum RequestError {
-    /// A part of it is missing, has no valid value, or is out of bounds.
-    #[error("the request is malformed")]
+    /// A required value is missing, or a value is invalid or out of bounds.
+    #[error("a value of the request is missing, invalid or out of bounds")]
     Malformed,
     /// Its target or class is unknown.
     #[error("unknown target or class")]
@@ -79,31 +79,31 @@
         match error {
             RequestError::Malformed => Self::closing(400),
             RequestError::NotFound => Self::closing(404),
-            RequestError::Method(allowed) => Self::closing(405).with("Allow", allowed),
+            RequestError::Method(allowed) => Self::closing(405).with_header("Allow", allowed),
         }
     }
 }
 
-/// The platform's front.
+/// The front of the platform's HTTP API.
 pub struct Platform {
     limits: ConnectionLimits,
-    /// Classifies requests by an operator's rules; `None` selects the platform's own form of a target.
+    /// Classifies requests by an operator's rules; `None` selects [`PlatformPath`].
     classifier: RefCell<Option<Rc<dyn RequestClassifier>>>,
 }
 
 impl Platform {
-    /// A front with these limits.
+    /// Creates a front that classifies requests by [`PlatformPath`].
     pub fn new(limits: ConnectionLimits) -> Self {
         Self { limits, classifier: RefCell::default() }
     }
 
-    /// Sets the classifier of new requests; `None` selects the platform's own form of a target.
+    /// Sets the classifier of new requests; `None` selects [`PlatformPath`].
     pub fn set_classifier(&self, classifier: Option<Rc<dyn RequestClassifier>>) {
         *self.classifier.borrow_mut() = classifier;
     }
 
-    /// Parses a request. Values are validated strictly: an endpoint that receives a malformed one closes the
-    /// connection, which fails all requests on it.
+    /// Parses a request. Values are validated strictly: an endpoint that receives a malformed value closes
+    /// the connection, which fails all requests on it.
     fn parse(
         &self,
         settings: &PlatformSettings,
@@ -146,7 +146,7 @@
             class,
             object,
             object_text: match classifier {
-                // In the platform's own form the object's text is forwarded as received.
+                // In the platform's path form, the object's text is forwarded as received.
                 None => PlatformPath::object_text(request).to_string(),
                 Some(_) => format!("{object:016x}"),
             },
@@ -155,7 +155,7 @@
             size_kb,
             deadline_ms: now + wait_ms - CLIENT_MARGIN_MS.min(MAX_MARGIN_SHARE * wait_ms),
             idempotency_key: key.map(String::from),
-            client_etag: field(request, header_field::IF_NONE_MATCH)?.and_then(parse_single),
+            client_etag: field(request, header_field::IF_NONE_MATCH)?.and_then(parse_single_tag),
             body: request.body.clone(),
             client: None,
         })
@@ -175,7 +175,7 @@
 }
 
 fn field<'r>(request: &'r HttpRequest, name: &str) -> Result<Option<&'r str>, RequestError> {
-    request.single(name).map_err(|_| RequestError::Malformed)
+    request.single_value(name).map_err(|_| RequestError::Malformed)
 }
 
 /// A field with a decimal number up to `max`: plain digits and at most one point, without sign or exponent.
@@ -197,7 +197,7 @@
 
 /// A rejection with the delay after which the client may retry.
 fn rejected(retry_after_ms: f64) -> HttpResponse {
-    HttpResponse::status(503).with(header_field::RETRY_AFTER, format!("{}", retry_after_ms.ceil()))
+    HttpResponse::status(503).with_header(header_field::RETRY_AFTER, format!("{}", retry_after_ms.ceil()))
 }
 
 impl Front for Platform {
@@ -206,10 +206,10 @@
     }
 
     fn interpret(&self, executor: &Rc<Executor>, request: &HttpRequest, now: f64) -> Disposition {
-        if request.target == HEALTH_TARGET {
+        if request.target == LIVENESS_TARGET {
             return Disposition::Respond(match request.method.as_str() {
                 "GET" => HttpResponse::status(200),
-                _ => HttpResponse::status(405).with("Allow", "GET"),
+                _ => HttpResponse::status(405).with_header("Allow", "GET"),
             });
         }
         match self.parse(&executor.settings(), request, now) {
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -6,67 +6,67 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// The outcome of submitting a request.
+/// A submitted request, completed or pending.
 pub enum Submission {
-    /// The result is available.
+    /// The front has the response without a wait.
     Completed(FinalResponse),
-    /// The result is pending.
+    /// The response arrives later.
     Pending(PendingResponse),
 }
 
 impl Submission {
     /// Submits a request to the engine. Dropping the pending response reports a client disconnect to the
     /// engine.
-    pub fn to_engine(executor: &Rc<Executor>, request: IncomingRequest) -> Result<Self, SubmitError> {
+    pub fn submit_to_engine(executor: &Rc<Executor>, request: IncomingRequest) -> Result<Self, SubmitError> {
         let id = request.id;
         let receiver = executor.submit(request)?;
-        let wait = EngineWait { executor: executor.clone(), id: Some(id) };
-        Ok(Self::Pending(PendingResponse::new(receiver, Box::new(wait))))
+        let guard = EngineDisconnectGuard { executor: executor.clone(), id: Some(id) };
+        Ok(Self::Pending(PendingResponse::new(receiver, Box::new(guard))))
     }
 }
 
-/// The end of the wait for a request's result. An implementation that is dropped without
-/// [`ResponseWait::completed`] treats the client as disconnected.
-pub trait ResponseWait {
-    /// The result has arrived.
+/// Guards a pending request: if it is dropped before [`DisconnectGuard::completed`] is called, the client
+/// counts as disconnected.
+pub trait DisconnectGuard {
+    /// Disarms the guard: the result has arrived.
     fn completed(self: Box<Self>);
 }
 
 /// The pending result of a request. Dropping it early reports a client disconnect.
 pub struct PendingResponse {
     receiver: oneshot::Receiver<FinalResponse>,
-    wait: Box<dyn ResponseWait>,
+    guard: Box<dyn DisconnectGuard>,
 }
 
 impl PendingResponse {
-    /// Waits for the result from `receiver`.
-    pub fn new(receiver: oneshot::Receiver<FinalResponse>, wait: Box<dyn ResponseWait>) -> Self {
-        Self { receiver, wait }
+    /// Creates a pending response whose result arrives on `receiver`.
+    pub fn new(receiver: oneshot::Receiver<FinalResponse>, guard: Box<dyn DisconnectGuard>) -> Self {
+        Self { receiver, guard }
     }
 
-    /// Waits for the result.
+    /// Waits for the result. A dropped sender counts as a failure.
     pub async fn result(self) -> FinalResponse {
-        let Self { receiver, wait } = self;
+        let Self { receiver, guard } = self;
         let result = receiver.await;
-        wait.completed();
+        guard.completed();
         result.unwrap_or(FinalResponse::Failed { overdue: false })
     }
 }
 
-/// The wait for a request that was submitted to the engine.
-struct EngineWait {
+/// Reports a client disconnect to the engine if it is dropped before the result has arrived.
+struct EngineDisconnectGuard {
     executor: Rc<Executor>,
     /// The request; `None` once its result has arrived.
     id: Option<RequestId>,
 }
 
-impl ResponseWait for EngineWait {
+impl DisconnectGuard for EngineDisconnectGuard {
     fn completed(mut self: Box<Self>) {
         self.id = None;
     }
 }
 
-impl Drop for EngineWait {
+impl Drop for EngineDisconnectGuard {
     fn drop(&mut self) {
         if let Some(id) = self.id {
             self.executor.client_disconnected(id);
--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -12,11 +12,11 @@
 
 async fn start_with_admin(name: &str) -> (TestProxy, SocketAddr, SocketAddr) {
     let proxy = TestProxy::start(name).await;
-    let store = MaintenanceFile::at(folder(name).join("maintenance.json"));
+    let store = MaintenanceFile::at(test_dir(name).join("maintenance.json"));
     let front: Rc<dyn Front> = Rc::new(AdminFront::new(Box::new(move |executor: &_| store.write(executor))));
-    let admin = proxy.open(front).await;
+    let admin = proxy.listen(front).await;
     let front: Rc<dyn Front> = Rc::new(Platform::new(limits(400)));
-    let platform = proxy.open(front).await;
+    let platform = proxy.listen(front).await;
     (proxy, platform, admin)
 }
 
@@ -27,7 +27,8 @@
 async fn request_clips(platform: SocketAddr, ids: std::ops::Range<u64>) {
     for id in ids {
         let response =
-            ask(platform, "GET", &format!("/ops/clip/{:016x}/slice-0", id * 7_919), &headers(id)).await;
+            send_request(platform, "GET", &format!("/ops/clip/{:016x}/slice-0", id * 7_919), &headers(id))
+                .await;
         assert_eq!(response.status, 200);
     }
 }
@@ -57,7 +58,7 @@
             ("GET", "/", 404),
         ];
         for (method, target, status) in cases {
-            let response = ask(admin, method, target, "").await;
+            let response = send_request(admin, method, target, "").await;
             assert_eq!((response.status, response.closed), (status, true), "{method} {target}");
         }
     });
@@ -70,9 +71,9 @@
         let (proxy, platform, admin) = start_with_admin("figures").await;
         request_clips(platform, 1..4).await;
         proxy.script_all(reply_status("EIO"));
-        let failed = ask(platform, "GET", "/ops/clip/00000000000000aa", &headers(9)).await.status;
+        let failed = send_request(platform, "GET", "/ops/clip/00000000000000aa", &headers(9)).await.status;
         assert_eq!(failed, 503, "an idempotent request is rejected after its last attempt");
-        let stats = String::from_utf8(ask(admin, "GET", "/stats", "").await.body).unwrap();
+        let stats = String::from_utf8(send_request(admin, "GET", "/stats", "").await.body).unwrap();
         let metric = |name: &str| {
             let line = stats.lines().find_map(|line| line.strip_prefix(&format!("{name} ")));
             line.unwrap_or_else(|| panic!("no {name} in {stats}")).parse::<u64>().unwrap()
@@ -84,8 +85,8 @@
         assert_eq!(metric("app_ok_total{kind=\"post\"}"), 0);
         assert_eq!((metric("app_active"), metric("app_pool_size")), (0, 2));
         assert_eq!((metric("app_config_applied_total"), metric("app_config_rejected_total")), (0, 0));
-        ask(admin, "POST", "/pop-caches/s-000000c2/maint", "").await;
-        let stats = String::from_utf8(ask(admin, "GET", "/stats", "").await.body).unwrap();
+        send_request(admin, "POST", "/pop-caches/s-000000c2/maint", "").await;
+        let stats = String::from_utf8(send_request(admin, "GET", "/stats", "").await.body).unwrap();
         assert!(stats.contains("app_pool_ejected 1\n"), "{stats}");
     });
 }
@@ -101,7 +102,7 @@
         request_clips(platform, 1..20).await;
         assert!(proxy.request_count(cache) > 0);
         for id in [cache, parent] {
-            ask(admin, "POST", &format!("/pop-caches/s-{id:08x}/maint"), "").await;
+            send_request(admin, "POST", &format!("/pop-caches/s-{id:08x}/maint"), "").await;
         }
         let (before, other_before) = (proxy.request_count(cache), proxy.request_count(CACHES[1]));
         // Discovery reports the endpoint as active again.
@@ -128,11 +129,11 @@
         );
         // A new process restores the maintenance state from the file.
         let restarted = TestProxy::start("maintenance_other").await;
-        let store = MaintenanceFile::at(folder("maintenance").join("maintenance.json"));
+        let store = MaintenanceFile::at(test_dir("maintenance").join("maintenance.json"));
         store.load(&restarted.executor);
         assert!(restarted.executor.with(|engine| engine.maintenance().is_out_of_use(cache)));
         proxy.advance_clock(10_000.0);
-        ask(admin, "POST", &format!("/pop-caches/s-{cache:08x}/ready"), "").await;
+        send_request(admin, "POST", &format!("/pop-caches/s-{cache:08x}/ready"), "").await;
         request_clips(platform, 200..260).await;
         let requests = proxy.request_count(cache) - before;
         assert!((1..20).contains(&requests), "slow start limits the requests: {requests} of 60");
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -11,7 +11,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use stand_ins::slow_cache_fleet::SlowCacheFleet;
-use stand_ins::{folder, run, KillOnDrop};
+use stand_ins::{run, test_dir, KillOnDrop};
 use std::path::Path;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -88,7 +88,7 @@
 
 #[test]
 fn invalid_files_are_rejected_with_the_rule_and_the_location() {
-    let file = folder("rules-bad").join("rules.json");
+    let file = test_dir("rules-bad").join("rules.json");
     let read_rules = |rule: &str, other_fields: &str| {
         std::fs::write(&file, format!(r#"{{{other_fields}"rules":[{rule}]}}"#)).unwrap();
         RulesConfig::read(&file).map(|_| ()).map_err(|e| e.to_string())
@@ -116,7 +116,7 @@
 #[test]
 fn a_rules_file_replaces_the_path_format_and_is_reloaded_at_sighup() {
     run(async {
-        let dir = folder("rules-program");
+        let dir = test_dir("rules-program");
         let fleet = SlowCacheFleet::start(125, 4, 64, 2).await;
         let unused_address = || std::net::TcpListener::bind("127.0.125.9:0").unwrap().local_addr().unwrap();
         let listen = unused_address();
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -107,9 +107,9 @@
 
 async fn start_front(name: &str, signers: &[&Signer]) -> Fixture {
     let proxy = TestProxy::start(name).await;
-    let key_file = folder(name).join("keys.json");
+    let key_file = test_dir(name).join("keys.json");
     write_keys(&key_file, signers);
-    let config_file = folder(name).join("front.json");
+    let config_file = test_dir(name).join("front.json");
     let text = json!({"listen":"127.0.0.1:1","keys":"keys.json","issuer":"links","scheme":"https",
         "leeway_ms":2000,"overlap_ms":30000,
         "limits":{"connections":4,"head_ms":5000,"write_ms":300,"body_bytes":0}});
@@ -118,7 +118,7 @@
     let front = Rc::new(config.front(77).unwrap());
     let reload = Rc::new(Notify::new());
     spawn_local(follow_key_file(proxy.executor.clone(), config, front.clone(), reload.clone()));
-    let address = proxy.open(front.clone()).await;
+    let address = proxy.listen(front.clone()).await;
     Fixture { proxy, address, key_file, reload, front }
 }
 
@@ -128,7 +128,7 @@
         let (hs, es) = (Signer::hmac("a", &SECRET), Signer::ecdsa("b", 3));
         let f = start_front("fresh", &[&hs, &es]).await;
         for signer in [&hs, &es] {
-            let response = ask(f.address, "GET", &signer.target(PATH, &valid_claims(URI)), "").await;
+            let response = send_request(f.address, "GET", &signer.target(PATH, &valid_claims(URI)), "").await;
             assert_eq!(
                 (response.status, &response.body[..]),
                 (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..])
@@ -138,7 +138,8 @@
         // The path may end in the size of the part, which the signature covers.
         let sized = format!("{PATH}/412.5");
         let response =
-            ask(f.address, "GET", &hs.target(&sized, &valid_claims(&format!("{URI}/412.5"))), "").await;
+            send_request(f.address, "GET", &hs.target(&sized, &valid_claims(&format!("{URI}/412.5"))), "")
+                .await;
         assert_eq!(response.status, 200);
         // A pattern may match all parts of one object.
         let any_part = with_claim(
@@ -148,7 +149,7 @@
         );
         for part in [0, 12] {
             let path = format!("/media/clip/17/7f3a9c21e0b4d655/{part}");
-            assert_eq!(ask(f.address, "GET", &hs.target(&path, &any_part), "").await.status, 200);
+            assert_eq!(send_request(f.address, "GET", &hs.target(&path, &any_part), "").await.status, 200);
         }
     });
 }
@@ -229,7 +230,7 @@
         ];
         let count = cases.len() as u64;
         for (case, target) in cases {
-            assert_eq!(ask(f.address, "GET", &target, "").await.status, 403, "{case}");
+            assert_eq!(send_request(f.address, "GET", &target, "").await.status, 403, "{case}");
         }
         assert_eq!(f.proxy.total_requests(), 0, "a rejected request reached an endpoint");
         let (requests, forbidden) =
@@ -238,7 +239,7 @@
         // `exp` and `nbf` are accepted within the leeway, and supported claims may be critical.
         let within_leeway = with_claim(with_claim(good, "exp", json!(now - 1.9)), "nbf", json!(now + 1.9));
         let within_leeway = with_claim(within_leeway, "cdnicrit", json!("exp,nbf"));
-        assert_eq!(ask(f.address, "GET", &hs.target(PATH, &within_leeway), "").await.status, 200);
+        assert_eq!(send_request(f.address, "GET", &hs.target(PATH, &within_leeway), "").await.status, 200);
     });
 }
 
@@ -274,7 +275,7 @@
             format!("{PATH}?URISigningPackage=a.b.c"),
         ];
         for target in malformed {
-            assert_eq!(ask(f.address, "GET", &target, "").await.status, 400, "{target:.60}");
+            assert_eq!(send_request(f.address, "GET", &target, "").await.status, 400, "{target:.60}");
         }
         // A token for one host is not valid for another.
         let mut client = Client::connect(f.address).await;
@@ -289,7 +290,11 @@
             ("GET", "/alive".to_string(), 404),
             ("DELETE", format!("{PATH}?URISigningPackage={token}"), 405),
         ] {
-            assert_eq!(ask(f.address, method, &target, "").await.status, status, "{method} {target:.40}");
+            assert_eq!(
+                send_request(f.address, method, &target, "").await.status,
+                status,
+                "{method} {target:.40}"
+            );
         }
     });
 }
@@ -301,7 +306,7 @@
         let f = start_front("rotation", &[&old]).await;
         let claims = with_claim(valid_claims(URI), "exp", json!(START_MS / 1000.0 + 3_600.0));
         let (before, after) = (old.target(PATH, &claims), new.target(PATH, &claims));
-        assert_eq!(ask(f.address, "GET", &after, "").await.status, 403);
+        assert_eq!(send_request(f.address, "GET", &after, "").await.status, 403);
         let has_key = |kid: &'static str| {
             let (front, clock) = (f.front.clone(), f.proxy.clock.clone());
             move || front.verifier.borrow().keys.find(kid, clock.now()).count() > 0
@@ -309,20 +314,24 @@
         // An invalid key file leaves the keys unchanged.
         std::fs::write(&f.key_file, "{\"keys\":[").unwrap();
         f.reload.notify_one();
-        assert_eq!(ask(f.address, "GET", &before, "").await.status, 200);
+        assert_eq!(send_request(f.address, "GET", &before, "").await.status, 200);
         write_keys(&f.key_file, &[&new]);
         f.reload.notify_one();
-        until(has_key("b")).await;
-        assert_eq!(ask(f.address, "GET", &after, "").await.status, 200);
-        assert_eq!(ask(f.address, "GET", &before, "").await.status, 200, "signed before the rotation");
+        wait_until(has_key("b")).await;
+        assert_eq!(send_request(f.address, "GET", &after, "").await.status, 200);
+        assert_eq!(
+            send_request(f.address, "GET", &before, "").await.status,
+            200,
+            "signed before the rotation"
+        );
         f.proxy.advance_clock(29_999.0);
-        assert_eq!(ask(f.address, "GET", &before, "").await.status, 200);
+        assert_eq!(send_request(f.address, "GET", &before, "").await.status, 200);
         f.proxy.advance_clock(2.0);
-        assert_eq!(ask(f.address, "GET", &before, "").await.status, 403, "the overlap has ended");
+        assert_eq!(send_request(f.address, "GET", &before, "").await.status, 403, "the overlap has ended");
         // A change of the file is also detected without a reload signal.
         write_keys(&f.key_file, &[&new, &old]);
-        until(has_key("a")).await;
-        assert_eq!(ask(f.address, "GET", &before, "").await.status, 200);
+        wait_until(has_key("a")).await;
+        assert_eq!(send_request(f.address, "GET", &before, "").await.status, 200);
     });
 }
 
@@ -343,20 +352,26 @@
         for signer in [&hs, &es] {
             // The first token expires after 60 s, and each renewed one 30 s after its response.
             let claims = with_claim(renewable_claims(URI), "exp", json!(f.proxy.clock.now() / 1000.0 + 60.0));
-            let mut response = ask(f.address, "GET", &signer.target(&part(0), &claims), "").await;
+            let mut response = send_request(f.address, "GET", &signer.target(&part(0), &claims), "").await;
             for k in 1..4 {
                 assert_eq!(response.status, 200);
                 let cookie = renewed_cookie(&response);
                 f.proxy.advance_clock(29_000.0);
-                response = ask(f.address, "GET", &part(k), &cookie).await;
+                response = send_request(f.address, "GET", &part(k), &cookie).await;
             }
             assert_eq!(response.status, 200);
             let cookie = renewed_cookie(&response);
             // A renewed token is valid for the same URIs as the first one, and expires.
-            assert_eq!(ask(f.address, "GET", "/media/clip/17/7f3a9c21e0b4d656/0", &cookie).await.status, 403);
-            assert_eq!(ask(f.address, "GET", &part(5), &format!("{cookie}{cookie}")).await.status, 400);
+            assert_eq!(
+                send_request(f.address, "GET", "/media/clip/17/7f3a9c21e0b4d656/0", &cookie).await.status,
+                403
+            );
+            assert_eq!(
+                send_request(f.address, "GET", &part(5), &format!("{cookie}{cookie}")).await.status,
+                400
+            );
             f.proxy.advance_clock(32_000.0);
-            let late = ask(f.address, "GET", &part(4), &cookie).await;
+            let late = send_request(f.address, "GET", &part(4), &cookie).await;
             assert_eq!((late.status, late.headers.get("set-cookie")), (403, None));
         }
     });
@@ -369,7 +384,7 @@
         let f = start_front("conditions", &[&hs]).await;
         let target = hs.target(PATH, &valid_claims(URI));
         let mut client = Client::connect(f.address).await;
-        let head_response = client.ask("HEAD", &target, "Range: bytes=0-3\r\n").await;
+        let head_response = client.send_request("HEAD", &target, "Range: bytes=0-3\r\n").await;
         assert_eq!((head_response.status, head_response.headers["content-length"].as_str()), (200, "32"));
         let cases = [
             ("If-None-Match: \"t1\"\r\n", 304, ""),
@@ -392,11 +407,11 @@
             ("Range: bytes=0-4\r\nIf-None-Match: \"t1\"\r\n", 304, ""),
         ];
         for (headers, status, body) in cases {
-            let response = client.ask("GET", &target, headers).await;
+            let response = client.send_request("GET", &target, headers).await;
             let got = String::from_utf8(response.body).unwrap();
             assert_eq!((response.status, got.as_str()), (status, body), "{headers}");
         }
-        let part = client.ask("GET", &target, "Range: bytes=0-4\r\n").await;
+        let part = client.send_request("GET", &target, "Range: bytes=0-4\r\n").await;
         assert_eq!(part.headers["content-range"], "bytes 0-4/32");
     });
 }
@@ -408,7 +423,7 @@
         let f = start_front("ends", &[&hs]).await;
         let target = hs.target(PATH, &valid_claims(URI));
         f.proxy.script_all(reply_status("AGAIN"));
-        let rejected = ask(f.address, "GET", &target, "").await;
+        let rejected = send_request(f.address, "GET", &target, "").await;
         assert_eq!((rejected.status, rejected.headers["retry-after"].as_str()), (503, "1"));
         // If no endpoint replies, a class with a short deadline gets 504, and one with a longer deadline 503.
         f.proxy.script_all(never_reply());
@@ -416,7 +431,7 @@
         let short = hs.target(thumb, &valid_claims(&format!("https://media.test{thumb}")));
         for (target, status, max_ms) in [(short, 504, 200.0), (target, 503, 5_000.0)] {
             let (started_ms, at) = (f.proxy.clock.now(), f.address);
-            let request = spawn_local(async move { ask(at, "GET", &target, "").await });
+            let request = spawn_local(async move { send_request(at, "GET", &target, "").await });
             while !request.is_finished() {
                 // Small steps, and only while requests are open, so that each attempt times out on its own.
                 if f.proxy.executor.with(|e| e.open_requests()) > 0 {
@@ -452,28 +467,28 @@
             .collect();
         let mut client = Client::connect(f.address).await;
         for target in &targets {
-            assert_eq!(client.ask("GET", target, "").await.status, 200);
+            assert_eq!(client.send_request("GET", target, "").await.status, 200);
         }
         assert!(f.proxy.request_count(CACHES[0]) > 0 && f.proxy.request_count(CACHES[1]) > 0);
         let at = f.proxy.endpoints[&CACHES[0]].address;
         let event = f.proxy.discovery.send_state(CACHES[0], at, 0, 1);
-        until(|| f.proxy.executor.with(|e| e.last_event_number()) >= event).await;
+        wait_until(|| f.proxy.executor.with(|e| e.last_event_number()) >= event).await;
         f.proxy.advance_clock(250.0);
         let before = f.proxy.request_count(CACHES[0]);
         for (k, target) in targets.iter().enumerate() {
             let forged = format!("{target}x");
             let (target, status) = if k % 4 == 3 { (&forged, 403) } else { (target, 200) };
-            assert_eq!(client.ask("GET", target, "").await.status, status);
+            assert_eq!(client.send_request("GET", target, "").await.status, status);
         }
         assert_eq!(f.proxy.request_count(CACHES[0]), before);
         // A draining parent is no longer named to the caches as their next tier.
         let at = f.proxy.endpoints[&PARENT].address;
         let event = f.proxy.discovery.send_state(PARENT, at, 1, 1);
-        until(|| f.proxy.executor.with(|e| e.last_event_number()) >= event).await;
+        wait_until(|| f.proxy.executor.with(|e| e.last_event_number()) >= event).await;
         f.proxy.advance_clock(250.0);
         let before = f.proxy.request_count(CACHES[1]);
         for target in &targets {
-            assert_eq!(client.ask("GET", target, "").await.status, 200);
+            assert_eq!(client.send_request("GET", target, "").await.status, 200);
         }
         let requests = f.proxy.endpoints[&CACHES[1]].requests.borrow();
         assert!(requests[before..]
@@ -491,7 +506,7 @@
         // An incomplete head gets 408 once its time limit has passed.
         let mut slow = Client::connect(f.address).await;
         slow.write(b"GET /media/clip").await;
-        until(|| f.proxy.executor.with(|e| e.counters.client_connections) == 1).await;
+        wait_until(|| f.proxy.executor.with(|e| e.counters.client_connections) == 1).await;
         let read = spawn_local(async move { slow.read(false).await.unwrap() });
         while !read.is_finished() {
             f.proxy.advance_clock(100.0);
@@ -502,7 +517,8 @@
         assert_eq!((response.status, response.closed), (408, true));
         // Request bodies are not accepted.
         let mut body = Client::connect(f.address).await;
-        let response = body.ask("GET", &hs.target(PATH, &valid_claims(URI)), "Content-Length: 5\r\n").await;
+        let response =
+            body.send_request("GET", &hs.target(PATH, &valid_claims(URI)), "Content-Length: 5\r\n").await;
         assert_eq!((response.status, response.closed), (413, true));
         // Above the limit, a client waits while all others have open requests, and replaces an idle one.
         f.proxy.script_all(never_reply());
@@ -511,21 +527,24 @@
             let mut client = Client::connect(f.address).await;
             let target = hs.target(PATH, &valid_claims(URI));
             client.write(format!("GET {target} HTTP/1.1\r\nHost: media.test\r\n\r\n").as_bytes()).await;
-            until(|| f.proxy.total_requests() == k + 1).await;
+            wait_until(|| f.proxy.total_requests() == k + 1).await;
             busy_clients.push(client);
         }
         f.proxy.script_all(serve_content());
         let fifth = spawn_local({
             let (at, target) = (f.address, hs.target(PATH, &valid_claims(URI)));
-            async move { ask(at, "GET", &target, "").await.status }
+            async move { send_request(at, "GET", &target, "").await.status }
         });
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
         assert!(!fifth.is_finished());
         busy_clients.pop();
         assert_eq!(fifth.await.unwrap(), 200);
         let mut idle = Client::connect(f.address).await;
-        assert_eq!(idle.ask("GET", &hs.target(PATH, &valid_claims(URI)), "").await.status, 200);
-        assert_eq!(ask(f.address, "GET", &hs.target(PATH, &valid_claims(URI)), "").await.status, 200);
+        assert_eq!(idle.send_request("GET", &hs.target(PATH, &valid_claims(URI)), "").await.status, 200);
+        assert_eq!(
+            send_request(f.address, "GET", &hs.target(PATH, &valid_claims(URI)), "").await.status,
+            200
+        );
         assert!(idle.read(false).await.is_none());
     });
 }
@@ -543,7 +562,7 @@
         let mut client = Client::connect(f.address).await;
         // Enough pipelined requests that their responses fill every socket buffer.
         client.write(text.repeat(100).as_bytes()).await;
-        until(|| f.proxy.executor.with(|e| e.counters.responses_unwritten) == 1).await;
+        wait_until(|| f.proxy.executor.with(|e| e.counters.responses_unwritten) == 1).await;
         let mut complete = 0;
         while let Some(response) = client.read(false).await {
             assert_eq!((response.status, response.body.len()), (200, 240_000));
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -27,7 +27,7 @@
 /// Guards against limits on the number of peers that are too low for a fleet of 1,024 proxies.
 #[test]
 fn health_check_and_vrrp_configs_accept_1024_peers() {
-    let folder = stand_ins::folder("size");
+    let folder = stand_ins::test_dir("size");
     let address = |k: u32| format!("127.0.{}.{}:5100", 1 + k / 250, 1 + k % 250);
     let peers: Vec<String> =
         (0..LARGE_FLEET).map(|k| format!(r#"{{"id":{},"address":"{}"}}"#, k + 2, address(k))).collect();
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -44,13 +44,16 @@
 /// Runs a test on a single-threaded runtime, with a timeout that only stops a test that hangs.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let bounded =
-        async { tokio::time::timeout(Duration::from_secs(60), test).await.expect("the test timed out") };
+    let bounded = async {
+        tokio::time::timeout(Duration::from_secs(60), test)
+            .await
+            .expect("the test did not finish within 60 s")
+    };
     tokio::task::LocalSet::new().block_on(&runtime, bounded);
 }
 
 /// Polls until a condition holds.
-pub async fn until(condition: impl Fn() -> bool) {
+pub async fn wait_until(condition: impl Fn() -> bool) {
     while !condition() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
@@ -79,7 +82,7 @@
     format!("bytes of {} part {}", fields["k"], fields["p"]).into_bytes()
 }
 
-/// Serves the content with the entity tag `t1`; not modified where the request names that tag.
+/// Replies with the content and entity tag `t1`, or with `NOMOD` if the request has that tag.
 pub fn serve_content() -> Script {
     Rc::new(|fields| match fields.get("cached").map(String::as_str) {
         Some("t1") => Some(("NOMOD", "sum=t1,t0=5".into(), Vec::new())),
@@ -175,16 +178,17 @@
     }
 }
 
-/// A frame and its sequence number.
+/// A sequence number and the encoded frame.
 type Frame = (u64, Vec<u8>);
 
-/// The discovery service: sends each connection the frames after the sequence number with which it begins.
+/// The discovery service: sends each connection the frames after the sequence number that the proxy sent
+/// first.
 pub struct DiscoveryServer {
     pub address: SocketAddr,
     frames: Rc<RefCell<Vec<Frame>>>,
     frame_added: Rc<Notify>,
     disconnect_requested: Rc<Notify>,
-    /// The sequence number with which each connection began.
+    /// The sequence number that the proxy sent first on each connection.
     pub connections: Rc<RefCell<Vec<u64>>>,
 }
 
@@ -225,6 +229,7 @@
     }
 
     fn push(&self, kind: u8, payload: &[u8]) -> u64 {
+        // Event 1 is in the configuration.
         let number = self.frames.borrow().len() as u64 + 2;
         let mut frame = (payload.len() as u32 + 9).to_be_bytes().to_vec();
         frame.extend(number.to_be_bytes());
@@ -236,10 +241,10 @@
     }
 
     /// Sends an endpoint's state (0 active, 1 draining, 2 removed); returns the event's number.
-    pub fn send_state(&self, id: u32, at: SocketAddr, kind: u8, state: u8) -> u64 {
+    pub fn send_state(&self, id: u32, address: SocketAddr, kind: u8, state: u8) -> u64 {
         let mut record = id.to_be_bytes().to_vec();
         record.extend([127, 0, 0, 1]);
-        record.extend(at.port().to_be_bytes());
+        record.extend(address.port().to_be_bytes());
         record.extend([state, if kind == 0 { 1 } else { 0 }, kind]);
         record.extend(0u16.to_be_bytes());
         record.extend(4_000u32.to_be_bytes());
@@ -266,14 +271,14 @@
     pub endpoints: HashMap<u32, Cache>,
     pub discovery: DiscoveryServer,
     pub config: Config,
-    /// The configured address of the discovery service.
+    /// Sends the watch a changed address of the discovery service.
     pub discovery_address: watch::Sender<SocketAddr>,
     pub shutdown: Rc<GracefulShutdown>,
     pub closing: Rc<Notify>,
 }
 
-/// Creates a folder for a test's files.
-pub fn folder(name: &str) -> PathBuf {
+/// Creates a directory for a test's files.
+pub fn test_dir(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&path).unwrap();
     path
@@ -281,14 +286,14 @@
 
 /// A configuration file's text. Endpoints are `(id, kind, address)`.
 pub fn config(discovery: SocketAddr, endpoints: &[(u32, &str, SocketAddr)]) -> String {
-    let line = |(id, kind, at): &(u32, &str, SocketAddr)| {
+    let endpoint_json = |(id, kind, address): &(u32, &str, SocketAddr)| {
         let zone = if *kind == "box" { "town" } else { "hub" };
         format!(
-            r#"{{"uid":"s-{id:08x}","endpoint":"{at}","az":"{zone}","model":"{kind}","pod_group":0,
+            r#"{{"uid":"s-{id:08x}","endpoint":"{address}","az":"{zone}","model":"{kind}","pod_group":0,
                 "state":"Ready","capacity_hint":4,"boot_ms":0}}"#
         )
     };
-    let targets: Vec<String> = endpoints.iter().map(line).collect();
+    let targets: Vec<String> = endpoints.iter().map(endpoint_json).collect();
     let targets = targets.join(",");
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:1","seed":"8c1f30d27a5be964","limits":{{"sockets":1024}},
@@ -313,18 +318,18 @@
 }
 
 impl TestProxy {
-    /// Starts the proxy without a front. `name` is the test's folder.
+    /// Starts the proxy without a listener. `name` is the test's directory, unique to the test.
     pub async fn start(name: &str) -> Self {
         let discovery = DiscoveryServer::start().await;
         let mut endpoints = HashMap::new();
-        let mut lines = Vec::new();
+        let mut listed = Vec::new();
         for (id, kind) in [(CACHES[0], "box"), (CACHES[1], "box"), (PARENT, "parent"), (ORIGIN, "origin")] {
             let cache = Cache::start().await;
-            lines.push((id, kind, cache.address));
+            listed.push((id, kind, cache.address));
             endpoints.insert(id, cache);
         }
-        let path = folder(name).join("config.json");
-        std::fs::write(&path, config(discovery.address, &lines)).unwrap();
+        let path = test_dir(name).join("config.json");
+        std::fs::write(&path, config(discovery.address, &listed)).unwrap();
         let config = Config::read(&path).unwrap();
         let clock = Clock::manual(START_MS);
         let (engine, settings) = engine(&config, &clock, 0).unwrap();
@@ -337,9 +342,9 @@
     }
 
     /// Starts a listener for a front and returns its address.
-    pub async fn open(&self, front: Rc<dyn Front>) -> SocketAddr {
+    pub async fn listen(&self, front: Rc<dyn Front>) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         spawn_local(accept(
             self.executor.clone(),
             front,
@@ -347,7 +352,7 @@
             self.shutdown.clone(),
             self.closing.clone(),
         ));
-        at
+        address
     }
 
     /// Advances the manual clock and runs the timers that are due.
@@ -358,7 +363,7 @@
 
     /// Sets the script of every endpoint.
     pub fn script_all(&self, script: Script) {
-        self.endpoints.values().for_each(|m| *m.script.borrow_mut() = script.clone());
+        self.endpoints.values().for_each(|cache| *cache.script.borrow_mut() = script.clone());
     }
 
     /// The number of requests that an endpoint received.
@@ -368,7 +373,7 @@
 
     /// The number of requests that all endpoints received.
     pub fn total_requests(&self) -> usize {
-        self.endpoints.values().map(|m| m.requests.borrow().len()).sum()
+        self.endpoints.values().map(|cache| cache.requests.borrow().len()).sum()
     }
 }
 
@@ -378,7 +383,7 @@
     pub status: u16,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
-    /// The proxy closes the connection after it.
+    /// Whether the proxy closed the connection after the response.
     pub closed: bool,
 }
 
@@ -388,8 +393,8 @@
 }
 
 impl Client {
-    pub async fn connect(at: SocketAddr) -> Self {
-        Self { stream: BufReader::new(TcpStream::connect(at).await.unwrap()) }
+    pub async fn connect(address: SocketAddr) -> Self {
+        Self { stream: BufReader::new(TcpStream::connect(address).await.unwrap()) }
     }
 
     /// Wraps a connected blocking socket.
@@ -410,7 +415,8 @@
         self.stream.get_mut().write_all(bytes).await.unwrap();
     }
 
-    /// Reads a response, `None` at the end of the stream. With `head` the response has no body.
+    /// Reads a response; `None` at the end of the stream. `head` is set for the response to HEAD, which has
+    /// no body.
     pub async fn read(&mut self, head: bool) -> Option<Response> {
         let mut line = String::new();
         if self.stream.read_line(&mut line).await.ok()? == 0 {
@@ -430,22 +436,22 @@
         if response.closed {
             let mut rest = Vec::new();
             let _ = self.stream.read_to_end(&mut rest).await;
-            assert!(rest.is_empty(), "more than one response: {rest:?}");
+            assert!(rest.is_empty(), "unexpected bytes after a response with Connection: close: {rest:?}");
         }
         Some(response)
     }
 
     /// Sends a request and reads its response.
-    pub async fn ask(&mut self, method: &str, target: &str, headers: &str) -> Response {
+    pub async fn send_request(&mut self, method: &str, target: &str, headers: &str) -> Response {
         let text = format!("{method} {target} HTTP/1.1\r\nHost: media.test\r\n{headers}\r\n");
         self.write(text.as_bytes()).await;
-        self.read(method == "HEAD").await.expect("a response")
+        self.read(method == "HEAD").await.expect("the connection closed before a response")
     }
 }
 
 /// Sends a request on a new connection.
-pub async fn ask(at: SocketAddr, method: &str, target: &str, headers: &str) -> Response {
-    Client::connect(at).await.ask(method, target, headers).await
+pub async fn send_request(address: SocketAddr, method: &str, target: &str, headers: &str) -> Response {
+    Client::connect(address).await.send_request(method, target, headers).await
 }
 
 /// A child process that is killed when dropped.
