--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a request: its attempts with their time-outs, and its final response.
+//! The life cycle of a request: its attempts with their timeouts, and its final response.
 
 use super::pending_request::{Attempt, AttemptPath, EndedAttempt, FillScope, PendingRequest};
 use super::{Actions, Router};
@@ -6,9 +6,10 @@
 
 /// Minimum time until the deadline for another attempt, in microseconds.
 const MIN_TIME_LEFT: Micros = 10_000;
-/// Minimum time-out as a multiple of the latency objective.
+/// Minimum timeout as a multiple of the latency objective.
 const MIN_TIMEOUT_OF_OBJECTIVE: f64 = 1.2;
-/// Minimum time-out under congestion, where ending a slow attempt wastes the data already sent.
+/// Minimum timeout under congestion as a multiple of the latency objective: ending a slow attempt wastes the
+/// data already sent.
 const MIN_TIMEOUT_OF_OBJECTIVE_CONGESTED: f64 = 2.5;
 /// Maximum fraction of the time until the deadline that an attempt may use if a retry fits after it.
 const MAX_TIMEOUT_OF_TIME_LEFT: f64 = 0.85;
@@ -20,7 +21,7 @@
 const UNCACHEABLE_RANK: u8 = 0;
 /// Mean `retry_after` of rejected requests, in microseconds.
 const RETRY_AFTER: f64 = 120_000.0;
-/// Minimum of the random factor on [`RETRY_AFTER`]; the maximum is greater by 1.
+/// Minimum of the random factor on [`RETRY_AFTER`]; the factor is uniform over an interval of length 1.
 const MIN_RETRY_AFTER_FACTOR: f64 = 0.5;
 
 /// The attempt that a retry follows.
@@ -31,10 +32,10 @@
     retry_cost: f64,
 }
 
-/// The time-out of an attempt.
+/// The timeout of an attempt.
 struct Timeout {
     duration: Micros,
-    /// The time-out was cut short by the request's deadline.
+    /// The timeout was cut short by the request's deadline.
     shortened: bool,
 }
 
@@ -81,8 +82,8 @@
         }
     }
 
-    /// The fill scope of the next attempt; `None` if the request is rejected. A miss of a request whose fills
-    /// are shed is final.
+    /// The fill scope of the next attempt; `None` if the request is rejected. A cache miss of an attempt is
+    /// not retried.
     fn next_fill_scope(
         &self,
         now: Micros,
@@ -154,7 +155,7 @@
         true
     }
 
-    /// The time-out of a request's next attempt: the class's usual one, bounded by the latency objective and
+    /// The timeout of a request's next attempt: the class's usual one, bounded by the latency objective and
     /// by the time until the deadline. If no retry would fit, the attempt may use all of that time.
     fn attempt_timeout(&self, now: Micros, request: &PendingRequest) -> Timeout {
         let time_left = request.deadline_at.saturating_sub(now) as f64;
@@ -178,7 +179,7 @@
         timeout: Micros,
     ) -> Action {
         let class = &self.settings.classes[request.class];
-        // If fresh copies would arrive too late, a stale one that is being revalidated is preferred.
+        // Retries and requests of congested classes accept a stale copy, as a fresh one would likely be late.
         let accept_stale = !request.attempts.is_empty() || self.is_congested(now, request.class);
         let max_age = self.max_age(now, request, accept_stale, path.to);
         Action::Forward {
@@ -240,7 +241,8 @@
         Some(path)
     }
 
-    /// Applies an outcome to the consecutive failures, and thus the health checks, of the path's endpoints.
+    /// Counts or resets the consecutive failures of the path's endpoints; a failure may request a health
+    /// check.
     fn update_health(&mut self, now: Micros, path: AttemptPath, ended: &EndedAttempt, actions: &mut Actions) {
         let source = path.fill_source();
         match ended.outcome {
--- a/src/policy/attribution.rs
+++ b/src/policy/attribution.rs
@@ -10,15 +10,17 @@
 const FULL_WEIGHT: f64 = 1.0;
 /// Weight of a failure that can only be the endpoint's own, such as a refused connection.
 const CONCLUSIVE_FAILURE: f64 = 2.0;
-/// Weight of a lost connection: a single one is tolerated, and if the process died, the next connect fails.
+/// Weight of a lost connection, which does not show whether the process has died.
 const LOST_CONNECTION: f64 = 0.25;
 /// Weight of a late response, which may also be due to overload.
 const LATE_RESPONSE: f64 = 0.5;
-/// Weight of a timely response for its fill source if hits and fills cannot be distinguished: most are hits.
+/// Weight of a timely response for its fill source if the cache status is not reported, so that it may be a
+/// hit.
 const UNCONFIRMED_FILL: f64 = 0.1;
 /// Suspicion of an endpoint without bad outcomes; the share of bad ones is added to it.
 const MIN_SUSPICION: f64 = 0.1;
-/// Ratio of the suspicions of a path's endpoints from which a failure is attributed to one of them alone.
+/// Minimum ratio of the suspicions of a path's two endpoints for a failure to be attributed to one of them
+/// alone.
 const SOLE_ATTRIBUTION_RATIO: f64 = 2.5;
 
 impl Router {
@@ -31,7 +33,7 @@
         let transfer_time = self.settings.sending_time(request.size_kb);
         let elapsed = ended.elapsed as f64;
         let late = elapsed > self.latency_objective(request);
-        // A time-out cut short by the client's deadline tells nothing about the endpoints.
+        // A timeout cut short by the client's deadline tells nothing about the endpoints.
         if ended.outcome == AttemptOutcome::TimedOut && attempt.timeout_shortened && !late {
             return;
         }
@@ -66,7 +68,7 @@
                     self.add_success(now, source, weight);
                 }
             }
-            // It may be a hit over a loaded link, so it does not count against the fill source.
+            // A late response of unknown status may be a hit, so it does not count against the fill source.
             CacheStatus::Unknown => self.add_failure(now, path.to, LATE_RESPONSE),
             _ => self.split_failure(now, path, LATE_RESPONSE),
         }
@@ -118,9 +120,8 @@
         }
     }
 
-    /// Splits a failure that cannot be attributed to one endpoint in proportion to the suspicion of both: a
-    /// cache that fails with every source is at fault itself, and so is a source that fails through every
-    /// cache.
+    /// Splits a failure between a path's cache and fill source in proportion to their suspicion; if only one
+    /// of them is clearly suspect, it gets the whole failure.
     fn split_failure(&mut self, now: Micros, path: AttemptPath, weight: f64) {
         let source = path.fill_source();
         let cache_suspicion = self.suspicion(now, path.to);
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -17,9 +17,9 @@
 const TIMER_TOKEN_FLAG: u64 = 1 << 32;
 
 impl Router {
-    /// Counts a failed attempt against an endpoint and requests a health check if needed: a single router
-    /// sees too few failures to distinguish a dead process from an overloaded one. `conclusive` marks a
-    /// failure that can only be the endpoint's own.
+    /// Counts a failed attempt of an endpoint and requests a health check if needed, as failures alone do not
+    /// distinguish a process that has died from an overloaded one. `conclusive` marks a failure that can only
+    /// be the endpoint's own.
     pub(super) fn record_failure(
         &mut self,
         now: Micros,
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -1,4 +1,4 @@
-//! Latency estimates of request classes, and the time-outs derived from them.
+//! Latency estimates of request classes, and the timeouts derived from them.
 
 use crate::interface::*;
 use crate::stats::{DecayingOutcomes, MeanDeviation};
@@ -10,7 +10,7 @@
 pub(super) const HIT_OVERHEAD: f64 = 20_000.0;
 /// Weight of a new sample in a class's moving estimates.
 const LATENCY_GAIN: f64 = 0.02;
-/// Assumed latency of an attempt that timed out, as a multiple of its time-out.
+/// Assumed latency of an attempt that timed out, as a multiple of its timeout.
 const TIMED_OUT_MULTIPLE: f64 = 1.5;
 /// Deviations above the mean at which an attempt times out, as in TCP's retransmission timer (RFC 6298).
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
@@ -44,8 +44,8 @@
     }
 
     /// Adds the latency of an attempt that was served or timed out; `transfer_time` is 0 if unknown. Times
-    /// are in microseconds. A time-out counts as a long response: if only served attempts counted, time-outs
-    /// would shrink until they cut off large responses.
+    /// are in microseconds. A timeout counts as [`TIMED_OUT_MULTIPLE`] times its duration; without it,
+    /// timeouts would shrink until they cut off large responses.
     pub(super) fn add(&mut self, outcome: AttemptOutcome, transfer_time: f64, elapsed: f64) {
         let timed_out = outcome == AttemptOutcome::TimedOut;
         let elapsed = if timed_out { elapsed * TIMED_OUT_MULTIPLE } else { elapsed };
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The time-out of an attempt with this transfer time, in microseconds.
+    /// The timeout of an attempt with this transfer time, in microseconds.
     pub(super) fn timeout(&self, transfer_time: f64) -> f64 {
         (FIRST_BYTE_TIME + transfer_time) * self.relative.above(TIMEOUT_DEVIATIONS)
     }
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -4,8 +4,8 @@
 use super::Router;
 use crate::interface::*;
 
-/// Additive increase of the capacity of a fully loaded cache, per as many timely responses as its capacity
-/// (compare TCP's congestion avoidance, RFC 5681).
+/// Increase of a fully loaded cache's estimated capacity over as many timely responses as its capacity
+/// (additive increase, as in TCP congestion avoidance, RFC 5681).
 const CAPACITY_INCREASE: f64 = 1.0;
 /// Multiplicative decrease of the capacity after a late response.
 const CAPACITY_DECREASE: f64 = 0.9;
@@ -16,8 +16,8 @@
 const MIN_REDUCTION_GAP: Micros = 500_000;
 /// Load below which a late response does not reduce the cache's capacity.
 const MIN_REDUCTION_LOAD: f64 = 0.5;
-/// Weight of the location's mean load, in transfers, against the cache's own transfers, so that a few
-/// concurrent transfers do not cause spill-over.
+/// Pseudo-count, in transfers, with which a cache's own transfers are shrunk towards the location's mean, so
+/// that a few concurrent ones do not cause spill-over.
 const MEAN_WEIGHT: f64 = 1.5;
 
 impl Router {
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -9,10 +9,10 @@
 use crate::interface::*;
 use crate::stats::{unit_hash, ShareRates};
 
-/// How outcomes of fills change the origin fetch share. Fills are delayed by links and parents as well, so a
-/// timely one counts little and a late one much.
+/// Rates at which outcomes of fills change the origin fetch share.
 const FILL_RATES: ShareRates = ShareRates { increase_per_s: 0.1, decay_per_s: 6.0, max_gap_s: 1.0 };
-/// How outcomes of writes change the origin fetch share. Writes are rare but always run at the origin.
+/// Rates at which outcomes of writes change the origin fetch share. Writes are rare, so each may count for a
+/// longer gap.
 const WRITE_RATES: ShareRates = ShareRates { increase_per_s: 1.0, decay_per_s: 2.0, max_gap_s: 3.0 };
 /// Index of fills among the kinds of outcomes of the origin fetch share.
 const FILL_OUTCOMES: usize = 0;
@@ -22,7 +22,7 @@
 const MIN_ORIGIN_FETCH_SHARE: f64 = 0.03;
 /// Fraction of its latency objective above which a write indicates queueing at the origin.
 const SLOW_WRITE_OF_OBJECTIVE: f64 = 0.6;
-/// Number of timely responses that a class's share of late ones starts with.
+/// Number of timely responses added to the observed ones when a class's share of late responses is computed.
 const CONGESTION_PRIOR: f64 = 3.0;
 /// Share of late responses above which a class is congested.
 pub(super) const CONGESTION_THRESHOLD: f64 = 0.1;
@@ -72,8 +72,8 @@
     }
 
     /// The fill scope of a new request; `None` if the request is rejected. Requests of the least value per
-    /// transfer time are rejected first. Congestion that does not show in the cache's load only sheds fills:
-    /// hits do not load the links to the sources.
+    /// transfer time are rejected first. If the class is congested while the cache's load is below the limit,
+    /// only fills are shed, as hits need no fill source.
     pub(super) fn admit(&self, now: Micros, request: &PendingRequest) -> Option<FillScope> {
         if self.settings.classes[request.class].uncacheable {
             return Some(FillScope::Origin);
@@ -88,8 +88,8 @@
         if load > limit * (1.0 - LATE_REDUCTION * late).max(MIN_ADMITTED_PART) {
             return Some(FillScope::CacheOnly);
         }
-        // All routers exclude the same objects for one span, so that the other objects are fetched once and
-        // then cached.
+        // All routers exclude the same objects during one `OBJECT_COUNT_SPAN`, so that the other objects are
+        // fetched once and then cached.
         let excluded = self.origin_fetch_share.value() < unit_hash(request.object, now / OBJECT_COUNT_SPAN);
         Some(if excluded { FillScope::ParentOnly } else { FillScope::Origin })
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -5,8 +5,8 @@
 //! - `endpoints`: the list of endpoints; `placement`: selection of cache, fill source and path;
 //! - `attempts`: the life cycle of a request; `retries`: the retry budget and when a repeat is allowed;
 //! - `outlier_detection`, `health_checks` and `slow_start`: which endpoints get new attempts, and how many;
-//! - `latency`: time-outs of classes; `load`: load and capacity of caches; `attribution`: updates both
-//!   and the health of endpoints from the outcomes of attempts;
+//! - `latency`: timeouts of classes; `load`: load and capacity of caches; `attribution`: updates class
+//!   latency, cache capacity, the origin fetch share and endpoint health from the outcomes of attempts;
 //! - `load_shedding`: which requests are admitted; `freshness`: purges and the maximum age of copies.
 
 mod attempts;
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -12,9 +12,9 @@
 const OUTCOMES_PER_HALF_LIFE: f64 = 10.0;
 /// Maximum half-life of outcomes, in microseconds.
 pub(super) const MAX_HALF_LIFE: f64 = 10_000_000.0;
-/// Number of outcomes from which an endpoint counts as a peer of others.
+/// Minimum number of recent outcomes for an endpoint to count as a peer.
 const MIN_OUTCOMES_OF_PEER: f64 = 0.5;
-/// Number of good outcomes that an endpoint's share of bad ones starts with.
+/// Number of good outcomes added to the observed ones when an endpoint's share of bad outcomes is computed.
 const HEALTH_PRIOR: f64 = 1.5;
 /// Difference from the best peer's share of bad outcomes up to which an endpoint is healthy.
 const TOLERATED_BAD_SHARE: f64 = 0.15;
@@ -22,7 +22,8 @@
 pub(super) const EJECTION_BAD_SHARE: f64 = 0.5;
 /// Maximum sum of bad outcomes.
 const MAX_BAD_OUTCOMES: f64 = 10.0;
-/// Maximum time in which bad outcomes decay to the prior, in microseconds: limits an ejection after recovery.
+/// Maximum time, in microseconds, for which an endpoint without new failures stays ejected; limits the sum of
+/// bad outcomes.
 const MAX_EJECTION: f64 = 5_000_000.0;
 /// Maximum sum of good outcomes: a long series of them must not hide a sudden failure.
 const MAX_GOOD_OUTCOMES: f64 = 15.0;
@@ -92,7 +93,7 @@
 pub(super) struct Candidate<'a> {
     pub(super) id: EndpointId,
     pub(super) endpoint: &'a KnownEndpoint,
-    /// In 0 to 1; an ejected endpoint has 0.
+    /// Fraction of its usual attempts that it may get, from 0 (ejected) to 1.
     pub(super) share: f64,
 }
 
--- a/src/policy/pending_request.rs
+++ b/src/policy/pending_request.rs
@@ -2,7 +2,8 @@
 
 use crate::interface::*;
 
-/// Number of lost connections at one cache after which a request is sent to another cache.
+/// Number of lost connections and malformed responses at one cache after which a request is sent to another
+/// cache.
 const MAX_LOST_PER_CACHE: usize = 2;
 
 /// The endpoints that an attempt involves.
@@ -29,9 +30,9 @@
     pub(super) in_flight: bool,
     /// The endpoint may have run the request.
     pub(super) may_have_run: bool,
-    /// The time-out was cut short by the request's deadline.
+    /// The timeout was cut short by the request's deadline.
     pub(super) timeout_shortened: bool,
-    /// Its connection was lost or its response malformed.
+    /// The connection was lost or the response was malformed.
     pub(super) connection_lost: bool,
 }
 
@@ -88,13 +89,13 @@
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// The number of attempts other than those whose connection was lost, which tell nothing about the path.
+    /// Number of attempts, without those that lost their connection or got a malformed response.
     pub(super) fn conclusive_attempts(&self) -> usize {
         self.attempts.iter().filter(|attempt| !attempt.connection_lost).count()
     }
 
-    /// Whether a cache may get the next attempt: not after any other failure than a lost connection there,
-    /// and not after [`MAX_LOST_PER_CACHE`] lost connections.
+    /// Whether a cache may get the next attempt: every earlier attempt at it lost its connection or got a
+    /// malformed response, and there were fewer than [`MAX_LOST_PER_CACHE`].
     pub(super) fn may_use(&self, id: EndpointId) -> bool {
         let there = || self.attempts.iter().filter(|attempt| attempt.path.to == id);
         there().all(|attempt| attempt.connection_lost) && there().count() < MAX_LOST_PER_CACHE
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -10,41 +10,43 @@
 use crate::interface::*;
 use crate::stats::{mix, rendezvous_first, rendezvous_order, unit_hash};
 
-/// Load of a cache from which its objects spill over to other caches, where they are misses at first.
+/// Load at or above which a cache's objects spill over to other caches.
 const SPILL_OVER_LOAD: f64 = 4.0;
-/// Number of recent requests from which an object is spread over two caches.
+/// Minimum number of recent requests for an object to be spread over two caches.
 const REQUESTS_FOR_TWO_CACHES: f32 = 2.0;
-/// Number of recent requests from which an object is spread over three caches.
+/// Minimum number of recent requests for an object to be spread over three caches.
 const REQUESTS_FOR_THREE_CACHES: f32 = 4.0;
 /// Duration of one generation of the request counts, in microseconds.
 pub(super) const OBJECT_COUNT_SPAN: Micros = 10_000_000;
 /// Maximum number of objects in one generation of the request counts.
 pub(super) const MAX_COUNTED_OBJECTS: usize = 50_000;
-/// Number of conclusive attempts through caches after which a retry bypasses them.
+/// Number of conclusive attempts after which a retry bypasses the caches.
 const MAX_ATTEMPTS_THROUGH_CACHES: usize = 3;
 /// Number of conclusive attempts after which retries avoid the fill sources already used.
 const MAX_ATTEMPTS_WITH_SAME_SOURCE: usize = 2;
-/// Every n-th attempt of a write is sent through a parent.
+/// Every n-th attempt of a write is sent through a parent instead of directly to the origin.
 const WRITE_ATTEMPTS_PER_PARENT: usize = 3;
 
 /// A cache in an object's hash order.
 struct RankedCache {
     id: EndpointId,
-    /// The fraction of its objects that it may get.
+    /// Fraction of its usual objects that the cache may get, in 0 to 1; reduced by slow start and outlier
+    /// detection.
     share: f64,
 }
 
 impl RankedCache {
-    /// Whether its share of objects includes this one.
+    /// Whether the object is within the cache's share.
     fn accepts(&self, object: ObjectId) -> bool {
         self.share > unit_hash(!object, u64::from(self.id))
     }
 }
 
 impl Router {
-    /// The location's cache for a request's part: the first in the object's hash order that accepts it; for
-    /// popular objects one of the first two or three; the least loaded one if none accepts it. `work` is the
-    /// transfer time, in microseconds, that the cache's slow-start budget must have room for.
+    /// The location's cache for a request's part: the first in the object's hash order that accepts the
+    /// object and is below [`SPILL_OVER_LOAD`]; for popular objects one of the first two or three such
+    /// caches; if there is none, the least loaded cache. `work` is the transfer time, in microseconds, that
+    /// the cache's slow-start budget must have room for.
     pub(super) fn choose_cache(
         &self,
         now: Micros,
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -30,8 +30,8 @@
         self.retry_budget.value(now, MAX_HALF_LIFE) >= cost
     }
 
-    /// The cost of a retry after this attempt. The budget limits retries that multiply work: an attempt that
-    /// was lost on its way caused none, and an error no more than the time that it took.
+    /// The cost of a retry after this attempt, by the work that the attempt may have caused: 0 if it failed
+    /// in transport; for an error, its elapsed time as a fraction of the latency objective, up to 1; else 1.
     pub(super) fn retry_cost(&self, request: &PendingRequest, ended: &EndedAttempt) -> f64 {
         match ended.outcome {
             outcome if outcome.is_lost() => 0.0,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Whether a request may be sent to an endpoint. One that may have run already may only be repeated
-    /// without a second effect.
+    /// Whether a request may be sent to an endpoint. A request that may have run is repeated only where the
+    /// repeat has no second effect.
     pub(super) fn may_repeat_at(&self, now: Micros, request: &PendingRequest, to: EndpointId) -> bool {
         let Some(first) = request.first_that_may_have_run() else { return true };
         if now >= self.repeatable_until(request) {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -9,7 +9,8 @@
 const BUDGET_OF_THRESHOLD: f64 = 0.5;
 /// Fraction of the budget of one overload window that may be used in a burst.
 const BURST_OF_BUDGET: f64 = 0.25;
-/// Minimum burst as a multiple of the work to be assigned, so that one request always fits an unused budget.
+/// Minimum burst as a multiple of the transfer time to be assigned, so that one request always fits an unused
+/// budget.
 const MIN_BURST_OF_WORK: f64 = 1.01;
 
 /// One router's budget for a warming endpoint.
@@ -30,14 +31,15 @@
         self.settings.slow_start(endpoint.listed.tier).capacity(now.saturating_sub(started_at))
     }
 
-    /// The initial load of a new process's budget: a random fraction of one request's transfer time, so that
-    /// the first requests of all routers do not arrive at the same time.
+    /// The initial level of a new process's budget: a random fraction of the longest mean transfer time of
+    /// any class, so that the routers do not all send their first request at the same time.
     pub(super) fn initial_warm_up_load(&mut self) -> f64 {
         let longest = self.latency.iter().map(|estimate| estimate.transfer_time).fold(0.0, f64::max);
         longest * self.random.next(3)
     }
 
-    /// Whether an endpoint is warm or its budget has room for another `work` microseconds of transfer time.
+    /// Whether an endpoint has its full capacity, or its warm-up budget has room for another `work`
+    /// microseconds of transfer time.
     pub(super) fn has_warm_up_budget(&self, now: Micros, id: EndpointId, work: f64) -> bool {
         let Some(endpoint) = self.endpoints.get(&id) else { return false };
         let warm_fraction = self.warm_fraction(now, endpoint);
