--- a/src/interface.rs
+++ b/src/interface.rs
@@ -3,8 +3,8 @@
 //! These types do not depend on a protocol. A host translates its own messages to [`Event`]s, passes them
 //! with the current time, and carries out the [`Action`]s in order.
 
-/// A point in time or a duration, in microseconds. Points in time are relative to an arbitrary fixed epoch
-/// and never run backwards.
+/// A point in time or a duration, in microseconds. Points in time are monotonic and relative to an
+/// arbitrary fixed epoch.
 pub type Micros = u64;
 /// Id of a cache, a parent or the origin in the host's list of endpoints.
 pub type EndpointId = u32;
@@ -88,7 +88,7 @@
 /// The settings of a router.
 #[derive(Clone, Debug)]
 pub struct PolicySettings {
-    /// The request classes; requests name them by index.
+    /// The request classes; requests refer to them by index.
     pub classes: Vec<RequestClass>,
     /// Number of routers in the fleet.
     pub fleet_size: u32,
@@ -96,7 +96,7 @@
     pub local_fleet_size: u32,
     /// Rate of one transfer to a client, in KB per second; 0 if unknown.
     pub client_kb_per_s: f64,
-    /// Weights of endpoints are their capacities in concurrent transfers.
+    /// Whether the weights of endpoints are their capacities in concurrent transfers.
     pub weights_known: bool,
     /// A request may join a fill in progress.
     pub can_join_fills: bool,
@@ -193,7 +193,7 @@
     Error,
     /// The endpoint rejected the request; it did not run.
     Rejected,
-    /// No response within the time-out; the request may have run.
+    /// No response within the timeout; the request may have run.
     TimedOut,
     /// No connection could be established; the request did not run.
     NoConnection,
@@ -220,7 +220,7 @@
         matches!(self, Self::Served | Self::CacheMiss | Self::Rejected | Self::Error)
     }
 
-    /// Whether the attempt was lost on its way, which indicates neither overload nor an error of the
+    /// Whether the attempt failed in transport, which indicates neither overload nor an error of the
     /// endpoint.
     pub fn is_lost(self) -> bool {
         matches!(self, Self::ConnectionLost | Self::Malformed | Self::NoConnection | Self::NotSent)
@@ -242,7 +242,7 @@
     NotAtSource,
     /// The cache has reached its limit of concurrent fills.
     FillLimitReached,
-    /// The origin failed behind the parent.
+    /// The parent's request to the origin failed.
     OriginFailed,
 }
 
@@ -290,7 +290,7 @@
         /// The request is concluded: it needs no further response.
         closed: bool,
     },
-    /// The response to an attempt is being sent to the client.
+    /// The host has begun to send an attempt's response to the client; other attempts are cancelled.
     ResponseStarted {
         /// The request.
         id: RequestId,
@@ -307,7 +307,7 @@
         /// The token of [`Action::SetTimer`].
         token: u64,
     },
-    /// A purge: older copies are out of date.
+    /// An object or a group was purged; copies fetched before the purge must not be served.
     Purged {
         /// The object; `None` for the whole group.
         object: Option<ObjectId>,
@@ -334,21 +334,23 @@
         id: RequestId,
         /// The endpoint.
         to: EndpointId,
-        /// The endpoint from which a miss is filled; `None` for a request that is forwarded unchanged.
+        /// The endpoint from which a miss is filled; equal to `to` if fills are forbidden; `None` if the
+        /// request is forwarded unchanged.
         source: Option<EndpointId>,
-        /// Join a fill in progress.
+        /// Whether the attempt may join a fill of the same object that is in progress.
         join_fill: bool,
-        /// The source must serve the fill from its own copy, without a fill of its own.
+        /// Whether the source must serve the fill from its own copy, without a fill of its own.
         only_if_cached: bool,
-        /// Serve a stale copy and revalidate it in the background.
+        /// Whether the cache may serve a stale copy and revalidate it in the background.
         revalidate: bool,
         /// Maximum age of a copy; 0 for the class's fresh lifetime.
         max_age: Micros,
-        /// Rank with which the cache retains the copy; 0 for not at all.
+        /// Retention priority of the copy in the cache; 0 if it is not retained.
         retention_rank: u8,
-        /// Time-out of the attempt, from now.
+        /// Timeout of the attempt, from now.
         timeout: Micros,
-        /// Latest time for sending its first byte: a later one could repeat a request that has already run.
+        /// Time before which its first byte must be sent, since endpoints may no longer drop a later repeat;
+        /// `Micros::MAX` for no limit.
         first_byte_by: Micros,
     },
     /// Final response: rejected. The client may retry.
@@ -375,7 +377,7 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Set a timer, which causes an [`Event::Timer`].
+    /// Set a timer; the host passes an [`Event::Timer`] with its token when it is due.
     SetTimer {
         /// Identifies the timer in its event.
         token: u64,
--- a/src/settings/classes.rs
+++ b/src/settings/classes.rs
@@ -4,8 +4,8 @@
 
 impl PlatformSettings {
     /// Returns these settings with class indexes compatible with `old`. An unchanged class keeps its index. A
-    /// class that was removed or changed is retired at its index, which is reused at a later reload at the
-    /// earliest, and only if `in_use` returns false for it.
+    /// class that was removed or changed is retired. A later reload may reuse its index if `in_use` returns
+    /// false for it.
     pub fn with_class_indexes_of(mut self, old: &Self, in_use: impl Fn(usize) -> bool) -> Self {
         let mut added: Vec<_> = std::mem::take(&mut self.classes).into_iter().map(Some).collect();
         let mut classes = old.classes.clone();
--- a/src/settings/endpoints.rs
+++ b/src/settings/endpoints.rs
@@ -6,7 +6,7 @@
 
 /// Weight of an endpoint whose record has no capacity hint.
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// Number of any zone that the settings do not list.
+/// Zone number of endpoints whose zone is not in the settings.
 const UNKNOWN_ZONE: u32 = u32::MAX;
 
 impl PlatformSettings {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(from = "PlatformJson")]
 pub struct PlatformSettings {
-    /// The request classes; requests name them by index.
+    /// The request classes; requests refer to them by index.
     classes: Vec<ClassSettings>,
     /// The settings of the decision module, without classes.
     policy: PolicySettings,
@@ -89,7 +89,7 @@
         self.streams_per_connection
     }
 
-    /// Time for which a draining endpoint may still be used as a source, in milliseconds.
+    /// The setting `drainGraceUs` in milliseconds; not used by the proxy.
     pub fn drain_grace_ms(&self) -> f64 {
         self.drain_grace_ms
     }
--- a/src/settings/platform_json.rs
+++ b/src/settings/platform_json.rs
@@ -62,7 +62,7 @@
     priority_weight: f64,
 }
 
-/// Settings of the family of sites; lists have one value per class.
+/// The `familyInfo` object. Lists have one value per class, except for `seatsByZone`, which has one per zone.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 struct FamilyJson {
@@ -156,7 +156,7 @@
     }
 }
 
-/// Converts a time to milliseconds; the default if it is 0.
+/// Converts a time to milliseconds; returns `default_ms` if it is 0.
 fn ms_or(time: Micros, default_ms: f64) -> f64 {
     if time == 0 {
         default_ms
--- a/src/stats/decay.rs
+++ b/src/stats/decay.rs
@@ -10,7 +10,7 @@
 }
 
 impl DecayingSum {
-    /// Creates a sum that does not decay before its first change.
+    /// Creates a sum with an initial value, which decays from the first change on.
     pub fn starting_with(sum: f64) -> Self {
         Self { sum, at: Micros::MAX }
     }
