--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -8,22 +8,25 @@
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
     /// There is no class.
-    #[error("`classes` is empty")]
+    #[error("`classes` is empty; it must list at least one class")]
     NoClasses,
     /// The maximum number of attempts is 0.
-    #[error("`policyLimits.sendCap` is 0")]
+    #[error("`policyLimits.sendCap` is 0 or absent; it must be at least 1")]
     NoAttempts,
     /// Two classes have the same name.
     #[error("`classes[].name` {0:?} is duplicated")]
     DuplicateClass(String),
     /// The name of a class cannot be used as a path segment.
-    #[error("`classes[].name` {0:?} is not a valid path segment")]
+    #[error(
+        "`classes[].name` {0:?} must not be empty and must consist of visible ASCII characters without `/`, \
+         `,` and `=`"
+    )]
     ClassName(String),
     /// The deadline of a class is 0.
-    #[error("`classes[].deadlineUs` of {0:?} is 0")]
+    #[error("`classes[].deadlineUs` of class {0:?} is 0; it must be at least 1")]
     NoDeadline(String),
     /// This proxy's zone is not listed.
-    #[error("`locality` {0:?} is not listed in `localities`")]
+    #[error("`locality` {0:?} must be one of `localities`")]
     UnknownZone(String),
 }
 
