--- a/src/grpc/route_compiler.rs
+++ b/src/grpc/route_compiler.rs
@@ -164,7 +164,7 @@
         fleet_size: 1,
         local_fleet_size: 1,
         client_kb_per_s: 0.0,
-        weights_known: pool.backends.iter().any(|backend| backend.weight.is_some()),
+        weights_are_capacities: pool.backends.iter().any(|backend| backend.weight.is_some()),
         can_join_fills: false,
         can_bypass_caches: false,
         reports_cache_status: false,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -97,7 +97,7 @@
     /// Rate of one transfer to a client, in KB per second; 0 if unknown.
     pub client_kb_per_s: f64,
     /// Whether the weights of endpoints are their capacities in concurrent transfers.
-    pub weights_known: bool,
+    pub weights_are_capacities: bool,
     /// A request may join a fill in progress.
     pub can_join_fills: bool,
     /// Requests may be sent to parents and the origin directly.
@@ -222,7 +222,7 @@
 
     /// Whether the attempt failed in transport, which indicates neither overload nor an error of the
     /// endpoint.
-    pub fn is_lost(self) -> bool {
+    pub fn is_transport_failure(self) -> bool {
         matches!(self, Self::ConnectionLost | Self::Malformed | Self::NoConnection | Self::NotSent)
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,7 +27,7 @@
 //! #             key_scope: KeyScope::All, key_window: 0, priority_weight: 1.0,
 //! #             fresh_lifetime: 0, stale_while_revalidate: 0, uncacheable: false,
 //! #         }],
-//! #         fleet_size: 1, local_fleet_size: 1, client_kb_per_s: 5_000.0, weights_known: true,
+//! #         fleet_size: 1, local_fleet_size: 1, client_kb_per_s: 5_000.0, weights_are_capacities: true,
 //! #         can_join_fills: true, can_bypass_caches: true, reports_cache_status: false,
 //! #         purge_completion: 6_000_000, max_attempts: 6,
 //! #         can_cancel: true, can_check_health: false, max_retry_after: 500_000, watch_endpoints: false,
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -7,12 +7,12 @@
 /// Minimum time until the deadline for another attempt, in microseconds.
 const MIN_TIME_LEFT: Micros = 10_000;
 /// Minimum timeout as a multiple of the latency objective.
-const MIN_TIMEOUT_OF_OBJECTIVE: f64 = 1.2;
+const MIN_TIMEOUT_FACTOR: f64 = 1.2;
 /// Minimum timeout under congestion as a multiple of the latency objective: ending a slow attempt wastes the
 /// data already sent.
-const MIN_TIMEOUT_OF_OBJECTIVE_CONGESTED: f64 = 2.5;
+const MIN_TIMEOUT_FACTOR_CONGESTED: f64 = 2.5;
 /// Maximum fraction of the time until the deadline that an attempt may use if a retry fits after it.
-const MAX_TIMEOUT_OF_TIME_LEFT: f64 = 0.85;
+const MAX_TIMEOUT_FRACTION: f64 = 0.85;
 /// Retention rank of an object that was not requested before.
 const FIRST_REQUEST_RANK: u8 = 1;
 /// Retention rank of an object that was requested before.
@@ -128,16 +128,16 @@
     /// Sends a request's next attempt; false if no endpoint may get it.
     fn send_attempt(&mut self, now: Micros, id: RequestId, actions: &mut Actions) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let mean_work = self.latency[request.class].transfer_time;
-        let Some(path) = self.next_path(now, request, mean_work) else { return false };
+        let mean_transfer_time = self.latency[request.class].transfer_time;
+        let Some(path) = self.next_path(now, request, mean_transfer_time) else { return false };
         if !self.may_repeat_at(now, request, path.to) {
             return false;
         }
         let timeout = self.attempt_timeout(now, request);
         actions.push(self.forward(now, id, request, path, timeout.duration));
-        self.charge_warm_up_budget(now, path.to, mean_work);
+        self.charge_warm_up_budget(now, path.to, mean_transfer_time);
         if let Some(source) = path.fill_source() {
-            self.charge_warm_up_budget(now, source, mean_work);
+            self.charge_warm_up_budget(now, source, mean_transfer_time);
         }
         if let Some(endpoint) = self.endpoints.get_mut(&path.to) {
             endpoint.in_flight += 1;
@@ -149,7 +149,7 @@
                 in_flight: true,
                 may_have_run: true,
                 timeout_shortened: timeout.shortened,
-                connection_lost: false,
+                response_lost: false,
             });
         }
         true
@@ -162,10 +162,9 @@
         let transfer_time = self.settings.sending_time(request.size_kb);
         let usual = self.latency[request.class].timeout(transfer_time);
         let congested = self.is_congested(now, request.class);
-        let min_of_objective =
-            if congested { MIN_TIMEOUT_OF_OBJECTIVE_CONGESTED } else { MIN_TIMEOUT_OF_OBJECTIVE };
-        let wanted = usual.max(min_of_objective * self.latency_objective(request));
-        let max = if wanted < time_left { MAX_TIMEOUT_OF_TIME_LEFT * time_left } else { time_left };
+        let min_factor = if congested { MIN_TIMEOUT_FACTOR_CONGESTED } else { MIN_TIMEOUT_FACTOR };
+        let wanted = usual.max(min_factor * self.latency_objective(request));
+        let max = if wanted < time_left { MAX_TIMEOUT_FRACTION * time_left } else { time_left };
         Timeout { duration: wanted.min(max) as Micros, shortened: wanted > max }
     }
 
@@ -229,8 +228,7 @@
         let outcome = ended.outcome;
         attempt.in_flight = false;
         attempt.may_have_run = !outcome.never_ran();
-        attempt.connection_lost =
-            matches!(outcome, AttemptOutcome::ConnectionLost | AttemptOutcome::Malformed);
+        attempt.response_lost = matches!(outcome, AttemptOutcome::ConnectionLost | AttemptOutcome::Malformed);
         let path = attempt.path;
         if let Some(endpoint) = self.endpoints.get_mut(&path.to) {
             endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
@@ -279,6 +277,7 @@
         // A retry of the client may reach any endpoint, so all endpoints must drop repeats by the key.
         let repeatable = now < until && (until == Micros::MAX || key_scope == KeyScope::All);
         if repeatable {
+            // 2 is the purpose of these draws, which makes them independent of those of warm-up loads.
             let factor = MIN_RETRY_AFTER_FACTOR + self.random.next(2);
             let retry_after = (RETRY_AFTER * factor) as Micros;
             let retry_after = retry_after.min(self.settings.max_retry_after);
@@ -301,13 +300,13 @@
         }
     }
 
-    fn cancel_attempts_except(&mut self, id: RequestId, retained: Option<usize>, actions: &mut Actions) {
+    fn cancel_attempts_except(&mut self, id: RequestId, excluded: Option<usize>, actions: &mut Actions) {
         if !self.settings.can_cancel {
             return;
         }
         let Some(request) = self.requests.get(&id) else { return };
         for (number, attempt) in request.attempts.iter().enumerate() {
-            if attempt.in_flight && Some(number) != retained {
+            if attempt.in_flight && Some(number) != excluded {
                 actions.push(Action::Cancel { id, attempt: number as u32 });
             }
         }
--- a/src/policy/attribution.rs
+++ b/src/policy/attribution.rs
@@ -101,8 +101,8 @@
                 self.add_failure(now, path.to, LOST_CONNECTION);
             }
             (_, CacheStatus::SourceFailed) => {
-                let only = AttemptPath { to: path.fill_source().unwrap_or(path.to), source: None };
-                self.split_failure(now, only, CONCLUSIVE_FAILURE);
+                let source_only = AttemptPath { to: path.fill_source().unwrap_or(path.to), source: None };
+                self.split_failure(now, source_only, CONCLUSIVE_FAILURE);
             }
             _ => self.split_failure(now, path, FULL_WEIGHT),
         }
@@ -127,16 +127,16 @@
         let cache_suspicion = self.suspicion(now, path.to);
         let source_suspicion = source.map_or(0.0, |source| self.suspicion(now, source));
         let ratio = cache_suspicion / source_suspicion;
-        let cache_part = if ratio >= SOLE_ATTRIBUTION_RATIO && cache_suspicion >= EJECTION_BAD_SHARE {
+        let cache_share = if ratio >= SOLE_ATTRIBUTION_RATIO && cache_suspicion >= EJECTION_BAD_SHARE {
             1.0
         } else if ratio <= 1.0 / SOLE_ATTRIBUTION_RATIO && source_suspicion >= EJECTION_BAD_SHARE {
             0.0
         } else {
             cache_suspicion / (cache_suspicion + source_suspicion)
         };
-        self.add_failure(now, path.to, weight * cache_part);
+        self.add_failure(now, path.to, weight * cache_share);
         if let Some(source) = source {
-            self.add_failure(now, source, weight * (1.0 - cache_part));
+            self.add_failure(now, source, weight * (1.0 - cache_share));
         }
     }
 
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -10,7 +10,7 @@
 const DEFAULT_CAPACITY: f64 = 4.0;
 
 /// A listed endpoint with this router's observations since its process started.
-pub(super) struct KnownEndpoint {
+pub(super) struct TrackedEndpoint {
     pub(super) listed: Endpoint,
     pub(super) health: Health,
     /// Estimated capacity in concurrent transfers.
@@ -23,7 +23,7 @@
     pub(super) warm_up_load: LeakyBucket,
 }
 
-impl KnownEndpoint {
+impl TrackedEndpoint {
     /// Whether it is listed as active and not down by its health checks.
     pub(super) fn is_usable(&self) -> bool {
         self.listed.state == EndpointState::Active && !self.health.down
@@ -64,26 +64,27 @@
             self.endpoints.remove(&entry.id);
             return;
         }
-        let weight_known = self.settings.weights_known && entry.weight.is_finite() && entry.weight > 0.0;
-        let weight = if weight_known { entry.weight } else { DEFAULT_CAPACITY };
+        let has_capacity =
+            self.settings.weights_are_capacities && entry.weight.is_finite() && entry.weight > 0.0;
+        let weight = if has_capacity { entry.weight } else { DEFAULT_CAPACITY };
         let listed = Endpoint { weight, ..entry.clone() };
         if entry.tier == Tier::Parent {
             self.parents.insert(entry.id, listed.weight);
         }
-        let same_process = |known: &&mut KnownEndpoint| known.listed.started_at == entry.started_at;
+        let same_process = |tracked: &&mut TrackedEndpoint| tracked.listed.started_at == entry.started_at;
         match self.endpoints.get_mut(&entry.id).filter(same_process) {
-            Some(known) => known.listed = listed,
+            Some(tracked) => tracked.listed = listed,
             // Observations of the previous process do not apply to the new one.
             None => self.add_endpoint(now, listed),
         }
     }
 
     fn add_endpoint(&mut self, now: Micros, listed: Endpoint) {
-        let endpoint = KnownEndpoint {
+        let endpoint = TrackedEndpoint {
             health: Health::default(),
             capacity: listed.weight,
             capacity_reduced_at: 0,
-            in_flight: self.endpoints.get(&listed.id).map_or(0, |known| known.in_flight),
+            in_flight: self.endpoints.get(&listed.id).map_or(0, |tracked| tracked.in_flight),
             warm_up_load: LeakyBucket::new(now, self.initial_warm_up_load()),
             listed,
         };
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -25,7 +25,7 @@
 
 impl Purges {
     /// When a request's object or group was last purged.
-    fn last_of(&self, request: &PendingRequest) -> Option<Micros> {
+    fn last_purge_of(&self, request: &PendingRequest) -> Option<Micros> {
         let targets = [PurgeTarget::Object(request.object), PurgeTarget::Group(request.group)];
         targets.iter().filter_map(|target| self.0.get(target)).max().copied()
     }
@@ -51,17 +51,17 @@
         accept_stale: bool,
         to: EndpointId,
     ) -> Micros {
-        let of_class = self.max_age_of_class(request.class, accept_stale);
-        let Some(purged_at) = self.purges.last_of(request) else { return of_class };
+        let class_max_age = self.max_age_of_class(request.class, accept_stale);
+        let Some(purged_at) = self.purges.last_purge_of(request) else { return class_max_age };
         let responded_at = self.endpoints.get(&to).map_or(0, |endpoint| endpoint.health.responded_at);
         if responded_at >= purged_at + self.settings.purge_completion + PURGE_COMPLETION_MARGIN {
-            return of_class;
+            return class_max_age;
         }
         let since_purge = now.saturating_sub(purged_at + PURGE_CLOCK_MARGIN).max(1);
-        if of_class == 0 {
+        if class_max_age == 0 {
             since_purge
         } else {
-            since_purge.min(of_class)
+            since_purge.min(class_max_age)
         }
     }
 
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -15,15 +15,15 @@
 /// Deviations above the mean at which an attempt times out, as in TCP's retransmission timer (RFC 6298).
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
 /// Initial mean of a class's latency, as a fraction of its objective.
-const INITIAL_MEAN_OF_OBJECTIVE: f64 = 0.5;
+const INITIAL_MEAN_FRACTION: f64 = 0.5;
 /// Initial deviation of a class's latency, as a fraction of its objective.
-const INITIAL_DEVIATION_OF_OBJECTIVE: f64 = 0.25;
+const INITIAL_DEVIATION_FRACTION: f64 = 0.25;
 
 /// The latency estimate of a request class.
 #[derive(Clone, Copy)]
 pub(super) struct LatencyEstimate {
     /// Latency of attempts as a multiple of the latency expected from their transfer time.
-    relative: MeanDeviation,
+    relative_latency: MeanDeviation,
     /// Mean transfer time, in microseconds.
     pub(super) transfer_time: f64,
     /// Responses within the latency objective and late ones, over all endpoints.
@@ -34,11 +34,11 @@
     /// The initial estimate of a class.
     pub(super) fn initial(class: &RequestClass) -> Self {
         let latency_objective = class.latency_objective as f64;
-        let mean = INITIAL_MEAN_OF_OBJECTIVE * latency_objective / FIRST_BYTE_TIME;
-        let deviation = INITIAL_DEVIATION_OF_OBJECTIVE * latency_objective / FIRST_BYTE_TIME;
+        let mean = INITIAL_MEAN_FRACTION * latency_objective / FIRST_BYTE_TIME;
+        let deviation = INITIAL_DEVIATION_FRACTION * latency_objective / FIRST_BYTE_TIME;
         Self {
-            relative: MeanDeviation::new(mean, deviation),
-            transfer_time: INITIAL_MEAN_OF_OBJECTIVE * latency_objective,
+            relative_latency: MeanDeviation::new(mean, deviation),
+            transfer_time: INITIAL_MEAN_FRACTION * latency_objective,
             timeliness: DecayingOutcomes::default(),
         }
     }
@@ -49,7 +49,7 @@
     pub(super) fn add(&mut self, outcome: AttemptOutcome, transfer_time: f64, elapsed: f64) {
         let timed_out = outcome == AttemptOutcome::TimedOut;
         let elapsed = if timed_out { elapsed * TIMED_OUT_MULTIPLE } else { elapsed };
-        self.relative.add(elapsed / (FIRST_BYTE_TIME + transfer_time), LATENCY_GAIN);
+        self.relative_latency.add(elapsed / (FIRST_BYTE_TIME + transfer_time), LATENCY_GAIN);
         if outcome == AttemptOutcome::Served {
             let observed = (elapsed - HIT_OVERHEAD).max(HIT_OVERHEAD);
             let sample = if transfer_time > 0.0 { transfer_time } else { observed };
@@ -59,6 +59,6 @@
 
     /// The timeout of an attempt with this transfer time, in microseconds.
     pub(super) fn timeout(&self, transfer_time: f64) -> f64 {
-        (FIRST_BYTE_TIME + transfer_time) * self.relative.above(TIMEOUT_DEVIATIONS)
+        (FIRST_BYTE_TIME + transfer_time) * self.relative_latency.mean_plus_deviations(TIMEOUT_DEVIATIONS)
     }
 }
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -1,6 +1,6 @@
 //! The load of a cache as a multiple of its capacity, and the estimate of that capacity.
 
-use super::endpoints::KnownEndpoint;
+use super::endpoints::TrackedEndpoint;
 use super::Router;
 use crate::interface::*;
 
@@ -18,7 +18,7 @@
 const MIN_REDUCTION_LOAD: f64 = 0.5;
 /// Pseudo-count, in transfers, with which a cache's own transfers are shrunk towards the location's mean, so
 /// that a few concurrent ones do not cause spill-over.
-const MEAN_WEIGHT: f64 = 1.5;
+const SHRINKAGE_PSEUDO_COUNT: f64 = 1.5;
 
 impl Router {
     /// The transfers of a cache divided by its capacity, estimated from this router's own attempts. One
@@ -28,19 +28,19 @@
         let Some(endpoint) = self.endpoints.get(&id) else { return f64::MAX };
         let routers = f64::from(self.settings.local_fleet_size.max(1));
         let quota =
-            |endpoint: &KnownEndpoint| endpoint.capacity * self.warm_fraction(now, endpoint) / routers;
+            |endpoint: &TrackedEndpoint| endpoint.capacity * self.warm_fraction(now, endpoint) / routers;
         let caches = || self.endpoints.values().filter(|endpoint| endpoint.is_active_cache());
         let in_flight: f64 = caches().map(|cache| f64::from(cache.in_flight)).sum();
         let mean = (in_flight * quota(endpoint) / caches().map(quota).sum::<f64>()).max(0.0);
         let certainty = 1.0 - (1.0 - 1.0 / routers) / (in_flight + 1.0).sqrt();
         let own = f64::from(endpoint.in_flight);
-        certainty * mean * (MEAN_WEIGHT + own) / (MEAN_WEIGHT + mean) / quota(endpoint)
+        certainty * mean * (SHRINKAGE_PSEUDO_COUNT + own) / (SHRINKAGE_PSEUDO_COUNT + mean) / quota(endpoint)
     }
 
     /// Adjusts the estimated capacity of a cache after a response if the list contains no capacities:
     /// increases it while responses at full load are timely, and reduces it when they are late.
     pub(super) fn update_capacity(&mut self, now: Micros, id: EndpointId, late: bool) {
-        if self.settings.weights_known {
+        if self.settings.weights_are_capacities {
             return;
         }
         let load = self.load(now, id);
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -21,7 +21,7 @@
 /// Minimum origin fetch share, so that recovery of the origin is detected.
 const MIN_ORIGIN_FETCH_SHARE: f64 = 0.03;
 /// Fraction of its latency objective above which a write indicates queueing at the origin.
-const SLOW_WRITE_OF_OBJECTIVE: f64 = 0.6;
+const SLOW_WRITE_FRACTION: f64 = 0.6;
 /// Number of timely responses added to the observed ones when a class's share of late responses is computed.
 const CONGESTION_PRIOR: f64 = 3.0;
 /// Share of late responses above which a class is congested.
@@ -37,7 +37,7 @@
 /// Reduction of the admitted load for fills, as a multiple of the class's share of late responses.
 const LATE_REDUCTION: f64 = 3.0;
 /// Minimum fraction of the admitted load that remains for fills.
-const MIN_ADMITTED_PART: f64 = 0.3;
+const MIN_FILL_LOAD_FRACTION: f64 = 0.3;
 
 impl Router {
     /// The share of late responses of a class at this router.
@@ -84,8 +84,8 @@
         if load > limit {
             return None;
         }
-        let late = self.congestion(now, request.class);
-        if load > limit * (1.0 - LATE_REDUCTION * late).max(MIN_ADMITTED_PART) {
+        let late_share = self.congestion(now, request.class);
+        if load > limit * (1.0 - LATE_REDUCTION * late_share).max(MIN_FILL_LOAD_FRACTION) {
             return Some(FillScope::CacheOnly);
         }
         // All routers exclude the same objects during one `OBJECT_COUNT_SPAN`, so that the other objects are
@@ -120,7 +120,7 @@
         let Some(request) = self.requests.get(&ended.request) else { return };
         let write = self.settings.classes[request.class].uncacheable;
         let latency_objective = self.latency_objective(request);
-        let limit = if write { SLOW_WRITE_OF_OBJECTIVE * latency_objective } else { latency_objective };
+        let limit = if write { SLOW_WRITE_FRACTION * latency_objective } else { latency_objective };
         let good = ended.outcome == AttemptOutcome::Served && ended.elapsed as f64 <= limit;
         // A failure on a path with an outlier is attributed to the outlier and not to the origin.
         let conclusive = self.concerns_origin(ended.outcome, path) && (good || !self.has_outlier(now, path));
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -25,7 +25,7 @@
 
 use crate::interface::*;
 use crate::stats::{AdaptiveShare, DecayingSum, RecentCounts, SeededRandom};
-use endpoints::KnownEndpoint;
+use endpoints::TrackedEndpoint;
 use freshness::Purges;
 use latency::LatencyEstimate;
 use pending_request::{EndedAttempt, FillScope, PendingRequest};
@@ -46,7 +46,7 @@
     settings: PolicySettings,
     random: SeededRandom,
     /// The endpoints that may get attempts.
-    endpoints: BTreeMap<EndpointId, KnownEndpoint>,
+    endpoints: BTreeMap<EndpointId, TrackedEndpoint>,
     /// The weights of all parents ever listed, so that removing a parent does not move other parents'
     /// objects.
     parents: BTreeMap<EndpointId, f64>,
@@ -84,10 +84,10 @@
 
     /// Replaces the settings. A class that is unchanged at its index keeps its latency estimate.
     pub fn reconfigure(&mut self, settings: PolicySettings) {
-        let learned = self.settings.classes.iter().zip(&self.latency).map(Some);
-        let learned = learned.chain(std::iter::repeat(None));
-        let estimates = settings.classes.iter().zip(learned).map(|(class, known)| match known {
-            Some((unchanged, estimate)) if unchanged == class => *estimate,
+        let previous = self.settings.classes.iter().zip(&self.latency).map(Some);
+        let previous = previous.chain(std::iter::repeat(None));
+        let estimates = settings.classes.iter().zip(previous).map(|(class, previous)| match previous {
+            Some((old_class, estimate)) if old_class == class => *estimate,
             _ => LatencyEstimate::initial(class),
         });
         self.latency = estimates.collect();
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,7 +1,7 @@
 //! Outlier detection: exponentially decaying outcomes of each endpoint, and the share of new attempts that
 //! they leave it.
 
-use super::endpoints::KnownEndpoint;
+use super::endpoints::TrackedEndpoint;
 use super::Router;
 use crate::interface::*;
 use crate::stats::{DecayingOutcomes, DecayingSum};
@@ -92,7 +92,7 @@
 /// An endpoint that may get new attempts, with its share of them.
 pub(super) struct Candidate<'a> {
     pub(super) id: EndpointId,
-    pub(super) endpoint: &'a KnownEndpoint,
+    pub(super) endpoint: &'a TrackedEndpoint,
     /// Fraction of its usual attempts that it may get, from 0 (ejected) to 1.
     pub(super) share: f64,
 }
@@ -101,13 +101,13 @@
     /// The lowest share of bad outcomes among a tier's endpoints; 0 if none has enough outcomes. The origin
     /// is a peer of parents, as both are sources of fills.
     fn best_bad_share(&self, now: Micros, tier: Tier) -> f64 {
-        let is_peer = |endpoint: &KnownEndpoint| {
-            let other = endpoint.listed.tier;
-            other == tier || (tier == Tier::Parent && other == Tier::Origin)
+        let is_peer = |endpoint: &TrackedEndpoint| {
+            let peer_tier = endpoint.listed.tier;
+            peer_tier == tier || (tier == Tier::Parent && peer_tier == Tier::Origin)
         };
         let peers = self.endpoints.values().filter(|endpoint| endpoint.is_usable() && is_peer(endpoint));
-        let known = peers.filter(|endpoint| endpoint.health.has_evidence(now));
-        let shares = known.map(|endpoint| endpoint.health.bad_share(now));
+        let with_evidence = peers.filter(|endpoint| endpoint.health.has_evidence(now));
+        let shares = with_evidence.map(|endpoint| endpoint.health.bad_share(now));
         shares.min_by(f64::total_cmp).unwrap_or(0.0)
     }
 
@@ -123,7 +123,7 @@
     /// a link or overload, and must not eject the whole tier.
     pub(super) fn candidates(&self, now: Micros, tier: Tier) -> Vec<Candidate<'_>> {
         let best = self.best_bad_share(now, tier);
-        let health = |endpoint: &KnownEndpoint| {
+        let health = |endpoint: &TrackedEndpoint| {
             let excess = endpoint.health.bad_share(now) - best - TOLERATED_BAD_SHARE;
             1.0 - excess / (EJECTION_BAD_SHARE - TOLERATED_BAD_SHARE)
         };
--- a/src/policy/pending_request.rs
+++ b/src/policy/pending_request.rs
@@ -33,7 +33,7 @@
     /// The timeout was cut short by the request's deadline.
     pub(super) timeout_shortened: bool,
     /// The connection was lost or the response was malformed.
-    pub(super) connection_lost: bool,
+    pub(super) response_lost: bool,
 }
 
 /// An attempt that has ended.
@@ -91,14 +91,15 @@
 
     /// Number of attempts, without those that lost their connection or got a malformed response.
     pub(super) fn conclusive_attempts(&self) -> usize {
-        self.attempts.iter().filter(|attempt| !attempt.connection_lost).count()
+        self.attempts.iter().filter(|attempt| !attempt.response_lost).count()
     }
 
     /// Whether a cache may get the next attempt: every earlier attempt at it lost its connection or got a
     /// malformed response, and there were fewer than [`MAX_LOST_PER_CACHE`].
     pub(super) fn may_use(&self, id: EndpointId) -> bool {
-        let there = || self.attempts.iter().filter(|attempt| attempt.path.to == id);
-        there().all(|attempt| attempt.connection_lost) && there().count() < MAX_LOST_PER_CACHE
+        let attempts_at_cache = || self.attempts.iter().filter(|attempt| attempt.path.to == id);
+        attempts_at_cache().all(|attempt| attempt.response_lost)
+            && attempts_at_cache().count() < MAX_LOST_PER_CACHE
     }
 
     /// Whether an attempt was sent to this endpoint.
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -25,7 +25,7 @@
 /// Number of conclusive attempts after which retries avoid the fill sources already used.
 const MAX_ATTEMPTS_WITH_SAME_SOURCE: usize = 2;
 /// Every n-th attempt of a write is sent through a parent instead of directly to the origin.
-const WRITE_ATTEMPTS_PER_PARENT: usize = 3;
+const PARENT_WRITE_INTERVAL: usize = 3;
 
 /// A cache in an object's hash order.
 struct RankedCache {
@@ -45,15 +45,15 @@
 impl Router {
     /// The location's cache for a request's part: the first in the object's hash order that accepts the
     /// object and is below [`SPILL_OVER_LOAD`]; for popular objects one of the first two or three such
-    /// caches; if there is none, the least loaded cache. `work` is the transfer time, in microseconds, that
-    /// the cache's slow-start budget must have room for.
+    /// caches; if there is none, the least loaded cache. The cache's slow-start budget must have room for
+    /// `transfer_time` microseconds.
     pub(super) fn choose_cache(
         &self,
         now: Micros,
         request: &PendingRequest,
-        work: f64,
+        transfer_time: f64,
     ) -> Option<EndpointId> {
-        let ranked = self.ranked_caches(now, request, work);
+        let ranked = self.ranked_caches(now, request, transfer_time);
         let accepting = ranked.iter().filter(|cache| cache.accepts(request.object));
         let below_limit = accepting.filter(|cache| self.load(now, cache.id) < SPILL_OVER_LOAD);
         // The part selects the cache within the spread, so that each part has one copy in the location.
@@ -64,10 +64,10 @@
     }
 
     /// The caches that may get a request, in its object's hash order.
-    fn ranked_caches(&self, now: Micros, request: &PendingRequest, work: f64) -> Vec<RankedCache> {
+    fn ranked_caches(&self, now: Micros, request: &PendingRequest, transfer_time: f64) -> Vec<RankedCache> {
         let candidates = self.candidates(now, Tier::Cache).into_iter();
-        let open = candidates.filter(|cache| request.may_use(cache.id));
-        let with_budget = open.filter(|cache| self.has_warm_up_budget(now, cache.id, work));
+        let permitted = candidates.filter(|cache| request.may_use(cache.id));
+        let with_budget = permitted.filter(|cache| self.has_warm_up_budget(now, cache.id, transfer_time));
         let weighted = with_budget.map(|cache| (cache.id, cache.endpoint.listed.weight, cache.share));
         let order = rendezvous_order(request.object, weighted);
         order.into_iter().map(|(id, share)| RankedCache { id, share }).collect()
@@ -97,19 +97,19 @@
         &self,
         now: Micros,
         object: ObjectId,
-        work: f64,
+        transfer_time: f64,
         avoided: &[EndpointId],
     ) -> Option<EndpointId> {
         let weights = self.parents.iter().map(|(id, weight)| (*id, *weight));
         let home = rendezvous_first(object, weights)?;
         let candidates = self.candidates(now, Tier::Parent);
         let from_home = self.parents.range(home..).chain(self.parents.range(..home)).map(|(id, _)| *id);
-        let listed = from_home.filter_map(|id| candidates.iter().find(|candidate| candidate.id == id));
+        let in_order = from_home.filter_map(|id| candidates.iter().find(|candidate| candidate.id == id));
         let may_fill = |parent: &&Candidate| {
-            !avoided.contains(&parent.id) && self.has_warm_up_budget(now, parent.id, work)
+            !avoided.contains(&parent.id) && self.has_warm_up_budget(now, parent.id, transfer_time)
         };
         let accepts = |parent: &&Candidate| parent.share > unit_hash(!object, u64::from(parent.id));
-        let mut accepting = listed.filter(may_fill).filter(accepts);
+        let mut accepting = in_order.filter(may_fill).filter(accepts);
         accepting.next().map(|parent| parent.id)
     }
 
@@ -122,56 +122,71 @@
 
     /// The path of a request's next attempt; `None` if no endpoint may get it. Retries go up the tiers: the
     /// next cache, the next parent, a parent directly, the origin.
-    pub(super) fn next_path(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
+    pub(super) fn next_path(
+        &self,
+        now: Micros,
+        request: &PendingRequest,
+        transfer_time: f64,
+    ) -> Option<AttemptPath> {
         if self.settings.classes[request.class].uncacheable {
-            return self.write_path(now, request, work);
+            return self.write_path(now, request, transfer_time);
         }
         if request.fill_scope == FillScope::CacheOnly {
-            let cache = self.choose_cache(now, request, work)?;
+            let cache = self.choose_cache(now, request, transfer_time)?;
             return Some(AttemptPath { to: cache, source: Some(cache) });
         }
         let through_caches =
             request.conclusive_attempts() < MAX_ATTEMPTS_THROUGH_CACHES || !self.settings.can_bypass_caches;
-        let path = if through_caches { self.path_through_cache(now, request, work) } else { None };
+        let path = if through_caches { self.path_through_cache(now, request, transfer_time) } else { None };
         if path.is_some() || !self.settings.can_bypass_caches {
             return path;
         }
-        self.path_bypassing_caches(now, request, work)
+        self.path_bypassing_caches(now, request, transfer_time)
     }
 
     /// The path of a write, which runs at the origin.
-    fn write_path(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
+    fn write_path(&self, now: Micros, request: &PendingRequest, transfer_time: f64) -> Option<AttemptPath> {
         let origin = self.origin();
         if !self.settings.can_bypass_caches {
-            let cache = self.choose_cache(now, request, work)?;
+            let cache = self.choose_cache(now, request, transfer_time)?;
             return Some(AttemptPath { to: cache, source: Some(origin?) });
         }
         let origin = origin?;
         let through_parent =
-            request.conclusive_attempts() % WRITE_ATTEMPTS_PER_PARENT == WRITE_ATTEMPTS_PER_PARENT - 1;
+            request.conclusive_attempts() % PARENT_WRITE_INTERVAL == PARENT_WRITE_INTERVAL - 1;
         if through_parent {
-            let parent = self.choose_parent(now, request.object, work, &[])?;
+            let parent = self.choose_parent(now, request.object, transfer_time, &[])?;
             return Some(AttemptPath { to: parent, source: Some(origin) });
         }
         Some(AttemptPath { to: origin, source: None })
     }
 
     /// A path through the request's cache, filled from a parent, else from the origin, else not filled.
-    fn path_through_cache(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
-        let cache = self.choose_cache(now, request, work)?;
+    fn path_through_cache(
+        &self,
+        now: Micros,
+        request: &PendingRequest,
+        transfer_time: f64,
+    ) -> Option<AttemptPath> {
+        let cache = self.choose_cache(now, request, transfer_time)?;
         let sources = request.attempts.iter().filter_map(|attempt| attempt.path.source);
         let avoid_used = request.conclusive_attempts() >= MAX_ATTEMPTS_WITH_SAME_SOURCE;
         let avoided: Vec<EndpointId> = if avoid_used { sources.collect() } else { Vec::new() };
-        let parent = self.choose_parent(now, request.object, work, &avoided);
+        let parent = self.choose_parent(now, request.object, transfer_time, &avoided);
         let source = parent.or_else(|| self.permitted_origin(request)).unwrap_or(cache);
         Some(AttemptPath { to: cache, source: Some(source) })
     }
 
     /// A path directly to a parent or to the origin, if the request was not sent there yet.
-    fn path_bypassing_caches(&self, now: Micros, request: &PendingRequest, work: f64) -> Option<AttemptPath> {
+    fn path_bypassing_caches(
+        &self,
+        now: Micros,
+        request: &PendingRequest,
+        transfer_time: f64,
+    ) -> Option<AttemptPath> {
         let origin = self.permitted_origin(request);
         let untried = |id: &EndpointId| !request.was_sent_to(*id);
-        if let Some(parent) = self.choose_parent(now, request.object, work, &[]).filter(untried) {
+        if let Some(parent) = self.choose_parent(now, request.object, transfer_time, &[]).filter(untried) {
             return Some(AttemptPath { to: parent, source: Some(origin.unwrap_or(parent)) });
         }
         let origin = origin.filter(untried)?;
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -1,6 +1,6 @@
 //! Conditions of retries: the retry budget, and when and at which endpoints a request may be repeated.
 
-use super::endpoints::KnownEndpoint;
+use super::endpoints::TrackedEndpoint;
 use super::outlier_detection::MAX_HALF_LIFE;
 use super::pending_request::{EndedAttempt, PendingRequest};
 use super::Router;
@@ -34,7 +34,7 @@
     /// in transport; for an error, its elapsed time as a fraction of the latency objective, up to 1; else 1.
     pub(super) fn retry_cost(&self, request: &PendingRequest, ended: &EndedAttempt) -> f64 {
         match ended.outcome {
-            outcome if outcome.is_lost() => 0.0,
+            outcome if outcome.is_transport_failure() => 0.0,
             AttemptOutcome::Error => (ended.elapsed as f64 / self.latency_objective(request)).min(1.0),
             _ => 1.0,
         }
@@ -66,7 +66,7 @@
     /// Whether two endpoints share idempotency keys, so that one drops a repeat of a request that the other
     /// ran.
     fn shares_idempotency_keys(&self, scope: KeyScope, first: EndpointId, second: EndpointId) -> bool {
-        let same = |number: fn(&KnownEndpoint) -> u32| {
+        let same = |number: fn(&TrackedEndpoint) -> u32| {
             let numbers = self.endpoints.get(&first).map(number).zip(self.endpoints.get(&second).map(number));
             numbers.is_some_and(|(first, second)| first == second)
         };
--- a/src/settings/platform_json.rs
+++ b/src/settings/platform_json.rs
@@ -183,7 +183,7 @@
             fleet_size: self.fleet_size,
             local_fleet_size: in_zone.unwrap_or(self.fleet_size),
             client_kb_per_s: family.client_kb_per_s,
-            weights_known: matches!(self.weight_kind.as_str(), "nominal" | "rough"),
+            weights_are_capacities: matches!(self.weight_kind.as_str(), "nominal" | "rough"),
             can_join_fills: family.can_join_fills,
             can_bypass_caches: family.can_bypass_caches,
             reports_cache_status: matches!(family.cache_status_reports.as_str(), "hit" | "all"),
--- a/src/stats/hash.rs
+++ b/src/stats/hash.rs
@@ -15,20 +15,20 @@
 
 /// The score of a node for a key; the node with the lowest score is first. A node is first for a share of the
 /// keys in proportion to its weight, and adding a node only moves keys to that node.
-fn rendezvous(key: u64, node: u32, weight: f64) -> f64 {
+fn score(key: u64, node: u32, weight: f64) -> f64 {
     -unit_hash(key, u64::from(node)).ln() / weight
 }
 
 /// The first node in a key's order; `nodes` yields nodes with their weights.
 pub fn rendezvous_first(key: u64, nodes: impl Iterator<Item = (u32, f64)>) -> Option<u32> {
-    let scored = nodes.map(|(node, weight)| (rendezvous(key, node, weight), node));
+    let scored = nodes.map(|(node, weight)| (score(key, node, weight), node));
     scored.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, node)| node)
 }
 
 /// All nodes in a key's order; `nodes` yields nodes with their weights and values to return with them.
 pub fn rendezvous_order<T>(key: u64, nodes: impl Iterator<Item = (u32, f64, T)>) -> Vec<(u32, T)> {
-    let scored = nodes.map(|(node, weight, rest)| (rendezvous(key, node, weight), node, rest));
+    let scored = nodes.map(|(node, weight, value)| (score(key, node, weight), node, value));
     let mut order: Vec<(f64, u32, T)> = scored.collect();
     order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-    order.into_iter().map(|(_, node, rest)| (node, rest)).collect()
+    order.into_iter().map(|(_, node, value)| (node, value)).collect()
 }
--- a/src/stats/mean_deviation.rs
+++ b/src/stats/mean_deviation.rs
@@ -20,7 +20,7 @@
     }
 
     /// The mean plus a number of deviations.
-    pub fn above(&self, deviations: f64) -> f64 {
+    pub fn mean_plus_deviations(&self, deviations: f64) -> f64 {
         self.mean + deviations * self.deviation
     }
 }
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -119,7 +119,7 @@
     let mut times = MeanDeviation::new(10.0, 2.0);
     times.add(14.0, 0.5);
     // The deviation is relative to the mean before the sample.
-    assert_eq!((times.above(0.0), times.above(1.0)), (12.0, 15.0));
+    assert_eq!((times.mean_plus_deviations(0.0), times.mean_plus_deviations(1.0)), (12.0, 15.0));
 }
 
 #[test]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -57,7 +57,7 @@
         fleet_size: 1,
         local_fleet_size: 1,
         client_kb_per_s: 5_000.0,
-        weights_known: true,
+        weights_are_capacities: true,
         can_join_fills: true,
         can_bypass_caches: true,
         reports_cache_status: true,
--- a/tests/fleet_model/mod.rs
+++ b/tests/fleet_model/mod.rs
@@ -137,7 +137,7 @@
             local_fleet_size: scenario.fleet_size / scenario.locations,
             reports_cache_status: scenario.reports_cache_status,
             can_check_health: false,
-            weights_known: true,
+            weights_are_capacities: true,
             ..settings()
         };
         policy.classes[WRITE].latency_objective = 700 * MS;
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -22,7 +22,7 @@
     PolicySettings {
         fleet_size: 100,
         local_fleet_size: 8,
-        weights_known: false,
+        weights_are_capacities: false,
         reports_cache_status: false,
         can_check_health: false,
         ..settings()
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -383,7 +383,7 @@
         fleet_size: 0,
         local_fleet_size: 0,
         client_kb_per_s: 0.0,
-        weights_known: false,
+        weights_are_capacities: false,
         can_join_fills: false,
         can_bypass_caches: false,
         reports_cache_status: false,
@@ -704,7 +704,7 @@
 #[test]
 fn a_timeout_shortened_by_the_deadline_counts_against_no_endpoint() {
     let mut harness = Harness::new(
-        PolicySettings { weights_known: false, reports_cache_status: false, ..settings() },
+        PolicySettings { weights_are_capacities: false, reports_cache_status: false, ..settings() },
         fleet(),
     );
     for object in 0..400 {
@@ -742,7 +742,7 @@
 fn an_unknown_capacity_grows_with_timely_responses_and_shrinks_with_late_ones() {
     let entries = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
     let mut harness = Harness::new(
-        PolicySettings { weights_known: false, reports_cache_status: false, ..settings() },
+        PolicySettings { weights_are_capacities: false, reports_cache_status: false, ..settings() },
         entries,
     );
     let mut rejected = [0, 0, 0];
@@ -851,7 +851,7 @@
 fn a_burst_of_late_responses_reduces_a_caches_capacity_once() {
     let entries = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
     let mut harness = Harness::new(
-        PolicySettings { weights_known: false, reports_cache_status: false, ..settings() },
+        PolicySettings { weights_are_capacities: false, reports_cache_status: false, ..settings() },
         entries,
     );
     let mut rejected = 0;
@@ -873,7 +873,7 @@
 fn an_overloaded_cache_of_unknown_capacity_still_serves_in_time() {
     let entries = vec![endpoint(1, Tier::Cache), endpoint(11, Tier::Parent), endpoint(21, Tier::Origin)];
     let mut harness = Harness::new(
-        PolicySettings { weights_known: false, reports_cache_status: false, ..settings() },
+        PolicySettings { weights_are_capacities: false, reports_cache_status: false, ..settings() },
         entries,
     );
     let mut in_flight = std::collections::VecDeque::new();
