--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn additions_at_the_rate_of_a_sum_keep_it_constant() {
+fn rate_equals_the_rate_of_steady_additions() {
     let mut sum = DecayingSum::default();
     (0..100_000).for_each(|now| sum.add(now, 1_000.0, 0.25));
     assert!((sum.rate(100_000, 1_000.0) - 0.25).abs() < 0.001);
 }
 
 #[test]
-fn a_share_starts_from_its_prior() {
+fn bad_share_includes_the_prior() {
     let mut share = DecayingOutcomes::default();
     assert_eq!(share.bad_share(0, 100.0, 3.0), 0.0);
     share.bad.add(0, 100.0, 2.0);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn rendezvous_hashing_shares_keys_by_weight_and_a_new_node_moves_only_its_own_keys() {
+fn rendezvous_hashing_distributes_keys_by_weight_and_moves_keys_only_to_a_new_node() {
     let first = |key: u64, nodes: &[(u32, f64)]| rendezvous_first(key, nodes.iter().copied());
     let (old, new) = ([(1, 1.0), (2, 3.0)], [(1, 1.0), (2, 3.0), (3, 4.0)]);
     let second = (0..10_000).filter(|key| first(*key, &old) == Some(2)).count();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_order_begins_with_the_first_node_and_does_not_change_when_that_is_removed() {
+fn the_order_begins_with_the_first_node_and_removing_it_keeps_the_order_of_the_others() {
     let order = |key: u64, nodes: &[u32]| -> Vec<u32> {
         let nodes = nodes.iter().map(|n| (*n, 2.0, ()));
         rendezvous_order(key, nodes).into_iter().map(|(node, ())| node).collect()
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn outcomes_change_a_share_by_the_time_since_the_previous_one_within_its_bounds() {
+fn an_adaptive_share_changes_by_the_time_between_outcomes_and_stays_within_bounds() {
     const SECOND: crate::Micros = 1_000_000;
     let rates = ShareRates { increase_per_s: 0.25, decay_per_s: std::f64::consts::LN_2, max_gap_s: 1.0 };
     let after = |outcomes: u64| {
@@ -85,12 +85,12 @@
     share.add(60 * SECOND, 0, &rates, 0.1, Some(false));
     assert_eq!(share.value(), 0.5, "an outcome counts for one second at most");
     share.add(60 * SECOND, 0, &rates, 0.1, Some(false));
-    assert_eq!(share.value(), 0.5, "a second outcome at the same time counts for no time");
+    assert_eq!(share.value(), 0.5, "a second outcome at the same time does not change the share");
     share.add(61 * SECOND, 1, &rates, 0.1, Some(true));
     assert_eq!(share.value(), 0.75, "the other kind is timed separately");
     share.add(62 * SECOND, 0, &rates, 0.1, None);
     share.add(62 * SECOND, 0, &rates, 0.1, Some(false));
-    assert_eq!(share.value(), 0.75, "an inconclusive outcome uses up the time since the previous one");
+    assert_eq!(share.value(), 0.75, "an inconclusive outcome updates the time of the last outcome");
     (63..70).for_each(|n| share.add(n * SECOND, 0, &rates, 0.1, Some(false)));
     assert_eq!(share.value(), 0.1);
     (70..80).for_each(|n| share.add(n * SECOND, 0, &rates, 0.1, Some(true)));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_bucket_drains_to_empty_and_no_further() {
+fn the_level_of_a_bucket_does_not_fall_below_zero() {
     let mut bucket = LeakyBucket::new(0, 10.0);
     assert_eq!(bucket.level(10, 0.5), 5.0);
     bucket.add(10, 0.5, 2.0);
@@ -131,7 +131,7 @@
     counts.add(200, 8);
     assert_eq!((counts.get(7), counts.get(8)), (1.0, 1.0));
     counts.add(201, 9);
-    // Two keys fill a generation: the next call starts a new one.
+    // Two keys fill a generation; the next `add` starts a new one and drops the oldest.
     counts.add(202, 9);
     assert_eq!((counts.get(7), counts.get(8), counts.get(9)), (0.0, 1.0, 2.0));
 }
