--- a/tests/cold_members.rs
+++ b/tests/cold_members.rs
@@ -41,7 +41,7 @@
     let sum: f64 = (0..fleet_size).map(weight).sum();
     let members = (0..fleet_size).map(|k| {
         let mut router = Router::new(policy.clone(), seed * 1_000 + u64::from(k));
-        router.handle(S, &Event::EndpointsChanged { full: true, entries: fleet() }, &mut Vec::new());
+        router.handle(S, &Event::EndpointsChanged { full: true, entries: endpoints() }, &mut Vec::new());
         FleetMember { router, traffic_share: weight(k) / sum }
     });
     (policy.clone(), members.collect())
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -84,7 +84,7 @@
 }
 
 /// Caches 1 to 4, parents 11 to 13 and origin 21.
-pub fn fleet() -> Vec<Endpoint> {
+pub fn endpoints() -> Vec<Endpoint> {
     let caches = (1..=4).map(|id| endpoint(id, Tier::Cache));
     let parents = (11..=13).map(|id| endpoint(id, Tier::Parent));
     caches.chain(parents).chain([endpoint(21, Tier::Origin)]).collect()
@@ -164,7 +164,7 @@
     }
 
     /// Sends a request of class 0 and returns its first attempt, which is served at once.
-    pub fn path(&mut self, object: ObjectId) -> SentAttempt {
+    pub fn serve_request(&mut self, object: ObjectId) -> SentAttempt {
         let actions = self.request(0, object);
         let first = sent_attempts(&actions).first().cloned().expect("an attempt");
         self.end_attempt(first.id, 0, AttemptOutcome::Served, true);
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -32,7 +32,7 @@
 /// If every router could send its saved retries at once, the fleet would overload a failing origin further.
 #[test]
 fn retries_of_a_hundred_routers_do_not_multiply_an_overload() {
-    let mut fleet = routers(&large_fleet_settings(), &fleet(), 100);
+    let mut fleet = routers(&large_fleet_settings(), &endpoints(), 100);
     // Each router gets eight requests per second: eight seconds of successes, then two seconds of rejections.
     let (mut first, mut retries) = (0, 0);
     for step in 0..80u64 {
@@ -40,7 +40,7 @@
             harness.now += 125 * MS;
             let object = step * 100 + k as u64;
             if step < 64 {
-                harness.path(object);
+                harness.serve_request(object);
                 continue;
             }
             let mut actions = harness.request(2, object);
@@ -60,7 +60,7 @@
 /// At a low request rate, failures must not keep a parent ejected long after it has recovered.
 #[test]
 fn a_recovered_parent_gets_requests_within_seconds_at_a_low_rate() {
-    let mut fleet = routers(&large_fleet_settings(), &fleet(), 20);
+    let mut fleet = routers(&large_fleet_settings(), &endpoints(), 20);
     let mut requests_until_use = Vec::new();
     for (k, harness) in fleet.iter_mut().enumerate() {
         let mut next = 1_000 * k as u64;
@@ -107,7 +107,7 @@
 /// One of eight routers must not extrapolate a few concurrent attempts by chance to an overload.
 #[test]
 fn a_few_concurrent_attempts_by_chance_cause_no_rejections() {
-    let mut router = routers(&large_fleet_settings(), &fleet(), 1).remove(0);
+    let mut router = routers(&large_fleet_settings(), &endpoints(), 1).remove(0);
     let mut rejected_at = None;
     for n in 1..=40 {
         router.now += MS;
@@ -124,7 +124,7 @@
 /// continue, and fills resume after recovery.
 #[test]
 fn fills_of_a_hundred_routers_decrease_with_late_responses_for_the_same_objects() {
-    let mut fleet = routers(&large_fleet_settings(), &fleet(), 100);
+    let mut fleet = routers(&large_fleet_settings(), &endpoints(), 100);
     let serve = |harness: &mut Harness, class, object, elapsed| {
         let first = sent_attempts(&harness.request(class, object)).first().cloned()?;
         let (id, outcome, cache_status) = (first.id, AttemptOutcome::Served, CacheStatus::Unknown);
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -38,16 +38,16 @@
 
 #[test]
 fn all_routers_select_the_same_home_parent_for_an_object() {
-    let mut one = Harness::new(settings(), fleet());
-    let mut two = Harness::new(settings(), fleet().into_iter().rev().collect());
+    let mut one = Harness::new(settings(), endpoints());
+    let mut two = Harness::new(settings(), endpoints().into_iter().rev().collect());
     two.router = Router::new(settings(), 99);
-    two.handle(Event::EndpointsChanged { full: true, entries: fleet() });
+    two.handle(Event::EndpointsChanged { full: true, entries: endpoints() });
     let mut homes = BTreeMap::new();
     for object in 0..300 {
-        let source = one.path(object).source.expect("a source");
-        assert_eq!(two.path(object).source, Some(source));
+        let source = one.serve_request(object).source.expect("a source");
+        assert_eq!(two.serve_request(object).source, Some(source));
         assert_eq!(
-            one.path(object).source,
+            one.serve_request(object).source,
             Some(source),
             "the second request of an object has the same source"
         );
@@ -59,11 +59,11 @@
 
 #[test]
 fn removing_a_parent_moves_its_objects_to_the_next_one_and_no_others() {
-    let mut harness = Harness::new(settings(), fleet());
-    let before: Vec<_> = (0..300).map(|o| harness.path(o).source).collect();
+    let mut harness = Harness::new(settings(), endpoints());
+    let before: Vec<_> = (0..300).map(|o| harness.serve_request(o).source).collect();
     harness.update_endpoint(Endpoint { state: EndpointState::Removed, ..endpoint(12, Tier::Parent) });
     for (object, source) in before.into_iter().enumerate() {
-        let now = harness.path(object as u64).source;
+        let now = harness.serve_request(object as u64).source;
         let next = if source == Some(12) { Some(13) } else { source };
         assert_eq!(now, next, "only the objects of the removed parent move, to the next one");
     }
@@ -71,26 +71,26 @@
 
 #[test]
 fn without_parents_fills_come_from_the_origin() {
-    let entries = fleet().into_iter().filter(|e| e.tier != Tier::Parent).collect();
+    let entries = endpoints().into_iter().filter(|e| e.tier != Tier::Parent).collect();
     let mut harness = Harness::new(settings(), entries);
-    assert!((0..50).all(|o| harness.path(o).source == Some(21)));
+    assert!((0..50).all(|o| harness.serve_request(o).source == Some(21)));
 }
 
 #[test]
 fn uncacheable_requests_run_at_the_origin() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     let first = sent_attempts(&harness.request(2, 5))[0].clone();
     assert_eq!((first.to, first.source), (21, None));
     let mut policy = settings();
     policy.can_bypass_caches = false;
-    let mut harness = Harness::new(policy, fleet());
+    let mut harness = Harness::new(policy, endpoints());
     let first = sent_attempts(&harness.request(2, 5))[0].clone();
     assert!(first.to <= 4 && first.source == Some(21));
 }
 
 #[test]
 fn a_popular_object_is_spread_over_two_or_three_caches() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     let to = |harness: &mut Harness, part| {
         let id = 1_000_000 + u64::from(part) + harness.now;
         harness.now += MS;
@@ -115,9 +115,9 @@
 #[test]
 fn replacing_a_parent_moves_only_its_objects_and_a_new_router_agrees() {
     let home = |harness: &mut Harness, range: std::ops::Range<u64>| -> Vec<_> {
-        range.map(|o| harness.path(o).source.expect("a source")).collect()
+        range.map(|o| harness.serve_request(o).source.expect("a source")).collect()
     };
-    let mut old = Harness::new(settings(), fleet());
+    let mut old = Harness::new(settings(), endpoints());
     let before = home(&mut old, 0..600);
     old.update_endpoint(Endpoint { state: EndpointState::Removed, ..endpoint(12, Tier::Parent) });
     old.update_endpoint(endpoint(14, Tier::Parent));
@@ -128,7 +128,7 @@
         "{moved} of 600 moved to the new parent, without those of the removed one"
     );
     // A router that never knew the removed parent differs only for its objects.
-    let now: Vec<Endpoint> = fleet().into_iter().filter(|e| e.id != 12).collect();
+    let now: Vec<Endpoint> = endpoints().into_iter().filter(|e| e.id != 12).collect();
     let mut new = Harness::new(settings(), now.into_iter().chain([endpoint(14, Tier::Parent)]).collect());
     let theirs = home(&mut new, 0..600);
     let differ = (0..600).filter(|k| after[*k] != theirs[*k] && before[*k] != 12).count();
@@ -138,10 +138,10 @@
 /// A parent of low capacity must not get the same share of objects as the others.
 #[test]
 fn a_parents_share_of_objects_is_proportional_to_its_weight() {
-    let mut entries = fleet();
+    let mut entries = endpoints();
     entries.iter_mut().filter(|e| e.id == 11).for_each(|e| e.weight = 60.0);
     let mut harness = Harness::new(settings(), entries);
-    let uses = (0..500).filter(|o| harness.path(*o).source == Some(11)).count();
+    let uses = (0..500).filter(|o| harness.serve_request(*o).source == Some(11)).count();
     assert!((260..340).contains(&uses), "{uses} of 500 for three fifths of the total weight");
 }
 
@@ -150,14 +150,14 @@
 fn routers_of_a_location_select_the_same_cache_whatever_their_traffic() {
     let mut policy = settings();
     policy.local_fleet_size = 7;
-    let mut seen = Harness::new(policy.clone(), fleet());
+    let mut seen = Harness::new(policy.clone(), endpoints());
     for _ in 0..20 {
         (0..100).for_each(|o| {
-            seen.path(o);
+            seen.serve_request(o);
         });
     }
-    let mut fresh = Harness::new(policy, fleet());
-    assert!((0..100).all(|o| seen.path(o).to == fresh.path(o).to));
+    let mut fresh = Harness::new(policy, endpoints());
+    assert!((0..100).all(|o| seen.serve_request(o).to == fresh.serve_request(o).to));
 }
 
 // ---- outlier detection and load shedding ----
@@ -165,7 +165,7 @@
 /// In a large fleet, one router sends a parent less than one request in two seconds.
 #[test]
 fn a_failing_parent_is_ejected_at_a_low_request_rate_and_recovers() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     let run = |harness: &mut Harness, objects: std::ops::Range<u64>, dead: bool| {
         let failures = std::cell::Cell::new(0);
         send_requests_every(harness, 500 * MS, objects, |a| {
@@ -186,13 +186,13 @@
     assert!(later <= 10, "{later} failures in the next 20 s");
     harness.now += 20 * S;
     run(&mut harness, 3_000..3_040, false);
-    assert!((4_000..4_100).filter(|o| harness.path(*o).source == Some(12)).count() > 15);
+    assert!((4_000..4_100).filter(|o| harness.serve_request(*o).source == Some(12)).count() > 15);
 }
 
 /// A long series of successes must not delay the ejection of a parent that fails.
 #[test]
 fn a_source_that_fails_through_every_cache_is_ejected_fast() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     send_requests(&mut harness, 0..500, |_| AttemptOutcome::Served);
     let failing = |a: &SentAttempt| {
         if a.source == Some(12) {
@@ -209,7 +209,7 @@
         failing(a)
     });
     assert!(uses.get() < 30, "{} attempts for 300 objects still use it", uses.get());
-    let caches: std::collections::BTreeSet<_> = (3_000..3_100).map(|o| harness.path(o).to).collect();
+    let caches: std::collections::BTreeSet<_> = (3_000..3_100).map(|o| harness.serve_request(o).to).collect();
     assert_eq!(caches.len(), 4, "no cache is ejected");
 }
 
@@ -221,7 +221,7 @@
         AttemptOutcome::ConnectionLost,
         AttemptOutcome::TimedOut,
     ] {
-        let mut harness = Harness::new(settings(), fleet());
+        let mut harness = Harness::new(settings(), endpoints());
         send_requests(&mut harness, 0..200, |_| AttemptOutcome::Served);
         send_requests(
             &mut harness,
@@ -239,11 +239,12 @@
             }
         });
         assert!(uses.get() < 20, "{outcome:?}: {} attempts for 200 objects still go there", uses.get());
-        let sources: std::collections::BTreeSet<_> = (3_000..3_100).map(|o| harness.path(o).source).collect();
+        let sources: std::collections::BTreeSet<_> =
+            (3_000..3_100).map(|o| harness.serve_request(o).source).collect();
         assert_eq!(sources.len(), 3, "{outcome:?}: no parent is ejected");
         harness.now += 15 * S;
         send_requests(&mut harness, 4_000..4_200, |_| AttemptOutcome::Served);
-        let uses = (5_000..5_200).filter(|o| harness.path(*o).to == 2).count();
+        let uses = (5_000..5_200).filter(|o| harness.serve_request(*o).to == 2).count();
         assert!(uses > 25, "{outcome:?}: {uses} of 200 go there after it recovered");
     }
 }
@@ -251,7 +252,7 @@
 /// Failures that all caches have in common must not eject them all and send every request to the origin.
 #[test]
 fn if_all_attempts_fail_no_cache_is_ejected() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     send_requests(&mut harness, 0..300, |_| AttemptOutcome::Error);
     // Some requests are rejected to protect the sources; the others still go to every cache.
     let first = |object| sent_attempts(&harness.request(0, object)).first().map(|a| a.to);
@@ -262,7 +263,7 @@
 /// The origin serves as a peer, so that outlier detection also works for a single parent.
 #[test]
 fn if_the_only_parent_fails_fills_come_from_the_origin() {
-    let entries = fleet().into_iter().filter(|e| e.tier != Tier::Parent || e.id == 11).collect();
+    let entries = endpoints().into_iter().filter(|e| e.tier != Tier::Parent || e.id == 11).collect();
     let mut harness = Harness::new(settings(), entries);
     send_requests(&mut harness, 0..200, |_| AttemptOutcome::Served);
     let failing = |a: &SentAttempt| {
@@ -273,7 +274,7 @@
         }
     };
     send_requests(&mut harness, 1_000..1_080, failing);
-    let direct = (2_000..2_200).filter(|o| harness.path(*o).source == Some(21)).count();
+    let direct = (2_000..2_200).filter(|o| harness.serve_request(*o).source == Some(21)).count();
     assert!(direct > 150, "{direct} of 200 fill from the origin");
 }
 
@@ -281,7 +282,7 @@
 #[test]
 fn without_cache_status_hits_do_not_hide_a_dead_source() {
     let policy = PolicySettings { reports_cache_status: false, ..settings() };
-    let mut harness = Harness::new(policy, fleet());
+    let mut harness = Harness::new(policy, endpoints());
     let failing = |a: &SentAttempt| {
         if a.source == Some(12) && a.id % 3 == 0 {
             AttemptOutcome::Rejected
@@ -308,14 +309,14 @@
             attempts += 1;
         }
     }
-    let uses = (2_000..2_060).filter(|o| harness.path(*o).source == Some(12)).count();
+    let uses = (2_000..2_060).filter(|o| harness.serve_request(*o).source == Some(12)).count();
     assert!(uses < 12, "{uses} of 60 still use it");
 }
 
 /// Under lasting overload, admitting every request would make all responses late.
 #[test]
 fn requests_above_the_admitted_load_are_rejected_without_an_attempt() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     let rejected = |harness: &mut Harness, object| {
         let actions = harness.request(0, object);
         match actions.as_slice() {
@@ -335,7 +336,7 @@
 /// Late responses of one class must not shed another, and the late class must accept stale copies.
 #[test]
 fn a_congested_class_accepts_stale_copies_and_does_not_affect_others() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     let age = |harness: &mut Harness, object| {
         sent_attempts(&harness.request(1, object)).first().map(|a| (a.id, a.max_age))
     };
@@ -351,13 +352,13 @@
     }
     let (_, after) = age(&mut harness, 100).expect("an attempt");
     assert_eq!(after, 25 * S, "stale copies are accepted while they are revalidated");
-    assert_eq!(harness.path(200).max_age, 0);
+    assert_eq!(harness.serve_request(200).max_age, 0);
 }
 
 /// Without a limit, retries would cause more failures and thus more retries.
 #[test]
 fn retries_are_limited_by_the_retry_budget() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     let (mut first, mut retries) = (0, 0);
     for object in 0..2_000 {
         harness.now += 20 * MS;
@@ -396,7 +397,7 @@
         parent_slow_start: zero,
         ..settings()
     };
-    let lists = [Vec::new(), vec![endpoint(1, Tier::Cache)], vec![endpoint(21, Tier::Origin)], fleet()];
+    let lists = [Vec::new(), vec![endpoint(1, Tier::Cache)], vec![endpoint(21, Tier::Origin)], endpoints()];
     for entries in lists {
         let mut harness = Harness::new(bare.clone(), entries);
         for class in 0..4 {
@@ -422,10 +423,10 @@
     let policy = PolicySettings { watch_endpoints: true, ..settings() };
     let mut router = Router::new(policy, 1);
     let mut actions = Vec::new();
-    router.handle(0, &Event::EndpointsChanged { full: true, entries: fleet() }, &mut actions);
+    router.handle(0, &Event::EndpointsChanged { full: true, entries: endpoints() }, &mut actions);
     assert_eq!(actions, [Action::Watch]);
     actions.clear();
-    router.handle(1, &Event::EndpointsChanged { full: true, entries: fleet() }, &mut actions);
+    router.handle(1, &Event::EndpointsChanged { full: true, entries: endpoints() }, &mut actions);
     assert!(actions.is_empty());
     router.handle(2, &Event::WatchLost, &mut actions);
     let Some(Action::SetTimer { token, at }) = actions.pop() else { panic!("a timer") };
@@ -443,7 +444,7 @@
 /// If fills are late, cached copies must still be served.
 #[test]
 fn under_congestion_fills_are_shed_and_misses_are_rejected_at_once() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     for object in 1_000..1_060 {
         harness.now += 20 * MS;
         if let Some(first) = sent_attempts(&harness.request(0, object)).first() {
@@ -474,7 +475,7 @@
 /// A restarted parent without any outcome must not count as a healthy peer by which the others are ejected.
 #[test]
 fn a_parent_without_outcomes_does_not_make_its_peers_outliers() {
-    let entries: Vec<_> = fleet().into_iter().filter(|e| e.tier != Tier::Origin).collect();
+    let entries: Vec<_> = endpoints().into_iter().filter(|e| e.tier != Tier::Origin).collect();
     let mut harness = Harness::new(settings(), entries);
     // Half of all fills fail at every parent.
     send_requests(&mut harness, 0..300, |a| {
@@ -496,7 +497,7 @@
 /// Without parents, fills from all routers would overload a failing origin.
 #[test]
 fn fills_from_the_origin_decrease_while_it_fails_and_recover_with_it() {
-    let entries: Vec<_> = fleet().into_iter().filter(|e| e.tier != Tier::Parent).collect();
+    let entries: Vec<_> = endpoints().into_iter().filter(|e| e.tier != Tier::Parent).collect();
     let mut harness = Harness::new(settings(), entries);
     let fills = |harness: &mut Harness, objects: std::ops::Range<u64>, outcome: AttemptOutcome| {
         let mut fills = 0;
@@ -525,7 +526,7 @@
 /// Time-outs of caches that hang must not be attributed to the origin.
 #[test]
 fn timeouts_of_hanging_caches_do_not_stop_fetches_from_the_origin() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     let (mut hung, mut attempted, mut fetched) = (0, 0, 0);
     for object in 0..120 {
         harness.now += 250 * MS;
@@ -552,9 +553,9 @@
 /// A restarted parent may respond before the endpoint list shows its new process.
 #[test]
 fn an_endpoint_that_fails_a_health_check_is_ejected_and_returns_with_slow_start() {
-    let mut harness = Harness::new(settings(), fleet());
-    let before = (0..300).filter(|o| harness.path(*o).source == Some(12)).count();
-    let object = (0..300).find(|o| harness.path(*o).source == Some(12)).expect("one of its objects");
+    let mut harness = Harness::new(settings(), endpoints());
+    let before = (0..300).filter(|o| harness.serve_request(*o).source == Some(12)).count();
+    let object = (0..300).find(|o| harness.serve_request(*o).source == Some(12)).expect("one of its objects");
     let id = sent_attempts(&harness.request(0, object))[0].id;
     let actions = harness.end_attempt(id, 0, AttemptOutcome::Rejected, false);
     assert!(
@@ -564,16 +565,16 @@
     harness.handle(Event::ClientDisconnected { id });
     let actions =
         harness.handle(Event::HealthChecked { endpoint: 12, outcome: AttemptOutcome::NoConnection });
-    assert_eq!((0..300).filter(|o| harness.path(*o).source == Some(12)).count(), 0);
+    assert_eq!((0..300).filter(|o| harness.serve_request(*o).source == Some(12)).count(), 0);
     let [Action::SetTimer { token, at }] = actions[..] else { panic!("a timer for the next health check") };
     harness.now = at;
     assert_eq!(harness.handle(Event::Timer { token }), [Action::CheckHealth { endpoint: 12 }]);
     harness.handle(Event::HealthChecked { endpoint: 12, outcome: AttemptOutcome::Served });
     harness.now += 2 * S;
-    let back = (0..300).filter(|o| harness.path(*o).source == Some(12)).count();
+    let back = (0..300).filter(|o| harness.serve_request(*o).source == Some(12)).count();
     assert!((1..before / 2).contains(&back), "{back} of {before} during slow start");
     harness.now += 25 * S;
-    assert_eq!((0..300).filter(|o| harness.path(*o).source == Some(12)).count(), before);
+    assert_eq!((0..300).filter(|o| harness.serve_request(*o).source == Some(12)).count(), before);
     // Results for removed and for unknown endpoints are ignored.
     harness.update_endpoint(Endpoint { state: EndpointState::Removed, ..endpoint(12, Tier::Parent) });
     for endpoint in [12, 99] {
@@ -587,7 +588,7 @@
 #[test]
 fn large_objects_are_shed_before_small_ones() {
     let admitted = |size_kb: f64| {
-        let mut harness = Harness::new(settings(), fleet());
+        let mut harness = Harness::new(settings(), endpoints());
         (0..400u64)
             .filter(|k| {
                 let (id, group, part, deadline_at) = (k + 1, 0, 0, harness.now + 3 * S);
@@ -613,7 +614,7 @@
         overload_window: S,
     };
     let started_at = 100 * S;
-    let mut entries = fleet();
+    let mut entries = endpoints();
     entries.iter_mut().filter(|e| e.id == 1).for_each(|e| e.started_at = started_at);
     let mut routers: Vec<Harness> = (0..7)
         .map(|k| {
@@ -628,7 +629,7 @@
     for step in 0..30u64 {
         for (k, harness) in routers.iter_mut().enumerate() {
             harness.now = started_at + step * 100 * MS;
-            let path = harness.path(step * 7 + k as u64);
+            let path = harness.serve_request(step * 7 + k as u64);
             sends.extend((path.to == 1).then_some(step));
         }
     }
@@ -642,29 +643,29 @@
 
 #[test]
 fn duplicate_entries_and_tier_changes_are_applied() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     // The last of two entries for the same endpoint applies.
     let entries = vec![
         endpoint(2, Tier::Cache),
         Endpoint { state: EndpointState::Draining, ..endpoint(2, Tier::Cache) },
     ];
     harness.handle(Event::EndpointsChanged { full: false, entries });
-    assert!((0..200).all(|o| harness.path(o).to != 2));
+    assert!((0..200).all(|o| harness.serve_request(o).to != 2));
     // A parent that becomes a cache gets attempts as a cache and is no fill source any more, and vice versa.
     harness.update_endpoint(endpoint(12, Tier::Cache));
-    let paths: Vec<SentAttempt> = (0..200).map(|o| harness.path(o)).collect();
+    let paths: Vec<SentAttempt> = (0..200).map(|o| harness.serve_request(o)).collect();
     assert!(paths.iter().any(|p| p.to == 12) && paths.iter().all(|p| p.source != Some(12)));
     harness.update_endpoint(endpoint(12, Tier::Parent));
-    let paths: Vec<SentAttempt> = (0..200).map(|o| harness.path(o)).collect();
+    let paths: Vec<SentAttempt> = (0..200).map(|o| harness.serve_request(o)).collect();
     assert!(paths.iter().any(|p| p.source == Some(12)) && paths.iter().all(|p| p.to != 12));
     // A cache that moves to another location gets no more attempts.
     harness.update_endpoint(endpoint(3, Tier::RemoteCache));
-    assert!((0..200).all(|o| harness.path(o).to != 3));
+    assert!((0..200).all(|o| harness.serve_request(o).to != 3));
 }
 
 #[test]
 fn an_id_reused_by_a_new_process_warms_up_without_old_outcomes() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     send_requests(&mut harness, 0..200, |a| {
         if a.to == 2 {
             AttemptOutcome::ConnectionLost
@@ -674,7 +675,7 @@
     });
     harness.update_endpoint(Endpoint { started_at: harness.now, ..endpoint(2, Tier::Cache) });
     harness.now += 3 * S;
-    let uses = (1_000..1_200).filter(|o| harness.path(*o).to == 2).count();
+    let uses = (1_000..1_200).filter(|o| harness.serve_request(*o).to == 2).count();
     assert!(
         (1..40).contains(&uses),
         "{uses} of 200 during slow start, without the previous process's failures"
@@ -684,8 +685,8 @@
 #[test]
 fn hundreds_of_endpoints_can_be_removed_and_added_at_once() {
     let far = |ids: std::ops::Range<u32>| ids.map(|id| endpoint(id, Tier::RemoteCache));
-    let mut harness = Harness::new(settings(), fleet().into_iter().chain(far(1_000..1_400)).collect());
-    let before: Vec<SentAttempt> = (0..100).map(|o| harness.path(o)).collect();
+    let mut harness = Harness::new(settings(), endpoints().into_iter().chain(far(1_000..1_400)).collect());
+    let before: Vec<SentAttempt> = (0..100).map(|o| harness.serve_request(o)).collect();
     harness.handle(Event::EndpointsChanged { full: true, entries: far(1_000..1_400).collect() });
     let actions = harness.request(0, 5);
     assert_eq!(
@@ -693,9 +694,9 @@
         (0, 1),
         "without usable endpoints, requests are rejected at once"
     );
-    harness.handle(Event::EndpointsChanged { full: true, entries: fleet() });
+    harness.handle(Event::EndpointsChanged { full: true, entries: endpoints() });
     for (object, then) in before.iter().enumerate() {
-        let now = harness.path(object as u64);
+        let now = harness.serve_request(object as u64);
         assert_eq!((now.to, now.source), (then.to, then.source), "the paths are the same as before");
     }
 }
@@ -705,7 +706,7 @@
 fn a_timeout_shortened_by_the_deadline_counts_against_no_endpoint() {
     let mut harness = Harness::new(
         PolicySettings { weights_are_capacities: false, reports_cache_status: false, ..settings() },
-        fleet(),
+        endpoints(),
     );
     for object in 0..400 {
         harness.now += 10 * MS;
@@ -730,9 +731,9 @@
         });
         assert_eq!(final_responses(&ends), [(id, true)]);
     }
-    let homes: Vec<_> = (0..100).map(|o| harness.path(o)).collect();
-    let mut fresh = Harness::new(settings(), fleet());
-    let all: Vec<_> = (0..100).map(|o| fresh.path(o)).collect();
+    let homes: Vec<_> = (0..100).map(|o| harness.serve_request(o)).collect();
+    let mut fresh = Harness::new(settings(), endpoints());
+    let all: Vec<_> = (0..100).map(|o| fresh.serve_request(o)).collect();
     let same = homes.iter().zip(&all).filter(|(a, b)| a.source == b.source).count();
     assert_eq!(same, 100, "no parent was ejected");
 }
@@ -769,12 +770,13 @@
 #[test]
 fn an_attempt_lost_on_its_way_is_retried_at_the_same_cache() {
     for (outcome, each) in [(AttemptOutcome::Malformed, 1), (AttemptOutcome::ConnectionLost, 5)] {
-        let mut harness = Harness::new(PolicySettings { reports_cache_status: false, ..settings() }, fleet());
-        let mut fresh = Harness::new(settings(), fleet());
+        let mut harness =
+            Harness::new(PolicySettings { reports_cache_status: false, ..settings() }, endpoints());
+        let mut fresh = Harness::new(settings(), endpoints());
         for object in 0..300 {
             harness.now += 20 * MS;
             if object % each != 0 {
-                assert_eq!(harness.path(object).to, fresh.path(object).to);
+                assert_eq!(harness.serve_request(object).to, fresh.serve_request(object).to);
                 continue;
             }
             let actions = harness.request(0, object);
@@ -798,7 +800,7 @@
                 closed: true,
             };
             harness.handle(done);
-            assert_eq!(first.to, fresh.path(object).to, "its cache keeps the object");
+            assert_eq!(first.to, fresh.serve_request(object).to, "its cache keeps the object");
         }
     }
 }
@@ -806,7 +808,7 @@
 /// A cache that resets every connection must not get all attempts of a request.
 #[test]
 fn a_request_goes_to_another_cache_after_two_lost_connections() {
-    let mut harness = Harness::new(PolicySettings { reports_cache_status: false, ..settings() }, fleet());
+    let mut harness = Harness::new(PolicySettings { reports_cache_status: false, ..settings() }, endpoints());
     let actions = harness.request(0, 7);
     let first = sent_attempts(&actions)[0].clone();
     harness.end_attempt(first.id, 0, AttemptOutcome::ConnectionLost, false);
@@ -817,7 +819,7 @@
 /// The fast errors of a location's only cache must not use up the retry budget or eject the parents.
 #[test]
 fn a_lone_cache_that_fails_fast_is_bypassed() {
-    let mut harness = Harness::new(PolicySettings { reports_cache_status: false, ..settings() }, fleet());
+    let mut harness = Harness::new(PolicySettings { reports_cache_status: false, ..settings() }, endpoints());
     let send = |harness: &mut Harness, object: u64| {
         let (mut actions, mut attempt) = (harness.request(0, object), 0);
         while let Some(next) = sent_attempts(&actions).first().cloned() {
@@ -909,7 +911,7 @@
 /// Three seconds after the last late response, misses are filled again.
 #[test]
 fn fills_resume_within_three_seconds_after_congestion() {
-    let mut harness = Harness::new(PolicySettings { reports_cache_status: false, ..settings() }, fleet());
+    let mut harness = Harness::new(PolicySettings { reports_cache_status: false, ..settings() }, endpoints());
     // These attempts remain in flight, so that the caches have some load.
     (0..40).for_each(|object| drop(harness.request(0, object)));
     // Sends 100 requests within one second; returns the number of attempts that forbid fills.
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -44,11 +44,11 @@
     let policy = PolicySettings { can_check_health, ..settings() };
     let mut router = Router::new(policy, seed);
     let mut states: BTreeMap<EndpointId, EndpointState> =
-        fleet().iter().map(|e| (e.id, EndpointState::Active)).collect();
+        endpoints().iter().map(|e| (e.id, EndpointState::Active)).collect();
     let mut open_requests: BTreeMap<RequestId, OpenRequest> = BTreeMap::new();
     let mut timers: Vec<(Micros, u64)> = Vec::new();
     let (mut now, mut next, mut log) = (50 * S, 0, Vec::new());
-    let mut event = Some(Event::EndpointsChanged { full: true, entries: fleet() });
+    let mut event = Some(Event::EndpointsChanged { full: true, entries: endpoints() });
     for step in 0..3_000 {
         now += random.below(30) * MS;
         let accepting = step < 2_500;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -17,7 +17,7 @@
         AttemptOutcome::Error,
         AttemptOutcome::CacheMiss,
     ] {
-        let mut harness = Harness::new(settings(), fleet());
+        let mut harness = Harness::new(settings(), endpoints());
         let mut actions = harness.request(0, 5);
         let (mut attempts, mut responses) = (0, 0);
         while let Some(attempt) = sent_attempts(&actions).first().cloned() {
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_time_out_at_the_deadline_is_rejected_at_once() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     let actions = harness.request(0, 5);
     let id = sent_attempts(&actions)[0].id;
     harness.now += 3 * S;
@@ -45,7 +45,7 @@
 #[test]
 fn a_concluded_request_gets_no_attempt_and_no_response() {
     // The client disconnected: its attempt is cancelled, and the outcome of the attempt is ignored.
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     let actions = harness.request(0, 5);
     let id = sent_attempts(&actions)[0].id;
     assert_eq!(harness.handle(Event::ClientDisconnected { id }), [Action::Cancel { id, attempt: 0 }]);
@@ -76,7 +76,7 @@
         AttemptOutcome::ConnectionLost,
         AttemptOutcome::Cancelled,
     ] {
-        let mut harness = Harness::new(settings(), fleet());
+        let mut harness = Harness::new(settings(), endpoints());
         let id = sent_attempts(&harness.request(3, 5))[0].id;
         let actions = harness.end_attempt(id, 0, outcome, false);
         assert!(sent_attempts(&actions).is_empty(), "{outcome:?}");
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_request_that_is_not_idempotent_and_never_ran_is_retried() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     let id = sent_attempts(&harness.request(3, 5))[0].id;
     assert_eq!(sent_attempts(&harness.end_attempt(id, 0, AttemptOutcome::NoConnection, false)).len(), 1);
 }
@@ -96,7 +96,7 @@
     // All endpoints drop repeats for two seconds: the request is repeated within that time and not later.
     let mut policy = settings();
     policy.classes[2].key_window = 2 * S;
-    let mut harness = Harness::new(policy, fleet());
+    let mut harness = Harness::new(policy, endpoints());
     let id = sent_attempts(&harness.request(2, 5))[0].id;
     harness.now += 100 * MS;
     assert_eq!(sent_attempts(&harness.end_attempt(id, 0, AttemptOutcome::TimedOut, false)).len(), 1);
@@ -113,7 +113,7 @@
     let mut policy = settings();
     policy.can_bypass_caches = false;
     policy.classes[2].key_scope = KeyScope::Cell;
-    let mut harness = Harness::new(policy, fleet());
+    let mut harness = Harness::new(policy, endpoints());
     for object in 0..40 {
         let mut actions = harness.request(2, object);
         let first = sent_attempts(&actions)[0].clone();
@@ -130,7 +130,7 @@
 /// Hedged attempts would double the fills on full links.
 #[test]
 fn a_request_has_one_attempt_in_flight() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     let actions = harness.request(0, 5);
     assert_eq!(sent_attempts(&actions).len(), 1);
     assert!(!actions.iter().any(|a| matches!(a, Action::SetTimer { .. })), "no hedged attempt is scheduled");
@@ -141,11 +141,11 @@
 #[test]
 fn nothing_new_goes_to_a_draining_or_removed_endpoint() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
-        let mut harness = Harness::new(settings(), fleet());
+        let mut harness = Harness::new(settings(), endpoints());
         harness.update_endpoint(Endpoint { state, ..endpoint(2, Tier::Cache) });
         harness.update_endpoint(Endpoint { state, ..endpoint(12, Tier::Parent) });
         for object in 0..300 {
-            let path = harness.path(object);
+            let path = harness.serve_request(object);
             assert_ne!(path.to, 2);
             assert_ne!(path.source, Some(12));
         }
@@ -155,7 +155,7 @@
 #[test]
 fn a_retry_does_not_go_to_an_endpoint_that_started_draining() {
     for object in 0..100 {
-        let mut harness = Harness::new(settings(), fleet());
+        let mut harness = Harness::new(settings(), endpoints());
         let first = sent_attempts(&harness.request(0, object))[0].clone();
         for id in (1..=4).filter(|id| *id != first.to) {
             harness.update_endpoint(Endpoint { state: EndpointState::Draining, ..endpoint(id, Tier::Cache) });
@@ -173,11 +173,11 @@
 
 #[test]
 fn an_endpoint_absent_from_a_full_list_is_removed() {
-    let mut harness = Harness::new(settings(), fleet());
-    let entries = fleet().into_iter().filter(|e| e.id != 3 && e.id != 13).collect();
+    let mut harness = Harness::new(settings(), endpoints());
+    let entries = endpoints().into_iter().filter(|e| e.id != 3 && e.id != 13).collect();
     harness.handle(Event::EndpointsChanged { full: true, entries });
     for object in 0..300 {
-        let path = harness.path(object);
+        let path = harness.serve_request(object);
         assert!(path.to != 3 && path.source != Some(13));
     }
 }
@@ -188,7 +188,7 @@
 fn transfer_time_of(harness: &mut Harness, id: EndpointId, per_second: u64) -> f64 {
     let (mut total, step) = (0.0, S / per_second);
     for object in 0..2 * per_second {
-        let path = harness.path(10_000 + object);
+        let path = harness.serve_request(10_000 + object);
         total += if path.to == id { 0.1 } else { 0.0 };
         total += if path.source == Some(id) { 0.1 } else { 0.0 };
         harness.now += step;
@@ -201,7 +201,7 @@
     for (id, tier, floor, multiple, weight) in
         [(2, Tier::Cache, 0.2, 3.0, 6.0), (12, Tier::Parent, 0.08, 2.0, 20.0)]
     {
-        let mut harness = Harness::new(settings(), fleet());
+        let mut harness = Harness::new(settings(), endpoints());
         let started_at = harness.now;
         harness.update_endpoint(Endpoint { started_at, ..endpoint(id, tier) });
         // Far more requests than the location could serve.
@@ -215,10 +215,10 @@
 #[test]
 fn a_restarted_endpoint_gets_its_share_back_gradually() {
     for (id, tier) in [(2, Tier::Cache), (12, Tier::Parent)] {
-        let mut harness = Harness::new(settings(), fleet());
+        let mut harness = Harness::new(settings(), endpoints());
         let share = |harness: &mut Harness| {
             let uses = |p: SentAttempt| p.to == id || p.source == Some(id);
-            (0..1_000).filter(|o| uses(harness.path(*o * 7_919))).count()
+            (0..1_000).filter(|o| uses(harness.serve_request(*o * 7_919))).count()
         };
         let warm = share(&mut harness);
         harness.now += 60 * S;
@@ -243,7 +243,7 @@
 
 #[test]
 fn every_attempt_after_a_purge_limits_the_age() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     harness.handle(Event::Purged { object: Some(5), group: 5, age: 100 * MS });
     for wait in [0, 200 * MS, S, 3 * S, 6 * S] {
         harness.now = 100 * S + wait;
@@ -259,35 +259,35 @@
     // The purge is complete after six seconds, but a cache that has not responded since may have been paused
     // and still have the purged copy: the maximum age applies to it until it has responded.
     harness.now = 100 * S + 8 * S;
-    let silent = harness.path(5);
+    let silent = harness.serve_request(5);
     assert!(silent.max_age > 0 && silent.max_age <= 8 * S + 100 * MS, "{silent:?}");
-    assert_eq!(harness.path(5).max_age, 0, "the cache has responded after the purge's completion");
-    assert_eq!(harness.path(6).max_age, 0, "the purge does not apply to another object");
+    assert_eq!(harness.serve_request(5).max_age, 0, "the cache has responded after the purge's completion");
+    assert_eq!(harness.serve_request(6).max_age, 0, "the purge does not apply to another object");
 }
 
 #[test]
 fn a_group_purge_applies_to_all_its_objects_and_a_later_purge_counts() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     harness.handle(Event::Purged { object: None, group: 5, age: 2 * S });
     harness.now += S;
-    let age = harness.path(5 + 32).max_age;
+    let age = harness.serve_request(5 + 32).max_age;
     assert!(age > 0 && age <= 3 * S);
     harness.handle(Event::Purged { object: Some(5 + 32), group: 5, age: 50 * MS });
-    assert!(harness.path(5 + 32).max_age <= 50 * MS);
-    assert_eq!(harness.path(6).max_age, 0);
+    assert!(harness.serve_request(5 + 32).max_age <= 50 * MS);
+    assert_eq!(harness.serve_request(6).max_age, 0);
     // An older purge that arrives late does not raise the limit, and the end of the first purge does not end
     // the second one.
     harness.handle(Event::Purged { object: Some(5 + 32), group: 5, age: 4 * S });
-    assert!(harness.path(5 + 32).max_age <= 50 * MS);
+    assert!(harness.serve_request(5 + 32).max_age <= 50 * MS);
     harness.now += 5 * S;
     harness.handle(Event::Purged { object: Some(1), group: 1, age: 0 });
-    let age = harness.path(5 + 32).max_age;
+    let age = harness.serve_request(5 + 32).max_age;
     assert!(age > 0 && age <= 5 * S + 50 * MS);
 }
 
 #[test]
 fn a_purge_also_limits_a_class_with_a_fresh_lifetime() {
-    let mut harness = Harness::new(settings(), fleet());
+    let mut harness = Harness::new(settings(), endpoints());
     harness.handle(Event::Purged { object: Some(5), group: 5, age: 0 });
     harness.now += 2 * S;
     let actions = harness.request(1, 5);
