--- a/tests/cold_members.rs
+++ b/tests/cold_members.rs
@@ -7,7 +7,7 @@
 use edge_proxy::*;
 
 /// The parent that restarts.
-const COLD_PARENT: EndpointId = 12;
+const RESTARTED_PARENT: EndpointId = 12;
 /// Size of all requests.
 const SIZE_KB: f64 = 500.0;
 /// Transfer time of a request of that size.
@@ -47,8 +47,8 @@
     (policy.clone(), members.collect())
 }
 
-/// The maximum number of requests to the cold parent in any overload window, divided by the number allowed,
-/// which is N + 2 sqrt(N) + 2 for a threshold of N requests; and the total number of requests to it.
+/// Simulates a restart of the parent. Returns the maximum, over all overload windows, of its requests divided
+/// by the limit (N + 2 sqrt(N) + 2 at a threshold of N), and the total number of its requests.
 fn worst_window(fleet_size: u32, seed: u64) -> (f64, usize) {
     let (policy, mut members) = fleet_of(fleet_size, seed);
     let mut random = seed;
@@ -67,7 +67,7 @@
             let request = Event::Request { id, class, object, group, part, size_kb, deadline_at };
             member.router.handle(now, &request, &mut actions);
             let Some(first) = sent_attempts(&actions).first().cloned() else { continue };
-            if first.to == COLD_PARENT || first.source == Some(COLD_PARENT) {
+            if first.to == RESTARTED_PARENT || first.source == Some(RESTARTED_PARENT) {
                 requested_at.push(now);
             }
             let (outcome, cache_status, elapsed) = (AttemptOutcome::Served, CacheStatus::Filled, 150 * MS);
@@ -82,7 +82,7 @@
     }
     let started_at = now;
     for member in &mut members {
-        let entry = Endpoint { started_at, ..endpoint(COLD_PARENT, Tier::Parent) };
+        let entry = Endpoint { started_at, ..endpoint(RESTARTED_PARENT, Tier::Parent) };
         member.router.handle(
             now,
             &Event::EndpointsChanged { full: false, entries: vec![entry] },
@@ -95,38 +95,45 @@
     }
     let slow_start = policy.parent_slow_start;
     requested_at.retain(|at| *at > started_at);
-    let relative = requested_at.iter().enumerate().map(|(first, from)| {
-        let span = requested_at[first..].iter().take_while(|at| **at < from + slow_start.overload_window);
+    let ratios = requested_at.iter().enumerate().map(|(first, from)| {
+        let window = requested_at[first..].iter().take_while(|at| **at < from + slow_start.overload_window);
         let share = slow_start.initial_capacity
             + (1.0 - slow_start.initial_capacity) * (from - started_at) as f64
                 / slow_start.ramp_duration as f64;
+        // 20 is the weight of a parent in `common::endpoint`.
         let allowed = slow_start.overload_multiple * share * 20.0 * slow_start.overload_window as f64
             / TRANSFER_TIME as f64;
-        span.count() as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0)
+        window.count() as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0)
     });
-    (relative.fold(0.0, f64::max), requested_at.len())
+    (ratios.fold(0.0, f64::max), requested_at.len())
 }
 
 /// Checks the maximum over all seeds, and prints the distribution.
-fn assert_within_capacity(fleet_size: u32) {
+fn assert_below_overload_threshold(fleet_size: u32) {
     let mut all: Vec<(f64, usize)> = (1..=SEEDS).map(|seed| worst_window(fleet_size, seed)).collect();
     all.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let (least, median, most) = (all[0].0, all[all.len() / 2].0, all[all.len() - 1].0);
+    let (min, median, max) = (all[0].0, all[all.len() / 2].0, all[all.len() - 1].0);
     println!(
-        "{fleet_size} routers: worst window, relative to the limit: minimum {least:.2}, median {median:.2}, \
-         maximum {most:.2}"
+        "{fleet_size} routers: worst window, relative to the limit: minimum {min:.2}, median {median:.2}, \
+         maximum {max:.2}"
+    );
+    assert!(
+        max <= 1.0,
+        "{fleet_size} routers: a window exceeds the limit; sorted (ratio, requests) of all seeds: {all:?}"
     );
-    assert!(most <= 1.0, "{all:?}");
     // A budget of 0 would also satisfy the limit.
-    assert!(all.iter().all(|(_, requests)| *requests > 20), "{all:?}");
+    assert!(
+        all.iter().all(|(_, requests)| *requests > 20),
+        "{fleet_size} routers: too few requests to the restarted parent: {all:?}"
+    );
 }
 
 #[test]
-fn two_dozen_routers_stay_within_a_cold_parents_capacity() {
-    assert_within_capacity(24);
+fn requests_of_24_routers_stay_below_a_restarted_parents_overload_threshold() {
+    assert_below_overload_threshold(24);
 }
 
 #[test]
-fn three_hundred_routers_stay_within_a_cold_parents_capacity() {
-    assert_within_capacity(300);
+fn requests_of_300_routers_stay_below_a_restarted_parents_overload_threshold() {
+    assert_below_overload_threshold(300);
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -31,7 +31,7 @@
 
 /// If every router could send its saved retries at once, the fleet would overload a failing origin further.
 #[test]
-fn retries_of_a_hundred_routers_do_not_multiply_an_overload() {
+fn retries_of_a_hundred_routers_are_at_most_half_of_their_requests() {
     let mut fleet = routers(&large_fleet_settings(), &endpoints(), 100);
     // Each router gets eight requests per second: eight seconds of successes, then two seconds of rejections.
     let (mut first, mut retries) = (0, 0);
@@ -97,14 +97,15 @@
         requests_until_use.push((0..300).position(|_| send(false)).unwrap_or(300));
     }
     requests_until_use.sort_unstable();
-    // A third of the requests are for its objects; half of the routers use it again within seven seconds.
+    // A third of the requests are for objects of parent 11. Half of the routers must use it within seven
+    // seconds of its recovery.
     assert!(
         requests_until_use[10] <= 35,
-        "requests until each of 20 routers used it again: {requests_until_use:?}"
+        "requests until each of 20 routers used the recovered parent: {requests_until_use:?}"
     );
 }
 
-/// One of eight routers must not extrapolate a few concurrent attempts by chance to an overload.
+/// A router must not take a few of its own concurrent attempts for an overload of the location.
 #[test]
 fn a_few_concurrent_attempts_by_chance_cause_no_rejections() {
     let mut router = routers(&large_fleet_settings(), &endpoints(), 1).remove(0);
@@ -116,14 +117,15 @@
             break;
         }
     }
-    // Forty attempts extrapolate to 320 at a capacity of four: rejections must start well before that.
+    // With eight routers, 40 attempts stand for 320 at a cache with a capacity of 4, so rejections must start
+    // well before that.
     assert!(rejected_at.is_some_and(|n| (15..=25).contains(&n)), "{rejected_at:?}");
 }
 
 /// While the origin is slow, the fills of all routers decrease together, for the same objects. Writes
 /// continue, and fills resume after recovery.
 #[test]
-fn fills_of_a_hundred_routers_decrease_with_late_responses_for_the_same_objects() {
+fn late_responses_reduce_the_fills_of_all_routers_for_the_same_objects() {
     let mut fleet = routers(&large_fleet_settings(), &endpoints(), 100);
     let serve = |harness: &mut Harness, class, object, elapsed| {
         let first = sent_attempts(&harness.request(class, object)).first().cloned()?;
@@ -131,11 +133,14 @@
         harness.handle(Event::AttemptEnded { id, attempt: 0, outcome, cache_status, elapsed, closed: true });
         Some(first)
     };
-    // Whether each of 200 objects may be fetched from the origin; the others only from the parent's copy.
-    let fills = |harness: &mut Harness, elapsed| -> Vec<bool> {
+    // Requests 200 objects; returns for each whether its fill may be fetched from the origin.
+    let may_fetch_from_origin = |harness: &mut Harness, elapsed| -> Vec<bool> {
         let mut fetched = |k: u64| {
-            let first = serve(harness, 0, 1_000 + k, elapsed).expect("an attempt");
-            assert!(first.source.is_some_and(|s| s != first.to), "a parent may have a copy: {first:?}");
+            let first = serve(harness, 0, 1_000 + k, elapsed).expect("the request is rejected");
+            assert!(
+                first.source.is_some_and(|s| s != first.to),
+                "the attempt forbids a fill from the parent: {first:?}"
+            );
             !first.only_if_cached
         };
         (0..200).map(&mut fetched).collect()
@@ -147,10 +152,11 @@
             serve(harness, 0, step, 2 * S);
         }
     }
-    let filled: Vec<Vec<bool>> = fleet.iter_mut().map(|harness| fills(harness, 2 * S)).collect();
-    let sum = filled.iter().flatten().filter(|filled| **filled).count();
-    assert!(sum < 100 * 200 / 5, "{sum} fills of {} requests", 100 * 200);
-    assert!(sum > 100 * 200 / 50, "some objects are still filled: {sum}");
+    let filled: Vec<Vec<bool>> =
+        fleet.iter_mut().map(|harness| may_fetch_from_origin(harness, 2 * S)).collect();
+    let fetches = filled.iter().flatten().filter(|filled| **filled).count();
+    assert!(fetches < 100 * 200 / 5, "{fetches} fills of {} requests", 100 * 200);
+    assert!(fetches > 100 * 200 / 50, "some objects are still filled: {fetches}");
     let filling_routers = |k: usize| filled.iter().filter(|router| router[k]).count();
     let agreed = (100..200).filter(|k| filling_routers(*k) == 0 || filling_routers(*k) == 100).count();
     assert_eq!(agreed, 100, "all routers exclude the same objects");
@@ -163,6 +169,9 @@
             harness.now += 125 * MS;
             serve(harness, 0, step, 50 * MS);
         }
-        assert!(fills(harness, 50 * MS).iter().all(|filled| *filled), "all objects are filled again");
+        assert!(
+            may_fetch_from_origin(harness, 50 * MS).iter().all(|filled| *filled),
+            "all objects are filled again"
+        );
     }
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -6,7 +6,7 @@
 use edge_proxy::*;
 use std::collections::BTreeMap;
 
-/// An xorshift generator, so that each run has the same sequences.
+/// An xorshift pseudorandom number generator; the seed determines its sequence.
 struct Xorshift(u64);
 
 impl Xorshift {
@@ -22,7 +22,7 @@
     class: usize,
     in_flight: Vec<(u32, EndpointId, Micros)>,
     sent: u32,
-    ran: bool,
+    may_have_run: bool,
     final_responses: u32,
     deadline_at: Micros,
 }
@@ -47,29 +47,29 @@
         endpoints().iter().map(|e| (e.id, EndpointState::Active)).collect();
     let mut open_requests: BTreeMap<RequestId, OpenRequest> = BTreeMap::new();
     let mut timers: Vec<(Micros, u64)> = Vec::new();
-    let (mut now, mut next, mut log) = (50 * S, 0, Vec::new());
+    let (mut now, mut last_id, mut all_actions) = (50 * S, 0, Vec::new());
     let mut event = Some(Event::EndpointsChanged { full: true, entries: endpoints() });
     for step in 0..3_000 {
         now += random.below(30) * MS;
-        let accepting = step < 2_500;
+        let sends_requests = step < 2_500;
         if event.is_none() {
             event = Some(match random.below(20) {
-                0..=6 if accepting => {
-                    next += 1;
+                0..=6 if sends_requests => {
+                    last_id += 1;
                     let class = random.below(4) as usize;
                     let deadline_at = now + S + random.below(3_000) * MS;
                     let request = OpenRequest {
                         class,
                         in_flight: vec![],
                         sent: 0,
-                        ran: false,
+                        may_have_run: false,
                         final_responses: 0,
                         deadline_at,
                     };
-                    open_requests.insert(next, request);
+                    open_requests.insert(last_id, request);
                     let (object, size_kb) = (random.below(50), random.below(2_000) as f64);
                     let (group, part) = ((object % 4) as u32, random.below(9) as u32);
-                    Event::Request { id: next, class, object, group, part, size_kb, deadline_at }
+                    Event::Request { id: last_id, class, object, group, part, size_kb, deadline_at }
                 }
                 7 => {
                     let id = [1, 2, 3, 4, 11, 12, 13, 21][random.below(8) as usize];
@@ -96,9 +96,9 @@
                     group: random.below(4) as u32,
                     age: random.below(4_000) * MS,
                 },
-                9 => Event::ClientDisconnected { id: random.below(next + 2) },
+                9 => Event::ClientDisconnected { id: random.below(last_id + 2) },
                 10 => Event::Timer { token: random.below(50) },
-                11 => Event::ResponseStarted { id: next + 5, attempt: 0 },
+                11 => Event::ResponseStarted { id: last_id + 5, attempt: 0 },
                 _ => {
                     let due = timers.iter().position(|(at, _)| *at <= now);
                     let ids: Vec<_> = open_requests
@@ -119,15 +119,15 @@
                         (None, false) => {
                             let id = ids[random.below(ids.len() as u64) as usize];
                             let request = open_requests.get_mut(&id).unwrap();
-                            let (attempt, _, at) = request
+                            let (attempt, _, sent_at) = request
                                 .in_flight
                                 .remove(random.below(request.in_flight.len() as u64) as usize);
                             let outcome = OUTCOMES[random.below(8) as usize];
-                            request.ran |= !outcome.never_ran();
+                            request.may_have_run |= !outcome.never_ran();
                             let closed = request.final_responses > 0 || outcome == AttemptOutcome::Served;
                             request.final_responses +=
                                 u32::from(outcome == AttemptOutcome::Served && request.final_responses == 0);
-                            let (cache_status, elapsed) = (CacheStatus::Unknown, now - at);
+                            let (cache_status, elapsed) = (CacheStatus::Unknown, now - sent_at);
                             Event::AttemptEnded { id, attempt, outcome, cache_status, elapsed, closed }
                         }
                     }
@@ -145,38 +145,47 @@
         for action in &actions {
             match action {
                 Action::Forward { id, to, source, timeout, .. } => {
-                    let request = open_requests.get_mut(id).expect("the request is known");
-                    assert_eq!(request.final_responses, 0, "sent after the final response");
+                    let request = open_requests.get_mut(id).expect("the action is for an unknown request");
+                    assert_eq!(
+                        request.final_responses, 0,
+                        "request {id}: attempt sent after the final response"
+                    );
                     assert_eq!(
                         states.get(to),
                         Some(&EndpointState::Active),
-                        "sent to an endpoint that is draining or removed"
+                        "request {id}: sent to an endpoint that is draining or removed"
                     );
                     if let Some(source) = source {
                         assert_eq!(
                             states.get(source),
                             Some(&EndpointState::Active),
-                            "filled from an endpoint that is draining or removed"
+                            "request {id}: filled from an endpoint that is draining or removed"
                         );
                     }
-                    assert!(request.in_flight.is_empty(), "two attempts in flight");
                     assert!(
-                        request.class != 3 || !request.ran,
-                        "a request that is not idempotent could run twice"
+                        request.in_flight.is_empty(),
+                        "request {id}: a second attempt was sent while one is in flight"
+                    );
+                    assert!(
+                        request.class != 3 || !request.may_have_run,
+                        "request {id} is not idempotent and could run twice"
+                    );
+                    assert!(
+                        now + timeout <= request.deadline_at && *timeout > 0,
+                        "request {id}: the timeout of {timeout} us is 0 or exceeds the deadline"
                     );
-                    assert!(now + timeout <= request.deadline_at && *timeout > 0);
                     request.in_flight.push((request.sent, *to, now));
                     request.sent += 1;
-                    assert!(request.sent <= 6, "more than `max_attempts` attempts");
+                    assert!(request.sent <= 6, "request {id}: more than `max_attempts` attempts");
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
-                    let request = open_requests.get_mut(id).expect("the request is known");
-                    assert_eq!(request.final_responses, 0, "a second final response");
+                    let request = open_requests.get_mut(id).expect("the action is for an unknown request");
+                    assert_eq!(request.final_responses, 0, "request {id}: a second final response");
                     request.final_responses = 1;
                     let rejected = matches!(action, Action::Reject { .. });
                     assert!(
-                        !rejected || request.class != 3 || !request.ran,
-                        "rejected although it may have run"
+                        !rejected || request.class != 3 || !request.may_have_run,
+                        "request {id}: rejected although it may have run"
                     );
                 }
                 Action::SetTimer { token, at } => timers.push((*at, *token)),
@@ -189,9 +198,9 @@
                 "request {id} has neither a final response nor an attempt in flight"
             );
         }
-        log.extend(actions);
+        all_actions.extend(actions);
     }
-    log
+    all_actions
 }
 
 #[test]
