--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_time_out_at_the_deadline_is_rejected_at_once() {
+fn a_request_whose_attempt_times_out_at_the_deadline_is_rejected_at_once() {
     let mut harness = Harness::new(settings(), endpoints());
     let actions = harness.request(0, 5);
     let id = sent_attempts(&actions)[0].id;
@@ -51,7 +51,7 @@
     assert_eq!(harness.handle(Event::ClientDisconnected { id }), [Action::Cancel { id, attempt: 0 }]);
     let actions = harness.end_attempt(id, 0, AttemptOutcome::Rejected, false);
     assert!(sent_attempts(&actions).is_empty() && final_responses(&actions).is_empty());
-    // Served: an unknown timer and a late outcome are ignored.
+    // The request was served: a second outcome and an unknown timer are ignored.
     let actions = harness.request(0, 6);
     let id = sent_attempts(&actions)[0].id;
     assert!(harness.end_attempt(id, 0, AttemptOutcome::Served, true).is_empty());
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_request_with_a_key_is_repeated_only_in_its_scope_and_window() {
+fn a_request_with_an_idempotency_key_is_repeated_only_in_the_key_scope_and_window() {
     // All endpoints drop repeats for two seconds: the request is repeated within that time and not later.
     let mut policy = settings();
     policy.classes[2].key_window = 2 * S;
@@ -106,7 +106,7 @@
     assert_eq!(
         final_responses(&actions),
         [(id, false)],
-        "failed, since endpoints would not drop a retry of the client either"
+        "after the key window, the request must fail: the endpoints would run a client's retry again"
     );
     // Only the cell drops repeats: the request is repeated within the cell, and fails instead of being
     // rejected.
@@ -127,7 +127,7 @@
     }
 }
 
-/// Hedged attempts would double the fills on full links.
+/// Hedged attempts would double the fills over congested links.
 #[test]
 fn a_request_has_one_attempt_in_flight() {
     let mut harness = Harness::new(settings(), endpoints());
@@ -139,7 +139,7 @@
 // ---- draining and removed endpoints get no attempts ----
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_removed_endpoint() {
+fn draining_and_removed_endpoints_get_no_attempts_or_fills() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut harness = Harness::new(settings(), endpoints());
         harness.update_endpoint(Endpoint { state, ..endpoint(2, Tier::Cache) });
@@ -164,9 +164,9 @@
             state: EndpointState::Draining,
             ..endpoint(first.source.unwrap(), Tier::Parent)
         });
-        for again in sent_attempts(&harness.end_attempt(first.id, 0, AttemptOutcome::Rejected, false)) {
-            assert!(again.to >= 11 && again.to != first.source.unwrap(), "{again:?}");
-            assert_ne!(again.source, first.source);
+        for retry in sent_attempts(&harness.end_attempt(first.id, 0, AttemptOutcome::Rejected, false)) {
+            assert!(retry.to >= 11 && retry.to != first.source.unwrap(), "{retry:?}");
+            assert_ne!(retry.source, first.source);
         }
     }
 }
@@ -185,7 +185,7 @@
 // ---- slow start limits the load of restarted endpoints ----
 
 /// Transfer time, in seconds, of the requests and fills that an endpoint gets within two seconds.
-fn transfer_time_of(harness: &mut Harness, id: EndpointId, per_second: u64) -> f64 {
+fn send_and_sum_transfer_time(harness: &mut Harness, id: EndpointId, per_second: u64) -> f64 {
     let (mut total, step) = (0.0, S / per_second);
     for object in 0..2 * per_second {
         let path = harness.serve_request(10_000 + object);
@@ -198,27 +198,27 @@
 
 #[test]
 fn a_warming_endpoint_remains_within_its_budget() {
-    for (id, tier, floor, multiple, weight) in
+    for (id, tier, initial_capacity, overload_multiple, weight) in
         [(2, Tier::Cache, 0.2, 3.0, 6.0), (12, Tier::Parent, 0.08, 2.0, 20.0)]
     {
         let mut harness = Harness::new(settings(), endpoints());
         let started_at = harness.now;
         harness.update_endpoint(Endpoint { started_at, ..endpoint(id, tier) });
         // Far more requests than the location could serve.
-        let assigned = transfer_time_of(&mut harness, id, 2_000);
-        let limit = multiple * (floor + (1.0 - floor) * 0.1) * weight * 2.0;
+        let assigned = send_and_sum_transfer_time(&mut harness, id, 2_000);
+        let limit = overload_multiple * (initial_capacity + (1.0 - initial_capacity) * 0.1) * weight * 2.0;
         assert!(assigned <= limit, "{tier:?}: {assigned} of {limit}");
         assert!(assigned > 0.0, "{tier:?} gets some requests");
     }
 }
 
 #[test]
-fn a_restarted_endpoint_gets_its_share_back_gradually() {
+fn the_share_of_a_restarted_endpoint_grows_during_slow_start() {
     for (id, tier) in [(2, Tier::Cache), (12, Tier::Parent)] {
         let mut harness = Harness::new(settings(), endpoints());
         let share = |harness: &mut Harness| {
-            let uses = |p: SentAttempt| p.to == id || p.source == Some(id);
-            (0..1_000).filter(|o| uses(harness.serve_request(*o * 7_919))).count()
+            let involves_endpoint = |p: SentAttempt| p.to == id || p.source == Some(id);
+            (0..1_000).filter(|o| involves_endpoint(harness.serve_request(*o * 7_919))).count()
         };
         let warm = share(&mut harness);
         harness.now += 60 * S;
@@ -231,18 +231,24 @@
             assert!(now >= last, "{tier:?} after {wait} s: {now} after {last}");
             last = now;
             if wait == 1 {
-                assert!(now * 2 < warm, "{tier:?}: {now} of {warm} at once");
+                assert!(
+                    now * 2 < warm,
+                    "{tier:?}: {now} requests one second after the restart, {warm} before it"
+                );
             }
         }
         // Objects requested repeatedly are spread over more caches, so the share is not exactly the same.
-        assert!(last.abs_diff(warm) * 5 < warm, "{tier:?} has its share again: {last} of {warm}");
+        assert!(
+            last.abs_diff(warm) * 5 < warm,
+            "{tier:?}: {last} requests after slow start, {warm} before the restart"
+        );
     }
 }
 
 // ---- purged copies are not served ----
 
 #[test]
-fn every_attempt_after_a_purge_limits_the_age() {
+fn a_purge_limits_the_maximum_age_of_every_attempt() {
     let mut harness = Harness::new(settings(), endpoints());
     harness.handle(Event::Purged { object: Some(5), group: 5, age: 100 * MS });
     for wait in [0, 200 * MS, S, 3 * S, 6 * S] {
@@ -259,30 +265,35 @@
     // The purge is complete after six seconds, but a cache that has not responded since may have been paused
     // and still have the purged copy: the maximum age applies to it until it has responded.
     harness.now = 100 * S + 8 * S;
-    let silent = harness.serve_request(5);
-    assert!(silent.max_age > 0 && silent.max_age <= 8 * S + 100 * MS, "{silent:?}");
+    let before_response = harness.serve_request(5);
+    assert!(
+        before_response.max_age > 0 && before_response.max_age <= 8 * S + 100 * MS,
+        "{before_response:?}"
+    );
     assert_eq!(harness.serve_request(5).max_age, 0, "the cache has responded after the purge's completion");
     assert_eq!(harness.serve_request(6).max_age, 0, "the purge does not apply to another object");
 }
 
 #[test]
-fn a_group_purge_applies_to_all_its_objects_and_a_later_purge_counts() {
+fn a_group_purge_applies_to_all_objects_of_the_group_and_the_latest_purge_applies() {
     let mut harness = Harness::new(settings(), endpoints());
     harness.handle(Event::Purged { object: None, group: 5, age: 2 * S });
     harness.now += S;
     let age = harness.serve_request(5 + 32).max_age;
-    assert!(age > 0 && age <= 3 * S);
+    assert!(age > 0 && age <= 3 * S, "{age} us");
     harness.handle(Event::Purged { object: Some(5 + 32), group: 5, age: 50 * MS });
-    assert!(harness.serve_request(5 + 32).max_age <= 50 * MS);
+    let age = harness.serve_request(5 + 32).max_age;
+    assert!(age <= 50 * MS, "{age} us");
     assert_eq!(harness.serve_request(6).max_age, 0);
     // An older purge that arrives late does not raise the limit, and the end of the first purge does not end
     // the second one.
     harness.handle(Event::Purged { object: Some(5 + 32), group: 5, age: 4 * S });
-    assert!(harness.serve_request(5 + 32).max_age <= 50 * MS);
+    let age = harness.serve_request(5 + 32).max_age;
+    assert!(age <= 50 * MS, "{age} us");
     harness.now += 5 * S;
     harness.handle(Event::Purged { object: Some(1), group: 1, age: 0 });
     let age = harness.serve_request(5 + 32).max_age;
-    assert!(age > 0 && age <= 5 * S + 50 * MS);
+    assert!(age > 0 && age <= 5 * S + 50 * MS, "{age} us");
 }
 
 #[test]
@@ -292,8 +303,8 @@
     harness.now += 2 * S;
     let actions = harness.request(1, 5);
     let first = sent_attempts(&actions)[0].clone();
-    assert!(first.max_age <= 2 * S);
-    for again in sent_attempts(&harness.end_attempt(first.id, 0, AttemptOutcome::TimedOut, false)) {
-        assert!(again.max_age <= 2 * S, "the purge also limits a retry that accepts stale copies");
+    assert!(first.max_age <= 2 * S, "{first:?}");
+    for retry in sent_attempts(&harness.end_attempt(first.id, 0, AttemptOutcome::TimedOut, false)) {
+        assert!(retry.max_age <= 2 * S, "the purge also limits a retry that accepts stale copies");
     }
 }
