--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -44,7 +44,7 @@
     two.handle(Event::EndpointsChanged { full: true, entries: endpoints() });
     let mut homes = BTreeMap::new();
     for object in 0..300 {
-        let source = one.serve_request(object).source.expect("a source");
+        let source = one.serve_request(object).source.expect("the attempt has no fill source");
         assert_eq!(two.serve_request(object).source, Some(source));
         assert_eq!(
             one.serve_request(object).source,
@@ -65,7 +65,10 @@
     for (object, source) in before.into_iter().enumerate() {
         let now = harness.serve_request(object as u64).source;
         let next = if source == Some(12) { Some(13) } else { source };
-        assert_eq!(now, next, "only the objects of the removed parent move, to the next one");
+        assert_eq!(
+            now, next,
+            "object {object}: only objects of the removed parent move, to the next parent by id"
+        );
     }
 }
 
@@ -114,24 +117,25 @@
 /// A replaced parent must not move objects between the other parents.
 #[test]
 fn replacing_a_parent_moves_only_its_objects_and_a_new_router_agrees() {
-    let home = |harness: &mut Harness, range: std::ops::Range<u64>| -> Vec<_> {
-        range.map(|o| harness.serve_request(o).source.expect("a source")).collect()
+    let home_parents = |harness: &mut Harness, range: std::ops::Range<u64>| -> Vec<_> {
+        range.map(|o| harness.serve_request(o).source.expect("the attempt has no fill source")).collect()
     };
     let mut old = Harness::new(settings(), endpoints());
-    let before = home(&mut old, 0..600);
+    let before = home_parents(&mut old, 0..600);
     old.update_endpoint(Endpoint { state: EndpointState::Removed, ..endpoint(12, Tier::Parent) });
     old.update_endpoint(endpoint(14, Tier::Parent));
-    let after = home(&mut old, 0..600);
-    let moved = before.iter().zip(&after).filter(|(b, a)| b != a && **b != 12).count();
+    let old_router_homes = home_parents(&mut old, 0..600);
+    let moved = before.iter().zip(&old_router_homes).filter(|(b, a)| b != a && **b != 12).count();
     assert!(
         (90..200).contains(&moved),
-        "{moved} of 600 moved to the new parent, without those of the removed one"
+        "{moved} of 600 objects moved to the new parent, not counting those of the removed parent"
     );
-    // A router that never knew the removed parent differs only for its objects.
+    // A router whose list never contained the removed parent differs only for that parent's objects.
     let now: Vec<Endpoint> = endpoints().into_iter().filter(|e| e.id != 12).collect();
     let mut new = Harness::new(settings(), now.into_iter().chain([endpoint(14, Tier::Parent)]).collect());
-    let theirs = home(&mut new, 0..600);
-    let differ = (0..600).filter(|k| after[*k] != theirs[*k] && before[*k] != 12).count();
+    let new_router_homes = home_parents(&mut new, 0..600);
+    let differ =
+        (0..600).filter(|k| old_router_homes[*k] != new_router_homes[*k] && before[*k] != 12).count();
     assert_eq!(differ, 0);
 }
 
@@ -150,14 +154,14 @@
 fn routers_of_a_location_select_the_same_cache_whatever_their_traffic() {
     let mut policy = settings();
     policy.local_fleet_size = 7;
-    let mut seen = Harness::new(policy.clone(), endpoints());
+    let mut with_traffic = Harness::new(policy.clone(), endpoints());
     for _ in 0..20 {
         (0..100).for_each(|o| {
-            seen.serve_request(o);
+            with_traffic.serve_request(o);
         });
     }
-    let mut fresh = Harness::new(policy, endpoints());
-    assert!((0..100).all(|o| seen.serve_request(o).to == fresh.serve_request(o).to));
+    let mut without_traffic = Harness::new(policy, endpoints());
+    assert!((0..100).all(|o| with_traffic.serve_request(o).to == without_traffic.serve_request(o).to));
 }
 
 // ---- outlier detection and load shedding ----
@@ -166,10 +170,10 @@
 #[test]
 fn a_failing_parent_is_ejected_at_a_low_request_rate_and_recovers() {
     let mut harness = Harness::new(settings(), endpoints());
-    let run = |harness: &mut Harness, objects: std::ops::Range<u64>, dead: bool| {
+    let run = |harness: &mut Harness, objects: std::ops::Range<u64>, failing: bool| {
         let failures = std::cell::Cell::new(0);
         send_requests_every(harness, 500 * MS, objects, |a| {
-            let fails = dead && a.source == Some(12);
+            let fails = failing && a.source == Some(12);
             failures.set(failures.get() + u32::from(fails));
             if fails {
                 AttemptOutcome::Rejected
@@ -191,7 +195,7 @@
 
 /// A long series of successes must not delay the ejection of a parent that fails.
 #[test]
-fn a_source_that_fails_through_every_cache_is_ejected_fast() {
+fn a_source_that_fails_through_every_cache_is_ejected_within_sixty_requests() {
     let mut harness = Harness::new(settings(), endpoints());
     send_requests(&mut harness, 0..500, |_| AttemptOutcome::Served);
     let failing = |a: &SentAttempt| {
@@ -208,7 +212,7 @@
         uses.set(uses.get() + u32::from(a.source == Some(12)));
         failing(a)
     });
-    assert!(uses.get() < 30, "{} attempts for 300 objects still use it", uses.get());
+    assert!(uses.get() < 30, "{} attempts for 300 objects fill from the failing parent", uses.get());
     let caches: std::collections::BTreeSet<_> = (3_000..3_100).map(|o| harness.serve_request(o).to).collect();
     assert_eq!(caches.len(), 4, "no cache is ejected");
 }
@@ -238,14 +242,18 @@
                 AttemptOutcome::Served
             }
         });
-        assert!(uses.get() < 20, "{outcome:?}: {} attempts for 200 objects still go there", uses.get());
+        assert!(
+            uses.get() < 20,
+            "{outcome:?}: {} attempts for 200 objects sent to the failing cache",
+            uses.get()
+        );
         let sources: std::collections::BTreeSet<_> =
             (3_000..3_100).map(|o| harness.serve_request(o).source).collect();
         assert_eq!(sources.len(), 3, "{outcome:?}: no parent is ejected");
         harness.now += 15 * S;
         send_requests(&mut harness, 4_000..4_200, |_| AttemptOutcome::Served);
         let uses = (5_000..5_200).filter(|o| harness.serve_request(*o).to == 2).count();
-        assert!(uses > 25, "{outcome:?}: {uses} of 200 go there after it recovered");
+        assert!(uses > 25, "{outcome:?}: {uses} of 200 requests sent to the recovered cache");
     }
 }
 
@@ -280,7 +288,7 @@
 
 /// Hits must not count as full successes of a fill source that was not contacted.
 #[test]
-fn without_cache_status_hits_do_not_hide_a_dead_source() {
+fn without_cache_status_hits_do_not_prevent_the_ejection_of_a_failing_source() {
     let policy = PolicySettings { reports_cache_status: false, ..settings() };
     let mut harness = Harness::new(policy, endpoints());
     let failing = |a: &SentAttempt| {
@@ -310,47 +318,51 @@
         }
     }
     let uses = (2_000..2_060).filter(|o| harness.serve_request(*o).source == Some(12)).count();
-    assert!(uses < 12, "{uses} of 60 still use it");
+    assert!(uses < 12, "{uses} of 60 requests fill from the failing parent");
 }
 
 /// Under lasting overload, admitting every request would make all responses late.
 #[test]
 fn requests_above_the_admitted_load_are_rejected_without_an_attempt() {
     let mut harness = Harness::new(settings(), endpoints());
-    let rejected = |harness: &mut Harness, object| {
+    let is_rejected = |harness: &mut Harness, object| {
         let actions = harness.request(0, object);
         match actions.as_slice() {
-            [Action::Reject { retry_after: wait, .. }] => {
-                assert!(*wait > 0 && *wait <= 500 * MS, "`retry_after` is within what clients honour");
+            [Action::Reject { retry_after, .. }] => {
+                assert!(
+                    *retry_after > 0 && *retry_after <= 500 * MS,
+                    "`retry_after` is within what clients honour"
+                );
                 true
             }
             _ => false,
         }
     };
     // No attempt ends: the load of the caches grows until requests are rejected without an attempt.
-    let admitted = (0..400).filter(|o| !rejected(&mut harness, *o)).count();
+    let admitted = (0..400).filter(|o| !is_rejected(&mut harness, *o)).count();
     // The limit is above the capacity by a factor of 5.5 at most.
     assert!((24..=132).contains(&admitted), "{admitted} admitted at a capacity of 24 concurrent transfers");
 }
 
-/// Late responses of one class must not shed another, and the late class must accept stale copies.
+/// Late responses of one class must not cause requests of another to be shed, and the congested class must
+/// accept stale copies.
 #[test]
 fn a_congested_class_accepts_stale_copies_and_does_not_affect_others() {
     let mut harness = Harness::new(settings(), endpoints());
-    let age = |harness: &mut Harness, object| {
+    let send_and_get_max_age = |harness: &mut Harness, object| {
         sent_attempts(&harness.request(1, object)).first().map(|a| (a.id, a.max_age))
     };
-    let (id, before) = age(&mut harness, 1).expect("an attempt");
+    let (id, before) = send_and_get_max_age(&mut harness, 1).expect("the request is rejected");
     assert_eq!(before, 5 * S, "fresh copies only");
     harness.end_attempt(id, 0, AttemptOutcome::Served, true);
     for object in 10..60 {
-        if let Some((id, _)) = age(&mut harness, object) {
+        if let Some((id, _)) = send_and_get_max_age(&mut harness, object) {
             let (outcome, cache_status, elapsed, closed) =
                 (AttemptOutcome::Served, CacheStatus::Filled, 2 * S, true);
             harness.handle(Event::AttemptEnded { id, attempt: 0, outcome, cache_status, elapsed, closed });
         }
     }
-    let (_, after) = age(&mut harness, 100).expect("an attempt");
+    let (_, after) = send_and_get_max_age(&mut harness, 100).expect("the request is rejected");
     assert_eq!(after, 25 * S, "stale copies are accepted while they are revalidated");
     assert_eq!(harness.serve_request(200).max_age, 0);
 }
@@ -429,7 +441,9 @@
     router.handle(1, &Event::EndpointsChanged { full: true, entries: endpoints() }, &mut actions);
     assert!(actions.is_empty());
     router.handle(2, &Event::WatchLost, &mut actions);
-    let Some(Action::SetTimer { token, at }) = actions.pop() else { panic!("a timer") };
+    let Some(Action::SetTimer { token, at }) = actions.pop() else {
+        panic!("expected a timer that renews the watch")
+    };
     router.handle(at, &Event::Timer { token }, &mut actions);
     assert_eq!(actions, [Action::Watch]);
 }
@@ -487,11 +501,12 @@
     });
     harness.now += S;
     harness.update_endpoint(Endpoint { started_at: harness.now, ..endpoint(11, Tier::Parent) });
-    let by = |harness: &mut Harness| {
+    let attempts_from_other_parents = |harness: &mut Harness| {
         let paths: Vec<_> = (1_000..1_100).map(|o| sent_attempts(&harness.request(0, o))).collect();
         paths.iter().flatten().filter(|a| [Some(12), Some(13)].contains(&a.source)).count()
     };
-    assert!(by(&mut harness) > 60, "the other parents keep their objects");
+    let count = attempts_from_other_parents(&mut harness);
+    assert!(count > 60, "{count} of 100 objects filled from the other parents");
 }
 
 /// Without parents, fills from all routers would overload a failing origin.
@@ -523,7 +538,7 @@
     assert!(fills(&mut harness, 900..1_000, AttemptOutcome::Served) > 50);
 }
 
-/// Time-outs of caches that hang must not be attributed to the origin.
+/// Timeouts of caches that hang must not be attributed to the origin.
 #[test]
 fn timeouts_of_hanging_caches_do_not_stop_fetches_from_the_origin() {
     let mut harness = Harness::new(settings(), endpoints());
@@ -543,7 +558,7 @@
         }
     }
     assert!(hung > 5, "{hung} attempts at caches that hang");
-    // The first time-outs, before the caches are outliers, still reduce the share.
+    // Timeouts before the caches are detected as outliers reduce the origin fetch share.
     assert!(
         attempted > 100 && fetched * 3 >= attempted,
         "{fetched} of {attempted} may be fetched from the origin"
@@ -552,10 +567,12 @@
 
 /// A restarted parent may respond before the endpoint list shows its new process.
 #[test]
-fn an_endpoint_that_fails_a_health_check_is_ejected_and_returns_with_slow_start() {
+fn an_endpoint_that_fails_a_health_check_gets_no_attempts_and_recovers_with_slow_start() {
     let mut harness = Harness::new(settings(), endpoints());
     let before = (0..300).filter(|o| harness.serve_request(*o).source == Some(12)).count();
-    let object = (0..300).find(|o| harness.serve_request(*o).source == Some(12)).expect("one of its objects");
+    let object = (0..300)
+        .find(|o| harness.serve_request(*o).source == Some(12))
+        .expect("no object has parent 12 as its home parent");
     let id = sent_attempts(&harness.request(0, object))[0].id;
     let actions = harness.end_attempt(id, 0, AttemptOutcome::Rejected, false);
     assert!(
@@ -566,13 +583,18 @@
     let actions =
         harness.handle(Event::HealthChecked { endpoint: 12, outcome: AttemptOutcome::NoConnection });
     assert_eq!((0..300).filter(|o| harness.serve_request(*o).source == Some(12)).count(), 0);
-    let [Action::SetTimer { token, at }] = actions[..] else { panic!("a timer for the next health check") };
+    let [Action::SetTimer { token, at }] = actions[..] else {
+        panic!("expected one timer for the next health check: {actions:?}")
+    };
     harness.now = at;
     assert_eq!(harness.handle(Event::Timer { token }), [Action::CheckHealth { endpoint: 12 }]);
     harness.handle(Event::HealthChecked { endpoint: 12, outcome: AttemptOutcome::Served });
     harness.now += 2 * S;
-    let back = (0..300).filter(|o| harness.serve_request(*o).source == Some(12)).count();
-    assert!((1..before / 2).contains(&back), "{back} of {before} during slow start");
+    let uses_during_slow_start = (0..300).filter(|o| harness.serve_request(*o).source == Some(12)).count();
+    assert!(
+        (1..before / 2).contains(&uses_during_slow_start),
+        "{uses_during_slow_start} of {before} during slow start"
+    );
     harness.now += 25 * S;
     assert_eq!((0..300).filter(|o| harness.serve_request(*o).source == Some(12)).count(), before);
     // Results for removed and for unknown endpoints are ignored.
@@ -603,7 +625,7 @@
 
 /// The first requests of all routers must not reach a restarted endpoint at the same time.
 #[test]
-fn many_routers_together_stay_within_a_warming_endpoints_budget() {
+fn requests_of_seven_routers_stay_below_a_warming_caches_overload_threshold() {
     let mut policy = settings();
     (policy.fleet_size, policy.local_fleet_size) = (200, 7);
     policy.parent_slow_start.ramp_duration = 0;
@@ -634,9 +656,13 @@
         }
     }
     let worst = (0..30).map(|t| sends.iter().filter(|s| (t..t + 10).contains(*s)).count()).max();
-    // Threshold: 6 concurrent transfers, initial capacity 0.15, overload multiple 3: 2.7 s of transfer time
-    // per second. The estimated transfer time of a request is half the latency objective, 250 ms.
-    assert!(worst.expect("a window") <= 10, "{worst:?} in a second, {} in total", sends.len());
+    // The overload threshold is 6 * 0.15 * 3 = 2.7 concurrent transfers, which is 10 requests per second of
+    // an estimated 250 ms each.
+    assert!(
+        worst.expect("the range of windows is empty") <= 10,
+        "{worst:?} in a second, {} in total",
+        sends.len()
+    );
 }
 
 // ---- unusual endpoint lists ----
@@ -651,7 +677,7 @@
     ];
     harness.handle(Event::EndpointsChanged { full: false, entries });
     assert!((0..200).all(|o| harness.serve_request(o).to != 2));
-    // A parent that becomes a cache gets attempts as a cache and is no fill source any more, and vice versa.
+    // A parent relisted as a cache gets attempts and is no longer a fill source, and vice versa.
     harness.update_endpoint(endpoint(12, Tier::Cache));
     let paths: Vec<SentAttempt> = (0..200).map(|o| harness.serve_request(o)).collect();
     assert!(paths.iter().any(|p| p.to == 12) && paths.iter().all(|p| p.source != Some(12)));
@@ -664,7 +690,7 @@
 }
 
 #[test]
-fn an_id_reused_by_a_new_process_warms_up_without_old_outcomes() {
+fn a_new_process_with_a_reused_id_starts_without_the_outcomes_of_the_old_one() {
     let mut harness = Harness::new(settings(), endpoints());
     send_requests(&mut harness, 0..200, |a| {
         if a.to == 2 {
@@ -684,10 +710,11 @@
 
 #[test]
 fn hundreds_of_endpoints_can_be_removed_and_added_at_once() {
-    let far = |ids: std::ops::Range<u32>| ids.map(|id| endpoint(id, Tier::RemoteCache));
-    let mut harness = Harness::new(settings(), endpoints().into_iter().chain(far(1_000..1_400)).collect());
+    let remote_caches = |ids: std::ops::Range<u32>| ids.map(|id| endpoint(id, Tier::RemoteCache));
+    let mut harness =
+        Harness::new(settings(), endpoints().into_iter().chain(remote_caches(1_000..1_400)).collect());
     let before: Vec<SentAttempt> = (0..100).map(|o| harness.serve_request(o)).collect();
-    harness.handle(Event::EndpointsChanged { full: true, entries: far(1_000..1_400).collect() });
+    harness.handle(Event::EndpointsChanged { full: true, entries: remote_caches(1_000..1_400).collect() });
     let actions = harness.request(0, 5);
     assert_eq!(
         (sent_attempts(&actions).len(), final_responses(&actions).len()),
@@ -695,13 +722,13 @@
         "without usable endpoints, requests are rejected at once"
     );
     harness.handle(Event::EndpointsChanged { full: true, entries: endpoints() });
-    for (object, then) in before.iter().enumerate() {
+    for (object, expected) in before.iter().enumerate() {
         let now = harness.serve_request(object as u64);
-        assert_eq!((now.to, now.source), (then.to, then.source), "the paths are the same as before");
+        assert_eq!((now.to, now.source), (expected.to, expected.source), "the paths are the same as before");
     }
 }
 
-/// Time-outs due to clients with short deadlines must not count against endpoints.
+/// Timeouts due to clients with short deadlines must not count against endpoints.
 #[test]
 fn a_timeout_shortened_by_the_deadline_counts_against_no_endpoint() {
     let mut harness = Harness::new(
@@ -731,11 +758,11 @@
         });
         assert_eq!(final_responses(&ends), [(id, true)]);
     }
-    let homes: Vec<_> = (0..100).map(|o| harness.serve_request(o)).collect();
-    let mut fresh = Harness::new(settings(), endpoints());
-    let all: Vec<_> = (0..100).map(|o| fresh.serve_request(o)).collect();
-    let same = homes.iter().zip(&all).filter(|(a, b)| a.source == b.source).count();
-    assert_eq!(same, 100, "no parent was ejected");
+    let actual: Vec<_> = (0..100).map(|o| harness.serve_request(o)).collect();
+    let mut new_router = Harness::new(settings(), endpoints());
+    let expected: Vec<_> = (0..100).map(|o| new_router.serve_request(o)).collect();
+    let equal = actual.iter().zip(&expected).filter(|(a, b)| a.source == b.source).count();
+    assert_eq!(equal, 100, "the fill source changed for {} of 100 objects", 100 - equal);
 }
 
 /// The default capacity must not limit a cache that responds in time.
@@ -765,24 +792,24 @@
     assert!(rejected[2] > 200, "late responses reduce the capacity: {rejected:?}");
 }
 
-/// Malformed responses and reset connections must not move requests away from the cache that has their
-/// object, and must not use up the retry budget.
+/// Retries after malformed responses and reset connections must stay at the cache that has the object,
+/// without cost to the retry budget.
 #[test]
-fn an_attempt_lost_on_its_way_is_retried_at_the_same_cache() {
-    for (outcome, each) in [(AttemptOutcome::Malformed, 1), (AttemptOutcome::ConnectionLost, 5)] {
+fn an_attempt_that_failed_in_transport_is_retried_at_the_same_cache() {
+    for (outcome, failure_interval) in [(AttemptOutcome::Malformed, 1), (AttemptOutcome::ConnectionLost, 5)] {
         let mut harness =
             Harness::new(PolicySettings { reports_cache_status: false, ..settings() }, endpoints());
         let mut fresh = Harness::new(settings(), endpoints());
         for object in 0..300 {
             harness.now += 20 * MS;
-            if object % each != 0 {
+            if object % failure_interval != 0 {
                 assert_eq!(harness.serve_request(object).to, fresh.serve_request(object).to);
                 continue;
             }
             let actions = harness.request(0, object);
             let first = sent_attempts(&actions)[0].clone();
             let (id, cache_status, elapsed, closed) = (first.id, CacheStatus::Unknown, 50 * MS, false);
-            let again = harness.handle(Event::AttemptEnded {
+            let retry_actions = harness.handle(Event::AttemptEnded {
                 id,
                 attempt: 0,
                 outcome,
@@ -790,8 +817,8 @@
                 elapsed,
                 closed,
             });
-            assert_eq!(sent_attempts(&again)[0].to, first.to, "{outcome:?} of {object}");
-            let done = Event::AttemptEnded {
+            assert_eq!(sent_attempts(&retry_actions)[0].to, first.to, "{outcome:?} of {object}");
+            let served = Event::AttemptEnded {
                 id,
                 attempt: 1,
                 outcome: AttemptOutcome::Served,
@@ -799,7 +826,7 @@
                 elapsed,
                 closed: true,
             };
-            harness.handle(done);
+            harness.handle(served);
             assert_eq!(first.to, fresh.serve_request(object).to, "its cache keeps the object");
         }
     }
@@ -818,7 +845,7 @@
 
 /// The fast errors of a location's only cache must not use up the retry budget or eject the parents.
 #[test]
-fn a_lone_cache_that_fails_fast_is_bypassed() {
+fn the_only_cache_of_a_location_is_bypassed_if_it_returns_errors() {
     let mut harness = Harness::new(PolicySettings { reports_cache_status: false, ..settings() }, endpoints());
     let send = |harness: &mut Harness, object: u64| {
         let (mut actions, mut attempt) = (harness.request(0, object), 0);
@@ -867,7 +894,7 @@
         harness.handle(Event::AttemptEnded { id, attempt, outcome, cache_status, elapsed, closed });
         harness.now += 10 * MS;
     }
-    assert_eq!(rejected, 0);
+    assert_eq!(rejected, 0, "{rejected} of 100 requests rejected from the burst on");
 }
 
 /// The estimated capacity must not grow faster than late responses reduce it.
@@ -889,10 +916,10 @@
         if k % 2 == 1 {
             continue;
         }
-        if let Some((id, since)) = in_flight.pop_front() {
+        if let Some((id, sent_at)) = in_flight.pop_front() {
             let (elapsed, outcome, cache_status) =
-                (harness.now - since, AttemptOutcome::Served, CacheStatus::Unknown);
-            // The latency objective of these requests: 500 ms, and twice their transfer time of 100 ms.
+                (harness.now - sent_at, AttemptOutcome::Served, CacheStatus::Unknown);
+            // The latency objective is 500 ms plus twice the transfer time of 100 ms.
             let counter = if elapsed > 700 * MS { &mut late } else { &mut in_time };
             *counter += u32::from(k > 4_000);
             harness.handle(Event::AttemptEnded {
@@ -908,7 +935,7 @@
     assert!(in_time > 600, "{late} late, {in_time} in time");
 }
 
-/// Three seconds after the last late response, misses are filled again.
+/// A class must not stay congested after its late responses have decayed.
 #[test]
 fn fills_resume_within_three_seconds_after_congestion() {
     let mut harness = Harness::new(PolicySettings { reports_cache_status: false, ..settings() }, endpoints());
