--- a/src/grpc/admission.rs
+++ b/src/grpc/admission.rs
@@ -23,7 +23,8 @@
     control: RefCell<Option<AdmissionControl>>,
     queued: RefCell<HashMap<u64, oneshot::Sender<QueueDecision>>>,
     last_id: Cell<u64>,
-    /// Notified when a call is queued, because its deadline may be the earliest.
+    /// Notified when a call is queued: its deadline may be the earliest, so [`Self::next_expiry_ms`] must be
+    /// read again.
     pub call_queued: Notify,
 }
 
@@ -57,7 +58,7 @@
         self.control.borrow_mut().as_mut().map(act)
     }
 
-    /// Submits a call that is to be rejected if it is still queued close to `deadline_ms`.
+    /// Submits a call. If it is queued and can no longer be served before `deadline_ms`, it is rejected.
     pub fn submit(
         self: &Rc<Self>,
         clock: &Clock,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Rejects queued calls that are close to their deadline.
+    /// Rejects the queued calls that can no longer be served before their deadline.
     pub fn expire_queued(&self, now: f64) {
         for expired in self.with(|control| control.expire(now)).unwrap_or_default() {
             self.decide(expired.id, Some(expired.retry_after_ms));
--- a/src/grpc/attempt_result.rs
+++ b/src/grpc/attempt_result.rs
@@ -5,10 +5,10 @@
 use h2::Reason;
 use http::HeaderMap;
 
-/// The result of an attempt, as its call's driver sees it.
+/// The result of an attempt, for the call driver.
 pub enum AttemptResult {
-    /// The backend or its connection ended the attempt. Holds the trailers, or the headers of a
-    /// "Trailers-Only" response, if they carried a status.
+    /// The attempt ended; the call table decides whether the call is retried. Holds the trailers, or the
+    /// headers of a "Trailers-Only" response, if they carried a status.
     Ended(AttemptEnd, Option<HeaderMap>),
     /// The client disconnected.
     ClientDisconnected,
@@ -17,7 +17,7 @@
 }
 
 impl AttemptResult {
-    /// An attempt that ended without a status from the backend.
+    /// An attempt that ended without a status to forward.
     pub fn ended(end: AttemptEnd) -> Self {
         Self::Ended(end, None)
     }
--- a/src/grpc/call.rs
+++ b/src/grpc/call.rs
@@ -9,13 +9,13 @@
 /// The id of a call; never reused within a process.
 pub type CallId = u64;
 
-/// Upper bound of the margin that is subtracted from a client's timeout for the response's way back, in
-/// milliseconds.
+/// Maximum margin that is subtracted from a client's timeout, so that the response reaches the client in
+/// time, in milliseconds.
 const MAX_RETURN_MARGIN_MS: f64 = 40.0;
-/// Upper bound of the same margin, as a share of the client's timeout.
+/// Maximum of the same margin, as a share of the client's timeout.
 const MAX_RETURN_MARGIN_SHARE: f64 = 0.1;
 
-/// A call as the client requested it.
+/// A call to be added to the call table.
 #[derive(Clone, Debug)]
 pub struct NewCall {
     /// The route that matched its path.
@@ -96,7 +96,7 @@
         Self { code: Code::UNAVAILABLE, message, pushback, outcome: CallOutcome::Rejected }
     }
 
-    /// The status for a report about a call that has already ended.
+    /// The status returned for an event of a call that is no longer in the call table.
     pub fn already_ended() -> Self {
         let pushback = Some(Pushback::Never);
         Self { pushback, ..Self::failed(Code::INTERNAL, "the call has ended") }
--- a/src/grpc/call_table.rs
+++ b/src/grpc/call_table.rs
@@ -164,7 +164,8 @@
         self.calls.get(&id).map_or(f64::NEG_INFINITY, |call| call.deadline_ms)
     }
 
-    /// The response headers were sent to the client, so the call can no longer be retried.
+    /// Marks a call as committed: its response headers were sent to the client, so it can no longer be
+    /// retried.
     pub fn commit(&mut self, now: f64, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let pool = call.route.pool;
@@ -198,7 +199,8 @@
         }
     }
 
-    /// The current attempt ended. Any directive other than [`Directive::StartAttempt`] ends the call.
+    /// Records the end of the current attempt and returns the next directive. Any directive other than
+    /// [`Directive::StartAttempt`] ends the call.
     pub fn attempt_ended(&mut self, now: f64, id: CallId, end: AttemptEnd) -> Directive {
         let Some(call) = self.calls.get_mut(&id) else { return already_ended() };
         let Some(attempt) = call.active.take() else { return already_ended() };
@@ -225,7 +227,7 @@
         self.end_with_attempt(id, committed, classified, remaining_ms)
     }
 
-    /// The client disconnected or reset the call. No status is sent.
+    /// Removes a call whose client disconnected or reset it. No status is sent.
     pub fn client_disconnected(&mut self, now: f64, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let (attempt, pool) = (call.active.take(), call.route.pool);
@@ -297,7 +299,8 @@
         Directive::StartAttempt(AttemptTarget { attempt, backend, address })
     }
 
-    /// Ends a call that the policy rejected, with a retry pushback in milliseconds, or failed (`None`).
+    /// Ends a call that the policy rejected or failed. `rejected` is the retry pushback of a rejection, in
+    /// milliseconds (0 for none), or `None` if the policy failed the call.
     fn end_by_policy(&mut self, now: f64, id: CallId, rejected: Option<f64>) -> Directive {
         let Some(call) = self.calls.get(&id) else { return already_ended() };
         let (last_end, pool) = (call.last_end, call.route.pool);
@@ -355,7 +358,7 @@
     }
 }
 
-/// The directive for a report about a call that has already ended.
+/// The directive returned for an event of a call that is no longer in the table.
 fn already_ended() -> Directive {
     Directive::Respond(LocalStatus::already_ended())
 }
--- a/src/grpc/config.rs
+++ b/src/grpc/config.rs
@@ -25,7 +25,8 @@
     /// Admission control of unary calls, in the format of the admission file.
     #[serde(rename = "door", default)]
     pub admission: Option<AdmissionConfig>,
-    /// The header that holds a call's tenant, a number from 0 to 255. If unset, each route is a tenant.
+    /// The header that holds a call's tenant, a number from 0 to 255. If unset, the tenant is the index of
+    /// the route within its pool.
     #[serde(default)]
     pub tenant_header: Option<String>,
     /// The backend pools.
--- a/src/grpc/front.rs
+++ b/src/grpc/front.rs
@@ -98,8 +98,8 @@
         act(&mut self.calls.borrow_mut())
     }
 
-    /// Applies a reloaded configuration: pools, backends, routes, and the weights and exempt networks of
-    /// admission control. All other limits change only with a new process.
+    /// Applies a reloaded configuration: pools, backends, routes, the tenant header, and the weights and
+    /// exempt networks of admission control. Other changes require a restart.
     pub fn reconfigure(&self, fresh: GrpcConfig) -> Result<(), RouteError> {
         let (mut routes, pools) = fresh.compile()?;
         let names: Vec<String> = pools.iter().map(|pool| pool.name.clone()).collect();
--- a/src/grpc/headers.rs
+++ b/src/grpc/headers.rs
@@ -1,5 +1,5 @@
-//! Request headers, response headers and trailers of calls: which are forwarded, and the status in them (gRPC
-//! over HTTP/2).
+//! Headers and trailers of calls (gRPC over HTTP/2): selection of those that are forwarded, and parsing and
+//! encoding of the status.
 
 use super::call::LocalStatus;
 use super::status::{encode_message, AttemptEnd, Code, Pushback};
@@ -8,7 +8,7 @@
 const STATUS: &str = "grpc-status";
 const MESSAGE: &str = "grpc-message";
 const PUSHBACK: &str = "grpc-retry-pushback-ms";
-/// The header with the time that a call may take.
+/// The header with the call's timeout.
 pub const TIMEOUT: &str = "grpc-timeout";
 /// The header with the number of earlier attempts of a call (gRFC A6).
 pub const PREVIOUS_ATTEMPTS: &str = "grpc-previous-rpc-attempts";
@@ -27,12 +27,13 @@
     PREVIOUS_ATTEMPTS,
 ];
 
-/// A header that must occur at most once is repeated.
+/// A header occurs more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a header that must occur at most once is repeated")]
 pub struct RepeatedHeader;
 
-/// Returns the headers to forward: all except hop-by-hop headers and those that `connection` names.
+/// Returns the headers to forward: all except hop-by-hop headers, headers that `connection` names, and those
+/// that the proxy sets itself.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = headers.clone();
     let named: Vec<String> = headers
--- a/src/grpc/limits.rs
+++ b/src/grpc/limits.rs
@@ -22,7 +22,8 @@
     pub connections: usize,
     /// Maximum number of connections to one backend.
     pub connections_per_backend: usize,
-    /// Number of calls on a connection to a backend above which another connection is opened.
+    /// Number of calls on a connection to a backend at which another connection is opened, if the limits
+    /// allow it.
     #[serde(rename = "spread")]
     pub spread_above: usize,
     /// Maximum number of concurrent calls on a connection to a backend.
@@ -48,7 +49,7 @@
     pub keepalive_ms: f64,
     /// Time allowed for the response to a keepalive ping.
     pub keepalive_timeout_ms: f64,
-    /// Grace period of open calls at shutdown; it begins when the listeners close, 0.7 s after SIGTERM.
+    /// Grace period of open calls at shutdown; it begins after the listeners have closed.
     pub stop_ms: f64,
 }
 
--- a/src/grpc/mod.rs
+++ b/src/grpc/mod.rs
@@ -7,7 +7,7 @@
 //! | [`status`] | status codes, and the classification of attempts | none |
 //! | [`timeout`] | parsing and formatting of `grpc-timeout` | none |
 //! | [`frames`] | framing of messages | none |
-//! | [`headers`] | forwarded headers and trailers, and the status in them | none |
+//! | [`headers`] | selection of headers and trailers, and parsing and encoding of the status | none |
 //! | [`routes`], [`route_compiler`] | the routing table, and its compilation from the configuration | none |
 //! | [`call`] | types of a call, its next step and its outcome | none |
 //! | [`pool`] | a pool of backends with its policy instance | none |
--- a/src/grpc/pool.rs
+++ b/src/grpc/pool.rs
@@ -1,7 +1,8 @@
 //! A pool of backends with its own instance of the routing policy. No I/O.
 //!
-//! To the policy the backends are caches that never hold a copy. A virtual origin endpoint represents
-//! whatever all backends depend on: errors that all of them return are attributed to it and eject no backend.
+//! For the policy, the backends are endpoints of the cache tier whose responses are uncacheable. A virtual
+//! origin endpoint stands for the dependencies that all backends share: errors that all of them return are
+//! attributed to it, and no backend is ejected.
 
 use super::call::CallOutcome;
 use super::status::{Code, CODE_COUNT};
@@ -160,7 +161,7 @@
     endpoint(backend.id, Tier::Cache, state, backend.weight)
 }
 
-/// An endpoint in the only zone, past its slow start.
+/// An endpoint in zone 0 that started at time 0, so its slow start is over.
 fn endpoint(id: EndpointId, tier: Tier, state: EndpointState, weight: f64) -> Endpoint {
     Endpoint { id, tier, state, started_at: 0, weight, zone: 0, cell: 0 }
 }
--- a/src/grpc/pool_config.rs
+++ b/src/grpc/pool_config.rs
@@ -106,7 +106,7 @@
 }
 
 impl PoolConfig {
-    /// Validates the pool, except that its name is unique.
+    /// Validates the pool. Does not check whether another pool has the same name.
     pub fn check(&self) -> Result<(), PoolFault> {
         if self.name.is_empty() {
             return Err(PoolFault::Name);
--- a/src/grpc/request_stream.rs
+++ b/src/grpc/request_stream.rs
@@ -21,7 +21,7 @@
 }
 
 impl RequestStream {
-    /// Creates a stream of which nothing was read, with messages of at most `max_message_bytes`.
+    /// Creates a request stream that accepts messages of at most `max_message_bytes`.
     pub fn new(body: RecvStream, max_message_bytes: u32) -> Self {
         let tracker = MessageTracker::new(max_message_bytes);
         Self { body, complete: false, replay: Vec::new(), replayable: true, tracker }
--- a/src/grpc/route_compiler.rs
+++ b/src/grpc/route_compiler.rs
@@ -49,7 +49,7 @@
     /// A header name is invalid.
     #[error("not a valid header name")]
     HeaderName,
-    /// A route whose calls carry an idempotency key lacks its settings, or another route has them.
+    /// A `keyed` method lacks `key` or a positive `key_window_ms`, or another method has `key`.
     #[error("`key` and `key_window_ms` are required for `keyed` methods and not allowed for others")]
     Key,
     /// A status name in `retry` is unknown, or OK.
--- a/src/grpc/routes.rs
+++ b/src/grpc/routes.rs
@@ -12,7 +12,8 @@
 pub enum MethodKind {
     /// One message in each direction. An attempt has a timeout of its own if it can be retried.
     Unary,
-    /// Any number of messages in either direction, or unknown. An attempt has until the call's deadline.
+    /// Any number of messages in either direction; also for methods whose kind is unknown. An attempt has
+    /// until the call's deadline.
     #[default]
     Stream,
 }
@@ -120,7 +121,7 @@
     }
 }
 
-/// The affinity hash of a text; the same on every proxy.
+/// The first 8 bytes of the SHA-256 digest, as the affinity hash; the same on every proxy.
 pub fn text_hash(text: &[u8]) -> u64 {
     let digest = Sha256::digest(text);
     u64::from_be_bytes(digest[..8].try_into().expect("32 bytes"))
--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -16,10 +16,10 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
-/// Delay before accepting again after an error, which is mostly a lack of file descriptors, or at the
+/// Delay before the next accept after an accept error (usually file descriptor exhaustion) or at the
 /// connection limit, in milliseconds.
 const ACCEPT_RETRY_MS: u64 = 20;
-/// Timeout of each accept at shutdown, which empties the listen backlog, in milliseconds.
+/// Timeout of an accept while the listen backlog is drained at shutdown, in milliseconds.
 const BACKLOG_ACCEPT_TIMEOUT_MS: u64 = 1;
 /// Interval of [`run_housekeeping`], in milliseconds.
 const HOUSEKEEPING_INTERVAL_MS: u64 = 100;
@@ -36,7 +36,7 @@
     }
 }
 
-/// Rejects queued calls that are close to their deadline. Never returns.
+/// Rejects queued calls once they can no longer be served before their deadline. Never returns.
 pub async fn expire_queued_calls(front: Rc<GrpcFront>) {
     loop {
         let wait_ms = front.admission.next_expiry_ms() - front.now();
@@ -131,7 +131,7 @@
     }
 }
 
-/// Guard of an open call.
+/// Decrements the number of open calls on drop.
 struct OpenCallGuard(Rc<OpenCalls>);
 
 impl Drop for OpenCallGuard {
--- a/src/grpc/status.rs
+++ b/src/grpc/status.rs
@@ -1,9 +1,9 @@
 //! gRPC status codes, their mapping from HTTP statuses and HTTP/2 error codes, and the classification of
 //! attempts for the policy and the client. No I/O.
 //!
-//! The mappings follow "gRPC over HTTP/2" (errors) and "HTTP to gRPC Status Code Mapping". Retries follow
-//! gRFC A6: a call is committed once its response headers were sent to the client, and a request that no
-//! backend processed may always be retried.
+//! The mappings follow the section "Errors" of "gRPC over HTTP/2" and "HTTP to gRPC Status Code Mapping".
+//! Retries follow gRFC A6: a call is committed once its response headers were sent to the client, and a
+//! request that no backend processed may always be retried.
 
 use crate::interface::Idempotency;
 use crate::AttemptOutcome;
@@ -86,6 +86,8 @@
     /// Whether the status is caused by the client's request, so that it says nothing about the backend's
     /// health.
     pub fn is_client_error(self) -> bool {
+        // CANCELLED, INVALID_ARGUMENT, NOT_FOUND, ALREADY_EXISTS, PERMISSION_DENIED, FAILED_PRECONDITION,
+        // ABORTED, OUT_OF_RANGE, UNIMPLEMENTED, UNAUTHENTICATED.
         matches!(self.0, 1 | 3 | 5 | 6 | 7 | 9 | 10 | 11 | 12 | 16)
     }
 
@@ -109,10 +111,10 @@
     /// Maps the error code of an RST_STREAM frame (RFC 9113, section 7).
     pub fn from_reset(reason: u32) -> Self {
         match reason {
-            0x7 => Self::UNAVAILABLE,
-            0x8 => Self::CANCELLED,
-            0xb => Self::RESOURCE_EXHAUSTED,
-            0xc => Self::PERMISSION_DENIED,
+            0x7 => Self::UNAVAILABLE,        // REFUSED_STREAM
+            0x8 => Self::CANCELLED,          // CANCEL
+            0xb => Self::RESOURCE_EXHAUSTED, // ENHANCE_YOUR_CALM
+            0xc => Self::PERMISSION_DENIED,  // INADEQUATE_SECURITY
             _ => Self::INTERNAL,
         }
     }
--- a/src/grpc/status/tests.rs
+++ b/src/grpc/status/tests.rs
@@ -18,8 +18,8 @@
     assert_eq!((Pushback::parse(b"-1"), Pushback::parse(b"soon")), (Pushback::Never, Pushback::Never));
 }
 
-/// Guards against executing a call twice: a non-idempotent method is retried only if the backend surely did
-/// not process the request.
+/// Guards against executing a call twice: a non-idempotent method is retried only if the backend certainly
+/// did not process the request, and no method after its response headers were sent.
 #[test]
 fn non_idempotent_methods_are_retried_only_if_surely_unprocessed() {
     let mut ends = vec![
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -1,5 +1,5 @@
-//! HTTP/2 connections to backends, with one task each. [`Connections`] assigns calls to connections and
-//! decides when to open another one, as for the endpoints of the other fronts.
+//! HTTP/2 connections to backends; each runs in a task of its own. As in the other fronts, [`Connections`]
+//! assigns calls to connections and decides when to open another one.
 
 use super::flow_control::connection_window_bytes;
 use super::limits::GrpcLimits;
@@ -54,7 +54,7 @@
 }
 
 impl Upstream {
-    /// Creates a manager without connections.
+    /// Creates an instance without connections.
     pub fn new(clock: Clock, limits: GrpcLimits, connection_limits: ConnectionLimits) -> Rc<Self> {
         Rc::new(Self {
             clock,
@@ -196,8 +196,8 @@
         let _ = sender.send(ConnectionState::Down { local: false });
     }
 
-    /// Sends keepalive pings, and returns when one is not answered in time. Detects dead connections under
-    /// long streams.
+    /// Sends keepalive pings, and returns when one is not answered in time. Detects dead connections whose
+    /// streams are idle.
     async fn ping_until_unanswered(&self, ping: Option<h2::PingPong>) {
         let Some(mut ping) = ping else { return std::future::pending().await };
         loop {
