--- a/src/grpc/admin.rs
+++ b/src/grpc/admin.rs
@@ -19,12 +19,15 @@
 struct PoolStatus {
     name: String,
     live: usize,
-    avoided: usize,
+    #[serde(rename = "avoided")]
+    ejected: usize,
     backends: Vec<BackendStatus>,
     served: u64,
-    refused: u64,
+    #[serde(rename = "refused")]
+    rejected: u64,
     failed: u64,
-    left: u64,
+    #[serde(rename = "left")]
+    client_disconnected: u64,
     attempts: u64,
 }
 
@@ -35,19 +38,19 @@
 }
 
 impl PoolStatus {
-    fn of(now: f64, pool: &Pool) -> Self {
-        let [served, refused, failed, left] = pool.counters.outcomes;
+    fn new(now: f64, pool: &Pool) -> Self {
+        let [served, rejected, failed, client_disconnected] = pool.counters.outcomes;
         let backends = pool.backends();
         let backends = backends.map(|backend| BackendStatus { address: backend.address, live: backend.live });
         Self {
             name: pool.name().to_string(),
             live: pool.active_backends(),
-            avoided: pool.ejected_backends(now),
+            ejected: pool.ejected_backends(now),
             backends: backends.collect(),
             served,
-            refused,
+            rejected,
             failed,
-            left,
+            client_disconnected,
             attempts: pool.counters.attempts,
         }
     }
@@ -65,7 +68,7 @@
         let status = self.with_calls(|calls| FrontStatus {
             open: calls.open_calls(),
             connections: self.upstream.len(),
-            pools: calls.pools().iter().map(|pool| PoolStatus::of(self.now(), pool)).collect(),
+            pools: calls.pools().iter().map(|pool| PoolStatus::new(self.now(), pool)).collect(),
         });
         let body = simd_json::to_vec(&status).unwrap_or_default();
         let response = HttpResponse { body: body.into(), ..HttpResponse::status(200) };
--- a/src/grpc/attempt.rs
+++ b/src/grpc/attempt.rs
@@ -42,7 +42,7 @@
         biased;
         result = forward(front, id, target, client) => result,
         () = front.abort_requested() => aborted_result(),
-        () = attempt_timeout(front, id) => AttemptResult::ended(AttemptEnd::TimedOut),
+        () = attempt_timeout(front, id) => AttemptResult::ended_without_status(AttemptEnd::TimedOut),
     }
 }
 
@@ -66,7 +66,7 @@
     client: &mut ClientStreams<'_>,
 ) -> AttemptResult {
     let Some(mut permit) = front.upstream.reserve_stream(target.address, id, target.attempt) else {
-        return AttemptResult::ended(AttemptEnd::NoConnection { local: true });
+        return AttemptResult::ended_without_status(AttemptEnd::NoConnection { local: true });
     };
     let ready = tokio::select! {
         biased;
@@ -76,21 +76,21 @@
     let mut sender = match ready {
         Ok(sender) => sender,
         Err(ConnectionError::NotConnected { local }) => {
-            return AttemptResult::ended(AttemptEnd::NoConnection { local })
+            return AttemptResult::ended_without_status(AttemptEnd::NoConnection { local })
         }
-        Err(ConnectionError::Exhausted) => return AttemptResult::ended(AttemptEnd::NotSent),
+        Err(ConnectionError::Exhausted) => return AttemptResult::ended_without_status(AttemptEnd::NotSent),
     };
     // The backend may have started draining, and time has passed, while the call waited for the connection.
     front.sync_backends();
     let Some(remaining_ms) = front.with_calls(|calls| calls.remaining_attempt_ms(front.now(), id)) else {
-        return AttemptResult::ended(AttemptEnd::NotSent);
+        return AttemptResult::ended_without_status(AttemptEnd::NotSent);
     };
     let request = attempt_request(client.head, target, remaining_ms);
     let (response, mut stream) = match sender.send_request(request, false) {
         Ok(streams) => streams,
         Err(_) => {
             permit.connection_exhausted();
-            return AttemptResult::ended(AttemptEnd::NotSent);
+            return AttemptResult::ended_without_status(AttemptEnd::NotSent);
         }
     };
     drop(sender);
--- a/src/grpc/attempt_result.rs
+++ b/src/grpc/attempt_result.rs
@@ -18,13 +18,13 @@
 
 impl AttemptResult {
     /// An attempt that ended without a status to forward.
-    pub fn ended(end: AttemptEnd) -> Self {
+    pub fn ended_without_status(end: AttemptEnd) -> Self {
         Self::Ended(end, None)
     }
 }
 
 /// Maps an HTTP/2 error to the end of the attempt.
-pub fn end_of_error(error: &h2::Error) -> AttemptEnd {
+pub fn attempt_end_from_error(error: &h2::Error) -> AttemptEnd {
     if error.is_go_away() && error.is_remote() {
         // `h2` reports a GOAWAY only to streams above its last stream id; the backend did not process them.
         return AttemptEnd::Unprocessed;
--- a/src/grpc/call.rs
+++ b/src/grpc/call.rs
@@ -34,8 +34,8 @@
     /// the client's timeout less the return margin.
     pub fn allowed_ms(&self) -> f64 {
         let without_margin = |ms: f64| ms - MAX_RETURN_MARGIN_MS.min(MAX_RETURN_MARGIN_SHARE * ms);
-        let client = self.timeout_ms.map_or(f64::INFINITY, without_margin);
-        client.min(self.route.deadline_ms.unwrap_or(f64::INFINITY))
+        let client_ms = self.timeout_ms.map_or(f64::INFINITY, without_margin);
+        client_ms.min(self.route.deadline_ms.unwrap_or(f64::INFINITY))
     }
 
     /// The call's deadline, in Unix milliseconds.
@@ -125,7 +125,7 @@
 ) -> Option<u64> {
     match affinity {
         Affinity::Call => None,
-        Affinity::Method => Some(super::routes::text_hash(path.as_bytes())),
-        Affinity::Header(name) => header(name).map(|value| super::routes::text_hash(&value)),
+        Affinity::Method => Some(super::routes::affinity_hash_of(path.as_bytes())),
+        Affinity::Header(name) => header(name).map(|value| super::routes::affinity_hash_of(&value)),
     }
 }
--- a/src/grpc/call_driver.rs
+++ b/src/grpc/call_driver.rs
@@ -28,19 +28,19 @@
 ) {
     let (head, body) = request.into_parts();
     if head.method != Method::POST || !is_grpc(&head.headers) {
-        respond_without_grpc(&head.method, &mut respond);
+        reject_non_grpc_request(&head.method, &mut respond);
         return front.count_not_grpc();
     }
     let received_ms = front.now();
     let mut response = ResponseStream::NotStarted(respond);
-    let new = match parse_head(&front, &head, received_ms) {
-        Ok(new) => new,
+    let new_call = match parse_head(&front, &head, received_ms) {
+        Ok(new_call) => new_call,
         Err(status) => {
             front.count_unrouted();
             return response.end(status_trailers(&status));
         }
     };
-    let permit = match admit(&front, &head, &new, client, &mut response).await {
+    let permit = match admit(&front, &head, &new_call, client, &mut response).await {
         AdmissionOutcome::Admitted(permit) => permit,
         AdmissionOutcome::ClientDisconnected => return,
         AdmissionOutcome::Rejected { retry_after_ms } => {
@@ -53,11 +53,11 @@
     let mut request = RequestStream::new(body, front.limits().message_bytes);
     let mut streams =
         ClientStreams { head: &head, request: &mut request, response: &mut response, received_ms };
-    run_attempts(&front, new, &mut streams, permit).await;
+    run_attempts(&front, new_call, &mut streams, permit).await;
 }
 
 /// Responds to a request that is not gRPC with an HTTP status.
-fn respond_without_grpc(method: &Method, respond: &mut SendResponse<Bytes>) {
+fn reject_non_grpc_request(method: &Method, respond: &mut SendResponse<Bytes>) {
     let is_post = method == Method::POST;
     let status = if is_post { StatusCode::UNSUPPORTED_MEDIA_TYPE } else { StatusCode::METHOD_NOT_ALLOWED };
     let mut response = Response::new(());
@@ -68,12 +68,12 @@
 /// Runs attempts until the call has ended.
 async fn run_attempts(
     front: &Rc<GrpcFront>,
-    new: NewCall,
+    new_call: NewCall,
     streams: &mut ClientStreams<'_>,
     permit: Option<AdmissionPermit>,
 ) {
-    let (id, mut directive) = front.with_calls(|calls| calls.begin(front.now(), new));
-    let mut open_call = OpenCallGuard { front, id, ended: false };
+    let (id, mut directive) = front.with_calls(|calls| calls.begin(front.now(), new_call));
+    let mut open_call = CallTableGuard { front, id, ended: false };
     let mut last_headers: Option<HeaderMap> = None;
     loop {
         directive = match directive {
@@ -114,7 +114,7 @@
     let route = front.routes().find(path).cloned().map(Rc::new);
     let route = route.ok_or_else(|| LocalStatus::failed(Code::UNIMPLEMENTED, "no such method here"))?;
     let timeout_ms = parse_timeout(&head.headers)?;
-    if let Some(name) = &route.key {
+    if let Some(name) = &route.key_header {
         // Without its key the backend could execute a retried call twice.
         let key = single_value(&head.headers, name).ok().flatten();
         if key.is_none_or(|key| key.is_empty()) {
@@ -154,16 +154,16 @@
 async fn admit(
     front: &Rc<GrpcFront>,
     head: &request::Parts,
-    new: &NewCall,
+    new_call: &NewCall,
     client: IpAddr,
     response: &mut ResponseStream,
 ) -> AdmissionOutcome {
-    if new.route.kind != MethodKind::Unary {
+    if new_call.route.kind != MethodKind::Unary {
         return AdmissionOutcome::Admitted(None);
     }
-    let number = |name: &str| head.headers.get(name)?.to_str().ok()?.parse().ok();
-    let tenant = front.tenant(new.route.class, number);
-    match front.admission.submit(&front.executor.clock, client, tenant, new.deadline_ms()) {
+    let numeric_header = |name: &str| head.headers.get(name)?.to_str().ok()?.parse().ok();
+    let tenant = front.tenant(new_call.route.class, numeric_header);
+    match front.admission.submit(&front.executor.clock, client, tenant, new_call.deadline_ms()) {
         AdmissionResult::Admitted(permit) => AdmissionOutcome::Admitted(Some(permit)),
         AdmissionResult::Rejected(retry_after_ms) => AdmissionOutcome::Rejected { retry_after_ms },
         AdmissionResult::Queued(decision, permit) => tokio::select! {
@@ -179,13 +179,13 @@
 }
 
 /// Removes a call from the table if its driver ends early: on a panic, or when the client disconnects.
-struct OpenCallGuard<'f> {
+struct CallTableGuard<'f> {
     front: &'f GrpcFront,
     id: CallId,
     ended: bool,
 }
 
-impl Drop for OpenCallGuard<'_> {
+impl Drop for CallTableGuard<'_> {
     fn drop(&mut self) {
         if !self.ended {
             self.front.with_calls(|calls| calls.client_disconnected(self.front.now(), self.id));
--- a/src/grpc/call_table.rs
+++ b/src/grpc/call_table.rs
@@ -109,14 +109,15 @@
     }
 
     /// Adds a call, or rejects it if the table is full.
-    pub fn begin(&mut self, now: f64, new: NewCall) -> (CallId, Directive) {
+    pub fn begin(&mut self, now: f64, new_call: NewCall) -> (CallId, Directive) {
         self.last_id += 1;
         let id = self.last_id;
-        let deadline_ms = new.deadline_ms();
-        let NewCall { route, affinity_hash, timeout_ms, .. } = new;
+        let deadline_ms = new_call.deadline_ms();
+        let NewCall { route, affinity_hash, timeout_ms, .. } = new_call;
         let counters = &mut self.pools[route.pool].counters;
-        let shortened = timeout_ms.zip(route.deadline_ms).is_some_and(|(client, own)| own < client);
-        counters.shortened += u64::from(shortened);
+        let is_shortened =
+            timeout_ms.zip(route.deadline_ms).is_some_and(|(client_ms, route_ms)| route_ms < client_ms);
+        counters.deadlines_shortened += u64::from(is_shortened);
         if self.calls.len() >= self.limits.open_calls {
             let status = LocalStatus::rejected("too many calls are open", Some(OVERLOAD_RETRY_AFTER_MS));
             counters.count(status.outcome, status.code);
@@ -147,8 +148,8 @@
     pub fn remaining_attempt_ms(&mut self, now: f64, id: CallId) -> Option<f64> {
         let call = self.calls.get(&id)?;
         let attempt = call.active.as_ref()?;
-        let left = attempt.timeout_at_ms.min(call.deadline_ms) - now;
-        (left >= 1.0 && self.accepts_calls(call.route.pool, attempt.backend)).then_some(left)
+        let remaining_ms = attempt.timeout_at_ms.min(call.deadline_ms) - now;
+        (remaining_ms >= 1.0 && self.accepts_calls(call.route.pool, attempt.backend)).then_some(remaining_ms)
     }
 
     /// When the current attempt times out, in Unix milliseconds: at the call's deadline, or earlier at the
@@ -215,7 +216,7 @@
             attempt: attempt.number,
             outcome: outcome_for_policy(&route, end, &classified, remaining_ms),
             cache_status: CacheStatus::Unknown,
-            elapsed: micros_from_ms(answered_ms(&route, &attempt, now) - attempt.sent_ms),
+            elapsed: micros_from_ms(latency_end_ms(&route, &attempt, now) - attempt.sent_ms),
             closed: !retry,
         };
         let pool = &mut self.pools[route.pool];
@@ -233,7 +234,7 @@
         let (attempt, pool) = (call.active.take(), call.route.pool);
         self.pools[pool].decide(now, id, &Event::ClientDisconnected { id });
         if let Some(attempt) = attempt {
-            self.pools[pool].decide(now, id, &cancelled(now, id, &attempt));
+            self.pools[pool].decide(now, id, &attempt_cancelled_event(now, id, &attempt));
         }
         self.remove(id);
         self.pools[pool].counters.count(CallOutcome::ClientDisconnected, Code::CANCELLED);
@@ -244,7 +245,7 @@
         let Some(call) = self.calls.get_mut(&id) else { return already_ended() };
         let pool = call.route.pool;
         let event = match call.active.take() {
-            Some(attempt) => cancelled(now, id, &attempt),
+            Some(attempt) => attempt_cancelled_event(now, id, &attempt),
             None => Event::ClientDisconnected { id },
         };
         self.pools[pool].decide(now, id, &event);
@@ -299,22 +300,23 @@
         Directive::StartAttempt(AttemptTarget { attempt, backend, address })
     }
 
-    /// Ends a call that the policy rejected or failed. `rejected` is the retry pushback of a rejection, in
-    /// milliseconds (0 for none), or `None` if the policy failed the call.
-    fn end_by_policy(&mut self, now: f64, id: CallId, rejected: Option<f64>) -> Directive {
+    /// Ends a call that the policy rejected or failed. `rejection_retry_after_ms` is the retry pushback of a
+    /// rejection (0 for none), or `None` if the policy failed the call.
+    fn end_by_policy(&mut self, now: f64, id: CallId, rejection_retry_after_ms: Option<f64>) -> Directive {
         let Some(call) = self.calls.get(&id) else { return already_ended() };
         let (last_end, pool) = (call.last_end, call.route.pool);
         let out_of_time = call.deadline_ms - now < MIN_REMAINING_MS;
-        let outcome = if rejected.is_some() { CallOutcome::Rejected } else { CallOutcome::Failed };
-        let retry_after_ms = rejected.filter(|ms| *ms > 0.0);
+        let outcome =
+            if rejection_retry_after_ms.is_some() { CallOutcome::Rejected } else { CallOutcome::Failed };
+        let retry_after_ms = rejection_retry_after_ms.filter(|ms| *ms > 0.0);
         self.remove(id);
         let counters = &mut self.pools[pool].counters;
         if let Some(AttemptEnd::Status(code, _)) = last_end {
             counters.count(outcome, code);
             return Directive::ForwardStatus { outcome, retry_after_ms };
         }
-        let (code, message) = unforwarded_status(last_end, out_of_time);
-        let pushback = match rejected {
+        let (code, message) = generated_status(last_end, out_of_time);
+        let pushback = match rejection_retry_after_ms {
             Some(_) => retry_after_ms.map(Pushback::After),
             None => Some(Pushback::Never),
         };
@@ -334,13 +336,14 @@
         let (last_end, route) = (call.last_end, call.route.clone());
         self.remove(id);
         let counters = &mut self.pools[route.pool].counters;
-        let repeatable = route.idempotency == Idempotency::Idempotent || classified.outcome.never_ran();
-        let harmless = !committed && repeatable;
+        let idempotent_or_never_ran =
+            route.idempotency == Idempotency::Idempotent || classified.outcome.never_ran();
+        let safe_to_retry = !committed && idempotent_or_never_ran;
         let has_status = matches!(last_end, Some(AttemptEnd::Status(..)));
         let out_of_time = remaining_ms < MIN_REMAINING_MS && !has_status;
         let outcome = match classified.code {
             Code::OK => CallOutcome::Served,
-            code if code.is_overload() && harmless && !out_of_time => CallOutcome::Rejected,
+            code if code.is_overload() && safe_to_retry && !out_of_time => CallOutcome::Rejected,
             _ => CallOutcome::Failed,
         };
         counters.failed_after_data += u64::from(committed && outcome == CallOutcome::Failed);
@@ -350,11 +353,16 @@
         }
         let (code, message) = match last_end {
             _ if out_of_time => (Code::DEADLINE_EXCEEDED, "the call's time is over"),
-            end => (classified.code, message_of_end(end)),
+            end => (classified.code, message_for_attempt_end(end)),
         };
-        let never = outcome == CallOutcome::Failed && !harmless && !out_of_time;
+        let must_not_retry = outcome == CallOutcome::Failed && !safe_to_retry && !out_of_time;
         counters.count(outcome, code);
-        Directive::Respond(LocalStatus { code, message, pushback: never.then_some(Pushback::Never), outcome })
+        Directive::Respond(LocalStatus {
+            code,
+            message,
+            pushback: must_not_retry.then_some(Pushback::Never),
+            outcome,
+        })
     }
 }
 
@@ -364,7 +372,7 @@
 }
 
 /// The event for an attempt that is cancelled together with its call.
-fn cancelled(now: f64, id: CallId, attempt: &ActiveAttempt) -> Event {
+fn attempt_cancelled_event(now: f64, id: CallId, attempt: &ActiveAttempt) -> Event {
     Event::AttemptEnded {
         id,
         attempt: attempt.number,
@@ -377,7 +385,7 @@
 
 /// The time up to which an attempt's latency is measured. For streams it is the start of the response,
 /// because their total duration says nothing about the backend's speed.
-fn answered_ms(route: &Route, attempt: &ActiveAttempt, now: f64) -> f64 {
+fn latency_end_ms(route: &Route, attempt: &ActiveAttempt, now: f64) -> f64 {
     match (route.kind, attempt.committed_ms) {
         (MethodKind::Stream, Some(committed_ms)) => committed_ms,
         _ => now,
@@ -401,7 +409,7 @@
 }
 
 /// The code and message for a call whose last attempt ended without a status, or that had no attempt.
-fn unforwarded_status(last_end: Option<AttemptEnd>, out_of_time: bool) -> (Code, &'static str) {
+fn generated_status(last_end: Option<AttemptEnd>, out_of_time: bool) -> (Code, &'static str) {
     match last_end {
         _ if out_of_time => (Code::DEADLINE_EXCEEDED, "the call's time is over"),
         None => (Code::UNAVAILABLE, "no backend takes the call"),
@@ -414,7 +422,7 @@
 }
 
 /// The message for a call whose final attempt ended without a status.
-fn message_of_end(end: Option<AttemptEnd>) -> &'static str {
+fn message_for_attempt_end(end: Option<AttemptEnd>) -> &'static str {
     match end {
         Some(AttemptEnd::Truncated) => "the backend's answer was cut",
         Some(AttemptEnd::Malformed) => "the backend's answer can't be read",
--- a/src/grpc/config.rs
+++ b/src/grpc/config.rs
@@ -50,12 +50,12 @@
 
     /// Reads and validates the same file again. The listen address must not change.
     pub fn reload(&self) -> Result<Self, ConfigError> {
-        let fresh = Self::read(&self.path)?;
-        if fresh.listen != self.listen {
-            let reason = format!("{:?}: changing the listen address requires a restart", fresh.listen);
+        let reloaded = Self::read(&self.path)?;
+        if reloaded.listen != self.listen {
+            let reason = format!("{:?}: changing the listen address requires a restart", reloaded.listen);
             return Err(FieldError::new("listen", reason).in_file(&self.path));
         }
-        Ok(fresh)
+        Ok(reloaded)
     }
 
     fn check(&self) -> Result<(), FieldError> {
@@ -74,9 +74,9 @@
         }
         for (index, pool) in self.pools.iter().enumerate() {
             let is_repeated = self.pools[..index].iter().any(|other| other.name == pool.name);
-            let fault = if is_repeated { Err(PoolFault::Name) } else { pool.check() };
-            let error = |fault| PoolError { pool: pool.name.clone(), fault };
-            fault.map_err(|fault| FieldError::new("pools", error(fault)))?;
+            let result = if is_repeated { Err(PoolFault::Name) } else { pool.check() };
+            let pool_error = |fault| PoolError { pool: pool.name.clone(), fault };
+            result.map_err(|fault| FieldError::new("pools", pool_error(fault)))?;
         }
         self.compile().map(drop).map_err(|error| FieldError::new("routes", error))
     }
--- a/src/grpc/frames/tests.rs
+++ b/src/grpc/frames/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_invalid_prefix_is_reported_at_once() {
+fn invalid_prefixes_are_rejected_before_the_message_is_received() {
     assert_eq!(MessageTracker::new(9).feed(&[2]), Err(MessageError::Flag(2)));
     assert_eq!(MessageTracker::new(9).feed(&message(10)[..5]), Err(MessageError::TooLong(10)));
     assert_eq!(MessageTracker::new(9).feed(&message(9)), Ok(()));
--- a/src/grpc/front.rs
+++ b/src/grpc/front.rs
@@ -100,8 +100,8 @@
 
     /// Applies a reloaded configuration: pools, backends, routes, the tenant header, and the weights and
     /// exempt networks of admission control. Other changes require a restart.
-    pub fn reconfigure(&self, fresh: GrpcConfig) -> Result<(), RouteError> {
-        let (mut routes, pools) = fresh.compile()?;
+    pub fn reconfigure(&self, reloaded: GrpcConfig) -> Result<(), RouteError> {
+        let (mut routes, pools) = reloaded.compile()?;
         let names: Vec<String> = pools.iter().map(|pool| pool.name.clone()).collect();
         self.with_calls(|calls| calls.reconfigure(pools));
         // Existing pools keep their index in the call table, whatever their order in the new file.
@@ -109,10 +109,10 @@
         let indices: Vec<usize> = names.iter().map(index).collect();
         routes.remap_pools(|pool| indices[pool]);
         *self.routes.borrow_mut() = Rc::new(routes);
-        if let Some(admission) = fresh.admission.clone() {
+        if let Some(admission) = reloaded.admission.clone() {
             self.admission.with(|control| control.reconfigure(admission));
         }
-        *self.config.borrow_mut() = fresh;
+        *self.config.borrow_mut() = reloaded;
         self.update_backends();
         Ok(())
     }
@@ -129,26 +129,26 @@
         let config = self.config.borrow();
         for pool in &config.pools {
             let Some(index) = self.with_calls(|calls| calls.pool_index(&pool.name)) else { continue };
-            let fresh = match &pool.discovered {
+            let new_backends = match &pool.discovered {
                 None => pool.listed_backends(),
-                Some(from) => self.executor.backends(&from.model, from.port),
+                Some(discovered) => self.executor.backends(&discovered.model, discovered.port),
             };
-            self.replace_backends(index, &pool.name, fresh);
+            self.replace_backends(index, &pool.name, new_backends);
         }
     }
 
     /// Replaces a pool's backends if they differ, and closes connections to addresses that no pool uses any
     /// more.
-    fn replace_backends(&self, index: usize, pool: &str, fresh: Vec<Backend>) {
+    fn replace_backends(&self, index: usize, pool: &str, new_backends: Vec<Backend>) {
         let mut backends = self.backends.borrow_mut();
         if backends.len() <= index {
             backends.resize_with(index + 1, Vec::new);
         }
-        if backends[index] == fresh {
+        if backends[index] == new_backends {
             return;
         }
-        self.with_calls(|calls| calls.set_backends(self.now(), index, &fresh));
-        let former = std::mem::replace(&mut backends[index], fresh);
+        self.with_calls(|calls| calls.set_backends(self.now(), index, &new_backends));
+        let former = std::mem::replace(&mut backends[index], new_backends);
         let is_used = |address: SocketAddr| {
             backends.iter().flatten().any(|backend| backend.live && backend.address == address)
         };
@@ -163,7 +163,7 @@
     /// Encodes the metrics in the Prometheus text format.
     pub fn metrics(&self) -> String {
         let calls = self.calls.borrow();
-        let text = self.metrics.borrow_mut().text(self.now(), &calls, self.upstream.len());
+        let text = self.metrics.borrow_mut().encode(self.now(), &calls, self.upstream.len());
         let text = text.trim_end().trim_end_matches("# EOF").to_string();
         let (not_grpc, unrouted) = (self.not_grpc.get(), self.unrouted.get());
         let request_counters =
--- a/src/grpc/headers.rs
+++ b/src/grpc/headers.rs
@@ -16,7 +16,7 @@
 const MAX_PUSHBACK_MS: f64 = 1e9;
 /// Headers that are not forwarded: hop-by-hop headers (RFC 9113, section 8.2.2), and those that the proxy
 /// sets itself.
-const HOP_BY_HOP_HEADERS: [&str; 8] = [
+const UNFORWARDED_HEADERS: [&str; 8] = [
     "connection",
     "proxy-connection",
     "keep-alive",
@@ -42,7 +42,7 @@
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
-    for name in named.iter().map(String::as_str).chain(HOP_BY_HOP_HEADERS) {
+    for name in named.iter().map(String::as_str).chain(UNFORWARDED_HEADERS) {
         forwarded.remove(name);
     }
     forwarded
--- a/src/grpc/metrics.rs
+++ b/src/grpc/metrics.rs
@@ -26,10 +26,10 @@
     retries: Counters,
     not_sent: Counters,
     failed_after_data: Counters,
-    shortened: Counters,
-    live: Family<Labels, Gauge>,
-    avoided: Family<Labels, Gauge>,
-    open: Gauge,
+    deadlines_shortened: Counters,
+    live_backends: Family<Labels, Gauge>,
+    ejected_backends: Family<Labels, Gauge>,
+    open_calls: Gauge,
     replay_bytes: Gauge,
     connections: Gauge,
     /// Time from request headers to response headers, in seconds.
@@ -43,9 +43,9 @@
         let mut registry = Registry::with_prefix("grpc");
         let (calls, codes, attempts, retries, not_sent) =
             <(Counters, Counters, Counters, Counters, Counters)>::default();
-        let (failed_after_data, shortened) = <(Counters, Counters)>::default();
-        let (live, avoided) = <(Family<Labels, Gauge>, Family<Labels, Gauge>)>::default();
-        let (open, replay_bytes, connections) = <(Gauge, Gauge, Gauge)>::default();
+        let (failed_after_data, deadlines_shortened) = <(Counters, Counters)>::default();
+        let (live_backends, ejected_backends) = <(Family<Labels, Gauge>, Family<Labels, Gauge>)>::default();
+        let (open_calls, replay_bytes, connections) = <(Gauge, Gauge, Gauge)>::default();
         let response_head_seconds = Histogram::new(exponential_buckets(0.001, 2.0, 14));
         registry.register("calls", "Calls by outcome: served, refused, failed, left", calls.clone());
         registry.register("status", "Calls by the status that their client got", codes.clone());
@@ -60,11 +60,15 @@
         registry.register(
             "deadlines_shortened",
             "Calls with a deadline of the proxy's own",
-            shortened.clone(),
+            deadlines_shortened.clone(),
         );
-        registry.register("backends_live", "Backends that take new calls", live.clone());
-        registry.register("backends_avoided", "Live backends that the module leaves", avoided.clone());
-        registry.register("open_calls", "Calls under way", open.clone());
+        registry.register("backends_live", "Backends that take new calls", live_backends.clone());
+        registry.register(
+            "backends_avoided",
+            "Live backends that the module leaves",
+            ejected_backends.clone(),
+        );
+        registry.register("open_calls", "Calls under way", open_calls.clone());
         registry.register("replay_bytes", "Bytes kept for further attempts", replay_bytes.clone());
         registry.register("connections", "Connections to backends", connections.clone());
         registry.register(
@@ -74,8 +78,9 @@
         );
         #[rustfmt::skip]
         let metrics = Self {
-            registry, calls, codes, attempts, retries, not_sent, failed_after_data, shortened, live, avoided,
-            open, replay_bytes, connections, response_head_seconds, last_reported: HashMap::new(),
+            registry, calls, codes, attempts, retries, not_sent, failed_after_data, deadlines_shortened,
+            live_backends, ejected_backends, open_calls, replay_bytes, connections, response_head_seconds,
+            last_reported: HashMap::new(),
         };
         metrics
     }
@@ -83,11 +88,11 @@
 
 impl Metrics {
     /// Updates the metrics and encodes them in the Prometheus text format.
-    pub fn text(&mut self, now: f64, calls: &CallTable, connections: usize) -> String {
+    pub fn encode(&mut self, now: f64, calls: &CallTable, connections: usize) -> String {
         for pool in calls.pools() {
             self.update_pool(now, pool);
         }
-        self.open.set(calls.open_calls() as i64);
+        self.open_calls.set(calls.open_calls() as i64);
         self.replay_bytes.set(calls.replay_bytes() as i64);
         self.connections.set(connections as i64);
         let mut text = String::new();
@@ -116,12 +121,12 @@
             (&self.retries, counters.retries, last.retries),
             (&self.not_sent, counters.not_sent, last.not_sent),
             (&self.failed_after_data, counters.failed_after_data, last.failed_after_data),
-            (&self.shortened, counters.shortened, last.shortened),
+            (&self.deadlines_shortened, counters.deadlines_shortened, last.deadlines_shortened),
         ] {
             family.get_or_create(&labels).inc_by(count - last_count);
         }
         *last = counters.clone();
-        self.live.get_or_create(&labels).set(pool.active_backends() as i64);
-        self.avoided.get_or_create(&labels).set(pool.ejected_backends(now) as i64);
+        self.live_backends.get_or_create(&labels).set(pool.active_backends() as i64);
+        self.ejected_backends.get_or_create(&labels).set(pool.ejected_backends(now) as i64);
     }
 }
--- a/src/grpc/pool.rs
+++ b/src/grpc/pool.rs
@@ -40,7 +40,7 @@
     /// Calls that failed after their response headers were sent.
     pub failed_after_data: u64,
     /// Calls whose route has a shorter deadline than the client's timeout.
-    pub shortened: u64,
+    pub deadlines_shortened: u64,
 }
 
 impl PoolCounters {
@@ -144,13 +144,13 @@
 /// cancelled by their driver, and health checks and watches are disabled in the settings.
 fn decision_for(id: u64, action: Action) -> Option<Decision> {
     match action {
-        Action::Forward { id: of, to, timeout, .. } if of == id => {
+        Action::Forward { id: call, to, timeout, .. } if call == id => {
             Some(Decision::Forward { to, timeout_ms: ms_from_micros(timeout) })
         }
-        Action::Reject { id: of, retry_after } if of == id => {
+        Action::Reject { id: call, retry_after } if call == id => {
             Some(Decision::Reject { retry_after_ms: ms_from_micros(retry_after) })
         }
-        Action::Fail { id: of } if of == id => Some(Decision::Fail),
+        Action::Fail { id: call } if call == id => Some(Decision::Fail),
         _ => None,
     }
 }
--- a/src/grpc/pool_config.rs
+++ b/src/grpc/pool_config.rs
@@ -143,11 +143,11 @@
             self.backends.iter().filter_map(|config| Some((parse_address(&config.address).ok()?, config)));
         let mut configs: Vec<(SocketAddr, &BackendConfig)> = parsed.collect();
         configs.sort_by_key(|(address, _)| *address);
-        let mut taken = BTreeSet::new();
+        let mut used_ids = BTreeSet::new();
         let backend = |(address, config): (SocketAddr, &BackendConfig)| {
             // The id is derived from the address, so it is the same on every proxy and after a reload.
             let mut id = crc32fast::hash(address.to_string().as_bytes());
-            while id == ORIGIN_ID || !taken.insert(id) {
+            while id == ORIGIN_ID || !used_ids.insert(id) {
                 id = id.wrapping_add(1);
             }
             Backend { id, address, live: !config.draining, weight: config.weight.unwrap_or(1.0) }
--- a/src/grpc/request_stream.rs
+++ b/src/grpc/request_stream.rs
@@ -36,7 +36,7 @@
         stream: &mut SendStream<Bytes>,
     ) -> AttemptResult {
         for chunk in self.replay.clone() {
-            send_or_wait(stream, chunk).await;
+            send_or_pend(stream, chunk).await;
         }
         while !self.complete {
             match self.body.data().await {
@@ -52,7 +52,7 @@
                     }
                     self.keep_for_retry(front, id, &chunk);
                     let length = chunk.len();
-                    send_or_wait(stream, chunk).await;
+                    send_or_pend(stream, chunk).await;
                     let _ = self.body.flow_control().release_capacity(length);
                 }
             }
@@ -83,7 +83,7 @@
 }
 
 /// Sends a chunk. Never completes if the stream is closed, because the response stream reports the reason.
-async fn send_or_wait(stream: &mut SendStream<Bytes>, chunk: Bytes) {
+async fn send_or_pend(stream: &mut SendStream<Bytes>, chunk: Bytes) {
     if !send_chunk(stream, chunk).await {
         std::future::pending().await
     }
--- a/src/grpc/response_stream.rs
+++ b/src/grpc/response_stream.rs
@@ -1,6 +1,6 @@
 //! The response stream of a call: forwards a backend's response, or ends the call with a status of the proxy.
 
-use super::attempt_result::{end_of_error, AttemptResult};
+use super::attempt_result::{attempt_end_from_error, AttemptResult};
 use super::call::CallId;
 use super::flow_control::send_chunk;
 use super::frames::MessageTracker;
@@ -76,14 +76,14 @@
         };
         let (head, mut body) = match response {
             Ok(response) => response.into_parts(),
-            Err(error) => return AttemptResult::ended(end_of_error(&error)),
+            Err(error) => return AttemptResult::ended_without_status(attempt_end_from_error(&error)),
         };
         let headers = end_to_end(&head.headers);
         if body.is_end_stream() {
             return trailers_only(head.status.as_u16(), headers);
         }
         if head.status != 200 || !is_grpc(&headers) {
-            return AttemptResult::ended(AttemptEnd::HttpStatus(head.status.as_u16()));
+            return AttemptResult::ended_without_status(AttemptEnd::HttpStatus(head.status.as_u16()));
         }
         if !self.start(headers) {
             return AttemptResult::ClientDisconnected;
@@ -104,11 +104,13 @@
             };
             let chunk = match chunk {
                 None => break,
-                Some(Err(error)) => return AttemptResult::ended(end_of_error(&error)),
+                Some(Err(error)) => {
+                    return AttemptResult::ended_without_status(attempt_end_from_error(&error))
+                }
                 Some(Ok(chunk)) => chunk,
             };
             if tracker.feed(&chunk).is_err() {
-                return AttemptResult::ended(AttemptEnd::Malformed);
+                return AttemptResult::ended_without_status(AttemptEnd::Malformed);
             }
             let length = chunk.len();
             let Self::Streaming(stream) = self else { return AttemptResult::ClientDisconnected };
@@ -119,16 +121,16 @@
         }
         let trailers = match body.trailers().await {
             Ok(Some(trailers)) => end_to_end(&trailers),
-            Ok(None) => return AttemptResult::ended(AttemptEnd::Truncated),
-            Err(error) => return AttemptResult::ended(end_of_error(&error)),
+            Ok(None) => return AttemptResult::ended_without_status(AttemptEnd::Truncated),
+            Err(error) => return AttemptResult::ended_without_status(attempt_end_from_error(&error)),
         };
         match parse_status(&trailers) {
             // A response that ends within a message is not a success, whatever its status.
             Some(AttemptEnd::Status(Code::OK, _)) if tracker.is_within_message() => {
-                AttemptResult::ended(AttemptEnd::Truncated)
+                AttemptResult::ended_without_status(AttemptEnd::Truncated)
             }
             Some(end) => AttemptResult::Ended(end, Some(trailers)),
-            None => AttemptResult::ended(AttemptEnd::Truncated),
+            None => AttemptResult::ended_without_status(AttemptEnd::Truncated),
         }
     }
 }
@@ -137,8 +139,10 @@
 fn trailers_only(http_status: u16, headers: HeaderMap) -> AttemptResult {
     match parse_status(&headers) {
         Some(end) => AttemptResult::Ended(end, Some(headers)),
-        None if http_status != 200 => AttemptResult::ended(AttemptEnd::HttpStatus(http_status)),
-        None => AttemptResult::ended(AttemptEnd::Truncated),
+        None if http_status != 200 => {
+            AttemptResult::ended_without_status(AttemptEnd::HttpStatus(http_status))
+        }
+        None => AttemptResult::ended_without_status(AttemptEnd::Truncated),
     }
 }
 
--- a/src/grpc/route_compiler.rs
+++ b/src/grpc/route_compiler.rs
@@ -69,13 +69,13 @@
         let pool = pools.iter().position(|pool| pool.name == config.pool);
         let pool = pool.ok_or_else(|| fault(RouteFault::UnknownPool(config.pool.clone())))?;
         let deadline_ms = checked_deadline_ms(config).map_err(fault)?;
-        let (idempotency, key) = idempotency(config).map_err(fault)?;
+        let (idempotency, key_header) = idempotency(config).map_err(fault)?;
         let route = Route {
             pool,
             class: classes[pool].len(),
             kind: config.kind,
             idempotency,
-            key,
+            key_header,
             deadline_ms: config.deadline_ms,
             retry: retried_codes(config).map_err(fault)?,
             affinity: affinity(config).map_err(fault)?,
@@ -157,7 +157,7 @@
 /// The policy settings of a pool: this proxy may use the backends' whole capacity, there is no slow start,
 /// and nothing is cached.
 fn policy_settings(pool: &PoolConfig, classes: Vec<RequestClass>) -> PolicySettings {
-    let warm =
+    let no_slow_start =
         SlowStart { initial_capacity: 1.0, ramp_duration: 0, overload_multiple: 1.0, overload_window: 0 };
     PolicySettings {
         classes,
@@ -174,7 +174,7 @@
         can_check_health: false,
         max_retry_after: micros_from_ms(pool.max_retry_after_ms),
         watch_endpoints: false,
-        cache_slow_start: warm,
-        parent_slow_start: warm,
+        cache_slow_start: no_slow_start,
+        parent_slow_start: no_slow_start,
     }
 }
--- a/src/grpc/routes.rs
+++ b/src/grpc/routes.rs
@@ -41,7 +41,7 @@
     /// Whether attempts that may have been processed can be retried.
     pub idempotency: Idempotency,
     /// The header that must hold an idempotency key, if any.
-    pub key: Option<String>,
+    pub key_header: Option<String>,
     /// Maximum duration of a call, in milliseconds; `None` if only the client limits it.
     pub deadline_ms: Option<f64>,
     /// Status codes after which an idempotent method is retried.
@@ -73,9 +73,9 @@
 /// Splits the path of a method into service and method. Returns `None` for any other path.
 pub fn split_path(path: &str) -> Option<(&str, &str)> {
     let (service, method) = path.strip_prefix('/')?.split_once('/')?;
-    let plain =
+    let is_valid_name =
         |s: &str| !s.is_empty() && s.bytes().all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b));
-    (plain(service) && plain(method)).then_some((service, method))
+    (is_valid_name(service) && is_valid_name(method)).then_some((service, method))
 }
 
 impl Routes {
@@ -122,8 +122,8 @@
 }
 
 /// The first 8 bytes of the SHA-256 digest, as the affinity hash; the same on every proxy.
-pub fn text_hash(text: &[u8]) -> u64 {
-    let digest = Sha256::digest(text);
+pub fn affinity_hash_of(bytes: &[u8]) -> u64 {
+    let digest = Sha256::digest(bytes);
     u64::from_be_bytes(digest[..8].try_into().expect("32 bytes"))
 }
 
--- a/src/grpc/routes/tests.rs
+++ b/src/grpc/routes/tests.rs
@@ -6,7 +6,7 @@
         class,
         kind: MethodKind::Unary,
         idempotency: Idempotency::Idempotent,
-        key: None,
+        key_header: None,
         deadline_ms: None,
         retry: Vec::new(),
         affinity: Affinity::Call,
@@ -28,8 +28,8 @@
     for bad in ["", "/", "/a", "a/b", "/a/", "//b", "/a/b/c", "/a/b?x", "/a b/c", "/a/*"] {
         assert_eq!(class(&routes, bad), None, "{bad:?}");
     }
-    for twice in ["*", "/ads.v1.Ads/*", "/ads.v1.Ads/Post"] {
-        assert_eq!(routes.add(twice, route(9)), Err(PatternError::Duplicate(twice.into())));
+    for duplicate in ["*", "/ads.v1.Ads/*", "/ads.v1.Ads/Post"] {
+        assert_eq!(routes.add(duplicate, route(9)), Err(PatternError::Duplicate(duplicate.into())));
     }
     assert_eq!(class(&routes, "/ads.v1.Adsy/Get"), Some(2), "the first route stays");
     for bad in ["", "/*", "a/*", "/a/b/*", "**", "/a/b*"] {
@@ -40,6 +40,6 @@
 
 #[test]
 fn the_affinity_hash_is_the_start_of_the_sha_256_digest() {
-    assert_eq!(text_hash(b""), 0xe3b0_c442_98fc_1c14, "the first bytes of SHA-256");
-    assert_ne!(text_hash(b"a"), text_hash(b"b"));
+    assert_eq!(affinity_hash_of(b""), 0xe3b0_c442_98fc_1c14, "the first bytes of SHA-256");
+    assert_ne!(affinity_hash_of(b"a"), affinity_hash_of(b"b"));
 }
--- a/src/grpc/status.rs
+++ b/src/grpc/status.rs
@@ -64,8 +64,8 @@
 
     /// Parses the value of a `grpc-status` header. Returns `None` unless it is 1 to 10 decimal digits.
     pub fn parse(value: &[u8]) -> Option<Self> {
-        let plain = !value.is_empty() && value.len() <= 10 && value.iter().all(u8::is_ascii_digit);
-        plain.then(|| std::str::from_utf8(value).ok()?.parse().ok().map(Self::from_number))?
+        let is_number = !value.is_empty() && value.len() <= 10 && value.iter().all(u8::is_ascii_digit);
+        is_number.then(|| std::str::from_utf8(value).ok()?.parse().ok().map(Self::from_number))?
     }
 
     /// Finds the code of a name, such as `UNAVAILABLE`.
--- a/src/grpc/status/tests.rs
+++ b/src/grpc/status/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
 
-const ALL: [Idempotency; 3] = [Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent];
+const ALL_IDEMPOTENCIES: [Idempotency; 3] =
+    [Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NotIdempotent];
 
 #[test]
-fn status_codes_are_parsed_and_named() {
+fn status_codes_messages_and_pushbacks_are_parsed_and_encoded() {
     for n in 0..CODE_COUNT as u64 {
         let code = Code::from_number(n);
         assert_eq!(Code::parse(n.to_string().as_bytes()), Some(code));
@@ -21,7 +22,7 @@
 /// Guards against executing a call twice: a non-idempotent method is retried only if the backend certainly
 /// did not process the request, and no method after its response headers were sent.
 #[test]
-fn non_idempotent_methods_are_retried_only_if_surely_unprocessed() {
+fn non_idempotent_methods_are_retried_only_if_certainly_unprocessed() {
     let mut ends = vec![
         AttemptEnd::Reset(7),
         AttemptEnd::Reset(8),
@@ -32,9 +33,9 @@
     ];
     ends.extend((0..17).map(|n| AttemptEnd::Status(Code::from_number(n), None)));
     ends.extend([200, 400, 404, 429, 500, 503].map(AttemptEnd::HttpStatus));
-    let all: Vec<Code> = (0..17).map(Code::from_number).collect();
+    let all_codes: Vec<Code> = (0..17).map(Code::from_number).collect();
     for end in &ends {
-        let classified = classify(*end, false, Idempotency::NotIdempotent, &all);
+        let classified = classify(*end, false, Idempotency::NotIdempotent, &all_codes);
         assert!(!classified.retryable && !classified.outcome.never_ran(), "{end:?}: {classified:?}");
     }
     for end in [AttemptEnd::Unprocessed, AttemptEnd::NoConnection { local: false }, AttemptEnd::NotSent] {
@@ -42,8 +43,8 @@
         assert!(classified.retryable && classified.outcome.never_ran(), "{end:?}: {classified:?}");
     }
     ends.extend([AttemptEnd::Unprocessed, AttemptEnd::NotSent]);
-    for (end, idempotency) in ends.iter().flat_map(|e| ALL.map(|r| (*e, r))) {
-        assert!(!classify(end, true, idempotency, &all).retryable, "{end:?}: committed");
+    for (end, idempotency) in ends.iter().flat_map(|e| ALL_IDEMPOTENCIES.map(|r| (*e, r))) {
+        assert!(!classify(end, true, idempotency, &all_codes).retryable, "{end:?}: committed");
     }
 }
 
--- a/src/grpc/timeout.rs
+++ b/src/grpc/timeout.rs
@@ -23,9 +23,9 @@
 /// more time than remains. A negative timeout becomes `0n`.
 pub fn format(ms: f64) -> String {
     let ms = ms.max(0.0);
-    for (unit, each) in [('n', 1e-6), ('u', 1e-3), ('m', 1.0), ('S', 1_000.0), ('M', 60_000.0)] {
+    for (unit, unit_ms) in [('n', 1e-6), ('u', 1e-3), ('m', 1.0), ('S', 1_000.0), ('M', 60_000.0)] {
         // The quotient may be rounded up to the next integer; the factor compensates for that.
-        let value = (ms / each * (1.0 - 1e-12)).floor();
+        let value = (ms / unit_ms * (1.0 - 1e-12)).floor();
         if value <= 99_999_999.0 {
             return format!("{}{unit}", value as u32);
         }
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -90,15 +90,15 @@
         attempt: u32,
     ) -> Option<StreamPermit> {
         let (now, backend) = (self.clock.now(), self.endpoint_id(address));
-        let mut all = self.connections.borrow_mut();
-        let mut place = all.place(backend, call, now);
-        if place == Placement::Unavailable {
-            if let Some(idle) = all.evict(backend) {
+        let mut connections = self.connections.borrow_mut();
+        let mut placement = connections.place(backend, call, now);
+        if placement == Placement::Unavailable {
+            if let Some(idle) = connections.evict(backend) {
                 self.handles.borrow().get(&idle).inspect(|handle| handle.close.notify_one());
-                place = all.place(backend, call, now);
+                placement = connections.place(backend, call, now);
             }
         }
-        let conn = match place {
+        let conn = match placement {
             Placement::Unavailable => return None,
             Placement::Existing(conn) => conn,
             Placement::New(conn) => {
@@ -113,9 +113,9 @@
                 conn
             }
         };
-        let c = all.get_mut(conn)?;
-        c.in_flight.insert(call, AttemptId { request: call, number: attempt });
-        c.last_active_ms = now;
+        let connection = connections.get_mut(conn)?;
+        connection.in_flight.insert(call, AttemptId { request: call, number: attempt });
+        connection.last_active_ms = now;
         let state = self.handles.borrow().get(&conn)?.state.clone();
         Some(StreamPermit { upstream: self.clone(), conn, call, state })
     }
@@ -123,19 +123,22 @@
     /// Stops using a backend: its connections are closed once they have no open streams.
     pub fn retire(&self, address: SocketAddr) {
         let Some(backend) = self.addresses.borrow().get(&address).copied() else { return };
-        for (conn, c) in self.connections.borrow_mut().iter_mut().filter(|(_, c)| c.endpoint == backend) {
-            c.closing = true;
-            self.close_if_done(*conn, c.load());
+        for (conn, connection) in
+            self.connections.borrow_mut().iter_mut().filter(|(_, connection)| connection.endpoint == backend)
+        {
+            connection.closing = true;
+            self.close_if_done(*conn, connection.load());
         }
     }
 
     /// Closes connections that were idle for longer than `idle_ms`.
     pub fn close_idle(&self, idle_ms: f64) {
         let now = self.clock.now();
-        for (conn, c) in self.connections.borrow_mut().iter_mut() {
-            c.closing |= c.established && c.load() == 0 && now - c.last_active_ms > idle_ms;
-            if c.closing {
-                self.close_if_done(*conn, c.load());
+        for (conn, connection) in self.connections.borrow_mut().iter_mut() {
+            connection.closing |=
+                connection.established && connection.load() == 0 && now - connection.last_active_ms > idle_ms;
+            if connection.closing {
+                self.close_if_done(*conn, connection.load());
             }
         }
     }
@@ -148,8 +151,8 @@
 
     /// Marks a connection that accepts no more streams.
     fn mark_exhausted(&self, conn: ConnectionId) {
-        if let Some(c) = self.connections.borrow_mut().get_mut(conn) {
-            c.closing = true;
+        if let Some(connection) = self.connections.borrow_mut().get_mut(conn) {
+            connection.closing = true;
         }
     }
 
@@ -179,8 +182,8 @@
             Err(_) => return drop(sender.send(ConnectionState::Down { local: false })),
         };
         let ping = connection.ping_pong();
-        if let Some(c) = self.connections.borrow_mut().get_mut(conn) {
-            c.established = true;
+        if let Some(entry) = self.connections.borrow_mut().get_mut(conn) {
+            entry.established = true;
         }
         let _ = sender.send(ConnectionState::Up(send));
         tokio::select! {
@@ -271,12 +274,12 @@
 impl Drop for StreamPermit {
     fn drop(&mut self) {
         let now = self.upstream.clock.now();
-        let mut all = self.upstream.connections.borrow_mut();
-        let Some(c) = all.get_mut(self.conn) else { return };
-        c.in_flight.remove(&self.call);
-        c.last_active_ms = now;
-        if c.closing {
-            self.upstream.close_if_done(self.conn, c.load());
+        let mut connections = self.upstream.connections.borrow_mut();
+        let Some(connection) = connections.get_mut(self.conn) else { return };
+        connection.in_flight.remove(&self.call);
+        connection.last_active_ms = now;
+        if connection.closing {
+            self.upstream.close_if_done(self.conn, connection.load());
         }
     }
 }
