--- a/src/grpc/config.rs
+++ b/src/grpc/config.rs
@@ -83,7 +83,7 @@
 
     /// The parsed listen address.
     pub fn listen_address(&self) -> SocketAddr {
-        parse_address(&self.listen).expect("checked when read")
+        parse_address(&self.listen).expect("`listen` is validated by `read`")
     }
 
     /// Compiles the routing table and the pools' policy settings.
--- a/src/grpc/limits.rs
+++ b/src/grpc/limits.rs
@@ -80,7 +80,7 @@
 
 /// A limit outside its permitted range.
 #[derive(Clone, Debug, PartialEq, Error)]
-#[error("`{name}` {value} is not within {min} to {max}")]
+#[error("`{name}` is {value}, but must be between {min} and {max}")]
 pub struct LimitError {
     name: &'static str,
     value: f64,
--- a/src/grpc/pool_config.rs
+++ b/src/grpc/pool_config.rs
@@ -80,10 +80,10 @@
 #[derive(Debug, Error)]
 pub enum PoolFault {
     /// The name is empty or that of another pool.
-    #[error("the name is empty or not unique")]
+    #[error("the name must be unique and not empty")]
     Name,
     /// The pool has neither `backends` nor `roster`, or both.
-    #[error("either `backends` or `roster` is required, and not both")]
+    #[error("exactly one of `backends` and `roster` is required")]
     Backends,
     /// Only some of the backends have a weight.
     #[error("`weight` must be set for all backends or for none")]
--- a/src/grpc/route_compiler.rs
+++ b/src/grpc/route_compiler.rs
@@ -47,10 +47,12 @@
     #[error("`aim_ms` must be between 1 and the deadline")]
     LatencyObjective,
     /// A header name is invalid.
-    #[error("not a valid header name")]
+    #[error("`key` or `affinity` contains an invalid header name")]
     HeaderName,
     /// A `keyed` method lacks `key` or a positive `key_window_ms`, or another method has `key`.
-    #[error("`key` and `key_window_ms` are required for `keyed` methods and not allowed for others")]
+    #[error(
+        "`keyed` methods require `key` and a `key_window_ms` above 0; `key` is not allowed for other methods"
+    )]
     Key,
     /// A status name in `retry` is unknown, or OK.
     #[error("`retry` must list names of status codes other than OK")]
--- a/src/grpc/routes.rs
+++ b/src/grpc/routes.rs
@@ -124,7 +124,7 @@
 /// The first 8 bytes of the SHA-256 digest, as the affinity hash; the same on every proxy.
 pub fn affinity_hash_of(bytes: &[u8]) -> u64 {
     let digest = Sha256::digest(bytes);
-    u64::from_be_bytes(digest[..8].try_into().expect("32 bytes"))
+    u64::from_be_bytes(digest[..8].try_into().expect("a SHA-256 digest has 32 bytes"))
 }
 
 #[cfg(test)]
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -235,7 +235,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectionError {
     /// The connection was not established or has ended.
-    #[error("the connection was not established")]
+    #[error("the connection was not established or has ended")]
     NotConnected {
         /// Whether the cause is local and not the backend.
         local: bool,
--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -304,7 +304,7 @@
     let (pool, route) = (r#""backends":[{"address":"127.0.0.1:2"}]"#, r#""method":"/a.B/C""#);
     assert_eq!(check(&file(pool, route, "")), Ok(()));
     for (text, word) in [
-        (file(r#""backends":[]"#, route, ""), "either `backends` or `roster`"),
+        (file(r#""backends":[]"#, route, ""), "exactly one of `backends` and `roster`"),
         (
             file(r#""backends":[{"address":"127.0.0.1:2"},{"address":"127.0.0.1:2"}]"#, route, ""),
             "127.0.0.1:2 is listed more than once",
