--- a/src/grpc/status/tests.rs
+++ b/src/grpc/status/tests.rs
@@ -67,6 +67,6 @@
     let end = AttemptEnd::Status(Code::UNAVAILABLE, Some(Pushback::After(50.0)));
     assert!(
         !classify(end, false, Idempotency::Idempotent, &[Code::UNAVAILABLE]).retryable,
-        "the proxy retried despite a pushback"
+        "a status with a pushback is classified as retryable"
     );
 }
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -115,7 +115,7 @@
 async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let end = Instant::now() + Duration::from_secs(2);
     while !holds() {
-        assert!(Instant::now() < end, "{what}");
+        assert!(Instant::now() < end, "timed out waiting for the condition: {what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -297,7 +297,11 @@
             // Idempotent calls are rejected if there is no time for a retry; non-idempotent calls fail.
             let expected = if path == "/t.Once/Do" { 4 } else { 14 };
             assert!(got.status() == expected || got.status() == 4, "{path}: {got:?}");
-            assert!(got.took_ms <= most + 150.0, "{path}: {} ms of {most}", got.took_ms);
+            assert!(
+                got.took_ms <= most + 150.0,
+                "{path}: took {} ms, expected at most {most} ms plus 150 ms",
+                got.took_ms
+            );
         }
         assert_eq!(proxy.metric("grpc_deadlines_shortened_total{pool=\"p\"}"), 1);
         let calls: Vec<_> = proxy.backends.iter().flat_map(|b| b.calls.borrow().clone()).collect();
@@ -311,7 +315,7 @@
         assert_eq!(
             (got.status(), got.body.len()),
             (4, 9),
-            "the message before the deadline is kept: {got:?}"
+            "the message sent before the deadline was not forwarded: {got:?}"
         );
         let all = || proxy.backends.iter().all(|b| b.calls.borrow().iter().all(|a| a.reset));
         wait_until("every attempt is reset", all).await;
@@ -669,7 +673,7 @@
                 0 => served += 1,
                 14 => {
                     refused += 1;
-                    assert!(got.took_ms < 95.0, "rejected at once: {got:?}");
+                    assert!(got.took_ms < 95.0, "the rejection took too long: {got:?}");
                     assert!(got.header("grpc-retry-pushback-ms").is_some(), "{got:?}");
                 }
                 _ => panic!("{got:?}"),
@@ -699,7 +703,8 @@
     });
 }
 
-/// Guards `serve --grpc` as a process: metrics, status, reload at SIGHUP, and draining at SIGTERM.
+/// Guards against a process started with `serve --grpc` that lacks metrics or status, ignores SIGHUP or cuts
+/// open calls at SIGTERM.
 #[test]
 fn the_process_serves_calls_reloads_at_sighup_and_drains_at_sigterm() {
     run(async {
--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -1,5 +1,5 @@
-//! The gRPC call table without I/O: invariants under random calls, attempt results, backend changes and
-//! disconnects from fixed seeds, and validation of the configuration file.
+//! Tests of the gRPC call table without I/O, with random sequences of calls, attempt results, backend changes
+//! and disconnects from fixed seeds, and of the validation of the configuration file.
 
 use edge_proxy::engine::executor::Backend;
 use edge_proxy::grpc::call::{AttemptTarget, CallId, CallOutcome, Directive, NewCall};
@@ -171,7 +171,10 @@
                 let mut call = open.remove(&id).unwrap();
                 let remaining_ms = calls.remaining_attempt_ms(now, id);
                 if let Some(remaining_ms) = remaining_ms {
-                    assert!(live[call.target.backend as usize], "an attempt may start at a draining backend");
+                    assert!(
+                        live[call.target.backend as usize],
+                        "an attempt to a draining backend was allowed"
+                    );
                     assert!(
                         remaining_ms <= call.started_ms + call.allowed_ms - now + 1e-6,
                         "an attempt got more time than its call has"
--- a/tests/stand_ins/grpc.rs
+++ b/tests/stand_ins/grpc.rs
@@ -79,7 +79,7 @@
         backend
     }
 
-    /// Runs this script for the next `n` calls; `u32::MAX` for all.
+    /// Runs this script for the next `n` calls instead of theirs; `u32::MAX` for all, 0 for none.
     pub fn set_script(&self, script: &str, n: u32) {
         *self.script.borrow_mut() = Some(script.into());
         self.scripted_calls.set(n);
@@ -229,6 +229,8 @@
         self.record(|a| a.reset = true);
     }
 
+    /// Runs the steps of a script, separated by spaces; a step may have an argument after a colon, such as
+    /// `msg:8`.
     async fn run(mut self, script: &str) {
         let script = if script == "ok" { "read head msg:8 status:0" } else { script };
         for step in script.split(' ') {
@@ -238,7 +240,7 @@
                 "read" => while self.read_chunk().await.is_some() {},
                 "head" => self.head(),
                 "msg" => self.send(message(n)).await,
-                // Sends `n` messages under the client's flow control.
+                // Sends `n` messages of 1,000 bytes.
                 "flood" => {
                     for _ in 0..n {
                         self.send(message(1_000)).await;
