--- a/examples/grpc_load.rs
+++ b/examples/grpc_load.rs
@@ -61,7 +61,7 @@
                 for _ in 0..calls / clients {
                     let response = client.call("/b.Bench/Unary", &[], message(64)).await;
                     let mut recorded = recorded.borrow_mut();
-                    recorded.0.record((response.took_ms * 1_000.0) as u64).unwrap();
+                    recorded.0.record((response.elapsed_ms * 1_000.0) as u64).unwrap();
                     recorded.1 += u64::from(response.status() != 0);
                 }
             })
--- a/tests/grpc.rs
+++ b/tests/grpc.rs
@@ -44,7 +44,7 @@
 fn write_config(dir: &Path, listen: SocketAddr, backends: &[(SocketAddr, bool)], limits: &str) -> GrpcConfig {
     let backends: Vec<String> = backends
         .iter()
-        .map(|(at, draining)| format!(r#"{{"address":"{at}","draining":{draining}}}"#))
+        .map(|(address, draining)| format!(r#"{{"address":"{address}","draining":{draining}}}"#))
         .collect();
     let text = format!(
         r#"{{"listen":"{listen}","limits":{limits},"pools":[{{"name":"p","backends":[{}]}}],"routes":{ROUTES}}}"#,
@@ -62,38 +62,38 @@
 }
 
 impl TestProxy {
-    async fn start(name: &str, backends: usize, limits: &str) -> Self {
-        let mut all = Vec::new();
-        for _ in 0..backends {
-            all.push(ScriptedBackend::start("127.0.90.1:0").await);
+    async fn start(name: &str, backend_count: usize, limits: &str) -> Self {
+        let mut backends = Vec::new();
+        for _ in 0..backend_count {
+            backends.push(ScriptedBackend::start("127.0.90.1:0").await);
         }
-        Self::start_with(Clock::system(), name, all, limits).await
+        Self::start_with(Clock::system(), name, backends, limits).await
     }
 
     /// Starts three backends for a test with reproducible routing, which depends on the backends' addresses
     /// and on the clock: outlier detection and the retry budget change with time.
     async fn start_reproducible(clock: &Clock, name: &str, network: u8) -> Self {
-        let mut all = Vec::new();
+        let mut backends = Vec::new();
         for host_number in 1..=3 {
-            all.push(ScriptedBackend::start(&format!("127.0.{network}.{host_number}:9090")).await);
+            backends.push(ScriptedBackend::start(&format!("127.0.{network}.{host_number}:9090")).await);
         }
-        Self::start_with(clock.clone(), name, all, "{}").await
+        Self::start_with(clock.clone(), name, backends, "{}").await
     }
 
-    async fn start_with(clock: Clock, name: &str, all: Vec<ScriptedBackend>, limits: &str) -> Self {
+    async fn start_with(clock: Clock, name: &str, backends: Vec<ScriptedBackend>, limits: &str) -> Self {
         let listener = TcpListener::bind("127.0.90.9:0").await.unwrap();
-        let (at, dir) = (listener.local_addr().unwrap(), folder(name));
-        let mut backends: Vec<_> = all.iter().map(|b| (b.address, false)).collect();
-        if all.is_empty() {
-            backends.push(("127.0.90.1:1".parse().unwrap(), false));
+        let (address, dir) = (listener.local_addr().unwrap(), folder(name));
+        let mut addresses: Vec<_> = backends.iter().map(|b| (b.address, false)).collect();
+        if backends.is_empty() {
+            addresses.push(("127.0.90.1:1".parse().unwrap(), false));
         }
-        let config = write_config(&dir, at, &backends, limits);
+        let config = write_config(&dir, address, &addresses, limits);
         let front = GrpcFront::new(executor(clock), config, 5).unwrap();
         let (stop, closing) = (Rc::new(GracefulShutdown::default()), Rc::new(Notify::new()));
         spawn_local(accept(front.clone(), listener, stop.clone(), closing.clone()));
         spawn_local(run_housekeeping(front.clone()));
         spawn_local(abort_calls_at_shutdown(front.clone(), stop.clone()));
-        Self { front, address: at, stop, closing, backends: all, dir }
+        Self { front, address, stop, closing, backends, dir }
     }
 
     fn received_calls(&self) -> usize {
@@ -101,9 +101,9 @@
     }
 
     /// The value of a metric, by its name and labels; 0 if it is missing.
-    fn metric(&self, line: &str) -> u64 {
+    fn metric(&self, series: &str) -> u64 {
         let text = self.front.metrics();
-        text.lines().find_map(|l| l.strip_prefix(line)?.trim().parse().ok()).unwrap_or(0)
+        text.lines().find_map(|l| l.strip_prefix(series)?.trim().parse().ok()).unwrap_or(0)
     }
 
     fn calls_with_outcome(&self, name: &str) -> u64 {
@@ -113,9 +113,9 @@
 
 /// Polls a condition until it holds; panics after two seconds.
 async fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + Duration::from_secs(2);
+    let deadline = Instant::now() + Duration::from_secs(2);
     while !holds() {
-        assert!(Instant::now() < end, "timed out waiting for the condition: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for the condition: {what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -123,22 +123,28 @@
 #[test]
 fn unary_and_streaming_calls_keep_messages_metadata_and_trailers() {
     run(async {
-        let proxy = TestProxy::start("grpc-shapes", 2, "{}").await;
+        let proxy = TestProxy::start("grpc-forwarding", 2, "{}").await;
         let client = GrpcClient::connect(proxy.address).await;
         let headers = [("x-user", "u1"), ("x-bin", "AAEC"), ("grpc-timeout", "1500m")];
         let got = client.call("/t.Safe/Get", &headers, message(10)).await;
-        assert_eq!((got.http, got.status(), &got.body), (200, 0, &message(8)), "{got:?}");
+        assert_eq!((got.http_status, got.status(), &got.body), (200, 0, &message(8)), "{got:?}");
         assert_eq!(
             (got.header("x-trail-bin"), got.header("grpc-message")),
             (Some("AAEC"), Some("from%20the%20backend"))
         );
-        assert_eq!(got.head.get("x-backend").unwrap(), "yes");
-        let seen = proxy.backends.iter().find_map(|b| b.calls.borrow().first().cloned()).unwrap();
-        assert_eq!((seen.path.as_str(), &seen.body, seen.whole), ("/t.Safe/Get", &message(10), true));
-        assert_eq!((seen.header("x-bin"), seen.header("te")), (Some("AAEC"), Some("trailers")));
-        assert_eq!(seen.header("content-type"), Some("application/grpc+proto"));
-        let left = edge_proxy::grpc::timeout::parse(seen.header("grpc-timeout").unwrap()).unwrap();
-        assert!(left <= 1_460.0 && left > 100.0, "client timeout less the return margin: {left}");
+        assert_eq!(got.headers.get("x-backend").unwrap(), "yes");
+        let received = proxy.backends.iter().find_map(|b| b.calls.borrow().first().cloned()).unwrap();
+        assert_eq!(
+            (received.path.as_str(), &received.body, received.complete),
+            ("/t.Safe/Get", &message(10), true)
+        );
+        assert_eq!((received.header("x-bin"), received.header("te")), (Some("AAEC"), Some("trailers")));
+        assert_eq!(received.header("content-type"), Some("application/grpc+proto"));
+        let timeout_ms = edge_proxy::grpc::timeout::parse(received.header("grpc-timeout").unwrap()).unwrap();
+        assert!(
+            timeout_ms <= 1_460.0 && timeout_ms > 100.0,
+            "client timeout less the return margin: {timeout_ms}"
+        );
 
         // Server streaming, with more data than all flow-control windows; then bidirectional streaming.
         let got = client
@@ -212,7 +218,7 @@
         assert!(got.header("grpc-retry-pushback-ms").is_some(), "a rejection has a retry pushback: {got:?}");
         // A retry pushback from the backend is forwarded, and the proxy does not retry.
         let before = proxy.received_calls();
-        let got = client.call("/t.Safe/Do", &[("x-script", "read push:700 status:14")], message(3)).await;
+        let got = client.call("/t.Safe/Do", &[("x-script", "read pushback:700 status:14")], message(3)).await;
         assert_eq!((got.header("grpc-retry-pushback-ms"), proxy.received_calls() - before), (Some("700"), 1));
     });
 }
@@ -245,11 +251,11 @@
             }
             assert!(retries > 0 || script.ends_with("end"), "{what}: no call was retried");
         }
-        let retried: Vec<_> = proxy.backends.iter().flat_map(|b| b.calls.borrow().clone()).collect();
+        let received: Vec<_> = proxy.backends.iter().flat_map(|b| b.calls.borrow().clone()).collect();
         let retried: Vec<_> =
-            retried.iter().filter(|a| a.header("grpc-previous-rpc-attempts").is_some()).collect();
+            received.iter().filter(|call| call.header("grpc-previous-rpc-attempts").is_some()).collect();
         assert!(
-            !retried.is_empty() && retried.iter().all(|a| a.body == message(700)),
+            !retried.is_empty() && retried.iter().all(|call| call.body == message(700)),
             "retries repeat the whole request"
         );
 
@@ -290,7 +296,7 @@
         let client = GrpcClient::connect(proxy.address).await;
         proxy.backends.iter().for_each(|b| b.set_script("read hang", u32::MAX));
         // The client's timeout, the route's shorter deadline, and a non-idempotent method.
-        for (path, timeout, most) in
+        for (path, timeout, max_ms) in
             [("/t.Safe/Get", "400m", 400.0), ("/t.Short/Get", "5S", 300.0), ("/t.Once/Do", "200m", 200.0)]
         {
             let got = client.call(path, &[("grpc-timeout", timeout)], message(5)).await;
@@ -298,9 +304,9 @@
             let expected = if path == "/t.Once/Do" { 4 } else { 14 };
             assert!(got.status() == expected || got.status() == 4, "{path}: {got:?}");
             assert!(
-                got.took_ms <= most + 150.0,
-                "{path}: took {} ms, expected at most {most} ms plus 150 ms",
-                got.took_ms
+                got.elapsed_ms <= max_ms + 150.0,
+                "{path}: took {} ms, expected at most {max_ms} ms plus 150 ms",
+                got.elapsed_ms
             );
         }
         assert_eq!(proxy.metric("grpc_deadlines_shortened_total{pool=\"p\"}"), 1);
@@ -317,8 +323,8 @@
             (4, 9),
             "the message sent before the deadline was not forwarded: {got:?}"
         );
-        let all = || proxy.backends.iter().all(|b| b.calls.borrow().iter().all(|a| a.reset));
-        wait_until("every attempt is reset", all).await;
+        let all_reset = || proxy.backends.iter().all(|b| b.calls.borrow().iter().all(|call| call.reset));
+        wait_until("every attempt is reset", all_reset).await;
     });
 }
 
@@ -331,22 +337,24 @@
             let (response, mut stream) =
                 client.begin("/t.Stream/Watch", &[("x-script", script)]).await.unwrap();
             stream.send_data(message(2).into(), false).unwrap();
-            let reached = proxy.received_calls();
-            wait_until("the call reaches the backend", || proxy.received_calls() > reached || reached > 0)
-                .await;
+            let earlier_calls = proxy.received_calls();
+            wait_until("the call reaches the backend", || {
+                proxy.received_calls() > earlier_calls || earlier_calls > 0
+            })
+            .await;
             tokio::time::sleep(Duration::from_millis(30)).await;
             stream.send_reset(h2::Reason::CANCEL);
             drop(response);
             wait_until("the backend sees the reset", || {
-                proxy.backends[0].calls.borrow().iter().all(|a| a.reset)
+                proxy.backends[0].calls.borrow().iter().all(|call| call.reset)
             })
             .await;
         }
         wait_until("both calls count as disconnected", || proxy.calls_with_outcome("left") == 2).await;
         // A client connection that closes cancels its calls.
-        let gone = GrpcClient::connect(proxy.address).await;
+        let closing_client = GrpcClient::connect(proxy.address).await;
         let pending = spawn_local(async move {
-            gone.call("/t.Stream/Watch", &[("x-script", "read hang")], message(1)).await
+            closing_client.call("/t.Stream/Watch", &[("x-script", "read hang")], message(1)).await
         });
         wait_until("the call reaches the backend", || proxy.received_calls() == 3).await;
         pending.abort();
@@ -357,16 +365,18 @@
 }
 
 #[test]
-fn truncated_and_malformed_streams_end_with_the_matching_status() {
+fn invalid_responses_requests_and_connections_are_rejected_with_the_specified_status() {
     run(async {
-        let proxy = TestProxy::start("grpc-cut", 1, r#"{"message_bytes":2048,"header_bytes":4096}"#).await;
+        let proxy =
+            TestProxy::start("grpc-protocol-errors", 1, r#"{"message_bytes":2048,"header_bytes":4096}"#)
+                .await;
         let client = GrpcClient::connect(proxy.address).await;
         for (script, status) in [
-            ("read head msg:9 part:40 status:0", 13),
-            ("read head msg:9 part:40 rst:2", 13),
+            ("read head msg:9 partial:40 status:0", 13),
+            ("read head msg:9 partial:40 rst:2", 13),
             ("read head msg:9 rst:8", 1),
             ("read head msg:9 end", 13),
-            ("read head raw:9 status:0", 13),
+            ("read head garbage:9 status:0", 13),
             ("read head msg:3000 status:0", 13),
             ("read head msg:9 kill", 14),
             ("read http:404", 12),
@@ -381,7 +391,7 @@
             assert_eq!(got.status(), status, "{got:?}");
         }
         wait_until("no backend sees an invalid request as complete", || {
-            proxy.backends[0].calls.borrow().iter().skip(8).all(|a| !a.whole)
+            proxy.backends[0].calls.borrow().iter().skip(8).all(|call| !call.complete)
         })
         .await;
         // Invalid request headers: each gets its status, and the connection stays open.
@@ -403,7 +413,7 @@
         assert_eq!(client.call("/t.Key/Put", &[("x-key", "k1")], message(1)).await.status(), 0);
         let long = "x".repeat(9_000);
         let got = client.call("/t.Safe/Get", &[("x-long", &long)], message(1)).await;
-        assert!(got.http == 431 || got.error.is_some(), "{got:?}");
+        assert!(got.http_status == 431 || got.error.is_some(), "{got:?}");
         let got = client.call("/t.Safe/Get", &[], message(1)).await;
         assert_eq!(got.status(), 0, "the connection stays open after oversized headers: {got:?}");
         // Protocol errors end their own connection with GOAWAY and no other.
@@ -434,12 +444,12 @@
             streams.push(client.begin("/t.Stream/Chat", &[("x-script", "echo")]).await.unwrap());
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let drained = |on| {
+        let set_draining = |draining| {
             let backends: Vec<_> =
-                proxy.backends.iter().map(|b| (b.address, on && b.address == first)).collect();
+                proxy.backends.iter().map(|b| (b.address, draining && b.address == first)).collect();
             proxy.front.reconfigure(write_config(&proxy.dir, proxy.address, &backends, "{}")).unwrap();
         };
-        drained(true);
+        set_draining(true);
         let before = proxy.backends[0].call_count();
         for _ in 0..40 {
             assert_eq!(client.call("/t.Safe/Get", &[], message(2)).await.status(), 0);
@@ -454,7 +464,7 @@
         // An invalid file is rejected; afterwards the backend is enabled again.
         std::fs::write(proxy.dir.join("grpc.json"), "{\"listen\":").unwrap();
         assert!(GrpcConfig::read(&proxy.dir.join("grpc.json")).is_err());
-        drained(false);
+        set_draining(false);
         for _ in 0..40 {
             assert_eq!(client.call("/t.Safe/Get", &[], message(2)).await.status(), 0);
         }
@@ -484,18 +494,18 @@
 }
 
 #[test]
-fn calls_follow_affinity_failing_backends_are_ejected_and_empty_pools_reject() {
+fn calls_follow_affinity_failing_backends_are_ejected_and_draining_pools_reject() {
     run(async {
         let clock = Clock::manual(START_MS);
         let proxy = TestProxy::start_reproducible(&clock, "grpc-health", 91).await;
         let client = GrpcClient::connect(proxy.address).await;
-        let spread =
+        let calls_per_backend =
             |proxy: &TestProxy| proxy.backends.iter().map(ScriptedBackend::call_count).collect::<Vec<_>>();
         for _ in 0..10 {
             assert_eq!(client.call("/t.Sticky/Get", &[("x-user", "u7")], message(2)).await.status(), 0);
         }
         assert_eq!(
-            spread(&proxy).iter().filter(|n| **n > 0).count(),
+            calls_per_backend(&proxy).iter().filter(|n| **n > 0).count(),
             1,
             "calls of one user go to one backend"
         );
@@ -503,9 +513,9 @@
             assert_eq!(client.call("/t.Safe/Get", &[], message(2)).await.status(), 0);
         }
         assert!(
-            spread(&proxy).iter().all(|n| *n >= 8),
+            calls_per_backend(&proxy).iter().all(|n| *n >= 8),
             "calls without affinity are spread: {:?}",
-            spread(&proxy)
+            calls_per_backend(&proxy)
         );
         // A backend that fails all calls is ejected.
         proxy.backends[1].set_script("status:13", u32::MAX);
@@ -529,7 +539,7 @@
         let got = client.call("/t.Once/Do", &[], message(2)).await;
         assert_eq!(got.status(), 14);
         assert!(
-            got.took_ms < 100.0 && got.header("grpc-retry-pushback-ms").is_some_and(|ms| ms != "-1"),
+            got.elapsed_ms < 100.0 && got.header("grpc-retry-pushback-ms").is_some_and(|ms| ms != "-1"),
             "{got:?}"
         );
     });
@@ -591,9 +601,9 @@
     run(async {
         let proxy = TestProxy::start("grpc-discovered", 0, "{}").await;
         // All backends of a discovered pool have the same port.
-        let one = ScriptedBackend::start("127.0.91.1:0").await;
-        let port = one.address.port();
-        let two = ScriptedBackend::start(&format!("127.0.91.2:{port}")).await;
+        let first = ScriptedBackend::start("127.0.91.1:0").await;
+        let port = first.address.port();
+        let second = ScriptedBackend::start(&format!("127.0.91.2:{port}")).await;
         let text = format!(
             r#"{{"listen":"{}","pools":[{{"name":"p","roster":{{"model":"box","port":{port}}}}}],"routes":{ROUTES}}}"#,
             proxy.address
@@ -622,20 +632,20 @@
         };
         make_calls(40).await;
         assert!(
-            one.call_count() > 5 && two.call_count() > 5,
+            first.call_count() > 5 && second.call_count() > 5,
             "both backends get calls: {} and {}",
-            one.call_count(),
-            two.call_count()
+            first.call_count(),
+            second.call_count()
         );
         executor.with(|engine| engine.apply_endpoints(false, vec![endpoint(0xc1, "Terminating")]));
-        let before = one.call_count();
+        let before = first.call_count();
         make_calls(40).await;
-        assert_eq!(one.call_count(), before, "a draining backend got a call");
+        assert_eq!(first.call_count(), before, "a draining backend got a call");
         executor.with(|engine| engine.apply_endpoints(false, vec![endpoint(0xc1, "Ready")]));
         executor.with(|engine| engine.set_out_of_use(0xc2, true));
-        let before = two.call_count();
+        let before = second.call_count();
         make_calls(40).await;
-        assert_eq!(two.call_count(), before, "a backend that is out of use got a call");
+        assert_eq!(second.call_count(), before, "a backend that is out of use got a call");
     });
 }
 
@@ -651,10 +661,10 @@
         std::fs::write(proxy.dir.join("grpc.json"), text.replacen('{', admission, 1)).unwrap();
         let config = GrpcConfig::read(&proxy.dir.join("grpc.json")).unwrap();
         let listener = TcpListener::bind("127.0.90.9:0").await.unwrap();
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         let front = GrpcFront::new(executor(Clock::system()), config, 5).unwrap();
         spawn_local(accept(front.clone(), listener, proxy.stop.clone(), Rc::new(Notify::new())));
-        let client = GrpcClient::connect(at).await;
+        let client = GrpcClient::connect(address).await;
         let script = "read sleep:100 head msg:1 status:0";
         let call = |path: &'static str| {
             let client = client.clone();
@@ -673,7 +683,7 @@
                 0 => served += 1,
                 14 => {
                     refused += 1;
-                    assert!(got.took_ms < 95.0, "the rejection took too long: {got:?}");
+                    assert!(got.elapsed_ms < 95.0, "the rejection took too long: {got:?}");
                     assert!(got.header("grpc-retry-pushback-ms").is_some(), "{got:?}");
                 }
                 _ => panic!("{got:?}"),
@@ -683,19 +693,19 @@
         // A client that cancels its call while the call is queued.
         let burst: Vec<_> = (0..4).map(|_| call("/t.Safe/Get")).collect();
         tokio::time::sleep(Duration::from_millis(30)).await;
-        let reached = proxy.backends[0].call_count();
-        let cancelling_client = GrpcClient::connect(at).await;
-        let (response, mut waiting) =
-            cancelling_client.begin("/t.Once/Do", &[("x-gone", "1")]).await.unwrap();
+        let earlier_calls = proxy.backends[0].call_count();
+        let cancelling_client = GrpcClient::connect(address).await;
+        let (response, mut queued_stream) =
+            cancelling_client.begin("/t.Once/Do", &[("x-cancelled", "1")]).await.unwrap();
         tokio::time::sleep(Duration::from_millis(20)).await;
-        waiting.send_reset(h2::Reason::CANCEL);
+        queued_stream.send_reset(h2::Reason::CANCEL);
         drop(response);
         for got in burst {
             assert!(matches!(got.await.unwrap().status(), 0 | 14));
         }
-        let sent = |a: &stand_ins::grpc::ReceivedCall| a.header("x-gone").is_some();
+        let sent = |call: &stand_ins::grpc::ReceivedCall| call.header("x-cancelled").is_some();
         assert!(
-            !proxy.backends[0].calls.borrow().iter().skip(reached).any(sent),
+            !proxy.backends[0].calls.borrow().iter().skip(earlier_calls).any(sent),
             "a call was sent after its client cancelled it"
         );
         wait_until("all permits are released", || front.metrics().contains("grpc_door_open 0")).await;
@@ -706,19 +716,19 @@
 /// Guards against a process started with `serve --grpc` that lacks metrics or status, ignores SIGHUP or cuts
 /// open calls at SIGTERM.
 #[test]
-fn the_process_serves_calls_reloads_at_sighup_and_drains_at_sigterm() {
+fn the_process_serves_calls_reloads_on_sighup_and_drains_on_sigterm() {
     run(async {
         let dir = folder("grpc-process");
-        let (one, two) =
+        let (first, second) =
             (ScriptedBackend::start("127.0.92.1:0").await, ScriptedBackend::start("127.0.92.1:0").await);
-        let port = || std::net::TcpListener::bind("127.0.92.9:0").unwrap().local_addr().unwrap();
-        let (listen, mgmt, grpc) = (port(), port(), port());
+        let free_address = || std::net::TcpListener::bind("127.0.92.9:0").unwrap().local_addr().unwrap();
+        let (listen, mgmt, grpc) = (free_address(), free_address(), free_address());
         let text =
             std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
         let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
         std::fs::write(dir.join("config.json"), text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses))
             .unwrap();
-        write_config(&dir, grpc, &[(one.address, false), (two.address, true)], "{}");
+        write_config(&dir, grpc, &[(first.address, false), (second.address, true)], "{}");
         let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
         let (config, grpc_config) = (dir.join("config.json"), dir.join("grpc.json"));
         let args = ["serve", "--config", config.to_str().unwrap(), "--grpc", grpc_config.to_str().unwrap()];
@@ -731,19 +741,19 @@
         let client = GrpcClient::connect(grpc).await;
         assert_eq!(client.call("/t.Safe/Get", &[], message(2)).await.status(), 0);
         // SIGHUP applies a changed file; an invalid one changes nothing.
-        write_config(&dir, grpc, &[(one.address, true), (two.address, false)], "{}");
+        write_config(&dir, grpc, &[(first.address, true), (second.address, false)], "{}");
         process.signal("-HUP");
-        let end = Instant::now() + Duration::from_secs(5);
-        while two.call_count() == 0 {
-            assert!(Instant::now() < end, "the file was not reloaded");
+        let deadline = Instant::now() + Duration::from_secs(5);
+        while second.call_count() == 0 {
+            assert!(Instant::now() < deadline, "the file was not reloaded");
             assert_eq!(client.call("/t.Safe/Get", &[], message(2)).await.status(), 0);
         }
         std::fs::write(dir.join("grpc.json"), "{").unwrap();
         process.signal("-HUP");
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let before = one.call_count();
+        let before = first.call_count();
         assert_eq!(client.call("/t.Safe/Get", &[], message(2)).await.status(), 0);
-        assert_eq!(one.call_count(), before, "the previous configuration stays in force");
+        assert_eq!(first.call_count(), before, "the previous configuration stays in force");
         let admin_get = |path: &'static str| async move {
             let answer =
                 edge_proxy::http_client::call(mgmt, "GET", path, b"", Duration::from_secs(2)).await.unwrap();
@@ -752,15 +762,18 @@
         let metrics = admin_get("/stats").await;
         assert!(metrics.contains("grpc_calls_total{pool=\"p\",outcome=\"served\"}"), "{metrics}");
         let status = admin_get("/grpc").await;
-        assert!(status.contains(&format!("{{\"address\":\"{}\",\"live\":true}}", two.address)), "{status}");
+        assert!(
+            status.contains(&format!("{{\"address\":\"{}\",\"live\":true}}", second.address)),
+            "{status}"
+        );
         // At SIGTERM an open call gets its complete response before the process ends.
         let slow = spawn_local({
             let client = client.clone();
             let script = [("x-script", "read sleep:900 head msg:5 status:0")];
             async move { client.call("/t.Once/Do", &script, message(2)).await }
         });
-        let reached = two.call_count();
-        while two.call_count() == reached {
+        let earlier_calls = second.call_count();
+        while second.call_count() == earlier_calls {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         process.signal("-TERM");
--- a/tests/grpc_calls.rs
+++ b/tests/grpc_calls.rs
@@ -15,10 +15,10 @@
 
 fn call_table_and_routes() -> (CallTable, Vec<Rc<Route>>) {
     let routes = [("safe", ""), ("never", ""), ("keyed", r#","key":"x-key","key_window_ms":900"#)];
-    let routes = routes.iter().flat_map(|(repeat, more)| {
+    let routes = routes.iter().flat_map(|(repeat, extra_fields)| {
         ["unary", "stream"].map(|kind| {
             format!(
-                r#"{{"method":"/t.{repeat}/{kind}","pool":"p","kind":"{kind}","repeat":"{repeat}"{more},"deadline_ms":3000}}"#
+                r#"{{"method":"/t.{repeat}/{kind}","pool":"p","kind":"{kind}","repeat":"{repeat}"{extra_fields},"deadline_ms":3000}}"#
             )
         })
     });
@@ -27,7 +27,7 @@
         routes.collect::<Vec<_>>().join(",")
     );
     let file = std::env::temp_dir().join(format!(
-        "calicobeam-calls-{}-{:?}.json",
+        "edge-proxy-grpc-calls-{}-{:?}.json",
         std::process::id(),
         std::thread::current().id()
     ));
@@ -104,10 +104,10 @@
                 }
                 Directive::Respond(status) => {
                     assert_ne!(status.code, Code::OK, "the proxy never generates OK");
-                    let unsafe_ran =
+                    let non_idempotent_may_have_run =
                         call.route.idempotency == Idempotency::NotIdempotent && call.may_have_run;
                     assert!(
-                        !unsafe_ran || status.outcome != CallOutcome::Rejected,
+                        !non_idempotent_may_have_run || status.outcome != CallOutcome::Rejected,
                         "a call that may have been processed was reported as rejected: {status:?}"
                     );
                     *end_counts.entry(format!("generated {:?}", status.outcome)).or_default() += 1;
@@ -119,13 +119,14 @@
             0..=3 if step < 3_600 => {
                 let route = routes[rng.random_range(0..routes.len())].clone();
                 let timeout_ms = (rng.random_range(0..3) > 0).then(|| rng.random_range(1.0..4_000.0));
-                let new = NewCall { route: route.clone(), affinity_hash: None, timeout_ms, received_ms: now };
-                let allowed_ms = new.allowed_ms();
+                let new_call =
+                    NewCall { route: route.clone(), affinity_hash: None, timeout_ms, received_ms: now };
+                let allowed_ms = new_call.allowed_ms();
                 assert!(
                     allowed_ms <= 3_000.0 && timeout_ms.is_none_or(|t| allowed_ms <= t),
                     "a deadline was extended"
                 );
-                let (id, directive) = calls.begin(now, new);
+                let (id, directive) = calls.begin(now, new_call);
                 started += 1;
                 let target =
                     AttemptTarget { attempt: 0, backend: 0, address: "127.0.0.1:1".parse().unwrap() };
@@ -241,36 +242,37 @@
 
 #[test]
 fn random_event_sequences_preserve_the_invariants_of_calls() {
-    let mut all = HashMap::<String, u32>::new();
+    let mut end_counts = HashMap::<String, u32>::new();
     for seed in 0..20 {
-        run_random_events(seed).into_iter().for_each(|(what, n)| *all.entry(what).or_default() += n);
+        run_random_events(seed).into_iter().for_each(|(end, n)| *end_counts.entry(end).or_default() += n);
     }
-    for what in [
+    for end in [
         "forwarded Served",
         "forwarded Rejected",
         "forwarded Failed",
         "generated Rejected",
         "generated Failed",
     ] {
-        assert!(all.get(what).is_some_and(|n| *n > 20), "{what}: {all:?}");
+        assert!(end_counts.get(end).is_some_and(|n| *n > 20), "{end}: {end_counts:?}");
     }
 }
 
 #[test]
-fn streams_time_out_at_the_deadline_and_long_ones_eject_no_backend() {
+fn streams_time_out_only_at_the_deadline_and_long_streams_do_not_eject_backends() {
     let (mut calls, routes) = call_table_and_routes();
     calls.set_backends(0.0, 0, &backends(&[true, true]));
-    let route =
-        |kind, repeat| routes.iter().find(|r| r.kind == kind && r.idempotency == repeat).unwrap().clone();
-    let new = |route: Rc<Route>| NewCall {
+    let route = |kind, idempotency| {
+        routes.iter().find(|r| r.kind == kind && r.idempotency == idempotency).unwrap().clone()
+    };
+    let new_call = |route: Rc<Route>| NewCall {
         route,
         affinity_hash: Some(7),
         timeout_ms: Some(2_000.0),
         received_ms: 0.0,
     };
     // Only a unary attempt has a timeout before the call's deadline.
-    let (unary, _) = calls.begin(0.0, new(route(MethodKind::Unary, Idempotency::Idempotent)));
-    let (stream, _) = calls.begin(0.0, new(route(MethodKind::Stream, Idempotency::Idempotent)));
+    let (unary, _) = calls.begin(0.0, new_call(route(MethodKind::Unary, Idempotency::Idempotent)));
+    let (stream, _) = calls.begin(0.0, new_call(route(MethodKind::Stream, Idempotency::Idempotent)));
     assert!(calls.timeout_at_ms(unary) < 1_900.0, "{}", calls.timeout_at_ms(unary));
     assert_eq!(calls.timeout_at_ms(stream), 1_960.0, "the client timeout less the return margin");
     calls.commit(50.0, unary);
@@ -278,16 +280,16 @@
     // The duration of streams does not get their backends ejected.
     for n in 0..50 {
         let now = f64::from(n) * 10_000.0;
-        let new = NewCall {
+        let new_call = NewCall {
             timeout_ms: None,
             received_ms: now,
-            ..new(route(MethodKind::Stream, Idempotency::Idempotent))
+            ..new_call(route(MethodKind::Stream, Idempotency::Idempotent))
         };
-        let (id, directive) = calls.begin(now, new);
+        let (id, directive) = calls.begin(now, new_call);
         let Directive::StartAttempt(target) = directive else { panic!("{directive:?}") };
         calls.commit(now + 5.0, id);
-        let end = calls.attempt_ended(now + 2_900.0, id, AttemptEnd::Status(Code::OK, None));
-        assert!(matches!(end, Directive::ForwardStatus { outcome: CallOutcome::Served, .. }));
+        let directive = calls.attempt_ended(now + 2_900.0, id, AttemptEnd::Status(Code::OK, None));
+        assert!(matches!(directive, Directive::ForwardStatus { outcome: CallOutcome::Served, .. }));
         assert_eq!((target.attempt, calls.pools()[0].ejected_backends(now)), (0, 0), "stream {n}");
     }
 }
@@ -295,18 +297,18 @@
 #[test]
 fn invalid_files_are_rejected_with_the_name_of_the_field() {
     let check = |text: &str| {
-        let file = std::env::temp_dir().join(format!("calicobeam-grpc-bad-{}.json", std::process::id()));
+        let file = std::env::temp_dir().join(format!("edge-proxy-grpc-invalid-{}.json", std::process::id()));
         std::fs::write(&file, text).unwrap();
         GrpcConfig::read(&file).map(|_| ()).map_err(|e| e.to_string())
     };
-    let file = |pool: &str, route: &str, more: &str| {
+    let file = |pool: &str, route: &str, extra_fields: &str| {
         format!(
-            r#"{{"listen":"127.0.0.1:5443"{more},"pools":[{{"name":"p",{pool}}}],"routes":[{{"pool":"p",{route}}}]}}"#
+            r#"{{"listen":"127.0.0.1:5443"{extra_fields},"pools":[{{"name":"p",{pool}}}],"routes":[{{"pool":"p",{route}}}]}}"#
         )
     };
     let (pool, route) = (r#""backends":[{"address":"127.0.0.1:2"}]"#, r#""method":"/a.B/C""#);
     assert_eq!(check(&file(pool, route, "")), Ok(()));
-    for (text, word) in [
+    for (text, expected) in [
         (file(r#""backends":[]"#, route, ""), "exactly one of `backends` and `roster`"),
         (
             file(r#""backends":[{"address":"127.0.0.1:2"},{"address":"127.0.0.1:2"}]"#, route, ""),
@@ -327,6 +329,6 @@
         (file(pool, route, r#","tenant_header":"a b""#), "tenant_header"),
     ] {
         let reason = check(&text).expect_err(&text);
-        assert!(reason.contains(word), "{reason:?} does not contain {word:?}");
+        assert!(reason.contains(expected), "{reason:?} does not contain {expected:?}");
     }
 }
--- a/tests/stand_ins/grpc.rs
+++ b/tests/stand_ins/grpc.rs
@@ -20,13 +20,13 @@
 /// A call received by a backend.
 #[derive(Clone, Debug)]
 pub struct ReceivedCall {
-    pub at_ms: f64,
+    pub received_ms: f64,
     pub path: String,
     pub headers: HeaderMap,
     /// The request bytes read so far.
     pub body: Vec<u8>,
     /// Whether the client ended the request stream.
-    pub whole: bool,
+    pub complete: bool,
     /// Whether the client reset the call or its connection ended.
     pub reset: bool,
 }
@@ -58,8 +58,8 @@
 
 impl ScriptedBackend {
     /// Starts a backend on an address; port 0 selects a free port.
-    pub async fn start(at: &str) -> Self {
-        let listener = TcpListener::bind(at).await.unwrap();
+    pub async fn start(address: &str) -> Self {
+        let listener = TcpListener::bind(address).await.unwrap();
         let backend = Self {
             address: listener.local_addr().unwrap(),
             calls: Rc::default(),
@@ -69,11 +69,11 @@
             kill: Rc::default(),
             go_away: Rc::default(),
         };
-        let served = backend.clone();
+        let task_backend = backend.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                served.connections.set(served.connections.get() + 1);
-                spawn_local(served.clone().serve(stream));
+                task_backend.connections.set(task_backend.connections.get() + 1);
+                spawn_local(task_backend.clone().serve(stream));
             }
         });
         backend
@@ -129,11 +129,11 @@
         }
         let index = self.calls.borrow().len();
         self.calls.borrow_mut().push(ReceivedCall {
-            at_ms: Clock::system().now(),
+            received_ms: Clock::system().now(),
             path: parts.uri.path().to_string(),
             headers: parts.headers,
             body: Vec::new(),
-            whole: false,
+            complete: false,
             reset: false,
         });
         let run =
@@ -161,21 +161,21 @@
         match self.body.data().await {
             Some(Ok(chunk)) => {
                 let _ = self.body.flow_control().release_capacity(chunk.len());
-                self.record(|a| a.body.extend_from_slice(&chunk));
+                self.record(|call| call.body.extend_from_slice(&chunk));
                 Some(chunk)
             }
             Some(Err(_)) => {
-                self.record(|a| a.reset = true);
+                self.record(|call| call.reset = true);
                 None
             }
             None => {
-                self.record(|a| a.whole = true);
+                self.record(|call| call.complete = true);
                 None
             }
         }
     }
 
-    fn head(&mut self) {
+    fn send_headers(&mut self) {
         if let Some(mut respond) = self.respond.take() {
             let head =
                 Response::builder().header("content-type", "application/grpc").header("x-backend", "yes");
@@ -184,7 +184,7 @@
     }
 
     async fn send(&mut self, bytes: Vec<u8>) {
-        self.head();
+        self.send_headers();
         let Some(stream) = &mut self.stream else { return };
         let mut bytes = Bytes::from(bytes);
         while !bytes.is_empty() {
@@ -200,7 +200,7 @@
         }
     }
 
-    fn status(&mut self, code: &str) {
+    fn send_status(&mut self, code: &str) {
         let mut trailers = HeaderMap::new();
         trailers.insert("grpc-status", code.parse().unwrap());
         trailers.insert("grpc-message", "from%20the%20backend".parse().unwrap());
@@ -226,7 +226,7 @@
             _ => std::task::Poll::Pending,
         });
         reset.await;
-        self.record(|a| a.reset = true);
+        self.record(|call| call.reset = true);
     }
 
     /// Runs the steps of a script, separated by spaces; a step may have an argument after a colon, such as
@@ -238,7 +238,7 @@
             let n: usize = value.parse().unwrap_or(0);
             match word {
                 "read" => while self.read_chunk().await.is_some() {},
-                "head" => self.head(),
+                "head" => self.send_headers(),
                 "msg" => self.send(message(n)).await,
                 // Sends `n` messages of 1,000 bytes.
                 "flood" => {
@@ -246,17 +246,17 @@
                         self.send(message(1_000)).await;
                     }
                 }
-                "part" => self.send(message(n)[..5 + n / 2].to_vec()).await,
-                "raw" => self.send(vec![9; n]).await,
+                "partial" => self.send(message(n)[..5 + n / 2].to_vec()).await,
+                "garbage" => self.send(vec![9; n]).await,
                 "sleep" => tokio::time::sleep(Duration::from_millis(n as u64)).await,
-                "push" => self.pushback = Some(value.to_string()),
-                "status" => self.status(value),
+                "pushback" => self.pushback = Some(value.to_string()),
+                "status" => self.send_status(value),
                 "echo" => {
-                    self.head();
+                    self.send_headers();
                     while let Some(chunk) = self.read_chunk().await {
                         self.send(chunk.to_vec()).await;
                     }
-                    self.status("0");
+                    self.send_status("0");
                 }
                 "rst" => {
                     let reason = Reason::from(n as u32);
@@ -264,7 +264,7 @@
                     self.respond.iter_mut().for_each(|r| r.send_reset(reason));
                 }
                 "end" => {
-                    self.head();
+                    self.send_headers();
                     self.stream.iter_mut().for_each(|s| drop(s.send_data(Bytes::new(), true)));
                 }
                 "http" => {
@@ -287,17 +287,17 @@
 /// The response to a call, as the client received it.
 #[derive(Debug, Default)]
 pub struct CallResponse {
-    pub http: u16,
-    pub head: HeaderMap,
+    pub http_status: u16,
+    pub headers: HeaderMap,
     pub body: Vec<u8>,
     pub trailers: Option<HeaderMap>,
     pub error: Option<h2::Error>,
-    pub took_ms: f64,
+    pub elapsed_ms: f64,
 }
 
 impl CallResponse {
     fn final_headers(&self) -> &HeaderMap {
-        self.trailers.as_ref().unwrap_or(&self.head)
+        self.trailers.as_ref().unwrap_or(&self.headers)
     }
 
     pub fn header(&self, name: &str) -> Option<&str> {
@@ -352,7 +352,7 @@
             }
             Err(error) => CallResponse { error: Some(error), ..CallResponse::default() },
         };
-        got.took_ms = start.elapsed().as_secs_f64() * 1_000.0;
+        got.elapsed_ms = start.elapsed().as_secs_f64() * 1_000.0;
         got
     }
 }
@@ -364,7 +364,7 @@
         Ok(response) => response.into_parts(),
         Err(error) => return CallResponse { error: Some(error), ..got },
     };
-    (got.http, got.head) = (parts.status.as_u16(), parts.headers);
+    (got.http_status, got.headers) = (parts.status.as_u16(), parts.headers);
     while let Some(chunk) = body.data().await {
         match chunk {
             Ok(chunk) => {
