--- a/src/grpc/attempt_result.rs
+++ b/src/grpc/attempt_result.rs
@@ -5,10 +5,10 @@
 use h2::Reason;
 use http::HeaderMap;
 
-/// The result of an attempt, as its call's driver sees it.
+/// The result of an attempt, for the call driver.
 pub enum AttemptResult {
-    /// The backend or its connection ended the attempt. Holds the trailers, or the headers of a
-    /// "Trailers-Only" response, if they carried a status.
+    /// The attempt ended; the call table decides whether the call is retried. Holds the trailers, or the
+    /// headers of a "Trailers-Only" response, if they carried a status.
     Ended(AttemptEnd, Option<HeaderMap>),
     /// The client disconnected.
     ClientDisconnected,
@@ -17,14 +17,14 @@
 }
 
 impl AttemptResult {
-    /// An attempt that ended without a status from the backend.
-    pub fn ended(end: AttemptEnd) -> Self {
+    /// An attempt that ended without a status to forward.
+    pub fn ended_without_status(end: AttemptEnd) -> Self {
         Self::Ended(end, None)
     }
 }
 
 /// Maps an HTTP/2 error to the end of the attempt.
-pub fn end_of_error(error: &h2::Error) -> AttemptEnd {
+pub fn attempt_end_from_error(error: &h2::Error) -> AttemptEnd {
     if error.is_go_away() && error.is_remote() {
         // `h2` reports a GOAWAY only to streams above its last stream id; the backend did not process them.
         return AttemptEnd::Unprocessed;
--- a/src/grpc/pool.rs
+++ b/src/grpc/pool.rs
@@ -1,7 +1,8 @@
 //! A pool of backends with its own instance of the routing policy. No I/O.
 //!
-//! To the policy the backends are caches that never hold a copy. A virtual origin endpoint represents
-//! whatever all backends depend on: errors that all of them return are attributed to it and eject no backend.
+//! For the policy, the backends are endpoints of the cache tier whose responses are uncacheable. A virtual
+//! origin endpoint stands for the dependencies that all backends share: errors that all of them return are
+//! attributed to it, and no backend is ejected.
 
 use super::call::CallOutcome;
 use super::status::{Code, CODE_COUNT};
@@ -39,7 +40,7 @@
     /// Calls that failed after their response headers were sent.
     pub failed_after_data: u64,
     /// Calls whose route has a shorter deadline than the client's timeout.
-    pub shortened: u64,
+    pub deadlines_shortened: u64,
 }
 
 impl PoolCounters {
@@ -143,13 +144,13 @@
 /// cancelled by their driver, and health checks and watches are disabled in the settings.
 fn decision_for(id: u64, action: Action) -> Option<Decision> {
     match action {
-        Action::Forward { id: of, to, timeout, .. } if of == id => {
+        Action::Forward { id: call, to, timeout, .. } if call == id => {
             Some(Decision::Forward { to, timeout_ms: ms_from_micros(timeout) })
         }
-        Action::Reject { id: of, retry_after } if of == id => {
+        Action::Reject { id: call, retry_after } if call == id => {
             Some(Decision::Reject { retry_after_ms: ms_from_micros(retry_after) })
         }
-        Action::Fail { id: of } if of == id => Some(Decision::Fail),
+        Action::Fail { id: call } if call == id => Some(Decision::Fail),
         _ => None,
     }
 }
@@ -160,7 +161,7 @@
     endpoint(backend.id, Tier::Cache, state, backend.weight)
 }
 
-/// An endpoint in the only zone, past its slow start.
+/// An endpoint in zone 0 that started at time 0, so its slow start is over.
 fn endpoint(id: EndpointId, tier: Tier, state: EndpointState, weight: f64) -> Endpoint {
     Endpoint { id, tier, state, started_at: 0, weight, zone: 0, cell: 0 }
 }
--- a/src/grpc/pool_config.rs
+++ b/src/grpc/pool_config.rs
@@ -80,10 +80,10 @@
 #[derive(Debug, Error)]
 pub enum PoolFault {
     /// The name is empty or that of another pool.
-    #[error("the name is empty or not unique")]
+    #[error("the name must be unique and not empty")]
     Name,
     /// The pool has neither `backends` nor `roster`, or both.
-    #[error("either `backends` or `roster` is required, and not both")]
+    #[error("exactly one of `backends` and `roster` is required")]
     Backends,
     /// Only some of the backends have a weight.
     #[error("`weight` must be set for all backends or for none")]
@@ -106,7 +106,7 @@
 }
 
 impl PoolConfig {
-    /// Validates the pool, except that its name is unique.
+    /// Validates the pool. Does not check whether another pool has the same name.
     pub fn check(&self) -> Result<(), PoolFault> {
         if self.name.is_empty() {
             return Err(PoolFault::Name);
@@ -143,11 +143,11 @@
             self.backends.iter().filter_map(|config| Some((parse_address(&config.address).ok()?, config)));
         let mut configs: Vec<(SocketAddr, &BackendConfig)> = parsed.collect();
         configs.sort_by_key(|(address, _)| *address);
-        let mut taken = BTreeSet::new();
+        let mut used_ids = BTreeSet::new();
         let backend = |(address, config): (SocketAddr, &BackendConfig)| {
             // The id is derived from the address, so it is the same on every proxy and after a reload.
             let mut id = crc32fast::hash(address.to_string().as_bytes());
-            while id == ORIGIN_ID || !taken.insert(id) {
+            while id == ORIGIN_ID || !used_ids.insert(id) {
                 id = id.wrapping_add(1);
             }
             Backend { id, address, live: !config.draining, weight: config.weight.unwrap_or(1.0) }
--- a/src/grpc/routes.rs
+++ b/src/grpc/routes.rs
@@ -12,7 +12,8 @@
 pub enum MethodKind {
     /// One message in each direction. An attempt has a timeout of its own if it can be retried.
     Unary,
-    /// Any number of messages in either direction, or unknown. An attempt has until the call's deadline.
+    /// Any number of messages in either direction; also for methods whose kind is unknown. An attempt has
+    /// until the call's deadline.
     #[default]
     Stream,
 }
@@ -40,7 +41,7 @@
     /// Whether attempts that may have been processed can be retried.
     pub idempotency: Idempotency,
     /// The header that must hold an idempotency key, if any.
-    pub key: Option<String>,
+    pub key_header: Option<String>,
     /// Maximum duration of a call, in milliseconds; `None` if only the client limits it.
     pub deadline_ms: Option<f64>,
     /// Status codes after which an idempotent method is retried.
@@ -72,9 +73,9 @@
 /// Splits the path of a method into service and method. Returns `None` for any other path.
 pub fn split_path(path: &str) -> Option<(&str, &str)> {
     let (service, method) = path.strip_prefix('/')?.split_once('/')?;
-    let plain =
+    let is_valid_name =
         |s: &str| !s.is_empty() && s.bytes().all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b));
-    (plain(service) && plain(method)).then_some((service, method))
+    (is_valid_name(service) && is_valid_name(method)).then_some((service, method))
 }
 
 impl Routes {
@@ -120,10 +121,10 @@
     }
 }
 
-/// The affinity hash of a text; the same on every proxy.
-pub fn text_hash(text: &[u8]) -> u64 {
-    let digest = Sha256::digest(text);
-    u64::from_be_bytes(digest[..8].try_into().expect("32 bytes"))
+/// The first 8 bytes of the SHA-256 digest, as the affinity hash; the same on every proxy.
+pub fn affinity_hash_of(bytes: &[u8]) -> u64 {
+    let digest = Sha256::digest(bytes);
+    u64::from_be_bytes(digest[..8].try_into().expect("a SHA-256 digest has 32 bytes"))
 }
 
 #[cfg(test)]
