--- a/src/purge/active_purges.rs
+++ b/src/purge/active_purges.rs
@@ -6,10 +6,10 @@
 //!
 //! Purges apply strictly in order, so that two overlapping purges take effect in the same order at every
 //! proxy. A purge stays active until the whole fleet has applied it (the low-water mark) and for at least
-//! [`RetentionLimits::min_retention_ms`] after its issue, because a slow fill may still bring an older copy.
-//! Beyond [`RetentionLimits::max_active`] the oldest purges are merged into a cutoff: every copy generated at
-//! or before its issue time counts as purged. A cutoff may remove more copies than the purges it replaces,
-//! never fewer.
+//! [`RetentionLimits::min_retention_ms`] after its issue, because a fill that is still in progress may store
+//! a copy generated before the purge. Beyond [`RetentionLimits::max_active`] the oldest purges are merged
+//! into a cutoff: every copy generated at or before its issue time counts as purged. A cutoff may remove more
+//! copies than the purges it replaces, never fewer.
 
 use super::index::PurgeIndex;
 use super::selector::{CachedCopy, Selector};
@@ -17,8 +17,8 @@
 use std::collections::BTreeMap;
 use std::mem::size_of;
 
-/// The clock skew allowed between proxies, cache servers and the origin, in milliseconds; age limits are
-/// lower by it.
+/// The clock skew allowed between proxies, cache servers and the origin, in milliseconds. Subtracted from
+/// every age limit.
 pub const CLOCK_SKEW_MS: f64 = 10.0;
 /// Estimated size of a pattern's compiled segments without their text, in bytes.
 const GLOB_SEGMENTS_BYTES: usize = 64;
@@ -52,7 +52,7 @@
 }
 
 impl PurgeStamp {
-    /// The one with the later issue time; `a` if they are equal.
+    /// The stamp with the later issue time; `a` if the issue times are equal.
     pub(super) fn newest(a: Option<Self>, b: Option<Self>) -> Option<Self> {
         match (a, b) {
             (Some(a), Some(b)) => Some(if b.issued_ms > a.issued_ms { b } else { a }),
@@ -157,7 +157,8 @@
         ApplyOutcome::Applied
     }
 
-    /// Applies a purge read from a log, in which purges dropped by compaction leave gaps.
+    /// Activates a purge read from the log. Unlike [`Self::apply`], accepts gaps in the sequence, which
+    /// compaction leaves.
     pub fn restore(&mut self, purge: &Purge) {
         if !self.purges.contains_key(&purge.seq) {
             self.activate(purge);
@@ -234,8 +235,8 @@
         Some(((now_ms - newest.issued_ms - CLOCK_SKEW_MS).floor() as i64).max(1) as u64)
     }
 
-    /// The newest purge that covers a copy, if it was issued at or after `generated_ms`, when the copy was
-    /// generated.
+    /// The newest purge that covers a copy, if it removes the copy: if it was issued at or after the copy's
+    /// generation time `generated_ms`.
     pub fn purge_of(&self, copy: &CachedCopy<'_>, generated_ms: f64) -> Option<PurgeStamp> {
         self.newest(copy).filter(|newest| generated_ms <= newest.issued_ms)
     }
--- a/src/purge/age_limit.rs
+++ b/src/purge/age_limit.rs
@@ -1,8 +1,8 @@
-//! The effect of fleet purges on requests: the age limit of each attempt, and whether the copy in an answer
-//! has been purged. No I/O.
+//! The effect of fleet purges on requests: the age limit of each attempt, and whether the copy in a reply has
+//! been purged. No I/O.
 //!
-//! The surrogate keys of a copy are known only from answers, so they are kept in an LRU cache by object. If
-//! they are not cached when an attempt is sent, the answer is still checked: a purged copy is not passed on,
+//! The surrogate keys of a copy are known only from replies, so they are kept in an LRU cache by object. If
+//! they are not cached when an attempt is sent, the reply is still checked: a purged copy is not passed on,
 //! the attempt counts as malformed, and the age limit of the next attempt takes the keys into account.
 
 use super::active_purges::{ActivePurges, PurgeStamp, RetentionLimits};
@@ -14,18 +14,18 @@
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// Counters of age limits and answer checks.
+/// Counters of age limits and reply checks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct AgeLimitMetrics {
     /// Attempts whose age limit was set or lowered because of a purge.
     #[serde(rename = "bounded")]
     pub limited_attempts: u64,
-    /// Answers that were not passed on because their copy had been purged.
+    /// Replies discarded because their copy had been purged.
     #[serde(rename = "stale_answers")]
     pub purged_answers: u64,
 }
 
-/// Limits the age of the copies that attempts accept, and checks answers against the active purges.
+/// Limits the age of the copies that attempts accept, and checks replies against the active purges.
 #[derive(Debug)]
 pub struct AgeLimiter {
     /// The active purges.
@@ -36,7 +36,8 @@
 }
 
 impl AgeLimiter {
-    /// A limiter without purges that caches the surrogate keys of at most `max_tagged_objects` objects.
+    /// Creates a limiter without purges that caches the surrogate keys of at most `max_tagged_objects`
+    /// objects.
     pub fn new(limits: RetentionLimits, max_tagged_objects: usize) -> Self {
         let capacity = NonZeroUsize::new(max_tagged_objects).unwrap_or(NonZeroUsize::MIN);
         Self {
@@ -46,8 +47,8 @@
         }
     }
 
-    /// The purge that removed the copy in an answer, if any. Caches the surrogate keys. A copy without a
-    /// generation time can't be checked and is accepted.
+    /// The purge that removed the copy in a reply, if any. Caches the reply's surrogate keys. A copy without
+    /// a generation time can't be checked and is accepted.
     pub fn check_answer(
         &mut self,
         copy: RequestedCopy<'_>,
--- a/src/purge/config.rs
+++ b/src/purge/config.rs
@@ -44,7 +44,7 @@
     pub name: String,
     /// The address of its `POST /purges/apply`.
     pub address: SocketAddr,
-    /// Whether it is listed or draining.
+    /// Its state in the endpoint list; always `Listed` for a target of the configuration file.
     pub status: TargetStatus,
 }
 
@@ -58,13 +58,13 @@
     }
 }
 
-/// The configuration file.
+/// The configuration of fleet purges, as read from its file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PurgeConfig {
     /// The role of this proxy.
     pub role: Role,
-    /// The name of this proxy in batches and log lines.
+    /// The name of this proxy in batches and in `GET /purges`.
     pub name: String,
     /// The path of the purge log; without it all state is in memory and lost at a restart.
     #[serde(default, rename = "state")]
@@ -101,7 +101,7 @@
     /// The size beyond which the log is compacted, in bytes.
     #[serde(default = "default_compact_bytes")]
     pub compact_bytes: u64,
-    /// Maximum number of objects whose surrogate keys are cached from answers.
+    /// Maximum number of objects whose surrogate keys are cached from replies.
     #[serde(default = "default_max_tagged_objects", rename = "tags_most")]
     pub max_tagged_objects: usize,
     /// The path of this file.
--- a/src/purge/fanout.rs
+++ b/src/purge/fanout.rs
@@ -40,9 +40,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TargetStatus {
-    /// It is active.
+    /// Active in the endpoint list, or listed in the configuration file.
     Listed,
-    /// It is draining. It may still cache copies, so it still gets purges.
+    /// Draining in the endpoint list. It may still cache copies, so it still gets purges.
     Draining,
 }
 
@@ -76,14 +76,16 @@
         /// The new acknowledgement.
         to: u64,
     },
-    /// The target acknowledged less than before, so it has lost its state; its purges are sent again.
+    /// The target acknowledged a lower sequence number than before, so it has lost its state; the purges
+    /// after that number are sent again.
     Regressed {
         /// The previous acknowledgement.
         from: u64,
         /// The new acknowledgement.
         to: u64,
     },
-    /// The target acknowledged a sequence number beyond the log, issued from a log that has been lost.
+    /// The target acknowledged a sequence number beyond the end of this log, assigned in an earlier log that
+    /// has been lost.
     BeyondLog {
         /// The acknowledged sequence number.
         acknowledged: u64,
@@ -103,12 +105,12 @@
     /// The highest acknowledged sequence number.
     #[serde(rename = "acked")]
     pub acknowledged: u64,
-    /// Whether it is listed or draining.
+    /// Its state in the endpoint list; `Listed` for a target of the configuration file.
     #[serde(rename = "standing")]
     pub status: TargetStatus,
-    /// Consecutive failures since its last answer.
+    /// Consecutive failed batches since its last acknowledgement.
     pub failures: u32,
-    /// When it last answered, in Unix milliseconds.
+    /// When it last acknowledged a batch, in Unix milliseconds.
     #[serde(rename = "heard_ms")]
     pub last_answer_ms: Option<f64>,
     /// The earliest time of the next batch, in Unix milliseconds.
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Every known acknowledgement by target, including targets that are not listed yet.
+    /// The acknowledgements by target, including those restored for targets that are not listed yet.
     pub fn acknowledgements(&self) -> BTreeMap<String, u64> {
         let listed = self.targets.iter().map(|(name, target)| (name.clone(), target.acknowledged));
         self.restored_acknowledgements.clone().into_iter().chain(listed).collect()
@@ -229,7 +231,8 @@
         self.targets.values().map(|target| target.acknowledged).min().unwrap_or(last).min(last)
     }
 
-    /// The batches to send now, recorded as in flight. A target gets one batch at a time.
+    /// The batches to send now, recorded as in flight. A target gets one batch at a time; one in flight
+    /// beyond its timeout is recorded as failed.
     pub fn take_due_batches(&mut self, now_ms: f64) -> Vec<BatchRange> {
         let (retained, limits) = (self.retained, self.limits);
         let in_flight_timeout_ms = self.in_flight_timeout_ms();
--- a/src/purge/follower.rs
+++ b/src/purge/follower.rs
@@ -10,14 +10,14 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// A batch that was rejected or not applied completely.
+/// Why a batch was rejected or not applied completely.
 #[derive(Debug, Error)]
 pub enum ReceiveError {
     /// This proxy is a leader. Accepting batches would allow two leaders that issue the same sequence
     /// numbers.
     #[error("this proxy is a leader and takes no batches")]
     NotFollower,
-    /// The purges of the batch are not in order.
+    /// The sequence numbers of the batch are not consecutive or do not start at `from`.
     #[error("the purges of a batch are not in order")]
     OutOfOrder,
     /// The log can't be written.
@@ -30,7 +30,8 @@
 pub struct Follower {
     name: String,
     journal: Journal,
-    /// Acknowledgements in the log, from a time as leader; kept in case this proxy becomes the leader again.
+    /// Acknowledgements by target, logged while this proxy was the leader; kept in case it becomes the leader
+    /// again.
     acknowledged: BTreeMap<String, u64>,
 }
 
--- a/src/purge/glob.rs
+++ b/src/purge/glob.rs
@@ -3,8 +3,8 @@
 //! A copy's name is `/CLASS/OBJECT/PART` (see [`super::selector::copy_name`]). `*` matches any characters
 //! within one segment of the name, `?` one character, and a last segment `**` the rest of the name. Character
 //! classes, braces and escapes are rejected. A pattern has at most [`MAX_WILDCARDS`] wildcards and
-//! [`MAX_PATTERN_BYTES`] bytes, which is checked when it is compiled, so that matching a name costs at most a
-//! few hundred steps.
+//! [`MAX_PATTERN_BYTES`] bytes. Both limits are checked when it is compiled, and bound the cost of matching
+//! a name.
 
 use thiserror::Error;
 
@@ -114,7 +114,7 @@
         !self.matches_rest && self.segments.iter().all(|segment| matches!(segment, Segment::Literal(_)))
     }
 
-    /// Whether a copy's name matches. The cost is at most the name's length times the number of wildcards.
+    /// Whether a copy's name matches. The cost is at most the name's length times the pattern's length.
     pub fn matches(&self, name: &str) -> bool {
         let Some(name) = name.strip_prefix('/') else { return false };
         let mut parts = name.split('/');
@@ -153,8 +153,8 @@
     Ok(if count == 0 { Segment::Literal(part.into()) } else { Segment::Wildcard(part.into()) })
 }
 
-/// Matches `*` and `?` within one segment, greedily with one backtracking point: linear for one `*`, and at
-/// most the text's length times the number of wildcards otherwise.
+/// Matches `*` and `?` within one segment, with one backtracking point, the last `*`. The cost is at most the
+/// text's length times the pattern's length.
 fn wildcard_match(pattern: &[u8], text: &[u8]) -> bool {
     let (mut p, mut t) = (0, 0);
     // The pattern position after the last `*`, and the end of the text that this `*` matches so far.
--- a/src/purge/index.rs
+++ b/src/purge/index.rs
@@ -1,8 +1,9 @@
 //! An index of the active purges by selector, for the lookup of the newest purge that covers a copy.
 //!
-//! Of the purges with the same selector only the newest matters, so each selector has one entry. A lookup
-//! costs a few hash lookups, a walk along the copy's name in a PATRICIA trie of the patterns' literal
-//! prefixes, and a match of bounded cost against each pattern whose literal prefix is a prefix of the name.
+//! Of the purges with the same selector only the newest matters, so each selector except `everything` has
+//! one entry. A lookup costs a few hash lookups, a walk along the copy's name in a PATRICIA trie of the
+//! patterns' literal prefixes, and a match of bounded cost against each pattern whose literal prefix is a
+//! prefix of the name.
 
 use super::active_purges::PurgeStamp;
 use super::glob::Glob;
@@ -20,7 +21,7 @@
 /// A pattern with wildcards and its newest purge.
 type PatternEntry = (Glob, PurgeStamp);
 
-/// The newest purge of each selector.
+/// The newest purge of each selector, and every purge of everything.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PurgeIndex {
     objects: AHashMap<ObjectId, PurgeStamp>,
@@ -37,7 +38,7 @@
 }
 
 impl PurgeIndex {
-    /// Adds a purge, replacing an older one with the same selector.
+    /// Adds a purge. Replaces an older one with the same selector, except `everything`.
     pub(super) fn insert(&mut self, selector: &Selector, stamp: PurgeStamp) {
         match selector {
             Selector::Object(object) => replace_older(&mut self.objects, *object, stamp),
@@ -128,6 +129,7 @@
 
     /// An estimate of the heap memory in use, in bytes.
     pub(super) fn heap_bytes(&self) -> usize {
+        // A hash map has one control byte for each entry.
         let map_bytes = |capacity: usize, entry: usize| capacity * (entry + 1);
         let pattern_entries =
             self.patterns.values().map(|entries| entries.capacity() * size_of::<PatternEntry>());
@@ -142,7 +144,7 @@
     }
 }
 
-/// Sets a key's purge unless the map has a newer one.
+/// Sets a key's purge unless the map has one with a later issue time.
 fn replace_older<K: std::hash::Hash + Eq>(map: &mut AHashMap<K, PurgeStamp>, key: K, stamp: PurgeStamp) {
     let newest = map.entry(key).or_insert(stamp);
     if stamp.issued_ms >= newest.issued_ms {
--- a/src/purge/journal.rs
+++ b/src/purge/journal.rs
@@ -1,5 +1,5 @@
-//! The purge log of a leader or follower, with the positions stored in it. Without a log file, all state is
-//! in memory only.
+//! The purge log of a leader or follower, with the sequence numbers stored in it: the last one, the first
+//! retained one and the low-water mark. Without a log file, all state is in memory only.
 
 use super::active_purges::{ActivePurges, Purge, PurgeStamp};
 use super::config::{PurgeConfig, Role};
@@ -7,7 +7,7 @@
 use super::metrics::{LogFile, PurgeMetrics, ReplicaStatus};
 use std::collections::BTreeMap;
 
-/// Whether a write waits for the disk.
+/// Whether an append waits until the record is on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Durability {
     /// The record is on disk when the call returns.
@@ -16,7 +16,7 @@
     Deferred,
 }
 
-/// A log and its positions.
+/// The log of a replica, its sequence numbers and its counters.
 #[derive(Debug)]
 pub(super) struct Journal {
     pub(super) log: Option<PurgeLog>,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Appends a record.
+    /// Appends a record; does nothing without a log file.
     pub(super) fn append(&mut self, record: &Record, durability: Durability) -> Result<(), LogError> {
         match &mut self.log {
             Some(log) => log.append(record, durability == Durability::Synced),
--- a/src/purge/leader.rs
+++ b/src/purge/leader.rs
@@ -18,7 +18,7 @@
 /// A failing target is logged at its first failure and then at every multiple of this many failures.
 const FAILURES_PER_WARNING: u32 = 20;
 
-/// Why a purge was not issued. Nothing has changed.
+/// Why a submit failed. If the compaction after the purge failed, the purge was issued nevertheless.
 #[derive(Debug, Error)]
 pub enum SubmitError {
     /// This proxy is a follower.
@@ -43,7 +43,7 @@
     Malformed(#[from] simd_json::Error),
 }
 
-/// A batch to send.
+/// A batch with the target to send it to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingBatch {
     /// The name of the target.
@@ -127,9 +127,9 @@
         Ok(submitted)
     }
 
-    /// Once too many purges are retained or the log has grown beyond its size, drops the purges that every
-    /// target has applied and the oldest beyond the limit, and compacts the log. A target that lacks a
-    /// dropped purge gets a cutoff.
+    /// Once more than `max_retained` purges are retained or the log has grown beyond `compact_bytes`, drops
+    /// the purges that every target has applied and the oldest beyond `max_retained`, and compacts the log. A
+    /// target that lacks a dropped purge gets a cutoff.
     fn drop_old_purges(&mut self, active: &ActivePurges) -> Result<(), LogError> {
         if self.retained.len() <= self.max_retained && !self.journal.needs_compaction() {
             return Ok(());
@@ -201,9 +201,9 @@
         self.drop_old_purges(active)
     }
 
-    /// Handles an acknowledgement beyond this log, whose purges were issued from a log that has been lost.
-    /// Replaces the unknown purges by a cutoff at the current time, and continues the sequence numbers after
-    /// them.
+    /// Handles an acknowledgement of a sequence number beyond the end of this log, assigned in an earlier log
+    /// that has been lost. Replaces the missing purges with a cutoff at the current time, and continues the
+    /// sequence numbers after `acknowledged`.
     fn replace_unknown_purges(
         &mut self,
         acknowledged: u64,
--- a/src/purge/log.rs
+++ b/src/purge/log.rs
@@ -7,10 +7,10 @@
 //! ```
 //!
 //! The payload is JSON. Opening reads the records up to the first invalid one, truncates the file there, and
-//! logs and returns the fault. The leader flushes a purge to disk before sending it, so a torn tail contains
-//! only a purge that was never sent. Other records may be written without waiting for the disk: they survive
-//! SIGKILL, and one lost in a power failure only causes a repeat, which the target skips by its sequence
-//! number.
+//! logs and returns the fault. The leader flushes a purge to disk before sending it, so a leader's torn tail
+//! contains no purge that was sent. Other records may be written without waiting for the disk: they survive
+//! SIGKILL. An acknowledgement lost in a power failure only causes a repeat, which the target skips by its
+//! sequence number; a follower flushes its purges to disk before it acknowledges them.
 //!
 //! Compaction writes a new file next to the old one and renames it over the old one. The rename is atomic, so
 //! a crash leaves one of the two files complete.
@@ -35,7 +35,7 @@
 pub const MAX_PURGE_RECORD_BYTES: u64 = 1_024;
 /// Size of a record's length and checksum, in bytes.
 const RECORD_HEADER_BYTES: usize = 8;
-/// The only kind of record.
+/// The kind of a record with a JSON payload, the only kind.
 const KIND_JSON: u8 = 1;
 
 /// One record of a log.
@@ -90,10 +90,10 @@
 /// Why a log can't be opened or written.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// A file operation failed.
+    /// An I/O operation on the log or its directory failed.
     #[error("purge log {path}: {operation}: {source}")]
     Io {
-        /// The file.
+        /// The path of the file or directory.
         path: PathBuf,
         /// The operation.
         operation: &'static str,
@@ -191,7 +191,7 @@
     pub truncated: Option<TruncatedTail>,
 }
 
-/// An open log.
+/// A log open for appending.
 #[derive(Debug)]
 pub struct PurgeLog {
     path: PathBuf,
--- a/src/purge/metrics.rs
+++ b/src/purge/metrics.rs
@@ -80,7 +80,7 @@
     /// Estimated heap memory of the active purges, in bytes.
     #[serde(rename = "ledger_bytes")]
     pub active_bytes: usize,
-    /// The targets (leader only).
+    /// The replication state of each target, by name (leader only).
     pub targets: BTreeMap<String, TargetProgress>,
     /// The log, if there is one.
     pub log: Option<LogFile>,
@@ -98,7 +98,7 @@
     /// The status of the leader or follower.
     #[serde(flatten)]
     pub replica: ReplicaStatus,
-    /// The counters of age limits and answer checks.
+    /// The counters of age limits and reply checks.
     #[serde(rename = "guard")]
     pub age_limits: AgeLimitMetrics,
     /// Objects whose surrogate keys are cached.
--- a/src/purge/mod.rs
+++ b/src/purge/mod.rs
@@ -6,11 +6,11 @@
 //! | --- | --- | --- |
 //! | [`selector`], [`glob`] | which cached copies a purge covers | none |
 //! | [`active_purges`], `index` | the active purges, their retention, lookup by copy | none |
-//! | [`age_limit`] | the age limit of attempts and the check of answers | none |
+//! | [`age_limit`] | the age limit of attempts and the check of replies | none |
 //! | [`fanout`] | replication: batches, acknowledgements, retries, low-water mark | none |
 //! | [`log`] | the append-only log with checksums | a file |
 //! | [`leader`], [`follower`], [`replica`] | issuing, applying and acknowledging purges | the log |
-//! | `journal`, `recovery` | the log with its stored positions, and recovery from it at startup | the log |
+//! | `journal`, `recovery` | the log with its sequence numbers, and recovery from it at startup | the log |
 //! | [`wire`] | the JSON bodies of the HTTP calls | none |
 //! | [`service`] | the calls at the admin address and the sending task | sockets |
 //! | [`config`] | the configuration file | a file |
--- a/src/purge/recovery.rs
+++ b/src/purge/recovery.rs
@@ -1,10 +1,9 @@
 //! Recovers the state of a leader or follower from its log at startup.
 //!
-//! A restart resumes from the highest sequence number issued or applied (none is issued twice), the retained
-//! and active purges (they take effect before the first request), the low-water mark, and each target's
-//! acknowledgement, so that a target gets only the purges that it lacks. An acknowledgement is written
-//! without waiting for the disk; one lost in a power failure only causes a repeat, which the target skips by
-//! its sequence number.
+//! A restart restores the highest sequence number, so that none is issued twice; the retained and active
+//! purges, which take effect before the first request; the low-water mark; and the targets' acknowledgements,
+//! so that each target gets only the purges that it lacks. An acknowledgement is written without waiting for
+//! the disk; one lost in a power failure only causes a repeat, which the target skips by its sequence number.
 
 use super::active_purges::{ActivePurges, Purge, PurgeStamp};
 use super::config::{PurgeConfig, Role};
@@ -102,9 +101,9 @@
         self.acknowledged = snapshot.acknowledged;
     }
 
-    /// Replaces the purges that a corrupt tail of `removed` bytes may have contained by a cutoff at the
-    /// current time. A leader skips the sequence numbers that they may have had, at most one for each
-    /// [`MIN_PURGE_RECORD_BYTES`] bytes.
+    /// Replaces the purges that a corrupt tail of `removed` bytes may have contained with a cutoff at the
+    /// current time. A leader skips the sequence numbers that they may have had: one for each
+    /// [`MIN_PURGE_RECORD_BYTES`] bytes, plus one.
     fn replace_lost_purges(
         &mut self,
         removed: u64,
--- a/src/purge/selector.rs
+++ b/src/purge/selector.rs
@@ -28,7 +28,7 @@
     /// The kind before the colon is unknown.
     #[error("unknown selector kind `{0}`: use object, group, tag, pattern or everything")]
     UnknownKind(String),
-    /// The object is not 16 hex digits.
+    /// The object is not 16 lower-case hex digits.
     #[error("an object is 16 hex digits, not `{0}`")]
     Object(String),
     /// The group is not a number within its bounds.
--- a/src/purge/service.rs
+++ b/src/purge/service.rs
@@ -23,8 +23,8 @@
 const TARGET_REFRESH_MS: f64 = 1_000.0;
 /// Interval at which deferred log records are flushed to disk, in milliseconds.
 const SYNC_INTERVAL_MS: f64 = 1_000.0;
-/// Maximum number of concurrent calls to targets, each of which needs a file descriptor. There may be more
-/// targets.
+/// Maximum number of concurrent calls to targets; limits the file descriptors in use. Further calls wait for
+/// a permit.
 pub const MAX_CONCURRENT_CALLS: usize = 64;
 /// Maximum number of purges in an answer to `GET /purges/log`.
 const MAX_LIST_LENGTH: usize = 1_000;
@@ -38,7 +38,7 @@
     config: PurgeConfig,
     /// Wakes the sending task when a purge was issued or a target answered.
     wake: Notify,
-    /// Limits the concurrent calls to targets.
+    /// Permits for calls to targets, [`MAX_CONCURRENT_CALLS`] in all.
     call_permits: Semaphore,
 }
 
@@ -60,7 +60,6 @@
         }))
     }
 
-    /// Runs `f` on the replica and the age limiter.
     fn with_replica<T>(&self, f: impl FnOnce(&mut Replica, &mut AgeLimiter) -> T) -> T {
         f(&mut self.replica.borrow_mut(), &mut self.limiter.borrow_mut())
     }
--- a/src/purge/wire.rs
+++ b/src/purge/wire.rs
@@ -1,6 +1,6 @@
 //! The JSON bodies of purge calls, over HTTP/1.1 with one call per connection.
 //!
-//! | call | body | answer |
+//! | call | body | response |
 //! | --- | --- | --- |
 //! | `POST /purges` | [`SubmitRequest`] | 200 [`Submitted`] |
 //! | `GET /purges` | | 200 [`super::metrics::PurgeStatus`] |
@@ -8,7 +8,8 @@
 //! | `POST /purges/apply` | [`Batch`] | 200 [`Acknowledgement`] |
 //!
 //! Errors have an [`ErrorBody`]: 400 for a malformed body, 409 for a call that this proxy's role does not
-//! allow or a batch whose purges are out of order, 500 if the log can't be written.
+//! allow or a batch whose sequence numbers are not consecutive from `from` on, 500 if the log can't be
+//! written.
 //!
 //! The leader calls `POST /purges/apply` on every target: proxies at their admin address, cache servers at
 //! the address that the configuration gives. A target applies the purges in order, skips duplicates, stops at
