--- a/tests/purge_model.rs
+++ b/tests/purge_model.rs
@@ -1,5 +1,5 @@
-//! Compares the active purges with a model, a list of all active purges that is searched linearly, over
-//! random steps with a fixed seed.
+//! Property test of the active purges against a model that searches a list linearly. The random steps have a
+//! fixed seed.
 
 use edge_proxy::purge::active_purges::{ActivePurges, ApplyOutcome, Purge, RetentionLimits};
 use edge_proxy::purge::selector::{copy_name, CachedCopy, Selector};
@@ -39,7 +39,7 @@
     ]
 }
 
-/// The model: every active purge in order, and the cutoff of the merged ones.
+/// The model: the active purges in order, and the cutoff: the newest merged purge or purge of everything.
 #[derive(Default)]
 struct Model {
     purges: Vec<Purge>,
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -317,8 +317,8 @@
     });
 }
 
-/// Reads the objects for `duration_ms` and asserts that no copy is older than the purge. Returns the numbers
-/// of served and failed reads.
+/// Reads the objects repeatedly for `duration_ms`, and asserts that every copy was generated after
+/// `issued_ms`. Returns the numbers of successful and failed reads.
 async fn read_copies_newer_than(
     issued_ms: f64,
     duration_ms: f64,
@@ -342,7 +342,7 @@
     (served, failed)
 }
 
-/// The objects of which a server caches copies newer than `issued_ms`, with their generation times.
+/// The objects and generation times of a server's cached copies that are newer than `issued_ms`.
 fn copies_newer_than(issued_ms: f64, server: &PurgeTarget) -> Vec<(u64, f64)> {
     let store = server.store.borrow();
     let copies = store.iter().map(|((object, _), copy)| (*object, copy.generated_ms));
@@ -371,7 +371,7 @@
         let purge = submit(leader.admin, "tag:seller-7").await.unwrap();
         let (served, failed) =
             read_copies_newer_than(purge.issued_ms, 3_000.0, leader.listen, &objects, &last_call_id).await;
-        // No server applied the purge, but clients got no purged copies because the proxy checks each answer.
+        // No server applied the purge, but clients got no purged copies because the proxy checks each reply.
         assert!(fleet.caches().iter().all(|server| server.applied() == 0));
         assert!(served > 0, "served {served}, failed {failed}");
         let status = get(leader.admin, "/purges").await.unwrap();
@@ -478,6 +478,7 @@
     let status = leader.status(&active);
     let tail = status.truncated.clone().expect("the corrupt record is detected");
     assert!(!tail.is_torn_write(), "{tail:?}");
+    // The file is longer than the magic (8 bytes): the records before the corrupt one remain.
     assert!((tail.offset as usize) <= corrupt && std::fs::metadata(&path).unwrap().len() > 8);
     assert!(status.last_seq > 6, "numbers that may have been issued are skipped, last {}", status.last_seq);
     assert!(
@@ -531,12 +532,12 @@
     });
 }
 
-/// Guards against calls to unresponsive targets using up the descriptors: concurrent calls stay within
-/// `MAX_CONCURRENT_CALLS`, and clients are served meanwhile.
+/// Guards against exhausting the file descriptors by calls to unresponsive targets: concurrent calls stay
+/// within `MAX_CONCURRENT_CALLS`, and clients are still served.
 #[test]
 fn a_thousand_hanging_targets_leave_descriptors_to_clients_and_endpoints() {
     const TARGETS: usize = 1_024;
-    // Short-lived connections of the discovery stream and of admin calls.
+    // Allowance for short-lived connections: the discovery stream and admin calls.
     const SHORT_LIVED: usize = 8;
     run(async {
         let fleet = Fleet::start(47).await;
@@ -563,7 +564,7 @@
             }
         }
         assert!(max >= MAX_CONCURRENT_CALLS, "all permits are used: {max} descriptors");
-        // The other descriptors (standard streams, runtime, listeners, log) are fewer than the calls.
+        // The other descriptors (standard streams, runtime, listeners, log) are fewer than `MAX_CONCURRENT_CALLS`.
         assert!(
             max < 2 * MAX_CONCURRENT_CALLS + SHORT_LIVED,
             "{max} descriptors while {TARGETS} targets hang"
--- a/tests/stand_ins/purge_target.rs
+++ b/tests/stand_ins/purge_target.rs
@@ -1,8 +1,6 @@
-//! A stand-in cache server for fleet purges, on loopback. It caches copies with surrogate keys, answers the
-//! cache protocol with each copy's generation time (`t0`) and keys, fills what it lacks or may not serve from
-//! a shared stand-in origin, and applies the batches of `POST /purges/apply` in order at a second address. It
-//! can be made unreachable, slow to acknowledge, or made to ignore `agelim`. The body of every answer names
-//! its copy, so that a client can check the copy's age.
+//! A stand-in cache server for fleet purges, on loopback: answers the cache protocol, fills misses from a
+//! shared stand-in origin, and applies the batches of `POST /purges/apply` at a second address. The body of
+//! every reply identifies its copy.
 #![allow(dead_code)]
 
 use edge_proxy::purge::active_purges::{ActivePurges, ApplyOutcome, RetentionLimits};
@@ -83,7 +81,7 @@
     }
 }
 
-/// Encodes the answer to a read; the body identifies the copy.
+/// Encodes the reply to a read; the body identifies the copy.
 fn encode_answer(read: &Read, copy: &StoredCopy) -> Vec<u8> {
     let body =
         format!("object={:016x} part={} generated_ms={:.3}", read.object, read.part, copy.generated_ms);
@@ -99,7 +97,7 @@
     [head.as_bytes(), body.as_bytes(), b"\r\n"].concat()
 }
 
-/// What a cache server has done, for assertions.
+/// What a cache server has received, applied and answered, for assertions.
 #[derive(Default)]
 pub struct Observed {
     /// The sequence numbers of the applied purges, in the order of application.
@@ -114,7 +112,6 @@
     pub reads: Cell<u64>,
 }
 
-/// A stand-in cache server.
 pub struct PurgeTarget {
     pub name: String,
     /// The address of the cache protocol.
@@ -124,13 +121,13 @@
     pub store: Rc<RefCell<HashMap<(u64, u32), StoredCopy>>>,
     pub active: Rc<RefCell<ActivePurges>>,
     pub observed: Rc<Observed>,
-    /// Closes connections to its purge address at once.
+    /// Whether it closes connections to its purge address at once.
     pub unreachable: Rc<Cell<bool>>,
     /// The delay before the acknowledgement of a batch, in milliseconds.
     pub ack_delay_ms: Rc<Cell<u64>>,
-    /// Ignores `agelim`, as a faulty cache server would.
+    /// Whether it ignores `agelim`, as a faulty cache server would.
     pub ignores_age_limit: Rc<Cell<bool>>,
-    /// Caches nothing and generates every copy anew, as the origin does.
+    /// Whether it generates every copy anew, as the origin does.
     pub always_generates: Rc<Cell<bool>>,
 }
 
