--- a/benches/purge_lookup.rs
+++ b/benches/purge_lookup.rs
@@ -52,7 +52,7 @@
         for index in 0..LOOKUPS {
             let (name, object, group, surrogate_keys) = &copies[index % copies.len()];
             let copy = CachedCopy { name, object: *object, group: *group, surrogate_keys };
-            covered += usize::from(black_box(active.newest(black_box(&copy))).is_some());
+            covered += usize::from(black_box(active.newest_covering(black_box(&copy))).is_some());
         }
         let ns = start.elapsed().as_nanos() as f64 / LOOKUPS as f64;
         let bytes = active.heap_bytes();
--- a/examples/purge_fleet.rs
+++ b/examples/purge_fleet.rs
@@ -13,7 +13,7 @@
 
 use edge_proxy::http_client::call;
 use edge_proxy::purge::selector::{copy_name, CachedCopy, Selector};
-use edge_proxy::purge::wire::{from_json, Submitted};
+use edge_proxy::purge::wire::{from_json, SubmitResponse};
 use edge_proxy::surrogate_key::SurrogateKey;
 use purge_target::{now_ms, Origin, PurgeTarget};
 use rand::rngs::SmallRng;
@@ -269,7 +269,7 @@
         let body = format!("{{\"sel\":\"{selector}\"}}");
         match call(leader, "POST", "/purges", body.as_bytes(), Duration::from_secs(1)).await {
             Ok(response) if response.status == 200 => {
-                let Submitted { seq, issued_ms } = from_json(&response.body).unwrap();
+                let SubmitResponse { seq, issued_ms } = from_json(&response.body).unwrap();
                 let selector = selector.parse().unwrap();
                 recorded.purges.borrow_mut().push(IssuedPurge { seq, issued_ms, selector });
             }
@@ -299,7 +299,7 @@
     recorded: &Recorded,
 ) -> Restart {
     let killed_ms = now_ms();
-    let applied_at_kill = servers.iter().map(PurgeTarget::applied).collect();
+    let applied_at_kill = servers.iter().map(PurgeTarget::last_applied).collect();
     let last_seq = recorded.purges.borrow().last().map_or(0, |purge| purge.seq);
     leader.child.kill().unwrap();
     leader.child.wait().unwrap();
@@ -324,7 +324,7 @@
 async fn wait_until_caught_up(servers: &[PurgeTarget], recorded: &Recorded) -> f64 {
     let last = recorded.purges.borrow().last().map(|purge| (purge.seq, purge.issued_ms));
     let (last_seq, issued_ms) = last.unwrap_or_else(|| (0, now_ms()));
-    let is_behind = || servers[..3].iter().any(|server| server.applied() < last_seq);
+    let is_behind = || servers[..3].iter().any(|server| server.last_applied() < last_seq);
     while is_behind() && now_ms() < issued_ms + MAX_CATCH_UP_MS {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
--- a/src/purge/active_purges.rs
+++ b/src/purge/active_purges.rs
@@ -53,7 +53,7 @@
 
 impl PurgeStamp {
     /// The stamp with the later issue time; `a` if the issue times are equal.
-    pub(super) fn newest(a: Option<Self>, b: Option<Self>) -> Option<Self> {
+    pub(super) fn later(a: Option<Self>, b: Option<Self>) -> Option<Self> {
         match (a, b) {
             (Some(a), Some(b)) => Some(if b.issued_ms > a.issued_ms { b } else { a }),
             (a, b) => a.or(b),
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ActivePurges {
     limits: RetentionLimits,
-    applied: u64,
+    last_applied: u64,
     low_water_mark: u64,
     cutoff: Option<PurgeStamp>,
     purges: BTreeMap<u64, ActivePurge>,
@@ -116,8 +116,8 @@
     }
 
     /// The highest sequence number applied; every purge before it is applied too.
-    pub fn applied(&self) -> u64 {
-        self.applied
+    pub fn last_applied(&self) -> u64 {
+        self.last_applied
     }
 
     /// The highest sequence number known to be applied by the whole fleet.
@@ -147,11 +147,11 @@
 
     /// Applies a purge if it is the next in sequence.
     pub fn apply(&mut self, purge: &Purge) -> ApplyOutcome {
-        if purge.seq <= self.applied {
+        if purge.seq <= self.last_applied {
             return ApplyOutcome::Duplicate;
         }
-        if purge.seq != self.applied + 1 {
-            return ApplyOutcome::Gap { expected: self.applied + 1 };
+        if purge.seq != self.last_applied + 1 {
+            return ApplyOutcome::Gap { expected: self.last_applied + 1 };
         }
         self.activate(purge);
         ApplyOutcome::Applied
@@ -166,7 +166,7 @@
     }
 
     fn activate(&mut self, purge: &Purge) {
-        self.applied = self.applied.max(purge.seq);
+        self.last_applied = self.last_applied.max(purge.seq);
         self.index.insert(&purge.selector, purge.stamp());
         let active = ActivePurge { issued_ms: purge.issued_ms, selector: purge.selector.clone() };
         self.purges.insert(purge.seq, active);
@@ -176,19 +176,19 @@
     /// Marks all purges up to `seq` as applied without activating them, because they were dropped before a
     /// restart.
     pub fn skip_to(&mut self, seq: u64) {
-        self.applied = self.applied.max(seq);
+        self.last_applied = self.last_applied.max(seq);
     }
 
     /// Applies a cutoff in place of the purges up to `cutoff.seq`, which the leader no longer retains.
     pub fn apply_cutoff(&mut self, cutoff: PurgeStamp) {
-        self.cutoff = PurgeStamp::newest(self.cutoff, Some(cutoff));
-        self.applied = self.applied.max(cutoff.seq);
+        self.cutoff = PurgeStamp::later(self.cutoff, Some(cutoff));
+        self.last_applied = self.last_applied.max(cutoff.seq);
     }
 
     /// Records that the whole fleet has applied the purges up to `seq`, and drops those past their retention
     /// time.
     pub fn advance_low_water_mark(&mut self, seq: u64, now_ms: f64) {
-        self.low_water_mark = self.low_water_mark.max(seq.min(self.applied));
+        self.low_water_mark = self.low_water_mark.max(seq.min(self.last_applied));
         while let Some((&seq, purge)) = self.purges.first_key_value() {
             if !self.may_drop(seq, purge.issued_ms, now_ms) {
                 break;
@@ -217,28 +217,28 @@
             let Some((seq, purge)) = self.purges.pop_first() else { return };
             self.index.remove(&purge.selector, seq);
             let oldest = PurgeStamp { seq, issued_ms: purge.issued_ms };
-            self.cutoff = PurgeStamp::newest(self.cutoff, Some(oldest));
+            self.cutoff = PurgeStamp::later(self.cutoff, Some(oldest));
             self.merged += 1;
         }
     }
 
     /// The newest purge whose selector matches a copy, or the cutoff if that is newer. The copy's generation
     /// time is not considered.
-    pub fn newest(&self, copy: &CachedCopy<'_>) -> Option<PurgeStamp> {
-        self.index.newest(copy, self.cutoff)
+    pub fn newest_covering(&self, copy: &CachedCopy<'_>) -> Option<PurgeStamp> {
+        self.index.newest_covering(copy, self.cutoff)
     }
 
     /// The maximum age of a copy that may answer a request sent now, in milliseconds, at least 1; `None` if
     /// no purge covers the copy.
     pub fn max_age_ms(&self, now_ms: f64, copy: &CachedCopy<'_>) -> Option<u64> {
-        let newest = self.newest(copy)?;
+        let newest = self.newest_covering(copy)?;
         Some(((now_ms - newest.issued_ms - CLOCK_SKEW_MS).floor() as i64).max(1) as u64)
     }
 
     /// The newest purge that covers a copy, if it removes the copy: if it was issued at or after the copy's
     /// generation time `generated_ms`.
-    pub fn purge_of(&self, copy: &CachedCopy<'_>, generated_ms: f64) -> Option<PurgeStamp> {
-        self.newest(copy).filter(|newest| generated_ms <= newest.issued_ms)
+    pub fn removing_purge(&self, copy: &CachedCopy<'_>, generated_ms: f64) -> Option<PurgeStamp> {
+        self.newest_covering(copy).filter(|newest| generated_ms <= newest.issued_ms)
     }
 
     /// The active purges, by sequence number.
@@ -258,8 +258,9 @@
             Selector::Pattern(glob) => 2 * glob.as_str().len() + GLOB_SEGMENTS_BYTES,
             _ => 0,
         };
-        let texts: usize = self.purges.values().map(|purge| selector_bytes(&purge.selector)).sum();
-        self.purges.len() * entry_bytes + texts + self.index.heap_bytes()
+        let total_selector_bytes: usize =
+            self.purges.values().map(|purge| selector_bytes(&purge.selector)).sum();
+        self.purges.len() * entry_bytes + total_selector_bytes + self.index.heap_bytes()
     }
 }
 
--- a/src/purge/active_purges/tests.rs
+++ b/src/purge/active_purges/tests.rs
@@ -12,20 +12,23 @@
 }
 
 #[test]
-fn the_newest_covering_purge_decides_and_newer_copies_remain() {
+fn the_newest_covering_purge_removes_a_copy_unless_the_copy_is_newer() {
     let mut active = ActivePurges::new(RetentionLimits::default());
     let name = copy_name("video-part", 0x7f3a, 2);
     let keys = [SurrogateKey::new("seller-77").unwrap()];
     assert_eq!(active.apply(&purge(1, 1_000.0, "tag:seller-77")), ApplyOutcome::Applied);
     assert_eq!(active.apply(&purge(2, 2_000.0, "pattern:/video-part/*/2")), ApplyOutcome::Applied);
-    let c = copy(&name, &keys);
-    assert_eq!(active.newest(&c).map(|stamp| stamp.seq), Some(2));
-    assert!(active.purge_of(&c, 1_500.0).is_some());
-    assert!(active.purge_of(&c, 2_000.0).is_some(), "a copy generated at that very time is removed too");
-    assert!(active.purge_of(&c, 2_001.0).is_none(), "a copy newer than every purge remains");
-    assert_eq!(active.max_age_ms(3_000.0, &c), Some(990));
+    let tagged_copy = copy(&name, &keys);
+    assert_eq!(active.newest_covering(&tagged_copy).map(|stamp| stamp.seq), Some(2));
+    assert!(active.removing_purge(&tagged_copy, 1_500.0).is_some());
+    assert!(
+        active.removing_purge(&tagged_copy, 2_000.0).is_some(),
+        "a copy generated at that very time is removed too"
+    );
+    assert!(active.removing_purge(&tagged_copy, 2_001.0).is_none(), "a copy newer than every purge remains");
+    assert_eq!(active.max_age_ms(3_000.0, &tagged_copy), Some(990));
     let other = copy_name("small-object", 0x7f3a, 2);
-    assert!(active.newest(&copy(&other, &[])).is_none());
+    assert!(active.newest_covering(&copy(&other, &[])).is_none());
 }
 
 #[test]
@@ -34,7 +37,7 @@
     assert_eq!(active.apply(&purge(2, 1.0, "group:1")), ApplyOutcome::Gap { expected: 1 });
     assert_eq!(active.apply(&purge(1, 1.0, "group:1")), ApplyOutcome::Applied);
     assert_eq!(active.apply(&purge(1, 1.0, "group:1")), ApplyOutcome::Duplicate);
-    assert_eq!(active.applied(), 1);
+    assert_eq!(active.last_applied(), 1);
 }
 
 #[test]
@@ -45,15 +48,15 @@
     active.apply(&purge(2, 1_050.0, "object:0000000000007f3a"));
     let name = copy_name("video-part", 0x7f3a, 0);
     active.advance_low_water_mark(1, 1_120.0);
-    assert_eq!(active.newest(&copy(&name, &[])).map(|stamp| stamp.seq), Some(2));
+    assert_eq!(active.newest_covering(&copy(&name, &[])).map(|stamp| stamp.seq), Some(2));
     active.advance_low_water_mark(2, 1_140.0);
     assert_eq!(active.len(), 1, "retained for `min_retention_ms` after its issue");
     active.advance_low_water_mark(2, 1_150.0);
-    assert!(active.newest(&copy(&name, &[])).is_none());
+    assert!(active.newest_covering(&copy(&name, &[])).is_none());
 }
 
 #[test]
-fn beyond_the_limit_the_oldest_merge_into_a_cutoff_that_over_purges() {
+fn purges_beyond_max_active_are_merged_into_a_cutoff_that_covers_every_copy() {
     let mut active = ActivePurges::new(RetentionLimits { max_active: 2, min_retention_ms: 0.0 });
     for seq in 1..=3 {
         active.apply(&purge(seq, seq as f64 * 10.0, &format!("tag:t{seq}")));
@@ -61,6 +64,6 @@
     assert_eq!((active.len(), active.merged()), (2, 1));
     let name = copy_name("video-part", 1, 0);
     let untagged = copy(&name, &[]);
-    assert!(active.purge_of(&untagged, 10.0).is_some(), "the cutoff covers every copy");
-    assert!(active.purge_of(&untagged, 11.0).is_none());
+    assert!(active.removing_purge(&untagged, 10.0).is_some(), "the cutoff covers every copy");
+    assert!(active.removing_purge(&untagged, 11.0).is_none());
 }
--- a/src/purge/age_limit.rs
+++ b/src/purge/age_limit.rs
@@ -22,7 +22,7 @@
     pub limited_attempts: u64,
     /// Replies discarded because their copy had been purged.
     #[serde(rename = "stale_answers")]
-    pub purged_answers: u64,
+    pub purged_replies: u64,
 }
 
 /// Limits the age of the copies that attempts accept, and checks replies against the active purges.
@@ -49,7 +49,7 @@
 
     /// The purge that removed the copy in a reply, if any. Caches the reply's surrogate keys. A copy without
     /// a generation time can't be checked and is accepted.
-    pub fn check_answer(
+    pub fn check_reply(
         &mut self,
         copy: RequestedCopy<'_>,
         generated_ms: Option<f64>,
@@ -58,14 +58,14 @@
         self.cache_keys(copy.object, surrogate_keys);
         let name = copy_name(copy.class, copy.object, copy.part);
         let copy = CachedCopy { name: &name, object: copy.object, group: copy.group, surrogate_keys };
-        let purge = self.active.purge_of(&copy, generated_ms?)?;
-        self.metrics.purged_answers += 1;
+        let purge = self.active.removing_purge(&copy, generated_ms?)?;
+        self.metrics.purged_replies += 1;
         Some(purge)
     }
 
     fn cache_keys(&mut self, object: ObjectId, surrogate_keys: &[SurrogateKey]) {
-        let is_known = self.surrogate_keys.peek(&object).is_some_and(|known| known[..] == *surrogate_keys);
-        if !surrogate_keys.is_empty() && !is_known {
+        let is_cached = self.surrogate_keys.peek(&object).is_some_and(|cached| cached[..] == *surrogate_keys);
+        if !surrogate_keys.is_empty() && !is_cached {
             self.surrogate_keys.put(object, surrogate_keys.into());
         }
     }
@@ -91,7 +91,7 @@
     }
 
     fn purge_of_reply(&mut self, copy: RequestedCopy<'_>, reply: &CacheReply) -> Option<u64> {
-        let purge = self.check_answer(copy, reply.generated_at_ms, &reply.surrogate_keys)?;
+        let purge = self.check_reply(copy, reply.generated_at_ms, &reply.surrogate_keys)?;
         Some(purge.seq)
     }
 }
--- a/src/purge/age_limit/tests.rs
+++ b/src/purge/age_limit/tests.rs
@@ -1,20 +1,23 @@
 use super::*;
 use crate::purge::active_purges::Purge;
 
-fn part(part: u32) -> RequestedCopy<'static> {
+fn requested_part(part: u32) -> RequestedCopy<'static> {
     RequestedCopy { class: "video-part", object: 5, part, group: 0 }
 }
 
 #[test]
-fn a_surrogate_key_of_one_answer_limits_the_next_attempt() {
+fn a_surrogate_key_in_a_reply_limits_the_age_of_the_next_attempt() {
     let mut limiter = AgeLimiter::new(RetentionLimits::default(), 2);
     let keys = [SurrogateKey::new("seller-9").unwrap()];
     limiter.active.apply(&Purge { seq: 1, issued_ms: 1_000.0, selector: "tag:seller-9".parse().unwrap() });
-    assert_eq!(limiter.max_age_ms(2_000.0, part(0), 0), 0, "the keys are not known yet");
-    assert!(limiter.check_answer(part(0), Some(900.0), &keys).is_some());
-    assert_eq!(limiter.max_age_ms(2_000.0, part(1), 0), 990);
-    assert_eq!(limiter.max_age_ms(2_000.0, part(1), 500), 500, "a purge only lowers a limit");
-    assert!(limiter.check_answer(part(1), Some(1_001.0), &keys).is_none());
-    assert!(limiter.check_answer(part(1), None, &keys).is_none(), "without a generation time it passes");
-    assert_eq!(limiter.metrics, AgeLimitMetrics { limited_attempts: 1, purged_answers: 1 });
+    assert_eq!(limiter.max_age_ms(2_000.0, requested_part(0), 0), 0, "the keys are not known yet");
+    assert!(limiter.check_reply(requested_part(0), Some(900.0), &keys).is_some());
+    assert_eq!(limiter.max_age_ms(2_000.0, requested_part(1), 0), 990);
+    assert_eq!(limiter.max_age_ms(2_000.0, requested_part(1), 500), 500, "a purge only lowers a limit");
+    assert!(limiter.check_reply(requested_part(1), Some(1_001.0), &keys).is_none());
+    assert!(
+        limiter.check_reply(requested_part(1), None, &keys).is_none(),
+        "without a generation time it passes"
+    );
+    assert_eq!(limiter.metrics, AgeLimitMetrics { limited_attempts: 1, purged_replies: 1 });
 }
--- a/src/purge/config.rs
+++ b/src/purge/config.rs
@@ -49,12 +49,12 @@
 }
 
 impl From<CacheServer> for Target {
-    fn from(holder: CacheServer) -> Self {
-        let status = match holder.state {
+    fn from(server: CacheServer) -> Self {
+        let status = match server.state {
             EndpointState::Active => TargetStatus::Listed,
             EndpointState::Draining | EndpointState::Removed => TargetStatus::Draining,
         };
-        Self { name: holder.name, address: holder.address, status }
+        Self { name: server.name, address: server.address, status }
     }
 }
 
@@ -175,16 +175,16 @@
     }
 
     fn check_bounds(&self) -> Result<(), FieldError> {
-        let within = |v: f64, low: f64, high: f64| v.is_finite() && v >= low && v <= high;
-        let backoff_ok = self.backoff.is_valid() && self.backoff.max_ms <= MAX_BACKOFF_MS;
+        let is_within = |value: f64, min: f64, max: f64| value.is_finite() && value >= min && value <= max;
+        let is_backoff_valid = self.backoff.is_valid() && self.backoff.max_ms <= MAX_BACKOFF_MS;
         let checks: [(&'static str, bool, &str); 10] = [
-            ("hold_ms", within(self.min_retention_ms, 500.0, 3_600_000.0), "500 to 3,600,000"),
+            ("hold_ms", is_within(self.min_retention_ms, 500.0, 3_600_000.0), "500 to 3,600,000"),
             ("held_most", (1..=10_000_000).contains(&self.max_active), "1 to 10,000,000"),
             ("queue_most", (1..=10_000_000).contains(&self.max_retained), "1 to 10,000,000"),
             ("batch_most", (1..=1_024).contains(&self.max_batch), "1 to 1,024"),
-            ("heartbeat_ms", within(self.heartbeat_ms, 10.0, 60_000.0), "10 to 60,000"),
-            ("timeout_ms", within(self.timeout_ms, 10.0, 60_000.0), "10 to 60,000"),
-            ("backoff", backoff_ok, Backoff::BOUNDS),
+            ("heartbeat_ms", is_within(self.heartbeat_ms, 10.0, 60_000.0), "10 to 60,000"),
+            ("timeout_ms", is_within(self.timeout_ms, 10.0, 60_000.0), "10 to 60,000"),
+            ("backoff", is_backoff_valid, Backoff::BOUNDS),
             ("compact_bytes", (4_096..=1 << 30).contains(&self.compact_bytes), "4,096 to 1 GiB"),
             ("tags_most", (1..=10_000_000).contains(&self.max_tagged_objects), "1 to 10,000,000"),
             ("roster_port", self.endpoint_port != Some(0), "1 to 65,535"),
--- a/src/purge/fanout.rs
+++ b/src/purge/fanout.rs
@@ -112,7 +112,7 @@
     pub failures: u32,
     /// When it last acknowledged a batch, in Unix milliseconds.
     #[serde(rename = "heard_ms")]
-    pub last_answer_ms: Option<f64>,
+    pub last_acknowledged_ms: Option<f64>,
     /// The earliest time of the next batch, in Unix milliseconds.
     #[serde(rename = "next_ms")]
     pub next_due_ms: f64,
@@ -132,7 +132,7 @@
             acknowledged,
             status,
             failures: 0,
-            last_answer_ms: None,
+            last_acknowledged_ms: None,
             next_due_ms: now_ms,
             sent: 0,
             in_flight: None,
@@ -193,9 +193,9 @@
         let mut targets = BTreeMap::new();
         for (name, status) in listed {
             let restored = self.restored_acknowledgements.remove(&name).unwrap_or(0).min(self.retained.last);
-            let known = self.targets.remove(&name);
+            let existing = self.targets.remove(&name);
             let target =
-                known.unwrap_or_else(|| TargetProgress::new(status, restored, &self.backoff, now_ms));
+                existing.unwrap_or_else(|| TargetProgress::new(status, restored, &self.backoff, now_ms));
             targets.insert(name, TargetProgress { status, ..target });
         }
         self.targets = targets;
@@ -260,7 +260,7 @@
         }
         target.failures = 0;
         target.retry_delay.reset();
-        target.last_answer_ms = Some(now_ms);
+        target.last_acknowledged_ms = Some(now_ms);
         let from = std::mem::replace(&mut target.acknowledged, applied.min(last));
         let up_to_date = target.acknowledged >= last;
         target.next_due_ms = if up_to_date { now_ms + self.limits.heartbeat_ms } else { now_ms };
--- a/src/purge/fanout/tests.rs
+++ b/src/purge/fanout/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn each_target_gets_what_follows_its_acknowledgement_in_batches() {
+fn each_target_gets_the_purges_after_its_acknowledgement_in_batches() {
     let mut fanout = fanout(&["a", "b"]);
     fanout.set_retained(1, 3);
     let batches = fanout.take_due_batches(0.0);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_target_behind_the_retained_purges_gets_a_cutoff_and_one_that_lost_its_state_gets_them_resent() {
+fn targets_behind_the_retained_purges_get_a_cutoff_and_targets_that_lost_their_state_are_resent_purges() {
     let mut fanout = fanout(&["a", "b"]);
     fanout.set_retained(5, 6);
     let batches = fanout.take_due_batches(0.0);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_removed_target_does_not_hold_back_the_low_water_mark_and_restarts_from_nothing() {
+fn a_removed_target_does_not_hold_back_the_low_water_mark_and_restarts_at_zero_when_listed_again() {
     let mut fanout = fanout(&["a", "b"]);
     fanout.set_retained(1, 1);
     fanout.take_due_batches(0.0);
--- a/src/purge/follower.rs
+++ b/src/purge/follower.rs
@@ -19,7 +19,7 @@
     NotFollower,
     /// The sequence numbers of the batch are not consecutive or do not start at `from`.
     #[error("the purges of a batch are not in order")]
-    OutOfOrder,
+    NotContiguous,
     /// The log can't be written.
     #[error(transparent)]
     Log(#[from] LogError),
@@ -50,15 +50,15 @@
         active: &mut ActivePurges,
         now_ms: f64,
     ) -> Result<u64, ReceiveError> {
-        if !is_in_order(batch) {
-            return Err(ReceiveError::OutOfOrder);
+        if !is_contiguous(batch) {
+            return Err(ReceiveError::NotContiguous);
         }
         let mut changed = false;
         if let Some(cutoff) = batch.cutoff {
             changed |= self.apply_cutoff(cutoff, batch.from, active)?;
         }
         changed |= self.apply_purges(&batch.purges, active)?;
-        let low_water_mark = batch.low_water_mark.min(active.applied());
+        let low_water_mark = batch.low_water_mark.min(active.last_applied());
         changed |= self.journal.advance_low_water_mark(low_water_mark, active, now_ms)?;
         if changed {
             self.journal.sync()?;
@@ -67,7 +67,7 @@
             self.journal.first_retained = self.journal.low_water_mark + 1;
             self.journal.compact(active, &BTreeMap::new(), self.acknowledged.clone())?;
         }
-        Ok(active.applied())
+        Ok(active.last_applied())
     }
 
     /// Applies a cutoff if it replaces purges that this follower lacks; returns whether it was applied.
@@ -77,7 +77,7 @@
         batch_from: u64,
         active: &mut ActivePurges,
     ) -> Result<bool, LogError> {
-        if cutoff.seq < active.applied() || batch_from != cutoff.seq + 1 {
+        if cutoff.seq < active.last_applied() || batch_from != cutoff.seq + 1 {
             return Ok(false);
         }
         self.journal.append(&Record::Cutoff(cutoff), Durability::Deferred)?;
@@ -94,13 +94,13 @@
 
     /// Applies purges up to the first gap; returns whether any was new.
     fn apply_purges(&mut self, purges: &[Purge], active: &mut ActivePurges) -> Result<bool, LogError> {
-        let applied_before = active.applied();
+        let applied_before = active.last_applied();
         for purge in purges {
-            if purge.seq <= active.applied() {
+            if purge.seq <= active.last_applied() {
                 self.journal.metrics.repeats += 1;
                 continue;
             }
-            if purge.seq != active.applied() + 1 {
+            if purge.seq != active.last_applied() + 1 {
                 self.journal.metrics.gaps += 1;
                 break;
             }
@@ -110,7 +110,7 @@
             self.journal.last_seq = purge.seq;
             tracing::info!(seq = purge.seq, selector = %purge.selector, "purge applied");
         }
-        Ok(active.applied() > applied_before)
+        Ok(active.last_applied() > applied_before)
     }
 
     /// Flushes the log to disk.
@@ -131,7 +131,7 @@
 }
 
 /// Whether the purges of a batch have consecutive sequence numbers that start at `from`.
-fn is_in_order(batch: &Batch) -> bool {
+fn is_contiguous(batch: &Batch) -> bool {
     let begins_at_from = batch.purges.first().is_none_or(|purge| purge.seq == batch.from);
     begins_at_from && batch.purges.windows(2).all(|pair| pair[1].seq == pair[0].seq + 1)
 }
--- a/src/purge/glob.rs
+++ b/src/purge/glob.rs
@@ -30,10 +30,10 @@
     UnsupportedSyntax,
     /// A segment `**` is followed by another segment.
     #[error("`**` is allowed only as the last segment")]
-    RestNotLast,
+    DoubleStarNotLast,
     /// `**` is part of a longer segment.
     #[error("`**` must be a whole segment")]
-    PartialRest,
+    PartialDoubleStar,
     /// A segment before the last is empty.
     #[error("an empty segment")]
     EmptySegment,
@@ -66,7 +66,7 @@
     text: Box<str>,
     segments: Vec<Segment>,
     /// Whether the last segment is `**`.
-    matches_rest: bool,
+    ends_with_double_star: bool,
 }
 
 impl Glob {
@@ -79,15 +79,15 @@
         let mut wildcards = 0;
         for part in leading {
             if *part == "**" {
-                return Err(GlobError::RestNotLast);
+                return Err(GlobError::DoubleStarNotLast);
             }
             if part.is_empty() {
                 return Err(GlobError::EmptySegment);
             }
             segments.push(compile_segment(part, &mut wildcards)?);
         }
-        let matches_rest = *last == "**";
-        if matches_rest {
+        let ends_with_double_star = *last == "**";
+        if ends_with_double_star {
             wildcards += 1;
         } else {
             segments.push(compile_segment(last, &mut wildcards)?);
@@ -95,7 +95,7 @@
         if wildcards > MAX_WILDCARDS {
             return Err(GlobError::TooManyWildcards);
         }
-        Ok(Self { text: text.into(), segments, matches_rest })
+        Ok(Self { text: text.into(), segments, ends_with_double_star })
     }
 
     /// The pattern as given.
@@ -111,7 +111,8 @@
 
     /// Whether the pattern has no wildcards, so that it matches a single name.
     pub fn is_exact(&self) -> bool {
-        !self.matches_rest && self.segments.iter().all(|segment| matches!(segment, Segment::Literal(_)))
+        !self.ends_with_double_star
+            && self.segments.iter().all(|segment| matches!(segment, Segment::Literal(_)))
     }
 
     /// Whether a copy's name matches. The cost is at most the name's length times the pattern's length.
@@ -123,7 +124,7 @@
                 return false;
             }
         }
-        self.matches_rest || parts.next().is_none()
+        self.ends_with_double_star || parts.next().is_none()
     }
 }
 
@@ -146,7 +147,7 @@
 /// Compiles a segment other than `**`, and adds its wildcards to `wildcards`.
 fn compile_segment(part: &str, wildcards: &mut usize) -> Result<Segment, GlobError> {
     if part.contains("**") {
-        return Err(GlobError::PartialRest);
+        return Err(GlobError::PartialDoubleStar);
     }
     let count = part.bytes().filter(|b| matches!(b, b'*' | b'?')).count();
     *wildcards += count;
--- a/src/purge/glob/tests.rs
+++ b/src/purge/glob/tests.rs
@@ -1,17 +1,21 @@
 use super::*;
 
 #[test]
-fn globs_match_within_segments_and_the_rest_only_at_the_end() {
+fn wildcards_match_within_one_segment_and_a_final_double_star_matches_the_rest() {
     let glob = Glob::new("/video-part/7f3a*/*").unwrap();
     assert!(glob.matches("/video-part/7f3a9c21e0b4d655/3"));
     assert!(!glob.matches("/video-part/8f3a9c21e0b4d655/3"));
     assert!(!glob.matches("/video-part/7f3a9c21e0b4d655/3/4"));
     assert_eq!(glob.literal_prefix(), "/video-part/7f3a");
-    let rest = Glob::new("/small-object/**").unwrap();
-    assert!(rest.matches("/small-object/00000000000000aa/0"));
-    assert!(!rest.matches("/video-part/00000000000000aa/0"));
-    let suffix = Glob::new("/*/*a?/1").unwrap();
-    assert!(suffix.matches("/x/0000ab/1") && !suffix.matches("/x/0000a/1") && !suffix.matches("/x/00ab/2"));
+    let double_star = Glob::new("/small-object/**").unwrap();
+    assert!(double_star.matches("/small-object/00000000000000aa/0"));
+    assert!(!double_star.matches("/video-part/00000000000000aa/0"));
+    let star_then_question_mark = Glob::new("/*/*a?/1").unwrap();
+    assert!(
+        star_then_question_mark.matches("/x/0000ab/1")
+            && !star_then_question_mark.matches("/x/0000a/1")
+            && !star_then_question_mark.matches("/x/00ab/2")
+    );
     assert!(Glob::new("/a/b/c").unwrap().is_exact());
     assert!(wildcard_match(b"*a*b*c", b"xxaxxbxxc") && !wildcard_match(b"*a*b*c", b"xxaxxcxxb"));
 }
--- a/src/purge/index.rs
+++ b/src/purge/index.rs
@@ -41,11 +41,11 @@
     /// Adds a purge. Replaces an older one with the same selector, except `everything`.
     pub(super) fn insert(&mut self, selector: &Selector, stamp: PurgeStamp) {
         match selector {
-            Selector::Object(object) => replace_older(&mut self.objects, *object, stamp),
-            Selector::Group(group) => replace_older(&mut self.groups, *group, stamp),
-            Selector::SurrogateKey(key) => replace_older(&mut self.surrogate_keys, key.clone(), stamp),
+            Selector::Object(object) => insert_unless_older(&mut self.objects, *object, stamp),
+            Selector::Group(group) => insert_unless_older(&mut self.groups, *group, stamp),
+            Selector::SurrogateKey(key) => insert_unless_older(&mut self.surrogate_keys, key.clone(), stamp),
             Selector::Pattern(glob) if glob.is_exact() => {
-                replace_older(&mut self.exact_names, glob.as_str().into(), stamp);
+                insert_unless_older(&mut self.exact_names, glob.as_str().into(), stamp);
             }
             Selector::Pattern(glob) => self.insert_pattern(glob, stamp),
             Selector::Everything => {
@@ -59,7 +59,7 @@
             self.patterns.insert(glob.literal_prefix(), Vec::new());
         }
         let entries = self.patterns.get_mut(glob.literal_prefix()).expect("inserted above");
-        match entries.iter_mut().find(|(known, _)| known == glob) {
+        match entries.iter_mut().find(|(existing, _)| existing == glob) {
             Some((_, newest)) if stamp.issued_ms >= newest.issued_ms => *newest = stamp,
             Some(_) => {}
             None => {
@@ -72,11 +72,11 @@
     /// Removes a purge, unless a newer one with the same selector has replaced it.
     pub(super) fn remove(&mut self, selector: &Selector, seq: u64) {
         match selector {
-            Selector::Object(object) => remove_if_same(&mut self.objects, object, seq),
-            Selector::Group(group) => remove_if_same(&mut self.groups, group, seq),
-            Selector::SurrogateKey(key) => remove_if_same(&mut self.surrogate_keys, key, seq),
+            Selector::Object(object) => remove_if_seq(&mut self.objects, object, seq),
+            Selector::Group(group) => remove_if_seq(&mut self.groups, group, seq),
+            Selector::SurrogateKey(key) => remove_if_seq(&mut self.surrogate_keys, key, seq),
             Selector::Pattern(glob) if glob.is_exact() => {
-                remove_if_same(&mut self.exact_names, &glob.as_str().into(), seq);
+                remove_if_seq(&mut self.exact_names, &glob.as_str().into(), seq);
             }
             Selector::Pattern(glob) => self.remove_pattern(glob, seq),
             Selector::Everything => {
@@ -88,7 +88,7 @@
     fn remove_pattern(&mut self, glob: &Glob, seq: u64) {
         let Some(entries) = self.patterns.get_mut(glob.literal_prefix()) else { return };
         let before = entries.len();
-        entries.retain(|(known, stamp)| !(stamp.seq == seq && known == glob));
+        entries.retain(|(existing, stamp)| !(stamp.seq == seq && existing == glob));
         self.pattern_count -= before - entries.len();
         if entries.is_empty() {
             self.patterns.remove(glob.literal_prefix());
@@ -96,24 +96,28 @@
     }
 
     /// The newest purge that covers a copy, or `cutoff` if that is newer.
-    pub(super) fn newest(&self, copy: &CachedCopy<'_>, cutoff: Option<PurgeStamp>) -> Option<PurgeStamp> {
+    pub(super) fn newest_covering(
+        &self,
+        copy: &CachedCopy<'_>,
+        cutoff: Option<PurgeStamp>,
+    ) -> Option<PurgeStamp> {
         let mut newest = cutoff;
         for (seq, issued_ms) in &self.purges_of_everything {
-            newest = PurgeStamp::newest(newest, Some(PurgeStamp { seq: *seq, issued_ms: *issued_ms }));
+            newest = PurgeStamp::later(newest, Some(PurgeStamp { seq: *seq, issued_ms: *issued_ms }));
         }
-        newest = PurgeStamp::newest(newest, self.objects.get(&copy.object).copied());
-        newest = PurgeStamp::newest(newest, self.groups.get(&copy.group).copied());
+        newest = PurgeStamp::later(newest, self.objects.get(&copy.object).copied());
+        newest = PurgeStamp::later(newest, self.groups.get(&copy.group).copied());
         for key in copy.surrogate_keys {
-            newest = PurgeStamp::newest(newest, self.surrogate_keys.get(key).copied());
+            newest = PurgeStamp::later(newest, self.surrogate_keys.get(key).copied());
         }
         if !self.exact_names.is_empty() {
-            newest = PurgeStamp::newest(newest, self.exact_names.get(copy.name).copied());
+            newest = PurgeStamp::later(newest, self.exact_names.get(copy.name).copied());
         }
-        self.newest_pattern(copy.name, newest)
+        self.newest_matching_pattern(copy.name, newest)
     }
 
     /// The newer of `newest` and the newest purge whose pattern matches a name.
-    fn newest_pattern(&self, name: &str, mut newest: Option<PurgeStamp>) -> Option<PurgeStamp> {
+    fn newest_matching_pattern(&self, name: &str, mut newest: Option<PurgeStamp>) -> Option<PurgeStamp> {
         if self.pattern_count == 0 {
             return newest;
         }
@@ -145,7 +149,11 @@
 }
 
 /// Sets a key's purge unless the map has one with a later issue time.
-fn replace_older<K: std::hash::Hash + Eq>(map: &mut AHashMap<K, PurgeStamp>, key: K, stamp: PurgeStamp) {
+fn insert_unless_older<K: std::hash::Hash + Eq>(
+    map: &mut AHashMap<K, PurgeStamp>,
+    key: K,
+    stamp: PurgeStamp,
+) {
     let newest = map.entry(key).or_insert(stamp);
     if stamp.issued_ms >= newest.issued_ms {
         *newest = stamp;
@@ -153,7 +161,7 @@
 }
 
 /// Removes a key's purge if it has this sequence number.
-fn remove_if_same<K: std::hash::Hash + Eq>(map: &mut AHashMap<K, PurgeStamp>, key: &K, seq: u64) {
+fn remove_if_seq<K: std::hash::Hash + Eq>(map: &mut AHashMap<K, PurgeStamp>, key: &K, seq: u64) {
     if map.get(key).is_some_and(|stamp| stamp.seq == seq) {
         map.remove(key);
     }
--- a/src/purge/journal.rs
+++ b/src/purge/journal.rs
@@ -81,7 +81,7 @@
 
     /// Whether the log has grown beyond `compact_bytes`.
     pub(super) fn needs_compaction(&self) -> bool {
-        self.log.as_ref().is_some_and(|log| log.bytes() > self.compact_bytes)
+        self.log.as_ref().is_some_and(|log| log.size_bytes() > self.compact_bytes)
     }
 
     /// Rewrites the log as a snapshot followed by the retained and the active purges, each once and in order.
@@ -107,7 +107,7 @@
         log.rewrite(&records)?;
         self.metrics.compactions += 1;
         tracing::info!(
-            bytes = log.bytes(),
+            bytes = log.size_bytes(),
             purges = records.len() - 1,
             first_retained = self.first_retained,
             last_seq = self.last_seq,
@@ -119,7 +119,7 @@
     /// The status of a replica; the leader adds its targets and retained purges.
     pub(super) fn status(&self, role: Role, name: &str, active: &ActivePurges) -> ReplicaStatus {
         let log_file =
-            |log: &PurgeLog| LogFile { path: log.path().display().to_string(), bytes: log.bytes() };
+            |log: &PurgeLog| LogFile { path: log.path().display().to_string(), bytes: log.size_bytes() };
         ReplicaStatus {
             role,
             name: name.to_string(),
--- a/src/purge/leader.rs
+++ b/src/purge/leader.rs
@@ -9,7 +9,7 @@
 use super::metrics::ReplicaStatus;
 use super::recovery::Recovered;
 use super::selector::Selector;
-use super::wire::{Batch, PurgeList, Submitted};
+use super::wire::{Batch, PurgeList, SubmitResponse};
 use crate::http_client::CallError;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -110,7 +110,7 @@
         selector: Selector,
         active: &mut ActivePurges,
         now_ms: f64,
-    ) -> Result<Submitted, SubmitError> {
+    ) -> Result<SubmitResponse, SubmitError> {
         let issued_ms = now_ms.max(self.last_issued_ms);
         let purge = Purge { seq: self.journal.last_seq + 1, issued_ms, selector };
         self.journal.append(&Record::Purge(purge.clone()), Durability::Synced)?;
@@ -120,7 +120,7 @@
         debug_assert_eq!(outcome, ApplyOutcome::Applied);
         tracing::info!(seq = purge.seq, selector = %purge.selector, issued_ms, "purge issued");
         self.journal.metrics.issued += 1;
-        let submitted = Submitted { seq: purge.seq, issued_ms };
+        let submitted = SubmitResponse { seq: purge.seq, issued_ms };
         self.retained.insert(purge.seq, purge);
         self.fanout.purge_appended(submitted.seq, now_ms);
         self.drop_old_purges(active)?;
@@ -190,7 +190,7 @@
                 tracing::warn!(target, from, to, "purges: a target lost its state; resending its purges");
             }
             AckOutcome::BeyondLog { acknowledged } => {
-                self.replace_unknown_purges(acknowledged, active, now_ms)?;
+                self.replace_missing_purges(acknowledged, active, now_ms)?;
             }
             AckOutcome::Advanced { .. } | AckOutcome::Unexpected => {}
         }
@@ -204,7 +204,7 @@
     /// Handles an acknowledgement of a sequence number beyond the end of this log, assigned in an earlier log
     /// that has been lost. Replaces the missing purges with a cutoff at the current time, and continues the
     /// sequence numbers after `acknowledged`.
-    fn replace_unknown_purges(
+    fn replace_missing_purges(
         &mut self,
         acknowledged: u64,
         active: &mut ActivePurges,
--- a/src/purge/log.rs
+++ b/src/purge/log.rs
@@ -196,7 +196,7 @@
 pub struct PurgeLog {
     path: PathBuf,
     file: File,
-    bytes: u64,
+    size_bytes: u64,
 }
 
 /// Adds the file and the operation to an I/O error.
@@ -278,7 +278,7 @@
             return Err(LogError::NotPurgeLog(path.to_path_buf()));
         };
         let DecodedLog { records, fault } = decode(encoded);
-        let mut log = Self { path: path.to_path_buf(), file, bytes: size };
+        let mut log = Self { path: path.to_path_buf(), file, size_bytes: size };
         let truncated = fault.map(|invalid| log.truncate_at(invalid, records.len())).transpose()?;
         Ok(OpenedLog { log, records, truncated })
     }
@@ -287,8 +287,8 @@
     fn create(path: &Path, mut file: File) -> Result<Self, LogError> {
         file.write_all(MAGIC).map_err(io_error(path, "write"))?;
         file.sync_all().map_err(io_error(path, "fsync"))?;
-        sync_folder(path)?;
-        Ok(Self { path: path.to_path_buf(), file, bytes: MAGIC.len() as u64 })
+        sync_directory(path)?;
+        Ok(Self { path: path.to_path_buf(), file, size_bytes: MAGIC.len() as u64 })
     }
 
     fn truncate_at(
@@ -297,14 +297,14 @@
         intact_records: usize,
     ) -> Result<TruncatedTail, LogError> {
         let offset = (MAGIC.len() + invalid.offset) as u64;
-        let tail = TruncatedTail { offset, removed: self.bytes - offset, fault: invalid.fault };
+        let tail = TruncatedTail { offset, removed: self.size_bytes - offset, fault: invalid.fault };
         tracing::error!(
             log = %self.path.display(), offset, removed = tail.removed, fault = %tail.fault, intact_records,
             "purge log: truncated after its last intact record"
         );
         self.file.set_len(offset).map_err(io_error(&self.path, "truncate"))?;
         self.file.sync_all().map_err(io_error(&self.path, "fsync"))?;
-        self.bytes = offset;
+        self.size_bytes = offset;
         Ok(tail)
     }
 
@@ -315,7 +315,7 @@
         if durable {
             self.file.sync_data().map_err(io_error(&self.path, "fsync"))?;
         }
-        self.bytes += framed.len() as u64;
+        self.size_bytes += framed.len() as u64;
         Ok(())
     }
 
@@ -337,19 +337,19 @@
         file.write_all(&bytes).map_err(io_error(&replacement, "write"))?;
         file.sync_all().map_err(io_error(&replacement, "fsync"))?;
         std::fs::rename(&replacement, &self.path).map_err(io_error(&self.path, "rename"))?;
-        sync_folder(&self.path)?;
+        sync_directory(&self.path)?;
         self.file = OpenOptions::new()
             .read(true)
             .append(true)
             .open(&self.path)
             .map_err(io_error(&self.path, "open"))?;
-        self.bytes = bytes.len() as u64;
+        self.size_bytes = bytes.len() as u64;
         Ok(())
     }
 
     /// The file's size, in bytes.
-    pub fn bytes(&self) -> u64 {
-        self.bytes
+    pub fn size_bytes(&self) -> u64 {
+        self.size_bytes
     }
 
     /// The path of the file.
@@ -359,9 +359,9 @@
 }
 
 /// Flushes the directory of a file to disk, so that a created or renamed file survives a power failure.
-fn sync_folder(path: &Path) -> Result<(), LogError> {
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    File::open(folder).and_then(|f| f.sync_all()).map_err(io_error(folder, "fsync the folder"))
+fn sync_directory(path: &Path) -> Result<(), LogError> {
+    let directory = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    File::open(directory).and_then(|f| f.sync_all()).map_err(io_error(directory, "fsync the folder"))
 }
 
 #[cfg(test)]
--- a/src/purge/replica.rs
+++ b/src/purge/replica.rs
@@ -7,7 +7,7 @@
 use super::log::LogError;
 use super::metrics::ReplicaStatus;
 use super::selector::Selector;
-use super::wire::{Batch, PurgeList, Submitted};
+use super::wire::{Batch, PurgeList, SubmitResponse};
 
 /// A leader or a follower.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
     }
 
     /// The leader, if this is one.
-    pub fn leader(&mut self) -> Option<&mut Leader> {
+    pub fn leader_mut(&mut self) -> Option<&mut Leader> {
         match self {
             Self::Leader(leader) => Some(leader),
             Self::Follower(_) => None,
@@ -46,7 +46,7 @@
         selector: Selector,
         active: &mut ActivePurges,
         now_ms: f64,
-    ) -> Result<Submitted, SubmitError> {
+    ) -> Result<SubmitResponse, SubmitError> {
         match self {
             Self::Leader(leader) => leader.submit(selector, active, now_ms),
             Self::Follower(_) => Err(SubmitError::NotLeader),
--- a/src/purge/selector/tests.rs
+++ b/src/purge/selector/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn selectors_parse_and_print_one_spelling() {
+fn selectors_round_trip_and_invalid_ones_are_rejected() {
     for text in ["object:7f3a9c21e0b4d655", "group:17", "tag:seller-77", "pattern:/a/*", "everything"] {
         let selector: Selector = text.parse().unwrap();
         assert_eq!(selector.to_string(), text);
--- a/src/purge/service.rs
+++ b/src/purge/service.rs
@@ -66,7 +66,7 @@
 
     /// Sends due batches (leader only) and flushes the log to disk periodically. Never returns.
     pub async fn run(self: Rc<Self>) {
-        let is_leader = self.replica.borrow_mut().leader().is_some();
+        let is_leader = self.replica.borrow_mut().leader_mut().is_some();
         let mut next_refresh_ms = if is_leader { f64::NEG_INFINITY } else { f64::INFINITY };
         let mut next_sync_ms = self.executor.clock.now() + SYNC_INTERVAL_MS;
         loop {
@@ -75,15 +75,15 @@
                 self.refresh_targets(now_ms);
                 next_refresh_ms = now_ms + TARGET_REFRESH_MS;
             }
-            let due = self.replica.borrow_mut().leader().map(|leader| leader.take_due_batches(now_ms));
+            let due = self.replica.borrow_mut().leader_mut().map(|leader| leader.take_due_batches(now_ms));
             for batch in due.into_iter().flatten() {
                 tokio::task::spawn_local(self.clone().send(batch));
             }
             if now_ms >= next_sync_ms {
-                self.sync();
+                self.sync_log();
                 next_sync_ms = now_ms + SYNC_INTERVAL_MS;
             }
-            let next_due_ms = self.replica.borrow_mut().leader().and_then(|leader| leader.next_due_ms());
+            let next_due_ms = self.replica.borrow_mut().leader_mut().and_then(|leader| leader.next_due_ms());
             let wake_at_ms = next_due_ms.unwrap_or(f64::INFINITY).min(next_sync_ms).min(next_refresh_ms);
             tokio::select! {
                 () = tokio::time::sleep(duration_from_ms(wake_at_ms - now_ms)) => {}
@@ -95,14 +95,14 @@
     /// Updates the leader's targets from the endpoint list.
     fn refresh_targets(&self, now_ms: f64) {
         let port = self.config.endpoint_port;
-        let holders = port.map(|port| self.executor.with(|engine| engine.cache_servers(port)));
-        let targets = holders.into_iter().flatten().map(Target::from).collect();
-        if let Some(leader) = self.replica.borrow_mut().leader() {
+        let servers = port.map(|port| self.executor.with(|engine| engine.cache_servers(port)));
+        let targets = servers.into_iter().flatten().map(Target::from).collect();
+        if let Some(leader) = self.replica.borrow_mut().leader_mut() {
             leader.set_listed_targets(now_ms, targets);
         }
     }
 
-    fn sync(&self) {
+    fn sync_log(&self) {
         if let Err(error) = self.replica.borrow_mut().sync() {
             tracing::error!(%error, "purges: the log can't be synchronised to disk");
         }
@@ -110,12 +110,12 @@
 
     /// Sends a batch to its target and records the answer.
     async fn send(self: Rc<Self>, outgoing: OutgoingBatch) {
-        let answer = self.call_target(&outgoing).await;
+        let result = self.call_target(&outgoing).await;
         let now_ms = self.executor.clock.now();
         let target = outgoing.target.as_str();
         let recorded = self.with_replica(|replica, limiter| {
-            let Some(leader) = replica.leader() else { return Ok(()) };
-            match answer {
+            let Some(leader) = replica.leader_mut() else { return Ok(()) };
+            match result {
                 Ok(ack) => leader.acknowledge(target, ack.applied, &mut limiter.active, now_ms),
                 Err(error) => {
                     leader.record_failure(target, now_ms, &error);
@@ -133,10 +133,10 @@
         let body = to_json(&outgoing.batch);
         let timeout = duration_from_ms(self.config.timeout_ms);
         let permit = self.call_permits.acquire().await;
-        let answer = call(outgoing.address, "POST", "/purges/apply", &body, timeout).await?;
+        let response = call(outgoing.address, "POST", "/purges/apply", &body, timeout).await?;
         drop(permit);
-        match answer.status {
-            200 => Ok(from_json(&answer.body)?),
+        match response.status {
+            200 => Ok(from_json(&response.body)?),
             status => Err(SendError::Status(status)),
         }
     }
@@ -160,7 +160,7 @@
     fn submit(&self, body: &[u8]) -> HttpResponse {
         let request: SubmitRequest = match from_json(body) {
             Ok(request) => request,
-            Err(error) => return error_answer(400, error),
+            Err(error) => return error_response(400, error),
         };
         let now_ms = self.executor.clock.now();
         let issued = self
@@ -168,12 +168,12 @@
         match issued {
             Ok(submitted) => {
                 self.wake.notify_one();
-                json_answer(200, &submitted)
+                json_response(200, &submitted)
             }
-            Err(error @ SubmitError::NotLeader) => error_answer(409, error),
+            Err(error @ SubmitError::NotLeader) => error_response(409, error),
             Err(error @ SubmitError::Log(_)) => {
                 tracing::error!(%error, "purges: a purge was not issued");
-                error_answer(500, error)
+                error_response(500, error)
             }
         }
     }
@@ -181,17 +181,19 @@
     fn receive(&self, body: &[u8]) -> HttpResponse {
         let batch: Batch = match from_json(body) {
             Ok(batch) => batch,
-            Err(error) => return error_answer(400, error),
+            Err(error) => return error_response(400, error),
         };
         let now_ms = self.executor.clock.now();
         let received =
             self.with_replica(|replica, limiter| replica.receive(&batch, &mut limiter.active, now_ms));
         match received {
-            Ok(applied) => json_answer(200, &Acknowledgement { applied }),
-            Err(error @ (ReceiveError::NotFollower | ReceiveError::OutOfOrder)) => error_answer(409, error),
+            Ok(applied) => json_response(200, &Acknowledgement { applied }),
+            Err(error @ (ReceiveError::NotFollower | ReceiveError::NotContiguous)) => {
+                error_response(409, error)
+            }
             Err(error @ ReceiveError::Log(_)) => {
                 tracing::error!(%error, "purges: a batch was not applied completely");
-                error_answer(500, error)
+                error_response(500, error)
             }
         }
     }
@@ -200,7 +202,7 @@
         let from = query_number(query, "from").unwrap_or(1);
         let max =
             query_number(query, "most").map_or(MAX_LIST_LENGTH, |max| (max as usize).min(MAX_LIST_LENGTH));
-        json_answer(200, &self.with_replica(|replica, limiter| replica.list(&limiter.active, from, max)))
+        json_response(200, &self.with_replica(|replica, limiter| replica.list(&limiter.active, from, max)))
     }
 
     fn status(&self) -> HttpResponse {
@@ -209,17 +211,17 @@
             age_limits: limiter.metrics,
             tagged_objects: limiter.tagged_objects(),
         });
-        json_answer(200, &status)
+        json_response(200, &status)
     }
 }
 
-fn json_answer<T: Serialize>(status: u16, body: &T) -> HttpResponse {
-    let answer = HttpResponse { body: to_json(body).into(), ..HttpResponse::status(status) };
-    answer.with("Content-Type", "application/json")
+fn json_response<T: Serialize>(status: u16, body: &T) -> HttpResponse {
+    let response = HttpResponse { body: to_json(body).into(), ..HttpResponse::status(status) };
+    response.with("Content-Type", "application/json")
 }
 
-fn error_answer(status: u16, error: impl ToString) -> HttpResponse {
-    json_answer(status, &ErrorBody { error: error.to_string() })
+fn error_response(status: u16, error: impl ToString) -> HttpResponse {
+    json_response(status, &ErrorBody { error: error.to_string() })
 }
 
 /// Parses a numeric parameter of a query such as `from=3&most=10`.
--- a/src/purge/wire.rs
+++ b/src/purge/wire.rs
@@ -2,7 +2,7 @@
 //!
 //! | call | body | response |
 //! | --- | --- | --- |
-//! | `POST /purges` | [`SubmitRequest`] | 200 [`Submitted`] |
+//! | `POST /purges` | [`SubmitRequest`] | 200 [`SubmitResponse`] |
 //! | `GET /purges` | | 200 [`super::metrics::PurgeStatus`] |
 //! | `GET /purges/log?from=N&most=M` | | 200 [`PurgeList`]: at most `M` purges, from `N` on |
 //! | `POST /purges/apply` | [`Batch`] | 200 [`Acknowledgement`] |
@@ -34,7 +34,7 @@
 
 /// The sequence number and issue time of a new purge.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Submitted {
+pub struct SubmitResponse {
     /// The sequence number.
     pub seq: u64,
     /// The issue time, in Unix milliseconds.
--- a/src/purge/wire/tests.rs
+++ b/src/purge/wire/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_batch_round_trips_and_unknown_fields_are_rejected() {
+fn a_batch_round_trips_and_unknown_fields_and_invalid_selectors_are_rejected() {
     let batch = Batch {
         leader: "edge-1".into(),
         from: 4,
--- a/tests/purge_model.rs
+++ b/tests/purge_model.rs
@@ -14,7 +14,7 @@
 enum Step {
     Purge(u8, u8),
     AdvanceLowWaterMark(u8),
-    Lookup { class: bool, object: u8, part: u8, group: u8, keys: u8, age: u8 },
+    Lookup { is_class_a: bool, object: u8, part: u8, group: u8, keys: u8, age: u8 },
     Wait(u16),
 }
 
@@ -34,7 +34,8 @@
         4 => (any::<u8>(), any::<u8>()).prop_map(|(k, v)| Step::Purge(k, v)),
         1 => any::<u8>().prop_map(Step::AdvanceLowWaterMark),
         6 => (any::<bool>(), 0u8..4, 0u8..3, 0u8..3, 0u8..16, any::<u8>())
-            .prop_map(|(class, object, part, group, keys, age)| Step::Lookup { class, object, part, group, keys, age }),
+            .prop_map(|(is_class_a, object, part, group, keys, age)|
+                Step::Lookup { is_class_a, object, part, group, keys, age }),
         2 => (1u16..400).prop_map(Step::Wait),
     ]
 }
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn active_purges_decide_as_a_list_of_every_purge_would() {
+fn active_purges_match_a_linear_search_model() {
     let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
@@ -84,9 +85,9 @@
                         model.purges.push(purge);
                         if model.purges.len() > limits.max_active {
                             let oldest = model.purges.remove(0);
-                            let newer = model.cutoff.is_none_or(|cutoff| oldest.issued_ms > cutoff.1);
+                            let is_newer = model.cutoff.is_none_or(|cutoff| oldest.issued_ms > cutoff.1);
                             model.cutoff =
-                                if newer { Some((oldest.seq, oldest.issued_ms)) } else { model.cutoff };
+                                if is_newer { Some((oldest.seq, oldest.issued_ms)) } else { model.cutoff };
                         }
                     }
                     Step::AdvanceLowWaterMark(lag) => {
@@ -109,9 +110,9 @@
                         }
                     }
                     Step::Wait(ms) => now += f64::from(ms),
-                    Step::Lookup { class, object, part, group, keys, age } => {
+                    Step::Lookup { is_class_a, object, part, group, keys, age } => {
                         let name =
-                            copy_name(if class { "a" } else { "b" }, u64::from(object), u32::from(part));
+                            copy_name(if is_class_a { "a" } else { "b" }, u64::from(object), u32::from(part));
                         let keys: Vec<SurrogateKey> = (0..4)
                             .filter(|k| keys & (1 << k) != 0)
                             .map(|k| SurrogateKey::new(&format!("t{k}")).unwrap())
@@ -124,14 +125,14 @@
                         };
                         let expected = model.newest(&copy);
                         prop_assert_eq!(
-                            active.newest(&copy).map(|stamp| stamp.issued_ms),
+                            active.newest_covering(&copy).map(|stamp| stamp.issued_ms),
                             expected,
                             "{:?}",
                             copy
                         );
                         let generated_ms = now - f64::from(age) * 4.0;
-                        let removed = expected.is_some_and(|issued_ms| generated_ms <= issued_ms);
-                        prop_assert_eq!(active.purge_of(&copy, generated_ms).is_some(), removed);
+                        let is_removed = expected.is_some_and(|issued_ms| generated_ms <= issued_ms);
+                        prop_assert_eq!(active.removing_purge(&copy, generated_ms).is_some(), is_removed);
                     }
                 }
                 prop_assert_eq!(active.len(), model.purges.len());
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -8,7 +8,7 @@
 use edge_proxy::purge::config::PurgeConfig;
 use edge_proxy::purge::leader::Leader;
 use edge_proxy::purge::service::MAX_CONCURRENT_CALLS;
-use edge_proxy::purge::wire::{from_json, to_json, Batch, Submitted};
+use edge_proxy::purge::wire::{from_json, to_json, Batch, SubmitResponse};
 use edge_proxy::surrogate_key::SurrogateKey;
 use simd_json::prelude::*;
 use stand_ins::purge_target::{now_ms, Origin, PurgeTarget};
@@ -24,10 +24,10 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-proxy");
 
 /// Waits until a condition holds; panics after `seconds`.
-async fn wait_until(seconds: u64, what: &str, test: impl Fn() -> bool) {
+async fn wait_until(seconds: u64, description: &str, condition: impl Fn() -> bool) {
     let end = tokio::time::Instant::now() + Duration::from_secs(seconds);
-    while !test() {
-        assert!(tokio::time::Instant::now() < end, "timed out after {seconds} s: {what}");
+    while !condition() {
+        assert!(tokio::time::Instant::now() < end, "timed out after {seconds} s: {description}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -41,21 +41,22 @@
 struct Fleet {
     servers: Vec<PurgeTarget>,
     origin: Rc<Origin>,
-    port: u16,
+    purge_port: u16,
 }
 
 impl Fleet {
     async fn start(subnet: u8) -> Self {
         let origin = Rc::new(Origin::default());
-        let port = free_port(&format!("127.0.{subnet}.1"));
+        let purge_port = free_port(&format!("127.0.{subnet}.1"));
         let mut servers = Vec::new();
         for (k, name) in ["s-000000c1", "s-000000c2", "s-000000a0", "s-000000b0"].iter().enumerate() {
             servers.push(
-                PurgeTarget::start(name, &format!("127.0.{subnet}.{}", k + 1), port, origin.clone()).await,
+                PurgeTarget::start(name, &format!("127.0.{subnet}.{}", k + 1), purge_port, origin.clone())
+                    .await,
             );
         }
         servers[3].always_generates.set(true);
-        Self { servers, origin, port }
+        Self { servers, origin, purge_port }
     }
 
     /// The servers that cache copies: the caches and the parent.
@@ -126,7 +127,7 @@
 
     async fn wait_until_ready(&mut self) {
         for _ in 0..500 {
-            if get(self.admin, "/purges").await.is_some() {
+            if get_json(self.admin, "/purges").await.is_some() {
                 return;
             }
             assert!(
@@ -159,30 +160,30 @@
     }
 }
 
-async fn get(at: SocketAddr, target: &str) -> Option<simd_json::OwnedValue> {
-    let answer = call(at, "GET", target, b"", Duration::from_secs(2)).await.ok()?;
+async fn get_json(admin: SocketAddr, target: &str) -> Option<simd_json::OwnedValue> {
+    let answer = call(admin, "GET", target, b"", Duration::from_secs(2)).await.ok()?;
     let mut body = answer.body;
     (answer.status == 200).then(|| simd_json::to_owned_value(&mut body).ok())?
 }
 
-async fn submit(at: SocketAddr, selector: &str) -> Result<Submitted, (u16, String)> {
+async fn submit(admin: SocketAddr, selector: &str) -> Result<SubmitResponse, (u16, String)> {
     let body = format!("{{\"sel\":\"{selector}\"}}");
-    let answer = call(at, "POST", "/purges", body.as_bytes(), Duration::from_secs(2)).await.unwrap();
+    let answer = call(admin, "POST", "/purges", body.as_bytes(), Duration::from_secs(2)).await.unwrap();
     match answer.status {
         200 => Ok(from_json(&answer.body).unwrap()),
         status => Err((status, String::from_utf8_lossy(&answer.body).to_string())),
     }
 }
 
-fn leader_config(name: &str, extra: &str) -> String {
+fn leader_config(name: &str, extra_fields: &str) -> String {
     format!(
         "{{\"role\":\"leader\",\"name\":\"{name}\",\"state\":\"{name}-state.log\",\"batch_most\":2,\
-         \"heartbeat_ms\":100,\"timeout_ms\":2000,\"backoff\":{{\"first_ms\":50,\"factor\":2,\"most_ms\":400,\"jitter\":0.1}}{extra}}}"
+         \"heartbeat_ms\":100,\"timeout_ms\":2000,\"backoff\":{{\"first_ms\":50,\"factor\":2,\"most_ms\":400,\"jitter\":0.1}}{extra_fields}}}"
     )
 }
 
 /// Reads an object through the proxy. Returns the status, and the generation time of the copy from the body.
-async fn fetch(
+async fn read_object(
     listen: SocketAddr,
     object: u64,
     group: u32,
@@ -205,33 +206,37 @@
 }
 
 #[test]
-fn a_leader_killed_halfway_resumes_where_it_stopped() {
+fn a_leader_killed_during_replication_resumes_without_gaps_or_reused_sequence_numbers() {
     run(async {
         let fleet = Fleet::start(41).await;
         // The parent acknowledges slowly, so that it lags when the leader is killed.
         fleet.servers[2].ack_delay_ms.set(400);
         let dir = folder("purges-kill");
         let _ = std::fs::remove_file(dir.join("edge-1-state.log"));
-        let extra = format!(",\"roster_port\":{}", fleet.port);
+        let extra_fields = format!(",\"roster_port\":{}", fleet.purge_port);
         let mut leader =
-            Proxy::start(&dir, "edge-1", "127.0.41.10", &fleet, &leader_config("edge-1", &extra)).await;
+            Proxy::start(&dir, "edge-1", "127.0.41.10", &fleet, &leader_config("edge-1", &extra_fields))
+                .await;
         for k in 1..=8 {
             let issued = submit(leader.admin, &format!("tag:t{k}")).await.unwrap();
             assert_eq!(issued.seq, k);
         }
         let (quick, slow) = (&fleet.servers[..2], &fleet.servers[2]);
         wait_until(10, "the quick servers have applied all", || {
-            quick.iter().all(|server| server.applied() == 8)
+            quick.iter().all(|server| server.last_applied() == 8)
         })
         .await;
-        wait_until(10, "the slow server has applied some", || slow.applied() >= 2).await;
-        let behind = slow.applied();
-        assert!(behind < 8, "the slow server must be behind at the kill, has applied {behind}");
+        wait_until(10, "the slow server has applied some", || slow.last_applied() >= 2).await;
+        let applied_at_kill = slow.last_applied();
+        assert!(
+            applied_at_kill < 8,
+            "the slow server must be behind at the kill, has applied {applied_at_kill}"
+        );
         leader.kill_and_restart().await;
-        wait_until(15, "the slow server catches up", || slow.applied() == 8).await;
+        wait_until(15, "the slow server catches up", || slow.last_applied() == 8).await;
         assert_eq!(submit(leader.admin, "tag:t9").await.unwrap().seq, 9, "sequence numbers continue");
         wait_until(10, "all servers have applied the new purge", || {
-            fleet.caches().iter().all(|server| server.applied() == 9)
+            fleet.caches().iter().all(|server| server.last_applied() == 9)
         })
         .await;
         for server in fleet.caches() {
@@ -254,8 +259,8 @@
         let received = slow.observed.received.borrow().clone();
         let repeats: u32 = received.values().map(|n| n - 1).sum();
         assert!(repeats <= 2, "the slow server got {repeats} purges again: {received:?}");
-        assert!((1..behind.saturating_sub(1)).all(|seq| received[&seq] == 1), "{received:?}");
-        let status = get(leader.admin, "/purges").await.unwrap();
+        assert!((1..applied_at_kill.saturating_sub(1)).all(|seq| received[&seq] == 1), "{received:?}");
+        let status = get_json(leader.admin, "/purges").await.unwrap();
         assert_eq!(status["last"].as_u64(), Some(9));
     });
 }
@@ -270,11 +275,12 @@
         }
         let follower_config = "{\"role\":\"follower\",\"name\":\"follow\",\"state\":\"follow-state.log\"}";
         let follower = Proxy::start(&dir, "follow", "127.0.42.11", &fleet, follower_config).await;
-        let extra = format!(
+        let extra_fields = format!(
             ",\"roster_port\":{},\"targets\":[{{\"name\":\"follow\",\"address\":\"{}\"}}]",
-            fleet.port, follower.admin
+            fleet.purge_port, follower.admin
         );
-        let leader = Proxy::start(&dir, "lead", "127.0.42.10", &fleet, &leader_config("lead", &extra)).await;
+        let leader =
+            Proxy::start(&dir, "lead", "127.0.42.10", &fleet, &leader_config("lead", &extra_fields)).await;
         // A follower applies nothing beyond a gap.
         let batch_after_gap = Batch {
             leader: "lead".into(),
@@ -293,7 +299,7 @@
         assert_eq!(submit(leader.admin, "tag:seller-1").await.unwrap().seq, 1);
         assert_eq!(submit(leader.admin, "pattern:/small-object/00000000000000*").await.unwrap().seq, 2);
         wait_until(10, "every server has applied both", || {
-            fleet.caches().iter().all(|server| server.applied() == 2)
+            fleet.caches().iter().all(|server| server.last_applied() == 2)
         })
         .await;
         for server in fleet.caches() {
@@ -301,7 +307,7 @@
         }
         let mut listed = None;
         for _ in 0..500 {
-            listed = get(follower.admin, "/purges/log").await;
+            listed = get_json(follower.admin, "/purges/log").await;
             if listed.as_ref().is_some_and(|l| l["entries"].as_array().is_some_and(|e| e.len() == 2)) {
                 break;
             }
@@ -312,14 +318,14 @@
         let order: Vec<(u64, &str)> =
             entries.iter().map(|e| (e["seq"].as_u64().unwrap(), e["sel"].as_str().unwrap())).collect();
         assert_eq!(order, [(1, "tag:seller-1"), (2, "pattern:/small-object/00000000000000*")]);
-        let status = get(leader.admin, "/purges").await.unwrap();
+        let status = get_json(leader.admin, "/purges").await.unwrap();
         assert_eq!(status["targets"]["follow"]["acked"].as_u64(), Some(2));
     });
 }
 
 /// Reads the objects repeatedly for `duration_ms`, and asserts that every copy was generated after
 /// `issued_ms`. Returns the numbers of successful and failed reads.
-async fn read_copies_newer_than(
+async fn assert_reads_newer_than(
     issued_ms: f64,
     duration_ms: f64,
     listen: SocketAddr,
@@ -327,10 +333,10 @@
     last_call_id: &Cell<u64>,
 ) -> (u32, u32) {
     let (mut served, mut failed) = (0, 0);
-    let until = now_ms() + duration_ms;
-    while now_ms() < until {
+    let end_ms = now_ms() + duration_ms;
+    while now_ms() < end_ms {
         for object in objects {
-            match fetch(listen, *object, 7, last_call_id).await {
+            match read_object(listen, *object, 7, last_call_id).await {
                 Some((200, Some(generated_ms))) => {
                     assert!(generated_ms > issued_ms, "a copy older than the purge reached a client");
                     served += 1;
@@ -350,18 +356,19 @@
 }
 
 #[test]
-fn a_target_unreachable_for_seconds_catches_up_and_retains_copies_newer_than_the_purge() {
+fn unreachable_targets_catch_up_and_retain_copies_newer_than_the_purge() {
     run(async {
         let fleet = Fleet::start(43).await;
         let dir = folder("purges-unreachable");
         let _ = std::fs::remove_file(dir.join("lead-state.log"));
-        let extra = format!(",\"roster_port\":{}", fleet.port);
-        let leader = Proxy::start(&dir, "lead", "127.0.43.10", &fleet, &leader_config("lead", &extra)).await;
+        let extra_fields = format!(",\"roster_port\":{}", fleet.purge_port);
+        let leader =
+            Proxy::start(&dir, "lead", "127.0.43.10", &fleet, &leader_config("lead", &extra_fields)).await;
         let last_call_id = Cell::new(0);
         let objects: Vec<u64> = (0x100..0x140).collect();
         for object in &objects {
             fleet.tag(*object, "seller-7");
-            assert_eq!(fetch(leader.listen, *object, 7, &last_call_id).await.map(|a| a.0), Some(200));
+            assert_eq!(read_object(leader.listen, *object, 7, &last_call_id).await.map(|a| a.0), Some(200));
         }
         for server in fleet.caches() {
             server.unreachable.set(true);
@@ -370,11 +377,11 @@
         fleet.servers[0].ignores_age_limit.set(true);
         let purge = submit(leader.admin, "tag:seller-7").await.unwrap();
         let (served, failed) =
-            read_copies_newer_than(purge.issued_ms, 3_000.0, leader.listen, &objects, &last_call_id).await;
+            assert_reads_newer_than(purge.issued_ms, 3_000.0, leader.listen, &objects, &last_call_id).await;
         // No server applied the purge, but clients got no purged copies because the proxy checks each reply.
-        assert!(fleet.caches().iter().all(|server| server.applied() == 0));
+        assert!(fleet.caches().iter().all(|server| server.last_applied() == 0));
         assert!(served > 0, "served {served}, failed {failed}");
-        let status = get(leader.admin, "/purges").await.unwrap();
+        let status = get_json(leader.admin, "/purges").await.unwrap();
         assert_eq!(status["done"].as_u64(), Some(0));
         let newer: Vec<Vec<(u64, f64)>> =
             fleet.caches().iter().map(|server| copies_newer_than(purge.issued_ms, server)).collect();
@@ -383,7 +390,7 @@
             server.unreachable.set(false);
         }
         wait_until(10, "the servers have caught up", || {
-            fleet.caches().iter().all(|server| server.applied() == 1)
+            fleet.caches().iter().all(|server| server.last_applied() == 1)
         })
         .await;
         for (server, newer) in fleet.caches().iter().zip(newer) {
@@ -404,7 +411,7 @@
         }
         let mut done = None;
         for _ in 0..300 {
-            done = get(leader.admin, "/purges").await.and_then(|s| s["done"].as_u64());
+            done = get_json(leader.admin, "/purges").await.and_then(|s| s["done"].as_u64());
             if done == Some(1) {
                 break;
             }
@@ -414,10 +421,11 @@
     });
 }
 
-fn read_purge_config(dir: &Path, role: &str, targets: &str) -> PurgeConfig {
+fn create_purge_config(dir: &Path, role: &str, targets: &str) -> PurgeConfig {
     let path = dir.join(format!("{role}.json"));
-    let text =
-        format!("{{\"role\":\"{role}\",\"name\":\"me\",\"state\":\"{role}.log\",\"targets\":[{targets}]}}");
+    let text = format!(
+        "{{\"role\":\"{role}\",\"name\":\"edge-1\",\"state\":\"{role}.log\",\"targets\":[{targets}]}}"
+    );
     std::fs::write(&path, text).unwrap();
     PurgeConfig::read(&path).unwrap()
 }
@@ -425,20 +433,20 @@
 /// Sends the due batches to a target, which applies and acknowledges them.
 fn replicate(leader: &mut Leader, active: &mut ActivePurges, target: &mut ActivePurges, now: f64) {
     for outgoing in leader.take_due_batches(now) {
-        if let Some(cutoff) = outgoing.batch.cutoff.filter(|cutoff| cutoff.seq >= target.applied()) {
+        if let Some(cutoff) = outgoing.batch.cutoff.filter(|cutoff| cutoff.seq >= target.last_applied()) {
             target.apply_cutoff(cutoff);
         }
         for purge in &outgoing.batch.purges {
-            assert_ne!(target.apply(purge), ApplyOutcome::Gap { expected: target.applied() + 1 });
+            assert_ne!(target.apply(purge), ApplyOutcome::Gap { expected: target.last_applied() + 1 });
         }
-        leader.acknowledge(&outgoing.target, target.applied(), active, now).unwrap();
+        leader.acknowledge(&outgoing.target, target.last_applied(), active, now).unwrap();
     }
 }
 
 #[test]
-fn a_torn_or_corrupt_log_retains_its_intact_prefix_and_issues_no_number_twice() {
+fn a_torn_or_corrupt_log_keeps_its_valid_prefix_and_reuses_no_sequence_number() {
     let dir = folder("purges-log");
-    let config = read_purge_config(&dir, "leader", "{\"name\":\"a\",\"address\":\"127.0.0.1:9\"}");
+    let config = create_purge_config(&dir, "leader", "{\"name\":\"a\",\"address\":\"127.0.0.1:9\"}");
     let path = config.log_path.clone().unwrap();
     let _ = std::fs::remove_file(&path);
     let (mut active, mut target) =
@@ -450,7 +458,7 @@
     replicate(&mut leader, &mut active, &mut target, 2_000.0);
     replicate(&mut leader, &mut active, &mut target, 2_001.0);
     replicate(&mut leader, &mut active, &mut target, 2_002.0);
-    assert_eq!(target.applied(), 5);
+    assert_eq!(target.last_applied(), 5);
     drop(leader);
 
     // A torn write is truncated, and nothing else changes.
@@ -461,10 +469,10 @@
     let status = leader.status(&active);
     let tail = status.truncated.clone().expect("the torn tail is detected");
     assert!(tail.is_torn_write() && tail.offset as usize == std::fs::metadata(&path).unwrap().len() as usize);
-    assert_eq!((status.last_seq, active.applied(), active.cutoff()), (5, 5, None));
+    assert_eq!((status.last_seq, active.last_applied(), active.cutoff()), (5, 5, None));
     assert_eq!(leader.submit("tag:t6".parse().unwrap(), &mut active, 3_001.0).unwrap().seq, 6);
     replicate(&mut leader, &mut active, &mut target, 3_002.0);
-    assert_eq!(target.applied(), 6);
+    assert_eq!(target.last_applied(), 6);
     drop(leader);
 
     // A corrupt record in the middle: the records after it are lost, among them purges that may have been
@@ -489,18 +497,18 @@
     assert!(next > 6);
     replicate(&mut leader, &mut active, &mut target, 4_002.0);
     replicate(&mut leader, &mut active, &mut target, 4_003.0);
-    assert_eq!(target.applied(), next, "the target applied the cutoff and the new purge, nothing twice");
+    assert_eq!(target.last_applied(), next, "the target applied the cutoff and the new purge, nothing twice");
     assert!(target.cutoff().is_some_and(|cutoff| cutoff.issued_ms >= 4_000.0));
 }
 
 #[test]
-fn invalid_input_to_purge_submit_is_rejected_and_changes_nothing() {
+fn invalid_purge_submissions_are_rejected_without_issuing_a_purge() {
     run(async {
         let fleet = Fleet::start(44).await;
         let dir = folder("purges-invalid");
         let _ = std::fs::remove_file(dir.join("lead-state.log"));
         let leader = Proxy::start(&dir, "lead", "127.0.44.10", &fleet, &leader_config("lead", "")).await;
-        let at = leader.admin.to_string();
+        let admin = leader.admin.to_string();
         let cases = [
             ("", "empty selector"),
             ("pattern:/a/**/b", "last segment"),
@@ -511,7 +519,7 @@
         ];
         for (selector, reason) in cases {
             let out =
-                Command::new(PROGRAM).args(["purge", "submit", "--at", &at, selector]).output().unwrap();
+                Command::new(PROGRAM).args(["purge", "submit", "--at", &admin, selector]).output().unwrap();
             let message = String::from_utf8_lossy(&out.stderr);
             assert!(!out.status.success() && message.contains(reason), "{selector:?}: {message}");
         }
@@ -521,13 +529,14 @@
             assert_eq!(answer.status, 400, "{body}");
             assert!(String::from_utf8_lossy(&answer.body).contains("error"));
         }
-        let status = get(leader.admin, "/purges").await.unwrap();
+        let status = get_json(leader.admin, "/purges").await.unwrap();
         assert_eq!((status["last"].as_u64(), status["figures"]["issued"].as_u64()), (Some(0), Some(0)));
         let log = dir.join("lead-state.log");
         let out = Command::new(PROGRAM).args(["purge", "log", log.to_str().unwrap()]).output().unwrap();
         assert!(out.status.success() && out.stdout.is_empty(), "{}", String::from_utf8_lossy(&out.stderr));
         // The next valid purge gets the first sequence number.
-        let out = Command::new(PROGRAM).args(["purge", "submit", "--at", &at, "group:3"]).output().unwrap();
+        let out =
+            Command::new(PROGRAM).args(["purge", "submit", "--at", &admin, "group:3"]).output().unwrap();
         assert!(String::from_utf8_lossy(&out.stdout).contains("\"seq\":1"), "{out:?}");
     });
 }
@@ -535,39 +544,46 @@
 /// Guards against exhausting the file descriptors by calls to unresponsive targets: concurrent calls stay
 /// within `MAX_CONCURRENT_CALLS`, and clients are still served.
 #[test]
-fn a_thousand_hanging_targets_leave_descriptors_to_clients_and_endpoints() {
+fn unresponsive_targets_do_not_exhaust_file_descriptors() {
     const TARGETS: usize = 1_024;
     // Allowance for short-lived connections: the discovery stream and admin calls.
-    const SHORT_LIVED: usize = 8;
+    const MAX_SHORT_LIVED_CONNECTIONS: usize = 8;
     run(async {
         let fleet = Fleet::start(47).await;
         let dir = folder("purges-hanging");
         let _ = std::fs::remove_file(dir.join("edge-1-state.log"));
-        let hanging = tokio::net::TcpListener::bind("127.0.47.20:0").await.unwrap();
-        let at = hanging.local_addr().unwrap();
+        let listener = tokio::net::TcpListener::bind("127.0.47.20:0").await.unwrap();
+        let address = listener.local_addr().unwrap();
         let targets: Vec<String> =
-            (0..TARGETS).map(|k| format!(r#"{{"name":"t{k}","address":"{at}"}}"#)).collect();
-        let extra = format!(r#","targets":[{}]"#, targets.join(","));
-        let file = leader_config("edge-1", &extra).replace("\"timeout_ms\":2000", "\"timeout_ms\":200");
-        let leader = Proxy::start(&dir, "edge-1", "127.0.47.10", &fleet, &file).await;
-        let descriptors = || {
+            (0..TARGETS).map(|k| format!(r#"{{"name":"t{k}","address":"{address}"}}"#)).collect();
+        let extra_fields = format!(r#","targets":[{}]"#, targets.join(","));
+        let config =
+            leader_config("edge-1", &extra_fields).replace("\"timeout_ms\":2000", "\"timeout_ms\":200");
+        let leader = Proxy::start(&dir, "edge-1", "127.0.47.10", &fleet, &config).await;
+        let count_descriptors = || {
             let list = std::fs::read_dir(format!("/proc/{}/fd", leader.child.id())).unwrap();
             list.count()
         };
-        let (mut max, mut open, last_call_id) = (0, Vec::new(), Cell::new(0));
-        for calls in 0..3 * MAX_CONCURRENT_CALLS {
+        let (mut max_descriptors, mut connections, last_call_id) = (0, Vec::new(), Cell::new(0));
+        for call_index in 0..3 * MAX_CONCURRENT_CALLS {
             // Kept open, so that a call ends only by the proxy's timeout.
-            open.push(hanging.accept().await.unwrap());
-            max = max.max(descriptors());
-            if calls % MAX_CONCURRENT_CALLS == 0 {
-                assert_eq!(fetch(leader.listen, calls as u64, 17, &last_call_id).await.unwrap().0, 200);
+            connections.push(listener.accept().await.unwrap());
+            max_descriptors = max_descriptors.max(count_descriptors());
+            if call_index % MAX_CONCURRENT_CALLS == 0 {
+                assert_eq!(
+                    read_object(leader.listen, call_index as u64, 17, &last_call_id).await.unwrap().0,
+                    200
+                );
             }
         }
-        assert!(max >= MAX_CONCURRENT_CALLS, "all permits are used: {max} descriptors");
+        assert!(
+            max_descriptors >= MAX_CONCURRENT_CALLS,
+            "all permits are used: {max_descriptors} descriptors"
+        );
         // The other descriptors (standard streams, runtime, listeners, log) are fewer than `MAX_CONCURRENT_CALLS`.
         assert!(
-            max < 2 * MAX_CONCURRENT_CALLS + SHORT_LIVED,
-            "{max} descriptors while {TARGETS} targets hang"
+            max_descriptors < 2 * MAX_CONCURRENT_CALLS + MAX_SHORT_LIVED_CONNECTIONS,
+            "{max_descriptors} descriptors while {TARGETS} targets hang"
         );
     });
 }
--- a/tests/stand_ins/purge_target.rs
+++ b/tests/stand_ins/purge_target.rs
@@ -50,7 +50,7 @@
 
 impl StoredCopy {
     /// The properties that selectors match on.
-    fn cached(&self, object: u64) -> CachedCopy<'_> {
+    fn as_cached_copy(&self, object: u64) -> CachedCopy<'_> {
         CachedCopy { name: &self.name, object, group: self.group, surrogate_keys: &self.surrogate_keys }
     }
 }
@@ -82,7 +82,7 @@
 }
 
 /// Encodes the reply to a read; the body identifies the copy.
-fn encode_answer(read: &Read, copy: &StoredCopy) -> Vec<u8> {
+fn encode_reply(read: &Read, copy: &StoredCopy) -> Vec<u8> {
     let body =
         format!("object={:016x} part={} generated_ms={:.3}", read.object, read.part, copy.generated_ms);
     let keys: Vec<&str> = copy.surrogate_keys.iter().map(SurrogateKey::as_str).collect();
@@ -150,12 +150,12 @@
         };
         let (store, active, observed) =
             (server.store.clone(), server.active.clone(), server.observed.clone());
-        let modes = (server.ignores_age_limit.clone(), server.always_generates.clone());
+        let flags = (server.ignores_age_limit.clone(), server.always_generates.clone());
         spawn_local(async move {
             while let Ok((stream, _)) = cache_listener.accept().await {
-                let (store, active, observed, modes) =
-                    (store.clone(), active.clone(), observed.clone(), modes.clone());
-                spawn_local(Self::serve_reads(stream, store, active, observed, modes, origin.clone()));
+                let (store, active, observed, flags) =
+                    (store.clone(), active.clone(), observed.clone(), flags.clone());
+                spawn_local(Self::serve_reads(stream, store, active, observed, flags, origin.clone()));
             }
         });
         let (store, active, observed) =
@@ -180,8 +180,8 @@
     }
 
     /// The highest sequence number applied.
-    pub fn applied(&self) -> u64 {
-        self.active.borrow().applied()
+    pub fn last_applied(&self) -> u64 {
+        self.active.borrow().last_applied()
     }
 
     async fn serve_reads(
@@ -192,26 +192,27 @@
         (ignores_age_limit, always_generates): (Rc<Cell<bool>>, Rc<Cell<bool>>),
         origin: Rc<Origin>,
     ) {
-        let (read, mut write) = stream.into_split();
-        let mut read = BufReader::new(read);
+        let (reader, mut writer) = stream.into_split();
+        let mut reader = BufReader::new(reader);
         let mut line = String::new();
-        while read.read_line(&mut line).await.is_ok_and(|n| n > 0) {
+        while reader.read_line(&mut line).await.is_ok_and(|n| n > 0) {
             let fields: Vec<String> = line.split_whitespace().map(String::from).collect();
             line.clear();
             if fields.len() != 4 || fields[0] != "GET" {
                 continue;
             }
             let mut body = vec![0; fields[3].parse::<usize>().unwrap() + 2];
-            if read.read_exact(&mut body).await.is_err() {
+            if reader.read_exact(&mut body).await.is_err() {
                 return;
             }
             let request = Read::parse(&fields[1], &fields[2]);
             let now = now_ms();
             let is_usable = |copy: &StoredCopy| {
-                let is_young_enough =
+                let is_within_age_limit =
                     request.max_age_ms == 0.0 || now - copy.generated_ms <= request.max_age_ms;
-                let purge = active.borrow().purge_of(&copy.cached(request.object), copy.generated_ms);
-                (is_young_enough || ignores_age_limit.get()) && purge.is_none()
+                let purge =
+                    active.borrow().removing_purge(&copy.as_cached_copy(request.object), copy.generated_ms);
+                (is_within_age_limit || ignores_age_limit.get()) && purge.is_none()
             };
             let key = (request.object, request.part);
             let stored = store.borrow().get(&key).cloned();
@@ -222,7 +223,7 @@
                 copy
             });
             observed.reads.set(observed.reads.get() + 1);
-            if write.write_all(&encode_answer(&request, &copy)).await.is_err() {
+            if writer.write_all(&encode_reply(&request, &copy)).await.is_err() {
                 return;
             }
         }
@@ -243,8 +244,9 @@
         observed.batches.set(observed.batches.get() + 1);
         {
             let mut active = active.borrow_mut();
-            if let Some(cutoff) =
-                batch.cutoff.filter(|cutoff| cutoff.seq >= active.applied() && batch.from == cutoff.seq + 1)
+            if let Some(cutoff) = batch
+                .cutoff
+                .filter(|cutoff| cutoff.seq >= active.last_applied() && batch.from == cutoff.seq + 1)
             {
                 active.apply_cutoff(cutoff);
                 observed.cutoffs.set(observed.cutoffs.get() + 1);
@@ -257,12 +259,12 @@
             }
             // Copies newer than the purge that covers them remain.
             store.borrow_mut().retain(|(object, _), copy| {
-                active.purge_of(&copy.cached(*object), copy.generated_ms).is_none()
+                active.removing_purge(&copy.as_cached_copy(*object), copy.generated_ms).is_none()
             });
             active.advance_low_water_mark(batch.low_water_mark, now_ms());
         }
         tokio::time::sleep(Duration::from_millis(delay_ms)).await;
-        let body = to_json(&Acknowledgement { applied: active.borrow().applied() });
+        let body = to_json(&Acknowledgement { applied: active.borrow().last_applied() });
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n", body.len());
         let _ = stream.write_all(&[head.as_bytes(), &body].concat()).await;
     }
