--- a/src/purge/active_purges/tests.rs
+++ b/src/purge/active_purges/tests.rs
@@ -23,7 +23,7 @@
     assert!(active.removing_purge(&tagged_copy, 1_500.0).is_some());
     assert!(
         active.removing_purge(&tagged_copy, 2_000.0).is_some(),
-        "a copy generated at that very time is removed too"
+        "a copy generated at the purge's issue time is removed"
     );
     assert!(active.removing_purge(&tagged_copy, 2_001.0).is_none(), "a copy newer than every purge remains");
     assert_eq!(active.max_age_ms(3_000.0, &tagged_copy), Some(990));
--- a/src/purge/config.rs
+++ b/src/purge/config.rs
@@ -147,7 +147,10 @@
     /// Checks every field. Errors name fields by their keys in the file.
     pub fn check(&self) -> Result<(), FieldError> {
         if !is_valid_name(&self.name) {
-            return Err(FieldError::new("name", "1 to 64 letters, digits or -._:"));
+            return Err(FieldError::new(
+                "name",
+                format!("{:?}: must be 1 to {MAX_NAME_BYTES} ASCII letters, digits or `-._:`", self.name),
+            ));
         }
         self.check_targets()?;
         self.check_bounds()
@@ -161,15 +164,20 @@
                 return Err(FieldError::new(
                     "targets",
                     format!(
-                        "{:?}: a target's name must be valid, unique and different from this proxy's",
+                        "{:?}: a target's name must be 1 to {MAX_NAME_BYTES} ASCII letters, digits or \
+                         `-._:`, unique among the targets, and not this proxy's name",
                         target.name
                     ),
                 ));
             }
-            parse_address(&target.address).map_err(|error| FieldError::new("targets", error))?;
+            parse_address(&target.address)
+                .map_err(|error| FieldError::new("targets", format!("{}: {error}", target.name)))?;
         }
         if self.role == Role::Follower && (!self.targets.is_empty() || self.endpoint_port.is_some()) {
-            return Err(FieldError::new("targets", "only the leader has targets"));
+            return Err(FieldError::new(
+                "targets",
+                "`targets` and `roster_port` must not be set with the role `follower`",
+            ));
         }
         Ok(())
     }
@@ -184,7 +192,11 @@
             ("batch_most", (1..=1_024).contains(&self.max_batch), "1 to 1,024"),
             ("heartbeat_ms", is_within(self.heartbeat_ms, 10.0, 60_000.0), "10 to 60,000"),
             ("timeout_ms", is_within(self.timeout_ms, 10.0, 60_000.0), "10 to 60,000"),
-            ("backoff", is_backoff_valid, Backoff::BOUNDS),
+            (
+                "backoff",
+                is_backoff_valid,
+                "first_ms 1 to most_ms, most_ms up to 600,000, factor 1 to 10, jitter 0 to 1",
+            ),
             ("compact_bytes", (4_096..=1 << 30).contains(&self.compact_bytes), "4,096 to 1 GiB"),
             ("tags_most", (1..=10_000_000).contains(&self.max_tagged_objects), "1 to 10,000,000"),
             ("roster_port", self.endpoint_port != Some(0), "1 to 65,535"),
--- a/src/purge/follower.rs
+++ b/src/purge/follower.rs
@@ -15,10 +15,10 @@
 pub enum ReceiveError {
     /// This proxy is a leader. Accepting batches would allow two leaders that issue the same sequence
     /// numbers.
-    #[error("this proxy is a leader and takes no batches")]
+    #[error("this proxy is a leader: only a follower accepts batches")]
     NotFollower,
     /// The sequence numbers of the batch are not consecutive or do not start at `from`.
-    #[error("the purges of a batch are not in order")]
+    #[error("the sequence numbers of a batch must be consecutive and start at `from`")]
     NotContiguous,
     /// The log can't be written.
     #[error(transparent)]
--- a/src/purge/glob.rs
+++ b/src/purge/glob.rs
@@ -35,7 +35,7 @@
     #[error("`**` must be a whole segment")]
     PartialDoubleStar,
     /// A segment before the last is empty.
-    #[error("an empty segment")]
+    #[error("a segment before the last is empty")]
     EmptySegment,
     /// The pattern has more than [`MAX_WILDCARDS`] wildcards.
     #[error("more than {MAX_WILDCARDS} wildcards")]
--- a/src/purge/leader.rs
+++ b/src/purge/leader.rs
@@ -36,10 +36,10 @@
     #[error(transparent)]
     Call(#[from] CallError),
     /// The target answered with an error status.
-    #[error("status {0}")]
+    #[error("the target answered with status {0}")]
     Status(u16),
     /// The target's answer is not a valid acknowledgement.
-    #[error(transparent)]
+    #[error("malformed acknowledgement: {0}")]
     Malformed(#[from] simd_json::Error),
 }
 
@@ -213,7 +213,8 @@
         tracing::error!(
             acknowledged,
             last_seq = self.journal.last_seq,
-            "purges: a target has applied purges that this log lacks; every older copy is purged fleet-wide"
+            "purges: a target acknowledged purges that this log lacks; purging every copy generated \
+             until now in the whole fleet"
         );
         let cutoff = PurgeStamp { seq: acknowledged, issued_ms: now_ms.max(self.last_issued_ms) };
         self.journal.append(&Record::Cutoff(cutoff), Durability::Synced)?;
--- a/src/purge/log.rs
+++ b/src/purge/log.rs
@@ -104,7 +104,7 @@
     #[error("purge log {0}: not a purge log (its first bytes are not CBPURGE1)")]
     NotPurgeLog(PathBuf),
     /// The file is larger than [`MAX_FILE_BYTES`].
-    #[error("purge log {0}: larger than 1 GiB")]
+    #[error("purge log {0}: larger than {MAX_FILE_BYTES} bytes")]
     TooLarge(PathBuf),
     /// A record can't be encoded as JSON.
     #[error("purge log: a record can't be encoded: {0}")]
@@ -300,7 +300,7 @@
         let tail = TruncatedTail { offset, removed: self.size_bytes - offset, fault: invalid.fault };
         tracing::error!(
             log = %self.path.display(), offset, removed = tail.removed, fault = %tail.fault, intact_records,
-            "purge log: truncated after its last intact record"
+            "purge log: truncated at the first invalid record"
         );
         self.file.set_len(offset).map_err(io_error(&self.path, "truncate"))?;
         self.file.sync_all().map_err(io_error(&self.path, "fsync"))?;
@@ -361,7 +361,7 @@
 /// Flushes the directory of a file to disk, so that a created or renamed file survives a power failure.
 fn sync_directory(path: &Path) -> Result<(), LogError> {
     let directory = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    File::open(directory).and_then(|f| f.sync_all()).map_err(io_error(directory, "fsync the folder"))
+    File::open(directory).and_then(|f| f.sync_all()).map_err(io_error(directory, "fsync directory"))
 }
 
 #[cfg(test)]
--- a/src/purge/recovery.rs
+++ b/src/purge/recovery.rs
@@ -57,7 +57,7 @@
             retained = recovered.retained.len(),
             active = active.len(),
             targets = recovered.acknowledged.len(),
-            "purges: resumed from the log"
+            "purges: replica state recovered"
         );
         Ok(recovered)
     }
@@ -117,7 +117,8 @@
             removed,
             skipped,
             cutoff_seq = cutoff.seq,
-            "purges: the log was corrupt; every copy older than now counts as purged until the fleet has caught up"
+            "purges: the log was corrupt; replacing the lost purges with a cutoff that covers every copy \
+             generated until now"
         );
         self.journal.append(&Record::Cutoff(cutoff), Durability::Synced)?;
         active.apply_cutoff(cutoff);
--- a/src/purge/selector.rs
+++ b/src/purge/selector.rs
@@ -29,7 +29,7 @@
     #[error("unknown selector kind `{0}`: use object, group, tag, pattern or everything")]
     UnknownKind(String),
     /// The object is not 16 lower-case hex digits.
-    #[error("an object is 16 hex digits, not `{0}`")]
+    #[error("an object is 16 lower-case hex digits, not `{0}`")]
     Object(String),
     /// The group is not a number within its bounds.
     #[error("a group is a number from 0 to {MAX_GROUP}, not `{0}`")]
--- a/src/purge/service.rs
+++ b/src/purge/service.rs
@@ -104,7 +104,7 @@
 
     fn sync_log(&self) {
         if let Err(error) = self.replica.borrow_mut().sync() {
-            tracing::error!(%error, "purges: the log can't be synchronised to disk");
+            tracing::error!(%error, "purges: the log can't be flushed to disk");
         }
     }
 
@@ -124,7 +124,7 @@
             }
         });
         if let Err(error) = recorded {
-            tracing::error!(%error, target, "purges: an acknowledgement can't be logged");
+            tracing::error!(%error, target, "purges: the log can't be updated after an acknowledgement");
         }
         self.wake.notify_one();
     }
@@ -172,7 +172,7 @@
             }
             Err(error @ SubmitError::NotLeader) => error_response(409, error),
             Err(error @ SubmitError::Log(_)) => {
-                tracing::error!(%error, "purges: a purge was not issued");
+                tracing::error!(%error, "purges: a purge submission failed");
                 error_response(500, error)
             }
         }
--- a/src/purge/wire.rs
+++ b/src/purge/wire.rs
@@ -88,7 +88,7 @@
 
 /// Encodes a body as JSON.
 pub fn to_json<T: Serialize>(value: &T) -> Vec<u8> {
-    simd_json::to_vec(value).expect("the types of this module have string keys only")
+    simd_json::to_vec(value).expect("the bodies of purge calls have string keys only")
 }
 
 /// Decodes a body from JSON.
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -222,15 +222,15 @@
             assert_eq!(issued.seq, k);
         }
         let (quick, slow) = (&fleet.servers[..2], &fleet.servers[2]);
-        wait_until(10, "the quick servers have applied all", || {
+        wait_until(10, "the quick servers have applied all purges", || {
             quick.iter().all(|server| server.last_applied() == 8)
         })
         .await;
-        wait_until(10, "the slow server has applied some", || slow.last_applied() >= 2).await;
+        wait_until(10, "the slow server has applied at least 2 purges", || slow.last_applied() >= 2).await;
         let applied_at_kill = slow.last_applied();
         assert!(
             applied_at_kill < 8,
-            "the slow server must be behind at the kill, has applied {applied_at_kill}"
+            "the slow server must not have applied all 8 purges at the kill, has applied {applied_at_kill}"
         );
         leader.kill_and_restart().await;
         wait_until(15, "the slow server catches up", || slow.last_applied() == 8).await;
@@ -243,7 +243,7 @@
             assert_eq!(
                 *server.observed.applied.borrow(),
                 (1..=9).collect::<Vec<u64>>(),
-                "{} applied in order, once",
+                "{} did not apply every purge once and in order",
                 server.name
             );
         }
@@ -298,7 +298,7 @@
         fleet.origin.surrogate_keys.borrow_mut().insert(0x11, vec![SurrogateKey::new("seller-1").unwrap()]);
         assert_eq!(submit(leader.admin, "tag:seller-1").await.unwrap().seq, 1);
         assert_eq!(submit(leader.admin, "pattern:/small-object/00000000000000*").await.unwrap().seq, 2);
-        wait_until(10, "every server has applied both", || {
+        wait_until(10, "every cache server has applied both purges", || {
             fleet.caches().iter().all(|server| server.last_applied() == 2)
         })
         .await;
@@ -338,7 +338,10 @@
         for object in objects {
             match read_object(listen, *object, 7, last_call_id).await {
                 Some((200, Some(generated_ms))) => {
-                    assert!(generated_ms > issued_ms, "a copy older than the purge reached a client");
+                    assert!(
+                        generated_ms > issued_ms,
+                        "object {object:016x}: got a copy generated at {generated_ms}, purged at {issued_ms}"
+                    );
                     served += 1;
                 }
                 _ => failed += 1,
@@ -488,7 +491,11 @@
     assert!(!tail.is_torn_write(), "{tail:?}");
     // The file is longer than the magic (8 bytes): the records before the corrupt one remain.
     assert!((tail.offset as usize) <= corrupt && std::fs::metadata(&path).unwrap().len() > 8);
-    assert!(status.last_seq > 6, "numbers that may have been issued are skipped, last {}", status.last_seq);
+    assert!(
+        status.last_seq > 6,
+        "sequence numbers that may have been issued must be skipped; last_seq is {}",
+        status.last_seq
+    );
     assert!(
         active.cutoff().is_some_and(|cutoff| cutoff.issued_ms >= 4_000.0),
         "every older copy counts as purged"
@@ -497,7 +504,7 @@
     assert!(next > 6);
     replicate(&mut leader, &mut active, &mut target, 4_002.0);
     replicate(&mut leader, &mut active, &mut target, 4_003.0);
-    assert_eq!(target.last_applied(), next, "the target applied the cutoff and the new purge, nothing twice");
+    assert_eq!(target.last_applied(), next, "the target has applied the cutoff and the new purge");
     assert!(target.cutoff().is_some_and(|cutoff| cutoff.issued_ms >= 4_000.0));
 }
 
@@ -515,7 +522,7 @@
             ("pattern:video/*", "begins with `/`"),
             ("colour:red", "unknown selector kind"),
             ("tag:a b", "a tag is"),
-            ("object:xyz", "16 hex digits"),
+            ("object:xyz", "16 lower-case hex digits"),
         ];
         for (selector, reason) in cases {
             let out =
@@ -578,9 +585,10 @@
         }
         assert!(
             max_descriptors >= MAX_CONCURRENT_CALLS,
-            "all permits are used: {max_descriptors} descriptors"
+            "expected {MAX_CONCURRENT_CALLS} or more descriptors, one per permit, counted {max_descriptors}"
         );
-        // The other descriptors (standard streams, runtime, listeners, log) are fewer than `MAX_CONCURRENT_CALLS`.
+        // The other descriptors (standard streams, runtime, listeners, log) are fewer than
+        // `MAX_CONCURRENT_CALLS`.
         assert!(
             max_descriptors < 2 * MAX_CONCURRENT_CALLS + MAX_SHORT_LIVED_CONNECTIONS,
             "{max_descriptors} descriptors while {TARGETS} targets hang"
