--- a/src/purge/config.rs
+++ b/src/purge/config.rs
@@ -44,27 +44,27 @@
     pub name: String,
     /// The address of its `POST /purges/apply`.
     pub address: SocketAddr,
-    /// Whether it is listed or draining.
+    /// Its state in the endpoint list; always `Listed` for a target of the configuration file.
     pub status: TargetStatus,
 }
 
 impl From<CacheServer> for Target {
-    fn from(holder: CacheServer) -> Self {
-        let status = match holder.state {
+    fn from(server: CacheServer) -> Self {
+        let status = match server.state {
             EndpointState::Active => TargetStatus::Listed,
             EndpointState::Draining | EndpointState::Removed => TargetStatus::Draining,
         };
-        Self { name: holder.name, address: holder.address, status }
+        Self { name: server.name, address: server.address, status }
     }
 }
 
-/// The configuration file.
+/// The configuration of fleet purges, as read from its file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PurgeConfig {
     /// The role of this proxy.
     pub role: Role,
-    /// The name of this proxy in batches and log lines.
+    /// The name of this proxy in batches and in `GET /purges`.
     pub name: String,
     /// The path of the purge log; without it all state is in memory and lost at a restart.
     #[serde(default, rename = "state")]
@@ -101,7 +101,7 @@
     /// The size beyond which the log is compacted, in bytes.
     #[serde(default = "default_compact_bytes")]
     pub compact_bytes: u64,
-    /// Maximum number of objects whose surrogate keys are cached from answers.
+    /// Maximum number of objects whose surrogate keys are cached from replies.
     #[serde(default = "default_max_tagged_objects", rename = "tags_most")]
     pub max_tagged_objects: usize,
     /// The path of this file.
@@ -147,7 +147,10 @@
     /// Checks every field. Errors name fields by their keys in the file.
     pub fn check(&self) -> Result<(), FieldError> {
         if !is_valid_name(&self.name) {
-            return Err(FieldError::new("name", "1 to 64 letters, digits or -._:"));
+            return Err(FieldError::new(
+                "name",
+                format!("{:?}: must be 1 to {MAX_NAME_BYTES} ASCII letters, digits or `-._:`", self.name),
+            ));
         }
         self.check_targets()?;
         self.check_bounds()
@@ -161,7 +164,8 @@
                 return Err(FieldError::new(
                     "targets",
                     format!(
-                        "{:?}: a target's name must be valid, unique and different from this proxy's",
+                        "{:?}: a target's name must be 1 to {MAX_NAME_BYTES} ASCII letters, digits or \
+                         `-._:`, unique among the targets, and not this proxy's name",
                         target.name
                     ),
                 ));
@@ -169,22 +173,25 @@
             parse_address(&target.address).map_err(|error| FieldError::new("targets", error))?;
         }
         if self.role == Role::Follower && (!self.targets.is_empty() || self.endpoint_port.is_some()) {
-            return Err(FieldError::new("targets", "only the leader has targets"));
+            return Err(FieldError::new(
+                "targets",
+                "`targets` and `roster_port` must not be set with the role `follower`",
+            ));
         }
         Ok(())
     }
 
     fn check_bounds(&self) -> Result<(), FieldError> {
-        let within = |v: f64, low: f64, high: f64| v.is_finite() && v >= low && v <= high;
-        let backoff_ok = self.backoff.is_valid() && self.backoff.max_ms <= MAX_BACKOFF_MS;
+        let is_within = |value: f64, min: f64, max: f64| value.is_finite() && value >= min && value <= max;
+        let is_backoff_valid = self.backoff.is_valid() && self.backoff.max_ms <= MAX_BACKOFF_MS;
         let checks: [(&'static str, bool, &str); 10] = [
-            ("hold_ms", within(self.min_retention_ms, 500.0, 3_600_000.0), "500 to 3,600,000"),
+            ("hold_ms", is_within(self.min_retention_ms, 500.0, 3_600_000.0), "500 to 3,600,000"),
             ("held_most", (1..=10_000_000).contains(&self.max_active), "1 to 10,000,000"),
             ("queue_most", (1..=10_000_000).contains(&self.max_retained), "1 to 10,000,000"),
             ("batch_most", (1..=1_024).contains(&self.max_batch), "1 to 1,024"),
-            ("heartbeat_ms", within(self.heartbeat_ms, 10.0, 60_000.0), "10 to 60,000"),
-            ("timeout_ms", within(self.timeout_ms, 10.0, 60_000.0), "10 to 60,000"),
-            ("backoff", backoff_ok, Backoff::BOUNDS),
+            ("heartbeat_ms", is_within(self.heartbeat_ms, 10.0, 60_000.0), "10 to 60,000"),
+            ("timeout_ms", is_within(self.timeout_ms, 10.0, 60_000.0), "10 to 60,000"),
+            ("backoff", is_backoff_valid, Backoff::BOUNDS),
             ("compact_bytes", (4_096..=1 << 30).contains(&self.compact_bytes), "4,096 to 1 GiB"),
             ("tags_most", (1..=10_000_000).contains(&self.max_tagged_objects), "1 to 10,000,000"),
             ("roster_port", self.endpoint_port != Some(0), "1 to 65,535"),
--- a/src/purge/leader.rs
+++ b/src/purge/leader.rs
@@ -9,7 +9,7 @@
 use super::metrics::ReplicaStatus;
 use super::recovery::Recovered;
 use super::selector::Selector;
-use super::wire::{Batch, PurgeList, Submitted};
+use super::wire::{Batch, PurgeList, SubmitResponse};
 use crate::http_client::CallError;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 /// A failing target is logged at its first failure and then at every multiple of this many failures.
 const FAILURES_PER_WARNING: u32 = 20;
 
-/// Why a purge was not issued. Nothing has changed.
+/// Why a submit failed. If the compaction after the purge failed, the purge was issued nevertheless.
 #[derive(Debug, Error)]
 pub enum SubmitError {
     /// This proxy is a follower.
@@ -36,14 +36,14 @@
     #[error(transparent)]
     Call(#[from] CallError),
     /// The target answered with an error status.
-    #[error("status {0}")]
+    #[error("the target answered with status {0}")]
     Status(u16),
     /// The target's answer is not a valid acknowledgement.
-    #[error(transparent)]
+    #[error("malformed acknowledgement: {0}")]
     Malformed(#[from] simd_json::Error),
 }
 
-/// A batch to send.
+/// A batch with the target to send it to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingBatch {
     /// The name of the target.
@@ -110,7 +110,7 @@
         selector: Selector,
         active: &mut ActivePurges,
         now_ms: f64,
-    ) -> Result<Submitted, SubmitError> {
+    ) -> Result<SubmitResponse, SubmitError> {
         let issued_ms = now_ms.max(self.last_issued_ms);
         let purge = Purge { seq: self.journal.last_seq + 1, issued_ms, selector };
         self.journal.append(&Record::Purge(purge.clone()), Durability::Synced)?;
@@ -120,16 +120,16 @@
         debug_assert_eq!(outcome, ApplyOutcome::Applied);
         tracing::info!(seq = purge.seq, selector = %purge.selector, issued_ms, "purge issued");
         self.journal.metrics.issued += 1;
-        let submitted = Submitted { seq: purge.seq, issued_ms };
+        let submitted = SubmitResponse { seq: purge.seq, issued_ms };
         self.retained.insert(purge.seq, purge);
         self.fanout.purge_appended(submitted.seq, now_ms);
         self.drop_old_purges(active)?;
         Ok(submitted)
     }
 
-    /// Once too many purges are retained or the log has grown beyond its size, drops the purges that every
-    /// target has applied and the oldest beyond the limit, and compacts the log. A target that lacks a
-    /// dropped purge gets a cutoff.
+    /// Once more than `max_retained` purges are retained or the log has grown beyond `compact_bytes`, drops
+    /// the purges that every target has applied and the oldest beyond `max_retained`, and compacts the log. A
+    /// target that lacks a dropped purge gets a cutoff.
     fn drop_old_purges(&mut self, active: &ActivePurges) -> Result<(), LogError> {
         if self.retained.len() <= self.max_retained && !self.journal.needs_compaction() {
             return Ok(());
@@ -190,7 +190,7 @@
                 tracing::warn!(target, from, to, "purges: a target lost its state; resending its purges");
             }
             AckOutcome::BeyondLog { acknowledged } => {
-                self.replace_unknown_purges(acknowledged, active, now_ms)?;
+                self.replace_missing_purges(acknowledged, active, now_ms)?;
             }
             AckOutcome::Advanced { .. } | AckOutcome::Unexpected => {}
         }
@@ -201,10 +201,10 @@
         self.drop_old_purges(active)
     }
 
-    /// Handles an acknowledgement beyond this log, whose purges were issued from a log that has been lost.
-    /// Replaces the unknown purges by a cutoff at the current time, and continues the sequence numbers after
-    /// them.
-    fn replace_unknown_purges(
+    /// Handles an acknowledgement of a sequence number beyond the end of this log, assigned in an earlier log
+    /// that has been lost. Replaces the missing purges with a cutoff at the current time, and continues the
+    /// sequence numbers after `acknowledged`.
+    fn replace_missing_purges(
         &mut self,
         acknowledged: u64,
         active: &mut ActivePurges,
@@ -213,7 +213,8 @@
         tracing::error!(
             acknowledged,
             last_seq = self.journal.last_seq,
-            "purges: a target has applied purges that this log lacks; every older copy is purged fleet-wide"
+            "purges: a target acknowledged purges that this log lacks; purging every copy generated \
+             until now in the whole fleet"
         );
         let cutoff = PurgeStamp { seq: acknowledged, issued_ms: now_ms.max(self.last_issued_ms) };
         self.journal.append(&Record::Cutoff(cutoff), Durability::Synced)?;
--- a/src/purge/log.rs
+++ b/src/purge/log.rs
@@ -7,10 +7,10 @@
 //! ```
 //!
 //! The payload is JSON. Opening reads the records up to the first invalid one, truncates the file there, and
-//! logs and returns the fault. The leader flushes a purge to disk before sending it, so a torn tail contains
-//! only a purge that was never sent. Other records may be written without waiting for the disk: they survive
-//! SIGKILL, and one lost in a power failure only causes a repeat, which the target skips by its sequence
-//! number.
+//! logs and returns the fault. The leader flushes a purge to disk before sending it, so a leader's torn tail
+//! contains no purge that was sent. Other records may be written without waiting for the disk: they survive
+//! SIGKILL. An acknowledgement lost in a power failure only causes a repeat, which the target skips by its
+//! sequence number; a follower flushes its purges to disk before it acknowledges them.
 //!
 //! Compaction writes a new file next to the old one and renames it over the old one. The rename is atomic, so
 //! a crash leaves one of the two files complete.
@@ -35,7 +35,7 @@
 pub const MAX_PURGE_RECORD_BYTES: u64 = 1_024;
 /// Size of a record's length and checksum, in bytes.
 const RECORD_HEADER_BYTES: usize = 8;
-/// The only kind of record.
+/// The kind of a record with a JSON payload, the only kind.
 const KIND_JSON: u8 = 1;
 
 /// One record of a log.
@@ -90,10 +90,10 @@
 /// Why a log can't be opened or written.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// A file operation failed.
+    /// An I/O operation on the log or its directory failed.
     #[error("purge log {path}: {operation}: {source}")]
     Io {
-        /// The file.
+        /// The path of the file or directory.
         path: PathBuf,
         /// The operation.
         operation: &'static str,
@@ -104,7 +104,7 @@
     #[error("purge log {0}: not a purge log (its first bytes are not CBPURGE1)")]
     NotPurgeLog(PathBuf),
     /// The file is larger than [`MAX_FILE_BYTES`].
-    #[error("purge log {0}: larger than 1 GiB")]
+    #[error("purge log {0}: larger than {MAX_FILE_BYTES} bytes")]
     TooLarge(PathBuf),
     /// A record can't be encoded as JSON.
     #[error("purge log: a record can't be encoded: {0}")]
@@ -191,12 +191,12 @@
     pub truncated: Option<TruncatedTail>,
 }
 
-/// An open log.
+/// A log open for appending.
 #[derive(Debug)]
 pub struct PurgeLog {
     path: PathBuf,
     file: File,
-    bytes: u64,
+    size_bytes: u64,
 }
 
 /// Adds the file and the operation to an I/O error.
@@ -278,7 +278,7 @@
             return Err(LogError::NotPurgeLog(path.to_path_buf()));
         };
         let DecodedLog { records, fault } = decode(encoded);
-        let mut log = Self { path: path.to_path_buf(), file, bytes: size };
+        let mut log = Self { path: path.to_path_buf(), file, size_bytes: size };
         let truncated = fault.map(|invalid| log.truncate_at(invalid, records.len())).transpose()?;
         Ok(OpenedLog { log, records, truncated })
     }
@@ -287,8 +287,8 @@
     fn create(path: &Path, mut file: File) -> Result<Self, LogError> {
         file.write_all(MAGIC).map_err(io_error(path, "write"))?;
         file.sync_all().map_err(io_error(path, "fsync"))?;
-        sync_folder(path)?;
-        Ok(Self { path: path.to_path_buf(), file, bytes: MAGIC.len() as u64 })
+        sync_directory(path)?;
+        Ok(Self { path: path.to_path_buf(), file, size_bytes: MAGIC.len() as u64 })
     }
 
     fn truncate_at(
@@ -297,14 +297,14 @@
         intact_records: usize,
     ) -> Result<TruncatedTail, LogError> {
         let offset = (MAGIC.len() + invalid.offset) as u64;
-        let tail = TruncatedTail { offset, removed: self.bytes - offset, fault: invalid.fault };
+        let tail = TruncatedTail { offset, removed: self.size_bytes - offset, fault: invalid.fault };
         tracing::error!(
             log = %self.path.display(), offset, removed = tail.removed, fault = %tail.fault, intact_records,
-            "purge log: truncated after its last intact record"
+            "purge log: truncated at the first invalid record"
         );
         self.file.set_len(offset).map_err(io_error(&self.path, "truncate"))?;
         self.file.sync_all().map_err(io_error(&self.path, "fsync"))?;
-        self.bytes = offset;
+        self.size_bytes = offset;
         Ok(tail)
     }
 
@@ -315,7 +315,7 @@
         if durable {
             self.file.sync_data().map_err(io_error(&self.path, "fsync"))?;
         }
-        self.bytes += framed.len() as u64;
+        self.size_bytes += framed.len() as u64;
         Ok(())
     }
 
@@ -337,19 +337,19 @@
         file.write_all(&bytes).map_err(io_error(&replacement, "write"))?;
         file.sync_all().map_err(io_error(&replacement, "fsync"))?;
         std::fs::rename(&replacement, &self.path).map_err(io_error(&self.path, "rename"))?;
-        sync_folder(&self.path)?;
+        sync_directory(&self.path)?;
         self.file = OpenOptions::new()
             .read(true)
             .append(true)
             .open(&self.path)
             .map_err(io_error(&self.path, "open"))?;
-        self.bytes = bytes.len() as u64;
+        self.size_bytes = bytes.len() as u64;
         Ok(())
     }
 
     /// The file's size, in bytes.
-    pub fn bytes(&self) -> u64 {
-        self.bytes
+    pub fn size_bytes(&self) -> u64 {
+        self.size_bytes
     }
 
     /// The path of the file.
@@ -359,9 +359,9 @@
 }
 
 /// Flushes the directory of a file to disk, so that a created or renamed file survives a power failure.
-fn sync_folder(path: &Path) -> Result<(), LogError> {
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    File::open(folder).and_then(|f| f.sync_all()).map_err(io_error(folder, "fsync the folder"))
+fn sync_directory(path: &Path) -> Result<(), LogError> {
+    let directory = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    File::open(directory).and_then(|f| f.sync_all()).map_err(io_error(directory, "fsync directory"))
 }
 
 #[cfg(test)]
--- a/src/purge/wire.rs
+++ b/src/purge/wire.rs
@@ -1,14 +1,15 @@
 //! The JSON bodies of purge calls, over HTTP/1.1 with one call per connection.
 //!
-//! | call | body | answer |
+//! | call | body | response |
 //! | --- | --- | --- |
-//! | `POST /purges` | [`SubmitRequest`] | 200 [`Submitted`] |
+//! | `POST /purges` | [`SubmitRequest`] | 200 [`SubmitResponse`] |
 //! | `GET /purges` | | 200 [`super::metrics::PurgeStatus`] |
 //! | `GET /purges/log?from=N&most=M` | | 200 [`PurgeList`]: at most `M` purges, from `N` on |
 //! | `POST /purges/apply` | [`Batch`] | 200 [`Acknowledgement`] |
 //!
 //! Errors have an [`ErrorBody`]: 400 for a malformed body, 409 for a call that this proxy's role does not
-//! allow or a batch whose purges are out of order, 500 if the log can't be written.
+//! allow or a batch whose sequence numbers are not consecutive from `from` on, 500 if the log can't be
+//! written.
 //!
 //! The leader calls `POST /purges/apply` on every target: proxies at their admin address, cache servers at
 //! the address that the configuration gives. A target applies the purges in order, skips duplicates, stops at
@@ -33,7 +34,7 @@
 
 /// The sequence number and issue time of a new purge.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Submitted {
+pub struct SubmitResponse {
     /// The sequence number.
     pub seq: u64,
     /// The issue time, in Unix milliseconds.
@@ -87,7 +88,7 @@
 
 /// Encodes a body as JSON.
 pub fn to_json<T: Serialize>(value: &T) -> Vec<u8> {
-    simd_json::to_vec(value).expect("the types of this module have string keys only")
+    simd_json::to_vec(value).expect("the bodies of purge calls have string keys only")
 }
 
 /// Decodes a body from JSON.
