--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -15,9 +15,9 @@
     /// A message is invalid.
     #[error("line {number}: {source}")]
     Message {
-        /// Its line number, from 1.
+        /// The message's line number, from 1.
         number: u64,
-        /// What is wrong with it.
+        /// Why the message is invalid.
         source: MessageError,
     },
 }
--- a/src/bin/simulator-adapter/input.rs
+++ b/src/bin/simulator-adapter/input.rs
@@ -1,4 +1,5 @@
-//! The messages of the simulator, and their translation to events. Maps the names of the simulator protocol.
+//! The messages of the simulator, and their translation to events. Maps the names of the simulator protocol to
+//! those of the library.
 
 use crate::error::{MessageError, RequestIdError};
 use edge_proxy::endpoint_list::EndpointRecord;
@@ -105,6 +106,7 @@
         match text.as_str() {
             "lost" => Self::Lost,
             "incr" => Self::Changes,
+            // Every other mode, such as `warm_copy`, carries the complete list.
             _ => Self::Full,
         }
     }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Errors of commands.
+//! The error type of all commands.
 
 use edge_proxy::config_file::{BoxError, ConfigError};
 use edge_proxy::lifecycle::error::ServeError;
@@ -62,11 +62,11 @@
     CorruptPurgeLog {
         /// The file.
         path: PathBuf,
-        /// Number of valid records before it.
+        /// Number of valid records before the corrupt one.
         complete: usize,
-        /// Its offset in the file, in bytes.
+        /// Offset of the corrupt record in the file, in bytes.
         offset: usize,
-        /// What is wrong with it.
+        /// Why the record is corrupt.
         reason: String,
     },
     /// A record cannot be serialized as JSON.
--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -33,12 +33,13 @@
     /// the leader's admin address, as IP:PORT
     #[argh(option)]
     at: SocketAddr,
-    /// what the purge removes
+    /// what to purge
     #[argh(positional)]
     selector: String,
 }
 
-/// Show a proxy's purge progress: its last number, the completed number, each target's acknowledgement.
+/// Show a proxy's purge progress: the last purge number, the number up to which all targets have applied
+/// every purge, and each target's acknowledgement.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 struct Status {
@@ -57,7 +58,7 @@
     /// the first purge number to list
     #[argh(option, default = "1")]
     from: u64,
-    /// the maximum number of purges
+    /// the maximum number of purges to list
     #[argh(option, long = "most", default = "100")]
     limit: u64,
 }
--- a/src/cli/rule.rs
+++ b/src/cli/rule.rs
@@ -26,7 +26,7 @@
 }
 
 impl Rule {
-    /// Prints the request's class and keys, or why it was not classified.
+    /// Prints the request's class, object, part and group, or why it was not classified.
     pub fn run(self) -> Result<(), CliError> {
         let (_, rules) = RulesConfig::read(&self.rules)?;
         let headers = self.header.iter().map(|line| parse_header(line)).collect::<Result<_, _>>()?;
--- a/src/cli/version.rs
+++ b/src/cli/version.rs
@@ -10,7 +10,6 @@
 pub struct Version {}
 
 impl Version {
-    /// Prints the version.
     pub fn run(self) -> Result<(), CliError> {
         println!("{PROGRAM} {}", env!("CARGO_PKG_VERSION"));
         Ok(())
--- a/src/config_file.rs
+++ b/src/config_file.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The cause of an error, with the type of the subsystem that reported it.
+/// The type-erased cause of an error.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
 /// A configuration file is invalid.
@@ -126,14 +126,14 @@
         .map_err(|source| ConfigError::Malformed { path: path.to_path_buf(), source })
 }
 
-/// Resolves the path `file`, found in the file at `path`, relative to that file's folder.
-pub fn resolve_beside(path: &Path, file: &Path) -> PathBuf {
-    path.parent().map_or_else(|| file.to_path_buf(), |folder| folder.join(file))
+/// Resolves `file` relative to the folder of the configuration file at `config_path`.
+pub fn resolve_beside(config_path: &Path, file: &Path) -> PathBuf {
+    config_path.parent().map_or_else(|| file.to_path_buf(), |folder| folder.join(file))
 }
 
-/// Reads the message keys from `file`, a path relative to the folder of the file at `path`.
-pub fn read_keys_beside(path: &Path, file: &Path) -> Result<MessageKeys, KeyFileError> {
-    let file = resolve_beside(path, file);
+/// Reads the message keys from `file`, relative to the folder of the configuration file at `config_path`.
+pub fn read_keys_beside(config_path: &Path, file: &Path) -> Result<MessageKeys, KeyFileError> {
+    let file = resolve_beside(config_path, file);
     let text = match std::fs::read_to_string(&file) {
         Ok(text) => text,
         Err(source) => return Err(KeyFileError::Unreadable { path: file, source }),
--- a/src/datagram_auth/tests.rs
+++ b/src/datagram_auth/tests.rs
@@ -28,6 +28,7 @@
         assert_eq!(receiver.verify(now, from, &altered), Err(AuthError::WrongSignature), "byte {position}");
     }
     assert_eq!(receiver.verify(now, from, &signed[..TRAILER_BYTES]), Err(AuthError::MissingSignature));
+    // A message without a trailer.
     assert_eq!(
         receiver.verify(now, from, &[0x31, 7, 100, 1, 0, 100, 0, 0, 127, 1, 0, 1]),
         Err(AuthError::MissingSignature)
--- a/src/lifecycle/bind.rs
+++ b/src/lifecycle/bind.rs
@@ -9,8 +9,8 @@
 
 /// Interval between attempts to bind an address in use, in milliseconds.
 const RETRY_INTERVAL_MS: f64 = 10.0;
-/// Number of retries for an address in use. With [`RETRY_INTERVAL_MS`], 3 s: a process that was just killed
-/// holds its sockets until the system has released its memory.
+/// Maximum number of retries while an address is in use, which makes 3 s with [`RETRY_INTERVAL_MS`]: a killed
+/// process holds its sockets until the kernel has freed its memory.
 const MAX_RETRIES: u32 = 300;
 
 /// Binds a TCP listener to an address.
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -16,13 +16,12 @@
 const MIN_DESCRIPTORS: usize = 32;
 /// Default limit on file descriptors.
 const DEFAULT_DESCRIPTORS: usize = 1_024;
-/// Environment variable that overrides the admin address of the file, so that a new process can use the file
-/// of the old one with its own address.
+/// Environment variable that overrides the admin address of the file, so that the old and the new process of
+/// an upgrade can share a file but not the address.
 const ADMIN_ADDRESS_VARIABLE: &str = "NODE_MGMT";
-/// The radix of the seed.
 const SEED_RADIX: u32 = 16;
 
-/// The configuration.
+/// The contents of the configuration file.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Config {
     /// Name of the proxy.
@@ -43,7 +42,7 @@
     /// The admin address, if any.
     #[serde(rename = "mgmt", default)]
     admin_address: Option<String>,
-    /// The initial endpoint list.
+    /// The endpoint list and the purges at startup.
     #[serde(rename = "known", default)]
     pub initial_state: InitialState,
     /// The platform settings.
--- a/src/lifecycle/descriptors.rs
+++ b/src/lifecycle/descriptors.rs
@@ -14,7 +14,8 @@
 const DEFAULT_OPEN_DESCRIPTORS: usize = 8;
 /// Minimum number of connections, both to clients and to endpoints.
 const MIN_CONNECTIONS: usize = 1;
-/// The admin address gets one descriptor in this many, up to [`MAX_ADMIN_CONNECTIONS`].
+/// Descriptors per client of the admin address: it may have at least one client and at most
+/// [`MAX_ADMIN_CONNECTIONS`].
 const DESCRIPTORS_PER_ADMIN_CLIENT: usize = 16;
 /// Linux's list of the open descriptors of this process.
 const DESCRIPTOR_DIR: &str = "/proc/self/fd";
@@ -59,7 +60,7 @@
 pub struct DescriptorDemand {
     /// Clients of signed URLs, over all listeners.
     pub signed_url_clients: usize,
-    /// All other subsystems, as configured in their files.
+    /// Maximum number of connections of all other enabled subsystems.
     pub other_subsystems: usize,
     /// Whether the listening socket was inherited: a new process may then serve at the same time and share
     /// the limit.
@@ -99,7 +100,8 @@
 }
 
 impl DescriptorBudget {
-    /// Divides the descriptors: up to two fifths each for clients and endpoints, less if the rest needs more.
+    /// Divides the descriptors: up to two fifths for clients and as much for endpoints, or a quarter for
+    /// endpoints if the listening socket was inherited. Both get less if the subsystems need more.
     pub fn new(descriptors: Descriptors, demand: DescriptorDemand) -> Self {
         let Descriptors { max, open } = descriptors;
         let two_fifths = max * 2 / 5;
--- a/src/lifecycle/descriptors/tests.rs
+++ b/src/lifecycle/descriptors/tests.rs
@@ -25,7 +25,8 @@
     }
 }
 
-/// The reserve and the admin address come out of the last fifth.
+/// Guards against shares that leave no room for the reserve and the admin address, and against a full share
+/// for endpoints on an inherited socket.
 #[test]
 fn a_sufficient_limit_gives_two_fifths_each_to_clients_and_endpoints() {
     let descriptors = Descriptors::estimated(1_024);
--- a/src/lifecycle/engine_setup.rs
+++ b/src/lifecycle/engine_setup.rs
@@ -9,13 +9,14 @@
 use crate::state::connections::ConnectionLimits;
 use std::rc::Rc;
 
-/// One connection to an endpoint is allowed per this many descriptors, within the bounds below.
+/// Descriptors per connection to one endpoint; the quotient is clamped to [`MIN_ENDPOINT_CONNECTIONS`] and
+/// [`MAX_ENDPOINT_CONNECTIONS`].
 const DESCRIPTORS_PER_ENDPOINT_CONNECTION: usize = 64;
 /// Minimum limit on connections to one endpoint.
 const MIN_ENDPOINT_CONNECTIONS: usize = 2;
 /// Maximum limit on connections to one endpoint.
 const MAX_ENDPOINT_CONNECTIONS: usize = 16;
-/// Number of connections to an endpoint that are opened before requests share one.
+/// Number of requests on a connection at which another connection to the endpoint is opened.
 const SPREAD_CONNECTIONS: usize = 4;
 
 /// Creates the engine with the initial state of a configuration, for a process that may use the configured
--- a/src/lifecycle/inherit.rs
+++ b/src/lifecycle/inherit.rs
@@ -1,4 +1,4 @@
-//! Inherits the listening socket of the platform's front from the platform (socket activation).
+//! Inherits the listening socket of the platform's front through a file descriptor (socket activation).
 
 use listenfd::ListenFd;
 use std::io::{Error, ErrorKind};
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -20,15 +20,16 @@
 const MIN_REQUEST_GRACE_MS: f64 = 3_000.0;
 /// Time for writing the last responses after the longest request deadline, in milliseconds.
 const RESPONSE_WRITE_MS: f64 = 500.0;
-/// How long idle connections stay open during an upgrade, in milliseconds. Most close with their next
-/// response, so few requests race with the close.
+/// How long idle connections stay open during an upgrade, in milliseconds, so that most close after a response
+/// and not while a client sends a request.
 const IDLE_GRACE_MS: f64 = 2_000.0;
 /// Interval at which a shutdown checks whether all requests have completed, in milliseconds.
 const DRAIN_CHECK_INTERVAL_MS: f64 = 5.0;
 /// Minimum duration of the drain, in milliseconds, for connections that were still in the listen backlog.
 const MIN_DRAIN_MS: f64 = 4.0 * DRAIN_CHECK_INTERVAL_MS;
 
-/// Serves until SIGTERM or SIGINT, then returns once all accepted requests have been answered.
+/// Serves until SIGTERM or SIGINT, then returns once all accepted requests have been answered or the drain
+/// deadline has passed.
 pub async fn serve(mut config: Config, configs: SubsystemConfigs) -> Result<(), ServeError> {
     let handed_over = inherit::listener().map_err(ServeError::HandedOverSocket)?;
     config.handed_over = handed_over.is_some();
--- a/src/lifecycle/signed_urls.rs
+++ b/src/lifecycle/signed_urls.rs
@@ -25,7 +25,7 @@
 const MAX_TOLERANCE_MS: f64 = 86_400_000.0;
 /// Valid range of connection timeouts, in milliseconds: 1 ms to 1 hour.
 const TIMEOUTS_MS: RangeInclusive<f64> = 1.0..=3_600_000.0;
-/// Descriptors per client connection: at most a fifth of all descriptors may be clients of signed URLs.
+/// Descriptors per client: `limits.connections` may be at most a fifth of the descriptor limit.
 const DESCRIPTORS_PER_CONNECTION: usize = 5;
 
 /// A key file is invalid.
@@ -164,7 +164,7 @@
         self.limits.connections
     }
 
-    /// Creates the front. `salt` is a random number.
+    /// Creates the front. `salt` differs between restarts, so that request ids are not reused.
     pub fn front(&self, salt: u64) -> Result<SignedUrlFront, SignedUrlKeyError> {
         let keys = KeyRing::new(KeyFile::read(&self.keys)?.keys, self.overlap_ms);
         let verifier = TokenVerifier { keys, issuer: self.issuer.clone(), leeway_ms: self.leeway_ms };
--- a/src/lifecycle/subsystem.rs
+++ b/src/lifecycle/subsystem.rs
@@ -62,9 +62,9 @@
 pub enum StopStage {
     /// The stop signal arrived: peers are notified, connections are still accepted.
     Announce,
-    /// The HTTP/1.1 and gRPC listeners close.
+    /// The listeners of the platform's front, of signed URLs and of gRPC close.
     CloseListeners,
-    /// The remaining listeners close: HTTP/3 and virtual addresses.
+    /// The listeners of the HTTP/3 subsystem, over QUIC and TCP, and of virtual addresses close.
     CloseRemaining,
 }
 
--- a/src/lifecycle/subsystems/admin.rs
+++ b/src/lifecycle/subsystems/admin.rs
@@ -10,7 +10,7 @@
 use futures_util::FutureExt;
 use std::rc::Rc;
 
-/// The admin address, if configured.
+/// The admin address subsystem. Does nothing if no address is configured.
 pub struct AdminAddress;
 
 impl AdminAddress {
@@ -20,8 +20,8 @@
         };
         let executor = &context.executor;
         let file = MaintenanceFile::of_proxy(&context.config.name);
-        // Loaded before this listener and the other fronts open, so that maintenance persists across an
-        // upgrade.
+        // Loaded before this listener and those of later subsystems open, so that maintenance persists across
+        // an upgrade.
         file.load(executor);
         let front = Rc::new(admin_front(context, file.clone()));
         let listener = bind_tcp(address).await?;
--- a/src/lifecycle/subsystems/rules.rs
+++ b/src/lifecycle/subsystems/rules.rs
@@ -1,4 +1,4 @@
-//! Routing rules: assign requests of the platform's front to a class and an object.
+//! Routing rules, which assign each request a class and an object, and their reload.
 
 use crate::config_file::BoxError;
 use crate::lifecycle::reload::log_reload;
--- a/src/message_auth.rs
+++ b/src/message_auth.rs
@@ -35,10 +35,10 @@
         /// Length of the key, in bytes.
         length: usize,
     },
-    /// There is no key, or more than the maximum.
+    /// The number of keys is out of range.
     #[error("{count} keys; 1 to {MAX_KEYS} are allowed")]
     Count {
-        /// How many keys there are.
+        /// The number of keys.
         count: usize,
     },
 }
--- a/src/response_path.rs
+++ b/src/response_path.rs
@@ -1,18 +1,18 @@
 //! The path of a response: where its body came from, or where a cache fill failed.
 //!
 //! The cache protocol carries its name in the field `note`; the simulator numbers the same names from 1. The
-//! settings (`familyInfo.notesGiven`) announce which paths caches report, but unannounced paths are used too.
+//! settings (`familyInfo.notesGiven`) announce which paths caches report; other paths are accepted as well.
 
 use crate::CacheStatus;
 
-/// The path of one response. Terms follow RFC 9211 where possible.
+/// Where a response's body came from, or why its fill failed. Terms follow RFC 9211 where possible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponsePath {
     /// The cache had a fresh copy.
     Hit,
-    /// The cache filled the copy from a copy at the source.
+    /// The source served the fill from its own copy.
     FilledFromSource,
-    /// The cache filled the copy through the source from the origin.
+    /// The source fetched the object from the origin for the fill.
     FilledFromOrigin,
     /// The request was collapsed into a fill in progress.
     Collapsed,
--- a/src/surrogate_key.rs
+++ b/src/surrogate_key.rs
@@ -19,7 +19,7 @@
 pub struct SurrogateKey(Box<str>);
 
 impl SurrogateKey {
-    /// Validates a string.
+    /// Creates a key from `text`, or returns an error if it is invalid.
     pub fn new(text: &str) -> Result<Self, SurrogateKeyError> {
         let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-._~:".contains(&b);
         if text.is_empty() || text.len() > MAX_SURROGATE_KEY || !text.bytes().all(allowed) {
