--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -13,10 +13,10 @@
     #[error("cannot write standard output: {0}")]
     Output(#[source] io::Error),
     /// A message is invalid.
-    #[error("line {number}: {source}")]
+    #[error("line {line_number}: {source}")]
     Message {
         /// The message's line number, from 1.
-        number: u64,
+        line_number: u64,
         /// Why the message is invalid.
         source: MessageError,
     },
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -43,7 +43,7 @@
         // its input, so each pass needs a fresh copy.
         let mut bytes = text.as_bytes().to_vec();
         let MessageHead { command } = simd_json::from_slice(&mut bytes)?;
-        if !Message::is_known(&command) {
+        if !Message::is_handled(&command) {
             return Ok(None);
         }
         bytes.clear();
--- a/src/bin/simulator-adapter/input.rs
+++ b/src/bin/simulator-adapter/input.rs
@@ -1,5 +1,5 @@
-//! The messages of the simulator, and their translation to events. Maps the names of the simulator protocol to
-//! those of the library.
+//! The messages of the simulator, and their translation to events. Maps the names of the simulator protocol
+//! to those of the library.
 
 use crate::error::{MessageError, RequestIdError};
 use edge_proxy::endpoint_list::EndpointRecord;
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 
 /// The kinds of messages that are handled. All others are ignored.
-const KNOWN_COMMANDS: [&str; 14] = [
+const HANDLED_COMMANDS: [&str; 14] = [
     "Clock",
     "Eob",
     "OpenInstance",
@@ -236,8 +236,8 @@
 
 impl Message {
     /// Whether messages with this `cmd` are handled.
-    pub fn is_known(command: &str) -> bool {
-        KNOWN_COMMANDS.contains(&command)
+    pub fn is_handled(command: &str) -> bool {
+        HANDLED_COMMANDS.contains(&command)
     }
 
     /// The instance that the message is for; 0 if it is for the whole adapter.
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -22,11 +22,11 @@
     let mut output = BufWriter::new(io::stdout().lock());
     let mut host = Host::default();
     let mut line = Vec::new();
-    let mut number = 0u64;
+    let mut line_number = 0u64;
     loop {
         line.clear();
-        number += 1;
-        let at_line = |source: MessageError| AdapterError::Message { number, source };
+        line_number += 1;
+        let at_line = |source: MessageError| AdapterError::Message { line_number, source };
         if input.read_until(b'\n', &mut line).map_err(AdapterError::Input)? == 0 {
             return if host.is_in_batch() { Err(at_line(MessageError::UnfinishedBatch)) } else { Ok(()) };
         }
--- a/src/bin/simulator-adapter/output.rs
+++ b/src/bin/simulator-adapter/output.rs
@@ -15,10 +15,10 @@
 #[serde(tag = "cmd")]
 pub enum Reply {
     #[serde(rename = "Place")]
-    ForwardUntouched {
+    ForwardUnchanged {
         #[serde(rename = "i")]
         instance: u64,
-        #[serde(rename = "requestId", serialize_with = "hex")]
+        #[serde(rename = "requestId", serialize_with = "serialize_hex")]
         id: RequestId,
         #[serde(rename = "cache")]
         to: EndpointId,
@@ -29,7 +29,7 @@
     Forward {
         #[serde(rename = "i")]
         instance: u64,
-        #[serde(rename = "requestId", serialize_with = "hex")]
+        #[serde(rename = "requestId", serialize_with = "serialize_hex")]
         id: RequestId,
         #[serde(rename = "cache")]
         to: EndpointId,
@@ -47,7 +47,7 @@
     Reject {
         #[serde(rename = "i")]
         instance: u64,
-        #[serde(rename = "requestId", serialize_with = "hex")]
+        #[serde(rename = "requestId", serialize_with = "serialize_hex")]
         id: RequestId,
         #[serde(rename = "waitUs")]
         retry_after: Micros,
@@ -56,14 +56,14 @@
     Fail {
         #[serde(rename = "i")]
         instance: u64,
-        #[serde(rename = "requestId", serialize_with = "hex")]
+        #[serde(rename = "requestId", serialize_with = "serialize_hex")]
         id: RequestId,
     },
     #[serde(rename = "Abandon")]
     Cancel {
         #[serde(rename = "i")]
         instance: u64,
-        #[serde(rename = "requestId", serialize_with = "hex")]
+        #[serde(rename = "requestId", serialize_with = "serialize_hex")]
         id: RequestId,
         #[serde(rename = "hop")]
         attempt: u32,
@@ -97,7 +97,7 @@
     pub fn from_action(instance: u64, action: Action) -> Self {
         match action {
             Action::Forward { id, to, source: None, timeout, .. } => {
-                Self::ForwardUntouched { instance, id, to, timeout }
+                Self::ForwardUnchanged { instance, id, to, timeout }
             }
             Action::Forward {
                 id,
@@ -131,6 +131,6 @@
 }
 
 /// Serializes a request id as 16 hex digits.
-fn hex<S: Serializer>(id: &RequestId, serializer: S) -> Result<S::Ok, S::Error> {
+fn serialize_hex<S: Serializer>(id: &RequestId, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_str(&format!("{id:016x}"))
 }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -58,12 +58,15 @@
     #[error("{}: not a purge log", .0.display())]
     NotAPurgeLog(PathBuf),
     /// A purge log contains a corrupt record.
-    #[error("{}: {complete} valid records, then a corrupt one at byte {offset}: {reason}", path.display())]
+    #[error(
+        "{}: {valid_records} valid records, then a corrupt one at byte {offset}: {reason}",
+        path.display()
+    )]
     CorruptPurgeLog {
         /// The file.
         path: PathBuf,
         /// Number of valid records before the corrupt one.
-        complete: usize,
+        valid_records: usize,
         /// Offset of the corrupt record in the file, in bytes.
         offset: usize,
         /// Why the record is corrupt.
--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -102,19 +102,19 @@
             Ok(bytes) => bytes,
             Err(source) => return Err(CliError::Unreadable { path, source }),
         };
-        let Some(records) = bytes.strip_prefix(MAGIC.as_slice()) else {
+        let Some(encoded) = bytes.strip_prefix(MAGIC.as_slice()) else {
             return Err(CliError::NotAPurgeLog(path));
         };
-        let DecodedLog { records, fault } = decode(records);
+        let DecodedLog { records, fault } = decode(encoded);
         for record in &records {
             println!("{}", simd_json::to_string(record)?);
         }
-        let complete = records.len();
+        let valid_records = records.len();
         if let Some(InvalidRecord { offset, fault }) = fault {
             let (offset, reason) = (offset + MAGIC.len(), fault.to_string());
-            return Err(CliError::CorruptPurgeLog { path, complete, offset, reason });
+            return Err(CliError::CorruptPurgeLog { path, valid_records, offset, reason });
         }
-        eprintln!("{}: {complete} records, all valid", path.display());
+        eprintln!("{}: {valid_records} records, all valid", path.display());
         Ok(())
     }
 }
--- a/src/cli/rule.rs
+++ b/src/cli/rule.rs
@@ -34,9 +34,9 @@
             HttpRequest { method: self.method, target: self.target, headers, ..HttpRequest::default() };
         let mut steps = 0;
         match rules.classify(&request, &mut steps) {
-            Classification::Target(t) => println!(
+            Classification::Target(target) => println!(
                 "class {}  object {:016x}  part {}  group {}  steps {steps}",
-                t.class, t.object, t.part, t.group
+                target.class, target.object, target.part, target.group
             ),
             Classification::Malformed => println!("malformed: 400  steps {steps}"),
             Classification::NoMatch => println!("no rule: 404  steps {steps}"),
--- a/src/config_file.rs
+++ b/src/config_file.rs
@@ -127,13 +127,13 @@
 }
 
 /// Resolves `file` relative to the folder of the configuration file at `config_path`.
-pub fn resolve_beside(config_path: &Path, file: &Path) -> PathBuf {
+pub fn resolve_relative_path(config_path: &Path, file: &Path) -> PathBuf {
     config_path.parent().map_or_else(|| file.to_path_buf(), |folder| folder.join(file))
 }
 
 /// Reads the message keys from `file`, relative to the folder of the configuration file at `config_path`.
-pub fn read_keys_beside(config_path: &Path, file: &Path) -> Result<MessageKeys, KeyFileError> {
-    let file = resolve_beside(config_path, file);
+pub fn read_message_keys(config_path: &Path, file: &Path) -> Result<MessageKeys, KeyFileError> {
+    let file = resolve_relative_path(config_path, file);
     let text = match std::fs::read_to_string(&file) {
         Ok(text) => text,
         Err(source) => return Err(KeyFileError::Unreadable { path: file, source }),
--- a/src/datagram_auth/tests.rs
+++ b/src/datagram_auth/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_datagram_is_accepted_once_and_only_with_its_message_and_key() {
+fn replayed_reordered_altered_and_unsigned_datagrams_are_rejected() {
     let from: SocketAddr = "127.0.0.2:5112".parse().unwrap();
     let now = 1_764_576_000_000.0;
     let (mut sender, mut receiver) = (auth(&[1]), auth(&[1]));
--- a/src/health_check/config.rs
+++ b/src/health_check/config.rs
@@ -6,7 +6,9 @@
 use super::health_status::HealthThresholds;
 use super::lease::InstanceId;
 use super::scheduler::{SchedulerTimes, MAX_RANK};
-use crate::config_file::{parse_address, read_json, read_keys_beside, ConfigError, FieldError, KeyFileError};
+use crate::config_file::{
+    parse_address, read_json, read_message_keys, ConfigError, FieldError, KeyFileError,
+};
 use crate::message_auth::MessageKeys;
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -221,6 +223,6 @@
 
     /// Reads the keys that authenticate datagrams if `key_file` is set.
     pub fn keys(&self) -> Result<Option<MessageKeys>, KeyFileError> {
-        self.key_file.as_ref().map(|file| read_keys_beside(&self.path, file)).transpose()
+        self.key_file.as_ref().map(|file| read_message_keys(&self.path, file)).transpose()
     }
 }
--- a/src/http3/config.rs
+++ b/src/http3/config.rs
@@ -4,7 +4,7 @@
 use super::settings::{Http3Limits, PathSettings, ResumableCallSettings};
 use super::transport::{server_config, transport_config, TlsError, TlsFiles};
 use crate::config_file::{
-    parse_address, read_json, read_keys_beside, resolve_beside, ConfigError, FieldError, KeyFileError,
+    parse_address, read_json, read_message_keys, resolve_relative_path, ConfigError, FieldError, KeyFileError,
 };
 use crate::message_auth::MessageKeys;
 use serde::Deserialize;
@@ -105,7 +105,7 @@
 
     /// Paths of the certificate and key files.
     pub fn tls_files(&self) -> TlsFiles {
-        let resolve = |file: &Path| resolve_beside(&self.file, file);
+        let resolve = |file: &Path| resolve_relative_path(&self.file, file);
         TlsFiles { certificate: resolve(&self.certificate), key: resolve(&self.key) }
     }
 
@@ -122,7 +122,7 @@
     /// Reads the keys that sign session tokens, or generates a random one if no file is configured.
     pub fn session_tokens(&self) -> Result<SessionTokens, KeyFileError> {
         let keys = match &self.session_keys {
-            Some(file) => read_keys_beside(&self.file, file)?,
+            Some(file) => read_message_keys(&self.file, file)?,
             None => MessageKeys::random(),
         };
         Ok(SessionTokens::new(keys, self.resumable_calls.session_lifetime_ms))
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -161,7 +161,7 @@
         return old.iter().filter(|(_, value)| !value.is_null()).find_map(|(key, value)| {
             match new.get(key.as_str()).filter(|value| !value.is_null()) {
                 None => Some(key.clone()),
-                Some(present) => missing_key(value, present).map(|below| format!("{key}.{below}")),
+                Some(present) => missing_key(value, present).map(|rest| format!("{key}.{rest}")),
             }
         });
     }
--- a/src/lifecycle/descriptors.rs
+++ b/src/lifecycle/descriptors.rs
@@ -104,11 +104,11 @@
     /// endpoints if the listening socket was inherited. Both get less if the subsystems need more.
     pub fn new(descriptors: Descriptors, demand: DescriptorDemand) -> Self {
         let Descriptors { max, open } = descriptors;
-        let two_fifths = max * 2 / 5;
+        let max_share = max * 2 / 5;
         let admin_clients = MAX_ADMIN_CONNECTIONS.min(max / DESCRIPTORS_PER_ADMIN_CLIENT).max(1);
         let spare = max.saturating_sub(open + RESERVED_DESCRIPTORS + admin_clients + demand.subsystems());
-        let endpoint_share = if demand.handed_over { max / 4 } else { two_fifths };
-        let clients = two_fifths.min(spare / 2);
+        let endpoint_share = if demand.handed_over { max / 4 } else { max_share };
+        let clients = max_share.min(spare / 2);
         let endpoints = endpoint_share.saturating_sub(demand.signed_url_clients / 2).min(spare - clients);
         Self {
             clients: clients.max(MIN_CONNECTIONS),
--- a/src/lifecycle/descriptors/tests.rs
+++ b/src/lifecycle/descriptors/tests.rs
@@ -28,17 +28,18 @@
 /// Guards against shares that leave no room for the reserve and the admin address, and against a full share
 /// for endpoints on an inherited socket.
 #[test]
-fn a_sufficient_limit_gives_two_fifths_each_to_clients_and_endpoints() {
+fn clients_and_endpoints_get_two_fifths_each_and_endpoints_a_quarter_on_an_inherited_socket() {
     let descriptors = Descriptors::estimated(1_024);
     let budget = DescriptorBudget::new(descriptors, DescriptorDemand::default());
-    let fifths = DescriptorBudget { clients: 409, endpoints: 409, admin_clients: 16, is_insufficient: false };
-    assert_eq!(budget, fifths);
+    let expected =
+        DescriptorBudget { clients: 409, endpoints: 409, admin_clients: 16, is_insufficient: false };
+    assert_eq!(budget, expected);
     let handed_over = DescriptorDemand { handed_over: true, ..DescriptorDemand::default() };
     assert_eq!(DescriptorBudget::new(descriptors, handed_over).endpoints, 256);
 }
 
 #[test]
-fn a_limit_too_low_for_the_demand_is_reported_and_leaves_each_kind_a_connection() {
+fn an_insufficient_limit_is_reported_and_leaves_at_least_one_connection_of_each_kind() {
     let demand = DescriptorDemand { other_subsystems: 60, ..DescriptorDemand::default() };
     let budget = DescriptorBudget::new(Descriptors::estimated(64), demand);
     assert!(budget.is_insufficient);
--- a/src/lifecycle/error.rs
+++ b/src/lifecycle/error.rs
@@ -26,7 +26,7 @@
     },
     /// The inherited listening socket cannot be used.
     #[error("inherited listening socket: {0}")]
-    HandedOverSocket(#[source] std::io::Error),
+    InheritedSocket(#[source] std::io::Error),
     /// Signal handlers cannot be installed.
     #[error("cannot install signal handlers: {0}")]
     Signals(#[source] std::io::Error),
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -20,8 +20,8 @@
 const MIN_REQUEST_GRACE_MS: f64 = 3_000.0;
 /// Time for writing the last responses after the longest request deadline, in milliseconds.
 const RESPONSE_WRITE_MS: f64 = 500.0;
-/// How long idle connections stay open during an upgrade, in milliseconds, so that most close after a response
-/// and not while a client sends a request.
+/// How long idle connections stay open during an upgrade, in milliseconds, so that most close after a
+/// response and not while a client sends a request.
 const IDLE_GRACE_MS: f64 = 2_000.0;
 /// Interval at which a shutdown checks whether all requests have completed, in milliseconds.
 const DRAIN_CHECK_INTERVAL_MS: f64 = 5.0;
@@ -31,15 +31,15 @@
 /// Serves until SIGTERM or SIGINT, then returns once all accepted requests have been answered or the drain
 /// deadline has passed.
 pub async fn serve(mut config: Config, configs: SubsystemConfigs) -> Result<(), ServeError> {
-    let handed_over = inherit::listener().map_err(ServeError::HandedOverSocket)?;
-    config.handed_over = handed_over.is_some();
+    let inherited_listener = inherit::listener().map_err(ServeError::InheritedSocket)?;
+    config.handed_over = inherited_listener.is_some();
     let clock = Clock::system();
     let demand = configs.descriptor_demand(config.handed_over);
     let budget = divide_descriptors(&config, demand)?;
     let (engine, _) = engine_with_budget(&config, &clock, demand.signed_url_clients, budget)?;
     let listen = config.listen_address().map_err(ServeError::field("listen"))?;
     let seed = config.seed().map_err(ServeError::field("seed"))?;
-    let mut subsystems = create_subsystems(&config, configs, handed_over)?;
+    let mut subsystems = create_subsystems(&config, configs, inherited_listener)?;
     let executor = Executor::new(clock, engine, CacheDriver);
     let mut signals = Signals::install()?;
     let context = Context::new(config, executor, seed, budget);
@@ -90,7 +90,7 @@
     loop {
         match signals.next().await {
             SignalAction::Stop => return,
-            SignalAction::ReportCounters => log_counters(&context.executor),
+            SignalAction::LogCounters => log_counters(&context.executor),
             SignalAction::Reload => subsystems.iter_mut().for_each(|subsystem| subsystem.reload(context)),
         }
     }
--- a/src/lifecycle/signals.rs
+++ b/src/lifecycle/signals.rs
@@ -11,7 +11,7 @@
     /// SIGHUP: read the configuration files again.
     Reload,
     /// SIGUSR1: log the counters.
-    ReportCounters,
+    LogCounters,
 }
 
 /// The installed signal handlers.
@@ -40,7 +40,7 @@
             _ = self.terminate.recv() => SignalAction::Stop,
             _ = self.interrupt.recv() => SignalAction::Stop,
             _ = self.hangup.recv() => SignalAction::Reload,
-            _ = self.user1.recv() => SignalAction::ReportCounters,
+            _ = self.user1.recv() => SignalAction::LogCounters,
         }
     }
 }
--- a/src/lifecycle/signed_urls.rs
+++ b/src/lifecycle/signed_urls.rs
@@ -1,7 +1,9 @@
 //! The configuration file of signed URLs (`--signed-urls FILE`), and the reload of its key file.
 
 use crate::clock::duration_from_ms;
-use crate::config_file::{parse_address, read_json, resolve_beside, AddressError, ConfigError, FieldError};
+use crate::config_file::{
+    parse_address, read_json, resolve_relative_path, AddressError, ConfigError, FieldError,
+};
 use crate::engine::executor::Executor;
 use crate::wire::front::ConnectionLimits;
 use crate::wire::signed_urls::front::SignedUrlFront;
@@ -123,7 +125,7 @@
     pub fn read(path: &Path, max_descriptors: usize) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         parse_address(&config.listen).map_err(|reason| ConfigError::field(path, "listen", reason))?;
-        config.keys = resolve_beside(path, &config.keys);
+        config.keys = resolve_relative_path(path, &config.keys);
         config.check(max_descriptors).map_err(|error| error.in_file(path))?;
         Ok(config)
     }
@@ -160,7 +162,7 @@
     }
 
     /// Maximum number of client connections.
-    pub fn connections(&self) -> usize {
+    pub fn max_connections(&self) -> usize {
         self.limits.connections
     }
 
--- a/src/lifecycle/subsystem.rs
+++ b/src/lifecycle/subsystem.rs
@@ -89,7 +89,7 @@
     /// The shutdown state, shared with client connections.
     pub stop: Rc<GracefulShutdown>,
     /// The routing rules and the fronts that use them.
-    pub rules: RoutingRules,
+    pub rules: ActiveRules,
     /// The fronts that are available to virtual addresses.
     pub fronts: FrontDirectory,
     /// The gRPC front, once prepared.
@@ -109,7 +109,7 @@
             seed,
             budget,
             stop: Rc::default(),
-            rules: RoutingRules::default(),
+            rules: ActiveRules::default(),
             fronts: FrontDirectory::default(),
             grpc: RefCell::default(),
             registry: RefCell::default(),
@@ -120,12 +120,12 @@
 
 /// The active routing rules, and the fronts whose requests they classify.
 #[derive(Default)]
-pub struct RoutingRules {
+pub struct ActiveRules {
     current: RefCell<Option<Rc<Rules>>>,
     fronts: RefCell<Vec<Rc<Platform>>>,
 }
 
-impl RoutingRules {
+impl ActiveRules {
     /// Registers a front, which uses the current rules and later replacements.
     pub fn attach(&self, front: Rc<Platform>) {
         front.set_classifier(self.classifier());
--- a/src/lifecycle/subsystem_configs.rs
+++ b/src/lifecycle/subsystem_configs.rs
@@ -89,19 +89,21 @@
     }
 
     /// The number of listeners of a front: its own and those at virtual addresses.
-    pub fn listeners(&self, front: FrontKind) -> usize {
+    pub fn listener_count(&self, front: FrontKind) -> usize {
         let virtual_listeners = self.vrrp.iter().flat_map(|vrrp| &vrrp.listeners);
         1 + virtual_listeners.filter(|listener| listener.front == front).count()
     }
 
     /// The maximum number of file descriptors that the subsystems use.
     pub fn descriptor_demand(&self, handed_over: bool) -> DescriptorDemand {
-        let signed_urls =
-            self.signed_urls.as_ref().map_or(0, |c| c.connections() * self.listeners(FrontKind::Signed));
+        let signed_urls = self
+            .signed_urls
+            .as_ref()
+            .map_or(0, |c| c.max_connections() * self.listener_count(FrontKind::Signed));
         let grpc = self
             .grpc
             .as_ref()
-            .map_or(0, |c| c.limits.clients * self.listeners(FrontKind::Grpc) + c.limits.connections);
+            .map_or(0, |c| c.limits.clients * self.listener_count(FrontKind::Grpc) + c.limits.connections);
         let http3 =
             self.http3.as_ref().and_then(|c| c.tcp_address().map(|_| c.limits.tcp_connections)).unwrap_or(0);
         let purges = if self.purges.is_some() { MAX_CONCURRENT_CALLS } else { 0 };
--- a/src/lifecycle/subsystems/admin.rs
+++ b/src/lifecycle/subsystems/admin.rs
@@ -25,9 +25,10 @@
         file.load(executor);
         let front = Rc::new(admin_front(context, file.clone()));
         let listener = bind_tcp(address).await?;
-        // Open until the process exits: a shutdown neither closes it nor waits for its clients.
-        let (uncounted, never_closing) = Default::default();
-        executor.spawn("admin listener", accept(executor.clone(), front, listener, uncounted, never_closing));
+        // Separate state that is never signalled: a shutdown neither closes this listener nor waits for its
+        // clients.
+        let (shutdown, closing) = Default::default();
+        executor.spawn("admin listener", accept(executor.clone(), front, listener, shutdown, closing));
         supervise(executor, "maintenance file", {
             let executor = executor.clone();
             move || file.clone().follow(executor.clone())
--- a/src/lifecycle/subsystems/grpc.rs
+++ b/src/lifecycle/subsystems/grpc.rs
@@ -42,9 +42,9 @@
         let listener = bind_tcp(listen).await?;
         let accepting = accept(front.clone(), listener, context.stop.clone(), self.closing.clone());
         executor.spawn("gRPC listener", accepting);
-        let (housekeeper, admission) = (front.clone(), front.clone());
-        supervise(executor, "gRPC housekeeping", move || run_housekeeping(housekeeper.clone()));
-        supervise(executor, "gRPC admission", move || expire_queued_calls(admission.clone()));
+        let (housekeeping_front, admission_front) = (front.clone(), front.clone());
+        supervise(executor, "gRPC housekeeping", move || run_housekeeping(housekeeping_front.clone()));
+        supervise(executor, "gRPC admission", move || expire_queued_calls(admission_front.clone()));
         executor.spawn("gRPC call shutdown", abort_calls_at_shutdown(front, context.stop.clone()));
         tracing::info!(%listen, "gRPC listener started");
         Ok(())
--- a/src/lifecycle/subsystems/http3.rs
+++ b/src/lifecycle/subsystems/http3.rs
@@ -49,18 +49,18 @@
     }
 
     fn create_front(&mut self, context: &Context) -> Result<(), ServeError> {
-        let (executor, bounds) = (&context.executor, &self.config.limits);
-        let platform = Rc::new(Platform::new(limits(bounds.tcp_connections)));
+        let (executor, config_limits) = (&context.executor, &self.config.limits);
+        let platform = Rc::new(Platform::new(limits(config_limits.tcp_connections)));
         context.rules.attach(platform.clone());
         let calls = CallRegistry::new(executor.clone(), self.config.resumable_calls.store_limits());
         let tokens = self.config.session_tokens().map_err(ServeError::field("session_keys"))?;
-        let limits = ConnectionLimits {
-            idle_ms: bounds.idle_ms,
-            body_bytes: bounds.body_bytes,
-            ..limits(bounds.tcp_connections)
+        let connection_limits = ConnectionLimits {
+            idle_ms: config_limits.idle_ms,
+            body_bytes: config_limits.body_bytes,
+            ..limits(config_limits.tcp_connections)
         };
-        let front = Rc::new(Http3Front::new(platform, limits, tokens, calls.clone()));
-        let server = Http3Server::new(executor.clone(), front.clone(), calls.clone(), bounds.clone());
+        let front = Rc::new(Http3Front::new(platform, connection_limits, tokens, calls.clone()));
+        let server = Http3Server::new(executor.clone(), front.clone(), calls.clone(), config_limits.clone());
         self.prepared = Some(Prepared { front, calls, server });
         Ok(())
     }
--- a/src/lifecycle/subsystems/mod.rs
+++ b/src/lifecycle/subsystems/mod.rs
@@ -38,11 +38,11 @@
 pub fn create_subsystems(
     config: &Config,
     configs: SubsystemConfigs,
-    handed_over: Option<TcpListener>,
+    inherited_listener: Option<TcpListener>,
 ) -> Result<Vec<Box<dyn Subsystem>>, ServeError> {
     let address = config.discovery_address().map_err(ServeError::field("bulletin"))?;
     let (discovery_sender, discovery_address) = watch::channel(address);
-    let platform_listeners = configs.listeners(FrontKind::Platform);
+    let platform_listeners = configs.listener_count(FrontKind::Platform);
     let enabled = EnabledSubsystems {
         signed_urls: configs.signed_urls.is_some(),
         grpc_pools: configs.grpc_pools(),
@@ -64,7 +64,7 @@
         Some(Box::new(settings::Settings::new(discovery_sender))),
         admission.map(|config| boxed(admission::Admission::new(config))),
         rules.map(|(config, rules)| boxed(rules::RoutingRules::new(config, rules))),
-        Some(Box::new(platform::PlatformListener::new(handed_over, platform_listeners))),
+        Some(Box::new(platform::PlatformListener::new(inherited_listener, platform_listeners))),
         registry.map(|config| boxed(registry::Registry::new(config))),
         health_checks.map(|config| boxed(health_checks::HealthChecks::new(config))),
         Some(Box::new(admin::AdminAddress)),
--- a/src/lifecycle/subsystems/platform.rs
+++ b/src/lifecycle/subsystems/platform.rs
@@ -13,26 +13,26 @@
 
 /// The subsystem of the platform's front and its listener.
 pub struct PlatformListener {
-    handed_over: Option<std::net::TcpListener>,
+    inherited_listener: Option<std::net::TcpListener>,
     /// Number of listeners that share the client connection limit: this one and those of virtual addresses.
-    listeners: usize,
+    listener_count: usize,
     closing: Rc<Notify>,
 }
 
 impl PlatformListener {
-    /// Creates a listener on the inherited socket, or on its own if there is none. `listeners` listeners of
-    /// the front share the client connection limit.
-    pub fn new(handed_over: Option<std::net::TcpListener>, listeners: usize) -> Self {
-        Self { handed_over, listeners, closing: Rc::default() }
+    /// Creates a listener on the inherited socket, or on its own if there is none. `listener_count` listeners
+    /// of the front share the client connection limit.
+    pub fn new(inherited_listener: Option<std::net::TcpListener>, listener_count: usize) -> Self {
+        Self { inherited_listener, listener_count, closing: Rc::default() }
     }
 
     async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
         let address = context.config.listen_address().map_err(ServeError::field("listen"))?;
-        let listener = match self.handed_over.take() {
-            Some(listener) => TcpListener::from_std(listener).map_err(ServeError::HandedOverSocket)?,
+        let listener = match self.inherited_listener.take() {
+            Some(listener) => TcpListener::from_std(listener).map_err(ServeError::InheritedSocket)?,
             None => bind_tcp(address).await?,
         };
-        let connections = (context.budget.clients / self.listeners).max(1);
+        let connections = (context.budget.clients / self.listener_count).max(1);
         let front = Rc::new(Platform::new(limits(connections)));
         context.rules.attach(front.clone());
         context.fronts.add(FrontKind::Platform, front.clone());
--- a/src/lifecycle/subsystems/settings.rs
+++ b/src/lifecycle/subsystems/settings.rs
@@ -41,8 +41,9 @@
                 engine.counters.reloads += 1;
                 engine.reconfigure(settings);
             });
-            let moved = discovery_address.send_if_modified(|old| std::mem::replace(old, address) != address);
-            tracing::info!(discovery_address = %address, moved, "configuration reloaded");
+            let changed =
+                discovery_address.send_if_modified(|old| std::mem::replace(old, address) != address);
+            tracing::info!(discovery_address = %address, moved = changed, "configuration reloaded");
         }
         Err(reason) => {
             executor.with(|engine| engine.counters.reload_failures += 1);
--- a/src/lifecycle/supervisor.rs
+++ b/src/lifecycle/supervisor.rs
@@ -15,12 +15,12 @@
     F: Fn() -> T + 'static,
     T: Future<Output = ()> + 'static,
 {
-    let supervisor = executor.clone();
+    let executor_handle = executor.clone();
     executor.spawn(name, async move {
         loop {
             let task = tokio::task::spawn_local(make());
             if task.await.is_err() {
-                supervisor.with(|engine| engine.counters.panics += 1);
+                executor_handle.with(|engine| engine.counters.panics += 1);
                 tracing::error!(what = name, "task panicked; restarting");
                 tokio::time::sleep(RESTART_DELAY).await;
             }
--- a/src/message_auth/tests.rs
+++ b/src/message_auth/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_first_key_signs_all_verify_and_invalid_keys_are_rejected() {
+fn the_first_key_signs_every_key_verifies_and_invalid_key_files_are_rejected() {
     let line = |seed: u8| STANDARD.encode([seed; 32]);
     let both = MessageKeys::parse(&format!("# first signs\n{}\n\n{}\n", line(1), line(2))).unwrap();
     let (one, two) = (MessageKeys::parse(&line(1)).unwrap(), MessageKeys::parse(&line(2)).unwrap());
--- a/src/purge/config.rs
+++ b/src/purge/config.rs
@@ -4,7 +4,7 @@
 use super::active_purges::RetentionLimits;
 use super::fanout::{FanOutLimits, TargetStatus};
 use crate::backoff::Backoff;
-use crate::config_file::{parse_address, read_json, resolve_beside, ConfigError, FieldError};
+use crate::config_file::{parse_address, read_json, resolve_relative_path, ConfigError, FieldError};
 use crate::engine::CacheServer;
 use crate::EndpointState;
 use serde::Deserialize;
@@ -139,7 +139,7 @@
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         config.path = path.to_path_buf();
-        config.log_path = config.log_path.map(|log_path| resolve_beside(path, &log_path));
+        config.log_path = config.log_path.map(|log_path| resolve_relative_path(path, &log_path));
         config.check().map_err(|error| error.in_file(path))?;
         Ok(config)
     }
--- a/src/response_path.rs
+++ b/src/response_path.rs
@@ -48,7 +48,7 @@
 
     /// Looks up a name of the cache protocol. Returns `None` for an unknown name.
     pub fn from_name(name: &str) -> Option<Self> {
-        Self::NAMES.iter().find(|(known, _)| *known == name).map(|(_, path)| *path)
+        Self::NAMES.iter().find(|(candidate, _)| *candidate == name).map(|(_, path)| *path)
     }
 
     /// Looks up a number of the simulator. Returns `None` for 0 and for numbers past the last.
--- a/src/vrrp/config.rs
+++ b/src/vrrp/config.rs
@@ -6,7 +6,9 @@
 use super::machine::RouterSettings;
 use super::message::OWNER_PRIORITY;
 use super::track::{TrackRule, TrackedObject};
-use crate::config_file::{parse_address, read_json, read_keys_beside, ConfigError, FieldError, KeyFileError};
+use crate::config_file::{
+    parse_address, read_json, read_message_keys, ConfigError, FieldError, KeyFileError,
+};
 use crate::message_auth::MessageKeys;
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -257,6 +259,6 @@
 
     /// Reads the keys that authenticate advertisements, if a key file is configured.
     pub fn keys(&self) -> Result<Option<MessageKeys>, KeyFileError> {
-        self.key_file.as_ref().map(|file| read_keys_beside(&self.path, file)).transpose()
+        self.key_file.as_ref().map(|file| read_message_keys(&self.path, file)).transpose()
     }
 }
