--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -61,11 +61,11 @@
     #[error("JobIn: unknown class {0:?}")]
     UnknownClass(String),
     /// An attempt or a health check has an unknown outcome.
-    #[error("Settled: unknown status {0:?}")]
+    #[error("unknown status {0:?}")]
     UnknownOutcome(String),
 }
 
 /// A request id is not 16 lower-case hex digits.
 #[derive(Debug, Error)]
-#[error("request id {0:?} is not 16 hex digits")]
+#[error("request id {0:?} is not 16 lower-case hex digits")]
 pub struct RequestIdError(pub String);
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -55,7 +55,7 @@
         source: std::io::Error,
     },
     /// A file is not a purge log.
-    #[error("{}: not a purge log", .0.display())]
+    #[error("{}: not a purge log: the file signature is missing", .0.display())]
     NotAPurgeLog(PathBuf),
     /// A purge log contains a corrupt record.
     #[error(
--- a/src/config_file.rs
+++ b/src/config_file.rs
@@ -81,8 +81,8 @@
 /// A string is not the socket address of a single host.
 #[derive(Debug, Error)]
 pub enum AddressError {
-    /// The text is not of the form `ADDRESS:PORT`.
-    #[error("{text:?}: {source}")]
+    /// The text is not of the form `IP:PORT`.
+    #[error("{text:?} is not of the form IP:PORT: {source}")]
     Malformed {
         /// The text.
         text: String,
@@ -90,7 +90,7 @@
         source: AddrParseError,
     },
     /// The text is the unspecified address, which means all addresses of a host.
-    #[error("{text:?} is the unspecified address")]
+    #[error("{text:?} is the unspecified address; the address of a single host is required")]
     Unspecified {
         /// The text.
         text: String,
@@ -141,7 +141,7 @@
     MessageKeys::parse(&text).map_err(|source| KeyFileError::Malformed { path: file, source })
 }
 
-/// Parses the socket address of a single host, `ADDRESS:PORT`.
+/// Parses the socket address of a single host, `IP:PORT`.
 pub fn parse_address(text: &str) -> Result<SocketAddr, AddressError> {
     match text.parse::<SocketAddr>() {
         Ok(address) if address.ip() == Ipv4Addr::UNSPECIFIED => {
--- a/src/datagram_auth.rs
+++ b/src/datagram_auth.rs
@@ -27,7 +27,7 @@
     #[error("the sequence number is not above the last one of its sender")]
     Replayed,
     /// The sequence number differs from this proxy's clock by more than the permitted clock skew.
-    #[error("the sequence number exceeds the permitted clock skew")]
+    #[error("the sequence number differs from this proxy's clock by more than the permitted clock skew")]
     ClockSkew,
 }
 
--- a/src/http_client.rs
+++ b/src/http_client.rs
@@ -31,7 +31,7 @@
     #[error("the response from {0} timed out")]
     Timeout(SocketAddr),
     /// The response is larger than [`MAX_RESPONSE_BYTES`].
-    #[error("the response from {0} is too large")]
+    #[error("the response from {0} exceeds {MAX_RESPONSE_BYTES} bytes")]
     TooLarge(SocketAddr),
     /// The response is malformed, or the connection ended before it was complete.
     #[error("the response from {0} is malformed or incomplete")]
--- a/src/lifecycle/bind.rs
+++ b/src/lifecycle/bind.rs
@@ -33,7 +33,7 @@
         match open().await {
             Err(error) if error.kind() == ErrorKind::AddrInUse => {
                 if retry == 0 {
-                    tracing::warn!(at = %address, "the address is in use; retrying until it is free");
+                    tracing::warn!(%address, "the address is in use; retrying for up to 3 s");
                 }
                 tokio::time::sleep(duration_from_ms(RETRY_INTERVAL_MS)).await;
             }
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -76,7 +76,7 @@
 
 /// The seed is not a hexadecimal number.
 #[derive(Debug, Error)]
-#[error("{text:?}: {source}")]
+#[error("{text:?} is not a hexadecimal number of at most 64 bits: {source}")]
 pub struct SeedError {
     text: String,
     source: ParseIntError,
--- a/src/lifecycle/error.rs
+++ b/src/lifecycle/error.rs
@@ -25,7 +25,7 @@
         source: std::io::Error,
     },
     /// The inherited listening socket cannot be used.
-    #[error("inherited listening socket: {0}")]
+    #[error("cannot use the inherited listening socket: {0}")]
     InheritedSocket(#[source] std::io::Error),
     /// Signal handlers cannot be installed.
     #[error("cannot install signal handlers: {0}")]
--- a/src/lifecycle/inherit.rs
+++ b/src/lifecycle/inherit.rs
@@ -14,7 +14,10 @@
         return Ok(None);
     };
     let number = number.to_str().and_then(|text| text.trim().parse::<u16>().ok()).ok_or_else(|| {
-        Error::new(ErrorKind::InvalidInput, format!("{DESCRIPTOR_VARIABLE} is not a descriptor number"))
+        Error::new(
+            ErrorKind::InvalidInput,
+            format!("{DESCRIPTOR_VARIABLE} is {number:?}, not a descriptor number from 0 to 65535"),
+        )
     })?;
     // listenfd reads systemd's variables, and checks that the descriptor is a TCP socket.
     std::env::set_var("LISTEN_FDS", "1");
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -100,7 +100,7 @@
 /// longest request deadline.
 async fn stop(subsystems: &mut [Box<dyn Subsystem>], context: &Context) {
     let executor = &context.executor;
-    tracing::info!("{} stops", context.config.name);
+    tracing::info!("{} is shutting down", context.config.name);
     advance_stop(subsystems, StopStage::Announce);
     let request_grace_ms = executor.settings().longest_deadline_ms().max(MIN_REQUEST_GRACE_MS);
     let deadline_ms = executor.clock.now() + ACCEPT_GRACE_MS + request_grace_ms + RESPONSE_WRITE_MS;
--- a/src/lifecycle/signed_urls.rs
+++ b/src/lifecycle/signed_urls.rs
@@ -53,11 +53,11 @@
     EmptyIssuer,
     #[error("{0:?} is neither http nor https")]
     Scheme(String),
-    #[error("{0} is not between 0 and {MAX_TOLERANCE_MS}")]
+    #[error("{0} ms is not between 0 and {MAX_TOLERANCE_MS} ms")]
     Tolerance(f64),
-    #[error("a timeout is not between 1 ms and 1 hour")]
+    #[error("`first_ms`, `idle_ms`, `head_ms`, `body_ms` and `write_ms` must be between 1 ms and 1 hour")]
     Timeout,
-    #[error("{connections} is not between 1 and {max}")]
+    #[error("{connections} is not between 1 and {max}, a fifth of the descriptor limit")]
     Connections { connections: usize, max: usize },
 }
 
--- a/src/lifecycle/subsystems/registry.rs
+++ b/src/lifecycle/subsystems/registry.rs
@@ -25,7 +25,7 @@
         let executor = &context.executor;
         *context.registry.borrow_mut() = Some(self.status.clone());
         executor.with(|engine| engine.use_registry());
-        tracing::info!(at = self.config.address, "reading endpoints from the registry");
+        tracing::info!(address = self.config.address, "reading endpoints from the registry");
         let client = run(executor.clone(), self.config.clone(), self.status.clone(), context.seed);
         executor.spawn("registry client", client);
         ready(Ok(())).boxed_local()
--- a/src/lifecycle/subsystems/settings.rs
+++ b/src/lifecycle/subsystems/settings.rs
@@ -43,7 +43,11 @@
             });
             let changed =
                 discovery_address.send_if_modified(|old| std::mem::replace(old, address) != address);
-            tracing::info!(discovery_address = %address, moved = changed, "configuration reloaded");
+            tracing::info!(
+                discovery_address = %address,
+                discovery_address_changed = changed,
+                "configuration reloaded"
+            );
         }
         Err(reason) => {
             executor.with(|engine| engine.counters.reload_failures += 1);
--- a/src/lifecycle/supervisor.rs
+++ b/src/lifecycle/supervisor.rs
@@ -21,7 +21,7 @@
             let task = tokio::task::spawn_local(make());
             if task.await.is_err() {
                 executor_handle.with(|engine| engine.counters.panics += 1);
-                tracing::error!(what = name, "task panicked; restarting");
+                tracing::error!(task = name, "task panicked; restarting");
                 tokio::time::sleep(RESTART_DELAY).await;
             }
         }
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -78,7 +78,7 @@
     assert_eq!(proxy.wait_for_log("clients").trim(), "clients 1");
     proxy.signal("-HUP");
     proxy.signal("-TERM");
-    proxy.wait_for_log("stops");
+    proxy.wait_for_log("is shutting down");
     // New connections are accepted for a grace period.
     assert!(proxy.request_alive(&mut proxy.connect()).starts_with("HTTP/1.1 200 OK"));
     assert_eq!(proxy.wait_for_log("clients").trim(), "clients 2");
@@ -111,7 +111,7 @@
     let mut partial = proxy.connect();
     partial.write_all(&get(2).as_bytes()[..40]).unwrap();
     proxy.signal("-TERM");
-    proxy.wait_for_log("stops");
+    proxy.wait_for_log("is shutting down");
     proxy.signal("-HUP");
     proxy.signal("-TERM");
     partial.write_all(&get(2).as_bytes()[40..]).unwrap();
@@ -147,7 +147,7 @@
     let failures = proxy.wait_for_log("accept_failures");
     assert_ne!(failures.trim(), "accept_failures 0");
     proxy.signal("-TERM");
-    proxy.wait_for_log("stops");
+    proxy.wait_for_log("is shutting down");
     assert_eq!(proxy.child.wait().unwrap().code(), Some(0));
 }
 
@@ -198,7 +198,7 @@
     assert!(old.request_alive(&mut kept).starts_with("HTTP/1.1 200 OK"));
     let mut new = start();
     old.signal("-TERM");
-    old.wait_for_log("stops");
+    old.wait_for_log("is shutting down");
     let last = old.request_alive(&mut kept);
     assert!(last.starts_with("HTTP/1.1 200 OK") && last.contains("Connection: close"), "{last}");
     assert!(new.request_alive(&mut new.connect()).starts_with("HTTP/1.1 200 OK"));
