--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -11,11 +11,11 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("its input");
+    let mut stdin = child.stdin.take().expect("stdin is piped");
     // The adapter may exit before it has read all input, on an invalid line.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
-    child.wait_with_output().expect("its output")
+    child.wait_with_output().expect("the adapter exits")
 }
 
 /// Runs the adapter on a transcript, asserts that it succeeds, and returns its output lines.
@@ -31,8 +31,9 @@
     format!("{{\"cmd\":\"Clock\",\"timeUs\":{at}}}\n{events}{{\"cmd\":\"Eob\"}}\n\n")
 }
 
-const ENV: &str = r#"{"classes":[{"aimStretch":2.0,"deadlineUs":5000000,"dedupScope":"all","lateWorth":0.15,
-"name":"clip","promiseUs":500000,"semantics":"pure","streaming":false,"windowUs":5000000,"worth":2.0},
+const SETTINGS: &str = r#"{"classes":[{"aimStretch":2.0,"deadlineUs":5000000,"dedupScope":"all",
+"lateWorth":0.15,"name":"clip","promiseUs":500000,"semantics":"pure","streaming":false,
+"windowUs":5000000,"worth":2.0},
 {"deadlineUs":3000000,"dedupScope":"all","lateWorth":0.0,"name":"order","promiseUs":700000,
 "semantics":"token","streaming":false,"windowUs":6000000,"worth":3.0}],"discovery":"push",
 "family":"edge","familyInfo":{"maxAgeUs":[0,0],"uncached":[false,true],"mayPassBy":true,"midKind":1,
@@ -43,8 +44,8 @@
 "rules":{"drainGraceUs":500000,"fallMultiple":3.0,"rampTimeUs":15000000,"startCapacity":0.2,
 "tipAfterUs":2000000},"siblings":1,"skus":["box","parent","origin"],"weightKind":"nominal"}"#;
 
-fn open_message(i: u64) -> String {
-    format!("{{\"cmd\":\"OpenInstance\",\"i\":{i},\"seed\":9,\"env\":{}}}", ENV.replace('\n', ""))
+fn open_message(instance: u64) -> String {
+    format!("{{\"cmd\":\"OpenInstance\",\"i\":{instance},\"seed\":9,\"env\":{}}}", SETTINGS.replace('\n', ""))
 }
 
 fn record(zone: &str, model: &str, cache: u32) -> String {
@@ -64,21 +65,22 @@
     format!("{{\"cmd\":\"Table\",\"sheet\":3,\"records\":[{}]}}", records.join(","))
 }
 
-fn endpoints_message(i: u64) -> String {
-    format!("{{\"cmd\":\"Members\",\"i\":{i},\"sheet\":3,\"mode\":\"warm_copy\",\"index\":1}}")
+fn endpoints_message(instance: u64) -> String {
+    format!("{{\"cmd\":\"Members\",\"i\":{instance},\"sheet\":3,\"mode\":\"warm_copy\",\"index\":1}}")
 }
 
-fn request_message(i: u64, id: u64, class: &str) -> String {
+fn request_message(instance: u64, id: u64, class: &str) -> String {
     format!(
-        "{{\"cmd\":\"JobIn\",\"i\":{i},\"requestId\":\"{id:016x}\",\"band\":\"{class}\",\"account\":null,\
-         \"asset\":77,\"giveUpAtUs\":4000000,\"kbytes\":null,\"setNo\":3,\"slice\":0,\"bitmap\":0}}"
+        "{{\"cmd\":\"JobIn\",\"i\":{instance},\"requestId\":\"{id:016x}\",\"band\":\"{class}\",\
+         \"account\":null,\"asset\":77,\"giveUpAtUs\":4000000,\"kbytes\":null,\"setNo\":3,\
+         \"slice\":0,\"bitmap\":0}}"
     )
 }
 
-fn attempt_ended_message(i: u64, id: u64, hop: u32, status: &str, closed: bool) -> String {
+fn attempt_ended_message(instance: u64, id: u64, hop: u32, status: &str, closed: bool) -> String {
     format!(
-        "{{\"cmd\":\"Settled\",\"i\":{i},\"requestId\":\"{id:016x}\",\"cache\":101,\"hop\":{hop},\"detail\":0,\
-         \"status\":\"{status}\",\"tookUs\":2000,\"closed\":{closed},\"pressure\":null}}"
+        "{{\"cmd\":\"Settled\",\"i\":{instance},\"requestId\":\"{id:016x}\",\"cache\":101,\"hop\":{hop},\
+         \"detail\":0,\"status\":\"{status}\",\"tookUs\":2000,\"closed\":{closed},\"pressure\":null}}"
     )
 }
 
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn a_request_is_sent_with_its_parent_and_retried_at_the_other_cache() {
+fn misses_are_filled_from_the_parent_and_a_failed_attempt_is_retried_at_the_other_cache() {
     let start = batch(1_000, &[open_message(0), table_message(), endpoints_message(0)]);
     let out = output_lines(
         &(start
@@ -104,7 +106,7 @@
     assert_eq!(sent.len(), 2, "{out:?}");
     assert_eq!(sent[0]["requestId"], "0000000000000007");
     assert_eq!((&sent[0]["source"], &sent[0]["i"]), (&201.into(), &0.into()));
-    assert_ne!(sent[0]["cache"], sent[1]["cache"], "the other cache");
+    assert_ne!(sent[0]["cache"], sent[1]["cache"], "retried at the same cache");
     assert!(sent[0]["capUs"].as_u64() > Some(0));
     assert_eq!(out.iter().filter(|l| l.contains("\"End\"")).count(), 3);
 }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -33,7 +33,7 @@
     folder
 }
 
-fn program(folder: &Path, arguments: &[&str]) -> Output {
+fn run_program(folder: &Path, arguments: &[&str]) -> Output {
     Command::new(PROGRAM).args(arguments).current_dir(folder).env_remove("NODE_CONFIG").output().unwrap()
 }
 
@@ -44,14 +44,14 @@
 /// Asserts that `check` and `serve` accept an option by both of its names.
 fn assert_both_names_accepted(test: &str, deprecated: &str) {
     let folder = workspace(test);
-    let (_, current, file) = OPTIONS.into_iter().find(|(other, ..)| *other == deprecated).unwrap();
+    let (_, current, file) = OPTIONS.into_iter().find(|(name, ..)| *name == deprecated).unwrap();
     std::fs::write(folder.join("bad.json"), "{ \"unknown\": 1 }").unwrap();
     let mut messages = Vec::new();
     for option in [deprecated, current] {
-        let output = program(&folder, &["check", "--config", "config.json", option, file]);
+        let output = run_program(&folder, &["check", "--config", "config.json", option, file]);
         assert!(output.status.success(), "{option}: {}", stderr(&output));
         for command in ["check", "serve"] {
-            let output = program(&folder, &[command, "--config", "config.json", option, "bad.json"]);
+            let output = run_program(&folder, &[command, "--config", "config.json", option, "bad.json"]);
             let message = stderr(&output);
             assert!(!output.status.success(), "{command} {option}");
             assert!(
@@ -65,22 +65,22 @@
 }
 
 #[test]
-fn door_is_read_as_admission() {
+fn deprecated_option_door_is_accepted_for_admission() {
     assert_both_names_accepted("door", "--door");
 }
 
 #[test]
-fn poor_is_read_as_http3() {
+fn deprecated_option_poor_is_accepted_for_http3() {
     assert_both_names_accepted("poor", "--poor");
 }
 
 #[test]
-fn duties_is_read_as_health_checks() {
+fn deprecated_option_duties_is_accepted_for_health_checks() {
     assert_both_names_accepted("duties", "--duties");
 }
 
 #[test]
-fn front_is_read_as_signed_urls() {
+fn deprecated_option_front_is_accepted_for_signed_urls() {
     assert_both_names_accepted("front", "--front");
 }
 
@@ -104,19 +104,19 @@
 }
 
 #[test]
-fn aside_is_read_as_step_down() {
+fn deprecated_vrrp_action_aside_is_accepted_for_step_down() {
     assert_eq!(admin_request(&["vrrp", "aside"]), "POST /vrrp/aside HTTP/1.1");
     assert_eq!(admin_request(&["vrrp", "step-down"]), "POST /vrrp/aside HTTP/1.1");
 }
 
 #[test]
-fn back_is_read_as_resume() {
+fn deprecated_vrrp_action_back_is_accepted_for_resume() {
     assert_eq!(admin_request(&["vrrp", "back"]), "POST /vrrp/back HTTP/1.1");
     assert_eq!(admin_request(&["vrrp", "resume"]), "POST /vrrp/back HTTP/1.1");
 }
 
 #[test]
-fn show_duties_is_read_as_show_health_checks() {
+fn deprecated_subsystem_duties_is_accepted_for_health_checks() {
     assert_eq!(admin_request(&["show", "duties"]), "GET /duties HTTP/1.1");
     assert_eq!(admin_request(&["show", "health-checks"]), "GET /duties HTTP/1.1");
 }
@@ -133,9 +133,9 @@
 fn option_values_are_not_treated_as_deprecated_names() {
     let folder = workspace("values");
     std::fs::copy(folder.join("config.json"), folder.join("--door")).unwrap();
-    let output = program(&folder, &["check", "--config", "--door", "--door", "door.json"]);
+    let output = run_program(&folder, &["check", "--config", "--door", "--door", "door.json"]);
     assert!(output.status.success(), "{}", stderr(&output));
-    let output = program(&folder, &["check", "--config", "--poor"]);
+    let output = run_program(&folder, &["check", "--config", "--poor"]);
     assert!(stderr(&output).contains("--poor"), "{}", stderr(&output));
 }
 
@@ -157,7 +157,7 @@
         ("show", &["health-checks"], &["duties"]),
     ];
     for (command, current, deprecated) in cases {
-        let output = program(&folder, &[command, "--help"]);
+        let output = run_program(&folder, &[command, "--help"]);
         assert!(output.status.success(), "{command}: {}", stderr(&output));
         let help = String::from_utf8_lossy(&output.stdout).to_string();
         current.iter().for_each(|name| assert!(help.contains(name), "{command}, {name}: {help}"));
@@ -168,15 +168,15 @@
 #[test]
 fn an_unknown_argument_fails_and_refers_to_the_help() {
     let folder = workspace("unknown");
-    let output = program(&folder, &["serve", "--unknown"]);
+    let output = run_program(&folder, &["serve", "--unknown"]);
     assert_eq!(output.status.code(), Some(1));
     assert!(stderr(&output).contains("--help"), "{}", stderr(&output));
-    let output = program(&folder, &["vrrp", "away", "--at", "127.0.0.1:1"]);
+    let output = run_program(&folder, &["vrrp", "away", "--at", "127.0.0.1:1"]);
     assert!(stderr(&output).contains("\"away\""), "{}", stderr(&output));
 }
 
 /// Runs the proxy with these environment variables, stops it once it listens, and returns its log.
-fn log(test: &str, variables: &[(&str, &str)]) -> String {
+fn run_and_read_log(test: &str, variables: &[(&str, &str)]) -> String {
     let folder = workspace(test);
     let port = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().port();
     let config = std::fs::read_to_string(folder.join("config.json")).unwrap();
@@ -207,35 +207,38 @@
 
 #[test]
 fn the_log_is_text_at_level_info_if_no_variable_is_set() {
-    let log = log("log_unset", &[]);
+    let log = run_and_read_log("log_unset", &[]);
     assert!(log.contains("serves on") && !is_json(&log), "{log}");
 }
 
 #[test]
 fn edge_proxy_log_filters_the_log() {
-    let log = log("log_filter", &[("EDGE_PROXY_LOG", "error")]);
+    let log = run_and_read_log("log_filter", &[("EDGE_PROXY_LOG", "error")]);
     assert!(log.is_empty(), "{log}");
 }
 
 #[test]
 fn calicobeam_log_filters_the_log_if_edge_proxy_log_is_unset() {
-    let filtered = log("log_old_filter", &[("CALICOBEAM_LOG", "error")]);
+    let filtered = run_and_read_log("log_old_filter", &[("CALICOBEAM_LOG", "error")]);
     assert!(filtered.is_empty(), "{filtered}");
-    let both = log("log_both_filters", &[("CALICOBEAM_LOG", "error"), ("EDGE_PROXY_LOG", "info")]);
+    let both =
+        run_and_read_log("log_both_filters", &[("CALICOBEAM_LOG", "error"), ("EDGE_PROXY_LOG", "info")]);
     assert!(both.contains("serves on"), "{both}");
 }
 
 #[test]
 fn edge_proxy_log_format_selects_json() {
-    let log = log("log_format", &[("EDGE_PROXY_LOG_FORMAT", "json")]);
+    let log = run_and_read_log("log_format", &[("EDGE_PROXY_LOG_FORMAT", "json")]);
     assert!(log.contains("serves on") && is_json(&log), "{log}");
 }
 
 #[test]
 fn calicobeam_log_format_selects_json_if_edge_proxy_log_format_is_unset() {
-    let deprecated = log("log_old_format", &[("CALICOBEAM_LOG_FORMAT", "json")]);
+    let deprecated = run_and_read_log("log_old_format", &[("CALICOBEAM_LOG_FORMAT", "json")]);
     assert!(deprecated.contains("serves on") && is_json(&deprecated), "{deprecated}");
-    let both =
-        log("log_both_formats", &[("CALICOBEAM_LOG_FORMAT", "json"), ("EDGE_PROXY_LOG_FORMAT", "text")]);
+    let both = run_and_read_log(
+        "log_both_formats",
+        &[("CALICOBEAM_LOG_FORMAT", "json"), ("EDGE_PROXY_LOG_FORMAT", "text")],
+    );
     assert!(both.contains("serves on") && !is_json(&both), "{both}");
 }
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn check_names_the_field_of_each_error_in_the_signed_urls_file() {
+fn check_accepts_the_shipped_signed_urls_file_and_names_the_field_of_each_error() {
     let config = write_file("front-config.json", &example_config());
     let config = config.to_str().unwrap();
     let k = "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8";
@@ -91,8 +91,9 @@
 fn a_repeated_sigterm_still_answers_every_accepted_request_once() {
     // All endpoints accept connections and never respond.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap().to_string();
-    let text = (7101..=7104).fold(example_config(), |text, k| text.replace(&format!("127.0.0.1:{k}"), &at));
+    let address = listener.local_addr().unwrap().to_string();
+    let text = (7101..=7104)
+        .fold(example_config(), |text, port| text.replace(&format!("127.0.0.1:{port}"), &address));
     let mut proxy = RunningProxy::start_with_config(&text, "twice.json", 256);
     // An attempt of this class times out after 1.3 s, well after the listeners close, 0.7 s after the signal.
     let get = |id: u64| {
@@ -131,21 +132,22 @@
     assert_eq!(proxy.child.wait().unwrap().code(), Some(0));
 }
 
-/// Guards against failing when descriptors run out: clients wait, and are served once descriptors are free.
+/// Guards against dropped clients or an exit when descriptors run out: clients must wait and be served once
+/// descriptors are free.
 #[test]
 fn waiting_clients_are_served_once_exhausted_descriptors_are_free() {
     let mut proxy = RunningProxy::start("descriptors.json", 256);
     // Lowers the limit below the one that the process read at startup.
     rlimit::prlimit(proxy.pid(), rlimit::Resource::NOFILE, Some((24, 24)), None).unwrap();
-    let mut held: Vec<TcpStream> = (0..60).map(|_| proxy.connect()).collect();
+    let mut clients: Vec<TcpStream> = (0..60).map(|_| proxy.connect()).collect();
     // The first client is served; the last waits in the listen backlog until others disconnect.
-    assert!(proxy.request_alive(&mut held[0]).starts_with("HTTP/1.1 200 OK"));
-    let mut last = held.pop().unwrap();
-    drop(held);
+    assert!(proxy.request_alive(&mut clients[0]).starts_with("HTTP/1.1 200 OK"));
+    let mut last = clients.pop().unwrap();
+    drop(clients);
     assert!(proxy.request_alive(&mut last).starts_with("HTTP/1.1 200 OK"));
     proxy.signal("-USR1");
-    let failures = proxy.wait_for_log("accept_failures");
-    assert_ne!(failures.trim(), "accept_failures 0");
+    let line = proxy.wait_for_log("accept_failures");
+    assert_ne!(line.trim(), "accept_failures 0");
     proxy.signal("-TERM");
     proxy.wait_for_log("is shutting down");
     assert_eq!(proxy.child.wait().unwrap().code(), Some(0));
@@ -161,12 +163,12 @@
     std::fs::write(&path, "nonsense").unwrap();
     proxy.signal("-HUP");
     proxy.wait_for_log("configuration not reloaded");
-    let at = discovery.local_addr().unwrap().to_string();
-    std::fs::write(&path, text.replace("127.0.0.1:7070", &at)).unwrap();
+    let address = discovery.local_addr().unwrap().to_string();
+    std::fs::write(&path, text.replace("127.0.0.1:7070", &address)).unwrap();
     proxy.signal("-HUP");
     let mut last = [0; 8];
     discovery.accept().unwrap().0.read_exact(&mut last).unwrap();
-    assert!(u64::from_be_bytes(last) > 0, "the watch resumes from the last known event");
+    assert!(u64::from_be_bytes(last) > 0, "the watch did not resume from the last event");
     assert!(proxy.request_alive(&mut proxy.connect()).starts_with("HTTP/1.1 200 OK"));
 }
 
@@ -194,12 +196,12 @@
         running
     };
     let mut old = start();
-    let mut kept = old.connect();
-    assert!(old.request_alive(&mut kept).starts_with("HTTP/1.1 200 OK"));
+    let mut idle_connection = old.connect();
+    assert!(old.request_alive(&mut idle_connection).starts_with("HTTP/1.1 200 OK"));
     let mut new = start();
     old.signal("-TERM");
     old.wait_for_log("is shutting down");
-    let last = old.request_alive(&mut kept);
+    let last = old.request_alive(&mut idle_connection);
     assert!(last.starts_with("HTTP/1.1 200 OK") && last.contains("Connection: close"), "{last}");
     assert!(new.request_alive(&mut new.connect()).starts_with("HTTP/1.1 200 OK"));
     assert_eq!(old.child.wait().unwrap().code(), Some(0));
--- a/tests/scarcity.rs
+++ b/tests/scarcity.rs
@@ -13,7 +13,7 @@
 /// Number of idle clients, more than a process with [`DESCRIPTOR_LIMIT`] descriptors can hold.
 const IDLE_CLIENTS: usize = 150;
 
-/// A configuration with these caches in its initial state and a limit of 1,024 descriptors.
+/// A configuration with `caches` in its initial state, and with the admin address `admin`, if any.
 fn config_with_caches(watch: SocketAddr, caches: &[(u32, SocketAddr)], admin: Option<SocketAddr>) -> String {
     let endpoints: Vec<(u32, &str, SocketAddr)> = caches.iter().map(|(id, at)| (*id, "box", *at)).collect();
     let admin = admin.map_or(String::new(), |at| format!(r#""mgmt":"{at}","#));
@@ -57,10 +57,10 @@
 }
 
 /// Sends requests until the endpoint `name` serves one, since the proxy applies changes asynchronously.
-fn wait_until_served_by(proxy: &RunningProxy, ids: &mut u64, name: &str) {
+fn wait_until_served_by(proxy: &RunningProxy, last_id: &mut u64, name: &str) {
     loop {
-        *ids += 1;
-        let (status, body) = send_request(&mut proxy.connect(), *ids);
+        *last_id += 1;
+        let (status, body) = send_request(&mut proxy.connect(), *last_id);
         if (&*status, &*body) == ("200", name) {
             return;
         }
@@ -85,13 +85,13 @@
         DESCRIPTOR_LIMIT,
     );
     let idle: Vec<TcpStream> = (0..IDLE_CLIENTS).map(|_| proxy.connect()).collect();
-    // The connection to the endpoint. A new client waits behind the idle ones and is then served.
+    // A new client waits behind the idle ones, and the proxy can still connect to the endpoint.
     assert_eq!(send_request(&mut proxy.connect(), 1), ("200".to_string(), "one".to_string()));
-    // The admin address.
+    // The admin address still responds.
     let mut call = TcpStream::connect(admin).unwrap();
     call.write_all(b"GET /healthcheck HTTP/1.1\r\nHost: o\r\n\r\n").unwrap();
     assert!(read_response(&mut call).0.starts_with("HTTP/1.1 200"));
-    // The watch is established and delivers a new endpoint while the idle clients are still connected.
+    // The watch connects and delivers a new endpoint while the idle clients are still connected.
     let other = NamedEndpoint::start("two");
     let listener = TcpListener::bind(watch).unwrap();
     let (mut stream, last) = accept_watch(&listener);
@@ -109,10 +109,11 @@
 #[test]
 fn a_process_serves_from_its_configuration_while_discovery_is_down_or_silent() {
     for silent in [false, true] {
-        let endpoint = NamedEndpoint::start("known");
+        let endpoint = NamedEndpoint::start("configured");
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let watch = listener.local_addr().unwrap();
-        // Connections are accepted by the system and never answered, or refused.
+        // If the listener is kept, the kernel accepts connections that are never answered; otherwise they are
+        // refused.
         let _silent = silent.then_some(listener);
         let text = config_with_caches(watch, &[(0xc1, endpoint.address)], None);
         let name = format!("ready{silent}.json");
@@ -120,15 +121,15 @@
         for round in 0..2 {
             assert!(proxy.request_alive(&mut proxy.connect()).starts_with("HTTP/1.1 200"));
             let idle: Vec<TcpStream> = (0..IDLE_CLIENTS).map(|_| proxy.connect()).collect();
-            assert_eq!(send_request(&mut proxy.connect(), 1), ("200".to_string(), "known".to_string()));
-            // The response did not wait for the watch: the only event is the initial state of the configuration.
+            assert_eq!(send_request(&mut proxy.connect(), 1), ("200".to_string(), "configured".to_string()));
+            // The response did not wait for the watch: the only event is the configuration's initial state.
             assert_eq!(read_counter(&mut proxy, "bulletin_events"), 1);
             if round == 0 {
-                // Killed with all its clients, and restarted immediately on the same address.
+                // Kills the process while its clients are connected, and restarts it on the same address.
                 let port = proxy.port;
                 proxy.child.kill().unwrap();
                 proxy = RunningProxy::start_at(port, &text, &name, DESCRIPTOR_LIMIT)
-                    .expect("the address is free again");
+                    .expect("the restarted process serves");
             }
             drop(idle);
         }
@@ -144,16 +145,15 @@
     for round in 1..=5 {
         let mut accepted = proxy.connect();
         accepted.write_all(request_text(round).as_bytes()).unwrap();
-        // Alternates between a request that has reached the endpoint and one that may not have been accepted.
-        // Ids of the previous process may arrive late.
+        // In even rounds, waits until the request has reached the endpoint; in odd rounds it may not have
+        // been accepted. Skips ids of requests from the previous process.
         if round % 2 == 0 {
             while endpoint.request_ids.recv_timeout(HANG_TIMEOUT).unwrap() != format!("{round:016x}") {}
         }
         let port = proxy.port;
         proxy.signal("-KILL");
-        // The old process may still exist.
         proxy = RunningProxy::start_at(port, &text, "again.json", DESCRIPTOR_LIMIT)
-            .expect("it binds the address");
+            .expect("the restarted process serves");
         let (status, body) = send_request(&mut proxy.connect(), 100 + round);
         assert_eq!((&*status, &*body), ("200", "again"));
         while endpoint.request_ids.recv_timeout(HANG_TIMEOUT).unwrap() != format!("{:016x}", 100 + round) {}
@@ -164,56 +164,56 @@
 #[test]
 fn a_start_at_an_address_that_is_still_in_use_serves_once_it_is_free() {
     let endpoint = NamedEndpoint::start("late");
-    // The current owner of the address.
-    let ending = TcpListener::bind("127.0.0.1:0").unwrap();
-    let port = ending.local_addr().unwrap().port();
+    let address_holder = TcpListener::bind("127.0.0.1:0").unwrap();
+    let port = address_holder.local_addr().unwrap().port();
     let text = config_with_caches(free_address(), &[(0xc1, endpoint.address)], None);
     let mut proxy = RunningProxy::spawn_at(port, &text, "in_use.json", DESCRIPTOR_LIMIT);
-    assert!(proxy.try_wait_for_log("the address is in use"), "it exited instead of waiting");
-    drop(ending);
+    assert!(proxy.try_wait_for_log("the address is in use"), "the process exited instead of retrying");
+    drop(address_holder);
     proxy.wait_for_log("serves on");
     assert_eq!(send_request(&mut proxy.connect(), 1), ("200".to_string(), "late".to_string()));
 }
 
-/// Guards against a reload that brings back a draining endpoint, in both directions.
+/// Guards against a reload that sends requests to a draining endpoint again. Drains each of two endpoints in
+/// turn.
 #[test]
-fn the_other_endpoint_serves_after_a_drain_between_reloads() {
+fn a_reload_does_not_restore_a_draining_endpoint() {
     let (one, two) = (NamedEndpoint::start("one"), NamedEndpoint::start("two"));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let watch = listener.local_addr().unwrap();
     let text = config_with_caches(watch, &[(0xc1, one.address), (0xc2, two.address)], None);
     let mut proxy = RunningProxy::start_with_config(&text, "drain.json", 256);
     let (mut stream, _) = accept_watch(&listener);
-    let (mut ids, mut last_event) = (0, 1);
+    let (mut last_id, mut last_event) = (0, 1);
     let mut send_record = |stream: &mut TcpStream, record: Vec<u8>| {
         last_event += 1;
         stream.write_all(&frame(last_event, 2, &record)).unwrap();
     };
-    for (drains, at, serves) in [(0xc1, one.address, "two"), (0xc2, two.address, "one")] {
-        let restored = if drains == 0xc2 { cache_record(0xc1, one.address, 0) } else { Vec::new() };
+    for (draining_id, address, serving) in [(0xc1, one.address, "two"), (0xc2, two.address, "one")] {
+        let restored = if draining_id == 0xc2 { cache_record(0xc1, one.address, 0) } else { Vec::new() };
         if !restored.is_empty() {
             send_record(&mut stream, restored);
-            wait_until_served_by(&proxy, &mut ids, "one");
+            wait_until_served_by(&proxy, &mut last_id, "one");
         }
         proxy.signal("-HUP");
         proxy.wait_for_log("configuration reloaded");
-        send_record(&mut stream, cache_record(drains, at, 1));
-        wait_until_served_by(&proxy, &mut ids, serves);
+        send_record(&mut stream, cache_record(draining_id, address, 1));
+        wait_until_served_by(&proxy, &mut last_id, serving);
         // The drain has been applied: the draining endpoint gets no more requests.
         for _ in 0..20 {
-            ids += 1;
-            assert_eq!(send_request(&mut proxy.connect(), ids), ("200".to_string(), serves.to_string()));
+            last_id += 1;
+            assert_eq!(send_request(&mut proxy.connect(), last_id), ("200".to_string(), serving.to_string()));
         }
         proxy.signal("-HUP");
         proxy.wait_for_log("configuration reloaded");
-        wait_until_served_by(&proxy, &mut ids, serves);
+        wait_until_served_by(&proxy, &mut last_id, serving);
     }
 }
 
 /// Guards against a proxy that stops serving after a complete list replaced all endpoints, or that does not
 /// reconnect a silent watch from its last event.
 #[test]
-fn a_silent_watch_is_reconnected_from_its_last_event_and_the_last_list_is_served() {
+fn a_silent_watch_reconnects_from_its_last_event_and_keeps_serving_from_the_last_list() {
     let (old, new, last) =
         (NamedEndpoint::start("old"), NamedEndpoint::start("new"), NamedEndpoint::start("last"));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -223,8 +223,8 @@
         "whole.json",
         256,
     );
-    let mut ids = 0;
-    wait_until_served_by(&proxy, &mut ids, "old");
+    let mut last_id = 0;
+    wait_until_served_by(&proxy, &mut last_id, "old");
     let (mut stream, resumed_from) = accept_watch(&listener);
     assert_eq!(resumed_from, 1);
     stream.write_all(&frame(1, 0, &[])).unwrap();
@@ -234,22 +234,23 @@
     stream.write_all(&list[..30]).unwrap();
     stream.flush().unwrap();
     stream.write_all(&list[30..]).unwrap();
-    wait_until_served_by(&proxy, &mut ids, "new");
+    wait_until_served_by(&proxy, &mut last_id, "new");
     // The connection stays open and silent. The proxy reconnects from the last event.
     let (mut fresh, resumed_from) = accept_watch(&listener);
     assert_eq!(resumed_from, 3);
-    wait_until_served_by(&proxy, &mut ids, "new");
+    wait_until_served_by(&proxy, &mut last_id, "new");
     fresh.write_all(&frame(4, 1, &cache_record(0xc4, last.address, 0))).unwrap();
-    wait_until_served_by(&proxy, &mut ids, "last");
+    wait_until_served_by(&proxy, &mut last_id, "last");
     // A list without changes, then silence again.
     fresh.write_all(&frame(5, 1, &cache_record(0xc4, last.address, 0))).unwrap();
     let (_third, resumed_from) = accept_watch(&listener);
     assert_eq!(resumed_from, 5);
-    wait_until_served_by(&proxy, &mut ids, "last");
+    wait_until_served_by(&proxy, &mut last_id, "last");
     drop(stream);
 }
 
-/// Guards against a parser that depends on read boundaries: byte by byte, and split at every position.
+/// Guards against a parser that depends on read boundaries. Sends requests byte by byte, and split at every
+/// position.
 #[test]
 fn requests_split_across_reads_are_served() {
     let endpoint = NamedEndpoint::start("pieces");
@@ -268,7 +269,7 @@
     };
     for byte in request_text(id).as_bytes() {
         client.write_all(&[*byte]).unwrap();
-        // Each byte is sent in its own packet, and most likely read separately.
+        // Lets the proxy read each byte separately, without a guarantee that it does.
         std::thread::yield_now();
     }
     assert_eq!(response(&mut client), expected);
--- a/tests/stand_ins/running.rs
+++ b/tests/stand_ins/running.rs
@@ -13,7 +13,7 @@
     std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap()
 }
 
-/// Writes a file to the tests' own folder.
+/// Writes a file to the folder `process` under `CARGO_TARGET_TMPDIR`.
 pub fn write_file(name: &str, text: &str) -> PathBuf {
     let path = super::test_dir("process").join(name);
     std::fs::write(&path, text).unwrap();
@@ -28,7 +28,8 @@
 }
 
 impl RunningProxy {
-    /// Starts a proxy with the example configuration on a free port, with a limit on file descriptors.
+    /// Starts a proxy with the example configuration on a free port. `name` is the name of the configuration
+    /// file to write, `descriptors` the limit on file descriptors.
     pub fn start(name: &str, descriptors: u32) -> Self {
         Self::start_with_config(&example_config(), name, descriptors)
     }
