--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -13,11 +13,11 @@
     #[error("cannot write standard output: {0}")]
     Output(#[source] io::Error),
     /// A message is invalid.
-    #[error("line {number}: {source}")]
+    #[error("line {line_number}: {source}")]
     Message {
-        /// Its line number, from 1.
-        number: u64,
-        /// What is wrong with it.
+        /// The message's line number, from 1.
+        line_number: u64,
+        /// Why the message is invalid.
         source: MessageError,
     },
 }
@@ -61,11 +61,11 @@
     #[error("JobIn: unknown class {0:?}")]
     UnknownClass(String),
     /// An attempt or a health check has an unknown outcome.
-    #[error("Settled: unknown status {0:?}")]
+    #[error("unknown status {0:?}")]
     UnknownOutcome(String),
 }
 
 /// A request id is not 16 lower-case hex digits.
 #[derive(Debug, Error)]
-#[error("request id {0:?} is not 16 hex digits")]
+#[error("request id {0:?} is not 16 lower-case hex digits")]
 pub struct RequestIdError(pub String);
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Errors of commands.
+//! The error type of all commands.
 
 use edge_proxy::config_file::{BoxError, ConfigError};
 use edge_proxy::lifecycle::error::ServeError;
@@ -55,18 +55,21 @@
         source: std::io::Error,
     },
     /// A file is not a purge log.
-    #[error("{}: not a purge log", .0.display())]
+    #[error("{}: not a purge log: the file signature is missing", .0.display())]
     NotAPurgeLog(PathBuf),
     /// A purge log contains a corrupt record.
-    #[error("{}: {complete} valid records, then a corrupt one at byte {offset}: {reason}", path.display())]
+    #[error(
+        "{}: {valid_records} valid records, then a corrupt one at byte {offset}: {reason}",
+        path.display()
+    )]
     CorruptPurgeLog {
         /// The file.
         path: PathBuf,
-        /// Number of valid records before it.
-        complete: usize,
-        /// Its offset in the file, in bytes.
+        /// Number of valid records before the corrupt one.
+        valid_records: usize,
+        /// Offset of the corrupt record in the file, in bytes.
         offset: usize,
-        /// What is wrong with it.
+        /// Why the record is corrupt.
         reason: String,
     },
     /// A record cannot be serialized as JSON.
--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -33,12 +33,13 @@
     /// the leader's admin address, as IP:PORT
     #[argh(option)]
     at: SocketAddr,
-    /// what the purge removes
+    /// what to purge
     #[argh(positional)]
     selector: String,
 }
 
-/// Show a proxy's purge progress: its last number, the completed number, each target's acknowledgement.
+/// Show a proxy's purge progress: the last purge number, the number up to which all targets have applied
+/// every purge, and each target's acknowledgement.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 struct Status {
@@ -57,7 +58,7 @@
     /// the first purge number to list
     #[argh(option, default = "1")]
     from: u64,
-    /// the maximum number of purges
+    /// the maximum number of purges to list
     #[argh(option, long = "most", default = "100")]
     limit: u64,
 }
@@ -101,19 +102,19 @@
             Ok(bytes) => bytes,
             Err(source) => return Err(CliError::Unreadable { path, source }),
         };
-        let Some(records) = bytes.strip_prefix(MAGIC.as_slice()) else {
+        let Some(encoded) = bytes.strip_prefix(MAGIC.as_slice()) else {
             return Err(CliError::NotAPurgeLog(path));
         };
-        let DecodedLog { records, fault } = decode(records);
+        let DecodedLog { records, fault } = decode(encoded);
         for record in &records {
             println!("{}", simd_json::to_string(record)?);
         }
-        let complete = records.len();
+        let valid_records = records.len();
         if let Some(InvalidRecord { offset, fault }) = fault {
             let (offset, reason) = (offset + MAGIC.len(), fault.to_string());
-            return Err(CliError::CorruptPurgeLog { path, complete, offset, reason });
+            return Err(CliError::CorruptPurgeLog { path, valid_records, offset, reason });
         }
-        eprintln!("{}: {complete} records, all valid", path.display());
+        eprintln!("{}: {valid_records} records, all valid", path.display());
         Ok(())
     }
 }
--- a/src/cli/rule.rs
+++ b/src/cli/rule.rs
@@ -26,7 +26,7 @@
 }
 
 impl Rule {
-    /// Prints the request's class and keys, or why it was not classified.
+    /// Prints the request's class, object, part and group, or why it was not classified.
     pub fn run(self) -> Result<(), CliError> {
         let (_, rules) = RulesConfig::read(&self.rules)?;
         let headers = self.header.iter().map(|line| parse_header(line)).collect::<Result<_, _>>()?;
@@ -34,9 +34,9 @@
             HttpRequest { method: self.method, target: self.target, headers, ..HttpRequest::default() };
         let mut steps = 0;
         match rules.classify(&request, &mut steps) {
-            Classification::Target(t) => println!(
+            Classification::Target(target) => println!(
                 "class {}  object {:016x}  part {}  group {}  steps {steps}",
-                t.class, t.object, t.part, t.group
+                target.class, target.object, target.part, target.group
             ),
             Classification::Malformed => println!("malformed: 400  steps {steps}"),
             Classification::NoMatch => println!("no rule: 404  steps {steps}"),
--- a/src/config_file.rs
+++ b/src/config_file.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The cause of an error, with the type of the subsystem that reported it.
+/// The type-erased cause of an error.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
 /// A configuration file is invalid.
@@ -81,8 +81,8 @@
 /// A string is not the socket address of a single host.
 #[derive(Debug, Error)]
 pub enum AddressError {
-    /// The text is not of the form `ADDRESS:PORT`.
-    #[error("{text:?}: {source}")]
+    /// The text is not of the form `IP:PORT`.
+    #[error("{text:?} is not of the form IP:PORT: {source}")]
     Malformed {
         /// The text.
         text: String,
@@ -90,7 +90,7 @@
         source: AddrParseError,
     },
     /// The text is the unspecified address, which means all addresses of a host.
-    #[error("{text:?} is the unspecified address")]
+    #[error("{text:?} is the unspecified address; the address of a single host is required")]
     Unspecified {
         /// The text.
         text: String,
@@ -126,14 +126,14 @@
         .map_err(|source| ConfigError::Malformed { path: path.to_path_buf(), source })
 }
 
-/// Resolves the path `file`, found in the file at `path`, relative to that file's folder.
-pub fn resolve_beside(path: &Path, file: &Path) -> PathBuf {
-    path.parent().map_or_else(|| file.to_path_buf(), |folder| folder.join(file))
+/// Resolves `file` relative to the folder of the configuration file at `config_path`.
+pub fn resolve_relative_path(config_path: &Path, file: &Path) -> PathBuf {
+    config_path.parent().map_or_else(|| file.to_path_buf(), |folder| folder.join(file))
 }
 
-/// Reads the message keys from `file`, a path relative to the folder of the file at `path`.
-pub fn read_keys_beside(path: &Path, file: &Path) -> Result<MessageKeys, KeyFileError> {
-    let file = resolve_beside(path, file);
+/// Reads the message keys from `file`, relative to the folder of the configuration file at `config_path`.
+pub fn read_message_keys(config_path: &Path, file: &Path) -> Result<MessageKeys, KeyFileError> {
+    let file = resolve_relative_path(config_path, file);
     let text = match std::fs::read_to_string(&file) {
         Ok(text) => text,
         Err(source) => return Err(KeyFileError::Unreadable { path: file, source }),
@@ -141,7 +141,7 @@
     MessageKeys::parse(&text).map_err(|source| KeyFileError::Malformed { path: file, source })
 }
 
-/// Parses the socket address of a single host, `ADDRESS:PORT`.
+/// Parses the socket address of a single host, `IP:PORT`.
 pub fn parse_address(text: &str) -> Result<SocketAddr, AddressError> {
     match text.parse::<SocketAddr>() {
         Ok(address) if address.ip() == Ipv4Addr::UNSPECIFIED => {
--- a/src/datagram_auth/tests.rs
+++ b/src/datagram_auth/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_datagram_is_accepted_once_and_only_with_its_message_and_key() {
+fn replayed_reordered_altered_and_unsigned_datagrams_are_rejected() {
     let from: SocketAddr = "127.0.0.2:5112".parse().unwrap();
     let now = 1_764_576_000_000.0;
     let (mut sender, mut receiver) = (auth(&[1]), auth(&[1]));
@@ -28,6 +28,7 @@
         assert_eq!(receiver.verify(now, from, &altered), Err(AuthError::WrongSignature), "byte {position}");
     }
     assert_eq!(receiver.verify(now, from, &signed[..TRAILER_BYTES]), Err(AuthError::MissingSignature));
+    // A message without a trailer.
     assert_eq!(
         receiver.verify(now, from, &[0x31, 7, 100, 1, 0, 100, 0, 0, 127, 1, 0, 1]),
         Err(AuthError::MissingSignature)
--- a/src/lifecycle/error.rs
+++ b/src/lifecycle/error.rs
@@ -25,8 +25,8 @@
         source: std::io::Error,
     },
     /// The inherited listening socket cannot be used.
-    #[error("inherited listening socket: {0}")]
-    HandedOverSocket(#[source] std::io::Error),
+    #[error("cannot use the inherited listening socket: {0}")]
+    InheritedSocket(#[source] std::io::Error),
     /// Signal handlers cannot be installed.
     #[error("cannot install signal handlers: {0}")]
     Signals(#[source] std::io::Error),
--- a/src/lifecycle/signed_urls.rs
+++ b/src/lifecycle/signed_urls.rs
@@ -1,7 +1,9 @@
 //! The configuration file of signed URLs (`--signed-urls FILE`), and the reload of its key file.
 
 use crate::clock::duration_from_ms;
-use crate::config_file::{parse_address, read_json, resolve_beside, AddressError, ConfigError, FieldError};
+use crate::config_file::{
+    parse_address, read_json, resolve_relative_path, AddressError, ConfigError, FieldError,
+};
 use crate::engine::executor::Executor;
 use crate::wire::front::ConnectionLimits;
 use crate::wire::signed_urls::front::SignedUrlFront;
@@ -25,7 +27,7 @@
 const MAX_TOLERANCE_MS: f64 = 86_400_000.0;
 /// Valid range of connection timeouts, in milliseconds: 1 ms to 1 hour.
 const TIMEOUTS_MS: RangeInclusive<f64> = 1.0..=3_600_000.0;
-/// Descriptors per client connection: at most a fifth of all descriptors may be clients of signed URLs.
+/// Descriptors per client: `limits.connections` may be at most a fifth of the descriptor limit.
 const DESCRIPTORS_PER_CONNECTION: usize = 5;
 
 /// A key file is invalid.
@@ -51,11 +53,11 @@
     EmptyIssuer,
     #[error("{0:?} is neither http nor https")]
     Scheme(String),
-    #[error("{0} is not between 0 and {MAX_TOLERANCE_MS}")]
+    #[error("{0} ms is not between 0 and {MAX_TOLERANCE_MS} ms")]
     Tolerance(f64),
-    #[error("a timeout is not between 1 ms and 1 hour")]
+    #[error("`first_ms`, `idle_ms`, `head_ms`, `body_ms` and `write_ms` must be between 1 ms and 1 hour")]
     Timeout,
-    #[error("{connections} is not between 1 and {max}")]
+    #[error("{connections} is not between 1 and {max}, a fifth of the descriptor limit")]
     Connections { connections: usize, max: usize },
 }
 
@@ -123,7 +125,7 @@
     pub fn read(path: &Path, max_descriptors: usize) -> Result<Self, ConfigError> {
         let mut config: Self = read_json(path)?;
         parse_address(&config.listen).map_err(|reason| ConfigError::field(path, "listen", reason))?;
-        config.keys = resolve_beside(path, &config.keys);
+        config.keys = resolve_relative_path(path, &config.keys);
         config.check(max_descriptors).map_err(|error| error.in_file(path))?;
         Ok(config)
     }
@@ -160,11 +162,11 @@
     }
 
     /// Maximum number of client connections.
-    pub fn connections(&self) -> usize {
+    pub fn max_connections(&self) -> usize {
         self.limits.connections
     }
 
-    /// Creates the front. `salt` is a random number.
+    /// Creates the front. `salt` differs between restarts, so that request ids are not reused.
     pub fn front(&self, salt: u64) -> Result<SignedUrlFront, SignedUrlKeyError> {
         let keys = KeyRing::new(KeyFile::read(&self.keys)?.keys, self.overlap_ms);
         let verifier = TokenVerifier { keys, issuer: self.issuer.clone(), leeway_ms: self.leeway_ms };
--- a/src/lifecycle/subsystem.rs
+++ b/src/lifecycle/subsystem.rs
@@ -62,9 +62,9 @@
 pub enum StopStage {
     /// The stop signal arrived: peers are notified, connections are still accepted.
     Announce,
-    /// The HTTP/1.1 and gRPC listeners close.
+    /// The listeners of the platform's front, of signed URLs and of gRPC close.
     CloseListeners,
-    /// The remaining listeners close: HTTP/3 and virtual addresses.
+    /// The listeners of the HTTP/3 subsystem, over QUIC and TCP, and of virtual addresses close.
     CloseRemaining,
 }
 
@@ -89,7 +89,7 @@
     /// The shutdown state, shared with client connections.
     pub stop: Rc<GracefulShutdown>,
     /// The routing rules and the fronts that use them.
-    pub rules: RoutingRules,
+    pub rules: ActiveRules,
     /// The fronts that are available to virtual addresses.
     pub fronts: FrontDirectory,
     /// The gRPC front, once prepared.
@@ -109,7 +109,7 @@
             seed,
             budget,
             stop: Rc::default(),
-            rules: RoutingRules::default(),
+            rules: ActiveRules::default(),
             fronts: FrontDirectory::default(),
             grpc: RefCell::default(),
             registry: RefCell::default(),
@@ -120,12 +120,12 @@
 
 /// The active routing rules, and the fronts whose requests they classify.
 #[derive(Default)]
-pub struct RoutingRules {
+pub struct ActiveRules {
     current: RefCell<Option<Rc<Rules>>>,
     fronts: RefCell<Vec<Rc<Platform>>>,
 }
 
-impl RoutingRules {
+impl ActiveRules {
     /// Registers a front, which uses the current rules and later replacements.
     pub fn attach(&self, front: Rc<Platform>) {
         front.set_classifier(self.classifier());
