--- a/src/wire/signed_urls/front.rs
+++ b/src/wire/signed_urls/front.rs
@@ -1,4 +1,4 @@
-//! The front for signed URLs: authorizes requests, and turns results into HTTP responses.
+//! The front for signed URLs.
 
 use super::link::MediaLink;
 use super::verifier::{SignedUri, TokenVerifier};
@@ -19,7 +19,8 @@
 /// Spreads consecutive counts over the id space. It is odd, so that distinct counts give distinct ids.
 const ID_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// The front for signed URLs.
+/// Authorizes requests by the token of their signed URL, and turns the engine's final responses into HTTP
+/// responses.
 pub struct SignedUrlFront {
     limits: ConnectionLimits,
     scheme: String,
--- a/src/wire/signed_urls/jwk.rs
+++ b/src/wire/signed_urls/jwk.rs
@@ -22,7 +22,7 @@
 /// The DER encoding between the private value and the coordinates.
 const P256_DER_MIDDLE: [u8; 6] = [0xa1, 0x44, 0x03, 0x42, 0x00, 0x04];
 
-/// A JWK set is invalid.
+/// Why a JWK set is invalid.
 #[derive(Debug, Error)]
 pub enum JwkError {
     /// The text is not a JWK set.
@@ -76,7 +76,7 @@
 /// Keys by their ids.
 pub type KeySet = HashMap<String, Key>;
 
-/// A key with the algorithm of its type.
+/// A key, and the algorithm of its type.
 #[derive(Clone)]
 pub struct Key {
     /// Verifies signatures.
@@ -85,7 +85,7 @@
     pub signing_key: Option<EncodingKey>,
     /// The only algorithm that the key is used with.
     pub algorithm: Algorithm,
-    /// The secret, or the coordinates of the public point.
+    /// The secret, or the coordinates of the public key; two keys are the same if these are equal.
     material: Vec<u8>,
 }
 
@@ -189,7 +189,7 @@
     }
 }
 
-/// Parses a JWK set. Keys of unsupported types are skipped (RFC 7517, section 5).
+/// Parses a JWK set. Keys of unsupported types or uses are skipped (RFC 7517, section 5).
 pub fn parse_key_set(text: &[u8]) -> Result<KeySet, JwkError> {
     let set: JwkSet = simd_json::from_slice(&mut text.to_vec()).map_err(JwkError::Malformed)?;
     let mut keys = KeySet::new();
--- a/src/wire/signed_urls/key_ring.rs
+++ b/src/wire/signed_urls/key_ring.rs
@@ -16,7 +16,7 @@
 pub struct Signer<'a> {
     /// The key's id, for the header parameter `kid`.
     pub key_id: &'a str,
-    /// The key.
+    /// The key, which has a `signing_key`.
     pub key: &'a Key,
 }
 
@@ -34,8 +34,9 @@
         Self { current: keys, retired: Vec::new(), overlap_ms }
     }
 
-    /// Replaces the current keys. Keys that the new set lacks are accepted for the overlap period, so that
-    /// URLs that were signed shortly before the rotation remain valid.
+    /// Replaces the current keys. Keys that the new set lacks or replaces are accepted for the overlap
+    /// period, so that URLs that were signed shortly before the rotation remain valid. At most [`MAX_KEYS`] of
+    /// them are kept; the oldest are dropped first.
     pub fn rotate(&mut self, keys: KeySet, now: f64) {
         let accepted_until_ms = now + self.overlap_ms;
         self.retired.retain(|retired| now < retired.accepted_until_ms);
--- a/src/wire/signed_urls/link.rs
+++ b/src/wire/signed_urls/link.rs
@@ -4,7 +4,7 @@
 use crate::text::parse_hex16;
 use thiserror::Error;
 
-/// The highest group number.
+/// The highest group number accepted in a signed URL.
 const MAX_GROUP: u32 = 255;
 
 /// Why a path does not name a part of an object.
--- a/src/wire/signed_urls/renewal.rs
+++ b/src/wire/signed_urls/renewal.rs
@@ -23,8 +23,8 @@
 }
 
 impl Renewal {
-    /// Signs the claims of a token again with a new expiry time; `payload` is the second part of the token.
-    /// `None` if the renewal claims are missing or invalid, or if signing fails.
+    /// Signs the claims of a token again with a new expiry time; `payload` is the token's base64url-encoded
+    /// payload. `None` if the renewal claims are missing or invalid, or if signing fails.
     pub(super) fn sign(payload: &str, claims: &Claims, signer: &Signer<'_>, now: f64) -> Option<Self> {
         let validity_s = claims.renewal_s.filter(|s| (1.0..=MAX_VALIDITY_S).contains(s))?;
         let path_segments = claims.renewal_path_segments.unwrap_or(0.0);
--- a/src/wire/signed_urls/verifier.rs
+++ b/src/wire/signed_urls/verifier.rs
@@ -11,9 +11,9 @@
 /// The claims that a token may mark as critical.
 const SUPPORTED_CLAIMS: [&str; 10] =
     ["iss", "exp", "nbf", "iat", "sub", "cdniv", "cdniuc", "cdniets", "cdnistt", "cdnistd"];
-/// The supported URI Signing version (RFC 9246, section 2.1.11).
+/// The supported version of the claim set, `cdniv` (RFC 9246, section 2.1.11).
 const SUPPORTED_VERSION: f64 = 1.0;
-/// The supported values of the claim for token transport (RFC 9246, section 2.1.17).
+// The supported values of `cdnistt`, the transport of renewed tokens (RFC 9246, section 2.1.17).
 const NO_RENEWAL: f64 = 0.0;
 const RENEWAL_BY_COOKIE: f64 = 1.0;
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// The verified claims, and the unsupported claims whose presence causes a token to be rejected.
+/// The claims that are evaluated, and unsupported claims whose presence causes a token to be rejected.
 #[derive(Debug, Deserialize)]
 pub(super) struct Claims {
     #[serde(rename = "iss")]
@@ -84,7 +84,7 @@
         critical.into_iter().any(|name| !SUPPORTED_CLAIMS.contains(&name))
     }
 
-    /// Whether the token has an unsupported claim that must not be ignored (RFC 9246).
+    /// Whether the token has a claim that restricts its use but is not supported: `aud`, `jti` or `cdniip`.
     fn has_unverifiable_claim(&self) -> bool {
         [&self.audience, &self.jwt_id, &self.client_ip].iter().any(|claim| claim.is_some())
     }
@@ -101,7 +101,7 @@
 pub struct SignedUri<'a> {
     /// The URI of the request, which the token must match.
     pub requested: &'a str,
-    /// A URI that the token must not match.
+    /// A URI that the token must not match, so that patterns that are too broad are rejected.
     pub excluded: &'a str,
 }
 
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -30,7 +30,7 @@
     out
 }
 
-/// Signs URLs with a key, as the operators' link service does.
+/// Signs URLs with a key, as the issuer of signed URLs does.
 #[derive(Clone)]
 struct Signer {
     kid: &'static str,
@@ -74,7 +74,7 @@
     json!({"iss":"links","exp":START_MS / 1000.0 + 60.0,"cdniv":1,"cdniuc":hash_container(uri)})
 }
 
-/// The claims of a token for all parts of an object that is renewed by cookie.
+/// The claims of a token that is valid for all parts of an object and is renewed by cookie.
 fn renewable_claims(uri: &str) -> Value {
     let (object, _) = uri.rsplit_once('/').unwrap();
     let claims = with_claim(valid_claims(uri), "cdniuc", json!(format!("regex:{object}/[0-9]+")));
@@ -243,7 +243,7 @@
     });
 }
 
-/// Guards against parts of a URL that the signature does not cover changing what is fetched.
+/// Guards against unsigned parts of a URL changing what is fetched.
 #[test]
 fn a_non_canonical_url_or_extra_parameter_is_rejected_without_a_fetch() {
     run(async {
@@ -442,7 +442,8 @@
             assert_eq!(request.await.unwrap().status, status);
             assert!(f.proxy.clock.now() - started_ms < max_ms, "the response was late");
         }
-        // The engine rejects repeatable requests rather than failing them, so `Failed` is passed in directly.
+        // The engine rejects idempotent requests instead of failing them, so the response to `Failed` is
+        // tested directly.
         use edge_proxy::state::requests::FinalResponse;
         use edge_proxy::wire::front::{Front, ResponseContext};
         let status_of = |result| f.front.respond(&ResponseContext::default(), result).status;
