--- a/src/rules/config.rs
+++ b/src/rules/config.rs
@@ -1,4 +1,4 @@
-//! The routing rules file, `serve --rules FILE`. Without it, the platform's path format classifies requests.
+//! The routing rules file, `serve --rules FILE`. Without it, the platform's path form classifies requests.
 
 use super::definitions::Definitions;
 use super::error::RulesError;
@@ -41,7 +41,8 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RulesConfig {
-    /// The maximum cost of classifying a request, in steps (about one step per byte read or written).
+    /// The maximum cost of classifying a request, in steps: one per node, and about one per byte read
+    /// or written.
     #[serde(default = "default_max_cost", rename = "cost_most")]
     pub max_cost: u64,
     /// Functions that the rules may call, `name(parameter: type, ...) = body`.
--- a/src/rules/definitions.rs
+++ b/src/rules/definitions.rs
@@ -1,4 +1,4 @@
-//! User-defined functions in the rule language, `name(parameter: type, …) = body`. No I/O.
+//! User-defined functions in the rule language, `name(parameter: type, …) = body`.
 
 use super::error::{CompileError, DefinitionError};
 use super::parser::{parse, Expression};
--- a/src/rules/error.rs
+++ b/src/rules/error.rs
@@ -143,7 +143,7 @@
     Body(Box<CompileError>),
 }
 
-/// A limited property of a program.
+/// A property of a program that has a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Quantity {
     /// The nesting depth of nodes.
@@ -189,7 +189,7 @@
         /// The error in the definition.
         source: DefinitionError,
     },
-    /// For some request, the program could exceed a limit.
+    /// The program exceeds a limit, or could exceed it for some request.
     #[error("{quantity} can reach {value}, which exceeds the limit of {limit}")]
     Limit {
         /// The limited property.
--- a/src/rules/evaluator.rs
+++ b/src/rules/evaluator.rs
@@ -1,5 +1,5 @@
-//! Evaluation of compiled expressions against a request. No I/O. A program is a tree without loops, and each
-//! node is evaluated at most once.
+//! Evaluation of compiled expressions against a request. A program is a tree, and each node is evaluated at
+//! most once.
 
 use super::parser::BinaryOperator;
 use super::program::{Function, Input, Node, Program};
@@ -25,8 +25,8 @@
     Str(Cow<'r, str>),
 }
 
-/// The expression has no value for this request, for instance because a string to parse is not a number, a
-/// header is repeated or an integer overflows.
+/// Evaluation failed, for instance because a string to parse is not a number, a header is repeated or an
+/// integer overflows.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("the expression has no value for this request")]
 pub struct EvaluationError;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Evaluates to a string, and counts one step per byte because the caller reads all of it.
+    /// Evaluates a node to a string, and counts one step per byte, because the caller reads the whole string.
     fn read_str(&mut self, node: &'r Node) -> Evaluation<Cow<'r, str>> {
         let text = self.evaluate_str(node)?;
         *self.steps += text.len() as u64;
--- a/src/rules/evaluator/tests.rs
+++ b/src/rules/evaluator/tests.rs
@@ -80,7 +80,8 @@
     let text = format!("let a0 = path in {bindings} a40 == path");
     let error = no_definitions.compile(&text, Type::Bool, u64::MAX).unwrap_err().to_string();
     assert!(error.contains("length") && error.contains(&MAX_STR_BYTES.to_string()), "{error}");
-    // Definitions that are recursive, directly or through others, or whose inlining grows exponentially.
+    // Definitions are rejected if they are recursive, directly or through others, or if their inlining grows
+    // exponentially.
     let parse_definitions =
         |lines: &[&str]| Definitions::parse(&lines.iter().map(|l| l.to_string()).collect::<Vec<_>>());
     let error = parse_definitions(&["f(n: int) = g(n)", "g(n: int) = f(n) + 1"]).unwrap_err().to_string();
--- a/src/rules/lexer.rs
+++ b/src/rules/lexer.rs
@@ -1,4 +1,4 @@
-//! The lexer: splits the text of an expression into tokens. No I/O.
+//! The lexer: splits the text of an expression into tokens.
 
 use super::error::{SyntaxError, SyntaxErrorKind};
 use std::fmt;
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -1,7 +1,7 @@
 //! Routing rules: expressions over a request that determine its class and keys. They are statically typed and
 //! compiled once, when the rules file is read. The language has no loops or recursion, and compilation
-//! rejects an expression that could exceed a limit on cost or string length, so evaluation ends within a
-//! known cost.
+//! rejects an expression that could exceed a limit on cost or string length, so the cost of evaluation is
+//! bounded.
 //!
 //! | module | purpose | I/O |
 //! | --- | --- | --- |
--- a/src/rules/parser.rs
+++ b/src/rules/parser.rs
@@ -1,5 +1,5 @@
 //! A recursive-descent parser for expressions. Precedence, lowest first: `if` and `let`, `||`, `&&`,
-//! comparisons (which cannot be chained), `+` and `-`, `!` and unary `-`, calls. No I/O.
+//! comparisons (which cannot be chained), `+` and `-`, `!` and unary `-`, calls.
 
 use super::error::{SyntaxError, SyntaxErrorKind};
 use super::lexer::{tokenize, PositionedToken, Token};
@@ -7,7 +7,7 @@
 /// The maximum nesting depth of an expression, and the maximum number of operands in a chain of operators of
 /// one precedence.
 pub const MAX_DEPTH: usize = 64;
-/// Reserved words, which cannot be used as names.
+/// Keywords, which are rejected where a value is expected, except at the start of `if` and `let` expressions.
 const KEYWORDS: [&str; 5] = ["if", "then", "else", "let", "in"];
 
 /// A binary operator.
@@ -57,7 +57,7 @@
 pub struct Expression {
     /// The byte offset of the expression in the text.
     pub offset: usize,
-    /// The expression itself.
+    /// The kind of expression, with its operands.
     pub kind: ExpressionKind,
 }
 
--- a/src/rules/program.rs
+++ b/src/rules/program.rs
@@ -1,4 +1,4 @@
-//! Compiled expressions: trees with resolved names, checked types and limits on cost and length. No I/O.
+//! Compiled expressions: trees with resolved names, checked types and limits on cost and length.
 
 use super::parser::BinaryOperator;
 use std::fmt;
@@ -95,7 +95,7 @@
     Lowercase,
     /// `between(value, low, high)`: whether an integer is within an inclusive range.
     Between,
-    /// `default(text, fallback)`: a string, or another if it is empty.
+    /// `default(text, fallback)`: `text`, or `fallback` if `text` is empty.
     Default,
 }
 
@@ -150,9 +150,9 @@
     Call(Function, Vec<Node>),
     /// `try(first, fallback)`: the first value, or the fallback if evaluating the first fails.
     Fallback {
-        /// The first value.
+        /// The expression that is evaluated first.
         first: Box<Node>,
-        /// The fallback.
+        /// The expression that is evaluated if the first one fails.
         fallback: Box<Node>,
     },
     /// Logical negation.
@@ -171,7 +171,7 @@
     Concat(Box<Node>, Box<Node>),
     /// A conditional; only the chosen branch is evaluated.
     If {
-        /// The condition.
+        /// The condition, of type `bool`.
         condition: Box<Node>,
         /// The value if the condition is true.
         then: Box<Node>,
--- a/src/rules/table.rs
+++ b/src/rules/table.rs
@@ -1,5 +1,5 @@
 //! The compiled rules of a rules file. The first rule whose condition holds determines the class and keys of
-//! a request. No I/O.
+//! a request.
 
 use super::evaluator::{evaluate, EvaluationError, Value};
 use super::program::Program;
--- a/src/rules/type_check.rs
+++ b/src/rules/type_check.rs
@@ -1,4 +1,4 @@
-//! Type checking, and compilation to programs whose evaluation ends within a known cost. No I/O.
+//! Type checking, and compilation to programs with a bounded evaluation cost.
 //!
 //! The language has no loops. Calls of definitions are inlined, and recursive definitions are rejected. The
 //! maximum length of each string and the maximum cost of each node are computed from the size limits of a
@@ -51,7 +51,7 @@
     })
 }
 
-/// Checks the body of a definition, assuming string arguments of the maximum length of a request's strings.
+/// Checks the body of a definition by itself, assuming string arguments of [`MAX_INPUT_BYTES`].
 pub(super) fn check_definition(
     definitions: &Definitions,
     name: &str,
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -1,5 +1,4 @@
-//! Routing rules: the deployed rules file classifies requests like the built-in platform path parser, invalid
-//! files are rejected with the location of the error, and the proxy applies and reloads a rules file.
+//! Tests of routing rules: classification by the deployed rules, rejection of invalid files, and reload.
 
 mod stand_ins;
 
@@ -71,7 +70,7 @@
         let mut steps = 0;
         let (by_rules, by_path_format) =
             (rules.classify(&request, &mut steps), PlatformPath.classify(&request));
-        // The path format rejects an empty `X-Set`; `default` in the rules treats it as absent.
+        // The path form rejects an empty `X-Set`; `default` in the rules treats it as absent.
         let has_empty_group_header = request.headers.iter().any(|(n, v)| n == "x-set" && v.is_empty());
         if !has_empty_group_header {
             assert_eq!(by_rules, by_path_format, "{request:?}");
@@ -111,7 +110,7 @@
     }
 }
 
-/// A rules file replaces the built-in path format, SIGHUP reloads it, and an invalid file leaves the old
+/// A rules file replaces the built-in path form, SIGHUP reloads it, and an invalid file leaves the old
 /// rules in force.
 #[test]
 fn a_rules_file_replaces_the_path_format_and_is_reloaded_at_sighup() {
