--- a/examples/grpc_load.rs
+++ b/examples/grpc_load.rs
@@ -155,6 +155,7 @@
         LocalSet::new().block_on(&runtime(), async {
             let server = ScriptedBackend::start("127.0.93.1:0").await;
             address_sender.send(server.address).unwrap();
+            // Keeps the server running until the process ends.
             loop {
                 tokio::time::sleep(Duration::from_secs(1)).await;
                 server.calls.borrow_mut().shrink_to_fit();
--- a/examples/health_checks_shared.rs
+++ b/examples/health_checks_shared.rs
@@ -53,6 +53,7 @@
                     let Lease { endpoint, slot } = lease;
                     let result = CheckResult { endpoint, slot, passed: true, duration_ms: 1.0 };
                     let message = Message::Result(result);
+                    // The driver broadcasts each result twice.
                     for _ in 0..2 {
                         outgoing.extend(others(from).into_iter().map(|to| (to, message.clone())));
                     }
--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -2,7 +2,8 @@
 //! registry with random failures (closed connections, compacted history, no responses for up to two seconds)
 //! and measures the time from writing each `Terminating` state until the proxy applies it, and the requests
 //! the server still gets 250 ms later. The second part runs a hundred registry clients, each with its own
-//! engine, in this process for twenty seconds and counts their calls.
+//! engine, in this process for twenty seconds and counts their calls; meanwhile, watches are closed and the
+//! history is compacted at random.
 //!
 //!     cargo build --release && cargo run --release --example registry_drains -- [DRAINS]
 
@@ -122,7 +123,8 @@
 }
 
 impl InjectedFailures {
-    /// Injects a random failure, or none; returns whether the caller has to compact the next change away.
+    /// Injects a random failure, or none; returns whether the caller must compact the history after the next
+    /// change.
     fn inject(&mut self, registry: &Registry, rng: &mut SmallRng) -> bool {
         match rng.random_range(0..20) {
             0..=4 => {
--- a/examples/rules_load.rs
+++ b/examples/rules_load.rs
@@ -1,8 +1,9 @@
-//! Measures the cost of classification rules: a million requests are classified by the deployed rules and by
-//! the built-in code, and both results compared; then requests are sent over loopback to a proxy without
-//! rules and to one with them, alternating between the two. LOOPBACK is the number per proxy.
+//! Measures the cost of classification rules: a million classifications by the deployed rules and by the
+//! built-in code are timed, and the results for 4,096 requests compared; then requests are sent over loopback
+//! to a proxy without rules and to one with them, alternating between the two. REQUESTS is the number of
+//! requests to each proxy.
 //!
-//!     cargo build --release && cargo run --release --example rules_load -- [LOOPBACK]
+//!     cargo build --release && cargo run --release --example rules_load -- [REQUESTS]
 
 #[path = "../tests/stand_ins/slow_cache_fleet.rs"]
 mod slow_cache_fleet;
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -33,7 +33,7 @@
     Ok(())
 }
 
-/// Sends an empty update every second.
+/// Sends a heartbeat every second.
 fn serve_discovery(mut stream: TcpStream) -> std::io::Result<()> {
     let mut last_number = [0; 8];
     stream.read_exact(&mut last_number)?;
