--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -64,7 +64,8 @@
     });
 }
 
-/// Guards the statistics: each request outcome is counted once, under its class, and every class is listed.
+/// Guards against outcomes that are counted twice or under another class, and against classes missing from
+/// the statistics.
 #[test]
 fn stats_count_each_outcome_once_under_its_class() {
     run(async {
@@ -91,9 +92,8 @@
     });
 }
 
-/// Guards maintenance: an endpoint in maintenance is neither sent requests nor used as a fill source,
-/// whatever state discovery reports; and slow start: once it is ready again, it first gets only a part of its
-/// share of requests.
+/// Guards against sending requests to an endpoint in maintenance or using it as a fill source, whatever state
+/// discovery reports, and against sending it its full share of requests as soon as it is ready again.
 #[test]
 fn an_endpoint_in_maintenance_gets_no_requests_until_it_is_ready() {
     run(async {
--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -37,7 +37,7 @@
     text.split('`').skip(1).step_by(2)
 }
 
-/// The section of the page below a heading.
+/// The section of `docs/ARCHITECTURE.md` below a heading.
 fn section(heading: &str) -> &'static str {
     let (_, rest) = PAGE.split_once(&format!("## {heading}\n")).expect("the page has the heading");
     rest.split("\n## ").next().expect("the section is not empty")
