--- a/src/wire/signed_urls/front.rs
+++ b/src/wire/signed_urls/front.rs
@@ -1,6 +1,6 @@
 //! The front for signed URLs.
 
-use super::link::MediaLink;
+use super::link::MediaPath;
 use super::verifier::{SignedUri, TokenVerifier};
 use super::TOKEN_PARAMETER;
 use crate::engine::executor::Executor;
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 
 /// The part of a class's deadline that is reserved for sending the response, in milliseconds.
-const RETURN_MARGIN_MS: f64 = 40.0;
+const CLIENT_MARGIN_MS: f64 = 40.0;
 /// Spreads consecutive counts over the id space. It is odd, so that distinct counts give distinct ids.
 const ID_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
@@ -49,27 +49,29 @@
         if path.contains('%') || path.split('/').skip(1).any(|s| matches!(s, "" | "." | "..")) {
             return Err(HttpResponse::status(400));
         }
-        let link = MediaLink::parse(path, settings).map_err(|error| HttpResponse::status(error.status()))?;
+        let media_path =
+            MediaPath::parse(path, settings).map_err(|error| HttpResponse::status(error.status()))?;
         if !matches!(request.method.as_str(), "GET" | "HEAD") {
             return Err(HttpResponse::status(405).with_header("Allow", "GET, HEAD"));
         }
         let token = request_token(request, query)?;
         let host = single_header(request, "host")?.unwrap_or_default().to_ascii_lowercase();
         let requested = format!("{}://{host}{path}", self.scheme);
-        // A token that is valid for more than one group would let a client choose a group that is not purged.
-        let excluded = format!("{}://{host}{}", self.scheme, link.in_other_group().path(settings));
+        // A token that also matches the next group is rejected: with a pattern over the group, a client could
+        // choose a group that is not purged.
+        let excluded = format!("{}://{host}{}", self.scheme, media_path.in_next_group().path(settings));
         let uri = SignedUri { requested: &requested, excluded: &excluded };
         let renewal = self.verifier.borrow().verify(token, uri, now);
         let renewal = renewal.map_err(|error| HttpResponse::status(error.status()))?;
         let set_cookie = renewal.map(|renewal| renewal.cookie(path, self.scheme == "https"));
         let context = response_context(request, set_cookie)?;
-        let request = self.incoming_request(&link, &context, settings, now);
+        let request = self.incoming_request(&media_path, &context, settings, now);
         Ok((Box::new(request), context))
     }
 
     fn incoming_request(
         &self,
-        link: &MediaLink,
+        media_path: &MediaPath,
         context: &ResponseContext,
         settings: &PlatformSettings,
         now: f64,
@@ -81,13 +83,13 @@
         IncomingRequest {
             id,
             id_text: format!("{id:016x}"),
-            class: link.class,
-            object: link.object,
-            object_text: format!("{:016x}", link.object),
-            part: link.part,
-            group: link.group,
-            size_kb: link.size_kb,
-            deadline_ms: now + (settings.deadline_ms(link.class) - RETURN_MARGIN_MS).max(0.0),
+            class: media_path.class,
+            object: media_path.object,
+            object_text: format!("{:016x}", media_path.object),
+            part: media_path.part,
+            group: media_path.group,
+            size_kb: media_path.size_kb,
+            deadline_ms: now + (settings.deadline_ms(media_path.class) - CLIENT_MARGIN_MS).max(0.0),
             client_etag: condition.and_then(parse_single_tag),
             ..IncomingRequest::default()
         }
@@ -103,13 +105,13 @@
     request: &HttpRequest,
     set_cookie: Option<String>,
 ) -> Result<ResponseContext, HttpResponse> {
-    let owned = |name| single_header(request, name).map(|value| value.map(String::from));
+    let header_value = |name| single_header(request, name).map(|value| value.map(String::from));
     Ok(ResponseContext {
         head_only: request.method == "HEAD",
-        if_none_match: owned("if-none-match")?,
-        range: owned("range")?.filter(|_| request.method == "GET"),
-        if_range: owned("if-range")?,
-        if_match: owned("if-match")?,
+        if_none_match: header_value("if-none-match")?,
+        range: header_value("range")?.filter(|_| request.method == "GET"),
+        if_range: header_value("if-range")?,
+        if_match: header_value("if-match")?,
         set_cookie,
         session: None,
         session_token: None,
@@ -150,10 +152,10 @@
         return HttpResponse::status(304).with_entity_tag(tag);
     }
     // If `If-Range` does not match the entity tag, the range is ignored and the full content is sent.
-    let is_outdated_range =
+    let if_range_failed =
         context.if_range.is_some() && matches(&context.if_range, Comparison::Strong) != Some(true);
     let length = body.len();
-    let range = context.range.as_deref().filter(|_| !is_outdated_range);
+    let range = context.range.as_deref().filter(|_| !if_range_failed);
     let response = match range.map_or(ByteRange::All, |range| ByteRange::parse(range, length)) {
         ByteRange::All => HttpResponse { body, ..HttpResponse::status(200) },
         ByteRange::Part(from, to) => HttpResponse { body: body.slice(from..to), ..HttpResponse::status(206) }
--- a/src/wire/signed_urls/jwk.rs
+++ b/src/wire/signed_urls/jwk.rs
@@ -29,15 +29,15 @@
     #[error("not a JWK set: {0}")]
     Malformed(simd_json::Error),
     /// A key is invalid.
-    #[error("key {index}: {error}")]
+    #[error("key at index {index}: {error}")]
     Key {
         /// The key's index in the set.
         index: usize,
         /// Why the key is invalid.
         error: KeyError,
     },
-    /// The set has no key of a supported type.
-    #[error("no usable key")]
+    /// The set has no key of a supported type and use.
+    #[error("no key of a supported type (`oct`, or `EC` with `crv` P-256) whose `use` is absent or `sig`")]
     NoKeys,
     /// There are more than `MAX_KEYS` keys.
     #[error("more than {MAX_KEYS} keys")]
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum KeyError {
     /// The algorithm does not match the key's type.
-    #[error("`alg` does not match `kty` and `crv`")]
+    #[error("`alg` must be HS256 for `oct`, and ES256 for `EC` with `crv` P-256")]
     AlgorithmMismatch,
     /// The key has no id, or an empty one.
     #[error("`kid` is missing or empty")]
@@ -63,7 +63,7 @@
     #[error("`k` is shorter than {MIN_SECRET_BYTES} bytes")]
     SecretTooShort,
     /// The size of a coordinate is not that of the curve.
-    #[error("a coordinate is not {P256_BYTES} bytes long")]
+    #[error("`x` or `y` is not {P256_BYTES} bytes long")]
     CoordinateLength,
     /// The coordinates are not accepted as a public key.
     #[error("`x` and `y` are not a valid public key")]
--- a/src/wire/signed_urls/link.rs
+++ b/src/wire/signed_urls/link.rs
@@ -9,16 +9,17 @@
 
 /// Why a path does not name a part of an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum LinkError {
-    /// The path has another structure, or its class is unknown or for writes.
-    #[error("unknown path or class")]
+pub enum MediaPathError {
+    /// The path does not start with `/media/` or has the wrong number of segments, or its class is unknown or
+    /// for writes.
+    #[error("the path is not a media path, or its class is unknown or for writes")]
     NotFound,
-    /// The value of a segment is invalid or not in canonical form.
-    #[error("a path segment is invalid or not in canonical form")]
+    /// The group, object, part or size is invalid or not in canonical form.
+    #[error("the group, object, part or size is invalid or not in canonical form")]
     Malformed,
 }
 
-impl LinkError {
+impl MediaPathError {
     /// The HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
@@ -30,7 +31,7 @@
 
 /// The parsed path of a signed URL.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct MediaLink {
+pub(super) struct MediaPath {
     /// Index of the object class in the settings.
     pub class: usize,
     /// The number of the object's purge group.
@@ -54,30 +55,31 @@
     (size.to_string() == text).then_some(size)
 }
 
-impl MediaLink {
-    pub(super) fn parse(path: &str, settings: &PlatformSettings) -> Result<Self, LinkError> {
-        let segments = path.strip_prefix("/media/").ok_or(LinkError::NotFound)?;
+impl MediaPath {
+    pub(super) fn parse(path: &str, settings: &PlatformSettings) -> Result<Self, MediaPathError> {
+        let segments = path.strip_prefix("/media/").ok_or(MediaPathError::NotFound)?;
         let segments: Vec<&str> = segments.split('/').collect();
         let (class, group, object, part, size) = match segments[..] {
             [class, group, object, part] => (class, group, object, part, None),
             [class, group, object, part, size] => (class, group, object, part, Some(size)),
-            _ => return Err(LinkError::NotFound),
+            _ => return Err(MediaPathError::NotFound),
         };
         let class = settings.class_index(class).filter(|class| !settings.is_write(*class));
-        let class = class.ok_or(LinkError::NotFound)?;
-        let group = parse_integer(group).filter(|group| *group <= MAX_GROUP).ok_or(LinkError::Malformed)?;
+        let class = class.ok_or(MediaPathError::NotFound)?;
+        let group =
+            parse_integer(group).filter(|group| *group <= MAX_GROUP).ok_or(MediaPathError::Malformed)?;
         let is_lowercase = !object.bytes().any(|b| b.is_ascii_uppercase());
-        let object = parse_hex16(object).filter(|_| is_lowercase).ok_or(LinkError::Malformed)?;
-        let part = parse_integer(part).ok_or(LinkError::Malformed)?;
+        let object = parse_hex16(object).filter(|_| is_lowercase).ok_or(MediaPathError::Malformed)?;
+        let part = parse_integer(part).ok_or(MediaPathError::Malformed)?;
         let size_kb = match size {
             None => 0.0,
-            Some(text) => parse_size(text).ok_or(LinkError::Malformed)?,
+            Some(text) => parse_size(text).ok_or(MediaPathError::Malformed)?,
         };
         Ok(Self { class, group, object, part, size_kb })
     }
 
-    /// The same part in another group.
-    pub(super) fn in_other_group(&self) -> Self {
+    /// The same part in the next group; group 0 follows [`MAX_GROUP`].
+    pub(super) fn in_next_group(&self) -> Self {
         Self { group: (self.group + 1) % (MAX_GROUP + 1), ..self.clone() }
     }
 
--- a/tests/signed_urls.rs
+++ b/tests/signed_urls.rs
@@ -92,12 +92,12 @@
 }
 
 /// A test proxy with a front for signed URLs.
-struct Fixture {
+struct TestFront {
     proxy: TestProxy,
     address: SocketAddr,
     key_file: PathBuf,
     reload: Rc<Notify>,
-    front: Rc<SignedUrlFront>,
+    inner: Rc<SignedUrlFront>,
 }
 
 fn write_keys(path: &PathBuf, signers: &[&Signer]) {
@@ -105,7 +105,7 @@
     std::fs::write(path, json!({ "keys": keys }).to_string()).unwrap();
 }
 
-async fn start_front(name: &str, signers: &[&Signer]) -> Fixture {
+async fn start_front(name: &str, signers: &[&Signer]) -> TestFront {
     let proxy = TestProxy::start(name).await;
     let key_file = test_dir(name).join("keys.json");
     write_keys(&key_file, signers);
@@ -119,16 +119,17 @@
     let reload = Rc::new(Notify::new());
     spawn_local(follow_key_file(proxy.executor.clone(), config, front.clone(), reload.clone()));
     let address = proxy.listen(front.clone()).await;
-    Fixture { proxy, address, key_file, reload, front }
+    TestFront { proxy, address, key_file, reload, inner: front }
 }
 
 #[test]
 fn a_valid_url_is_served_with_an_hmac_or_an_ecdsa_key() {
     run(async {
         let (hs, es) = (Signer::hmac("a", &SECRET), Signer::ecdsa("b", 3));
-        let f = start_front("fresh", &[&hs, &es]).await;
+        let front = start_front("valid", &[&hs, &es]).await;
         for signer in [&hs, &es] {
-            let response = send_request(f.address, "GET", &signer.target(PATH, &valid_claims(URI)), "").await;
+            let response =
+                send_request(front.address, "GET", &signer.target(PATH, &valid_claims(URI)), "").await;
             assert_eq!(
                 (response.status, &response.body[..]),
                 (200, &b"bytes of 7f3a9c21e0b4d655 part 3"[..])
@@ -137,9 +138,13 @@
         }
         // The path may end in the size of the part, which the signature covers.
         let sized = format!("{PATH}/412.5");
-        let response =
-            send_request(f.address, "GET", &hs.target(&sized, &valid_claims(&format!("{URI}/412.5"))), "")
-                .await;
+        let response = send_request(
+            front.address,
+            "GET",
+            &hs.target(&sized, &valid_claims(&format!("{URI}/412.5"))),
+            "",
+        )
+        .await;
         assert_eq!(response.status, 200);
         // A pattern may match all parts of one object.
         let any_part = with_claim(
@@ -149,75 +154,84 @@
         );
         for part in [0, 12] {
             let path = format!("/media/clip/17/7f3a9c21e0b4d655/{part}");
-            assert_eq!(send_request(f.address, "GET", &hs.target(&path, &any_part), "").await.status, 200);
+            assert_eq!(
+                send_request(front.address, "GET", &hs.target(&path, &any_part), "").await.status,
+                200
+            );
         }
     });
 }
 
 #[test]
-fn an_invalid_or_missing_token_gets_403_and_sends_no_request() {
+fn a_request_with_a_missing_or_invalid_token_gets_403_without_a_fetch() {
     run(async {
         let (hs, es) = (Signer::hmac("a", &SECRET), Signer::ecdsa("b", 3));
-        let f = start_front("forbidden", &[&hs, &es]).await;
+        let front = start_front("forbidden", &[&hs, &es]).await;
         let now = START_MS / 1000.0;
-        let good = valid_claims(URI);
+        let valid = valid_claims(URI);
         let forged = Signer { key: EncodingKey::from_secret(&OTHER_SECRET), ..hs.clone() };
-        let unknown = Signer { kid: "c", ..hs.clone() };
-        // Algorithm confusion: an HMAC computed with the public key of "b" as the secret.
+        let unknown_key_id = Signer { kid: "c", ..hs.clone() };
+        // Algorithm confusion: an HMAC keyed with the text of the public key of "b".
         let point = format!("{}{}", es.jwk["x"], es.jwk["y"]);
         let confused = Signer { kid: "b", key: EncodingKey::from_secret(point.as_bytes()), ..hs.clone() };
         let wrong_algorithm = Signer { kid: "a", ..es.clone() };
         let unsigned = format!(
             "{}.{}.",
             base64url(br#"{"alg":"none","kid":"a"}"#),
-            base64url(good.to_string().as_bytes())
+            base64url(valid.to_string().as_bytes())
         );
         let critical = {
-            let text = hs.sign(&good);
+            let text = hs.sign(&valid);
             let (_, rest) = text.split_once('.').unwrap();
             format!("{}.{rest}", base64url(br#"{"alg":"HS256","kid":"a","crit":["x"],"x":1}"#))
         };
-        let without_key_id = encode(&Header::new(Algorithm::HS256), &good, &hs.key).unwrap();
+        let without_key_id = encode(&Header::new(Algorithm::HS256), &valid, &hs.key).unwrap();
         let any_group = "regex:https://media.test/media/clip/[0-9]+/7f3a9c21e0b4d655/3";
         let cases = [
             ("no token", PATH.to_string()),
-            ("expired", hs.target(PATH, &with_claim(good.clone(), "exp", json!(now - 2.0)))),
-            ("no exp", hs.target(PATH, &without_claim(good.clone(), "exp"))),
-            ("not yet valid", hs.target(PATH, &with_claim(good.clone(), "nbf", json!(now + 2.5)))),
-            ("forged", forged.target(PATH, &good)),
-            ("unknown kid", unknown.target(PATH, &good)),
-            ("public key as secret", confused.target(PATH, &good)),
-            ("algorithm of another key", wrong_algorithm.target(PATH, &good)),
+            ("expired", hs.target(PATH, &with_claim(valid.clone(), "exp", json!(now - 2.0)))),
+            ("no exp", hs.target(PATH, &without_claim(valid.clone(), "exp"))),
+            ("not yet valid", hs.target(PATH, &with_claim(valid.clone(), "nbf", json!(now + 2.5)))),
+            ("forged", forged.target(PATH, &valid)),
+            ("unknown kid", unknown_key_id.target(PATH, &valid)),
+            ("public key as secret", confused.target(PATH, &valid)),
+            ("algorithm of another key", wrong_algorithm.target(PATH, &valid)),
             ("alg none", format!("{PATH}?URISigningPackage={unsigned}")),
             ("critical header parameter", format!("{PATH}?URISigningPackage={critical}")),
             ("no kid", format!("{PATH}?URISigningPackage={without_key_id}")),
-            ("wrong part", hs.target("/media/clip/17/7f3a9c21e0b4d655/4", &good)),
-            ("wrong group", hs.target("/media/clip/18/7f3a9c21e0b4d655/3", &good)),
-            ("wrong issuer", hs.target(PATH, &with_claim(good.clone(), "iss", json!("others")))),
-            ("no issuer", hs.target(PATH, &without_claim(good.clone(), "iss"))),
-            ("no container", hs.target(PATH, &without_claim(good.clone(), "cdniuc"))),
+            ("wrong part", hs.target("/media/clip/17/7f3a9c21e0b4d655/4", &valid)),
+            ("wrong group", hs.target("/media/clip/18/7f3a9c21e0b4d655/3", &valid)),
+            ("wrong issuer", hs.target(PATH, &with_claim(valid.clone(), "iss", json!("others")))),
+            ("no issuer", hs.target(PATH, &without_claim(valid.clone(), "iss"))),
+            ("no container", hs.target(PATH, &without_claim(valid.clone(), "cdniuc"))),
             (
                 "unknown container type",
-                hs.target(PATH, &with_claim(good.clone(), "cdniuc", json!("prefix:https"))),
+                hs.target(PATH, &with_claim(valid.clone(), "cdniuc", json!("prefix:https"))),
             ),
             (
                 "pattern for a prefix of the uri",
-                hs.target(PATH, &with_claim(good.clone(), "cdniuc", json!("regex:https://media.test/media"))),
+                hs.target(
+                    PATH,
+                    &with_claim(valid.clone(), "cdniuc", json!("regex:https://media.test/media")),
+                ),
             ),
             (
-                "pattern that escapes its group",
-                hs.target(PATH, &with_claim(good.clone(), "cdniuc", json!("regex:x)|(?:.*"))),
+                "pattern that escapes the anchors",
+                hs.target(PATH, &with_claim(valid.clone(), "cdniuc", json!("regex:x)|(?:.*"))),
             ),
-            ("pattern for any group", hs.target(PATH, &with_claim(good.clone(), "cdniuc", json!(any_group)))),
-            ("unsupported version", hs.target(PATH, &with_claim(good.clone(), "cdniv", json!(2)))),
+            (
+                "pattern for any group",
+                hs.target(PATH, &with_claim(valid.clone(), "cdniuc", json!(any_group))),
+            ),
+            ("unsupported version", hs.target(PATH, &with_claim(valid.clone(), "cdniv", json!(2)))),
             (
                 "unsupported critical claim",
-                hs.target(PATH, &with_claim(good.clone(), "cdnicrit", json!("exp,geo"))),
+                hs.target(PATH, &with_claim(valid.clone(), "cdnicrit", json!("exp,geo"))),
             ),
-            ("jti", hs.target(PATH, &with_claim(good.clone(), "jti", json!("1")))),
-            ("aud", hs.target(PATH, &with_claim(good.clone(), "aud", json!("x")))),
-            ("cdniip", hs.target(PATH, &with_claim(good.clone(), "cdniip", json!("x")))),
-            ("renewal without validity", hs.target(PATH, &with_claim(good.clone(), "cdnistt", json!(1)))),
+            ("jti", hs.target(PATH, &with_claim(valid.clone(), "jti", json!("1")))),
+            ("aud", hs.target(PATH, &with_claim(valid.clone(), "aud", json!("x")))),
+            ("cdniip", hs.target(PATH, &with_claim(valid.clone(), "cdniip", json!("x")))),
+            ("renewal without validity", hs.target(PATH, &with_claim(valid.clone(), "cdnistt", json!(1)))),
             (
                 "unsupported renewal transport",
                 hs.target(PATH, &with_claim(renewable_claims(URI), "cdnistt", json!(2))),
@@ -230,16 +244,19 @@
         ];
         let count = cases.len() as u64;
         for (case, target) in cases {
-            assert_eq!(send_request(f.address, "GET", &target, "").await.status, 403, "{case}");
+            assert_eq!(send_request(front.address, "GET", &target, "").await.status, 403, "{case}");
         }
-        assert_eq!(f.proxy.total_requests(), 0, "a rejected request reached an endpoint");
+        assert_eq!(front.proxy.total_requests(), 0, "a rejected request reached an endpoint");
         let (requests, forbidden) =
-            f.proxy.executor.with(|e| (e.counters.requests, e.counters.forbidden_requests));
+            front.proxy.executor.with(|e| (e.counters.requests, e.counters.forbidden_requests));
         assert_eq!((requests, forbidden), (0, count));
         // `exp` and `nbf` are accepted within the leeway, and supported claims may be critical.
-        let within_leeway = with_claim(with_claim(good, "exp", json!(now - 1.9)), "nbf", json!(now + 1.9));
+        let within_leeway = with_claim(with_claim(valid, "exp", json!(now - 1.9)), "nbf", json!(now + 1.9));
         let within_leeway = with_claim(within_leeway, "cdnicrit", json!("exp,nbf"));
-        assert_eq!(send_request(f.address, "GET", &hs.target(PATH, &within_leeway), "").await.status, 200);
+        assert_eq!(
+            send_request(front.address, "GET", &hs.target(PATH, &within_leeway), "").await.status,
+            200
+        );
     });
 }
 
@@ -248,7 +265,7 @@
 fn a_non_canonical_url_or_extra_parameter_is_rejected_without_a_fetch() {
     run(async {
         let hs = Signer::hmac("a", &SECRET);
-        let f = start_front("tricks", &[&hs]).await;
+        let front = start_front("non_canonical", &[&hs]).await;
         let token = hs.sign(&valid_claims(URI));
         let loose_claims = with_claim(
             valid_claims(URI),
@@ -275,14 +292,14 @@
             format!("{PATH}?URISigningPackage=a.b.c"),
         ];
         for target in malformed {
-            assert_eq!(send_request(f.address, "GET", &target, "").await.status, 400, "{target:.60}");
+            assert_eq!(send_request(front.address, "GET", &target, "").await.status, 400, "{target:.60}");
         }
         // A token for one host is not valid for another.
-        let mut client = Client::connect(f.address).await;
+        let mut client = Client::connect(front.address).await;
         let text = format!("GET {PATH}?URISigningPackage={token} HTTP/1.1\r\nHost: other.test\r\n\r\n");
         client.write(text.as_bytes()).await;
         assert_eq!(client.read(false).await.unwrap().status, 403);
-        assert_eq!(f.proxy.total_requests(), 0);
+        assert_eq!(front.proxy.total_requests(), 0);
         for (method, target, status) in [
             ("GET", "/media/clip/17".to_string(), 404),
             ("GET", format!("/media/nothing/17/7f3a9c21e0b4d655/3?URISigningPackage={token}"), 404),
@@ -291,7 +308,7 @@
             ("DELETE", format!("{PATH}?URISigningPackage={token}"), 405),
         ] {
             assert_eq!(
-                send_request(f.address, method, &target, "").await.status,
+                send_request(front.address, method, &target, "").await.status,
                 status,
                 "{method} {target:.40}"
             );
@@ -303,35 +320,39 @@
 fn a_url_signed_before_a_key_rotation_is_served_until_the_overlap_ends() {
     run(async {
         let (old, new) = (Signer::hmac("a", &SECRET), Signer::ecdsa("b", 5));
-        let f = start_front("rotation", &[&old]).await;
+        let front = start_front("rotation", &[&old]).await;
         let claims = with_claim(valid_claims(URI), "exp", json!(START_MS / 1000.0 + 3_600.0));
         let (before, after) = (old.target(PATH, &claims), new.target(PATH, &claims));
-        assert_eq!(send_request(f.address, "GET", &after, "").await.status, 403);
+        assert_eq!(send_request(front.address, "GET", &after, "").await.status, 403);
         let has_key = |kid: &'static str| {
-            let (front, clock) = (f.front.clone(), f.proxy.clock.clone());
-            move || front.verifier.borrow().keys.find(kid, clock.now()).count() > 0
+            let (inner, clock) = (front.inner.clone(), front.proxy.clock.clone());
+            move || inner.verifier.borrow().keys.find(kid, clock.now()).count() > 0
         };
         // An invalid key file leaves the keys unchanged.
-        std::fs::write(&f.key_file, "{\"keys\":[").unwrap();
-        f.reload.notify_one();
-        assert_eq!(send_request(f.address, "GET", &before, "").await.status, 200);
-        write_keys(&f.key_file, &[&new]);
-        f.reload.notify_one();
+        std::fs::write(&front.key_file, "{\"keys\":[").unwrap();
+        front.reload.notify_one();
+        assert_eq!(send_request(front.address, "GET", &before, "").await.status, 200);
+        write_keys(&front.key_file, &[&new]);
+        front.reload.notify_one();
         wait_until(has_key("b")).await;
-        assert_eq!(send_request(f.address, "GET", &after, "").await.status, 200);
+        assert_eq!(send_request(front.address, "GET", &after, "").await.status, 200);
         assert_eq!(
-            send_request(f.address, "GET", &before, "").await.status,
+            send_request(front.address, "GET", &before, "").await.status,
             200,
-            "signed before the rotation"
+            "a URL signed before the rotation was rejected during the overlap"
+        );
+        front.proxy.advance_clock(29_999.0);
+        assert_eq!(send_request(front.address, "GET", &before, "").await.status, 200);
+        front.proxy.advance_clock(2.0);
+        assert_eq!(
+            send_request(front.address, "GET", &before, "").await.status,
+            403,
+            "a retired key was accepted after the overlap"
         );
-        f.proxy.advance_clock(29_999.0);
-        assert_eq!(send_request(f.address, "GET", &before, "").await.status, 200);
-        f.proxy.advance_clock(2.0);
-        assert_eq!(send_request(f.address, "GET", &before, "").await.status, 403, "the overlap has ended");
         // A change of the file is also detected without a reload signal.
-        write_keys(&f.key_file, &[&new, &old]);
+        write_keys(&front.key_file, &[&new, &old]);
         wait_until(has_key("a")).await;
-        assert_eq!(send_request(f.address, "GET", &before, "").await.status, 200);
+        assert_eq!(send_request(front.address, "GET", &before, "").await.status, 200);
     });
 }
 
@@ -341,7 +362,7 @@
     run(async {
         let (hs, mut es) = (Signer::hmac("a", &SECRET), Signer::ecdsa("b", 3));
         es.jwk["d"] = json!(base64url(&[3; 32]));
-        let f = start_front("renewal", &[&hs, &es]).await;
+        let front = start_front("renewal", &[&hs, &es]).await;
         let part = |k: u32| format!("/media/clip/17/7f3a9c21e0b4d655/{k}");
         let renewed_cookie = |response: &Response| {
             let cookie = response.headers["set-cookie"].clone();
@@ -351,27 +372,29 @@
         };
         for signer in [&hs, &es] {
             // The first token expires after 60 s, and each renewed one 30 s after its response.
-            let claims = with_claim(renewable_claims(URI), "exp", json!(f.proxy.clock.now() / 1000.0 + 60.0));
-            let mut response = send_request(f.address, "GET", &signer.target(&part(0), &claims), "").await;
+            let claims =
+                with_claim(renewable_claims(URI), "exp", json!(front.proxy.clock.now() / 1000.0 + 60.0));
+            let mut response =
+                send_request(front.address, "GET", &signer.target(&part(0), &claims), "").await;
             for k in 1..4 {
                 assert_eq!(response.status, 200);
                 let cookie = renewed_cookie(&response);
-                f.proxy.advance_clock(29_000.0);
-                response = send_request(f.address, "GET", &part(k), &cookie).await;
+                front.proxy.advance_clock(29_000.0);
+                response = send_request(front.address, "GET", &part(k), &cookie).await;
             }
             assert_eq!(response.status, 200);
             let cookie = renewed_cookie(&response);
             // A renewed token is valid for the same URIs as the first one, and expires.
             assert_eq!(
-                send_request(f.address, "GET", "/media/clip/17/7f3a9c21e0b4d656/0", &cookie).await.status,
+                send_request(front.address, "GET", "/media/clip/17/7f3a9c21e0b4d656/0", &cookie).await.status,
                 403
             );
             assert_eq!(
-                send_request(f.address, "GET", &part(5), &format!("{cookie}{cookie}")).await.status,
+                send_request(front.address, "GET", &part(5), &format!("{cookie}{cookie}")).await.status,
                 400
             );
-            f.proxy.advance_clock(32_000.0);
-            let late = send_request(f.address, "GET", &part(4), &cookie).await;
+            front.proxy.advance_clock(32_000.0);
+            let late = send_request(front.address, "GET", &part(4), &cookie).await;
             assert_eq!((late.status, late.headers.get("set-cookie")), (403, None));
         }
     });
@@ -381,9 +404,9 @@
 fn head_conditional_and_range_requests_get_the_specified_response() {
     run(async {
         let hs = Signer::hmac("a", &SECRET);
-        let f = start_front("conditions", &[&hs]).await;
+        let front = start_front("conditions", &[&hs]).await;
         let target = hs.target(PATH, &valid_claims(URI));
-        let mut client = Client::connect(f.address).await;
+        let mut client = Client::connect(front.address).await;
         let head_response = client.send_request("HEAD", &target, "Range: bytes=0-3\r\n").await;
         assert_eq!((head_response.status, head_response.headers["content-length"].as_str()), (200, "32"));
         let cases = [
@@ -417,36 +440,40 @@
 }
 
 #[test]
-fn each_final_result_has_its_status() {
+fn each_final_response_maps_to_its_http_status() {
     run(async {
         let hs = Signer::hmac("a", &SECRET);
-        let f = start_front("ends", &[&hs]).await;
+        let front = start_front("final_responses", &[&hs]).await;
         let target = hs.target(PATH, &valid_claims(URI));
-        f.proxy.script_all(reply_status("AGAIN"));
-        let rejected = send_request(f.address, "GET", &target, "").await;
+        front.proxy.script_all(reply_status("AGAIN"));
+        let rejected = send_request(front.address, "GET", &target, "").await;
         assert_eq!((rejected.status, rejected.headers["retry-after"].as_str()), (503, "1"));
         // If no endpoint replies, a class with a short deadline gets 504, and one with a longer deadline 503.
-        f.proxy.script_all(never_reply());
+        front.proxy.script_all(never_reply());
         let thumb = "/media/thumb/17/7f3a9c21e0b4d655/0";
         let short = hs.target(thumb, &valid_claims(&format!("https://media.test{thumb}")));
         for (target, status, max_ms) in [(short, 504, 200.0), (target, 503, 5_000.0)] {
-            let (started_ms, at) = (f.proxy.clock.now(), f.address);
-            let request = spawn_local(async move { send_request(at, "GET", &target, "").await });
+            let (started_ms, address) = (front.proxy.clock.now(), front.address);
+            let request = spawn_local(async move { send_request(address, "GET", &target, "").await });
             while !request.is_finished() {
-                // Small steps, and only while requests are open, so that each attempt times out on its own.
-                if f.proxy.executor.with(|e| e.open_requests()) > 0 {
-                    f.proxy.advance_clock(10.0);
+                // Advances the clock in small steps, and only while a request is open, so that attempts time
+                // out one after another.
+                if front.proxy.executor.with(|e| e.open_requests()) > 0 {
+                    front.proxy.advance_clock(10.0);
                 }
                 tokio::time::sleep(std::time::Duration::from_millis(1)).await;
             }
             assert_eq!(request.await.unwrap().status, status);
-            assert!(f.proxy.clock.now() - started_ms < max_ms, "the response was late");
+            assert!(
+                front.proxy.clock.now() - started_ms < max_ms,
+                "the response with status {status} took {max_ms} ms or longer"
+            );
         }
         // The engine rejects idempotent requests instead of failing them, so the response to `Failed` is
         // tested directly.
         use edge_proxy::state::requests::FinalResponse;
         use edge_proxy::wire::front::{Front, ResponseContext};
-        let status_of = |result| f.front.respond(&ResponseContext::default(), result).status;
+        let status_of = |result| front.inner.respond(&ResponseContext::default(), result).status;
         assert_eq!(status_of(FinalResponse::Failed { overdue: false }), 502);
         assert_eq!(status_of(FinalResponse::Failed { overdue: true }), 504);
         assert_eq!(status_of(FinalResponse::Rejected { retry_after_ms: 5.0, overdue: true }), 504);
@@ -459,39 +486,39 @@
 fn a_draining_endpoint_gets_no_requests_after_its_grace_period() {
     run(async {
         let hs = Signer::hmac("a", &SECRET);
-        let f = start_front("drain", &[&hs]).await;
+        let front = start_front("drain", &[&hs]).await;
         let targets: Vec<String> = (0..40)
             .map(|k| {
                 let path = format!("/media/clip/17/{:016x}/0", k * 7_919);
                 hs.target(&path, &valid_claims(&format!("https://media.test{path}")))
             })
             .collect();
-        let mut client = Client::connect(f.address).await;
+        let mut client = Client::connect(front.address).await;
         for target in &targets {
             assert_eq!(client.send_request("GET", target, "").await.status, 200);
         }
-        assert!(f.proxy.request_count(CACHES[0]) > 0 && f.proxy.request_count(CACHES[1]) > 0);
-        let at = f.proxy.endpoints[&CACHES[0]].address;
-        let event = f.proxy.discovery.send_state(CACHES[0], at, 0, 1);
-        wait_until(|| f.proxy.executor.with(|e| e.last_event_number()) >= event).await;
-        f.proxy.advance_clock(250.0);
-        let before = f.proxy.request_count(CACHES[0]);
+        assert!(front.proxy.request_count(CACHES[0]) > 0 && front.proxy.request_count(CACHES[1]) > 0);
+        let address = front.proxy.endpoints[&CACHES[0]].address;
+        let event = front.proxy.discovery.send_state(CACHES[0], address, 0, 1);
+        wait_until(|| front.proxy.executor.with(|e| e.last_event_number()) >= event).await;
+        front.proxy.advance_clock(250.0);
+        let before = front.proxy.request_count(CACHES[0]);
         for (k, target) in targets.iter().enumerate() {
             let forged = format!("{target}x");
             let (target, status) = if k % 4 == 3 { (&forged, 403) } else { (target, 200) };
             assert_eq!(client.send_request("GET", target, "").await.status, status);
         }
-        assert_eq!(f.proxy.request_count(CACHES[0]), before);
-        // A draining parent is no longer named to the caches as their next tier.
-        let at = f.proxy.endpoints[&PARENT].address;
-        let event = f.proxy.discovery.send_state(PARENT, at, 1, 1);
-        wait_until(|| f.proxy.executor.with(|e| e.last_event_number()) >= event).await;
-        f.proxy.advance_clock(250.0);
-        let before = f.proxy.request_count(CACHES[1]);
+        assert_eq!(front.proxy.request_count(CACHES[0]), before);
+        // Requests to a cache no longer name a draining parent as the fill source (`next`).
+        let address = front.proxy.endpoints[&PARENT].address;
+        let event = front.proxy.discovery.send_state(PARENT, address, 1, 1);
+        wait_until(|| front.proxy.executor.with(|e| e.last_event_number()) >= event).await;
+        front.proxy.advance_clock(250.0);
+        let before = front.proxy.request_count(CACHES[1]);
         for target in &targets {
             assert_eq!(client.send_request("GET", target, "").await.status, 200);
         }
-        let requests = f.proxy.endpoints[&CACHES[1]].requests.borrow();
+        let requests = front.proxy.endpoints[&CACHES[1]].requests.borrow();
         assert!(requests[before..]
             .iter()
             .all(|fields| fields.get("next").is_none_or(|next| next != "s-000000a0")));
@@ -500,50 +527,51 @@
 }
 
 #[test]
-fn slow_heads_request_bodies_and_excess_connections_are_limited() {
+fn connection_limits_apply_to_heads_bodies_and_the_number_of_clients() {
     run(async {
         let hs = Signer::hmac("a", &SECRET);
-        let f = start_front("poor", &[&hs]).await;
+        let front = start_front("connection_limits", &[&hs]).await;
         // An incomplete head gets 408 once its time limit has passed.
-        let mut slow = Client::connect(f.address).await;
+        let mut slow = Client::connect(front.address).await;
         slow.write(b"GET /media/clip").await;
-        wait_until(|| f.proxy.executor.with(|e| e.counters.client_connections) == 1).await;
+        wait_until(|| front.proxy.executor.with(|e| e.counters.client_connections) == 1).await;
         let read = spawn_local(async move { slow.read(false).await.unwrap() });
         while !read.is_finished() {
-            f.proxy.advance_clock(100.0);
+            front.proxy.advance_clock(100.0);
             tokio::time::sleep(std::time::Duration::from_millis(1)).await;
         }
-        assert!(f.proxy.clock.now() > START_MS + 5_000.0, "the head timed out too early");
+        assert!(front.proxy.clock.now() > START_MS + 5_000.0, "the head timed out too early");
         let response = read.await.unwrap();
         assert_eq!((response.status, response.closed), (408, true));
         // Request bodies are not accepted.
-        let mut body = Client::connect(f.address).await;
+        let mut body = Client::connect(front.address).await;
         let response =
             body.send_request("GET", &hs.target(PATH, &valid_claims(URI)), "Content-Length: 5\r\n").await;
         assert_eq!((response.status, response.closed), (413, true));
-        // Above the limit, a client waits while all others have open requests, and replaces an idle one.
-        f.proxy.script_all(never_reply());
+        // At the connection limit, a new client waits while all connections have open requests; otherwise it
+        // replaces an idle connection.
+        front.proxy.script_all(never_reply());
         let mut busy_clients = Vec::new();
         for k in 0..4 {
-            let mut client = Client::connect(f.address).await;
+            let mut client = Client::connect(front.address).await;
             let target = hs.target(PATH, &valid_claims(URI));
             client.write(format!("GET {target} HTTP/1.1\r\nHost: media.test\r\n\r\n").as_bytes()).await;
-            wait_until(|| f.proxy.total_requests() == k + 1).await;
+            wait_until(|| front.proxy.total_requests() == k + 1).await;
             busy_clients.push(client);
         }
-        f.proxy.script_all(serve_content());
+        front.proxy.script_all(serve_content());
         let fifth = spawn_local({
-            let (at, target) = (f.address, hs.target(PATH, &valid_claims(URI)));
-            async move { send_request(at, "GET", &target, "").await.status }
+            let (address, target) = (front.address, hs.target(PATH, &valid_claims(URI)));
+            async move { send_request(address, "GET", &target, "").await.status }
         });
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
         assert!(!fifth.is_finished());
         busy_clients.pop();
         assert_eq!(fifth.await.unwrap(), 200);
-        let mut idle = Client::connect(f.address).await;
+        let mut idle = Client::connect(front.address).await;
         assert_eq!(idle.send_request("GET", &hs.target(PATH, &valid_claims(URI)), "").await.status, 200);
         assert_eq!(
-            send_request(f.address, "GET", &hs.target(PATH, &valid_claims(URI)), "").await.status,
+            send_request(front.address, "GET", &hs.target(PATH, &valid_claims(URI)), "").await.status,
             200
         );
         assert!(idle.read(false).await.is_none());
@@ -556,20 +584,20 @@
 fn a_client_that_reads_nothing_is_disconnected() {
     run(async {
         let hs = Signer::hmac("a", &SECRET);
-        let f = start_front("takes_nothing", &[&hs]).await;
-        f.proxy.script_all(Rc::new(|_| Some(("ACK", "sum=t1,t0=5".into(), vec![b'x'; 240_000]))));
+        let front = start_front("no_reads", &[&hs]).await;
+        front.proxy.script_all(Rc::new(|_| Some(("ACK", "sum=t1,t0=5".into(), vec![b'x'; 240_000]))));
         let target = hs.target(PATH, &valid_claims(URI));
         let text = format!("GET {target} HTTP/1.1\r\nHost: media.test\r\n\r\n");
-        let mut client = Client::connect(f.address).await;
+        let mut client = Client::connect(front.address).await;
         // Enough pipelined requests that their responses fill every socket buffer.
         client.write(text.repeat(100).as_bytes()).await;
-        wait_until(|| f.proxy.executor.with(|e| e.counters.responses_unwritten) == 1).await;
+        wait_until(|| front.proxy.executor.with(|e| e.counters.responses_unwritten) == 1).await;
         let mut complete = 0;
         while let Some(response) = client.read(false).await {
             assert_eq!((response.status, response.body.len()), (200, 240_000));
             complete += 1;
         }
-        let served = f.proxy.executor.with(|e| e.counters.served);
+        let served = front.proxy.executor.with(|e| e.counters.served);
         assert!(
             complete < served,
             "{complete} of {served} responses were complete; the last one must be truncated"
