--- a/src/rules/error.rs
+++ b/src/rules/error.rs
@@ -27,8 +27,8 @@
     /// A chain of operators of one precedence has more than [`MAX_DEPTH`] operands.
     #[error("more than {MAX_DEPTH} operands in a chain of operators of one precedence")]
     TooManyOperands,
-    /// An integer literal is malformed or does not fit into 64 bits.
-    #[error("invalid integer literal, or one that does not fit into 64 bits")]
+    /// An integer literal is malformed or exceeds the range of a signed 64-bit integer.
+    #[error("integer literal is malformed or exceeds the range of a signed 64-bit integer")]
     InvalidNumber,
     /// A backslash in a string literal is not followed by a backslash or quote.
     #[error("invalid escape: a backslash can be followed only by \\ or \"")]
@@ -38,7 +38,7 @@
     UnterminatedString,
     /// No token starts with this character.
     #[error("unexpected character")]
-    UnknownCharacter,
+    UnexpectedCharacter,
     /// The expression is followed by another token.
     #[error("unexpected {found} after the end of the expression")]
     TrailingToken {
@@ -98,8 +98,8 @@
     /// The argument of `header` or `has` is not a string literal.
     #[error("the argument of {0:?} must be a header name in quotes")]
     HeaderNotLiteral(String),
-    /// The text is not a valid header name in lower case.
-    #[error("{0:?} is not a valid header name in lower case")]
+    /// The text is too long or is not a header name of lower-case letters, digits and hyphens.
+    #[error("{0:?} is too long or is not a header name of lower-case letters, digits and hyphens")]
     InvalidHeaderName(String),
     /// The operator does not accept operands of this type.
     #[error("operator {operator:?} is not defined for type {operand}")]
@@ -118,7 +118,10 @@
     #[error("a definition must have the form `name(parameter: type, ...) = body`")]
     Malformed,
     /// The name is not an identifier, or is the name of a built-in function.
-    #[error("invalid name, or the name of a built-in function")]
+    #[error(
+        "the name must be ASCII letters, digits and underscores, must not start with a digit, and must not \
+         be that of a built-in function"
+    )]
     InvalidName,
     /// A parameter does not have the form `name: type`.
     #[error("a parameter must have the form `name: type`")]
@@ -127,7 +130,7 @@
     #[error("unknown parameter type; expected bool, int, key or str")]
     UnknownType,
     /// A parameter name is not an identifier, or is repeated.
-    #[error("a parameter name is invalid or repeated")]
+    #[error("a parameter name is not an identifier or is repeated")]
     InvalidParameterName,
     /// An earlier definition has the same name.
     #[error("defined more than once")]
@@ -205,7 +208,7 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RulesError {
     /// The file has no rules or too many.
-    #[error("the number of rules, {count}, is not within 1 to {max}")]
+    #[error("the file has {count} rules; expected 1 to {max}")]
     Count {
         /// The number of rules.
         count: usize,
--- a/src/rules/evaluator.rs
+++ b/src/rules/evaluator.rs
@@ -28,7 +28,7 @@
 /// Evaluation failed, for instance because a string to parse is not a number, a header is repeated or an
 /// integer overflows.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the expression has no value for this request")]
+#[error("evaluation failed for this request")]
 pub struct EvaluationError;
 
 type Evaluation<T> = Result<T, EvaluationError>;
@@ -146,9 +146,9 @@
     }
 
     fn value_or_fallback(&mut self, first: &'r Node, fallback: &'r Node) -> Evaluation<Value<'r>> {
-        let outer_locals = self.locals.len();
+        let local_count = self.locals.len();
         self.evaluate(first).or_else(|EvaluationError| {
-            self.locals.truncate(outer_locals);
+            self.locals.truncate(local_count);
             self.evaluate(fallback)
         })
     }
--- a/src/rules/evaluator/tests.rs
+++ b/src/rules/evaluator/tests.rs
@@ -131,6 +131,6 @@
         let request = request(&target, &[("x-set", &set)]);
         let mut steps = 0;
         prop_assert!(evaluate(&program, &request, &mut steps).is_ok());
-        prop_assert!(steps <= program.max_cost, "{} of {}", steps, program.max_cost);
+        prop_assert!(steps <= program.max_cost, "{} steps, expected at most {}", steps, program.max_cost);
     }
 }
--- a/src/rules/lexer.rs
+++ b/src/rules/lexer.rs
@@ -82,7 +82,7 @@
         return read_string_literal(text);
     }
     let symbol = SYMBOLS.iter().find(|symbol| text.starts_with(**symbol));
-    let symbol = symbol.ok_or(SyntaxErrorKind::UnknownCharacter)?;
+    let symbol = symbol.ok_or(SyntaxErrorKind::UnexpectedCharacter)?;
     Ok((Token::Symbol(symbol), symbol.len()))
 }
 
--- a/src/rules/parser/tests.rs
+++ b/src/rules/parser/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn syntax_errors_report_their_offset() {
+fn syntax_errors_report_an_offset_near_the_error_and_limits_are_enforced() {
     for (text, offset) in [
         ("", 0),
         ("a b", 2),
--- a/src/rules/type_check.rs
+++ b/src/rules/type_check.rs
@@ -100,14 +100,14 @@
 type Scope = Vec<Binding>;
 
 /// A checked and compiled expression.
-struct Checked {
+struct CheckedExpression {
     node: Node,
     value_type: Type,
     max_cost: u64,
     max_length: u64,
 }
 
-impl Checked {
+impl CheckedExpression {
     /// A node of cost 1 without a string result.
     fn new(node: Node, value_type: Type) -> Self {
         Self { node, value_type, max_cost: 1, max_length: 0 }
@@ -136,7 +136,11 @@
     }
 
     /// Checks an expression of any type.
-    fn check(&mut self, expression: &Expression, scope: &mut Scope) -> Result<Checked, CompileError> {
+    fn check(
+        &mut self,
+        expression: &Expression,
+        scope: &mut Scope,
+    ) -> Result<CheckedExpression, CompileError> {
         self.depth += 1;
         check_limit(Quantity::Depth, self.depth as u64, MAX_NODE_DEPTH as u64)?;
         self.node_count += 1;
@@ -153,7 +157,7 @@
         expression: &Expression,
         expected: Type,
         scope: &mut Scope,
-    ) -> Result<Checked, CompileError> {
+    ) -> Result<CheckedExpression, CompileError> {
         let checked = self.check(expression, scope)?;
         match checked.value_type {
             found if found == expected => Ok(checked),
@@ -161,26 +165,30 @@
         }
     }
 
-    fn check_kind(&mut self, expression: &Expression, scope: &mut Scope) -> Result<Checked, CompileError> {
+    fn check_kind(
+        &mut self,
+        expression: &Expression,
+        scope: &mut Scope,
+    ) -> Result<CheckedExpression, CompileError> {
         let offset = expression.offset;
         match &expression.kind {
-            ExpressionKind::Bool(value) => Ok(Checked::new(Node::Bool(*value), Type::Bool)),
-            ExpressionKind::Int(value) => Ok(Checked::new(Node::Int(*value), Type::Int)),
+            ExpressionKind::Bool(value) => Ok(CheckedExpression::new(Node::Bool(*value), Type::Bool)),
+            ExpressionKind::Int(value) => Ok(CheckedExpression::new(Node::Int(*value), Type::Int)),
             ExpressionKind::Str(text) => {
                 let node = Node::Str(text.clone());
-                Ok(Checked::new(node, Type::Str).with_max_length(text.len() as u64))
+                Ok(CheckedExpression::new(node, Type::Str).with_max_length(text.len() as u64))
             }
             ExpressionKind::Name(name) => check_name(offset, name, scope),
             ExpressionKind::Call(name, arguments) => self.check_call(offset, name, arguments, scope),
             ExpressionKind::Not(operand) => {
                 let operand = self.check_type(operand, Type::Bool, scope)?;
                 let node = Node::Not(operand.node.into());
-                Ok(Checked::new(node, Type::Bool).with_max_cost(operand.max_cost + 1))
+                Ok(CheckedExpression::new(node, Type::Bool).with_max_cost(operand.max_cost + 1))
             }
             ExpressionKind::Neg(operand) => {
                 let operand = self.check_type(operand, Type::Int, scope)?;
                 let node = Node::Neg(operand.node.into());
-                Ok(Checked::new(node, Type::Int).with_max_cost(operand.max_cost + 1))
+                Ok(CheckedExpression::new(node, Type::Int).with_max_cost(operand.max_cost + 1))
             }
             ExpressionKind::Binary(operator, left, right) => {
                 self.check_binary(offset, *operator, left, right, scope)
@@ -198,11 +206,11 @@
         then: &Expression,
         otherwise: &Expression,
         scope: &mut Scope,
-    ) -> Result<Checked, CompileError> {
+    ) -> Result<CheckedExpression, CompileError> {
         let condition = self.check_type(condition, Type::Bool, scope)?;
         let then = self.check(then, scope)?;
         let otherwise = self.check_type(otherwise, then.value_type, scope)?;
-        Ok(Checked {
+        Ok(CheckedExpression {
             node: Node::If {
                 condition: condition.node.into(),
                 then: then.node.into(),
@@ -220,12 +228,12 @@
         value: &Expression,
         body: &Expression,
         scope: &mut Scope,
-    ) -> Result<Checked, CompileError> {
+    ) -> Result<CheckedExpression, CompileError> {
         let value = self.check(value, scope)?;
         scope.push(Binding::new(name, value.value_type, value.max_length));
         let body = self.check(body, scope)?;
         scope.pop();
-        Ok(Checked {
+        Ok(CheckedExpression {
             node: Node::Let { value: value.node.into(), body: body.node.into() },
             value_type: body.value_type,
             max_cost: 1 + value.max_cost + body.max_cost,
@@ -240,7 +248,7 @@
         left: &Expression,
         right: &Expression,
         scope: &mut Scope,
-    ) -> Result<Checked, CompileError> {
+    ) -> Result<CheckedExpression, CompileError> {
         use BinaryOperator::{Add, And, Eq, Ge, Gt, Le, Lt, Ne, Or, Sub};
         let left = self.check(left, scope)?;
         let operand = left.value_type;
@@ -249,18 +257,17 @@
         let text_length = left.max_length + right.max_length;
         let (a, b) = (left.node.into(), right.node.into());
         Ok(match (operator, operand) {
-            (And, Type::Bool) => Checked::new(Node::And(a, b), Type::Bool).with_max_cost(cost),
-            (Or, Type::Bool) => Checked::new(Node::Or(a, b), Type::Bool).with_max_cost(cost),
-            (Eq | Ne, _) => {
-                Checked::new(Node::Compare(operator, a, b), Type::Bool).with_max_cost(cost + text_length)
-            }
+            (And, Type::Bool) => CheckedExpression::new(Node::And(a, b), Type::Bool).with_max_cost(cost),
+            (Or, Type::Bool) => CheckedExpression::new(Node::Or(a, b), Type::Bool).with_max_cost(cost),
+            (Eq | Ne, _) => CheckedExpression::new(Node::Compare(operator, a, b), Type::Bool)
+                .with_max_cost(cost + text_length),
             (Lt | Le | Gt | Ge, Type::Int) => {
-                Checked::new(Node::Compare(operator, a, b), Type::Bool).with_max_cost(cost)
+                CheckedExpression::new(Node::Compare(operator, a, b), Type::Bool).with_max_cost(cost)
             }
             (Add | Sub, Type::Int) => {
-                Checked::new(Node::Arithmetic(operator, a, b), Type::Int).with_max_cost(cost)
+                CheckedExpression::new(Node::Arithmetic(operator, a, b), Type::Int).with_max_cost(cost)
             }
-            (Add, Type::Str) => Checked::new(Node::Concat(a, b), Type::Str)
+            (Add, Type::Str) => CheckedExpression::new(Node::Concat(a, b), Type::Str)
                 .with_max_cost(cost + text_length)
                 .with_max_length(text_length),
             _ => return type_error(offset, TypeError::Operator { operator, operand }),
@@ -273,7 +280,7 @@
         name: &str,
         arguments: &[Expression],
         scope: &mut Scope,
-    ) -> Result<Checked, CompileError> {
+    ) -> Result<CheckedExpression, CompileError> {
         match name {
             HEADER_FORM | HAS_FORM => return check_header(offset, name, arguments),
             TRY_FORM => return self.check_try(offset, arguments, scope),
@@ -300,11 +307,11 @@
         offset: usize,
         arguments: &[Expression],
         scope: &mut Scope,
-    ) -> Result<Checked, CompileError> {
+    ) -> Result<CheckedExpression, CompileError> {
         check_argument_count(offset, TRY_FORM, 2, arguments)?;
         let first = self.check(&arguments[0], scope)?;
         let fallback = self.check_type(&arguments[1], first.value_type, scope)?;
-        Ok(Checked {
+        Ok(CheckedExpression {
             node: Node::Fallback { first: first.node.into(), fallback: fallback.node.into() },
             value_type: first.value_type,
             max_cost: 1 + first.max_cost + fallback.max_cost,
@@ -319,7 +326,7 @@
         signature: &Signature,
         arguments: &[Expression],
         scope: &mut Scope,
-    ) -> Result<Checked, CompileError> {
+    ) -> Result<CheckedExpression, CompileError> {
         let mut checked = Vec::with_capacity(arguments.len());
         for (argument, parameter) in arguments.iter().zip(signature.parameters) {
             checked.push(self.check_type(argument, *parameter, scope)?);
@@ -334,7 +341,7 @@
         let max_cost = 1 + lengths.sum::<u64>() + max_length + argument_costs;
         let nodes = checked.into_iter().map(|argument| argument.node).collect();
         let node = Node::Call(signature.function, nodes);
-        Ok(Checked { node, value_type: signature.result, max_cost, max_length })
+        Ok(CheckedExpression { node, value_type: signature.result, max_cost, max_length })
     }
 
     /// Inlines the call of a definition: its body, wrapped in a `let` for each argument. The body can refer
@@ -345,8 +352,8 @@
         definition: &Definition,
         arguments: &[Expression],
         scope: &mut Scope,
-    ) -> Result<Checked, CompileError> {
-        let caller_depth = scope.len();
+    ) -> Result<CheckedExpression, CompileError> {
+        let caller_scope_len = scope.len();
         let mut body_scope: Scope = scope.iter().map(Binding::hidden).collect();
         let mut values = Vec::with_capacity(arguments.len());
         let mut max_cost = 1;
@@ -359,12 +366,12 @@
             body_scope.push(binding);
             values.push(argument.node);
         }
-        scope.truncate(caller_depth);
+        scope.truncate(caller_scope_len);
         self.inline_stack.push(name.to_string());
         let body = self.check(&definition.body, &mut body_scope)?;
         self.inline_stack.pop();
         let bind = |body: Node, value: Node| Node::Let { value: value.into(), body: body.into() };
-        Ok(Checked {
+        Ok(CheckedExpression {
             node: values.into_iter().rev().fold(body.node, bind),
             value_type: body.value_type,
             max_cost: max_cost + body.max_cost,
@@ -374,19 +381,30 @@
 }
 
 /// Resolves a name to the innermost binding, or otherwise to a property of the request.
-fn check_name(offset: usize, name: &str, scope: &Scope) -> Result<Checked, CompileError> {
+fn check_name(offset: usize, name: &str, scope: &Scope) -> Result<CheckedExpression, CompileError> {
     if let Some(index) = scope.iter().rposition(|binding| binding.name == name) {
         let Binding { value_type, max_length, .. } = scope[index];
-        return Ok(Checked { node: Node::Local(index), value_type, max_cost: 1 + max_length, max_length });
+        return Ok(CheckedExpression {
+            node: Node::Local(index),
+            value_type,
+            max_cost: 1 + max_length,
+            max_length,
+        });
     }
     match Input::by_name(name) {
-        Some(input) => Ok(Checked::new(Node::Input(input), Type::Str).with_max_length(MAX_INPUT_BYTES)),
+        Some(input) => {
+            Ok(CheckedExpression::new(Node::Input(input), Type::Str).with_max_length(MAX_INPUT_BYTES))
+        }
         None => type_error(offset, TypeError::UnknownName(name.to_string())),
     }
 }
 
 /// Checks `header("name")` or `has("name")`.
-fn check_header(offset: usize, form: &str, arguments: &[Expression]) -> Result<Checked, CompileError> {
+fn check_header(
+    offset: usize,
+    form: &str,
+    arguments: &[Expression],
+) -> Result<CheckedExpression, CompileError> {
     check_argument_count(offset, form, 1, arguments)?;
     let ExpressionKind::Str(header) = &arguments[0].kind else {
         return type_error(offset, TypeError::HeaderNotLiteral(form.to_string()));
@@ -396,8 +414,8 @@
         return type_error(offset, TypeError::InvalidHeaderName(header.clone()));
     }
     let checked = match form {
-        HAS_FORM => Checked::new(Node::HasHeader(header.clone()), Type::Bool),
-        _ => Checked::new(Node::Header(header.clone()), Type::Str).with_max_length(MAX_INPUT_BYTES),
+        HAS_FORM => CheckedExpression::new(Node::HasHeader(header.clone()), Type::Bool),
+        _ => CheckedExpression::new(Node::Header(header.clone()), Type::Str).with_max_length(MAX_INPUT_BYTES),
     };
     Ok(checked.with_max_cost(MAX_HEADER_LOOKUP_COST))
 }
--- a/tests/rules_language.rs
+++ b/tests/rules_language.rs
@@ -61,28 +61,32 @@
 }
 
 #[test]
-fn deployed_rules_classify_requests_like_the_built_in_path_format() {
+fn deployed_rules_classify_requests_like_the_built_in_path_form() {
     let rules = deployed_rules();
     let mut rng = SmallRng::seed_from_u64(21);
     let (mut targets, mut malformed, mut unmatched) = (0, 0, 0);
     for _ in 0..200_000 {
         let request = random_request(&mut rng);
         let mut steps = 0;
-        let (by_rules, by_path_format) =
+        let (by_rules, by_path_form) =
             (rules.classify(&request, &mut steps), PlatformPath.classify(&request));
         // The path form rejects an empty `X-Set`; `default` in the rules treats it as absent.
         let has_empty_group_header = request.headers.iter().any(|(n, v)| n == "x-set" && v.is_empty());
         if !has_empty_group_header {
-            assert_eq!(by_rules, by_path_format, "{request:?}");
+            assert_eq!(by_rules, by_path_form, "{request:?}");
         }
-        assert!(steps <= rules.max_cost(), "{steps} of {}", rules.max_cost());
-        match by_path_format {
+        assert!(steps <= rules.max_cost(), "{steps} steps, expected at most {}", rules.max_cost());
+        match by_path_form {
             Classification::Target(_) => targets += 1,
             Classification::Malformed => malformed += 1,
             Classification::NoMatch => unmatched += 1,
         }
     }
-    assert!(targets > 2_000 && malformed > 2_000 && unmatched > 2_000, "{targets} {malformed} {unmatched}");
+    assert!(
+        targets > 2_000 && malformed > 2_000 && unmatched > 2_000,
+        "{targets} targets, {malformed} malformed and {unmatched} unmatched requests; expected more than \
+         2,000 of each"
+    );
 }
 
 #[test]
@@ -103,7 +107,7 @@
         (rule("true", "hash(nothing)"), "", "nothing"),
         (rule("contains(path, query)", "hash(path)"), r#""cost_most":1000,"#, "cost"),
         (rule("f(1) == 1", "hash(path)"), r#""define":["f(n: int) = f(n)"],"#, "calls itself"),
-        (String::new(), "", "not within 1 to 256"),
+        (String::new(), "", "expected 1 to 256"),
     ] {
         let reason = read_rules(&text, other_fields).expect_err(&text);
         assert!(reason.contains(expected), "{reason} does not contain {expected}");
@@ -113,7 +117,7 @@
 /// A rules file replaces the built-in path form, SIGHUP reloads it, and an invalid file leaves the old
 /// rules in force.
 #[test]
-fn a_rules_file_replaces_the_path_format_and_is_reloaded_at_sighup() {
+fn a_rules_file_replaces_the_path_form_and_is_reloaded_at_sighup() {
     run(async {
         let dir = test_dir("rules-program");
         let fleet = SlowCacheFleet::start(125, 4, 64, 2).await;
@@ -138,11 +142,11 @@
         let args = ["serve", "--config", config.to_str().unwrap(), "--rules", file.to_str().unwrap()];
         let child =
             std::process::Command::new(env!("CARGO_BIN_EXE_edge-proxy")).args(args).stderr(log).spawn();
-        let program = KillOnDrop(child.unwrap());
+        let proxy = KillOnDrop(child.unwrap());
         while TcpStream::connect(listen).await.is_err() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let get = |target: &'static str, id: u64| async move {
+        let get_status = |target: &'static str, id: u64| async move {
             let mut stream = TcpStream::connect(listen).await.unwrap();
             let text = format!(
                 "GET {target} HTTP/1.1\r\nHost: t\r\nX-Call-Id: {id:016x}\r\nConnection: close\r\n\r\n"
@@ -152,21 +156,29 @@
             stream.read_to_string(&mut response).await.unwrap();
             response.get(9..12).unwrap_or_default().to_string()
         };
-        assert_eq!(get("/photos/Cat.jpg", 1).await, "200");
-        assert_eq!(get("/ops/small-object/7f3a9c21e0b4d655", 2).await, "404", "only the rules apply");
+        assert_eq!(get_status("/photos/Cat.jpg", 1).await, "200");
+        assert_eq!(
+            get_status("/ops/small-object/7f3a9c21e0b4d655", 2).await,
+            "404",
+            "the built-in path form still applies"
+        );
         write_rules("/pictures/");
-        program.signal("-HUP");
+        proxy.signal("-HUP");
         let deadline = Instant::now() + Duration::from_secs(5);
         let mut id = 10;
-        while get("/pictures/cat.jpg", id).await != "200" {
+        while get_status("/pictures/cat.jpg", id).await != "200" {
             assert!(Instant::now() < deadline, "the rules were not reloaded");
             id += 1;
         }
         std::fs::write(dir.join("rules.json"), r#"{"rules":[{"when":"1","class":"1","object":"1"}]}"#)
             .unwrap();
-        program.signal("-HUP");
+        proxy.signal("-HUP");
         tokio::time::sleep(Duration::from_millis(200)).await;
-        assert_eq!(get("/pictures/cat.jpg", 99).await, "200", "the old rules remain in force");
+        assert_eq!(
+            get_status("/pictures/cat.jpg", 99).await,
+            "200",
+            "an invalid file replaced the rules in force"
+        );
         let log = std::fs::read_to_string(dir.join("proxy.log")).unwrap();
         assert!(
             log.contains("configuration not reloaded subsystem=\"rules\"") && log.contains("rule 1, `when`"),
