--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -55,8 +55,8 @@
             }
             // Fewer completions than arrivals keep the queue at its limit.
             if id % skip_every != 0 {
-                if let Some(done) = in_flight.pop_front() {
-                    in_flight.extend(queue.completed(now, done, Completion::Succeeded));
+                if let Some(completed_id) = in_flight.pop_front() {
+                    in_flight.extend(queue.completed(now, completed_id, Completion::Succeeded));
                 }
             }
             if id % 4_096 == 0 {
--- a/benches/purge_lookup.rs
+++ b/benches/purge_lookup.rs
@@ -27,7 +27,7 @@
 }
 
 fn main() {
-    println!("| purges | ns per lookup | bytes | bytes per purge | covered |");
+    println!("| purges | ns per lookup | bytes | bytes per purge | share covered |");
     println!("| ---: | ---: | ---: | ---: | ---: |");
     for purges in [100usize, 1_000, 10_000, 100_000] {
         let mut rng = SmallRng::seed_from_u64(7);
--- a/examples/admission_heavy.rs
+++ b/examples/admission_heavy.rs
@@ -106,11 +106,12 @@
     let config_text = config_text.replace("127.0.0.1:5050", &proxy_address.to_string());
     let config = dir.join("config.json");
     std::fs::write(&config, config_text).unwrap();
-    let file = dir.join("admission.json");
-    std::fs::write(&file, r#"{"limit":{"first":8,"least":8,"most":8},"per_client_most":16}"#).unwrap();
+    let admission_config = dir.join("admission.json");
+    std::fs::write(&admission_config, r#"{"limit":{"first":8,"least":8,"most":8},"per_client_most":16}"#)
+        .unwrap();
     let mut args = vec!["serve".to_string(), "--config".into(), config.display().to_string()];
     if admission {
-        args.extend(["--admission".into(), file.display().to_string()]);
+        args.extend(["--admission".into(), admission_config.display().to_string()]);
     }
     let mut command = Command::new(program);
     command.args(&args).env("EDGE_PROXY_LOG", "warn").stdout(Stdio::null()).stderr(Stdio::null());
@@ -134,7 +135,7 @@
                     spawn_local(async move {
                         let status = get_small_object(proxy_address, "127.0.75.2".parse().unwrap(), id)
                             .await
-                            .map_or(0, |a| a.0);
+                            .map_or(0, |(status, _)| status);
                         recorded.borrow_mut().push(status);
                     });
                     tokio::time::sleep(Duration::from_millis(20)).await;
--- a/examples/grpc_load.rs
+++ b/examples/grpc_load.rs
@@ -189,7 +189,7 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     LocalSet::new().block_on(&runtime(), async {
-        println!("| workload | path | calls or messages per second | p50 us | p99 us | failed |");
+        println!("| workload | path | throughput (calls or messages per second, or MB/s) | p50 us | p99 us | failed |");
         println!("| --- | --- | ---: | ---: | ---: | ---: |");
         let paths = [("direct", server), ("proxy", grpc_address)];
         let mut totals: Vec<(Measurement, Measurement, Measurement)> = Vec::new();
--- a/examples/health_checks_shared.rs
+++ b/examples/health_checks_shared.rs
@@ -40,7 +40,7 @@
 
 impl Network {
     fn send(&mut self, now: f64, from: InstanceId, actions: Vec<Action>) {
-        let others = |me| self.schedulers.keys().copied().filter(|id| *id != me).collect::<Vec<_>>();
+        let others = |own_id| self.schedulers.keys().copied().filter(|id| *id != own_id).collect::<Vec<_>>();
         let mut outgoing = Vec::new();
         for action in actions {
             match action {
@@ -93,12 +93,12 @@
 
 fn measure(instances: u16, endpoints: u32, loss: f64, kills: u32) {
     let instance_ids: Vec<InstanceId> = (1..=instances).collect();
-    let new_scheduler = |now: f64, me: InstanceId| {
-        let mut scheduler = Scheduler::new(now, me, instance_ids.iter().copied(), TIMES);
+    let new_scheduler = |now: f64, own_id: InstanceId| {
+        let mut scheduler = Scheduler::new(now, own_id, instance_ids.iter().copied(), TIMES);
         scheduler.set_endpoints(now, 0..endpoints);
         scheduler
     };
-    let schedulers = instance_ids.iter().map(|me| (*me, new_scheduler(0.0, *me))).collect();
+    let schedulers = instance_ids.iter().map(|id| (*id, new_scheduler(0.0, *id))).collect();
     let (in_flight, rng) = (BTreeMap::new(), SmallRng::seed_from_u64(7));
     let mut network =
         Network { schedulers, in_flight, rng, loss, messages: 0, ticks: 0, tick_ns: 0, checks: Vec::new() };
@@ -117,15 +117,15 @@
         network.run(now, now + 8_000.0);
         messages += network.messages - messages_before;
         now += 8_000.0;
-        let mut seen = BTreeSet::new();
-        let mut last = BTreeMap::<EndpointId, f64>::new();
+        let mut checked_leases = BTreeSet::new();
+        let mut last_check_ms = BTreeMap::<EndpointId, f64>::new();
         for (at, lease) in &network.checks {
-            repeated += usize::from(!seen.insert(*lease));
+            repeated += usize::from(!checked_leases.insert(*lease));
             lateness_ms.record((at - lease.due_ms(TIMES.period_ms)).max(0.0) as u64).unwrap();
-            let interval_ms = at - last.insert(lease.endpoint, *at).unwrap_or(round_start);
+            let interval_ms = at - last_check_ms.insert(lease.endpoint, *at).unwrap_or(round_start);
             intervals_ms.record(interval_ms as u64).unwrap();
         }
-        slots += seen.len() as u64;
+        slots += checked_leases.len() as u64;
         if kills > 0 {
             network.schedulers.insert(victim, new_scheduler(now, victim));
             network.run(now, now + 8_000.0);
--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -41,7 +41,7 @@
     during_large: Histogram<u64>,
     requests: u32,
     in_time: u32,
-    sent_twice: usize,
+    received_twice: usize,
 }
 
 fn start_proxy(
@@ -60,19 +60,19 @@
     }
     std::fs::write(dir.join("config.json"), node_config.replace("127.0.0.1:5050", &listen.to_string()))
         .unwrap();
-    let file = dir.join("http3.json");
+    let http3_config = dir.join("http3.json");
     let text = format!(
         r#"{{"listen":"{quic_address}","certificate":"cert.pem","key":"key.pem","path":{path_settings}}}"#
     );
-    std::fs::write(&file, text).unwrap();
+    std::fs::write(&http3_config, text).unwrap();
     let mut command = Command::new(program);
-    command.arg("serve").arg("--config").arg(dir.join("config.json")).arg("--http3").arg(&file);
+    command.arg("serve").arg("--config").arg(dir.join("config.json")).arg("--http3").arg(&http3_config);
     let child = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
     while std::net::TcpStream::connect(listen).is_err() {
         std::thread::sleep(Duration::from_millis(10));
     }
     std::thread::sleep(Duration::from_millis(50));
-    (KillOnDrop(child), Http3Config::read(&file).unwrap())
+    (KillOnDrop(child), Http3Config::read(&http3_config).unwrap())
 }
 
 async fn measure_path(
@@ -81,13 +81,13 @@
     loss: f64,
     jitter_ms: f64,
     requests: u64,
-    number: u64,
+    round: u64,
 ) -> Measurement {
     let fleet = SlowCacheFleet::start(119, 4, 256, 4).await;
     fleet.part_bytes.set(120_000);
     let quic_address = std::net::UdpSocket::bind("127.0.120.9:0").unwrap().local_addr().unwrap();
     let (_proxy, config) = start_proxy(dir, &fleet, quic_address, path_settings);
-    let link = ImpairedLink::start("127.0.120.20", quic_address, 5 + number).await;
+    let link = ImpairedLink::start("127.0.120.20", quic_address, 5 + round).await;
     link.loss.set(loss);
     link.jitter_ms.set(jitter_ms);
     let histogram = || Histogram::<u64>::new(3).unwrap();
@@ -97,7 +97,7 @@
         during_large: histogram(),
         requests: 0,
         in_time: 0,
-        sent_twice: 0,
+        received_twice: 0,
     };
     let measurement = Rc::new(RefCell::new(measurement));
     let clients: Vec<_> = (0..CLIENTS)
@@ -110,7 +110,7 @@
                 }
                 let client = Rc::new(client.unwrap());
                 for n in 0..requests {
-                    let id = number << 40 | k << 24 | n << 4;
+                    let id = round << 40 | k << 24 | n << 4;
                     let start = Instant::now();
                     let (response, timeout_ms, kind) = match n % 3 {
                         0 => (client.put_ad_post(id, 3_000).await, 3_000, 0),
@@ -123,7 +123,7 @@
                                     tokio::time::sleep(Duration::from_millis(50)).await;
                                     let start = Instant::now();
                                     let response = client.get_small_object(id | 1, 3_000).await;
-                                    let ok = response.is_some_and(|g| g.status == 200);
+                                    let ok = response.is_some_and(|response| response.status == 200);
                                     let mut measurement = measurement.borrow_mut();
                                     measurement.requests += 1;
                                     measurement.in_time +=
@@ -148,8 +148,9 @@
                     };
                     let mut measurement = measurement.borrow_mut();
                     measurement.requests += 1;
-                    measurement.in_time +=
-                        u32::from(response.is_some_and(|g| g.status == 200) && elapsed_ms < timeout_ms);
+                    measurement.in_time += u32::from(
+                        response.is_some_and(|response| response.status == 200) && elapsed_ms < timeout_ms,
+                    );
                     if kind == 0 {
                         measurement.small.record(elapsed_ms).unwrap();
                     } else {
@@ -162,7 +163,7 @@
     for client in clients {
         client.await.unwrap();
     }
-    measurement.borrow_mut().sent_twice = fleet.keys.borrow().values().filter(|n| **n > 1).count();
+    measurement.borrow_mut().received_twice = fleet.keys.borrow().values().filter(|n| **n > 1).count();
     Rc::try_unwrap(measurement).ok().unwrap().into_inner()
 }
 
@@ -187,7 +188,8 @@
     }
     let ns = start.elapsed().as_nanos() as f64 / calls as f64;
     println!(
-        "store: {ns:.0} ns for a call, its response and a retry; {} calls and {max_bytes} bytes held at most",
+        "store: {ns:.0} ns for a call, its response and a retry; limit {} calls; at most \
+         {max_bytes} bytes held",
         limits.max_calls
     );
 }
@@ -199,19 +201,19 @@
     write_certificate(&dir);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        println!("| link | path | requests | in time | small p50 / p99 ms | during a large response p50 / p99 ms | response of 120 KB p50 / p99 ms | ad-posts sent twice |");
+        println!("| link | path | requests | in time | small p50 / p99 ms | during a large response p50 / p99 ms | response of 120 KB p50 / p99 ms | ad-posts received twice |");
         println!("| --- | --- | ---: | ---: | --- | --- | --- | ---: |");
         let bbr = r#"{"congestion":"bbr"}"#;
         let cubic = r#"{"congestion":"cubic"}"#;
-        let plain = r#"{"congestion":"cubic","reorder_packets":3,"reorder_trips":1.125}"#;
+        let rfc9002 = r#"{"congestion":"cubic","reorder_packets":3,"reorder_trips":1.125}"#;
         let rounds = [
             ("clean", "bbr, 32 packets", bbr, 0.0, 0.0),
-            ("5 %, 300 ms", "cubic, 3 packets (RFC 9002)", plain, 0.05, 300.0),
+            ("5 %, 300 ms", "cubic, 3 packets (RFC 9002)", rfc9002, 0.05, 300.0),
             ("5 %, 300 ms", "cubic, 32 packets", cubic, 0.05, 300.0),
             ("5 %, 300 ms", "bbr, 32 packets", bbr, 0.05, 300.0),
         ];
-        for (number, (link, name, path, loss, jitter)) in rounds.into_iter().enumerate() {
-            let measurement = measure_path(&dir, path, loss, jitter, requests, number as u64 + 1).await;
+        for (round, (link, name, path, loss, jitter)) in rounds.into_iter().enumerate() {
+            let measurement = measure_path(&dir, path, loss, jitter, requests, round as u64 + 1).await;
             let p50_p99 =
                 |h: &Histogram<u64>| format!("{} / {}", h.value_at_quantile(0.5), h.value_at_quantile(0.99));
             println!(
@@ -221,7 +223,7 @@
                 p50_p99(&measurement.small),
                 p50_p99(&measurement.during_large),
                 p50_p99(&measurement.large),
-                measurement.sent_twice
+                measurement.received_twice
             );
         }
     });
--- a/examples/purge_fleet.rs
+++ b/examples/purge_fleet.rs
@@ -103,7 +103,7 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("a proxy did not answer within its start timeout");
+    panic!("the proxy at {mgmt} did not answer GET /purges with 200 in 1,000 attempts");
 }
 
 /// Requests an object; returns the status (0 if there was no response) and the generation time of the copy.
@@ -172,13 +172,14 @@
             spawn_local(read_until(end_ms, client as u64, listen, objects.clone(), recorded.clone()))
         })
         .collect();
-    let purger = spawn_local(purge_until(end_ms - 1_000.0, leader.mgmt, objects.clone(), recorded.clone()));
+    let purge_task =
+        spawn_local(purge_until(end_ms - 1_000.0, leader.mgmt, objects.clone(), recorded.clone()));
     tokio::time::sleep(Duration::from_millis(seconds * 500)).await;
     let restart = kill_and_restart(&program, &dir, &mut leader, &servers, &recorded).await;
     for task in clients {
         task.await.unwrap();
     }
-    purger.await.unwrap();
+    purge_task.await.unwrap();
     let caught_up_ms = wait_until_caught_up(&servers, &recorded).await;
 
     println!("| metric | value |");
@@ -287,7 +288,7 @@
     /// The first purge number that the restarted leader reported as acknowledged by the slow server.
     recovered_acknowledgement: Option<u64>,
     /// Time from the restart until the slow server had acknowledged all purges issued before the kill.
-    resumed_ms: f64,
+    catch_up_ms: f64,
 }
 
 /// Kills the leader with SIGKILL and restarts it one second later.
@@ -316,8 +317,8 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let resumed_ms = now_ms() - restarted_ms;
-    Restart { killed_ms, last_seq, applied_at_kill, recovered_acknowledgement, resumed_ms }
+    let catch_up_ms = now_ms() - restarted_ms;
+    Restart { killed_ms, last_seq, applied_at_kill, recovered_acknowledgement, catch_up_ms }
 }
 
 /// Waits until all caches have applied the last purge; returns the time since it was issued, in milliseconds.
@@ -385,7 +386,7 @@
     );
     println!(
         "| time from the restart until the slow server acknowledged all earlier purges | {:.0} ms |",
-        restart.resumed_ms
+        restart.catch_up_ms
     );
 }
 
--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -81,11 +81,11 @@
     let mgmt = mgmt.map(|m| format!("\n  \"mgmt\": \"{m}\",")).unwrap_or_default();
     text = text.replace("\"listen\": \"127.0.0.1:5050\",", &format!("\"listen\": \"{listen}\",{mgmt}"));
     std::fs::write(dir.join("config.json"), text).unwrap();
-    let file = format!(
+    let registry_config = format!(
         r#"{{"address":"{registry}","prefix":"{PREFIX}","timeout_ms":1000,"stall_ms":1500,
             "backoff":{{"first_ms":50,"factor":2,"most_ms":1000,"jitter":0.2}}}}"#
     );
-    std::fs::write(dir.join("registry.json"), file).unwrap();
+    std::fs::write(dir.join("registry.json"), registry_config).unwrap();
     (dir.join("config.json"), dir.join("registry.json"))
 }
 
@@ -171,10 +171,16 @@
     });
     let free_address = || TcpListener::bind("127.0.82.10:0").unwrap().local_addr().unwrap();
     let (listen, mgmt) = (free_address(), free_address());
-    let (config, file) =
+    let (config, registry_config) =
         write_config_files(&dir, registry.address, &listen.to_string(), Some(&mgmt.to_string()));
     let mut command = Command::new(&program);
-    command.args(["serve", "--config", config.to_str().unwrap(), "--registry", file.to_str().unwrap()]);
+    command.args([
+        "serve",
+        "--config",
+        config.to_str().unwrap(),
+        "--registry",
+        registry_config.to_str().unwrap(),
+    ]);
     let _proxy = KillOnDrop(
         command.env("EDGE_PROXY_LOG", "warn").stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap(),
     );
@@ -197,8 +203,12 @@
         let applied_ms = wait_for_revision(mgmt, revision).await;
         delays.push(applied_ms - written_ms);
         tokio::time::sleep(Duration::from_millis(400)).await;
-        requests_after +=
-            fleet.arrivals.borrow().iter().filter(|(b, at)| *b == k && *at > applied_ms + 250.0).count();
+        requests_after += fleet
+            .arrivals
+            .borrow()
+            .iter()
+            .filter(|(cache, received_ms)| *cache == k && *received_ms > applied_ms + 250.0)
+            .count();
         put(k, "Ready");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
@@ -237,8 +247,9 @@
         let at: SocketAddr = format!("127.0.83.{}:7000", k + 1).parse().unwrap();
         registry.put(&format!("{PREFIX}{}", endpoint.0), &endpoint_json(k, at, "Ready"));
     }
-    let (config, file) = write_config_files(&dir, registry.address, "127.0.83.10:1", None);
-    let (config, file) = (Config::read(&config).unwrap(), RegistryConfig::read(&file).unwrap());
+    let (config, registry_config) = write_config_files(&dir, registry.address, "127.0.83.10:1", None);
+    let (config, registry_config) =
+        (Config::read(&config).unwrap(), RegistryConfig::read(&registry_config).unwrap());
     let mut statuses = Vec::new();
     for n in 0..proxies {
         let clock = Clock::system();
@@ -247,7 +258,7 @@
         executor.with(|engine| engine.use_registry());
         let status = Rc::new(RefCell::new(RegistryStatus::default()));
         statuses.push(status.clone());
-        tokio::task::spawn_local(run(executor, file.clone(), status, n as u64));
+        tokio::task::spawn_local(run(executor, registry_config.clone(), status, n as u64));
     }
     let start = std::time::Instant::now();
     let (ranges, watches) = (registry.store.ranges.get(), registry.store.watches.get());
@@ -273,10 +284,10 @@
     let outdated =
         statuses.iter().filter(|status| status.borrow().revision < registry.store.revision.get() - 1).count();
     println!();
-    println!("| simulated proxies | seconds | changes | failures | ranges | watches | calls per second per proxy | outdated at the end |");
-    println!("| ---: | ---: | ---: | --- | ---: | ---: | ---: | ---: |");
+    println!("| simulated proxies | seconds | changes | ranges | watches | calls per second per proxy | outdated at the end |");
+    println!("| ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
     println!(
-        "| {proxies} | {wall:.0} | {changes} | random | {ranges} | {watches} | {:.3} | {outdated} |",
+        "| {proxies} | {wall:.0} | {changes} | {ranges} | {watches} | {:.3} | {outdated} |",
         (ranges + watches) as f64 / proxies as f64 / wall
     );
     let _ = std::fs::remove_dir_all(&dir);
--- a/examples/rules_load.rs
+++ b/examples/rules_load.rs
@@ -57,20 +57,20 @@
         std::hint::black_box(rules.classify(&requests[(n % 4_096) as usize], &mut steps));
         max_steps = max_steps.max(steps);
     }
-    let by_rules = start.elapsed();
+    let rules_duration = start.elapsed();
     let start = Instant::now();
     for n in 0..EVALUATIONS {
         std::hint::black_box(PlatformPath.classify(&requests[(n % 4_096) as usize]));
     }
-    let by_code = start.elapsed();
+    let built_in_duration = start.elapsed();
     for request in &requests {
         mismatches += u64::from(rules.classify(request, &mut 0) != PlatformPath.classify(request));
     }
     let ns = |d: Duration| d.as_nanos() as f64 / EVALUATIONS as f64;
     println!(
-        "{EVALUATIONS} requests: {:.0} ns by rules, {:.0} ns by code; {max_steps} steps at most, limit {}; {mismatches} classified differently",
-        ns(by_rules),
-        ns(by_code),
+        "{EVALUATIONS} classifications: {:.0} ns by rules, {:.0} ns by code; at most {max_steps} steps, bound {}; {mismatches} of 4,096 requests classified differently",
+        ns(rules_duration),
+        ns(built_in_duration),
         rules.max_cost()
     );
 }
@@ -145,10 +145,10 @@
     for (address, port) in fleet.addresses.iter().zip(7101..) {
         config = config.replace(&format!("127.0.0.1:{port}"), &address.to_string());
     }
-    let file = dir.join(format!("config-{}.json", listen.port()));
-    std::fs::write(&file, config).unwrap();
+    let config_file = dir.join(format!("config-{}.json", listen.port()));
+    std::fs::write(&config_file, config).unwrap();
     let mut command = Command::new(program);
-    command.arg("serve").arg("--config").arg(file);
+    command.arg("serve").arg("--config").arg(config_file);
     if let Some(rules) = rules {
         command.arg("--rules").arg(rules);
     }
--- a/examples/sign_link.rs
+++ b/examples/sign_link.rs
@@ -44,7 +44,7 @@
         .split("\"k\":\"")
         .nth(1)
         .and_then(|t| t.split('"').next())
-        .ok_or("the key file has no \"k\" member")?;
+        .ok_or("examples/signed-urls-keys.json has no \"k\" member")?;
     let expires_at = SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs() + 600;
     let hash = base64url(&Sha256::digest(format!("http://127.0.0.1:8080{path}")));
     let claims =
@@ -52,7 +52,7 @@
     let header = Header { kid: Some("toy".into()), ..Header::new(Algorithm::HS256) };
     let key = EncodingKey::from_secret(
         &edge_proxy::wire::signed_urls::jwk::decode_base64url(secret)
-            .ok_or("the \"k\" member of the key file is not base64url")?,
+            .ok_or("the \"k\" member of examples/signed-urls-keys.json is not base64url")?,
     );
     println!("http://127.0.0.1:8080{path}?URISigningPackage={}", encode(&header, &claims, &key)?);
     Ok(())
--- a/examples/vrrp_takeover.rs
+++ b/examples/vrrp_takeover.rs
@@ -43,16 +43,17 @@
     virtual_address: SocketAddr,
 ) -> Proxy {
     let (listen, mgmt) = (free_address("127.0.102.10"), free_address("127.0.102.10"));
-    let mut text =
+    let mut config_text =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
     for (n, port) in (7101..=7104).enumerate() {
-        text = text.replace(&format!("127.0.0.1:{port}"), &fleet.addresses[n].to_string());
+        config_text = config_text.replace(&format!("127.0.0.1:{port}"), &fleet.addresses[n].to_string());
     }
     let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
-    let (config, file) = (dir.join(format!("config-{index}.json")), dir.join(format!("vrrp-{index}.json")));
-    std::fs::write(&config, text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses)).unwrap();
+    let (config, vrrp_config) =
+        (dir.join(format!("config-{index}.json")), dir.join(format!("vrrp-{index}.json")));
+    std::fs::write(&config, config_text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses)).unwrap();
     // Without preemption, a restarted router stays backup until the active one is killed.
-    let text = format!(
+    let vrrp_text = format!(
         r#"{{"listen":"{}","peers":["{}"],"vrid":7,"priority":{},"interval_cs":20,"down_intervals":8,"preempt":false,
             "addresses":["{}"],"serve":[{{"address":"{virtual_address}","front":"platform"}}]}}"#,
         routers[index],
@@ -60,9 +61,9 @@
         [120, 100][index],
         virtual_address.ip()
     );
-    std::fs::write(&file, text).unwrap();
+    std::fs::write(&vrrp_config, vrrp_text).unwrap();
     let mut command = Command::new(program);
-    command.arg("serve").arg("--config").arg(config).arg("--vrrp").arg(file);
+    command.arg("serve").arg("--config").arg(config).arg("--vrrp").arg(vrrp_config);
     Proxy { child: command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap(), mgmt }
 }
 
@@ -76,7 +77,11 @@
 async fn wait_for_state(proxy: &Proxy, expected: &str) {
     let end = Instant::now() + Duration::from_secs(10);
     while vrrp_state(proxy).await.as_deref() != Some(expected) {
-        assert!(Instant::now() < end, "the router did not become {expected} within ten seconds");
+        assert!(
+            Instant::now() < end,
+            "the router at {} did not become {expected} within ten seconds",
+            proxy.mgmt
+        );
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
@@ -126,19 +131,19 @@
         let outcomes = load.stop().await;
         takeover_ms.sort_by(f64::total_cmp);
         first_response_ms.sort_by(f64::total_cmp);
-        let lost = outcomes.iter().filter(|(_, _, e)| e.status != Some(200) || e.malformed).count();
+        let failed = outcomes.iter().filter(|(_, _, e)| e.status != Some(200) || e.malformed).count();
         let retried = outcomes.iter().filter(|(_, _, e)| e.retries > 0).count();
         let posts = outcomes.iter().filter(|(_, write, _)| *write).count();
         let keys = fleet.keys.borrow();
-        let send_count = |id: u64| keys.get(&format!("k{id:x}")).copied().unwrap_or(0);
-        let sent_twice =
-            outcomes.iter().filter(|(id, write, e)| *write && e.retries == 0 && send_count(*id) > 1).count();
-        let resent_by_client =
-            outcomes.iter().filter(|(id, write, e)| *write && e.retries > 0 && send_count(*id) > 1).count();
-        println!("| kills | takeover p50 / p99 / max ms | first response after the kill p50 / max ms | requests | lost | retried | ad-posts | sent twice | sent again by a client's retry with the same key |");
+        let receive_count = |id: u64| keys.get(&format!("k{id:x}")).copied().unwrap_or(0);
+        let received_twice_without_retry =
+            outcomes.iter().filter(|(id, write, e)| *write && e.retries == 0 && receive_count(*id) > 1).count();
+        let received_twice_after_retry =
+            outcomes.iter().filter(|(id, write, e)| *write && e.retries > 0 && receive_count(*id) > 1).count();
+        println!("| kills | takeover p50 / p99 / max ms | first response after the kill p50 / max ms | requests | failed | retried | ad-posts | received twice without a client retry | received twice after a client retry |");
         println!("| ---: | --- | --- | ---: | ---: | ---: | ---: | ---: | ---: |");
         println!(
-            "| {kills} | {:.0} / {:.0} / {:.0} | {:.0} / {:.0} | {} | {lost} | {retried} | {posts} | {sent_twice} | {resent_by_client} |",
+            "| {kills} | {:.0} / {:.0} / {:.0} | {:.0} / {:.0} | {} | {failed} | {retried} | {posts} | {received_twice_without_retry} | {received_twice_after_retry} |",
             percentile(&takeover_ms, 0.5),
             percentile(&takeover_ms, 0.99),
             percentile(&takeover_ms, 1.0),
