--- a/deploy/sites/derive.py
+++ b/deploy/sites/derive.py
@@ -45,7 +45,7 @@
     """Returns the line range of a section; an empty name means the lines before the first section."""
     headers = [k for k, line in enumerate(lines) if section_header(line) == section] if section else [-1]
     if place >= len(headers):
-        sys.exit(f"derive.py: section {section!r} with index {place} does not exist")
+        sys.exit(f"derive.py: the base site has no section {section!r} with index {place}")
     start = headers[place] + 1
     end = next((k for k in range(start, len(lines)) if section_header(lines[k]) is not None), len(lines))
     return start, end
@@ -56,7 +56,10 @@
     index = next((k for k in range(start, end) if assigned_key(lines[k]) == change["key"]), None)
     if value is None:
         if index is None:
-            sys.exit(f"derive.py: the key to drop does not exist: {change}")
+            sys.exit(
+                f"derive.py: the base site has no key {change['key']!r} to drop "
+                f"in section {change.get('section', '')!r}"
+            )
         del lines[index]
     elif index is None:
         lines.insert(start, f"{change['key']} = {format_toml_value(value)}")
