--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn admin_calls_return_their_status_and_close_the_connection() {
+fn admin_calls_return_the_documented_status_and_close_the_connection() {
     run(async {
         let (_proxy, _, admin) = start_with_admin("calls").await;
         // Clients that connect and send nothing must not block the calls of others.
@@ -69,7 +69,7 @@
 #[test]
 fn stats_count_each_outcome_once_under_its_class() {
     run(async {
-        let (proxy, platform, admin) = start_with_admin("figures").await;
+        let (proxy, platform, admin) = start_with_admin("stats").await;
         request_clips(platform, 1..4).await;
         proxy.script_all(reply_status("EIO"));
         let failed = send_request(platform, "GET", "/ops/clip/00000000000000aa", &headers(9)).await.status;
@@ -104,7 +104,8 @@
         for id in [cache, parent] {
             send_request(admin, "POST", &format!("/pop-caches/s-{id:08x}/maint"), "").await;
         }
-        let (before, other_before) = (proxy.request_count(cache), proxy.request_count(CACHES[1]));
+        let (cache_requests_before, other_requests_before) =
+            (proxy.request_count(cache), proxy.request_count(CACHES[1]));
         // Discovery reports the endpoint as active again.
         let record = edge_proxy::endpoint_list::EndpointRecord {
             zone: "town".into(),
@@ -115,15 +116,17 @@
             capacity_hint: Some(4.0),
             cell: 0,
         };
-        let SocketAddr::V4(address) = proxy.endpoints[&cache].address else { panic!() };
-        let targets = vec![edge_proxy::endpoint_list::ListedEndpoint { record, address }];
-        let event = edge_proxy::endpoint_list::WatchEvent::Endpoints { full: false, endpoints: targets };
+        let SocketAddr::V4(address) = proxy.endpoints[&cache].address else {
+            panic!("the endpoint has no IPv4 address")
+        };
+        let endpoints = vec![edge_proxy::endpoint_list::ListedEndpoint { record, address }];
+        let event = edge_proxy::endpoint_list::WatchEvent::Endpoints { full: false, endpoints };
         proxy
             .executor
             .with(|engine| engine.apply_event(edge_proxy::endpoint_list::Sequenced { number: 99, event }));
         request_clips(platform, 100..120).await;
-        assert_eq!(proxy.request_count(cache), before);
-        let other_requests = proxy.endpoints[&CACHES[1]].requests.borrow()[other_before..].to_vec();
+        assert_eq!(proxy.request_count(cache), cache_requests_before);
+        let other_requests = proxy.endpoints[&CACHES[1]].requests.borrow()[other_requests_before..].to_vec();
         assert!(
             other_requests.len() >= 20 && other_requests.iter().all(|fields| fields["next"] != "s-000000a0")
         );
@@ -135,7 +138,7 @@
         proxy.advance_clock(10_000.0);
         send_request(admin, "POST", &format!("/pop-caches/s-{cache:08x}/ready"), "").await;
         request_clips(platform, 200..260).await;
-        let requests = proxy.request_count(cache) - before;
+        let requests = proxy.request_count(cache) - cache_requests_before;
         assert!((1..20).contains(&requests), "slow start limits the requests: {requests} of 60");
         store.load(&restarted.executor);
         assert!(!restarted.executor.with(|engine| engine.maintenance().is_out_of_use(cache)));
--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 const ROOT: &str = env!("CARGO_MANIFEST_DIR");
-const PAGE: &str = include_str!("../docs/ARCHITECTURE.md");
+const ARCHITECTURE: &str = include_str!("../docs/ARCHITECTURE.md");
 
 /// All Rust files below a folder of the repository.
 fn rust_files(folder: &str) -> Vec<PathBuf> {
@@ -39,7 +39,8 @@
 
 /// The section of `docs/ARCHITECTURE.md` below a heading.
 fn section(heading: &str) -> &'static str {
-    let (_, rest) = PAGE.split_once(&format!("## {heading}\n")).expect("the page has the heading");
+    let (_, rest) =
+        ARCHITECTURE.split_once(&format!("## {heading}\n")).expect("docs/ARCHITECTURE.md has the heading");
     rest.split("\n## ").next().expect("the section is not empty")
 }
 
@@ -68,27 +69,33 @@
 }
 
 #[test]
-fn every_path_in_the_page_exists() {
-    let paths: Vec<&str> = code_spans(PAGE).filter(|span| is_path(span)).collect();
-    assert!(paths.len() > 20, "{paths:?}");
+fn every_path_in_architecture_md_exists() {
+    let paths: Vec<&str> = code_spans(ARCHITECTURE).filter(|span| is_path(span)).collect();
+    assert!(paths.len() > 20, "expected more than 20 paths in docs/ARCHITECTURE.md, found {paths:?}");
     for path in paths {
-        assert!(Path::new(ROOT).join(path).exists(), "{path}");
+        assert!(Path::new(ROOT).join(path).exists(), "{path} in docs/ARCHITECTURE.md does not exist");
     }
 }
 
 #[test]
-fn every_identifier_in_the_page_exists() {
-    // Metric names are assembled in the source, so they are looked up in the operators' page.
+fn every_identifier_in_architecture_md_exists() {
+    // Metric names are assembled at run time, so they are looked up in the operator documentation.
     let source = source_text() + include_str!("../docs/second-address.md");
     // The glossary also lists names that no longer exist.
-    let page = PAGE.split("## Glossary").next().expect("the page has text");
+    let page = ARCHITECTURE.split("## Glossary").next().expect("docs/ARCHITECTURE.md has text");
     let identifiers: Vec<&str> = code_spans(page).filter(|span| is_identifier(span)).collect();
-    assert!(identifiers.len() > 40, "{identifiers:?}");
+    assert!(
+        identifiers.len() > 40,
+        "expected more than 40 identifiers in docs/ARCHITECTURE.md, found {identifiers:?}"
+    );
     for identifier in identifiers {
         for part in identifier.split("::").filter(|part| !["edge_proxy", "state"].contains(part)) {
             let is_module = Path::new(ROOT).join("src").join(part).exists()
                 || Path::new(ROOT).join("src").join(format!("{part}.rs")).exists();
-            assert!(is_module || has_word(&source, part), "{identifier}");
+            assert!(
+                is_module || has_word(&source, part),
+                "{identifier} in docs/ARCHITECTURE.md does not exist"
+            );
         }
     }
 }
@@ -131,17 +138,24 @@
         let text = std::fs::read_to_string(path).expect("the file is readable UTF-8 text");
         for import in imports(&text).iter().filter(|import| **import != module) {
             let Some(imported_layer) = layers.get(import.as_str()) else { continue };
-            assert!(imported_layer > layer, "{}: `{module}` imports `{import}`", path.display());
+            assert!(
+                imported_layer > layer,
+                "{}: `{module}` imports `{import}`, which is not in a lower layer",
+                path.display()
+            );
             checked += 1;
         }
     }
-    assert!(checked > 200, "{checked} imports");
+    assert!(checked > 200, "expected more than 200 imports, checked {checked}");
 }
 
 #[test]
 fn every_module_in_the_layer_table_exists() {
     for module in layers().keys() {
         let folder = Path::new(ROOT).join("src").join(module);
-        assert!(folder.exists() || folder.with_extension("rs").exists(), "{module}");
+        assert!(
+            folder.exists() || folder.with_extension("rs").exists(),
+            "{module} in docs/ARCHITECTURE.md does not exist"
+        );
     }
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -29,7 +29,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-fn text(name: &str) -> String {
+fn fixture_text(name: &str) -> String {
     std::fs::read_to_string(fixture(name)).unwrap()
 }
 
@@ -64,8 +64,8 @@
 /// configuration file.
 struct Proxy {
     _process: RunningProxy,
-    admin: u16,
-    front: u16,
+    admin_port: u16,
+    listener_port: u16,
 }
 
 impl Proxy {
@@ -77,17 +77,17 @@
     }
 
     fn try_start(folder: &Path, option: Option<(&str, &str)>, listen: Option<&str>) -> Option<Self> {
-        let (port, admin, front) = (free_port(), free_port(), free_port());
+        let (port, admin_port, listener_port) = (free_port(), free_port(), free_port());
         let config = folder.join("serve.json");
         std::fs::copy(folder.join("config.json"), &config).unwrap();
-        let listeners = format!("\"listen\": \"127.0.0.1:{port}\", \"mgmt\": \"127.0.0.1:{admin}\"");
+        let listeners = format!("\"listen\": \"127.0.0.1:{port}\", \"mgmt\": \"127.0.0.1:{admin_port}\"");
         replace_in_file(&config, "\"listen\": \"127.0.0.1:5050\"", &listeners);
         let mut command = Command::new(PROGRAM);
         command.args(["serve", "--config", "serve.json"]);
         if let Some((option, file)) = option {
             std::fs::copy(folder.join(file), folder.join("option.json")).unwrap();
             if let Some(listen) = listen {
-                replace_in_file(&folder.join("option.json"), listen, &format!("127.0.0.1:{front}"));
+                replace_in_file(&folder.join("option.json"), listen, &format!("127.0.0.1:{listener_port}"));
             }
             command.args([option, "option.json"]);
         }
@@ -99,12 +99,12 @@
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let log = BufReader::new(child.stderr.take().unwrap());
         let mut process = RunningProxy { child, log, port };
-        process.try_wait_for_log("serves on").then_some(Self { _process: process, admin, front })
+        process.try_wait_for_log("serves on").then_some(Self { _process: process, admin_port, listener_port })
     }
 
     /// Makes an admin call that returns JSON.
     fn get_json(&self, target: &str) -> Value {
-        let response = call(self.admin, "GET", target, "");
+        let response = call(self.admin_port, "GET", target, "");
         serde_json::from_str(response.split_once("\r\n\r\n").unwrap().1).unwrap()
     }
 }
@@ -121,7 +121,7 @@
     response
 }
 
-fn status(response: &str) -> &str {
+fn status_code(response: &str) -> &str {
     &response[9..12]
 }
 
@@ -131,10 +131,10 @@
         let output = run_program(&fixture("purges"), &["purge", "log", &format!("{name}.log")]);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         let records = String::from_utf8(output.stdout).unwrap();
-        assert_eq!(records, text(&format!("purges/{name}.records")));
+        assert_eq!(records, fixture_text(&format!("purges/{name}.records")));
         assert_eq!(records.lines().count(), count);
     }
-    let purges = text("purges/leader.records");
+    let purges = fixture_text("purges/leader.records");
     for kind in ["object:", "group:", "tag:", "pattern:", "everything"] {
         assert!(purges.contains(&format!("\"sel\":\"{kind}")), "{kind}");
     }
@@ -154,14 +154,14 @@
     assert_eq!(
         log,
         std::fs::read(fixture(&format!("purges/{name}.log"))).unwrap(),
-        "opened, it is unchanged"
+        "starting the proxy changed the log"
     );
     (status, list)
 }
 
 /// The purges in the stored records of a log, starting at a sequence number.
 fn stored_purges(name: &str, from: u64) -> Vec<Value> {
-    let records = text(&format!("purges/{name}.records"));
+    let records = fixture_text(&format!("purges/{name}.records"));
     let records = records.lines().map(|line| serde_json::from_str::<Value>(line).unwrap());
     let purges = records.filter_map(|record| record.get("Purge").cloned());
     purges.filter(|purge| purge["seq"].as_u64().unwrap() >= from).collect()
@@ -172,8 +172,9 @@
     for (name, first) in [("leader", 1), ("rewritten", 5)] {
         let (status, list) = resume_from(name);
         assert_eq!(list, json!({"entries": stored_purges(name, first), "last": 7}), "{name}");
-        let marks = ["last", "done", "first", "held", "binding"].map(|field| status[field].as_u64().unwrap());
-        assert_eq!(marks, [7, 4, first, 8 - first, 3], "{name}: {status}");
+        let sequence_fields =
+            ["last", "done", "first", "held", "binding"].map(|field| status[field].as_u64().unwrap());
+        assert_eq!(sequence_fields, [7, 4, first, 8 - first, 3], "{name}: {status}");
         assert_eq!((&status["fault"], &status["floor"]), (&Value::Null, &Value::Null), "{name}");
         assert_eq!(status["targets"]["edge-2"]["acked"], 4, "{name}: {status}");
     }
@@ -183,8 +184,8 @@
 fn a_follower_resumes_from_a_stored_purge_log() {
     let (status, list) = resume_from("follower");
     assert_eq!(list, json!({"entries": stored_purges("follower", 11), "last": 17}));
-    let marks = ["last", "done", "binding"].map(|field| status[field].as_u64().unwrap());
-    assert_eq!(marks, [17, 9, 7], "{status}");
+    let sequence_fields = ["last", "done", "binding"].map(|field| status[field].as_u64().unwrap());
+    assert_eq!(sequence_fields, [17, 9, 7], "{status}");
     assert_eq!(status["floor"], json!({"seq": 10, "issued_ms": 1764749999499.75_f64}));
     assert_eq!(status["fault"], Value::Null);
 }
@@ -196,17 +197,20 @@
     std::fs::copy(fixture("maintenance.json"), &path).unwrap();
     let proxy = Proxy::start(&folder, None, None);
     let assert_ejected = |count: u32| {
-        let stats = call(proxy.admin, "GET", "/stats", "");
+        let stats = call(proxy.admin_port, "GET", "/stats", "");
         assert!(stats.contains(&format!("app_pool_ejected {count}\n")), "{stats}");
     };
     assert_ejected(1);
     // A call without effect still writes the file; both endpoints keep their stored times.
-    assert_eq!(status(&call(proxy.admin, "POST", "/pop-caches/s-000000c1/maint", "")), "200");
-    let out = "[{\"member\":\"s-000000a0\",\"out\":true,\"at_ms\":1796281264455.602},\n\
+    assert_eq!(status_code(&call(proxy.admin_port, "POST", "/pop-caches/s-000000c1/maint", "")), "200");
+    let stored_records = "[{\"member\":\"s-000000a0\",\"out\":true,\"at_ms\":1796281264455.602},\n\
                {\"member\":\"s-000000c1\",\"out\":true,\"at_ms\":1796281264444.6116}";
-    assert!(text("maintenance.json").starts_with(out), "the fixture");
-    assert_eq!(std::fs::read_to_string(&path).unwrap(), format!("{out}]\n"));
-    assert_eq!(status(&call(proxy.admin, "POST", "/pop-caches/s-000000c1/ready", "")), "200");
+    assert!(
+        fixture_text("maintenance.json").starts_with(stored_records),
+        "maintenance.json does not start with the expected records"
+    );
+    assert_eq!(std::fs::read_to_string(&path).unwrap(), format!("{stored_records}]\n"));
+    assert_eq!(status_code(&call(proxy.admin_port, "POST", "/pop-caches/s-000000c1/ready", "")), "200");
     assert_ejected(0);
 }
 
@@ -214,14 +218,18 @@
 fn urls_signed_with_stored_keys_are_accepted() {
     let folder = workspace("links");
     let proxy = Proxy::start(&folder, Some(("--signed-urls", "signed-urls.json")), Some("127.0.0.1:8080"));
-    let links: Value = serde_json::from_str(&text("keys/links.json")).unwrap();
+    let links: Value = serde_json::from_str(&fixture_text("keys/links.json")).unwrap();
     let host = format!("Host: {}\r\n", links["host"].as_str().unwrap());
-    let request_status = |link: &str| status(&call(proxy.front, "GET", link, &host)).to_string();
+    let request_status = |link: &str| status_code(&call(proxy.listener_port, "GET", link, &host)).to_string();
     for key in ["by_secret", "by_curve"] {
         let link = links[key].as_str().unwrap();
         // The signature is accepted; the status is 503 because no endpoint is running.
         assert_eq!(request_status(link), "503", "{key}");
-        assert_eq!(request_status(&link.replace("/3?", "/4?")), "403", "{key}: not the path that it signs");
+        assert_eq!(
+            request_status(&link.replace("/3?", "/4?")),
+            "403",
+            "{key}: a path that the token does not cover"
+        );
     }
     assert_eq!(request_status(links["by_another_key"].as_str().unwrap()), "403");
 }
@@ -231,7 +239,7 @@
     let folder = workspace("sessions");
     replace_in_file(&folder.join("poor.json"), "127.0.0.1:5444", "127.0.0.1:0");
     let proxy = Proxy::start(&folder, Some(("--http3", "poor.json")), Some("127.0.0.1:5445"));
-    let tokens: Value = serde_json::from_str(&text("keys/session-tokens.json")).unwrap();
+    let tokens: Value = serde_json::from_str(&fixture_text("keys/session-tokens.json")).unwrap();
     let target = "/ops/video-part/7f3a9c21e0b4d655/slice-3";
     // A client whose token is rejected gets a new one in the response.
     for (key, accepted) in [("by_first_key", true), ("by_second_key", true), ("by_another_key", false)] {
@@ -239,8 +247,8 @@
             "X-Call-Id: 0000000000000001\r\nX-Patience-Ms: 1500\r\nX-Set: 17\r\nX-Session: {}\r\n",
             tokens[key].as_str().unwrap()
         );
-        let response = call(proxy.front, "GET", target, &headers);
-        assert_eq!(status(&response), "503", "{response}");
+        let response = call(proxy.listener_port, "GET", target, &headers);
+        assert_eq!(status_code(&response), "503", "{response}");
         assert_eq!(!response.to_ascii_lowercase().contains("\r\nx-session:"), accepted, "{key}: {response}");
     }
 }
@@ -266,9 +274,9 @@
 #[test]
 fn configuration_files_of_earlier_versions_are_accepted() {
     let folder = workspace("operators_files");
-    let mut all = vec!["check", "--config", "config.json"];
+    let mut check_arguments = vec!["check", "--config", "config.json"];
     for (option, file) in CONFIG_FILES {
-        all.extend([option, file]);
+        check_arguments.extend([option, file]);
         // An unknown field is rejected, which shows that the program reads the file.
         replace_in_file(&folder.join(file), "{", "{ \"unknown_field\": 1,");
         let output = run_program(&folder, &["check", "--config", "config.json", option, file]);
@@ -276,13 +284,13 @@
         assert!(!output.status.success() && stderr.contains("unknown_field"), "{file}: {stderr}");
         replace_in_file(&folder.join(file), "{ \"unknown_field\": 1,", "{");
     }
-    let output = run_program(&folder, &all);
+    let output = run_program(&folder, &check_arguments);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
 }
 
 #[test]
 fn rules_and_routes_of_earlier_versions_give_the_same_results() {
-    let folder = workspace("meaning");
+    let folder = workspace("rules_and_routes");
     let run = |arguments: &[&str]| {
         let output = run_program(&folder, arguments);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
