--- a/src/wire/signed_urls/jwk.rs
+++ b/src/wire/signed_urls/jwk.rs
@@ -22,22 +22,22 @@
 /// The DER encoding between the private value and the coordinates.
 const P256_DER_MIDDLE: [u8; 6] = [0xa1, 0x44, 0x03, 0x42, 0x00, 0x04];
 
-/// A JWK set is invalid.
+/// Why a JWK set is invalid.
 #[derive(Debug, Error)]
 pub enum JwkError {
     /// The text is not a JWK set.
     #[error("not a JWK set: {0}")]
     Malformed(simd_json::Error),
     /// A key is invalid.
-    #[error("key {index}: {error}")]
+    #[error("key at index {index}: {error}")]
     Key {
         /// The key's index in the set.
         index: usize,
         /// Why the key is invalid.
         error: KeyError,
     },
-    /// The set has no key of a supported type.
-    #[error("no usable key")]
+    /// The set has no key of a supported type and use.
+    #[error("no key of a supported type (`oct`, or `EC` with `crv` P-256) whose `use` is absent or `sig`")]
     NoKeys,
     /// There are more than `MAX_KEYS` keys.
     #[error("more than {MAX_KEYS} keys")]
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum KeyError {
     /// The algorithm does not match the key's type.
-    #[error("`alg` does not match `kty` and `crv`")]
+    #[error("`alg` must be HS256 for `oct`, and ES256 for `EC` with `crv` P-256")]
     AlgorithmMismatch,
     /// The key has no id, or an empty one.
     #[error("`kid` is missing or empty")]
@@ -63,7 +63,7 @@
     #[error("`k` is shorter than {MIN_SECRET_BYTES} bytes")]
     SecretTooShort,
     /// The size of a coordinate is not that of the curve.
-    #[error("a coordinate is not {P256_BYTES} bytes long")]
+    #[error("`x` or `y` is not {P256_BYTES} bytes long")]
     CoordinateLength,
     /// The coordinates are not accepted as a public key.
     #[error("`x` and `y` are not a valid public key")]
@@ -76,7 +76,7 @@
 /// Keys by their ids.
 pub type KeySet = HashMap<String, Key>;
 
-/// A key with the algorithm of its type.
+/// A key, and the algorithm of its type.
 #[derive(Clone)]
 pub struct Key {
     /// Verifies signatures.
@@ -85,7 +85,7 @@
     pub signing_key: Option<EncodingKey>,
     /// The only algorithm that the key is used with.
     pub algorithm: Algorithm,
-    /// The secret, or the coordinates of the public point.
+    /// The secret, or the coordinates of the public key; two keys are the same if these are equal.
     material: Vec<u8>,
 }
 
@@ -189,7 +189,7 @@
     }
 }
 
-/// Parses a JWK set. Keys of unsupported types are skipped (RFC 7517, section 5).
+/// Parses a JWK set. Keys of unsupported types or uses are skipped (RFC 7517, section 5).
 pub fn parse_key_set(text: &[u8]) -> Result<KeySet, JwkError> {
     let set: JwkSet = simd_json::from_slice(&mut text.to_vec()).map_err(JwkError::Malformed)?;
     let mut keys = KeySet::new();
