--- a/src/http3/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -17,7 +17,8 @@
 /// The response delivered for a call that ended without one.
 const NO_RESPONSE: FinalResponse = FinalResponse::Failed { overdue: false };
 
-/// The resumable calls of all sessions.
+/// Runs the resumable calls of all sessions, keeps their responses in a [`ResponseStore`] and wakes the
+/// clients that wait for them.
 pub struct CallRegistry {
     executor: Rc<Executor>,
     store: RefCell<ResponseStore>,
@@ -35,8 +36,8 @@
     Running(PendingCall),
 }
 
-/// A client's wait for the response of a running call. If it is dropped early, the client is detached and the
-/// call continues.
+/// A running call whose response a client waits for. If it is dropped before the response arrives, the client
+/// is detached and the call continues.
 pub struct PendingCall {
     response: oneshot::Receiver<FinalResponse>,
     attached: AttachedClient,
@@ -133,12 +134,14 @@
         self.due_changed.notify_one();
     }
 
+    /// Cancels a read in the engine, after the store has removed it.
     fn cancel(&self, key: CallKey) {
         self.waiting.borrow_mut().remove(&key);
         self.executor.client_disconnected(key.call);
     }
 
-    /// Removes expired responses and cancels reads without clients when they are due. Never returns.
+    /// Removes expired responses and cancels reads that have been without clients for
+    /// [`StoreLimits::cancel_after_ms`]. Never returns.
     pub async fn run_expiry(self: Rc<Self>) {
         loop {
             let wait_ms = self.store.borrow().next_due_ms() - self.executor.clock.now();
--- a/src/http3/config.rs
+++ b/src/http3/config.rs
@@ -114,7 +114,7 @@
         server_config(&self.tls_files(), &self.limits, &self.path_settings)
     }
 
-    /// Builds the QUIC transport configuration, which suits a server or a client.
+    /// Builds the QUIC transport configuration of a server or a client.
     pub fn transport_config(&self) -> quinn::TransportConfig {
         transport_config(&self.limits, &self.path_settings)
     }
--- a/src/http3/connection.rs
+++ b/src/http3/connection.rs
@@ -19,7 +19,7 @@
 
 /// Error code of a connection that is closed without an error (RFC 9114, section 8.1).
 const H3_NO_ERROR: u32 = 0x100;
-/// Time to wait for the last bytes to be delivered before a connection is closed, in milliseconds.
+/// Time to wait for the client to close the connection before the server does, in milliseconds.
 const FLUSH_TIMEOUT_MS: f64 = 400.0;
 
 type Http3Connection = h3::server::Connection<h3_quinn::Connection, Bytes>;
@@ -100,7 +100,8 @@
         });
     }
 
-    /// Closes the connection if it is open, after a delay for its last bytes; counts it as lost if it failed.
+    /// Closes the connection if it is open, once the client has had time to receive the last bytes; counts it
+    /// as lost if it failed.
     async fn close(&self) {
         match self.quic.close_reason() {
             None => {
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -34,7 +34,8 @@
 }
 
 impl Http3Front {
-    /// Wraps `inner`.
+    /// Creates a front that adds sessions and range requests to `inner`. `limits` replaces the limits of
+    /// `inner`.
     pub fn new(
         inner: Rc<dyn Front>,
         limits: ConnectionLimits,
@@ -44,7 +45,7 @@
         Self { inner, limits, tokens: RefCell::new(tokens), calls }
     }
 
-    /// Replaces the token issuer after a reload of the session keys.
+    /// Replaces the issuer and verifier of session tokens, after their keys were reloaded.
     pub fn set_tokens(&self, tokens: SessionTokens) {
         *self.tokens.borrow_mut() = tokens;
     }
--- a/src/http3/metrics.rs
+++ b/src/http3/metrics.rs
@@ -1,4 +1,5 @@
-//! HTTP/3 counters. Exported names differ from field names, for compatibility with earlier versions.
+//! HTTP/3 counters. Exported names that differ from field names are kept for compatibility with existing
+//! tools.
 
 use super::call_registry::CallRegistry;
 
@@ -15,7 +16,7 @@
     pub requests: u64,
     /// Responses that could not be sent in full.
     pub unsent_responses: u64,
-    /// Malformed requests.
+    /// Requests that were malformed, too long, incomplete or not received in time.
     pub malformed_requests: u64,
 }
 
--- a/src/http3/path_estimate.rs
+++ b/src/http3/path_estimate.rs
@@ -20,7 +20,7 @@
 const DEVIATION_GAIN: f64 = 0.25;
 /// Multiple of the RTT deviation that is added to the delivery time.
 const DEVIATION_FACTOR: f64 = 2.0;
-/// Loss rate from which one round trip is added for a retransmission of the last packet.
+/// Loss rate at or above which one round trip is added to the delivery time, for a retransmission.
 const LOSS_RATE_THRESHOLD: f64 = 0.01;
 /// Maximum number of congestion windows beyond the first that the delivery time accounts for.
 const MAX_ADDITIONAL_WINDOWS: f64 = 64.0;
@@ -64,8 +64,8 @@
     }
 
     /// Estimated time to deliver a response of `bytes` to the client, in milliseconds: half a round trip plus
-    /// a margin for jitter, a round trip for each further congestion window, and another if the path is
-    /// lossy.
+    /// a margin for jitter, a round trip for each congestion window after the first, and one for a
+    /// retransmission if the loss rate is at or above `LOSS_RATE_THRESHOLD`.
     pub fn delivery_ms(&self, bytes: f64) -> f64 {
         if self.samples == 0 {
             return 0.0;
--- a/src/http3/request.rs
+++ b/src/http3/request.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// Reads a request and its body within the limits of size and time.
+/// Converts the head of a request, and reads its body within the size and time limits.
 async fn read(
     connection: &Connection,
     request: Request<()>,
@@ -146,6 +146,7 @@
     let response_bytes = incoming.size_kb * BYTES_PER_KB;
     incoming.deadline_ms =
         connection.estimate_path().send_deadline_ms(now, incoming.deadline_ms, response_bytes);
+    // `Http3Front::interpret` sets the session of each forwarded request, so this does not happen.
     let Some(session) = context.session else {
         return Some(PrioritizedResponse { response: HttpResponse::status(500), priority: default_priority });
     };
@@ -177,7 +178,7 @@
 }
 
 /// The priority of a response if the request has no `Priority` header: writes first, then whole objects, then
-/// parts of large objects, which are sent interleaved.
+/// parts of objects, which are incremental.
 fn default_priority(connection: &Connection, incoming: &IncomingRequest) -> Priority {
     let is_write = connection.server.executor.settings().is_write(incoming.class);
     match (is_write, incoming.part) {
--- a/src/http3/response_store.rs
+++ b/src/http3/response_store.rs
@@ -2,10 +2,9 @@
 //! milliseconds.
 //!
 //! A call is identified by its session and its call id. The first request starts it. A retry, for example
-//! after a lost connection, attaches to the running call or gets the stored response, so a write is executed
-//! once however often it is retried. A read without clients is cancelled after a delay; a write always runs
-//! to completion. The store is bounded by the number of calls, the number of calls per session and the
-//! memory.
+//! after a lost connection, attaches to the running call or gets the stored response, so retries of a write
+//! do not execute it again. A read without clients is cancelled after a delay; a write always runs to
+//! completion. The store is bounded by the number of calls, the number of calls per session and the memory.
 
 use crate::state::requests::FinalResponse;
 use crate::wire::front::SessionId;
@@ -66,7 +65,7 @@
 impl OrderedMs {
     const MIN: Self = Self(0);
 
-    /// Non-negative floats compare like their bit patterns.
+    /// Converts a time. The bit patterns of non-negative floats have the same order as the floats.
     fn new(ms: f64) -> Self {
         Self(ms.max(0.0).to_bits())
     }
@@ -95,7 +94,7 @@
 enum CallState {
     Running {
         clients: u32,
-        /// When the last client was detached; infinity while a client is attached.
+        /// When the call last lost its last client; infinity if it never did.
         detached_ms: f64,
     },
     Completed {
@@ -128,7 +127,8 @@
     pub rejected_full: u64,
     /// Number of times that a running call lost its last client.
     pub detached: u64,
-    /// Reads cancelled by their client, or after running without clients for too long.
+    /// Reads cancelled by their client, or after running without clients for
+    /// [`StoreLimits::cancel_after_ms`].
     pub cancelled: u64,
     /// Responses of reads evicted before they expired.
     pub evicted_reads: u64,
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Completes a running call, and stores its response if a retry must get the same one.
+    /// Completes a running call. Stores its response, unless a retry may start the call again.
     pub fn complete(&mut self, now: f64, key: CallKey, response: &FinalResponse) {
         let Some(call) = self.calls.get(&key) else { return };
         let CallState::Running { detached_ms, .. } = call.state else { return };
@@ -287,8 +287,8 @@
         true
     }
 
-    /// Removes responses that have expired by `now`, and reads that were without clients for too long.
-    /// Returns the latter, which the caller must cancel.
+    /// Removes responses that have expired by `now`, and reads that have been without clients for
+    /// [`StoreLimits::cancel_after_ms`]. Returns these reads, which the caller must cancel.
     pub fn tick(&mut self, now: f64) -> Vec<CallKey> {
         self.remove_expired(now);
         let mut cancelled = Vec::new();
--- a/src/http3/response_store/tests.rs
+++ b/src/http3/response_store/tests.rs
@@ -120,10 +120,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// For any sequence of operations the limits hold, a stored call is not started again, and no state
-    /// leaks.
+    /// For any sequence of operations the limits hold, a stored call is not started again, and no entry
+    /// is left once all calls have ended.
     #[test]
     fn limits_hold_for_any_sequence_of_operations(
+        // Operations: 0 and 1 attach, 2 detaches, 3 completes, 4 cancels, 5 ticks.
         steps in prop::collection::vec((0u8..6, 0u64..12, 0f64..400.0, 0usize..2_500), 1..300)
     ) {
         let limits = limits();
--- a/src/http3/send_scheduler.rs
+++ b/src/http3/send_scheduler.rs
@@ -29,7 +29,8 @@
         let mut priority = base;
         let Ok(members) = sfv::Parser::new(text).parse::<sfv::Dictionary>() else { return base };
         for (key, member) in members {
-            // Unknown members are ignored, as RFC 9218 requires.
+            // Unknown members and members of another type, such as inner lists, are ignored, as RFC 9218
+            // requires.
             let sfv::ListEntry::Item(item) = member else { continue };
             match (key.as_str(), item.bare_item.as_integer(), item.bare_item.as_boolean()) {
                 ("u", Some(urgency), _) => {
@@ -44,8 +45,8 @@
         priority
     }
 
-    /// Whether a body of this priority must be sent before a body of priority `other`. `added_earlier` tells
-    /// whether the former was added first.
+    /// Whether a body of this priority must be sent before a body of priority `other`. `added_earlier` is
+    /// whether this body was added before the other one.
     fn precedes(self, other: Self, added_earlier: bool) -> bool {
         if self.urgency != other.urgency {
             return self.urgency < other.urgency;
@@ -61,8 +62,8 @@
 /// Identifier of a body on its connection, in the order in which bodies are added.
 pub type BodyId = u64;
 
-/// Time without progress after which a body no longer blocks others, in milliseconds: the client may not be
-/// reading it.
+/// Time without progress after which a body no longer blocks others, in milliseconds. Guards against
+/// clients that stop reading a stream.
 const STALL_TIMEOUT_MS: f64 = 200.0;
 /// Interval at which a blocked body checks whether it may be sent, in milliseconds. Detects stalled bodies.
 pub const RECHECK_INTERVAL_MS: f64 = STALL_TIMEOUT_MS / 4.0;
--- a/src/http3/server.rs
+++ b/src/http3/server.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Fraction of the connection limit from which clients must validate their address.
+/// Fraction of the connection limit at which new clients must validate their address.
 const ADDRESS_VALIDATION_THRESHOLD: f64 = 0.5;
 /// Interval at which a stopping server checks whether connections are still open, in milliseconds.
 const DRAIN_POLL_INTERVAL_MS: f64 = 50.0;
@@ -114,8 +114,8 @@
     }
 }
 
-/// Accepts connections until `closing` is notified, then waits for the open ones to end, which `stop`
-/// initiates.
+/// Accepts connections until `closing` is notified, then waits for the open ones to end. The caller ends
+/// them with `stop`.
 pub async fn accept(
     server: Rc<Http3Server>,
     endpoint: Endpoint,
--- a/src/http3/settings.rs
+++ b/src/http3/settings.rs
@@ -1,5 +1,5 @@
-//! Sections of the configuration file: limits, resumable calls and the network path. Fields are renamed where
-//! the key in the file differs, for compatibility with earlier versions.
+//! Sections of the configuration file: limits, resumable calls and the network path. Keys that
+//! differ from the names of their fields are kept for compatibility with existing files.
 
 use super::response_store::StoreLimits;
 use serde::Deserialize;
@@ -18,9 +18,9 @@
     pub header_bytes: u64,
     /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Send window of a connection: maximum number of buffered and unacknowledged bytes.
+    /// Send window of a connection: maximum number of bytes that are buffered or not acknowledged.
     pub send_bytes: u64,
-    /// Number of bytes of a response body that are sent before the scheduler is asked again.
+    /// Maximum size of a chunk of a response body, in bytes. The send scheduler decides before each chunk.
     #[serde(rename = "turn_bytes")]
     pub chunk_bytes: usize,
     /// Time limit of the QUIC handshake.
--- a/src/http3/transport.rs
+++ b/src/http3/transport.rs
@@ -27,7 +27,7 @@
     pub key: PathBuf,
 }
 
-/// Error in the TLS configuration.
+/// Reason why the TLS configuration cannot be built.
 #[derive(Debug, Error)]
 pub enum TlsError {
     /// A file cannot be read.
@@ -108,7 +108,7 @@
     Ok(server)
 }
 
-/// Builds the QUIC transport configuration, which suits a server or a client.
+/// Builds the QUIC transport configuration of a server or a client.
 pub fn transport_config(limits: &Http3Limits, path: &PathSettings) -> TransportConfig {
     let mut transport = TransportConfig::default();
     transport
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -1,5 +1,5 @@
-//! HTTP/3 on loopback: clients connect over an impaired UDP link or over TCP, and a stand-in cache fleet
-//! counts how often each request reaches it.
+//! End-to-end tests of HTTP/3 on loopback. Clients connect directly, over an impaired UDP link or over TCP; a
+//! stand-in cache fleet counts the requests that reach it.
 
 mod stand_ins;
 
@@ -222,7 +222,7 @@
         assert!(interrupted.await.unwrap().is_none(), "the first connection was lost");
         wait_until("the connection is counted as lost", || fixture.metric("connections_lost_total") == 1)
             .await;
-        // No client is connected when the ad-post completes: the response is stored and also sent over TCP.
+        // The link fails while the ad-post runs, and the client retries over TCP after it has completed.
         link.down.set(false);
         let disconnecting = Http3Client::connect(link.address, &fixture.config, token.clone()).await.unwrap();
         let interrupted = spawn_local(async move { disconnecting.put_ad_post(51, 4_000).await });
@@ -244,6 +244,7 @@
         // Over TCP only: the first connection is closed while the ad-post runs, and a second one retries.
         for _ in 0..2 {
             let mut stream = TcpStream::connect(fixture.tcp_address).await.unwrap();
+            // The same request with the id 52 (0x34) instead of 51 (0x33).
             let text = text.replace("0000000000000033", "0000000000000034").replace("k33", "k34");
             stream.write_all(text.as_bytes()).await.unwrap();
             wait_until("the request reaches a cache", || fixture.execution_count(52) == 1).await;
--- a/tests/stand_ins/http3_client.rs
+++ b/tests/stand_ins/http3_client.rs
@@ -18,7 +18,7 @@
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 
-/// A UDP relay that impairs the traffic in both directions alike.
+/// A UDP relay that applies the same loss, delay and bandwidth limit in both directions.
 pub struct ImpairedLink {
     /// Address to which clients connect.
     pub address: SocketAddr,
@@ -88,6 +88,8 @@
         link
     }
 
+    /// Sends a datagram with the future `send` after the simulated delay, or drops it. `free_at` is when the
+    /// link has transmitted all earlier datagrams of this direction, if its bandwidth is limited.
     fn forward(
         &self,
         rng: &RefCell<SmallRng>,
@@ -178,7 +180,7 @@
         Some(Self { endpoint, connection, sender, session: Rc::new(RefCell::new(session)) })
     }
 
-    /// Sends a request and reads the response body until at least `max_bytes` have arrived or it ends.
+    /// Sends a request and reads the response body until `max_bytes` have been received or it ends.
     /// Returns `None` if the request or the connection failed.
     pub async fn request_part(
         &self,
