--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -88,7 +88,7 @@
     let quic_address = std::net::UdpSocket::bind("127.0.120.9:0").unwrap().local_addr().unwrap();
     let (_proxy, config) = start_proxy(dir, &fleet, quic_address, path_settings);
     let link = ImpairedLink::start("127.0.120.20", quic_address, 5 + number).await;
-    link.loss.set(loss);
+    link.loss_rate.set(loss);
     link.jitter_ms.set(jitter_ms);
     let histogram = || Histogram::<u64>::new(3).unwrap();
     let measurement = Measurement {
--- a/src/http3/call_registry.rs
+++ b/src/http3/call_registry.rs
@@ -22,7 +22,7 @@
 pub struct CallRegistry {
     executor: Rc<Executor>,
     store: RefCell<ResponseStore>,
-    waiting: RefCell<HashMap<CallKey, Vec<oneshot::Sender<FinalResponse>>>>,
+    waiting_clients: RefCell<HashMap<CallKey, Vec<oneshot::Sender<FinalResponse>>>>,
     hasher: ahash::RandomState,
     /// Notified when the time of the store's next expiry or cancellation may have changed.
     due_changed: Notify,
@@ -65,7 +65,7 @@
         Rc::new(Self {
             executor,
             store: RefCell::new(ResponseStore::new(limits)),
-            waiting: RefCell::default(),
+            waiting_clients: RefCell::default(),
             hasher: ahash::RandomState::new(),
             due_changed: Notify::new(),
         })
@@ -93,7 +93,7 @@
             }
         }
         let (sender, response) = oneshot::channel();
-        self.waiting.borrow_mut().entry(key).or_default().push(sender);
+        self.waiting_clients.borrow_mut().entry(key).or_default().push(sender);
         let attached = AttachedClient { registry: self.clone(), key, is_attached: true };
         Ok(SubmittedCall::Running(PendingCall { response, attached }))
     }
@@ -126,17 +126,17 @@
     fn complete(&self, key: CallKey, response: &FinalResponse) {
         let now = self.executor.clock.now();
         self.store.borrow_mut().complete(now, key, response);
-        let waiting = self.waiting.borrow_mut().remove(&key).unwrap_or_default();
-        for client in waiting {
+        let senders = self.waiting_clients.borrow_mut().remove(&key).unwrap_or_default();
+        for sender in senders {
             // Sending fails if the client has disconnected; it gets the stored response on a retry.
-            let _ = client.send(response.clone());
+            let _ = sender.send(response.clone());
         }
         self.due_changed.notify_one();
     }
 
     /// Cancels a read in the engine, after the store has removed it.
-    fn cancel(&self, key: CallKey) {
-        self.waiting.borrow_mut().remove(&key);
+    fn cancel_in_engine(&self, key: CallKey) {
+        self.waiting_clients.borrow_mut().remove(&key);
         self.executor.client_disconnected(key.call);
     }
 
@@ -148,7 +148,7 @@
             tokio::select! {
                 () = tokio::time::sleep(duration_from_ms(wait_ms)) => {
                     let cancelled = self.store.borrow_mut().tick(self.executor.clock.now());
-                    cancelled.into_iter().for_each(|key| self.cancel(key));
+                    cancelled.into_iter().for_each(|key| self.cancel_in_engine(key));
                 }
                 () = self.due_changed.notified() => {}
             }
@@ -198,7 +198,7 @@
         let now = self.registry.executor.clock.now();
         let is_cancelled = self.registry.store.borrow_mut().cancel(now, self.key);
         if is_cancelled {
-            self.registry.cancel(self.key);
+            self.registry.cancel_in_engine(self.key);
         }
         self.registry.due_changed.notify_one();
     }
--- a/src/http3/config.rs
+++ b/src/http3/config.rs
@@ -58,10 +58,10 @@
         }
         self.session_tokens().map_err(|error| FieldError::new("session_keys", error))?;
         self.server_config().map_err(|error| FieldError::new("certificate", error))?;
-        self.check_numbers()
+        self.check_ranges()
     }
 
-    fn check_numbers(&self) -> Result<(), FieldError> {
+    fn check_ranges(&self) -> Result<(), FieldError> {
         let (limits, calls, path) = (&self.limits, &self.resumable_calls, &self.path_settings);
         let bounds = [
             ("connections", limits.connections as f64, 1.0, 65_536.0),
--- a/src/http3/front.rs
+++ b/src/http3/front.rs
@@ -83,8 +83,8 @@
             HttpResponse { status: 206, body, ..response }.with_header("Content-Range", content_range)
         }
         ByteRange::Unsatisfiable => {
-            let unsatisfied = HttpResponse { status: 416, body: Bytes::new(), ..response };
-            unsatisfied.with_header("Content-Range", format!("bytes */{length}"))
+            let not_satisfiable = HttpResponse { status: 416, body: Bytes::new(), ..response };
+            not_satisfiable.with_header("Content-Range", format!("bytes */{length}"))
         }
     }
 }
--- a/src/http3/metrics.rs
+++ b/src/http3/metrics.rs
@@ -15,7 +15,7 @@
     /// Requests received.
     pub requests: u64,
     /// Responses that could not be sent in full.
-    pub unsent_responses: u64,
+    pub incomplete_responses: u64,
     /// Requests that were malformed, too long, incomplete or not received in time.
     pub malformed_requests: u64,
 }
@@ -30,12 +30,12 @@
             ("connections_refused_total", self.connections_rejected),
             ("connections_lost_total", self.connections_lost),
             ("requests_total", self.requests),
-            ("unwritten_total", self.unsent_responses),
+            ("unwritten_total", self.incomplete_responses),
             ("malformed_total", self.malformed_requests),
             ("shelf_calls", usage.calls as u64),
             ("shelf_bytes", usage.bytes as u64),
             ("shelf_taken_total", store.started),
-            ("shelf_joined_total", store.joined),
+            ("shelf_joined_total", store.attached),
             ("shelf_answered_total", store.replayed),
             ("shelf_conflicts_total", store.conflicts),
             ("shelf_full_total", store.rejected_full),
--- a/src/http3/path_estimate/tests.rs
+++ b/src/http3/path_estimate/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_send_deadline_is_earlier_on_a_lossy_path_by_at_most_half_of_the_time() {
+fn a_lossy_path_reserves_at_most_half_of_the_remaining_time_for_delivery() {
     let mut path = PathEstimate::default();
     assert_eq!(path.send_deadline_ms(0.0, 1_500.0, 9e9), 1_500.0, "no sample");
     let good = PathSample { rtt_ms: 4.0, sent_packets: 100, lost_packets: 0, window_bytes: 64_000 };
@@ -9,10 +9,10 @@
     assert!(path.send_deadline_ms(0.0, 1_500.0, 500.0) > 1_490.0);
     let lossy = |rtt_ms| PathSample { rtt_ms, sent_packets: 1_000, lost_packets: 50, window_bytes: 12_000 };
     (0..40).for_each(|index| path.update(lossy(300.0 + 100.0 * f64::from(index % 2))));
-    let small = 1_500.0 - path.send_deadline_ms(0.0, 1_500.0, 500.0);
+    let reserved_ms = 1_500.0 - path.send_deadline_ms(0.0, 1_500.0, 500.0);
     assert!(
-        (600.0..=750.0).contains(&small),
-        "half a round trip, the jitter margin and a retransmission: {small}"
+        (600.0..=750.0).contains(&reserved_ms),
+        "half a round trip, the jitter margin and a retransmission: {reserved_ms}"
     );
     assert_eq!(
         path.send_deadline_ms(0.0, 1_500.0, 9e9),
--- a/src/http3/request.rs
+++ b/src/http3/request.rs
@@ -80,7 +80,7 @@
     let body = if is_head { Bytes::new() } else { response.wire_body() };
     let Some(head) = response_head(&response) else { return };
     if response_body::send(connection, head, body, priority, &mut stream).await.is_err() {
-        server.update_metrics(|metrics| metrics.unsent_responses += 1);
+        server.update_metrics(|metrics| metrics.incomplete_responses += 1);
         server.executor.with(|engine| engine.counters.responses_unwritten += 1);
     }
 }
--- a/src/http3/response_store.rs
+++ b/src/http3/response_store.rs
@@ -118,7 +118,7 @@
     /// Calls started.
     pub started: u64,
     /// Clients attached to a running call.
-    pub joined: u64,
+    pub attached: u64,
     /// Clients that got the stored response of a completed call.
     pub replayed: u64,
     /// Clients rejected because their call id is in use for a different request.
@@ -173,8 +173,8 @@
         if self.calls.contains_key(&key) {
             return self.attach_to_existing(key, digest, is_write);
         }
-        let of_session = self.calls_of_session.get(&key.session).copied().unwrap_or(0);
-        let session_has_room = of_session < self.limits.max_calls_per_session
+        let session_calls = self.calls_of_session.get(&key.session).copied().unwrap_or(0);
+        let session_has_room = session_calls < self.limits.max_calls_per_session
             || self.evict(|entry| entry.key.session == key.session);
         if !session_has_room || !self.make_room(1, CALL_BYTES) {
             self.metrics.rejected_full += 1;
@@ -200,7 +200,7 @@
                 let cancel_at = OrderedMs::new(*detached_ms + self.limits.cancel_after_ms);
                 self.detached_reads.remove(&DetachedEntry { cancel_at, key });
                 *clients += 1;
-                self.metrics.joined += 1;
+                self.metrics.attached += 1;
                 AttachOutcome::Running
             }
             CallState::Completed { response, .. } => {
--- a/src/http3/response_store/tests.rs
+++ b/src/http3/response_store/tests.rs
@@ -17,12 +17,12 @@
     CallKey { session, call }
 }
 
-fn served(n: usize) -> FinalResponse {
-    FinalResponse::Served { entity_tag: Some("t".into()), body: Bytes::from(vec![1; n]) }
+fn served(body_bytes: usize) -> FinalResponse {
+    FinalResponse::Served { entity_tag: Some("t".into()), body: Bytes::from(vec![1; body_bytes]) }
 }
 
 #[test]
-fn a_write_is_started_once_however_often_it_is_retried() {
+fn a_retried_write_is_started_again_only_after_expiry_or_rejection() {
     let mut store = ResponseStore::new(limits());
     let write = key(7, 1);
     assert_eq!(store.attach(0.0, write, 5, true), AttachOutcome::Started);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn responses_are_evicted_reads_first_and_running_calls_never() {
+fn reads_are_evicted_before_writes_and_running_calls_are_not_evicted() {
     let mut store = ResponseStore::new(limits());
     for id in 0..3 {
         assert_eq!(store.attach(0.0, key(1, id), 0, id == 0), AttachOutcome::Started);
@@ -129,42 +129,50 @@
     ) {
         let limits = limits();
         let mut store = ResponseStore::new(limits);
-        let (mut now, mut running) = (0.0, HashMap::<CallKey, u32>::new());
+        let (mut now, mut clients_of_running) = (0.0, HashMap::<CallKey, u32>::new());
         for (operation, id, ms, bytes) in steps {
             now += ms;
             let key = key(u128::from(id % 3), id);
             let is_write = id % 2 == 0;
             match operation {
                 0 | 1 => match store.attach(now, key, id, is_write) {
-                    AttachOutcome::Started => prop_assert!(running.insert(key, 1).is_none(), "started twice"),
-                    AttachOutcome::Running => *running.get_mut(&key).unwrap() += 1,
-                    AttachOutcome::Completed(_) => prop_assert!(!running.contains_key(&key)),
+                    AttachOutcome::Started =>
+                        prop_assert!(clients_of_running.insert(key, 1).is_none(), "started twice"),
+                    AttachOutcome::Running => *clients_of_running.get_mut(&key).unwrap() += 1,
+                    AttachOutcome::Completed(_) => prop_assert!(!clients_of_running.contains_key(&key)),
                     AttachOutcome::Conflict => prop_assert!(false, "the digest depends only on the id"),
                     AttachOutcome::Full => {}
                 },
-                2 => if running.get(&key).is_some_and(|n| *n > 0) {
-                    *running.get_mut(&key).unwrap() -= 1;
+                2 => if clients_of_running.get(&key).is_some_and(|clients| *clients > 0) {
+                    *clients_of_running.get_mut(&key).unwrap() -= 1;
                     store.detach(now, key);
                 },
-                3 => if running.remove(&key).is_some() {
+                3 => if clients_of_running.remove(&key).is_some() {
                     store.complete(now, key, &served(bytes));
                 },
-                4 => if running.get(&key).is_some_and(|n| *n > 0) {
-                    *running.get_mut(&key).unwrap() -= 1;
+                4 => if clients_of_running.get(&key).is_some_and(|clients| *clients > 0) {
+                    *clients_of_running.get_mut(&key).unwrap() -= 1;
                     if store.cancel(now, key) {
                         prop_assert!(!is_write);
-                        running.remove(&key);
+                        clients_of_running.remove(&key);
                     }
                 },
                 _ => for cancelled in store.tick(now) {
-                    prop_assert_eq!(running.remove(&cancelled), Some(0), "cancelled with a client");
+                    prop_assert_eq!(
+                        clients_of_running.remove(&cancelled),
+                        Some(0),
+                        "cancelled with a client"
+                    );
                     prop_assert!(cancelled.call % 2 == 1, "a write was cancelled");
                 },
             }
             prop_assert!(store.len() <= limits.max_calls && store.bytes() <= limits.max_bytes);
-            prop_assert!(running.keys().all(|k| store.calls.contains_key(k)), "a running call was removed");
+            prop_assert!(
+                clients_of_running.keys().all(|key| store.calls.contains_key(key)),
+                "a running call was removed"
+            );
         }
-        for key in running.into_keys() {
+        for key in clients_of_running.into_keys() {
             store.complete(now, key, &FinalResponse::Rejected { retry_after_ms: 0.0, overdue: false });
         }
         store.tick(now + 1e6);
--- a/src/http3/send_scheduler/tests.rs
+++ b/src/http3/send_scheduler/tests.rs
@@ -17,30 +17,33 @@
 }
 
 #[test]
-fn urgent_bodies_are_sent_first_and_stalled_bodies_block_no_others() {
+fn urgent_bodies_are_sent_first_unless_they_are_stalled() {
     let mut scheduler = SendScheduler::default();
-    let (large, other) = (scheduler.add(0.0, priority(5, true)), scheduler.add(0.0, priority(5, true)));
+    let (first_incremental, second_incremental) =
+        (scheduler.add(0.0, priority(5, true)), scheduler.add(0.0, priority(5, true)));
     assert!(
-        scheduler.may_send(0.0, large) && scheduler.may_send(0.0, other),
+        scheduler.may_send(0.0, first_incremental) && scheduler.may_send(0.0, second_incremental),
         "incremental bodies are interleaved"
     );
-    let small = scheduler.add(1.0, priority(2, false));
-    let later = scheduler.add(1.0, priority(2, false));
+    let first_urgent = scheduler.add(1.0, priority(2, false));
+    let second_urgent = scheduler.add(1.0, priority(2, false));
     assert!(
-        scheduler.may_send(1.0, small) && !scheduler.may_send(1.0, later) && !scheduler.may_send(1.0, large)
+        scheduler.may_send(1.0, first_urgent)
+            && !scheduler.may_send(1.0, second_urgent)
+            && !scheduler.may_send(1.0, first_incremental)
     );
-    scheduler.record_progress(150.0, small);
-    assert!(!scheduler.may_send(300.0, large), "the urgent body makes progress");
-    assert!(scheduler.may_send(350.0, later), "the first urgent body is stalled");
-    scheduler.record_progress(350.0, later);
-    scheduler.remove(later);
-    assert!(scheduler.may_send(351.0, large));
-    scheduler.remove(small);
+    scheduler.record_progress(150.0, first_urgent);
+    assert!(!scheduler.may_send(300.0, first_incremental), "the urgent body makes progress");
+    assert!(scheduler.may_send(350.0, second_urgent), "the first urgent body is stalled");
+    scheduler.record_progress(350.0, second_urgent);
+    scheduler.remove(second_urgent);
+    assert!(scheduler.may_send(351.0, first_incremental));
+    scheduler.remove(first_urgent);
     assert!(
-        scheduler.may_send(351.0, large) && scheduler.may_send(351.0, small),
+        scheduler.may_send(351.0, first_incremental) && scheduler.may_send(351.0, first_urgent),
         "a removed body is not blocked"
     );
-    scheduler.remove(large);
-    scheduler.remove(other);
+    scheduler.remove(first_incremental);
+    scheduler.remove(second_incremental);
     assert!(scheduler.is_empty());
 }
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -58,19 +58,19 @@
 }
 
 impl Fixture {
-    async fn start(net: u8, name: &str, extra_fields: &str) -> Self {
+    async fn start(subnet: u8, name: &str, extra_fields: &str) -> Self {
         let dir = test_dir(name);
-        let fleet = SlowCacheFleet::start(net, 4, 256, 2).await;
+        let fleet = SlowCacheFleet::start(subnet, 4, 256, 2).await;
         std::fs::write(dir.join("config.json"), proxy_config_text(&fleet)).unwrap();
         let proxy_config = Config::read(&dir.join("config.json")).unwrap();
         let clock = Clock::system();
         let (engine, _) = engine(&proxy_config, &clock, 0).unwrap();
         let executor = Executor::new(clock, engine, CacheDriver);
         spawn_local(executor.clone().run_timers());
-        let file = write_http3_config(&dir, format!("127.0.{net}.9:1").parse().unwrap(), extra_fields);
+        let file = write_http3_config(&dir, format!("127.0.{subnet}.9:1").parse().unwrap(), extra_fields);
         let config = Http3Config::read(&file).unwrap();
         let quic = config.server_config().unwrap();
-        let endpoint = quinn::Endpoint::server(quic, format!("127.0.{net}.9:0").parse().unwrap()).unwrap();
+        let endpoint = quinn::Endpoint::server(quic, format!("127.0.{subnet}.9:0").parse().unwrap()).unwrap();
         let quic_address = endpoint.local_addr().unwrap();
         let calls = CallRegistry::new(executor.clone(), config.resumable_calls.store_limits());
         let inner: Rc<dyn Front> = Rc::new(Platform::new(platform::limits(64)));
@@ -80,7 +80,7 @@
         let (stop, closing) = (Rc::new(GracefulShutdown::default()), Rc::new(Notify::new()));
         spawn_local(accept_quic(server.clone(), endpoint, stop.clone(), closing.clone()));
         spawn_local(calls.clone().run_expiry());
-        let listener = TcpListener::bind(format!("127.0.{net}.9:0")).await.unwrap();
+        let listener = TcpListener::bind(format!("127.0.{subnet}.9:0")).await.unwrap();
         let tcp_address = listener.local_addr().unwrap();
         spawn_local(accept(executor.clone(), front, listener, stop.clone(), Rc::new(Notify::new())));
         Self { fleet, config, quic_address, tcp_address, server, calls, stop, closing }
@@ -108,15 +108,15 @@
     }
 }
 
-fn large_body(n: usize) -> Vec<u8> {
-    (0..n).map(|k| (k % 251) as u8).collect()
+fn large_body(length: usize) -> Vec<u8> {
+    (0..length).map(|index| (index % 251) as u8).collect()
 }
 
 const LARGE_HEADERS: [(&str, &str); 2] = [("x-call-id", "00000000000000c1"), ("x-patience-ms", "4000")];
 const LARGE_PATH: &str = "/ops/video-part/7f3a9c21e0b4d655/slice-3";
 
 #[test]
-fn requests_are_served_over_http3_with_sessions_and_ranges() {
+fn valid_requests_are_served_with_sessions_and_ranges_and_invalid_ones_are_rejected() {
     run(async {
         let fixture = Fixture::start(110, "http3-serve", "").await;
         fixture.fleet.part_bytes.set(200_000);
@@ -169,9 +169,10 @@
             let received_status = response.map_or(400, |response| response.status);
             assert_eq!(received_status, status, "{method} {path} {headers:?}");
         }
-        let long = vec![b'x'; 60_000];
-        let response =
-            client.request("PUT", "/ops/ad-post/0000000000000009", &[id, ("x-dedupe-key", "k")], &long).await;
+        let too_long_body = vec![b'x'; 60_000];
+        let response = client
+            .request("PUT", "/ops/ad-post/0000000000000009", &[id, ("x-dedupe-key", "k")], &too_long_body)
+            .await;
         assert_eq!(response.unwrap().status, 413);
         let conflicting = client.request(
             "GET",
@@ -257,12 +258,12 @@
 #[test]
 fn an_interrupted_response_is_resumed_without_a_second_attempt() {
     run(async {
-        let fixture = Fixture::start(112, "http3-clip", r#","limits":{"idle_ms":1500}"#).await;
+        let fixture = Fixture::start(112, "http3-resume", r#","limits":{"idle_ms":1500}"#).await;
         fixture.fleet.part_bytes.set(230_000);
         let link = ImpairedLink::start("127.0.112.20", fixture.quic_address, 3).await;
         link.bytes_per_second.set(400_000.0);
         let client = Http3Client::connect(link.address, &fixture.config, None).await.unwrap();
-        let first = client.request_part("GET", LARGE_PATH, &LARGE_HEADERS, b"", 60_000).await.unwrap();
+        let first = client.request_prefix("GET", LARGE_PATH, &LARGE_HEADERS, b"", 60_000).await.unwrap();
         let received = first.body.len();
         assert!((60_000..230_000).contains(&received), "{received} bytes");
         link.down.set(true);
@@ -290,7 +291,8 @@
 fn reads_are_cancelled_when_the_client_closes_the_connection_and_not_when_it_is_lost() {
     run(async {
         let fixture =
-            Fixture::start(113, "http3-off", r#","limits":{"idle_ms":1000},"shelf":{"linger_ms":200}"#).await;
+            Fixture::start(113, "http3-cancel", r#","limits":{"idle_ms":1000},"shelf":{"linger_ms":200}"#)
+                .await;
         fixture.fleet.work_ms.set(600);
         let client = Rc::new(fixture.client().await);
         let pending = spawn_local({
@@ -334,43 +336,44 @@
 /// Guards against a large response delaying small ones on a slow link, and against losing a connection when
 /// the client's address changes.
 #[test]
-fn small_objects_overtake_a_large_response_and_connections_migrate() {
+fn small_objects_are_not_delayed_by_a_large_response_and_connections_migrate() {
     run(async {
         let fixture =
-            Fixture::start(114, "http3-turns", r#","limits":{"send_bytes":32768,"turn_bytes":4096}"#).await;
+            Fixture::start(114, "http3-priorities", r#","limits":{"send_bytes":32768,"turn_bytes":4096}"#)
+                .await;
         fixture.fleet.part_bytes.set(230_000);
         let link = ImpairedLink::start("127.0.114.20", fixture.quic_address, 3).await;
         let client = Rc::new(Http3Client::connect(link.address, &fixture.config, None).await.unwrap());
         client.get_small_object(1, 1_500).await.unwrap();
         link.bytes_per_second.set(150_000.0);
-        let done: Rc<Cell<Option<Instant>>> = Rc::default();
+        let large_response_received_at: Rc<Cell<Option<Instant>>> = Rc::default();
         let large_task = spawn_local({
-            let (client, done) = (client.clone(), done.clone());
+            let (client, large_response_received_at) = (client.clone(), large_response_received_at.clone());
             async move {
                 let response = client
                     .request("GET", LARGE_PATH, &[LARGE_HEADERS[0], ("x-patience-ms", "9000")], b"")
                     .await
                     .unwrap();
-                done.set(Some(Instant::now()));
+                large_response_received_at.set(Some(Instant::now()));
                 response
             }
         });
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let mut times = Vec::new();
+        let mut elapsed_ms = Vec::new();
         for id in 0..4 {
             let response = client.get_small_object(100 + id, 3_000).await.unwrap();
             assert_eq!(response.status, 200);
-            times.push(response.elapsed_ms);
+            elapsed_ms.push(response.elapsed_ms);
         }
         assert!(
-            done.get().is_none(),
-            "the large response completed before the small ones, which took {times:?}"
+            large_response_received_at.get().is_none(),
+            "the large response completed before the small ones, which took {elapsed_ms:?}"
         );
         let response = large_task.await.unwrap();
         assert_eq!((response.status, response.body == large_body(230_000)), (200, true));
         assert!(
-            times.iter().all(|ms| *ms < 700.0),
-            "a small object waited for the large response: {times:?}"
+            elapsed_ms.iter().all(|ms| *ms < 700.0),
+            "a small object waited for the large response: {elapsed_ms:?}"
         );
         // The connection migrates to the client's new address.
         let socket = std::net::UdpSocket::bind("127.0.114.30:0").unwrap();
@@ -383,26 +386,26 @@
 /// Compares a link with 5 % loss and up to 300 ms of jitter in each direction with a clean one. Guards
 /// against late responses and duplicate writes on unreliable networks.
 #[test]
-fn on_an_impaired_link_at_least_nine_tenths_of_the_clean_share_is_served_in_time() {
+fn an_impaired_link_serves_at_least_90_percent_of_the_requests_in_time() {
     run(async {
         let fixture = Fixture::start(115, "http3-impaired", "").await;
         fixture.fleet.part_bytes.set(60_000);
         let link = ImpairedLink::start("127.0.115.20", fixture.quic_address, 17).await;
         let mut shares = Vec::new();
-        for (round, (loss, jitter)) in [(0.0, 0.0), (0.05, 300.0)].into_iter().enumerate() {
-            link.loss.set(loss);
-            link.jitter_ms.set(jitter);
+        for (round, (loss_rate, jitter_ms)) in [(0.0, 0.0), (0.05, 300.0)].into_iter().enumerate() {
+            link.loss_rate.set(loss_rate);
+            link.jitter_ms.set(jitter_ms);
             let served: Rc<Cell<u32>> = Rc::default();
             let total = 6 * 15;
             let tasks: Vec<_> = (0..6u64)
-                .map(|k| {
+                .map(|client_index| {
                     let (served, address, config) = (served.clone(), link.address, fixture.config.clone());
                     spawn_local(async move {
                         let client = Http3Client::connect(address, &config, None).await.unwrap();
-                        for n in 0..15u64 {
-                            let id = (round as u64 + 1) << 32 | k << 16 | n;
+                        for sequence in 0..15u64 {
+                            let id = (round as u64 + 1) << 32 | client_index << 16 | sequence;
                             let start = Instant::now();
-                            let response = match n % 3 {
+                            let response = match sequence % 3 {
                                 0 => client.put_ad_post(id, 3_000).await,
                                 1 => client.get_small_object(id, 3_000).await,
                                 _ => {
@@ -418,7 +421,7 @@
                                         .await
                                 }
                             };
-                            let timeout_ms = if n % 3 == 2 { 4_000 } else { 3_000 };
+                            let timeout_ms = if sequence % 3 == 2 { 4_000 } else { 3_000 };
                             let in_time = start.elapsed() < Duration::from_millis(timeout_ms);
                             served.set(
                                 served.get()
@@ -445,7 +448,7 @@
         assert!(shares[1] >= 0.9 * shares[0], "served in time: clean {}, impaired {}", shares[0], shares[1]);
         let keys = fixture.fleet.keys.borrow();
         assert!(
-            keys.len() == 60 && keys.values().all(|n| *n == 1),
+            keys.len() == 60 && keys.values().all(|count| *count == 1),
             "an ad-post was executed twice: {keys:?}"
         );
     });
@@ -454,8 +457,8 @@
 #[test]
 fn limits_are_enforced_and_shutdown_answers_open_requests() {
     run(async {
-        let more = r#","limits":{"connections":2},"shelf":{"calls":3,"per_session":2}"#;
-        let fixture = Fixture::start(116, "http3-bounds", more).await;
+        let extra_fields = r#","limits":{"connections":2},"shelf":{"calls":3,"per_session":2}"#;
+        let fixture = Fixture::start(116, "http3-limits", extra_fields).await;
         let (first, second) = (Rc::new(fixture.client().await), Rc::new(fixture.client().await));
         assert!(
             Http3Client::connect(fixture.quic_address, &fixture.config, None).await.is_none(),
--- a/tests/stand_ins/http3_client.rs
+++ b/tests/stand_ins/http3_client.rs
@@ -23,7 +23,7 @@
     /// Address to which clients connect.
     pub address: SocketAddr,
     /// Probability that a datagram is dropped.
-    pub loss: Rc<Cell<f64>>,
+    pub loss_rate: Rc<Cell<f64>>,
     /// Maximum random delay of a datagram, in milliseconds. Datagrams may be reordered.
     pub jitter_ms: Rc<Cell<f64>>,
     /// Bandwidth in each direction, in bytes per second; 0 for no limit.
@@ -41,7 +41,7 @@
         let client_socket = Rc::new(UdpSocket::bind(format!("{ip}:0")).await.unwrap());
         let link = Rc::new(Self {
             address: client_socket.local_addr().unwrap(),
-            loss: Rc::default(),
+            loss_rate: Rc::default(),
             jitter_ms: Rc::default(),
             bytes_per_second: Rc::default(),
             down: Rc::default(),
@@ -55,9 +55,9 @@
             let uplink_free_at = Rc::new(Cell::new(Instant::now()));
             let mut buffer = [0u8; 65_536];
             loop {
-                let Ok((n, client)) = client_socket.recv_from(&mut buffer).await else { continue };
-                let known = server_sockets.borrow().get(&client).cloned();
-                let server_socket = match known {
+                let Ok((length, client)) = client_socket.recv_from(&mut buffer).await else { continue };
+                let existing_socket = server_sockets.borrow().get(&client).cloned();
+                let server_socket = match existing_socket {
                     Some(server_socket) => server_socket,
                     None => {
                         let server_socket = Rc::new(UdpSocket::bind(format!("{ip}:0")).await.unwrap());
@@ -69,9 +69,10 @@
                             let downlink_free_at = Rc::new(Cell::new(Instant::now()));
                             let mut buffer = [0u8; 65_536];
                             loop {
-                                let Ok(n) = from_server.recv(&mut buffer).await else { continue };
-                                let (client_socket, data) = (client_socket.clone(), buffer[..n].to_vec());
-                                relay.forward(&rng, &downlink_free_at, n, async move {
+                                let Ok(length) = from_server.recv(&mut buffer).await else { continue };
+                                let (client_socket, data) =
+                                    (client_socket.clone(), buffer[..length].to_vec());
+                                relay.forward(&rng, &downlink_free_at, length, async move {
                                     let _ = client_socket.send_to(&data, client).await;
                                 });
                             }
@@ -79,8 +80,8 @@
                         server_socket
                     }
                 };
-                let data = buffer[..n].to_vec();
-                relay.forward(&rng, &uplink_free_at, n, async move {
+                let data = buffer[..length].to_vec();
+                relay.forward(&rng, &uplink_free_at, length, async move {
                     let _ = server_socket.send(&data).await;
                 });
             }
@@ -98,7 +99,7 @@
         send: impl std::future::Future<Output = ()> + 'static,
     ) {
         let mut rng = rng.borrow_mut();
-        let (loss_draw, delay_ms) =
+        let (loss_sample, delay_ms) =
             (rng.random_range(0.0..1.0), rng.random_range(0.0..1.0) * self.jitter_ms.get());
         let now = Instant::now();
         let mut send_at = now;
@@ -107,7 +108,8 @@
             free_at.set(send_at + Duration::from_secs_f64(bytes as f64 / self.bytes_per_second.get()));
         }
         // The queue holds datagrams for up to half a second; excess ones are dropped.
-        if self.down.get() || loss_draw < self.loss.get() || send_at - now > Duration::from_millis(500) {
+        if self.down.get() || loss_sample < self.loss_rate.get() || send_at - now > Duration::from_millis(500)
+        {
             self.dropped.set(self.dropped.get() + 1);
             return;
         }
@@ -180,15 +182,15 @@
         Some(Self { endpoint, connection, sender, session: Rc::new(RefCell::new(session)) })
     }
 
-    /// Sends a request and reads the response body until `max_bytes` have been received or it ends.
-    /// Returns `None` if the request or the connection failed.
-    pub async fn request_part(
+    /// Sends a request and reads the response body until at least `min_bytes` have been received or it
+    /// ends. Returns `None` if the request or the connection failed.
+    pub async fn request_prefix(
         &self,
         method: &str,
         path: &str,
         headers: &[(&str, &str)],
         body: &[u8],
-        max_bytes: usize,
+        min_bytes: usize,
     ) -> Option<ClientResponse> {
         let start = Instant::now();
         let mut request = http::Request::builder().method(method).uri(format!("https://edge{path}"));
@@ -213,7 +215,7 @@
             headers: parts.headers,
             ..ClientResponse::default()
         };
-        while response.body.len() < max_bytes {
+        while response.body.len() < min_bytes {
             let Some(mut chunk) = stream.recv_data().await.ok()? else { break };
             response.body.extend_from_slice(&chunk.copy_to_bytes(chunk.remaining()));
         }
@@ -228,7 +230,7 @@
         headers: &[(&str, &str)],
         body: &[u8],
     ) -> Option<ClientResponse> {
-        self.request_part(method, path, headers, body, usize::MAX).await
+        self.request_prefix(method, path, headers, body, usize::MAX).await
     }
 
     /// Requests a small object with the given call id.
