--- a/src/http3/config.rs
+++ b/src/http3/config.rs
@@ -64,30 +64,30 @@
     fn check_ranges(&self) -> Result<(), FieldError> {
         let (limits, calls, path) = (&self.limits, &self.resumable_calls, &self.path_settings);
         let bounds = [
-            ("connections", limits.connections as f64, 1.0, 65_536.0),
-            ("tcp_connections", limits.tcp_connections as f64, 1.0, 65_536.0),
-            ("streams", f64::from(limits.streams), 1.0, 10_000.0),
-            ("header_bytes", limits.header_bytes as f64, 1_024.0, 1_048_576.0),
-            ("body_bytes", limits.body_bytes as f64, 1.0, 16_777_216.0),
-            ("send_bytes", limits.send_bytes as f64, 16_384.0, 67_108_864.0),
-            ("turn_bytes", limits.chunk_bytes as f64, 1_024.0, 1_048_576.0),
-            ("handshake_ms", limits.handshake_ms, 100.0, 60_000.0),
-            ("idle_ms", limits.idle_ms, 1_000.0, 600_000.0),
-            ("body_ms", limits.body_ms, 100.0, 600_000.0),
-            ("calls", calls.calls as f64, 1.0, 1e7),
-            ("per_session", calls.calls_per_session as f64, 1.0, 1e6),
-            ("bytes", calls.bytes as f64, 65_536.0, 1e11),
-            ("linger_ms", calls.cancel_after_ms, 0.0, 600_000.0),
-            ("keep_read_ms", calls.keep_read_ms, 0.0, 3_600_000.0),
-            ("keep_write_ms", calls.keep_write_ms, 1.0, 86_400_000.0),
-            ("session_ms", calls.session_lifetime_ms, 1_000.0, 31_536_000_000.0),
-            ("reorder_packets", f64::from(path.packet_threshold), 3.0, 10_000.0),
-            ("reorder_trips", f64::from(path.time_threshold), 1.0, 16.0),
-            ("first_rtt_ms", path.initial_rtt_ms, 1.0, 10_000.0),
+            ("limits.connections", limits.connections as f64, 1.0, 65_536.0),
+            ("limits.tcp_connections", limits.tcp_connections as f64, 1.0, 65_536.0),
+            ("limits.streams", f64::from(limits.streams), 1.0, 10_000.0),
+            ("limits.header_bytes", limits.header_bytes as f64, 1_024.0, 1_048_576.0),
+            ("limits.body_bytes", limits.body_bytes as f64, 1.0, 16_777_216.0),
+            ("limits.send_bytes", limits.send_bytes as f64, 16_384.0, 67_108_864.0),
+            ("limits.turn_bytes", limits.chunk_bytes as f64, 1_024.0, 1_048_576.0),
+            ("limits.handshake_ms", limits.handshake_ms, 100.0, 60_000.0),
+            ("limits.idle_ms", limits.idle_ms, 1_000.0, 600_000.0),
+            ("limits.body_ms", limits.body_ms, 100.0, 600_000.0),
+            ("shelf.calls", calls.calls as f64, 1.0, 1e7),
+            ("shelf.per_session", calls.calls_per_session as f64, 1.0, 1e6),
+            ("shelf.bytes", calls.bytes as f64, 65_536.0, 1e11),
+            ("shelf.linger_ms", calls.cancel_after_ms, 0.0, 600_000.0),
+            ("shelf.keep_read_ms", calls.keep_read_ms, 0.0, 3_600_000.0),
+            ("shelf.keep_write_ms", calls.keep_write_ms, 1.0, 86_400_000.0),
+            ("shelf.session_ms", calls.session_lifetime_ms, 1_000.0, 31_536_000_000.0),
+            ("path.reorder_packets", f64::from(path.packet_threshold), 3.0, 10_000.0),
+            ("path.reorder_trips", f64::from(path.time_threshold), 1.0, 16.0),
+            ("path.first_rtt_ms", path.initial_rtt_ms, 1.0, 10_000.0),
         ];
         for (field, value, min, max) in bounds {
             if !value.is_finite() || !(min..=max).contains(&value) {
-                return Err(FieldError::new(field, format!("{value} is not within {min} to {max}")));
+                return Err(FieldError::new(field, format!("{value} is not between {min} and {max}")));
             }
         }
         Ok(())
--- a/src/http3/path_estimate/tests.rs
+++ b/src/http3/path_estimate/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn a_lossy_path_reserves_at_most_half_of_the_remaining_time_for_delivery() {
     let mut path = PathEstimate::default();
-    assert_eq!(path.send_deadline_ms(0.0, 1_500.0, 9e9), 1_500.0, "no sample");
+    assert_eq!(path.send_deadline_ms(0.0, 1_500.0, 9e9), 1_500.0, "without a sample, no time is reserved");
     let good = PathSample { rtt_ms: 4.0, sent_packets: 100, lost_packets: 0, window_bytes: 64_000 };
     (0..20).for_each(|_| path.update(good));
     assert!(path.send_deadline_ms(0.0, 1_500.0, 500.0) > 1_490.0);
@@ -19,6 +19,6 @@
         750.0,
         "at most half of the remaining time is reserved"
     );
-    assert_eq!(path.send_deadline_ms(100.0, 50.0, 0.0), 50.0, "the deadline has passed");
+    assert_eq!(path.send_deadline_ms(100.0, 50.0, 0.0), 50.0, "no time is reserved after the deadline");
     assert_eq!(path.loss_rate(), 0.05);
 }
--- a/src/http3/request.rs
+++ b/src/http3/request.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 enum RequestError {
     /// The request is malformed, or its stream was reset or ended early.
-    #[error("the request is malformed or its stream ended early")]
+    #[error("the request is malformed, or its stream was reset or ended early")]
     Malformed,
     /// The body was not received within the time limit.
     #[error("the request body was not received within the time limit")]
--- a/src/http3/response_store/tests.rs
+++ b/src/http3/response_store/tests.rs
@@ -32,7 +32,7 @@
     assert_eq!(
         store.attach(20.0, write, 6, true),
         AttachOutcome::Conflict,
-        "a different request with its id"
+        "a different request with the same call id"
     );
     assert!(!store.cancel(25.0, write), "a write is not cancelled by its client");
     store.complete(30.0, write, &served(3));
@@ -98,12 +98,12 @@
     assert_eq!(
         store.attach(11.0, key(1, 1), 0, false),
         AttachOutcome::Started,
-        "its response was evicted, and the next read's is evicted now"
+        "the response of read 1 was evicted; starting it again evicts that of read 2"
     );
     assert_eq!(
         store.attach(11.0, key(4, 9), 0, false),
         AttachOutcome::Started,
-        "with no reads left, the response of the write is evicted"
+        "without stored reads, the response of the write is evicted"
     );
     assert_eq!(store.attach(11.0, key(5, 9), 0, false), AttachOutcome::Full, "running calls are not evicted");
     assert_eq!((store.metrics().evicted_reads, store.metrics().evicted_writes), (2, 1));
@@ -161,7 +161,7 @@
                     prop_assert_eq!(
                         clients_of_running.remove(&cancelled),
                         Some(0),
-                        "cancelled with a client"
+                        "a cancelled call was not running or had a client"
                     );
                     prop_assert!(cancelled.call % 2 == 1, "a write was cancelled");
                 },
--- a/src/http3/session.rs
+++ b/src/http3/session.rs
@@ -68,9 +68,12 @@
     pub fn verify(&self, now: f64, token: &str) -> Result<Session, TokenError> {
         let bytes = URL_SAFE_NO_PAD.decode(token).map_err(|_| TokenError::Malformed)?;
         let bytes: [u8; TOKEN_BYTES] = bytes.try_into().map_err(|_| TokenError::Malformed)?;
-        let (id, rest) = bytes.split_first_chunk::<ID_BYTES>().expect("the token has a fixed length");
-        let (expiry, signature) =
-            rest.split_first_chunk::<EXPIRY_BYTES>().expect("the token has a fixed length");
+        let (id, rest) = bytes
+            .split_first_chunk::<ID_BYTES>()
+            .expect("the array holds an id, an expiry time and a signature");
+        let (expiry, signature) = rest
+            .split_first_chunk::<EXPIRY_BYTES>()
+            .expect("the array holds an id, an expiry time and a signature");
         if !self.keys.verify(LABEL, &[id, expiry], signature) {
             return Err(TokenError::WrongSignature);
         }
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -129,7 +129,7 @@
         let token = client.session.borrow().clone().expect("no session token received");
         assert!(
             client.get_small_object(2, 1_500).await.unwrap().header("x-session").is_none(),
-            "the token is sent only once"
+            "a client with a valid token gets no new one"
         );
         assert_eq!(client.session.borrow().as_ref(), Some(&token));
         assert_eq!(
@@ -444,12 +444,12 @@
             link.dropped.get(),
             link.forwarded.get()
         );
-        assert_eq!(shares[0], 1.0, "the clean link");
+        assert_eq!(shares[0], 1.0, "some requests on the clean link were not served in time");
         assert!(shares[1] >= 0.9 * shares[0], "served in time: clean {}, impaired {}", shares[0], shares[1]);
         let keys = fixture.fleet.keys.borrow();
         assert!(
             keys.len() == 60 && keys.values().all(|count| *count == 1),
-            "an ad-post was executed twice: {keys:?}"
+            "expected 60 ad-posts, each executed once: {keys:?}"
         );
     });
 }
@@ -535,7 +535,7 @@
             .await
             .expect("connection with the new certificate");
         assert_eq!(reconnected.get_small_object(2, 1_500).await.unwrap().status, 200);
-        std::fs::write(dir.join("key.pem"), "no key").unwrap();
+        std::fs::write(dir.join("key.pem"), "not a PEM file").unwrap();
         program.signal("-HUP");
         tokio::time::sleep(Duration::from_millis(200)).await;
         assert!(
