--- a/src/http3/request.rs
+++ b/src/http3/request.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 enum RequestError {
     /// The request is malformed, or its stream was reset or ended early.
-    #[error("the request is malformed or its stream ended early")]
+    #[error("the request is malformed, or its stream was reset or ended early")]
     Malformed,
     /// The body was not received within the time limit.
     #[error("the request body was not received within the time limit")]
@@ -80,12 +80,12 @@
     let body = if is_head { Bytes::new() } else { response.wire_body() };
     let Some(head) = response_head(&response) else { return };
     if response_body::send(connection, head, body, priority, &mut stream).await.is_err() {
-        server.update_metrics(|metrics| metrics.unsent_responses += 1);
+        server.update_metrics(|metrics| metrics.incomplete_responses += 1);
         server.executor.with(|engine| engine.counters.responses_unwritten += 1);
     }
 }
 
-/// Reads a request and its body within the limits of size and time.
+/// Converts the head of a request, and reads its body within the size and time limits.
 async fn read(
     connection: &Connection,
     request: Request<()>,
@@ -146,6 +146,7 @@
     let response_bytes = incoming.size_kb * BYTES_PER_KB;
     incoming.deadline_ms =
         connection.estimate_path().send_deadline_ms(now, incoming.deadline_ms, response_bytes);
+    // `Http3Front::interpret` sets the session of each forwarded request, so this does not happen.
     let Some(session) = context.session else {
         return Some(PrioritizedResponse { response: HttpResponse::status(500), priority: default_priority });
     };
@@ -177,7 +178,7 @@
 }
 
 /// The priority of a response if the request has no `Priority` header: writes first, then whole objects, then
-/// parts of large objects, which are sent interleaved.
+/// parts of objects, which are incremental.
 fn default_priority(connection: &Connection, incoming: &IncomingRequest) -> Priority {
     let is_write = connection.server.executor.settings().is_write(incoming.class);
     match (is_write, incoming.part) {
