--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -49,14 +49,14 @@
                 deadline_ms: now + 2_000.0,
                 body_bytes: 0,
             };
-            match queue.arrive(now, arrival) {
+            match queue.submit(now, arrival) {
                 AdmissionDecision::Admit => in_flight.push_back(id),
                 AdmissionDecision::Queue | AdmissionDecision::Shed { .. } | AdmissionDecision::Duplicate => {}
             }
             // Fewer completions than arrivals keep the queue at its limit.
             if id % skip_every != 0 {
                 if let Some(done) = in_flight.pop_front() {
-                    in_flight.extend(queue.completed(now, done, Completion::Succeeded));
+                    in_flight.extend(queue.complete(now, done, Completion::Succeeded));
                 }
             }
             if id % 4_096 == 0 {
--- a/examples/http3_links.rs
+++ b/examples/http3_links.rs
@@ -162,7 +162,8 @@
     for client in clients {
         client.await.unwrap();
     }
-    measurement.borrow_mut().sent_twice = fleet.keys.borrow().values().filter(|n| **n > 1).count();
+    measurement.borrow_mut().sent_twice =
+        fleet.requests_by_idempotency_key.borrow().values().filter(|n| **n > 1).count();
     Rc::try_unwrap(measurement).ok().unwrap().into_inner()
 }
 
--- a/examples/vrrp_takeover.rs
+++ b/examples/vrrp_takeover.rs
@@ -129,7 +129,7 @@
         let lost = outcomes.iter().filter(|(_, _, e)| e.status != Some(200) || e.malformed).count();
         let retried = outcomes.iter().filter(|(_, _, e)| e.retries > 0).count();
         let posts = outcomes.iter().filter(|(_, write, _)| *write).count();
-        let keys = fleet.keys.borrow();
+        let keys = fleet.requests_by_idempotency_key.borrow();
         let send_count = |id: u64| keys.get(&format!("k{id:x}")).copied().unwrap_or(0);
         let sent_twice =
             outcomes.iter().filter(|(id, write, e)| *write && e.retries == 0 && send_count(*id) > 1).count();
--- a/src/admission/bounds.rs
+++ b/src/admission/bounds.rs
@@ -1,7 +1,7 @@
 //! The bounds of admission control, and an upper bound on its memory that follows from them.
 
 use super::decision::{ClientKey, TenantId};
-use super::fair_queue::{InFlight, QueuedRequest, DEADLINE_BYTES};
+use super::fair_queue::{InFlight, QueuedRequest, EXPIRY_BYTES};
 use super::reservations::{ReservationTable, SLOT_MS};
 use super::round_robin::{ClientQueue, TenantQueue};
 use crate::RequestId;
@@ -48,7 +48,7 @@
             + queued * deque_bytes(1, size_of::<ClientKey>())
             + deque_bytes(queued, size_of::<TenantId>())
             + deque_bytes(queued, size_of::<RequestId>())
-            + queued * DEADLINE_BYTES
+            + queued * EXPIRY_BYTES
             + table_bytes(max_in_flight, size_of::<(RequestId, InFlight)>())
             + table_bytes(max_in_flight, size_of::<(ClientKey, u32)>())
             + table_bytes(self.max_reservations, ReservationTable::KEY_BYTES)
--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -68,24 +68,30 @@
         self.current / self.mean_service_ms.max(1.0)
     }
 
-    /// Updates the limit and the mean service time after an admitted request ended. `is_binding` tells
+    /// Updates the limit and the mean service time after an admitted request ended. `has_queued` tells
     /// whether other requests are queued.
-    pub fn completed(&mut self, now_ms: f64, service_ms: f64, completion: Completion, is_binding: bool) {
+    pub fn record_completion(
+        &mut self,
+        now_ms: f64,
+        service_ms: f64,
+        completion: Completion,
+        has_queued: bool,
+    ) {
         if completion == Completion::Succeeded {
             self.mean_service_ms += SERVICE_TIME_GAIN * (service_ms.max(0.0) - self.mean_service_ms);
         }
         if self.settings.adaptive {
-            self.adapt(now_ms, completion, is_binding);
+            self.adapt(now_ms, completion, has_queued);
         }
     }
 
-    fn adapt(&mut self, now_ms: f64, completion: Completion, is_binding: bool) {
+    fn adapt(&mut self, now_ms: f64, completion: Completion, has_queued: bool) {
         match completion {
             Completion::Overloaded if now_ms >= self.decreased_at_ms + DECREASE_INTERVAL_MS => {
                 self.decreased_at_ms = now_ms;
                 self.current = (self.current * DECREASE_FACTOR).max(self.settings.min);
             }
-            Completion::Succeeded if is_binding => {
+            Completion::Succeeded if has_queued => {
                 self.current = (self.current + 1.0 / self.current).min(self.settings.max);
             }
             _ => {}
--- a/src/admission/config.rs
+++ b/src/admission/config.rs
@@ -16,19 +16,19 @@
 use thiserror::Error;
 
 /// The allowed weights of a tenant.
-const WEIGHTS: RangeInclusive<f64> = 0.01..=100.0;
+const WEIGHT_RANGE: RangeInclusive<f64> = 0.01..=100.0;
 /// The largest allowed concurrency limit, in requests.
 const MAX_LIMIT: f64 = 100_000.0;
 /// The largest allowed maximum of queued requests.
-const MAX_QUEUED: usize = 1_000_000;
+const MAX_QUEUED_LIMIT: usize = 1_000_000;
 /// The largest allowed maximum of queued body bytes.
-const MAX_QUEUED_BYTES: usize = 1 << 32;
+const MAX_QUEUED_BYTES_LIMIT: usize = 1 << 32;
 /// The largest allowed maximum of reservations.
-const MAX_RESERVATIONS: usize = 10_000_000;
+const MAX_RESERVATIONS_LIMIT: usize = 10_000_000;
 /// The largest allowed retry-after time, in milliseconds.
-const MAX_RETRY_AFTER_MS: f64 = 3_600_000.0;
+const MAX_RETRY_AFTER_LIMIT_MS: f64 = 3_600_000.0;
 /// The largest allowed [`AdmissionConfig::min_service_ms`], in milliseconds.
-const MAX_MIN_SERVICE_MS: f64 = 60_000.0;
+const MIN_SERVICE_LIMIT_MS: f64 = 60_000.0;
 /// The largest allowed share of the concurrency limit for light clients.
 const MAX_LIGHT_CLIENT_SHARE: f64 = 0.9;
 /// Set in the keys of IPv4 clients, to keep them distinct from IPv6 addresses.
@@ -188,7 +188,7 @@
     }
 }
 
-fn is_within(value: f64, min: f64, max: f64) -> bool {
+fn is_in_range(value: f64, min: f64, max: f64) -> bool {
     value.is_finite() && value >= min && value <= max
 }
 
@@ -219,7 +219,7 @@
     fn check_tenants(&self) -> Result<(), BadValue> {
         let mut groups = BTreeSet::new();
         for tenant in &self.tenants {
-            if !WEIGHTS.contains(&tenant.weight) || tenant.groups.is_empty() {
+            if !WEIGHT_RANGE.contains(&tenant.weight) || tenant.groups.is_empty() {
                 return Err(BadValue::Tenant);
             }
             if let Some(group) = tenant.groups.iter().find(|group| !groups.insert(**group)) {
@@ -234,25 +234,37 @@
         let limit_is_ordered = min >= 1.0 && min <= initial && initial <= max && max <= MAX_LIMIT;
         let per_queue = 1..=self.max_queued;
         require("limit", limit_is_ordered, "1 <= least <= first <= most <= 100,000")?;
-        require("queue_most", (1..=MAX_QUEUED).contains(&self.max_queued), "1 to 1,000,000")?;
+        require("queue_most", (1..=MAX_QUEUED_LIMIT).contains(&self.max_queued), "1 to 1,000,000")?;
         require("per_client_most", per_queue.contains(&self.max_queued_per_client), "1 to queue_most")?;
         require("per_tenant_most", per_queue.contains(&self.max_queued_per_tenant), "1 to queue_most")?;
-        require("bytes_most", (1..=MAX_QUEUED_BYTES).contains(&self.max_queued_bytes), "1 to 4 GiB")?;
-        require("tickets_most", (1..=MAX_RESERVATIONS).contains(&self.max_reservations), "1 to 10,000,000")
+        require("bytes_most", (1..=MAX_QUEUED_BYTES_LIMIT).contains(&self.max_queued_bytes), "1 to 4 GiB")?;
+        require(
+            "tickets_most",
+            (1..=MAX_RESERVATIONS_LIMIT).contains(&self.max_reservations),
+            "1 to 10,000,000",
+        )
     }
 
     fn check_shares_and_times(&self) -> Result<(), FieldError> {
         let (min_retry, max_retry) = (self.min_retry_after_ms, self.max_retry_after_ms);
-        require("ticket_share", is_within(self.reservation_share, 0.0, 1.0), "0 to 1")?;
+        require("ticket_share", is_in_range(self.reservation_share, 0.0, 1.0), "0 to 1")?;
         require(
             "reserve_share",
-            is_within(self.light_client_share, 0.0, MAX_LIGHT_CLIENT_SHARE),
+            is_in_range(self.light_client_share, 0.0, MAX_LIGHT_CLIENT_SHARE),
             "0 to 0.9",
         )?;
-        require("come_back_least_ms", is_within(min_retry, 1.0, max_retry), "1 to come_back_most_ms")?;
-        require("come_back_most_ms", is_within(max_retry, 1.0, MAX_RETRY_AFTER_MS), "1 to 3,600,000")?;
-        require("least_service_ms", is_within(self.min_service_ms, 0.0, MAX_MIN_SERVICE_MS), "0 to 60,000")?;
-        require("weight", WEIGHTS.contains(&self.default_weight), "0.01 to 100")
+        require("come_back_least_ms", is_in_range(min_retry, 1.0, max_retry), "1 to come_back_most_ms")?;
+        require(
+            "come_back_most_ms",
+            is_in_range(max_retry, 1.0, MAX_RETRY_AFTER_LIMIT_MS),
+            "1 to 3,600,000",
+        )?;
+        require(
+            "least_service_ms",
+            is_in_range(self.min_service_ms, 0.0, MIN_SERVICE_LIMIT_MS),
+            "0 to 60,000",
+        )?;
+        require("weight", WEIGHT_RANGE.contains(&self.default_weight), "0.01 to 100")
     }
 
     /// The bounds of the queues and reservations.
@@ -284,7 +296,7 @@
     }
 
     /// The networks whose requests bypass admission control.
-    pub fn exempt(&self) -> ExemptNetworks {
+    pub fn exempt_networks(&self) -> ExemptNetworks {
         ExemptNetworks::new(&self.exempt)
     }
 
@@ -303,10 +315,10 @@
     }
 }
 
-/// Returns an error for `field`, with the text `bounds`, unless `is_in_bounds`.
-fn require(field: &'static str, is_in_bounds: bool, bounds: &'static str) -> Result<(), FieldError> {
-    if is_in_bounds {
+/// Returns an error for `field`, with the text `allowed`, unless `is_valid`.
+fn require(field: &'static str, is_valid: bool, allowed: &'static str) -> Result<(), FieldError> {
+    if is_valid {
         return Ok(());
     }
-    Err(FieldError::new(field, BadValue::OutOfBounds(bounds)))
+    Err(FieldError::new(field, BadValue::OutOfBounds(allowed)))
 }
--- a/src/admission/control.rs
+++ b/src/admission/control.rs
@@ -35,7 +35,7 @@
     pub fn new(config: AdmissionConfig, metrics_prefix: &str) -> Self {
         Self {
             queue: FairQueue::new(config.bounds(), config.limit, config.weights()),
-            exempt: config.exempt(),
+            exempt: config.exempt_networks(),
             config,
             queued: AHashMap::new(),
             metrics: AdmissionMetrics::new(metrics_prefix),
@@ -46,7 +46,7 @@
     /// of the bounds and of the limit take effect only at a restart.
     pub fn reconfigure(&mut self, config: AdmissionConfig) {
         self.queue.set_weights(config.weights());
-        self.exempt = config.exempt();
+        self.exempt = config.exempt_networks();
         self.config = config;
     }
 
@@ -57,7 +57,7 @@
 
     /// Decides on a newly received request. Returns the request if it is to be forwarded to the engine now,
     /// or `None` if it was queued.
-    pub fn arrive(
+    pub fn submit(
         &mut self,
         now_ms: f64,
         request: IncomingRequest,
@@ -72,7 +72,7 @@
             deadline_ms: request.deadline_ms,
             body_bytes: request.body.len(),
         };
-        match self.queue.arrive(now_ms, arrival) {
+        match self.queue.submit(now_ms, arrival) {
             AdmissionDecision::Admit => Ok(Some(request)),
             AdmissionDecision::Queue => {
                 self.queued.insert(request.id, request);
@@ -85,21 +85,21 @@
 
     /// Handles the end of an admitted request, with its response if it has one. Returns the queued requests
     /// that are to be forwarded to the engine now.
-    pub fn completed(
+    pub fn complete(
         &mut self,
         now_ms: f64,
         id: RequestId,
         response: Option<&FinalResponse>,
     ) -> Vec<IncomingRequest> {
-        let released = self.queue.completed(now_ms, id, completion(response));
+        let released = self.queue.complete(now_ms, id, completion(response));
         released.into_iter().filter_map(|id| self.queued.remove(&id)).collect()
     }
 
     /// Removes a request whose client disconnected. Returns whether it was queued, so that nothing was
     /// forwarded.
-    pub fn disconnected(&mut self, id: RequestId) -> bool {
+    pub fn remove_disconnected(&mut self, id: RequestId) -> bool {
         self.queued.remove(&id);
-        self.queue.disconnected(id)
+        self.queue.remove_disconnected(id)
     }
 
     /// Sheds the queued requests that can no longer be served before their deadline.
@@ -110,8 +110,8 @@
     }
 
     /// The earliest time at which [`Self::expire`] has a request to shed, Unix milliseconds.
-    pub fn next_deadline(&self) -> Option<f64> {
-        self.queue.next_deadline()
+    pub fn next_expiry_ms(&self) -> Option<f64> {
+        self.queue.next_expiry_ms()
     }
 
     /// Encodes the metrics in the Prometheus text format.
--- a/src/admission/decision.rs
+++ b/src/admission/decision.rs
@@ -35,7 +35,7 @@
     /// By the expected wait, it cannot be served before its deadline.
     DeadlineTooClose,
     /// It was queued until too little time was left before its deadline.
-    DeadlinePassed,
+    ExpiredInQueue,
 }
 
 impl ShedReason {
@@ -45,7 +45,7 @@
         Self::TenantQueueFull,
         Self::QueueFull,
         Self::DeadlineTooClose,
-        Self::DeadlinePassed,
+        Self::ExpiredInQueue,
     ];
 
     /// The label used in logs and metrics.
@@ -55,7 +55,7 @@
             Self::TenantQueueFull => "tenant",
             Self::QueueFull => "full",
             Self::DeadlineTooClose => "time",
-            Self::DeadlinePassed => "waited",
+            Self::ExpiredInQueue => "waited",
         }
     }
 }
--- a/src/admission/fair_queue.rs
+++ b/src/admission/fair_queue.rs
@@ -33,7 +33,7 @@
 use std::mem::size_of;
 
 /// The maximum size of an entry of the deadline set, with its share of the B-tree's nodes, in bytes.
-pub const DEADLINE_BYTES: usize = 2 * size_of::<(u64, RequestId)>();
+pub const EXPIRY_BYTES: usize = 2 * size_of::<(u64, RequestId)>();
 /// The lowest service rate assumed when a wait is estimated, in requests per millisecond.
 const MIN_RATE_PER_MS: f64 = 1e-9;
 
@@ -43,7 +43,7 @@
     /// The FIFO queue of requests that use a reservation.
     Reserved,
     /// The round-robin queues.
-    Fair,
+    RoundRobin,
 }
 
 /// A queued request.
@@ -53,8 +53,8 @@
     tenant: TenantId,
     body_bytes: usize,
     queue: Queue,
-    /// The request's key in [`FairQueue::deadlines`].
-    deadline_key: u64,
+    /// The request's key in [`FairQueue::expiries`].
+    expiry_key: u64,
 }
 
 /// An admitted request.
@@ -63,7 +63,7 @@
     admitted_at_ms: f64,
     client: ClientKey,
     /// Whether it was admitted into the share of light clients.
-    is_light: bool,
+    in_light_share: bool,
 }
 
 /// The queues of admission control, and its decisions. See the [module documentation](self).
@@ -82,7 +82,7 @@
     reserved_queue: VecDeque<RequestId>,
     /// The queued requests by the time at which they are shed, [`AdmissionBounds::min_service_ms`] before
     /// their deadlines. The times are stored as bits, which sort like the values, as none is negative.
-    deadlines: BTreeSet<(u64, RequestId)>,
+    expiries: BTreeSet<(u64, RequestId)>,
     reservations: ReservationTable,
     /// Counters of decisions and reservations.
     pub counters: AdmissionCounters,
@@ -101,7 +101,7 @@
             queued_bytes: 0,
             round_robin: RoundRobin::new(weights),
             reserved_queue: VecDeque::new(),
-            deadlines: BTreeSet::new(),
+            expiries: BTreeSet::new(),
             reservations: ReservationTable::new(bounds.max_reservations),
             counters: AdmissionCounters::default(),
         }
@@ -133,28 +133,28 @@
     }
 
     /// The number of queued requests by tenant.
-    pub fn depths(&self) -> impl Iterator<Item = (TenantId, usize)> + '_ {
-        self.round_robin.depths()
+    pub fn queued_by_tenant(&self) -> impl Iterator<Item = (TenantId, usize)> + '_ {
+        self.round_robin.queued_by_tenant()
     }
 
     /// Decides on a newly received request.
-    pub fn arrive(&mut self, now_ms: f64, arrival: Arrival) -> AdmissionDecision {
+    pub fn submit(&mut self, now_ms: f64, arrival: Arrival) -> AdmissionDecision {
         if self.queued.contains_key(&arrival.id) || self.in_flight.contains_key(&arrival.id) {
             return AdmissionDecision::Duplicate;
         }
         self.counters.reservations_expired += self.reservations.expire(now_ms);
         let reservation = self.reservations.get(arrival.client);
-        if reservation.is_some_and(|reservation| reservation.is_valid(now_ms)) {
+        if reservation.is_some_and(|reservation| reservation.is_usable(now_ms)) {
             return self.use_reservation(now_ms, arrival);
         }
         if self.has_fair_capacity() && self.queued.is_empty() {
             return self.admit(now_ms, &arrival, false);
         }
-        if self.is_light(arrival.client) && self.has_capacity() && self.reserved_queue.is_empty() {
+        if self.is_light_client(arrival.client) && self.has_capacity() && self.reserved_queue.is_empty() {
             return self.admit(now_ms, &arrival, true);
         }
         match self.shed_reason(now_ms, &arrival) {
-            None => self.enqueue(arrival, Queue::Fair),
+            None => self.enqueue(arrival, Queue::RoundRobin),
             Some(reason) => {
                 let retry_after_ms = self.reserve(now_ms, arrival.client, arrival.tenant, reservation);
                 self.counters.shed[reason as usize] += 1;
@@ -191,34 +191,34 @@
         }
     }
 
-    fn admit(&mut self, now_ms: f64, arrival: &Arrival, is_light: bool) -> AdmissionDecision {
-        self.start(now_ms, arrival.id, arrival.client, is_light);
+    fn admit(&mut self, now_ms: f64, arrival: &Arrival, in_light_share: bool) -> AdmissionDecision {
+        self.record_in_flight(now_ms, arrival.id, arrival.client, in_light_share);
         self.counters.admitted += 1;
         AdmissionDecision::Admit
     }
 
     /// Records a request as in flight.
-    fn start(&mut self, now_ms: f64, id: RequestId, client: ClientKey, is_light: bool) {
-        self.in_flight.insert(id, InFlight { admitted_at_ms: now_ms, client, is_light });
+    fn record_in_flight(&mut self, now_ms: f64, id: RequestId, client: ClientKey, in_light_share: bool) {
+        self.in_flight.insert(id, InFlight { admitted_at_ms: now_ms, client, in_light_share });
         *self.in_flight_by_client.entry(client).or_default() += 1;
-        self.light_in_flight += usize::from(is_light);
+        self.light_in_flight += usize::from(in_light_share);
     }
 
     fn enqueue(&mut self, arrival: Arrival, queue: Queue) -> AdmissionDecision {
         let Arrival { id, client, tenant, deadline_ms, body_bytes } = arrival;
-        let deadline_key = (deadline_ms - self.bounds.min_service_ms).max(0.0).to_bits();
-        self.queued.insert(id, QueuedRequest { client, tenant, body_bytes, queue, deadline_key });
+        let expiry_key = (deadline_ms - self.bounds.min_service_ms).max(0.0).to_bits();
+        self.queued.insert(id, QueuedRequest { client, tenant, body_bytes, queue, expiry_key });
         self.queued_bytes += body_bytes;
-        self.deadlines.insert((deadline_key, id));
+        self.expiries.insert((expiry_key, id));
         match queue {
             Queue::Reserved => self.reserved_queue.push_back(id),
-            Queue::Fair => self.round_robin.push(client, tenant, id),
+            Queue::RoundRobin => self.round_robin.push(client, tenant, id),
         }
         AdmissionDecision::Queue
     }
 
     /// Whether a client has no request in flight or queued.
-    fn is_light(&self, client: ClientKey) -> bool {
+    fn is_light_client(&self, client: ClientKey) -> bool {
         !self.in_flight_by_client.contains_key(&client) && self.round_robin.client_depth(client) == 0
     }
 
@@ -236,49 +236,50 @@
 
     /// The expected wait of a request at `position` of its client's queue, counted from 1, in milliseconds.
     fn expected_wait_ms(&self, client: ClientKey, tenant: TenantId, position: usize) -> f64 {
-        let ExpectedShare { tenant: share, clients } = self.round_robin.expected_share(client, tenant);
-        let rate_per_ms = self.limit.rate_per_ms() * share / clients as f64;
-        (position as f64 + self.reserved_queue.len() as f64 * share) / rate_per_ms.max(MIN_RATE_PER_MS)
+        let ExpectedShare { tenant: tenant_share, clients } = self.round_robin.expected_share(client, tenant);
+        let rate_per_ms = self.limit.rate_per_ms() * tenant_share / clients as f64;
+        (position as f64 + self.reserved_queue.len() as f64 * tenant_share) / rate_per_ms.max(MIN_RATE_PER_MS)
     }
 
     /// The retry-after time of a shed request in milliseconds, for which capacity is reserved if a slot has
-    /// room. A reservation that the client already has (`held`) is kept.
+    /// room. A reservation that the client already has (`existing`) is kept.
     fn reserve(
         &mut self,
         now_ms: f64,
         client: ClientKey,
         tenant: TenantId,
-        held: Option<Reservation>,
+        existing: Option<Reservation>,
     ) -> f64 {
-        let (min_ms, max_ms) = (self.bounds.min_retry_after_ms, self.bounds.max_retry_after_ms);
-        if let Some(held) = held.filter(|held| held.until_ms >= now_ms) {
-            return (held.from_ms - now_ms).clamp(min_ms, max_ms);
+        let (min_retry_after_ms, max_retry_after_ms) =
+            (self.bounds.min_retry_after_ms, self.bounds.max_retry_after_ms);
+        if let Some(existing) = existing.filter(|existing| existing.until_ms >= now_ms) {
+            return (existing.from_ms - now_ms).clamp(min_retry_after_ms, max_retry_after_ms);
         }
         let position = self.round_robin.client_depth(client).max(1);
-        let earliest_ms = self.expected_wait_ms(client, tenant, position).max(min_ms);
-        if earliest_ms > max_ms {
+        let earliest_ms = self.expected_wait_ms(client, tenant, position).max(min_retry_after_ms);
+        if earliest_ms > max_retry_after_ms {
             self.counters.unreserved += 1;
-            return max_ms;
+            return max_retry_after_ms;
         }
         let slot_rate = self.bounds.reservation_share * self.limit.rate_per_ms() * SLOT_MS;
         let slot_capacity = slot_rate.floor().max(1.0) as u32;
-        match self
-            .reservations
-            .reserve(now_ms, ReservationRequest { client, earliest_ms, slot_capacity, min_ms, max_ms })
-        {
+        match self.reservations.reserve(
+            now_ms,
+            ReservationRequest { client, earliest_ms, slot_capacity, min_retry_after_ms, max_retry_after_ms },
+        ) {
             Some(wait_ms) => {
                 self.counters.reserved += 1;
                 wait_ms
             }
             None => {
                 self.counters.unreserved += 1;
-                max_ms
+                max_retry_after_ms
             }
         }
     }
 
     /// Removes and returns the next request to release: first those with a reservation, then by round robin.
-    fn next_released(&mut self) -> Option<RequestId> {
+    fn pop_next(&mut self) -> Option<RequestId> {
         if let Some(id) = self.reserved_queue.pop_front() {
             return Some(id);
         }
@@ -292,16 +293,16 @@
     fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
         let request = self.queued.remove(&id)?;
         self.queued_bytes -= request.body_bytes;
-        self.deadlines.remove(&(request.deadline_key, id));
+        self.expiries.remove(&(request.expiry_key, id));
         match request.queue {
             Queue::Reserved => self.reserved_queue.retain(|queued| *queued != id),
-            Queue::Fair => self.round_robin.remove(request.client, request.tenant, id),
+            Queue::RoundRobin => self.round_robin.remove(request.client, request.tenant, id),
         }
         Some(request)
     }
 
     /// Removes a request whose client disconnected. Returns whether it was queued.
-    pub fn disconnected(&mut self, id: RequestId) -> bool {
+    pub fn remove_disconnected(&mut self, id: RequestId) -> bool {
         let was_queued = self.remove(id).is_some();
         self.counters.abandoned += u64::from(was_queued);
         was_queued
@@ -309,16 +310,21 @@
 
     /// Handles the end of an admitted request. Returns the queued requests to forward to the engine now, in
     /// order.
-    pub fn completed(&mut self, now_ms: f64, id: RequestId, completion: Completion) -> Vec<RequestId> {
-        if let Some(InFlight { admitted_at_ms, client, is_light }) = self.in_flight.remove(&id) {
-            self.light_in_flight -= usize::from(is_light);
+    pub fn complete(&mut self, now_ms: f64, id: RequestId, completion: Completion) -> Vec<RequestId> {
+        if let Some(InFlight { admitted_at_ms, client, in_light_share }) = self.in_flight.remove(&id) {
+            self.light_in_flight -= usize::from(in_light_share);
             if let Some(count) = self.in_flight_by_client.get_mut(&client) {
                 *count -= 1;
                 if *count == 0 {
                     self.in_flight_by_client.remove(&client);
                 }
             }
-            self.limit.completed(now_ms, now_ms - admitted_at_ms, completion, !self.queued.is_empty());
+            self.limit.record_completion(
+                now_ms,
+                now_ms - admitted_at_ms,
+                completion,
+                !self.queued.is_empty(),
+            );
         }
         self.release(now_ms)
     }
@@ -327,11 +333,11 @@
     pub fn release(&mut self, now_ms: f64) -> Vec<RequestId> {
         let mut released = Vec::new();
         while self.has_capacity() {
-            let Some(id) = self.next_released() else { break };
+            let Some(id) = self.pop_next() else { break };
             let Some(request) = self.queued.remove(&id) else { continue };
             self.queued_bytes -= request.body_bytes;
-            self.deadlines.remove(&(request.deadline_key, id));
-            self.start(now_ms, id, request.client, false);
+            self.expiries.remove(&(request.expiry_key, id));
+            self.record_in_flight(now_ms, id, request.client, false);
             self.counters.released += 1;
             released.push(id);
         }
@@ -342,24 +348,24 @@
     /// retry-after time.
     pub fn expire(&mut self, now_ms: f64) -> Vec<ExpiredRequest> {
         let mut expired = Vec::new();
-        while let Some(&(deadline_key, id)) = self.deadlines.first() {
-            if f64::from_bits(deadline_key) > now_ms {
+        while let Some(&(expiry_key, id)) = self.expiries.first() {
+            if f64::from_bits(expiry_key) > now_ms {
                 break;
             }
             let Some(request) = self.remove(id) else {
-                self.deadlines.remove(&(deadline_key, id));
+                self.expiries.remove(&(expiry_key, id));
                 continue;
             };
             let retry_after_ms = self.reserve(now_ms, request.client, request.tenant, None);
-            self.counters.shed[ShedReason::DeadlinePassed as usize] += 1;
+            self.counters.shed[ShedReason::ExpiredInQueue as usize] += 1;
             expired.push(ExpiredRequest { id, retry_after_ms });
         }
         expired
     }
 
     /// The earliest time at which [`Self::expire`] has a request to shed, Unix milliseconds.
-    pub fn next_deadline(&self) -> Option<f64> {
-        self.deadlines.first().map(|(deadline_key, _)| f64::from_bits(*deadline_key))
+    pub fn next_expiry_ms(&self) -> Option<f64> {
+        self.expiries.first().map(|(expiry_key, _)| f64::from_bits(*expiry_key))
     }
 
     /// An estimate of the heap memory in use without bodies, in bytes.
@@ -369,7 +375,7 @@
             + self.queued.capacity() * (size_of::<(RequestId, QueuedRequest)>() + 1)
             + self.round_robin.heap_bytes()
             + self.reserved_queue.capacity() * size_of::<RequestId>()
-            + self.deadlines.len() * DEADLINE_BYTES
+            + self.expiries.len() * EXPIRY_BYTES
             + self.reservations.heap_bytes()
     }
 }
--- a/src/admission/metrics.rs
+++ b/src/admission/metrics.rs
@@ -29,7 +29,7 @@
     limit: Gauge<f64, AtomicU64>,
     heap_bytes: Gauge,
     /// The counters at the last scrape; the next one adds the difference to the registered metrics.
-    scraped: AdmissionCounters,
+    last_scrape: AdmissionCounters,
 }
 
 impl AdmissionMetrics {
@@ -50,7 +50,7 @@
             queued: Gauge::default(),
             limit: Gauge::default(),
             heap_bytes: Gauge::default(),
-            scraped: AdmissionCounters::default(),
+            last_scrape: AdmissionCounters::default(),
         };
         metrics.register_counters();
         metrics.register_gauges();
@@ -94,7 +94,7 @@
     pub fn scrape(&mut self, queue: &FairQueue) -> String {
         self.add_counters(queue.counters);
         self.depth.clear();
-        for (tenant, depth) in queue.depths() {
+        for (tenant, depth) in queue.queued_by_tenant() {
             self.depth.get_or_create(&tenant_label(tenant)).set(depth as i64);
         }
         self.in_flight.set(queue.in_flight() as i64);
@@ -107,17 +107,17 @@
         text
     }
 
-    fn add_counters(&mut self, now: AdmissionCounters) {
-        let last = std::mem::replace(&mut self.scraped, now);
-        self.admitted.inc_by(now.admitted - last.admitted);
-        self.released.inc_by(now.released - last.released);
-        self.abandoned.inc_by(now.abandoned - last.abandoned);
-        self.reserved.inc_by(now.reserved - last.reserved);
-        self.reservations_used.inc_by(now.reservations_used - last.reservations_used);
-        self.unreserved.inc_by(now.unreserved - last.unreserved);
-        self.reservations_expired.inc_by(now.reservations_expired - last.reservations_expired);
+    fn add_counters(&mut self, current: AdmissionCounters) {
+        let previous = std::mem::replace(&mut self.last_scrape, current);
+        self.admitted.inc_by(current.admitted - previous.admitted);
+        self.released.inc_by(current.released - previous.released);
+        self.abandoned.inc_by(current.abandoned - previous.abandoned);
+        self.reserved.inc_by(current.reserved - previous.reserved);
+        self.reservations_used.inc_by(current.reservations_used - previous.reservations_used);
+        self.unreserved.inc_by(current.unreserved - previous.unreserved);
+        self.reservations_expired.inc_by(current.reservations_expired - previous.reservations_expired);
         for reason in ShedReason::ALL {
-            let shed = now.shed_for(reason) - last.shed_for(reason);
+            let shed = current.shed_for(reason) - previous.shed_for(reason);
             self.shed.get_or_create(&reason_label(reason)).inc_by(shed);
         }
     }
--- a/src/admission/reservations.rs
+++ b/src/admission/reservations.rs
@@ -14,14 +14,14 @@
 /// The length of a calendar slot, in milliseconds.
 pub const SLOT_MS: f64 = 100.0;
 /// How early a reservation may be used, in milliseconds, as client timers and network delays vary.
-pub const EARLY_MS: f64 = 50.0;
+pub const EARLY_USE_TOLERANCE_MS: f64 = 50.0;
 /// The minimum time for which a reservation stays valid after the reserved time, in milliseconds.
 const MIN_VALIDITY_MS: f64 = 500.0;
 
 /// A period in which one request of a client is served ahead of the queues.
 #[derive(Clone, Copy, Debug)]
 pub struct Reservation {
-    /// The reserved time, Unix milliseconds; a use up to [`EARLY_MS`] earlier is accepted.
+    /// The reserved time, Unix milliseconds; a use up to [`EARLY_USE_TOLERANCE_MS`] earlier is accepted.
     pub from_ms: f64,
     /// When it expires, Unix milliseconds.
     pub until_ms: f64,
@@ -29,8 +29,8 @@
 
 impl Reservation {
     /// Whether it may be used at `now_ms`.
-    pub fn is_valid(&self, now_ms: f64) -> bool {
-        now_ms >= self.from_ms - EARLY_MS && now_ms <= self.until_ms
+    pub fn is_usable(&self, now_ms: f64) -> bool {
+        now_ms >= self.from_ms - EARLY_USE_TOLERANCE_MS && now_ms <= self.until_ms
     }
 }
 
@@ -39,9 +39,9 @@
 pub struct ReservationTable {
     by_client: LruCache<ClientKey, Reservation>,
     /// The number of reservations in each slot.
-    calendar: VecDeque<u32>,
+    slot_counts: VecDeque<u32>,
     /// The start of the first slot, Unix milliseconds.
-    calendar_from_ms: f64,
+    first_slot_ms: f64,
 }
 
 /// The parameters of a new reservation.
@@ -54,9 +54,9 @@
     /// The maximum number of reservations in a slot.
     pub slot_capacity: u32,
     /// The shortest retry-after time, in milliseconds.
-    pub min_ms: f64,
+    pub min_retry_after_ms: f64,
     /// The longest retry-after time, in milliseconds.
-    pub max_ms: f64,
+    pub max_retry_after_ms: f64,
 }
 
 impl ReservationTable {
@@ -68,7 +68,7 @@
     /// Creates a table for at most `max` reservations, but at least one.
     pub fn new(max: usize) -> Self {
         let capacity = NonZeroUsize::new(max).unwrap_or(NonZeroUsize::MIN);
-        Self { by_client: LruCache::new(capacity), calendar: VecDeque::new(), calendar_from_ms: 0.0 }
+        Self { by_client: LruCache::new(capacity), slot_counts: VecDeque::new(), first_slot_ms: 0.0 }
     }
 
     /// The number of reservations.
@@ -105,36 +105,36 @@
     /// Reserves the first slot with room. Returns the retry-after time in milliseconds, or `None` if all
     /// slots up to the longest retry-after time are full.
     pub fn reserve(&mut self, now_ms: f64, request: ReservationRequest) -> Option<f64> {
-        self.advance_calendar(now_ms);
-        let first = ((now_ms + request.earliest_ms - self.calendar_from_ms) / SLOT_MS).ceil() as usize;
-        let last = ((request.max_ms / SLOT_MS) as usize).max(first);
-        let slot = (first..=last).find(|slot| self.reserved_in(*slot) < request.slot_capacity);
-        while self.calendar.len() <= slot.unwrap_or(last) {
-            self.calendar.push_back(0);
+        self.drop_past_slots(now_ms);
+        let first = ((now_ms + request.earliest_ms - self.first_slot_ms) / SLOT_MS).ceil() as usize;
+        let last = ((request.max_retry_after_ms / SLOT_MS) as usize).max(first);
+        let slot = (first..=last).find(|slot| self.reserved_in_slot(*slot) < request.slot_capacity);
+        while self.slot_counts.len() <= slot.unwrap_or(last) {
+            self.slot_counts.push_back(0);
         }
         let slot = slot?;
-        self.calendar[slot] += 1;
-        let slot_from_ms = self.calendar_from_ms + slot as f64 * SLOT_MS;
-        let wait_ms = (slot_from_ms - now_ms).clamp(request.min_ms, request.max_ms);
+        self.slot_counts[slot] += 1;
+        let slot_from_ms = self.first_slot_ms + slot as f64 * SLOT_MS;
+        let wait_ms = (slot_from_ms - now_ms).clamp(request.min_retry_after_ms, request.max_retry_after_ms);
         let until_ms = now_ms + wait_ms + (wait_ms / 2.0).max(MIN_VALIDITY_MS);
         self.by_client.put(request.client, Reservation { from_ms: now_ms + wait_ms, until_ms });
         Some(wait_ms)
     }
 
-    fn reserved_in(&self, slot: usize) -> u32 {
-        self.calendar.get(slot).copied().unwrap_or(0)
+    fn reserved_in_slot(&self, slot: usize) -> u32 {
+        self.slot_counts.get(slot).copied().unwrap_or(0)
     }
 
     /// Drops the slots that have ended.
-    fn advance_calendar(&mut self, now_ms: f64) {
-        if self.calendar.is_empty() {
-            self.calendar_from_ms = slot_start(now_ms);
+    fn drop_past_slots(&mut self, now_ms: f64) {
+        if self.slot_counts.is_empty() {
+            self.first_slot_ms = slot_start(now_ms);
         }
-        while self.calendar_from_ms + SLOT_MS <= now_ms {
-            self.calendar.pop_front();
-            self.calendar_from_ms += SLOT_MS;
-            if self.calendar.is_empty() {
-                self.calendar_from_ms = slot_start(now_ms);
+        while self.first_slot_ms + SLOT_MS <= now_ms {
+            self.slot_counts.pop_front();
+            self.first_slot_ms += SLOT_MS;
+            if self.slot_counts.is_empty() {
+                self.first_slot_ms = slot_start(now_ms);
             }
         }
     }
@@ -142,7 +142,7 @@
     /// An estimate of the heap memory in use, in bytes.
     pub fn heap_bytes(&self) -> usize {
         self.by_client.len() * (Self::NODE_BYTES + Self::KEY_BYTES + 1)
-            + self.calendar.capacity() * size_of::<u32>()
+            + self.slot_counts.capacity() * size_of::<u32>()
     }
 }
 
--- a/src/admission/round_robin.rs
+++ b/src/admission/round_robin.rs
@@ -43,9 +43,9 @@
 /// A tenant's clients with queued requests.
 #[derive(Clone, Debug, Default)]
 pub struct TenantQueue {
-    ring: VecDeque<ClientKey>,
+    client_ring: VecDeque<ClientKey>,
     deficit: f64,
-    queued: usize,
+    queued_count: usize,
 }
 
 /// The share of the capacity available to a request of a client.
@@ -63,13 +63,13 @@
     weights: Weights,
     clients: AHashMap<ClientKey, ClientQueue>,
     tenants: AHashMap<TenantId, TenantQueue>,
-    ring: VecDeque<TenantId>,
+    tenant_ring: VecDeque<TenantId>,
 }
 
 impl RoundRobin {
     /// Creates an empty scheduler.
     pub fn new(weights: Weights) -> Self {
-        Self { weights, clients: AHashMap::new(), tenants: AHashMap::new(), ring: VecDeque::new() }
+        Self { weights, clients: AHashMap::new(), tenants: AHashMap::new(), tenant_ring: VecDeque::new() }
     }
 
     /// Replaces the weights from the next round on; queued requests are kept.
@@ -87,20 +87,21 @@
 
     /// The number of queued requests of `tenant`.
     pub fn tenant_depth(&self, tenant: TenantId) -> usize {
-        self.tenants.get(&tenant).map_or(0, |queue| queue.queued)
+        self.tenants.get(&tenant).map_or(0, |queue| queue.queued_count)
     }
 
     /// The number of queued requests by tenant.
-    pub fn depths(&self) -> impl Iterator<Item = (TenantId, usize)> + '_ {
-        self.tenants.iter().map(|(tenant, queue)| (*tenant, queue.queued))
+    pub fn queued_by_tenant(&self) -> impl Iterator<Item = (TenantId, usize)> + '_ {
+        self.tenants.iter().map(|(tenant, queue)| (*tenant, queue.queued_count))
     }
 
     /// The share of the capacity available to a request of this client and tenant.
     pub fn expected_share(&self, client: ClientKey, tenant: TenantId) -> ExpectedShare {
-        let queued_weight: f64 = self.ring.iter().map(|queued| self.weights.of(*queued)).sum();
+        let queued_weight: f64 =
+            self.tenant_ring.iter().map(|queued_tenant| self.weights.of(*queued_tenant)).sum();
         let weight = self.weights.of(tenant);
-        let joining_weight = if self.ring.contains(&tenant) { 0.0 } else { weight };
-        let clients = self.tenants.get(&tenant).map_or(0, |queue| queue.ring.len())
+        let joining_weight = if self.tenant_ring.contains(&tenant) { 0.0 } else { weight };
+        let clients = self.tenants.get(&tenant).map_or(0, |queue| queue.client_ring.len())
             + usize::from(!self.clients.contains_key(&client));
         ExpectedShare {
             tenant: weight / (queued_weight + joining_weight).max(f64::MIN_POSITIVE),
@@ -114,11 +115,11 @@
         client_queue.requests.push_back(id);
         let is_first = client_queue.requests.len() == 1;
         let tenant_queue = self.tenants.entry(tenant).or_default();
-        tenant_queue.queued += 1;
+        tenant_queue.queued_count += 1;
         if is_first {
-            tenant_queue.ring.push_back(client);
-            if tenant_queue.ring.len() == 1 {
-                self.ring.push_back(tenant);
+            tenant_queue.client_ring.push_back(client);
+            if tenant_queue.client_ring.len() == 1 {
+                self.tenant_ring.push_back(tenant);
             }
         }
     }
@@ -126,13 +127,13 @@
     /// Removes and returns the next request in order.
     pub fn pop(&mut self) -> Option<RequestId> {
         let rounds_per_tenant = (1.0 / self.weights.min().max(MIN_WEIGHT)).ceil() as usize;
-        let max_turns = self.ring.len() * rounds_per_tenant + 2;
+        let max_turns = self.tenant_ring.len() * rounds_per_tenant + 2;
         for _ in 0..max_turns {
-            let &tenant = self.ring.front()?;
+            let &tenant = self.tenant_ring.front()?;
             if self.begin_turn(tenant) {
                 return Some(self.pop_from(tenant));
             }
-            self.ring.rotate_left(1);
+            self.tenant_ring.rotate_left(1);
         }
         None
     }
@@ -152,21 +153,21 @@
     /// next tenant if the deficit counter covers no further request.
     fn pop_from(&mut self, tenant: TenantId) -> RequestId {
         let tenant_queue = self.tenants.get_mut(&tenant).expect("a tenant in the ring has a queue");
-        let client = tenant_queue.ring.pop_front().expect("a tenant in the ring has clients");
+        let client = tenant_queue.client_ring.pop_front().expect("a tenant in the ring has clients");
         let client_queue = self.clients.get_mut(&client).expect("a client in a ring has a queue");
         let id = client_queue.requests.pop_front().expect("a client in a ring has requests");
         tenant_queue.deficit -= REQUEST_COST;
-        tenant_queue.queued -= 1;
+        tenant_queue.queued_count -= 1;
         if client_queue.requests.is_empty() {
             self.clients.remove(&client);
         } else {
-            tenant_queue.ring.push_back(client);
+            tenant_queue.client_ring.push_back(client);
         }
-        if tenant_queue.ring.is_empty() {
+        if tenant_queue.client_ring.is_empty() {
             self.tenants.remove(&tenant);
-            self.ring.pop_front();
+            self.tenant_ring.pop_front();
         } else if tenant_queue.deficit < REQUEST_COST {
-            self.ring.rotate_left(1);
+            self.tenant_ring.rotate_left(1);
         }
         id
     }
@@ -174,30 +175,30 @@
     /// Removes a queued request out of order, after a disconnect or at its deadline.
     pub fn remove(&mut self, client: ClientKey, tenant: TenantId, id: RequestId) {
         let Some(client_queue) = self.clients.get_mut(&client) else { return };
-        client_queue.requests.retain(|queued| *queued != id);
+        client_queue.requests.retain(|other_id| *other_id != id);
         let is_last = client_queue.requests.is_empty();
         if is_last {
             self.clients.remove(&client);
         }
         let Some(tenant_queue) = self.tenants.get_mut(&tenant) else { return };
-        tenant_queue.queued -= 1;
+        tenant_queue.queued_count -= 1;
         if is_last {
-            tenant_queue.ring.retain(|queued| *queued != client);
+            tenant_queue.client_ring.retain(|other_client| *other_client != client);
         }
-        if tenant_queue.ring.is_empty() {
+        if tenant_queue.client_ring.is_empty() {
             self.tenants.remove(&tenant);
-            self.ring.retain(|queued| *queued != tenant);
+            self.tenant_ring.retain(|other_tenant| *other_tenant != tenant);
         }
     }
 
     /// An estimate of the heap memory in use, in bytes.
     pub fn heap_bytes(&self) -> usize {
         let client_requests: usize = self.clients.values().map(|queue| queue.requests.capacity()).sum();
-        let tenant_clients: usize = self.tenants.values().map(|queue| queue.ring.capacity()).sum();
+        let tenant_clients: usize = self.tenants.values().map(|queue| queue.client_ring.capacity()).sum();
         self.clients.capacity() * (size_of::<(ClientKey, ClientQueue)>() + 1)
             + client_requests * size_of::<RequestId>()
             + self.tenants.capacity() * (size_of::<(TenantId, TenantQueue)>() + 1)
             + tenant_clients * size_of::<ClientKey>()
-            + self.ring.capacity() * size_of::<TenantId>()
+            + self.tenant_ring.capacity() * size_of::<TenantId>()
     }
 }
--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -181,7 +181,7 @@
     /// Delivers a final response, and submits the queued requests that admission control releases.
     fn complete_request(self: &Rc<Self>, id: RequestId, response: FinalResponse) {
         let now = self.clock.now();
-        let admitted = self.with_admission(|admission| admission.completed(now, id, Some(&response)));
+        let admitted = self.with_admission(|admission| admission.complete(now, id, Some(&response)));
         self.deliver(id, response);
         admitted.into_iter().flatten().for_each(|request| self.admit_queued(request));
     }
@@ -208,7 +208,7 @@
         let (sender, receiver) = oneshot::channel();
         let now = self.clock.now();
         let decision = match self.admission.borrow_mut().as_mut() {
-            Some(admission) => admission.arrive(now, request),
+            Some(admission) => admission.submit(now, request),
             None => Ok(Some(request)),
         };
         match decision {
@@ -248,7 +248,7 @@
     /// queued requests that this releases.
     fn release_admission(self: &Rc<Self>, id: RequestId) {
         let now = self.clock.now();
-        let admitted = self.with_admission(|admission| admission.completed(now, id, None));
+        let admitted = self.with_admission(|admission| admission.complete(now, id, None));
         admitted.into_iter().flatten().for_each(|request| self.admit_queued(request));
     }
 
@@ -256,7 +256,7 @@
     /// from the engine.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         self.responders.borrow_mut().remove(&id);
-        if self.with_admission(|admission| admission.disconnected(id)) == Some(true) {
+        if self.with_admission(|admission| admission.remove_disconnected(id)) == Some(true) {
             return;
         }
         self.with(|engine| engine.client_disconnected(id));
@@ -291,7 +291,7 @@
     /// Runs the timers of the engine and of admission control. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
-            let admission_due = self.with_admission(|admission| admission.next_deadline()).flatten();
+            let admission_due = self.with_admission(|admission| admission.next_expiry_ms()).flatten();
             let engine_due = self.engine.borrow_mut().next_due();
             let due = engine_due.min(admission_due.unwrap_or(f64::INFINITY));
             let wait = duration_from_ms(due - self.clock.now());
--- a/src/grpc/admission.rs
+++ b/src/grpc/admission.rs
@@ -81,7 +81,7 @@
             clock: clock.clone(),
             outcome: Cell::new(None),
         };
-        match self.with(|control| control.arrive(clock.now(), request)) {
+        match self.with(|control| control.submit(clock.now(), request)) {
             None => AdmissionResult::Admitted(permit(None)),
             Some(Ok(Some(_))) => AdmissionResult::Admitted(permit(Some(id))),
             Some(Ok(None)) => {
@@ -105,7 +105,7 @@
 
     /// The time at which [`Self::expire_queued`] is next due; infinite if no call is queued.
     pub fn next_expiry_ms(&self) -> f64 {
-        self.with(|control| control.next_deadline()).flatten().unwrap_or(f64::INFINITY)
+        self.with(|control| control.next_expiry_ms()).flatten().unwrap_or(f64::INFINITY)
     }
 
     fn decide(&self, id: u64, decision: QueueDecision) {
@@ -128,7 +128,7 @@
         let Some(id) = self.id else { return };
         let (now, admission) = (self.clock.now(), &self.admission);
         if admission.queued.borrow_mut().remove(&id).is_some() {
-            admission.with(|control| control.disconnected(id));
+            admission.with(|control| control.remove_disconnected(id));
             return;
         }
         let response = match self.outcome.get() {
@@ -141,7 +141,7 @@
             Some(CallOutcome::Failed) => Some(FinalResponse::Failed { overdue: false }),
             Some(CallOutcome::ClientDisconnected) | None => None,
         };
-        let released = admission.with(|control| control.completed(now, id, response.as_ref()));
+        let released = admission.with(|control| control.complete(now, id, response.as_ref()));
         released.into_iter().flatten().for_each(|request| admission.decide(request.id, None));
     }
 }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -23,14 +23,14 @@
     }
 }
 
-fn fair_queue(limit: f64, weights: &[(u32, f64)]) -> FairQueue {
+fn queue_with(limit: f64, weights: &[(u32, f64)]) -> FairQueue {
     let limit = LimitSettings { initial: limit, min: 1.0, max: limit, adaptive: false };
-    FairQueue::new(bounds(), limit, equal_weights_but(weights))
+    FairQueue::new(bounds(), limit, weights_with(weights))
 }
 
-/// A weight of 1 for every tenant that `named` does not list.
-fn equal_weights_but(named: &[(u32, f64)]) -> Weights {
-    Weights { default: 1.0, by_tenant: named.iter().copied().collect() }
+/// A weight of 1 for every tenant that `overrides` does not list.
+fn weights_with(overrides: &[(u32, f64)]) -> Weights {
+    Weights { default: 1.0, by_tenant: overrides.iter().copied().collect() }
 }
 
 fn arrival(id: u64, client: u128, tenant: u32, now: f64) -> Arrival {
@@ -43,7 +43,7 @@
     for _ in 0..steps {
         *now += 10.0;
         let Some(id) = (!in_flight.is_empty()).then(|| in_flight.remove(0)) else { break };
-        let released = queue.completed(*now, id, Completion::Succeeded);
+        let released = queue.complete(*now, id, Completion::Succeeded);
         in_flight.extend(&released);
         order.extend(released);
     }
@@ -52,15 +52,15 @@
 
 #[test]
 fn capacity_is_shared_by_weight_between_tenants_and_equally_between_their_clients() {
-    let mut queue = fair_queue(1.0, &[(1, 2.0), (2, 1.0)]);
+    let mut queue = queue_with(1.0, &[(1, 2.0), (2, 1.0)]);
     let mut now = 1_000.0;
-    assert_eq!(queue.arrive(now, arrival(1, 99, 9, now)), AdmissionDecision::Admit);
+    assert_eq!(queue.submit(now, arrival(1, 99, 9, now)), AdmissionDecision::Admit);
     let mut in_flight = vec![1];
     let mut tenant_of = HashMap::new();
     for k in 0..8u64 {
         // Tenant 1 has two clients, tenant 2 one.
         for (id, client, tenant) in [(100 + k, 10, 1), (200 + k, 11, 1), (300 + k, 20, 2)] {
-            assert_eq!(queue.arrive(now, arrival(id, client, tenant, now)), AdmissionDecision::Queue);
+            assert_eq!(queue.submit(now, arrival(id, client, tenant, now)), AdmissionDecision::Queue);
             tenant_of.insert(id, (client, tenant));
         }
     }
@@ -74,16 +74,16 @@
 
 #[test]
 fn requests_beyond_the_client_queue_limit_are_shed_and_other_clients_are_released_in_turn() {
-    let mut queue = fair_queue(2.0, &[]);
+    let mut queue = queue_with(2.0, &[]);
     let mut now = 1_000.0;
     let mut in_flight = Vec::new();
     for id in 1..=2 {
-        assert_eq!(queue.arrive(now, arrival(id, 1, 0, now)), AdmissionDecision::Admit);
+        assert_eq!(queue.submit(now, arrival(id, 1, 0, now)), AdmissionDecision::Admit);
         in_flight.push(id);
     }
     let mut shed = 0;
     for id in 3..=40 {
-        match queue.arrive(now, arrival(id, 1, 0, now)) {
+        match queue.submit(now, arrival(id, 1, 0, now)) {
             AdmissionDecision::Queue => {}
             AdmissionDecision::Shed { reason: ShedReason::ClientQueueFull, retry_after_ms } => {
                 assert!(retry_after_ms >= 100.0);
@@ -95,7 +95,7 @@
     assert_eq!(shed, 30, "eight requests of a client may be queued");
     // Requests of other clients are released within one round, ahead of the heavy client's backlog.
     for (id, client) in [(100, 2), (101, 3), (102, 4)] {
-        assert_eq!(queue.arrive(now, arrival(id, client, 0, now)), AdmissionDecision::Queue);
+        assert_eq!(queue.submit(now, arrival(id, client, 0, now)), AdmissionDecision::Queue);
     }
     let order = drain(&mut queue, &mut in_flight, 6, &mut now);
     let positions: Vec<usize> =
@@ -108,64 +108,64 @@
 
 #[test]
 fn a_client_that_retries_at_its_reserved_time_is_served() {
-    let mut queue = fair_queue(1.0, &[]);
+    let mut queue = queue_with(1.0, &[]);
     let mut now = 1_000.0;
-    assert_eq!(queue.arrive(now, arrival(1, 1, 0, now)), AdmissionDecision::Admit);
+    assert_eq!(queue.submit(now, arrival(1, 1, 0, now)), AdmissionDecision::Admit);
     for id in 2..=9 {
-        queue.arrive(now, arrival(id, 1, 0, now));
+        queue.submit(now, arrival(id, 1, 0, now));
     }
     // A second client's request whose deadline is sooner than the expected wait.
     let urgent = Arrival { deadline_ms: now + 30.0, ..arrival(50, 7, 0, now) };
     let AdmissionDecision::Shed { retry_after_ms, reason: ShedReason::DeadlineTooClose } =
-        queue.arrive(now, urgent)
+        queue.submit(now, urgent)
     else {
         panic!()
     };
     // Requests of a third client are queued meanwhile.
     for id in 60..=66 {
-        queue.arrive(now, arrival(id, 8, 0, now));
+        queue.submit(now, arrival(id, 8, 0, now));
     }
     let early = now + retry_after_ms - 200.0;
     let retry = Arrival { id: 51, deadline_ms: early + 30.0, ..urgent };
     assert!(
-        matches!(queue.arrive(early, retry), AdmissionDecision::Shed { .. }),
+        matches!(queue.submit(early, retry), AdmissionDecision::Shed { .. }),
         "a retry before the reserved time is shed"
     );
     now += retry_after_ms;
     let retry = Arrival { id: 52, deadline_ms: now + 5_000.0, ..urgent };
-    assert_eq!(queue.arrive(now, retry), AdmissionDecision::Queue);
-    let next = queue.completed(now + 1.0, 1, Completion::Succeeded);
+    assert_eq!(queue.submit(now, retry), AdmissionDecision::Queue);
+    let next = queue.complete(now + 1.0, 1, Completion::Succeeded);
     assert_eq!(next, [52], "the request with a reservation is released first");
     assert_eq!(queue.counters.reservations_used, 1);
 }
 
 #[test]
 fn a_queued_request_is_shed_near_its_deadline_and_a_disconnect_removes_it_from_the_queue() {
-    let mut queue = fair_queue(1.0, &[]);
+    let mut queue = queue_with(1.0, &[]);
     let now = 1_000.0;
-    assert_eq!(queue.arrive(now, arrival(1, 1, 0, now)), AdmissionDecision::Admit);
-    let short = Arrival { deadline_ms: now + 500.0, ..arrival(2, 2, 0, now) };
-    assert_eq!(queue.arrive(now, short), AdmissionDecision::Queue);
-    assert_eq!(queue.arrive(now, arrival(3, 3, 0, now)), AdmissionDecision::Queue);
-    assert_eq!(queue.next_deadline(), Some(1_480.0));
+    assert_eq!(queue.submit(now, arrival(1, 1, 0, now)), AdmissionDecision::Admit);
+    let expiring = Arrival { deadline_ms: now + 500.0, ..arrival(2, 2, 0, now) };
+    assert_eq!(queue.submit(now, expiring), AdmissionDecision::Queue);
+    assert_eq!(queue.submit(now, arrival(3, 3, 0, now)), AdmissionDecision::Queue);
+    assert_eq!(queue.next_expiry_ms(), Some(1_480.0));
     assert!(queue.expire(1_479.0).is_empty());
     let expired = queue.expire(1_480.0);
     assert_eq!(expired.iter().map(|request| request.id).collect::<Vec<_>>(), [2]);
-    assert!(queue.disconnected(3));
+    assert!(queue.remove_disconnected(3));
     assert_eq!(queue.queued(), 0);
-    assert!(queue.completed(1_500.0, 1, Completion::Succeeded).is_empty(), "neither request is released");
+    assert!(queue.complete(1_500.0, 1, Completion::Succeeded).is_empty(), "neither request is released");
 }
 
 #[test]
 fn heap_memory_stays_within_its_bound_with_a_hundred_thousand_clients() {
     let bounds = bounds();
     let limit = LimitSettings { initial: 8.0, min: 1.0, max: 8.0, adaptive: false };
-    let mut queue = FairQueue::new(bounds, limit, equal_weights_but(&[]));
+    let mut queue = FairQueue::new(bounds, limit, weights_with(&[]));
     let mut now = 1_000.0;
     let mut max_heap_bytes = 0;
     for client in 0..100_000u64 {
         now += 0.05;
-        queue.arrive(now, arrival(client, u128::from(client), (client % 300) as u32, now));
+        queue.submit(now, arrival(client, u128::from(client), (client % 300) as u32, now));
         if client % 1_000 == 0 {
             max_heap_bytes = max_heap_bytes.max(queue.heap_bytes());
             queue.expire(now);
@@ -180,66 +180,67 @@
     );
     // No state is left once all requests have ended.
     for id in 0..100_000u64 {
-        queue.completed(now, id, Completion::Succeeded);
-        queue.disconnected(id);
+        queue.complete(now, id, Completion::Succeeded);
+        queue.remove_disconnected(id);
     }
     assert_eq!((queue.queued(), queue.in_flight()), (0, 0));
 }
 
 #[test]
 fn new_weights_apply_from_the_next_round_and_queued_requests_are_kept() {
-    let mut queue = fair_queue(1.0, &[]);
+    let mut queue = queue_with(1.0, &[]);
     let mut now = 1_000.0;
-    queue.arrive(now, arrival(1, 99, 9, now));
+    queue.submit(now, arrival(1, 99, 9, now));
     let mut in_flight = vec![1];
     for k in 0..20u64 {
         assert_eq!(
-            queue.arrive(now, arrival(100 + k, 1_000 + u128::from(k), 1, now)),
+            queue.submit(now, arrival(100 + k, 1_000 + u128::from(k), 1, now)),
             AdmissionDecision::Queue
         );
         assert_eq!(
-            queue.arrive(now, arrival(200 + k, 2_000 + u128::from(k), 2, now)),
+            queue.submit(now, arrival(200 + k, 2_000 + u128::from(k), 2, now)),
             AdmissionDecision::Queue
         );
     }
-    let even = drain(&mut queue, &mut in_flight, 6, &mut now);
-    assert_eq!(even.iter().filter(|id| **id < 200).count(), 3);
-    queue.set_weights(equal_weights_but(&[(1, 3.0)]));
-    let after = drain(&mut queue, &mut in_flight, 12, &mut now);
-    let tenant1_count = after[2..10].iter().filter(|id| **id < 200).count();
-    assert_eq!(tenant1_count, 6, "weight 3 against 1 after the change: {after:?}");
-    let rest = drain(&mut queue, &mut in_flight, 100, &mut now);
-    assert_eq!(even.len() + after.len() + rest.len(), 40, "every queued request was released");
+    let before_change = drain(&mut queue, &mut in_flight, 6, &mut now);
+    assert_eq!(before_change.iter().filter(|id| **id < 200).count(), 3);
+    queue.set_weights(weights_with(&[(1, 3.0)]));
+    let after_change = drain(&mut queue, &mut in_flight, 12, &mut now);
+    let tenant1_count = after_change[2..10].iter().filter(|id| **id < 200).count();
+    assert_eq!(tenant1_count, 6, "weight 3 against 1 after the change: {after_change:?}");
+    let remaining = drain(&mut queue, &mut in_flight, 100, &mut now);
+    assert_eq!(
+        before_change.len() + after_change.len() + remaining.len(),
+        40,
+        "every queued request was released"
+    );
 }
 
 #[test]
 fn a_light_client_is_admitted_at_once_despite_the_backlog_of_a_heavy_client() {
     let limit = LimitSettings { initial: 4.0, min: 1.0, max: 4.0, adaptive: false };
-    let mut queue = FairQueue::new(
-        AdmissionBounds { light_client_share: 0.25, ..bounds() },
-        limit,
-        equal_weights_but(&[]),
-    );
+    let mut queue =
+        FairQueue::new(AdmissionBounds { light_client_share: 0.25, ..bounds() }, limit, weights_with(&[]));
     let now = 1_000.0;
     let decisions: Vec<AdmissionDecision> =
-        (1..=8).map(|id| queue.arrive(now, arrival(id, 1, 0, now))).collect();
+        (1..=8).map(|id| queue.submit(now, arrival(id, 1, 0, now))).collect();
     assert_eq!(
-        decisions.iter().filter(|v| **v == AdmissionDecision::Admit).count(),
+        decisions.iter().filter(|decision| **decision == AdmissionDecision::Admit).count(),
         3,
         "the heavy client is not admitted into the share of light clients"
     );
     assert_eq!(
-        queue.arrive(now, arrival(50, 2, 0, now)),
+        queue.submit(now, arrival(50, 2, 0, now)),
         AdmissionDecision::Admit,
         "a light client is admitted at once"
     );
     assert_eq!(
-        queue.arrive(now, arrival(51, 2, 0, now)),
+        queue.submit(now, arrival(51, 2, 0, now)),
         AdmissionDecision::Queue,
         "its second request is queued"
     );
     // Capacity outside that share is assigned round robin: the heavy client's next request, then the light
     // client's second.
-    assert_eq!(queue.completed(now + 5.0, 1, Completion::Succeeded), [4]);
-    assert_eq!(queue.completed(now + 6.0, 2, Completion::Succeeded), [51]);
+    assert_eq!(queue.complete(now + 5.0, 1, Completion::Succeeded), [4]);
+    assert_eq!(queue.complete(now + 6.0, 2, Completion::Succeeded), [51]);
 }
--- a/tests/admission_loopback.rs
+++ b/tests/admission_loopback.rs
@@ -32,11 +32,11 @@
     write: bool,
     abandon: bool,
 ) -> Option<Response> {
-    send_request_for(proxy, from, id, 0, write, abandon).await
+    send_request_in_group(proxy, from, id, 0, write, abandon).await
 }
 
 /// Like [`send_request`], for an object of `group`.
-async fn send_request_for(
+async fn send_request_in_group(
     proxy: SocketAddr,
     from: IpAddr,
     id: u64,
@@ -109,24 +109,25 @@
     fleet: &SlowCacheFleet,
     net: u8,
     name: &str,
-    admission: &str,
+    admission_json: &str,
 ) -> (Proxy, SocketAddr, SocketAddr) {
     let dir = test_dir(name);
     let ip = format!("127.0.{net}.10");
-    let port = |ip: &str| TcpListener::bind(format!("{ip}:0")).unwrap().local_addr().unwrap();
-    let (listen, mgmt) = (port(&ip), port(&ip));
+    let unused_address = |ip: &str| TcpListener::bind(format!("{ip}:0")).unwrap().local_addr().unwrap();
+    let (listen, mgmt) = (unused_address(&ip), unused_address(&ip));
     let mut text =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
-    for (k, at) in (7101..=7104).enumerate() {
-        text = text.replace(&format!("127.0.0.1:{at}"), &fleet.addresses[k].to_string());
+    for (index, port) in (7101..=7104).enumerate() {
+        text = text.replace(&format!("127.0.0.1:{port}"), &fleet.addresses[index].to_string());
     }
     let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
     let text = text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses);
     std::fs::write(dir.join("config.json"), text).unwrap();
-    std::fs::write(dir.join("admission.json"), admission).unwrap();
+    std::fs::write(dir.join("admission.json"), admission_json).unwrap();
     let log = std::fs::File::create(dir.join("proxy.log")).unwrap();
-    let (config, file) = (dir.join("config.json"), dir.join("admission.json"));
-    let args = ["serve", "--config", config.to_str().unwrap(), "--admission", file.to_str().unwrap()];
+    let (config, admission_file) = (dir.join("config.json"), dir.join("admission.json"));
+    let args =
+        ["serve", "--config", config.to_str().unwrap(), "--admission", admission_file.to_str().unwrap()];
     let proxy = Proxy(Command::new(PROGRAM).args(args).stderr(Stdio::from(log)).spawn().unwrap());
     for _ in 0..500 {
         if tokio::net::TcpStream::connect(listen).await.is_ok() {
@@ -145,9 +146,9 @@
             "come_back_least_ms":100,"come_back_most_ms":3000}"#;
         let (_proxy, listen, mgmt) = start_proxy(&fleet, 72, "admission-loopback", admission).await;
         let ids = RequestIds::default();
-        let next = || ids.next();
+        let next_id = || ids.next();
         // Ten other clients, each with a request every 100 ms.
-        let others = |seconds: f64, responses: Rc<RefCell<Vec<Response>>>| {
+        let start_light_clients = |seconds: f64, responses: Rc<RefCell<Vec<Response>>>| {
             let ids = ids.clone();
             (0..10u8).map(move |k| {
                 let (responses, ids) = (responses.clone(), ids.clone());
@@ -163,8 +164,8 @@
                 })
             })
         };
-        let alone: Rc<RefCell<Vec<Response>>> = Rc::default();
-        for task in others(3.0, alone.clone()).collect::<Vec<_>>() {
+        let without_heavy: Rc<RefCell<Vec<Response>>> = Rc::default();
+        for task in start_light_clients(3.0, without_heavy.clone()).collect::<Vec<_>>() {
             task.await.unwrap();
         }
         // The heavy client: twenty loops with a request every 20 ms each, a hundred times the rate of another
@@ -205,7 +206,8 @@
                     .collect();
                 let mut retry_after_times = Vec::new();
                 for request in burst {
-                    retry_after_times.extend(request.await.unwrap().and_then(|g| g.retry_after_ms));
+                    retry_after_times
+                        .extend(request.await.unwrap().and_then(|response| response.retry_after_ms));
                 }
                 let max_retry_after_ms = retry_after_times.iter().copied().fold(0.0, f64::max);
                 tokio::time::sleep(Duration::from_secs_f64(max_retry_after_ms / 1_000.0)).await;
@@ -213,12 +215,12 @@
                 (retry_after_times.len(), max_retry_after_ms, retry_response)
             })
         };
-        let contended: Rc<RefCell<Vec<Response>>> = Rc::default();
-        let tasks: Vec<_> = others(3.0, contended.clone()).collect();
+        let with_heavy: Rc<RefCell<Vec<Response>>> = Rc::default();
+        let tasks: Vec<_> = start_light_clients(3.0, with_heavy.clone()).collect();
         // Ad-posts of the heavy client while its queue is full: those that are shed must not be forwarded.
         let mut shed_posts = Vec::new();
         for _ in 0..5 {
-            let id = next();
+            let id = next_id();
             let response = send_request(listen, heavy_from, id, true, false).await.unwrap();
             if response.status == 503 {
                 shed_posts.push(id);
@@ -226,7 +228,7 @@
             assert!(response.status == 503 || response.status == 200, "{response:?}");
         }
         // Clients that disconnect while their requests are queued.
-        let abandoned: Vec<u64> = (0..10).map(|_| next()).collect();
+        let abandoned: Vec<u64> = (0..10).map(|_| next_id()).collect();
         for id in &abandoned {
             send_request(listen, "127.0.73.40".parse().unwrap(), *id, false, true).await;
         }
@@ -242,31 +244,31 @@
         let retry_response = retry_response.expect("a response to the retry");
         assert_eq!(retry_response.status, 200, "retry after {max_retry_after_ms} ms: {retry_response:?}");
         let retry_after_times: Vec<f64> =
-            heavy_responses.borrow().iter().filter_map(|g| g.retry_after_ms).collect();
+            heavy_responses.borrow().iter().filter_map(|response| response.retry_after_ms).collect();
         assert!(
             !retry_after_times.is_empty(),
             "no request of the heavy client was shed with a retry-after time"
         );
-        let (alone, contended) = (alone.borrow().clone(), contended.borrow().clone());
+        let (without_heavy, with_heavy) = (without_heavy.borrow().clone(), with_heavy.borrow().clone());
         assert!(
-            alone.iter().chain(&contended).all(|g| g.status == 200),
+            without_heavy.iter().chain(&with_heavy).all(|response| response.status == 200),
             "a request of another client was not served"
         );
-        let (median_alone, median_contended) = (
-            median(alone.iter().map(|g| g.latency_ms).collect()),
-            median(contended.iter().map(|g| g.latency_ms).collect()),
+        let (median_without_heavy, median_with_heavy) = (
+            median(without_heavy.iter().map(|response| response.latency_ms).collect()),
+            median(with_heavy.iter().map(|response| response.latency_ms).collect()),
         );
-        let heavy_served = heavy_responses.borrow().iter().filter(|g| g.status == 200).count();
+        let heavy_served = heavy_responses.borrow().iter().filter(|response| response.status == 200).count();
         println!(
-            "median latency of the other clients: {median_alone:.1} ms alone, \
-             {median_contended:.1} ms with the heavy client; heavy client served {heavy_served} of {}",
+            "median latency of the other clients: {median_without_heavy:.1} ms alone, \
+             {median_with_heavy:.1} ms with the heavy client; heavy client served {heavy_served} of {}",
             heavy_responses.borrow().len()
         );
         // Without fair queues the other clients would wait for a second or more, so the bound leaves room for
         // the delays of a busy machine. `examples/admission_heavy.rs` measures the latency precisely.
         assert!(
-            median_contended <= (1.2 * median_alone).max(median_alone + 60.0),
-            "median latency of the other clients went from {median_alone:.1} ms to {median_contended:.1} ms"
+            median_with_heavy <= (1.2 * median_without_heavy).max(median_without_heavy + 60.0),
+            "median latency of the other clients went from {median_without_heavy:.1} ms to {median_with_heavy:.1} ms"
         );
         assert!(heavy_served > 0, "the heavy client was never served");
         for id in shed_posts {
@@ -301,19 +303,19 @@
             let text = String::from_utf8_lossy(&response.unwrap().body).to_string();
             text.lines().find_map(|l| l.strip_prefix(name)?.trim().parse::<u64>().ok()).unwrap_or(0)
         };
-        let wait_for =
+        let wait_until_metric =
             |name: &'static str, expected: u64| async move { while metric(name).await != expected {} };
         let from: IpAddr = "127.0.78.40".parse().unwrap();
         let first = spawn_local(send_request(listen, from, 1, false, false));
-        wait_for("door_open ", 1).await;
-        let leaving = spawn_local(send_request(listen, from, 2, false, false));
-        wait_for("door_queued ", 1).await;
-        leaving.abort();
-        wait_for("door_left_total ", 1).await;
+        wait_until_metric("door_open ", 1).await;
+        let disconnecting = spawn_local(send_request(listen, from, 2, false, false));
+        wait_until_metric("door_queued ", 1).await;
+        disconnecting.abort();
+        wait_until_metric("door_left_total ", 1).await;
         assert_eq!(metric("door_queued ").await, 0);
-        let next = spawn_local(send_request(listen, from, 3, false, false));
+        let following = spawn_local(send_request(listen, from, 3, false, false));
         assert_eq!(first.await.unwrap().unwrap().status, 200);
-        assert_eq!(next.await.unwrap().unwrap().status, 200);
+        assert_eq!(following.await.unwrap().unwrap().status, 200);
         let was_received = |id: u64| fleet.request_ids.borrow().contains(&format!("{id:016x}"));
         assert_eq!([1, 2, 3].map(was_received), [true, false, true]);
     });
@@ -323,12 +325,12 @@
 fn weights_reloaded_by_sighup_apply_within_a_second_and_no_queued_request_is_lost() {
     run(async {
         let fleet = SlowCacheFleet::start(76, 4, 8, 20).await;
-        let file = |w: f64| {
+        let admission_json = |weight: f64| {
             format!(
-                r#"{{"limit":{{"first":8,"least":8,"most":8}},"reserve_share":0,"tenants":[{{"groups":[1],"weight":{w}}}]}}"#
+                r#"{{"limit":{{"first":8,"least":8,"most":8}},"reserve_share":0,"tenants":[{{"groups":[1],"weight":{weight}}}]}}"#
             )
         };
-        let (proxy, listen, _) = start_proxy(&fleet, 76, "admission-reload", &file(1.0)).await;
+        let (proxy, listen, _) = start_proxy(&fleet, 76, "admission-reload", &admission_json(1.0)).await;
         let ids = RequestIds::default();
         // Two tenants with 24 clients each, every client with one request outstanding at all times. That
         // exceeds the limit, so that the queues are never empty and the weights decide.
@@ -341,34 +343,43 @@
                     let group = 1 + u32::from(k % 2);
                     let from: IpAddr = format!("127.0.77.{}", 10 + k).parse().unwrap();
                     while Instant::now() < end {
-                        let response = send_request_for(listen, from, ids.next(), group, false, false).await;
-                        responses.borrow_mut().push((Instant::now(), group, response.map(|g| g.status)));
+                        let response =
+                            send_request_in_group(listen, from, ids.next(), group, false, false).await;
+                        responses.borrow_mut().push((
+                            Instant::now(),
+                            group,
+                            response.map(|response| response.status),
+                        ));
                     }
                 })
             })
             .collect();
         tokio::time::sleep(Duration::from_millis(1_500)).await;
-        std::fs::write(test_dir("admission-reload").join("admission.json"), file(3.0)).unwrap();
+        std::fs::write(test_dir("admission-reload").join("admission.json"), admission_json(3.0)).unwrap();
         assert!(Command::new("kill").args(["-HUP", &proxy.0.id().to_string()]).status().unwrap().success());
         let reloaded_at = Instant::now();
         for task in loops {
             task.await.unwrap();
         }
         let responses = responses.borrow();
-        let share = |from: Instant, to: Instant| {
+        let served_between = |from: Instant, to: Instant| {
             let served = |group| {
                 responses
                     .iter()
-                    .filter(|(at, g, s)| *at >= from && *at < to && *g == group && *s == Some(200))
+                    .filter(|(at, response_group, status)| {
+                        *at >= from && *at < to && *response_group == group && *status == Some(200)
+                    })
                     .count()
             };
             (served(1), served(2))
         };
-        let before = share(reloaded_at - Duration::from_millis(1_000), reloaded_at);
-        let after =
-            share(reloaded_at + Duration::from_millis(200), reloaded_at + Duration::from_millis(1_200));
+        let before = served_between(reloaded_at - Duration::from_millis(1_000), reloaded_at);
+        let after = served_between(
+            reloaded_at + Duration::from_millis(200),
+            reloaded_at + Duration::from_millis(1_200),
+        );
         println!("served before {before:?}, after {after:?}");
-        let ratio = |(a, b): (usize, usize)| a as f64 / b.max(1) as f64;
+        let ratio = |(first, second): (usize, usize)| first as f64 / second.max(1) as f64;
         assert!((0.7..1.4).contains(&ratio(before)), "shares should be even before the reload: {before:?}");
         assert!(ratio(after) > 2.2, "shares should be three to one after the reload: {after:?}");
         assert!(responses.iter().all(|(_, _, status)| status.is_some()), "a request got no response");
--- a/tests/http3.rs
+++ b/tests/http3.rs
@@ -96,7 +96,7 @@
     }
 
     fn execution_count(&self, id: u64) -> u32 {
-        self.fleet.keys.borrow().get(&format!("k{id:x}")).copied().unwrap_or(0)
+        self.fleet.requests_by_idempotency_key.borrow().get(&format!("k{id:x}")).copied().unwrap_or(0)
     }
 }
 
@@ -442,7 +442,7 @@
         );
         assert_eq!(shares[0], 1.0, "the clean link");
         assert!(shares[1] >= 0.9 * shares[0], "served in time: clean {}, impaired {}", shares[0], shares[1]);
-        let keys = fixture.fleet.keys.borrow();
+        let keys = fixture.fleet.requests_by_idempotency_key.borrow();
         assert!(
             keys.len() == 60 && keys.values().all(|n| *n == 1),
             "an ad-post was executed twice: {keys:?}"
@@ -546,7 +546,10 @@
             let client = client.clone();
             async move { client.put_ad_post(9, 3_000).await }
         });
-        wait_until("the request reaches a cache", || fleet.keys.borrow().contains_key("k9")).await;
+        wait_until("the request reaches a cache", || {
+            fleet.requests_by_idempotency_key.borrow().contains_key("k9")
+        })
+        .await;
         program.signal("-TERM");
         assert_eq!(slow.await.unwrap().unwrap().status, 200, "an open request is answered");
         program.exits_successfully().await;
--- a/tests/stand_ins/slow_cache_fleet.rs
+++ b/tests/stand_ins/slow_cache_fleet.rs
@@ -18,7 +18,7 @@
     pub addresses: Vec<SocketAddr>,
     pub request_ids: Rc<RefCell<HashSet<String>>>,
     /// The number of requests by idempotency key.
-    pub keys: Rc<RefCell<HashMap<String, u32>>>,
+    pub requests_by_idempotency_key: Rc<RefCell<HashMap<String, u32>>>,
     /// The body size of responses to parts above 0; other bodies are short.
     pub part_bytes: Rc<Cell<usize>>,
     /// The processing time of a request, in milliseconds.
@@ -35,21 +35,21 @@
 }
 
 impl SlowCacheFleet {
-    /// Starts `caches` listeners at `127.0.NET.1` and up, which share `slots`. A request takes `work_ms`.
-    pub async fn start(net: u8, caches: usize, slots: usize, work_ms: u64) -> Self {
+    /// Starts `cache_count` listeners at `127.0.NET.1` and up, which share `slots`. A request takes `work_ms`.
+    pub async fn start(net: u8, cache_count: usize, slots: usize, work_ms: u64) -> Self {
         let slots = Rc::new(Semaphore::new(slots));
         let request_ids: Rc<RefCell<HashSet<String>>> = Rc::default();
         let arrivals: Rc<RefCell<Vec<(usize, f64)>>> = Rc::default();
-        let keys: Rc<RefCell<HashMap<String, u32>>> = Rc::default();
+        let requests_by_idempotency_key: Rc<RefCell<HashMap<String, u32>>> = Rc::default();
         let (part_bytes, work_ms): (Rc<Cell<usize>>, _) =
             (Rc::new(Cell::new(9)), Rc::new(Cell::new(work_ms)));
         let cancelled: Rc<Cell<u32>> = Rc::default();
         let mut addresses = Vec::new();
-        for k in 0..caches {
-            let listener = TcpListener::bind(format!("127.0.{net}.{}:0", k + 1)).await.unwrap();
+        for cache in 0..cache_count {
+            let listener = TcpListener::bind(format!("127.0.{net}.{}:0", cache + 1)).await.unwrap();
             addresses.push(listener.local_addr().unwrap());
-            let (slots, request_ids, arrivals, keys) =
-                (slots.clone(), request_ids.clone(), arrivals.clone(), keys.clone());
+            let (slots, request_ids, arrivals, requests_by_idempotency_key) =
+                (slots.clone(), request_ids.clone(), arrivals.clone(), requests_by_idempotency_key.clone());
             let shared = (work_ms.clone(), part_bytes.clone(), cancelled.clone());
             spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
@@ -59,13 +59,13 @@
                         stream,
                         slots,
                         request_ids,
-                        (k, arrivals, keys.clone()),
+                        (cache, arrivals, requests_by_idempotency_key.clone()),
                         shared.clone(),
                     ));
                 }
             });
         }
-        Self { addresses, request_ids, arrivals, keys, part_bytes, work_ms, cancelled }
+        Self { addresses, request_ids, arrivals, requests_by_idempotency_key, part_bytes, work_ms, cancelled }
     }
 }
 
@@ -78,7 +78,7 @@
     stream: TcpStream,
     slots: Rc<Semaphore>,
     request_ids: Rc<RefCell<HashSet<String>>>,
-    (cache, arrivals, keys): ArrivalLog,
+    (cache, arrivals, requests_by_idempotency_key): ArrivalLog,
     (work_ms, part_bytes, cancelled): ResponseState,
 ) {
     let (read, write) = stream.into_split();
@@ -89,10 +89,10 @@
         let fields: Vec<String> = line.split_whitespace().map(String::from).collect();
         line.clear();
         if fields.len() != 4 || fields[0] != "GET" {
-            cancelled.set(cancelled.get() + u32::from(fields.first().is_some_and(|w| w == "DROP")));
+            cancelled.set(cancelled.get() + u32::from(fields.first().is_some_and(|verb| verb == "DROP")));
             continue;
         }
-        let part = fields[2].split(',').any(|f| f.strip_prefix("p=").is_some_and(|p| p != "0"));
+        let is_later_part = fields[2].split(',').any(|f| f.strip_prefix("p=").is_some_and(|p| p != "0"));
         let mut body = vec![0; fields[3].parse::<usize>().unwrap_or(0) + 2];
         if read.read_exact(&mut body).await.is_err() {
             return;
@@ -100,14 +100,14 @@
         request_ids.borrow_mut().insert(fields[1].clone());
         arrivals.borrow_mut().push((cache, unix_ms()));
         if let Some(key) = fields[2].split(',').find_map(|field| field.strip_prefix("i=")) {
-            *keys.borrow_mut().entry(key.to_string()).or_default() += 1;
+            *requests_by_idempotency_key.borrow_mut().entry(key.to_string()).or_default() += 1;
         }
         let (slots, write, id) = (slots.clone(), write.clone(), fields[1].clone());
         let (work_ms, part_bytes) = (work_ms.clone(), part_bytes.clone());
         spawn_local(async move {
             let Ok(_slot) = slots.acquire().await else { return };
             tokio::time::sleep(Duration::from_millis(work_ms.get())).await;
-            let bytes: Vec<u8> = match part {
+            let bytes: Vec<u8> = match is_later_part {
                 true => (0..part_bytes.get()).map(|k| (k % 251) as u8).collect(),
                 false => b"the bytes".to_vec(),
             };
--- a/tests/vrrp_service.rs
+++ b/tests/vrrp_service.rs
@@ -168,7 +168,7 @@
 
 /// Number of ad-post requests that reached the caches more than once although the client sent them once.
 fn count_duplicates(fleet: &SlowCacheFleet, outcomes: &[(u64, bool, RequestOutcome)]) -> usize {
-    let keys = fleet.keys.borrow();
+    let keys = fleet.requests_by_idempotency_key.borrow();
     let is_duplicated = |id: u64| keys.get(&format!("k{id:x}")).copied().unwrap_or(0) > 1;
     outcomes
         .iter()
@@ -200,7 +200,7 @@
         assert!(before > 20 && after > 20, "requests before and after: {before}, {after}");
         assert_eq!(count_duplicates(&fleet, &outcomes), 0, "an ad-post request was duplicated");
         // A retried ad-post request carries the same key, by which the caches detect duplicates.
-        assert!(fleet.keys.borrow().keys().all(|key| key.starts_with('k')));
+        assert!(fleet.requests_by_idempotency_key.borrow().keys().all(|key| key.starts_with('k')));
     });
 }
 
