--- a/src/admission/bounds.rs
+++ b/src/admission/bounds.rs
@@ -7,10 +7,10 @@
 use crate::RequestId;
 use std::mem::size_of;
 
-/// The capacity of a non-empty `VecDeque` is at least this many items.
+/// The minimum capacity of a non-empty `VecDeque` of small items.
 const MIN_DEQUE_CAPACITY: usize = 4;
 
-/// The bounds of admission control.
+/// Limits on the queues, reservations and retry-after times of admission control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionBounds {
     /// The maximum number of queued requests.
@@ -31,7 +31,8 @@
     pub min_retry_after_ms: f64,
     /// The longest retry-after time, in milliseconds.
     pub max_retry_after_ms: f64,
-    /// A queued request is shed when less than this time remains before its deadline, in milliseconds.
+    /// The time that must remain before the deadline of a request when it leaves the queue, in milliseconds.
+    /// A request is shed if it is not expected to meet this, or if it no longer meets it while queued.
     pub min_service_ms: f64,
 }
 
--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -1,7 +1,8 @@
 //! The concurrency limit: the maximum number of admitted requests in flight.
 //!
-//! It is fixed, or adapts by additive increase and multiplicative decrease (AIMD): it grows while requests
-//! succeed and others are queued, and shrinks on overload, at most once per [`DECREASE_INTERVAL_MS`].
+//! The limit is either fixed or adapts by additive increase and multiplicative decrease (AIMD): it increases
+//! while requests succeed and others are queued, and decreases on overload, at most once per
+//! [`DECREASE_INTERVAL_MS`].
 
 use super::decision::Completion;
 use serde::Deserialize;
@@ -68,7 +69,7 @@
         self.current / self.mean_service_ms.max(1.0)
     }
 
-    /// Updates the limit and the mean service time after an admitted request ended. `has_queued` tells
+    /// Updates the limit and the mean service time after an admitted request ended. `has_queued` is
     /// whether other requests are queued.
     pub fn record_completion(
         &mut self,
--- a/src/admission/config.rs
+++ b/src/admission/config.rs
@@ -1,5 +1,5 @@
-//! The configuration file of admission control, `serve --admission FILE`. Without it every request is
-//! forwarded to the engine at once.
+//! The configuration file of admission control, `serve --admission FILE`. Without it, every request is
+//! forwarded to the engine immediately.
 
 use super::bounds::AdmissionBounds;
 use super::concurrency_limit::LimitSettings;
@@ -15,39 +15,40 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The allowed weights of a tenant.
+/// The allowed range of weights.
 const WEIGHT_RANGE: RangeInclusive<f64> = 0.01..=100.0;
 /// The largest allowed concurrency limit, in requests.
 const MAX_LIMIT: f64 = 100_000.0;
-/// The largest allowed maximum of queued requests.
+/// The upper limit of `queue_most`.
 const MAX_QUEUED_LIMIT: usize = 1_000_000;
-/// The largest allowed maximum of queued body bytes.
+/// The upper limit of `bytes_most`.
 const MAX_QUEUED_BYTES_LIMIT: usize = 1 << 32;
-/// The largest allowed maximum of reservations.
+/// The upper limit of `tickets_most`.
 const MAX_RESERVATIONS_LIMIT: usize = 10_000_000;
-/// The largest allowed retry-after time, in milliseconds.
+/// The upper limit of `come_back_most_ms`, in milliseconds.
 const MAX_RETRY_AFTER_LIMIT_MS: f64 = 3_600_000.0;
-/// The largest allowed [`AdmissionConfig::min_service_ms`], in milliseconds.
+/// The upper limit of `least_service_ms`, in milliseconds.
 const MIN_SERVICE_LIMIT_MS: f64 = 60_000.0;
-/// The largest allowed share of the concurrency limit for light clients.
+/// The upper limit of `reserve_share`.
 const MAX_LIGHT_CLIENT_SHARE: f64 = 0.9;
-/// Set in the keys of IPv4 clients, to keep them distinct from IPv6 addresses.
+/// Set in the keys of IPv4 clients. It places them in `0:1::/96`, a range that is reserved by the IETF and
+/// not used by IPv6 clients.
 const IPV4_CLIENT: ClientKey = 1 << 96;
 
 /// Why a value of the file is invalid.
 #[derive(Debug, Error)]
 pub enum BadValue {
-    /// A tenant has no groups, or its weight is out of range.
+    /// A tenant lists no group, or its weight is outside the allowed range.
     #[error("every tenant needs at least one group and a weight from 0.01 to 100")]
     Tenant,
     /// A group is listed more than once.
     #[error("group {0} is listed more than once")]
     DuplicateGroup(u32),
-    /// A prefix is longer than the addresses of its family.
-    #[error("prefix length must be at most 32, and at most 128 for client_prefix_v6")]
+    /// A prefix length exceeds the address length of its family.
+    #[error("prefix length exceeds 32, or that of `client_prefix_v6` exceeds 128")]
     Prefix,
-    /// A number is out of the given range.
-    #[error("out of bounds: {0}")]
+    /// A number is outside its allowed range.
+    #[error("value is outside the allowed range: {0}")]
     OutOfBounds(&'static str),
 }
 
@@ -55,13 +56,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantConfig {
-    /// The tenant's groups: values of `X-Set`, or groups of signed URLs.
+    /// The groups of the tenant: values of the `X-Set` header or groups of signed URLs.
     pub groups: Vec<u32>,
-    /// The tenant's weight.
+    /// The tenant's share of the capacity, relative to the weights of the other tenants.
     pub weight: f64,
 }
 
-/// The configuration file.
+/// The contents of the configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdmissionConfig {
@@ -94,7 +95,8 @@
     /// The longest retry-after time, in milliseconds.
     #[serde(rename = "come_back_most_ms", default = "max_retry_after_ms")]
     pub max_retry_after_ms: f64,
-    /// A queued request is shed when less than this time remains before its deadline, in milliseconds.
+    /// The time that must remain before the deadline of a request when it leaves the queue, in milliseconds.
+    /// A request is shed if it is not expected to meet this, or if it no longer meets it while queued.
     #[serde(rename = "least_service_ms", default = "min_service_ms")]
     pub min_service_ms: f64,
     /// The prefix length at which IPv4 addresses are grouped into one client.
@@ -103,7 +105,7 @@
     /// The prefix length at which IPv6 addresses are grouped into one client.
     #[serde(default = "client_prefix_v6")]
     pub client_prefix_v6: u8,
-    /// Networks whose requests bypass admission control, such as those of health checks.
+    /// Networks whose requests bypass admission control, such as the networks of health checkers.
     #[serde(default)]
     pub exempt: Vec<IpNet>,
     /// The weight of tenants that are not listed in `tenants`.
@@ -283,13 +285,13 @@
         }
     }
 
-    /// The weights of tenants.
+    /// The default weight, and the weights of the listed tenants by tenant id.
     pub fn weights(&self) -> Weights {
         let by_tenant = self.tenants.iter().map(|tenant| (tenant.groups[0], tenant.weight)).collect();
         Weights { default: self.default_weight, by_tenant }
     }
 
-    /// The tenant that lists `group`. A group that none lists is a tenant by itself.
+    /// The tenant that lists `group`. A group that no tenant lists is a tenant of its own.
     pub fn tenant_of(&self, group: u32) -> TenantId {
         let tenant = self.tenants.iter().find(|tenant| tenant.groups.contains(&group));
         tenant.map_or(group, |tenant| tenant.groups[0])
@@ -315,7 +317,7 @@
     }
 }
 
-/// Returns an error for `field`, with the text `allowed`, unless `is_valid`.
+/// Returns an error for `field` unless `is_valid`. `allowed` is the allowed range as text.
 fn require(field: &'static str, is_valid: bool, allowed: &'static str) -> Result<(), FieldError> {
     if is_valid {
         return Ok(());
--- a/src/admission/control.rs
+++ b/src/admission/control.rs
@@ -1,4 +1,5 @@
-//! Admission control as the executor uses it: [`FairQueue`] decides, and the queued requests are stored here.
+//! The interface of admission control to the executor. [`FairQueue`] makes the decisions; this module stores
+//! the queued requests.
 
 use super::config::{AdmissionConfig, ExemptNetworks};
 use super::decision::{AdmissionDecision, Arrival, Completion, ExpiredRequest};
@@ -11,7 +12,7 @@
 /// Why a request is neither admitted nor queued.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NotAdmitted {
-    /// It was shed.
+    /// The request was shed.
     Shed {
         /// When the client should retry, in milliseconds from now.
         retry_after_ms: f64,
@@ -20,7 +21,7 @@
     Duplicate,
 }
 
-/// Admission control: a [`FairQueue`], the queued requests and the metrics.
+/// Admits, queues or sheds requests, and stores the queued ones.
 pub struct AdmissionControl {
     queue: FairQueue,
     config: AdmissionConfig,
@@ -30,8 +31,7 @@
 }
 
 impl AdmissionControl {
-    /// Creates admission control from its configuration. The names of its metrics begin with
-    /// `metrics_prefix`.
+    /// Creates admission control. `metrics_prefix` is prepended to the names of its metrics.
     pub fn new(config: AdmissionConfig, metrics_prefix: &str) -> Self {
         Self {
             queue: FairQueue::new(config.bounds(), config.limit, config.weights()),
@@ -42,21 +42,22 @@
         }
     }
 
-    /// Applies the weights and exempt networks of a reloaded configuration; queued requests are kept. Changes
-    /// of the bounds and of the limit take effect only at a restart.
+    /// Applies the weights and exempt networks of a reloaded configuration; queued requests are kept. Changed
+    /// bounds and a changed concurrency limit take effect only after a restart.
     pub fn reconfigure(&mut self, config: AdmissionConfig) {
         self.queue.set_weights(config.weights());
         self.exempt = config.exempt_networks();
         self.config = config;
     }
 
-    /// How full the queue is, from 0 to 1.
+    /// The number of queued requests as a fraction of `max_queued`.
     pub fn queue_fill(&self) -> f64 {
         self.queue.queued() as f64 / self.config.max_queued.max(1) as f64
     }
 
-    /// Decides on a newly received request. Returns the request if it is to be forwarded to the engine now,
-    /// or `None` if it was queued.
+    /// Decides on a newly received request. Returns the request if it must be forwarded to the engine now,
+    /// or `None` if it was queued. Requests without a client address and those from exempt networks are
+    /// always forwarded.
     pub fn submit(
         &mut self,
         now_ms: f64,
@@ -84,7 +85,7 @@
     }
 
     /// Handles the end of an admitted request, with its response if it has one. Returns the queued requests
-    /// that are to be forwarded to the engine now.
+    /// that must be forwarded to the engine now.
     pub fn complete(
         &mut self,
         now_ms: f64,
@@ -95,14 +96,15 @@
         released.into_iter().filter_map(|id| self.queued.remove(&id)).collect()
     }
 
-    /// Removes a request whose client disconnected. Returns whether it was queued, so that nothing was
-    /// forwarded.
+    /// Removes a request from the queue after its client disconnected. Returns whether it was queued; if so,
+    /// it was not forwarded.
     pub fn remove_disconnected(&mut self, id: RequestId) -> bool {
         self.queued.remove(&id);
         self.queue.remove_disconnected(id)
     }
 
-    /// Sheds the queued requests that can no longer be served before their deadline.
+    /// Sheds the queued requests with no more than [`AdmissionConfig::min_service_ms`] left before their
+    /// deadline, and returns them.
     pub fn expire(&mut self, now_ms: f64) -> Vec<ExpiredRequest> {
         let expired = self.queue.expire(now_ms);
         expired.iter().for_each(|request| drop(self.queued.remove(&request.id)));
--- a/src/admission/decision.rs
+++ b/src/admission/decision.rs
@@ -11,13 +11,13 @@
 /// A newly received request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// The request's id.
+    /// The id of the request, unique among queued and admitted requests.
     pub id: RequestId,
     /// The client that sent it.
     pub client: ClientKey,
-    /// The tenant of the requested object.
+    /// The tenant to which the requested object belongs.
     pub tenant: TenantId,
-    /// When the client stops waiting, Unix milliseconds.
+    /// The time after which the client no longer waits for a response, in Unix milliseconds.
     pub deadline_ms: f64,
     /// Size of the body, in bytes.
     pub body_bytes: usize,
@@ -32,9 +32,9 @@
     TenantQueueFull,
     /// The queue has reached its limit of requests or of body bytes.
     QueueFull,
-    /// By the expected wait, it cannot be served before its deadline.
+    /// After the expected wait, less than the minimum service time would remain before the deadline.
     DeadlineTooClose,
-    /// It was queued until too little time was left before its deadline.
+    /// While the request was queued, the time left before its deadline fell to the minimum service time.
     ExpiredInQueue,
 }
 
@@ -63,15 +63,15 @@
 /// The decision on a newly received request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionDecision {
-    /// It is forwarded to the engine now.
+    /// The request is forwarded to the engine now.
     Admit,
-    /// It is queued until capacity is free.
+    /// The request waits in the queue until capacity is available.
     Queue,
-    /// It is rejected now. Nothing was forwarded, so it is safe to retry.
+    /// The request is rejected without being forwarded, so that a retry is safe.
     Shed {
         /// When the client should retry, in milliseconds from now.
         retry_after_ms: f64,
-        /// The reason.
+        /// Why the request is shed.
         reason: ShedReason,
     },
     /// A request with this id is already queued or in flight.
@@ -90,7 +90,7 @@
 /// How an admitted request ended, as input to the concurrency limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// Answered in time.
+    /// Served, or answered as not modified.
     Succeeded,
     /// Rejected by the engine or past its deadline, a sign of overload.
     Overloaded,
@@ -111,9 +111,9 @@
     pub abandoned: u64,
     /// Reservations made.
     pub reserved: u64,
-    /// Reservations used by a retry in their validity period.
+    /// Reservations used by a retry within their validity period.
     pub reservations_used: u64,
-    /// Requests shed whose client got no reservation.
+    /// Shed requests for which no slot could be reserved.
     pub unreserved: u64,
     /// Reservations that expired unused.
     pub reservations_expired: u64,
--- a/src/admission/fair_queue.rs
+++ b/src/admission/fair_queue.rs
@@ -5,19 +5,21 @@
 //! tenants, and equally between the clients of a tenant.
 //!
 //! **Light clients.** A share of the concurrency limit ([`AdmissionBounds::light_client_share`]) is kept for
-//! clients with no request in flight or queued. They are admitted into it at once, so that they do not wait
-//! behind the backlog of a heavy client. Queued requests are released into the rest of the limit.
+//! clients with no request in flight or queued. Their requests are admitted immediately while the limit has
+//! capacity and no request with a reservation is queued, and so do not wait behind the backlog of a heavy
+//! client. Requests in the round-robin queues are released only into the rest of the limit.
 //!
-//! **Capacity.** The number of admitted requests in flight is at most [`ConcurrencyLimit::capacity`].
+//! **Capacity.** A request is admitted only while fewer than [`ConcurrencyLimit::capacity`] requests are in
+//! flight.
 //!
 //! **Memory.** Only clients with requests queued or in flight have state. The queue is bounded in requests
 //! and body bytes, and the reservations in number: see [`FairQueue::heap_bytes`] and
 //! [`AdmissionBounds::max_heap_bytes`].
 //!
-//! **Retry-after times.** A request that cannot be served before its deadline is shed at once. Its
-//! retry-after time is the expected wait for its client's share of the capacity, and is reserved in
-//! [`ReservationTable`]: a retry at that time is served ahead of the queues. If no time can be reserved, the
-//! longest retry-after time is returned.
+//! **Retry-after times.** A request that cannot be served before its deadline is shed immediately. Its
+//! retry-after time is the start of the first slot with room after the expected wait. The slot is reserved in
+//! [`ReservationTable`]: a retry at that time takes precedence over the round-robin queues. If no slot can be
+//! reserved, the longest retry-after time is returned.
 
 use super::bounds::AdmissionBounds;
 use super::concurrency_limit::{ConcurrencyLimit, LimitSettings};
@@ -32,9 +34,10 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::mem::size_of;
 
-/// The maximum size of an entry of the deadline set, with its share of the B-tree's nodes, in bytes.
+/// The maximum size of an entry of the expiry set, with its share of the B-tree's nodes, in bytes.
 pub const EXPIRY_BYTES: usize = 2 * size_of::<(u64, RequestId)>();
-/// The lowest service rate assumed when a wait is estimated, in requests per millisecond.
+/// A lower bound on the service rate in wait estimates, in requests per millisecond. It avoids a division by
+/// zero.
 const MIN_RATE_PER_MS: f64 = 1e-9;
 
 /// The queue in which a request waits.
@@ -66,7 +69,7 @@
     in_light_share: bool,
 }
 
-/// The queues of admission control, and its decisions. See the [module documentation](self).
+/// Queues requests and makes admission decisions. See the [module documentation](self).
 #[derive(Debug)]
 pub struct FairQueue {
     bounds: AdmissionBounds,
@@ -81,7 +84,8 @@
     /// The queued requests that use a reservation.
     reserved_queue: VecDeque<RequestId>,
     /// The queued requests by the time at which they are shed, [`AdmissionBounds::min_service_ms`] before
-    /// their deadlines. The times are stored as bits, which sort like the values, as none is negative.
+    /// their deadlines. The times are stored as the bits of an `f64`, which have the same order as the
+    /// values because none is negative.
     expiries: BTreeSet<(u64, RequestId)>,
     reservations: ReservationTable,
     /// Counters of decisions and reservations.
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Replaces the weights from the next round on; queued requests are kept.
+    /// Replaces the weights. They apply from the next round; queued requests keep their place.
     pub fn set_weights(&mut self, weights: Weights) {
         self.round_robin.set_weights(weights);
     }
@@ -172,7 +176,7 @@
         self.enqueue(arrival, Queue::Reserved)
     }
 
-    /// The reason why a request cannot be queued, if there is one.
+    /// The reason to shed a request, or `None` if it can be queued.
     fn shed_reason(&self, now_ms: f64, arrival: &Arrival) -> Option<ShedReason> {
         let client_depth = self.round_robin.client_depth(arrival.client);
         let wait_ms = self.expected_wait_ms(arrival.client, arrival.tenant, client_depth + 1);
@@ -197,7 +201,6 @@
         AdmissionDecision::Admit
     }
 
-    /// Records a request as in flight.
     fn record_in_flight(&mut self, now_ms: f64, id: RequestId, client: ClientKey, in_light_share: bool) {
         self.in_flight.insert(id, InFlight { admitted_at_ms: now_ms, client, in_light_share });
         *self.in_flight_by_client.entry(client).or_default() += 1;
@@ -241,8 +244,8 @@
         (position as f64 + self.reserved_queue.len() as f64 * tenant_share) / rate_per_ms.max(MIN_RATE_PER_MS)
     }
 
-    /// The retry-after time of a shed request in milliseconds, for which capacity is reserved if a slot has
-    /// room. A reservation that the client already has (`existing`) is kept.
+    /// Returns the retry-after time of a shed request in milliseconds, and reserves a slot for it if one has
+    /// room. An unexpired reservation of the client (`existing`) is kept instead.
     fn reserve(
         &mut self,
         now_ms: f64,
@@ -278,7 +281,8 @@
         }
     }
 
-    /// Removes and returns the next request to release: first those with a reservation, then by round robin.
+    /// Takes the next request to release from its queue: requests with a reservation first, then by round
+    /// robin. The caller must remove it from `queued`.
     fn pop_next(&mut self) -> Option<RequestId> {
         if let Some(id) = self.reserved_queue.pop_front() {
             return Some(id);
@@ -289,7 +293,7 @@
         None
     }
 
-    /// Removes a queued request from all collections that contain it.
+    /// Removes a queued request from the queues and the expiry set.
     fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
         let request = self.queued.remove(&id)?;
         self.queued_bytes -= request.body_bytes;
@@ -301,7 +305,7 @@
         Some(request)
     }
 
-    /// Removes a request whose client disconnected. Returns whether it was queued.
+    /// Removes a request from the queue after its client disconnected. Returns whether it was queued.
     pub fn remove_disconnected(&mut self, id: RequestId) -> bool {
         let was_queued = self.remove(id).is_some();
         self.counters.abandoned += u64::from(was_queued);
@@ -344,8 +348,8 @@
         released
     }
 
-    /// Sheds the queued requests that can no longer be served before their deadline. Returns each with its
-    /// retry-after time.
+    /// Sheds the queued requests with no more than [`AdmissionBounds::min_service_ms`] left before their
+    /// deadline. Returns each with its retry-after time.
     pub fn expire(&mut self, now_ms: f64) -> Vec<ExpiredRequest> {
         let mut expired = Vec::new();
         while let Some(&(expiry_key, id)) = self.expiries.first() {
@@ -368,7 +372,7 @@
         self.expiries.first().map(|(expiry_key, _)| f64::from_bits(*expiry_key))
     }
 
-    /// An estimate of the heap memory in use without bodies, in bytes.
+    /// An estimate of the heap memory in use, excluding request bodies, in bytes.
     pub fn heap_bytes(&self) -> usize {
         self.in_flight.capacity() * (size_of::<(RequestId, InFlight)>() + 1)
             + self.in_flight_by_client.capacity() * (size_of::<(ClientKey, u32)>() + 1)
--- a/src/admission/metrics.rs
+++ b/src/admission/metrics.rs
@@ -9,10 +9,10 @@
 use prometheus_client::registry::Registry;
 use std::sync::atomic::AtomicU64;
 
-/// The labels of a metric.
+/// The label names and values of a metric.
 type Labels = Vec<(String, String)>;
 
-/// The registered metrics of admission control.
+/// The metrics of admission control and their registry.
 pub struct AdmissionMetrics {
     registry: Registry,
     admitted: Counter,
@@ -90,7 +90,8 @@
         registry.register("memory_bytes", "Bytes held, without bodies", self.heap_bytes.clone());
     }
 
-    /// Updates the metrics from `queue` and encodes them in the Prometheus text format.
+    /// Updates the metrics from `queue` and encodes them in the Prometheus text format. Counters increase
+    /// by their change since the last scrape.
     pub fn scrape(&mut self, queue: &FairQueue) -> String {
         self.add_counters(queue.counters);
         self.depth.clear();
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,6 +1,7 @@
-//! Admission control between the fronts and the engine. Requests beyond the concurrency limit are queued
-//! fairly between tenants and, within a tenant, between clients, in bounded memory. A request that cannot be
-//! served in time is shed with a retry-after time at which capacity is reserved for its client.
+//! Admission control: decides whether a request received by a protocol server is forwarded to the engine now,
+//! queued or shed. Requests beyond the concurrency limit are queued fairly between tenants and, within a
+//! tenant, between clients, in bounded memory. A request that cannot be served in time is shed with a
+//! retry-after time at which capacity is reserved for its client.
 //!
 //! | module | purpose | I/O |
 //! | --- | --- | --- |
@@ -14,7 +15,7 @@
 //! | [`metrics`] | metrics in the Prometheus text format | none |
 //! | [`config`] | the configuration file | reads a file |
 //!
-//! The design note is `docs/design-fair-queues.md`; operators read `docs/fair-queues.md`.
+//! Design note: `docs/design-fair-queues.md`. Operator page: `docs/fair-queues.md`.
 
 pub mod bounds;
 pub mod concurrency_limit;
--- a/src/admission/reservations.rs
+++ b/src/admission/reservations.rs
@@ -1,9 +1,8 @@
-//! Reservations for clients whose requests were shed: capacity is reserved at the retry-after time that a
-//! client is given.
+//! Reserves capacity for the retries of shed requests, at the retry-after time returned to the client.
 //!
 //! Time is divided into slots of [`SLOT_MS`], and only a share of the requests that can be served in a slot
-//! may be reserved, so that reservations cannot starve the queues. They are stored in an LRU map of bounded
-//! size.
+//! may be reserved, so that reservations cannot starve the queues. Reservations are stored in an LRU map of
+//! bounded size, which evicts the oldest.
 
 use super::decision::ClientKey;
 use lru::LruCache;
@@ -11,9 +10,10 @@
 use std::mem::size_of;
 use std::num::NonZeroUsize;
 
-/// The length of a calendar slot, in milliseconds.
+/// The length of a slot, in milliseconds.
 pub const SLOT_MS: f64 = 100.0;
-/// How early a reservation may be used, in milliseconds, as client timers and network delays vary.
+/// How long before its reserved time a reservation may be used, in milliseconds. Allows for timer and network
+/// jitter.
 pub const EARLY_USE_TOLERANCE_MS: f64 = 50.0;
 /// The minimum time for which a reservation stays valid after the reserved time, in milliseconds.
 const MIN_VALIDITY_MS: f64 = 500.0;
@@ -28,13 +28,13 @@
 }
 
 impl Reservation {
-    /// Whether it may be used at `now_ms`.
+    /// Whether the reservation may be used at `now_ms`.
     pub fn is_usable(&self, now_ms: f64) -> bool {
         now_ms >= self.from_ms - EARLY_USE_TOLERANCE_MS && now_ms <= self.until_ms
     }
 }
 
-/// The reservations by client, and the calendar that counts them by slot.
+/// The reservations by client, and their number by slot.
 #[derive(Debug)]
 pub struct ReservationTable {
     by_client: LruCache<ClientKey, Reservation>,
@@ -47,9 +47,9 @@
 /// The parameters of a new reservation.
 #[derive(Clone, Copy, Debug)]
 pub struct ReservationRequest {
-    /// The client that it is for.
+    /// The client for which a slot is reserved.
     pub client: ClientKey,
-    /// The earliest slot to consider, in milliseconds from now.
+    /// The earliest start of the slot, in milliseconds from now.
     pub earliest_ms: f64,
     /// The maximum number of reservations in a slot.
     pub slot_capacity: u32,
@@ -65,7 +65,7 @@
     /// Bytes of a node of the LRU map: key, value and two links.
     pub const NODE_BYTES: usize = size_of::<(ClientKey, Reservation)>() + 2 * size_of::<usize>();
 
-    /// Creates a table for at most `max` reservations, but at least one.
+    /// Creates an empty table for at most `max` reservations. A `max` of 0 counts as 1.
     pub fn new(max: usize) -> Self {
         let capacity = NonZeroUsize::new(max).unwrap_or(NonZeroUsize::MIN);
         Self { by_client: LruCache::new(capacity), slot_counts: VecDeque::new(), first_slot_ms: 0.0 }
@@ -91,8 +91,8 @@
         self.by_client.pop(&client);
     }
 
-    /// Removes expired reservations, oldest first, up to the first that is still valid. Returns how many it
-    /// removed.
+    /// Removes expired reservations, oldest first, until one is not expired; later ones are not examined.
+    /// Returns the number removed.
     pub fn expire(&mut self, now_ms: f64) -> u64 {
         let mut expired = 0;
         while self.by_client.peek_lru().is_some_and(|(_, reservation)| reservation.until_ms < now_ms) {
@@ -102,8 +102,8 @@
         expired
     }
 
-    /// Reserves the first slot with room. Returns the retry-after time in milliseconds, or `None` if all
-    /// slots up to the longest retry-after time are full.
+    /// Reserves the first slot from `request.earliest_ms` on that has room. Returns the retry-after time in
+    /// milliseconds, or `None` if all slots up to the longest retry-after time are full.
     pub fn reserve(&mut self, now_ms: f64, request: ReservationRequest) -> Option<f64> {
         self.drop_past_slots(now_ms);
         let first = ((now_ms + request.earliest_ms - self.first_slot_ms) / SLOT_MS).ceil() as usize;
--- a/src/admission/round_robin.rs
+++ b/src/admission/round_robin.rs
@@ -1,5 +1,5 @@
-//! Deficit round robin (Shreedhar and Varghese, SIGCOMM 1995) over tenants, with a tenant's weight as its
-//! quantum and every request at the same cost. Within a tenant, plain round robin over its clients.
+//! Deficit round robin (Shreedhar and Varghese, SIGCOMM 1995) over tenants: the quantum is the tenant's
+//! weight, and all requests cost the same. The clients of a tenant are served by plain round robin.
 //!
 //! Only tenants and clients with queued requests have state.
 
@@ -11,7 +11,7 @@
 
 /// The amount by which a released request reduces its tenant's deficit counter.
 const REQUEST_COST: f64 = 1.0;
-/// The lowest weight assumed when the turns of [`RoundRobin::pop`] are bounded.
+/// A lower bound on the smallest weight, which limits the number of turns that [`RoundRobin::pop`] tries.
 const MIN_WEIGHT: f64 = 0.01;
 
 /// The weights of tenants.
@@ -34,13 +34,14 @@
     }
 }
 
-/// A client's queued requests.
+/// The queued requests of one client, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct ClientQueue {
     requests: VecDeque<RequestId>,
 }
 
-/// A tenant's clients with queued requests.
+/// Scheduling state of a tenant: its clients with queued requests, its deficit counter and its number of
+/// queued requests.
 #[derive(Clone, Debug, Default)]
 pub struct TenantQueue {
     client_ring: VecDeque<ClientKey>,
@@ -48,7 +49,8 @@
     queued_count: usize,
 }
 
-/// The share of the capacity available to a request of a client.
+/// How the capacity is divided for a new request: the share of its tenant, and the number of clients that
+/// divide it.
 #[derive(Clone, Copy, Debug)]
 pub struct ExpectedShare {
     /// The tenant's share of the capacity.
@@ -57,7 +59,7 @@
     pub clients: usize,
 }
 
-/// The queued requests, in a ring of tenants with a ring of clients each.
+/// Queues of requests by tenant and client, scheduled by deficit round robin.
 #[derive(Debug)]
 pub struct RoundRobin {
     weights: Weights,
@@ -72,10 +74,11 @@
         Self { weights, clients: AHashMap::new(), tenants: AHashMap::new(), tenant_ring: VecDeque::new() }
     }
 
-    /// Replaces the weights from the next round on; queued requests are kept.
+    /// Replaces the weights. They apply from the next round; queued requests keep their place.
     pub fn set_weights(&mut self, weights: Weights) {
         self.weights = weights;
         for tenant in self.tenants.values_mut() {
+            // Otherwise a tenant could spend the larger quantum of its previous weight.
             tenant.deficit = tenant.deficit.min(REQUEST_COST);
         }
     }
@@ -95,7 +98,8 @@
         self.tenants.iter().map(|(tenant, queue)| (*tenant, queue.queued_count))
     }
 
-    /// The share of the capacity available to a request of this client and tenant.
+    /// The share of the capacity that a request of this client and tenant can expect while the other queued
+    /// tenants and clients remain.
     pub fn expected_share(&self, client: ClientKey, tenant: TenantId) -> ExpectedShare {
         let queued_weight: f64 =
             self.tenant_ring.iter().map(|queued_tenant| self.weights.of(*queued_tenant)).sum();
@@ -127,6 +131,8 @@
     /// Removes and returns the next request in order.
     pub fn pop(&mut self) -> Option<RequestId> {
         let rounds_per_tenant = (1.0 / self.weights.min().max(MIN_WEIGHT)).ceil() as usize;
+        // Within this number of turns the deficit counter of at least one tenant reaches the cost of a
+        // request; `+ 2` allows for rounding.
         let max_turns = self.tenant_ring.len() * rounds_per_tenant + 2;
         for _ in 0..max_turns {
             let &tenant = self.tenant_ring.front()?;
@@ -138,8 +144,8 @@
         None
     }
 
-    /// Adds the tenant's quantum to its deficit counter if that is less than the cost of a request. Returns
-    /// whether it now covers one.
+    /// Adds the tenant's quantum to its deficit counter if the counter is below the cost of a request.
+    /// Returns whether the counter now covers a request.
     fn begin_turn(&mut self, tenant: TenantId) -> bool {
         let weight = self.weights.of(tenant);
         let queue = self.tenants.get_mut(&tenant).expect("a tenant in the ring has a queue");
@@ -149,8 +155,8 @@
         queue.deficit >= REQUEST_COST
     }
 
-    /// Removes and returns the next request of `tenant`, which is at the front of the ring. Moves on to the
-    /// next tenant if the deficit counter covers no further request.
+    /// Removes and returns the next request of `tenant`, which is at the front of the ring. Rotates the ring
+    /// to the next tenant if the deficit counter does not cover another request.
     fn pop_from(&mut self, tenant: TenantId) -> RequestId {
         let tenant_queue = self.tenants.get_mut(&tenant).expect("a tenant in the ring has a queue");
         let client = tenant_queue.client_ring.pop_front().expect("a tenant in the ring has clients");
@@ -172,7 +178,7 @@
         id
     }
 
-    /// Removes a queued request out of order, after a disconnect or at its deadline.
+    /// Removes a queued request at any position, because its client disconnected or it expired.
     pub fn remove(&mut self, client: ClientKey, tenant: TenantId, id: RequestId) {
         let Some(client_queue) = self.clients.get_mut(&client) else { return };
         client_queue.requests.retain(|other_id| *other_id != id);
