--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -28,7 +28,7 @@
     FairQueue::new(bounds(), limit, weights_with(weights))
 }
 
-/// A weight of 1 for every tenant that `overrides` does not list.
+/// The weights in `overrides`, and 1 for all other tenants.
 fn weights_with(overrides: &[(u32, f64)]) -> Weights {
     Weights { default: 1.0, by_tenant: overrides.iter().copied().collect() }
 }
@@ -37,7 +37,7 @@
     Arrival { id, client, tenant, deadline_ms: now + 60_000.0, body_bytes: 0 }
 }
 
-/// Completes the oldest request in flight in each step, and returns the released requests in order.
+/// Completes the oldest request in flight `steps` times. Returns the released requests in order.
 fn drain(queue: &mut FairQueue, in_flight: &mut Vec<u64>, steps: usize, now: &mut f64) -> Vec<u64> {
     let mut order = Vec::new();
     for _ in 0..steps {
@@ -57,9 +57,9 @@
     assert_eq!(queue.submit(now, arrival(1, 99, 9, now)), AdmissionDecision::Admit);
     let mut in_flight = vec![1];
     let mut tenant_of = HashMap::new();
-    for k in 0..8u64 {
+    for round in 0..8u64 {
         // Tenant 1 has two clients, tenant 2 one.
-        for (id, client, tenant) in [(100 + k, 10, 1), (200 + k, 11, 1), (300 + k, 20, 2)] {
+        for (id, client, tenant) in [(100 + round, 10, 1), (200 + round, 11, 1), (300 + round, 20, 2)] {
             assert_eq!(queue.submit(now, arrival(id, client, tenant, now)), AdmissionDecision::Queue);
             tenant_of.insert(id, (client, tenant));
         }
@@ -67,13 +67,16 @@
     let order = drain(&mut queue, &mut in_flight, 15, &mut now);
     let first12: Vec<_> = order[..12].iter().map(|id| tenant_of[id]).collect();
     let tenant1_count = first12.iter().filter(|(_, t)| *t == 1).count();
-    assert_eq!(tenant1_count, 8, "weight 2 against 1: {first12:?}");
+    assert_eq!(tenant1_count, 8, "tenant 1 with weight 2 should get 8 of the first 12 releases: {first12:?}");
     let tenant1: Vec<u128> = first12.iter().filter(|(_, t)| *t == 1).map(|(c, _)| *c).collect();
-    assert!(tenant1.windows(2).all(|w| w[0] != w[1]), "the clients of a tenant alternate: {tenant1:?}");
+    assert!(
+        tenant1.windows(2).all(|w| w[0] != w[1]),
+        "the clients of tenant 1 should alternate: {tenant1:?}"
+    );
 }
 
 #[test]
-fn requests_beyond_the_client_queue_limit_are_shed_and_other_clients_are_released_in_turn() {
+fn a_client_over_its_queue_limit_is_shed_and_others_do_not_wait_behind_its_backlog() {
     let mut queue = queue_with(2.0, &[]);
     let mut now = 1_000.0;
     let mut in_flight = Vec::new();
@@ -89,10 +92,10 @@
                 assert!(retry_after_ms >= 100.0);
                 shed += 1;
             }
-            other => panic!("{other:?}"),
+            other => panic!("unexpected decision for request {id}: {other:?}"),
         }
     }
-    assert_eq!(shed, 30, "eight requests of a client may be queued");
+    assert_eq!(shed, 30, "of 38 requests, 8 should be queued and 30 shed");
     // Requests of other clients are released within one round, ahead of the heavy client's backlog.
     for (id, client) in [(100, 2), (101, 3), (102, 4)] {
         assert_eq!(queue.submit(now, arrival(id, client, 0, now)), AdmissionDecision::Queue);
@@ -102,12 +105,12 @@
         [100, 101, 102].iter().map(|id| order.iter().position(|o| o == id).unwrap()).collect();
     assert!(
         positions.iter().all(|p| *p <= 6),
-        "the other clients were released at {positions:?} of {order:?}"
+        "the requests of the other clients were released too late, at {positions:?} of {order:?}"
     );
 }
 
 #[test]
-fn a_client_that_retries_at_its_reserved_time_is_served() {
+fn a_retry_at_the_reserved_time_is_released_before_queued_requests() {
     let mut queue = queue_with(1.0, &[]);
     let mut now = 1_000.0;
     assert_eq!(queue.submit(now, arrival(1, 1, 0, now)), AdmissionDecision::Admit);
@@ -119,9 +122,9 @@
     let AdmissionDecision::Shed { retry_after_ms, reason: ShedReason::DeadlineTooClose } =
         queue.submit(now, urgent)
     else {
-        panic!()
+        panic!("a request with a deadline before the expected wait was not shed for it")
     };
-    // Requests of a third client are queued meanwhile.
+    // Requests of a third client are queued before the retry.
     for id in 60..=66 {
         queue.submit(now, arrival(id, 8, 0, now));
     }
@@ -129,7 +132,7 @@
     let retry = Arrival { id: 51, deadline_ms: early + 30.0, ..urgent };
     assert!(
         matches!(queue.submit(early, retry), AdmissionDecision::Shed { .. }),
-        "a retry before the reserved time is shed"
+        "a retry before the reserved time should be shed"
     );
     now += retry_after_ms;
     let retry = Arrival { id: 52, deadline_ms: now + 5_000.0, ..urgent };
@@ -140,7 +143,7 @@
 }
 
 #[test]
-fn a_queued_request_is_shed_near_its_deadline_and_a_disconnect_removes_it_from_the_queue() {
+fn queued_requests_are_removed_near_their_deadline_and_on_disconnect() {
     let mut queue = queue_with(1.0, &[]);
     let now = 1_000.0;
     assert_eq!(queue.submit(now, arrival(1, 1, 0, now)), AdmissionDecision::Admit);
@@ -153,11 +156,14 @@
     assert_eq!(expired.iter().map(|request| request.id).collect::<Vec<_>>(), [2]);
     assert!(queue.remove_disconnected(3));
     assert_eq!(queue.queued(), 0);
-    assert!(queue.complete(1_500.0, 1, Completion::Succeeded).is_empty(), "neither request is released");
+    assert!(
+        queue.complete(1_500.0, 1, Completion::Succeeded).is_empty(),
+        "an expired or disconnected request was released"
+    );
 }
 
 #[test]
-fn heap_memory_stays_within_its_bound_with_a_hundred_thousand_clients() {
+fn heap_bytes_stays_within_max_heap_bytes_with_100_000_clients() {
     let bounds = bounds();
     let limit = LimitSettings { initial: 8.0, min: 1.0, max: 8.0, adaptive: false };
     let mut queue = FairQueue::new(bounds, limit, weights_with(&[]));
@@ -175,7 +181,7 @@
     assert!(queue.queued() <= bounds.max_queued && queue.reservations() <= bounds.max_reservations);
     assert!(
         max_heap_bytes <= bounds.max_heap_bytes(8),
-        "{max_heap_bytes} bytes against the bound {}",
+        "{max_heap_bytes} bytes exceed the bound of {}",
         bounds.max_heap_bytes(8)
     );
     // No state is left once all requests have ended.
@@ -192,13 +198,13 @@
     let mut now = 1_000.0;
     queue.submit(now, arrival(1, 99, 9, now));
     let mut in_flight = vec![1];
-    for k in 0..20u64 {
+    for client in 0..20u64 {
         assert_eq!(
-            queue.submit(now, arrival(100 + k, 1_000 + u128::from(k), 1, now)),
+            queue.submit(now, arrival(100 + client, 1_000 + u128::from(client), 1, now)),
             AdmissionDecision::Queue
         );
         assert_eq!(
-            queue.submit(now, arrival(200 + k, 2_000 + u128::from(k), 2, now)),
+            queue.submit(now, arrival(200 + client, 2_000 + u128::from(client), 2, now)),
             AdmissionDecision::Queue
         );
     }
@@ -206,8 +212,9 @@
     assert_eq!(before_change.iter().filter(|id| **id < 200).count(), 3);
     queue.set_weights(weights_with(&[(1, 3.0)]));
     let after_change = drain(&mut queue, &mut in_flight, 12, &mut now);
+    // Two rounds of four releases each.
     let tenant1_count = after_change[2..10].iter().filter(|id| **id < 200).count();
-    assert_eq!(tenant1_count, 6, "weight 3 against 1 after the change: {after_change:?}");
+    assert_eq!(tenant1_count, 6, "tenant 1 with weight 3 should get 6 of 8 releases: {after_change:?}");
     let remaining = drain(&mut queue, &mut in_flight, 100, &mut now);
     assert_eq!(
         before_change.len() + after_change.len() + remaining.len(),
@@ -237,10 +244,9 @@
     assert_eq!(
         queue.submit(now, arrival(51, 2, 0, now)),
         AdmissionDecision::Queue,
-        "its second request is queued"
+        "a client with a request in flight is not light, so its next request should be queued"
     );
-    // Capacity outside that share is assigned round robin: the heavy client's next request, then the light
-    // client's second.
+    // Outside the share of light clients, queued requests are released by round robin over both clients.
     assert_eq!(queue.complete(now + 5.0, 1, Completion::Succeeded), [4]);
     assert_eq!(queue.complete(now + 6.0, 2, Completion::Succeeded), [51]);
 }
--- a/tests/admission_loopback.rs
+++ b/tests/admission_loopback.rs
@@ -1,5 +1,6 @@
-//! End-to-end tests of admission control: a proxy process in front of fake caches with a limited capacity,
-//! and clients with an address each, one of which sends at a hundred times the rate of the others.
+//! End-to-end tests of admission control: a proxy process in front of stand-in caches with a limited
+//! capacity, and clients with different addresses, one of which sends 100 times as many requests as each of
+//! the others.
 
 mod stand_ins;
 
@@ -16,7 +17,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-proxy");
 
-/// A response: the status, the retry-after time if the request was shed, and the latency.
+/// The result of a request that got a response.
 #[derive(Clone, Copy, Debug)]
 struct Response {
     status: u16,
@@ -24,7 +25,8 @@
     latency_ms: f64,
 }
 
-/// Sends a request from the address `from`. With `abandon`, closes the connection right after writing it.
+/// Sends an ad-post if `write`, otherwise a read, from the address `from`. If `abandon`, closes the
+/// connection after sending and returns `None`.
 async fn send_request(
     proxy: SocketAddr,
     from: IpAddr,
@@ -35,7 +37,7 @@
     send_request_in_group(proxy, from, id, 0, write, abandon).await
 }
 
-/// Like [`send_request`], for an object of `group`.
+/// Like [`send_request`], with `group` as the group of a requested object.
 async fn send_request_in_group(
     proxy: SocketAddr,
     from: IpAddr,
@@ -80,7 +82,7 @@
     xs[xs.len() / 2]
 }
 
-/// The time of a response, the group, and the status; none if the request failed.
+/// The time at which a request ended, its group, and its status, or `None` if there was no response.
 type GroupResponse = (Instant, u32, Option<u16>);
 
 /// Generates unique request ids.
@@ -147,7 +149,7 @@
         let (_proxy, listen, mgmt) = start_proxy(&fleet, 72, "admission-loopback", admission).await;
         let ids = RequestIds::default();
         let next_id = || ids.next();
-        // Ten other clients, each with a request every 100 ms.
+        // Ten light clients, each sending a request every 100 ms.
         let start_light_clients = |seconds: f64, responses: Rc<RefCell<Vec<Response>>>| {
             let ids = ids.clone();
             (0..10u8).map(move |k| {
@@ -168,8 +170,7 @@
         for task in start_light_clients(3.0, without_heavy.clone()).collect::<Vec<_>>() {
             task.await.unwrap();
         }
-        // The heavy client: twenty loops with a request every 20 ms each, a hundred times the rate of another
-        // client.
+        // The heavy client sends about 1,000 requests per second, 100 times the rate of a light client.
         let heavy_responses: Rc<RefCell<Vec<Response>>> = Rc::default();
         let heavy_from: IpAddr = "127.0.73.2".parse().unwrap();
         let heavy: Vec<_> = (0..20)
@@ -195,8 +196,8 @@
             })
             .collect();
         tokio::time::sleep(Duration::from_millis(500)).await;
-        // A client that sends a burst is shed with a retry-after time. It retries then, while the heavy
-        // client continues.
+        // Requests of a burst are shed with retry-after times. The client retries after the longest of them,
+        // while the heavy client continues to send.
         let retrying_client = {
             let ids = ids.clone();
             spawn_local(async move {
@@ -217,7 +218,8 @@
         };
         let with_heavy: Rc<RefCell<Vec<Response>>> = Rc::default();
         let tasks: Vec<_> = start_light_clients(3.0, with_heavy.clone()).collect();
-        // Ad-posts of the heavy client while its queue is full: those that are shed must not be forwarded.
+        // Ad-posts of the heavy client while its queue is full. One that is shed must not be forwarded, as
+        // the client may retry it.
         let mut shed_posts = Vec::new();
         for _ in 0..5 {
             let id = next_id();
@@ -225,9 +227,12 @@
             if response.status == 503 {
                 shed_posts.push(id);
             }
-            assert!(response.status == 503 || response.status == 200, "{response:?}");
+            assert!(
+                response.status == 503 || response.status == 200,
+                "unexpected status of an ad-post: {response:?}"
+            );
         }
-        // Clients that disconnect while their requests are queued.
+        // Requests whose client disconnects immediately after sending.
         let abandoned: Vec<u64> = (0..10).map(|_| next_id()).collect();
         for id in &abandoned {
             send_request(listen, "127.0.73.40".parse().unwrap(), *id, false, true).await;
@@ -241,7 +246,7 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
         let (shed, max_retry_after_ms, retry_response) = retrying_client.await.unwrap();
         assert!(shed > 0 && max_retry_after_ms >= 100.0, "{shed} shed, retry after {max_retry_after_ms} ms");
-        let retry_response = retry_response.expect("a response to the retry");
+        let retry_response = retry_response.expect("the retry got no response");
         assert_eq!(retry_response.status, 200, "retry after {max_retry_after_ms} ms: {retry_response:?}");
         let retry_after_times: Vec<f64> =
             heavy_responses.borrow().iter().filter_map(|response| response.retry_after_ms).collect();
@@ -252,7 +257,7 @@
         let (without_heavy, with_heavy) = (without_heavy.borrow().clone(), with_heavy.borrow().clone());
         assert!(
             without_heavy.iter().chain(&with_heavy).all(|response| response.status == 200),
-            "a request of another client was not served"
+            "a request of a light client was not served"
         );
         let (median_without_heavy, median_with_heavy) = (
             median(without_heavy.iter().map(|response| response.latency_ms).collect()),
@@ -260,15 +265,16 @@
         );
         let heavy_served = heavy_responses.borrow().iter().filter(|response| response.status == 200).count();
         println!(
-            "median latency of the other clients: {median_without_heavy:.1} ms alone, \
+            "median latency of the light clients: {median_without_heavy:.1} ms alone, \
              {median_with_heavy:.1} ms with the heavy client; heavy client served {heavy_served} of {}",
             heavy_responses.borrow().len()
         );
-        // Without fair queues the other clients would wait for a second or more, so the bound leaves room for
-        // the delays of a busy machine. `examples/admission_heavy.rs` measures the latency precisely.
+        // The slack of 60 ms allows for scheduling delays. Without fair queues the light clients would wait
+        // for a second or more.
         assert!(
             median_with_heavy <= (1.2 * median_without_heavy).max(median_without_heavy + 60.0),
-            "median latency of the other clients went from {median_without_heavy:.1} ms to {median_with_heavy:.1} ms"
+            "median latency of the light clients rose from {median_without_heavy:.1} ms to \
+             {median_with_heavy:.1} ms"
         );
         assert!(heavy_served > 0, "the heavy client was never served");
         for id in shed_posts {
@@ -277,8 +283,8 @@
                 "a shed ad-post was forwarded"
             );
         }
-        // An abandoned request may have been served, cancelled in the engine or removed from the queue. None
-        // may still count as in flight or queued.
+        // Abandoned requests were served, cancelled or removed from the queue. None may remain in flight or
+        // queued.
         let metrics =
             edge_proxy::http_client::call(mgmt, "GET", "/stats", b"", Duration::from_secs(2)).await.unwrap();
         let metrics = String::from_utf8_lossy(&metrics.body).to_string();
@@ -287,7 +293,10 @@
         };
         assert_eq!((metric("door_open "), metric("door_queued ")), (Some(0), Some(0)), "{metrics}");
         let left = metric("door_left_total ").unwrap_or(0);
-        assert!(left <= abandoned.len() as u64, "{metrics}");
+        assert!(
+            left <= abandoned.len() as u64,
+            "more requests are counted as abandoned than were sent: {metrics}"
+        );
     });
 }
 
@@ -317,7 +326,11 @@
         assert_eq!(first.await.unwrap().unwrap().status, 200);
         assert_eq!(following.await.unwrap().unwrap().status, 200);
         let was_received = |id: u64| fleet.request_ids.borrow().contains(&format!("{id:016x}"));
-        assert_eq!([1, 2, 3].map(was_received), [true, false, true]);
+        assert_eq!(
+            [1, 2, 3].map(was_received),
+            [true, false, true],
+            "only the request whose client disconnected may be missing at the caches"
+        );
     });
 }
 
@@ -332,8 +345,8 @@
         };
         let (proxy, listen, _) = start_proxy(&fleet, 76, "admission-reload", &admission_json(1.0)).await;
         let ids = RequestIds::default();
-        // Two tenants with 24 clients each, every client with one request outstanding at all times. That
-        // exceeds the limit, so that the queues are never empty and the weights decide.
+        // 48 clients of two tenants, each with one outstanding request. This exceeds the limit of 8, so the
+        // queues are never empty and the weights determine the shares.
         let responses: Rc<RefCell<Vec<GroupResponse>>> = Rc::default();
         let end = Instant::now() + Duration::from_secs(4);
         let loops: Vec<_> = (0..48u8)
@@ -378,7 +391,7 @@
             reloaded_at + Duration::from_millis(200),
             reloaded_at + Duration::from_millis(1_200),
         );
-        println!("served before {before:?}, after {after:?}");
+        println!("served per tenant before the reload {before:?}, after it {after:?}");
         let ratio = |(first, second): (usize, usize)| first as f64 / second.max(1) as f64;
         assert!((0.7..1.4).contains(&ratio(before)), "shares should be even before the reload: {before:?}");
         assert!(ratio(after) > 2.2, "shares should be three to one after the reload: {after:?}");
--- a/tests/stand_ins/slow_cache_fleet.rs
+++ b/tests/stand_ins/slow_cache_fleet.rs
@@ -1,6 +1,6 @@
-//! Fake pop caches on loopback with a limited capacity. Several listeners of the caches' line protocol share
-//! a number of slots, and each request holds a slot for a fixed time before its response. Requests beyond the
-//! slots wait in order of arrival. The ids of all received requests are recorded.
+//! Stand-in cache servers on loopback with a limited capacity. The servers share a number of processing
+//! slots; each request occupies one for a fixed time, and others wait in order of arrival. Records the
+//! received requests.
 #![allow(dead_code)]
 
 use std::cell::{Cell, RefCell};
@@ -13,19 +13,20 @@
 use tokio::sync::Semaphore;
 use tokio::task::spawn_local;
 
-/// The caches, and a record of the requests that they received.
+/// Running stand-in caches.
 pub struct SlowCacheFleet {
+    /// The addresses of the caches.
     pub addresses: Vec<SocketAddr>,
+    /// The ids of all received requests, in hexadecimal as on the wire.
     pub request_ids: Rc<RefCell<HashSet<String>>>,
-    /// The number of requests by idempotency key.
     pub requests_by_idempotency_key: Rc<RefCell<HashMap<String, u32>>>,
-    /// The body size of responses to parts above 0; other bodies are short.
+    /// The body size of responses for parts other than part 0, in bytes.
     pub part_bytes: Rc<Cell<usize>>,
-    /// The processing time of a request, in milliseconds.
+    /// The time for which a request occupies a slot, in milliseconds.
     pub work_ms: Rc<Cell<u64>>,
-    /// The number of requests cancelled by the proxy.
+    /// The number of `DROP` lines received from the proxy.
     pub cancelled: Rc<Cell<u32>>,
-    /// The index of the cache that received each request, and the Unix time in milliseconds.
+    /// The index of the receiving cache and the arrival time of each request, in Unix milliseconds.
     pub arrivals: Rc<RefCell<Vec<(usize, f64)>>>,
 }
 
@@ -35,7 +36,8 @@
 }
 
 impl SlowCacheFleet {
-    /// Starts `cache_count` listeners at `127.0.NET.1` and up, which share `slots`. A request takes `work_ms`.
+    /// Starts `cache_count` caches on the addresses `127.0.NET.1` and up. They share `slots` slots, and each
+    /// request occupies one for `work_ms`.
     pub async fn start(net: u8, cache_count: usize, slots: usize, work_ms: u64) -> Self {
         let slots = Rc::new(Semaphore::new(slots));
         let request_ids: Rc<RefCell<HashSet<String>>> = Rc::default();
@@ -69,7 +71,7 @@
     }
 }
 
-/// The processing time, the body size of parts above 0, and the number of cancelled requests.
+/// The processing time, the body size of parts other than part 0, and the number of `DROP` lines.
 type ResponseState = (Rc<Cell<u64>>, Rc<Cell<usize>>, Rc<Cell<u32>>);
 /// The index of the cache, the received requests, and the number of requests by idempotency key.
 type ArrivalLog = (usize, Rc<RefCell<Vec<(usize, f64)>>>, Rc<RefCell<HashMap<String, u32>>>);
