--- a/examples/vrrp_takeover.rs
+++ b/examples/vrrp_takeover.rs
@@ -134,7 +134,7 @@
         let failed = outcomes.iter().filter(|(_, _, e)| e.status != Some(200) || e.malformed).count();
         let retried = outcomes.iter().filter(|(_, _, e)| e.retries > 0).count();
         let posts = outcomes.iter().filter(|(_, write, _)| *write).count();
-        let keys = fleet.keys.borrow();
+        let keys = fleet.requests_by_idempotency_key.borrow();
         let receive_count = |id: u64| keys.get(&format!("k{id:x}")).copied().unwrap_or(0);
         let received_twice_without_retry =
             outcomes.iter().filter(|(id, write, e)| *write && e.retries == 0 && receive_count(*id) > 1).count();
--- a/src/admission/config.rs
+++ b/src/admission/config.rs
@@ -1,5 +1,5 @@
-//! The configuration file of admission control, `serve --admission FILE`. Without it every request is
-//! forwarded to the engine at once.
+//! The configuration file of admission control, `serve --admission FILE`. Without it, every request is
+//! forwarded to the engine immediately.
 
 use super::bounds::AdmissionBounds;
 use super::concurrency_limit::LimitSettings;
@@ -15,39 +15,40 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The allowed weights of a tenant.
-const WEIGHTS: RangeInclusive<f64> = 0.01..=100.0;
+/// The allowed range of weights.
+const WEIGHT_RANGE: RangeInclusive<f64> = 0.01..=100.0;
 /// The largest allowed concurrency limit, in requests.
 const MAX_LIMIT: f64 = 100_000.0;
-/// The largest allowed maximum of queued requests.
-const MAX_QUEUED: usize = 1_000_000;
-/// The largest allowed maximum of queued body bytes.
-const MAX_QUEUED_BYTES: usize = 1 << 32;
-/// The largest allowed maximum of reservations.
-const MAX_RESERVATIONS: usize = 10_000_000;
-/// The largest allowed retry-after time, in milliseconds.
-const MAX_RETRY_AFTER_MS: f64 = 3_600_000.0;
-/// The largest allowed [`AdmissionConfig::min_service_ms`], in milliseconds.
-const MAX_MIN_SERVICE_MS: f64 = 60_000.0;
-/// The largest allowed share of the concurrency limit for light clients.
+/// The upper limit of `queue_most`.
+const MAX_QUEUED_LIMIT: usize = 1_000_000;
+/// The upper limit of `bytes_most`.
+const MAX_QUEUED_BYTES_LIMIT: usize = 1 << 32;
+/// The upper limit of `tickets_most`.
+const MAX_RESERVATIONS_LIMIT: usize = 10_000_000;
+/// The upper limit of `come_back_most_ms`, in milliseconds.
+const MAX_RETRY_AFTER_LIMIT_MS: f64 = 3_600_000.0;
+/// The upper limit of `least_service_ms`, in milliseconds.
+const MIN_SERVICE_LIMIT_MS: f64 = 60_000.0;
+/// The upper limit of `reserve_share`.
 const MAX_LIGHT_CLIENT_SHARE: f64 = 0.9;
-/// Set in the keys of IPv4 clients, to keep them distinct from IPv6 addresses.
+/// Set in the keys of IPv4 clients. It places them in `0:1::/96`, a range that is reserved by the IETF and
+/// not used by IPv6 clients.
 const IPV4_CLIENT: ClientKey = 1 << 96;
 
 /// Why a value of the file is invalid.
 #[derive(Debug, Error)]
 pub enum BadValue {
-    /// A tenant has no groups, or its weight is out of range.
+    /// A tenant lists no group, or its weight is outside the allowed range.
     #[error("every tenant needs at least one group and a weight from 0.01 to 100")]
     Tenant,
     /// A group is listed more than once.
     #[error("group {0} is listed more than once")]
     DuplicateGroup(u32),
-    /// A prefix is longer than the addresses of its family.
-    #[error("prefix length must be at most 32, and at most 128 for client_prefix_v6")]
+    /// A prefix length exceeds the address length of its family.
+    #[error("prefix length exceeds 32, or that of `client_prefix_v6` exceeds 128")]
     Prefix,
-    /// A number is out of the given range.
-    #[error("out of bounds: {0}")]
+    /// A number is outside its allowed range.
+    #[error("value is outside the allowed range: {0}")]
     OutOfBounds(&'static str),
 }
 
@@ -55,13 +56,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantConfig {
-    /// The tenant's groups: values of `X-Set`, or groups of signed URLs.
+    /// The groups of the tenant: values of the `X-Set` header or groups of signed URLs.
     pub groups: Vec<u32>,
-    /// The tenant's weight.
+    /// The tenant's share of the capacity, relative to the weights of the other tenants.
     pub weight: f64,
 }
 
-/// The configuration file.
+/// The contents of the configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdmissionConfig {
@@ -94,7 +95,8 @@
     /// The longest retry-after time, in milliseconds.
     #[serde(rename = "come_back_most_ms", default = "max_retry_after_ms")]
     pub max_retry_after_ms: f64,
-    /// A queued request is shed when less than this time remains before its deadline, in milliseconds.
+    /// The time that must remain before the deadline of a request when it leaves the queue, in milliseconds.
+    /// A request is shed if it is not expected to meet this, or if it no longer meets it while queued.
     #[serde(rename = "least_service_ms", default = "min_service_ms")]
     pub min_service_ms: f64,
     /// The prefix length at which IPv4 addresses are grouped into one client.
@@ -103,7 +105,7 @@
     /// The prefix length at which IPv6 addresses are grouped into one client.
     #[serde(default = "client_prefix_v6")]
     pub client_prefix_v6: u8,
-    /// Networks whose requests bypass admission control, such as those of health checks.
+    /// Networks whose requests bypass admission control, such as the networks of health checkers.
     #[serde(default)]
     pub exempt: Vec<IpNet>,
     /// The weight of tenants that are not listed in `tenants`.
@@ -188,7 +190,7 @@
     }
 }
 
-fn is_within(value: f64, min: f64, max: f64) -> bool {
+fn is_in_range(value: f64, min: f64, max: f64) -> bool {
     value.is_finite() && value >= min && value <= max
 }
 
@@ -219,7 +221,7 @@
     fn check_tenants(&self) -> Result<(), BadValue> {
         let mut groups = BTreeSet::new();
         for tenant in &self.tenants {
-            if !WEIGHTS.contains(&tenant.weight) || tenant.groups.is_empty() {
+            if !WEIGHT_RANGE.contains(&tenant.weight) || tenant.groups.is_empty() {
                 return Err(BadValue::Tenant);
             }
             if let Some(group) = tenant.groups.iter().find(|group| !groups.insert(**group)) {
@@ -234,25 +236,37 @@
         let limit_is_ordered = min >= 1.0 && min <= initial && initial <= max && max <= MAX_LIMIT;
         let per_queue = 1..=self.max_queued;
         require("limit", limit_is_ordered, "1 <= least <= first <= most <= 100,000")?;
-        require("queue_most", (1..=MAX_QUEUED).contains(&self.max_queued), "1 to 1,000,000")?;
+        require("queue_most", (1..=MAX_QUEUED_LIMIT).contains(&self.max_queued), "1 to 1,000,000")?;
         require("per_client_most", per_queue.contains(&self.max_queued_per_client), "1 to queue_most")?;
         require("per_tenant_most", per_queue.contains(&self.max_queued_per_tenant), "1 to queue_most")?;
-        require("bytes_most", (1..=MAX_QUEUED_BYTES).contains(&self.max_queued_bytes), "1 to 4 GiB")?;
-        require("tickets_most", (1..=MAX_RESERVATIONS).contains(&self.max_reservations), "1 to 10,000,000")
+        require("bytes_most", (1..=MAX_QUEUED_BYTES_LIMIT).contains(&self.max_queued_bytes), "1 to 4 GiB")?;
+        require(
+            "tickets_most",
+            (1..=MAX_RESERVATIONS_LIMIT).contains(&self.max_reservations),
+            "1 to 10,000,000",
+        )
     }
 
     fn check_shares_and_times(&self) -> Result<(), FieldError> {
         let (min_retry, max_retry) = (self.min_retry_after_ms, self.max_retry_after_ms);
-        require("ticket_share", is_within(self.reservation_share, 0.0, 1.0), "0 to 1")?;
+        require("ticket_share", is_in_range(self.reservation_share, 0.0, 1.0), "0 to 1")?;
         require(
             "reserve_share",
-            is_within(self.light_client_share, 0.0, MAX_LIGHT_CLIENT_SHARE),
+            is_in_range(self.light_client_share, 0.0, MAX_LIGHT_CLIENT_SHARE),
             "0 to 0.9",
         )?;
-        require("come_back_least_ms", is_within(min_retry, 1.0, max_retry), "1 to come_back_most_ms")?;
-        require("come_back_most_ms", is_within(max_retry, 1.0, MAX_RETRY_AFTER_MS), "1 to 3,600,000")?;
-        require("least_service_ms", is_within(self.min_service_ms, 0.0, MAX_MIN_SERVICE_MS), "0 to 60,000")?;
-        require("weight", WEIGHTS.contains(&self.default_weight), "0.01 to 100")
+        require("come_back_least_ms", is_in_range(min_retry, 1.0, max_retry), "1 to come_back_most_ms")?;
+        require(
+            "come_back_most_ms",
+            is_in_range(max_retry, 1.0, MAX_RETRY_AFTER_LIMIT_MS),
+            "1 to 3,600,000",
+        )?;
+        require(
+            "least_service_ms",
+            is_in_range(self.min_service_ms, 0.0, MIN_SERVICE_LIMIT_MS),
+            "0 to 60,000",
+        )?;
+        require("weight", WEIGHT_RANGE.contains(&self.default_weight), "0.01 to 100")
     }
 
     /// The bounds of the queues and reservations.
@@ -271,20 +285,20 @@
         }
     }
 
-    /// The weights of tenants.
+    /// The default weight, and the weights of the listed tenants by tenant id.
     pub fn weights(&self) -> Weights {
         let by_tenant = self.tenants.iter().map(|tenant| (tenant.groups[0], tenant.weight)).collect();
         Weights { default: self.default_weight, by_tenant }
     }
 
-    /// The tenant that lists `group`. A group that none lists is a tenant by itself.
+    /// The tenant that lists `group`. A group that no tenant lists is a tenant of its own.
     pub fn tenant_of(&self, group: u32) -> TenantId {
         let tenant = self.tenants.iter().find(|tenant| tenant.groups.contains(&group));
         tenant.map_or(group, |tenant| tenant.groups[0])
     }
 
     /// The networks whose requests bypass admission control.
-    pub fn exempt(&self) -> ExemptNetworks {
+    pub fn exempt_networks(&self) -> ExemptNetworks {
         ExemptNetworks::new(&self.exempt)
     }
 
@@ -303,10 +317,10 @@
     }
 }
 
-/// Returns an error for `field`, with the text `bounds`, unless `is_in_bounds`.
-fn require(field: &'static str, is_in_bounds: bool, bounds: &'static str) -> Result<(), FieldError> {
-    if is_in_bounds {
+/// Returns an error for `field` unless `is_valid`. `allowed` is the allowed range as text.
+fn require(field: &'static str, is_valid: bool, allowed: &'static str) -> Result<(), FieldError> {
+    if is_valid {
         return Ok(());
     }
-    Err(FieldError::new(field, BadValue::OutOfBounds(bounds)))
+    Err(FieldError::new(field, BadValue::OutOfBounds(allowed)))
 }
--- a/src/admission/reservations.rs
+++ b/src/admission/reservations.rs
@@ -1,9 +1,8 @@
-//! Reservations for clients whose requests were shed: capacity is reserved at the retry-after time that a
-//! client is given.
+//! Reserves capacity for the retries of shed requests, at the retry-after time returned to the client.
 //!
 //! Time is divided into slots of [`SLOT_MS`], and only a share of the requests that can be served in a slot
-//! may be reserved, so that reservations cannot starve the queues. They are stored in an LRU map of bounded
-//! size.
+//! may be reserved, so that reservations cannot starve the queues. Reservations are stored in an LRU map of
+//! bounded size, which evicts the oldest.
 
 use super::decision::ClientKey;
 use lru::LruCache;
@@ -11,52 +10,53 @@
 use std::mem::size_of;
 use std::num::NonZeroUsize;
 
-/// The length of a calendar slot, in milliseconds.
+/// The length of a slot, in milliseconds.
 pub const SLOT_MS: f64 = 100.0;
-/// How early a reservation may be used, in milliseconds, as client timers and network delays vary.
-pub const EARLY_MS: f64 = 50.0;
+/// How long before its reserved time a reservation may be used, in milliseconds. Allows for timer and network
+/// jitter.
+pub const EARLY_USE_TOLERANCE_MS: f64 = 50.0;
 /// The minimum time for which a reservation stays valid after the reserved time, in milliseconds.
 const MIN_VALIDITY_MS: f64 = 500.0;
 
 /// A period in which one request of a client is served ahead of the queues.
 #[derive(Clone, Copy, Debug)]
 pub struct Reservation {
-    /// The reserved time, Unix milliseconds; a use up to [`EARLY_MS`] earlier is accepted.
+    /// The reserved time, Unix milliseconds; a use up to [`EARLY_USE_TOLERANCE_MS`] earlier is accepted.
     pub from_ms: f64,
     /// When it expires, Unix milliseconds.
     pub until_ms: f64,
 }
 
 impl Reservation {
-    /// Whether it may be used at `now_ms`.
-    pub fn is_valid(&self, now_ms: f64) -> bool {
-        now_ms >= self.from_ms - EARLY_MS && now_ms <= self.until_ms
+    /// Whether the reservation may be used at `now_ms`.
+    pub fn is_usable(&self, now_ms: f64) -> bool {
+        now_ms >= self.from_ms - EARLY_USE_TOLERANCE_MS && now_ms <= self.until_ms
     }
 }
 
-/// The reservations by client, and the calendar that counts them by slot.
+/// The reservations by client, and their number by slot.
 #[derive(Debug)]
 pub struct ReservationTable {
     by_client: LruCache<ClientKey, Reservation>,
     /// The number of reservations in each slot.
-    calendar: VecDeque<u32>,
+    slot_counts: VecDeque<u32>,
     /// The start of the first slot, Unix milliseconds.
-    calendar_from_ms: f64,
+    first_slot_ms: f64,
 }
 
 /// The parameters of a new reservation.
 #[derive(Clone, Copy, Debug)]
 pub struct ReservationRequest {
-    /// The client that it is for.
+    /// The client for which a slot is reserved.
     pub client: ClientKey,
-    /// The earliest slot to consider, in milliseconds from now.
+    /// The earliest start of the slot, in milliseconds from now.
     pub earliest_ms: f64,
     /// The maximum number of reservations in a slot.
     pub slot_capacity: u32,
     /// The shortest retry-after time, in milliseconds.
-    pub min_ms: f64,
+    pub min_retry_after_ms: f64,
     /// The longest retry-after time, in milliseconds.
-    pub max_ms: f64,
+    pub max_retry_after_ms: f64,
 }
 
 impl ReservationTable {
@@ -65,10 +65,10 @@
     /// Bytes of a node of the LRU map: key, value and two links.
     pub const NODE_BYTES: usize = size_of::<(ClientKey, Reservation)>() + 2 * size_of::<usize>();
 
-    /// Creates a table for at most `max` reservations, but at least one.
+    /// Creates an empty table for at most `max` reservations. A `max` of 0 counts as 1.
     pub fn new(max: usize) -> Self {
         let capacity = NonZeroUsize::new(max).unwrap_or(NonZeroUsize::MIN);
-        Self { by_client: LruCache::new(capacity), calendar: VecDeque::new(), calendar_from_ms: 0.0 }
+        Self { by_client: LruCache::new(capacity), slot_counts: VecDeque::new(), first_slot_ms: 0.0 }
     }
 
     /// The number of reservations.
@@ -91,8 +91,8 @@
         self.by_client.pop(&client);
     }
 
-    /// Removes expired reservations, oldest first, up to the first that is still valid. Returns how many it
-    /// removed.
+    /// Removes expired reservations, oldest first, until one is not expired; later ones are not examined.
+    /// Returns the number removed.
     pub fn expire(&mut self, now_ms: f64) -> u64 {
         let mut expired = 0;
         while self.by_client.peek_lru().is_some_and(|(_, reservation)| reservation.until_ms < now_ms) {
@@ -102,39 +102,39 @@
         expired
     }
 
-    /// Reserves the first slot with room. Returns the retry-after time in milliseconds, or `None` if all
-    /// slots up to the longest retry-after time are full.
+    /// Reserves the first slot from `request.earliest_ms` on that has room. Returns the retry-after time in
+    /// milliseconds, or `None` if all slots up to the longest retry-after time are full.
     pub fn reserve(&mut self, now_ms: f64, request: ReservationRequest) -> Option<f64> {
-        self.advance_calendar(now_ms);
-        let first = ((now_ms + request.earliest_ms - self.calendar_from_ms) / SLOT_MS).ceil() as usize;
-        let last = ((request.max_ms / SLOT_MS) as usize).max(first);
-        let slot = (first..=last).find(|slot| self.reserved_in(*slot) < request.slot_capacity);
-        while self.calendar.len() <= slot.unwrap_or(last) {
-            self.calendar.push_back(0);
+        self.drop_past_slots(now_ms);
+        let first = ((now_ms + request.earliest_ms - self.first_slot_ms) / SLOT_MS).ceil() as usize;
+        let last = ((request.max_retry_after_ms / SLOT_MS) as usize).max(first);
+        let slot = (first..=last).find(|slot| self.reserved_in_slot(*slot) < request.slot_capacity);
+        while self.slot_counts.len() <= slot.unwrap_or(last) {
+            self.slot_counts.push_back(0);
         }
         let slot = slot?;
-        self.calendar[slot] += 1;
-        let slot_from_ms = self.calendar_from_ms + slot as f64 * SLOT_MS;
-        let wait_ms = (slot_from_ms - now_ms).clamp(request.min_ms, request.max_ms);
+        self.slot_counts[slot] += 1;
+        let slot_from_ms = self.first_slot_ms + slot as f64 * SLOT_MS;
+        let wait_ms = (slot_from_ms - now_ms).clamp(request.min_retry_after_ms, request.max_retry_after_ms);
         let until_ms = now_ms + wait_ms + (wait_ms / 2.0).max(MIN_VALIDITY_MS);
         self.by_client.put(request.client, Reservation { from_ms: now_ms + wait_ms, until_ms });
         Some(wait_ms)
     }
 
-    fn reserved_in(&self, slot: usize) -> u32 {
-        self.calendar.get(slot).copied().unwrap_or(0)
+    fn reserved_in_slot(&self, slot: usize) -> u32 {
+        self.slot_counts.get(slot).copied().unwrap_or(0)
     }
 
     /// Drops the slots that have ended.
-    fn advance_calendar(&mut self, now_ms: f64) {
-        if self.calendar.is_empty() {
-            self.calendar_from_ms = slot_start(now_ms);
+    fn drop_past_slots(&mut self, now_ms: f64) {
+        if self.slot_counts.is_empty() {
+            self.first_slot_ms = slot_start(now_ms);
         }
-        while self.calendar_from_ms + SLOT_MS <= now_ms {
-            self.calendar.pop_front();
-            self.calendar_from_ms += SLOT_MS;
-            if self.calendar.is_empty() {
-                self.calendar_from_ms = slot_start(now_ms);
+        while self.first_slot_ms + SLOT_MS <= now_ms {
+            self.slot_counts.pop_front();
+            self.first_slot_ms += SLOT_MS;
+            if self.slot_counts.is_empty() {
+                self.first_slot_ms = slot_start(now_ms);
             }
         }
     }
@@ -142,7 +142,7 @@
     /// An estimate of the heap memory in use, in bytes.
     pub fn heap_bytes(&self) -> usize {
         self.by_client.len() * (Self::NODE_BYTES + Self::KEY_BYTES + 1)
-            + self.calendar.capacity() * size_of::<u32>()
+            + self.slot_counts.capacity() * size_of::<u32>()
     }
 }
 
