--- a/src/vrrp/admin.rs
+++ b/src/vrrp/admin.rs
@@ -1,5 +1,5 @@
-//! The admin calls and the metrics of a virtual router. Paths, JSON keys and metric names are kept from the
-//! first version, so that existing tools work with them.
+//! The admin calls and the metrics of a virtual router. Paths, JSON keys and metric names that differ from
+//! the identifiers in the code are kept for compatibility with existing tools.
 
 use super::config::FrontKind;
 use super::machine::State;
--- a/src/vrrp/config.rs
+++ b/src/vrrp/config.rs
@@ -1,7 +1,7 @@
 //! The configuration file of a virtual router, `serve --vrrp FILE`. Without it, the proxy runs no virtual
 //! router.
 //!
-//! The keys of the file are kept from the first version, so that existing files stay valid.
+//! Keys of the file that differ from the field names are kept for compatibility with existing files.
 
 use super::machine::RouterSettings;
 use super::message::OWNER_PRIORITY;
@@ -41,7 +41,7 @@
 impl VirtualListenerConfig {
     /// The parsed socket address.
     pub fn socket_address(&self) -> SocketAddr {
-        parse_address(&self.address).expect("checked when read")
+        parse_address(&self.address).expect("validated by `VrrpConfig::read`")
     }
 }
 
@@ -76,10 +76,11 @@
     /// Listeners to open while the router is active.
     #[serde(rename = "serve", default)]
     pub listeners: Vec<VirtualListenerConfig>,
-    /// How long an active router may fail to open all its listeners before it steps down, in milliseconds.
+    /// How long an active router may have a listener that is not open before it steps down, in milliseconds.
     #[serde(rename = "open_patience_ms", default = "default_open_timeout_ms")]
     pub open_timeout_ms: f64,
-    /// How long the router then stays out of the election, in milliseconds.
+    /// How long a router that stepped down because of its listeners stays out of the election, in
+    /// milliseconds.
     #[serde(rename = "aside_ms", default = "default_hold_ms")]
     pub step_down_ms: f64,
     /// Rules that reduce the priority or put the router into the fault state.
@@ -127,7 +128,7 @@
     pub registry: bool,
 }
 
-/// A reference in the configuration file to a disabled subsystem.
+/// A reference in the configuration file to a disabled subsystem, or to a gRPC pool that is not configured.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum DisabledSubsystem {
     /// The front that a listener refers to is disabled.
@@ -136,8 +137,11 @@
         /// Address of the listener.
         address: String,
     },
-    /// The subsystem that provides the value of a tracked object is disabled.
-    #[error("`track`: the subsystem that {object} belongs to is disabled")]
+    /// The subsystem that provides the value of a tracked object is disabled, or the gRPC pool is not
+    /// configured.
+    #[error(
+        "`track`: {object} is not available: its subsystem is disabled or the gRPC pool is not configured"
+    )]
     TrackedObject {
         /// The object.
         object: TrackedObject,
@@ -157,13 +161,13 @@
     pub fn reload(&self) -> Result<Self, ConfigError> {
         let reloaded = Self::read(&self.path)?;
         if reloaded.fixed_fields() != self.fixed_fields() {
-            let reason = "`listen`, `vrid` and `serve` cannot change without a restart";
+            let reason = "`listen`, `vrid` and the addresses of `serve` cannot change without a restart";
             return Err(FieldError::new("listen", reason).in_file(&self.path));
         }
         Ok(reloaded)
     }
 
-    /// The fields that cannot change while the process runs.
+    /// The values that require a restart to change: `listen`, `vrid` and the addresses of `serve`.
     fn fixed_fields(&self) -> (SocketAddr, u8, Vec<SocketAddr>) {
         let listeners = self.listeners.iter().map(VirtualListenerConfig::socket_address);
         (self.listen, self.vrid, listeners.collect())
@@ -197,7 +201,7 @@
                 return error(format!("the IP address of {address} is not listed in `addresses`"));
             }
             if seen.contains(&address) || address.port() == 0 {
-                return error(format!("{address} is a duplicate or has port 0"));
+                return error(format!("{address} is listed more than once or has port 0"));
             }
             seen.push(address);
         }
@@ -216,7 +220,8 @@
         Ok(())
     }
 
-    /// Checks that the subsystems used by the listeners and the tracked objects are enabled.
+    /// Checks that the subsystems used by the listeners and the tracked objects are enabled, and that tracked
+    /// gRPC pools are configured.
     pub fn check_dependencies(&self, enabled: &EnabledSubsystems) -> Result<(), DisabledSubsystem> {
         let is_front_enabled = |listener: &&VirtualListenerConfig| match listener.front {
             FrontKind::Platform => true,
--- a/src/vrrp/driver.rs
+++ b/src/vrrp/driver.rs
@@ -10,7 +10,7 @@
 
 /// Time between two samples of the tracked objects, in milliseconds.
 const SAMPLE_INTERVAL_MS: f64 = 100.0;
-/// Size of the receive buffer, in bytes. Longer datagrams are truncated and then rejected as malformed.
+/// Size of the receive buffer, in bytes. Longer datagrams are truncated and then rejected.
 const MAX_DATAGRAM_BYTES: usize = 512;
 
 /// Runs a virtual router until `stop` is notified. The caller then closes the router's listeners.
@@ -47,7 +47,8 @@
                     outgoing.extend(router.sample_tracked_objects());
                 }
             }
-            // A receive error reports the failure of an earlier send, such as ICMP port unreachable.
+            // Receive errors are ignored: they report that an earlier datagram was not delivered (ICMP port
+            // unreachable).
             received = socket.recv_from(&mut buffer) => if let Ok((length, from)) = received {
                 outgoing.extend(router.receive(from, &buffer[..length]));
             },
--- a/src/vrrp/host_values.rs
+++ b/src/vrrp/host_values.rs
@@ -5,14 +5,15 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Provides the values of the engine, of admission control and of files; other values are unknown to it.
+/// Provides the values of objects of the engine, admission control and the file system; returns `None` for
+/// other objects.
 pub struct HostValues {
     host: Rc<Executor>,
     rejected_share: RefCell<RejectedShare>,
 }
 
 impl HostValues {
-    /// Creates the source of the values of `host`.
+    /// Creates a source that reads from the engine and admission control of `host`.
     pub fn new(host: Rc<Executor>) -> Self {
         Self { host, rejected_share: RefCell::default() }
     }
--- a/src/vrrp/listeners.rs
+++ b/src/vrrp/listeners.rs
@@ -33,12 +33,12 @@
     Open,
 }
 
-/// The listeners of one virtual router.
+/// The states of the listeners of one virtual router.
 #[derive(Clone, Debug)]
 pub struct ListenerSet {
     listeners: Vec<ListenerState>,
     active: bool,
-    /// Since when the router has been active without all listeners open.
+    /// Since when the router has been active with a listener that is not open, in milliseconds.
     incomplete_since_ms: Option<f64>,
     open_timeout_ms: f64,
     step_down_ms: f64,
@@ -49,7 +49,7 @@
 impl ListenerSet {
     /// Creates a set of closed listeners.
     ///
-    /// If the router is active and not all listeners are open for `open_timeout_ms`, it steps down for
+    /// An active router with a listener that is not open for `open_timeout_ms` must step down for
     /// `step_down_ms`.
     pub fn new(listeners: usize, open_timeout_ms: f64, step_down_ms: f64) -> Self {
         Self {
@@ -127,8 +127,8 @@
 }
 
 impl ListenerState {
-    /// Returns the command that opens the listener if the router is active, or closes it otherwise, if one is
-    /// due, and advances the state of the listener.
+    /// Returns the command that is due, if any, and updates the state: the listener is opened while the
+    /// router is active and closed otherwise.
     fn next_command(&mut self, now: f64, active: bool, index: usize) -> Option<ListenerCommand> {
         match (*self, active) {
             (Self::Closed, true) => {
--- a/src/vrrp/listeners/tests.rs
+++ b/src/vrrp/listeners/tests.rs
@@ -38,7 +38,7 @@
             attempts.push(now);
             listeners.record_open_result(now, 0, false);
         });
-        assert!(now < 9_000.0);
+        assert!(now < 9_000.0, "the router did not step down by {now} ms");
     }
     assert_eq!((now, listeners.step_downs()), (2_000.0, 1));
     assert!((5..12).contains(&attempts.len()), "{attempts:?}");
--- a/src/vrrp/machine.rs
+++ b/src/vrrp/machine.rs
@@ -1,10 +1,11 @@
 //! The state machine of one virtual router (RFC 9568, section 6.4). No I/O: callers pass the current time, in
 //! milliseconds.
 //!
-//! Extensions to the RFC, all off by default: a priority that depends on tracked objects, a fault state in
-//! which the router takes no part in the election, a preemption delay, a configurable number of missed
-//! advertisements before the active router counts as down, and a pause of preemption after flapping. None of
-//! the preemption settings delays the replacement of a failed active router.
+//! Extensions to the RFC: a priority that depends on tracked objects, a fault state in which the router takes
+//! no part in the election, a preemption delay, a configurable number of missed advertisements before the
+//! active router counts as down, and a pause of preemption after flapping. None of the preemption settings
+//! delays the replacement of a failed active router. With the default settings, timers and preemption follow
+//! the RFC.
 
 use super::message::{Advertisement, CENTISECOND_MS, OWNER_PRIORITY, STOP_PRIORITY};
 use crate::config_file::FieldError;
@@ -99,7 +100,10 @@
         let error = |field, reason: String| Err(FieldError::new(field, reason));
         let all = self.peers.iter().chain([&self.listen]);
         if let Some(address) = all.into_iter().find(|address| !address.ip().is_loopback()) {
-            return error("peers", format!("{address} is not a loopback address"));
+            return error(
+                "peers",
+                format!("`listen` and `peers` must be loopback addresses; {address} is not"),
+            );
         }
         if self.peers.is_empty() || self.peers.len() > MAX_PEERS {
             return error(
@@ -108,10 +112,13 @@
             );
         }
         if self.vrid == 0 {
-            return error("vrid", "0 is not a valid virtual router identifier".into());
+            return error("vrid", "0 is not between 1 and 255".into());
         }
         if self.priority == STOP_PRIORITY {
-            return error("priority", "0 is reserved for a router that shuts down".into());
+            return error(
+                "priority",
+                "0 is reserved for a router that stops; must be between 1 and 255".into(),
+            );
         }
         if !(1..=MAX_INTERVAL_CS).contains(&self.interval_cs) {
             let reason = format!("{} is not between 1 and {MAX_INTERVAL_CS}", self.interval_cs);
@@ -126,8 +133,10 @@
         }
         let is_valid = |ms: f64| ms.is_finite() && (0.0..=MAX_DELAY_MS).contains(&ms);
         if !is_valid(self.preempt_delay_ms) || !is_valid(self.flap_hold_ms) {
-            let reason =
-                format!("`preempt_delay_ms` and `flap_hold_ms` must be between 0 and {MAX_DELAY_MS}");
+            let reason = format!(
+                "`preempt_delay_ms` is {} and `flap_hold_ms` is {}, must be between 0 and {MAX_DELAY_MS}",
+                self.preempt_delay_ms, self.flap_hold_ms
+            );
             return error("preempt_delay_ms", reason);
         }
         if !(1..=MAX_DOWN_INTERVALS).contains(&self.down_intervals) {
@@ -167,7 +176,8 @@
     active_interval_ms: f64,
     /// When the `Adver_Timer` (active) or the `Active_Down_Timer` (backup) of the RFC expires.
     due_ms: f64,
-    /// When the `Active_Down_Timer` was started.
+    /// When the `Active_Down_Timer` was started; backdated after the active router stops, so that only the
+    /// `Skew_Time` is left.
     down_timer_started_ms: f64,
     /// Since when advertisements of an active router of lower priority have been received.
     lower_active_since_ms: Option<f64>,
@@ -213,7 +223,7 @@
         self.due_ms
     }
 
-    /// Replaces the settings. The state and running timers are kept.
+    /// Replaces the settings. The state, the current priority and running timers are kept.
     pub fn reconfigure(&mut self, settings: RouterSettings) {
         self.settings = settings;
     }
@@ -323,7 +333,7 @@
         }
     }
 
-    /// Handles the expiry of a timer by `now`.
+    /// Handles the timer if it has expired at `now`.
     pub fn tick(&mut self, now: f64) -> Option<Advertisement> {
         if now < self.due_ms || matches!(self.state, State::Initialize | State::Fault) {
             return None;
@@ -331,8 +341,8 @@
         self.become_active(now)
     }
 
-    /// Whether this router may now preempt the active router of lower priority whose advertisement it
-    /// received.
+    /// Whether this router may preempt the active router of lower priority whose advertisement it received.
+    /// Starts the preemption delay if it is not running.
     fn may_preempt(&mut self, now: f64) -> bool {
         let since = *self.lower_active_since_ms.get_or_insert(now);
         self.settings.preempt
@@ -357,7 +367,8 @@
 
     fn receive_as_backup(&mut self, now: f64, received: &Advertisement) {
         if received.priority == STOP_PRIORITY {
-            // The active router stopped: wait for the `Skew_Time` only.
+            // The active router stopped: wait for the `Skew_Time` only. The start is backdated, so that
+            // `set_priority` recomputes the expiry from the new `Skew_Time` alone.
             self.down_timer_started_ms = now - self.active_down_ms() + self.skew_ms();
             self.due_ms = now + self.skew_ms();
             self.lower_active_since_ms = None;
--- a/src/vrrp/machine/tests.rs
+++ b/src/vrrp/machine/tests.rs
@@ -55,7 +55,10 @@
     );
     assert_eq!(machine.set_fault(100_000.0, false), None);
     assert_eq!(machine.state(), State::Backup);
-    assert!(machine.due_ms() > 103_000.0, "it waits a full down interval before it may become active");
+    assert!(
+        machine.due_ms() > 103_000.0,
+        "the router waits a full down interval before it may become active"
+    );
 }
 
 #[test]
@@ -68,10 +71,10 @@
         if (now as u64) % 1_000 == 0 {
             machine.receive(now, router_address(2), &advertisement(100));
         }
-        assert!(now < 20_000.0);
+        assert!(now < 20_000.0, "no takeover by {now} ms");
     }
-    // A router of lower priority advertises from 1 s on, so that preemption is delayed until 6 s; then three
-    // intervals and the skew time elapse.
+    // Preemption is delayed until 6 s. The advertisement at 5 s is the last that restarts the down timer,
+    // which expires three intervals and the skew time later, at 8.2 s.
     assert!((8_000.0..9_500.0).contains(&now), "{now}");
     let mut machine = self::machine(200, |settings| settings.preempt_delay_ms = 60_000.0);
     machine.start(0.0);
--- a/src/vrrp/message.rs
+++ b/src/vrrp/message.rs
@@ -8,8 +8,8 @@
 pub const OWNER_PRIORITY: u8 = 255;
 /// Priority that an active router advertises when it stops serving the virtual addresses.
 pub const STOP_PRIORITY: u8 = 0;
-/// Domain separation label of the signatures of advertisements: signatures of other protocols under the same
-/// keys are not valid for them.
+/// Domain separation label of signatures: a signature made for another protocol with the same key is not
+/// valid for an advertisement.
 pub const LABEL: &[u8] = b"calicobeam vrrp 1";
 /// Milliseconds in a centisecond.
 pub const CENTISECOND_MS: f64 = 10.0;
@@ -26,10 +26,10 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
     /// The length does not match the number of addresses, or there is no address.
-    #[error("the length does not match the number of addresses")]
+    #[error("the message has no addresses, or its length does not match their number")]
     Length,
     /// The version is not 3, or the type is not an advertisement.
-    #[error("unsupported version or message type")]
+    #[error("unsupported version or message type: the first byte is not 0x31")]
     Version,
     /// The checksum is wrong.
     #[error("invalid checksum")]
@@ -68,7 +68,7 @@
         f64::from(self.interval_cs) * CENTISECOND_MS
     }
 
-    /// Encodes the message.
+    /// Encodes the message, including its checksum.
     pub fn encode(&self) -> Vec<u8> {
         let [interval_high, interval_low] = (self.interval_cs & 0x0fff).to_be_bytes();
         let count = self.addresses.len() as u8;
--- a/src/vrrp/mod.rs
+++ b/src/vrrp/mod.rs
@@ -5,10 +5,10 @@
 //! | --- | --- | --- |
 //! | [`message`] | encoding and decoding of advertisements | none |
 //! | [`machine`] | the state machine | none |
-//! | [`track`] | tracked objects and the resulting priority | none |
+//! | [`track`] | tracked objects, and the priority and fault state that result from them | none |
 //! | [`listeners`] | which listeners to open or close, with backoff | none |
 //! | [`config`] | the configuration file | files |
-//! | [`host_values`] | values of tracked objects of the engine, admission control and files | files |
+//! | [`host_values`] | values of tracked objects, from the engine, admission control and files | files |
 //! | [`virtual_addresses`] | opens and closes the listeners | TCP listeners |
 //! | [`router`] | state machine, authentication, peers and counters of a running router | none |
 //! | [`driver`] | the task: datagrams and timers | a UDP socket |
--- a/src/vrrp/router.rs
+++ b/src/vrrp/router.rs
@@ -119,8 +119,9 @@
         }))
     }
 
-    /// Applies a reloaded configuration file: priority, keys, tracking rules and delays. If the keys cannot
-    /// be read, nothing changes.
+    /// Applies a reloaded configuration file: the settings of the state machine, the keys and the tracking
+    /// rules. The listeners and their delays are fixed until a restart, and so is `clock_skew_ms` while
+    /// authentication stays on. If the keys cannot be read, nothing changes.
     pub fn reconfigure(&self, config: VrrpConfig) -> Result<(), KeyFileError> {
         let keys = config.keys()?;
         match (&mut *self.auth.borrow_mut(), keys) {
@@ -271,7 +272,7 @@
     }
 
     /// Counts a rejected datagram. To limit the log volume, datagrams from unknown senders are not logged,
-    /// and others only if their count is a power of two.
+    /// and other rejected datagrams only when their total number reaches a power of two.
     fn reject(&self, from: SocketAddr, rejection: Rejection) {
         self.count(|metrics| match rejection {
             Rejection::UnknownSender => metrics.unknown_senders += 1,
@@ -292,8 +293,8 @@
         }
     }
 
-    /// Encodes an advertisement, and signs it if authentication is configured. Each call returns a new
-    /// sequence number.
+    /// Encodes an advertisement, and signs it if authentication is configured. Each signed datagram
+    /// has a new sequence number.
     pub(super) fn encode(&self, advertisement: &Advertisement) -> Vec<u8> {
         let message = advertisement.encode();
         match &mut *self.auth.borrow_mut() {
--- a/src/vrrp/track.rs
+++ b/src/vrrp/track.rs
@@ -1,6 +1,6 @@
-//! Tracked objects and the resulting priority of the router. The value of each object is sampled
-//! periodically. An object fails when its value has been out of bounds for a configured time, and recovers
-//! when the value has been within bounds for a configured time. No I/O.
+//! Tracked objects, and the priority and fault state of the router that result from them. The value of each
+//! object is sampled periodically. An object fails when its value has been out of bounds for a configured
+//! time, and recovers when the value has been within bounds for a configured time. No I/O.
 
 use super::message::OWNER_PRIORITY;
 use serde::Deserialize;
@@ -9,8 +9,8 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// An object whose value is tracked. Its names in the configuration file and the admin call are kept from the
-/// first version.
+/// An object whose value is tracked. Its names in the configuration file and the admin call are kept for
+/// compatibility.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum TrackedObject {
@@ -20,7 +20,8 @@
     /// Fill level of the admission queue, from 0 to 1.
     #[serde(rename = "door")]
     AdmissionQueue,
-    /// Fraction of the requests that ended within [`SHARE_WINDOW_MS`] that were rejected or failed.
+    /// Fraction of rejected or failed requests among those that ended within the last
+    /// [`SHARE_WINDOW_MS`].
     #[serde(rename = "refused")]
     RejectedShare,
     /// Time since the last response of the registry, in milliseconds.
@@ -54,7 +55,7 @@
 
 /// Length of the sliding window of [`TrackedObject::RejectedShare`], in milliseconds.
 pub const SHARE_WINDOW_MS: f64 = 3_000.0;
-/// Minimum number of ended requests in the window for a share to be computed.
+/// Minimum number of ended requests in the window; with fewer, the rejected share is unknown.
 const MIN_ENDED_REQUESTS: u64 = 20;
 /// Upper bound of the delays of a rule, in milliseconds.
 const MAX_DELAY_MS: f64 = 3_600_000.0;
@@ -136,7 +137,7 @@
     rule: TrackRule,
     failed: bool,
     value: Option<f64>,
-    /// Since when the value has called for the opposite of `failed`, in milliseconds.
+    /// Since when the samples have contradicted `failed`, in milliseconds; `None` if the last one did not.
     transition_pending_since_ms: Option<f64>,
 }
 
@@ -146,7 +147,7 @@
         Self::with_state(rule, false)
     }
 
-    /// Creates a tracker with the state that the object has under an earlier rule.
+    /// Creates a tracker that keeps the state of the object under its previous rule.
     pub fn with_state(rule: TrackRule, failed: bool) -> Self {
         Self { rule, failed, value: None, transition_pending_since_ms: None }
     }
@@ -226,8 +227,8 @@
 }
 
 impl RejectedShare {
-    /// Adds the counts at `now`. Returns the share within [`SHARE_WINDOW_MS`], or `None` if too few requests
-    /// ended.
+    /// Adds the counts at `now`. Returns the share within [`SHARE_WINDOW_MS`], or `None` if too few
+    /// requests ended.
     pub fn sample(&mut self, now: f64, ended: EndedRequests) -> Option<f64> {
         self.samples.push_back((now, ended));
         while self.samples.get(1).is_some_and(|(at, _)| now - at >= SHARE_WINDOW_MS) {
--- a/src/vrrp/virtual_addresses.rs
+++ b/src/vrrp/virtual_addresses.rs
@@ -33,7 +33,7 @@
     fronts: Box<dyn VirtualFronts>,
     listeners: RefCell<ListenerSet>,
     open: RefCell<BTreeMap<usize, OpenListener>>,
-    /// Connections of closed listeners that are still draining.
+    /// Shutdowns of closed listeners whose connections are still draining.
     draining: RefCell<Vec<Rc<GracefulShutdown>>>,
     open_failures: Cell<u64>,
 }
@@ -143,8 +143,8 @@
 
 /// Binds the listener of a virtual address.
 ///
-/// `SO_REUSEPORT` lets two active routers on one machine bind the same address, like two hosts that both
-/// claim it; the kernel then assigns each connection to one of them.
+/// `SO_REUSEPORT` lets two active routers on one machine bind the same address, as two routers on
+/// different hosts can; the kernel assigns each connection to one of them.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
