--- a/src/vrrp/admin.rs
+++ b/src/vrrp/admin.rs
@@ -24,9 +24,9 @@
     #[serde(rename = "configured")]
     configured_priority: u8,
     #[serde(rename = "put_aside")]
-    stepped_down: bool,
+    operator_step_down: bool,
     #[serde(rename = "could_not_serve")]
-    listeners_failed: bool,
+    listener_step_down: bool,
     #[serde(rename = "preempts_from_ms")]
     no_preemption_until_ms: Option<f64>,
     #[serde(rename = "takeover_within_ms")]
@@ -86,7 +86,7 @@
     }
 
     fn status(&self) -> Status {
-        let (now, machine) = (self.host.clock.now(), self.machine.borrow());
+        let (now, machine) = (self.executor.clock.now(), self.machine.borrow());
         let settings = self.config.borrow().router_settings();
         let listeners = self.addresses.status().into_iter().map(|(config, open)| ListenerStatus {
             address: config.address,
@@ -100,8 +100,8 @@
             state_since_ms: self.state_since_ms.get(),
             priority: machine.priority(),
             configured_priority: settings.priority,
-            stepped_down: self.stepped_down.get(),
-            listeners_failed: self.addresses.has_stepped_down(now),
+            operator_step_down: self.operator_step_down.get(),
+            listener_step_down: self.addresses.must_step_down(now),
             no_preemption_until_ms: Some(machine.no_preemption_until_ms()).filter(|until| *until > now),
             max_takeover_ms: settings.takeover_ms(machine.priority()),
             listeners: listeners.collect(),
--- a/src/vrrp/driver.rs
+++ b/src/vrrp/driver.rs
@@ -15,12 +15,12 @@
 
 /// Runs a virtual router until `stop` is notified. The caller then closes the router's listeners.
 pub async fn run(router: Rc<VirtualRouter>, socket: UdpSocket, stop: Rc<Notify>) {
-    let clock = router.host.clock.clone();
+    let clock = router.executor.clock.clone();
     let mut buffer = [0u8; MAX_DATAGRAM_BYTES];
     let mut state = State::Initialize;
     let mut sample_due_ms = clock.now();
-    let first = router.machine.borrow_mut().start(clock.now());
-    let mut outgoing: Vec<Advertisement> = first.into_iter().collect();
+    let initial_advertisement = router.machine.borrow_mut().start(clock.now());
+    let mut outgoing: Vec<Advertisement> = initial_advertisement.into_iter().collect();
     loop {
         for advertisement in outgoing.drain(..) {
             send_to_peers(&router, &socket, &advertisement).await;
@@ -38,7 +38,7 @@
         let due_ms = timer_due_ms.min(sample_due_ms);
         tokio::select! {
             () = stop.notified() => outgoing.extend(router.machine.borrow_mut().stop()),
-            () = router.wake.notified() => sample_due_ms = now,
+            () = router.sample_requested.notified() => sample_due_ms = now,
             () = tokio::time::sleep(duration_from_ms(due_ms - now)) => {
                 let now = clock.now();
                 outgoing.extend(router.machine.borrow_mut().tick(now));
@@ -62,6 +62,6 @@
         // A send error needs no handling: a failed peer is detected by its missing advertisements.
         let sent = socket.send_to(&router.encode(advertisement), peer).await.is_ok();
         router.count(|metrics| metrics.sent += u64::from(sent));
-        router.host.with(|engine| engine.counters.vrrp_sent += u64::from(sent));
+        router.executor.with(|engine| engine.counters.vrrp_sent += u64::from(sent));
     }
 }
--- a/src/vrrp/listeners.rs
+++ b/src/vrrp/listeners.rs
@@ -42,7 +42,7 @@
     incomplete_since_ms: Option<f64>,
     open_timeout_ms: f64,
     step_down_ms: f64,
-    stepped_down_until_ms: f64,
+    step_down_until_ms: f64,
     step_downs: u64,
 }
 
@@ -51,14 +51,14 @@
     ///
     /// An active router with a listener that is not open for `open_timeout_ms` must step down for
     /// `step_down_ms`.
-    pub fn new(listeners: usize, open_timeout_ms: f64, step_down_ms: f64) -> Self {
+    pub fn new(count: usize, open_timeout_ms: f64, step_down_ms: f64) -> Self {
         Self {
-            listeners: vec![ListenerState::Closed; listeners],
+            listeners: vec![ListenerState::Closed; count],
             active: false,
             incomplete_since_ms: None,
             open_timeout_ms,
             step_down_ms,
-            stepped_down_until_ms: f64::NEG_INFINITY,
+            step_down_until_ms: f64::NEG_INFINITY,
             step_downs: 0,
         }
     }
@@ -84,7 +84,7 @@
         if self.incomplete_since_ms.is_some_and(|since| now - since >= self.open_timeout_ms) {
             self.step_downs += 1;
             self.incomplete_since_ms = None;
-            self.stepped_down_until_ms = now + self.step_down_ms;
+            self.step_down_until_ms = now + self.step_down_ms;
         }
     }
 
@@ -101,8 +101,8 @@
     }
 
     /// Whether the router must stay out of the election because listeners could not be opened.
-    pub fn has_stepped_down(&self, now: f64) -> bool {
-        now < self.stepped_down_until_ms
+    pub fn must_step_down(&self, now: f64) -> bool {
+        now < self.step_down_until_ms
     }
 
     /// Number of times that the router stepped down because listeners could not be opened.
--- a/src/vrrp/listeners/tests.rs
+++ b/src/vrrp/listeners/tests.rs
@@ -22,10 +22,10 @@
 }
 
 #[test]
-fn a_listener_that_cannot_be_opened_is_retried_until_the_router_steps_down() {
+fn a_listener_that_cannot_be_opened_is_retried_until_step_down_and_on_the_next_activation() {
     let mut listeners = ListenerSet::new(1, 2_000.0, 10_000.0);
     let (mut now, mut attempts) = (0.0, Vec::new());
-    while !listeners.has_stepped_down(now) {
+    while !listeners.must_step_down(now) {
         for command in listeners.apply_state(now, State::Active) {
             assert_eq!(command, ListenerCommand::Open(0));
             attempts.push(now);
@@ -43,7 +43,7 @@
     assert_eq!((now, listeners.step_downs()), (2_000.0, 1));
     assert!((5..12).contains(&attempts.len()), "{attempts:?}");
     assert_eq!(listeners.apply_state(now, State::Fault), [], "no listener is open");
-    assert!(listeners.has_stepped_down(11_999.0) && !listeners.has_stepped_down(12_000.0));
+    assert!(listeners.must_step_down(11_999.0) && !listeners.must_step_down(12_000.0));
     // The router becomes active again, and the listener can be opened.
     assert_eq!(listeners.apply_state(13_000.0, State::Active), [ListenerCommand::Open(0)]);
     listeners.record_open_result(13_000.0, 0, true);
--- a/src/vrrp/machine.rs
+++ b/src/vrrp/machine.rs
@@ -98,8 +98,8 @@
     /// Validates all fields.
     pub fn check(&self) -> Result<(), FieldError> {
         let error = |field, reason: String| Err(FieldError::new(field, reason));
-        let all = self.peers.iter().chain([&self.listen]);
-        if let Some(address) = all.into_iter().find(|address| !address.ip().is_loopback()) {
+        let socket_addresses = self.peers.iter().chain([&self.listen]);
+        if let Some(address) = socket_addresses.into_iter().find(|address| !address.ip().is_loopback()) {
             return error(
                 "peers",
                 format!("`listen` and `peers` must be loopback addresses; {address} is not"),
--- a/src/vrrp/message.rs
+++ b/src/vrrp/message.rs
@@ -10,7 +10,7 @@
 pub const STOP_PRIORITY: u8 = 0;
 /// Domain separation label of signatures: a signature made for another protocol with the same key is not
 /// valid for an advertisement.
-pub const LABEL: &[u8] = b"calicobeam vrrp 1";
+pub const SIGNATURE_LABEL: &[u8] = b"calicobeam vrrp 1";
 /// Milliseconds in a centisecond.
 pub const CENTISECOND_MS: f64 = 10.0;
 /// Length of the fixed part of a message, before the addresses, in bytes.
--- a/src/vrrp/router.rs
+++ b/src/vrrp/router.rs
@@ -3,8 +3,8 @@
 
 use super::config::VrrpConfig;
 use super::machine::{Machine, State};
-use super::message::{Advertisement, DecodeError, LABEL, STOP_PRIORITY};
-use super::track::{TrackedPriority, TrackedValues, Tracker};
+use super::message::{Advertisement, DecodeError, SIGNATURE_LABEL, STOP_PRIORITY};
+use super::track::{TrackedValues, Tracker, TrackingEffect};
 use super::virtual_addresses::{VirtualAddresses, VirtualFronts};
 use crate::config_file::KeyFileError;
 use crate::datagram_auth::{AuthError, DatagramAuth};
@@ -77,7 +77,7 @@
 
 /// A virtual router, shared by its task and the admin calls.
 pub struct VirtualRouter {
-    pub(super) host: Rc<Executor>,
+    pub(super) executor: Rc<Executor>,
     pub(super) config: RefCell<VrrpConfig>,
     pub(super) machine: RefCell<Machine>,
     pub(super) addresses: VirtualAddresses,
@@ -86,23 +86,23 @@
     auth: RefCell<Option<DatagramAuth>>,
     pub(super) peers: RefCell<BTreeMap<SocketAddr, Peer>>,
     /// Whether an operator made the router step down.
-    pub(super) stepped_down: Cell<bool>,
+    pub(super) operator_step_down: Cell<bool>,
     /// When the state last changed, in Unix milliseconds.
     pub(super) state_since_ms: Cell<f64>,
     /// Makes the task sample the tracked objects immediately.
-    pub(super) wake: Notify,
+    pub(super) sample_requested: Notify,
     metrics: Cell<RouterMetrics>,
 }
 
 impl VirtualRouter {
     /// Creates a router from its configuration file, without starting it.
     pub fn new(
-        host: Rc<Executor>,
+        executor: Rc<Executor>,
         config: VrrpConfig,
         fronts: Box<dyn VirtualFronts>,
         tracked_values: Box<dyn TrackedValues>,
     ) -> Result<Rc<Self>, KeyFileError> {
-        let auth = config.keys()?.map(|keys| DatagramAuth::new(keys, config.clock_skew_ms, LABEL));
+        let auth = config.keys()?.map(|keys| DatagramAuth::new(keys, config.clock_skew_ms, SIGNATURE_LABEL));
         Ok(Rc::new(Self {
             machine: RefCell::new(Machine::new(config.router_settings())),
             addresses: VirtualAddresses::new(&config, fronts),
@@ -110,12 +110,12 @@
             tracked_values,
             auth: RefCell::new(auth),
             peers: RefCell::default(),
-            stepped_down: Cell::new(false),
-            state_since_ms: Cell::new(host.clock.now()),
-            wake: Notify::new(),
+            operator_step_down: Cell::new(false),
+            state_since_ms: Cell::new(executor.clock.now()),
+            sample_requested: Notify::new(),
             metrics: Cell::default(),
             config: RefCell::new(config),
-            host,
+            executor,
         }))
     }
 
@@ -126,12 +126,14 @@
         let keys = config.keys()?;
         match (&mut *self.auth.borrow_mut(), keys) {
             (Some(auth), Some(keys)) => auth.set_keys(keys),
-            (auth, keys) => *auth = keys.map(|keys| DatagramAuth::new(keys, config.clock_skew_ms, LABEL)),
+            (auth, keys) => {
+                *auth = keys.map(|keys| DatagramAuth::new(keys, config.clock_skew_ms, SIGNATURE_LABEL))
+            }
         }
         self.replace_trackers(&config);
         self.machine.borrow_mut().reconfigure(config.router_settings());
         *self.config.borrow_mut() = config;
-        self.wake.notify_one();
+        self.sample_requested.notify_one();
         Ok(())
     }
 
@@ -152,14 +154,14 @@
 
     /// Keeps the router out of the election until [`Self::resume`], by request of an operator.
     pub fn step_down(&self) {
-        self.stepped_down.set(true);
-        self.wake.notify_one();
+        self.operator_step_down.set(true);
+        self.sample_requested.notify_one();
     }
 
     /// Lets the router take part in the election again, as a backup.
     pub fn resume(&self) {
-        self.stepped_down.set(false);
-        self.wake.notify_one();
+        self.operator_step_down.set(false);
+        self.sample_requested.notify_one();
     }
 
     /// Closes the listeners of the virtual addresses and drains their connections.
@@ -186,7 +188,7 @@
     /// Counts and logs a change of the state.
     pub(super) fn state_changed(&self, now: f64, previous: State, state: State) {
         self.state_since_ms.set(now);
-        self.host.with(|engine| engine.counters.vrrp_changes += 1);
+        self.executor.with(|engine| engine.counters.vrrp_changes += 1);
         self.count(|metrics| {
             metrics.became_active += u64::from(state == State::Active);
             metrics.ceased_active += u64::from(previous == State::Active);
@@ -203,12 +205,11 @@
     /// Samples the tracked objects and applies the resulting priority and fault state. Returns the
     /// advertisements to send.
     pub(super) fn sample_tracked_objects(&self) -> Vec<Advertisement> {
-        let now = self.host.clock.now();
+        let now = self.executor.clock.now();
         self.update_trackers(now);
         let configured = self.config.borrow().router_settings().priority;
-        let TrackedPriority { priority, fault } =
-            TrackedPriority::compute(configured, &self.trackers.borrow());
-        let fault = fault || self.stepped_down.get() || self.addresses.has_stepped_down(now);
+        let TrackingEffect { priority, fault } = TrackingEffect::compute(configured, &self.trackers.borrow());
+        let fault = fault || self.operator_step_down.get() || self.addresses.must_step_down(now);
         let mut machine = self.machine.borrow_mut();
         let advertisements = [machine.set_priority(now, priority), machine.set_fault(now, fault)];
         advertisements.into_iter().flatten().collect()
@@ -230,7 +231,7 @@
 
     /// Handles a received datagram. Returns the advertisement to send, if any.
     pub(super) fn receive(&self, from: SocketAddr, datagram: &[u8]) -> Option<Advertisement> {
-        let now = self.host.clock.now();
+        let now = self.executor.clock.now();
         let advertisement = match self.authenticate_and_decode(now, from, datagram) {
             Ok(advertisement) => advertisement,
             Err(rejection) => {
@@ -238,7 +239,7 @@
                 return None;
             }
         };
-        self.host.with(|engine| engine.counters.vrrp_received += 1);
+        self.executor.with(|engine| engine.counters.vrrp_received += 1);
         let peer = Peer { last_received_ms: now, priority: advertisement.priority };
         self.peers.borrow_mut().insert(from, peer);
         let is_conflict = self.state() == State::Active && advertisement.priority != STOP_PRIORITY;
@@ -283,7 +284,7 @@
         });
         match rejection {
             Rejection::UnknownSender => return,
-            Rejection::Malformed(_) => self.host.with(|engine| engine.counters.vrrp_malformed += 1),
+            Rejection::Malformed(_) => self.executor.with(|engine| engine.counters.vrrp_malformed += 1),
             Rejection::NotAuthentic(_) | Rejection::Mismatched => {}
         }
         let metrics = self.metrics.get();
@@ -298,7 +299,7 @@
     pub(super) fn encode(&self, advertisement: &Advertisement) -> Vec<u8> {
         let message = advertisement.encode();
         match &mut *self.auth.borrow_mut() {
-            Some(auth) => auth.sign(self.host.clock.now(), message),
+            Some(auth) => auth.sign(self.executor.clock.now(), message),
             None => message,
         }
     }
--- a/src/vrrp/track.rs
+++ b/src/vrrp/track.rs
@@ -21,7 +21,7 @@
     #[serde(rename = "door")]
     AdmissionQueue,
     /// Fraction of rejected or failed requests among those that ended within the last
-    /// [`SHARE_WINDOW_MS`].
+    /// [`REJECTED_SHARE_WINDOW_MS`].
     #[serde(rename = "refused")]
     RejectedShare,
     /// Time since the last response of the registry, in milliseconds.
@@ -54,7 +54,7 @@
 }
 
 /// Length of the sliding window of [`TrackedObject::RejectedShare`], in milliseconds.
-pub const SHARE_WINDOW_MS: f64 = 3_000.0;
+pub const REJECTED_SHARE_WINDOW_MS: f64 = 3_000.0;
 /// Minimum number of ended requests in the window; with fewer, the rejected share is unknown.
 const MIN_ENDED_REQUESTS: u64 = 20;
 /// Upper bound of the delays of a rule, in milliseconds.
@@ -188,14 +188,14 @@
 
 /// The effect of the tracked objects on the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TrackedPriority {
+pub struct TrackingEffect {
     /// Priority after all reductions, at least 1.
     pub priority: u8,
     /// Whether the router must be in the fault state.
     pub fault: bool,
 }
 
-impl TrackedPriority {
+impl TrackingEffect {
     /// Reduces the configured priority by the rules of all failed objects. The owner's priority is never
     /// reduced.
     pub fn compute(configured: u8, trackers: &[Tracker]) -> Self {
@@ -227,11 +227,11 @@
 }
 
 impl RejectedShare {
-    /// Adds the counts at `now`. Returns the share within [`SHARE_WINDOW_MS`], or `None` if too few
+    /// Adds the counts at `now`. Returns the share within [`REJECTED_SHARE_WINDOW_MS`], or `None` if too few
     /// requests ended.
     pub fn sample(&mut self, now: f64, ended: EndedRequests) -> Option<f64> {
         self.samples.push_back((now, ended));
-        while self.samples.get(1).is_some_and(|(at, _)| now - at >= SHARE_WINDOW_MS) {
+        while self.samples.get(1).is_some_and(|(at, _)| now - at >= REJECTED_SHARE_WINDOW_MS) {
             self.samples.pop_front();
         }
         let (_, oldest) = *self.samples.front()?;
--- a/src/vrrp/track/tests.rs
+++ b/src/vrrp/track/tests.rs
@@ -28,22 +28,22 @@
 }
 
 #[test]
-fn failed_objects_reduce_the_priority_to_no_less_than_1() {
+fn failed_objects_reduce_the_priority_to_no_less_than_1_and_invalid_rules_are_rejected() {
     let mut trackers = vec![
         tracker_from_json(r#"{"what":"pool","below":0.5,"lower_by":60}"#),
         tracker_from_json(r#"{"what":{"grpc":"ads"},"below":0.5,"lower_by":90}"#),
         tracker_from_json(r#"{"what":{"file":"/tmp/aside"},"above":0,"fault":true}"#),
     ];
-    assert_eq!(TrackedPriority::compute(120, &trackers), TrackedPriority { priority: 120, fault: false });
+    assert_eq!(TrackingEffect::compute(120, &trackers), TrackingEffect { priority: 120, fault: false });
     trackers[0].failed = true;
-    assert_eq!(TrackedPriority::compute(120, &trackers), TrackedPriority { priority: 60, fault: false });
+    assert_eq!(TrackingEffect::compute(120, &trackers), TrackingEffect { priority: 60, fault: false });
     trackers[1].failed = true;
-    assert_eq!(TrackedPriority::compute(120, &trackers), TrackedPriority { priority: 1, fault: false });
+    assert_eq!(TrackingEffect::compute(120, &trackers), TrackingEffect { priority: 1, fault: false });
     trackers[2].failed = true;
-    assert_eq!(TrackedPriority::compute(120, &trackers), TrackedPriority { priority: 1, fault: true });
+    assert_eq!(TrackingEffect::compute(120, &trackers), TrackingEffect { priority: 1, fault: true });
     assert_eq!(
-        TrackedPriority::compute(OWNER_PRIORITY, &trackers),
-        TrackedPriority { priority: OWNER_PRIORITY, fault: true },
+        TrackingEffect::compute(OWNER_PRIORITY, &trackers),
+        TrackingEffect { priority: OWNER_PRIORITY, fault: true },
         "the owner's priority is not reduced"
     );
     for invalid_rule in [
--- a/src/vrrp/virtual_addresses.rs
+++ b/src/vrrp/virtual_addresses.rs
@@ -114,8 +114,8 @@
     }
 
     /// Whether the router must stay out of the election because listeners could not be opened.
-    pub fn has_stepped_down(&self, now: f64) -> bool {
-        self.listeners.borrow().has_stepped_down(now)
+    pub fn must_step_down(&self, now: f64) -> bool {
+        self.listeners.borrow().must_step_down(now)
     }
 
     /// Number of times that the router stepped down because listeners could not be opened.
--- a/tests/vrrp_service.rs
+++ b/tests/vrrp_service.rs
@@ -8,7 +8,7 @@
 use edge_proxy::datagram_auth::DatagramAuth;
 use edge_proxy::message_auth::MessageKeys;
 use edge_proxy::vrrp::machine::{Machine, RouterSettings, State};
-use edge_proxy::vrrp::message::{Advertisement, LABEL};
+use edge_proxy::vrrp::message::{Advertisement, SIGNATURE_LABEL};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use simd_json::prelude::*;
@@ -414,9 +414,12 @@
             Advertisement { vrid, priority: 250, interval_cs: 10, addresses: vec![address] }.encode()
         };
         let valid_message = encode(7, virtual_ip);
-        let mut valid_auth = DatagramAuth::new(MessageKeys::parse(&key_text(1)).unwrap(), 5_000.0, LABEL);
-        let mut old_auth = DatagramAuth::new(MessageKeys::parse(&key_text(1)).unwrap(), 5_000.0, LABEL);
-        let mut wrong_auth = DatagramAuth::new(MessageKeys::parse(&key_text(2)).unwrap(), 5_000.0, LABEL);
+        let mut valid_auth =
+            DatagramAuth::new(MessageKeys::parse(&key_text(1)).unwrap(), 5_000.0, SIGNATURE_LABEL);
+        let mut old_auth =
+            DatagramAuth::new(MessageKeys::parse(&key_text(1)).unwrap(), 5_000.0, SIGNATURE_LABEL);
+        let mut wrong_auth =
+            DatagramAuth::new(MessageKeys::parse(&key_text(2)).unwrap(), 5_000.0, SIGNATURE_LABEL);
         let now = unix_ms;
         let mut wrong_checksum = valid_message.clone();
         wrong_checksum[6] ^= 1;
