--- a/tests/stand_ins/vrrp_peer.rs
+++ b/tests/stand_ins/vrrp_peer.rs
@@ -84,7 +84,7 @@
 pub async fn send_request(
     virtual_address: SocketAddr,
     id: u64,
-    write: bool,
+    is_write: bool,
     timeout: Duration,
 ) -> RequestOutcome {
     let started_at = Instant::now();
@@ -92,7 +92,7 @@
         RequestOutcome { status: None, retries: 0, malformed: false, started_at, ended_at: started_at };
     while started_at.elapsed() < timeout {
         let remaining_ms = (timeout - started_at.elapsed()).as_millis();
-        let head = if write {
+        let head = if is_write {
             format!("PUT /ops/ad-post/{id:016x} HTTP/1.1\r\nX-Dedupe-Key: k{id:x}\r\nContent-Length: 2\r\n")
         } else {
             format!("GET /ops/small-object/{:016x} HTTP/1.1\r\n", id % 211)
@@ -100,7 +100,7 @@
         let request = format!(
             "{head}Host: t\r\nX-Call-Id: {id:016x}\r\nX-Patience-Ms: {remaining_ms}\r\n\
              Connection: close\r\n\r\n{}",
-            if write { "ad" } else { "" }
+            if is_write { "ad" } else { "" }
         );
         let exchange = async {
             let mut stream = TcpStream::connect(virtual_address).await.ok()?;
@@ -138,17 +138,17 @@
 }
 
 impl LoadGenerator {
-    pub fn start(virtual_address: SocketAddr, clients: u64, timeout: Duration) -> Self {
+    pub fn start(virtual_address: SocketAddr, client_count: u64, timeout: Duration) -> Self {
         let (outcomes, stop): (Rc<RefCell<Vec<_>>>, Rc<Cell<bool>>) = Default::default();
-        let tasks = (0..clients).map(|client| {
+        let tasks = (0..client_count).map(|client| {
             let (outcomes, stop) = (outcomes.clone(), stop.clone());
             spawn_local(async move {
                 let mut sequence = 0u64;
                 while !stop.get() {
                     sequence += 1;
-                    let (id, write) = ((client + 1) << 32 | sequence, sequence % 3 == 0);
-                    let outcome = send_request(virtual_address, id, write, timeout).await;
-                    outcomes.borrow_mut().push((id, write, outcome));
+                    let (id, is_write) = ((client + 1) << 32 | sequence, sequence % 3 == 0);
+                    let outcome = send_request(virtual_address, id, is_write, timeout).await;
+                    outcomes.borrow_mut().push((id, is_write, outcome));
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
             })
--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn of_equal_priorities_the_higher_address_wins_and_preemption_can_be_disabled() {
+fn the_owner_starts_active_the_higher_address_wins_a_tie_and_preemption_can_be_disabled() {
     let mut owner = Machine::new(settings(1, OWNER_PRIORITY, true));
     assert!(owner.start(0.0).is_some());
     assert_eq!(owner.state(), State::Active);
@@ -83,12 +83,16 @@
     );
     let mut other_router = advertisement(255, 100);
     other_router.vrid = 8;
-    assert_eq!(without_preemption.receive(3_100.0, router_address(2), &other_router), None);
+    assert_eq!(
+        without_preemption.receive(3_100.0, router_address(2), &other_router),
+        None,
+        "an advertisement of another VRID is not answered"
+    );
 }
 
 /// State of a model of RFC 9568, section 6.4. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Model {
+struct ModelState {
     state: State,
     down_due_ms: f64,
     advertise_due_ms: f64,
@@ -104,11 +108,12 @@
     #[test]
     fn the_state_machine_agrees_with_a_model_of_the_rfc(
         priority in 1u8..=255, preempt: bool,
+        // Events: 0 starts, 1 stops, 2 and 3 check the timer, 4 and 5 receive an advertisement.
         steps in prop::collection::vec((0u8..6, 0u8..=255, 1u16..=4_095, 0f64..3_000.0, 1u8..5), 1..80),
     ) {
         let mut machine = Machine::new(settings(3, priority, preempt));
         let (mut now, mut model) =
-            (0.0, Model { state: State::Initialize, down_due_ms: 0.0, advertise_due_ms: 0.0 });
+            (0.0, ModelState { state: State::Initialize, down_due_ms: 0.0, advertise_due_ms: 0.0 });
         let skew = |interval: f64| (256.0 - f64::from(priority)) * interval / 256.0;
         let mut interval = 1_000.0;
         for (event, peer_priority, interval_cs, elapsed_ms, host) in steps {
@@ -117,11 +122,11 @@
             let actual = match event {
                 0 => {
                     if model.state == State::Initialize && priority == OWNER_PRIORITY {
-                        model = Model { state: State::Active, advertise_due_ms: now + 1_000.0, ..model };
+                        model = ModelState { state: State::Active, advertise_due_ms: now + 1_000.0, ..model };
                         expected = Some(priority);
                     } else if model.state == State::Initialize {
                         interval = 1_000.0;
-                        model = Model {
+                        model = ModelState {
                             state: State::Backup,
                             down_due_ms: now + 3.0 * interval + skew(interval),
                             ..model
@@ -141,7 +146,7 @@
                         State::Active => now >= model.advertise_due_ms,
                     };
                     if due {
-                        model = Model { state: State::Active, advertise_due_ms: now + 1_000.0, ..model };
+                        model = ModelState { state: State::Active, advertise_due_ms: now + 1_000.0, ..model };
                         expected = Some(priority);
                     }
                     machine.tick(now)
@@ -158,7 +163,7 @@
                         }
                         State::Backup | State::Active => {
                             interval = f64::from(interval_cs) * 10.0;
-                            model = Model {
+                            model = ModelState {
                                 state: State::Backup,
                                 down_due_ms: now + 3.0 * interval + skew(interval),
                                 ..model
@@ -180,7 +185,9 @@
     }
 
     #[test]
-    fn decoding_any_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
+    fn any_bytes_decode_without_panic_and_valid_messages_round_trip(
+        bytes in prop::collection::vec(any::<u8>(), 0..64),
+    ) {
         if let Ok(advertisement) = Advertisement::decode(&bytes) {
             prop_assert_eq!(Advertisement::decode(&advertisement.encode()), Ok(advertisement));
         }
