--- a/src/vrrp/listeners.rs
+++ b/src/vrrp/listeners.rs
@@ -33,32 +33,32 @@
     Open,
 }
 
-/// The listeners of one virtual router.
+/// The states of the listeners of one virtual router.
 #[derive(Clone, Debug)]
 pub struct ListenerSet {
     listeners: Vec<ListenerState>,
     active: bool,
-    /// Since when the router has been active without all listeners open.
+    /// Since when the router has been active with a listener that is not open, in milliseconds.
     incomplete_since_ms: Option<f64>,
     open_timeout_ms: f64,
     step_down_ms: f64,
-    stepped_down_until_ms: f64,
+    step_down_until_ms: f64,
     step_downs: u64,
 }
 
 impl ListenerSet {
     /// Creates a set of closed listeners.
     ///
-    /// If the router is active and not all listeners are open for `open_timeout_ms`, it steps down for
+    /// An active router with a listener that is not open for `open_timeout_ms` must step down for
     /// `step_down_ms`.
-    pub fn new(listeners: usize, open_timeout_ms: f64, step_down_ms: f64) -> Self {
+    pub fn new(count: usize, open_timeout_ms: f64, step_down_ms: f64) -> Self {
         Self {
-            listeners: vec![ListenerState::Closed; listeners],
+            listeners: vec![ListenerState::Closed; count],
             active: false,
             incomplete_since_ms: None,
             open_timeout_ms,
             step_down_ms,
-            stepped_down_until_ms: f64::NEG_INFINITY,
+            step_down_until_ms: f64::NEG_INFINITY,
             step_downs: 0,
         }
     }
@@ -84,7 +84,7 @@
         if self.incomplete_since_ms.is_some_and(|since| now - since >= self.open_timeout_ms) {
             self.step_downs += 1;
             self.incomplete_since_ms = None;
-            self.stepped_down_until_ms = now + self.step_down_ms;
+            self.step_down_until_ms = now + self.step_down_ms;
         }
     }
 
@@ -101,8 +101,8 @@
     }
 
     /// Whether the router must stay out of the election because listeners could not be opened.
-    pub fn has_stepped_down(&self, now: f64) -> bool {
-        now < self.stepped_down_until_ms
+    pub fn must_step_down(&self, now: f64) -> bool {
+        now < self.step_down_until_ms
     }
 
     /// Number of times that the router stepped down because listeners could not be opened.
@@ -127,8 +127,8 @@
 }
 
 impl ListenerState {
-    /// Returns the command that opens the listener if the router is active, or closes it otherwise, if one is
-    /// due, and advances the state of the listener.
+    /// Returns the command that is due, if any, and updates the state: the listener is opened while the
+    /// router is active and closed otherwise.
     fn next_command(&mut self, now: f64, active: bool, index: usize) -> Option<ListenerCommand> {
         match (*self, active) {
             (Self::Closed, true) => {
