--- a/src/admission/metrics.rs
+++ b/src/admission/metrics.rs
@@ -62,16 +62,20 @@
         registry.register("admitted", "Requests admitted at once", self.admitted.clone());
         registry.register("released", "Requests admitted after they were queued", self.released.clone());
         registry.register("refused", "Requests shed, by reason", self.shed.clone());
-        registry.register("left", "Requests whose client disconnected in the queue", self.abandoned.clone());
+        registry.register(
+            "left",
+            "Requests whose client disconnected while they were queued",
+            self.abandoned.clone(),
+        );
         registry.register("tickets", "Retry-after times reserved for a client", self.reserved.clone());
         registry.register(
             "tickets_honoured",
-            "Clients that retried in their reserved time and went ahead",
+            "Reservations used by a retry in time",
             self.reservations_used.clone(),
         );
         registry.register(
             "come_back_unbooked",
-            "Requests shed for whose client no time could be reserved",
+            "Requests shed without a reserved retry-after time",
             self.unreserved.clone(),
         );
         registry.register(
@@ -86,8 +90,12 @@
         registry.register("depth", "Requests queued, by tenant", self.depth.clone());
         registry.register("open", "Admitted requests in flight", self.in_flight.clone());
         registry.register("queued", "Requests queued", self.queued.clone());
-        registry.register("limit", "The concurrency limit as it stands", self.limit.clone());
-        registry.register("memory_bytes", "Bytes held, without bodies", self.heap_bytes.clone());
+        registry.register("limit", "Current concurrency limit", self.limit.clone());
+        registry.register(
+            "memory_bytes",
+            "Estimated heap bytes, without request bodies",
+            self.heap_bytes.clone(),
+        );
     }
 
     /// Updates the metrics from `queue` and encodes them in the Prometheus text format. Counters increase
--- a/src/grpc/metrics.rs
+++ b/src/grpc/metrics.rs
@@ -47,33 +47,37 @@
         let (live_backends, ejected_backends) = <(Family<Labels, Gauge>, Family<Labels, Gauge>)>::default();
         let (open_calls, replay_bytes, connections) = <(Gauge, Gauge, Gauge)>::default();
         let response_head_seconds = Histogram::new(exponential_buckets(0.001, 2.0, 14));
-        registry.register("calls", "Calls by outcome: served, refused, failed, left", calls.clone());
-        registry.register("status", "Calls by the status that their client got", codes.clone());
-        registry.register("attempts", "Attempts made at backends", attempts.clone());
-        registry.register("retries", "Second and further attempts", retries.clone());
-        registry.register("stale_attempts", "Attempts not sent after all", not_sent.clone());
+        registry.register("calls", "Finished calls, by outcome", calls.clone());
+        registry.register("status", "Finished calls, by status code sent to the client", codes.clone());
+        registry.register("attempts", "Attempts sent to backends", attempts.clone());
+        registry.register("retries", "Attempts after the first of a call", retries.clone());
+        registry.register(
+            "stale_attempts",
+            "Attempts not sent because their backend started to drain",
+            not_sent.clone(),
+        );
         registry.register(
             "failed_after_data",
-            "Calls failed after their response began",
+            "Calls that failed after their response began",
             failed_after_data.clone(),
         );
         registry.register(
             "deadlines_shortened",
-            "Calls with a deadline of the proxy's own",
+            "Calls whose client deadline was shortened to the route's",
             deadlines_shortened.clone(),
         );
-        registry.register("backends_live", "Backends that take new calls", live_backends.clone());
+        registry.register("backends_live", "Backends that accept new calls", live_backends.clone());
         registry.register(
             "backends_avoided",
-            "Live backends that the module leaves",
+            "Live backends ejected because of failures",
             ejected_backends.clone(),
         );
-        registry.register("open_calls", "Calls under way", open_calls.clone());
-        registry.register("replay_bytes", "Bytes kept for further attempts", replay_bytes.clone());
-        registry.register("connections", "Connections to backends", connections.clone());
+        registry.register("open_calls", "Calls in progress", open_calls.clone());
+        registry.register("replay_bytes", "Request bytes buffered for retries", replay_bytes.clone());
+        registry.register("connections", "Open connections to backends", connections.clone());
         registry.register(
             "response_head_seconds",
-            "From a call's head to its response's",
+            "Time from request headers to response headers",
             response_head_seconds.clone(),
         );
         #[rustfmt::skip]
