--- a/src/cache_message.rs
+++ b/src/cache_message.rs
@@ -81,7 +81,7 @@
     pub join_fill: bool,
     /// Whether the source may fill the miss only from its own copy, without a fill of its own.
     pub only_if_cached: bool,
-    /// Whether the cache is to serve a stale copy and revalidate it in the background.
+    /// Whether the cache may serve a stale copy and revalidate it in the background.
     pub revalidate: bool,
     /// Entity tag of the client's copy, without quotes.
     pub client_etag: Option<String>,
--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -14,7 +14,7 @@
 /// An attempt that times out closes its connection if nothing was read on it for longer than this since the
 /// attempt was written, in milliseconds, because the endpoint may be unreachable.
 const MAX_SILENCE_MS: f64 = 1_500.0;
-/// Number of time-outs on a connection since the last read at which it is closed.
+/// Number of consecutive time-outs, with nothing read in between, at which a connection is closed.
 const MAX_TIMEOUTS_SINCE_READ: u32 = 2;
 /// An attempt with less time left than this is not written, in milliseconds.
 const MIN_TIME_LEFT_MS: f64 = 1.0;
--- a/src/engine/executor.rs
+++ b/src/engine/executor.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// The `Retry-After` of a request that is rejected because the request table is full, in milliseconds.
+/// The retry delay of a queued request that is rejected because the request table is full, in milliseconds.
 const FULL_RETRY_AFTER_MS: f64 = 300.0;
 
 /// An endpoint as a backend of a load-balancing pool.
@@ -32,7 +32,7 @@
     pub weight: f64,
 }
 
-/// A request of the engine to open a connection to an endpoint.
+/// The parameters with which a [`ConnectionDriver`] opens and serves a connection to an endpoint.
 pub struct Dial {
     /// Id of the connection.
     pub conn: ConnectionId,
--- a/src/engine/membership.rs
+++ b/src/engine/membership.rs
@@ -23,7 +23,7 @@
 /// A listed cache or parent, which must apply fleet purges.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheServer {
-    /// The text of its id.
+    /// Its id as text.
     pub name: String,
     /// Its IP address with the port given by the caller.
     pub address: SocketAddr,
--- a/src/engine/replies.rs
+++ b/src/engine/replies.rs
@@ -55,8 +55,8 @@
         outcome
     }
 
-    /// Whether a reply is valid for its request. [`ReplyStatus::NotModified`] is valid only for the entity
-    /// tag that the request carried.
+    /// Whether a reply is valid for its request. [`ReplyStatus::NotModified`] is valid only if the request
+    /// carried an entity tag and the reply does not carry a different one.
     fn is_valid(&self, id: RequestId, reply: &CacheReply) -> bool {
         if reply.status != ReplyStatus::NotModified {
             return true;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -43,7 +43,7 @@
     pub latency_objective: Micros,
     /// Multiple of the request's transfer time that is added to the latency objective.
     pub latency_stretch: f64,
-    /// Time for which a client waits over all its attempts.
+    /// Time for which a client waits for the response, over all attempts of its request.
     pub deadline: Micros,
     /// Whether its requests may be repeated.
     pub idempotency: Idempotency,
@@ -199,7 +199,7 @@
     NoConnection,
     /// The connection was lost; the request may have run.
     ConnectionLost,
-    /// The response is malformed; the request may have run.
+    /// The response is malformed, incomplete or a purged copy; the request may have run.
     Malformed,
     /// The attempt was cancelled; the request may have run.
     Cancelled,
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -72,8 +72,8 @@
     }
 
     /// The fill scope of a new request; `None` if the request is rejected. Requests of the least value per
-    /// transfer time are rejected first. If the class is congested while the cache's load is below the limit,
-    /// only fills are shed, as hits need no fill source.
+    /// transfer time are rejected first. The more responses of the class are late, the lower the load above
+    /// which fills are shed; hits are still served, as they need no fill source.
     pub(super) fn admit(&self, now: Micros, request: &PendingRequest) -> Option<FillScope> {
         if self.settings.classes[request.class].uncacheable {
             return Some(FillScope::Origin);
--- a/src/policy/pending_request.rs
+++ b/src/policy/pending_request.rs
@@ -57,7 +57,8 @@
     CacheOnly,
     /// A fill from a copy that the parent holds.
     ParentOnly,
-    /// A fill from the parent, which fetches the object from the origin if it has no copy.
+    /// A fill from the parent, which fetches the object from the origin if it has no copy, or from the origin
+    /// itself.
     Origin,
 }
 
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -10,7 +10,7 @@
 pub enum Stage {
     /// Queued for its connection; no byte has been written.
     Queued,
-    /// Written, with its first byte at this time in Unix milliseconds.
+    /// Passed to its connection's driver to be written, at this time in Unix milliseconds.
     Written(f64),
 }
 
@@ -27,7 +27,7 @@
     pub join_fill: bool,
     /// Whether the source may fill the miss only from its own copy, without a fill of its own.
     pub only_if_cached: bool,
-    /// Whether the endpoint is to serve a stale copy and revalidate it in the background.
+    /// Whether the endpoint may serve a stale copy and revalidate it in the background.
     pub revalidate: bool,
     /// Maximum age of a copy at the time when the attempt was created, in milliseconds; 0 for the limit of
     /// the class.
--- a/src/state/client_slots.rs
+++ b/src/state/client_slots.rs
@@ -33,7 +33,7 @@
 /// The order of eviction, first to last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// No request of the connection was answered.
+    /// The connection is idle, and no request of it was answered.
     NoResponse,
     /// The connection is idle after a request.
     Idle,
@@ -112,10 +112,10 @@
 
     /// Chooses a connection to evict for a new one. The caller closes it; it keeps its slot until then.
     ///
-    /// Connections on which no request was answered are evicted first, then idle ones, then those whose
-    /// request is slow to arrive; in each group, the one longest in its activity. A connection whose request
-    /// is being processed is never evicted. Returns `None` if no connection may be evicted, or while an
-    /// evicted one is still closing.
+    /// Idle connections on which no request was answered are evicted first, then other idle ones, then those
+    /// whose request is slow to arrive; in each group, the one longest in its activity. A connection whose
+    /// request is being processed is never evicted. Returns `None` if no connection may be evicted, or while
+    /// an evicted one is still closing.
     pub fn evict_one(&mut self, now: f64) -> Option<SlotId> {
         if self.slots.values().any(|slot| slot.closing) {
             return None;
--- a/src/state/counters.rs
+++ b/src/state/counters.rs
@@ -99,7 +99,7 @@
     connections => "connections",
     /// Connections to endpoints that could not be established.
     connection_failures => "connect_failures",
-    /// Connections to endpoints lost with requests in flight.
+    /// Connections to endpoints that ended with requests in flight, for whatever reason.
     connections_lost => "broken",
     /// Connections to endpoints dropped because of malformed data.
     connections_malformed => "malformed_members",
@@ -133,7 +133,7 @@
     replies_late => "member_late",
     /// Connections made to the discovery service.
     discovery_connections => "bulletin_links",
-    /// Connections to the discovery service dropped because of inactivity or malformed data.
+    /// Connections to the discovery service that failed: connects, time limits, malformed frames and gaps.
     discovery_faults => "bulletin_faults",
     /// Discovery events skipped because they were malformed each time they were received.
     discovery_skipped => "bulletin_skipped",
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -52,7 +52,7 @@
         /// Entity tag of the copy, without quotes.
         entity_tag: String,
     },
-    /// Rejected: the request did not take effect, so the client may retry it.
+    /// Rejected: the client may safely retry, as the request did not run or a repeat has no second effect.
     Rejected {
         /// Time after which the client should retry, in milliseconds; 0 for no advice.
         retry_after_ms: f64,
--- a/src/wire/connection_slots.rs
+++ b/src/wire/connection_slots.rs
@@ -63,7 +63,7 @@
 }
 
 impl ConnectionSlot {
-    /// Marks the connection as reading a request or its body since `since`, in Unix milliseconds.
+    /// Marks the connection as receiving a request since `since`, in Unix milliseconds.
     pub(super) fn set_reading(&self, since: f64) {
         self.slots.table.borrow_mut().request_started(self.id, since);
     }
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -8,7 +8,7 @@
 
 /// A submitted request, completed or pending.
 pub enum Submission {
-    /// The front has the response without a wait.
+    /// The response is available immediately.
     Completed(FinalResponse),
     /// The response arrives later.
     Pending(PendingResponse),
