--- a/src/wire/discovery.rs
+++ b/src/wire/discovery.rs
@@ -24,14 +24,14 @@
 const CONNECT_TIMEOUT_MS: f64 = 700.0;
 /// The least backoff after a malformed frame or a gap, in milliseconds.
 const MALFORMED_BACKOFF_MS: f64 = 200.0;
-/// The backoff after the first connection without an event, in milliseconds. It doubles with each further
-/// connection without an event.
+/// The backoff after the first connection without a valid frame, in milliseconds. It doubles with each
+/// further such connection.
 const INITIAL_BACKOFF_MS: f64 = 50.0;
 /// The longest backoff, in milliseconds: a drain must take effect within 250 ms.
 const MAX_BACKOFF_MS: f64 = 240.0;
 /// The largest share of a backoff that jitter subtracts.
 const BACKOFF_JITTER: f64 = 0.5;
-/// How often an event may fail in a row before it is skipped. A frame that was only corrupted in transit is
+/// Number of consecutive failures at which an event is skipped. A frame that was only corrupted in transit is
 /// applied when it is requested again.
 const MAX_EVENT_FAILURES: u32 = 3;
 
@@ -78,8 +78,8 @@
 /// The state of the watch that outlives a connection.
 #[derive(Default)]
 struct WatchState {
-    /// Consecutive connections without an event.
-    connections_without_event: u32,
+    /// Consecutive connections without a valid frame; a heartbeat counts as one.
+    connections_without_frame: u32,
     /// The number of the event that failed last.
     failed_event: u64,
     /// Consecutive failures of `failed_event`.
@@ -96,12 +96,12 @@
 
     /// The backoff before the next connection, in milliseconds; `random` is uniform in 0..1.
     fn backoff_ms(&self, random: f64) -> f64 {
-        match self.connections_without_event {
-            // After a connection with an event: only jitter, so that the proxies of a fleet do not all
+        match self.connections_without_frame {
+            // After a connection with a valid frame: only jitter, so that the proxies of a fleet do not all
             // reconnect at the same time.
             0 => INITIAL_BACKOFF_MS * random,
-            connections_without_event => {
-                let doubled = INITIAL_BACKOFF_MS * f64::from(1u32 << (connections_without_event - 1).min(8));
+            connections_without_frame => {
+                let doubled = INITIAL_BACKOFF_MS * f64::from(1u32 << (connections_without_frame - 1).min(8));
                 doubled.min(MAX_BACKOFF_MS) * (1.0 - BACKOFF_JITTER * random)
             }
         }
@@ -148,7 +148,7 @@
     address: SocketAddr,
     state: &mut WatchState,
 ) -> Result<(), WatchError> {
-    state.connections_without_event += 1;
+    state.connections_without_frame += 1;
     let mut frames = connect(executor, address).await?;
     let idle_timeout_ms = IDLE_TIMEOUT_MS.0 + (IDLE_TIMEOUT_MS.1 - IDLE_TIMEOUT_MS.0) * rand::random::<f64>();
     loop {
@@ -191,7 +191,7 @@
     }
     match frame.event(&executor.settings()) {
         Ok(event) => {
-            state.connections_without_event = 0;
+            state.connections_without_frame = 0;
             executor.with(|engine| {
                 engine.apply_event(event);
                 if !frame.is_heartbeat() {
--- a/src/wire/discovery/tests.rs
+++ b/src/wire/discovery/tests.rs
@@ -4,8 +4,8 @@
 #[test]
 fn backoff_grows_is_bounded_and_has_jitter() {
     let backoffs = |random| {
-        [1, 2, 3, 4, 40].map(|connections_without_event| {
-            WatchState { connections_without_event, ..WatchState::default() }.backoff_ms(random)
+        [1, 2, 3, 4, 40].map(|connections_without_frame| {
+            WatchState { connections_without_frame, ..WatchState::default() }.backoff_ms(random)
         })
     };
     assert_eq!(backoffs(0.0), [50.0, 100.0, 200.0, 240.0, 240.0]);
