--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -28,13 +28,13 @@
     config: VrrpConfig,
     enabled: EnabledSubsystems,
     router: Option<Rc<VirtualRouter>>,
-    resign: Rc<Notify>,
+    stop_requested: Rc<Notify>,
 }
 
 impl Vrrp {
     /// Creates the subsystem from its configuration. `enabled` names the subsystems that it may refer to.
     pub fn new(config: VrrpConfig, enabled: EnabledSubsystems) -> Self {
-        Self { config, enabled, router: None, resign: Rc::default() }
+        Self { config, enabled, router: None, stop_requested: Rc::default() }
     }
 
     fn create_router(&mut self, context: &Context) -> Result<(), ServeError> {
@@ -53,7 +53,7 @@
     async fn open(&mut self, context: &Context) -> Result<(), ServeError> {
         let Some(router) = self.router.clone() else { return Ok(()) };
         let socket = bind_udp(self.config.router_settings().listen).await?;
-        context.executor.spawn("virtual router", run(router, socket, self.resign.clone()));
+        context.executor.spawn("virtual router", run(router, socket, self.stop_requested.clone()));
         Ok(())
     }
 
@@ -148,7 +148,7 @@
 
     fn stop(&mut self, stage: StopStage) {
         match stage {
-            StopStage::Announce => self.resign.notify_one(),
+            StopStage::Announce => self.stop_requested.notify_one(),
             StopStage::CloseListeners => {}
             StopStage::CloseRemaining => {
                 if let Some(router) = &self.router {
