--- a/src/admission/config.rs
+++ b/src/admission/config.rs
@@ -45,7 +45,7 @@
     #[error("group {0} is listed more than once")]
     DuplicateGroup(u32),
     /// A prefix length exceeds the address length of its family.
-    #[error("prefix length exceeds 32, or that of `client_prefix_v6` exceeds 128")]
+    #[error("`client_prefix_v4` must be at most 32, and `client_prefix_v6` at most 128")]
     Prefix,
     /// A number is outside its allowed range.
     #[error("value is outside the allowed range: {0}")]
