--- a/src/purge/service.rs
+++ b/src/purge/service.rs
@@ -172,7 +172,7 @@
             }
             Err(error @ SubmitError::NotLeader) => error_response(409, error),
             Err(error @ SubmitError::Log(_)) => {
-                tracing::error!(%error, "purges: a purge submission failed");
+                tracing::error!(%error, "purges: submitting a purge failed");
                 error_response(500, error)
             }
         }
