--- a/src/admission/fair_queue.rs
+++ b/src/admission/fair_queue.rs
@@ -220,7 +220,7 @@
         AdmissionDecision::Queue
     }
 
-    /// Whether a client has no request in flight or queued.
+    /// Whether a client has no request in flight or in the round-robin queues.
     fn is_light_client(&self, client: ClientKey) -> bool {
         !self.in_flight_by_client.contains_key(&client) && self.round_robin.client_depth(client) == 0
     }
