--- a/src/grpc/call_table.rs
+++ b/src/grpc/call_table.rs
@@ -143,8 +143,8 @@
     }
 
     /// The remaining time of the current attempt, in milliseconds; called just before it is sent. Returns
-    /// `None` if it must not be sent, because its backend is draining or no longer listed, or its time is
-    /// over.
+    /// `None` if it must not be sent, because its backend is draining or no longer listed, or less than 1 ms
+    /// remains.
     pub fn remaining_attempt_ms(&mut self, now: f64, id: CallId) -> Option<f64> {
         let call = self.calls.get(&id)?;
         let attempt = call.active.as_ref()?;
--- a/src/grpc/server.rs
+++ b/src/grpc/server.rs
@@ -23,7 +23,7 @@
 const BACKLOG_ACCEPT_TIMEOUT_MS: u64 = 1;
 /// Interval of [`run_housekeeping`], in milliseconds.
 const HOUSEKEEPING_INTERVAL_MS: u64 = 100;
-/// Time after which a connection to a backend without calls is closed, in milliseconds.
+/// Time without calls after which a connection to a backend is closed, in milliseconds.
 const UPSTREAM_IDLE_MS: f64 = 60_000.0;
 
 /// Periodically updates the backends from the endpoint list and closes idle connections to backends. Never
--- a/src/grpc/upstream.rs
+++ b/src/grpc/upstream.rs
@@ -81,8 +81,9 @@
         *addresses.entry(address).or_insert(next)
     }
 
-    /// Reserves a stream on a connection to a backend, opening a connection if needed. Returns `None` if the
-    /// connection limits are reached.
+    /// Reserves a stream on a connection to a backend, opening a connection if needed. At the connection
+    /// limit, an idle connection to another backend is closed if this one has none. Returns `None` if no
+    /// stream is available.
     pub fn reserve_stream(
         self: &Rc<Self>,
         address: SocketAddr,
