--- a/src/http3/response_store.rs
+++ b/src/http3/response_store.rs
@@ -54,7 +54,7 @@
     Completed(FinalResponse),
     /// The call id is in use for a different request.
     Conflict,
-    /// The store is full. The call was not started.
+    /// A limit of the store or of the session is reached. The call was not started.
     Full,
 }
 
@@ -123,7 +123,7 @@
     pub replayed: u64,
     /// Clients rejected because their call id is in use for a different request.
     pub conflicts: u64,
-    /// Clients rejected because the store was full.
+    /// Clients rejected because a limit of the store or of their session was reached.
     pub rejected_full: u64,
     /// Number of times that a running call lost its last client.
     pub detached: u64,
