--- a/src/lifecycle/descriptors.rs
+++ b/src/lifecycle/descriptors.rs
@@ -14,7 +14,7 @@
 const DEFAULT_OPEN_DESCRIPTORS: usize = 8;
 /// Minimum number of connections, both to clients and to endpoints.
 const MIN_CONNECTIONS: usize = 1;
-/// Descriptors per client of the admin address: it may have at least one client and at most
+/// The descriptor limit divided by this is the maximum number of clients of the admin address, between 1 and
 /// [`MAX_ADMIN_CONNECTIONS`].
 const DESCRIPTORS_PER_ADMIN_CLIENT: usize = 16;
 /// Linux's list of the open descriptors of this process.
--- a/src/lifecycle/engine_setup.rs
+++ b/src/lifecycle/engine_setup.rs
@@ -9,8 +9,8 @@
 use crate::state::connections::ConnectionLimits;
 use std::rc::Rc;
 
-/// Descriptors per connection to one endpoint; the quotient is clamped to [`MIN_ENDPOINT_CONNECTIONS`] and
-/// [`MAX_ENDPOINT_CONNECTIONS`].
+/// The descriptor limit divided by this is the maximum number of connections to one endpoint, between
+/// [`MIN_ENDPOINT_CONNECTIONS`] and [`MAX_ENDPOINT_CONNECTIONS`].
 const DESCRIPTORS_PER_ENDPOINT_CONNECTION: usize = 64;
 /// Minimum limit on connections to one endpoint.
 const MIN_ENDPOINT_CONNECTIONS: usize = 2;
--- a/src/lifecycle/maintenance.rs
+++ b/src/lifecycle/maintenance.rs
@@ -60,8 +60,8 @@
         Self(Some(path))
     }
 
-    /// Merges the file's records into the engine's maintenance state. An absent or unreadable file is
-    /// ignored.
+    /// Merges the file's records into the engine's maintenance state. An absent file is ignored, and an error
+    /// is logged if the file cannot be read.
     pub fn load(&self, executor: &Rc<Executor>) {
         let Some(path) = self.0.as_ref().filter(|path| path.exists()) else { return };
         match read_json::<Vec<StoredRecord>>(path) {
--- a/src/lifecycle/serve.rs
+++ b/src/lifecycle/serve.rs
@@ -14,7 +14,8 @@
 use crate::wire::cache_connection::CacheDriver;
 use std::rc::Rc;
 
-/// How long new connections are still accepted after the stop signal, in milliseconds.
+/// How long new connections are still accepted after the stop signal, in milliseconds. Does not apply if the
+/// listening socket was inherited.
 const ACCEPT_GRACE_MS: f64 = 700.0;
 /// Minimum time that a shutdown allows for requests in flight, in milliseconds.
 const MIN_REQUEST_GRACE_MS: f64 = 3_000.0;
@@ -96,8 +97,8 @@
     }
 }
 
-/// Shuts down gracefully: notifies peers, closes listeners, and completes requests in flight within the
-/// longest request deadline.
+/// Shuts down gracefully: notifies peers, closes listeners, and waits for requests in flight. The time limit
+/// of the shutdown is derived from the longest request deadline.
 async fn stop(subsystems: &mut [Box<dyn Subsystem>], context: &Context) {
     let executor = &context.executor;
     tracing::info!("{} is shutting down", context.config.name);
