--- a/src/purge/active_purges.rs
+++ b/src/purge/active_purges.rs
@@ -179,7 +179,8 @@
         self.last_applied = self.last_applied.max(seq);
     }
 
-    /// Applies a cutoff in place of the purges up to `cutoff.seq`, which the leader no longer retains.
+    /// Applies a cutoff in place of the purges up to `cutoff.seq` that this proxy lacks: the leader no longer
+    /// retains them, or a log that contained them was lost.
     pub fn apply_cutoff(&mut self, cutoff: PurgeStamp) {
         self.cutoff = PurgeStamp::later(self.cutoff, Some(cutoff));
         self.last_applied = self.last_applied.max(cutoff.seq);
--- a/src/purge/index.rs
+++ b/src/purge/index.rs
@@ -21,7 +21,7 @@
 /// A pattern with wildcards and its newest purge.
 type PatternEntry = (Glob, PurgeStamp);
 
-/// The newest purge of each selector, and every purge of everything.
+/// The newest purge of each selector, except that all purges with the selector `everything` are kept.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PurgeIndex {
     objects: AHashMap<ObjectId, PurgeStamp>,
@@ -33,7 +33,7 @@
     patterns: StringPatriciaMap<Vec<PatternEntry>>,
     /// The number of entries in `patterns`, over all prefixes.
     pattern_count: usize,
-    /// Issue times of purges of everything, in Unix milliseconds, by sequence number.
+    /// Issue times of the purges with the selector `everything`, in Unix milliseconds, by sequence number.
     purges_of_everything: BTreeMap<u64, f64>,
 }
 
--- a/src/purge/leader.rs
+++ b/src/purge/leader.rs
@@ -18,7 +18,7 @@
 /// A failing target is logged at its first failure and then at every multiple of this many failures.
 const FAILURES_PER_WARNING: u32 = 20;
 
-/// Why a submit failed. If the compaction after the purge failed, the purge was issued nevertheless.
+/// Why submitting a purge failed. If only the compaction of the log failed, the purge has been issued.
 #[derive(Debug, Error)]
 pub enum SubmitError {
     /// This proxy is a follower.
