--- a/src/vrrp/listeners.rs
+++ b/src/vrrp/listeners.rs
@@ -115,7 +115,7 @@
         self.listeners.get(index) == Some(&ListenerState::Open)
     }
 
-    /// When [`Self::apply_state`] must be called next at the latest.
+    /// The latest time for the next call of [`Self::apply_state`], in milliseconds.
     pub fn due_ms(&self) -> f64 {
         let retries = self.listeners.iter().map(|listener| match listener {
             ListenerState::Backoff { retry_ms, .. } if self.active => *retry_ms,
--- a/src/vrrp/virtual_addresses.rs
+++ b/src/vrrp/virtual_addresses.rs
@@ -135,7 +135,7 @@
         configs.map(|(index, config)| (config, listeners.is_open(index))).collect()
     }
 
-    /// When [`Self::apply_state`] must be called next at the latest.
+    /// The latest time for the next call of [`Self::apply_state`], in milliseconds.
     pub fn due_ms(&self) -> f64 {
         self.listeners.borrow().due_ms()
     }
