--- a/src/health_check/admin.rs
+++ b/src/health_check/admin.rs
@@ -1,5 +1,5 @@
-//! Admin endpoint `GET /duties` and metrics of the shared health checks. Paths, JSON keys and metric names
-//! are kept for compatibility with the first version.
+//! Admin endpoint `GET /duties` and metrics of the shared health checks. The path, the JSON keys and the
+//! metric names are a stable interface.
 
 use super::driver::HealthChecker;
 use super::health_status::EndpointHealth;
--- a/src/health_check/checker.rs
+++ b/src/health_check/checker.rs
@@ -7,12 +7,12 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Bytes of a response within which its status line must end.
+/// Number of response bytes after which the check fails if the status is not known.
 const MAX_RESPONSE_BYTES: usize = 1_024;
-/// Maximum number of headers for the response parser.
+/// Maximum number of response headers that are parsed.
 const MAX_HEADERS: usize = 32;
 
-/// Checks the endpoint at `address`. Errors and checks that take longer than `time_limit` count as failed.
+/// Checks the endpoint at `address` and returns whether the check passed. Errors and timeouts are failures.
 pub async fn check(address: SocketAddr, kind: &CheckKind, time_limit: Duration) -> bool {
     let passed = async {
         let stream = TcpStream::connect(address).await?;
@@ -44,8 +44,8 @@
 fn parse_status(received: &[u8]) -> Option<u16> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    // The result is ignored because the parser sets the status before it reaches headers that are incomplete
-    // or too many.
+    // The parser sets the status before it parses the headers, so the result is ignored: headers may be
+    // incomplete or too many.
     let _ = response.parse(received);
     response.code
 }
--- a/src/health_check/config.rs
+++ b/src/health_check/config.rs
@@ -1,7 +1,7 @@
 //! Configuration file of the shared health checks, `serve --health-checks FILE`. Shared health checks are
 //! disabled without it.
 //!
-//! Keys of the file that differ from the field names are kept for compatibility with the first version.
+//! Keys that differ from the field names are part of the file format and must not change.
 
 use super::health_status::HealthThresholds;
 use super::lease::InstanceId;
@@ -13,9 +13,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Maximum number of peers.
+/// Maximum number of peers in the file.
 pub const MAX_PEERS: usize = 4_096;
-/// Number of times a vote request is sent per rank delay.
+/// Number of times an undecided vote request is sent per rank delay.
 const REQUESTS_PER_RANK_DELAY: f64 = 4.0;
 /// Timeout of a vote request, in rank delays.
 const REQUEST_TIMEOUT_RANK_DELAYS: f64 = 2.0;
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
-    /// Instance number, which must be the same in the files of all instances.
+    /// Id of the peer, unique among all instances. Every file must give an instance the same id.
     pub id: InstanceId,
     /// Address on which the peer receives datagrams.
     pub address: String,
@@ -36,13 +36,13 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum CheckKind {
-    /// Passes if a TCP connection can be established.
+    /// TCP connect; passes if the connection is established.
     Connect,
-    /// Passes if an HTTP/1.1 `GET` request for this path returns a 2xx status.
+    /// HTTP/1.1 `GET` of this path; passes if the status is 2xx.
     Http(String),
 }
 
-/// Selects the endpoints to check.
+/// Selection of the endpoints to check, by model.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CheckedEndpoints {
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HealthCheckConfig {
-    /// Number of this instance.
+    /// Id of this instance.
     pub id: InstanceId,
     /// Address on which this instance receives datagrams.
     pub listen: String,
@@ -81,10 +81,10 @@
     /// Interval between checks of an endpoint, in milliseconds.
     #[serde(default = "default_period_ms")]
     pub period_ms: f64,
-    /// Delay between the lease requests of successive ranks, in milliseconds.
+    /// Delay between the vote requests of successive ranks, in milliseconds.
     #[serde(rename = "step_ms", default = "default_rank_delay_ms")]
     pub rank_delay_ms: f64,
-    /// Time without a message after which an instance counts as failed, in milliseconds.
+    /// Time since the latest message of an instance after which it counts as failed, in milliseconds.
     #[serde(rename = "dead_ms", default = "default_failure_timeout_ms")]
     pub failure_timeout_ms: f64,
     /// Consecutive failed checks after which an endpoint becomes unhealthy.
@@ -173,6 +173,7 @@
 
     fn validate_numbers(&self) -> Result<(), FieldError> {
         let ranks = self.peers.len().min(MAX_RANK) as f64;
+        // All ranks must be able to request the lease, and the last request to time out, within one period.
         let max_rank_delay_ms = self.period_ms / (ranks + REQUEST_TIMEOUT_RANK_DELAYS);
         let bounds = [
             ("clock_skew_ms", self.clock_skew_ms, 1.0, 3_600_000.0),
@@ -191,7 +192,7 @@
         Ok(())
     }
 
-    /// Parses `listen`.
+    /// Address on which this instance receives datagrams.
     pub fn listen_address(&self) -> SocketAddr {
         parse_address(&self.listen).expect("validated when the file was read")
     }
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Thresholds at which the health of an endpoint changes.
+    /// Thresholds of consecutive results at which the health of an endpoint changes.
     pub fn thresholds(&self) -> HealthThresholds {
         HealthThresholds { fall: self.fall, rise: self.rise }
     }
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -1,5 +1,5 @@
-//! The task of the shared health checks: exchanges datagrams with the other instances, runs the checks that
-//! the scheduler selects, and reports health changes of endpoints to the engine.
+//! Task that runs the shared health checks: exchanges datagrams with the other instances, runs the checks
+//! whose leases this instance holds, and reports health changes to the engine.
 
 use super::checker;
 use super::config::HealthCheckConfig;
@@ -42,7 +42,7 @@
     Malformed(#[from] simd_json::Error),
 }
 
-/// Shared health checks of one instance.
+/// State of the shared health checks of this instance.
 pub struct HealthChecker {
     executor: Rc<Executor>,
     pub(super) config: HealthCheckConfig,
@@ -50,7 +50,7 @@
     pub(super) scheduler: RefCell<Scheduler>,
     pub(super) health: RefCell<HealthStatus>,
     auth: RefCell<Option<DatagramAuth>>,
-    /// Address to check for each endpoint.
+    /// Checked endpoints, with the address to which each check connects.
     pub(super) endpoints: RefCell<BTreeMap<EndpointId, SocketAddr>>,
     /// Version of the endpoint list from which `endpoints` was built.
     endpoint_list_version: Cell<u64>,
@@ -60,8 +60,8 @@
 }
 
 impl HealthChecker {
-    /// Creates the health checks from a configuration and a socket that is bound to its `listen` address. The
-    /// engine stops running health checks of its own.
+    /// Creates the health checker. `socket` must be bound to the configured `listen` address. The engine no
+    /// longer runs health checks itself.
     pub fn new(
         executor: Rc<Executor>,
         config: HealthCheckConfig,
@@ -92,7 +92,7 @@
         self.executor.clock.now()
     }
 
-    /// Reloads the key file. Keeps the current keys on an error.
+    /// Reloads the key file, if one is configured. On an error the current keys remain in use.
     pub fn reload_keys(&self) -> Result<(), KeyFileError> {
         let keys = self.config.keys()?;
         if let (Some(auth), Some(keys)) = (&mut *self.auth.borrow_mut(), keys) {
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// Updates the endpoints to check if the endpoint list changed.
+    /// Updates the checked endpoints if the endpoint list has changed.
     fn update_endpoints(&self) {
         let version = self.executor.endpoint_list_changes();
         if self.endpoint_list_version.replace(version) == version {
@@ -128,7 +128,7 @@
             Some(auth) => auth.sign(self.now(), payload),
             None => payload,
         };
-        // Send errors are ignored: failed instances are detected by missing messages.
+        // Send errors are ignored: a peer that cannot be reached is detected by the failure timeout.
         let _ = self.socket.send_to(&datagram, address).await;
     }
 
@@ -195,7 +195,8 @@
         Ok((*id, simd_json::from_slice(&mut payload)?))
     }
 
-    /// Counts a rejected datagram. Logs only at counts that are powers of two, to limit the log volume.
+    /// Counts a rejected datagram. Logs only when the count is a power of two, to limit the log
+    /// volume.
     fn record_rejected(&self, from: SocketAddr, reason: &DatagramError) {
         let rejected = self.rejected_datagrams.get() + 1;
         self.rejected_datagrams.set(rejected);
@@ -233,7 +234,7 @@
         tokio::select! {
             () = tokio::time::sleep(duration_from_ms((due_ms - now).max(1.0))) => {}
             received = checker.socket.recv_from(&mut buffer) => {
-                // An error here results from an earlier send to an unreachable peer; ignore it.
+                // Receive errors are ignored; the next iteration receives again.
                 if let Ok((length, from)) = received {
                     checker.receive(from, &buffer[..length]).await;
                 }
--- a/src/health_check/health_status.rs
+++ b/src/health_check/health_status.rs
@@ -1,6 +1,5 @@
-//! Tracks the health of each endpoint from check results, whichever instance ran the checks. An endpoint
-//! becomes unhealthy after a number of consecutive failures, and healthy again after a number of consecutive
-//! passes. No I/O.
+//! Tracks the health of each endpoint from the check results of all instances. An endpoint becomes unhealthy
+//! after a number of consecutive failures, and healthy again after a number of consecutive passes. No I/O.
 
 use super::lease::Slot;
 use super::message::CheckResult;
@@ -25,7 +24,7 @@
     /// Slot of the latest result.
     #[serde(rename = "slot")]
     pub last_slot: Slot,
-    /// Latest consecutive results that contradict `healthy`.
+    /// Number of consecutive results, up to the latest, that contradict `healthy`.
     #[serde(rename = "against")]
     pub contrary_results: u32,
     /// Time of the latest result, in Unix milliseconds.
@@ -36,7 +35,7 @@
     pub duration_ms: f64,
 }
 
-/// Health of all endpoints that have results.
+/// Health of the endpoints for which results have been received.
 #[derive(Clone, Debug)]
 pub struct HealthStatus {
     thresholds: HealthThresholds,
@@ -44,14 +43,14 @@
 }
 
 impl HealthStatus {
-    /// Creates the status without results. Endpoints are healthy until checks show otherwise.
+    /// Creates an empty status. Endpoints count as healthy until `fall` consecutive checks fail.
     pub fn new(thresholds: HealthThresholds) -> Self {
         Self { thresholds, endpoints: BTreeMap::new() }
     }
 
     /// Applies a result and returns the new health if it changed.
     ///
-    /// A result is ignored if its slot is not later than that of the latest result.
+    /// Ignores results whose slot is not after that of the latest result of the endpoint.
     pub fn apply(&mut self, now: f64, result: CheckResult) -> Option<bool> {
         let CheckResult { endpoint, slot, passed, duration_ms } = result;
         let initial =
@@ -74,7 +73,7 @@
         Some(passed)
     }
 
-    /// Slot of an endpoint's latest result, or 0 without results.
+    /// Slot of the latest result of an endpoint, or 0 if there is none.
     pub fn last_slot(&self, endpoint: EndpointId) -> Slot {
         self.endpoints.get(&endpoint).map_or(0, |health| health.last_slot)
     }
--- a/src/health_check/message.rs
+++ b/src/health_check/message.rs
@@ -1,5 +1,5 @@
-//! Messages between instances: one JSON object per datagram. Serialized names are kept for compatibility with
-//! the first version.
+//! Messages between instances: one JSON object per datagram. Serialized names are part of the protocol and
+//! must not change.
 
 use super::lease::{Lease, Slot};
 use crate::EndpointId;
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub enum Message {
-    /// Sent periodically; shows that the sender is alive.
+    /// Periodic message that shows that the sender is alive.
     #[serde(rename = "beat")]
     Heartbeat,
     /// Requests the receiver's vote for a lease.
@@ -28,7 +28,7 @@
         endpoint: EndpointId,
         /// Slot of the lease.
         slot: Slot,
-        /// Whether the candidate gets the vote.
+        /// Whether the vote was granted.
         #[serde(rename = "yes")]
         granted: bool,
     },
@@ -46,7 +46,7 @@
     pub endpoint: EndpointId,
     /// Slot of the check.
     pub slot: Slot,
-    /// Whether the endpoint passed.
+    /// Whether the check passed.
     #[serde(rename = "ok")]
     pub passed: bool,
     /// Duration of the check, in milliseconds.
--- a/src/health_check/mod.rs
+++ b/src/health_check/mod.rs
@@ -5,7 +5,7 @@
 //! | --- | --- | --- |
 //! | [`lease`] | due time of each check, and the rank of each instance as a candidate for its lease | none |
 //! | [`quorum`] | votes, which ensure that a lease has at most one holder | none |
-//! | [`scheduler`] | which checks this instance runs: vote requests, replies, liveness of instances | none |
+//! | [`scheduler`] | vote requests and replies, liveness of the other instances, and which checks this instance runs | none |
 //! | [`health_status`] | health of each endpoint, derived from the check results | none |
 //! | [`message`] | datagram format of the messages between instances | none |
 //! | [`config`] | the configuration file | a file |
--- a/src/health_check/quorum.rs
+++ b/src/health_check/quorum.rs
@@ -1,6 +1,6 @@
 //! Majority voting on leases. A candidate needs the votes of a majority of instances, including its own, and
-//! each instance votes for one candidate per lease. So no two instances hold the same lease, and the minority
-//! side of a network partition holds none. No I/O.
+//! each instance votes for one candidate per lease. Therefore at most one instance holds a lease, and
+//! instances on the minority side of a network partition hold none. No I/O.
 //!
 //! Votes are not persisted. An instance that has just started doesn't know how it voted before, so it rejects
 //! all candidates until its earlier votes have expired.
@@ -9,12 +9,13 @@
 use crate::EndpointId;
 use std::collections::BTreeMap;
 
-/// Votes kept per endpoint. Covers the slots near the current one, which clock skew lets candidates request.
+/// Maximum number of votes kept per endpoint. Sufficient for the current slot and its neighbours, the only
+/// ones that candidates may request.
 const MAX_VOTES_PER_ENDPOINT: usize = 4;
-/// Maximum distance of a requested slot from the slot that is current by this instance's clock.
+/// Maximum distance between the requested slot and the current slot, to allow for clock skew.
 const MAX_SLOT_DISTANCE: u64 = 1;
 
-/// A vote that was given to a candidate.
+/// A vote of this instance for a candidate.
 #[derive(Clone, Copy, Debug)]
 struct Vote {
     slot: Slot,
@@ -35,10 +36,10 @@
         Self { voting_starts_ms: now + voting_delay_ms, votes: BTreeMap::new() }
     }
 
-    /// Decides on a vote request and returns whether the candidate gets the vote.
+    /// Decides on a vote request and returns whether the vote was granted.
     ///
-    /// `current` is the endpoint's current slot by this instance's clock. Requests for slots other than it
-    /// and its neighbours are rejected.
+    /// `current_slot` is the endpoint's slot by this instance's clock. Requests for slots further than
+    /// `MAX_SLOT_DISTANCE` from it are rejected.
     pub fn decide(&mut self, now: f64, current: Slot, lease: Lease, candidate: InstanceId) -> bool {
         let Lease { endpoint, slot } = lease;
         if now < self.voting_starts_ms || slot.abs_diff(current) > MAX_SLOT_DISTANCE {
@@ -48,7 +49,7 @@
         if let Some(vote) = votes.iter().find(|vote| vote.slot == slot) {
             return vote.candidate == candidate;
         }
-        // A vote for a later slot means that this slot is over.
+        // After a vote for a later slot, earlier slots get no new votes.
         if votes.iter().any(|vote| vote.slot > slot) {
             return false;
         }
--- a/src/health_check/quorum/tests.rs
+++ b/src/health_check/quorum/tests.rs
@@ -19,6 +19,7 @@
         !voter.decide(200.0, 10, lease(7, 12), 2) && !voter.decide(200.0, 10, lease(7, 8), 2),
         "slots beyond the neighbours of the current one"
     );
+    // The vote for slot 10 was given to candidate 1 before the vote for slot 11, so it is repeated.
     assert!(voter.decide(201.0, 11, lease(7, 10), 1) && !voter.decide(201.0, 11, lease(7, 10), 3));
     for slot in 12..40 {
         assert!(voter.decide(300.0, slot, lease(7, slot), 3));
--- a/src/health_check/scheduler.rs
+++ b/src/health_check/scheduler.rs
@@ -4,8 +4,8 @@
 //!
 //! The instance of rank 0 for an endpoint requests the lease when the check is due, rank 1 does so one rank
 //! delay later, and so on. If an instance fails, the next rank runs its check in the same slot, before the
-//! failure is detected. Instances detected as failed are not ranked, so the checks of later slots are on time
-//! again.
+//! failure is detected. Instances detected as failed are excluded from the ranking, so that checks in later
+//! slots are not delayed.
 
 use super::lease::{rank, slot_at, InstanceId, Lease, Slot};
 use super::message::Message;
@@ -14,8 +14,8 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Highest rank for the computation of delays. Instances of higher ranks use its delay as well, so that all
-/// delays fit into a period. Voting still ensures that only one instance runs the check.
+/// Highest rank with a delay of its own. Higher ranks use the same delay, so that all delays fit into a
+/// period. Voting still ensures that only one instance runs the check.
 pub const MAX_RANK: usize = 30;
 
 /// An action that the caller must perform.
@@ -34,7 +34,7 @@
 pub struct SchedulerTimes {
     /// Time between two checks of an endpoint.
     pub period_ms: f64,
-    /// Delay between the lease requests of successive ranks.
+    /// Delay between the vote requests of successive ranks.
     pub rank_delay_ms: f64,
     /// Interval at which a vote request is resent.
     pub retry_interval_ms: f64,
@@ -42,7 +42,7 @@
     pub request_timeout_ms: f64,
     /// Interval between heartbeats.
     pub heartbeat_interval_ms: f64,
-    /// Time without a message after which an instance counts as failed.
+    /// Time since the latest message of an instance after which it counts as failed.
     pub failure_timeout_ms: f64,
 }
 
@@ -52,13 +52,14 @@
     /// Checks run by this instance.
     #[serde(rename = "ran")]
     pub checks_run: u64,
-    /// Vote requests made by this instance because no instance of a lower rank had requested the lease.
+    /// Vote requests made at a rank above 0, because this instance had neither granted a request nor received
+    /// a result for the slot.
     #[serde(rename = "stood_in")]
     pub failovers: u64,
     /// Vote requests started.
     #[serde(rename = "claims")]
     pub vote_requests: u64,
-    /// Vote requests denied by so many instances that a majority became impossible.
+    /// Vote requests that were denied by too many instances to reach a majority.
     #[serde(rename = "outvoted")]
     pub outvoted: u64,
     /// Vote requests that timed out, because of a network partition or failed instances.
@@ -69,7 +70,7 @@
     pub results_received: u64,
 }
 
-/// A vote request of this instance that is still undecided.
+/// An undecided vote request of this instance.
 #[derive(Clone, Debug)]
 struct PendingVoteRequest {
     lease: Lease,
@@ -98,8 +99,8 @@
     voter: Voter,
     endpoints: BTreeSet<EndpointId>,
     pending: BTreeMap<EndpointId, PendingVoteRequest>,
-    /// Latest slot of each endpoint that needs no request of this instance: it has already requested the
-    /// lease, or another instance has run the check.
+    /// Latest slot of each endpoint for which this instance makes no further vote request, because it has
+    /// made one or another instance has run the check.
     last_handled_slots: BTreeMap<EndpointId, Slot>,
     heartbeat_due_ms: f64,
     /// Counters for the admin endpoint and the metrics.
@@ -116,12 +117,12 @@
     ) -> Self {
         let mut instances: BTreeSet<InstanceId> = instances.into_iter().collect();
         instances.insert(own_id);
-        // A vote from before the start may be for the current slot, or for the next one if the candidate's
-        // clock was ahead.
+        // Before a restart, this instance may have voted for the current slot or, if the candidate's clock
+        // was ahead, for the next one.
         let voting_delay_ms = if instances.len() > 1 { 2.0 * times.period_ms } else { 0.0 };
         Self {
             own_id,
-            // All instances count as alive until they exceed the failure timeout.
+            // Instances count as alive until the failure timeout passes without a message.
             last_message_ms: instances.iter().map(|id| (*id, now)).collect(),
             instances,
             times,
@@ -152,7 +153,7 @@
         self.instances.len() / 2 + 1
     }
 
-    /// Whether an instance counts as alive.
+    /// Whether an instance has sent a message within the failure timeout. Always true for this instance.
     pub fn is_alive(&self, now: f64, id: InstanceId) -> bool {
         let is_recent = |message_ms: &f64| now - message_ms < self.times.failure_timeout_ms;
         id == self.own_id || self.last_message_ms.get(&id).is_some_and(is_recent)
@@ -163,7 +164,8 @@
         self.instances.iter().copied().filter(move |id| self.is_alive(now, *id))
     }
 
-    /// This instance's rank for an endpoint, at most [`MAX_RANK`]. Linear in the number of instances.
+    /// This instance's rank for an endpoint, at most [`MAX_RANK`]. Takes time linear in the number of
+    /// instances.
     fn own_rank(&self, now: f64, endpoint: EndpointId) -> usize {
         rank(endpoint, self.own_id, self.live_instances(now)).min(MAX_RANK)
     }
@@ -200,7 +202,8 @@
         actions
     }
 
-    /// Starts a vote request for an endpoint's current slot if this instance must request it now.
+    /// Starts a vote request for an endpoint's current slot if the lease is available and this instance's
+    /// request is due.
     fn start_vote_request(&mut self, now: f64, endpoint: EndpointId) {
         let lease = self.current_lease(now, endpoint);
         if self.is_handled(lease) || self.voted_for_another(lease) || self.pending.contains_key(&endpoint) {
@@ -219,8 +222,8 @@
         self.pending.insert(endpoint, PendingVoteRequest::new(now, lease, self.own_id));
     }
 
-    /// Completes the vote request for an endpoint if it is decided or timed out, or resends it if that is
-    /// due.
+    /// Completes the pending vote request of an endpoint if it is decided or timed out. Otherwise resends it
+    /// when due.
     fn advance_vote_request(&mut self, now: f64, endpoint: EndpointId, actions: &mut Vec<Action>) {
         let (majority, instances) = (self.majority(), self.instances.len());
         let Some(pending) = self.pending.get_mut(&endpoint) else { return };
@@ -241,8 +244,8 @@
         }
     }
 
-    /// Handles a message from another instance. The caller must apply check results to the health status
-    /// itself.
+    /// Handles a message from another instance. The caller must apply check results to
+    /// [`HealthStatus`](super::health_status::HealthStatus).
     pub fn receive(&mut self, now: f64, from: InstanceId, message: &Message) -> Vec<Action> {
         let mut actions = Vec::new();
         if from == self.own_id || !self.instances.contains(&from) {
@@ -253,7 +256,8 @@
             Message::Heartbeat => {}
             Message::VoteRequest(lease) => {
                 let current = slot_at(now, lease.endpoint, self.times.period_ms);
-                // Vote for unknown endpoints too: the candidate's endpoint list may be newer than this one's.
+                // Unknown endpoints get a vote too: the candidate's endpoint list may be newer than that of
+                // this instance.
                 let granted = self.voter.decide(now, current, lease, from);
                 let vote = Message::Vote { endpoint: lease.endpoint, slot: lease.slot, granted };
                 actions.push(Action::Reply(from, vote));
--- a/src/health_check/scheduler/tests.rs
+++ b/src/health_check/scheduler/tests.rs
@@ -15,6 +15,7 @@
 /// Schedulers on a simulated network that loses and delays messages.
 struct Network {
     schedulers: BTreeMap<InstanceId, Scheduler>,
+    /// Delivery time, sender, receiver and content of each message that was not yet delivered.
     in_flight: Vec<(f64, InstanceId, InstanceId, Message)>,
     rng: SmallRng,
     loss_rate: f64,
@@ -22,6 +23,7 @@
     isolated: BTreeSet<InstanceId>,
     /// Time, instance and lease of each check that was run.
     checks: Vec<(f64, InstanceId, Lease)>,
+    /// Offset of each instance's clock; 0 for instances without an entry.
     clock_skew_ms: BTreeMap<InstanceId, f64>,
 }
 
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Number of leases whose checks were run in an interval, and the maximum number of runs of one lease.
+    /// Number of leases checked in an interval, and the maximum number of checks of one lease.
     fn checks_between(&self, from: f64, to: f64) -> (usize, usize) {
         let mut counts = BTreeMap::<Lease, usize>::new();
         for (_, _, lease) in self.checks.iter().filter(|(at, ..)| *at >= from && *at < to) {
@@ -152,7 +154,7 @@
     );
     assert!(network.schedulers[&3].metrics.timed_out > 0);
     network.isolated.clear();
-    // An instance restarts repeatedly. It doesn't know its earlier votes after each restart.
+    // An instance restarts repeatedly and loses its votes each time.
     for k in 0..20 {
         let now = 20_000.0 + f64::from(k) * 900.0;
         let mut scheduler = Scheduler::new(now, 1, [1, 2, 3], TIMES);
@@ -190,8 +192,8 @@
     assert_eq!(checks, due, "a single instance runs every check from the next slot on");
 }
 
-/// Guards against request delays beyond the period, and against repeated checks as votes beyond the majority
-/// arrive.
+/// Guards against request delays longer than the period, and against duplicate checks when more votes arrive
+/// than the majority needs.
 #[test]
 fn with_a_thousand_instances_leases_are_requested_within_the_period() {
     let times = SchedulerTimes { rank_delay_ms: 50.0, ..TIMES };
--- a/src/registry/client.rs
+++ b/src/registry/client.rs
@@ -1,6 +1,6 @@
-//! Calls of etcd's v3 API over HTTP/1.1, one per connection: a range call, which reads all keys with a
-//! prefix, and a watch, whose messages arrive as one long chunked response. The sizes of response heads,
-//! range bodies and watch lines are limited.
+//! Client for two calls of etcd's v3 JSON gateway, each on an HTTP/1.1 connection of its own: range, which
+//! reads all keys with a prefix, and watch, whose messages arrive in a chunked response. The sizes of
+//! response heads, range bodies and watch lines are limited.
 
 use super::codec::{
     decode_range, decode_watch_line, range_request, watch_request, RangeResponse, WatchResponse,
@@ -15,17 +15,16 @@
 
 /// Maximum size of the response body of a range call, in bytes.
 pub const MAX_RANGE_BODY_BYTES: usize = 16 << 20;
-/// Maximum length of a message line or chunk of a watch, in bytes.
+/// Maximum length of a line and of a chunk in a watch response, in bytes.
 pub const MAX_WATCH_LINE_BYTES: usize = 4 << 20;
 /// Maximum size of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 16_384;
 /// Maximum number of response headers.
 const MAX_HEADERS: usize = 32;
-/// Maximum length of a line with a chunk size, in bytes.
+/// Maximum length of the first line of a chunk, which contains its size, in bytes.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 64;
 /// Size of the buffer for one read from the socket, in bytes.
 const READ_BUFFER_BYTES: usize = 16_384;
-/// Line terminator of HTTP/1.1.
 const CRLF: &[u8] = b"\r\n";
 
 /// Reads all keys with a prefix. `call_timeout` limits the whole call.
@@ -48,13 +47,13 @@
 pub struct Watch {
     address: SocketAddr,
     response: Response,
-    /// Received bytes of the body that were not yet decoded.
+    /// Body bytes that were received but not yet decoded.
     unparsed: Vec<u8>,
 }
 
 impl Watch {
-    /// Opens a watch for changes from a revision on. `call_timeout` applies separately to the connection
-    /// attempt and to the wait for the response head.
+    /// Opens a watch for changes from a revision on. `call_timeout` applies separately to connecting
+    /// and to reading the response head.
     pub async fn open(
         address: SocketAddr,
         prefix: &str,
@@ -105,14 +104,14 @@
     )
 }
 
-/// The relevant fields of a response head.
+/// Fields of a response head that the client uses.
 struct Head {
     status: u16,
     chunked: bool,
     content_length: Option<usize>,
 }
 
-/// A response that is read incrementally.
+/// A response whose head has been read or is being read; the body is read on demand.
 struct Response {
     stream: TcpStream,
     received: Vec<u8>,
@@ -170,7 +169,7 @@
         Ok(self.received.drain(..length).collect())
     }
 
-    /// Reads the next chunk of a chunked response. An empty chunk ends the body.
+    /// Reads the next chunk of a chunked response. An empty chunk marks the end of the body.
     async fn read_chunk(&mut self) -> Result<Vec<u8>, CallFailure> {
         loop {
             if let Some(chunk) = self.take_chunk()? {
--- a/src/registry/codec.rs
+++ b/src/registry/codec.rs
@@ -65,7 +65,7 @@
     error: Option<simd_json::OwnedValue>,
 }
 
-/// Deserializes a 64-bit integer from a string or a number. `null` is 0.
+/// Deserializes a 64-bit integer from a JSON string or number; `null` becomes 0.
 fn int64<'de, D: Deserializer<'de>>(deserializer: D) -> Result<i64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
@@ -103,12 +103,12 @@
     }
 }
 
-/// All keys with a prefix, at one revision.
+/// Response to a range call: all keys with a prefix, at one revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RangeResponse {
     /// Revision of the registry at the time of the read.
     pub revision: i64,
-    /// Keys with their values.
+    /// The keys and their values.
     pub entries: Vec<KeyValue>,
 }
 
@@ -120,9 +120,9 @@
         /// Current revision of the registry.
         revision: i64,
     },
-    /// Keys were written or deleted.
+    /// Changes of keys.
     Changes {
-        /// Revision up to which the changes are complete.
+        /// Revision up to which all changes have been sent.
         revision: i64,
         /// Changes in the order of the message.
         changes: Vec<Change>,
@@ -155,8 +155,8 @@
     )
 }
 
-/// Exclusive end of the key range of a prefix: the prefix with its last byte incremented. A single 0 byte
-/// stands for the end of all keys.
+/// Exclusive end of the key range of a prefix: the prefix without trailing 0xff bytes and with its last byte
+/// incremented. If no byte remains, a single 0 byte, which etcd takes as the end of all keys.
 pub fn range_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
--- a/src/registry/config.rs
+++ b/src/registry/config.rs
@@ -1,5 +1,5 @@
-//! Configuration file of the registry client, `serve --registry FILE`. Without it the endpoint list comes
-//! from the discovery service.
+//! Configuration file of the registry client, `serve --registry FILE`. Without this file, the endpoint list
+//! comes from the discovery service.
 
 use crate::backoff::Backoff;
 use crate::config_file::{parse_address, read_json, ConfigError};
@@ -13,9 +13,9 @@
 pub struct RegistryConfig {
     /// Address of the registry's JSON gateway.
     pub address: String,
-    /// Key prefix of the endpoints. Each value is the JSON of one endpoint.
+    /// Prefix of the endpoints' keys. The value of each key is the JSON of one endpoint.
     pub prefix: String,
-    /// Timeout of a call, in milliseconds.
+    /// Timeout of a range call, and of opening a watch, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: f64,
     /// Idle timeout of a watch, in milliseconds. Must be longer than the registry's interval of progress
@@ -55,7 +55,7 @@
         Ok(config)
     }
 
-    /// Parses `address`.
+    /// Address of the registry's JSON gateway.
     pub fn socket_address(&self) -> SocketAddr {
         parse_address(&self.address).expect("validated when the file was read")
     }
--- a/src/registry/error.rs
+++ b/src/registry/error.rs
@@ -57,7 +57,7 @@
     /// The response body is too long.
     #[error("response body too long: {0} bytes")]
     BodyTooLong(usize),
-    /// The response to a watch request is not chunked.
+    /// The response to a watch request lacks `Transfer-Encoding: chunked`.
     #[error("response to a watch request is not chunked")]
     NotChunked,
     /// The chunk size is malformed.
--- a/src/registry/mod.rs
+++ b/src/registry/mod.rs
@@ -1,11 +1,11 @@
-//! Client of a key-value registry (etcd's v3 API) that provides the endpoint list: a full read, then a watch
-//! from the next revision on, and another full read if those revisions were compacted. The engine applies
-//! changes in the same way as those of the discovery service.
+//! Client of a key-value registry (etcd's v3 API) that provides the endpoint list. It reads all endpoints,
+//! then watches for changes from the next revision on, and reads all endpoints again if those revisions were
+//! compacted. The engine handles these changes like those from the discovery service.
 //!
 //! | module | responsibility | I/O |
 //! | --- | --- | --- |
 //! | [`view`] | endpoint list at a revision; handles duplicate, outdated and compacted changes | none |
-//! | [`session`] | next step of the client, and backoff | none |
+//! | [`session`] | whether the client reads all endpoints or watches next, and the retry delay | none |
 //! | [`codec`] | JSON bodies of range and watch calls | none |
 //! | [`client`] | range and watch calls over HTTP/1.1 | sockets |
 //! | [`service`] | the client's task and the admin endpoint for its status | sockets |
--- a/src/registry/service.rs
+++ b/src/registry/service.rs
@@ -1,5 +1,5 @@
 //! The task of the registry client: reads all endpoints, then watches for changes, and passes each change to
-//! the engine immediately. Also handles the admin endpoint for the client's status.
+//! the engine immediately. Also serves the client's status on the admin endpoint.
 
 use super::client::{read_range, Watch};
 use super::codec::WatchResponse;
@@ -35,7 +35,7 @@
     pub watches: u64,
     /// Number of failed calls and watches.
     pub failures: u64,
-    /// Last error, if any.
+    /// Message of the latest error; kept after a success.
     pub last_error: Option<String>,
     /// Counters of the endpoint view.
     #[serde(rename = "view")]
@@ -77,7 +77,7 @@
 }
 
 impl Client {
-    /// Runs the next step: a full read, or a watch until it ends.
+    /// Reads all endpoints, or watches until the watch ends, as the session selects.
     async fn run_next_step(&mut self) -> Result<(), RegistryError> {
         match self.session.next_step(&self.view) {
             Step::ReadAll => self.read_all().await,
@@ -109,7 +109,8 @@
         loop {
             let message = timeout(idle_timeout, watch.next()).await;
             let response = message.map_err(|_| error(CallFailure::WatchIdle))??;
-            // `Created` doesn't reset the backoff: a registry may accept watches and then fail each of them.
+            // `Created` does not reset the backoff: a faulty registry may accept every watch and then cancel
+            // it.
             if !matches!(response, WatchResponse::Created { .. }) {
                 self.session.record_success();
             }
@@ -119,6 +120,7 @@
                 {
                     return Ok(());
                 }
+                // No change, but refreshes the status.
                 WatchResponse::Created { .. } => self.apply_update(Update::default()),
                 WatchResponse::Progress { revision } => {
                     let update = self.view.apply_changes(revision, Vec::new());
@@ -164,8 +166,8 @@
         status.view_metrics = self.view.metrics;
     }
 
-    /// Records a failure and returns the delay before the next attempt, in milliseconds. Logs only at failure
-    /// counts that are powers of two.
+    /// Records a failure and returns the delay before the next attempt, in milliseconds. Logs only when the
+    /// number of consecutive failures is a power of two, to limit the log volume.
     fn record_failure(&mut self, error: &RegistryError) -> f64 {
         let delay_ms = self.session.record_failure();
         let failures = self.session.failures;
--- a/src/registry/session.rs
+++ b/src/registry/session.rs
@@ -1,11 +1,12 @@
-//! Selects the next step of the registry client and computes the backoff after failures. No I/O.
+//! Decides whether the registry client reads all endpoints or watches next, and computes the delays of its
+//! retries. No I/O.
 
 use super::view::EndpointView;
 use crate::backoff::{Backoff, BackoffDelay};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
-/// A step of the client.
+/// An operation of the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Read all endpoints, because no valid list was read yet or a watch can't be resumed.
@@ -21,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct Session {
     retry_delay: BackoffDelay,
-    /// Consecutive failures since the last successful call.
+    /// Consecutive failures since the last full read or watch message other than `Created`.
     pub failures: u32,
     /// Idle timeout of a watch, in milliseconds.
     pub idle_timeout_ms: f64,
@@ -35,12 +36,12 @@
         Self { retry_delay: backoff.start(), failures: 0, idle_timeout_ms, rng }
     }
 
-    /// Selects the next step by the state of the view.
+    /// Selects the next step from the state of the view.
     pub fn next_step(&self, view: &EndpointView) -> Step {
         view.next_watch_revision().map_or(Step::ReadAll, |from_revision| Step::Watch { from_revision })
     }
 
-    /// Records a successful call and resets the backoff.
+    /// Records a full read or a watch message, and resets the backoff.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.retry_delay.reset();
--- a/src/registry/view.rs
+++ b/src/registry/view.rs
@@ -3,31 +3,31 @@
 //! The registry has one key per endpoint, with the endpoint's JSON as value, and assigns a revision to every
 //! change, as etcd's v3 API does. The view consists of a full read at some revision and the changes since.
 //!
-//! A change is applied only if its revision is above that of the last full read and above the one that the
-//! view has for the same key. So duplicate and outdated changes have no effect, but changes of different keys
-//! may arrive out of order.
+//! A change is applied only if its revision is higher than that of the last full read and than the revision
+//! of its key in the view. Therefore duplicate and outdated changes have no effect, and changes of different
+//! keys may arrive in any order.
 //!
 //! If changes were compacted before they were received, the view needs a full read, and reports endpoints
-//! that began to drain in the meantime. It needs one as well if the registry's revision is lower than before:
-//! the registry was restored from a backup, so that a watch from the old revision would receive nothing.
+//! that began to drain in the meantime. The view also needs a full read if the registry's revision decreases,
+//! as after a restore from a backup: a watch from the old revision would not receive the new changes.
 
 use crate::endpoint_list::ListedEndpoint;
 use crate::wire::discovery_json::{EndpointJson, EndpointJsonError};
 use crate::{EndpointId, EndpointState};
 use std::collections::BTreeMap;
 
-/// Maximum number of tombstones. Beyond it, the older half is dropped, and changes up to the revision of the
-/// newest dropped one are skipped.
+/// Maximum number of tombstones. If there are more, the older half is dropped, and changes up to the highest
+/// dropped revision are then ignored as outdated.
 pub const MAX_TOMBSTONES: usize = 4_096;
 
 /// A key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValue {
-    /// Key.
+    /// Key in UTF-8.
     pub key: String,
-    /// Value.
+    /// Value, usually the JSON of an endpoint.
     pub value: Vec<u8>,
-    /// Revision of its last change.
+    /// Revision of the last change of the key.
     pub mod_revision: i64,
 }
 
@@ -73,7 +73,7 @@
 /// Changes to pass to the engine, and events to log.
 #[derive(Debug, Default)]
 pub struct Update {
-    /// New, changed and removed endpoints; after a full read all endpoints.
+    /// New, changed and removed endpoints, or all endpoints if `full`.
     pub endpoints: Vec<ListedEndpoint>,
     /// Whether `endpoints` is the complete list: endpoints that are absent from it are removed.
     pub full: bool,
@@ -100,7 +100,7 @@
     pub resyncs: u64,
     /// Full reads because the registry's revision decreased.
     pub resets: u64,
-    /// Changes of a watch that were not outdated.
+    /// Changes of a watch that were neither duplicate nor outdated, including those with malformed values.
     #[serde(rename = "changes")]
     pub applied_changes: u64,
     /// Changes of a watch that were skipped as outdated or duplicate.
@@ -109,7 +109,7 @@
     /// Values that were rejected as malformed.
     #[serde(rename = "faults")]
     pub rejected_values: u64,
-    /// Endpoints that were new, removed or in another state in a full read other than the first.
+    /// Endpoints found to be new, removed or in another state by full reads after the first.
     #[serde(rename = "found")]
     pub changes_in_full_reads: u64,
 }
@@ -127,7 +127,7 @@
     }
 }
 
-/// The endpoint list of a registry, as far as it was received.
+/// Local copy of the endpoint list of a registry.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointView {
     /// Endpoints by key.
@@ -136,7 +136,7 @@
     tombstones: BTreeMap<String, i64>,
     /// Revision up to which the view is complete.
     revision: i64,
-    /// Changes up to this revision are skipped.
+    /// Changes up to this revision are ignored as outdated.
     skip_through: i64,
     /// Whether a full read is needed.
     needs_full_read: bool,
@@ -165,7 +165,7 @@
         (!self.needs_full_read).then_some(self.revision + 1)
     }
 
-    /// Records that the start revision of a watch was compacted, so that a full read is needed.
+    /// Requires a full read, because the start revision of a watch was compacted.
     pub fn record_compaction(&mut self, compact_revision: i64) {
         if !self.needs_full_read {
             self.metrics.resyncs += 1;
@@ -178,8 +178,8 @@
         );
     }
 
-    /// Returns whether the registry's revision is lower than the view's, which means that its history was
-    /// reset and a full read is needed.
+    /// Detects that the registry's history was reset, by a revision lower than the view's. If so, requires a
+    /// full read and returns true.
     pub fn detect_reset(&mut self, registry_revision: i64) -> bool {
         if registry_revision >= self.revision || self.needs_full_read {
             return false;
@@ -233,8 +233,8 @@
         entries
     }
 
-    /// Counts the endpoints that are new, removed or in another state. Adds those that started to drain to
-    /// `update`.
+    /// Returns the number of endpoints that are new, removed or in another state. Adds those that are newly
+    /// draining to `update`.
     fn record_state_changes(&self, entries: &BTreeMap<String, Entry>, update: &mut Update) -> u64 {
         let mut changes = 0;
         for (key, entry) in entries {
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -1,4 +1,4 @@
-//! Shared health checks among three proxy processes, with failures of processes and of endpoints.
+//! End-to-end tests of shared health checks: three proxy processes, with failing processes and endpoints.
 
 mod stand_ins;
 
@@ -46,8 +46,9 @@
     }
 }
 
-/// Starts a fleet, three endpoints that answer health checks, and three proxies that share the checks.
-/// Returns the proxies, the endpoints and the addresses on which the proxies receive datagrams.
+/// Starts stand-in caches, three endpoints that respond to health checks, and three proxies that share the
+/// checks. Waits until every endpoint was checked twice. Returns the proxies, the endpoints and the addresses
+/// on which the proxies receive datagrams.
 async fn start_instances(net: u8, name: &str) -> (Vec<Instance>, Vec<CheckedEndpoint>, [SocketAddr; 3]) {
     let fleet = SlowCacheFleet::start(net, 4, 64, 2).await;
     // Health checks use a separate port, which is the same at all endpoints.
@@ -104,8 +105,8 @@
     (instances, endpoints, instance_addresses)
 }
 
-/// Asserts that no slot of an endpoint was checked twice. Returns the longest interval between checks of an
-/// endpoint.
+/// Asserts that no endpoint was checked twice in a slot. Returns the longest interval between two checks of
+/// an endpoint, in milliseconds.
 fn assert_one_check_per_slot(endpoints: &[CheckedEndpoint], from: f64, to: f64) -> f64 {
     let mut longest = 0.0f64;
     for (k, endpoint) in endpoints.iter().enumerate() {
@@ -152,8 +153,8 @@
     });
 }
 
-/// Guards against checks by an instance without a majority, and against repeated checks when paused instances
-/// resume with outdated state.
+/// Guards against checks without a majority, and against duplicate checks after paused instances resume with
+/// outdated state.
 #[test]
 fn without_a_majority_no_check_runs_and_none_runs_twice_afterwards() {
     run(async {
@@ -175,7 +176,7 @@
             assert!(endpoint.checks_between(from + 500.0, unix_ms()).len() >= 3, "checks resume");
         }
         assert_one_check_per_slot(&endpoints, from, unix_ms());
-        // Unauthenticated and malformed datagrams from unknown senders are counted as rejected.
+        // Datagrams from unknown senders are rejected and counted, whatever their content.
         let unknown_sender = UdpSocket::bind("127.0.122.30:0").await.unwrap();
         let before = instances[2].status().await["ignored"].as_u64().unwrap();
         for text in [&b"{\"claim\":{\"duty\":193,\"slot\":1}}"[..], b"", b"{", &[0xff; 500]] {
@@ -188,7 +189,7 @@
     });
 }
 
-/// Guards against health changes that only the instance which ran the check applies.
+/// Guards against results that are applied only by the instance that ran the check.
 #[test]
 fn every_instance_applies_the_result_of_a_check() {
     run(async {
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -1,6 +1,5 @@
-//! A proxy process with `--registry` must apply endpoint changes promptly, also after outages, compactions
-//! and restores of the registry, and must keep its endpoint list on malformed, duplicate and reordered
-//! changes.
+//! End-to-end tests of the registry client: endpoint changes, outages, compaction, a restore from a backup,
+//! and malformed, duplicate and reordered changes.
 
 mod stand_ins;
 
@@ -18,6 +17,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_edge-proxy");
 const PREFIX: &str = "/calicobeam/members/";
+/// Id, availability zone and model of each endpoint.
 const ENDPOINTS: [(&str, &str, &str); 4] = [
     ("s-000000c1", "town", "box"),
     ("s-000000c2", "town", "box"),
@@ -52,8 +52,8 @@
     let (listen, mgmt) = (port(), port());
     let mut text =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
-    // The configuration file has other addresses than the fleet, so that the proxy needs those of the
-    // registry.
+    // The configuration keeps the example addresses, on which no cache of this test listens, so that the
+    // proxy can only use those from the registry.
     let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
     text = text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses);
     std::fs::write(dir.join("config.json"), text).unwrap();
@@ -78,8 +78,8 @@
     simd_json::to_owned_value(&mut body).ok()
 }
 
-/// Waits until the proxy has applied `revision`. Returns the time of the last change of its endpoint list, in
-/// Unix milliseconds.
+/// Waits until the proxy has applied `revision`. Returns the time at which its endpoint list last
+/// changed, in Unix milliseconds.
 async fn wait_for_revision(mgmt: SocketAddr, revision: i64, seconds: u64) -> f64 {
     let deadline_ms = unix_ms() + seconds as f64 * 1_000.0;
     while unix_ms() < deadline_ms {
@@ -121,7 +121,7 @@
     }
 }
 
-/// Number of requests that reached server `k` after `ms` (Unix milliseconds).
+/// Number of requests that cache `index` received after `after_ms` (Unix milliseconds).
 fn requests_after(fleet: &SlowCacheFleet, k: usize, ms: f64) -> usize {
     fleet.arrivals.borrow().iter().filter(|(b, at)| *b == k && *at > ms).count()
 }
@@ -203,7 +203,7 @@
         wait_for_revision(proxy.mgmt, 4, 10).await;
         let served = Rc::new(Cell::new(0));
         generate_load(proxy.listen, served.clone());
-        // Changes arrive twice and out of order: the endpoint must remain draining.
+        // Duplicate and reordered changes must not make the endpoint active again.
         registry.store.duplicates.set(true);
         let key = format!("{PREFIX}s-000000c1");
         registry.put(&key, &endpoint_json(0, fleet.addresses[0], "Ready"));
@@ -217,7 +217,7 @@
         );
         let state = status(proxy.mgmt).await.unwrap();
         assert!(state["view"]["stale"].as_u64() >= Some(2), "{state:?}");
-        // First one malformed value, then only malformed responses.
+        // One malformed value, then malformed responses to all calls.
         registry.store.duplicates.set(false);
         let rev = registry.put(&format!("{PREFIX}s-000000c2"), "{not json");
         wait_for_revision(proxy.mgmt, rev, 5).await;
@@ -245,7 +245,7 @@
     });
 }
 
-/// Guards against a watch from a revision that a registry restored from a backup reaches only much later.
+/// Guards against a watch that resumes above the revision of a restored registry and misses its changes.
 #[test]
 fn a_registry_restored_from_a_backup_is_fully_read_again() {
     run(async {
--- a/tests/stand_ins/checked_endpoint.rs
+++ b/tests/stand_ins/checked_endpoint.rs
@@ -9,11 +9,10 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// A stand-in endpoint.
 pub struct CheckedEndpoint {
     /// Arrival times of the checks, in Unix milliseconds.
     pub checks: Rc<RefCell<Vec<f64>>>,
-    /// HTTP status of the responses; 0 for no response.
+    /// HTTP status of the responses. With 0, connections are accepted but get no response.
     pub status: Rc<Cell<u16>>,
 }
 
--- a/tests/stand_ins/registry.rs
+++ b/tests/stand_ins/registry.rs
@@ -1,6 +1,6 @@
 //! Stand-in key-value registry on loopback. Implements the part of etcd's v3 JSON gateway that the proxy
 //! uses: range calls, and watches with progress notifications and compaction. Simulates faults: closed
-//! connections, missing responses, malformed bodies, and duplicate changes out of order.
+//! watches, withheld responses, malformed bodies, and duplicate and reordered changes.
 #![allow(dead_code)]
 
 use base64::engine::general_purpose::STANDARD;
@@ -15,7 +15,7 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// A change in the history. `value` is `None` if the key was deleted.
+/// A change of a key. `value` is `None` for a deletion.
 #[derive(Clone, Debug)]
 struct Event {
     rev: i64,
@@ -30,22 +30,20 @@
     kv: RefCell<BTreeMap<String, (Vec<u8>, i64)>>,
     history: RefCell<Vec<Event>>,
     pub compacted: Cell<i64>,
-    /// Incremented to close all watches.
+    /// Watches end when this number changes.
     watch_generation: Cell<u64>,
-    /// Until this time, responses are withheld and watches send no messages.
+    /// Time until which responses and watch messages are withheld.
     unresponsive_until: Cell<Option<Instant>>,
     /// Whether responses and watch messages are malformed.
     pub malformed: Cell<bool>,
-    /// Whether each change is sent twice, first in reverse order.
+    /// Whether watch messages contain their changes twice: in reverse order, then in order.
     pub duplicates: Cell<bool>,
-    /// Number of range calls.
     pub ranges: Cell<u64>,
-    /// Number of watch calls.
     pub watches: Cell<u64>,
+    /// Wakes the watches after a change.
     changed: Notify,
 }
 
-/// A stand-in registry.
 pub struct Registry {
     pub address: SocketAddr,
     pub store: Rc<Store>,
@@ -138,7 +136,7 @@
     )
 }
 
-/// Decodes the key and range end in the body of a call.
+/// Extracts and decodes `key` and `range_end` from the body of a call.
 fn key_range(body: &str) -> Option<(String, String)> {
     let field = |name: &str| {
         let from = body.find(&format!("\"{name}\":\""))? + name.len() + 4;
@@ -255,8 +253,8 @@
     }
 }
 
-/// A watch message with the changes of a key range from a revision on, or a progress notification without
-/// changes.
+/// A watch message with all changes of a key range from a revision on, or a progress notification if there
+/// are none.
 fn watch_line(store: &Store, key: &str, end: &str, from: i64) -> String {
     if store.malformed.get() {
         return "{\"result\":{\"events\":[{\"kv\":".to_string();
