--- a/examples/registry_drains.rs
+++ b/examples/registry_drains.rs
@@ -248,7 +248,7 @@
         tokio::task::spawn_local(run(executor, file.clone(), status, n as u64));
     }
     let start = std::time::Instant::now();
-    let (ranges, watches) = (registry.store.ranges.get(), registry.store.watches.get());
+    let (ranges, watches) = (registry.store.range_calls.get(), registry.store.watch_calls.get());
     let mut rng = SmallRng::seed_from_u64(9);
     let mut changes = 0;
     while start.elapsed() < Duration::from_secs(seconds) {
@@ -266,8 +266,8 @@
         }
     }
     let wall = start.elapsed().as_secs_f64();
-    let ranges = registry.store.ranges.get() - ranges;
-    let watches = registry.store.watches.get() - watches;
+    let ranges = registry.store.range_calls.get() - ranges;
+    let watches = registry.store.watch_calls.get() - watches;
     let outdated =
         statuses.iter().filter(|status| status.borrow().revision < registry.store.revision.get() - 1).count();
     println!();
--- a/src/health_check/admin.rs
+++ b/src/health_check/admin.rs
@@ -15,7 +15,7 @@
 
 /// Response body of the admin endpoint.
 #[derive(Serialize)]
-struct Status {
+struct HealthCheckStatus {
     id: InstanceId,
     majority: usize,
     #[serde(rename = "living")]
@@ -42,9 +42,9 @@
         Some(response.with_header("Content-Type", "application/json"))
     }
 
-    fn status(&self) -> Status {
+    fn status(&self) -> HealthCheckStatus {
         let (scheduler, health) = (self.scheduler.borrow(), self.health.borrow());
-        Status {
+        HealthCheckStatus {
             id: self.config.id,
             majority: scheduler.majority(),
             live_instances: scheduler.live_instances(self.now()).collect(),
--- a/src/health_check/checker.rs
+++ b/src/health_check/checker.rs
@@ -13,15 +13,15 @@
 const MAX_HEADERS: usize = 32;
 
 /// Checks the endpoint at `address` and returns whether the check passed. Errors and timeouts are failures.
-pub async fn check(address: SocketAddr, kind: &CheckKind, time_limit: Duration) -> bool {
-    let passed = async {
+pub async fn check(address: SocketAddr, kind: &CheckKind, check_timeout: Duration) -> bool {
+    let attempt = async {
         let stream = TcpStream::connect(address).await?;
         match kind {
             CheckKind::Connect => Ok(true),
             CheckKind::Http(path) => check_http(stream, address, path).await,
         }
     };
-    matches!(timeout(time_limit, passed).await, Ok(Ok(true)))
+    matches!(timeout(check_timeout, attempt).await, Ok(Ok(true)))
 }
 
 /// Sends a `GET` request and returns whether the response has a 2xx status.
--- a/src/health_check/config.rs
+++ b/src/health_check/config.rs
@@ -45,7 +45,7 @@
 /// Selection of the endpoints to check, by model.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct CheckedEndpoints {
+pub struct EndpointSelector {
     /// Endpoint models to check.
     pub models: Vec<String>,
     /// Port to check. Defaults to the port of each endpoint.
@@ -71,7 +71,7 @@
     pub clock_skew_ms: f64,
     /// The endpoints to check.
     #[serde(rename = "servers")]
-    pub endpoints: CheckedEndpoints,
+    pub endpoints: EndpointSelector,
     /// Type of health check.
     #[serde(rename = "probe")]
     pub check: CheckKind,
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -24,7 +24,7 @@
 /// Interval at which the endpoint list is polled for changes, in milliseconds.
 const ENDPOINT_POLL_INTERVAL_MS: f64 = 100.0;
 /// Delay after which a result is sent a second time in case the first datagram was lost, in milliseconds.
-const RESULT_RESEND_MS: f64 = 100.0;
+const RESULT_RESEND_DELAY_MS: f64 = 100.0;
 /// Maximum number of concurrent checks. Each uses a file descriptor.
 pub const MAX_CONCURRENT_CHECKS: usize = 64;
 
@@ -36,7 +36,7 @@
     UnknownSender,
     /// Authentication failed.
     #[error(transparent)]
-    NotAuthentic(#[from] crate::datagram_auth::AuthError),
+    AuthenticationFailed(#[from] crate::datagram_auth::AuthError),
     /// The payload is not a valid message.
     #[error("malformed message: {0}")]
     Malformed(#[from] simd_json::Error),
@@ -163,7 +163,7 @@
         self.apply_result(result);
         let message = Message::Result(result);
         self.broadcast(&message).await;
-        tokio::time::sleep(duration_from_ms(RESULT_RESEND_MS)).await;
+        tokio::time::sleep(duration_from_ms(RESULT_RESEND_DELAY_MS)).await;
         self.broadcast(&message).await;
     }
 
@@ -221,16 +221,16 @@
 /// Runs the shared health checks. Never returns.
 pub async fn run(checker: Rc<HealthChecker>) {
     let mut buffer = [0u8; MAX_DATAGRAM_BYTES];
-    let mut endpoint_poll_ms = f64::NEG_INFINITY;
+    let mut next_endpoint_poll_ms = f64::NEG_INFINITY;
     loop {
         let now = checker.now();
-        if now >= endpoint_poll_ms {
-            endpoint_poll_ms = now + ENDPOINT_POLL_INTERVAL_MS;
+        if now >= next_endpoint_poll_ms {
+            next_endpoint_poll_ms = now + ENDPOINT_POLL_INTERVAL_MS;
             checker.update_endpoints();
         }
         let actions = checker.scheduler.borrow_mut().tick(now);
         checker.perform_actions(actions).await;
-        let due_ms = checker.scheduler.borrow().next_due_ms(now).min(endpoint_poll_ms);
+        let due_ms = checker.scheduler.borrow().next_due_ms(now).min(next_endpoint_poll_ms);
         tokio::select! {
             () = tokio::time::sleep(duration_from_ms((due_ms - now).max(1.0))) => {}
             received = checker.socket.recv_from(&mut buffer) => {
--- a/src/health_check/lease.rs
+++ b/src/health_check/lease.rs
@@ -60,9 +60,9 @@
 ///
 /// Uses rendezvous hashing: when an instance fails, the order of the others does not change, and the failed
 /// instance's checks are spread evenly over them.
-pub fn rank(endpoint: EndpointId, own_id: InstanceId, others: impl Iterator<Item = InstanceId>) -> usize {
+pub fn rank(endpoint: EndpointId, own_id: InstanceId, candidates: impl Iterator<Item = InstanceId>) -> usize {
     let score = |id: InstanceId| (hash(u64::from(endpoint), RANK_HASH_INPUT_BASE + u64::from(id)), id);
-    others.filter(|id| *id != own_id && score(*id) < score(own_id)).count()
+    candidates.filter(|id| *id != own_id && score(*id) < score(own_id)).count()
 }
 
 #[cfg(test)]
--- a/src/health_check/lease/tests.rs
+++ b/src/health_check/lease/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_slot_starts_when_its_check_is_due_and_checks_are_spread_over_the_period() {
+fn slots_start_at_their_due_time_and_checks_are_spread_evenly_over_the_period() {
     let period = 2_000.0;
     for endpoint in 0..50 {
         let due_ms = Lease { endpoint, slot: 441_144 }.due_ms(period);
@@ -17,16 +17,16 @@
 }
 
 #[test]
-fn the_checks_of_a_failed_instance_are_distributed_evenly_and_all_others_stay() {
-    let first = |endpoint, all: &[InstanceId]| {
+fn only_the_checks_of_a_failed_instance_are_reassigned_and_evenly() {
+    let rank_0_instance = |endpoint, all: &[InstanceId]| {
         *all.iter()
-            .find(|me| rank(endpoint, **me, all.iter().copied()) == 0)
+            .find(|id| rank(endpoint, **id, all.iter().copied()) == 0)
             .expect("one instance has rank 0")
     };
-    let (all, rest) = ([1, 2, 3, 4], [1, 2, 4]);
+    let (all, remaining) = ([1, 2, 3, 4], [1, 2, 4]);
     let mut moved = [0; 5];
     for endpoint in 0..4_000 {
-        let (before, after) = (first(endpoint, &all), first(endpoint, &rest));
+        let (before, after) = (rank_0_instance(endpoint, &all), rank_0_instance(endpoint, &remaining));
         if before == 3 {
             moved[usize::from(after)] += 1;
         } else {
--- a/src/health_check/quorum.rs
+++ b/src/health_check/quorum.rs
@@ -40,9 +40,9 @@
     ///
     /// `current_slot` is the endpoint's slot by this instance's clock. Requests for slots further than
     /// `MAX_SLOT_DISTANCE` from it are rejected.
-    pub fn decide(&mut self, now: f64, current: Slot, lease: Lease, candidate: InstanceId) -> bool {
+    pub fn decide(&mut self, now: f64, current_slot: Slot, lease: Lease, candidate: InstanceId) -> bool {
         let Lease { endpoint, slot } = lease;
-        if now < self.voting_starts_ms || slot.abs_diff(current) > MAX_SLOT_DISTANCE {
+        if now < self.voting_starts_ms || slot.abs_diff(current_slot) > MAX_SLOT_DISTANCE {
             return false;
         }
         let votes = self.votes.entry(endpoint).or_default();
--- a/src/health_check/quorum/tests.rs
+++ b/src/health_check/quorum/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn one_candidate_per_slot_gets_the_vote_and_none_after_a_vote_for_a_later_slot() {
+fn a_voter_grants_one_candidate_per_slot_and_no_new_vote_before_its_latest_slot() {
     let mut voter = Voter::new(0.0, 100.0);
     assert!(!voter.decide(99.0, 10, lease(7, 10), 1), "it may have voted before a restart");
     assert!(
--- a/src/health_check/scheduler.rs
+++ b/src/health_check/scheduler.rs
@@ -143,8 +143,8 @@
         self.last_handled_slots.retain(|endpoint, _| endpoints.contains(endpoint));
         self.voter.retain(|endpoint| endpoints.contains(&endpoint));
         for endpoint in endpoints {
-            let current = slot_at(now, *endpoint, self.times.period_ms);
-            self.last_handled_slots.entry(*endpoint).or_insert(current);
+            let current_slot = slot_at(now, *endpoint, self.times.period_ms);
+            self.last_handled_slots.entry(*endpoint).or_insert(current_slot);
         }
     }
 
@@ -255,10 +255,10 @@
         match *message {
             Message::Heartbeat => {}
             Message::VoteRequest(lease) => {
-                let current = slot_at(now, lease.endpoint, self.times.period_ms);
+                let current_slot = slot_at(now, lease.endpoint, self.times.period_ms);
                 // Unknown endpoints get a vote too: the candidate's endpoint list may be newer than that of
                 // this instance.
-                let granted = self.voter.decide(now, current, lease, from);
+                let granted = self.voter.decide(now, current_slot, lease, from);
                 let vote = Message::Vote { endpoint: lease.endpoint, slot: lease.slot, granted };
                 actions.push(Action::Reply(from, vote));
             }
--- a/src/health_check/scheduler/tests.rs
+++ b/src/health_check/scheduler/tests.rs
@@ -31,10 +31,10 @@
     fn new(instances: u16, endpoints: u32, seed: u64) -> Self {
         let all: Vec<InstanceId> = (1..=instances).collect();
         let mut schedulers = BTreeMap::new();
-        for me in &all {
-            let mut scheduler = Scheduler::new(0.0, *me, all.iter().copied(), TIMES);
+        for id in &all {
+            let mut scheduler = Scheduler::new(0.0, *id, all.iter().copied(), TIMES);
             scheduler.set_endpoints(0.0, 0..endpoints);
-            schedulers.insert(*me, scheduler);
+            schedulers.insert(*id, scheduler);
         }
         let (rng, in_flight, isolated, checks, clock_skew_ms) =
             (SmallRng::seed_from_u64(seed), vec![], BTreeSet::new(), vec![], BTreeMap::new());
@@ -103,12 +103,13 @@
 }
 
 #[test]
-fn each_check_runs_once_and_every_instance_runs_a_share_of_them() {
+fn each_lease_is_checked_once_and_checks_are_spread_over_all_instances() {
     let mut network = Network::new(3, 30, 1);
     network.run(0.0, 24_000.0);
     assert_eq!(network.checks_between(8_000.0, 24_000.0), (30 * 8, 1), "30 endpoints, 8 periods");
     for id in 1..=3 {
-        let count = network.checks.iter().filter(|(at, who, ..)| *at >= 8_000.0 && *who == id).count();
+        let count =
+            network.checks.iter().filter(|(at, instance, ..)| *at >= 8_000.0 && *instance == id).count();
         assert!((40..130).contains(&count), "instance {id} ran {count} of 240");
     }
 }
@@ -118,9 +119,9 @@
     let mut network = Network::new(3, 30, 2);
     (network.loss_rate, network.clock_skew_ms) = (0.2, BTreeMap::from([(1, -150.0), (2, 250.0)]));
     network.run(0.0, 44_000.0);
-    let (slots, max_runs) = network.checks_between(8_000.0, 44_000.0);
+    let (leases_checked, max_runs) = network.checks_between(8_000.0, 44_000.0);
     assert_eq!(max_runs, 1, "a check ran twice");
-    assert!(slots >= 30 * 18 * 9 / 10, "{slots} of {}", 30 * 18);
+    assert!(leases_checked >= 30 * 18 * 9 / 10, "{leases_checked} of {}", 30 * 18);
 }
 
 #[test]
@@ -129,27 +130,27 @@
     network.run(0.0, 10_000.0);
     network.schedulers.remove(&2);
     network.run(10_000.0, 20_000.0);
-    let (slots, max_runs) = network.checks_between(10_500.0, 18_500.0);
-    assert_eq!((slots, max_runs), (30 * 4, 1), "no slot was skipped or checked twice");
-    let late: Vec<f64> = network
+    let (leases_checked, max_runs) = network.checks_between(10_500.0, 18_500.0);
+    assert_eq!((leases_checked, max_runs), (30 * 4, 1), "no slot was skipped or checked twice");
+    let delays_ms: Vec<f64> = network
         .checks
         .iter()
         .filter(|(at, ..)| *at > 10_000.0)
         .map(|(at, _, lease)| at - lease.due_ms(TIMES.period_ms))
         .collect();
-    assert!(late.iter().all(|ms| *ms < 500.0), "at most two rank delays and a round trip late");
+    assert!(delays_ms.iter().all(|ms| *ms < 500.0), "at most two rank delays and a round trip late");
     assert!(network.schedulers[&1].metrics.failovers + network.schedulers[&3].metrics.failovers > 0);
 }
 
 #[test]
-fn the_minority_of_a_partition_runs_no_check_and_after_a_restart_none_runs_twice() {
+fn the_minority_of_a_partition_runs_no_checks_and_restarts_cause_no_duplicate_checks() {
     let mut network = Network::new(3, 30, 4);
     network.run(0.0, 10_000.0);
     network.isolated.insert(3);
     network.run(10_000.0, 20_000.0);
     assert_eq!(network.checks_between(10_500.0, 19_500.0).1, 1);
     assert!(
-        !network.checks.iter().any(|(at, who, ..)| *at > 10_500.0 && *who == 3),
+        !network.checks.iter().any(|(at, instance, ..)| *at > 10_500.0 && *instance == 3),
         "the minority ran a check"
     );
     assert!(network.schedulers[&3].metrics.timed_out > 0);
@@ -168,15 +169,15 @@
 }
 
 #[test]
-fn messages_from_unknown_instances_and_unrequested_votes_are_ignored() {
+fn unexpected_messages_are_ignored_and_a_single_instance_runs_every_check() {
     let mut scheduler = Scheduler::new(0.0, 1, [1, 2, 3], TIMES);
     scheduler.set_endpoints(0.0, [7]);
     assert!(
         scheduler.receive(9_000.0, 9, &Message::VoteRequest(Lease { endpoint: 7, slot: 4 })).is_empty(),
         "the sender is not a configured instance"
     );
-    let far = scheduler.receive(9_000.0, 2, &Message::VoteRequest(Lease { endpoint: 7, slot: 900 }));
-    assert_eq!(far, [Action::Reply(2, Message::Vote { endpoint: 7, slot: 900, granted: false })]);
+    let actions = scheduler.receive(9_000.0, 2, &Message::VoteRequest(Lease { endpoint: 7, slot: 900 }));
+    assert_eq!(actions, [Action::Reply(2, Message::Vote { endpoint: 7, slot: 900, granted: false })]);
     assert!(
         scheduler.receive(9_000.0, 2, &Message::Vote { endpoint: 7, slot: 3, granted: true }).is_empty(),
         "no vote was requested"
@@ -187,9 +188,9 @@
     for k in 0..1_000 {
         checks += alone.tick(f64::from(k) * 10.0).iter().filter(|a| matches!(a, Action::RunCheck(_))).count();
     }
-    let due =
+    let expected_checks =
         (1..).take_while(|slot| Lease { endpoint: 7, slot: *slot }.due_ms(TIMES.period_ms) < 9_990.0).count();
-    assert_eq!(checks, due, "a single instance runs every check from the next slot on");
+    assert_eq!(checks, expected_checks, "a single instance runs every check from the next slot on");
 }
 
 /// Guards against request delays longer than the period, and against duplicate checks when more votes arrive
@@ -198,8 +199,8 @@
 fn with_a_thousand_instances_leases_are_requested_within_the_period() {
     let times = SchedulerTimes { rank_delay_ms: 50.0, ..TIMES };
     let all = 1..=1_024;
-    for me in [1, 512, 1_024] {
-        let mut scheduler = Scheduler::new(0.0, me, all.clone(), times);
+    for own_id in [1, 512, 1_024] {
+        let mut scheduler = Scheduler::new(0.0, own_id, all.clone(), times);
         scheduler.set_endpoints(0.0, 0..3);
         let mut requested = 0;
         for step in 0..80 {
@@ -208,8 +209,8 @@
             all.clone().for_each(|id| drop(scheduler.receive(now, id, &Message::Heartbeat)));
             for action in scheduler.tick(now) {
                 let Action::Broadcast(Message::VoteRequest(lease)) = action else { continue };
-                let late = now - lease.due_ms(times.period_ms);
-                assert!(late <= MAX_RANK as f64 * times.rank_delay_ms + 50.0, "{late} ms late");
+                let delay_ms = now - lease.due_ms(times.period_ms);
+                assert!(delay_ms <= MAX_RANK as f64 * times.rank_delay_ms + 50.0, "{delay_ms} ms late");
                 requested += 1;
                 let vote = Message::Vote { endpoint: lease.endpoint, slot: lease.slot, granted: true };
                 let actions: Vec<Action> =
@@ -217,6 +218,6 @@
                 assert_eq!(actions, [Action::RunCheck(lease)], "the check runs once, on a majority of votes");
             }
         }
-        assert!(requested >= 3, "instance {me} requested only {requested} leases");
+        assert!(requested >= 3, "instance {own_id} requested only {requested} leases");
     }
 }
--- a/src/lifecycle/subsystems/vrrp.rs
+++ b/src/lifecycle/subsystems/vrrp.rs
@@ -109,7 +109,7 @@
     fn value(&self, object: &TrackedObject) -> Option<f64> {
         match object {
             TrackedObject::Registry => {
-                ms_since(&self.executor, self.registry.as_ref()?.borrow().last_answer_ms)
+                ms_since(&self.executor, self.registry.as_ref()?.borrow().last_response_ms)
             }
             TrackedObject::GrpcPool(pool) => self.grpc.as_ref()?.usable_share(pool),
             object => self.host.value(object),
--- a/src/registry/client.rs
+++ b/src/registry/client.rs
@@ -134,7 +134,7 @@
         Ok(Self { chunked: head.chunked, content_length: head.content_length, ..response })
     }
 
-    async fn read_more(&mut self) -> Result<(), CallFailure> {
+    async fn fill_buffer(&mut self) -> Result<(), CallFailure> {
         let mut buffer = [0u8; READ_BUFFER_BYTES];
         let n = self.stream.read(&mut buffer).await?;
         if n == 0 {
@@ -153,7 +153,7 @@
             if self.received.len() > MAX_HEAD_BYTES {
                 return Err(ProtocolError::HeadTooLong.into());
             }
-            self.read_more().await?;
+            self.fill_buffer().await?;
         }
     }
 
@@ -164,7 +164,7 @@
             return Err(ProtocolError::BodyTooLong(length).into());
         }
         while self.received.len() < length {
-            self.read_more().await?;
+            self.fill_buffer().await?;
         }
         Ok(self.received.drain(..length).collect())
     }
@@ -175,7 +175,7 @@
             if let Some(chunk) = self.take_chunk()? {
                 return Ok(chunk);
             }
-            self.read_more().await?;
+            self.fill_buffer().await?;
         }
     }
 
--- a/src/registry/codec/tests.rs
+++ b/src/registry/codec/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn watch_messages_in_the_encoding_of_etcd_are_decoded() {
+fn etcd_watch_messages_are_decoded_and_invalid_base64_is_rejected() {
     let key = STANDARD.encode("/m/1");
     let put = format!(
         r#"{{"result":{{"header":{{"revision":"9"}},"events":[{{"kv":{{"key":"{key}","value":"e30=","mod_revision":"9"}}}},{{"type":"DELETE","kv":{{"key":"{key}","mod_revision":"10"}}}}]}}}}"#
--- a/src/registry/config.rs
+++ b/src/registry/config.rs
@@ -42,11 +42,11 @@
         if config.prefix.is_empty() || config.prefix.len() > 256 {
             return Err(ConfigError::field(path, "prefix", "must be 1 to 256 bytes long"));
         }
-        let within = |v: f64, low: f64, high: f64| v.is_finite() && v >= low && v <= high;
-        if !within(config.timeout_ms, 10.0, 60_000.0) {
+        let is_in_range = |value: f64, min: f64, max: f64| value.is_finite() && value >= min && value <= max;
+        if !is_in_range(config.timeout_ms, 10.0, 60_000.0) {
             return Err(ConfigError::field(path, "timeout_ms", "must be 10 to 60,000"));
         }
-        if !within(config.idle_timeout_ms, 100.0, 3_600_000.0) {
+        if !is_in_range(config.idle_timeout_ms, 100.0, 3_600_000.0) {
             return Err(ConfigError::field(path, "stall_ms", "must be 100 to 3,600,000"));
         }
         if !config.backoff.is_valid() {
--- a/src/registry/service.rs
+++ b/src/registry/service.rs
@@ -27,7 +27,7 @@
     pub last_change_ms: f64,
     /// Time of the last valid response or watch message, in Unix milliseconds.
     #[serde(rename = "answered_ms")]
-    pub last_answer_ms: f64,
+    pub last_response_ms: f64,
     /// Number of endpoints in the list.
     #[serde(rename = "members")]
     pub endpoints: usize,
@@ -160,7 +160,7 @@
         if changed {
             status.last_change_ms = now_ms;
         }
-        status.last_answer_ms = now_ms;
+        status.last_response_ms = now_ms;
         status.revision = self.view.revision();
         status.endpoints = self.view.endpoints().count();
         status.view_metrics = self.view.metrics;
--- a/src/registry/session/tests.rs
+++ b/src/registry/session/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn failures_back_off_up_to_the_maximum_delay_and_a_success_resets_it() {
+fn the_retry_delay_grows_to_its_maximum_and_is_reset_by_a_success() {
     let backoff = Backoff { first_ms: 100.0, factor: 2.0, max_ms: 300.0, jitter: 0.0 };
     let mut session = Session::new(backoff, 3_000.0, 1);
     let delays: Vec<f64> = (0..5).map(|_| session.record_failure()).collect();
--- a/src/registry/view.rs
+++ b/src/registry/view.rs
@@ -102,7 +102,7 @@
     pub resets: u64,
     /// Changes of a watch that were neither duplicate nor outdated, including those with malformed values.
     #[serde(rename = "changes")]
-    pub applied_changes: u64,
+    pub fresh_changes: u64,
     /// Changes of a watch that were skipped as outdated or duplicate.
     #[serde(rename = "stale")]
     pub stale_changes: u64,
@@ -137,7 +137,7 @@
     /// Revision up to which the view is complete.
     revision: i64,
     /// Changes up to this revision are ignored as outdated.
-    skip_through: i64,
+    outdated_through: i64,
     /// Whether a full read is needed.
     needs_full_read: bool,
     /// Counters for the admin endpoint.
@@ -200,14 +200,14 @@
         let mut update = Update { full: true, ..Update::default() };
         let entries = self.parse_entries(values, &mut update);
         let is_first_read = self.metrics.full_reads == 0;
-        let changes = self.record_state_changes(&entries, &mut update);
+        let changes = self.compare_states(&entries, &mut update);
         if !is_first_read {
             self.metrics.changes_in_full_reads += changes;
         }
         self.entries = entries;
         self.tombstones.clear();
         self.revision = revision;
-        self.skip_through = revision;
+        self.outdated_through = revision;
         self.needs_full_read = false;
         self.metrics.full_reads += 1;
         update.endpoints = self.endpoints().cloned().collect();
@@ -223,8 +223,8 @@
                     entries.insert(key, Entry { endpoint, revision: mod_revision });
                 }
                 Err(error) => {
-                    if let Some(known) = self.entries.get(&key) {
-                        entries.insert(key.clone(), known.clone());
+                    if let Some(previous) = self.entries.get(&key) {
+                        entries.insert(key.clone(), previous.clone());
                     }
                     self.reject(key, error, update);
                 }
@@ -235,7 +235,7 @@
 
     /// Returns the number of endpoints that are new, removed or in another state. Adds those that are newly
     /// draining to `update`.
-    fn record_state_changes(&self, entries: &BTreeMap<String, Entry>, update: &mut Update) -> u64 {
+    fn compare_states(&self, entries: &BTreeMap<String, Entry>, update: &mut Update) -> u64 {
         let mut changes = 0;
         for (key, entry) in entries {
             if self.entries.get(key).map(Entry::state) == Some(entry.state()) {
@@ -258,7 +258,7 @@
                 self.metrics.stale_changes += 1;
                 continue;
             }
-            self.metrics.applied_changes += 1;
+            self.metrics.fresh_changes += 1;
             match change {
                 Change::Put(entry) => self.put(entry, &mut update),
                 Change::Delete { key, revision } => self.delete(key, revision, &mut update),
@@ -272,8 +272,9 @@
     /// Whether the change is a duplicate or older than the view's state of its key.
     fn is_stale(&self, change: &Change) -> bool {
         let entry = self.entries.get(change.key()).map(|entry| entry.revision);
-        let known = entry.or_else(|| self.tombstones.get(change.key()).copied());
-        change.revision() <= self.skip_through || known.is_some_and(|revision| change.revision() <= revision)
+        let last_revision = entry.or_else(|| self.tombstones.get(change.key()).copied());
+        change.revision() <= self.outdated_through
+            || last_revision.is_some_and(|revision| change.revision() <= revision)
     }
 
     fn put(&mut self, KeyValue { key, value, mod_revision }: KeyValue, update: &mut Update) {
@@ -313,9 +314,9 @@
         let mut revisions: Vec<i64> = self.tombstones.values().copied().collect();
         revisions.sort_unstable();
         let newest_dropped = revisions[revisions.len() - MAX_TOMBSTONES / 2 - 1];
-        self.skip_through = self.skip_through.max(newest_dropped);
-        let skip_through = self.skip_through;
-        self.tombstones.retain(|_, revision| *revision > skip_through);
+        self.outdated_through = self.outdated_through.max(newest_dropped);
+        let outdated_through = self.outdated_through;
+        self.tombstones.retain(|_, revision| *revision > outdated_through);
     }
 }
 
--- a/src/registry/view/tests.rs
+++ b/src/registry/view/tests.rs
@@ -35,9 +35,9 @@
         [EndpointState::Removed]
     );
     assert_eq!(view.metrics.stale_changes, 4, "one duplicate, two outdated, one older than the full read");
-    let outdated = view.apply_changes(14, vec![put(3, "Terminating", 13)]);
+    let update = view.apply_changes(14, vec![put(3, "Terminating", 13)]);
     assert_eq!(
-        outdated.draining,
+        update.draining,
         [3],
         "applied: older than changes of other keys, but the newest of its own key"
     );
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn tombstones_are_bounded_and_outdated_changes_restore_no_deleted_endpoint() {
+fn tombstones_are_bounded_and_outdated_changes_do_not_restore_deleted_endpoints() {
     let mut view = EndpointView::new();
     view.replace_all(1, Vec::new());
     let mut revision = 1;
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -27,8 +27,8 @@
 impl Instance {
     async fn get(&self, path: &str) -> Option<String> {
         let timeout = Duration::from_secs(1);
-        let answer = edge_proxy::http_client::call(self.mgmt, "GET", path, b"", timeout).await.ok()?;
-        Some(String::from_utf8_lossy(&answer.body).to_string())
+        let response = edge_proxy::http_client::call(self.mgmt, "GET", path, b"", timeout).await.ok()?;
+        Some(String::from_utf8_lossy(&response.body).to_string())
     }
 
     async fn status(&self) -> simd_json::OwnedValue {
@@ -69,8 +69,8 @@
         let (listen, mgmt) = (tcp_addresses[2 * k], tcp_addresses[2 * k + 1]);
         let mut text =
             std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
-        for (n, at) in (7101..=7104).enumerate() {
-            text = text.replace(&format!("127.0.0.1:{at}"), &fleet.addresses[n].to_string());
+        for (index, port) in (7101..=7104).enumerate() {
+            text = text.replace(&format!("127.0.0.1:{port}"), &fleet.addresses[index].to_string());
         }
         let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
         let text = text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses);
@@ -108,15 +108,15 @@
 /// Asserts that no endpoint was checked twice in a slot. Returns the longest interval between two checks of
 /// an endpoint, in milliseconds.
 fn assert_one_check_per_slot(endpoints: &[CheckedEndpoint], from: f64, to: f64) -> f64 {
-    let mut longest = 0.0f64;
+    let mut longest_interval_ms = 0.0f64;
     for (k, endpoint) in endpoints.iter().enumerate() {
         let checks = endpoint.checks_between(from, to);
         // Assumes that a check arrives within the slot in which it is due.
         let slots: BTreeSet<u64> = checks.iter().map(|at| slot_at(*at, ENDPOINTS[k], PERIOD_MS)).collect();
         assert_eq!(slots.len(), checks.len(), "endpoint {k} was checked twice in a slot: {checks:?}");
-        longest = checks.windows(2).map(|w| w[1] - w[0]).fold(longest, f64::max);
+        longest_interval_ms = checks.windows(2).map(|w| w[1] - w[0]).fold(longest_interval_ms, f64::max);
     }
-    longest
+    longest_interval_ms
 }
 
 #[test]
@@ -145,20 +145,20 @@
         let killed_ms = unix_ms();
         instances[busiest].process.0.kill().unwrap();
         tokio::time::sleep(Duration::from_millis(3_000)).await;
-        let longest = assert_one_check_per_slot(&endpoints, killed_ms - 2_000.0, unix_ms());
-        assert!(longest < 1_500.0, "no check for {longest:.0} ms");
+        let longest_interval_ms = assert_one_check_per_slot(&endpoints, killed_ms - 2_000.0, unix_ms());
+        assert!(longest_interval_ms < 1_500.0, "no check for {longest_interval_ms:.0} ms");
         let remaining = instances.iter().enumerate().find(|(k, _)| *k != busiest).unwrap().1;
-        let live_count = remaining.status().await["living"].as_array().map(|a| a.len());
-        assert_eq!(live_count, Some(2), "the killed instance still counts as alive");
+        let live_instances = remaining.status().await["living"].as_array().map(|a| a.len());
+        assert_eq!(live_instances, Some(2), "the killed instance still counts as alive");
     });
 }
 
 /// Guards against checks without a majority, and against duplicate checks after paused instances resume with
 /// outdated state.
 #[test]
-fn without_a_majority_no_check_runs_and_none_runs_twice_afterwards() {
+fn no_check_runs_without_a_majority_and_none_runs_twice_after_it_is_restored() {
     run(async {
-        let (instances, endpoints, instance_addresses) = start_instances(122, "health-checks-split").await;
+        let (instances, endpoints, instance_addresses) = start_instances(122, "health-checks-majority").await;
         instances[0].signal("-STOP");
         instances[1].signal("-STOP");
         tokio::time::sleep(Duration::from_millis(400)).await;
@@ -193,7 +193,7 @@
 #[test]
 fn every_instance_applies_the_result_of_a_check() {
     run(async {
-        let (instances, endpoints, _) = start_instances(123, "health-checks-board").await;
+        let (instances, endpoints, _) = start_instances(123, "health-checks-results").await;
         let wait_for_ejected = |n: u64| {
             let instances = &instances;
             async move {
@@ -221,19 +221,19 @@
 }
 
 #[test]
-fn an_invalid_file_is_rejected_with_the_name_of_the_field() {
+fn an_invalid_configuration_is_rejected_with_the_name_of_the_field() {
     let dir = test_dir("health-checks-files");
     let read = |text: &str| {
-        std::fs::write(dir.join("d.json"), text).unwrap();
-        HealthCheckConfig::read(&dir.join("d.json")).map(|_| ()).map_err(|e| e.to_string())
+        std::fs::write(dir.join("health-checks.json"), text).unwrap();
+        HealthCheckConfig::read(&dir.join("health-checks.json")).map(|_| ()).map_err(|e| e.to_string())
     };
-    let config_with = |more: &str| {
+    let config_with = |extra_fields: &str| {
         format!(
-            r#"{{"id":1,"listen":"127.0.0.1:1","servers":{{"models":["box"]}},"probe":"connect","peers":[{{"id":2,"address":"127.0.0.1:2"}}]{more}}}"#
+            r#"{{"id":1,"listen":"127.0.0.1:1","servers":{{"models":["box"]}},"probe":"connect","peers":[{{"id":2,"address":"127.0.0.1:2"}}]{extra_fields}}}"#
         )
     };
     assert_eq!(read(&config_with("")), Ok(()));
-    for (text, word) in [
+    for (text, field) in [
         (config_with(r#","period_ms":1"#), "period_ms"),
         (config_with(r#","probe_ms":9000"#), "probe_ms"),
         (config_with(r#","step_ms":1900"#), "step_ms"),
@@ -246,6 +246,6 @@
         (config_with(r#","shares":1"#), "shares"),
     ] {
         let reason = read(&text).expect_err(&text);
-        assert!(reason.contains(word), "{reason} does not name {word}");
+        assert!(reason.contains(field), "{reason} does not name {field}");
     }
 }
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -25,10 +25,10 @@
     ("s-000000b0", "hub", "origin"),
 ];
 
-fn endpoint_json(k: usize, at: SocketAddr, state: &str) -> String {
-    let (uid, az, model) = ENDPOINTS[k];
+fn endpoint_json(index: usize, address: SocketAddr, state: &str) -> String {
+    let (uid, az, model) = ENDPOINTS[index];
     format!(
-        r#"{{"uid":"{uid}","endpoint":"{at}","az":"{az}","model":"{model}","pod_group":0,"state":"{state}","capacity_hint":4,"boot_ms":0}}"#
+        r#"{{"uid":"{uid}","endpoint":"{address}","az":"{az}","model":"{model}","pod_group":0,"state":"{state}","capacity_hint":4,"boot_ms":0}}"#
     )
 }
 
@@ -72,9 +72,9 @@
 
 /// Status of the proxy's registry client.
 async fn status(mgmt: SocketAddr) -> Option<simd_json::OwnedValue> {
-    let answer =
+    let response =
         edge_proxy::http_client::call(mgmt, "GET", "/registry", b"", Duration::from_secs(1)).await.ok()?;
-    let mut body = answer.body;
+    let mut body = response.body;
     simd_json::to_owned_value(&mut body).ok()
 }
 
@@ -83,9 +83,9 @@
 async fn wait_for_revision(mgmt: SocketAddr, revision: i64, seconds: u64) -> f64 {
     let deadline_ms = unix_ms() + seconds as f64 * 1_000.0;
     while unix_ms() < deadline_ms {
-        if let Some(state) = status(mgmt).await {
-            if state["revision"].as_i64().unwrap_or(0) >= revision {
-                return state["heard_ms"].as_f64().unwrap_or(0.0);
+        if let Some(client_status) = status(mgmt).await {
+            if client_status["revision"].as_i64().unwrap_or(0) >= revision {
+                return client_status["heard_ms"].as_f64().unwrap_or(0.0);
             }
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
@@ -107,10 +107,10 @@
                     id % 97
                 );
                 if let Ok(mut stream) = tokio::net::TcpStream::connect(listen).await {
-                    let mut answer = Vec::new();
+                    let mut response = Vec::new();
                     if stream.write_all(request.as_bytes()).await.is_ok()
-                        && stream.read_to_end(&mut answer).await.is_ok()
-                        && answer.starts_with(b"HTTP/1.1 200")
+                        && stream.read_to_end(&mut response).await.is_ok()
+                        && response.starts_with(b"HTTP/1.1 200")
                     {
                         served.set(served.get() + 1);
                     }
@@ -122,17 +122,23 @@
 }
 
 /// Number of requests that cache `index` received after `after_ms` (Unix milliseconds).
-fn requests_after(fleet: &SlowCacheFleet, k: usize, ms: f64) -> usize {
-    fleet.arrivals.borrow().iter().filter(|(b, at)| *b == k && *at > ms).count()
+fn requests_after(fleet: &SlowCacheFleet, index: usize, after_ms: f64) -> usize {
+    fleet
+        .arrivals
+        .borrow()
+        .iter()
+        .filter(|(cache, arrived_ms)| *cache == index && *arrived_ms > after_ms)
+        .count()
 }
 
 #[test]
-fn draining_takes_effect_within_250_ms_also_after_a_ten_second_outage_with_compaction() {
+fn draining_takes_effect_within_250_ms_even_after_an_outage_with_compaction() {
     run(async {
         let fleet = SlowCacheFleet::start(80, 4, 64, 2).await;
         let registry = Registry::start("127.0.80.100").await;
-        for (k, at) in fleet.addresses.iter().enumerate() {
-            registry.put(&format!("{PREFIX}{}", ENDPOINTS[k].0), &endpoint_json(k, *at, "Ready"));
+        for (index, address) in fleet.addresses.iter().enumerate() {
+            registry
+                .put(&format!("{PREFIX}{}", ENDPOINTS[index].0), &endpoint_json(index, *address, "Ready"));
         }
         let proxy = start_proxy(80, "registry-drains", &registry).await;
         wait_for_revision(proxy.mgmt, 4, 10).await;
@@ -146,9 +152,9 @@
 
         // An endpoint starts to drain.
         let written_ms = unix_ms();
-        let rev = registry
+        let revision = registry
             .put(&format!("{PREFIX}s-000000c1"), &endpoint_json(0, fleet.addresses[0], "Terminating"));
-        let applied_ms = wait_for_revision(proxy.mgmt, rev, 5).await;
+        let applied_ms = wait_for_revision(proxy.mgmt, revision, 5).await;
         tokio::time::sleep(Duration::from_millis(600)).await;
         assert_eq!(
             requests_after(&fleet, 0, applied_ms + 250.0),
@@ -165,12 +171,12 @@
         // compacted.
         registry.stop_responding(Duration::from_secs(10));
         tokio::time::sleep(Duration::from_millis(200)).await;
-        let rev = registry
+        let revision = registry
             .put(&format!("{PREFIX}s-000000c2"), &endpoint_json(1, fleet.addresses[1], "Terminating"));
         registry.put(&format!("{PREFIX}s-000000c1"), &endpoint_json(0, fleet.addresses[0], "Ready"));
         registry.compact();
         let before = served.get();
-        let applied_ms = wait_for_revision(proxy.mgmt, rev + 1, 20).await;
+        let applied_ms = wait_for_revision(proxy.mgmt, revision + 1, 20).await;
         tokio::time::sleep(Duration::from_millis(600)).await;
         assert_eq!(
             requests_after(&fleet, 1, applied_ms + 250.0),
@@ -182,11 +188,11 @@
             "the server that is active again must get requests"
         );
         assert!(served.get() > before, "no requests were served after the outage began");
-        let state = status(proxy.mgmt).await.unwrap();
-        assert!(state["view"]["resyncs"].as_u64() >= Some(1), "{state:?}");
+        let client_status = status(proxy.mgmt).await.unwrap();
+        assert!(client_status["view"]["resyncs"].as_u64() >= Some(1), "{client_status:?}");
         assert!(
-            state["view"]["found"].as_u64() >= Some(2),
-            "the full read after the outage must find both changes: {state:?}"
+            client_status["view"]["found"].as_u64() >= Some(2),
+            "the full read after the outage must find both changes: {client_status:?}"
         );
     });
 }
@@ -196,31 +202,32 @@
     run(async {
         let fleet = SlowCacheFleet::start(81, 4, 64, 2).await;
         let registry = Registry::start("127.0.81.100").await;
-        for (k, at) in fleet.addresses.iter().enumerate() {
-            registry.put(&format!("{PREFIX}{}", ENDPOINTS[k].0), &endpoint_json(k, *at, "Ready"));
+        for (index, address) in fleet.addresses.iter().enumerate() {
+            registry
+                .put(&format!("{PREFIX}{}", ENDPOINTS[index].0), &endpoint_json(index, *address, "Ready"));
         }
         let proxy = start_proxy(81, "registry-malformed", &registry).await;
         wait_for_revision(proxy.mgmt, 4, 10).await;
         let served = Rc::new(Cell::new(0));
         generate_load(proxy.listen, served.clone());
         // Duplicate and reordered changes must not make the endpoint active again.
-        registry.store.duplicates.set(true);
+        registry.store.sends_duplicates.set(true);
         let key = format!("{PREFIX}s-000000c1");
         registry.put(&key, &endpoint_json(0, fleet.addresses[0], "Ready"));
-        let rev = registry.put(&key, &endpoint_json(0, fleet.addresses[0], "Terminating"));
-        let applied_ms = wait_for_revision(proxy.mgmt, rev, 5).await;
+        let revision = registry.put(&key, &endpoint_json(0, fleet.addresses[0], "Terminating"));
+        let applied_ms = wait_for_revision(proxy.mgmt, revision, 5).await;
         tokio::time::sleep(Duration::from_millis(600)).await;
         assert_eq!(
             requests_after(&fleet, 0, applied_ms + 250.0),
             0,
             "an outdated change made the draining endpoint active again"
         );
-        let state = status(proxy.mgmt).await.unwrap();
-        assert!(state["view"]["stale"].as_u64() >= Some(2), "{state:?}");
+        let client_status = status(proxy.mgmt).await.unwrap();
+        assert!(client_status["view"]["stale"].as_u64() >= Some(2), "{client_status:?}");
         // One malformed value, then malformed responses to all calls.
-        registry.store.duplicates.set(false);
-        let rev = registry.put(&format!("{PREFIX}s-000000c2"), "{not json");
-        wait_for_revision(proxy.mgmt, rev, 5).await;
+        registry.store.sends_duplicates.set(false);
+        let revision = registry.put(&format!("{PREFIX}s-000000c2"), "{not json");
+        wait_for_revision(proxy.mgmt, revision, 5).await;
         registry.store.malformed.set(true);
         registry.close_watches();
         let before = served.get();
@@ -230,13 +237,16 @@
             requests_after(&fleet, 1, unix_ms() - 1_000.0) > 0,
             "the server with a malformed value must still get requests"
         );
-        let state = status(proxy.mgmt).await.unwrap();
-        assert!(state["failures"].as_u64() >= Some(1) && state["last_error"].as_str().is_some(), "{state:?}");
-        assert!(state["view"]["faults"].as_u64() >= Some(1), "{state:?}");
+        let client_status = status(proxy.mgmt).await.unwrap();
+        assert!(
+            client_status["failures"].as_u64() >= Some(1) && client_status["last_error"].as_str().is_some(),
+            "{client_status:?}"
+        );
+        assert!(client_status["view"]["faults"].as_u64() >= Some(1), "{client_status:?}");
         assert_eq!(requests_after(&fleet, 0, unix_ms() - 1_000.0), 0, "the endpoint must remain draining");
         registry.store.malformed.set(false);
-        let rev = registry.put(&key, &endpoint_json(0, fleet.addresses[0], "Ready"));
-        wait_for_revision(proxy.mgmt, rev, 10).await;
+        let revision = registry.put(&key, &endpoint_json(0, fleet.addresses[0], "Ready"));
+        wait_for_revision(proxy.mgmt, revision, 10).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         assert!(
             requests_after(&fleet, 0, unix_ms() - 250.0) > 0,
@@ -247,14 +257,14 @@
 
 /// Guards against a watch that resumes above the revision of a restored registry and misses its changes.
 #[test]
-fn a_registry_restored_from_a_backup_is_fully_read_again() {
+fn a_registry_restored_from_a_backup_causes_a_full_read() {
     run(async {
         let fleet = SlowCacheFleet::start(84, 4, 64, 2).await;
         let registry = Registry::start("127.0.84.100").await;
-        let key = |k: usize| format!("{PREFIX}{}", ENDPOINTS[k].0);
+        let key = |index: usize| format!("{PREFIX}{}", ENDPOINTS[index].0);
         for _ in 0..20 {
-            for (k, at) in fleet.addresses.iter().enumerate() {
-                registry.put(&key(k), &endpoint_json(k, *at, "Ready"));
+            for (index, address) in fleet.addresses.iter().enumerate() {
+                registry.put(&key(index), &endpoint_json(index, *address, "Ready"));
             }
         }
         let proxy = start_proxy(84, "registry-restored", &registry).await;
@@ -262,11 +272,13 @@
         generate_load(proxy.listen, Rc::new(Cell::new(0)));
         tokio::time::sleep(Duration::from_millis(300)).await;
         assert!(requests_after(&fleet, 0, 0.0) > 0, "the cache must get requests");
-        let state = |k| if k == 0 { "Terminating" } else { "Ready" };
-        let kvs: Vec<_> = (0..4).map(|k| (key(k), endpoint_json(k, fleet.addresses[k], state(k)))).collect();
-        let rev = registry.restore(&kvs);
+        let state = |index| if index == 0 { "Terminating" } else { "Ready" };
+        let kvs: Vec<_> = (0..4)
+            .map(|index| (key(index), endpoint_json(index, fleet.addresses[index], state(index))))
+            .collect();
+        let revision = registry.restore(&kvs);
         let deadline_ms = unix_ms() + 5_000.0;
-        while status(proxy.mgmt).await.is_none_or(|s| s["revision"].as_i64() != Some(rev)) {
+        while status(proxy.mgmt).await.is_none_or(|s| s["revision"].as_i64() != Some(revision)) {
             assert!(unix_ms() < deadline_ms, "the endpoints of the restored registry were not read");
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
--- a/tests/stand_ins/registry.rs
+++ b/tests/stand_ins/registry.rs
@@ -18,7 +18,7 @@
 /// A change of a key. `value` is `None` for a deletion.
 #[derive(Clone, Debug)]
 struct Event {
-    rev: i64,
+    revision: i64,
     key: String,
     value: Option<Vec<u8>>,
 }
@@ -29,7 +29,7 @@
     pub revision: Cell<i64>,
     kv: RefCell<BTreeMap<String, (Vec<u8>, i64)>>,
     history: RefCell<Vec<Event>>,
-    pub compacted: Cell<i64>,
+    pub compact_revision: Cell<i64>,
     /// Watches end when this number changes.
     watch_generation: Cell<u64>,
     /// Time until which responses and watch messages are withheld.
@@ -37,9 +37,9 @@
     /// Whether responses and watch messages are malformed.
     pub malformed: Cell<bool>,
     /// Whether watch messages contain their changes twice: in reverse order, then in order.
-    pub duplicates: Cell<bool>,
-    pub ranges: Cell<u64>,
-    pub watches: Cell<u64>,
+    pub sends_duplicates: Cell<bool>,
+    pub range_calls: Cell<u64>,
+    pub watch_calls: Cell<u64>,
     /// Wakes the watches after a change.
     changed: Notify,
 }
@@ -64,47 +64,51 @@
 
     /// Writes a key and returns its revision.
     pub fn put(&self, key: &str, value: &str) -> i64 {
-        let s = &self.store;
-        let rev = s.revision.get() + 1;
-        s.revision.set(rev);
-        s.kv.borrow_mut().insert(key.into(), (value.as_bytes().to_vec(), rev));
-        s.history.borrow_mut().push(Event { rev, key: key.into(), value: Some(value.as_bytes().to_vec()) });
-        s.changed.notify_waiters();
-        rev
+        let store = &self.store;
+        let revision = store.revision.get() + 1;
+        store.revision.set(revision);
+        store.kv.borrow_mut().insert(key.into(), (value.as_bytes().to_vec(), revision));
+        store.history.borrow_mut().push(Event {
+            revision,
+            key: key.into(),
+            value: Some(value.as_bytes().to_vec()),
+        });
+        store.changed.notify_waiters();
+        revision
     }
 
     /// Deletes a key and returns the revision of the deletion.
     pub fn delete(&self, key: &str) -> i64 {
-        let s = &self.store;
-        let rev = s.revision.get() + 1;
-        s.revision.set(rev);
-        s.kv.borrow_mut().remove(key);
-        s.history.borrow_mut().push(Event { rev, key: key.into(), value: None });
-        s.changed.notify_waiters();
-        rev
+        let store = &self.store;
+        let revision = store.revision.get() + 1;
+        store.revision.set(revision);
+        store.kv.borrow_mut().remove(key);
+        store.history.borrow_mut().push(Event { revision, key: key.into(), value: None });
+        store.changed.notify_waiters();
+        revision
     }
 
     /// Compacts the history up to the current revision.
     pub fn compact(&self) {
-        let s = &self.store;
-        s.compacted.set(s.revision.get());
-        let at = s.compacted.get();
-        s.history.borrow_mut().retain(|e| e.rev > at);
+        let store = &self.store;
+        store.compact_revision.set(store.revision.get());
+        let at = store.compact_revision.get();
+        store.history.borrow_mut().retain(|e| e.revision > at);
     }
 
     /// Simulates a restore from a backup: drops the history, writes the given keys from revision 1 on, and
     /// closes all watches. Returns the new revision.
     pub fn restore(&self, kvs: &[(String, String)]) -> i64 {
-        let s = &self.store;
-        s.revision.set(0);
-        s.compacted.set(0);
-        s.kv.borrow_mut().clear();
-        s.history.borrow_mut().clear();
+        let store = &self.store;
+        store.revision.set(0);
+        store.compact_revision.set(0);
+        store.kv.borrow_mut().clear();
+        store.history.borrow_mut().clear();
         for (key, value) in kvs {
             self.put(key, value);
         }
         self.close_watches();
-        s.revision.get()
+        store.revision.get()
     }
 
     /// Closes all watches.
@@ -128,9 +132,9 @@
     STANDARD.encode(bytes)
 }
 
-fn kv_json(key: &str, value: &[u8], rev: i64) -> String {
+fn kv_json(key: &str, value: &[u8], revision: i64) -> String {
     format!(
-        r#"{{"key":"{}","value":"{}","mod_revision":"{rev}","create_revision":"{rev}","version":"1"}}"#,
+        r#"{{"key":"{}","value":"{}","mod_revision":"{revision}","create_revision":"{revision}","version":"1"}}"#,
         encode_base64(key.as_bytes()),
         encode_base64(value)
     )
@@ -181,16 +185,16 @@
     }
     match target.as_str() {
         "/v3/kv/range" => {
-            store.ranges.set(store.ranges.get() + 1);
+            store.range_calls.set(store.range_calls.get() + 1);
             let Some((key, end)) = key_range(&body) else { return };
-            let rev = store.revision.get();
+            let revision = store.revision.get();
             let kvs: Vec<String> =
                 store.kv.borrow().range(key..end).map(|(k, (v, r))| kv_json(k, v, *r)).collect();
             let json = if store.malformed.get() {
                 "{\"header\":{\"revision\":".to_string()
             } else {
                 format!(
-                    r#"{{"header":{{"revision":"{rev}"}},"kvs":[{}],"count":"{}"}}"#,
+                    r#"{{"header":{{"revision":"{revision}"}},"kvs":[{}],"count":"{}"}}"#,
                     kvs.join(","),
                     kvs.len()
                 )
@@ -202,7 +206,7 @@
             let _ = stream.write_all(format!("{head}{json}").as_bytes()).await;
         }
         "/v3/watch" => {
-            store.watches.set(store.watches.get() + 1);
+            store.watch_calls.set(store.watch_calls.get() + 1);
             let Some((key, end)) = key_range(&body) else { return };
             serve_watch(stream, store, key, end, start_revision_of(&body)).await;
         }
@@ -217,27 +221,27 @@
     stream.write_all(format!("{:x}\r\n{data}\r\n", data.len()).as_bytes()).await.is_ok()
 }
 
-async fn serve_watch(mut stream: TcpStream, store: Rc<Store>, key: String, end: String, start: i64) {
+async fn serve_watch(mut stream: TcpStream, store: Rc<Store>, key: String, end: String, start_revision: i64) {
     let generation = store.watch_generation.get();
     let head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
     if stream.write_all(head).await.is_err() {
         return;
     }
-    let rev = store.revision.get();
-    if start <= store.compacted.get() {
+    let revision = store.revision.get();
+    if start_revision <= store.compact_revision.get() {
         let line = format!(
-            r#"{{"result":{{"header":{{"revision":"{rev}"}},"canceled":true,"compact_revision":"{}","cancel_reason":"mvcc: required revision has been compacted"}}}}"#,
-            store.compacted.get()
+            r#"{{"result":{{"header":{{"revision":"{revision}"}},"canceled":true,"compact_revision":"{}","cancel_reason":"mvcc: required revision has been compacted"}}}}"#,
+            store.compact_revision.get()
         );
         let _ = write_chunk(&mut stream, &line).await;
         let _ = stream.write_all(b"0\r\n\r\n").await;
         return;
     }
-    let created = format!(r#"{{"result":{{"header":{{"revision":"{rev}"}},"created":true}}}}"#);
+    let created = format!(r#"{{"result":{{"header":{{"revision":"{revision}"}},"created":true}}}}"#);
     if !write_chunk(&mut stream, &created).await {
         return;
     }
-    let mut next = start;
+    let mut next = start_revision;
     while store.watch_generation.get() == generation {
         if !is_unresponsive(&store) {
             let line = watch_line(&store, &key, &end, next);
@@ -259,27 +263,27 @@
     if store.malformed.get() {
         return "{\"result\":{\"events\":[{\"kv\":".to_string();
     }
-    let rev = store.revision.get();
+    let revision = store.revision.get();
     let history = store.history.borrow();
-    let is_included = |e: &&Event| e.rev >= from && e.key.as_str() >= key && e.key.as_str() < end;
+    let is_included = |e: &&Event| e.revision >= from && e.key.as_str() >= key && e.key.as_str() < end;
     let mut events: Vec<String> = history.iter().filter(is_included).map(event_json).collect();
     if events.is_empty() {
-        return format!(r#"{{"result":{{"header":{{"revision":"{rev}"}}}}}}"#);
+        return format!(r#"{{"result":{{"header":{{"revision":"{revision}"}}}}}}"#);
     }
-    if store.duplicates.get() {
+    if store.sends_duplicates.get() {
         let reversed: Vec<String> = events.iter().rev().cloned().collect();
         events = reversed.into_iter().chain(events).collect();
     }
-    format!(r#"{{"result":{{"header":{{"revision":"{rev}"}},"events":[{}]}}}}"#, events.join(","))
+    format!(r#"{{"result":{{"header":{{"revision":"{revision}"}},"events":[{}]}}}}"#, events.join(","))
 }
 
 fn event_json(event: &Event) -> String {
     match &event.value {
-        Some(value) => format!(r#"{{"kv":{}}}"#, kv_json(&event.key, value, event.rev)),
+        Some(value) => format!(r#"{{"kv":{}}}"#, kv_json(&event.key, value, event.revision)),
         None => format!(
             r#"{{"type":"DELETE","kv":{{"key":"{}","mod_revision":"{}"}}}}"#,
             encode_base64(event.key.as_bytes()),
-            event.rev
+            event.revision
         ),
     }
 }
