--- a/src/health_check/config.rs
+++ b/src/health_check/config.rs
@@ -135,13 +135,18 @@
         self.validate_addresses()?;
         self.keys().map_err(|error| FieldError::new("key_file", error))?;
         if self.endpoints.models.is_empty() || self.endpoints.port == Some(0) {
-            return Err(FieldError::new("servers", "`models` must not be empty, and `port` must not be 0"));
+            return Err(FieldError::new(
+                "servers",
+                "`models` must not be empty, and `port` must be 1 to 65,535",
+            ));
         }
         if let CheckKind::Http(path) = &self.check {
             if !path.starts_with('/') || !path.bytes().all(|b| b.is_ascii_graphic()) {
                 return Err(FieldError::new(
                     "probe",
-                    format!("{path:?} is not an absolute path of visible ASCII characters"),
+                    format!(
+                        "HTTP path {path:?} must begin with `/` and contain only visible ASCII characters"
+                    ),
                 ));
             }
         }
@@ -155,7 +160,7 @@
             let address = parse_address(&peer.address).map_err(|error| FieldError::new("peers", error))?;
             if !ids.insert(peer.id) || !addresses.insert(address) {
                 let reason = format!(
-                    "peer {} at {address}: the id or address is a duplicate or that of this instance",
+                    "peer {} at {address}: the id or address is that of another peer or of this instance",
                     peer.id
                 );
                 return Err(FieldError::new("peers", reason));
@@ -166,7 +171,7 @@
             return Err(FieldError::new("peers", reason));
         }
         match addresses.iter().find(|address| !address.ip().is_loopback()) {
-            Some(address) => Err(FieldError::new("peers", format!("{address} is not a loopback address"))),
+            Some(address) => Err(FieldError::new("peers", format!("{address} must be a loopback address"))),
             None => Ok(()),
         }
     }
--- a/src/health_check/driver.rs
+++ b/src/health_check/driver.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Error)]
 enum DatagramError {
     /// The source address is not that of a configured peer.
-    #[error("the source address is not that of a peer")]
+    #[error("source address is not the address of a configured peer")]
     UnknownSender,
     /// Authentication failed.
     #[error(transparent)]
@@ -145,7 +145,7 @@
                 Action::Reply(to, message) => self.send(to, &message).await,
                 Action::RunCheck(lease) => {
                     let checker = self.clone();
-                    self.executor.spawn("a health check", async move { checker.run_check(lease).await });
+                    self.executor.spawn("health check", async move { checker.run_check(lease).await });
                 }
             }
         }
@@ -178,7 +178,7 @@
             tracing::warn!(
                 endpoint = %format_endpoint_id(endpoint),
                 healthy,
-                "health checks: health of an endpoint changed"
+                "health checks: endpoint health changed"
             );
             self.executor.with(|engine| engine.report_health_check(endpoint, healthy));
         }
--- a/src/health_check/health_status/tests.rs
+++ b/src/health_check/health_status/tests.rs
@@ -8,14 +8,14 @@
     assert_eq!(
         (apply(1, false), apply(1, false), apply(1, false)),
         (None, None, None),
-        "repeated results of one slot count once"
+        "repeated results of one slot should count once"
     );
     assert_eq!((apply(2, false), apply(3, true), apply(4, false), apply(5, false)), (None, None, None, None));
     assert_eq!(apply(6, false), Some(false));
     assert_eq!(
         (apply(7, false), apply(8, true), apply(6, true)),
         (None, None, None),
-        "the third result is of an earlier slot"
+        "a result of an earlier slot should be ignored"
     );
     assert_eq!(apply(9, true), Some(true));
     assert_eq!(status.last_slot(7), 9);
--- a/src/health_check/lease/tests.rs
+++ b/src/health_check/lease/tests.rs
@@ -12,7 +12,10 @@
         (0..1_000).map(|endpoint| (offset_ms(endpoint, period) / period * 10.0) as usize).collect();
     for tenth in 0..10 {
         let count = tenths.iter().filter(|other| **other == tenth).count();
-        assert!((60..140).contains(&count), "{count} of 1,000 checks in tenth {tenth}");
+        assert!(
+            (60..140).contains(&count),
+            "{count} of 1,000 checks are due in tenth {tenth} of the period, expected 60 to 139"
+        );
     }
 }
 
@@ -33,5 +36,8 @@
             assert_eq!(before, after, "a check of an instance that did not fail was reassigned");
         }
     }
-    assert!([1, 2, 4].iter().all(|id| (250..420).contains(&moved[*id])), "{moved:?}");
+    assert!(
+        [1, 2, 4].iter().all(|id| (250..420).contains(&moved[*id])),
+        "reassigned checks per instance are uneven: {moved:?}"
+    );
 }
--- a/src/health_check/scheduler/tests.rs
+++ b/src/health_check/scheduler/tests.rs
@@ -110,7 +110,7 @@
     for id in 1..=3 {
         let count =
             network.checks.iter().filter(|(at, instance, ..)| *at >= 8_000.0 && *instance == id).count();
-        assert!((40..130).contains(&count), "instance {id} ran {count} of 240");
+        assert!((40..130).contains(&count), "instance {id} ran {count} of 240 checks, expected 40 to 129");
     }
 }
 
@@ -121,7 +121,7 @@
     network.run(0.0, 44_000.0);
     let (leases_checked, max_runs) = network.checks_between(8_000.0, 44_000.0);
     assert_eq!(max_runs, 1, "a check ran twice");
-    assert!(leases_checked >= 30 * 18 * 9 / 10, "{leases_checked} of {}", 30 * 18);
+    assert!(leases_checked >= 30 * 18 * 9 / 10, "only {leases_checked} of {} leases were checked", 30 * 18);
 }
 
 #[test]
@@ -131,15 +131,18 @@
     network.schedulers.remove(&2);
     network.run(10_000.0, 20_000.0);
     let (leases_checked, max_runs) = network.checks_between(10_500.0, 18_500.0);
-    assert_eq!((leases_checked, max_runs), (30 * 4, 1), "no slot was skipped or checked twice");
+    assert_eq!((leases_checked, max_runs), (30 * 4, 1), "a slot was skipped or checked twice");
     let delays_ms: Vec<f64> = network
         .checks
         .iter()
         .filter(|(at, ..)| *at > 10_000.0)
         .map(|(at, _, lease)| at - lease.due_ms(TIMES.period_ms))
         .collect();
-    assert!(delays_ms.iter().all(|ms| *ms < 500.0), "at most two rank delays and a round trip late");
-    assert!(network.schedulers[&1].metrics.failovers + network.schedulers[&3].metrics.failovers > 0);
+    assert!(delays_ms.iter().all(|ms| *ms < 500.0), "a check ran 500 ms or more after it was due");
+    assert!(
+        network.schedulers[&1].metrics.failovers + network.schedulers[&3].metrics.failovers > 0,
+        "no failover was counted"
+    );
 }
 
 #[test]
@@ -148,12 +151,12 @@
     network.run(0.0, 10_000.0);
     network.isolated.insert(3);
     network.run(10_000.0, 20_000.0);
-    assert_eq!(network.checks_between(10_500.0, 19_500.0).1, 1);
+    assert_eq!(network.checks_between(10_500.0, 19_500.0).1, 1, "a check ran twice during the partition");
     assert!(
         !network.checks.iter().any(|(at, instance, ..)| *at > 10_500.0 && *instance == 3),
         "the minority ran a check"
     );
-    assert!(network.schedulers[&3].metrics.timed_out > 0);
+    assert!(network.schedulers[&3].metrics.timed_out > 0, "no vote request timed out in the minority");
     network.isolated.clear();
     // An instance restarts repeatedly and loses its votes each time.
     for k in 0..20 {
@@ -165,7 +168,11 @@
     }
     network.run(38_000.0, 50_000.0);
     assert_eq!(network.checks_between(0.0, 50_000.0).1, 1, "a check ran twice");
-    assert_eq!(network.checks_between(44_000.0, 50_000.0).0, 30 * 3, "all checks run again");
+    assert_eq!(
+        network.checks_between(44_000.0, 50_000.0).0,
+        30 * 3,
+        "not all checks resumed after the restarts"
+    );
 }
 
 #[test]
@@ -177,7 +184,11 @@
         "the sender is not a configured instance"
     );
     let actions = scheduler.receive(9_000.0, 2, &Message::VoteRequest(Lease { endpoint: 7, slot: 900 }));
-    assert_eq!(actions, [Action::Reply(2, Message::Vote { endpoint: 7, slot: 900, granted: false })]);
+    assert_eq!(
+        actions,
+        [Action::Reply(2, Message::Vote { endpoint: 7, slot: 900, granted: false })],
+        "a request for a slot far from the current one should be denied"
+    );
     assert!(
         scheduler.receive(9_000.0, 2, &Message::Vote { endpoint: 7, slot: 3, granted: true }).is_empty(),
         "no vote was requested"
@@ -190,7 +201,7 @@
     }
     let expected_checks =
         (1..).take_while(|slot| Lease { endpoint: 7, slot: *slot }.due_ms(TIMES.period_ms) < 9_990.0).count();
-    assert_eq!(checks, expected_checks, "a single instance runs every check from the next slot on");
+    assert_eq!(checks, expected_checks, "a single instance should run every check from the next slot on");
 }
 
 /// Guards against request delays longer than the period, and against duplicate checks when more votes arrive
@@ -210,12 +221,15 @@
             for action in scheduler.tick(now) {
                 let Action::Broadcast(Message::VoteRequest(lease)) = action else { continue };
                 let delay_ms = now - lease.due_ms(times.period_ms);
-                assert!(delay_ms <= MAX_RANK as f64 * times.rank_delay_ms + 50.0, "{delay_ms} ms late");
+                assert!(
+                    delay_ms <= MAX_RANK as f64 * times.rank_delay_ms + 50.0,
+                    "the lease was requested {delay_ms} ms after it was due"
+                );
                 requested += 1;
                 let vote = Message::Vote { endpoint: lease.endpoint, slot: lease.slot, granted: true };
                 let actions: Vec<Action> =
                     all.clone().flat_map(|id| scheduler.receive(now, id, &vote)).collect();
-                assert_eq!(actions, [Action::RunCheck(lease)], "the check runs once, on a majority of votes");
+                assert_eq!(actions, [Action::RunCheck(lease)], "the check should run exactly once");
             }
         }
         assert!(requested >= 3, "instance {own_id} requested only {requested} leases");
--- a/src/registry/error.rs
+++ b/src/registry/error.rs
@@ -20,13 +20,13 @@
     #[error(transparent)]
     Connection(#[from] std::io::Error),
     /// The call timed out.
-    #[error("timed out")]
+    #[error("call timed out")]
     Timeout,
     /// The registry returned an HTTP status other than 200.
     #[error("unexpected HTTP status {0}")]
     Status(u16),
     /// A watch received neither changes nor progress notifications within the timeout.
-    #[error("no message on the watch within the idle timeout")]
+    #[error("no watch message within the idle timeout")]
     WatchIdle,
     /// The registry canceled the watch.
     #[error("the registry canceled the watch")]
@@ -52,7 +52,7 @@
     #[error("response head too long")]
     HeadTooLong,
     /// The response has no valid `Content-Length`.
-    #[error("response without a valid Content-Length")]
+    #[error("response has no valid Content-Length header")]
     MissingLength,
     /// The response body is too long.
     #[error("response body too long: {0} bytes")]
@@ -67,7 +67,7 @@
     #[error("chunk size line too long")]
     ChunkSizeLineTooLong,
     /// A chunk is too long.
-    #[error("chunk too large")]
+    #[error("chunk too long")]
     ChunkTooLong,
     /// A message line of a watch is too long.
     #[error("watch message too long")]
@@ -84,7 +84,7 @@
     /// The registry reported an error on a watch.
     #[error("the registry reported an error on the watch: {0}")]
     WatchFailed(String),
-    /// A message of a watch has no result.
-    #[error("watch message without a result")]
+    /// A message of a watch has neither a result nor an error.
+    #[error("watch message has neither `result` nor `error`")]
     MissingResult,
 }
--- a/src/registry/service.rs
+++ b/src/registry/service.rs
@@ -145,7 +145,7 @@
             tracing::error!(
                 key = value.key,
                 error = %value.error,
-                "registry: malformed endpoint value rejected; keeping the previous state of the endpoint"
+                "registry: malformed endpoint value ignored"
             );
         }
         for id in &update.draining {
--- a/src/registry/view/tests.rs
+++ b/src/registry/view/tests.rs
@@ -26,7 +26,7 @@
     assert_eq!(
         view.apply_changes(12, vec![put(2, "Ready", 9)]).endpoints.len(),
         0,
-        "older than the full read"
+        "a change older than the full read should be skipped"
     );
     let removed = view
         .apply_changes(14, vec![Change::Delete { key: "/m/1".into(), revision: 14 }, put(1, "Ready", 13)]);
@@ -34,12 +34,15 @@
         removed.endpoints.iter().map(|endpoint| endpoint.record.state).collect::<Vec<_>>(),
         [EndpointState::Removed]
     );
-    assert_eq!(view.metrics.stale_changes, 4, "one duplicate, two outdated, one older than the full read");
+    assert_eq!(
+        view.metrics.stale_changes, 4,
+        "expected four stale changes: one duplicate, two outdated and one older than the full read"
+    );
     let update = view.apply_changes(14, vec![put(3, "Terminating", 13)]);
     assert_eq!(
         update.draining,
         [3],
-        "applied: older than changes of other keys, but the newest of its own key"
+        "a change older than those of other keys should be applied if it is the newest of its own key"
     );
 }
 
@@ -59,7 +62,7 @@
     assert_eq!(
         view.apply_changes(8, vec![put(1, "Ready", 8)]).endpoints.len(),
         1,
-        "changes of the new history are applied"
+        "changes after the reset should be applied"
     );
     assert_eq!(view.metrics.resets, 1);
 }
@@ -99,7 +102,7 @@
     assert_eq!(
         (view.metrics.changes_in_full_reads, view.metrics.resyncs),
         (2, 1),
-        "one draining and one removed endpoint"
+        "expected two changes (one endpoint draining, one removed) and one resync"
     );
     assert_eq!(view.next_watch_revision(), Some(32));
 }
@@ -112,6 +115,6 @@
     let update = view.apply_changes(11, vec![Change::Put(bad.clone())]);
     assert_eq!((update.endpoints.len(), update.rejected.len()), (0, 1));
     let update = view.replace_all(12, vec![bad]);
-    assert_eq!(update.endpoints.len(), 1, "the previous value is kept");
+    assert_eq!(update.endpoints.len(), 1, "the previous endpoint should be kept");
     assert_eq!(view.endpoints().next().unwrap().record.state, EndpointState::Active);
 }
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -129,7 +129,7 @@
         let to = unix_ms();
         for endpoint in &endpoints {
             let n = endpoint.checks_between(from, to).len();
-            assert!((7..=9).contains(&n), "{n} checks in 8 periods");
+            assert!((7..=9).contains(&n), "an endpoint was checked {n} times in 8 periods");
         }
         assert_one_check_per_slot(&endpoints, from, to);
         let mut checks_run = Vec::new();
@@ -138,7 +138,7 @@
         }
         assert!(
             checks_run.iter().filter(|n| **n > 0).count() >= 2,
-            "fewer than two instances run checks: {checks_run:?}"
+            "checks per instance: {checks_run:?}; at least two should run checks"
         );
         // After the instance that ran the most checks is killed, the others take over its checks.
         let busiest = (0..3).max_by_key(|k| checks_run[*k]).unwrap();
@@ -149,7 +149,7 @@
         assert!(longest_interval_ms < 1_500.0, "no check for {longest_interval_ms:.0} ms");
         let remaining = instances.iter().enumerate().find(|(k, _)| *k != busiest).unwrap().1;
         let live_instances = remaining.status().await["living"].as_array().map(|a| a.len());
-        assert_eq!(live_instances, Some(2), "the killed instance still counts as alive");
+        assert_eq!(live_instances, Some(2), "expected two live instances after one was killed");
     });
 }
 
@@ -166,14 +166,17 @@
         tokio::time::sleep(Duration::from_millis(2_000)).await;
         let checks_without_majority: usize =
             endpoints.iter().map(|endpoint| endpoint.checks_between(from, unix_ms()).len()).sum();
-        assert_eq!(checks_without_majority, 0, "a single instance ran a check");
-        assert!(instances[2].status().await["figures"]["unanswered"].as_u64() > Some(0));
+        assert_eq!(checks_without_majority, 0, "an instance without a majority ran a check");
+        assert!(
+            instances[2].status().await["figures"]["unanswered"].as_u64() > Some(0),
+            "no vote request timed out"
+        );
         instances[0].signal("-CONT");
         instances[1].signal("-CONT");
         let from = unix_ms();
         tokio::time::sleep(Duration::from_millis(2_500)).await;
         for endpoint in &endpoints {
-            assert!(endpoint.checks_between(from + 500.0, unix_ms()).len() >= 3, "checks resume");
+            assert!(endpoint.checks_between(from + 500.0, unix_ms()).len() >= 3, "checks did not resume");
         }
         assert_one_check_per_slot(&endpoints, from, unix_ms());
         // Datagrams from unknown senders are rejected and counted, whatever their content.
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -147,7 +147,7 @@
         tokio::time::sleep(Duration::from_millis(500)).await;
         assert!(
             requests_after(&fleet, 0, 0.0) > 0 && requests_after(&fleet, 1, 0.0) > 0,
-            "both caches must get requests"
+            "both caches should receive requests"
         );
 
         // An endpoint starts to drain.
@@ -159,11 +159,11 @@
         assert_eq!(
             requests_after(&fleet, 0, applied_ms + 250.0),
             0,
-            "the draining server got a request after 250 ms"
+            "the draining cache received a request more than 250 ms after the change was applied"
         );
         assert!(
             applied_ms - written_ms < 250.0,
-            "applied {:.0} ms after it was written",
+            "the change was applied {:.0} ms after it was written, expected less than 250 ms",
             applied_ms - written_ms
         );
 
@@ -181,11 +181,12 @@
         assert_eq!(
             requests_after(&fleet, 1, applied_ms + 250.0),
             0,
-            "the server that started to drain during the outage got a request after 250 ms"
+            "the cache that started to drain during the outage received a request more than 250 ms after \
+             the change was applied"
         );
         assert!(
             requests_after(&fleet, 0, applied_ms + 250.0) > 0,
-            "the server that is active again must get requests"
+            "the cache that is active again should receive requests"
         );
         assert!(served.get() > before, "no requests were served after the outage began");
         let client_status = status(proxy.mgmt).await.unwrap();
@@ -232,10 +233,10 @@
         registry.close_watches();
         let before = served.get();
         tokio::time::sleep(Duration::from_millis(1_500)).await;
-        assert!(served.get() > before, "the previous endpoints must continue to serve");
+        assert!(served.get() > before, "no request was served while the registry's responses were malformed");
         assert!(
             requests_after(&fleet, 1, unix_ms() - 1_000.0) > 0,
-            "the server with a malformed value must still get requests"
+            "the cache with a malformed value should still receive requests"
         );
         let client_status = status(proxy.mgmt).await.unwrap();
         assert!(
@@ -243,14 +244,14 @@
             "{client_status:?}"
         );
         assert!(client_status["view"]["faults"].as_u64() >= Some(1), "{client_status:?}");
-        assert_eq!(requests_after(&fleet, 0, unix_ms() - 1_000.0), 0, "the endpoint must remain draining");
+        assert_eq!(requests_after(&fleet, 0, unix_ms() - 1_000.0), 0, "the cache should remain draining");
         registry.store.malformed.set(false);
         let revision = registry.put(&key, &endpoint_json(0, fleet.addresses[0], "Ready"));
         wait_for_revision(proxy.mgmt, revision, 10).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         assert!(
             requests_after(&fleet, 0, unix_ms() - 250.0) > 0,
-            "the server must get requests again once the registry has recovered"
+            "the cache should receive requests again once the registry has recovered"
         );
     });
 }
@@ -271,7 +272,7 @@
         wait_for_revision(proxy.mgmt, 80, 10).await;
         generate_load(proxy.listen, Rc::new(Cell::new(0)));
         tokio::time::sleep(Duration::from_millis(300)).await;
-        assert!(requests_after(&fleet, 0, 0.0) > 0, "the cache must get requests");
+        assert!(requests_after(&fleet, 0, 0.0) > 0, "the cache should receive requests");
         let state = |index| if index == 0 { "Terminating" } else { "Ready" };
         let kvs: Vec<_> = (0..4)
             .map(|index| (key(index), endpoint_json(index, fleet.addresses[index], state(index))))
@@ -289,8 +290,9 @@
         assert_eq!(
             requests_after(&fleet, 0, applied_ms + 250.0),
             0,
-            "the server that drains in the restored registry got a request after 250 ms"
+            "the cache that drains in the restored registry received a request more than 250 ms after \
+             the change was applied"
         );
-        assert!(requests_after(&fleet, 1, applied_ms + 250.0) > 0, "the other cache must get requests");
+        assert!(requests_after(&fleet, 1, applied_ms + 250.0) > 0, "the other cache should receive requests");
     });
 }
