--- a/src/health_check/admin.rs
+++ b/src/health_check/admin.rs
@@ -1,5 +1,5 @@
-//! Admin endpoint `GET /duties` and metrics of the shared health checks. Paths, JSON keys and metric names
-//! are kept for compatibility with the first version.
+//! Admin endpoint `GET /duties` and metrics of the shared health checks. The path, the JSON keys and the
+//! metric names are a stable interface.
 
 use super::driver::HealthChecker;
 use super::health_status::EndpointHealth;
@@ -15,7 +15,7 @@
 
 /// Response body of the admin endpoint.
 #[derive(Serialize)]
-struct Status {
+struct HealthCheckStatus {
     id: InstanceId,
     majority: usize,
     #[serde(rename = "living")]
@@ -42,9 +42,9 @@
         Some(response.with_header("Content-Type", "application/json"))
     }
 
-    fn status(&self) -> Status {
+    fn status(&self) -> HealthCheckStatus {
         let (scheduler, health) = (self.scheduler.borrow(), self.health.borrow());
-        Status {
+        HealthCheckStatus {
             id: self.config.id,
             majority: scheduler.majority(),
             live_instances: scheduler.live_instances(self.now()).collect(),
--- a/src/health_check/config.rs
+++ b/src/health_check/config.rs
@@ -1,7 +1,7 @@
 //! Configuration file of the shared health checks, `serve --health-checks FILE`. Shared health checks are
 //! disabled without it.
 //!
-//! Keys of the file that differ from the field names are kept for compatibility with the first version.
+//! Keys that differ from the field names are part of the file format and must not change.
 
 use super::health_status::HealthThresholds;
 use super::lease::InstanceId;
@@ -15,9 +15,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Maximum number of peers.
+/// Maximum number of peers in the file.
 pub const MAX_PEERS: usize = 4_096;
-/// Number of times a vote request is sent per rank delay.
+/// Number of times an undecided vote request is sent per rank delay.
 const REQUESTS_PER_RANK_DELAY: f64 = 4.0;
 /// Timeout of a vote request, in rank delays.
 const REQUEST_TIMEOUT_RANK_DELAYS: f64 = 2.0;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
-    /// Instance number, which must be the same in the files of all instances.
+    /// Id of the peer, unique among all instances. Every file must give an instance the same id.
     pub id: InstanceId,
     /// Address on which the peer receives datagrams.
     pub address: String,
@@ -38,16 +38,16 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum CheckKind {
-    /// Passes if a TCP connection can be established.
+    /// TCP connect; passes if the connection is established.
     Connect,
-    /// Passes if an HTTP/1.1 `GET` request for this path returns a 2xx status.
+    /// HTTP/1.1 `GET` of this path; passes if the status is 2xx.
     Http(String),
 }
 
-/// Selects the endpoints to check.
+/// Selection of the endpoints to check, by model.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct CheckedEndpoints {
+pub struct EndpointSelector {
     /// Endpoint models to check.
     pub models: Vec<String>,
     /// Port to check. Defaults to the port of each endpoint.
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HealthCheckConfig {
-    /// Number of this instance.
+    /// Id of this instance.
     pub id: InstanceId,
     /// Address on which this instance receives datagrams.
     pub listen: String,
@@ -73,7 +73,7 @@
     pub clock_skew_ms: f64,
     /// The endpoints to check.
     #[serde(rename = "servers")]
-    pub endpoints: CheckedEndpoints,
+    pub endpoints: EndpointSelector,
     /// Type of health check.
     #[serde(rename = "probe")]
     pub check: CheckKind,
@@ -83,10 +83,10 @@
     /// Interval between checks of an endpoint, in milliseconds.
     #[serde(default = "default_period_ms")]
     pub period_ms: f64,
-    /// Delay between the lease requests of successive ranks, in milliseconds.
+    /// Delay between the vote requests of successive ranks, in milliseconds.
     #[serde(rename = "step_ms", default = "default_rank_delay_ms")]
     pub rank_delay_ms: f64,
-    /// Time without a message after which an instance counts as failed, in milliseconds.
+    /// Time since the latest message of an instance after which it counts as failed, in milliseconds.
     #[serde(rename = "dead_ms", default = "default_failure_timeout_ms")]
     pub failure_timeout_ms: f64,
     /// Consecutive failed checks after which an endpoint becomes unhealthy.
@@ -137,13 +137,18 @@
         self.validate_addresses()?;
         self.keys().map_err(|error| FieldError::new("key_file", error))?;
         if self.endpoints.models.is_empty() || self.endpoints.port == Some(0) {
-            return Err(FieldError::new("servers", "`models` must not be empty, and `port` must not be 0"));
+            return Err(FieldError::new(
+                "servers",
+                "`models` must not be empty, and `port` must be 1 to 65,535",
+            ));
         }
         if let CheckKind::Http(path) = &self.check {
             if !path.starts_with('/') || !path.bytes().all(|b| b.is_ascii_graphic()) {
                 return Err(FieldError::new(
                     "probe",
-                    format!("{path:?} is not an absolute path of visible ASCII characters"),
+                    format!(
+                        "HTTP path {path:?} must begin with `/` and contain only visible ASCII characters"
+                    ),
                 ));
             }
         }
@@ -157,7 +162,7 @@
             let address = parse_address(&peer.address).map_err(|error| FieldError::new("peers", error))?;
             if !ids.insert(peer.id) || !addresses.insert(address) {
                 let reason = format!(
-                    "peer {} at {address}: the id or address is a duplicate or that of this instance",
+                    "peer {} at {address}: the id or address is that of another peer or of this instance",
                     peer.id
                 );
                 return Err(FieldError::new("peers", reason));
@@ -168,13 +173,14 @@
             return Err(FieldError::new("peers", reason));
         }
         match addresses.iter().find(|address| !address.ip().is_loopback()) {
-            Some(address) => Err(FieldError::new("peers", format!("{address} is not a loopback address"))),
+            Some(address) => Err(FieldError::new("peers", format!("{address} must be a loopback address"))),
             None => Ok(()),
         }
     }
 
     fn validate_numbers(&self) -> Result<(), FieldError> {
         let ranks = self.peers.len().min(MAX_RANK) as f64;
+        // All ranks must be able to request the lease, and the last request to time out, within one period.
         let max_rank_delay_ms = self.period_ms / (ranks + REQUEST_TIMEOUT_RANK_DELAYS);
         let bounds = [
             ("clock_skew_ms", self.clock_skew_ms, 1.0, 3_600_000.0),
@@ -193,7 +199,7 @@
         Ok(())
     }
 
-    /// Parses `listen`.
+    /// Address on which this instance receives datagrams.
     pub fn listen_address(&self) -> SocketAddr {
         parse_address(&self.listen).expect("validated when the file was read")
     }
@@ -216,7 +222,7 @@
         }
     }
 
-    /// Thresholds at which the health of an endpoint changes.
+    /// Thresholds of consecutive results at which the health of an endpoint changes.
     pub fn thresholds(&self) -> HealthThresholds {
         HealthThresholds { fall: self.fall, rise: self.rise }
     }
--- a/src/registry/config.rs
+++ b/src/registry/config.rs
@@ -1,5 +1,5 @@
-//! Configuration file of the registry client, `serve --registry FILE`. Without it the endpoint list comes
-//! from the discovery service.
+//! Configuration file of the registry client, `serve --registry FILE`. Without this file, the endpoint list
+//! comes from the discovery service.
 
 use crate::backoff::Backoff;
 use crate::config_file::{parse_address, read_json, ConfigError};
@@ -13,9 +13,9 @@
 pub struct RegistryConfig {
     /// Address of the registry's JSON gateway.
     pub address: String,
-    /// Key prefix of the endpoints. Each value is the JSON of one endpoint.
+    /// Prefix of the endpoints' keys. The value of each key is the JSON of one endpoint.
     pub prefix: String,
-    /// Timeout of a call, in milliseconds.
+    /// Timeout of a range call, and of opening a watch, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: f64,
     /// Idle timeout of a watch, in milliseconds. Must be longer than the registry's interval of progress
@@ -42,11 +42,11 @@
         if config.prefix.is_empty() || config.prefix.len() > 256 {
             return Err(ConfigError::field(path, "prefix", "must be 1 to 256 bytes long"));
         }
-        let within = |v: f64, low: f64, high: f64| v.is_finite() && v >= low && v <= high;
-        if !within(config.timeout_ms, 10.0, 60_000.0) {
+        let is_in_range = |value: f64, min: f64, max: f64| value.is_finite() && value >= min && value <= max;
+        if !is_in_range(config.timeout_ms, 10.0, 60_000.0) {
             return Err(ConfigError::field(path, "timeout_ms", "must be 10 to 60,000"));
         }
-        if !within(config.idle_timeout_ms, 100.0, 3_600_000.0) {
+        if !is_in_range(config.idle_timeout_ms, 100.0, 3_600_000.0) {
             return Err(ConfigError::field(path, "stall_ms", "must be 100 to 3,600,000"));
         }
         if !config.backoff.is_valid() {
@@ -55,7 +55,7 @@
         Ok(config)
     }
 
-    /// Parses `address`.
+    /// Address of the registry's JSON gateway.
     pub fn socket_address(&self) -> SocketAddr {
         parse_address(&self.address).expect("validated when the file was read")
     }
--- a/src/registry/service.rs
+++ b/src/registry/service.rs
@@ -1,5 +1,5 @@
 //! The task of the registry client: reads all endpoints, then watches for changes, and passes each change to
-//! the engine immediately. Also handles the admin endpoint for the client's status.
+//! the engine immediately. Also serves the client's status on the admin endpoint.
 
 use super::client::{read_range, Watch};
 use super::codec::WatchResponse;
@@ -27,7 +27,7 @@
     pub last_change_ms: f64,
     /// Time of the last valid response or watch message, in Unix milliseconds.
     #[serde(rename = "answered_ms")]
-    pub last_answer_ms: f64,
+    pub last_response_ms: f64,
     /// Number of endpoints in the list.
     #[serde(rename = "members")]
     pub endpoints: usize,
@@ -35,7 +35,7 @@
     pub watches: u64,
     /// Number of failed calls and watches.
     pub failures: u64,
-    /// Last error, if any.
+    /// Message of the latest error; kept after a success.
     pub last_error: Option<String>,
     /// Counters of the endpoint view.
     #[serde(rename = "view")]
@@ -77,7 +77,7 @@
 }
 
 impl Client {
-    /// Runs the next step: a full read, or a watch until it ends.
+    /// Reads all endpoints, or watches until the watch ends, as the session selects.
     async fn run_next_step(&mut self) -> Result<(), RegistryError> {
         match self.session.next_step(&self.view) {
             Step::ReadAll => self.read_all().await,
@@ -109,7 +109,8 @@
         loop {
             let message = timeout(idle_timeout, watch.next()).await;
             let response = message.map_err(|_| error(CallFailure::WatchIdle))??;
-            // `Created` doesn't reset the backoff: a registry may accept watches and then fail each of them.
+            // `Created` does not reset the backoff: a faulty registry may accept every watch and then cancel
+            // it.
             if !matches!(response, WatchResponse::Created { .. }) {
                 self.session.record_success();
             }
@@ -119,6 +120,7 @@
                 {
                     return Ok(());
                 }
+                // No change, but refreshes the status.
                 WatchResponse::Created { .. } => self.apply_update(Update::default()),
                 WatchResponse::Progress { revision } => {
                     let update = self.view.apply_changes(revision, Vec::new());
@@ -143,7 +145,7 @@
             tracing::error!(
                 key = value.key,
                 error = %value.error,
-                "registry: malformed endpoint value rejected; keeping the previous state of the endpoint"
+                "registry: malformed endpoint value ignored"
             );
         }
         for id in &update.draining {
@@ -158,14 +160,14 @@
         if changed {
             status.last_change_ms = now_ms;
         }
-        status.last_answer_ms = now_ms;
+        status.last_response_ms = now_ms;
         status.revision = self.view.revision();
         status.endpoints = self.view.endpoints().count();
         status.view_metrics = self.view.metrics;
     }
 
-    /// Records a failure and returns the delay before the next attempt, in milliseconds. Logs only at failure
-    /// counts that are powers of two.
+    /// Records a failure and returns the delay before the next attempt, in milliseconds. Logs only when the
+    /// number of consecutive failures is a power of two, to limit the log volume.
     fn record_failure(&mut self, error: &RegistryError) -> f64 {
         let delay_ms = self.session.record_failure();
         let failures = self.session.failures;
--- a/src/registry/view.rs
+++ b/src/registry/view.rs
@@ -3,31 +3,31 @@
 //! The registry has one key per endpoint, with the endpoint's JSON as value, and assigns a revision to every
 //! change, as etcd's v3 API does. The view consists of a full read at some revision and the changes since.
 //!
-//! A change is applied only if its revision is above that of the last full read and above the one that the
-//! view has for the same key. So duplicate and outdated changes have no effect, but changes of different keys
-//! may arrive out of order.
+//! A change is applied only if its revision is higher than that of the last full read and than the revision
+//! of its key in the view. Therefore duplicate and outdated changes have no effect, and changes of different
+//! keys may arrive in any order.
 //!
 //! If changes were compacted before they were received, the view needs a full read, and reports endpoints
-//! that began to drain in the meantime. It needs one as well if the registry's revision is lower than before:
-//! the registry was restored from a backup, so that a watch from the old revision would receive nothing.
+//! that began to drain in the meantime. The view also needs a full read if the registry's revision decreases,
+//! as after a restore from a backup: a watch from the old revision would not receive the new changes.
 
 use crate::endpoint_list::ListedEndpoint;
 use crate::wire::discovery_json::{EndpointJson, EndpointJsonError};
 use crate::{EndpointId, EndpointState};
 use std::collections::BTreeMap;
 
-/// Maximum number of tombstones. Beyond it, the older half is dropped, and changes up to the revision of the
-/// newest dropped one are skipped.
+/// Maximum number of tombstones. If there are more, the older half is dropped, and changes up to the highest
+/// dropped revision are then ignored as outdated.
 pub const MAX_TOMBSTONES: usize = 4_096;
 
 /// A key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValue {
-    /// Key.
+    /// Key in UTF-8.
     pub key: String,
-    /// Value.
+    /// Value, usually the JSON of an endpoint.
     pub value: Vec<u8>,
-    /// Revision of its last change.
+    /// Revision of the last change of the key.
     pub mod_revision: i64,
 }
 
@@ -73,7 +73,7 @@
 /// Changes to pass to the engine, and events to log.
 #[derive(Debug, Default)]
 pub struct Update {
-    /// New, changed and removed endpoints; after a full read all endpoints.
+    /// New, changed and removed endpoints, or all endpoints if `full`.
     pub endpoints: Vec<ListedEndpoint>,
     /// Whether `endpoints` is the complete list: endpoints that are absent from it are removed.
     pub full: bool,
@@ -100,16 +100,16 @@
     pub resyncs: u64,
     /// Full reads because the registry's revision decreased.
     pub resets: u64,
-    /// Changes of a watch that were not outdated.
+    /// Changes of a watch that were neither duplicate nor outdated, including those with malformed values.
     #[serde(rename = "changes")]
-    pub applied_changes: u64,
+    pub fresh_changes: u64,
     /// Changes of a watch that were skipped as outdated or duplicate.
     #[serde(rename = "stale")]
     pub stale_changes: u64,
     /// Values that were rejected as malformed.
     #[serde(rename = "faults")]
     pub rejected_values: u64,
-    /// Endpoints that were new, removed or in another state in a full read other than the first.
+    /// Endpoints found to be new, removed or in another state by full reads after the first.
     #[serde(rename = "found")]
     pub changes_in_full_reads: u64,
 }
@@ -127,7 +127,7 @@
     }
 }
 
-/// The endpoint list of a registry, as far as it was received.
+/// Local copy of the endpoint list of a registry.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointView {
     /// Endpoints by key.
@@ -136,8 +136,8 @@
     tombstones: BTreeMap<String, i64>,
     /// Revision up to which the view is complete.
     revision: i64,
-    /// Changes up to this revision are skipped.
-    skip_through: i64,
+    /// Changes up to this revision are ignored as outdated.
+    outdated_through: i64,
     /// Whether a full read is needed.
     needs_full_read: bool,
     /// Counters for the admin endpoint.
@@ -165,7 +165,7 @@
         (!self.needs_full_read).then_some(self.revision + 1)
     }
 
-    /// Records that the start revision of a watch was compacted, so that a full read is needed.
+    /// Requires a full read, because the start revision of a watch was compacted.
     pub fn record_compaction(&mut self, compact_revision: i64) {
         if !self.needs_full_read {
             self.metrics.resyncs += 1;
@@ -178,8 +178,8 @@
         );
     }
 
-    /// Returns whether the registry's revision is lower than the view's, which means that its history was
-    /// reset and a full read is needed.
+    /// Detects that the registry's history was reset, by a revision lower than the view's. If so, requires a
+    /// full read and returns true.
     pub fn detect_reset(&mut self, registry_revision: i64) -> bool {
         if registry_revision >= self.revision || self.needs_full_read {
             return false;
@@ -200,14 +200,14 @@
         let mut update = Update { full: true, ..Update::default() };
         let entries = self.parse_entries(values, &mut update);
         let is_first_read = self.metrics.full_reads == 0;
-        let changes = self.record_state_changes(&entries, &mut update);
+        let changes = self.compare_states(&entries, &mut update);
         if !is_first_read {
             self.metrics.changes_in_full_reads += changes;
         }
         self.entries = entries;
         self.tombstones.clear();
         self.revision = revision;
-        self.skip_through = revision;
+        self.outdated_through = revision;
         self.needs_full_read = false;
         self.metrics.full_reads += 1;
         update.endpoints = self.endpoints().cloned().collect();
@@ -223,8 +223,8 @@
                     entries.insert(key, Entry { endpoint, revision: mod_revision });
                 }
                 Err(error) => {
-                    if let Some(known) = self.entries.get(&key) {
-                        entries.insert(key.clone(), known.clone());
+                    if let Some(previous) = self.entries.get(&key) {
+                        entries.insert(key.clone(), previous.clone());
                     }
                     self.reject(key, error, update);
                 }
@@ -233,9 +233,9 @@
         entries
     }
 
-    /// Counts the endpoints that are new, removed or in another state. Adds those that started to drain to
-    /// `update`.
-    fn record_state_changes(&self, entries: &BTreeMap<String, Entry>, update: &mut Update) -> u64 {
+    /// Returns the number of endpoints that are new, removed or in another state. Adds those that are newly
+    /// draining to `update`.
+    fn compare_states(&self, entries: &BTreeMap<String, Entry>, update: &mut Update) -> u64 {
         let mut changes = 0;
         for (key, entry) in entries {
             if self.entries.get(key).map(Entry::state) == Some(entry.state()) {
@@ -258,7 +258,7 @@
                 self.metrics.stale_changes += 1;
                 continue;
             }
-            self.metrics.applied_changes += 1;
+            self.metrics.fresh_changes += 1;
             match change {
                 Change::Put(entry) => self.put(entry, &mut update),
                 Change::Delete { key, revision } => self.delete(key, revision, &mut update),
@@ -272,8 +272,9 @@
     /// Whether the change is a duplicate or older than the view's state of its key.
     fn is_stale(&self, change: &Change) -> bool {
         let entry = self.entries.get(change.key()).map(|entry| entry.revision);
-        let known = entry.or_else(|| self.tombstones.get(change.key()).copied());
-        change.revision() <= self.skip_through || known.is_some_and(|revision| change.revision() <= revision)
+        let last_revision = entry.or_else(|| self.tombstones.get(change.key()).copied());
+        change.revision() <= self.outdated_through
+            || last_revision.is_some_and(|revision| change.revision() <= revision)
     }
 
     fn put(&mut self, KeyValue { key, value, mod_revision }: KeyValue, update: &mut Update) {
@@ -313,9 +314,9 @@
         let mut revisions: Vec<i64> = self.tombstones.values().copied().collect();
         revisions.sort_unstable();
         let newest_dropped = revisions[revisions.len() - MAX_TOMBSTONES / 2 - 1];
-        self.skip_through = self.skip_through.max(newest_dropped);
-        let skip_through = self.skip_through;
-        self.tombstones.retain(|_, revision| *revision > skip_through);
+        self.outdated_through = self.outdated_through.max(newest_dropped);
+        let outdated_through = self.outdated_through;
+        self.tombstones.retain(|_, revision| *revision > outdated_through);
     }
 }
 
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -1,4 +1,4 @@
-//! Shared health checks among three proxy processes, with failures of processes and of endpoints.
+//! End-to-end tests of shared health checks: three proxy processes, with failing processes and endpoints.
 
 mod stand_ins;
 
@@ -27,8 +27,8 @@
 impl Instance {
     async fn get(&self, path: &str) -> Option<String> {
         let timeout = Duration::from_secs(1);
-        let answer = edge_proxy::http_client::call(self.mgmt, "GET", path, b"", timeout).await.ok()?;
-        Some(String::from_utf8_lossy(&answer.body).to_string())
+        let response = edge_proxy::http_client::call(self.mgmt, "GET", path, b"", timeout).await.ok()?;
+        Some(String::from_utf8_lossy(&response.body).to_string())
     }
 
     async fn status(&self) -> simd_json::OwnedValue {
@@ -46,8 +46,9 @@
     }
 }
 
-/// Starts a fleet, three endpoints that answer health checks, and three proxies that share the checks.
-/// Returns the proxies, the endpoints and the addresses on which the proxies receive datagrams.
+/// Starts stand-in caches, three endpoints that respond to health checks, and three proxies that share the
+/// checks. Waits until every endpoint was checked twice. Returns the proxies, the endpoints and the addresses
+/// on which the proxies receive datagrams.
 async fn start_instances(net: u8, name: &str) -> (Vec<Instance>, Vec<CheckedEndpoint>, [SocketAddr; 3]) {
     let fleet = SlowCacheFleet::start(net, 4, 64, 2).await;
     // Health checks use a separate port, which is the same at all endpoints.
@@ -68,8 +69,8 @@
         let (listen, mgmt) = (tcp_addresses[2 * k], tcp_addresses[2 * k + 1]);
         let mut text =
             std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json")).unwrap();
-        for (n, at) in (7101..=7104).enumerate() {
-            text = text.replace(&format!("127.0.0.1:{at}"), &fleet.addresses[n].to_string());
+        for (index, port) in (7101..=7104).enumerate() {
+            text = text.replace(&format!("127.0.0.1:{port}"), &fleet.addresses[index].to_string());
         }
         let addresses = format!("\"listen\": \"{listen}\",\n  \"mgmt\": \"{mgmt}\",");
         let text = text.replace("\"listen\": \"127.0.0.1:5050\",", &addresses);
@@ -104,18 +105,18 @@
     (instances, endpoints, instance_addresses)
 }
 
-/// Asserts that no slot of an endpoint was checked twice. Returns the longest interval between checks of an
-/// endpoint.
+/// Asserts that no endpoint was checked twice in a slot. Returns the longest interval between two checks of
+/// an endpoint, in milliseconds.
 fn assert_one_check_per_slot(endpoints: &[CheckedEndpoint], from: f64, to: f64) -> f64 {
-    let mut longest = 0.0f64;
+    let mut longest_interval_ms = 0.0f64;
     for (k, endpoint) in endpoints.iter().enumerate() {
         let checks = endpoint.checks_between(from, to);
         // Assumes that a check arrives within the slot in which it is due.
         let slots: BTreeSet<u64> = checks.iter().map(|at| slot_at(*at, ENDPOINTS[k], PERIOD_MS)).collect();
         assert_eq!(slots.len(), checks.len(), "endpoint {k} was checked twice in a slot: {checks:?}");
-        longest = checks.windows(2).map(|w| w[1] - w[0]).fold(longest, f64::max);
+        longest_interval_ms = checks.windows(2).map(|w| w[1] - w[0]).fold(longest_interval_ms, f64::max);
     }
-    longest
+    longest_interval_ms
 }
 
 #[test]
@@ -128,7 +129,7 @@
         let to = unix_ms();
         for endpoint in &endpoints {
             let n = endpoint.checks_between(from, to).len();
-            assert!((7..=9).contains(&n), "{n} checks in 8 periods");
+            assert!((7..=9).contains(&n), "an endpoint was checked {n} times in 8 periods");
         }
         assert_one_check_per_slot(&endpoints, from, to);
         let mut checks_run = Vec::new();
@@ -137,27 +138,27 @@
         }
         assert!(
             checks_run.iter().filter(|n| **n > 0).count() >= 2,
-            "fewer than two instances run checks: {checks_run:?}"
+            "checks per instance: {checks_run:?}; at least two should run checks"
         );
         // After the instance that ran the most checks is killed, the others take over its checks.
         let busiest = (0..3).max_by_key(|k| checks_run[*k]).unwrap();
         let killed_ms = unix_ms();
         instances[busiest].process.0.kill().unwrap();
         tokio::time::sleep(Duration::from_millis(3_000)).await;
-        let longest = assert_one_check_per_slot(&endpoints, killed_ms - 2_000.0, unix_ms());
-        assert!(longest < 1_500.0, "no check for {longest:.0} ms");
+        let longest_interval_ms = assert_one_check_per_slot(&endpoints, killed_ms - 2_000.0, unix_ms());
+        assert!(longest_interval_ms < 1_500.0, "no check for {longest_interval_ms:.0} ms");
         let remaining = instances.iter().enumerate().find(|(k, _)| *k != busiest).unwrap().1;
-        let live_count = remaining.status().await["living"].as_array().map(|a| a.len());
-        assert_eq!(live_count, Some(2), "the killed instance still counts as alive");
+        let live_instances = remaining.status().await["living"].as_array().map(|a| a.len());
+        assert_eq!(live_instances, Some(2), "expected two live instances after one was killed");
     });
 }
 
-/// Guards against checks by an instance without a majority, and against repeated checks when paused instances
-/// resume with outdated state.
+/// Guards against checks without a majority, and against duplicate checks after paused instances resume with
+/// outdated state.
 #[test]
-fn without_a_majority_no_check_runs_and_none_runs_twice_afterwards() {
+fn no_check_runs_without_a_majority_and_none_runs_twice_after_it_is_restored() {
     run(async {
-        let (instances, endpoints, instance_addresses) = start_instances(122, "health-checks-split").await;
+        let (instances, endpoints, instance_addresses) = start_instances(122, "health-checks-majority").await;
         instances[0].signal("-STOP");
         instances[1].signal("-STOP");
         tokio::time::sleep(Duration::from_millis(400)).await;
@@ -165,17 +166,20 @@
         tokio::time::sleep(Duration::from_millis(2_000)).await;
         let checks_without_majority: usize =
             endpoints.iter().map(|endpoint| endpoint.checks_between(from, unix_ms()).len()).sum();
-        assert_eq!(checks_without_majority, 0, "a single instance ran a check");
-        assert!(instances[2].status().await["figures"]["unanswered"].as_u64() > Some(0));
+        assert_eq!(checks_without_majority, 0, "an instance without a majority ran a check");
+        assert!(
+            instances[2].status().await["figures"]["unanswered"].as_u64() > Some(0),
+            "no vote request timed out"
+        );
         instances[0].signal("-CONT");
         instances[1].signal("-CONT");
         let from = unix_ms();
         tokio::time::sleep(Duration::from_millis(2_500)).await;
         for endpoint in &endpoints {
-            assert!(endpoint.checks_between(from + 500.0, unix_ms()).len() >= 3, "checks resume");
+            assert!(endpoint.checks_between(from + 500.0, unix_ms()).len() >= 3, "checks did not resume");
         }
         assert_one_check_per_slot(&endpoints, from, unix_ms());
-        // Unauthenticated and malformed datagrams from unknown senders are counted as rejected.
+        // Datagrams from unknown senders are rejected and counted, whatever their content.
         let unknown_sender = UdpSocket::bind("127.0.122.30:0").await.unwrap();
         let before = instances[2].status().await["ignored"].as_u64().unwrap();
         for text in [&b"{\"claim\":{\"duty\":193,\"slot\":1}}"[..], b"", b"{", &[0xff; 500]] {
@@ -188,11 +192,11 @@
     });
 }
 
-/// Guards against health changes that only the instance which ran the check applies.
+/// Guards against results that are applied only by the instance that ran the check.
 #[test]
 fn every_instance_applies_the_result_of_a_check() {
     run(async {
-        let (instances, endpoints, _) = start_instances(123, "health-checks-board").await;
+        let (instances, endpoints, _) = start_instances(123, "health-checks-results").await;
         let wait_for_ejected = |n: u64| {
             let instances = &instances;
             async move {
@@ -220,19 +224,19 @@
 }
 
 #[test]
-fn an_invalid_file_is_rejected_with_the_name_of_the_field() {
+fn an_invalid_configuration_is_rejected_with_the_name_of_the_field() {
     let dir = test_dir("health-checks-files");
     let read = |text: &str| {
-        std::fs::write(dir.join("d.json"), text).unwrap();
-        HealthCheckConfig::read(&dir.join("d.json")).map(|_| ()).map_err(|e| e.to_string())
+        std::fs::write(dir.join("health-checks.json"), text).unwrap();
+        HealthCheckConfig::read(&dir.join("health-checks.json")).map(|_| ()).map_err(|e| e.to_string())
     };
-    let config_with = |more: &str| {
+    let config_with = |extra_fields: &str| {
         format!(
-            r#"{{"id":1,"listen":"127.0.0.1:1","servers":{{"models":["box"]}},"probe":"connect","peers":[{{"id":2,"address":"127.0.0.1:2"}}]{more}}}"#
+            r#"{{"id":1,"listen":"127.0.0.1:1","servers":{{"models":["box"]}},"probe":"connect","peers":[{{"id":2,"address":"127.0.0.1:2"}}]{extra_fields}}}"#
         )
     };
     assert_eq!(read(&config_with("")), Ok(()));
-    for (text, word) in [
+    for (text, field) in [
         (config_with(r#","period_ms":1"#), "period_ms"),
         (config_with(r#","probe_ms":9000"#), "probe_ms"),
         (config_with(r#","step_ms":1900"#), "step_ms"),
@@ -245,6 +249,6 @@
         (config_with(r#","shares":1"#), "shares"),
     ] {
         let reason = read(&text).expect_err(&text);
-        assert!(reason.contains(word), "{reason} does not name {word}");
+        assert!(reason.contains(field), "{reason} does not name {field}");
     }
 }
