--- a/src/grpc/front.rs
+++ b/src/grpc/front.rs
@@ -204,12 +204,12 @@
         self.metrics.borrow().response_head_seconds.observe(ms / 1_000.0);
     }
 
-    /// Whether [`Self::abort_calls`] was called.
+    /// Whether `abort_calls` was called.
     pub fn is_aborting(&self) -> bool {
         self.aborting.get()
     }
 
-    /// Completes when [`Self::abort_calls`] is called.
+    /// Completes when `abort_calls` is called.
     pub async fn abort_requested(&self) {
         self.abort.notified().await;
     }
--- a/src/rules/error.rs
+++ b/src/rules/error.rs
@@ -18,7 +18,7 @@
 /// Kinds of syntax errors.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SyntaxErrorKind {
-    /// The expression is longer than [`MAX_EXPRESSION_BYTES`].
+    /// The expression is longer than `MAX_EXPRESSION_BYTES`.
     #[error("the expression is longer than {MAX_EXPRESSION_BYTES} bytes")]
     TooLong,
     /// The expression nests deeper than [`MAX_DEPTH`].
--- a/src/wire/signed_urls/key_ring.rs
+++ b/src/wire/signed_urls/key_ring.rs
@@ -35,7 +35,7 @@
     }
 
     /// Replaces the current keys. Keys that the new set lacks or replaces are accepted for the overlap
-    /// period, so that URLs that were signed shortly before the rotation remain valid. At most [`MAX_KEYS`] of
+    /// period, so that URLs that were signed shortly before the rotation remain valid. At most `MAX_KEYS` of
     /// them are kept; the oldest are dropped first.
     pub fn rotate(&mut self, keys: KeySet, now: f64) {
         let accepted_until_ms = now + self.overlap_ms;
