--- a/tests/admission_loopback.rs
+++ b/tests/admission_loopback.rs
@@ -131,8 +131,11 @@
     let args =
         ["serve", "--config", config.to_str().unwrap(), "--admission", admission_file.to_str().unwrap()];
     let proxy = Proxy(Command::new(PROGRAM).args(args).stderr(Stdio::from(log)).spawn().unwrap());
+    // The admin address is opened after the platform listener.
     for _ in 0..500 {
-        if tokio::net::TcpStream::connect(listen).await.is_ok() {
+        let is_listening = tokio::net::TcpStream::connect(listen).await.is_ok()
+            && tokio::net::TcpStream::connect(mgmt).await.is_ok();
+        if is_listening {
             break;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
